--- a/crates/oatpier-serving/src/quota/bounds.rs
+++ b/crates/oatpier-serving/src/quota/bounds.rs
@@ -1,62 +1,62 @@
-//! What the platform allows beside a limit itself.
+//! How far use may exceed a limit, and what follows for each part of it.
 
 use std::time::Duration;
 
 use super::PARTS;
 use crate::workspace::quota::QuotaRule;
 
-/// The share of the fixed allowance that parts may go into debt by. The rest covers requests on their way, whose
-/// units were given before a window began and which arrive within it.
-const DEBT_SHARE: f64 = 0.5;
+/// Share of the fixed allowance that the parts may grant as debt. The rest covers requests in transit, whose units were
+/// granted before a window began and which arrive within it.
+const DEBT_FRACTION: f64 = 0.5;
 
-/// What was given counts for this long at the least: the way from the holder, and to the endpoint.
-const LIFE_LEAST: Duration = Duration::from_millis(50);
+/// Minimum lifetime of granted units. It covers the transit from the holder to the gateway and on to the endpoint.
+const MIN_GRANT_LIFETIME: Duration = Duration::from_millis(50);
 
-/// And at the most: units that nobody uses are lost to their workspace.
-const LIFE_MOST: Duration = Duration::from_millis(800);
+/// Maximum lifetime of granted units. Units that are not used within their lifetime are lost to their workspace.
+const MAX_GRANT_LIFETIME: Duration = Duration::from_millis(800);
 
-/// How strictly limits are judged: in any window of this length a workspace may use `rate x window + burst`, the
-/// overage more, and the allowance.
+/// Tolerance with which limits are enforced. In any window of this length, a workspace may use `(rate x window + burst)
+/// x (1 + overage) + slack` units.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaBounds {
-    /// The window.
+    /// Length of the window over which use is counted.
     pub window: Duration,
-    /// How far over the limit a window may be, as a share.
+    /// Fraction by which use within a window may exceed the limit.
     pub overage: f64,
-    /// Units that a window may be over beside that.
+    /// Units by which use within a window may exceed the limit in addition to `overage`.
     pub slack: f64,
 }
 
 impl QuotaBounds {
-    /// How long units count after they were asked for.
+    /// Returns how long granted units stay valid after they were requested.
     ///
-    /// What arrives in a window was given within the window and this life before it: `rate x (window + life) +
-    /// burst` at the most, and the overage covers `rate x life`.
+    /// Units that arrive in a window were granted within the window or up to one lifetime before it. Their sum is at
+    /// most `rate x (window + lifetime) + burst`, and the overage covers `rate x lifetime`.
     #[must_use]
     pub fn grant_life(&self) -> Duration {
-        let life = self.window.mul_f64(self.overage.clamp(0.0, 1.0));
-        life.clamp(LIFE_LEAST, LIFE_MOST)
+        let lifetime = self.window.mul_f64(self.overage.clamp(0.0, 1.0));
+        lifetime.clamp(MIN_GRANT_LIFETIME, MAX_GRANT_LIFETIME)
     }
 
-    /// What one part of a limit gives.
+    /// Returns the token bucket parameters of one part of a limit.
     #[must_use]
     pub fn part(&self, rule: &QuotaRule) -> PartTerms {
         let parts = f64::from(PARTS);
         PartTerms {
             rate: rule.rate / parts,
             capacity: rule.burst / parts,
-            debt: self.slack * DEBT_SHARE / parts,
+            debt: self.slack * DEBT_FRACTION / parts,
         }
     }
 }
 
-/// What one part of a limit gives.
+/// Token bucket parameters of one part of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PartTerms {
-    /// Units a second.
+    /// Units added per second.
     pub rate: f64,
-    /// Units that may be saved up.
+    /// Maximum number of units that the bucket holds.
     pub capacity: f64,
-    /// Units that may be handed out before they are there.
+    /// Maximum number of units that are granted before they have accrued.
     pub debt: f64,
 }
--- a/crates/oatpier-serving/src/quota/grants.rs
+++ b/crates/oatpier-serving/src/quota/grants.rs
@@ -1,4 +1,4 @@
-//! What a gateway was given of workspaces' limits, and whom it asks next.
+//! Units that a gateway was granted from workspaces' limits, and the selection of the holder that it queries next.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,138 +12,140 @@
 use super::holders::HolderBook;
 use super::{PARTS, PartIndex};
 
-/// Requests of the next moment are provided for with the units that those of the last second used in as long.
-const AHEAD: Duration = Duration::from_millis(100);
+/// Span of future requests for which units are requested in advance. The amount is what was used in an equally long
+/// part of the last second.
+const PREFETCH_SPAN: Duration = Duration::from_millis(100);
 
-/// The span over which use is averaged.
-const USE_SPAN: Duration = Duration::from_secs(1);
+/// Time constant of the moving average of used units.
+const USE_AVERAGE_SPAN: Duration = Duration::from_secs(1);
 
-/// A part that had nothing left is not asked again for the same need before this. Others may not have used what
-/// it has gained meanwhile, so this is short beside the time to return.
-const EMPTY_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before a part that had too few units is queried again for the same need. Other requests may not have used the
+/// units that the part has gained meanwhile, so this is short compared with the time until the units are available.
+const EMPTY_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// Units that were given, and count until they lapse.
+/// Granted units, which are valid until they expire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnitsLot {
-    /// How many.
+    /// Number of units.
     pub units: u64,
-    /// Until when they count.
+    /// When the units expire.
     pub until: ClockTime,
 }
 
-/// That a part had nothing left.
+/// Records that a part had too few units.
 #[derive(Debug, Clone, Copy)]
 struct EmptyPart {
     need: u64,
-    asked_again_at: ClockTime,
-    returns_at: ClockTime,
+    retry_at: ClockTime,
+    available_at: ClockTime,
 }
 
-/// What is known of one workspace's units.
+/// Granted units of one workspace and the state of its parts.
 #[derive(Debug, Default)]
 struct WorkspaceUnits {
-    lots: SmallVec<[UnitsLot; 2]>,
+    grants: SmallVec<[UnitsLot; 2]>,
     used: f64,
     used_at: ClockTime,
-    /// The part that is asked next. Asked in turn, all parts are used alike: what one has saved up is there when
-    /// callers come all at once.
-    turn: u8,
+    /// Part that is queried next. Round-robin use drains all parts alike, so that the units saved in each of them are
+    /// available for a burst of callers.
+    next_part: u8,
     empty: [Option<EmptyPart>; PARTS as usize],
 }
 
 impl WorkspaceUnits {
-    fn drop_lapsed(&mut self, now: ClockTime) {
-        self.lots.retain(|lot| lot.until > now && lot.units > 0);
+    fn remove_expired(&mut self, now: ClockTime) {
+        self.grants
+            .retain(|grant| grant.until > now && grant.units > 0);
     }
 
-    fn left(&self) -> u64 {
-        self.lots.iter().map(|lot| lot.units).sum()
+    fn available(&self) -> u64 {
+        self.grants.iter().map(|grant| grant.units).sum()
     }
 
-    /// Takes units, those that lapse first before the others; what is taken lapses with the first of them.
+    /// Takes units, those that expire first before the others. The result expires with the first of them.
     fn take(&mut self, units: u64) -> Option<UnitsLot> {
-        if self.left() < units {
+        if self.available() < units {
             return None;
         }
-        self.lots.sort_by_key(|lot| lot.until);
-        let until = self.lots.first()?.until;
+        self.grants.sort_by_key(|grant| grant.until);
+        let until = self.grants.first()?.until;
         let mut missing = units;
-        for lot in &mut self.lots {
-            let taken = lot.units.min(missing);
-            lot.units -= taken;
+        for grant in &mut self.grants {
+            let taken = grant.units.min(missing);
+            grant.units -= taken;
             missing -= taken;
         }
         Some(UnitsLot { units, until })
     }
 
-    fn note_used(&mut self, units: u64, now: ClockTime) {
-        self.used = self.used_lately(now) + f64::from(u32::try_from(units).unwrap_or(u32::MAX));
+    fn record_use(&mut self, units: u64, now: ClockTime) {
+        self.used = self.recent_use(now) + f64::from(u32::try_from(units).unwrap_or(u32::MAX));
         self.used_at = now;
     }
 
-    fn used_lately(&self, now: ClockTime) -> f64 {
-        let passed = now.since(self.used_at).as_secs_f64() / USE_SPAN.as_secs_f64();
-        self.used * (-passed).exp()
+    fn recent_use(&self, now: ClockTime) -> f64 {
+        let elapsed = now.since(self.used_at).as_secs_f64() / USE_AVERAGE_SPAN.as_secs_f64();
+        self.used * (-elapsed).exp()
     }
 
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a positive share of what was used lately"
+        reason = "a positive fraction of the recent use"
     )]
-    fn ahead(&self, now: ClockTime) -> u64 {
-        let share = AHEAD.as_secs_f64() / USE_SPAN.as_secs_f64();
-        (self.used_lately(now) * share) as u64
+    fn prefetch_units(&self, now: ClockTime) -> u64 {
+        let fraction = PREFETCH_SPAN.as_secs_f64() / USE_AVERAGE_SPAN.as_secs_f64();
+        (self.recent_use(now) * fraction) as u64
     }
 
-    /// Whether the part had too little for this a moment ago.
+    /// Returns whether the part recently had too few units for this need.
     fn is_empty(&self, part: PartIndex, need: u64, now: ClockTime) -> bool {
         let empty = self.empty[part.place()];
-        empty.is_some_and(|empty| need >= empty.need && now < empty.asked_again_at)
+        empty.is_some_and(|empty| need >= empty.need && now < empty.retry_at)
     }
 
-    fn returns_at(&self, now: ClockTime) -> Option<ClockTime> {
-        let known = self.empty.iter().flatten();
-        known.map(|empty| empty.returns_at.max(now)).min()
+    fn available_at(&self, now: ClockTime) -> Option<ClockTime> {
+        let empty_parts = self.empty.iter().flatten();
+        empty_parts.map(|empty| empty.available_at.max(now)).min()
     }
 }
 
-/// Whom to ask for units.
+/// Query for units and the holder that receives it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartAsk {
-    /// The part.
+    /// Part to query.
     pub part: PartIndex,
-    /// Its holder.
+    /// Address of the holder of the part.
     pub holder: SocketAddr,
-    /// What to ask for.
+    /// Units to request.
     pub wanted: UnitsWanted,
 }
 
-/// How a request gets its units.
+/// Next step of a request that needs units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantStep {
-    /// It has them.
+    /// The request has its units.
     Taken(UnitsLot),
-    /// A holder has to be asked.
+    /// A holder must be queried.
     Ask(PartAsk),
-    /// No part has enough left; they could after this time.
+    /// No part has enough units left. They may be available after this time.
     Spent(Duration),
-    /// No holder is known that has not been asked in vain.
+    /// No known holder is left that has not been queried without success.
     Nobody,
 }
 
-/// The parts that were asked for one request.
+/// Parts that were queried for one request.
 #[derive(Debug, Clone, Default)]
 pub struct AskedParts(SmallVec<[PartIndex; PARTS as usize]>);
 
 impl AskedParts {
-    /// A part is being asked.
+    /// Records that a part is being queried.
     pub fn add(&mut self, part: PartIndex) {
         self.0.push(part);
     }
 }
 
-/// What this gateway was given.
+/// Units that this gateway was granted, by workspace.
 #[derive(Debug, Default)]
 pub struct GrantBook {
     workspaces: HashMap<WorkspaceName, WorkspaceUnits>,
@@ -151,23 +153,23 @@
 }
 
 impl GrantBook {
-    /// Who holds the parts.
+    /// Returns the known holders of the parts.
     #[must_use]
     pub fn holders(&self) -> &HolderBook {
         &self.holders
     }
 
-    /// Who holds the parts, to note who does and who answers.
+    /// Returns the known holders of the parts for updates, such as a new holder or an answer.
     pub fn holders_mut(&mut self) -> &mut HolderBook {
         &mut self.holders
     }
 
-    /// Only these workspaces have limits any more.
+    /// Removes all workspaces that no longer have a limit.
     pub fn retain(&mut self, is_limited: impl Fn(&WorkspaceName) -> bool) {
         self.workspaces.retain(|workspace, _| is_limited(workspace));
     }
 
-    /// What a request that needs `units` does next, after it has asked some parts.
+    /// Returns the next step of a request that needs `units` and has queried the parts in `asked`.
     pub fn step(
         &mut self,
         workspace: &WorkspaceName,
@@ -175,27 +177,27 @@
         asked: &AskedParts,
         now: ClockTime,
     ) -> GrantStep {
-        let known = self.workspaces.entry(workspace.clone()).or_default();
-        known.drop_lapsed(now);
-        if let Some(lot) = known.take(units) {
-            known.note_used(units, now);
-            return GrantStep::Taken(lot);
+        let state = self.workspaces.entry(workspace.clone()).or_default();
+        state.remove_expired(now);
+        if let Some(grant) = state.take(units) {
+            state.record_use(units, now);
+            return GrantStep::Taken(grant);
         }
-        let need = units - known.left();
-        let open = PartIndex::all().filter(|part| !asked.0.contains(part));
-        let askable = open.filter(|part| !known.is_empty(*part, need, now));
+        let need = units - state.available();
+        let unqueried = PartIndex::all().filter(|part| !asked.0.contains(part));
+        let candidates = unqueried.filter(|part| !state.is_empty(*part, need, now));
         let holders = &self.holders;
-        let held = askable.filter_map(|part| Some((part, holders.holder(part)?)));
-        let turn = known.turn;
-        let best = held.min_by_key(|(part, _)| {
+        let with_holder = candidates.filter_map(|part| Some((part, holders.holder(part)?)));
+        let next_part = state.next_part;
+        let best = with_holder.min_by_key(|(part, _)| {
             let is_silent = holders.is_silent(*part, now);
-            (is_silent, (part.0 + PARTS - turn) % PARTS)
+            (is_silent, (part.0 + PARTS - next_part) % PARTS)
         });
         if let Some((part, holder)) = best {
-            known.turn = (part.0 + 1) % PARTS;
+            state.next_part = (part.0 + 1) % PARTS;
             let wanted = UnitsWanted {
                 need,
-                ahead: known.ahead(now),
+                ahead: state.prefetch_units(now),
             };
             return GrantStep::Ask(PartAsk {
                 part,
@@ -203,51 +205,51 @@
                 wanted,
             });
         }
-        match known.returns_at(now) {
+        match state.available_at(now) {
             Some(at) => GrantStep::Spent(at.since(now)),
             None => GrantStep::Nobody,
         }
     }
 
-    /// A holder answered what was asked at `asked_at`; what it gave counts for `life` from then.
+    /// Applies a holder's answer to a query sent at `asked_at`. The granted units expire `lifetime` after that.
     pub fn take_answer(
         &mut self,
         workspace: &WorkspaceName,
         ask: &PartAsk,
         answer: PartAnswer,
         asked_at: ClockTime,
-        life: Duration,
+        lifetime: Duration,
         now: ClockTime,
     ) {
-        let place = ask.part.place();
+        let index = ask.part.place();
         self.holders.note_answer(ask.part);
-        let known = self.workspaces.entry(workspace.clone()).or_default();
+        let state = self.workspaces.entry(workspace.clone()).or_default();
         match answer {
             PartAnswer::Granted(units) => {
-                known.empty[place] = None;
-                known.lots.push(UnitsLot {
+                state.empty[index] = None;
+                state.grants.push(UnitsLot {
                     units,
-                    until: asked_at + life,
+                    until: asked_at + lifetime,
                 });
             }
             PartAnswer::Later(millis) => {
                 let after = Duration::from_millis(u64::from(millis));
-                known.empty[place] = Some(EmptyPart {
+                state.empty[index] = Some(EmptyPart {
                     need: ask.wanted.need,
-                    asked_again_at: now + after.min(EMPTY_PAUSE),
-                    returns_at: now + after,
+                    retry_at: now + after.min(EMPTY_RETRY_DELAY),
+                    available_at: now + after,
                 });
             }
-            PartAnswer::NotHeld => known.empty[place] = None,
+            PartAnswer::NotHeld => state.empty[index] = None,
         }
     }
 
-    /// Units that were taken for a request that was not sent.
-    pub fn put_back(&mut self, workspace: &WorkspaceName, lot: UnitsLot, now: ClockTime) {
-        if let Some(known) = self.workspaces.get_mut(workspace)
-            && lot.until > now
+    /// Returns units that were taken for a request that was not sent.
+    pub fn put_back(&mut self, workspace: &WorkspaceName, grant: UnitsLot, now: ClockTime) {
+        if let Some(state) = self.workspaces.get_mut(workspace)
+            && grant.until > now
         {
-            known.lots.push(lot);
+            state.grants.push(grant);
         }
     }
 }
--- a/crates/oatpier-serving/src/quota/holder.rs
+++ b/crates/oatpier-serving/src/quota/holder.rs
@@ -1,4 +1,4 @@
-//! Handing out what the parts of limits give that this gateway holds.
+//! Grants of units and turns from the parts of limits that this gateway holds.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,118 +12,120 @@
 use super::turns::{TurnAnswer, TurnQueue};
 use crate::notice::RequestRate;
 
-/// The share of what is saved up that is handed out ahead of requests.
-const AHEAD_SHARE: f64 = 0.25;
+/// Maximum share of the saved units that is granted in advance of requests.
+const MAX_PREFETCH_FRACTION: f64 = 0.25;
 
-/// The longest time to return that is told. Callers that would have to wait longer have left by then.
-const LONGEST_RETURN: Duration = Duration::from_secs(30);
+/// Longest delay that a refused caller is told. Callers that would have to wait longer have left by then.
+const MAX_RETURN_DELAY: Duration = Duration::from_secs(30);
 
-/// How a part begins.
+/// Initial state of a part's token buckets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartStart {
-    /// With everything saved up: nobody held it before.
+    /// All buckets are full, because no gateway held the part before.
     Full,
-    /// With nothing: its last holder may have handed out all until now.
+    /// All buckets are empty, because the last holder may have granted all units until now.
     Empty,
 }
 
-/// What a holder says to an ask.
+/// Answer of a holder to a query for units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum PartAnswer {
-    /// So many units, at least as many as were needed.
+    /// Granted number of units, at least as many as were needed.
     Granted(u64),
-    /// Not now; the units could be there after this many milliseconds.
+    /// No units are granted. They may be available after this many milliseconds.
     Later(u32),
-    /// This gateway does not hold the part, or knows no limit of the workspace.
+    /// This gateway does not hold the part, or knows no limit for the workspace.
     NotHeld,
 }
 
-/// What is asked for.
+/// Number of units that are requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct UnitsWanted {
-    /// Units that a request waits for.
+    /// Units that a pending request needs.
     pub need: u64,
-    /// Units that requests to come will want soon.
+    /// Units that later requests are expected to need soon.
     pub ahead: u64,
 }
 
-/// What one part of one workspace's limit has saved up.
+/// Token bucket of one workspace in one part.
 #[derive(Debug, Clone, Copy)]
 struct PartBucket {
     level: f64,
     at: ClockTime,
-    /// When the last refused request was told to return; the next one returns after it.
+    /// Time at which the last refused request was told to return. The next one returns after it.
     returns_until: ClockTime,
-    /// What was handed out, and asked for in vain, since it was last counted.
-    use_lately: UnitsUse,
+    /// Units granted and refused since the last count.
+    recent_usage: UnitsUse,
 }
 
-/// What became of asks for units.
+/// Counts of units that were granted and refused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UnitsUse {
-    /// Units that were handed out.
+    /// Granted units.
     pub granted: u64,
-    /// Units that were asked for in vain.
+    /// Units that were requested and refused.
     pub refused: u64,
 }
 
-/// What one workspace asked of the parts that are held here, for operators.
+/// Use of one workspace's limit in the parts held here, as shown to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkspaceUse {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: WorkspaceName,
-    /// What was handed out and refused since the last count.
+    /// Units granted and refused since the last count.
     pub units: UnitsUse,
-    /// What is saved up, below zero for a debt.
+    /// Units in the buckets, below zero for a debt.
     pub saved: f64,
 }
 
 impl PartBucket {
-    fn fill(&mut self, terms: &PartTerms, now: ClockTime) {
+    fn refill(&mut self, terms: &PartTerms, now: ClockTime) {
         let gained = now.since(self.at).as_secs_f64() * terms.rate;
         self.level = (self.level + gained).min(terms.capacity);
         self.at = now;
     }
 
     fn hand_out(&mut self, terms: &PartTerms, wanted: UnitsWanted, now: ClockTime) -> PartAnswer {
-        self.fill(terms, now);
-        let need = units(wanted.need);
-        // What is larger than all that can be saved up passes when that much is there; it could never pass else.
-        let reach = need.min(terms.capacity + terms.debt);
-        if self.level + terms.debt < reach {
-            self.use_lately.refused += wanted.need;
-            return PartAnswer::Later(self.return_after(terms, reach, now));
+        self.refill(terms, now);
+        let need = to_float(wanted.need);
+        // A request larger than the capacity and the debt is granted once the bucket is full. Otherwise it would never
+        // be granted.
+        let required = need.min(terms.capacity + terms.debt);
+        if self.level + terms.debt < required {
+            self.recent_usage.refused += wanted.need;
+            return PartAnswer::Later(self.return_delay(terms, required, now));
         }
         self.level -= need;
-        let ahead = (self.level * AHEAD_SHARE).clamp(0.0, units(wanted.ahead));
-        let ahead = whole(ahead);
-        self.level -= units(ahead);
-        self.use_lately.granted += wanted.need + ahead;
+        let ahead = (self.level * MAX_PREFETCH_FRACTION).clamp(0.0, to_float(wanted.ahead));
+        let ahead = to_units(ahead);
+        self.level -= to_float(ahead);
+        self.recent_usage.granted += wanted.need + ahead;
         PartAnswer::Granted(wanted.need + ahead)
     }
 
-    /// Refused callers are told to come back one after the other, as fast as the part gives.
-    fn return_after(&mut self, terms: &PartTerms, reach: f64, now: ClockTime) -> u32 {
-        let missing = reach - self.level - terms.debt;
-        let there_at = now + span(missing / terms.rate);
-        let at = there_at.max(self.returns_until);
-        let latest = now + LONGEST_RETURN;
-        self.returns_until = (at + span(reach / terms.rate)).min(latest);
-        let after = at.min(latest).since(now);
+    /// Returns the delay for a refused caller, in milliseconds. The delays are staggered at the part's rate, so that
+    /// callers return one after the other.
+    fn return_delay(&mut self, terms: &PartTerms, required: f64, now: ClockTime) -> u32 {
+        let missing = required - self.level - terms.debt;
+        let available_at = now + bounded_delay(missing / terms.rate);
+        let return_at = available_at.max(self.returns_until);
+        let latest = now + MAX_RETURN_DELAY;
+        self.returns_until = (return_at + bounded_delay(required / terms.rate)).min(latest);
+        let after = return_at.min(latest).since(now);
         u32::try_from(after.as_millis()).unwrap_or(u32::MAX)
     }
 }
 
-/// The parts that this gateway holds.
+/// Parts that this gateway holds.
 #[derive(Debug, Default)]
 pub struct PartHolder {
-    begun: HashMap<PartIndex, PartBegin>,
+    parts: HashMap<PartIndex, HeldPart>,
 }
 
 #[derive(Debug)]
-struct PartBegin {
+struct HeldPart {
     start: PartStart,
     at: ClockTime,
     buckets: HashMap<WorkspaceName, PartBucket>,
@@ -131,30 +133,30 @@
 }
 
 impl PartHolder {
-    /// This gateway holds a part from now on.
+    /// Starts to grant from a part that this gateway holds since `now`.
     pub fn begin(&mut self, part: PartIndex, start: PartStart, now: ClockTime) {
-        let begin = PartBegin {
+        let held = HeldPart {
             start,
             at: now,
             buckets: HashMap::new(),
             turns: HashMap::new(),
         };
-        self.begun.insert(part, begin);
+        self.parts.insert(part, held);
     }
 
-    /// Another gateway holds it.
+    /// Stops granting from a part that another gateway holds.
     pub fn end(&mut self, part: PartIndex) {
-        self.begun.remove(&part);
+        self.parts.remove(&part);
     }
 
-    /// Only these workspaces have limits any more.
+    /// Removes the buckets of all workspaces that no longer have a limit.
     pub fn retain(&mut self, is_limited: impl Fn(&WorkspaceName) -> bool) {
-        for begin in self.begun.values_mut() {
-            begin.buckets.retain(|workspace, _| is_limited(workspace));
+        for held in self.parts.values_mut() {
+            held.buckets.retain(|workspace, _| is_limited(workspace));
         }
     }
 
-    /// Hands out units of a workspace.
+    /// Grants units of a workspace's limit.
     pub fn hand_out(
         &mut self,
         part: PartIndex,
@@ -163,52 +165,52 @@
         wanted: UnitsWanted,
         now: ClockTime,
     ) -> PartAnswer {
-        let Some(begin) = self.begun.get_mut(&part) else {
+        let Some(held) = self.parts.get_mut(&part) else {
             return PartAnswer::NotHeld;
         };
         let fresh = PartBucket {
-            level: match begin.start {
+            level: match held.start {
                 PartStart::Full => terms.capacity,
                 PartStart::Empty => 0.0,
             },
-            at: begin.at,
+            at: held.at,
             returns_until: now,
-            use_lately: UnitsUse::default(),
+            recent_usage: UnitsUse::default(),
         };
-        let bucket = begin.buckets.entry(workspace.clone()).or_insert(fresh);
+        let bucket = held.buckets.entry(workspace.clone()).or_insert(fresh);
         bucket.hand_out(terms, wanted, now)
     }
 
-    /// Gives a turn at an endpoint that takes `rate` requests a second from all gateways.
+    /// Grants a turn at an endpoint that accepts `rate` requests per second from all gateways together.
     pub fn give_turn(
         &mut self,
         part: PartIndex,
         endpoint: &EndpointName,
         rate: RequestRate,
-        most_wait: Duration,
+        max_wait: Duration,
         now: ClockTime,
     ) -> TurnAnswer {
-        let Some(begin) = self.begun.get_mut(&part) else {
+        let Some(held) = self.parts.get_mut(&part) else {
             return TurnAnswer::NotHeld;
         };
-        let fresh = TurnQueue::begin(begin.start, begin.at);
-        let queue = begin.turns.entry(endpoint.clone()).or_insert(fresh);
-        queue.give(rate, most_wait, now)
+        let fresh = TurnQueue::new(held.start, held.at);
+        let queue = held.turns.entry(endpoint.clone()).or_insert(fresh);
+        queue.grant(rate, max_wait, now)
     }
 
-    /// Only these endpoints are there any more.
+    /// Removes the turn queues of all endpoints that no longer exist.
     pub fn retain_endpoints(&mut self, is_there: impl Fn(&EndpointName) -> bool) {
-        for begin in self.begun.values_mut() {
-            begin.turns.retain(|endpoint, _| is_there(endpoint));
+        for held in self.parts.values_mut() {
+            held.turns.retain(|endpoint, _| is_there(endpoint));
         }
     }
 
-    /// Counts what was asked of the parts that are held here since the last count, by workspace.
+    /// Returns the units granted and refused by workspace since the last call, and resets the counts.
     pub fn count_use(&mut self) -> Vec<WorkspaceUse> {
         let mut uses: HashMap<WorkspaceName, (UnitsUse, f64)> = HashMap::new();
-        let buckets = self.begun.values_mut();
-        for (workspace, bucket) in buckets.flat_map(|begin| &mut begin.buckets) {
-            let units = std::mem::take(&mut bucket.use_lately);
+        let buckets = self.parts.values_mut();
+        for (workspace, bucket) in buckets.flat_map(|held| &mut held.buckets) {
+            let units = std::mem::take(&mut bucket.recent_usage);
             if units == UnitsUse::default() {
                 continue;
             }
@@ -228,22 +230,22 @@
     }
 }
 
-/// Exact up to 2^53, far above any quota.
+/// Converts a number of units. The result is exact up to 2^53, far above any quota.
 #[expect(clippy::cast_precision_loss, reason = "quotas are far below 2^53")]
-fn units(value: u64) -> f64 {
+fn to_float(value: u64) -> f64 {
     value as f64
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a share of a quota, not below zero"
+    reason = "a fraction of a quota, not below zero"
 )]
-fn whole(value: f64) -> u64 {
+fn to_units(value: f64) -> u64 {
     value.max(0.0) as u64
 }
 
-fn span(seconds: f64) -> Duration {
+fn bounded_delay(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0))
-        .map_or(LONGEST_RETURN, |span| span.min(LONGEST_RETURN))
+        .map_or(MAX_RETURN_DELAY, |span| span.min(MAX_RETURN_DELAY))
 }
--- a/crates/oatpier-serving/src/quota/holders.rs
+++ b/crates/oatpier-serving/src/quota/holders.rs
@@ -1,4 +1,4 @@
-//! Who holds the parts of limits, and which of them answer.
+//! Known holders of the parts of limits, and whether they respond.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,71 +7,72 @@
 
 use super::{PARTS, PartIndex};
 
-/// A holder that did not answer is asked last for this long, the first time; each further time twice as long.
-const SILENT_FIRST: Duration = Duration::from_millis(500);
+/// How long a holder that did not respond is queried last. The time doubles with each further timeout.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// The longest time for that: a holder that was cut off is found again this soon.
-const SILENT_MOST: Duration = Duration::from_secs(4);
+/// Maximum of that time. A holder that was unreachable is used again at most this long after it is back.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// A part whose holder no longer holds it is asked last for this long: its next holder has to be read first.
-const UNHELD_PAUSE: Duration = Duration::from_millis(250);
+/// How long a part is queried last after its holder answered that it does not hold it. This gateway must first read the
+/// next holder from the store.
+const NOT_HELD_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Where the holders of all parts are, as far as known; none for a part that nobody holds.
+/// Address of the holder of each part, as far as known; `None` for a part without a holder.
 pub type PartHolders = [Option<SocketAddr>; PARTS as usize];
 
 #[derive(Debug, Clone, Copy, Default)]
-struct HolderView {
+struct HolderState {
     holder: Option<SocketAddr>,
-    silences: u32,
-    silent_until: ClockTime,
+    timeouts: u32,
+    backoff_until: ClockTime,
 }
 
-/// The holders of all parts, as a gateway that asks them knows them.
+/// Holders of all parts, as known to a gateway that queries them.
 #[derive(Debug, Default)]
 pub struct HolderBook {
-    views: [HolderView; PARTS as usize],
+    states: [HolderState; PARTS as usize],
 }
 
 impl HolderBook {
-    /// Who holds the parts now.
+    /// Replaces the holders of all parts. The response state of a part is reset if its holder changed.
     pub fn set(&mut self, holders: PartHolders) {
-        for (view, holder) in self.views.iter_mut().zip(holders) {
-            if view.holder != holder {
-                *view = HolderView::default();
+        for (state, holder) in self.states.iter_mut().zip(holders) {
+            if state.holder != holder {
+                *state = HolderState::default();
             }
-            view.holder = holder;
+            state.holder = holder;
         }
     }
 
-    /// Who holds a part, if anybody does.
+    /// Returns the holder of a part, if it has one.
     #[must_use]
     pub fn holder(&self, part: PartIndex) -> Option<SocketAddr> {
-        self.views[part.place()].holder
+        self.states[part.place()].holder
     }
 
-    /// Whether a part's holder did not answer lately, or does not hold it.
+    /// Returns whether a part's holder recently failed to respond or answered that it does not hold the part.
     #[must_use]
     pub fn is_silent(&self, part: PartIndex, now: ClockTime) -> bool {
-        now < self.views[part.place()].silent_until
+        now < self.states[part.place()].backoff_until
     }
 
-    /// A holder answered.
+    /// Records that the holder of a part responded.
     pub fn note_answer(&mut self, part: PartIndex) {
-        let view = &mut self.views[part.place()];
-        view.silences = 0;
-        view.silent_until = ClockTime::ZERO;
+        let state = &mut self.states[part.place()];
+        state.timeouts = 0;
+        state.backoff_until = ClockTime::ZERO;
     }
 
-    /// A part's holder no longer holds it.
+    /// Records that the holder of a part answered that it does not hold it.
     pub fn note_unheld(&mut self, part: PartIndex, now: ClockTime) {
-        self.views[part.place()].silent_until = now + UNHELD_PAUSE;
+        self.states[part.place()].backoff_until = now + NOT_HELD_BACKOFF;
     }
 
-    /// A holder did not answer.
+    /// Records that the holder of a part did not respond in time.
     pub fn note_silence(&mut self, part: PartIndex, now: ClockTime) {
-        let view = &mut self.views[part.place()];
-        let span = SILENT_FIRST * 2_u32.saturating_pow(view.silences.min(8));
-        view.silences += 1;
-        view.silent_until = now + span.min(SILENT_MOST);
+        let state = &mut self.states[part.place()];
+        let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(state.timeouts.min(8));
+        state.timeouts += 1;
+        state.backoff_until = now + backoff.min(MAX_BACKOFF);
     }
 }
--- a/crates/oatpier-serving/src/quota/mod.rs
+++ b/crates/oatpier-serving/src/quota/mod.rs
@@ -1,19 +1,20 @@
-//! What workspaces use, held within their limits over all gateways, in touch or not.
+//! Limits on the use of workspaces, enforced over all gateways and also during network partitions.
 //!
-//! A limit is divided into a few parts, and each part is held by one gateway: it alone hands out what the part
-//! gives, to itself and to others. A gateway that has to send a request asks a holder for its units, the nearest
-//! one first, and another one where that has none left; what it was given counts for a moment only. So the sum
-//! stays within the limit however the fleet is cut, and callers of a workspace may all come to one gateway.
+//! Each limit is divided into a few parts, and each part is held by one gateway. Only that gateway grants units of the
+//! part, to itself and to others. A gateway that is about to send a request queries a holder for units, one after the
+//! other until a part has enough left. Granted units expire after a moment. The sum therefore stays within the limit in
+//! any network partition, and all callers of a workspace may connect to the same gateway.
 //!
-//! - [`bounds`]: what the platform allows beside the limit itself.
-//! - [`tenure`]: which gateway holds which part, by leases in the store.
-//! - [`holder`]: handing out what a part gives.
-//! - [`holders`]: which holders answer.
-//! - [`grants`]: what a gateway was given, and whom it asks next.
-//! - [`turns`]: the same for the limits that endpoints put on the requests of all gateways.
+//! - [`bounds`]: how far use may exceed a limit.
+//! - [`tenure`]: leases that assign the parts to gateways, kept in the store.
+//! - [`holder`]: grants from the parts that this gateway holds.
+//! - [`holders`]: which holders respond.
+//! - [`grants`]: units that this gateway was granted, and which holder it queries next.
+//! - [`turns`]: the same for limits that endpoints set on the requests of all gateways.
 //!
-//! A holder that is gone takes its part along until it is back, or until its lease has run out: the other parts
-//! go on. That is why there are a few and not one. Many would each give too little for one request.
+//! While the holder of a part is down, its part grants nothing until the holder is back or its lease has expired. The
+//! other parts remain available, which is why a limit has several parts. With many parts, each one would grant too
+//! little for a single request.
 
 pub mod bounds;
 pub mod grants;
@@ -26,21 +27,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Parts of each limit. With three, a workspace that uses half of its limit does not notice that a holder is gone.
+/// Number of parts of each limit. With three, a workspace that uses half of its limit is not affected by the loss of
+/// one holder.
 pub const PARTS: u8 = 3;
 
-/// One of the parts of all limits, from 0.
+/// Index of a part, from 0. All limits are divided into the same parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct PartIndex(pub u8);
 
 impl PartIndex {
-    /// All parts.
+    /// Iterates over all parts.
     pub fn all() -> impl Iterator<Item = Self> {
         (0..PARTS).map(Self)
     }
 
-    /// Its place in a table of all parts.
+    /// Returns the index into an array of all parts.
     #[must_use]
     pub fn place(self) -> usize {
         usize::from(self.0)
--- a/crates/oatpier-serving/src/quota/turns.rs
+++ b/crates/oatpier-serving/src/quota/turns.rs
@@ -1,9 +1,9 @@
-//! Turns at an endpoint that limits the requests of all gateways together.
+//! Turns, which are reserved send times at an endpoint that limits the requests of all gateways together.
 //!
-//! The limit is divided like those of workspaces: each part is held by one gateway, which alone gives its turns, one
-//! after the other at the part's pace. A turn may lie ahead, so that requests wait in the order in which they asked and
-//! nobody asks twice. A gateway that reaches no holder sends such an endpoint nothing: any share that it could take by
-//! itself would rest on a count of gateways, which is wrong in a partition.
+//! The limit is divided like those of workspaces. Each part is held by one gateway, and only that gateway grants its
+//! turns, spaced at the part's rate. A turn may be in the future, so that requests wait in the order in which they
+//! asked and need to ask only once. A gateway that reaches no holder sends no requests to such an endpoint. A share
+//! that it computed by itself would depend on the number of gateways, which is unknown during a network partition.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,38 +17,38 @@
 use super::{PARTS, PartIndex};
 use crate::notice::RequestRate;
 
-/// How far ahead turns are given at the most. What was given before a limit fell is used within it.
+/// Maximum time by which a turn is granted in advance. Turns granted before a limit was lowered are used within it.
 pub const MOST_AHEAD: Duration = Duration::from_secs(2);
 
-/// A turn that was not used for this long after its time is void. Turns that were saved up for longer could all be used
-/// at once.
+/// How long a turn stays valid after its time. If unused turns were valid for longer, many of them could be used at
+/// once.
 pub const TURN_LIFE: Duration = Duration::from_millis(300);
 
-/// Turns that nobody asked for may be given this much later. It covers the way from one ask to the next.
-const SAVED: Duration = Duration::from_millis(100);
+/// How far a turn may lie in the past, where nobody asked for it in time. It covers the delay between two queries.
+const MAX_TURN_AGE: Duration = Duration::from_millis(100);
 
-/// An endpoint for which no holder answers is not asked for again before this.
-const NOBODY_PAUSE: Duration = Duration::from_millis(250);
+/// Delay before an endpoint is tried again after no holder responded.
+const NO_HOLDER_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// From one turn of a part to the next.
+/// Returns the time between two turns of one part.
 #[must_use]
 pub fn turn_gap(rate: RequestRate) -> Duration {
     Duration::from_secs_f64(f64::from(PARTS) / rate.per_second())
 }
 
-/// What a holder says to an ask for a turn.
+/// Answer of a holder to a query for a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum TurnAnswer {
-    /// The turn is so many milliseconds ahead.
+    /// The turn is granted, and is this many milliseconds in the future.
     In(u32),
-    /// The next turn is so many milliseconds ahead, which is more than the asker waits. It was not given.
+    /// The next turn is this many milliseconds in the future, which is more than the sender waits. It is not granted.
     Later(u32),
     /// This gateway does not hold the part.
     NotHeld,
 }
 
-/// The turns that one part gives at one endpoint.
+/// Turns that one part grants at one endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TurnQueue {
     last_at: Option<ClockTime>,
@@ -56,8 +56,8 @@
 }
 
 impl TurnQueue {
-    /// A queue of a part that is held since `at`. Turns that its last holder gave may lie ahead.
-    pub(super) fn begin(start: PartStart, at: ClockTime) -> Self {
+    /// Creates the queue of a part that is held since `at`. The previous holder may have granted turns in the future.
+    pub(super) fn new(start: PartStart, at: ClockTime) -> Self {
         let not_before = match start {
             PartStart::Full => at,
             PartStart::Empty => at + MOST_AHEAD,
@@ -68,19 +68,19 @@
         }
     }
 
-    /// Gives the next turn, unless it is further ahead than `most_wait`.
-    pub(super) fn give(
+    /// Grants the next turn, unless it is further in the future than `max_wait`.
+    pub(super) fn grant(
         &mut self,
         rate: RequestRate,
-        most_wait: Duration,
+        max_wait: Duration,
         now: ClockTime,
     ) -> TurnAnswer {
         let free_at = self.last_at.map_or(self.not_before, |last| {
             (last + turn_gap(rate)).max(self.not_before)
         });
-        let at = free_at.max(now - SAVED);
+        let at = free_at.max(now - MAX_TURN_AGE);
         let wait = at.since(now);
-        if wait > most_wait.min(MOST_AHEAD) {
+        if wait > max_wait.min(MOST_AHEAD) {
             return TurnAnswer::Later(whole_millis(wait));
         }
         self.last_at = Some(at);
@@ -88,69 +88,69 @@
     }
 }
 
-/// Rounded up: a turn is not used before its time.
+/// Converts to milliseconds, rounded up because a turn must not be used before its time.
 fn whole_millis(span: Duration) -> u32 {
     u32::try_from(span.as_micros().div_ceil(1_000)).unwrap_or(u32::MAX)
 }
 
-/// A turn that a request has.
+/// Turn that was granted to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldTurn {
-    /// When it may be used.
+    /// Time from which the turn may be used.
     pub at: ClockTime,
 }
 
 impl HeldTurn {
-    /// Whether a request may be sent by it now.
+    /// Returns whether a request may be sent with this turn now.
     #[must_use]
     pub fn is_valid(&self, now: ClockTime) -> bool {
         now >= self.at && now.since(self.at) <= TURN_LIFE
     }
 }
 
-/// Whom to ask for a turn.
+/// Query for a turn and the holder that receives it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TurnQuery {
-    /// The part.
+    /// Part to query.
     pub part: PartIndex,
-    /// Its holder.
+    /// Address of the holder of the part.
     pub holder: SocketAddr,
-    /// How far ahead the turn may be.
+    /// Maximum time by which the turn may be in the future.
     pub most_wait: Duration,
 }
 
-/// How a request gets its turn.
+/// Next step of a request that needs a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TurnStep {
-    /// A holder has to be asked.
+    /// A holder must be queried.
     Ask(TurnQuery),
-    /// The next turn is so far ahead, which is more than it waits.
+    /// The next turn is this far in the future, which is longer than the request waits.
     Later(Duration),
-    /// No holder is known that answers.
+    /// No holder is known that responds.
     Nobody,
 }
 
-/// When the parts give their next turns at one endpoint, as far as a gateway knows. Others ask too, so turns are later
-/// than this and never earlier.
+/// Estimated times of the next turn of each part at one endpoint. Other gateways take turns too, so the real times are
+/// never earlier and may be later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TurnEstimates {
     free_at: [ClockTime; PARTS as usize],
-    /// When a turn can be had at the soonest, by the last step.
+    /// Earliest time of a turn according to the last step.
     next_at: ClockTime,
 }
 
 impl TurnEstimates {
-    /// How long until a turn can be had, at the least.
+    /// Returns the minimum wait until a turn is available.
     #[must_use]
     pub fn wait(&self, now: ClockTime) -> Duration {
         self.next_at.since(now)
     }
 
-    /// What a request that waits for `most_wait` does next. The part with the next turn is asked for one that is not
-    /// later than the next part's, so that parts which others have asked are found out.
-    pub fn step(&mut self, holders: &HolderBook, most_wait: Duration, now: ClockTime) -> TurnStep {
-        let most_wait = most_wait.min(MOST_AHEAD);
-        let mut open: SmallVec<[(ClockTime, PartIndex, SocketAddr); PARTS as usize]> =
+    /// Returns the next step of a request that waits at most `max_wait`. The part with the earliest estimate is queried
+    /// for a turn no later than the next part's estimate, which reveals parts whose turns other gateways have taken.
+    pub fn step(&mut self, holders: &HolderBook, max_wait: Duration, now: ClockTime) -> TurnStep {
+        let max_wait = max_wait.min(MOST_AHEAD);
+        let mut candidates: SmallVec<[(ClockTime, PartIndex, SocketAddr); PARTS as usize]> =
             PartIndex::all()
                 .filter(|part| !holders.is_silent(*part, now))
                 .filter_map(|part| {
@@ -161,25 +161,27 @@
                     ))
                 })
                 .collect();
-        open.sort_by_key(|(free_at, part, _)| (*free_at, *part));
-        let Some((free_at, part, holder)) = open.first().copied() else {
-            self.next_at = now + NOBODY_PAUSE;
+        candidates.sort_by_key(|(free_at, part, _)| (*free_at, *part));
+        let Some((free_at, part, holder)) = candidates.first().copied() else {
+            self.next_at = now + NO_HOLDER_RETRY_DELAY;
             return TurnStep::Nobody;
         };
         self.next_at = free_at;
         let wait = free_at.since(now);
-        if wait > most_wait {
+        if wait > max_wait {
             return TurnStep::Later(wait);
         }
-        let others = open.get(1).map_or(most_wait, |(at, _, _)| at.since(now));
+        let next_wait = candidates
+            .get(1)
+            .map_or(max_wait, |(at, _, _)| at.since(now));
         TurnStep::Ask(TurnQuery {
             part,
             holder,
-            most_wait: others.min(most_wait),
+            most_wait: next_wait.min(max_wait),
         })
     }
 
-    /// Takes an answer; gives back the turn, if there is one.
+    /// Applies an answer, and returns the turn if one was granted.
     pub fn take_answer(
         &mut self,
         holders: &mut HolderBook,
@@ -188,17 +190,17 @@
         rate: RequestRate,
         now: ClockTime,
     ) -> Option<HeldTurn> {
-        let span = |millis: u32| Duration::from_millis(u64::from(millis));
+        let duration = |millis: u32| Duration::from_millis(u64::from(millis));
         let free_at = &mut self.free_at[part.place()];
         holders.note_answer(part);
         match answer {
             TurnAnswer::In(millis) => {
-                let at = now + span(millis);
+                let at = now + duration(millis);
                 *free_at = at + turn_gap(rate);
                 Some(HeldTurn { at })
             }
             TurnAnswer::Later(millis) => {
-                *free_at = now + span(millis);
+                *free_at = now + duration(millis);
                 None
             }
             TurnAnswer::NotHeld => {
