--- a/crates/oatpier-serving/src/quota/tenure.rs
+++ b/crates/oatpier-serving/src/quota/tenure.rs
@@ -1,17 +1,18 @@
-//! Which gateway holds which part of the limits.
+//! Leases that assign the parts of limits to gateways.
 //!
-//! Each part has an entry in the store, written only under the condition that it is as it was seen. A holder renews
-//! its entry, and holds the part for [`TENURE`] from the moment at which it sent the last renewal that the store
-//! acknowledged. Whoever has seen an entry unchanged for longer than that may take the part over. Both count on
-//! clocks of their own, which only have to run at one pace, and leases of the store, which may lapse while it is
-//! away, play no part.
+//! Each part has an entry in the store, which is written only by compare-and-swap on its revision. A holder renews its
+//! entry, and holds the part for [`TENURE`] from the moment at which it sent the last renewal that the store
+//! acknowledged. Another gateway may take the part over once it has seen the entry unchanged for longer than that. Both
+//! measure the time with their own clocks, which must only run at the same rate. Leases of the store are not used,
+//! since they may expire while the store is unavailable.
 //!
-//! The failure that this keeps out: two gateways hand out the same part, and a workspace may use a third more than
-//! its limit for as long.
+//! This prevents two gateways from granting units of the same part, in which case a workspace could use a third more
+//! than its limit for as long as it lasts.
 //!
-//! The store may come back from a copy some seconds old, in a new era. An entry that was written since is gone then,
-//! or shows an earlier holder. Who holds the part goes on by its own clock and writes the entry again; for everybody
-//! else the time of seeing it unchanged begins anew, so nobody takes it meanwhile.
+//! The store may be restored from a copy that is some seconds old, and then has a new era. An entry written after the
+//! copy was made is lost, or shows an earlier holder. The holder of the part continues by its own clock and writes the
+//! entry again. All other gateways restart the time for which they have seen the entry unchanged, so that none of them
+//! takes the part meanwhile.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,270 +23,271 @@
 use super::holders::PartHolders;
 use super::{PARTS, PartIndex};
 
-/// How long a holder holds a part after its last renewal. Longer than the store is away as a rule; a gateway that
-/// is gone for good keeps a part from everybody for as long.
+/// Duration of a lease after its last renewal. It is longer than usual outages of the store. A gateway that is gone for
+/// good keeps its part unavailable for as long.
 pub const TENURE: Duration = Duration::from_secs(30);
 
-/// From one renewal to the next.
+/// Interval between two renewals.
 pub const RENEW_EVERY: Duration = Duration::from_secs(6);
 
-/// How long an entry must be seen unchanged before the part is taken over: the tenure, and what two clocks may
-/// differ by meanwhile.
+/// How long an entry must be seen unchanged before the part is taken over. This is the lease duration plus the drift
+/// between two clocks during that time.
 pub const TAKE_AFTER: Duration = Duration::from_secs(33);
 
-/// A free part is claimed first by the gateway that is fittest; each other one waits this much longer, so that as a
-/// rule one call to the store settles it.
-const RANK_PAUSE: Duration = Duration::from_millis(400);
+/// Additional delay per rank before a gateway claims a free part. The gateway with the best rank claims first, so that
+/// usually one write to the store is enough.
+const RANK_DELAY: Duration = Duration::from_millis(400);
 
-/// The time for gateways to hear of each other after a start.
-const FIRST_PAUSE: Duration = Duration::from_millis(1_200);
+/// Delay before the first claim, in which gateways discover each other after a start.
+const FIRST_CLAIM_DELAY: Duration = Duration::from_millis(1_200);
 
-/// Each part that is held already counts like so many fitter gateways.
-const HELD_RANK: usize = 4;
+/// Rank penalty for each part that this gateway holds already.
+const HELD_PART_RANKS: usize = 4;
 
-/// A claim without an answer is repeated after this long.
-const CLAIM_PAUSE: Duration = Duration::from_secs(1);
+/// Delay before a claim without an answer is repeated.
+const CLAIM_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Which copy of the store answers; rises each time that it comes back from an older one. 0 where it does not say.
+/// Number of the store's era. It increases each time the store is restored from an older copy. It is 0 if the store
+/// reports none.
 pub type StoreEra = u64;
 
-/// A part's entry in the store.
+/// Content of a part's entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartRecord {
-    /// The part.
+    /// Part that the entry describes.
     pub part: PartIndex,
-    /// Where its holder hears; none if the last one gave it back.
+    /// Address at which the holder receives messages; `None` if the last holder released the part.
     pub holder: Option<SocketAddr>,
-    /// Which start of the holder wrote it.
+    /// Boot number of the holder's process that wrote the entry.
     pub boot: u64,
-    /// The era in which it was written.
+    /// Era of the store in which the entry was written.
     pub era: StoreEra,
 }
 
-/// An entry as it was read.
+/// Entry as it was read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartEntry {
-    /// The entry.
+    /// Content of the entry.
     pub record: PartRecord,
-    /// The revision of its last change.
+    /// Revision of the last change of the entry.
     pub revision: u64,
 }
 
-/// An entry that is to be written if the one before is as it was seen.
+/// Write of an entry on the condition that the present entry is the expected one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PartClaim {
-    /// The new entry.
+    /// New content of the entry.
     pub record: PartRecord,
-    /// The revision that must be in place; 0 for no entry.
+    /// Revision that must be present; 0 if there must be no entry.
     pub expected: u64,
 }
 
-/// What came of a claim.
+/// Result of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// It is written.
+    /// The entry was written.
     Written {
-        /// The revision of the new entry.
+        /// Revision of the new entry.
         revision: u64,
-        /// The era in which it was written.
+        /// Era of the store in which it was written.
         era: StoreEra,
     },
-    /// Another entry is in place.
+    /// Another entry is present.
     Refused {
-        /// That entry, if there is one that can be read.
+        /// Present entry, if there is one that can be decoded.
         present: Option<PartEntry>,
-        /// The era in which it was seen.
+        /// Era of the store in which the entry was read.
         era: StoreEra,
     },
-    /// Nobody knows.
+    /// The result is unknown.
     Failed,
 }
 
-/// What changes for this gateway.
+/// Change of the parts that this gateway holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TenureChange {
-    /// It holds a part from now on.
+    /// This gateway holds a part from now on.
     Begun(PartBegin),
-    /// It no longer does.
+    /// This gateway no longer holds a part.
     Ended(PartIndex),
 }
 
-/// How this gateway begins to hold a part.
+/// Details of a part that this gateway starts to hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartBegin {
-    /// The part.
+    /// Part that is held.
     pub part: PartIndex,
-    /// What is saved up at first.
+    /// Initial state of the part's token buckets.
     pub start: PartStart,
-    /// Since when nobody else has handed out any of it.
+    /// Time since which no other gateway can have granted units of the part.
     pub free_since: ClockTime,
 }
 
-/// This gateway's standing when free parts are claimed.
+/// Rank of this gateway for claims of free parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimStanding {
-    /// Gateways that are fitter.
+    /// Number of gateways with a better rank.
     pub rank: usize,
-    /// Whether this gateway is to stay.
+    /// Whether this gateway may claim and renew parts.
     pub is_wanted: bool,
 }
 
 #[derive(Debug, Clone)]
-struct PartSeat {
+struct PartState {
     entry: Option<PartEntry>,
-    /// Since when the entry is seen as it is; none before the first read.
+    /// Time since which the entry has been seen unchanged; `None` before the first read.
     seen_since: Option<ClockTime>,
-    /// Until when this gateway holds the part.
+    /// End of this gateway's lease on the part.
     held_until: Option<ClockTime>,
     renewed_at: ClockTime,
-    /// When a claim was sent that has no answer yet.
+    /// Time at which a claim was sent that has no answer yet.
     claimed_at: Option<ClockTime>,
-    /// Whether any entry was ever seen.
-    was_seen: bool,
+    /// Whether an entry of the part has ever been seen.
+    was_ever_seen: bool,
 }
 
-impl PartSeat {
+impl PartState {
     fn holds(&self, now: ClockTime) -> bool {
         self.held_until.is_some_and(|until| now < until)
     }
 
-    /// Whether a claim is on its way.
+    /// Returns whether a claim is in flight.
     fn is_claimed(&self, now: ClockTime) -> bool {
         self.claimed_at
-            .is_some_and(|at| now.since(at) < CLAIM_PAUSE)
+            .is_some_and(|at| now.since(at) < CLAIM_RETRY_DELAY)
     }
 
     fn revision(&self) -> u64 {
         self.entry.as_ref().map_or(0, |entry| entry.revision)
     }
 
-    fn see(&mut self, entry: Option<PartEntry>, is_new_era: bool, now: ClockTime) {
+    fn observe(&mut self, entry: Option<PartEntry>, is_new_era: bool, now: ClockTime) {
         if is_new_era || self.entry != entry || self.seen_since.is_none() {
             self.seen_since = Some(now);
         }
-        self.was_seen |= entry.is_some();
+        self.was_ever_seen |= entry.is_some();
         self.entry = entry;
     }
 }
 
-/// Who this gateway is.
+/// Identity of this gateway as a holder of parts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TenureIdentity {
-    /// Where it hears.
+    /// Address at which it receives messages.
     pub address: SocketAddr,
-    /// Drawn at its start.
+    /// Boot number, drawn at random at the start of the process.
     pub boot: u64,
-    /// When its process started.
+    /// Time at which its process started.
     pub started_at: ClockTime,
-    /// Whether the whole fleet starts for the first time, so that nobody can have held a part before.
+    /// Whether the whole fleet starts for the first time, so that no gateway can have held a part before.
     pub first_start: bool,
 }
 
-/// The parts and their holders, as one gateway knows them.
+/// Leases on all parts, as known to one gateway.
 #[derive(Debug)]
 pub struct PartTenure {
     own: TenureIdentity,
-    /// None before the first read.
+    /// `None` before the first read.
     era: Option<StoreEra>,
-    seats: Vec<PartSeat>,
+    states: Vec<PartState>,
 }
 
 impl PartTenure {
-    /// Nothing is known yet.
+    /// Creates the state before the first read of the store.
     #[must_use]
     pub fn new(own: TenureIdentity) -> Self {
-        let seat = PartSeat {
+        let state = PartState {
             entry: None,
             seen_since: None,
             held_until: None,
             renewed_at: ClockTime::ZERO,
             claimed_at: None,
-            was_seen: false,
+            was_ever_seen: false,
         };
         Self {
             own,
             era: None,
-            seats: vec![seat; usize::from(PARTS)],
+            states: vec![state; usize::from(PARTS)],
         }
     }
 
-    /// Where the parts are held.
+    /// Returns the holders of the parts according to the last entries seen.
     #[must_use]
     pub fn holders(&self) -> PartHolders {
         let mut holders = PartHolders::default();
-        for (holder, seat) in holders.iter_mut().zip(&self.seats) {
-            *holder = seat.entry.as_ref().and_then(|entry| entry.record.holder);
+        for (holder, state) in holders.iter_mut().zip(&self.states) {
+            *holder = state.entry.as_ref().and_then(|entry| entry.record.holder);
         }
         holders
     }
 
-    /// Whether this gateway holds a part.
+    /// Returns whether this gateway holds a part.
     #[must_use]
     pub fn holds(&self, part: PartIndex, now: ClockTime) -> bool {
-        self.seats[part.place()].holds(now)
+        self.states[part.place()].holds(now)
     }
 
-    /// Takes what a read of the store showed.
+    /// Applies the entries of a read of the store, and returns which parts were lost.
     pub fn take_read(
         &mut self,
         entries: &[PartEntry],
         era: StoreEra,
         now: ClockTime,
     ) -> Vec<TenureChange> {
-        let is_new_era = self.enter(era);
+        let is_new_era = self.update_era(era);
         let mut changes = Vec::new();
         for part in PartIndex::all() {
-            let found = entries.iter().find(|entry| entry.record.part == part);
-            let seat = &mut self.seats[part.place()];
-            let is_older = found.map_or(0, |entry| entry.revision) < seat.revision();
-            // The read may have begun before this gateway's last write.
+            let read_entry = entries.iter().find(|entry| entry.record.part == part);
+            let state = &mut self.states[part.place()];
+            let is_older = read_entry.map_or(0, |entry| entry.revision) < state.revision();
+            // The read may have started before this gateway's last write.
             if is_older && !is_new_era {
                 continue;
             }
-            seat.see(found.cloned(), is_new_era, now);
-            changes.extend(self.settle(part, now));
+            state.observe(read_entry.cloned(), is_new_era, now);
+            changes.extend(self.end_if_lost(part, now));
         }
         changes
     }
 
-    /// Notes the era; says whether it is another one than before.
-    fn enter(&mut self, era: StoreEra) -> bool {
+    /// Records the era of the store, and returns whether it changed.
+    fn update_era(&mut self, era: StoreEra) -> bool {
         let is_new = self.era.is_some_and(|known| known != era);
         self.era = Some(era);
-        // What others claimed may be gone: that no entry is there no longer says that nobody holds the part.
+        // Claims of other gateways may be lost in a new era. A missing entry then no longer proves that a part is free.
         self.own.first_start &= !is_new;
         is_new
     }
 
-    /// What follows from the entry that is seen: a part that another gateway has taken is lost.
-    fn settle(&mut self, part: PartIndex, now: ClockTime) -> Option<TenureChange> {
+    /// Ends the lease if it has expired or the entry shows that another gateway has taken the part.
+    fn end_if_lost(&mut self, part: PartIndex, now: ClockTime) -> Option<TenureChange> {
         let era = self.era;
         let own = self.own.address;
-        let seat = &mut self.seats[part.place()];
-        seat.held_until?;
-        let record = seat.entry.as_ref().map(|entry| &entry.record);
+        let state = &mut self.states[part.place()];
+        state.held_until?;
+        let record = state.entry.as_ref().map(|entry| &entry.record);
         let is_taken =
             record.is_some_and(|record| record.holder != Some(own) && Some(record.era) == era);
-        if is_taken || !seat.holds(now) {
-            seat.held_until = None;
+        if is_taken || !state.holds(now) {
+            state.held_until = None;
             return Some(TenureChange::Ended(part));
         }
         None
     }
 
-    /// What this gateway should write now.
+    /// Returns the next entry that this gateway should write, if any.
     pub fn due(&mut self, standing: ClaimStanding, now: ClockTime) -> Option<PartClaim> {
         if !standing.is_wanted {
             return None;
         }
-        let seats = self.seats.iter();
-        let held = seats
-            .filter(|seat| seat.holds(now) || seat.is_claimed(now))
+        let states = self.states.iter();
+        let held = states
+            .filter(|state| state.holds(now) || state.is_claimed(now))
             .count();
-        let rank = standing.rank + held * HELD_RANK;
-        let rank_pause = RANK_PAUSE * u32::try_from(rank).unwrap_or(u32::MAX).min(64);
-        let part = PartIndex::all().find(|part| self.is_due(*part, rank_pause, now))?;
-        self.seats[part.place()].claimed_at = Some(now);
+        let rank = standing.rank + held * HELD_PART_RANKS;
+        let rank_delay = RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX).min(64);
+        let part = PartIndex::all().find(|part| self.is_due(*part, rank_delay, now))?;
+        self.states[part.place()].claimed_at = Some(now);
         Some(self.claim(part, Some(self.own.address)))
     }
 
@@ -297,42 +299,42 @@
                 boot: self.own.boot,
                 era: self.era.unwrap_or_default(),
             },
-            expected: self.seats[part.place()].revision(),
+            expected: self.states[part.place()].revision(),
         }
     }
 
-    fn is_due(&self, part: PartIndex, rank_pause: Duration, now: ClockTime) -> bool {
-        let seat = &self.seats[part.place()];
-        let Some(seen_since) = seat.seen_since else {
+    fn is_due(&self, part: PartIndex, rank_delay: Duration, now: ClockTime) -> bool {
+        let state = &self.states[part.place()];
+        let Some(seen_since) = state.seen_since else {
             return false;
         };
-        if seat.is_claimed(now) {
+        if state.is_claimed(now) {
             return false;
         }
-        let record = seat.entry.as_ref().map(|entry| &entry.record);
+        let record = state.entry.as_ref().map(|entry| &entry.record);
         let is_own = record.is_some_and(|record| {
             record.holder == Some(self.own.address) && Some(record.era) == self.era
         });
-        if seat.holds(now) {
-            return !is_own || now.since(seat.renewed_at) >= RENEW_EVERY;
+        if state.holds(now) {
+            return !is_own || now.since(state.renewed_at) >= RENEW_EVERY;
         }
-        // An earlier start of this process held it, and has ended.
+        // The part was held by an earlier process of this gateway, which has ended.
         if is_own {
             return true;
         }
         let seen = now.since(seen_since);
         let is_free = match record {
             Some(record) => record.holder.is_none() && Some(record.era) == self.era,
-            None => self.own.first_start && !seat.was_seen,
+            None => self.own.first_start && !state.was_ever_seen,
         };
         if is_free {
-            seen >= FIRST_PAUSE + rank_pause
+            seen >= FIRST_CLAIM_DELAY + rank_delay
         } else {
-            seen >= TAKE_AFTER + rank_pause
+            seen >= TAKE_AFTER + rank_delay
         }
     }
 
-    /// Takes what came of a claim that was sent at `sent_at`.
+    /// Applies the result of a claim that was sent at `sent_at`.
     pub fn take_outcome(
         &mut self,
         claim: &PartClaim,
@@ -341,42 +343,44 @@
         now: ClockTime,
     ) -> Option<TenureChange> {
         let part = claim.record.part;
-        let seat = &mut self.seats[part.place()];
-        seat.claimed_at = None;
+        let state = &mut self.states[part.place()];
+        state.claimed_at = None;
         match outcome {
-            // Of another era than was thought: the condition says nothing about it. The next read shows what is there.
+            // The era differs from the expected one, so the compare-and-swap proves nothing. The next read shows the
+            // present entry.
             ClaimOutcome::Written { era, .. } if era != claim.record.era => None,
             ClaimOutcome::Written { revision, .. } => {
-                let before = seat.entry.take();
-                let is_first = claim.expected == 0 && !seat.was_seen;
+                let before = state.entry.take();
+                let is_first = claim.expected == 0 && !state.was_ever_seen;
                 let record = claim.record.clone();
-                seat.see(Some(PartEntry { record, revision }), false, now);
-                let begin = self.begin(part, before.as_ref(), is_first, now);
-                self.note_written(claim, begin, sent_at, now)
+                state.observe(Some(PartEntry { record, revision }), false, now);
+                let begin = self.part_begin(part, before.as_ref(), is_first, now);
+                self.apply_written(claim, begin, sent_at, now)
             }
             ClaimOutcome::Refused { present, era } => {
-                let is_new_era = self.enter(era);
+                let is_new_era = self.update_era(era);
                 if is_new_era {
-                    self.note_era(now);
+                    self.restart_observations(now);
                 }
-                self.seats[part.place()].see(present, is_new_era, now);
-                self.settle(part, now)
+                self.states[part.place()].observe(present, is_new_era, now);
+                self.end_if_lost(part, now)
             }
             ClaimOutcome::Failed => {
-                seat.claimed_at = Some(now);
+                state.claimed_at = Some(now);
                 None
             }
         }
     }
 
-    /// A new era was met between two reads: what was seen of other parts may not be there any more.
-    fn note_era(&mut self, now: ClockTime) {
-        for seat in &mut self.seats {
-            seat.seen_since = seat.seen_since.map(|_| now);
+    /// Restarts the observation time of all parts, because a new era was found between two reads. The entries seen
+    /// before may be gone.
+    fn restart_observations(&mut self, now: ClockTime) {
+        for state in &mut self.states {
+            state.seen_since = state.seen_since.map(|_| now);
         }
     }
 
-    fn note_written(
+    fn apply_written(
         &mut self,
         claim: &PartClaim,
         begin: PartBegin,
@@ -384,23 +388,23 @@
         now: ClockTime,
     ) -> Option<TenureChange> {
         let part = claim.record.part;
-        let seat = &mut self.seats[part.place()];
+        let state = &mut self.states[part.place()];
         if claim.record.holder.is_none() {
-            let was_held = seat.held_until.take().is_some();
+            let was_held = state.held_until.take().is_some();
             return was_held.then_some(TenureChange::Ended(part));
         }
-        let was_held = seat.held_until.is_some();
-        seat.held_until = Some(sent_at + TENURE);
-        seat.renewed_at = sent_at;
-        if was_held || !seat.holds(now) {
+        let was_held = state.held_until.is_some();
+        state.held_until = Some(sent_at + TENURE);
+        state.renewed_at = sent_at;
+        if was_held || !state.holds(now) {
             return None;
         }
         Some(TenureChange::Begun(begin))
     }
 
-    /// How a part begins that was in the entry `before`. An earlier start of this process has handed out nothing
-    /// since this one started.
-    fn begin(
+    /// Returns how this gateway starts to hold a part whose last entry is `before`. If that entry was written by an
+    /// earlier process of this gateway, no units were granted since this process started.
+    fn part_begin(
         &self,
         part: PartIndex,
         before: Option<&PartEntry>,
@@ -426,13 +430,13 @@
         }
     }
 
-    /// The parts that this gateway gives back as it leaves; it hands out nothing of them from now on.
+    /// Returns the claims that release this gateway's parts when it leaves. It grants nothing from them from now on.
     pub fn release(&mut self, now: ClockTime) -> Vec<PartClaim> {
         let held: Vec<PartIndex> = PartIndex::all()
             .filter(|part| self.holds(*part, now))
             .collect();
         for part in &held {
-            self.seats[part.place()].held_until = None;
+            self.states[part.place()].held_until = None;
         }
         held.into_iter()
             .map(|part| self.claim(part, None))
