--- a/crates/oatpier-serving/src/budget.rs
+++ b/crates/oatpier-serving/src/budget.rs
@@ -1,8 +1,8 @@
-//! How many requests a gateway may send a second time.
+//! Number of retries that a gateway may send.
 //!
-//! The platform bounds second sends over all gateways: a share of the requests, and a fixed number
-//! in a window. Gateways do not ask each other; each takes its own requests' share and its part of
-//! the fixed number. The sum then stays within the bound however the fleet is cut.
+//! The platform limits retries over all gateways to a fraction of the requests, and a fixed number in each window.
+//! Gateways do not coordinate. Each uses the fraction of its own requests and an equal share of the fixed number, so
+//! that the sum stays within the limit in any network partition.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::PoolName;
 
-/// The part of the bound that is used. The rest covers requests counted in another window, and
-/// gateways that were not heard of yet.
-const USED_SHARE: f64 = 0.7;
+/// Fraction of the limit that is used. The rest covers requests counted in another window, and gateways that are not
+/// known yet.
+const USED_FRACTION: f64 = 0.7;
 
-/// Second sends of one service.
+/// Available retries of one service.
 #[derive(Debug, Clone, Copy)]
 struct ServiceBucket {
     tokens: f64,
-    at: ClockTime,
+    refilled_at: ClockTime,
 }
 
-/// Second sends that are left, for each service.
+/// Available retries of all services.
 #[derive(Debug)]
 pub struct RetryAllowance {
     ratio: f64,
@@ -32,40 +32,39 @@
 }
 
 impl RetryAllowance {
-    /// An allowance of `ratio` second sends for each request and `slack` more in each `window`,
-    /// over all gateways.
+    /// Creates an allowance of `ratio` retries per request and `slack` more in each `window`, over all gateways.
     #[must_use]
     pub fn new(ratio: f64, slack: f64, window: Duration) -> Self {
         Self {
-            ratio: ratio * USED_SHARE,
-            slack: slack * USED_SHARE,
+            ratio: ratio * USED_FRACTION,
+            slack: slack * USED_FRACTION,
             window,
             gateways: 1.0,
             buckets: HashMap::new(),
         }
     }
 
-    /// Takes new bounds over.
+    /// Replaces the limits.
     pub fn set_bounds(&mut self, ratio: f64, slack: f64, window: Duration) {
-        self.ratio = ratio * USED_SHARE;
-        self.slack = slack * USED_SHARE;
+        self.ratio = ratio * USED_FRACTION;
+        self.slack = slack * USED_FRACTION;
         self.window = window;
     }
 
-    /// How many gateways share the fixed number.
+    /// Sets the number of gateways that share the fixed number.
     pub fn share_among(&mut self, gateways: usize) {
         self.gateways = f64::from(u32::try_from(gateways.max(1)).unwrap_or(u32::MAX));
     }
 
-    /// A request for the service came in.
+    /// Records a request for the service.
     pub fn note_request(&mut self, service: &PoolName, now: ClockTime) {
         let ratio = self.ratio;
-        let most = self.own_slack();
+        let max_tokens = self.slack_share();
         let bucket = self.bucket(service, now);
-        bucket.tokens = (bucket.tokens + ratio).min(most.max(1.0));
+        bucket.tokens = (bucket.tokens + ratio).min(max_tokens.max(1.0));
     }
 
-    /// Takes one second send; false if none is left.
+    /// Takes one retry. Returns false if none is left.
     pub fn take(&mut self, service: &PoolName, now: ClockTime) -> bool {
         let bucket = self.bucket(service, now);
         let allowed = bucket.tokens >= 1.0;
@@ -75,26 +74,26 @@
         allowed
     }
 
-    fn own_slack(&self) -> f64 {
+    fn slack_share(&self) -> f64 {
         self.slack / self.gateways
     }
 
-    /// The fixed part comes back evenly over a window.
+    /// Returns the bucket of a service. The fixed number is refilled evenly over a window.
     fn bucket(&mut self, service: &PoolName, now: ClockTime) -> &mut ServiceBucket {
-        let most = self.own_slack().max(1.0);
-        // Half of the fixed part may stand in the bucket, and half flows in during a window.
-        let full = most / 2.0;
-        let pace = full / self.window.as_secs_f64();
+        let max_tokens = self.slack_share().max(1.0);
+        // The bucket holds up to half of the fixed number, and the other half is added during a window.
+        let full = max_tokens / 2.0;
+        let rate = full / self.window.as_secs_f64();
         let bucket = self
             .buckets
             .entry(service.clone())
             .or_insert(ServiceBucket {
                 tokens: full,
-                at: now,
+                refilled_at: now,
             });
-        let gained = now.since(bucket.at).as_secs_f64() * pace;
-        bucket.tokens = (bucket.tokens + gained).min(most);
-        bucket.at = now;
+        let gained = now.since(bucket.refilled_at).as_secs_f64() * rate;
+        bucket.tokens = (bucket.tokens + gained).min(max_tokens);
+        bucket.refilled_at = now;
         bucket
     }
 }
--- a/crates/oatpier-serving/src/fingerprint.rs
+++ b/crates/oatpier-serving/src/fingerprint.rs
@@ -1,7 +1,7 @@
-//! Which requests are the same.
+//! Fingerprints that identify repeated requests.
 //!
-//! A caller who comes back gives the request another id, and its deadline and other headers change. What stays
-//! is what an endpoint works on: method, host, path with its query, and body.
+//! A caller that retries a request gives it another id, and its deadline and other headers change. The fingerprint
+//! covers what an endpoint processes: method, host, path with query, and body.
 
 use std::fmt;
 
@@ -9,48 +9,48 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Bytes of a fingerprint. A caller who wants another's request to be taken for his own would have to find a
-/// second request for a given fingerprint, at 2^128 tries.
+/// Length of a fingerprint in bytes. A caller that wants to imitate another caller's request would have to find a
+/// second preimage, which takes 2^128 attempts.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// Hexadecimal digits of a fingerprint that a log line gives.
+/// Number of hexadecimal digits of a fingerprint in log lines.
 const SHORT_DIGITS: usize = 12;
 
-/// Why a text is not a fingerprint.
+/// Reason why a text is not a fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 #[error("`{text}` is no fingerprint; use {} hexadecimal digits", FINGERPRINT_BYTES * 2)]
 pub struct FingerprintError {
-    /// What was given.
+    /// Invalid text.
     pub text: String,
 }
 
-/// What makes a request the same as another one.
+/// Content that identifies a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestContent<'a> {
-    /// The method.
+    /// HTTP method.
     pub method: &'a str,
-    /// The host that the caller names.
+    /// Host that the caller addressed.
     pub host: &'a str,
-    /// The path with its query.
+    /// Path with its query.
     pub path: &'a str,
-    /// The body.
+    /// Body.
     pub body: &'a [u8],
 }
 
-/// A digest of a request's content. It names the request to other processes and to operators without giving
-/// its content away.
+/// Truncated SHA-256 digest of a request's content. It identifies the request to other processes and to operators
+/// without revealing the content.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     #[must_use]
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = Sha256::new();
         for part in [content.method, content.host, content.path] {
-            // Without lengths, a path could be moved into the host and give the same bytes.
+            // Without the lengths, moving a part of the path into the host would give the same bytes.
             hasher.update(part.len().to_le_bytes());
             hasher.update(part.as_bytes());
         }
@@ -61,7 +61,7 @@
         Self(bytes)
     }
 
-    /// The first digits, for a log line.
+    /// Returns the first digits, for log lines.
     #[must_use]
     pub fn short(&self) -> String {
         self.to_string().chars().take(SHORT_DIGITS).collect()
@@ -80,8 +80,8 @@
             return Err(error());
         }
         let mut bytes = [0; FINGERPRINT_BYTES];
-        for (place, byte) in bytes.iter_mut().enumerate() {
-            let digits = &text[place * 2..place * 2 + 2];
+        for (index, byte) in bytes.iter_mut().enumerate() {
+            let digits = &text[index * 2..index * 2 + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| error())?;
         }
         Ok(Self(bytes))
--- a/crates/oatpier-serving/src/notice.rs
+++ b/crates/oatpier-serving/src/notice.rs
@@ -1,50 +1,50 @@
-//! What endpoints say of themselves in the heads of their answers.
+//! State that endpoints report in the headers of their responses.
 //!
-//! The registry and sidecars tell the same seconds later, or not at all where a gateway is cut off from them. What an
-//! answer says is true of the start that gave it, from that moment on.
+//! The registry and sidecars report the same state seconds later, or not at all if a gateway is cut off from them. A
+//! header is valid for the endpoint process that sent it, from the time of the response on.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Thousandths of a request a second, the unit of [`RequestRate`].
+/// Thousandths of a request per second, the unit of [`RequestRate`].
 const PER_MILLE: f64 = 1e3;
 
-/// The lowest rate, in thousandths of a request a second. An endpoint whose limit is zero is sent a request this often,
-/// since only an answer can tell that the limit is over.
-const LEAST_PER_MILLE: u32 = 50;
+/// Lowest rate, in thousandths of a request per second. An endpoint whose limit is zero still gets requests at this
+/// rate, because only a response can tell that the limit has ended.
+const MIN_PER_MILLE: u32 = 50;
 
-/// The highest rate, in thousandths of a request a second: more than any endpoint serves.
-const MOST_PER_MILLE: u32 = 1_000_000_000;
+/// Highest rate, in thousandths of a request per second, above the throughput of any endpoint.
+const MAX_PER_MILLE: u32 = 1_000_000_000;
 
-/// The longest rest that is kept. An endpoint that asks for more has gone by then, or is asked again.
-const MOST_REST: Duration = Duration::from_hours(1);
+/// Maximum length of a rest. An endpoint that asks for more has ended by then, or can be tried again.
+const MAX_REST: Duration = Duration::from_hours(1);
 
-/// A number that can't be used for what a header says.
+/// Number in a header that is out of range.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Error)]
-#[error("`{value}` is no {expected}")]
+#[error("`{value}` is not a valid {expected}")]
 pub struct NoticeError {
-    /// The number.
+    /// Invalid number.
     pub value: f64,
-    /// What it should be.
+    /// Description of a valid number.
     pub expected: &'static str,
 }
 
-/// A header of an answer, as far as it can be used.
+/// Value of a response header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum NoticeValue<T> {
-    /// The answer has no such header.
+    /// The response has no such header.
     #[default]
     Absent,
-    /// It has one whose value can't be read.
+    /// The header has a value that cannot be parsed.
     Unusable,
-    /// It says this.
+    /// The header has this value.
     Given(T),
 }
 
-/// Requests a second that an endpoint takes from all gateways together.
+/// Number of requests per second that an endpoint accepts from all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestRate {
@@ -52,7 +52,7 @@
 }
 
 impl RequestRate {
-    /// Requests a second.
+    /// Returns the rate in requests per second.
     #[must_use]
     pub fn per_second(self) -> f64 {
         f64::from(self.per_mille) / PER_MILLE
@@ -66,7 +66,7 @@
         if !value.is_finite() || value < 0.0 {
             return Err(NoticeError {
                 value,
-                expected: "rate; use a number of requests a second, not below zero",
+                expected: "rate; use a number of requests per second, not below zero",
             });
         }
         let per_mille = (value * PER_MILLE).round();
@@ -75,21 +75,20 @@
             clippy::cast_sign_loss,
             reason = "within the bounds of a u32"
         )]
-        let per_mille =
-            per_mille.clamp(f64::from(LEAST_PER_MILLE), f64::from(MOST_PER_MILLE)) as u32;
+        let per_mille = per_mille.clamp(f64::from(MIN_PER_MILLE), f64::from(MAX_PER_MILLE)) as u32;
         Ok(Self { per_mille })
     }
 }
 
-/// How long an endpoint wants no requests from the gateway that it turned away.
+/// Length of a rest, during which an endpoint accepts no requests from the gateway whose request it rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RestSpan(Duration);
 
 impl RestSpan {
-    /// What is taken for a rest whose length can't be read.
+    /// Length of a rest whose header cannot be parsed.
     pub const UNREADABLE: Self = Self(Duration::from_secs(1));
 
-    /// The span.
+    /// Returns the length as a duration.
     #[must_use]
     pub fn duration(self) -> Duration {
         self.0
@@ -106,43 +105,43 @@
                 expected: "rest; use a number of seconds, not below zero",
             });
         }
-        let span = Duration::try_from_secs_f64(value).unwrap_or(MOST_REST);
-        Ok(Self(span.min(MOST_REST)))
+        let span = Duration::try_from_secs_f64(value).unwrap_or(MAX_REST);
+        Ok(Self(span.min(MAX_REST)))
     }
 }
 
-/// What the head of one answer says of the endpoint that gave it.
+/// State that an endpoint reports in the headers of one response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct EndpointNotice {
-    /// Its limit on the requests of all gateways.
+    /// Limit on the requests of all gateways.
     pub rate: NoticeValue<RequestRate>,
-    /// Whether it leaves.
+    /// Whether the endpoint is leaving.
     pub leaving: NoticeValue<bool>,
-    /// The rest that it wants, where it turned the request away.
+    /// Rest that the endpoint asks for with a rejected request.
     pub rest: NoticeValue<RestSpan>,
 }
 
-/// What changed in what is believed of an endpoint.
+/// Change of the known state of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeChange {
-    /// It named a limit, or another one than before.
+    /// The endpoint set a limit, or changed it.
     RateNamed(RequestRate),
-    /// It no longer names one.
+    /// The endpoint no longer sets a limit.
     RateEnded,
-    /// It named a limit that can't be read.
+    /// The endpoint sent a limit that cannot be parsed.
     RateUnusable,
-    /// It leaves.
+    /// The endpoint is leaving.
     Leaving,
-    /// It said in a way that can't be read whether it leaves.
+    /// The endpoint sent a leaving header that cannot be parsed.
     LeavingUnusable,
-    /// It wants rest from this gateway, for longer than was known.
+    /// The endpoint asks this gateway for a rest that is longer than the known one.
     Rests(RestSpan),
-    /// It wants rest for a time that can't be read.
+    /// The endpoint asks for a rest whose length cannot be parsed.
     RestUnusable,
 }
 
 impl NoticeChange {
-    /// The word that logs and metrics use.
+    /// Returns the name of the change in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/oatpier-serving/src/workspace/keys.rs
+++ b/crates/oatpier-serving/src/workspace/keys.rs
@@ -1,7 +1,7 @@
-//! From a caller's key to its workspace.
+//! Lookup of the workspace that owns an API key.
 //!
-//! A key is turned into a digest where it is decoded, and only the digest is kept, compared and looked up: no
-//! comparison takes longer the more of a key was guessed right, and no log line, metric or panic can hold a key.
+//! A key is hashed where it is decoded, and only the digest is kept, compared and looked up. The time of a comparison
+//! therefore does not depend on how much of a guessed key is right, and no log line, metric or panic can contain a key.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,20 +9,21 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a digest that are kept. Whoever wants to pass without a key would have to find a text for one of
-/// the digests in force, at 2^128 tries for each.
+/// Number of digest bytes that are kept. A caller without a key would have to find a preimage of one of the configured
+/// digests, which takes 2^128 attempts for each of them.
 const DIGEST_BYTES: usize = 16;
 
-/// The longest key, in bytes. The platform's have 20; a longer one is not worth a digest of kilobytes.
+/// Maximum length of a key in bytes. The platform's keys have 20. The limit avoids hashing kilobytes for a key that
+/// cannot be valid.
 pub const MAX_KEY_BYTES: usize = 512;
 
-/// The digest of a key.
+/// Truncated SHA-256 digest of a key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         let digest = Sha256::digest(key);
@@ -38,18 +39,18 @@
     }
 }
 
-/// What a request brings to prove whose it is.
+/// Credentials of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerKey {
-    /// Nothing.
+    /// The request has no credentials.
     Absent,
-    /// Something that no key can be: another scheme, two keys, or an overlong one.
+    /// The credentials cannot be a key: another scheme, two keys, or too long a key.
     Unusable,
-    /// A key.
+    /// The request has a key.
     Given(KeyDigest),
 }
 
-/// Which workspace holds a key, by its place in the configuration.
+/// Map from key digests to the index of their workspace in the configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct KeyIndex {
@@ -57,17 +58,17 @@
 }
 
 impl KeyIndex {
-    /// Adds a key; gives back the place that held it before.
-    pub fn insert(&mut self, key: KeyDigest, place: usize) -> Option<usize> {
-        let place = u32::try_from(place).unwrap_or(u32::MAX);
-        let known = self.places.insert(key, place);
+    /// Adds a key, and returns the index that it was mapped to before.
+    pub fn insert(&mut self, key: KeyDigest, index: usize) -> Option<usize> {
+        let index = u32::try_from(index).unwrap_or(u32::MAX);
+        let known = self.places.insert(key, index);
         known.and_then(|known| usize::try_from(known).ok())
     }
 
-    /// The place of the workspace that holds a key.
+    /// Returns the index of the workspace that owns a key.
     #[must_use]
-    pub fn place(&self, key: &KeyDigest) -> Option<usize> {
-        let place = self.places.get(key)?;
-        usize::try_from(*place).ok()
+    pub fn index(&self, key: &KeyDigest) -> Option<usize> {
+        let index = self.places.get(key)?;
+        usize::try_from(*index).ok()
     }
 }
--- a/crates/oatpier-serving/src/workspace/mod.rs
+++ b/crates/oatpier-serving/src/workspace/mod.rs
@@ -1,7 +1,7 @@
-//! Workspaces: whose request it is, which keys prove it, and what all of its requests may use together.
+//! Workspaces: the owners of requests, the keys that authenticate them, and their quotas.
 //!
-//! - [`keys`]: from a caller's key to its workspace.
-//! - [`quota`]: what a workspace may use.
+//! - [`keys`]: lookup of the workspace that owns a key.
+//! - [`quota`]: limits on what a workspace uses.
 
 pub mod keys;
 pub mod quota;
@@ -16,39 +16,39 @@
 use self::keys::{KeyDigest, KeyIndex};
 use self::quota::QuotaRule;
 
-/// Why workspaces can't be used together.
+/// Reason why a set of workspaces is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 pub enum WorkspaceError {
-    /// Two workspaces have one name.
+    /// Two workspaces have the same name.
     #[error("two workspaces are named `{0}`; give each its own name")]
     SameName(WorkspaceName),
-    /// Two workspaces hold one key: whose request it is could not be told.
-    #[error("`{first}` and `{second}` hold the same key; take it from one of them")]
+    /// Two workspaces have the same key, so the owner of a request with that key is ambiguous.
+    #[error("`{first}` and `{second}` hold the same key; remove it from one of them")]
     SharedKey {
-        /// The workspace that comes first.
+        /// Workspace that is declared first.
         first: WorkspaceName,
-        /// The other one.
+        /// Workspace that is declared later.
         second: WorkspaceName,
     },
 }
 
-/// A workspace.
+/// Settings of a workspace.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct WorkspaceRule {
-    /// Its name, as endpoints are told it.
+    /// Name of the workspace, as sent to endpoints.
     pub name: WorkspaceName,
-    /// The rank of its requests, 0 first; goes before that of the route.
+    /// Priority of its requests, where 0 is the highest; overrides the priority of the route.
     pub priority: Option<u8>,
-    /// What it may use; none without a limit.
+    /// Limit on its use; `None` for no limit.
     pub quota: Option<QuotaRule>,
 }
 
-/// A workspace as the operator declares it, with its keys.
+/// Workspace as the operator declares it, with its keys.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeclaredWorkspace {
-    /// The workspace.
+    /// Settings of the workspace.
     pub rule: WorkspaceRule,
     /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
@@ -81,10 +81,10 @@
 impl WorkspaceTable {
     fn add(&mut self, workspace: DeclaredWorkspace) -> Result<(), WorkspaceError> {
         let DeclaredWorkspace { rule, keys } = workspace;
-        let place = self.rules.len();
+        let index = self.rules.len();
         for key in keys {
-            let known = self.keys.insert(key, place);
-            if let Some(other) = known.filter(|known| *known != place) {
+            let known = self.keys.insert(key, index);
+            if let Some(other) = known.filter(|known| *known != index) {
                 return Err(WorkspaceError::SharedKey {
                     first: self.rules[other].name.clone(),
                     second: rule.name,
@@ -95,13 +95,13 @@
         Ok(())
     }
 
-    /// The workspace that holds a key.
+    /// Returns the workspace that owns a key.
     #[must_use]
     pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<WorkspaceRule>> {
-        self.rules.get(self.keys.place(key)?)
+        self.rules.get(self.keys.index(key)?)
     }
 
-    /// All workspaces, in the operator's order.
+    /// Iterates over all workspaces in the order of the configuration.
     pub fn rules(&self) -> impl Iterator<Item = &Arc<WorkspaceRule>> {
         self.rules.iter()
     }
--- a/crates/oatpier-serving/src/workspace/quota.rs
+++ b/crates/oatpier-serving/src/workspace/quota.rs
@@ -1,69 +1,69 @@
-//! What a workspace may use, over all gateways.
+//! Limits on what a workspace uses over all gateways.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use crate::call::CallerRequest;
 
-/// The largest rate and burst. Far above what any fleet serves, and exact in a float.
-const MOST_UNITS: f64 = 1e12;
+/// Largest rate and burst. It is far above the throughput of any fleet, and exact in a float.
+const MAX_UNITS: f64 = 1e12;
 
-/// Why a quota can't be used.
+/// Reason why a quota is invalid.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Error)]
-#[error("its {field} can't be {value}; use a number from 0 to {MOST_UNITS:e}")]
+#[error("its {field} can't be {value}; use a number from 0 to {MAX_UNITS:e}")]
 pub struct QuotaError {
-    /// Which of its numbers.
+    /// Name of the invalid number.
     pub field: &'static str,
-    /// What it is.
+    /// Value of the invalid number.
     pub value: f64,
 }
 
-/// What a request counts as.
+/// Unit in which requests are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum QuotaUnit {
-    /// One.
+    /// Each request counts as one unit.
     Requests,
-    /// Its tokens.
+    /// Each request counts as many units as it has tokens.
     Tokens {
-        /// What a request without tokens counts as.
+        /// Units of a request without tokens.
         plain: u32,
     },
 }
 
-/// A quota as the operator declares it.
+/// Quota as the operator declares it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DeclaredQuota {
-    /// Units a second; 0 for no limit.
+    /// Units per second; 0 for no limit.
     pub rate: f64,
-    /// Units that may come at once beyond the rate.
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
-    /// What is counted.
+    /// Unit in which requests are counted.
     pub unit: QuotaUnit,
 }
 
-/// A limit on what a workspace uses.
+/// Limit on what a workspace uses.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct QuotaRule {
-    /// Units a second, above zero.
+    /// Units per second, above zero.
     pub rate: f64,
-    /// Units that may come at once beyond the rate.
+    /// Units that may be used at once beyond the rate.
     pub burst: f64,
-    /// What is counted.
+    /// Unit in which requests are counted.
     pub unit: QuotaUnit,
 }
 
 impl QuotaRule {
-    /// The limit that was declared; none where the rate is 0.
+    /// Validates a declared quota. Returns `None` if the rate is 0, which means no limit.
     ///
     /// # Errors
     ///
-    /// Names the number that can't be used.
+    /// Returns an error for the first number that is out of range.
     pub fn declared(quota: &DeclaredQuota) -> Result<Option<Self>, QuotaError> {
         for (field, value) in [("rate", quota.rate), ("burst", quota.burst)] {
-            if !(0.0..=MOST_UNITS).contains(&value) {
+            if !(0.0..=MAX_UNITS).contains(&value) {
                 return Err(QuotaError { field, value });
             }
         }
@@ -75,7 +75,7 @@
         Ok((quota.rate > 0.0).then_some(rule))
     }
 
-    /// What a request counts as.
+    /// Returns the number of units that a request counts as.
     #[must_use]
     pub fn cost(&self, request: &CallerRequest) -> u64 {
         match self.unit {
