--- a/crates/oatpier-serving/src/message/limits.rs
+++ b/crates/oatpier-serving/src/message/limits.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other of limits, and of endpoints that leave.
+//! Messages between gateways about limits and about endpoints that are leaving.
 
 use std::time::Duration;
 
@@ -11,80 +11,81 @@
 use crate::quota::holder::{PartAnswer, UnitsWanted};
 use crate::quota::turns::TurnAnswer;
 
-/// A gateway asks a holder for units. Never repeated: what is lost on the way is asked for anew, elsewhere.
+/// Query of a gateway to a holder for units. It is never repeated: if it or its answer is lost, the gateway sends a new
+/// query to another holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct QuotaAsk {
-    /// Tells asks apart; drawn at random.
+    /// Random identifier of the query.
     pub id: u64,
-    /// Which part of the limit.
+    /// Part of the limit.
     pub part: PartIndex,
-    /// Whose limit.
+    /// Workspace whose limit is queried.
     pub workspace: WorkspaceName,
-    /// How much.
+    /// Units that are requested.
     pub wanted: UnitsWanted,
 }
 
-/// A holder's answer.
+/// Answer of a holder to a [`QuotaAsk`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct QuotaAnswer {
-    /// The ask that it answers.
+    /// Identifier of the query.
     pub id: u64,
-    /// What it says.
+    /// Granted units, or the reason why there are none.
     pub answer: PartAnswer,
 }
 
-/// A gateway asks a holder for a turn. Never repeated: a turn whose answer is lost is lost.
+/// Query of a gateway to a holder for a turn. It is never repeated: a turn whose answer is lost stays unused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TurnAsk {
-    /// Tells asks apart; drawn at random.
+    /// Random identifier of the query.
     pub id: u64,
-    /// Which part of the limit.
+    /// Part of the limit.
     pub part: PartIndex,
-    /// How far ahead the turn may be, in milliseconds.
+    /// Maximum time by which the turn may be in the future, in milliseconds.
     pub most_wait_ms: u32,
-    /// The endpoint, and its limit as the asker knows it.
+    /// Endpoint and its limit as known to the sender.
     pub limit: LimitWord,
 }
 
-/// A holder's answer to an ask for a turn.
+/// Answer of a holder to a [`TurnAsk`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TurnReply {
-    /// The ask that it answers.
+    /// Identifier of the query.
     pub id: u64,
-    /// What it says.
+    /// Granted turn, or the reason why there is none.
     pub answer: TurnAnswer,
 }
 
-/// An endpoint that leaves.
+/// Report that an endpoint is leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LeavingWord {
-    /// The endpoint.
+    /// Endpoint that is leaving.
     pub endpoint: EndpointName,
-    /// Which start of it, if it tells.
+    /// Start time of its process, if it reports one.
     pub start: Option<StartTime>,
 }
 
-/// What an endpoint's answer said of its limit.
+/// Limit that an endpoint stated in a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LimitWord {
-    /// The endpoint.
+    /// Endpoint that sent the response.
     pub endpoint: EndpointName,
-    /// Which start of it, if it tells.
+    /// Start time of its process, if it reports one.
     pub start: Option<StartTime>,
-    /// The limit; none if the answer named none.
+    /// Stated limit; `None` if the response stated none.
     pub rate: Option<RequestRate>,
-    /// How long ago the request was sent that it answered, in milliseconds.
+    /// Age of the request that the endpoint responded to, in milliseconds since it was sent.
     pub sent_ago_ms: u32,
 }
 
 impl LimitWord {
-    /// How long ago the request was sent.
+    /// Returns the time since the request was sent.
     #[must_use]
     pub fn sent_ago(&self) -> Duration {
         Duration::from_millis(u64::from(self.sent_ago_ms))
--- a/crates/oatpier-serving/src/message/mod.rs
+++ b/crates/oatpier-serving/src/message/mod.rs
@@ -1,7 +1,8 @@
-//! What gateways and sidecars tell each other, in datagrams.
+//! Datagrams between gateways and sidecars.
 //!
-//! Every message stands for itself and is repeated, so that a lost, doubled or late one does no
-//! harm: receivers keep the one with the highest number of its sender's incarnation.
+//! Each message is self-contained and sent repeatedly, so that lost, duplicated and delayed datagrams do no harm.
+//! Receivers keep the message with the highest number of its sender's incarnation. A pulse is the status message that a
+//! sidecar sends at short intervals.
 
 mod limits;
 
@@ -20,58 +21,62 @@
 
 pub use limits::{LeavingWord, LimitWord, QuotaAnswer, QuotaAsk, TurnAsk, TurnReply};
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum InnerMessage {
-    /// A sidecar about its engine, to a gateway that asked for something there.
+    /// Sent by a sidecar to a gateway that waits for an adapter at its engine: the state of the engine.
     Pulse(Box<EnginePulse>),
-    /// A sidecar about its engine, to a relay: for the receiver and its availability zone.
+    /// Sent by a sidecar to a relay, for the relay and the other gateways of its availability zone: the state of its
+    /// engine.
     Spread(EngineWord),
-    /// A relay to the other gateways of its availability zone.
+    /// Sent by a relay to the other gateways of its availability zone: states of engines.
     Relayed(Vec<EngineWord>),
-    /// A gateway asks a sidecar for pulses, and says what it uses there.
+    /// Sent by a gateway to a sidecar: requests pulses and reports the gateway's use of the engine.
     Greeting(GatewayGreeting),
-    /// A gateway needs an adapter at a sidecar's engine.
+    /// Sent by a gateway to a sidecar: requests an adapter at its engine.
     AdapterWanted(AdapterWish),
-    /// A gateway to its peers.
+    /// Sent by a gateway to its peers: the gateway's state and demand.
     Peer(Box<PeerReport>),
-    /// A gateway that has read the store, to those of its availability zone.
+    /// Sent by a gateway that has read the store to the others of its availability zone: what it read.
     StoreSeen(Box<StoreWord>),
-    /// A gateway saw endpoints end under requests, to all gateways. The store repeats it.
+    /// Sent by a gateway to all others: requests that were running at endpoints when those crashed. The store
+    /// distributes the same records.
     CrashesSeen(Vec<CrashRecord>),
-    /// A gateway answered suspect requests whole, to all gateways. The store repeats it.
+    /// Sent by a gateway to all others: suspect requests that were answered completely. The store distributes the same
+    /// changes.
     CrashesCleared(Vec<RequestFingerprint>),
-    /// The planner to a sidecar.
+    /// Sent by the planner to a sidecar: a model to load.
     Advice(LoadAdvice),
-    /// A sidecar asks another one for its right to load from the weight store.
+    /// Sent by a sidecar to another one: requests its right to load from the weight store.
     RightAsk(LoadRight),
-    /// A sidecar lends another one that right.
+    /// Sent by a sidecar to another one: lends that right.
     Right(LoadRight),
-    /// A gateway asks a sidecar for a permit to send its engine a prompt.
+    /// Sent by a gateway to a sidecar: requests a permit to send a prompt to its engine.
     PermitAsk(PermitAsk),
-    /// A sidecar gives a permit.
+    /// Sent by a sidecar to a gateway: grants a permit.
     Permit(PermitGrant),
-    /// A gateway to a sidecar: a request failed at its engine.
+    /// Sent by a gateway to a sidecar: a request failed at its engine.
     AttemptFailed(EngineFailure),
-    /// A gateway asks a holder for units of a workspace's limit.
+    /// Sent by a gateway to a holder: requests units of a workspace's limit.
     QuotaAsk(QuotaAsk),
-    /// A holder answers.
+    /// Sent by a holder to a gateway: answers a query for units.
     QuotaAnswer(QuotaAnswer),
-    /// A gateway gives a permit back, or withdraws its ask: the prompt was read, or will not be.
+    /// Sent by a gateway to a sidecar: returns a permit or withdraws its request for one, because the engine has read
+    /// the prompt or the prompt will not be sent.
     PermitDone(PermitGrant),
-    /// A gateway asks a holder for a turn at an endpoint.
+    /// Sent by a gateway to a holder: requests a turn at an endpoint.
     TurnAsk(TurnAsk),
-    /// A holder answers.
+    /// Sent by a holder to a gateway: answers a query for a turn.
     TurnAnswer(TurnReply),
-    /// A gateway to all others: what an endpoint's answer said of its limit.
+    /// Sent by a gateway to all others: the limit that an endpoint stated in a response.
     LimitSeen(LimitWord),
-    /// A gateway to all others: an endpoint's answer said that it leaves.
+    /// Sent by a gateway to all others: an endpoint that is leaving according to its response.
     LeavingSeen(LeavingWord),
 }
 
 impl InnerMessage {
-    /// The word that metrics use for its kind.
+    /// Returns the label of the message kind in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -102,18 +107,18 @@
     }
 }
 
-/// What a sidecar says of its engine.
+/// State of an engine as reported by its sidecar.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum EngineWord {
-    /// All that it knows.
+    /// Complete state.
     Pulse(Box<EnginePulse>),
-    /// The engine's load, where nothing else has changed.
+    /// Load of the engine only, sent when nothing else has changed.
     Load(LoadPulse),
 }
 
 impl EngineWord {
-    /// Where the engine is.
+    /// Returns the address of the engine.
     #[must_use]
     pub fn engine(&self) -> SocketAddr {
         match self {
@@ -122,7 +127,7 @@
         }
     }
 
-    /// Its place among the sidecar's words.
+    /// Returns the sequence number among the sidecar's reports.
     #[must_use]
     pub fn number(&self) -> MessageNumber {
         match self {
@@ -132,295 +137,294 @@
     }
 }
 
-/// The order of messages of one sender: later incarnations and numbers are newer.
+/// Sequence number of a message. It orders the messages of one incarnation of a sender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct MessageNumber {
-    /// Drawn at each start. Not ordered in time: a change means a new incarnation.
+    /// Random number drawn at each start. It is not ordered: a different value means a new incarnation.
     pub boot: u64,
-    /// Rises with each message of an incarnation.
+    /// Counter that increases with each message of an incarnation.
     pub number: u64,
 }
 
 impl MessageNumber {
-    /// Whether a message supersedes the last one that was kept.
+    /// Returns whether a message with this number supersedes the last one that was kept.
     #[must_use]
     pub fn supersedes(self, kept: Self) -> bool {
         self.boot != kept.boot || self.number > kept.number
     }
 }
 
-/// A sidecar's account of its engine.
+/// Complete state of an engine as reported by its sidecar.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct EnginePulse {
-    /// Its place among the sidecar's pulses.
+    /// Sequence number among the sidecar's pulses.
     pub number: MessageNumber,
-    /// Where the engine is.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// The engine's service.
+    /// Service of the engine.
     pub service: Option<PoolName>,
-    /// The engine's present instance, once its sidecar has asked for it.
+    /// Present instance of the engine, once its sidecar has queried it.
     pub instance: Option<EndpointName>,
-    /// The engine's present start, if it tells.
+    /// Start time of the engine's present process, if it reports one.
     pub start: Option<StartTime>,
-    /// Whether the engine answers its sidecar.
+    /// Whether the engine responds to its sidecar.
     pub answers: bool,
-    /// The engine's load.
+    /// Load of the engine.
     pub load: EndpointLoad,
     /// Memory in use, in tokens.
     pub memory_used: u64,
-    /// Memory in all, in tokens.
+    /// Total memory, in tokens.
     pub memory_total: u64,
-    /// What it holds and keeps.
+    /// Models in the engine's memory, with their adapters.
     pub models: Vec<HeldModel>,
-    /// Models that it is about to unload: to get no new requests.
+    /// Models that are about to be unloaded and must get no new requests.
     pub retiring: Vec<ModelName>,
-    /// The model that it is loading.
+    /// Model that is being loaded.
     pub loading: Option<ModelName>,
-    /// Adapters on their way.
+    /// Adapters that are being loaded.
     pub coming: Vec<AdapterKey>,
-    /// Adapters that could be loaded without waiting for requests that use others.
+    /// Number of adapters that could be loaded without waiting for requests that use other adapters.
     pub adapter_room: u32,
-    /// What it can load again by itself.
+    /// Models that the engine can load again from local copies.
     pub copies: LocalCopies,
-    /// Whether it takes no new work.
+    /// Whether the engine accepts no new work.
     pub draining: bool,
-    /// How long until it may load from the weight store, in milliseconds.
+    /// Time until the engine may load from the weight store, in milliseconds.
     pub load_wait_ms: u32,
-    /// The time to read the prompts that wait for permits, in milliseconds.
+    /// Time to process the prompts that wait for permits, in milliseconds.
     pub permit_wait_ms: u32,
-    /// Requests that wait for permits.
+    /// Number of requests that wait for permits.
     pub permits_waiting: u32,
-    /// The share of its requests that fails, over all gateways, in hundredths.
+    /// Percentage of its requests that fail, over all gateways.
     pub failing_percent: u8,
-    /// Where some of the gateways that greet this sidecar are, others each time.
+    /// Addresses of some of the gateways that greet this sidecar. Each pulse carries a different selection.
     pub gateways: Vec<SocketAddr>,
 }
 
-/// A sidecar's account of its engine's load. A tenth of a whole pulse: with many gateways before many
-/// engines, whole ones at this pace took a fifth of a thin gateway's processor.
+/// Load of an engine as reported by its sidecar. It is a tenth of the size of a complete pulse. With many gateways and
+/// many engines, complete pulses at this rate take a fifth of the processor of a small gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadPulse {
-    /// Its place among the sidecar's pulses of both kinds.
+    /// Sequence number among the sidecar's pulses of both kinds.
     pub number: MessageNumber,
-    /// Where the engine is.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// The engine's load.
+    /// Load of the engine.
     pub load: EndpointLoad,
     /// Memory in use, in tokens.
     pub memory_used: u64,
-    /// How long until it may load from the weight store, in milliseconds.
+    /// Time until the engine may load from the weight store, in milliseconds.
     pub load_wait_ms: u32,
-    /// The time to read the prompts that wait for permits, in milliseconds.
+    /// Time to process the prompts that wait for permits, in milliseconds.
     pub permit_wait_ms: u32,
-    /// Requests that wait for permits.
+    /// Number of requests that wait for permits.
     pub permits_waiting: u32,
-    /// The share of its requests that fails, over all gateways, in hundredths.
+    /// Percentage of its requests that fail, over all gateways.
     pub failing_percent: u8,
 }
 
-/// A gateway's greeting to a sidecar.
+/// Subscription of a gateway to the pulses of a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct GatewayGreeting {
-    /// The gateway's availability zone.
+    /// Availability zone of the gateway.
     pub zone: ZoneName,
-    /// The gateway's processor, in thousandths of a core.
+    /// Processor capacity of the gateway, in thousandths of a core.
     pub processor: u32,
-    /// Whether the gateway hears of the engine, from the sidecar or from a relay.
+    /// Whether the gateway receives the state of the engine, from the sidecar or from a relay.
     pub is_heard: bool,
-    /// Adapters that this gateway's requests use there, or used since its last greeting.
+    /// Adapters that this gateway's requests use at the engine, or have used since the last greeting.
     pub used: Vec<AdapterUse>,
-    /// Engines that the registry lists: the shared load rate is divided by it.
+    /// Number of engines in the registry, by which the shared load rate is divided.
     pub engines: u32,
-    /// The engine's place among them, from 0.
+    /// Index of the engine among them, from 0.
     pub place: u32,
-    /// Loads from the weight store that all engines may begin in one window.
+    /// Number of loads from the weight store that all engines together may start in one window.
     pub loads_per_window: u32,
-    /// Adapters that an engine has room for.
+    /// Number of adapters that an engine has room for.
     pub adapter_slots: u32,
-    /// Where the engine says which instance it is.
+    /// Path at which the engine reports its instance.
     pub health_path: Arc<str>,
 }
 
-/// A gateway's use of an adapter at one engine.
+/// Use of an adapter at one engine by a gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AdapterUse {
-    /// The adapter.
+    /// Adapter that is used.
     pub key: AdapterKey,
-    /// Requests that use it now.
+    /// Number of requests that use it now.
     pub requests: u32,
 }
 
-/// A gateway asks for a permit; it repeats the ask until it has one or gives up.
+/// Request of a gateway for a permit. The gateway repeats it until it has the permit or gives up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PermitAsk {
-    /// Tells asks apart; drawn at random.
+    /// Random identifier of the request.
     pub id: u64,
-    /// The time that the engine takes to read the prompt, in microseconds.
+    /// Time that the engine takes to process the prompt, in microseconds.
     pub reading_us: u32,
-    /// The longest pause of the request's stream that is in time, in milliseconds.
+    /// Longest pause of the request's stream that meets its latency target, in milliseconds.
     pub pause_ms: u32,
-    /// How long until the prompt has to be sent to be in time, in milliseconds; 0 where it can only be late.
+    /// Time until the prompt must be sent to meet its deadline, in milliseconds; 0 if it can only be late.
     pub due_in_ms: u32,
-    /// Requests that the engine runs at the same time.
+    /// Number of requests that the engine runs concurrently.
     pub slots: u32,
-    /// Whether the request is of the most urgent classes, which may go over the slots by a few.
+    /// Whether the request belongs to the most urgent classes, which may exceed the slots by a few.
     pub is_urgent: bool,
-    /// The rank of its class, 0 first.
+    /// Priority of its class, where 0 is the highest.
     pub priority: u8,
 }
 
 impl PermitAsk {
-    /// The time that the engine takes to read the prompt.
+    /// Returns the time that the engine takes to process the prompt.
     #[must_use]
     pub fn reading(&self) -> Duration {
         Duration::from_micros(u64::from(self.reading_us))
     }
 
-    /// The longest pause that is in time.
+    /// Returns the longest pause that meets the latency target.
     #[must_use]
     pub fn pause(&self) -> Duration {
         Duration::from_millis(u64::from(self.pause_ms))
     }
 
-    /// How long until the prompt has to be sent.
+    /// Returns the time until the prompt must be sent.
     #[must_use]
     pub fn due_in(&self) -> Duration {
         Duration::from_millis(u64::from(self.due_in_ms))
     }
 }
 
-/// A permit to send an engine a prompt.
+/// Permit to send a prompt to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PermitGrant {
-    /// The ask that it answers.
+    /// Identifier of the request for the permit.
     pub id: u64,
 }
 
-/// A gateway waits for an adapter.
+/// Request of a gateway for an adapter that its callers wait for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AdapterWish {
-    /// The adapter.
+    /// Adapter to load.
     pub key: AdapterKey,
-    /// Adapters that an engine has room for.
+    /// Number of adapters that an engine has room for.
     pub slots: u32,
 }
 
-/// A gateway's report to its peers.
+/// Report of a gateway to its peers.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct PeerReport {
-    /// Its place among the gateway's reports.
+    /// Sequence number among the gateway's reports.
     pub number: MessageNumber,
-    /// The gateway.
+    /// Name of the gateway.
     pub name: DaemonName,
-    /// Its availability zone.
+    /// Availability zone of the gateway.
     pub zone: ZoneName,
-    /// From one of its reports to the next to the same reader, in milliseconds.
+    /// Interval between two reports to the same receiver, in milliseconds.
     pub every_ms: u32,
-    /// Its processor, in thousandths of a core.
+    /// Processor capacity of the gateway, in thousandths of a core.
     pub processor: u32,
-    /// Whether its timers fire far too late: it has more to do than its processor does.
+    /// Whether its timers fire far too late because its processor is overloaded.
     pub is_behind: bool,
-    /// Whether it is on its way out, and should not plan.
+    /// Whether it is shutting down and should not plan.
     pub leaving: bool,
-    /// Engines whose sidecars it hears.
+    /// Number of engines whose sidecars it receives reports from.
     pub engines_heard: u32,
-    /// Which configuration it has.
+    /// Version of its configuration.
     pub config: ConfigStanding,
-    /// Whether `demand` holds only the models whose requests could not be served since the last report. The
-    /// others, and `uses`, stay as they were told last.
+    /// Whether `demand` contains only the models with requests that could not be served since the last report. The
+    /// demand of other models, and `uses`, then stay as last reported.
     pub is_partial: bool,
-    /// What its callers ask for. A model that is left out of a whole report is not asked for at present.
+    /// Demand of its callers. A model that is missing in a complete report has no demand at present.
     pub demand: Vec<ModelDemand>,
-    /// The models that its requests use, engine by engine.
+    /// Models that its requests use, by engine.
     pub uses: Vec<ModelUse>,
 }
 
-/// Which configuration a gateway has, and how sure it is that there is no newer one.
+/// Configuration version of a gateway, and the time since it was confirmed to be the latest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigStanding {
-    /// Its version; 0 for none.
+    /// Version number; 0 for none.
     pub version: u64,
-    /// How long ago it was known to be the store's, in milliseconds.
+    /// Time since the version was known to be the one in the store, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A gateway's requests for one model at one engine.
+/// Requests of a gateway for one model at one engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ModelUse {
-    /// Where the engine is.
+    /// Address of the engine.
     pub engine: SocketAddr,
-    /// The model.
+    /// Model that is used.
     pub model: ModelName,
-    /// Requests that use it now.
+    /// Number of requests that use it now.
     pub requests: u32,
 }
 
-/// How much a gateway's callers ask for a model.
+/// Demand of a gateway's callers for a model.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ModelDemand {
-    /// The model.
+    /// Model that is requested.
     pub model: ModelName,
-    /// Requests of it that are at engines, on average.
+    /// Average number of its requests that are running at engines.
     pub running: f32,
-    /// Requests of it that were sent to engines, a second, averaged like `running`.
+    /// Rate of its requests sent to engines, per second, averaged over the same time as `running`.
     pub sent: f32,
-    /// Requests of it that wait for it to be loaded, or were turned away for want of room, a
-    /// second.
+    /// Rate of its requests that wait for the model to be loaded or were rejected for lack of memory, per second.
     pub unserved: f32,
-    /// Requests of it that came in, a second, over the last second or so.
+    /// Rate of incoming requests for it, per second, over about the last second.
     pub asked_fast: f32,
-    /// The same over the last few seconds.
+    /// The same rate over the last few seconds.
     pub asked_slow: f32,
-    /// The same over the last ten seconds or so.
+    /// The same rate over about the last ten seconds.
     pub asked_long: f32,
-    /// Adapters of it that were asked for lately.
+    /// Number of its adapters that were requested recently.
     pub adapters: u32,
-    /// How long ago it was asked for last, in milliseconds.
+    /// Time since it was last requested, in milliseconds.
     pub idle_ms: u32,
 }
 
-/// The planner's advice to a sidecar. The sidecar checks memory and pace by itself.
+/// Advice of the planner to a sidecar to load a model. The sidecar checks memory and load rate by itself.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadAdvice {
-    /// The model to load.
+    /// Model to load.
     pub load: ModelName,
-    /// Models to unload before, if they are still there.
+    /// Models to unload first, if they are still loaded.
     pub unload: Vec<ModelName>,
-    /// The sizes of the model and of everything that the engine holds, in MB.
+    /// Sizes of the model and of everything that the engine holds, in MB.
     pub sizes: Vec<ModelSize>,
     /// Memory for models, in MB.
     pub room_mb: f64,
-    /// Sidecars that may lend their right to load from the weight store, where this one's is spent.
+    /// Sidecars that may lend their right to load from the weight store, if this sidecar has used up its own.
     pub lenders: Vec<SocketAddr>,
 }
 
-/// An engine's right to begin one load from the weight store.
+/// Right of an engine to start one load from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct LoadRight {
-    /// Tells questions for rights apart; drawn at random.
+    /// Random identifier of the request for a right.
     pub id: u64,
 }
 
-/// The size of a model's weights.
+/// Size of a model's weights.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ModelSize {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
-    /// Its size, in MB.
+    /// Size in MB.
     pub size_mb: f64,
 }
