--- a/crates/oatpier-serving/src/crashes/book.rs
+++ b/crates/oatpier-serving/src/crashes/book.rs
@@ -1,4 +1,4 @@
-//! Which requests were at endpoints that ended, and which are not sent any more.
+//! Table of requests that were running at endpoints when those crashed, and of the requests that are barred.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -9,55 +9,56 @@
 use super::{CrashRecord, CrashSite, RequestOrigin};
 use crate::fingerprint::RequestFingerprint;
 
-/// Ends of endpoints, with no whole answer between, that bar a request. Two may be chance: an endpoint that ends
-/// for another reason takes dozens of requests along, and their callers may send them again at once. At three,
-/// each further return costs an endpoint and all that it runs.
+/// Number of crashes, with no complete answer in between, that bar a request. Two may be coincidence: an endpoint that
+/// crashes for another reason interrupts dozens of requests, and their callers may send all of them again at once. From
+/// the third crash on, each retry costs an endpoint and all requests that it runs.
 pub const MOST_CRASHES: usize = 3;
 
-/// How long a request that is not barred stays under suspicion after its last crash. Callers come back within
-/// seconds to minutes; one that is sent every quarter of an hour must not count as new each time.
+/// How long a request that is not barred remains a suspect after its last crash. Callers retry within seconds to
+/// minutes. A request that is sent every quarter of an hour must not count as new each time.
 pub const SUSPECT_LIFE: Duration = Duration::from_hours(1);
 
-/// How long a request is barred before it may run once more. A wrong verdict then ends with its first whole answer.
-/// A right one costs one endpoint more, and holds until an operator lifts it.
+/// How long a request is barred before it may run once more. If it was barred wrongly, the first complete answer clears
+/// it. Otherwise the run costs one more endpoint, and the request stays barred until an operator clears it.
 pub const BAR_LIFE: Duration = Duration::from_mins(10);
 
-/// Crashes that are kept of one request. A barred one gets no more than one or two beyond those that barred it.
-const MOST_SITES: usize = 8;
+/// Maximum number of crashes that are kept for one request. A barred request gets at most one or two more than those
+/// that barred it.
+const MAX_CRASHES_PER_REQUEST: usize = 8;
 
-/// Requests under suspicion that are kept. A crash of the largest engines leaves 64; at 200 bytes each this is
-/// 0.2 MB. Beyond it the workspace with the most of them loses its least certain one.
+/// Maximum number of suspects. A crash of one of the largest engines creates 64. At 200 bytes each, the table takes 0.2
+/// MB. Above the limit, the workspace with the most suspects loses its least certain one.
 pub const MOST_SUSPECTS: usize = 1_024;
 
-/// What is to be done with a request.
+/// Decision whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectVerdict {
-    /// It may be sent.
+    /// The request may be sent.
     Clear,
-    /// It may not be sent until its runs and cuts that are open have turned out: with them it might end one
-    /// endpoint too many.
+    /// The request must wait until the outcome of its active runs and broken attempts is known. Together with them, it
+    /// might crash more endpoints than allowed.
     Held,
-    /// It is not sent any more.
+    /// The request is not sent any more.
     Barred,
 }
 
-/// A crash as one gateway knows it.
+/// Crash as known to one gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct KnownCrash {
     site: CrashSite,
     seen_ms: u64,
-    /// Whether the store has listed it. Only what was listed and is not any more was lifted or cleared.
+    /// Whether the store has listed the crash. Only a crash that was listed and is missing now has been cleared.
     is_stored: bool,
 }
 
-/// A request that was at endpoints that ended.
+/// Request that was running at endpoints when those crashed.
 #[derive(Debug, Clone)]
 struct Suspect {
     origin: RequestOrigin,
     crashes: SmallVec<[KnownCrash; 4]>,
-    /// When the last crash was heard of.
+    /// Time at which the last crash became known.
     seen_at: ClockTime,
-    /// When the crash was heard of that barred it.
+    /// Time at which the crash that barred the request became known.
     barred_at: Option<ClockTime>,
 }
 
@@ -72,7 +73,8 @@
         crashes.collect()
     }
 
-    /// One more run is allowed once the bar is old enough; the crash that follows is one more than that allows.
+    /// Returns the number of crashes at which the request is barred. Once the bar has lasted for [`BAR_LIFE`], one more
+    /// run is allowed, and the next crash bars the request again.
     fn crashes_allowed(&self, now: ClockTime) -> usize {
         let is_due = |at: ClockTime| now.since(at) >= BAR_LIFE;
         MOST_CRASHES + usize::from(self.barred_at.is_some_and(is_due))
@@ -82,36 +84,37 @@
         self.crashes.len() >= self.crashes_allowed(now)
     }
 
-    /// What is certain goes last: barred requests, then those with more crashes, then the latest.
+    /// Returns a sort key. Suspects with the fewest crashes are evicted first, and among those the oldest. Barred
+    /// requests are evicted last.
     fn certainty(&self) -> (usize, ClockTime) {
         (self.crashes.len(), self.seen_at)
     }
 }
 
-/// A request under suspicion, for whoever reads about it.
+/// Status of a suspect, for log lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SuspectStanding {
-    /// Ends of endpoints that it was at.
+    /// Number of crashes at which the request was running.
     pub crashes: usize,
-    /// Whether it is not sent any more.
+    /// Whether the request is not sent any more.
     pub is_barred: bool,
 }
 
-/// The requests under suspicion.
+/// Suspects, which are requests that were running at endpoints when those crashed.
 #[derive(Debug, Default)]
 pub struct CrashBook {
     suspects: HashMap<RequestFingerprint, Suspect>,
-    /// Runs of each request that are under way here.
+    /// Number of active runs of each request at this gateway.
     running: HashMap<RequestFingerprint, usize>,
-    /// What was pushed out for want of room since it was last asked for.
-    pushed_out: Vec<CrashRecord>,
+    /// Crashes of suspects evicted since the last call of [`Self::take_pushed_out`].
+    evicted: Vec<CrashRecord>,
 }
 
 impl CrashBook {
-    /// What is to be done with a request of which `open` cuts have yet to turn out.
+    /// Decides whether a request may be sent that has `open` broken attempts with an unknown outcome.
     ///
-    /// Runs of a suspect that are under way count as crashes to come: the same request, sent several times at once,
-    /// would otherwise take one endpoint for each time.
+    /// Active runs of a suspect count as crashes. Otherwise the same request, sent several times at once, could crash
+    /// one endpoint for each time.
     #[must_use]
     pub fn judge(
         &self,
@@ -136,12 +139,12 @@
         }
     }
 
-    /// A run begins.
+    /// Records the start of a run.
     pub fn begin(&mut self, fingerprint: RequestFingerprint) {
         *self.running.entry(fingerprint).or_default() += 1;
     }
 
-    /// A run is over.
+    /// Records the end of a run.
     pub fn end(&mut self, fingerprint: &RequestFingerprint) {
         let Some(running) = self.running.get_mut(fingerprint) else {
             return;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// A request was at an endpoint that ended. None if that was known.
+    /// Records that a request was running at an endpoint when that crashed. Returns `None` if the crash was known.
     pub fn note_crash(&mut self, record: &CrashRecord, now: ClockTime) -> Option<SuspectStanding> {
         self.insert(record, false, now)
     }
@@ -180,7 +183,7 @@
             known.is_stored |= is_stored;
             return None;
         }
-        if suspect.crashes.len() >= MOST_SITES {
+        if suspect.crashes.len() >= MAX_CRASHES_PER_REQUEST {
             return None;
         }
         suspect.crashes.push(KnownCrash {
@@ -196,11 +199,11 @@
             crashes: suspect.crashes.len(),
             is_barred: suspect.is_barred(now),
         };
-        self.keep_bound(&record.fingerprint);
+        self.evict_excess(&record.fingerprint);
         Some(standing)
     }
 
-    /// The store lists these. What it listed before and does not any more was lifted or cleared.
+    /// Applies the list of crashes in the store. Crashes that were listed before and are missing now have been cleared.
     pub fn take_stored(&mut self, listed: &[CrashRecord], now: ClockTime) {
         for record in listed {
             self.insert(record, true, now);
@@ -217,11 +220,13 @@
         });
     }
 
-    /// The store came back from an older copy and lists these. What it listed before and does not any more may have
-    /// been lost and not lifted: it still holds here, and is given back to be written again.
+    /// Applies the list of crashes after the store was restored from an older copy. Crashes that were listed before and
+    /// are missing now may have been lost and not cleared. They remain valid here, and are returned so that they can be
+    /// written again.
     ///
-    /// Taken for lifted, bars would end at all gateways at once, and the fleet would be open to the requests that
-    /// end its endpoints. A request that was really lifted a moment before is barred again until it is lifted anew.
+    /// If they were treated as cleared, all gateways would stop barring the requests at once, and the requests could
+    /// crash endpoints again. A request that an operator cleared just before is barred again until it is cleared once
+    /// more.
     pub fn take_returned(&mut self, listed: &[CrashRecord], now: ClockTime) -> Vec<CrashRecord> {
         let mut lost = Vec::new();
         for (fingerprint, suspect) in &mut self.suspects {
@@ -245,13 +250,13 @@
         lost
     }
 
-    /// A request was answered whole, which clears it. Gives back what was known against it.
+    /// Clears a request that was answered completely, and returns its crashes.
     pub fn clear(&mut self, fingerprint: &RequestFingerprint) -> Vec<CrashRecord> {
         let suspect = self.suspects.remove(fingerprint);
         suspect.map_or_else(Vec::new, |suspect| suspect.records(*fingerprint))
     }
 
-    /// Drops suspicions that are old, and gives back what they held. Barred requests stay.
+    /// Removes suspects that are too old, and returns their crashes. Barred requests stay.
     pub fn expire(&mut self, now: ClockTime) -> Vec<CrashRecord> {
         let is_old = |suspect: &Suspect| {
             suspect.crashes.len() < MOST_CRASHES && now.since(suspect.seen_at) >= SUSPECT_LIFE
@@ -267,9 +272,9 @@
             .collect()
     }
 
-    /// Of the workspace with the most suspects the least certain one goes, so that a flood of one workspace's
-    /// requests pushes out none but its own.
-    fn keep_bound(&mut self, newest: &RequestFingerprint) {
+    /// Evicts the least certain suspect of the workspace with the most suspects if the table is too large. Many
+    /// requests of one workspace therefore evict only suspects of the same workspace.
+    fn evict_excess(&mut self, newest: &RequestFingerprint) {
         if self.suspects.len() <= MOST_SUSPECTS {
             return;
         }
@@ -283,7 +288,7 @@
         let Some((owner, _)) = most else {
             return;
         };
-        let least = self
+        let victim = self
             .suspects
             .iter()
             .filter(|(fingerprint, suspect)| {
@@ -291,27 +296,27 @@
             })
             .min_by_key(|(fingerprint, suspect)| (suspect.certainty(), **fingerprint))
             .map(|(fingerprint, _)| *fingerprint);
-        if let Some(least) = least {
-            let records = self.clear(&least);
-            self.pushed_out.extend(records);
+        if let Some(victim) = victim {
+            let records = self.clear(&victim);
+            self.evicted.extend(records);
         }
     }
 
-    /// Requests under suspicion.
+    /// Returns the number of suspects.
     #[must_use]
     pub fn suspects(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Requests that are not sent any more.
+    /// Returns the number of barred requests.
     #[must_use]
     pub fn barred(&self, now: ClockTime) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|suspect| suspect.is_barred(now)).count()
     }
 
-    /// What was pushed out for want of room since the last call.
+    /// Returns and removes the crashes of suspects that were evicted since the last call.
     pub fn take_pushed_out(&mut self) -> Vec<CrashRecord> {
-        std::mem::take(&mut self.pushed_out)
+        std::mem::take(&mut self.evicted)
     }
 }
--- a/crates/oatpier-serving/src/crashes/changes.rs
+++ b/crates/oatpier-serving/src/crashes/changes.rs
@@ -1,24 +1,24 @@
-//! Changes to what the store holds on crashes, until the store has taken them.
+//! Queue of changes to the crash records in the store.
 
 use std::collections::VecDeque;
 
 use super::CrashRecord;
 
-/// Changes that wait. A store that is away for long must not cost a gateway its memory: beyond this the oldest are
-/// dropped, and what they said is known to the gateways that were told.
-const MOST_WAITING: usize = 1_024;
+/// Maximum number of queued changes, which bounds the memory during a long outage of the store. Above it, the oldest
+/// changes are dropped. Gateways that received them as messages still know them.
+const MAX_QUEUED_CHANGES: usize = 1_024;
 
-/// A change to the store.
+/// Change to the crash records in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CrashChange {
-    /// A request was at an endpoint that ended.
+    /// Adds the record of a crash.
     Put(CrashRecord),
-    /// That no longer counts.
+    /// Removes the record of a crash that no longer counts.
     Remove(CrashRecord),
 }
 
 impl CrashChange {
-    /// What it is about.
+    /// Returns the record that is added or removed.
     #[must_use]
     pub fn record(&self) -> &CrashRecord {
         match self {
@@ -35,36 +35,36 @@
 /// Changes that wait to be written, in order.
 #[derive(Debug, Default)]
 pub struct ChangeQueue {
-    waiting: VecDeque<CrashChange>,
+    queued: VecDeque<CrashChange>,
 }
 
 impl ChangeQueue {
-    /// Adds a change, which takes the place of an earlier one on the same crash. Gives back one that was dropped
-    /// for want of room.
+    /// Adds a change, which replaces an earlier one for the same crash. Returns a change that was dropped because the
+    /// queue was full.
     pub fn push(&mut self, change: CrashChange) -> Option<CrashChange> {
-        self.waiting
-            .retain(|waiting| !waiting.is_about(change.record()));
-        self.waiting.push_back(change);
-        if self.waiting.len() > MOST_WAITING {
-            return self.waiting.pop_front();
+        self.queued
+            .retain(|queued| !queued.is_about(change.record()));
+        self.queued.push_back(change);
+        if self.queued.len() > MAX_QUEUED_CHANGES {
+            return self.queued.pop_front();
         }
         None
     }
 
-    /// Whether nothing waits.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
-    /// The changes that are written next, at most `most`.
+    /// Returns the changes to write next, at most `limit`.
     #[must_use]
-    pub fn batch(&self, most: usize) -> Vec<CrashChange> {
-        self.waiting.iter().take(most).cloned().collect()
+    pub fn batch(&self, limit: usize) -> Vec<CrashChange> {
+        self.queued.iter().take(limit).cloned().collect()
     }
 
-    /// The store has taken these. One that was added since on the same crash still waits.
+    /// Removes changes that the store has written. A change for the same crash that was queued meanwhile remains.
     pub fn settle(&mut self, written: &[CrashChange]) {
-        self.waiting.retain(|waiting| !written.contains(waiting));
+        self.queued.retain(|queued| !written.contains(queued));
     }
 }
--- a/crates/oatpier-serving/src/crashes/cuts.rs
+++ b/crates/oatpier-serving/src/crashes/cuts.rs
@@ -1,7 +1,7 @@
-//! Attempts that were cut off, until it is known whether their endpoint ended.
+//! Attempts whose connection broke, tracked until it is known whether their endpoint crashed.
 //!
-//! A connection also breaks where an endpoint spoils an answer, a link is cut or a VM loses its connections. None
-//! of these is the request's doing, so a cut counts only once the endpoint is known to have ended.
+//! A connection also breaks if an endpoint sends a malformed response, a link fails or a VM loses its connections. None
+//! of these is caused by the request. A broken attempt therefore counts only once the endpoint is known to have ended.
 
 use std::time::Duration;
 
@@ -11,91 +11,94 @@
 use super::{CrashRecord, CrashSite, RequestOrigin};
 use crate::fingerprint::RequestFingerprint;
 
-/// How long a cut waits for word of its endpoint. The registry drops an endpoint after three heartbeats of
-/// silence, at some 1.2 s each, and is read each second or two. What nobody can tell by then counts as no crash:
-/// a request must not be turned away on a guess.
-const CUT_LIFE: Duration = Duration::from_secs(8);
+/// How long a broken attempt waits for the state of its endpoint. The registry drops an endpoint after three missed
+/// heartbeats, which are about 1.2 s apart, and is read every one or two seconds. If the state is still unknown then,
+/// no crash is counted, because a request must not be rejected without evidence.
+const BROKEN_ATTEMPT_TTL: Duration = Duration::from_secs(8);
 
-/// Cuts that are watched. A gateway has some hundred requests at endpoints; beyond this the oldest are dropped.
-const MOST_CUTS: usize = 1_024;
+/// Maximum number of broken attempts that are tracked. A gateway has a few hundred requests at endpoints. Above the
+/// limit, the oldest ones are dropped.
+const MAX_BROKEN_ATTEMPTS: usize = 1_024;
 
-/// What became of an endpoint after a cut.
+/// State of an endpoint after the connection to it broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointFate {
-    /// It ended, or another one has its place.
+    /// The process ended, or another one has its address.
     Ended,
-    /// The same start goes on.
+    /// The same process is still running.
     Alive,
-    /// Nothing was heard since.
+    /// Nothing has been received since.
     Unknown,
 }
 
-/// An attempt that was cut off.
+/// Attempt whose connection broke.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CutAttempt {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Whose it is.
+    /// Owner of the request.
     pub origin: RequestOrigin,
-    /// Where it was.
+    /// Endpoint process that the request was sent to.
     pub site: CrashSite,
-    /// The place of that start in the directory.
+    /// Index of that process in the directory.
     pub index: EndpointIndex,
-    /// When it was cut.
+    /// Time at which the connection broke.
     pub at: ClockTime,
-    /// The same by the time of day, in milliseconds since 1970.
+    /// The same time by the wall clock, in Unix milliseconds.
     pub seen_ms: u64,
 }
 
-/// Cuts whose endpoints have yet to be heard of.
+/// Broken attempts whose endpoint state is not known yet.
 #[derive(Debug, Default)]
 pub struct CutWatch {
-    cuts: Vec<CutAttempt>,
+    attempts: Vec<CutAttempt>,
 }
 
 impl CutWatch {
-    /// An attempt was cut off.
-    pub fn note(&mut self, cut: CutAttempt) {
-        if self.cuts.len() >= MOST_CUTS {
-            self.cuts.remove(0);
+    /// Adds a broken attempt.
+    pub fn note(&mut self, attempt: CutAttempt) {
+        if self.attempts.len() >= MAX_BROKEN_ATTEMPTS {
+            self.attempts.remove(0);
         }
-        self.cuts.push(cut);
+        self.attempts.push(attempt);
     }
 
-    /// Whether any cut waits for word.
+    /// Returns whether there are no broken attempts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.cuts.is_empty()
+        self.attempts.is_empty()
     }
 
-    /// Cuts of a request that may still turn out as crashes.
+    /// Returns the number of broken attempts of a request that may still count as crashes.
     #[must_use]
     pub fn open(&self, fingerprint: &RequestFingerprint) -> usize {
-        let own = self.cuts.iter();
-        own.filter(|cut| cut.fingerprint == *fingerprint).count()
+        let attempts = self.attempts.iter();
+        attempts
+            .filter(|attempt| attempt.fingerprint == *fingerprint)
+            .count()
     }
 
-    /// Asks what became of each endpoint, and gives back the crashes that are certain now.
+    /// Checks the endpoint of each broken attempt with `fate`. Returns the crashes that are now certain.
     pub fn settle(
         &mut self,
         now: ClockTime,
         fate: impl Fn(&CutAttempt) -> EndpointFate,
     ) -> Vec<CrashRecord> {
         let mut crashes = Vec::new();
-        self.cuts.retain(|cut| match fate(cut) {
+        self.attempts.retain(|attempt| match fate(attempt) {
             EndpointFate::Ended => {
-                crashes.push(cut.crash());
+                crashes.push(attempt.to_crash_record());
                 false
             }
             EndpointFate::Alive => false,
-            EndpointFate::Unknown => now.since(cut.at) < CUT_LIFE,
+            EndpointFate::Unknown => now.since(attempt.at) < BROKEN_ATTEMPT_TTL,
         });
         crashes
     }
 }
 
 impl CutAttempt {
-    fn crash(&self) -> CrashRecord {
+    fn to_crash_record(&self) -> CrashRecord {
         CrashRecord {
             fingerprint: self.fingerprint,
             origin: self.origin.clone(),
--- a/crates/oatpier-serving/src/crashes/mod.rs
+++ b/crates/oatpier-serving/src/crashes/mod.rs
@@ -1,16 +1,16 @@
-//! Requests that end the endpoints that run them.
+//! Detection of requests that crash the endpoints that run them.
 //!
-//! The failure: an engine ends with a request that it begins to run, and with it the streams of a dozen other
-//! callers. The request's caller comes back under a new id, at any gateway, and takes the next engine down. So
-//! what is held against an endpoint must also be held against what it ran.
+//! An engine may crash while it runs a certain request, which also breaks the streams of a dozen other callers. The
+//! caller then sends the same request under a new id to any gateway, and it crashes the next engine. Health records of
+//! endpoints cannot prevent this, so crashes are also recorded for the requests that were running.
 //!
-//! - [`changes`]: what is to be written to the store.
-//! - [`cuts`]: attempts that were cut off, until it is known whether their endpoint ended.
-//! - [`book`]: which requests were at endpoints that ended, and which are not sent any more.
+//! - [`changes`]: changes that are to be written to the store.
+//! - [`cuts`]: attempts whose connection broke, tracked until it is known whether their endpoint crashed.
+//! - [`book`]: requests that were running at crashed endpoints, and which of them are barred.
 //!
-//! An endpoint runs dozens of requests, and its end puts all of them under suspicion. One that was at a third end
-//! without a whole answer between is barred; a whole answer anywhere clears it. What gateways know of it lies in
-//! the platform's store, so it outlives all of them.
+//! An endpoint runs dozens of requests, and all of them become suspects when it crashes. A request is barred at its
+//! third crash without a complete answer in between. A complete answer at any gateway clears it. The records are kept
+//! in the platform's store, so that they survive restarts of all gateways.
 
 pub mod book;
 pub mod changes;
@@ -25,18 +25,18 @@
 use crate::engine::StartTime;
 use crate::fingerprint::RequestFingerprint;
 
-/// One start of an endpoint that ended.
+/// Endpoint process that crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct CrashSite {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: EndpointName,
-    /// Which start of it, in milliseconds of the time of day; an endpoint may start again under its name.
+    /// Start time of the process, in Unix milliseconds. An endpoint may restart under the same name.
     pub started_ms: Option<u64>,
 }
 
 impl CrashSite {
-    /// A start of an endpoint.
+    /// Creates the site for a process of an endpoint.
     #[must_use]
     pub fn new(endpoint: EndpointName, start: Option<StartTime>) -> Self {
         Self {
@@ -55,20 +55,20 @@
     }
 }
 
-/// Whose request it is, for operators, and for keeping one workspace's requests from pushing out another's.
+/// Origin of a request. It is shown to operators, and limits evictions to suspects of the same owner.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestOrigin {
-    /// The host that its caller names.
+    /// Host that the caller addressed.
     pub host: Arc<str>,
-    /// The workspace that holds its key; none where nobody had to say.
+    /// Workspace that owns the caller's key; `None` if callers need no keys.
     pub workspace: Option<WorkspaceName>,
-    /// Its class of work.
+    /// Class of the request.
     pub route: ClassName,
 }
 
 impl RequestOrigin {
-    /// Whose it is: the workspace, or where callers need no keys the host.
+    /// Returns the owner of the request: the workspace, or the host if callers need no keys.
     #[must_use]
     pub fn owner(&self) -> &str {
         let workspace = self.workspace.as_ref();
@@ -76,17 +76,17 @@
     }
 }
 
-/// A request was at an endpoint when that ended.
+/// Record that a request was running at an endpoint when that crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CrashRecord {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Whose it is.
+    /// Origin of the request.
     pub origin: RequestOrigin,
-    /// What ended.
+    /// Endpoint process that crashed.
     pub site: CrashSite,
-    /// When, in milliseconds since 1970 by the time of day of the gateway that saw it. For operators: VMs' times
-    /// of day differ and jump, so nothing is decided by it.
+    /// Time of the crash in Unix milliseconds, by the wall clock of the gateway that detected it. It is only shown to
+    /// operators. Wall clocks of VMs differ and may jump, so no decision depends on it.
     pub seen_ms: u64,
 }
