--- a/crates/oatpier-serving/examples/limit_costs.rs
+++ b/crates/oatpier-serving/examples/limit_costs.rs
@@ -1,4 +1,4 @@
-//! What a key's look-up and a charge cost, and what many workspaces take in memory.
+//! Prints the time of a key lookup with a grant and charge of units, and the memory of a table of many workspaces.
 //!
 //!     cargo run --release --package oatpier-serving --example limit_costs
 
@@ -21,7 +21,7 @@
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
 const WORKSPACES: usize = 10_000;
-const KEYS_EACH: usize = 4;
+const KEYS_PER_WORKSPACE: usize = 4;
 const ROUNDS: usize = 200_000;
 
 const RULE: QuotaRule = QuotaRule {
@@ -39,7 +39,8 @@
 }
 
 fn declared(workspace: usize) -> DeclaredWorkspace {
-    let keys = (0..KEYS_EACH).map(|number| KeyDigest::of(key(workspace, number).as_bytes()));
+    let keys =
+        (0..KEYS_PER_WORKSPACE).map(|number| KeyDigest::of(key(workspace, number).as_bytes()));
     DeclaredWorkspace {
         rule: WorkspaceRule {
             name: name(workspace),
@@ -55,11 +56,11 @@
     let region = Region::new(ALLOCATOR);
     let table = WorkspaceTable::try_from(declared.clone()).expect("all are different");
     let change = region.change();
-    let kept = change
+    let allocated = change
         .bytes_allocated
         .saturating_sub(change.bytes_deallocated);
     let keys: Vec<String> = (0..ROUNDS)
-        .map(|round| key(round % WORKSPACES, round % KEYS_EACH))
+        .map(|round| key(round % WORKSPACES, round % KEYS_PER_WORKSPACE))
         .collect();
     let bounds = QuotaBounds {
         window: Duration::from_secs(8),
@@ -92,10 +93,10 @@
         let step = grants.step(&rule.name, 900, &AskedParts::default(), now);
         assert!(matches!(black_box(step), GrantStep::Taken(_)));
     }
-    let each = started.elapsed() / u32::try_from(ROUNDS).expect("some hundred thousand");
-    println!("{WORKSPACES} workspaces of {KEYS_EACH} keys: {kept} bytes");
+    let time_per_round = started.elapsed() / u32::try_from(ROUNDS).expect("some hundred thousand");
+    println!("{WORKSPACES} workspaces with {KEYS_PER_WORKSPACE} keys each: {allocated} bytes");
     println!(
-        "look-up, hand-out and charge together: {} ns",
-        each.as_nanos()
+        "key lookup, grant and charge: {} ns",
+        time_per_round.as_nanos()
     );
 }
--- a/crates/oatpier-serving/tests/testsuite/budget.rs
+++ b/crates/oatpier-serving/tests/testsuite/budget.rs
@@ -1,4 +1,4 @@
-//! How many requests may be sent a second time.
+//! Number of retries that a gateway may send.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 const WINDOW_MS: u64 = 10_000;
 
 #[test]
-fn without_requests_only_the_own_part_of_the_fixed_number_is_left() {
+fn without_requests_only_the_own_share_of_the_fixed_number_is_available() {
     let mut allowance = RetryAllowance::new(RATIO, SLACK, Duration::from_millis(WINDOW_MS));
     allowance.share_among(5);
     let taken = (0..1_000)
@@ -24,9 +24,9 @@
 proptest! {
     #![proptest_config(fixed_cases(128))]
 
-    /// While endpoints fail, every gateway wants to send every request again. Gateways do not ask
-    /// each other, so the bound over all of them holds in any partition: in every window their
-    /// second sends stay within the share of the requests and the fixed number.
+    /// While endpoints fail, every gateway wants to retry every request. Gateways do not coordinate, so the limit over
+    /// all of them must hold in any partition: in every window their retries stay within the fraction of the requests
+    /// and the fixed number.
     #[test]
     fn all_gateways_together_stay_within_the_bound(
         gateways in 2_usize..8,
@@ -41,7 +41,7 @@
         }
         let mut now = 0;
         let mut requests = Vec::new();
-        let mut repeats = Vec::new();
+        let mut retries = Vec::new();
         for (number, gap) in gaps.into_iter().enumerate() {
             now += gap;
             let allowance = &mut allowances[number % gateways];
@@ -49,18 +49,18 @@
             requests.push(now);
             for _ in 0..3 {
                 if allowance.take(&service(), at(now)) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
         }
-        for end in &repeats {
+        for end in &retries {
             let begin = end.saturating_sub(WINDOW_MS);
             let within = |times: &[u64]| times.iter().filter(|time| (begin..=*end).contains(time)).count();
             #[expect(clippy::cast_precision_loss, reason = "counts of a few hundred")]
             let bound = RATIO * within(&requests) as f64 + SLACK;
             #[expect(clippy::cast_precision_loss, reason = "counts of a few hundred")]
-            let sent = within(&repeats) as f64;
-            prop_assert!(sent <= bound, "{sent} second sends against {bound}");
+            let sent = within(&retries) as f64;
+            prop_assert!(sent <= bound, "{sent} retries exceed {bound}");
         }
     }
 }
--- a/crates/oatpier-serving/tests/testsuite/crashing_loads.rs
+++ b/crates/oatpier-serving/tests/testsuite/crashing_loads.rs
@@ -1,4 +1,4 @@
-//! A model whose load ends the engine that carries it out.
+//! Tests of a model whose load crashes the engine.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,49 +11,49 @@
 
 use crate::support::{at, endpoint, engine_rule, model, pulse, record, service};
 
-/// Engines of the fleet.
+/// Number of engines in the fleet.
 const ENGINES: u8 = 6;
 
-/// From one round of the planner to the next, in milliseconds.
+/// Interval between two rounds of the planner, in milliseconds.
 const ROUND_MS: u64 = 150;
 
-/// How long an engine that ended is away.
-const AWAY_MS: u64 = 3_000;
+/// Downtime of an engine after a crash, in milliseconds.
+const DOWNTIME_MS: u64 = 3_000;
 
-/// An engine: its start, and when it is back.
+/// Simulated engine: the number of its restarts, and the end of its downtime.
 #[derive(Debug, Clone, Default)]
-struct FragileEngine {
+struct SimulatedEngine {
     starts: u32,
-    back_at: u64,
+    up_at: u64,
     loading: Option<ModelName>,
     held: Vec<ModelName>,
 }
 
-/// A fleet of engines; loads take a round, and one model ends the engine that loads it.
+/// Simulated fleet of engines in which a load takes one round, and one model crashes the engine that loads it.
 struct LoadingFleet {
-    engines: Vec<FragileEngine>,
+    engines: Vec<SimulatedEngine>,
     directory: EndpointDirectory,
     planner: LoadPlanner,
-    words: u64,
-    /// Whether engines report that they leave before they end.
-    leaves: bool,
+    messages_sent: u64,
+    /// Whether engines report that they are leaving before they end.
+    reports_leaving: bool,
     advised: HashMap<ModelName, Vec<u64>>,
 }
 
 impl LoadingFleet {
     fn new() -> Self {
         Self {
-            engines: vec![FragileEngine::default(); usize::from(ENGINES)],
+            engines: vec![SimulatedEngine::default(); usize::from(ENGINES)],
             directory: EndpointDirectory::default(),
             planner: LoadPlanner::default(),
-            words: 0,
-            leaves: false,
+            messages_sent: 0,
+            reports_leaving: false,
             advised: HashMap::new(),
         }
     }
 
-    /// Plays some seconds; a load of `bad` ends its engine until `mended_at`.
-    fn play(&mut self, seconds: u64, mended_at: u64) {
+    /// Simulates some seconds, in which a load of `bad` crashes its engine until `repaired_at`.
+    fn run(&mut self, seconds: u64, repaired_at: u64) {
         let rule = engine_rule(&["bad", "good"]);
         let asked = TotalDemand {
             unserved: 2.0,
@@ -66,7 +66,7 @@
         let demand: HashMap<ModelName, TotalDemand> =
             [(model("bad"), asked), (model("good"), asked)].into();
         for now in (0..seconds * 1_000).step_by(usize::try_from(ROUND_MS).unwrap()) {
-            self.tell(now);
+            self.update_directory(now);
             let uses = FleetUses::default();
             let fleet = FleetDemand {
                 models: &demand,
@@ -78,66 +78,66 @@
             for load in outcome.planned {
                 let wanted = load.advice.load;
                 self.advised.entry(wanted.clone()).or_default().push(now);
-                let place = self.place_of(load.endpoint.as_str());
-                self.engines[place].loading = Some(wanted);
-                self.tell(now + 1);
-                // The planner sees the load under way before it is done.
+                let index = self.index_of(load.endpoint.as_str());
+                self.engines[index].loading = Some(wanted);
+                self.update_directory(now + 1);
+                // The planner must see the load in progress before it ends.
                 let rows = self.directory.service(&pool);
                 self.planner.plan(&rule, rows, fleet, at(now + 1));
-                self.finish(place, now, mended_at);
+                self.finish(index, now, repaired_at);
             }
         }
     }
 
-    fn finish(&mut self, place: usize, now: u64, mended_at: u64) {
-        let engine = &mut self.engines[place];
+    fn finish(&mut self, index: usize, now: u64, repaired_at: u64) {
+        let engine = &mut self.engines[index];
         let Some(loaded) = engine.loading.take() else {
             return;
         };
-        if loaded == model("bad") && now < mended_at {
+        if loaded == model("bad") && now < repaired_at {
             engine.starts += 1;
-            engine.back_at = now + AWAY_MS;
+            engine.up_at = now + DOWNTIME_MS;
             engine.held.clear();
         } else {
             engine.held.push(loaded);
         }
     }
 
-    fn place_of(&self, name: &str) -> usize {
-        let is_it = |place: &usize| self.name(*place) == name;
-        (0..self.engines.len()).find(is_it).unwrap()
+    fn index_of(&self, name: &str) -> usize {
+        let has_name = |index: &usize| self.name(*index) == name;
+        (0..self.engines.len()).find(has_name).unwrap()
     }
 
-    fn name(&self, place: usize) -> String {
-        format!("i-{place}-{}", self.engines[place].starts)
+    fn name(&self, index: usize) -> String {
+        format!("i-{index}-{}", self.engines[index].starts)
     }
 
-    /// The registry and the sidecars tell of all engines that are there.
-    fn tell(&mut self, now: u64) {
+    /// Updates the directory from the registry and the sidecars with all engines that are up.
+    fn update_directory(&mut self, now: u64) {
         let up: Vec<usize> = (0..self.engines.len())
-            .filter(|place| self.engines[*place].back_at <= now)
+            .filter(|index| self.engines[*index].up_at <= now)
             .collect();
-        let number = |place: usize| u8::try_from(place).unwrap();
-        let records = up.iter().map(|place| EndpointRecord {
-            name: endpoint(&self.name(*place)),
-            draining: self.leaves && self.engines[*place].loading == Some(model("bad")),
-            ..record(number(*place), &["base"])
+        let number = |index: usize| u8::try_from(index).unwrap();
+        let records = up.iter().map(|index| EndpointRecord {
+            name: endpoint(&self.name(*index)),
+            draining: self.reports_leaving && self.engines[*index].loading == Some(model("bad")),
+            ..record(number(*index), &["base"])
         });
         let records = records.collect();
         self.directory.apply_registry(records, at(now));
-        for place in up {
-            self.words += 1;
-            let engine = &self.engines[place];
+        for index in up {
+            self.messages_sent += 1;
+            let engine = &self.engines[index];
             let held: Vec<&str> = engine.held.iter().map(ModelName::as_str).collect();
-            let told = EnginePulse {
+            let state = EnginePulse {
                 number: MessageNumber {
                     boot: 1,
-                    number: self.words,
+                    number: self.messages_sent,
                 },
                 loading: engine.loading.clone(),
-                ..pulse(number(place), &held, 0)
+                ..pulse(number(index), &held, 0)
             };
-            self.directory.take_pulse(told, at(now));
+            self.directory.take_pulse(state, at(now));
         }
     }
 
@@ -146,33 +146,33 @@
     }
 }
 
-/// Callers of a model are refused, since nobody holds it; the planner has an engine load it, which ends with the
-/// load and takes its streams along. The model is then still missing, so the next engine was told to load it, and the
-/// next. Loads of it wait longer and longer instead, and the other model is not held up.
+/// Requests for a model are rejected because no engine holds it. The planner advises an engine to load it, and the
+/// engine crashes and breaks its streams. As the model is still missing, the planner would advise one engine after the
+/// other to load it. Instead the delay between its loads must grow, without affecting the other model.
 #[test]
-fn a_model_whose_load_ends_engines_is_tried_ever_more_seldom() {
+fn a_model_whose_load_crashes_engines_is_loaded_less_and_less_often() {
     let mut fleet = LoadingFleet::new();
-    fleet.play(60, u64::MAX);
+    fleet.run(60, u64::MAX);
     let bad = fleet.loads("bad");
     assert!(bad.len() <= 6, "{bad:?}");
     assert!(!fleet.loads("good").is_empty());
 }
 
-/// The model's weights are mended. It is tried again in its turn, and serves; one more end later starts anew.
+/// The model's weights are repaired. The model is tried again after its delay and can be served. A later
+/// crash starts with the initial delay again.
 #[test]
-fn a_model_that_loads_again_is_reachable_again() {
+fn a_repaired_model_is_loaded_again() {
     let mut fleet = LoadingFleet::new();
-    fleet.play(60, 20_000);
-    let is_held = |engine: &FragileEngine| engine.held.contains(&model("bad"));
+    fleet.run(60, 20_000);
+    let is_held = |engine: &SimulatedEngine| engine.held.contains(&model("bad"));
     assert!(fleet.engines.iter().any(is_held));
 }
 
-/// Engines that are taken away in the middle of a load end by themselves. The model that they were to load is loaded
-/// elsewhere without delay.
+/// Engines that are removed during a load end for that reason. The model must be loaded elsewhere without delay.
 #[test]
-fn engines_that_leave_in_a_load_hold_nothing_against_the_model() {
+fn engines_that_leave_during_a_load_do_not_delay_the_model() {
     let mut fleet = LoadingFleet::new();
-    fleet.leaves = true;
-    fleet.play(20, u64::MAX);
+    fleet.reports_leaving = true;
+    fleet.run(20, u64::MAX);
     assert!(fleet.loads("bad").len() > 6);
 }
--- a/crates/oatpier-serving/tests/testsuite/fingerprint.rs
+++ b/crates/oatpier-serving/tests/testsuite/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Which requests are the same.
+//! Fingerprints that identify repeated requests.
 
 use oatpier_serving::fingerprint::{RequestContent, RequestFingerprint};
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_part_of_the_content_counts() {
+fn each_part_of_the_content_changes_the_fingerprint() {
     let others = [
         RequestContent {
             method: "PUT",
@@ -35,7 +35,7 @@
             body: b"seat",
             ..CONTENT
         },
-        // The same bytes, parted otherwise.
+        // The same bytes, split differently between host and path.
         RequestContent {
             host: "one.example/plans",
             path: "/7?page=2",
--- a/crates/oatpier-serving/tests/testsuite/fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of gateways that hold and ask for parts of limits, with losses, cuts, kills, freezes and a store that comes
-//! back from older copies.
+//! Simulated fleet of gateways that hold and query parts of limits. Datagrams are lost, gateways are partitioned,
+//! killed and frozen, and the store is restored from older copies.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,25 +18,25 @@
 
 use crate::part_store::PartStore;
 use crate::support::{address, at};
-use crate::turn_fleet::{TurnDesk, TurnWord};
+use crate::turn_fleet::{TurnClient, TurnMessage};
 
-/// From one step of the fleet to the next.
+/// Time between two steps of the simulation.
 pub const STEP_MS: u64 = 10;
 
-/// A request without an answer asks another holder after this.
+/// Time after which a request without an answer queries another holder.
 pub const ANSWER_WAIT_MS: u64 = 40;
 
-/// Hardly more than the limit itself is allowed, so that a part that is given twice is seen.
-pub const TIGHT: QuotaBounds = QuotaBounds {
+/// Tight bounds that allow hardly more than the limit itself, so that units granted twice are detected.
+pub const TIGHT_BOUNDS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(8),
     overage: 0.1,
     slack: 600.0,
 };
 
-/// An allowance of several times the largest request, as on the platform.
-pub const USUAL: QuotaBounds = QuotaBounds {
+/// Bounds with an allowance of several times the largest request, as on the platform.
+pub const USUAL_BOUNDS: QuotaBounds = QuotaBounds {
     slack: 3_000.0,
-    ..TIGHT
+    ..TIGHT_BOUNDS
 };
 
 pub const RULE: QuotaRule = QuotaRule {
@@ -49,18 +49,18 @@
     WorkspaceName::try_from("one").unwrap()
 }
 
-/// A request on its way to its units.
+/// Request that waits for its units.
 #[derive(Debug, Clone)]
-pub struct OpenRequest {
+pub struct PendingRequest {
     pub units: u64,
-    pub asked: AskedParts,
-    pub ask: Option<OpenAsk>,
+    pub queried: AskedParts,
+    pub pending: Option<PendingQuery>,
 }
 
 #[derive(Debug, Clone)]
-pub struct OpenAsk {
+pub struct PendingQuery {
     pub id: u64,
-    pub ask: PartAsk,
+    pub query: PartAsk,
     pub sent_ms: u64,
 }
 
@@ -70,53 +70,53 @@
     pub holder: PartHolder,
     pub grants: GrantBook,
     pub bounds: QuotaBounds,
-    pub requests: Vec<OpenRequest>,
-    pub turns: TurnDesk,
-    pub inbox: VecDeque<FleetWord>,
-    /// Until when it stands still, is off, and can't reach the store.
+    pub requests: Vec<PendingRequest>,
+    pub turns: TurnClient,
+    pub inbox: VecDeque<FleetMessage>,
+    /// Ends of the gateway's freeze, downtime and disconnection from the store.
     pub frozen_until: u64,
-    pub off_until: u64,
-    pub store_cut_until: u64,
-    pub cut_until: u64,
+    pub down_until: u64,
+    pub no_store_until: u64,
+    pub partitioned_until: u64,
     pub read_at: u64,
 }
 
 #[derive(Debug, Clone)]
-pub enum FleetWord {
+pub enum FleetMessage {
     Ask(u8, QuotaAsk),
     Answer(QuotaAnswer),
-    Turn(TurnWord),
+    Turn(TurnMessage),
 }
 
-/// A word that arrives later.
-pub struct WordOnWay {
+/// Message in transit.
+pub struct DelayedMessage {
     pub to: u8,
     pub from: u8,
     pub at_ms: u64,
-    pub word: FleetWord,
+    pub message: FleetMessage,
 }
 
-/// What became of requests.
+/// Outcomes of requests.
 #[derive(Debug, Default)]
-pub struct FleetCount {
-    /// Units that were taken, and when.
+pub struct FleetCounts {
+    /// Time and number of taken units.
     pub taken: Vec<(u64, u64)>,
-    pub spent: u64,
-    pub nobody: u64,
-    /// When requests were sent to the endpoint that names a limit.
+    pub exhausted: u64,
+    pub no_holder: u64,
+    /// Times at which requests were sent to the endpoint that sets a limit.
     pub sent: Vec<u64>,
-    /// Requests that got no turn.
-    pub turned_away: u64,
+    /// Number of requests that got no turn.
+    pub rejected: u64,
 }
 
 pub struct Fleet {
     pub random: ChaCha8Rng,
     pub store: PartStore,
-    pub copies: VecDeque<(u64, PartStore)>,
+    pub store_copies: VecDeque<(u64, PartStore)>,
     pub gateways: Vec<FleetGateway>,
-    pub words: Vec<WordOnWay>,
+    pub in_transit: Vec<DelayedMessage>,
     pub loss: f64,
-    pub count: FleetCount,
+    pub counts: FleetCounts,
 }
 
 impl FleetGateway {
@@ -139,17 +139,17 @@
             holder: PartHolder::default(),
             grants: GrantBook::default(),
             requests: Vec::new(),
-            turns: TurnDesk::default(),
+            turns: TurnClient::default(),
             inbox: VecDeque::new(),
             frozen_until: 0,
-            off_until: 0,
-            store_cut_until: 0,
-            cut_until: 0,
+            down_until: 0,
+            no_store_until: 0,
+            partitioned_until: 0,
             read_at: 0,
         }
     }
 
-    pub fn note(&mut self, changes: impl IntoIterator<Item = TenureChange>) {
+    pub fn apply(&mut self, changes: impl IntoIterator<Item = TenureChange>) {
         for change in changes {
             match change {
                 TenureChange::Begun(begin) => {
@@ -161,13 +161,13 @@
         self.grants.holders_mut().set(self.tenure.holders());
     }
 
-    pub fn hand_out(&mut self, ask: &PartAsk, now: u64) -> PartAnswer {
-        if !self.tenure.holds(ask.part, at(now)) {
+    pub fn grant(&mut self, query: &PartAsk, now: u64) -> PartAnswer {
+        if !self.tenure.holds(query.part, at(now)) {
             return PartAnswer::NotHeld;
         }
         let terms = self.bounds.part(&RULE);
         self.holder
-            .hand_out(ask.part, &workspace(), &terms, ask.wanted, at(now))
+            .hand_out(query.part, &workspace(), &terms, query.wanted, at(now))
     }
 }
 
@@ -177,83 +177,83 @@
         Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             store: PartStore::default(),
-            copies: VecDeque::new(),
+            store_copies: VecDeque::new(),
             gateways: (1..=gateways).map(start).collect(),
-            words: Vec::new(),
+            in_transit: Vec::new(),
             loss: 0.0,
-            count: FleetCount::default(),
+            counts: FleetCounts::default(),
         }
     }
 
-    pub fn send(&mut self, from: u8, to: u8, word: &FleetWord, now: u64) {
+    pub fn send(&mut self, from: u8, to: u8, message: &FleetMessage, now: u64) {
         if self.random.random_bool(self.loss) {
             return;
         }
         let copies = 1 + u64::from(self.random.random_bool(self.loss));
         for _ in 0..copies {
-            let late = if self.random.random_bool(self.loss) {
+            let max_delay = if self.random.random_bool(self.loss) {
                 900
             } else {
                 12
             };
-            self.words.push(WordOnWay {
+            self.in_transit.push(DelayedMessage {
                 to,
                 from,
-                at_ms: now + self.random.random_range(0..late),
-                word: word.clone(),
+                at_ms: now + self.random.random_range(0..max_delay),
+                message: message.clone(),
             });
         }
     }
 
     pub fn deliver(&mut self, now: u64) {
-        let (due, later) = std::mem::take(&mut self.words)
+        let (due, later) = std::mem::take(&mut self.in_transit)
             .into_iter()
-            .partition(|word| word.at_ms <= now);
-        self.words = later;
-        let due: Vec<WordOnWay> = due;
-        for word in due {
-            let is_cut = |number: u8| {
+            .partition(|message| message.at_ms <= now);
+        self.in_transit = later;
+        let due: Vec<DelayedMessage> = due;
+        for message in due {
+            let is_unreachable = |number: u8| {
                 let gateway = &self.gateways[usize::from(number - 1)];
-                now < gateway.cut_until || now < gateway.off_until
+                now < gateway.partitioned_until || now < gateway.down_until
             };
-            if !is_cut(word.from) && !is_cut(word.to) {
-                self.gateways[usize::from(word.to - 1)]
+            if !is_unreachable(message.from) && !is_unreachable(message.to) {
+                self.gateways[usize::from(message.to - 1)]
                     .inbox
-                    .push_back(word.word);
+                    .push_back(message.message);
             }
         }
     }
 
     pub fn step(&mut self, now: u64) {
         if now.is_multiple_of(500) {
-            self.copies.push_back((now, self.store.clone()));
+            self.store_copies.push_back((now, self.store.clone()));
         }
         self.deliver(now);
-        for place in 0..self.gateways.len() {
-            let gateway = &self.gateways[place];
-            if now >= gateway.frozen_until && now >= gateway.off_until {
-                self.act(place, now);
+        for index in 0..self.gateways.len() {
+            let gateway = &self.gateways[index];
+            if now >= gateway.frozen_until && now >= gateway.down_until {
+                self.run_gateway(index, now);
             }
         }
     }
 
-    pub fn act(&mut self, place: usize, now: u64) {
-        self.meet_store(place, now);
-        while let Some(word) = self.gateways[place].inbox.pop_front() {
-            self.hear(place, word, now);
+    pub fn run_gateway(&mut self, index: usize, now: u64) {
+        self.sync_with_store(index, now);
+        while let Some(message) = self.gateways[index].inbox.pop_front() {
+            self.receive(index, message, now);
         }
-        self.advance_turns(place, now);
-        let requests = std::mem::take(&mut self.gateways[place].requests);
+        self.advance_turns(index, now);
+        let requests = std::mem::take(&mut self.gateways[index].requests);
         for request in requests {
-            if let Some(open) = self.advance(place, request, now) {
-                self.gateways[place].requests.push(open);
+            if let Some(pending) = self.advance(index, request, now) {
+                self.gateways[index].requests.push(pending);
             }
         }
     }
 
-    pub fn meet_store(&mut self, place: usize, now: u64) {
-        let gateway = &mut self.gateways[place];
-        if now < gateway.store_cut_until {
+    pub fn sync_with_store(&mut self, index: usize, now: u64) {
+        let gateway = &mut self.gateways[index];
+        if now < gateway.no_store_until {
             return;
         }
         if now >= gateway.read_at {
@@ -261,23 +261,23 @@
             let changes = gateway
                 .tenure
                 .take_read(&self.store.entries, self.store.era, at(now));
-            gateway.note(changes);
+            gateway.apply(changes);
         }
         let standing = ClaimStanding {
-            rank: place,
+            rank: index,
             is_wanted: true,
         };
         if let Some(claim) = gateway.tenure.due(standing, at(now)) {
             let outcome = self.write(&claim);
-            let gateway = &mut self.gateways[place];
+            let gateway = &mut self.gateways[index];
             let change = gateway
                 .tenure
                 .take_outcome(&claim, outcome, at(now), at(now));
-            gateway.note(change);
+            gateway.apply(change);
         }
     }
 
-    /// Some writes are carried out without an answer, and some are lost.
+    /// Writes a claim. Some writes are executed but not acknowledged, and some are lost.
     pub fn write(&mut self, claim: &PartClaim) -> ClaimOutcome {
         if self.random.random_bool(self.loss) {
             return ClaimOutcome::Failed;
@@ -289,34 +289,39 @@
         outcome
     }
 
-    pub fn hear(&mut self, place: usize, word: FleetWord, now: u64) {
-        let number = self.gateways[place].number;
-        match word {
-            FleetWord::Turn(word) => self.hear_turn(place, word, now),
-            FleetWord::Ask(from, ask) => {
-                let part_ask = PartAsk {
-                    part: ask.part,
+    pub fn receive(&mut self, index: usize, message: FleetMessage, now: u64) {
+        let number = self.gateways[index].number;
+        match message {
+            FleetMessage::Turn(message) => self.receive_turn(index, message, now),
+            FleetMessage::Ask(from, query) => {
+                let part_query = PartAsk {
+                    part: query.part,
                     holder: address(number),
-                    wanted: ask.wanted,
+                    wanted: query.wanted,
                 };
-                let answer = self.gateways[place].hand_out(&part_ask, now);
-                let word = FleetWord::Answer(QuotaAnswer { id: ask.id, answer });
-                self.send(number, from, &word, now);
+                let answer = self.gateways[index].grant(&part_query, now);
+                let message = FleetMessage::Answer(QuotaAnswer {
+                    id: query.id,
+                    answer,
+                });
+                self.send(number, from, &message, now);
             }
-            FleetWord::Answer(answer) => {
-                let gateway = &mut self.gateways[place];
-                let waiting = gateway
-                    .requests
-                    .iter_mut()
-                    .find(|request| request.ask.as_ref().is_some_and(|ask| ask.id == answer.id));
-                let Some(open) = waiting.and_then(|request| request.ask.take()) else {
+            FleetMessage::Answer(answer) => {
+                let gateway = &mut self.gateways[index];
+                let waiting = gateway.requests.iter_mut().find(|request| {
+                    request
+                        .pending
+                        .as_ref()
+                        .is_some_and(|query| query.id == answer.id)
+                });
+                let Some(pending) = waiting.and_then(|request| request.pending.take()) else {
                     return;
                 };
                 let life = gateway.bounds.grant_life();
-                let asked_at = at(open.sent_ms);
+                let asked_at = at(pending.sent_ms);
                 gateway.grants.take_answer(
                     &workspace(),
-                    &open.ask,
+                    &pending.query,
                     answer.answer,
                     asked_at,
                     life,
@@ -326,50 +331,50 @@
         }
     }
 
-    /// What a request does now; none when it is over.
+    /// Advances a request. Returns `None` when it is finished.
     pub fn advance(
         &mut self,
-        place: usize,
-        mut request: OpenRequest,
+        index: usize,
+        mut request: PendingRequest,
         now: u64,
-    ) -> Option<OpenRequest> {
-        if let Some(open) = &request.ask {
-            if now < open.sent_ms + ANSWER_WAIT_MS {
+    ) -> Option<PendingRequest> {
+        if let Some(pending) = &request.pending {
+            if now < pending.sent_ms + ANSWER_WAIT_MS {
                 return Some(request);
             }
-            let part = open.ask.part;
-            self.gateways[place]
+            let part = pending.query.part;
+            self.gateways[index]
                 .grants
                 .holders_mut()
                 .note_silence(part, at(now));
-            request.ask = None;
+            request.pending = None;
         }
         loop {
-            let gateway = &mut self.gateways[place];
+            let gateway = &mut self.gateways[index];
             match gateway
                 .grants
-                .step(&workspace(), request.units, &request.asked, at(now))
+                .step(&workspace(), request.units, &request.queried, at(now))
             {
                 GrantStep::Taken(_) => {
-                    self.count.taken.push((now, request.units));
+                    self.counts.taken.push((now, request.units));
                     return None;
                 }
                 GrantStep::Spent(_) => {
-                    self.count.spent += 1;
+                    self.counts.exhausted += 1;
                     return None;
                 }
                 GrantStep::Nobody => {
-                    self.count.nobody += 1;
+                    self.counts.no_holder += 1;
                     return None;
                 }
-                GrantStep::Ask(ask) => {
-                    request.asked.add(ask.part);
-                    if ask.holder == address(gateway.number) {
-                        let answer = gateway.hand_out(&ask, now);
+                GrantStep::Ask(query) => {
+                    request.queried.add(query.part);
+                    if query.holder == address(gateway.number) {
+                        let answer = gateway.grant(&query, now);
                         let life = gateway.bounds.grant_life();
                         gateway.grants.take_answer(
                             &workspace(),
-                            &ask,
+                            &query,
                             answer,
                             at(now),
                             life,
@@ -377,101 +382,107 @@
                         );
                         continue;
                     }
-                    self.ask_remote(place, &mut request, ask, now);
+                    self.query_remote(index, &mut request, query, now);
                     return Some(request);
                 }
             }
         }
     }
 
-    pub fn ask_remote(&mut self, place: usize, request: &mut OpenRequest, ask: PartAsk, now: u64) {
+    pub fn query_remote(
+        &mut self,
+        index: usize,
+        request: &mut PendingRequest,
+        query: PartAsk,
+        now: u64,
+    ) {
         let id = self.random.random();
-        let number = self.gateways[place].number;
+        let number = self.gateways[index].number;
         let holders = (1..).zip(&self.gateways);
         let holder = holders
-            .filter(|(number, _)| address(*number) == ask.holder)
+            .filter(|(number, _)| address(*number) == query.holder)
             .map(|(number, _)| number)
             .next();
-        let word = FleetWord::Ask(
+        let message = FleetMessage::Ask(
             number,
             QuotaAsk {
                 id,
-                part: ask.part,
+                part: query.part,
                 workspace: workspace(),
-                wanted: ask.wanted,
+                wanted: query.wanted,
             },
         );
-        request.ask = Some(OpenAsk {
+        request.pending = Some(PendingQuery {
             id,
-            ask,
+            query,
             sent_ms: now,
         });
         if let Some(holder) = holder {
-            self.send(number, holder, &word, now);
+            self.send(number, holder, &message, now);
         }
     }
 
-    pub fn request(&mut self, place: usize, units: u64) {
-        self.gateways[place].requests.push(OpenRequest {
+    pub fn request(&mut self, index: usize, units: u64) {
+        self.gateways[index].requests.push(PendingRequest {
             units,
-            asked: AskedParts::default(),
-            ask: None,
+            queried: AskedParts::default(),
+            pending: None,
         });
     }
 
-    /// Something goes wrong somewhere.
-    pub fn disturb(&mut self, now: u64) {
-        let place = self.random.random_range(0..self.gateways.len());
+    /// Injects a random fault.
+    pub fn inject_fault(&mut self, now: u64) {
+        let index = self.random.random_range(0..self.gateways.len());
         let until = now + self.random.random_range(200..12_000);
         match self.random.random_range(0..7) {
-            0 => self.gateways[place].frozen_until = until,
+            0 => self.gateways[index].frozen_until = until,
             1 => {
-                let long = self.random.random_range(5_000..45_000);
-                self.gateways[place].store_cut_until = now + long;
+                let outage = self.random.random_range(5_000..45_000);
+                self.gateways[index].no_store_until = now + outage;
             }
-            2 => self.gateways[place].cut_until = until,
+            2 => self.gateways[index].partitioned_until = until,
             3 | 4 => {
                 let starts_at = now + self.random.random_range(100..4_000);
-                self.restart(place, starts_at);
+                self.restart(index, starts_at);
             }
-            5 => self.return_store(now),
+            5 => self.restore_store(now),
             _ => {
-                for place in 0..self.gateways.len() / 2 {
-                    self.gateways[place].cut_until = until;
+                for index in 0..self.gateways.len() / 2 {
+                    self.gateways[index].partitioned_until = until;
                 }
             }
         }
     }
 
-    /// A gateway is killed, and is there again at a later moment.
-    pub fn restart(&mut self, place: usize, starts_at: u64) {
+    /// Kills a gateway and starts it again at a later time.
+    pub fn restart(&mut self, index: usize, starts_at: u64) {
         let boot = self.random.random();
-        let killed = &self.gateways[place];
+        let killed = &self.gateways[index];
         let mut restarted =
             FleetGateway::start(killed.number, boot, false, starts_at, killed.bounds);
-        restarted.off_until = starts_at;
-        restarted.store_cut_until = killed.store_cut_until;
-        self.gateways[place] = restarted;
+        restarted.down_until = starts_at;
+        restarted.no_store_until = killed.no_store_until;
+        self.gateways[index] = restarted;
     }
 
-    pub fn return_store(&mut self, now: u64) {
+    pub fn restore_store(&mut self, now: u64) {
         let age = self.random.random_range(500..6_000);
-        let copies = self.copies.iter().rev();
+        let copies = self.store_copies.iter().rev();
         let copy = copies.clone().find(|(at, _)| at + age <= now);
         if let Some((_, copy)) = copy.cloned() {
-            self.store.come_back(&copy);
+            self.store.restore(&copy);
         }
     }
 
-    pub fn used_in_windows(&self) -> u64 {
-        let window = u64::try_from(TIGHT.window.as_millis()).unwrap();
+    pub fn max_used_in_window(&self) -> u64 {
+        let window = u64::try_from(TIGHT_BOUNDS.window.as_millis()).unwrap();
         let mut first = 0;
         let mut sum = 0;
         let mut most = 0;
-        for (now, units) in &self.count.taken {
+        for (now, units) in &self.counts.taken {
             sum += units;
-            while self.count.taken[first].0 + window < *now {
-                sum -= self.count.taken[first].1;
+            while self.counts.taken[first].0 + window < *now {
+                sum -= self.counts.taken[first].1;
                 first += 1;
             }
             most = most.max(sum);
--- a/crates/oatpier-serving/tests/testsuite/messages.rs
+++ b/crates/oatpier-serving/tests/testsuite/messages.rs
@@ -5,7 +5,7 @@
 use crate::support::pulse;
 
 #[test]
-fn a_pulse_survives_its_datagram() {
+fn a_pulse_round_trips_and_fits_one_packet() {
     let message = InnerMessage::Pulse(Box::new(pulse(1, &["m1", "m2"], 3)));
     let bytes = rmp_serde::to_vec(&message).unwrap();
     assert_eq!(
--- a/crates/oatpier-serving/tests/testsuite/part_store.rs
+++ b/crates/oatpier-serving/tests/testsuite/part_store.rs
@@ -1,8 +1,8 @@
-//! A store of the entries of parts, for tests.
+//! Simulated store of the entries of parts.
 
 use oatpier_serving::quota::tenure::{ClaimOutcome, PartClaim, PartEntry};
 
-/// A store of parts' entries that can come back from a copy.
+/// Store of the entries of parts that can be restored from a copy.
 #[derive(Debug, Clone, Default)]
 pub struct PartStore {
     pub entries: Vec<PartEntry>,
@@ -32,7 +32,7 @@
         }
     }
 
-    pub fn come_back(&mut self, copy: &Self) {
+    pub fn restore(&mut self, copy: &Self) {
         let era = self.era + 1;
         *self = copy.clone();
         self.era = era;
--- a/crates/oatpier-serving/tests/testsuite/quota_holder.rs
+++ b/crates/oatpier-serving/tests/testsuite/quota_holder.rs
@@ -1,4 +1,4 @@
-//! What one part of a limit gives.
+//! Grants from one part of a limit.
 
 use std::time::Duration;
 
@@ -26,60 +26,60 @@
     UnitsWanted { need, ahead: 0 }
 }
 
-fn ask(holder: &mut PartHolder, need: u64, now_ms: u64) -> PartAnswer {
+fn request(holder: &mut PartHolder, need: u64, now_ms: u64) -> PartAnswer {
     holder.hand_out(PART, &workspace("one"), &TERMS, wanted(need), at(now_ms))
 }
 
 #[test]
-fn a_full_part_gives_its_capacity_and_its_debt_and_then_its_rate() {
+fn a_full_part_grants_capacity_and_debt_and_then_its_rate() {
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Full, at(0));
-    assert_eq!(ask(&mut holder, 1_500, 0), PartAnswer::Granted(1_500));
-    assert_eq!(ask(&mut holder, 100, 50), PartAnswer::Later(50));
-    assert_eq!(ask(&mut holder, 100, 100), PartAnswer::Granted(100));
+    assert_eq!(request(&mut holder, 1_500, 0), PartAnswer::Granted(1_500));
+    assert_eq!(request(&mut holder, 100, 50), PartAnswer::Later(50));
+    assert_eq!(request(&mut holder, 100, 100), PartAnswer::Granted(100));
 }
 
 #[test]
-fn an_empty_part_begins_at_its_rate() {
+fn an_empty_part_grants_its_rate_from_the_start() {
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Empty, at(1_000));
-    assert_eq!(ask(&mut holder, 700, 1_000), PartAnswer::Later(200));
-    assert_eq!(ask(&mut holder, 700, 1_200), PartAnswer::Granted(700));
+    assert_eq!(request(&mut holder, 700, 1_000), PartAnswer::Later(200));
+    assert_eq!(request(&mut holder, 700, 1_200), PartAnswer::Granted(700));
 }
 
 #[test]
-fn what_is_not_held_gives_nothing() {
+fn a_part_that_is_not_held_grants_nothing() {
     let mut holder = PartHolder::default();
-    assert_eq!(ask(&mut holder, 1, 0), PartAnswer::NotHeld);
+    assert_eq!(request(&mut holder, 1, 0), PartAnswer::NotHeld);
     holder.begin(PART, PartStart::Full, at(0));
     holder.end(PART);
-    assert_eq!(ask(&mut holder, 1, 0), PartAnswer::NotHeld);
+    assert_eq!(request(&mut holder, 1, 0), PartAnswer::NotHeld);
 }
 
-/// A request larger than all that can be saved up would never pass. It passes when the part is full, and the
-/// requests behind it wait for what it took.
+/// A request larger than the capacity and the debt would never be granted. It is granted once the bucket is full, and
+/// later requests wait until its units have accrued.
 #[test]
-fn a_request_larger_than_the_part_passes_when_the_part_is_full() {
+fn a_request_larger_than_the_part_is_granted_when_the_part_is_full() {
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Full, at(0));
-    assert_eq!(ask(&mut holder, 5_000, 0), PartAnswer::Granted(5_000));
-    assert_eq!(ask(&mut holder, 100, 3_000), PartAnswer::Later(600));
+    assert_eq!(request(&mut holder, 5_000, 0), PartAnswer::Granted(5_000));
+    assert_eq!(request(&mut holder, 100, 3_000), PartAnswer::Later(600));
 }
 
-/// A dozen callers are refused within a moment. Told the same time, they would come back together, and all but
-/// one would be refused again.
+/// Several callers are refused at the same moment. If they were told the same delay, they would return together, and
+/// all but one would be refused again.
 #[test]
 fn refused_callers_are_told_to_return_one_after_the_other() {
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Full, at(0));
-    ask(&mut holder, 1_500, 0);
-    let told: Vec<PartAnswer> = (0..4).map(|_| ask(&mut holder, 200, 0)).collect();
+    request(&mut holder, 1_500, 0);
+    let answers: Vec<PartAnswer> = (0..4).map(|_| request(&mut holder, 200, 0)).collect();
     let expected = [200, 400, 600, 800].map(PartAnswer::Later);
-    assert_eq!(told, expected);
+    assert_eq!(answers, expected);
 }
 
 #[test]
-fn units_ahead_are_a_part_of_what_is_saved() {
+fn prefetched_units_are_a_fraction_of_the_saved_units() {
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Full, at(0));
     let ahead = UnitsWanted {
@@ -91,10 +91,10 @@
 }
 
 #[test]
-fn a_lower_limit_binds_at_once() {
+fn a_lower_limit_applies_at_once() {
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Full, at(0));
-    ask(&mut holder, 100, 0);
+    request(&mut holder, 100, 0);
     let lower = PartTerms {
         rate: 10.0,
         capacity: 10.0,
@@ -110,13 +110,13 @@
 fn workspaces_do_not_use_up_each_others_units() {
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Full, at(0));
-    ask(&mut holder, 1_500, 0);
+    request(&mut holder, 1_500, 0);
     let other = holder.hand_out(PART, &workspace("two"), &TERMS, wanted(900), at(0));
     assert_eq!(other, PartAnswer::Granted(900));
 }
 
 #[test]
-fn what_was_given_lapses_within_what_the_overage_covers() {
+fn granted_units_expire_within_the_time_covered_by_the_overage() {
     let bounds = |window_s, overage| QuotaBounds {
         window: Duration::from_secs(window_s),
         overage,
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_parts_together_give_the_limit() {
+fn the_parts_add_up_to_the_limit() {
     let bounds = QuotaBounds {
         window: Duration::from_secs(8),
         overage: 0.1,
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn what_was_handed_out_and_refused_is_counted_once_by_workspace() {
+fn granted_and_refused_units_are_counted_once_by_workspace() {
     let mut holder = PartHolder::default();
     for part in [PART, PartIndex(1)] {
         holder.begin(part, PartStart::Full, at(0));
--- a/crates/oatpier-serving/tests/testsuite/turn_fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/turn_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of gateways before one endpoint that names a limit.
+//! Tests of turns with a simulated fleet of gateways in front of one endpoint that sets a limit.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 };
 use rand::RngExt;
 
-use crate::fleet::{ANSWER_WAIT_MS, Fleet, FleetWord, STEP_MS, USUAL};
+use crate::fleet::{ANSWER_WAIT_MS, Fleet, FleetMessage, STEP_MS, USUAL_BOUNDS};
 use crate::support::{address, at, endpoint, millis};
 
-/// The window over which the platform counts.
+/// Window in which the platform counts requests.
 const WINDOW_MS: u64 = 4_000;
 
-/// What a gateway tells another one about turns.
+/// Message about turns between gateways.
 #[derive(Debug, Clone, Copy)]
-pub enum TurnWord {
+pub enum TurnMessage {
     Ask {
         from: u8,
         id: u64,
@@ -31,27 +31,27 @@
     },
 }
 
-/// A request that waits for its turn.
+/// Request that waits for its turn.
 #[derive(Debug, Clone)]
 struct TurnRequest {
-    arrived: u64,
-    patience: u64,
-    ask: Option<OpenTurn>,
+    arrived_ms: u64,
+    max_wait_ms: u64,
+    pending: Option<PendingTurn>,
     turn: Option<HeldTurn>,
 }
 
 #[derive(Debug, Clone)]
-struct OpenTurn {
+struct PendingTurn {
     id: u64,
     part: PartIndex,
     sent_ms: u64,
 }
 
-/// One gateway's requests for the endpoint, and what it knows of its turns.
+/// Requests of one gateway for the endpoint, and its estimates of turns.
 #[derive(Debug, Default)]
-pub struct TurnDesk {
+pub struct TurnClient {
     estimates: TurnEstimates,
-    /// The limit as this gateway knows it; none before it was told.
+    /// Limit as known to this gateway; `None` before the endpoint has reported it.
     rate: Option<RequestRate>,
     requests: Vec<TurnRequest>,
 }
@@ -61,30 +61,30 @@
 }
 
 impl Fleet {
-    /// The endpoint has told all gateways its limit.
-    fn name_limit(&mut self, value: f64) {
+    /// Reports the endpoint's limit to all gateways.
+    fn set_limit(&mut self, value: f64) {
         for gateway in &mut self.gateways {
             gateway.turns.rate = Some(rate(value));
         }
     }
 
-    fn want_turn(&mut self, place: usize, patience: u64, now: u64) {
-        self.gateways[place].turns.requests.push(TurnRequest {
-            arrived: now,
-            patience,
-            ask: None,
+    fn request_turn(&mut self, index: usize, max_wait_ms: u64, now: u64) {
+        self.gateways[index].turns.requests.push(TurnRequest {
+            arrived_ms: now,
+            max_wait_ms,
+            pending: None,
             turn: None,
         });
     }
 
-    fn give_turn(
+    fn grant_turn(
         &mut self,
-        place: usize,
+        index: usize,
         query: &TurnQuery,
         named: RequestRate,
         now: u64,
     ) -> TurnAnswer {
-        let gateway = &mut self.gateways[place];
+        let gateway = &mut self.gateways[index];
         if !gateway.tenure.holds(query.part, at(now)) {
             return TurnAnswer::NotHeld;
         }
@@ -95,59 +95,65 @@
             .give_turn(query.part, &name, limit, query.most_wait, at(now))
     }
 
-    pub fn hear_turn(&mut self, place: usize, word: TurnWord, now: u64) {
-        match word {
-            TurnWord::Ask {
+    pub fn receive_turn(&mut self, index: usize, message: TurnMessage, now: u64) {
+        match message {
+            TurnMessage::Ask {
                 from,
                 id,
                 part,
                 most_wait,
                 rate,
             } => {
-                let number = self.gateways[place].number;
+                let number = self.gateways[index].number;
                 let query = TurnQuery {
                     part,
                     holder: address(number),
                     most_wait,
                 };
-                let answer = self.give_turn(place, &query, rate, now);
-                let word = FleetWord::Turn(TurnWord::Answer { id, answer });
-                self.send(number, from, &word, now);
+                let answer = self.grant_turn(index, &query, rate, now);
+                let message = FleetMessage::Turn(TurnMessage::Answer { id, answer });
+                self.send(number, from, &message, now);
             }
-            TurnWord::Answer { id, answer } => {
-                let gateway = &mut self.gateways[place];
+            TurnMessage::Answer { id, answer } => {
+                let gateway = &mut self.gateways[index];
                 let mut waiting = gateway.turns.requests.iter_mut();
-                let waiting =
-                    waiting.find(|request| request.ask.as_ref().is_some_and(|ask| ask.id == id));
+                let waiting = waiting.find(|request| {
+                    request
+                        .pending
+                        .as_ref()
+                        .is_some_and(|pending| pending.id == id)
+                });
                 let Some(request) = waiting else {
                     return;
                 };
-                let Some((open, limit)) = request.ask.take().zip(gateway.turns.rate) else {
+                let Some((pending, limit)) = request.pending.take().zip(gateway.turns.rate) else {
                     return;
                 };
                 let holders = gateway.grants.holders_mut();
-                request.turn =
-                    gateway
-                        .turns
-                        .estimates
-                        .take_answer(holders, open.part, answer, limit, at(now));
+                request.turn = gateway.turns.estimates.take_answer(
+                    holders,
+                    pending.part,
+                    answer,
+                    limit,
+                    at(now),
+                );
             }
         }
     }
 
-    pub fn advance_turns(&mut self, place: usize, now: u64) {
-        let requests = std::mem::take(&mut self.gateways[place].turns.requests);
+    pub fn advance_turns(&mut self, index: usize, now: u64) {
+        let requests = std::mem::take(&mut self.gateways[index].turns.requests);
         for request in requests {
-            if let Some(open) = self.advance_turn(place, request, now) {
-                self.gateways[place].turns.requests.push(open);
+            if let Some(pending) = self.advance_turn(index, request, now) {
+                self.gateways[index].turns.requests.push(pending);
             }
         }
     }
 
-    /// What a request does now; none when it is over.
+    /// Advances a request. Returns `None` when it is finished.
     fn advance_turn(
         &mut self,
-        place: usize,
+        index: usize,
         mut request: TurnRequest,
         now: u64,
     ) -> Option<TurnRequest> {
@@ -156,38 +162,38 @@
                 return Some(request);
             }
             if turn.is_valid(at(now)) {
-                self.count.sent.push(now);
+                self.counts.sent.push(now);
                 return None;
             }
             request.turn = None;
         }
-        if let Some(open) = &request.ask {
-            if now < open.sent_ms + ANSWER_WAIT_MS {
+        if let Some(pending) = &request.pending {
+            if now < pending.sent_ms + ANSWER_WAIT_MS {
                 return Some(request);
             }
-            let part = open.part;
-            self.gateways[place]
+            let part = pending.part;
+            self.gateways[index]
                 .grants
                 .holders_mut()
                 .note_silence(part, at(now));
-            request.ask = None;
+            request.pending = None;
         }
-        let left = (request.arrived + request.patience).saturating_sub(now);
+        let left = (request.arrived_ms + request.max_wait_ms).saturating_sub(now);
         loop {
-            let gateway = &mut self.gateways[place];
+            let gateway = &mut self.gateways[index];
             let limit = gateway.turns.rate?;
             let holders = gateway.grants.holders();
             let step = gateway.turns.estimates.step(holders, millis(left), at(now));
             let TurnStep::Ask(query) = step else {
-                self.count.turned_away += 1;
+                self.counts.rejected += 1;
                 return None;
             };
             if query.holder != address(gateway.number) {
-                self.ask_for_turn(place, &mut request, &query, limit, now);
+                self.query_remote_turn(index, &mut request, &query, limit, now);
                 return Some(request);
             }
-            let answer = self.give_turn(place, &query, limit, now);
-            let gateway = &mut self.gateways[place];
+            let answer = self.grant_turn(index, &query, limit, now);
+            let gateway = &mut self.gateways[index];
             let holders = gateway.grants.holders_mut();
             let estimates = &mut gateway.turns.estimates;
             request.turn = estimates.take_answer(holders, query.part, answer, limit, at(now));
@@ -197,24 +203,24 @@
         }
     }
 
-    fn ask_for_turn(
+    fn query_remote_turn(
         &mut self,
-        place: usize,
+        index: usize,
         request: &mut TurnRequest,
         query: &TurnQuery,
         limit: RequestRate,
         now: u64,
     ) {
         let id = self.random.random();
-        let number = self.gateways[place].number;
-        request.ask = Some(OpenTurn {
+        let number = self.gateways[index].number;
+        request.pending = Some(PendingTurn {
             id,
             part: query.part,
             sent_ms: now,
         });
         let mut holders = self.gateways.iter().map(|gateway| gateway.number);
         let holder = holders.find(|number| address(*number) == query.holder);
-        let word = TurnWord::Ask {
+        let message = TurnMessage::Ask {
             from: number,
             id,
             part: query.part,
@@ -222,14 +228,14 @@
             rate: limit,
         };
         if let Some(holder) = holder {
-            self.send(number, holder, &FleetWord::Turn(word), now);
+            self.send(number, holder, &FleetMessage::Turn(message), now);
         }
     }
 
-    /// The most requests that the endpoint got in some window that begins at `from` or later.
-    fn most_sent(&self, from: u64) -> usize {
+    /// Returns the maximum number of requests in any window that begins at `from` or later.
+    fn max_sent_in_window(&self, from: u64) -> usize {
         let sent: Vec<u64> = self
-            .count
+            .counts
             .sent
             .iter()
             .copied()
@@ -243,127 +249,127 @@
     }
 
     fn sent_within(&self, from: u64, to: u64) -> usize {
-        let sent = self.count.sent.iter();
+        let sent = self.counts.sent.iter();
         sent.filter(|now| (from..to).contains(now)).count()
     }
 }
 
-/// What a limit allows in a window: its rate over the window and the time for which a turn counts, and one request for
-/// each part.
-fn allowed(value: f64) -> f64 {
+/// Returns the number of requests that a limit allows in a window: its rate over the window and the validity of a turn,
+/// and one request for each part.
+fn max_requests(value: f64) -> f64 {
     let window = millis(WINDOW_MS) + TURN_LIFE + millis(100);
     value * window.as_secs_f64() + 3.0
 }
 
-fn as_count(value: usize) -> f64 {
+fn to_float(value: usize) -> f64 {
     f64::from(u32::try_from(value).unwrap())
 }
 
-/// Callers ask for six times the limit at all gateways, while datagrams are lost, doubled and late, gateways are
-/// killed, frozen and cut off, and the store comes back from older copies. The endpoint gets more than it takes where
-/// two gateways give the same part, where one that has just taken a part over gives turns that its last holder gave
-/// ahead, or where turns that were not used in time are used later.
+/// Callers of all gateways request six times the limit. Datagrams are lost, duplicated and delayed, gateways are
+/// killed, frozen and partitioned, and the store is restored from older copies. The endpoint receives too many requests
+/// if two gateways grant the same part, if a new holder grants turns that its predecessor granted in advance, or if
+/// turns are used after they have expired.
 #[test]
-fn no_window_has_more_requests_than_the_endpoint_takes() {
+fn no_window_exceeds_the_limit_of_the_endpoint() {
     for seed in 0..60 {
-        let mut fleet = Fleet::start(seed, 7, USUAL);
+        let mut fleet = Fleet::start(seed, 7, USUAL_BOUNDS);
         let value = [0.6, 2.5, 9.0][usize::try_from(seed % 3).unwrap()];
-        fleet.name_limit(value);
+        fleet.set_limit(value);
         for now in (0..90_000_u64).step_by(usize::try_from(STEP_MS).unwrap()) {
             if now == 5_000 {
                 fleet.loss = 0.05;
             }
             if now > 5_000 && fleet.random.random_bool(0.004) {
-                fleet.disturb(now);
-                fleet.name_limit(value);
+                fleet.inject_fault(now);
+                fleet.set_limit(value);
             }
-            for place in 0..fleet.gateways.len() {
+            for index in 0..fleet.gateways.len() {
                 if fleet.random.random_bool(value * 0.01) {
-                    let patience = fleet.random.random_range(100..2_500);
-                    fleet.want_turn(place, patience, now);
+                    let max_wait_ms = fleet.random.random_range(100..2_500);
+                    fleet.request_turn(index, max_wait_ms, now);
                 }
             }
             fleet.step(now);
         }
-        let most = fleet.most_sent(0);
+        let most = fleet.max_sent_in_window(0);
         assert!(
-            as_count(most) <= allowed(value),
+            to_float(most) <= max_requests(value),
             "seed {seed}: {most} at {value}"
         );
         let least = value * 90.0 * 0.25;
         assert!(
-            as_count(fleet.count.sent.len()) > least,
+            to_float(fleet.counts.sent.len()) > least,
             "seed {seed}: {}",
-            fleet.count.sent.len()
+            fleet.counts.sent.len()
         );
     }
 }
 
-/// Nothing is cut, and callers ask for more than the endpoint takes, at one gateway or at all. An even share for each
-/// gateway would leave the endpoint idle in the first case.
+/// Without faults, callers of one gateway or of all gateways request more than the endpoint accepts. With an equal
+/// share for each gateway, the endpoint would be mostly idle in the first case.
 #[test]
-fn an_endpoint_gets_what_it_takes_while_nothing_is_cut() {
+fn an_endpoint_gets_its_full_limit_without_faults() {
     for (seed, value) in (0..).zip([0.6, 2.5, 2.5, 9.0, 40.0]) {
-        for lone in [true, false] {
-            let mut fleet = Fleet::start(seed, 8, USUAL);
-            fleet.name_limit(value);
+        for is_single in [true, false] {
+            let mut fleet = Fleet::start(seed, 8, USUAL_BOUNDS);
+            fleet.set_limit(value);
             for now in (0..60_000_u64).step_by(usize::try_from(STEP_MS).unwrap()) {
                 if fleet.random.random_bool((value * 0.05).min(1.0)) {
-                    let place = if lone {
+                    let index = if is_single {
                         3
                     } else {
                         fleet.random.random_range(0..8)
                     };
-                    fleet.want_turn(place, 1_500, now);
+                    fleet.request_turn(index, 1_500, now);
                 }
                 fleet.step(now);
             }
-            let sent = as_count(fleet.sent_within(10_000, 60_000));
+            let sent = to_float(fleet.sent_within(10_000, 60_000));
             assert!(
                 sent >= 0.9 * value * 50.0,
-                "{sent} at {value}, lone: {lone}"
+                "{sent} at {value}, is_single: {is_single}"
             );
-            let most = fleet.most_sent(0);
+            let most = fleet.max_sent_in_window(0);
             assert!(
-                as_count(most) <= allowed(value),
-                "{most} at {value}, lone: {lone}"
+                to_float(most) <= max_requests(value),
+                "{most} at {value}, is_single: {is_single}"
             );
         }
     }
 }
 
-/// The limit falls, and turns at the old pace lie ahead. They are used within two seconds; after that the endpoint gets
-/// what the new limit allows.
+/// After the limit is lowered, turns that were granted at the old rate are used within two seconds. From then on the
+/// endpoint receives no more than the new limit allows.
 #[test]
-fn a_limit_that_falls_holds_once_the_turns_ahead_are_used() {
-    let mut fleet = Fleet::start(4, 8, USUAL);
-    fleet.name_limit(20.0);
+fn a_lowered_limit_holds_once_turns_granted_in_advance_are_used() {
+    let mut fleet = Fleet::start(4, 8, USUAL_BOUNDS);
+    fleet.set_limit(20.0);
     for now in (0..40_000_u64).step_by(usize::try_from(STEP_MS).unwrap()) {
         if now == 20_000 {
-            fleet.name_limit(2.5);
+            fleet.set_limit(2.5);
         }
         if fleet.random.random_bool(0.6) {
-            let place = fleet.random.random_range(0..8);
-            fleet.want_turn(place, 2_000, now);
+            let index = fleet.random.random_range(0..8);
+            fleet.request_turn(index, 2_000, now);
         }
         fleet.step(now);
     }
-    let most = fleet.most_sent(22_300);
-    assert!(as_count(most) <= allowed(2.5), "{most}");
+    let most = fleet.max_sent_in_window(22_300);
+    assert!(to_float(most) <= max_requests(2.5), "{most}");
     assert!(fleet.sent_within(25_000, 40_000) >= 34);
 }
 
-/// The gateway that asks is cut off from all others: it can't know what they send, and sends the endpoint nothing.
+/// A gateway that is partitioned from all others cannot know what they send, so it sends nothing to the endpoint.
 #[test]
 fn a_gateway_that_reaches_no_holder_sends_nothing() {
-    let mut fleet = Fleet::start(5, 8, USUAL);
-    fleet.name_limit(2.5);
+    let mut fleet = Fleet::start(5, 8, USUAL_BOUNDS);
+    fleet.set_limit(2.5);
     for now in (0..20_000_u64).step_by(usize::try_from(STEP_MS).unwrap()) {
         if now == 5_000 {
-            fleet.gateways[6].cut_until = u64::MAX;
+            fleet.gateways[6].partitioned_until = u64::MAX;
         }
         if now >= 5_000 && now.is_multiple_of(200) {
-            fleet.want_turn(6, 1_000, now);
+            fleet.request_turn(6, 1_000, now);
         }
         fleet.step(now);
     }
@@ -372,50 +378,51 @@
         !PartIndex::all().any(holds),
         "the gateway that is cut off holds no part"
     );
-    assert_eq!(fleet.count.sent.len(), 0);
-    assert!(fleet.count.turned_away > 50);
+    assert_eq!(fleet.counts.sent.len(), 0);
+    assert!(fleet.counts.rejected > 50);
 }
 
-/// Callers ask one gateway for far more than the endpoint takes, so that its turns lie two seconds ahead; something
-/// happens after twenty seconds.
-fn busy_gateway(happens: impl Fn(&mut Fleet, u64)) -> Fleet {
-    let mut fleet = Fleet::start(6, 8, USUAL);
-    fleet.name_limit(9.0);
+/// Simulates a gateway whose callers request far more than the endpoint accepts, so that its turns are two seconds in
+/// the future. Calls `inject` after twenty seconds.
+fn busy_gateway(inject: impl Fn(&mut Fleet, u64)) -> Fleet {
+    let mut fleet = Fleet::start(6, 8, USUAL_BOUNDS);
+    fleet.set_limit(9.0);
     for now in (0..40_000_u64).step_by(usize::try_from(STEP_MS).unwrap()) {
         if now == 20_000 {
-            happens(&mut fleet, now);
+            inject(&mut fleet, now);
         }
         if now.is_multiple_of(30) {
-            fleet.want_turn(7, 2_000, now);
+            fleet.request_turn(7, 2_000, now);
         }
         fleet.step(now);
     }
     fleet
 }
 
-/// A gateway stands still while its turns pass, and goes on: used then, they would come all at once beside the next ones.
+/// A gateway is frozen while its turns expire. If it used them afterwards, they would all be sent at once beside new
+/// ones.
 #[test]
-fn turns_that_passed_while_a_gateway_stood_still_are_not_used() {
+fn turns_that_expired_while_a_gateway_was_frozen_are_not_used() {
     let fleet = busy_gateway(|fleet, now| fleet.gateways[7].frozen_until = now + 1_900);
-    let most = fleet.most_sent(0);
-    assert!(as_count(most) <= allowed(9.0), "{most}");
+    let most = fleet.max_sent_in_window(0);
+    assert!(to_float(most) <= max_requests(9.0), "{most}");
     assert!(fleet.sent_within(30_000, 40_000) >= 81);
 }
 
-/// All holders start again, and know nothing of the turns that they gave ahead: given anew, each of the next two seconds
-/// would have them twice.
+/// All holders restart and lose the turns that they granted in advance. If they granted them again, the endpoint would
+/// receive twice its limit for two seconds.
 #[test]
-fn turns_that_a_holder_gave_before_its_restart_are_not_given_again() {
+fn turns_granted_before_a_restart_of_the_holder_are_not_granted_again() {
     let fleet = busy_gateway(|fleet, now| {
-        for place in 0..7 {
-            let holds = |part| fleet.gateways[place].tenure.holds(part, at(now));
+        for index in 0..7 {
+            let holds = |part| fleet.gateways[index].tenure.holds(part, at(now));
             if PartIndex::all().any(holds) {
-                fleet.restart(place, now + 100);
+                fleet.restart(index, now + 100);
             }
         }
-        fleet.name_limit(9.0);
+        fleet.set_limit(9.0);
     });
-    let most = fleet.most_sent(0);
-    assert!(as_count(most) <= allowed(9.0), "{most}");
+    let most = fleet.max_sent_in_window(0);
+    assert!(to_float(most) <= max_requests(9.0), "{most}");
     assert!(fleet.sent_within(30_000, 40_000) >= 81);
 }
