--- a/crates/oatpier-serving/src/budget.rs
+++ b/crates/oatpier-serving/src/budget.rs
@@ -78,17 +78,17 @@
         self.slack / self.gateways
     }
 
-    /// Returns the bucket of a service. The fixed number is refilled evenly over a window.
+    /// Returns the bucket of a service, refilled up to `now`. The refill is spread evenly over a window.
     fn bucket(&mut self, service: &PoolName, now: ClockTime) -> &mut ServiceBucket {
         let max_tokens = self.slack_share().max(1.0);
-        // The bucket holds up to half of the fixed number, and the other half is added during a window.
-        let full = max_tokens / 2.0;
-        let rate = full / self.window.as_secs_f64();
+        // The bucket starts with half of the fixed number, and gains another half during a window.
+        let half = max_tokens / 2.0;
+        let rate = half / self.window.as_secs_f64();
         let bucket = self
             .buckets
             .entry(service.clone())
             .or_insert(ServiceBucket {
-                tokens: full,
+                tokens: half,
                 refilled_at: now,
             });
         let gained = now.since(bucket.refilled_at).as_secs_f64() * rate;
--- a/crates/oatpier-serving/src/crashes/book.rs
+++ b/crates/oatpier-serving/src/crashes/book.rs
@@ -282,10 +282,10 @@
         for suspect in self.suspects.values() {
             *counts.entry(suspect.origin.owner()).or_default() += 1;
         }
-        let most = counts
+        let largest = counts
             .into_iter()
             .max_by_key(|(owner, count)| (*count, *owner));
-        let Some((owner, _)) = most else {
+        let Some((owner, _)) = largest else {
             return;
         };
         let victim = self
--- a/crates/oatpier-serving/src/message/mod.rs
+++ b/crates/oatpier-serving/src/message/mod.rs
@@ -1,6 +1,6 @@
 //! Datagrams between gateways and sidecars.
 //!
-//! Each message is self-contained and sent repeatedly, so that lost, duplicated and delayed datagrams do no harm.
+//! Status messages are self-contained and sent repeatedly, so that lost, duplicated and delayed datagrams do no harm.
 //! Receivers keep the message with the highest number of its sender's incarnation. A pulse is the status message that a
 //! sidecar sends at short intervals.
 
@@ -381,7 +381,7 @@
     pub running: f32,
     /// Rate of its requests sent to engines, per second, averaged over the same time as `running`.
     pub sent: f32,
-    /// Rate of its requests that wait for the model to be loaded or were rejected for lack of memory, per second.
+    /// Rate of its requests that wait for the model to be loaded or were rejected for lack of capacity, per second.
     pub unserved: f32,
     /// Rate of incoming requests for it, per second, over about the last second.
     pub asked_fast: f32,
--- a/crates/oatpier-serving/src/quota/holder.rs
+++ b/crates/oatpier-serving/src/quota/holder.rs
@@ -87,7 +87,7 @@
         self.at = now;
     }
 
-    fn hand_out(&mut self, terms: &PartTerms, wanted: UnitsWanted, now: ClockTime) -> PartAnswer {
+    fn grant(&mut self, terms: &PartTerms, wanted: UnitsWanted, now: ClockTime) -> PartAnswer {
         self.refill(terms, now);
         let need = to_float(wanted.need);
         // A request larger than the capacity and the debt is granted once the bucket is full. Otherwise it would never
@@ -178,7 +178,7 @@
             recent_usage: UnitsUse::default(),
         };
         let bucket = held.buckets.entry(workspace.clone()).or_insert(fresh);
-        bucket.hand_out(terms, wanted, now)
+        bucket.grant(terms, wanted, now)
     }
 
     /// Grants a turn at an endpoint that accepts `rate` requests per second from all gateways together.
--- a/crates/oatpier-serving/src/quota/tenure.rs
+++ b/crates/oatpier-serving/src/quota/tenure.rs
@@ -186,7 +186,7 @@
 /// Leases on all parts, as known to one gateway.
 #[derive(Debug)]
 pub struct PartTenure {
-    own: TenureIdentity,
+    identity: TenureIdentity,
     /// `None` before the first read.
     era: Option<StoreEra>,
     states: Vec<PartState>,
@@ -195,7 +195,7 @@
 impl PartTenure {
     /// Creates the state before the first read of the store.
     #[must_use]
-    pub fn new(own: TenureIdentity) -> Self {
+    pub fn new(identity: TenureIdentity) -> Self {
         let state = PartState {
             entry: None,
             seen_since: None,
@@ -205,7 +205,7 @@
             was_ever_seen: false,
         };
         Self {
-            own,
+            identity,
             era: None,
             states: vec![state; usize::from(PARTS)],
         }
@@ -255,19 +255,19 @@
         let is_new = self.era.is_some_and(|known| known != era);
         self.era = Some(era);
         // Claims of other gateways may be lost in a new era. A missing entry then no longer proves that a part is free.
-        self.own.first_start &= !is_new;
+        self.identity.first_start &= !is_new;
         is_new
     }
 
     /// Ends the lease if it has expired or the entry shows that another gateway has taken the part.
     fn end_if_lost(&mut self, part: PartIndex, now: ClockTime) -> Option<TenureChange> {
         let era = self.era;
-        let own = self.own.address;
+        let own_address = self.identity.address;
         let state = &mut self.states[part.place()];
         state.held_until?;
         let record = state.entry.as_ref().map(|entry| &entry.record);
-        let is_taken =
-            record.is_some_and(|record| record.holder != Some(own) && Some(record.era) == era);
+        let is_taken = record
+            .is_some_and(|record| record.holder != Some(own_address) && Some(record.era) == era);
         if is_taken || !state.holds(now) {
             state.held_until = None;
             return Some(TenureChange::Ended(part));
@@ -288,7 +288,7 @@
         let rank_delay = RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX).min(64);
         let part = PartIndex::all().find(|part| self.is_due(*part, rank_delay, now))?;
         self.states[part.place()].claimed_at = Some(now);
-        Some(self.claim(part, Some(self.own.address)))
+        Some(self.claim(part, Some(self.identity.address)))
     }
 
     fn claim(&self, part: PartIndex, holder: Option<SocketAddr>) -> PartClaim {
@@ -296,7 +296,7 @@
             record: PartRecord {
                 part,
                 holder,
-                boot: self.own.boot,
+                boot: self.identity.boot,
                 era: self.era.unwrap_or_default(),
             },
             expected: self.states[part.place()].revision(),
@@ -313,7 +313,7 @@
         }
         let record = state.entry.as_ref().map(|entry| &entry.record);
         let is_own = record.is_some_and(|record| {
-            record.holder == Some(self.own.address) && Some(record.era) == self.era
+            record.holder == Some(self.identity.address) && Some(record.era) == self.era
         });
         if state.holds(now) {
             return !is_own || now.since(state.renewed_at) >= RENEW_EVERY;
@@ -325,7 +325,7 @@
         let seen = now.since(seen_since);
         let is_free = match record {
             Some(record) => record.holder.is_none() && Some(record.era) == self.era,
-            None => self.own.first_start && !state.was_ever_seen,
+            None => self.identity.first_start && !state.was_ever_seen,
         };
         if is_free {
             seen >= FIRST_CLAIM_DELAY + rank_delay
@@ -413,17 +413,17 @@
     ) -> PartBegin {
         let record = before.map(|entry| &entry.record);
         let is_inherited = record.is_some_and(|record| {
-            record.holder == Some(self.own.address) && record.boot != self.own.boot
+            record.holder == Some(self.identity.address) && record.boot != self.identity.boot
         });
         PartBegin {
             part,
-            start: if is_first && self.own.first_start {
+            start: if is_first && self.identity.first_start {
                 PartStart::Full
             } else {
                 PartStart::Empty
             },
             free_since: if is_inherited {
-                self.own.started_at
+                self.identity.started_at
             } else {
                 now
             },
--- a/crates/oatpier-serving/src/workspace/keys.rs
+++ b/crates/oatpier-serving/src/workspace/keys.rs
@@ -61,8 +61,8 @@
     /// Adds a key, and returns the index that it was mapped to before.
     pub fn insert(&mut self, key: KeyDigest, index: usize) -> Option<usize> {
         let index = u32::try_from(index).unwrap_or(u32::MAX);
-        let known = self.places.insert(key, index);
-        known.and_then(|known| usize::try_from(known).ok())
+        let previous = self.places.insert(key, index);
+        previous.and_then(|previous| usize::try_from(previous).ok())
     }
 
     /// Returns the index of the workspace that owns a key.
--- a/crates/oatpier-serving/src/workspace/mod.rs
+++ b/crates/oatpier-serving/src/workspace/mod.rs
@@ -83,8 +83,8 @@
         let DeclaredWorkspace { rule, keys } = workspace;
         let index = self.rules.len();
         for key in keys {
-            let known = self.keys.insert(key, index);
-            if let Some(other) = known.filter(|known| *known != index) {
+            let previous = self.keys.insert(key, index);
+            if let Some(other) = previous.filter(|previous| *previous != index) {
                 return Err(WorkspaceError::SharedKey {
                     first: self.rules[other].name.clone(),
                     second: rule.name,
