--- a/crates/oatpier-serving/src/directory/departures.rs
+++ b/crates/oatpier-serving/src/directory/departures.rs
@@ -1,7 +1,9 @@
-//! Endpoints that have left, for a store that lists them again.
+//! Endpoints that have left, so that entries which reappear in the store do not bring them back.
 //!
-//! The failure: the store comes back from an older copy, in which an endpoint that has left is ready. It would get
-//! work until its entry lapses, though every gateway had acknowledged that it was leaving.
+//!
+//! When the store is restored from an older copy, it may list an endpoint as ready that has left since.
+//! That endpoint would receive work until its entry expires, although every gateway had acknowledged that
+//! it was leaving.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,11 +14,13 @@
 use super::EndpointRecord;
 use crate::engine::StartTime;
 
-/// An endpoint that left is remembered for this long. A copy of the store is some seconds old.
+/// Time for which an endpoint that has left is remembered. A copy of the store is some seconds old.
 const REMEMBERED: Duration = Duration::from_mins(1);
 
-/// After the store's return an endpoint that had left is kept out for this long. Its entry lapses before that, after
-/// three heartbeats at some 1.2 s each, unless it lives.
+/// Time after the store's recovery for which an endpoint that had left is excluded. The entry of a dead
+/// endpoint expires
+///
+/// earlier, after three heartbeats of about 1.2 s each.
 const HELD_OUT: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
@@ -26,7 +30,7 @@
     at: ClockTime,
 }
 
-/// Endpoints that have left lately.
+/// Endpoints that have left recently.
 #[derive(Debug, Default)]
 pub(super) struct Departures {
     departed: HashMap<EndpointName, Departure>,
@@ -34,7 +38,7 @@
 }
 
 impl Departures {
-    /// An endpoint is no longer listed.
+    /// Records that an endpoint is no longer listed.
     pub(super) fn note(&mut self, record: &EndpointRecord, now: ClockTime) {
         self.departed
             .retain(|_, departure| now.since(departure.at) < REMEMBERED);
@@ -46,12 +50,12 @@
         self.departed.insert(record.name.clone(), departure);
     }
 
-    /// The store came back from an older copy.
+    /// Records that the store was restored from an older copy.
     pub(super) fn note_store_return(&mut self, now: ClockTime) {
         self.returned_at = Some(now);
     }
 
-    /// Whether an entry is of a start that has left and is not to be taken for there again.
+    /// Returns whether an entry belongs to an incarnation that has left and must not be added again.
     pub(super) fn hold(&self, record: &EndpointRecord, now: ClockTime) -> bool {
         let Some(departure) = self.departed.get(&record.name) else {
             return false;
--- a/crates/oatpier-serving/src/directory/fate.rs
+++ b/crates/oatpier-serving/src/directory/fate.rs
@@ -1,4 +1,4 @@
-//! What became of an endpoint that cut a request off.
+//! Whether an endpoint that broke off a request has terminated or is still running.
 
 use std::time::Duration;
 
@@ -10,13 +10,19 @@
 use crate::crashes::CrashSite;
 use crate::crashes::cuts::EndpointFate;
 
-/// A sidecar's word that its engine answers may be this old when it comes: it reads the engine's report several
-/// times a second, and relays pass the word on within a tenth of a second. A later one is from after the cut.
+/// Maximum age on arrival of a sidecar's report that its engine responds. The sidecar reads the engine's
+/// report several
+///
+/// times a second and relays forward updates within 100 ms. An update that arrives later than this after
+/// the break was produced after it.
 const WORD_AGE: Duration = Duration::from_millis(400);
 
 impl EndpointDirectory {
-    /// The start that a request was sent to, while the endpoint stays. Endpoints that leave end by themselves, and
-    /// so may those that the registry no longer lists: their ends are nobody's doing.
+    /// Returns the incarnation that a request was sent to, unless it is leaving. Endpoints that leave
+    /// terminate by
+    ///
+    /// themselves, and so may those that the registry no longer lists, so their termination is not
+    /// attributed to a request.
     #[must_use]
     pub fn staying_start(
         &self,
@@ -33,7 +39,8 @@
         Some((site, row.index))
     }
 
-    /// What became of a start of an endpoint since it cut a request off at `since`.
+    /// Returns whether an incarnation of an endpoint has terminated since it broke off a request at
+    /// `since`.
     #[must_use]
     pub fn fate(
         &self,
@@ -58,7 +65,7 @@
 }
 
 impl EndpointRow {
-    /// Whether its sidecar, on the same VM, can't reach it.
+    /// Returns whether the engine's sidecar, on the same VM, gets no answer from it.
     fn has_fallen_silent(&self, now: ClockTime) -> bool {
         self.pulse(now).is_some_and(|pulse| !pulse.answers)
     }
--- a/crates/oatpier-serving/src/directory/mod.rs
+++ b/crates/oatpier-serving/src/directory/mod.rs
@@ -1,8 +1,9 @@
-//! The endpoints that a gateway knows, from the registry, pulses and its own requests.
+//! The endpoints that a gateway knows, from the registry, sidecars' status updates and its own requests.
 //!
-//! The registry says who is there, seconds late; a sidecar's pulse says what its engine holds and
-//! does, a fraction of a second late; answers say how busy an endpoint was a moment ago. The newest
-//! word on each point counts.
+//!
+//! The registry lists the endpoints with a delay of seconds. The status update of a sidecar reports what
+//! its engine holds and does, with a delay of a fraction of a second. Responses report the load of an
+//! endpoint a moment ago. For each fact the newest source applies.
 
 mod departures;
 mod fate;
@@ -31,32 +32,36 @@
 pub use requests::EndpointOutcome;
 pub use row::{AdapterState, EndpointRecord, EndpointRow, NamedLimit, PULSE_LIFE};
 
-/// How long after the store has come back an entry that is missing from the registry may still
-/// be written again by its endpoint. The platform promises about two seconds.
+/// Time after the store's recovery within which an endpoint may still rewrite an entry that is missing from
+/// the
+///
+/// registry. The platform guarantees about two seconds.
 pub const REGISTRY_SETTLE: Duration = Duration::from_millis(2_200);
 
-/// Blocks in the prefix index count parts of prompts, which differ in length; a unit this large
-/// keeps its rounding small.
+/// Units per block in the prefix index. A block stands for one part of a prompt, and parts differ in length. A large
+/// unit keeps the rounding error small.
 pub(crate) const PART_UNITS: u32 = 1_000;
 
-/// Prompts whose parts are remembered; at some four parts each about sixteen thousand prompts,
-/// in 1.5 MB.
+/// Capacity of the prefix index in prompt parts. At about four parts per prompt this covers about 16,000
+/// prompts and
+///
+/// takes 1.5 MB.
 const REMEMBERED_PARTS: usize = 1 << 16;
 
-/// What changed in the set of endpoints.
+/// A change in the set of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// An endpoint is there.
+    /// An endpoint was added.
     Appeared(EndpointName),
-    /// An endpoint is gone.
+    /// An endpoint was removed.
     Gone(EndpointName),
-    /// An endpoint started again under its name.
+    /// An endpoint restarted under the same name.
     Restarted(EndpointName),
-    /// An endpoint began to drain.
+    /// An endpoint started to drain.
     Draining(EndpointName),
 }
 
-/// Gives each start of an endpoint a place of its own in health and prefix tables.
+/// Allocates a separate index in the health and prefix tables for each incarnation of an endpoint.
 #[derive(Debug, Default)]
 struct IndexSource {
     next: u32,
@@ -70,7 +75,7 @@
     }
 }
 
-/// All endpoints.
+/// All known endpoints.
 #[derive(Debug)]
 pub struct EndpointDirectory {
     rows: HashMap<EndpointName, EndpointRow>,
@@ -108,19 +113,22 @@
 }
 
 impl EndpointDirectory {
-    /// The store could not be read: entries that are missing soon after its return may come back.
+    /// Records that the store could not be read. Entries that are missing soon after it recovers may
+    /// reappear.
     pub fn note_store_failure(&mut self, now: ClockTime) {
         self.store_failed_at = Some(now);
     }
 
-    /// The store came back from a copy that is some seconds old. Entries that were written since are missing until
-    /// their endpoints write them again, and entries that were gone are back.
+    /// Records that the store was restored from a copy that is some seconds old. Entries written since the
+    /// copy was made
+    ///
+    /// are missing until their endpoints rewrite them, and entries removed since then have reappeared.
     pub fn note_store_return(&mut self, now: ClockTime) {
         self.store_failed_at = Some(now);
         self.departures.note_store_return(now);
     }
 
-    /// Takes the whole registry over.
+    /// Replaces the known endpoints with the contents of the registry and returns the changes.
     pub fn apply_registry(
         &mut self,
         records: Vec<EndpointRecord>,
@@ -143,14 +151,19 @@
         changes
     }
 
-    /// For a moment after the store was away, entries that lapsed meanwhile are being written
-    /// again: taking them for gone at once would refuse requests that could be served.
+    /// Returns whether the store has only just recovered. Entries that expired during an outage are being
+    /// rewritten, and
+    ///
+    /// treating their endpoints as gone would refuse requests that can be served.
     fn is_settling(&self, now: ClockTime) -> bool {
         self.store_failed_at
             .is_some_and(|at| now.since(at) < REGISTRY_SETTLE)
     }
 
-    /// The registry may still list an endpoint whose successor has answered at its address.
+    /// Returns whether the record is of an endpoint whose successor at the same address has already
+    /// responded. The registry
+    ///
+    /// may still list such an endpoint.
     fn is_superseded(&self, record: &EndpointRecord, now: ClockTime) -> bool {
         let present = self
             .by_address
@@ -174,8 +187,10 @@
             return;
         };
         if row.is_other_start(record.start) {
-            // A sidecar reads its engine's report on the same VM several times a second; the registry lists a
-            // start until its endpoint's next heartbeat.
+            // The sidecar reads its engine's report on the same VM several times a second, while the
+            // registry lists an
+            //
+            // incarnation until the next heartbeat of its endpoint.
             if row.pulse(now).is_some_and(|pulse| pulse.start.is_some()) {
                 return;
             }
@@ -188,7 +203,10 @@
             changes.push(DirectoryChange::Draining(name));
         }
         let start = record.start.or(row.record.start);
-        // A start that drains never takes work again. An entry that says otherwise is from an older copy of the store.
+        // An incarnation that drains never accepts work again. An entry that says otherwise is from an
+        // older copy of the
+        //
+        // store.
         let draining = record.draining || row.record.draining;
         row.record = EndpointRecord {
             start,
@@ -225,8 +243,10 @@
         for name in names {
             let row = &self.rows[name];
             let record = &row.record;
-            // The registry lists a restarted endpoint beside its predecessor for a few heartbeats. What
-            // its sidecar says is about the later one.
+            // The registry lists a restarted endpoint beside its predecessor for a few heartbeats. The
+            // status updates from this
+            //
+            // address describe the later one.
             let known = self.by_address.get(&record.address);
             let known = known.and_then(|name| self.rows.get(name));
             if known.is_none_or(|known| known.gone || known.index.0 < row.index.0) {
@@ -237,7 +257,7 @@
         }
     }
 
-    /// Takes a sidecar's pulse over; says whether it changed what the engine holds.
+    /// Applies a sidecar's status update and returns whether it changed what the engine holds.
     pub fn take_pulse(&mut self, pulse: EnginePulse, now: ClockTime) -> bool {
         let known = self.by_address.get(&pulse.engine);
         let replaced = pulse.instance.clone().zip(known.cloned());
@@ -282,8 +302,10 @@
         changed
     }
 
-    /// Takes a sidecar's word on its engine's load over. Without a whole pulse of the same
-    /// incarnation before, it says too little.
+    /// Applies a sidecar's update of its engine's load. It is ignored unless a full status update of the
+    /// same sidecar
+    ///
+    /// incarnation has been received before.
     pub fn take_load_pulse(&mut self, load: &LoadPulse, now: ClockTime) {
         let row = self
             .by_address
@@ -301,18 +323,19 @@
         }
     }
 
-    /// An answer told how busy its endpoint is.
+    /// Applies the load that a response reported.
     pub fn take_load(&mut self, name: &EndpointName, load: EndpointLoad) {
         if let Some(row) = self.rows.get_mut(name) {
             row.load.renew(load);
         }
     }
 
-    /// Another endpoint answered at the address: this one is gone.
+    /// Records that another endpoint responded at the address, so this one is gone.
+    ///
     ///
-    /// An engine that was restarted is known by its sidecar long before the registry lists it. If
-    /// the sidecar at the address speaks for the same service, the new engine takes the old one's
-    /// place at once; otherwise the address may belong to another service by now.
+    /// The sidecar knows a restarted engine long before the registry lists it. If the status update for the
+    /// address names the same service, the new engine replaces the old one immediately. Otherwise the
+    /// address may now belong to another service.
     pub fn note_replaced(
         &mut self,
         name: &EndpointName,
@@ -340,7 +363,7 @@
         }
     }
 
-    /// What a sidecar said under its engine's last name is true of the present one.
+    /// Moves the status update received under the engine's previous name to its current name.
     fn hand_pulse_over(&mut self, name: &EndpointName, successor: &EndpointName) {
         let pulse = self.rows.get_mut(name).and_then(|row| row.pulse.take());
         if let Some(row) = self.rows.get_mut(successor) {
@@ -352,8 +375,10 @@
 
     fn adopt(&mut self, old: EndpointRow, name: EndpointName, now: ClockTime) -> EndpointRow {
         let index = self.indices.draw();
-        // Its predecessor's start is not its own: with it, the sidecar's next word would seem to be of one start
-        // more, and the engine would be dropped while the registry does not list it.
+        // The start time of the predecessor does not apply. If it were kept, the sidecar's next update
+        // would look like one
+        //
+        // more restart, and the engine would be dropped because the registry does not list it yet.
         let record = EndpointRecord {
             name,
             start: None,
@@ -367,37 +392,37 @@
         }
     }
 
-    /// An endpoint by its name.
+    /// Returns an endpoint by name.
     #[must_use]
     pub fn row(&self, name: &EndpointName) -> Option<&EndpointRow> {
         self.rows.get(name)
     }
 
-    /// The endpoints of a service, in a fixed order.
+    /// Returns the endpoints of a service in a fixed order.
     pub fn service(&self, service: &PoolName) -> impl Iterator<Item = &EndpointRow> {
         let names = self.by_service.get(service);
         names.into_iter().flatten().map(|name| &self.rows[name])
     }
 
-    /// Engines whose sidecars are heard.
+    /// Returns the number of engines with a recent status update.
     #[must_use]
     pub fn engines_heard(&self, now: ClockTime) -> u32 {
         let heard = self.rows.values().filter(|row| row.pulse(now).is_some());
         u32::try_from(heard.count()).unwrap_or(u32::MAX)
     }
 
-    /// All endpoints.
+    /// Returns all endpoints.
     pub fn all(&self) -> impl Iterator<Item = &EndpointRow> {
         self.rows.values()
     }
 
-    /// Who keeps how many leading parts of a prompt.
+    /// Returns the index of which endpoints cache which leading parts of prompts.
     #[must_use]
     pub fn prefixes(&self) -> &PrefixIndex {
         &self.prefixes
     }
 
-    /// The models that this gateway's requests use, engine by engine.
+    /// Returns the number of this gateway's requests by engine and model.
     #[must_use]
     pub fn model_uses(&self) -> Vec<ModelUse> {
         let rows = self.rows.values();
@@ -412,7 +437,7 @@
         uses.collect()
     }
 
-    /// The adapters that this gateway uses at an endpoint, or used since it was last asked.
+    /// Returns the adapters that this gateway uses at an endpoint or has used since the previous call.
     pub fn take_used(&mut self, name: &EndpointName) -> Vec<AdapterUse> {
         let Some(row) = self.rows.get_mut(name) else {
             return Vec::new();
--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints said of themselves in their answers.
+//! State that endpoints report about themselves in their responses: rate limits, rest periods and leaving.
 
 use std::time::Duration;
 
@@ -16,22 +16,24 @@
 use crate::quota::turns::{HeldTurn, TurnAnswer, TurnEstimates, TurnStep};
 use crate::reading::SentPrompt;
 
-/// A notice, and the request that it came with.
+/// A notice and the request whose response carried it.
 #[derive(Debug, Clone, Copy)]
 pub struct HeardNotice<'a> {
-    /// What the answer said.
+    /// The notice in the response.
     pub notice: EndpointNotice,
     /// The request that was answered.
     pub sent: &'a SentPrompt,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: ClockTime,
-    /// Whether the endpoint took it, and did not turn it away.
+    /// Whether the endpoint accepted the request rather than refusing it.
     pub was_taken: bool,
 }
 
 impl EndpointDirectory {
-    /// Takes what an answer said of its endpoint; gives back what is believed anew. An answer of an earlier start says
-    /// nothing of the present one.
+    /// Applies the notice in a response and returns the changes that it caused. A response from an earlier
+    /// incarnation
+    ///
+    /// of the endpoint is ignored.
     pub fn take_notice(
         &mut self,
         name: &EndpointName,
@@ -56,7 +58,7 @@
         changes.into_iter().flatten().collect()
     }
 
-    /// Takes what another gateway's answer said of a limit.
+    /// Applies a rate limit that another gateway has received from the endpoint.
     pub fn take_limit_word(&mut self, word: &LimitWord, now: ClockTime) -> Option<NoticeChange> {
         let row = self.rows.get_mut(&word.endpoint)?;
         if row.is_other_start(word.start) {
@@ -66,7 +68,7 @@
         row.take_rate(named, now - word.sent_ago(), now)
     }
 
-    /// Takes another gateway's word that an endpoint leaves.
+    /// Applies a report by another gateway that an endpoint is leaving.
     pub fn take_leaving_word(&mut self, word: &LeavingWord) -> Option<NoticeChange> {
         let row = self.rows.get_mut(&word.endpoint)?;
         if row.is_other_start(word.start) {
@@ -75,8 +77,10 @@
         row.take_leaving(NoticeValue::Given(true))
     }
 
-    /// What this gateway knows of an endpoint's limit, for the others: what the answer to a request that was sent at
-    /// `sent_at` said, or the last one that named a limit.
+    /// Returns the message that tells other gateways this gateway's view of an endpoint's rate limit, dated
+    /// by the
+    ///
+    /// request sent at `sent_at`, or else by the last request whose response carried a limit.
     #[must_use]
     pub fn limit_word(
         &self,
@@ -94,7 +98,10 @@
         })
     }
 
-    /// What a request does next to get its turn at an endpoint; none where that names no limit.
+    /// Returns the next step of a request that needs a turn at an endpoint, or `None` if the endpoint
+    /// reports no rate
+    ///
+    /// limit.
     pub fn turn_step(
         &mut self,
         name: &EndpointName,
@@ -106,7 +113,7 @@
         Some(limit.turns.step(holders, most_wait, now))
     }
 
-    /// Takes a holder's answer to an ask for a turn; gives back the turn, if there is one.
+    /// Applies a holder's response to a turn request and returns the turn if one was granted.
     pub fn take_turn_answer(
         &mut self,
         name: &EndpointName,
@@ -121,7 +128,8 @@
             .take_answer(holders, part, answer, limit.rate, now)
     }
 
-    /// A request is sent to an endpoint, which may have asked for rest before.
+    /// Records that a request is sent to an endpoint, which uses up one probe if the endpoint has asked for
+    /// rest.
     pub fn note_try(&mut self, name: &EndpointName, now: ClockTime) {
         let row = self.rows.get_mut(name);
         if let Some(rest) = row.and_then(|row| row.rest.as_mut()) {
@@ -129,7 +137,7 @@
         }
     }
 
-    /// Whether an endpoint may be sent a request that has this turn.
+    /// Returns whether an endpoint may be sent a request that holds this turn.
     #[must_use]
     pub fn may_send(&self, name: &EndpointName, turn: Option<HeldTurn>, now: ClockTime) -> bool {
         self.row(name).is_some_and(|row| {
@@ -138,20 +146,20 @@
         })
     }
 
-    /// Endpoints whose answers said that they leave.
+    /// Returns the number of endpoints that have reported that they are leaving.
     #[must_use]
     pub fn said_leaving(&self) -> usize {
         self.rows.values().filter(|row| row.says_leaving).count()
     }
 
-    /// Endpoints that want no requests from this gateway now.
+    /// Returns the number of endpoints that have currently asked this gateway to send no requests.
     #[must_use]
     pub fn resting(&self, now: ClockTime) -> usize {
         let rows = self.rows.values();
         rows.filter(|row| !row.rest_left(now).is_zero()).count()
     }
 
-    /// Endpoints that name a limit.
+    /// Returns the number of endpoints that report a rate limit.
     #[must_use]
     pub fn limited(&self) -> usize {
         self.rows.values().filter(|row| row.limit.is_some()).count()
@@ -159,7 +167,10 @@
 }
 
 impl EndpointRow {
-    /// A start that leaves stays leaving, whatever a later answer, the registry or its sidecar says.
+    /// Applies the leaving flag of a response. An incarnation that has reported leaving stays closed,
+    /// whatever later
+    ///
+    /// responses, the registry or its sidecar report.
     fn take_leaving(&mut self, leaving: NoticeValue<bool>) -> Option<NoticeChange> {
         match leaving {
             NoticeValue::Given(true) => {
@@ -172,7 +183,10 @@
         }
     }
 
-    /// A rest is never shortened: the endpoint holds the gateway to each that it asked for.
+    /// Applies a requested rest period. A rest period is never shortened, because the endpoint enforces
+    /// every one that it
+    ///
+    /// has requested.
     fn take_rest(&mut self, rest: NoticeValue<RestSpan>, now: ClockTime) -> Option<NoticeChange> {
         let span = match rest {
             NoticeValue::Given(span) => span,
@@ -201,8 +215,10 @@
         }
     }
 
-    /// A lower limit holds at once. Answers may overtake each other, so a higher one, or none, counts only where the
-    /// request was sent after the limit was last named.
+    /// Applies a reported rate. A lower rate takes effect immediately. Because responses can arrive out of
+    /// order, a higher
+    ///
+    /// rate, or none, takes effect only if the request was sent after the limit was last reported.
     pub(super) fn take_rate(
         &mut self,
         named: NoticeValue<RequestRate>,
@@ -220,7 +236,8 @@
             (NoticeValue::Given(rate), known) => {
                 let is_kept = known.is_some_and(|known| rate > known.rate && !is_later);
                 let kept = known.filter(|_| is_kept).map_or(rate, |known| known.rate);
-                // Turns at a lower rate lie further apart than those that can be had now.
+                // At a lower rate turns are further apart, so the current estimates remain valid only if
+                // the rate is not raised.
                 let is_raised = known.is_some_and(|known| kept > known.rate);
                 let turns = known
                     .filter(|_| !is_raised)
--- a/crates/oatpier-serving/src/directory/pulse.rs
+++ b/crates/oatpier-serving/src/directory/pulse.rs
@@ -1,11 +1,11 @@
-//! The last word of a sidecar, and of answers on an endpoint's load.
+//! The latest status update of a sidecar, and the load of its endpoint.
 
 use oatpier_types::clock::ClockTime;
 
 use crate::engine::EndpointLoad;
 use crate::message::{EnginePulse, LoadPulse, MessageNumber};
 
-/// What is known of an endpoint's load since its last word on it.
+/// The load of an endpoint: the latest report and the changes since then that this gateway caused.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct LoadView {
     reported: EndpointLoad,
@@ -21,7 +21,7 @@
         };
     }
 
-    /// Requests that waited there at its last word.
+    /// Returns the number of requests that were queued at the endpoint according to its latest report.
     pub(super) fn waiting(&self) -> u32 {
         self.reported.waiting
     }
@@ -32,19 +32,19 @@
     }
 }
 
-/// A sidecar's last pulse.
+/// The latest status update of a sidecar.
 #[derive(Debug, Clone)]
 pub(super) struct KeptPulse {
     pub(super) pulse: EnginePulse,
-    /// The word that the load in the pulse is from.
+    /// Number of the message that the load in `pulse` comes from.
     pub(super) load_number: MessageNumber,
     pub(super) at: ClockTime,
-    /// When the last whole pulse came; a word on the load alone does not say whether the engine answers.
+    /// When the latest full status update arrived. Load updates do not say whether the engine responds.
     pub(super) whole_at: ClockTime,
 }
 
 impl KeptPulse {
-    /// Takes a word on the load over, unless a newer one is known.
+    /// Applies a load update, unless a newer one has been applied. Returns whether it was applied.
     pub(super) fn take_load(&mut self, load: &LoadPulse) -> bool {
         let known = self.load_number;
         if known.boot != load.number.boot || !load.number.supersedes(known) {
@@ -60,7 +60,7 @@
         true
     }
 
-    /// The word on the load that this one holds.
+    /// Returns the load part as a load update.
     pub(super) fn load(&self) -> LoadPulse {
         LoadPulse {
             number: self.load_number,
--- a/crates/oatpier-serving/src/directory/requests.rs
+++ b/crates/oatpier-serving/src/directory/requests.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests at endpoints, for the choices that follow.
+//! Accounting of the requests sent to endpoints, for later endpoint choices.
 
 use std::time::Duration;
 
@@ -11,35 +11,36 @@
 use crate::health::{AttemptEvidence, EndpointFault, HealthChange};
 use crate::reading::{ReadingPaces, SentPrompt};
 
-/// How a request ended at an endpoint, for the directory.
+/// How a request ended at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EndpointOutcome {
-    /// A whole answer, held for this long.
+    /// A complete response.
     Whole {
-        /// From sending to the end.
+        /// Time from sending the request to the end of the response.
         held: Duration,
     },
-    /// The endpoint's own error: most of the blame is the request's.
+    /// The endpoint responded with a server error, which is caused mostly by the request.
     ServerError,
-    /// The endpoint refused it without running it.
+    /// The endpoint refused the request without running it.
     Refused,
-    /// No connection came about in time.
+    /// No connection was established in time.
     Unreachable,
-    /// Nothing listens at its address.
+    /// The connection was refused: nothing listens at the endpoint's address.
     ConnectionRefused,
-    /// The answer was cut, spoilt or never came.
+    /// The response was truncated, corrupt or missing.
     Broken,
-    /// The caller left, or the gateway gave up for reasons of its own.
+    /// The caller disconnected, or the gateway gave up for reasons unrelated to the endpoint.
     Abandoned,
 }
 
-/// The blame of an endpoint for its own error: some classes of requests fail by themselves.
+/// Weight of a server error as a failure of the endpoint: some classes of requests fail regardless of the
+/// endpoint.
 const ERROR_BLAME: f64 = 0.3;
-/// The blame for a refusal: it may be full for a moment.
+/// Weight of a refusal as a failure of the endpoint: it may only be full for a moment.
 const REFUSAL_BLAME: f64 = 0.4;
 
 impl EndpointDirectory {
-    /// A request was sent.
+    /// Records that a request was sent.
     pub fn note_sent(&mut self, name: &EndpointName, weights: Option<&WeightsKey>) {
         let Some(row) = self.rows.get_mut(name) else {
             return;
@@ -54,16 +55,18 @@
         }
     }
 
-    /// Whether what was sent went to the start of the endpoint that is known now. What becomes of it says
-    /// nothing of a later one: an engine that has just started again would be avoided for the streams that
-    /// its last start cut.
+    /// Returns whether a request was sent to the current incarnation of the endpoint. The outcome of a
+    /// request to an
+    ///
+    /// earlier incarnation is ignored. Otherwise, an engine that has just restarted would be avoided
+    /// because of the streams that its previous incarnation broke off.
     #[must_use]
     pub fn is_present_start(&self, name: &EndpointName, sent: &SentPrompt) -> bool {
         let row = self.rows.get(name);
         row.is_some_and(|row| sent.start.is_none_or(|start| start == row.index))
     }
 
-    /// What was sent to an endpoint that reads no prompts.
+    /// Returns the accounting data of a request to an endpoint that processes no prompts.
     #[must_use]
     pub fn sent_without_prompt(&self, name: &EndpointName) -> SentPrompt {
         SentPrompt {
@@ -72,7 +75,7 @@
         }
     }
 
-    /// An engine begins to read a prompt, of which it does not keep `tokens`.
+    /// Records that an engine starts the prefill of a prompt, `tokens` of which are not in its cache.
     pub fn note_reading(
         &mut self,
         name: &EndpointName,
@@ -94,21 +97,22 @@
         sent
     }
 
-    /// A request waits for a permit to send an engine its prompt, which takes so long to read.
+    /// Records that a request waits for a permit to send an engine its prompt, whose prefill takes
+    /// `reading`.
     pub fn note_asked(&mut self, name: &EndpointName, reading: Duration) {
         if let Some(row) = self.rows.get_mut(name) {
             row.reading.add(reading.as_secs_f64() * 1e3);
         }
     }
 
-    /// A request no longer waits for a permit.
+    /// Records that a request no longer waits for a permit.
     pub fn note_permitted(&mut self, name: &EndpointName, reading: Duration) {
         if let Some(row) = self.rows.get_mut(name) {
             row.reading.remove(reading.as_secs_f64() * 1e3);
         }
     }
 
-    /// An engine has read a prompt, or will not.
+    /// Records that the prefill of a prompt has finished or will not happen.
     pub fn note_read(&mut self, name: &EndpointName, prompt: &SentPrompt) {
         if !self.is_present_start(name, prompt) {
             return;
@@ -118,20 +122,20 @@
         }
     }
 
-    /// How long engines take to read prompts.
+    /// Returns the estimates of how long engines take for the prefill of prompts.
     #[must_use]
     pub fn paces(&self) -> &ReadingPaces {
         &self.paces
     }
 
-    /// The prompt's parts will be kept at the endpoint.
+    /// Records that the endpoint will cache the parts of the prompt.
     pub fn note_prompt(&mut self, name: &EndpointName, chain: &[u64], now: ClockTime) {
         if let Some(row) = self.rows.get(name) {
             self.prefixes.learn(row.index, chain, now);
         }
     }
 
-    /// The first piece of an answer came, after the engine had read the prompt.
+    /// Records that the first chunk of a response has arrived, which follows the prefill.
     pub fn note_first(
         &mut self,
         name: &EndpointName,
@@ -156,15 +160,17 @@
         self.judge(index, AttemptEvidence::FirstFrame { took, predicted }, now);
     }
 
-    /// Nothing came from the endpoint since `since`.
+    /// Records that nothing has arrived from the endpoint since `since`.
     pub fn note_silence(&mut self, name: &EndpointName, since: ClockTime, now: ClockTime) {
         if let Some(row) = self.rows.get(name) {
             self.judge(row.index, AttemptEvidence::Silent { since }, now);
         }
     }
 
-    /// A request is over at its endpoint. Says whether its adapter is now free to make room where
-    /// there was none.
+    /// Records that a request has ended at its endpoint. Returns whether this released an adapter that may
+    /// be unloaded, at
+    ///
+    /// an endpoint that had no room for another adapter.
     pub fn note_end(
         &mut self,
         name: &EndpointName,
@@ -225,14 +231,14 @@
         }
     }
 
-    /// What is wrong with an endpoint, unless it is time to try it again.
+    /// Returns the fault of an endpoint, unless a probe of it is due.
     #[must_use]
     pub fn fault(&self, row: &EndpointRow, now: ClockTime) -> Option<EndpointFault> {
         let fault = self.health.fault(row.index)?;
         (!self.health.probe_due(row.index, now)).then_some(fault)
     }
 
-    /// Notes that an ejected endpoint gets a request to see whether it works again.
+    /// Records that an ejected endpoint is sent a request as a probe.
     pub fn note_probe(&mut self, name: &EndpointName, now: ClockTime) {
         if let Some(row) = self.rows.get(name)
             && self.health.fault(row.index).is_some()
--- a/crates/oatpier-serving/src/directory/rest.rs
+++ b/crates/oatpier-serving/src/directory/rest.rs
@@ -1,31 +1,34 @@
-//! Rest that an endpoint asked this gateway for.
+//! Rest periods that endpoints ask this gateway for, and the ramp-up after them.
 //!
-//! What waits for the end of a rest would all be sent in its first millisecond, and be the next overload. So one request
-//! is sent first, and each that is taken lets two more be sent, until there are as many as the endpoint has slots.
+//!
+//! If all requests that wait for the end of a rest period were sent at once, they would overload the
+//! endpoint again. Therefore a single probe is sent first, and each accepted probe allows two more
+//! requests, until the number of allowed requests reaches the number of slots of the endpoint.
 
 use std::time::Duration;
 
 use oatpier_types::clock::ClockTime;
 
-/// Requests that may follow each one that an endpoint took after its rest.
+/// Requests allowed for each one that the endpoint accepts after its rest period.
 const TRIES_EACH: u32 = 2;
 
-/// After a request without an answer the next one is sent this much later.
+/// Time without an answer to a probe after which another one is allowed.
 const TRY_AGAIN: Duration = Duration::from_millis(500);
 
-/// An endpoint that asked for rest, until it serves as before.
+/// The rest period of an endpoint and the ramp-up after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RestState {
-    /// Since when it has taken nothing but tries.
+    /// When the endpoint stopped taking requests at the normal rate.
     pub(super) since: ClockTime,
     until: ClockTime,
-    /// Requests that may be sent now.
+    /// Number of requests that may be sent now.
     tries: u32,
     tried_at: ClockTime,
 }
 
 impl RestState {
-    /// A rest that ends at a moment; a longer one that is known goes on.
+    /// Returns the state for a rest period that ends at `until`, or at the end of the known one if that is
+    /// later.
     pub(super) fn until(known: Option<Self>, until: ClockTime, now: ClockTime) -> Self {
         Self {
             since: known.map_or(now, |known| known.since),
@@ -35,24 +38,27 @@
         }
     }
 
-    /// How long it lasts.
+    /// Returns the time until the rest period ends.
     pub(super) fn left(&self, now: ClockTime) -> Duration {
         self.until.since(now)
     }
 
-    /// Whether a request may be sent.
+    /// Returns whether a request may be sent.
     pub(super) fn may_try(&self, now: ClockTime) -> bool {
         let is_over = now >= self.until;
         is_over && (self.tries > 0 || now.since(self.tried_at) >= TRY_AGAIN)
     }
 
-    /// A request is sent.
+    /// Records that a request is sent.
     pub(super) fn note_sent(&mut self, now: ClockTime) {
         self.tries = self.tries.saturating_sub(1);
         self.tried_at = now;
     }
 
-    /// A request that was sent at `sent_at` was taken; says whether the endpoint with so many slots serves as before.
+    /// Records that a request sent at `sent_at` was accepted, and returns whether the ramp-up is complete
+    /// for an endpoint
+    ///
+    /// with `slots` slots.
     pub(super) fn note_taken(&mut self, sent_at: ClockTime, slots: u32) -> bool {
         if sent_at >= self.until {
             self.tries += TRIES_EACH;
--- a/crates/oatpier-serving/src/directory/row.rs
+++ b/crates/oatpier-serving/src/directory/row.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint.
+//! The state of one endpoint.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,122 +20,139 @@
 use crate::reading::ReadingLoad;
 use crate::site::EngineRule;
 
-/// A pulse older than this no longer says what the engine holds; the registry does. Six periods
-/// of an idle sidecar.
+/// Age after which a status update no longer counts and the registry entry applies instead. Six periods of
+/// an idle
+///
+/// sidecar.
 pub const PULSE_LIFE: Duration = Duration::from_millis(1_500);
 
-/// A sidecar that was heard and then not for this long is overdue: it tells something at least every
-/// 0.8 s, and every tenth of a second while its engine works.
+/// Time without an update after which a sidecar is overdue. Sidecars send an update at least every 0.8 s,
+/// and every
+///
+/// 100 ms while the engine is working.
 const PULSE_DUE: Duration = Duration::from_secs(1);
 
-/// How much longer a load takes that should be done: nobody tells how far it is.
+/// Minimum remaining time assumed for a load in progress. It applies to a load that exceeds its expected
+/// duration,
+///
+/// because engines report no progress.
 const READY_LEAST: Duration = Duration::from_millis(200);
 
-/// How much longer a load takes whose engine waits for the streams of another model to end. They end one
-/// by one; a stream takes one to a few seconds.
+/// Additional load time assumed while the engine waits for the streams of another model to end. They end
+/// one by one, and
+///
+/// a stream takes one to a few seconds.
 const DRAIN_GUESS: Duration = Duration::from_secs(1);
 
-/// The time to the first piece that is assumed of an endpoint before it has answered, in
-/// milliseconds, the reading of the prompt not counted: a step of a calm engine and the way there.
+/// Initial estimate of the time to the first chunk, in milliseconds, not counting the prefill. It covers
+/// one step of an
+///
+/// engine under low load and the network latency.
 const FIRST_GUESS_MS: f64 = 15.0;
 
-/// The time that a request is assumed to hold a slot before any has ended, in milliseconds: a few
-/// hundred tokens at a calm engine.
+/// Initial estimate of how long a request holds a slot, in milliseconds. It corresponds to a few hundred
+/// tokens at an
+///
+/// engine under low load.
 const HOLD_GUESS_MS: f64 = 700.0;
 
-/// As [`HOLD_GUESS_MS`] for a plain service.
+/// Like [`HOLD_GUESS_MS`], for a plain service.
 const SERVICE_HOLD_GUESS_MS: f64 = 30.0;
 
-/// An engine whose limit keeps its requests below this share of its slots holds its models for few callers.
+/// An endpoint is throttled if its rate limit keeps its running requests below this share of its slots: it
+/// then holds
+///
+/// its models for few requests.
 const SQUEEZED_SHARE: f64 = 0.25;
 
-/// A limit or a rest that is over within this is not worth a load elsewhere.
+/// A rate limit or rest period that ends within this time does not justify loading the model elsewhere.
 const SQUEEZED_AFTER: Duration = Duration::from_secs(2);
 
-/// An endpoint as the registry lists it.
+/// An endpoint as listed in the registry.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its name; one that starts again may keep it.
+    /// Name of the endpoint, which it may keep across restarts.
     pub name: EndpointName,
-    /// Which start this entry is of, if it tells.
+    /// Start time of the incarnation that the entry describes, if known.
     pub start: Option<StartTime>,
-    /// What it serves.
+    /// The service that it provides.
     pub service: PoolName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it is.
+    /// Its availability zone.
     pub zone: ZoneName,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which it is slow after its start.
     pub cold: Duration,
-    /// What it held at its last heartbeat; empty for a plain service.
+    /// Models that it held at its last heartbeat; empty for a plain service.
     pub models: Vec<HeldModel>,
-    /// What it could load by itself at its last heartbeat.
+    /// Models that it could load from local copies at its last heartbeat.
     pub copies: LocalCopies,
 }
 
-/// A limit on the requests of all gateways that an endpoint named.
+/// A rate limit, over the requests of all gateways, that an endpoint has reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NamedLimit {
     /// The limit.
     pub rate: RequestRate,
-    /// Since when there is one.
+    /// When the endpoint first reported a limit, with no response without one since.
     pub since: ClockTime,
-    /// When it was last named.
+    /// When it was last reported.
     pub(super) named_at: ClockTime,
-    /// When the last request was sent whose answer named it.
+    /// When the latest request was sent whose response reported it.
     pub(super) sent_at: ClockTime,
-    /// When the endpoint may be sent the next request.
+    /// Estimates of when the endpoint may be sent the next requests.
     pub(super) turns: TurnEstimates,
 }
 
-/// A model that an engine loads or is about to.
+/// A model that an engine is loading or about to load.
 #[derive(Debug, Clone)]
 pub(super) struct ComingModel {
     model: ModelName,
     since: ClockTime,
 }
 
-/// One endpoint.
+/// An endpoint in the directory.
 #[derive(Debug)]
 pub struct EndpointRow {
     /// Its registry entry.
     pub record: EndpointRecord,
-    /// Its place in health and prefix tables.
+    /// Its index in the health and prefix tables.
     pub index: EndpointIndex,
-    /// This gateway's requests there.
+    /// Number of this gateway's requests in progress at the endpoint.
     pub own: u32,
-    /// Time to the first piece, beyond the reading of prompts.
+    /// Time to the first chunk after the prefill.
     pub first: PaceEstimate,
-    /// This gateway's prompts that are being read there.
+    /// Prefill of this gateway's prompts at the endpoint.
     pub reading: ReadingLoad,
-    /// Time that a request holds a slot.
+    /// Time for which a request holds a slot.
     pub hold: PaceEstimate,
     pub(super) load: LoadView,
     pub(super) pulse: Option<KeptPulse>,
     pub(super) failures: FailureShare,
-    /// This gateway's requests there, by adapter; 0 for one that was used since the last greeting.
+    /// This gateway's requests in progress by adapter; 0 for an adapter that was used since the last
+    /// greeting.
     pub(super) adapters: HashMap<AdapterKey, u32>,
-    /// This gateway's requests there, by model.
+    /// This gateway's requests in progress by model.
     pub(super) models: HashMap<ModelName, u32>,
-    /// The model that is coming, by its sidecar, and since when.
+    /// The model that is being loaded according to the sidecar, and since when.
     pub(super) coming: Option<ComingModel>,
     pub(super) gone: bool,
-    /// When it took its predecessor's place, before the registry listed it.
+    /// When it replaced its predecessor, before the registry listed it.
     pub(super) adopted_at: Option<ClockTime>,
-    /// When its address last refused a connection: nothing listens there.
+    /// When its address last refused a connection, which means that nothing listens there.
     pub(super) refused_at: Option<ClockTime>,
-    /// When the last request was sent that it answered whole.
+    /// When the latest request was sent that it answered completely.
     pub(super) served_at: Option<ClockTime>,
-    /// The limit that it named, while it names one.
+    /// The rate limit that it currently reports, if any.
     pub(super) limit: Option<NamedLimit>,
-    /// Whether an answer of its said that it leaves.
+    /// Whether it has reported in a response that it is leaving.
     pub(super) says_leaving: bool,
-    /// The rest that it asked this gateway for, until it serves as before.
+    /// The rest period that it asked this gateway for, until the ramp-up afterwards is complete.
     pub(super) rest: Option<RestState>,
 }
 
@@ -170,38 +187,41 @@
         }
     }
 
-    /// Whether an answer of its said that it leaves.
+    /// Returns whether it has reported in a response that it is leaving.
     #[must_use]
     pub fn says_leaving(&self) -> bool {
         self.says_leaving
     }
 
-    /// How much longer it wants no requests from this gateway.
+    /// Returns the time until the end of the rest period that it asked this gateway for.
     #[must_use]
     pub fn rest_left(&self, now: ClockTime) -> Duration {
         self.rest.map_or(Duration::ZERO, |rest| rest.left(now))
     }
 
-    /// Whether this gateway may send it a request, by the rest that it asked for.
+    /// Returns whether its rest period and the ramp-up afterwards allow this gateway to send a request.
     #[must_use]
     pub fn is_rested(&self, now: ClockTime) -> bool {
         self.rest.is_none_or(|rest| rest.may_try(now))
     }
 
-    /// The limit on the requests of all gateways, if it named one.
+    /// Returns the rate limit over all gateways that it reports, if any.
     #[must_use]
     pub fn limit(&self) -> Option<NamedLimit> {
         self.limit
     }
 
-    /// How long until a limit lets it be sent a request, at the least.
+    /// Returns the minimum wait until its rate limit allows a request.
     #[must_use]
     pub fn turn_wait(&self, now: ClockTime) -> Duration {
         self.limit
             .map_or(Duration::ZERO, |limit| limit.turns.wait(now))
     }
 
-    /// Whether its limit, or its rest, has left it so little for so long that its models need other holders.
+    /// Returns whether its rate limit or rest period has restricted it so much and for so long that its
+    /// models need other
+    ///
+    /// holders.
     #[must_use]
     pub fn is_squeezed(&self, now: ClockTime) -> bool {
         let is_limited = self.limit.is_some_and(|limit| {
@@ -213,24 +233,27 @@
         is_limited || self.rest.is_some_and(rests)
     }
 
-    /// Whether this gateway's requests use adapters there, or did since its last greeting.
+    /// Returns whether this gateway's requests use its adapters or have used them since the last greeting.
     #[must_use]
     pub fn uses_adapters(&self) -> bool {
         !self.adapters.is_empty()
     }
 
-    /// What is known of a start that ended is not true of the next one under the same name.
+    /// Resets the state for a new incarnation. Nothing known about the previous incarnation applies to the
+    /// new one, even
+    ///
+    /// under the same name.
     pub(super) fn restart(&mut self, record: EndpointRecord, index: EndpointIndex) {
         *self = Self::new(record, index);
     }
 
-    /// Whether a word on this endpoint is of another start than the one that is known.
+    /// Returns whether a start time belongs to another incarnation than the known one.
     pub(super) fn is_other_start(&self, start: Option<StartTime>) -> bool {
         let known = self.record.start;
         known.is_some() && start.is_some() && known != start
     }
 
-    /// A request for a model is over.
+    /// Records that a request for a model has ended.
     pub(super) fn release_model(&mut self, model: &ModelName) {
         let Some(requests) = self.models.get_mut(model) else {
             return;
@@ -241,28 +264,29 @@
         }
     }
 
-    /// The last pulse, unless it is too old to say anything.
+    /// Returns the latest status update, unless it has expired.
     #[must_use]
     pub fn pulse(&self, now: ClockTime) -> Option<&EnginePulse> {
         let kept = self.pulse.as_ref()?;
         (now.since(kept.at) <= PULSE_LIFE).then_some(&kept.pulse)
     }
 
-    /// How old the last pulse is, if it still counts.
+    /// Returns the age of the latest status update, unless it has expired.
     #[must_use]
     pub fn pulse_age(&self, now: ClockTime) -> Option<Duration> {
         let age = now.since(self.pulse.as_ref()?.at);
         (age <= PULSE_LIFE).then_some(age)
     }
 
-    /// The time to read what was sent there or waits for a permit, in milliseconds, as far as known.
+    /// Returns the prefill time, in milliseconds, of the prompts known to be at the endpoint or to wait for
+    /// a permit.
     #[must_use]
     pub fn reading_ahead_ms(&self, now: ClockTime) -> f64 {
         let told = self.pulse(now).map_or(0, |pulse| pulse.permit_wait_ms);
         self.reading.ms().max(f64::from(told))
     }
 
-    /// Whether its sidecar was heard and has fallen silent.
+    /// Returns whether its sidecar has sent updates before but is overdue with the next one.
     #[must_use]
     pub fn is_overdue(&self, now: ClockTime) -> bool {
         self.pulse
@@ -270,21 +294,20 @@
             .is_some_and(|kept| now.since(kept.at) > PULSE_DUE)
     }
 
-    /// Whether it was taken for its predecessor's successor lately, so that the registry may not list
-    /// it yet.
+    /// Returns whether it replaced its predecessor so recently that the registry may not list it yet.
     pub(super) fn is_adopted(&self, now: ClockTime) -> bool {
         self.adopted_at
             .is_some_and(|at| now.since(at) < REGISTRY_SETTLE)
     }
 
-    /// Whether it may get new requests.
+    /// Returns whether it may be sent new requests.
     #[must_use]
     pub fn is_open(&self, now: ClockTime) -> bool {
         let leaving = self.record.draining || self.gone;
         !leaving && !self.pulse(now).is_some_and(|pulse| pulse.draining)
     }
 
-    /// What it holds, by the newest word.
+    /// Returns the models that it holds according to the newest source.
     #[must_use]
     pub fn models(&self, now: ClockTime) -> &[HeldModel] {
         match self.pulse(now) {
@@ -293,7 +316,7 @@
         }
     }
 
-    /// Whether a model is there and stays.
+    /// Returns whether it holds a model that is not about to be unloaded.
     #[must_use]
     pub fn holds(&self, model: &ModelName, now: ClockTime) -> bool {
         let retiring = self
@@ -302,7 +325,7 @@
         !retiring && self.models(now).iter().any(|held| held.model == *model)
     }
 
-    /// How long a load of a model takes there, by what it has copies of.
+    /// Returns how long it takes to load a model, given its local copies.
     #[must_use]
     pub fn load_time(
         &self,
@@ -314,7 +337,7 @@
         Some(rule.model(model)?.load_with(&pulse.copies))
     }
 
-    /// When a model will be there, if it is being loaded or is about to be.
+    /// Returns the time until a model is ready, if it is being loaded or about to be loaded.
     #[must_use]
     pub fn ready_in(
         &self,
@@ -338,8 +361,10 @@
         }
     }
 
-    /// Keeps a pulse. Pulses and words on the load come by different relays, so a newer word on the load may
-    /// be here already.
+    /// Stores a status update. Status updates and load updates arrive through different relays, so a newer
+    /// load update may
+    ///
+    /// already have been applied.
     pub(super) fn keep(&mut self, pulse: EnginePulse, now: ClockTime) {
         let newer = self.pulse.as_ref().map(KeptPulse::load);
         let mut kept = KeptPulse {
@@ -355,7 +380,7 @@
         self.note_coming(now);
     }
 
-    /// Notes what the last pulse says of a model that is coming.
+    /// Updates which model is being loaded from the latest status update.
     pub(super) fn note_coming(&mut self, now: ClockTime) {
         let loading = self.pulse(now).and_then(|pulse| pulse.loading.clone());
         let draining = self
@@ -367,13 +392,14 @@
         self.coming = known.or_else(fresh);
     }
 
-    /// Whether it loads a model or is about to, which the unloading of others comes before.
+    /// Returns whether it is loading a model or about to load one, including the time to unload others
+    /// first.
     #[must_use]
     pub fn is_changing(&self, now: ClockTime) -> bool {
         self.pulse(now).is_some_and(|pulse| pulse.loading.is_some())
     }
 
-    /// How far an adapter is.
+    /// Returns the state of an adapter.
     #[must_use]
     pub fn adapter(
         &self,
@@ -396,13 +422,13 @@
         }
     }
 
-    /// Adapters that could be loaded without waiting for requests that use others.
+    /// Returns the number of adapters that can be loaded without waiting for requests that use others.
     #[must_use]
     pub fn adapter_room(&self, now: ClockTime) -> u32 {
         self.pulse(now).map_or(0, |pulse| pulse.adapter_room)
     }
 
-    /// Requests there or waiting at its sidecar, as far as known.
+    /// Returns the number of requests known to be at the endpoint or queued at its sidecar.
     #[must_use]
     pub fn present(&self) -> u32 {
         let kept = self.pulse.as_ref();
@@ -410,13 +436,13 @@
         self.load.present().max(self.own) + asking
     }
 
-    /// Requests that waited there at its last word.
+    /// Returns the number of requests queued at the endpoint according to its latest report.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.load.waiting()
     }
 
-    /// The share of its memory that requests take, from 0 to 1; 0 if it is not known.
+    /// Returns the share of its memory taken by requests and `more` additional tokens; 0 if unknown.
     #[must_use]
     pub fn memory_share(&self, more: u64, now: ClockTime) -> f64 {
         let Some(pulse) = self.pulse(now).filter(|pulse| pulse.memory_total > 0) else {
@@ -430,27 +456,28 @@
         share
     }
 
-    /// The share of all gateways' requests that failed there lately, by its sidecar's word.
+    /// Returns the share of all gateways' requests that have failed there recently, as reported by its
+    /// sidecar.
     #[must_use]
     pub fn fleet_failure_share(&self, now: ClockTime) -> f64 {
         let percent = self.pulse(now).map_or(0, |pulse| pulse.failing_percent);
         f64::from(percent) / 100.0
     }
 
-    /// The share of this gateway's requests that failed there lately.
+    /// Returns the share of this gateway's requests that have failed there recently.
     #[must_use]
     pub fn failure_share(&self, now: ClockTime) -> f64 {
         self.failures.at(now)
     }
 }
 
-/// How far an adapter is at an engine.
+/// The state of an adapter at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdapterState {
-    /// Requests may use it.
+    /// The adapter is loaded and can be used.
     Ready,
-    /// It is on its way.
+    /// The adapter is being loaded.
     Coming,
-    /// It has to be loaded.
+    /// The adapter is not loaded.
     Absent,
 }
