--- a/crates/oatpier-serving/src/call.rs
+++ b/crates/oatpier-serving/src/call.rs
@@ -8,25 +8,25 @@
 
 use crate::engine::AdapterKey;
 
-/// What a gateway knows of a request before it chooses an endpoint.
+/// The properties of a request that are known before an endpoint is chosen.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallerRequest {
-    /// The id that the caller gave this attempt of its own.
+    /// The identifier that the caller assigned to this attempt.
     pub id: String,
-    /// How long the caller waits; none if it did not say.
+    /// The maximum time that the caller waits; `None` if not specified.
     pub patience: Option<Duration>,
     /// The model and adapter, for an engine.
     pub weights: Option<WeightsKey>,
-    /// Prompt tokens.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens of the response.
     pub output_tokens: u32,
     /// The parts of the prompt, in order.
     pub parts: SmallVec<[PromptPart; 4]>,
 }
 
 impl CallerRequest {
-    /// Tokens that the request takes in an engine's memory when it is done.
+    /// Returns the number of tokens that the request occupies in an engine's memory when it ends.
     #[must_use]
     pub fn memory_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
@@ -36,23 +36,23 @@
 /// A part of a prompt that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its number.
+    /// Its identifier.
     pub id: u64,
     /// Its length, in tokens.
     pub tokens: u32,
 }
 
-/// A model, or an adapter of it.
+/// A model, or an adapter of a model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WeightsKey {
     /// The model.
     pub model: ModelName,
-    /// The adapter.
+    /// The adapter; `None` for the model alone.
     pub adapter: Option<AdapterName>,
 }
 
 impl WeightsKey {
-    /// The adapter with its model, if one is asked for.
+    /// Returns the adapter with its model, if an adapter is requested.
     #[must_use]
     pub fn adapter_key(&self) -> Option<AdapterKey> {
         self.adapter.clone().map(|adapter| AdapterKey {
--- a/crates/oatpier-serving/src/engine.rs
+++ b/crates/oatpier-serving/src/engine.rs
@@ -1,4 +1,4 @@
-//! What an engine reports, and the orders that it takes.
+//! The status reported by an engine, and the orders sent to it.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 pub struct HeldModel {
     /// The model.
     pub model: ModelName,
-    /// The adapters that are ready.
+    /// The adapters that are loaded.
     pub adapters: Vec<AdapterName>,
 }
 
-/// Weights that an engine can load again without the weight store.
+/// Models whose weights an engine can load without the weight store.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct LocalCopies {
-    /// In its host's memory.
+    /// Models in its host's memory.
     pub in_memory: Vec<ModelName>,
-    /// On its disk.
+    /// Models on its disk.
     pub on_disk: Vec<ModelName>,
 }
 
 impl LocalCopies {
-    /// Whether a load needs no call to the weight store.
+    /// Returns whether the model can be loaded without a call to the weight store.
     #[must_use]
     pub fn has(&self, model: &ModelName) -> bool {
         self.in_memory.contains(model) || self.on_disk.contains(model)
@@ -43,76 +43,77 @@
     pub adapter: AdapterName,
 }
 
-/// Which start of an endpoint is meant, by the time of day at which it began, in Unix milliseconds.
+/// Identifier of an incarnation of an endpoint: the wall-clock time of its start, in Unix milliseconds.
 ///
-/// An endpoint may start again under its name; it then holds nothing and knows nothing of before. Two
-/// starts are told apart by being different, not by which is later: clocks step, and the later
-/// start may say the earlier time. Which one is present follows from who said it last.
+///
+/// An endpoint may restart under the same name, and then holds nothing and has no earlier state.
+/// Incarnations may only be compared for equality, not for order: clocks are adjusted, so the later
+/// incarnation may have the earlier time. The current incarnation is the one reported last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct StartTime(pub u64);
 
-/// How busy an endpoint is.
+/// The load of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Requests that run.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of requests that are queued at the endpoint.
     pub waiting: u32,
 }
 
-/// An engine's own account of itself.
+/// The status that an engine reports.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EngineReport {
-    /// Which start of the engine this is, if it tells.
+    /// The incarnation of the engine, if reported.
     pub start: Option<StartTime>,
-    /// Whether an order is being carried out.
+    /// Whether it is executing an order.
     pub busy: bool,
-    /// Orders accepted since its start.
+    /// Number of orders accepted since its start.
     pub sequence: u64,
     /// Its load.
     pub load: EndpointLoad,
-    /// Memory of requests that can't be reclaimed, in tokens.
+    /// Request memory that cannot be reclaimed, in tokens.
     pub memory_used: u64,
-    /// Memory of requests in all, in tokens.
+    /// Total request memory, in tokens.
     pub memory_total: u64,
-    /// What it holds.
+    /// The models that it holds.
     pub models: Vec<HeldModel>,
-    /// Adapters on their way.
+    /// Adapters that are being loaded.
     pub coming: Vec<AdapterKey>,
-    /// What it can load again by itself; none if it does not tell.
+    /// Models that it can load from local copies; empty if not reported.
     pub copies: LocalCopies,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub draining: bool,
-    /// How long it stays, if it is being taken away.
+    /// Time until it is removed, if it is being removed.
     pub remaining: Option<Duration>,
 }
 
-/// What an engine is ordered to do.
+/// An order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineOrder {
     /// Load a model.
     LoadModel(ModelName),
-    /// Unload a model once its requests are over.
+    /// Unload a model after its requests have ended.
     UnloadModel(ModelName),
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a model that is loaded.
     LoadAdapter(AdapterKey),
     /// Unload an adapter.
     UnloadAdapter(AdapterKey),
 }
 
-/// What an engine said to an order.
+/// An engine's response to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The order was accepted and is being executed.
     Taken,
-    /// It holds already.
+    /// The engine is already in the requested state.
     Holds,
-    /// Another order is being carried out, or the sequence has moved on.
+    /// Another order is being executed, or the sequence number is outdated.
     Conflict,
-    /// It can't be carried out: another engine has the address, or the order makes no sense.
+    /// The order cannot be executed: the address belongs to another engine, or the order is invalid.
     Rejected,
-    /// No answer: it may have been taken, or may be later.
+    /// No response: the order may have been accepted, or may still be accepted later.
     Unknown,
 }
--- a/crates/oatpier-serving/src/failures.rs
+++ b/crates/oatpier-serving/src/failures.rs
@@ -1,33 +1,34 @@
-//! Which share of an engine's requests fails, over all gateways.
+//! The share of an engine's requests that fail, over all gateways.
 //!
-//! The load: two dozen gateways before fifty engines, half of which lose a fifth of their answers for some seconds.
-//! A gateway sends each engine a request a second, so by its own requests it finds out when that is over. The
-//! engine's sidecar gives permits for all of them: told of each failure, it knows within half a second, and its
-//! pulses tell everybody.
+//!
+//! Consider 24 gateways and 50 engines, half of which lose a fifth of their responses for some seconds. A
+//! gateway sends each engine one request per second. From its own requests it would learn of the failures
+//! only when they are over. The engine's sidecar grants the permits for all gateways' requests and is told
+//! of each failure, so it knows within half a second. Its status updates report the share to all gateways.
 
 use std::time::Duration;
 
 use oatpier_types::clock::ClockTime;
 use serde::{Deserialize, Serialize};
 
-/// After this long what was counted counts half: engines fail for seconds, and are to be used again soon after.
+/// Half-life of the counts. Engines fail for seconds and are to be used again soon afterwards.
 const HALF_LIFE: Duration = Duration::from_millis(1_500);
 
-/// Fewer requests than this say too little: the share is taken of this many.
+/// Minimum number of requests that the share is computed from, because fewer requests are not significant.
 const LEAST_REQUESTS: f64 = 8.0;
 
-/// How a request failed at an engine that had a permit for it.
+/// The way in which a request failed at an engine that had granted a permit for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum EngineFailure {
-    /// Its answer broke off, or was spoilt.
+    /// The response broke off or was corrupt.
     Broken,
-    /// The engine answered with an error of its own.
+    /// The engine responded with a server error.
     ServerError,
 }
 
 impl EngineFailure {
-    /// How much of it is held against the engine: some classes of requests fail by themselves.
+    /// Returns the weight of the failure: some classes of requests fail regardless of the engine.
     fn blame(self) -> f64 {
         match self {
             Self::Broken => 1.0,
@@ -36,7 +37,7 @@
     }
 }
 
-/// A count that fades.
+/// A count that decays exponentially.
 #[derive(Debug, Clone, Copy, Default)]
 struct FadingCount {
     count: f64,
@@ -55,7 +56,7 @@
     }
 }
 
-/// The requests of one engine and those that failed.
+/// Counts of the requests and failures of one engine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FailureCount {
     requests: FadingCount,
@@ -63,17 +64,17 @@
 }
 
 impl FailureCount {
-    /// A request got a permit.
+    /// Records that a request was granted a permit.
     pub fn note_request(&mut self, now: ClockTime) {
         self.requests.add(1.0, now);
     }
 
-    /// A request failed.
+    /// Records that a request failed.
     pub fn note_failure(&mut self, failure: EngineFailure, now: ClockTime) {
         self.failures.add(failure.blame(), now);
     }
 
-    /// The share that fails, in steps of five hundredths so that pulses need not tell each change.
+    /// Returns the share of failures in steps of 5 percent, so that small changes cause no status updates.
     #[must_use]
     pub fn share_percent(&self, now: ClockTime) -> u8 {
         let requests = self.requests.at(now).max(LEAST_REQUESTS);
--- a/crates/oatpier-serving/src/greetings.rs
+++ b/crates/oatpier-serving/src/greetings.rs
@@ -1,9 +1,11 @@
-//! How often a gateway greets sidecars that it does not hear.
+//! How often a gateway sends greetings to sidecars that it receives no updates from.
 //!
-//! The load: after a start of all processes every sidecar is to be heard within a moment, so an unheard one is
-//! greeted eight times a second. In a fleet with ten engines for each VM of ours most engines have no sidecar at
-//! all, and greetings that nobody answers were most of what gateways and engines' VMs exchanged. So a sidecar that
-//! stays unheard is greeted ever more rarely.
+//!
+//! A greeting asks a sidecar for its status updates. After a start of all processes, the updates of every
+//! sidecar must arrive promptly, so a sidecar without updates is greeted eight times a second. In a fleet
+//! with ten engines for each of our VMs, most engines have no sidecar at all, and unanswered greetings were
+//! most of the traffic between gateways and engine VMs. Therefore, the interval grows for as long as a
+//! sidecar sends no updates.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,16 +13,19 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 
-/// From one greeting to the next for as long as a process takes to start.
+/// Interval between greetings during [`FIRST_SPAN`].
 const FIRST_PAUSE: Duration = Duration::from_millis(125);
 
-/// How long that is.
+/// Time that a process takes to start.
 const FIRST_SPAN: Duration = Duration::from_secs(4);
 
-/// After that a greeting comes when the sidecar has been unheard for this much longer than at the last one.
+/// After [`FIRST_SPAN`], each greeting is sent when the time without updates is this many times what it was
+/// at the
+///
+/// previous greeting.
 const GROWTH: f64 = 1.25;
 
-/// The longest pause: a sidecar whose VM was cut off is found again this soon.
+/// Maximum interval between greetings. A sidecar whose VM was partitioned is found again within this time.
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
@@ -39,14 +44,14 @@
     }
 }
 
-/// The sidecars that are not heard, by their engines.
+/// The sidecars that this gateway receives no updates from, by engine.
 #[derive(Debug, Default)]
 pub struct GreetingPaces {
     unheard: HashMap<EndpointName, UnheardSidecar>,
 }
 
 impl GreetingPaces {
-    /// Whether an engine's sidecar, which is not heard, is greeted now.
+    /// Returns whether a greeting to a sidecar without updates is due, and records that it is sent.
     pub fn is_due(&mut self, engine: &EndpointName, now: ClockTime) -> bool {
         let Some(known) = self.unheard.get_mut(engine) else {
             let fresh = UnheardSidecar {
@@ -63,7 +68,7 @@
         is_due
     }
 
-    /// Only these engines' sidecars are still unheard.
+    /// Keeps only the sidecars for which `is_unheard` returns true.
     pub fn retain(&mut self, is_unheard: impl Fn(&EndpointName) -> bool) {
         self.unheard.retain(|engine, _| is_unheard(engine));
     }
--- a/crates/oatpier-serving/src/health.rs
+++ b/crates/oatpier-serving/src/health.rs
@@ -1,9 +1,10 @@
-//! Which endpoints are to be avoided, on evidence of the data path.
+//! Health of endpoints as observed on the data path.
 //!
-//! [`HealthTracker`] finds endpoints that are dead, frozen, slow or cut everything. An endpoint
-//! that fails a part of its requests and answers the rest passes all of those: its failures are
-//! never in a row. [`FailureShare`] sees it by the share of failures, and [`PaceEstimate`] tells
-//! how long its answers take.
+//!
+//! [`HealthTracker`] detects endpoints that are dead, frozen, slow or break off every response. An endpoint
+//! that fails a part of its requests and answers the rest passes these checks, because its failures are not
+//! consecutive. [`FailureShare`] detects it by its share of failures, and [`PaceEstimate`] estimates how
+//! long its responses take.
 
 use std::time::Duration;
 
@@ -13,14 +14,16 @@
     AttemptEvidence, EndpointFault, HealthChange, HealthSettings, HealthTracker,
 };
 
-/// The weight of one more result in [`FailureShare`]: about the last eight count.
+/// Weight of a new result in [`FailureShare`]: about the last eight results count.
 const RESULT_WEIGHT: f64 = 0.12;
 
-/// An endpoint that got no requests for this long is thought half as bad, so that one that has
-/// recovered gets some again.
+/// Time without requests after which the failure share of an endpoint is halved, so that an endpoint that
+/// has recovered
+///
+/// receives requests again.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// The share of an endpoint's requests that failed lately.
+/// The share of an endpoint's requests that have failed recently.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FailureShare {
     share: f64,
@@ -28,15 +31,15 @@
 }
 
 impl FailureShare {
-    /// A request came to its end; `blame` is 0 for a good end and 1 for a failure that is
-    /// certainly the endpoint's.
+    /// Adds the result of a request; `blame` is 0 for a success and 1 for a failure certainly caused by the
+    /// endpoint.
     pub fn note(&mut self, blame: f64, now: ClockTime) {
         let share = self.at(now);
         self.share = share + (blame - share) * RESULT_WEIGHT;
         self.at = now;
     }
 
-    /// The share now, from 0 to 1.
+    /// Returns the share at `now`, from 0 to 1.
     #[must_use]
     pub fn at(&self, now: ClockTime) -> f64 {
         let age = now.since(self.at).as_secs_f64();
@@ -44,29 +47,29 @@
     }
 }
 
-/// The weight of one more time in [`PaceEstimate`].
+/// Weight of a new duration in [`PaceEstimate`].
 const PACE_WEIGHT: f64 = 0.1;
 
-/// A running mean of times.
+/// An exponentially weighted mean of durations.
 #[derive(Debug, Clone, Copy)]
 pub struct PaceEstimate {
     mean_ms: f64,
 }
 
 impl PaceEstimate {
-    /// A mean that starts from a guess, in milliseconds.
+    /// Creates a mean with an initial estimate in milliseconds.
     #[must_use]
     pub const fn starting_at(mean_ms: f64) -> Self {
         Self { mean_ms }
     }
 
-    /// Takes one more time in.
+    /// Adds a duration to the mean.
     pub fn note(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1e3;
         self.mean_ms += (took_ms - self.mean_ms) * PACE_WEIGHT;
     }
 
-    /// The mean, in milliseconds.
+    /// Returns the mean in milliseconds.
     #[must_use]
     pub fn mean_ms(&self) -> f64 {
         self.mean_ms
--- a/crates/oatpier-serving/src/lib.rs
+++ b/crates/oatpier-serving/src/lib.rs
@@ -1,40 +1,43 @@
-//! Decisions of gateways and sidecars, as plain state machines.
+//! Decision logic of gateways and sidecars, as deterministic state machines.
 //!
-//! A gateway takes callers' requests and sends them straight to endpoints; a sidecar runs beside
-//! an engine and is the only process that gives it orders. Everything here goes from an event and
-//! the time to a decision, without I/O, clocks or `async`; what is random comes from a seeded
-//! generator.
 //!
-//! What is known:
-//! - [`node`]: what a process is told about itself.
+//! A gateway accepts callers' requests and sends them directly to endpoints. A sidecar runs beside an
+//! engine and is the only process that sends it orders. All code in this crate maps an event and the
+//! current time to a decision, without I/O, clocks or `async`. Random choices use a seeded generator.
+//!
+//! Configuration, messages and state:
+//! - [`node`]: the settings of a process.
 //! - [`site`]: the operator's configuration: routes, services, models.
-//! - [`workspace`]: whose requests they are: keys and quotas.
+//! - [`workspace`]: workspaces with their keys and quotas.
 //! - [`call`]: a caller's request, decoded.
-//! - [`fingerprint`]: which requests are the same.
-//! - [`engine`]: what an engine reports, and orders to it.
-//! - [`notice`]: what endpoints say of themselves in the heads of their answers.
-//! - [`message`]: what gateways and sidecars tell each other.
-//! - [`reads`]: when the store is read, and what spares a read.
-//! - [`relays`]: which gateways hear a sidecar, and what they pass on to the others of their zone.
-//! - [`directory`]: the endpoints, from the registry, pulses and answers.
+//! - [`fingerprint`]: fingerprints that identify equal requests.
+//! - [`engine`]: the status that an engine reports, and orders to it.
+//! - [`notice`]: state that endpoints report in the headers of their responses.
+//! - [`message`]: the messages between gateways and sidecars.
+//! - [`reads`]: when the store is read, and how the reads of other gateways replace a gateway's own.
+//! - [`relays`]: which gateways receive a sidecar's updates, and what they forward to the others of their
+//!   zone.
+//! - [`directory`]: the endpoints, from the registry, sidecars' updates and responses.
 //!
-//! What is decided at a gateway:
-//! - [`choice`]: which endpoint gets a request, and whether it would be in time.
-//! - [`reading`]: how long engines take to read prompts.
-//! - [`health`]: which endpoints are to be avoided, on evidence of the data path.
-//! - [`admission`]: when a request that can't be in time is refused, and when it should return.
-//! - [`budget`]: how many requests may be sent a second time.
-//! - [`crashes`]: which requests end the endpoints that run them, and are not sent any more.
-//! - [`demand`]: how much each model is asked for.
-//! - [`quota`]: what workspaces use, within their limits over all gateways.
+//! Decisions of a gateway:
+//! - [`choice`]: which endpoint receives a request, and whether the response would be in time.
+//! - [`reading`]: how long engines take for the prefill of prompts.
+//! - [`health`]: which endpoints are avoided because of failures on the data path.
+//! - [`admission`]: when a request that cannot be served in time is refused, and when its caller should
+//!   retry.
+//! - [`budget`]: how many requests may be retried.
+//! - [`crashes`]: which requests crash the endpoints that run them and are therefore blocked.
+//! - [`demand`]: the demand for each model.
+//! - [`quota`]: the use of workspaces within their limits, over all gateways.
 //! - [`planner`]: which engine should load which model next.
-//! - [`greetings`]: how often sidecars are greeted that are not heard.
-//! - [`peers`]: which gateways there are, and which of them plans.
+//! - [`greetings`]: how often greetings are sent to sidecars whose updates do not arrive.
+//! - [`peers`]: which gateways are live, and which of them plans.
 //!
-//! What is decided at a sidecar:
-//! - [`failures`]: which share of its engine's requests fails.
+//! Decisions of a sidecar:
+//! - [`failures`]: the share of its engine's requests that fail.
 //! - [`permits`]: when its engine may be sent the next prompt.
-//! - [`residency`]: which order its engine gets next, within memory, slots and the shared pace.
+//! - [`residency`]: which order its engine receives next, within the limits of memory, slots and the shared
+//!   load rate.
 
 pub mod admission;
 pub mod budget;
--- a/crates/oatpier-serving/src/node.rs
+++ b/crates/oatpier-serving/src/node.rs
@@ -1,4 +1,4 @@
-//! What a process is told about itself and its surroundings when it starts.
+//! The settings that a process receives at its start.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use crate::quota::bounds::QuotaBounds;
 
-/// The checked settings of a gateway or a sidecar.
+/// The validated settings of a gateway or a sidecar.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeSettings {
     /// The process's name, unique in the fleet.
@@ -16,55 +16,55 @@
     pub ip: IpAddr,
     /// Its VM's availability zone.
     pub zone: ZoneName,
-    /// The part of a core that the process may use, in thousandths.
+    /// The share of a CPU core that the process may use, in thousandths.
     pub processor: u32,
-    /// The port on which gateways and sidecars hear each other, the same on every VM.
+    /// The port for traffic between gateways and sidecars, the same on every VM.
     pub inner_port: u16,
-    /// Where metrics are served.
+    /// The listen address for metrics.
     pub metrics: SocketAddr,
-    /// Where callers connect; none on a sidecar's VM.
+    /// The listen address for callers; `None` for a sidecar.
     pub callers: Option<SocketAddr>,
-    /// Where the platform asks whether the process takes callers.
+    /// The listen address for the platform's readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// The engine beside a sidecar.
+    /// The address of the engine that a sidecar runs beside.
     pub engine: Option<SocketAddr>,
-    /// The platform's key-value store.
+    /// The address of the platform's key-value store.
     pub store: SocketAddr,
     /// The service of that engine.
     pub service: Option<PoolName>,
-    /// Whether the whole fleet starts for the first time.
+    /// Whether the whole fleet is starting for the first time.
     pub first_start: bool,
-    /// The bounds that the platform sets.
+    /// The limits set by the platform.
     pub bounds: NodeBounds,
 }
 
 impl NodeSettings {
-    /// Where this process hears gateways and sidecars.
+    /// Returns the listen address for traffic from gateways and sidecars.
     #[must_use]
     pub fn inner_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.inner_port)
     }
 }
 
-/// Bounds that the platform holds every process to.
+/// Limits that the platform enforces on every process.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NodeBounds {
-    /// How long after its acknowledgement a configuration is in force everywhere.
+    /// Maximum time from the acknowledgement of a configuration until it is in force everywhere.
     pub config: Duration,
-    /// How long after it began to drain an endpoint may still get new work.
+    /// Maximum time after an endpoint has started to drain during which it may still be sent new work.
     pub drain: Duration,
-    /// From SIGTERM to SIGKILL.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// Second sends allowed for each first one, over all gateways.
+    /// Retries allowed per first attempt, over all gateways.
     pub retry_ratio: f64,
-    /// Second sends allowed beyond the ratio in a window, over all gateways.
+    /// Retries allowed beyond the ratio within a window, over all gateways.
     pub retry_slack: f64,
-    /// The window in which second sends are counted.
+    /// The window over which retries are counted.
     pub retry_window: Duration,
-    /// The window in which loads from the weight store are counted.
+    /// The window over which loads from the weight store are counted.
     pub load_window: Duration,
-    /// How far over its rate the weight store lets a window go, as a factor.
+    /// Factor by which the loads in a window may exceed the weight store's rate.
     pub load_margin: f64,
-    /// How strictly the limits of workspaces are judged.
+    /// The tolerances by which the limits of workspaces are checked.
     pub quota: QuotaBounds,
 }
--- a/crates/oatpier-serving/src/peers.rs
+++ b/crates/oatpier-serving/src/peers.rs
@@ -1,8 +1,10 @@
-//! Which gateways there are, and which of them plans.
+//! Membership of the gateways, and the choice of the gateway that plans.
 //!
-//! A gateway counts as there until three of its reports in a row are missing. Of those that keep up with
-//! their work, the one with the largest processor plans. While gateways disagree, two may plan: sidecars
-//! keep every promise by themselves, so this costs a few loads at most.
+//!
+//! A gateway counts as live until three of its reports in a row are missing. Among the gateways that keep
+//! up with their work, the one with the largest CPU allotment is the planner. While the gateways' views
+//! differ, two of them may plan. This costs a few loads at most, because each sidecar enforces all limits
+//! by itself.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -14,25 +16,29 @@
 
 use crate::message::{ModelDemand, ModelUse, PeerReport};
 
-/// Reports of a gateway that may be lost in a row before it counts as gone, stopped or cut off.
+/// Consecutive reports of a gateway that may be missing before it counts as gone, stopped or partitioned.
 const LOST_REPORTS: u32 = 3;
 
-/// How much later than due a report may come: a round of the sender's timers on a busy VM.
+/// Tolerance for late reports: one round of the sender's timers on a busy VM.
 const REPORT_SLACK: Duration = Duration::from_millis(150);
 
-/// Gateways that are told the demand: the one that plans, and the one that follows if it is gone. The
-/// others are only told that this one is there; telling all of them everything would cost bytes and
-/// processor time with the square of their number.
+/// Number of gateways that receive the full demand: the planner and its successor. The others only receive
+/// reports that
+///
+/// show the sender is live. Sending the full demand to all of them would cost bytes and CPU time that grow
+/// with the square of the number of gateways.
 const DEMAND_READERS: usize = 2;
 
-/// A gateway plans only if it misses no more than one in this many of the engines that others hear: a few
-/// lost datagrams must not move the planning about.
+/// A gateway may plan only if it misses at most this fraction (one in four) of the engines that the
+/// best-connected
+///
+/// gateway receives updates from. A few lost datagrams must not move the planner.
 const MISSED_PART: u32 = 4;
 
-/// An address that greeted a sidecar is told reports for this long after it was last named.
+/// Time for which a gateway's address is sent reports after a sidecar last named it.
 const ADDRESS_LIFE: Duration = Duration::from_secs(5);
 
-/// A model that was asked for this long ago is as good as never asked for.
+/// Time after the last request for a model from which on the model counts as never requested.
 const ASKED_LIFE: Duration = Duration::from_mins(2);
 
 #[derive(Debug, Clone)]
@@ -42,13 +48,13 @@
 }
 
 impl KeptReport {
-    /// Whether its sender still counts as there.
+    /// Returns whether the sender counts as live.
     fn is_live(&self, now: ClockTime) -> bool {
         let every = Duration::from_millis(u64::from(self.report.every_ms));
         now.since(self.at) < every * LOST_REPORTS + REPORT_SLACK
     }
 
-    /// A partial report renews the models that it names, and its sender's word on itself.
+    /// Merges a partial report, which replaces the demand for the models it lists and the sender's state.
     fn merge(&mut self, partial: PeerReport, now: ClockTime) {
         let known = std::mem::take(&mut self.report.demand);
         let is_renewed =
@@ -67,26 +73,26 @@
     }
 }
 
-/// The other gateways.
+/// The other gateways as known to this one.
 #[derive(Debug)]
 pub struct PeerBook {
     own: PeerStanding,
     named: HashMap<SocketAddr, ClockTime>,
     reports: HashMap<SocketAddr, KeptReport>,
-    /// When each model was asked for last, by any gateway that reported it.
+    /// When each model was last requested at any gateway that reported it.
     asked: HashMap<ModelName, ClockTime>,
 }
 
-/// How fit a gateway is for planning.
+/// The properties by which gateways are ranked for planning.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerStanding {
-    /// Where it hears.
+    /// The address that it listens on for gateways and sidecars.
     pub address: SocketAddr,
-    /// Its processor, in thousandths of a core.
+    /// Its CPU allotment in thousandths of a core.
     pub processor: u32,
-    /// Whether it has more to do than its processor does.
+    /// Whether it has more work than its CPU allotment allows.
     pub is_behind: bool,
-    /// Engines that it hears of.
+    /// Number of engines that it receives updates from.
     pub engines_heard: u32,
 }
 
@@ -100,43 +106,47 @@
         }
     }
 
-    /// The least plans. A round of planning takes a fifth of a second on the thinnest VMs and a few
-    /// milliseconds on the others, and every gateway's demand arrives there.
+    /// Sort key: the gateway with the lowest key plans. A planning round takes 200 ms on the smallest VMs
+    /// and a few
+    ///
+    /// milliseconds on the others, and the demand of every gateway is sent to the planner.
     fn order(&self) -> (bool, Reverse<u32>, SocketAddr) {
         (self.is_behind, Reverse(self.processor), self.address)
     }
 }
 
-/// Where reports go.
+/// Addresses that reports are sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportAddresses {
-    /// Gateways that plan, or follow the one that does.
+    /// The planner and its successor.
     pub readers: Vec<SocketAddr>,
-    /// The others of the same availability zone, and those that were not heard of yet.
+    /// The other gateways in the same availability zone, and those that have not reported yet.
     pub near: Vec<SocketAddr>,
-    /// The others.
+    /// The gateways in other availability zones.
     pub far: Vec<SocketAddr>,
 }
 
-/// The demand of all gateways for one model.
+/// The demand for one model, summed over all gateways.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TotalDemand {
-    /// Requests at engines, on average.
+    /// Average number of requests at engines.
     pub running: f64,
-    /// Requests sent to engines, a second, averaged like `running`.
+    /// Requests sent to engines per second, averaged like `running`.
     pub sent: f64,
-    /// Requests that can't be served, a second.
+    /// Requests per second that cannot be served.
     pub unserved: f64,
-    /// Requests that came in, a second, over the last second or so.
+    /// Requests received per second, averaged over about one second.
     pub asked_fast: f64,
-    /// The same over the last few seconds.
+    /// The same, averaged over a few seconds.
     pub asked_slow: f64,
-    /// The same over the last ten seconds or so.
+    /// The same, averaged over about ten seconds.
     pub asked_long: f64,
-    /// Adapters that were asked for lately, at the gateway that saw most of them: gateways see much
-    /// the same ones.
+    /// Recently requested adapters at the gateway that saw the most of them. They are not summed, because
+    /// gateways see
+    ///
+    /// mostly the same adapters.
     pub adapters: f64,
-    /// The time since it was asked for last; none if never.
+    /// Time since the last request; `None` if there was none.
     pub idle: Option<Duration>,
 }
 
@@ -157,20 +167,20 @@
     }
 }
 
-/// The requests of all gateways at engines.
+/// The requests of all gateways at each engine.
 #[derive(Debug, Clone, Default)]
 pub struct FleetUses {
     engines: HashMap<SocketAddr, HashMap<ModelName, u32>>,
 }
 
 impl FleetUses {
-    /// Counts one gateway's requests in.
+    /// Adds the requests of one gateway.
     pub fn add(&mut self, used: &ModelUse) {
         let models = self.engines.entry(used.engine).or_default();
         *models.entry(used.model.clone()).or_default() += used.requests;
     }
 
-    /// Requests that use a model at an engine.
+    /// Returns the number of requests that use a model at an engine.
     #[must_use]
     pub fn requests(&self, engine: SocketAddr, model: &ModelName) -> u32 {
         let models = self.engines.get(&engine);
@@ -182,7 +192,7 @@
 }
 
 impl PeerBook {
-    /// No peers yet.
+    /// Creates a table without peers.
     #[must_use]
     pub fn new(own: SocketAddr, processor: u32) -> Self {
         Self {
@@ -198,19 +208,19 @@
         }
     }
 
-    /// How this gateway stands itself.
+    /// Updates the properties of this gateway.
     pub fn note_own(&mut self, engines_heard: u32, is_behind: bool) {
         self.own.engines_heard = engines_heard;
         self.own.is_behind = is_behind;
     }
 
-    /// How this gateway stands itself, as it was noted last.
+    /// Returns the properties of this gateway as last updated.
     #[must_use]
     pub fn own(&self) -> PeerStanding {
         self.own
     }
 
-    /// A sidecar named gateways that greet it.
+    /// Records the gateways that a sidecar has received greetings from.
     pub fn note_named(&mut self, gateways: &[SocketAddr], now: ClockTime) {
         let own = self.own.address;
         for address in gateways.iter().filter(|address| **address != own) {
@@ -218,7 +228,7 @@
         }
     }
 
-    /// A peer reported. An older report than the one that is kept changes nothing.
+    /// Applies a report of a peer, unless a newer one has been applied.
     pub fn take_report(&mut self, from: SocketAddr, report: PeerReport, now: ClockTime) {
         let kept = self.reports.get(&from).map(|kept| kept.report.number);
         if !kept.is_none_or(|kept| report.number.supersedes(kept)) {
@@ -236,7 +246,7 @@
         }
     }
 
-    /// Remembers when models were asked for: gateways report them only while they are.
+    /// Records when models were requested, because gateways report a model only while it is in demand.
     fn note_asked(&mut self, demand: &[ModelDemand], now: ClockTime) {
         self.asked.retain(|_, asked| now.since(*asked) < ASKED_LIFE);
         for row in demand {
@@ -246,14 +256,14 @@
         }
     }
 
-    /// All other gateways that were heard or named lately.
+    /// Returns all other gateways that have recently reported or been named by a sidecar.
     pub fn known(&self, now: ClockTime) -> impl Iterator<Item = SocketAddr> + '_ {
         let named = self.named.iter();
         let known = named.filter(move |(_, named_at)| now.since(**named_at) < ADDRESS_LIFE);
         known.map(|(address, _)| *address)
     }
 
-    /// Where reports go: the gateways that need the demand, and the others.
+    /// Returns the addresses that reports are sent to, and removes expired peers.
     pub fn addresses(&mut self, zone: &ZoneName, now: ClockTime) -> ReportAddresses {
         self.named
             .retain(|_, named_at| now.since(*named_at) < ADDRESS_LIFE);
@@ -272,7 +282,7 @@
         ReportAddresses { readers, near, far }
     }
 
-    /// The gateways that are told the demand, this one left out.
+    /// Returns the other gateways that receive the full demand.
     fn readers(&self, now: ClockTime) -> Vec<SocketAddr> {
         let mut heard: Vec<PeerStanding> = self
             .live(now)
@@ -284,8 +294,10 @@
         heard.take(DEMAND_READERS).collect()
     }
 
-    /// Whether this gateway plans, or follows the one that does, so that the others must know soon when it is
-    /// gone.
+    /// Returns whether this gateway is the planner or its successor, in which case the others must detect
+    /// its failure
+    ///
+    /// quickly.
     #[must_use]
     pub fn is_reader(&self, now: ClockTime) -> bool {
         let before = self.live(now).filter(|(address, kept)| {
@@ -295,7 +307,7 @@
         before.count() < DEMAND_READERS
     }
 
-    /// How many gateways that are to stay are fitter than this one.
+    /// Returns the number of gateways, excluding those that are leaving, that rank before this one.
     #[must_use]
     pub fn rank(&self, now: ClockTime) -> usize {
         let live = self.live(now).filter(|(_, kept)| !kept.report.leaving);
@@ -303,7 +315,7 @@
         peers.filter(|peer| peer.order() < self.own.order()).count()
     }
 
-    /// The live gateways of an availability zone, this one left out.
+    /// Returns the other live gateways of an availability zone.
     pub fn in_zone<'a>(
         &'a self,
         zone: &'a ZoneName,
@@ -313,8 +325,11 @@
         live.map(|(address, _)| *address)
     }
 
-    /// How many gateways there are, this one included. Those that a sidecar named count before they are
-    /// heard of: what is shared by their number must not be taken twice by those that have just started.
+    /// Returns the number of gateways, including this one. Gateways that a sidecar has named count before
+    /// their first
+    ///
+    /// report. Otherwise, gateways that have just started would take too large a part of what is divided by
+    /// this number.
     #[must_use]
     pub fn count(&self, now: ClockTime) -> usize {
         let is_named = |named_at: &&ClockTime| now.since(**named_at) < ADDRESS_LIFE;
@@ -322,9 +337,11 @@
         1 + named.max(self.live(now).count())
     }
 
-    /// The gateway that plans: the fittest of those that hear most of the engines that anybody hears. One
-    /// that has just started, or is cut off from sidecars, takes engines for busy that wait for advice; for
-    /// as long as it planned, nothing would be loaded.
+    /// Returns the gateway that plans: the highest-ranked one among those that receive updates from most of
+    /// the engines. A
+    ///
+    /// gateway that has just started, or is partitioned from the sidecars, takes engines that wait for
+    /// advice for busy. No model would be loaded while it planned.
     #[must_use]
     pub fn planner(&self, now: ClockTime) -> SocketAddr {
         let peers = self.live(now).filter(|(_, kept)| !kept.report.leaving);
@@ -338,13 +355,13 @@
         fittest.map_or(self.own.address, |standing| standing.address)
     }
 
-    /// Whether this gateway plans.
+    /// Returns whether this gateway plans.
     #[must_use]
     pub fn is_planner(&self, now: ClockTime) -> bool {
         self.planner(now) == self.own.address
     }
 
-    /// The demand of all gateways, this one's own included.
+    /// Returns the demand of all gateways, including this one, by model.
     #[must_use]
     pub fn total(&self, own: &[ModelDemand], now: ClockTime) -> HashMap<ModelName, TotalDemand> {
         let mut total: HashMap<ModelName, TotalDemand> = HashMap::new();
@@ -360,7 +377,7 @@
         total
     }
 
-    /// The requests of all gateways at engines, this one's own included.
+    /// Returns the requests of all gateways, including this one, at each engine.
     #[must_use]
     pub fn uses(&self, own: &[ModelUse], now: ClockTime) -> FleetUses {
         let mut uses = FleetUses::default();
--- a/crates/oatpier-serving/src/reads.rs
+++ b/crates/oatpier-serving/src/reads.rs
@@ -1,12 +1,15 @@
-//! When a gateway reads the store, and what spares it a read.
+//! When a gateway reads the store, and how the reads of other gateways replace its own.
 //!
-//! The load: 68 gateways that each read configuration and registry every 1.8 s made nearly 40 calls a
-//! second, all of which said the same, and the thinnest of them spent a twentieth of their processor on
-//! decoding it. So who has read tells the gateways of its availability zone what has changed since its last
-//! read, with digests of what was there before and after. Who knows the one takes the change over, who knows the
-//! other knows it already, and neither need read; anybody else reads when that is due, as without a word.
-//! Nobody is elected: whoever is due first reads, and when it is gone the next one is due a moment later. A
-//! bound on how late a change is seen holds for each gateway by itself, whatever it hears.
+//!
+//! With 68 gateways that each read the configuration and the registry every 1.8 s, the store received
+//! nearly 40 calls per second that all returned the same data, and the smallest gateways spent a twentieth
+//! of their CPU time on decoding it. Therefore, a gateway that has read the store sends the gateways of its
+//! availability zone the changes since its previous read, with digests of the contents before and after. A
+//! gateway whose view matches the digest before applies the changes, and one whose view matches the digest
+//! after is up to date. Neither needs to read. All others read when their next read is due, as without the
+//! message. There is no election: the gateway that is due first reads, and if it fails the next one is due
+//! shortly after. Each gateway ensures by itself that it sees a change in time, whatever messages it
+//! receives.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,21 +25,27 @@
 use crate::directory::EndpointRecord;
 use crate::quota::tenure::{PartEntry, StoreEra};
 
-/// The least share of a period between two reads. Each gateway draws its own between this and the whole, so
-/// that the first of a zone's dozen reads and tells before the others are due.
+/// Minimum interval between two reads as a share of the period. Each gateway draws its interval between
+/// this share and
+///
+/// the whole period, so that the first of about twelve gateways in a zone reads and sends the changes
+/// before the others are due.
 const LEAST_SHARE: f64 = 0.75;
 
-/// Reads in a row that others may spare a gateway. What an engine holds is not in the digest, since sidecars
-/// tell it sooner; of an engine whose sidecar is not heard it gets this old.
+/// Maximum number of consecutive reads that messages of other gateways may replace. The digest leaves out
+/// what engines
+///
+/// hold, because sidecars report it sooner. If a sidecar's updates do not arrive, this bounds the age of
+/// that information.
 const MOST_SPARED: u32 = 20;
 
-/// A digest of what lies in the store: the configuration, and who is there.
+/// A digest of the store's contents: the configuration and the registered endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoreDigest(pub u64);
 
 impl StoreDigest {
-    /// The digest of a configuration, by its [`config_mark`], and of the registry.
+    /// Returns the digest of a configuration, given by its [`config_mark`], and of the registry.
     #[must_use]
     pub fn of(config_mark: u64, endpoints: &[EndpointRecord]) -> Self {
         let mut sorted: Vec<&EndpointRecord> = endpoints.iter().collect();
@@ -49,33 +58,40 @@
         Self(hasher.digest())
     }
 
-    /// The digest with what lies there of our own.
+    /// Returns the digest combined with that of the entries written by gateways and sidecars.
     #[must_use]
     fn with(self, own: OwnDigest) -> Self {
         Self(self.0 ^ own.0)
     }
 }
 
-/// What tells one configuration from another. Not its revision: a store that came back from an older copy gives
-/// revisions out again, and a gateway with the old configuration would take itself for one with the new.
+/// Returns a hash that identifies a configuration by its contents. The store's revision does not identify
+/// it: a store
+///
+/// restored from an older copy assigns revisions again, and a gateway with the old configuration would seem
+/// up to date.
 #[must_use]
 pub fn config_mark(value: &[u8]) -> u64 {
     xxh3_64(value)
 }
 
-/// What lies in the store that our own processes wrote, and which copy of the store it is.
+/// The entries in the store that gateways and sidecars wrote, and the copy of the store they were read
+/// from.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnEntries<'a> {
-    /// Requests that were at endpoints that ended.
+    /// Requests that were running at endpoints when those terminated.
     pub crashes: &'a [CrashRecord],
-    /// Who holds the parts of limits.
+    /// The holders of the parts of rate limits.
     pub parts: &'a [PartEntry],
-    /// Which copy it is: words of another one say nothing here.
+    /// The copy of the store. Messages about another copy are ignored.
     pub era: StoreEra,
 }
 
-/// A digest of that, 0 for nothing. Words between gateways do not carry it: who knows another one reads by itself,
-/// which costs each gateway a read or two after an endpoint's end.
+/// A digest of [`OwnEntries`], 0 if there are none. Messages between gateways do not carry the entries. A
+/// gateway with a
+///
+/// different digest reads the store itself, which costs each gateway one or two reads after an endpoint has
+/// terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct OwnDigest(u64);
 
@@ -97,13 +113,14 @@
     xxh3_64(format!("{}/{};", crash.fingerprint, crash.site).as_bytes())
 }
 
-/// Renewals change nothing for others, so they are left out.
+/// Returns the digest of the holder of a part. Renewals are left out because they are irrelevant to other
+/// gateways.
 fn digest_part(entry: &PartEntry) -> u64 {
     let record = &entry.record;
     xxh3_64(format!("{}={:?};", record.part, record.holder).as_bytes())
 }
 
-/// What of an endpoint goes into the digest.
+/// Returns the text that represents a registry entry in the digest.
 fn digest_row(record: &EndpointRecord) -> String {
     let start = record.start.map(|start| start.0);
     format!(
@@ -112,25 +129,27 @@
     )
 }
 
-/// Changes of the registry that one word carries; a word is one packet. After more, as when a fleet starts, each
-/// gateway reads by itself.
+/// Maximum number of registry changes in one message, so that it fits into one packet. After more changes,
+/// such as at
+///
+/// the start of a fleet, each gateway reads the store itself.
 const MOST_CHANGES: usize = 6;
 
-/// What a gateway has seen change in the store between two reads.
+/// The changes to the store that a gateway has seen between two reads.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoreWord {
-    /// What was there before.
+    /// Digest of the contents before the changes.
     pub before: StoreDigest,
-    /// What is there now.
+    /// Digest of the contents after the changes.
     pub now: StoreDigest,
-    /// Endpoints that have appeared or changed. Empty where there were too many.
+    /// Endpoints that were added or changed. Empty if there were more than fit into a message.
     pub changed: Vec<EndpointRecord>,
     /// Endpoints that are no longer listed.
     pub removed: Vec<EndpointName>,
 }
 
-/// What a gateway knows of the store.
+/// A gateway's view of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreView {
     config_mark: u64,
@@ -139,19 +158,19 @@
     digest: StoreDigest,
 }
 
-/// What a word of another gateway comes to.
+/// The result of applying another gateway's changes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WordOutcome {
-    /// The store holds what was known.
+    /// The view was already up to date.
     Same,
-    /// The store holds something else, which is now known.
+    /// The changes were applied to the view.
     Patched,
-    /// The word is about a store that was not known here: it says nothing.
+    /// The changes apply to other contents than those of the view, and were ignored.
     Unknown,
 }
 
 impl StoreView {
-    /// What a read brought.
+    /// Creates a view from the result of a read.
     #[must_use]
     pub fn new(config_mark: u64, endpoints: Vec<EndpointRecord>) -> Self {
         Self {
@@ -162,7 +181,7 @@
         }
     }
 
-    /// The same with what the read brought of our own.
+    /// Returns the view with the entries that gateways and sidecars wrote.
     #[must_use]
     pub fn with_own(self, own: &OwnEntries<'_>) -> Self {
         self.with_own_digest(OwnDigest::of(own))
@@ -177,13 +196,14 @@
         }
     }
 
-    /// The endpoints that are registered.
+    /// Returns the registered endpoints.
     #[must_use]
     pub fn endpoints(&self) -> &[EndpointRecord] {
         &self.endpoints
     }
 
-    /// What to tell others after a read, whose last one brought `before`.
+    /// Returns the changes to send to other gateways after a read, where `before` is the result of the
+    /// previous one.
     #[must_use]
     pub fn word_since(&self, before: Option<&Self>) -> StoreWord {
         let known = by_name(before.map_or(&[], Self::endpoints));
@@ -204,8 +224,10 @@
         }
     }
 
-    /// Takes another gateway's word over. What it comes to is checked by its digest: a word that leaves something
-    /// out, as a change of the configuration, is of no use.
+    /// Applies another gateway's changes. The result is checked against the digest, so changes that are
+    /// incomplete, for
+    ///
+    /// example because the configuration has changed, are rejected.
     pub fn take_word(&mut self, word: &StoreWord) -> WordOutcome {
         if word.now == self.digest {
             return WordOutcome::Same;
@@ -231,7 +253,7 @@
     endpoints.iter().map(|row| (&row.name, row)).collect()
 }
 
-/// When the store is read next.
+/// The schedule of reads of the store.
 #[derive(Debug)]
 pub struct ReadSchedule {
     generator: ChaCha8Rng,
@@ -240,7 +262,7 @@
 }
 
 impl ReadSchedule {
-    /// A schedule whose first read is due at once, and whose spread follows from `seed`.
+    /// Creates a schedule whose first read is due immediately. `seed` determines its random intervals.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -250,24 +272,24 @@
         }
     }
 
-    /// When the next read is due.
+    /// Returns when the next read is due.
     #[must_use]
     pub fn next_at(&self) -> ClockTime {
         self.next_at
     }
 
-    /// The store was read; a change must be seen within `period` from now.
+    /// Records a read that began at `begun`. A later change must be seen within `period` after that.
     pub fn note_read(&mut self, begun: ClockTime, period: Duration) {
         self.spared = 0;
         self.next_at = begun + self.pause(period);
     }
 
-    /// The store could not be read, and is to be read again at `at`.
+    /// Records that the store could not be read and is to be read again at `at`.
     pub fn note_failure(&mut self, at: ClockTime) {
         self.next_at = at;
     }
 
-    /// Another gateway has read the store, and what it saw is known here.
+    /// Records that another gateway has read the store and that its result is known here.
     pub fn note_told(&mut self, period: Duration, now: ClockTime) {
         if self.spared < MOST_SPARED {
             self.spared += 1;
--- a/crates/oatpier-serving/src/relays.rs
+++ b/crates/oatpier-serving/src/relays.rs
@@ -1,15 +1,19 @@
-//! Which gateways of each availability zone hear a sidecar, and what they pass on.
+//! The gateways of each availability zone that receive a sidecar's updates directly, and forwarding to the
+//! others.
 //!
-//! The load: with 68 gateways before 93 engines, sidecars that told every gateway sent 840 MB between
-//! availability zones within a minute, and told their load only every 0.8 s to bear that. Requests went to
-//! engines that were long full. So a sidecar tells two gateways of each zone, and each of these passes
-//! on what it hears to the others of its zone, many words in one datagram. What a sidecar sends then
-//! grows with the number of zones and not of gateways, and its load can be told as soon as it changes.
 //!
-//! Nobody elects relays: each sidecar draws its own from the gateways that greet it, by a hash that both
-//! its address and theirs go into. When one is gone only the sidecars that drew it draw another one. The chance to
-//! be drawn grows with the square of a gateway's processor: one that hears many sidecars passes on as much in a
-//! datagram as ten that hear few pass on in ten, and thin VMs need their processor for requests.
+//! With 68 gateways and 93 engines, sidecars that sent their updates to every gateway caused 840 MB of
+//! traffic between availability zones per minute, although they limited load updates to one every 0.8 s.
+//! Requests then went to engines that had long been full. Therefore, a sidecar sends its updates to two
+//! gateways of each zone, its relays. Each relay forwards what it receives to the other gateways of its
+//! zone, with many updates in one datagram. The traffic of a sidecar grows with the number of zones instead
+//! of gateways, and its load can be sent as soon as it changes.
+//!
+//! There is no election: each sidecar selects its relays from the gateways that greet it, by a hash of its
+//! address and theirs. If a relay fails, only the sidecars that had selected it select another one. The
+//! probability of selection grows with the square of a gateway's CPU allotment. One gateway that receives
+//! from many sidecars forwards as much in a datagram as ten that receive from few do in ten datagrams, and
+//! the smallest VMs need their CPU time for requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,32 +24,36 @@
 
 use crate::message::{EngineWord, MessageNumber};
 
-/// Relays that each sidecar has in a zone. One that was killed is greeted for by nobody and drops out after
-/// seconds; until then the other one is heard.
+/// Number of relays of a sidecar in each zone. A relay that was killed sends no more greetings and is
+/// dropped after some
+///
+/// seconds. Until then the updates arrive through the other one.
 const RELAYS_EACH: usize = 2;
 
-/// Whole pulses in one datagram: each takes some 400 bytes, and a datagram of more than one packet is lost if
-/// any of its packets is.
+/// Maximum number of full status updates per datagram. Each takes about 400 bytes, and a datagram of
+/// several packets is
+///
+/// lost if any one of them is lost.
 const PULSES_TOGETHER: usize = 3;
 
-/// Load pulses in one datagram, of some 45 bytes.
+/// Maximum number of load updates, of about 45 bytes each, per datagram.
 const LOADS_TOGETHER: usize = 24;
 
-/// A gateway that a sidecar may draw as a relay.
+/// A gateway that a sidecar may select as a relay.
 #[derive(Debug, Clone, Copy)]
 pub struct RelayCandidate<'a> {
     /// Its availability zone.
     pub zone: &'a ZoneName,
-    /// Where it hears.
+    /// The address that it listens on for gateways and sidecars.
     pub address: SocketAddr,
-    /// Its processor, in thousandths of a core.
+    /// Its CPU allotment in thousandths of a core.
     pub processor: u32,
 }
 
-/// A candidate's rank in its zone: the lower the better.
+/// Rank and address of a candidate in its zone. The lowest ranks are selected.
 type DrawnRelay = (f64, SocketAddr);
 
-/// The relays of a sidecar in all zones.
+/// Selects the relays of a sidecar in all zones.
 #[must_use]
 pub fn draw<'a>(
     sidecar: SocketAddr,
@@ -65,7 +73,10 @@
     relays
 }
 
-/// Weighted rendezvous hashing: the chance to come first is the candidate's share of all weights.
+/// Computes a rank by weighted rendezvous hashing: the probability of ranking first is the candidate's
+/// share of the
+///
+/// total weight.
 fn rank(sidecar: SocketAddr, candidate: &RelayCandidate<'_>) -> f64 {
     let mut hasher = Xxh3::new();
     for address in [sidecar, candidate.address] {
@@ -75,7 +86,8 @@
         }
         hasher.update(&address.port().to_le_bytes());
     }
-    // The upper 53 bits, so that every value has an exact fraction, which is never zero.
+    // Only the upper 53 bits are used, so that the conversion is exact. Adding 0.5 keeps the value above
+    // zero.
     #[expect(
         clippy::cast_precision_loss,
         reason = "a number of 53 bits is exact in a float"
@@ -84,7 +96,8 @@
     -uniform.ln() / f64::from(candidate.processor.max(1)).powi(2)
 }
 
-/// What a relay has heard from sidecars and not passed on yet: the newest word of each kind and engine.
+/// Updates that a relay has received from sidecars and not forwarded yet: the latest one of each kind and
+/// engine.
 #[derive(Debug, Default)]
 pub struct RelayQueue {
     pulses: HashMap<SocketAddr, EngineWord>,
@@ -92,7 +105,7 @@
 }
 
 impl RelayQueue {
-    /// A sidecar told something.
+    /// Queues an update, unless a newer one is queued.
     pub fn take(&mut self, word: EngineWord) {
         let kept = match &word {
             EngineWord::Pulse(_) => &mut self.pulses,
@@ -104,7 +117,7 @@
         }
     }
 
-    /// Another relay of the zone passed this on: who it told need not be told again.
+    /// Drops an update that another relay of the zone has already forwarded.
     pub fn note_passed_on(&mut self, word: &EngineWord) {
         let kept = match word {
             EngineWord::Pulse(_) => &mut self.pulses,
@@ -119,7 +132,7 @@
         }
     }
 
-    /// Everything that is to be passed on, in datagrams.
+    /// Removes all queued updates and returns them grouped by datagram.
     pub fn drain(&mut self) -> Vec<Vec<EngineWord>> {
         let mut datagrams = Vec::new();
         for (kept, most) in [
@@ -133,7 +146,8 @@
     }
 }
 
-/// Whether a word says all that another one of the same sidecar's incarnation does.
+/// Returns whether a forwarded update is of the same sidecar incarnation as the queued one and at least as
+/// new.
 fn is_covered(kept: MessageNumber, passed: MessageNumber) -> bool {
     kept.boot == passed.boot && kept.number <= passed.number
 }
--- a/crates/oatpier-serving/src/site.rs
+++ b/crates/oatpier-serving/src/site.rs
@@ -14,63 +14,63 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct SiteConfig {
-    /// Rises with each change, in uneven steps.
+    /// Version number, which increases with each change, not necessarily by one.
     pub version: u64,
-    /// Which requests go where.
+    /// The routes.
     pub routes: Vec<Arc<RouteRule>>,
-    /// What the routes lead to.
+    /// The services that the routes refer to.
     pub services: Vec<ServiceRule>,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests.
     pub limits: CallerLimits,
-    /// Whose requests are taken; none where callers need no keys.
+    /// The workspaces whose requests are accepted; `None` if callers need no keys.
     pub workspaces: Option<WorkspaceTable>,
 }
 
-/// Which requests belong to a class of work, and how they are served.
+/// The requests that belong to a class of work, and how they are served.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct RouteRule {
     /// The class of work.
     pub name: ClassName,
-    /// The host that callers name.
+    /// The host name in callers' requests.
     pub host: Arc<str>,
-    /// The start of the paths, with a slash at both ends.
+    /// The path prefix, with a slash at both ends.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// The kind of responses, and which requests may be repeated.
     pub kind: RouteKind,
-    /// The longest time that a request may be kept waiting.
+    /// The maximum time that a request may wait.
     pub timeout: Duration,
-    /// The time to the first piece of an answer that is in time.
+    /// The target for the time to the first chunk of a response.
     pub target: Duration,
-    /// Rank among classes, 0 first.
+    /// Rank among the classes, 0 first.
     pub priority: u8,
-    /// The services, with their shares.
+    /// The services with their weights.
     pub targets: SmallVec<[WeightedService; 2]>,
-    /// The most endpoints that one request may be sent to.
+    /// The maximum number of endpoints that one request may be sent to.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub is_public: bool,
 }
 
-/// What may be repeated, and what an answer looks like.
+/// The kind of responses of a route, and which of its requests may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum RouteKind {
-    /// Whole answers; running twice does no harm.
+    /// Complete responses; running a request twice does no harm.
     Safe,
-    /// Whole answers; at most one run.
+    /// Complete responses; a request may run at most once.
     Unsafe,
     /// Streams of events.
     Stream {
-        /// Whether a cut stream may go on elsewhere after the last event.
+        /// Whether an interrupted stream may be resumed at another endpoint after the last event.
         resumable: bool,
-        /// The longest pause between events that is in time.
+        /// The target for the maximum pause between events.
         pause: Duration,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be sent again.
     #[must_use]
     pub fn is_idempotent(self) -> bool {
         matches!(
@@ -83,7 +83,7 @@
         )
     }
 
-    /// Whether answers are streams.
+    /// Returns whether responses are streams.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
@@ -96,49 +96,51 @@
 pub struct WeightedService {
     /// The service.
     pub service: PoolName,
-    /// Its share, relative to the others.
+    /// Its share, relative to the weights of the others.
     pub weight: u32,
 }
 
-/// A service: endpoints that serve the same.
+/// A service: a set of endpoints that serve the same requests.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceRule {
     /// Its name.
     pub name: PoolName,
-    /// Where an endpoint says whether it is healthy, and which instance it is.
+    /// The path at which an endpoint reports its health and its instance.
     pub health_path: Arc<str>,
-    /// The most connections of all callers to one endpoint.
+    /// The maximum number of connections to one endpoint, over all callers.
     pub max_connections: usize,
-    /// What its engines may hold; none for a plain service.
+    /// The rules for its engines; `None` for a plain service.
     pub engine: Option<EngineRule>,
 }
 
-/// What the engines of a service may hold.
+/// The models that the engines of a service may hold, and the limits of those engines.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct EngineRule {
     /// Memory for weights and adapters, in MB.
     pub weights_mb: f64,
-    /// Memory of running requests and kept prompts, in tokens.
+    /// Memory for running requests and cached prompts, in tokens.
     pub memory_tokens: u64,
-    /// Adapters that fit at the same time.
+    /// Number of adapters that can be loaded at the same time.
     pub adapter_slots: usize,
-    /// Loads a second that the weight store allows over all engines.
+    /// Loads per second that the weight store allows, over all engines.
     pub loads_per_s: f64,
     /// The models.
     pub models: Vec<ModelRule>,
 }
 
 impl EngineRule {
-    /// A model by its name.
+    /// Returns a model by name.
     #[must_use]
     pub fn model(&self, name: &ModelName) -> Option<&ModelRule> {
         self.models.iter().find(|model| model.name == *name)
     }
 
-    /// Memory that models may take, in MB: what is left when every adapter slot holds the
-    /// largest adapter. Adapters then never compete with weights.
+    /// Returns the memory available to models, in MB, which is what remains if every adapter slot holds the
+    /// largest adapter.
+    ///
+    /// Adapters then never compete with weights for memory.
     #[must_use]
     pub fn model_room_mb(&self) -> f64 {
         let largest = self.models.iter().map(|model| model.adapter_mb);
@@ -154,20 +156,20 @@
 pub struct ModelRule {
     /// Its name.
     pub name: ModelName,
-    /// Its weights, in MB.
+    /// Size of its weights, in MB.
     pub size_mb: f64,
-    /// A load from the weight store, alone.
+    /// Duration of a load from the weight store without concurrent loads.
     pub load: Duration,
-    /// A load from the engine's disk.
+    /// Duration of a load from the engine's disk.
     pub load_from_disk: Duration,
-    /// A load from the engine's host memory.
+    /// Duration of a load from the engine's host memory.
     pub load_from_memory: Duration,
-    /// An adapter's weights, in MB.
+    /// Size of an adapter's weights, in MB.
     pub adapter_mb: f64,
 }
 
 impl ModelRule {
-    /// How long a load takes where the engine has these copies.
+    /// Returns the duration of a load at an engine with the given local copies.
     #[must_use]
     pub fn load_with(&self, copies: &LocalCopies) -> Duration {
         if copies.in_memory.contains(&self.name) {
@@ -180,22 +182,22 @@
     }
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// The longest time for a head to come.
+    /// Maximum time for a request head to arrive.
     pub head_wait: Duration,
-    /// How long an unused connection is kept.
+    /// Time for which an idle connection is kept open.
     pub idle: Duration,
 }
 
 impl SiteConfig {
-    /// The route of a request: the longest matching prefix among those of its host.
+    /// Returns the route of a request, which has the longest matching prefix among the routes of its host.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let host = host_name(host);
@@ -206,14 +208,14 @@
             .max_by_key(|route| route.prefix.len())
     }
 
-    /// A service by its name.
+    /// Returns a service by name.
     #[must_use]
     pub fn service(&self, name: &PoolName) -> Option<&ServiceRule> {
         self.services.iter().find(|service| service.name == *name)
     }
 }
 
-/// The host without its port.
+/// Returns the host without its port.
 fn host_name(host: &str) -> &str {
     host.rsplit_once(':').map_or(host, |(name, port)| {
         let is_port = !port.is_empty() && port.bytes().all(|byte| byte.is_ascii_digit());
