--- a/crates/oatpier-serving/src/directory/departures.rs
+++ b/crates/oatpier-serving/src/directory/departures.rs
@@ -15,13 +15,13 @@
 use crate::engine::StartTime;
 
 /// Time for which an endpoint that has left is remembered. A copy of the store is some seconds old.
-const REMEMBERED: Duration = Duration::from_mins(1);
+const DEPARTURE_RETENTION: Duration = Duration::from_mins(1);
 
 /// Time after the store's recovery for which an endpoint that had left is excluded. The entry of a dead
 /// endpoint expires
 ///
 /// earlier, after three heartbeats of about 1.2 s each.
-const HELD_OUT: Duration = Duration::from_secs(5);
+const RESTORE_EXCLUSION: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
 struct Departure {
@@ -32,16 +32,16 @@
 
 /// Endpoints that have left recently.
 #[derive(Debug, Default)]
-pub(super) struct Departures {
+pub(super) struct DepartedEndpoints {
     departed: HashMap<EndpointName, Departure>,
-    returned_at: Option<ClockTime>,
+    restored_at: Option<ClockTime>,
 }
 
-impl Departures {
+impl DepartedEndpoints {
     /// Records that an endpoint is no longer listed.
-    pub(super) fn note(&mut self, record: &EndpointRecord, now: ClockTime) {
+    pub(super) fn record(&mut self, record: &EndpointRecord, now: ClockTime) {
         self.departed
-            .retain(|_, departure| now.since(departure.at) < REMEMBERED);
+            .retain(|_, departure| now.since(departure.at) < DEPARTURE_RETENTION);
         let departure = Departure {
             start: record.start,
             was_draining: record.draining,
@@ -52,20 +52,20 @@
 
     /// Records that the store was restored from an older copy.
     pub(super) fn note_store_return(&mut self, now: ClockTime) {
-        self.returned_at = Some(now);
+        self.restored_at = Some(now);
     }
 
     /// Returns whether an entry belongs to an incarnation that has left and must not be added again.
-    pub(super) fn hold(&self, record: &EndpointRecord, now: ClockTime) -> bool {
+    pub(super) fn is_excluded(&self, record: &EndpointRecord, now: ClockTime) -> bool {
         let Some(departure) = self.departed.get(&record.name) else {
             return false;
         };
-        if departure.start != record.start || now.since(departure.at) >= REMEMBERED {
+        if departure.start != record.start || now.since(departure.at) >= DEPARTURE_RETENTION {
             return false;
         }
-        let held_out = self
-            .returned_at
-            .is_some_and(|at| at >= departure.at && now.since(at) < HELD_OUT);
-        departure.was_draining || held_out
+        let is_recently_restored = self
+            .restored_at
+            .is_some_and(|at| at >= departure.at && now.since(at) < RESTORE_EXCLUSION);
+        departure.was_draining || is_recently_restored
     }
 }
--- a/crates/oatpier-serving/src/directory/fate.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -15,7 +15,7 @@
 ///
 /// times a second and relays forward updates within 100 ms. An update that arrives later than this after
 /// the break was produced after it.
-const WORD_AGE: Duration = Duration::from_millis(400);
+const MAX_UPDATE_AGE: Duration = Duration::from_millis(400);
 
 impl EndpointDirectory {
     /// Returns the incarnation that a request was sent to, unless it is leaving. Endpoints that leave
@@ -31,8 +31,8 @@
         now: ClockTime,
     ) -> Option<(CrashSite, EndpointIndex)> {
         let row = self.row(name)?;
-        let is_sent_there = index.is_none_or(|index| index == row.index);
-        if !is_sent_there || !row.is_open(now) {
+        let is_same_incarnation = index.is_none_or(|index| index == row.index);
+        if !is_same_incarnation || !row.is_open(now) {
             return None;
         }
         let site = CrashSite::new(row.record.name.clone(), row.record.start);
@@ -53,11 +53,11 @@
             return EndpointFate::Ended;
         };
         let is_refused = row.refused_at.is_some_and(|at| at >= since);
-        if row.index != index || row.gone || is_refused || row.has_fallen_silent(now) {
+        if row.index != index || row.is_gone || is_refused || row.is_unresponsive(now) {
             return EndpointFate::Ended;
         }
         let has_served = row.served_at.is_some_and(|at| at > since);
-        if has_served || row.has_answered_sidecar(since + WORD_AGE, now) {
+        if has_served || row.has_responded_to_sidecar(since + MAX_UPDATE_AGE, now) {
             return EndpointFate::Alive;
         }
         EndpointFate::Unknown
@@ -66,11 +66,11 @@
 
 impl EndpointRow {
     /// Returns whether the engine's sidecar, on the same VM, gets no answer from it.
-    fn has_fallen_silent(&self, now: ClockTime) -> bool {
+    fn is_unresponsive(&self, now: ClockTime) -> bool {
         self.pulse(now).is_some_and(|pulse| !pulse.answers)
     }
 
-    fn has_answered_sidecar(&self, after: ClockTime, now: ClockTime) -> bool {
+    fn has_responded_to_sidecar(&self, after: ClockTime, now: ClockTime) -> bool {
         let kept = self.pulse.as_ref();
         let is_later = kept.is_some_and(|kept| kept.whole_at >= after);
         is_later && self.pulse(now).is_some_and(|pulse| pulse.answers)
--- a/crates/oatpier-serving/src/directory/mod.rs
+++ b/crates/oatpier-serving/src/directory/mod.rs
@@ -6,7 +6,7 @@
 //! endpoint a moment ago. For each fact the newest source applies.
 
 mod departures;
-mod fate;
+mod liveness;
 mod notices;
 mod pulse;
 mod requests;
@@ -27,16 +27,16 @@
 use crate::message::{AdapterUse, EnginePulse, LoadPulse, ModelUse};
 use crate::reading::ReadingPaces;
 
-use departures::Departures;
+use departures::DepartedEndpoints;
 pub use notices::HeardNotice;
 pub use requests::EndpointOutcome;
-pub use row::{AdapterState, EndpointRecord, EndpointRow, NamedLimit, PULSE_LIFE};
+pub use row::{AdapterState, EndpointRecord, EndpointRow, PULSE_EXPIRY, ReportedLimit};
 
 /// Time after the store's recovery within which an endpoint may still rewrite an entry that is missing from
 /// the
 ///
 /// registry. The platform guarantees about two seconds.
-pub const REGISTRY_SETTLE: Duration = Duration::from_millis(2_200);
+pub const REGISTRY_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Units per block in the prefix index. A block stands for one part of a prompt, and parts differ in length. A large
 /// unit keeps the rounding error small.
@@ -46,7 +46,7 @@
 /// prompts and
 ///
 /// takes 1.5 MB.
-const REMEMBERED_PARTS: usize = 1 << 16;
+const PREFIX_INDEX_BLOCKS: usize = 1 << 16;
 
 /// A change in the set of endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -63,12 +63,12 @@
 
 /// Allocates a separate index in the health and prefix tables for each incarnation of an endpoint.
 #[derive(Debug, Default)]
-struct IndexSource {
+struct IndexAllocator {
     next: u32,
 }
 
-impl IndexSource {
-    fn draw(&mut self) -> EndpointIndex {
+impl IndexAllocator {
+    fn allocate(&mut self) -> EndpointIndex {
         let index = EndpointIndex(self.next);
         self.next += 1;
         index
@@ -81,12 +81,12 @@
     rows: HashMap<EndpointName, EndpointRow>,
     by_address: HashMap<SocketAddr, EndpointName>,
     by_service: HashMap<PoolName, Vec<EndpointName>>,
-    indices: IndexSource,
+    indices: IndexAllocator,
     health: HealthTracker,
     prefixes: PrefixIndex,
     paces: ReadingPaces,
     store_failed_at: Option<ClockTime>,
-    departures: Departures,
+    departures: DepartedEndpoints,
 }
 
 impl Default for EndpointDirectory {
@@ -95,19 +95,19 @@
             rows: HashMap::new(),
             by_address: HashMap::new(),
             by_service: HashMap::new(),
-            indices: IndexSource::default(),
+            indices: IndexAllocator::default(),
             health: HealthTracker::new(HealthSettings {
                 longest_backoff: Duration::from_secs(4),
                 ..HealthSettings::default()
             }),
             prefixes: PrefixIndex::new(PrefixSettings {
-                blocks: REMEMBERED_PARTS,
+                blocks: PREFIX_INDEX_BLOCKS,
                 block_tokens: PART_UNITS,
                 ..PrefixSettings::default()
             }),
             paces: ReadingPaces::default(),
             store_failed_at: None,
-            departures: Departures::default(),
+            departures: DepartedEndpoints::default(),
         }
     }
 }
@@ -137,12 +137,13 @@
         let mut changes = Vec::new();
         let listed: Vec<EndpointName> = records.iter().map(|record| record.name.clone()).collect();
         for record in records {
-            let is_stale = self.is_superseded(&record, now) || self.departures.hold(&record, now);
-            if !is_stale {
-                self.take_record(record, now, &mut changes);
+            let is_ignored =
+                self.is_superseded(&record, now) || self.departures.is_excluded(&record, now);
+            if !is_ignored {
+                self.apply_record(record, now, &mut changes);
             }
         }
-        if !self.is_settling(now) {
+        if !self.is_recovering(now) {
             self.drop_missing(&listed, now, &mut changes);
         }
         if !changes.is_empty() {
@@ -155,9 +156,9 @@
     /// rewritten, and
     ///
     /// treating their endpoints as gone would refuse requests that can be served.
-    fn is_settling(&self, now: ClockTime) -> bool {
+    fn is_recovering(&self, now: ClockTime) -> bool {
         self.store_failed_at
-            .is_some_and(|at| now.since(at) < REGISTRY_SETTLE)
+            .is_some_and(|at| now.since(at) < REGISTRY_GRACE)
     }
 
     /// Returns whether the record is of an endpoint whose successor at the same address has already
@@ -172,7 +173,7 @@
         present.is_some_and(|row| row.record.name != record.name && row.is_adopted(now))
     }
 
-    fn take_record(
+    fn apply_record(
         &mut self,
         record: EndpointRecord,
         now: ClockTime,
@@ -180,13 +181,13 @@
     ) {
         let name = record.name.clone();
         let Some(row) = self.rows.get_mut(&name) else {
-            let index = self.indices.draw();
+            let index = self.indices.allocate();
             self.rows
                 .insert(name.clone(), EndpointRow::new(record, index));
             changes.push(DirectoryChange::Appeared(name));
             return;
         };
-        if row.is_other_start(record.start) {
+        if row.is_other_incarnation(record.start) {
             // The sidecar reads its engine's report on the same VM several times a second, while the
             // registry lists an
             //
@@ -194,7 +195,7 @@
             if row.pulse(now).is_some_and(|pulse| pulse.start.is_some()) {
                 return;
             }
-            let index = self.indices.draw();
+            let index = self.indices.allocate();
             row.restart(record, index);
             changes.push(DirectoryChange::Restarted(name));
             return;
@@ -229,7 +230,7 @@
             .collect();
         for name in missing {
             if let Some(row) = self.rows.remove(&name) {
-                self.departures.note(&row.record, now);
+                self.departures.record(&row.record, now);
             }
             changes.push(DirectoryChange::Gone(name));
         }
@@ -249,7 +250,7 @@
             // address describe the later one.
             let known = self.by_address.get(&record.address);
             let known = known.and_then(|name| self.rows.get(name));
-            if known.is_none_or(|known| known.gone || known.index.0 < row.index.0) {
+            if known.is_none_or(|known| known.is_gone || known.index.0 < row.index.0) {
                 self.by_address.insert(record.address, name.clone());
             }
             let service = self.by_service.entry(record.service.clone()).or_default();
@@ -261,7 +262,7 @@
     pub fn take_pulse(&mut self, pulse: EnginePulse, now: ClockTime) -> bool {
         let known = self.by_address.get(&pulse.engine);
         let replaced = pulse.instance.clone().zip(known.cloned());
-        let changed = self.keep_pulse(pulse, now);
+        let changed = self.store_pulse(pulse, now);
         if let Some((instance, known)) = replaced
             && instance != known
         {
@@ -271,7 +272,7 @@
         changed
     }
 
-    fn keep_pulse(&mut self, pulse: EnginePulse, now: ClockTime) -> bool {
+    fn store_pulse(&mut self, pulse: EnginePulse, now: ClockTime) -> bool {
         let Some(row) = self
             .by_address
             .get(&pulse.engine)
@@ -283,13 +284,13 @@
         if kept.is_some_and(|kept| !pulse.number.supersedes(kept.pulse.number)) {
             return false;
         }
-        if row.is_other_start(pulse.start) {
+        if row.is_other_incarnation(pulse.start) {
             let record = EndpointRecord {
                 start: pulse.start,
                 draining: false,
                 ..row.record.clone()
             };
-            row.restart(record, self.indices.draw());
+            row.restart(record, self.indices.allocate());
         }
         row.record.start = pulse.start.or(row.record.start);
         let kept = row.pulse.as_ref();
@@ -298,7 +299,7 @@
                 || kept.pulse.retiring != pulse.retiring
                 || kept.pulse.draining != pulse.draining
         });
-        row.keep(pulse, now);
+        row.store_pulse(pulse, now);
         changed
     }
 
@@ -319,14 +320,14 @@
         };
         if kept.take_load(load) {
             kept.at = now;
-            row.load.renew(load.load);
+            row.load.reset(load.load);
         }
     }
 
     /// Applies the load that a response reported.
     pub fn take_load(&mut self, name: &EndpointName, load: EndpointLoad) {
         if let Some(row) = self.rows.get_mut(name) {
-            row.load.renew(load);
+            row.load.reset(load);
         }
     }
 
@@ -345,15 +346,15 @@
         let Some(row) = self.rows.get_mut(name) else {
             return;
         };
-        row.gone = true;
-        let vouched = row.pulse(now).is_some_and(|pulse| {
+        row.is_gone = true;
+        let is_same_service = row.pulse(now).is_some_and(|pulse| {
             pulse.answers && pulse.service.as_ref() == Some(&row.record.service)
         });
-        let Some(successor) = successor.filter(|_| vouched) else {
+        let Some(successor) = successor.filter(|_| is_same_service) else {
             return;
         };
         if self.rows.contains_key(successor) {
-            self.hand_pulse_over(name, successor);
+            self.move_pulse(name, successor);
             return;
         }
         if let Some(old) = self.rows.remove(name) {
@@ -364,17 +365,17 @@
     }
 
     /// Moves the status update received under the engine's previous name to its current name.
-    fn hand_pulse_over(&mut self, name: &EndpointName, successor: &EndpointName) {
+    fn move_pulse(&mut self, name: &EndpointName, successor: &EndpointName) {
         let pulse = self.rows.get_mut(name).and_then(|row| row.pulse.take());
         if let Some(row) = self.rows.get_mut(successor) {
-            row.gone = false;
+            row.is_gone = false;
             row.pulse = pulse.or(row.pulse.take());
         }
         self.rebuild();
     }
 
     fn adopt(&mut self, old: EndpointRow, name: EndpointName, now: ClockTime) -> EndpointRow {
-        let index = self.indices.draw();
+        let index = self.indices.allocate();
         // The start time of the predecessor does not apply. If it were kept, the sidecar's next update
         // would look like one
         //
--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -7,7 +7,7 @@
 use smallvec::SmallVec;
 
 use super::rest::RestState;
-use super::row::NamedLimit;
+use super::row::ReportedLimit;
 use super::{EndpointDirectory, EndpointRow};
 use crate::message::{LeavingWord, LimitWord};
 use crate::notice::{EndpointNotice, NoticeChange, NoticeValue, RequestRate, RestSpan};
@@ -48,12 +48,12 @@
         };
         let notice = heard.notice;
         let changes = [
-            row.take_rate(notice.rate, heard.sent_at, now),
-            row.take_leaving(notice.leaving),
-            row.take_rest(notice.rest, now),
+            row.apply_rate(notice.rate, heard.sent_at, now),
+            row.apply_leaving(notice.leaving),
+            row.apply_rest(notice.rest, now),
         ];
         if heard.was_taken {
-            row.note_taken(heard.sent_at);
+            row.note_accepted(heard.sent_at);
         }
         changes.into_iter().flatten().collect()
     }
@@ -61,20 +61,20 @@
     /// Applies a rate limit that another gateway has received from the endpoint.
     pub fn take_limit_word(&mut self, word: &LimitWord, now: ClockTime) -> Option<NoticeChange> {
         let row = self.rows.get_mut(&word.endpoint)?;
-        if row.is_other_start(word.start) {
+        if row.is_other_incarnation(word.start) {
             return None;
         }
-        let named = word.rate.map_or(NoticeValue::Absent, NoticeValue::Given);
-        row.take_rate(named, now - word.sent_ago(), now)
+        let reported = word.rate.map_or(NoticeValue::Absent, NoticeValue::Given);
+        row.apply_rate(reported, now - word.sent_ago(), now)
     }
 
     /// Applies a report by another gateway that an endpoint is leaving.
     pub fn take_leaving_word(&mut self, word: &LeavingWord) -> Option<NoticeChange> {
         let row = self.rows.get_mut(&word.endpoint)?;
-        if row.is_other_start(word.start) {
+        if row.is_other_incarnation(word.start) {
             return None;
         }
-        row.take_leaving(NoticeValue::Given(true))
+        row.apply_leaving(NoticeValue::Given(true))
     }
 
     /// Returns the message that tells other gateways this gateway's view of an endpoint's rate limit, dated
@@ -149,7 +149,7 @@
     /// Returns the number of endpoints that have reported that they are leaving.
     #[must_use]
     pub fn said_leaving(&self) -> usize {
-        self.rows.values().filter(|row| row.says_leaving).count()
+        self.rows.values().filter(|row| row.is_leaving).count()
     }
 
     /// Returns the number of endpoints that have currently asked this gateway to send no requests.
@@ -171,11 +171,11 @@
     /// whatever later
     ///
     /// responses, the registry or its sidecar report.
-    fn take_leaving(&mut self, leaving: NoticeValue<bool>) -> Option<NoticeChange> {
+    fn apply_leaving(&mut self, leaving: NoticeValue<bool>) -> Option<NoticeChange> {
         match leaving {
             NoticeValue::Given(true) => {
                 self.record.draining = true;
-                let is_known = std::mem::replace(&mut self.says_leaving, true);
+                let is_known = std::mem::replace(&mut self.is_leaving, true);
                 (!is_known).then_some(NoticeChange::Leaving)
             }
             NoticeValue::Unusable => Some(NoticeChange::LeavingUnusable),
@@ -187,7 +187,7 @@
     /// every one that it
     ///
     /// has requested.
-    fn take_rest(&mut self, rest: NoticeValue<RestSpan>, now: ClockTime) -> Option<NoticeChange> {
+    fn apply_rest(&mut self, rest: NoticeValue<RestSpan>, now: ClockTime) -> Option<NoticeChange> {
         let span = match rest {
             NoticeValue::Given(span) => span,
             NoticeValue::Unusable => RestSpan::UNREADABLE,
@@ -204,12 +204,12 @@
         }
     }
 
-    fn note_taken(&mut self, sent_at: ClockTime) {
+    fn note_accepted(&mut self, sent_at: ClockTime) {
         let slots = self.record.slots;
         let is_over = self
             .rest
             .as_mut()
-            .is_some_and(|rest| rest.note_taken(sent_at, slots));
+            .is_some_and(|rest| rest.note_accepted(sent_at, slots));
         if is_over {
             self.rest = None;
         }
@@ -219,14 +219,14 @@
     /// order, a higher
     ///
     /// rate, or none, takes effect only if the request was sent after the limit was last reported.
-    pub(super) fn take_rate(
+    pub(super) fn apply_rate(
         &mut self,
-        named: NoticeValue<RequestRate>,
+        reported: NoticeValue<RequestRate>,
         sent_at: ClockTime,
         now: ClockTime,
     ) -> Option<NoticeChange> {
-        let is_later = self.limit.is_none_or(|limit| sent_at > limit.named_at);
-        match (named, self.limit) {
+        let is_later = self.limit.is_none_or(|limit| sent_at > limit.reported_at);
+        match (reported, self.limit) {
             (NoticeValue::Unusable, _) => Some(NoticeChange::RateUnusable),
             (NoticeValue::Absent, Some(_)) if is_later => {
                 self.limit = None;
@@ -242,10 +242,10 @@
                 let turns = known
                     .filter(|_| !is_raised)
                     .map_or(TurnEstimates::default(), |known| known.turns);
-                self.limit = Some(NamedLimit {
+                self.limit = Some(ReportedLimit {
                     rate: kept,
                     since: known.map_or(now, |known| known.since),
-                    named_at: now,
+                    reported_at: now,
                     sent_at: known.map_or(sent_at, |known| known.sent_at.max(sent_at)),
                     turns,
                 });
--- a/crates/oatpier-serving/src/directory/pulse.rs
+++ b/crates/oatpier-serving/src/directory/pulse.rs
@@ -7,14 +7,14 @@
 
 /// The load of an endpoint: the latest report and the changes since then that this gateway caused.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct LoadView {
+pub(super) struct LoadEstimate {
     reported: EndpointLoad,
     pub(super) sent_since: u32,
     pub(super) ended_since: u32,
 }
 
-impl LoadView {
-    pub(super) fn renew(&mut self, load: EndpointLoad) {
+impl LoadEstimate {
+    pub(super) fn reset(&mut self, load: EndpointLoad) {
         *self = Self {
             reported: load,
             ..Self::default()
@@ -34,7 +34,7 @@
 
 /// The latest status update of a sidecar.
 #[derive(Debug, Clone)]
-pub(super) struct KeptPulse {
+pub(super) struct LatestPulse {
     pub(super) pulse: EnginePulse,
     /// Number of the message that the load in `pulse` comes from.
     pub(super) load_number: MessageNumber,
@@ -43,7 +43,7 @@
     pub(super) whole_at: ClockTime,
 }
 
-impl KeptPulse {
+impl LatestPulse {
     /// Applies a load update, unless a newer one has been applied. Returns whether it was applied.
     pub(super) fn take_load(&mut self, load: &LoadPulse) -> bool {
         let known = self.load_number;
--- a/crates/oatpier-serving/src/directory/requests.rs
+++ b/crates/oatpier-serving/src/directory/requests.rs
@@ -35,9 +35,9 @@
 
 /// Weight of a server error as a failure of the endpoint: some classes of requests fail regardless of the
 /// endpoint.
-const ERROR_BLAME: f64 = 0.3;
+const SERVER_ERROR_WEIGHT: f64 = 0.3;
 /// Weight of a refusal as a failure of the endpoint: it may only be full for a moment.
-const REFUSAL_BLAME: f64 = 0.4;
+const REFUSAL_WEIGHT: f64 = 0.4;
 
 impl EndpointDirectory {
     /// Records that a request was sent.
@@ -157,13 +157,13 @@
         let predicted = Duration::from_secs_f64(row.first.mean_ms() / 1e3) + reading;
         row.first.note(took.saturating_sub(reading));
         let index = row.index;
-        self.judge(index, AttemptEvidence::FirstFrame { took, predicted }, now);
+        self.apply_evidence(index, AttemptEvidence::FirstFrame { took, predicted }, now);
     }
 
     /// Records that nothing has arrived from the endpoint since `since`.
     pub fn note_silence(&mut self, name: &EndpointName, since: ClockTime, now: ClockTime) {
         if let Some(row) = self.rows.get(name) {
-            self.judge(row.index, AttemptEvidence::Silent { since }, now);
+            self.apply_evidence(row.index, AttemptEvidence::Silent { since }, now);
         }
     }
 
@@ -203,27 +203,27 @@
                 row.served_at = row.served_at.max(Some(now - held));
                 row.hold.note(held);
                 row.failures.note(0.0, now);
-                self.judge(index, AttemptEvidence::Ended, now);
+                self.apply_evidence(index, AttemptEvidence::Ended, now);
             }
-            EndpointOutcome::ServerError => row.failures.note(ERROR_BLAME, now),
-            EndpointOutcome::Refused => row.failures.note(REFUSAL_BLAME, now),
+            EndpointOutcome::ServerError => row.failures.note(SERVER_ERROR_WEIGHT, now),
+            EndpointOutcome::Refused => row.failures.note(REFUSAL_WEIGHT, now),
             EndpointOutcome::Unreachable | EndpointOutcome::ConnectionRefused => {
                 if outcome == EndpointOutcome::ConnectionRefused {
                     row.refused_at = Some(now);
                 }
                 row.failures.note(1.0, now);
-                self.judge(index, AttemptEvidence::ConnectFailed, now);
+                self.apply_evidence(index, AttemptEvidence::ConnectFailed, now);
             }
             EndpointOutcome::Broken => {
                 row.failures.note(1.0, now);
-                self.judge(index, AttemptEvidence::Cut, now);
+                self.apply_evidence(index, AttemptEvidence::Cut, now);
             }
             EndpointOutcome::Abandoned => {}
         }
         makes_room
     }
 
-    fn judge(&mut self, index: EndpointIndex, evidence: AttemptEvidence, now: ClockTime) {
+    fn apply_evidence(&mut self, index: EndpointIndex, evidence: AttemptEvidence, now: ClockTime) {
         match self.health.note(index, evidence, now) {
             Some(HealthChange::Eject(fault)) => self.health.eject(index, fault, now),
             Some(HealthChange::Reinstate) => self.health.reinstate(index, now),
--- a/crates/oatpier-serving/src/directory/rest.rs
+++ b/crates/oatpier-serving/src/directory/rest.rs
@@ -10,10 +10,10 @@
 use oatpier_types::clock::ClockTime;
 
 /// Requests allowed for each one that the endpoint accepts after its rest period.
-const TRIES_EACH: u32 = 2;
+const REQUESTS_PER_ACCEPTED: u32 = 2;
 
 /// Time without an answer to a probe after which another one is allowed.
-const TRY_AGAIN: Duration = Duration::from_millis(500);
+const PROBE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The rest period of an endpoint and the ramp-up after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,8 +22,8 @@
     pub(super) since: ClockTime,
     until: ClockTime,
     /// Number of requests that may be sent now.
-    tries: u32,
-    tried_at: ClockTime,
+    allowance: u32,
+    last_sent_at: ClockTime,
 }
 
 impl RestState {
@@ -33,36 +33,36 @@
         Self {
             since: known.map_or(now, |known| known.since),
             until: known.map_or(until, |known| known.until.max(until)),
-            tries: 1,
-            tried_at: ClockTime::ZERO,
+            allowance: 1,
+            last_sent_at: ClockTime::ZERO,
         }
     }
 
     /// Returns the time until the rest period ends.
-    pub(super) fn left(&self, now: ClockTime) -> Duration {
+    pub(super) fn remaining(&self, now: ClockTime) -> Duration {
         self.until.since(now)
     }
 
     /// Returns whether a request may be sent.
-    pub(super) fn may_try(&self, now: ClockTime) -> bool {
+    pub(super) fn allows_request(&self, now: ClockTime) -> bool {
         let is_over = now >= self.until;
-        is_over && (self.tries > 0 || now.since(self.tried_at) >= TRY_AGAIN)
+        is_over && (self.allowance > 0 || now.since(self.last_sent_at) >= PROBE_RETRY_DELAY)
     }
 
     /// Records that a request is sent.
     pub(super) fn note_sent(&mut self, now: ClockTime) {
-        self.tries = self.tries.saturating_sub(1);
-        self.tried_at = now;
+        self.allowance = self.allowance.saturating_sub(1);
+        self.last_sent_at = now;
     }
 
     /// Records that a request sent at `sent_at` was accepted, and returns whether the ramp-up is complete
     /// for an endpoint
     ///
     /// with `slots` slots.
-    pub(super) fn note_taken(&mut self, sent_at: ClockTime, slots: u32) -> bool {
+    pub(super) fn note_accepted(&mut self, sent_at: ClockTime, slots: u32) -> bool {
         if sent_at >= self.until {
-            self.tries += TRIES_EACH;
+            self.allowance += REQUESTS_PER_ACCEPTED;
         }
-        self.tries >= slots.max(1)
+        self.allowance >= slots.max(1)
     }
 }
--- a/crates/oatpier-serving/src/directory/row.rs
+++ b/crates/oatpier-serving/src/directory/row.rs
@@ -9,11 +9,11 @@
 use oatpier_types::names::{AdapterName, EndpointName, ModelName, PoolName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-use super::REGISTRY_SETTLE;
-use super::pulse::{KeptPulse, LoadView};
+use super::REGISTRY_GRACE;
+use super::pulse::{LatestPulse, LoadEstimate};
 use super::rest::RestState;
 use crate::engine::{AdapterKey, HeldModel, LocalCopies, StartTime};
-use crate::health::{FailureShare, PaceEstimate};
+use crate::health::{DurationEstimate, FailureShare};
 use crate::message::EnginePulse;
 use crate::notice::RequestRate;
 use crate::quota::turns::TurnEstimates;
@@ -24,49 +24,49 @@
 /// an idle
 ///
 /// sidecar.
-pub const PULSE_LIFE: Duration = Duration::from_millis(1_500);
+pub const PULSE_EXPIRY: Duration = Duration::from_millis(1_500);
 
 /// Time without an update after which a sidecar is overdue. Sidecars send an update at least every 0.8 s,
 /// and every
 ///
 /// 100 ms while the engine is working.
-const PULSE_DUE: Duration = Duration::from_secs(1);
+const PULSE_OVERDUE_AFTER: Duration = Duration::from_secs(1);
 
 /// Minimum remaining time assumed for a load in progress. It applies to a load that exceeds its expected
 /// duration,
 ///
 /// because engines report no progress.
-const READY_LEAST: Duration = Duration::from_millis(200);
+const MIN_REMAINING_LOAD: Duration = Duration::from_millis(200);
 
 /// Additional load time assumed while the engine waits for the streams of another model to end. They end
 /// one by one, and
 ///
 /// a stream takes one to a few seconds.
-const DRAIN_GUESS: Duration = Duration::from_secs(1);
+const INITIAL_DRAIN_TIME: Duration = Duration::from_secs(1);
 
 /// Initial estimate of the time to the first chunk, in milliseconds, not counting the prefill. It covers
 /// one step of an
 ///
 /// engine under low load and the network latency.
-const FIRST_GUESS_MS: f64 = 15.0;
+const INITIAL_FIRST_CHUNK_MS: f64 = 15.0;
 
 /// Initial estimate of how long a request holds a slot, in milliseconds. It corresponds to a few hundred
 /// tokens at an
 ///
 /// engine under low load.
-const HOLD_GUESS_MS: f64 = 700.0;
+const INITIAL_HOLD_MS: f64 = 700.0;
 
-/// Like [`HOLD_GUESS_MS`], for a plain service.
-const SERVICE_HOLD_GUESS_MS: f64 = 30.0;
+/// Like [`INITIAL_HOLD_MS`], for a plain service.
+const INITIAL_SERVICE_HOLD_MS: f64 = 30.0;
 
 /// An endpoint is throttled if its rate limit keeps its running requests below this share of its slots: it
 /// then holds
 ///
 /// its models for few requests.
-const SQUEEZED_SHARE: f64 = 0.25;
+const THROTTLED_SHARE: f64 = 0.25;
 
 /// A rate limit or rest period that ends within this time does not justify loading the model elsewhere.
-const SQUEEZED_AFTER: Duration = Duration::from_secs(2);
+const THROTTLED_AFTER: Duration = Duration::from_secs(2);
 
 /// An endpoint as listed in the registry.
 #[derive(Debug, Clone, PartialEq)]
@@ -96,13 +96,13 @@
 
 /// A rate limit, over the requests of all gateways, that an endpoint has reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NamedLimit {
+pub struct ReportedLimit {
     /// The limit.
     pub rate: RequestRate,
     /// When the endpoint first reported a limit, with no response without one since.
     pub since: ClockTime,
     /// When it was last reported.
-    pub(super) named_at: ClockTime,
+    pub(super) reported_at: ClockTime,
     /// When the latest request was sent whose response reported it.
     pub(super) sent_at: ClockTime,
     /// Estimates of when the endpoint may be sent the next requests.
@@ -111,7 +111,7 @@
 
 /// A model that an engine is loading or about to load.
 #[derive(Debug, Clone)]
-pub(super) struct ComingModel {
+pub(super) struct LoadingModel {
     model: ModelName,
     since: ClockTime,
 }
@@ -126,13 +126,13 @@
     /// Number of this gateway's requests in progress at the endpoint.
     pub own: u32,
     /// Time to the first chunk after the prefill.
-    pub first: PaceEstimate,
+    pub first: DurationEstimate,
     /// Prefill of this gateway's prompts at the endpoint.
     pub reading: ReadingLoad,
     /// Time for which a request holds a slot.
-    pub hold: PaceEstimate,
-    pub(super) load: LoadView,
-    pub(super) pulse: Option<KeptPulse>,
+    pub hold: DurationEstimate,
+    pub(super) load: LoadEstimate,
+    pub(super) pulse: Option<LatestPulse>,
     pub(super) failures: FailureShare,
     /// This gateway's requests in progress by adapter; 0 for an adapter that was used since the last
     /// greeting.
@@ -140,8 +140,8 @@
     /// This gateway's requests in progress by model.
     pub(super) models: HashMap<ModelName, u32>,
     /// The model that is being loaded according to the sidecar, and since when.
-    pub(super) coming: Option<ComingModel>,
-    pub(super) gone: bool,
+    pub(super) loading: Option<LoadingModel>,
+    pub(super) is_gone: bool,
     /// When it replaced its predecessor, before the registry listed it.
     pub(super) adopted_at: Option<ClockTime>,
     /// When its address last refused a connection, which means that nothing listens there.
@@ -149,9 +149,9 @@
     /// When the latest request was sent that it answered completely.
     pub(super) served_at: Option<ClockTime>,
     /// The rate limit that it currently reports, if any.
-    pub(super) limit: Option<NamedLimit>,
+    pub(super) limit: Option<ReportedLimit>,
     /// Whether it has reported in a response that it is leaving.
-    pub(super) says_leaving: bool,
+    pub(super) is_leaving: bool,
     /// The rest period that it asked this gateway for, until the ramp-up afterwards is complete.
     pub(super) rest: Option<RestState>,
 }
@@ -160,54 +160,54 @@
     pub(super) fn new(record: EndpointRecord, index: EndpointIndex) -> Self {
         let is_engine = !record.models.is_empty();
         let hold = if is_engine {
-            HOLD_GUESS_MS
+            INITIAL_HOLD_MS
         } else {
-            SERVICE_HOLD_GUESS_MS
+            INITIAL_SERVICE_HOLD_MS
         };
         Self {
             record,
             index,
             own: 0,
-            first: PaceEstimate::starting_at(FIRST_GUESS_MS),
+            first: DurationEstimate::starting_at(INITIAL_FIRST_CHUNK_MS),
             reading: ReadingLoad::default(),
-            hold: PaceEstimate::starting_at(hold),
-            load: LoadView::default(),
+            hold: DurationEstimate::starting_at(hold),
+            load: LoadEstimate::default(),
             pulse: None,
             failures: FailureShare::default(),
             adapters: HashMap::new(),
             models: HashMap::new(),
-            coming: None,
-            gone: false,
+            loading: None,
+            is_gone: false,
             adopted_at: None,
             refused_at: None,
             served_at: None,
             limit: None,
-            says_leaving: false,
+            is_leaving: false,
             rest: None,
         }
     }
 
     /// Returns whether it has reported in a response that it is leaving.
     #[must_use]
-    pub fn says_leaving(&self) -> bool {
-        self.says_leaving
+    pub fn is_leaving(&self) -> bool {
+        self.is_leaving
     }
 
     /// Returns the time until the end of the rest period that it asked this gateway for.
     #[must_use]
     pub fn rest_left(&self, now: ClockTime) -> Duration {
-        self.rest.map_or(Duration::ZERO, |rest| rest.left(now))
+        self.rest.map_or(Duration::ZERO, |rest| rest.remaining(now))
     }
 
     /// Returns whether its rest period and the ramp-up afterwards allow this gateway to send a request.
     #[must_use]
     pub fn is_rested(&self, now: ClockTime) -> bool {
-        self.rest.is_none_or(|rest| rest.may_try(now))
+        self.rest.is_none_or(|rest| rest.allows_request(now))
     }
 
     /// Returns the rate limit over all gateways that it reports, if any.
     #[must_use]
-    pub fn limit(&self) -> Option<NamedLimit> {
+    pub fn limit(&self) -> Option<ReportedLimit> {
         self.limit
     }
 
@@ -226,10 +226,10 @@
     pub fn is_squeezed(&self, now: ClockTime) -> bool {
         let is_limited = self.limit.is_some_and(|limit| {
             let running = limit.rate.per_second() * self.hold.mean_ms() / 1e3;
-            let is_small = running < f64::from(self.record.slots) * SQUEEZED_SHARE;
-            is_small && now.since(limit.since) >= SQUEEZED_AFTER
+            let is_small = running < f64::from(self.record.slots) * THROTTLED_SHARE;
+            is_small && now.since(limit.since) >= THROTTLED_AFTER
         });
-        let rests = |rest: RestState| now.since(rest.since) >= SQUEEZED_AFTER;
+        let rests = |rest: RestState| now.since(rest.since) >= THROTTLED_AFTER;
         is_limited || self.rest.is_some_and(rests)
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Returns whether a start time belongs to another incarnation than the known one.
-    pub(super) fn is_other_start(&self, start: Option<StartTime>) -> bool {
+    pub(super) fn is_other_incarnation(&self, start: Option<StartTime>) -> bool {
         let known = self.record.start;
         known.is_some() && start.is_some() && known != start
     }
@@ -268,22 +268,22 @@
     #[must_use]
     pub fn pulse(&self, now: ClockTime) -> Option<&EnginePulse> {
         let kept = self.pulse.as_ref()?;
-        (now.since(kept.at) <= PULSE_LIFE).then_some(&kept.pulse)
+        (now.since(kept.at) <= PULSE_EXPIRY).then_some(&kept.pulse)
     }
 
     /// Returns the age of the latest status update, unless it has expired.
     #[must_use]
     pub fn pulse_age(&self, now: ClockTime) -> Option<Duration> {
         let age = now.since(self.pulse.as_ref()?.at);
-        (age <= PULSE_LIFE).then_some(age)
+        (age <= PULSE_EXPIRY).then_some(age)
     }
 
     /// Returns the prefill time, in milliseconds, of the prompts known to be at the endpoint or to wait for
     /// a permit.
     #[must_use]
     pub fn reading_ahead_ms(&self, now: ClockTime) -> f64 {
-        let told = self.pulse(now).map_or(0, |pulse| pulse.permit_wait_ms);
-        self.reading.ms().max(f64::from(told))
+        let queued_ms = self.pulse(now).map_or(0, |pulse| pulse.permit_wait_ms);
+        self.reading.ms().max(f64::from(queued_ms))
     }
 
     /// Returns whether its sidecar has sent updates before but is overdue with the next one.
@@ -291,19 +291,19 @@
     pub fn is_overdue(&self, now: ClockTime) -> bool {
         self.pulse
             .as_ref()
-            .is_some_and(|kept| now.since(kept.at) > PULSE_DUE)
+            .is_some_and(|kept| now.since(kept.at) > PULSE_OVERDUE_AFTER)
     }
 
     /// Returns whether it replaced its predecessor so recently that the registry may not list it yet.
     pub(super) fn is_adopted(&self, now: ClockTime) -> bool {
         self.adopted_at
-            .is_some_and(|at| now.since(at) < REGISTRY_SETTLE)
+            .is_some_and(|at| now.since(at) < REGISTRY_GRACE)
     }
 
     /// Returns whether it may be sent new requests.
     #[must_use]
     pub fn is_open(&self, now: ClockTime) -> bool {
-        let leaving = self.record.draining || self.gone;
+        let leaving = self.record.draining || self.is_gone;
         !leaving && !self.pulse(now).is_some_and(|pulse| pulse.draining)
     }
 
@@ -346,18 +346,18 @@
         now: ClockTime,
     ) -> Option<Duration> {
         let pulse = self.pulse(now)?;
-        let coming = self.coming.as_ref()?;
-        if coming.model != *model {
+        let loading = self.loading.as_ref()?;
+        if loading.model != *model {
             return None;
         }
         let load = self.load_time(model, rule, now)?;
         if pulse.retiring.is_empty() {
             Some(
-                load.saturating_sub(now.since(coming.since))
-                    .max(READY_LEAST),
+                load.saturating_sub(now.since(loading.since))
+                    .max(MIN_REMAINING_LOAD),
             )
         } else {
-            Some(load + DRAIN_GUESS)
+            Some(load + INITIAL_DRAIN_TIME)
         }
     }
 
@@ -365,31 +365,31 @@
     /// load update may
     ///
     /// already have been applied.
-    pub(super) fn keep(&mut self, pulse: EnginePulse, now: ClockTime) {
-        let newer = self.pulse.as_ref().map(KeptPulse::load);
-        let mut kept = KeptPulse {
+    pub(super) fn store_pulse(&mut self, pulse: EnginePulse, now: ClockTime) {
+        let newer = self.pulse.as_ref().map(LatestPulse::load);
+        let mut kept = LatestPulse {
             load_number: pulse.number,
             pulse,
             at: now,
             whole_at: now,
         };
         if !newer.is_some_and(|load| kept.take_load(&load)) {
-            self.load.renew(kept.pulse.load);
+            self.load.reset(kept.pulse.load);
         }
         self.pulse = Some(kept);
-        self.note_coming(now);
+        self.update_loading(now);
     }
 
     /// Updates which model is being loaded from the latest status update.
-    pub(super) fn note_coming(&mut self, now: ClockTime) {
+    pub(super) fn update_loading(&mut self, now: ClockTime) {
         let loading = self.pulse(now).and_then(|pulse| pulse.loading.clone());
         let draining = self
             .pulse(now)
             .is_some_and(|pulse| !pulse.retiring.is_empty());
-        let known = self.coming.take();
+        let known = self.loading.take();
         let known = known.filter(|known| !draining && loading.as_ref() == Some(&known.model));
-        let fresh = || loading.map(|model| ComingModel { model, since: now });
-        self.coming = known.or_else(fresh);
+        let fresh = || loading.map(|model| LoadingModel { model, since: now });
+        self.loading = known.or_else(fresh);
     }
 
     /// Returns whether it is loading a model or about to load one, including the time to unload others
--- a/crates/oatpier-serving/src/failures.rs
+++ b/crates/oatpier-serving/src/failures.rs
@@ -15,7 +15,7 @@
 const HALF_LIFE: Duration = Duration::from_millis(1_500);
 
 /// Minimum number of requests that the share is computed from, because fewer requests are not significant.
-const LEAST_REQUESTS: f64 = 8.0;
+const MIN_REQUESTS: f64 = 8.0;
 
 /// The way in which a request failed at an engine that had granted a permit for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 impl EngineFailure {
     /// Returns the weight of the failure: some classes of requests fail regardless of the engine.
-    fn blame(self) -> f64 {
+    fn weight(self) -> f64 {
         match self {
             Self::Broken => 1.0,
             Self::ServerError => 0.7,
@@ -39,12 +39,12 @@
 
 /// A count that decays exponentially.
 #[derive(Debug, Clone, Copy, Default)]
-struct FadingCount {
+struct DecayingCount {
     count: f64,
     at: ClockTime,
 }
 
-impl FadingCount {
+impl DecayingCount {
     fn at(&self, now: ClockTime) -> f64 {
         let age = now.since(self.at).as_secs_f64();
         self.count * 0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
@@ -59,8 +59,8 @@
 /// Counts of the requests and failures of one engine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct FailureCount {
-    requests: FadingCount,
-    failures: FadingCount,
+    requests: DecayingCount,
+    failures: DecayingCount,
 }
 
 impl FailureCount {
@@ -71,13 +71,13 @@
 
     /// Records that a request failed.
     pub fn note_failure(&mut self, failure: EngineFailure, now: ClockTime) {
-        self.failures.add(failure.blame(), now);
+        self.failures.add(failure.weight(), now);
     }
 
     /// Returns the share of failures in steps of 5 percent, so that small changes cause no status updates.
     #[must_use]
     pub fn share_percent(&self, now: ClockTime) -> u8 {
-        let requests = self.requests.at(now).max(LEAST_REQUESTS);
+        let requests = self.requests.at(now).max(MIN_REQUESTS);
         let share = (self.failures.at(now) / requests).min(1.0);
         #[expect(
             clippy::cast_possible_truncation,
--- a/crates/oatpier-serving/src/greetings.rs
+++ b/crates/oatpier-serving/src/greetings.rs
@@ -13,63 +13,63 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 
-/// Interval between greetings during [`FIRST_SPAN`].
-const FIRST_PAUSE: Duration = Duration::from_millis(125);
+/// Interval between greetings during [`INITIAL_PERIOD`].
+const INITIAL_INTERVAL: Duration = Duration::from_millis(125);
 
 /// Time that a process takes to start.
-const FIRST_SPAN: Duration = Duration::from_secs(4);
+const INITIAL_PERIOD: Duration = Duration::from_secs(4);
 
-/// After [`FIRST_SPAN`], each greeting is sent when the time without updates is this many times what it was
+/// After [`INITIAL_PERIOD`], each greeting is sent when the time without updates is this many times what it was
 /// at the
 ///
 /// previous greeting.
-const GROWTH: f64 = 1.25;
+const BACKOFF_FACTOR: f64 = 1.25;
 
 /// Maximum interval between greetings. A sidecar whose VM was partitioned is found again within this time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const MAX_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
-struct UnheardSidecar {
+struct SilentSidecar {
     since: ClockTime,
     greeted_at: ClockTime,
 }
 
-impl UnheardSidecar {
-    fn pause(&self) -> Duration {
-        let unheard_for = self.greeted_at.since(self.since);
-        if unheard_for < FIRST_SPAN {
-            return FIRST_PAUSE;
+impl SilentSidecar {
+    fn interval(&self) -> Duration {
+        let silent_for = self.greeted_at.since(self.since);
+        if silent_for < INITIAL_PERIOD {
+            return INITIAL_INTERVAL;
         }
-        unheard_for.mul_f64(GROWTH - 1.0).min(LONGEST_PAUSE)
+        silent_for.mul_f64(BACKOFF_FACTOR - 1.0).min(MAX_INTERVAL)
     }
 }
 
 /// The sidecars that this gateway receives no updates from, by engine.
 #[derive(Debug, Default)]
 pub struct GreetingPaces {
-    unheard: HashMap<EndpointName, UnheardSidecar>,
+    silent: HashMap<EndpointName, SilentSidecar>,
 }
 
 impl GreetingPaces {
     /// Returns whether a greeting to a sidecar without updates is due, and records that it is sent.
     pub fn is_due(&mut self, engine: &EndpointName, now: ClockTime) -> bool {
-        let Some(known) = self.unheard.get_mut(engine) else {
-            let fresh = UnheardSidecar {
+        let Some(known) = self.silent.get_mut(engine) else {
+            let sidecar = SilentSidecar {
                 since: now,
                 greeted_at: now,
             };
-            self.unheard.insert(engine.clone(), fresh);
+            self.silent.insert(engine.clone(), sidecar);
             return true;
         };
-        let is_due = now.since(known.greeted_at) >= known.pause();
+        let is_due = now.since(known.greeted_at) >= known.interval();
         if is_due {
             known.greeted_at = now;
         }
         is_due
     }
 
-    /// Keeps only the sidecars for which `is_unheard` returns true.
-    pub fn retain(&mut self, is_unheard: impl Fn(&EndpointName) -> bool) {
-        self.unheard.retain(|engine, _| is_unheard(engine));
+    /// Keeps only the sidecars for which `is_silent` returns true.
+    pub fn retain(&mut self, is_silent: impl Fn(&EndpointName) -> bool) {
+        self.silent.retain(|engine, _| is_silent(engine));
     }
 }
--- a/crates/oatpier-serving/src/health.rs
+++ b/crates/oatpier-serving/src/health.rs
@@ -3,7 +3,7 @@
 //!
 //! [`HealthTracker`] detects endpoints that are dead, frozen, slow or break off every response. An endpoint
 //! that fails a part of its requests and answers the rest passes these checks, because its failures are not
-//! consecutive. [`FailureShare`] detects it by its share of failures, and [`PaceEstimate`] estimates how
+//! consecutive. [`FailureShare`] detects it by its share of failures, and [`DurationEstimate`] estimates how
 //! long its responses take.
 
 use std::time::Duration;
@@ -47,16 +47,16 @@
     }
 }
 
-/// Weight of a new duration in [`PaceEstimate`].
-const PACE_WEIGHT: f64 = 0.1;
+/// Weight of a new duration in [`DurationEstimate`].
+const DURATION_WEIGHT: f64 = 0.1;
 
 /// An exponentially weighted mean of durations.
 #[derive(Debug, Clone, Copy)]
-pub struct PaceEstimate {
+pub struct DurationEstimate {
     mean_ms: f64,
 }
 
-impl PaceEstimate {
+impl DurationEstimate {
     /// Creates a mean with an initial estimate in milliseconds.
     #[must_use]
     pub const fn starting_at(mean_ms: f64) -> Self {
@@ -66,7 +66,7 @@
     /// Adds a duration to the mean.
     pub fn note(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1e3;
-        self.mean_ms += (took_ms - self.mean_ms) * PACE_WEIGHT;
+        self.mean_ms += (took_ms - self.mean_ms) * DURATION_WEIGHT;
     }
 
     /// Returns the mean in milliseconds.
--- a/crates/oatpier-serving/src/peers.rs
+++ b/crates/oatpier-serving/src/peers.rs
@@ -17,7 +17,7 @@
 use crate::message::{ModelDemand, ModelUse, PeerReport};
 
 /// Consecutive reports of a gateway that may be missing before it counts as gone, stopped or partitioned.
-const LOST_REPORTS: u32 = 3;
+const MAX_MISSING_REPORTS: u32 = 3;
 
 /// Tolerance for late reports: one round of the sender's timers on a busy VM.
 const REPORT_SLACK: Duration = Duration::from_millis(150);
@@ -33,25 +33,25 @@
 /// best-connected
 ///
 /// gateway receives updates from. A few lost datagrams must not move the planner.
-const MISSED_PART: u32 = 4;
+const MISSED_ENGINES_DIVISOR: u32 = 4;
 
 /// Time for which a gateway's address is sent reports after a sidecar last named it.
-const ADDRESS_LIFE: Duration = Duration::from_secs(5);
+const ADDRESS_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Time after the last request for a model from which on the model counts as never requested.
-const ASKED_LIFE: Duration = Duration::from_mins(2);
+const DEMAND_EXPIRY: Duration = Duration::from_mins(2);
 
 #[derive(Debug, Clone)]
-struct KeptReport {
+struct LatestReport {
     report: PeerReport,
     at: ClockTime,
 }
 
-impl KeptReport {
+impl LatestReport {
     /// Returns whether the sender counts as live.
     fn is_live(&self, now: ClockTime) -> bool {
         let every = Duration::from_millis(u64::from(self.report.every_ms));
-        now.since(self.at) < every * LOST_REPORTS + REPORT_SLACK
+        now.since(self.at) < every * MAX_MISSING_REPORTS + REPORT_SLACK
     }
 
     /// Merges a partial report, which replaces the demand for the models it lists and the sender's state.
@@ -77,10 +77,10 @@
 #[derive(Debug)]
 pub struct PeerBook {
     own: PeerStanding,
-    named: HashMap<SocketAddr, ClockTime>,
-    reports: HashMap<SocketAddr, KeptReport>,
+    named_at: HashMap<SocketAddr, ClockTime>,
+    reports: HashMap<SocketAddr, LatestReport>,
     /// When each model was last requested at any gateway that reported it.
-    asked: HashMap<ModelName, ClockTime>,
+    last_requested: HashMap<ModelName, ClockTime>,
 }
 
 /// The properties by which gateways are ranked for planning.
@@ -110,7 +110,7 @@
     /// and a few
     ///
     /// milliseconds on the others, and the demand of every gateway is sent to the planner.
-    fn order(&self) -> (bool, Reverse<u32>, SocketAddr) {
+    fn sort_key(&self) -> (bool, Reverse<u32>, SocketAddr) {
         (self.is_behind, Reverse(self.processor), self.address)
     }
 }
@@ -202,9 +202,9 @@
                 is_behind: false,
                 engines_heard: 0,
             },
-            named: HashMap::new(),
+            named_at: HashMap::new(),
             reports: HashMap::new(),
-            asked: HashMap::new(),
+            last_requested: HashMap::new(),
         }
     }
 
@@ -224,7 +224,7 @@
     pub fn note_named(&mut self, gateways: &[SocketAddr], now: ClockTime) {
         let own = self.own.address;
         for address in gateways.iter().filter(|address| **address != own) {
-            self.named.insert(*address, now);
+            self.named_at.insert(*address, now);
         }
     }
 
@@ -234,43 +234,44 @@
         if !kept.is_none_or(|kept| report.number.supersedes(kept)) {
             return;
         }
-        self.named.insert(from, now);
-        self.note_asked(&report.demand, now);
+        self.named_at.insert(from, now);
+        self.note_requested(&report.demand, now);
         match self.reports.get_mut(&from) {
             Some(kept) if report.is_partial && kept.report.number.boot == report.number.boot => {
                 kept.merge(report, now);
             }
             _ => {
-                self.reports.insert(from, KeptReport { report, at: now });
+                self.reports.insert(from, LatestReport { report, at: now });
             }
         }
     }
 
     /// Records when models were requested, because gateways report a model only while it is in demand.
-    fn note_asked(&mut self, demand: &[ModelDemand], now: ClockTime) {
-        self.asked.retain(|_, asked| now.since(*asked) < ASKED_LIFE);
+    fn note_requested(&mut self, demand: &[ModelDemand], now: ClockTime) {
+        self.last_requested
+            .retain(|_, requested_at| now.since(*requested_at) < DEMAND_EXPIRY);
         for row in demand {
             let at = now - Duration::from_millis(u64::from(row.idle_ms));
-            let asked = self.asked.entry(row.model.clone()).or_insert(at);
-            *asked = at.max(*asked);
+            let requested_at = self.last_requested.entry(row.model.clone()).or_insert(at);
+            *requested_at = at.max(*requested_at);
         }
     }
 
     /// Returns all other gateways that have recently reported or been named by a sidecar.
     pub fn known(&self, now: ClockTime) -> impl Iterator<Item = SocketAddr> + '_ {
-        let named = self.named.iter();
-        let known = named.filter(move |(_, named_at)| now.since(**named_at) < ADDRESS_LIFE);
+        let named = self.named_at.iter();
+        let known = named.filter(move |(_, named_at)| now.since(**named_at) < ADDRESS_EXPIRY);
         known.map(|(address, _)| *address)
     }
 
     /// Returns the addresses that reports are sent to, and removes expired peers.
     pub fn addresses(&mut self, zone: &ZoneName, now: ClockTime) -> ReportAddresses {
-        self.named
-            .retain(|_, named_at| now.since(*named_at) < ADDRESS_LIFE);
+        self.named_at
+            .retain(|_, named_at| now.since(*named_at) < ADDRESS_EXPIRY);
         self.reports
-            .retain(|_, kept| kept.is_live(now) || now.since(kept.at) < ADDRESS_LIFE);
+            .retain(|_, kept| kept.is_live(now) || now.since(kept.at) < ADDRESS_EXPIRY);
         let readers = self.readers(now);
-        let others = self.named.keys().copied();
+        let others = self.named_at.keys().copied();
         let others = others.filter(|address| !readers.contains(address));
         let is_far = |address: &SocketAddr| {
             let kept = self.reports.get(address);
@@ -284,14 +285,14 @@
 
     /// Returns the other gateways that receive the full demand.
     fn readers(&self, now: ClockTime) -> Vec<SocketAddr> {
-        let mut heard: Vec<PeerStanding> = self
+        let mut candidates: Vec<PeerStanding> = self
             .live(now)
             .filter(|(_, kept)| !kept.report.leaving)
             .map(|(address, kept)| PeerStanding::of(*address, &kept.report))
             .collect();
-        heard.sort_by_key(PeerStanding::order);
-        let heard = heard.iter().map(|standing| standing.address);
-        heard.take(DEMAND_READERS).collect()
+        candidates.sort_by_key(PeerStanding::sort_key);
+        let addresses = candidates.iter().map(|standing| standing.address);
+        addresses.take(DEMAND_READERS).collect()
     }
 
     /// Returns whether this gateway is the planner or its successor, in which case the others must detect
@@ -302,7 +303,7 @@
     pub fn is_reader(&self, now: ClockTime) -> bool {
         let before = self.live(now).filter(|(address, kept)| {
             let peer = PeerStanding::of(**address, &kept.report);
-            !kept.report.leaving && peer.order() < self.own.order()
+            !kept.report.leaving && peer.sort_key() < self.own.sort_key()
         });
         before.count() < DEMAND_READERS
     }
@@ -312,7 +313,9 @@
     pub fn rank(&self, now: ClockTime) -> usize {
         let live = self.live(now).filter(|(_, kept)| !kept.report.leaving);
         let peers = live.map(|(address, kept)| PeerStanding::of(*address, &kept.report));
-        peers.filter(|peer| peer.order() < self.own.order()).count()
+        peers
+            .filter(|peer| peer.sort_key() < self.own.sort_key())
+            .count()
     }
 
     /// Returns the other live gateways of an availability zone.
@@ -332,8 +335,8 @@
     /// this number.
     #[must_use]
     pub fn count(&self, now: ClockTime) -> usize {
-        let is_named = |named_at: &&ClockTime| now.since(**named_at) < ADDRESS_LIFE;
-        let named = self.named.values().filter(is_named).count();
+        let is_named = |named_at: &&ClockTime| now.since(**named_at) < ADDRESS_EXPIRY;
+        let named = self.named_at.values().filter(is_named).count();
         1 + named.max(self.live(now).count())
     }
 
@@ -347,12 +350,12 @@
         let peers = self.live(now).filter(|(_, kept)| !kept.report.leaving);
         let peers = peers.map(|(address, kept)| PeerStanding::of(*address, &kept.report));
         let all: Vec<PeerStanding> = peers.chain([self.own]).collect();
-        let heard = all.iter().map(|standing| standing.engines_heard);
-        let most = heard.max().unwrap_or(0);
-        let least = most - most / MISSED_PART;
-        let able = all.iter().filter(|peer| peer.engines_heard >= least);
-        let fittest = able.min_by_key(|standing| standing.order());
-        fittest.map_or(self.own.address, |standing| standing.address)
+        let counts = all.iter().map(|standing| standing.engines_heard);
+        let most = counts.max().unwrap_or(0);
+        let least = most - most / MISSED_ENGINES_DIVISOR;
+        let eligible = all.iter().filter(|peer| peer.engines_heard >= least);
+        let best = eligible.min_by_key(|standing| standing.sort_key());
+        best.map_or(self.own.address, |standing| standing.address)
     }
 
     /// Returns whether this gateway plans.
@@ -370,9 +373,9 @@
             let sum = total.entry(demand.model.clone()).or_default();
             sum.add(demand);
         }
-        for (model, asked) in &self.asked {
+        for (model, requested_at) in &self.last_requested {
             let sum = total.entry(model.clone()).or_default();
-            sum.note_idle(now.since(*asked));
+            sum.note_idle(now.since(*requested_at));
         }
         total
     }
@@ -386,7 +389,7 @@
         uses
     }
 
-    fn live(&self, now: ClockTime) -> impl Iterator<Item = (&SocketAddr, &KeptReport)> {
+    fn live(&self, now: ClockTime) -> impl Iterator<Item = (&SocketAddr, &LatestReport)> {
         self.reports
             .iter()
             .filter(move |(_, kept)| kept.is_live(now))
--- a/crates/oatpier-serving/src/reads.rs
+++ b/crates/oatpier-serving/src/reads.rs
@@ -30,14 +30,14 @@
 ///
 /// the whole period, so that the first of about twelve gateways in a zone reads and sends the changes
 /// before the others are due.
-const LEAST_SHARE: f64 = 0.75;
+const MIN_INTERVAL_SHARE: f64 = 0.75;
 
 /// Maximum number of consecutive reads that messages of other gateways may replace. The digest leaves out
 /// what engines
 ///
 /// hold, because sidecars report it sooner. If a sidecar's updates do not arrive, this bounds the age of
 /// that information.
-const MOST_SPARED: u32 = 20;
+const MAX_SKIPPED_READS: u32 = 20;
 
 /// A digest of the store's contents: the configuration and the registered endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,15 +53,15 @@
         let mut hasher = Xxh3::new();
         hasher.update(&config_mark.to_le_bytes());
         for record in sorted {
-            hasher.update(digest_row(record).as_bytes());
+            hasher.update(endpoint_text(record).as_bytes());
         }
         Self(hasher.digest())
     }
 
     /// Returns the digest combined with that of the entries written by gateways and sidecars.
     #[must_use]
-    fn with(self, own: OwnDigest) -> Self {
-        Self(self.0 ^ own.0)
+    fn combined_with(self, internal: InternalDigest) -> Self {
+        Self(self.0 ^ internal.0)
     }
 }
 
@@ -93,9 +93,9 @@
 /// different digest reads the store itself, which costs each gateway one or two reads after an endpoint has
 /// terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-struct OwnDigest(u64);
+struct InternalDigest(u64);
 
-impl OwnDigest {
+impl InternalDigest {
     fn of(own: &OwnEntries<'_>) -> Self {
         let crashes = own.crashes.iter().map(digest_crash);
         let parts = own.parts.iter().map(digest_part);
@@ -121,7 +121,7 @@
 }
 
 /// Returns the text that represents a registry entry in the digest.
-fn digest_row(record: &EndpointRecord) -> String {
+fn endpoint_text(record: &EndpointRecord) -> String {
     let start = record.start.map(|start| start.0);
     format!(
         "{}|{start:?}|{}|{}|{}|{}|{};",
@@ -133,7 +133,7 @@
 /// such as at
 ///
 /// the start of a fleet, each gateway reads the store itself.
-const MOST_CHANGES: usize = 6;
+const MAX_CHANGES: usize = 6;
 
 /// The changes to the store that a gateway has seen between two reads.
 #[derive(Debug, Clone, PartialEq)]
@@ -154,7 +154,7 @@
 pub struct StoreView {
     config_mark: u64,
     endpoints: Vec<EndpointRecord>,
-    own: OwnDigest,
+    internal: InternalDigest,
     digest: StoreDigest,
 }
 
@@ -177,21 +177,21 @@
             digest: StoreDigest::of(config_mark, &endpoints),
             config_mark,
             endpoints,
-            own: OwnDigest::default(),
+            internal: InternalDigest::default(),
         }
     }
 
     /// Returns the view with the entries that gateways and sidecars wrote.
     #[must_use]
     pub fn with_own(self, own: &OwnEntries<'_>) -> Self {
-        self.with_own_digest(OwnDigest::of(own))
+        self.with_internal_digest(InternalDigest::of(own))
     }
 
-    fn with_own_digest(self, own: OwnDigest) -> Self {
+    fn with_internal_digest(self, internal: InternalDigest) -> Self {
         let digest = StoreDigest::of(self.config_mark, &self.endpoints);
         Self {
-            digest: digest.with(own),
-            own,
+            digest: digest.combined_with(internal),
+            internal,
             ..self
         }
     }
@@ -210,12 +210,12 @@
         let present = by_name(&self.endpoints);
         let is_new = |row: &&EndpointRecord| {
             let old = known.get(&row.name);
-            old.is_none_or(|old| digest_row(old) != digest_row(row))
+            old.is_none_or(|old| endpoint_text(old) != endpoint_text(row))
         };
         let changed: Vec<EndpointRecord> = self.endpoints.iter().filter(is_new).cloned().collect();
         let gone = known.keys().filter(|name| !present.contains_key(*name));
         let removed = gone.map(|name| (*name).clone()).collect();
-        let fits = changed.len() <= MOST_CHANGES;
+        let fits = changed.len() <= MAX_CHANGES;
         StoreWord {
             before: before.map_or(self.digest, |view| view.digest),
             now: self.digest,
@@ -240,7 +240,7 @@
         };
         let kept = self.endpoints.iter().filter(|row| !is_replaced(row));
         let endpoints = kept.chain(&word.changed).cloned().collect();
-        let patched = Self::new(self.config_mark, endpoints).with_own_digest(self.own);
+        let patched = Self::new(self.config_mark, endpoints).with_internal_digest(self.internal);
         if patched.digest != word.now {
             return WordOutcome::Unknown;
         }
@@ -258,7 +258,7 @@
 pub struct ReadSchedule {
     generator: ChaCha8Rng,
     next_at: ClockTime,
-    spared: u32,
+    skipped_reads: u32,
 }
 
 impl ReadSchedule {
@@ -268,7 +268,7 @@
         Self {
             generator: ChaCha8Rng::seed_from_u64(seed),
             next_at: ClockTime::ZERO,
-            spared: 0,
+            skipped_reads: 0,
         }
     }
 
@@ -280,8 +280,8 @@
 
     /// Records a read that began at `begun`. A later change must be seen within `period` after that.
     pub fn note_read(&mut self, begun: ClockTime, period: Duration) {
-        self.spared = 0;
-        self.next_at = begun + self.pause(period);
+        self.skipped_reads = 0;
+        self.next_at = begun + self.interval(period);
     }
 
     /// Records that the store could not be read and is to be read again at `at`.
@@ -291,14 +291,15 @@
 
     /// Records that another gateway has read the store and that its result is known here.
     pub fn note_told(&mut self, period: Duration, now: ClockTime) {
-        if self.spared < MOST_SPARED {
-            self.spared += 1;
-            self.next_at = now + self.pause(period);
+        if self.skipped_reads < MAX_SKIPPED_READS {
+            self.skipped_reads += 1;
+            self.next_at = now + self.interval(period);
         }
     }
 
-    fn pause(&mut self, period: Duration) -> Duration {
-        let share = LEAST_SHARE + (1.0 - LEAST_SHARE) * self.generator.random::<f64>();
+    fn interval(&mut self, period: Duration) -> Duration {
+        let share =
+            MIN_INTERVAL_SHARE + (1.0 - MIN_INTERVAL_SHARE) * self.generator.random::<f64>();
         period.mul_f64(share)
     }
 }
--- a/crates/oatpier-serving/src/relays.rs
+++ b/crates/oatpier-serving/src/relays.rs
@@ -28,16 +28,16 @@
 /// dropped after some
 ///
 /// seconds. Until then the updates arrive through the other one.
-const RELAYS_EACH: usize = 2;
+const RELAYS_PER_ZONE: usize = 2;
 
 /// Maximum number of full status updates per datagram. Each takes about 400 bytes, and a datagram of
 /// several packets is
 ///
 /// lost if any one of them is lost.
-const PULSES_TOGETHER: usize = 3;
+const PULSES_PER_DATAGRAM: usize = 3;
 
 /// Maximum number of load updates, of about 45 bytes each, per datagram.
-const LOADS_TOGETHER: usize = 24;
+const LOADS_PER_DATAGRAM: usize = 24;
 
 /// A gateway that a sidecar may select as a relay.
 #[derive(Debug, Clone, Copy)]
@@ -51,7 +51,7 @@
 }
 
 /// Rank and address of a candidate in its zone. The lowest ranks are selected.
-type DrawnRelay = (f64, SocketAddr);
+type RankedRelay = (f64, SocketAddr);
 
 /// Selects the relays of a sidecar in all zones.
 #[must_use]
@@ -59,16 +59,21 @@
     sidecar: SocketAddr,
     candidates: impl Iterator<Item = RelayCandidate<'a>>,
 ) -> Vec<SocketAddr> {
-    let mut zones: HashMap<&ZoneName, SmallVec<[DrawnRelay; 16]>> = HashMap::new();
+    let mut zones: HashMap<&ZoneName, SmallVec<[RankedRelay; 16]>> = HashMap::new();
     for candidate in candidates {
         let rank = rank(sidecar, &candidate);
-        let drawn = zones.entry(candidate.zone).or_default();
-        drawn.push((rank, candidate.address));
+        let ranked = zones.entry(candidate.zone).or_default();
+        ranked.push((rank, candidate.address));
     }
-    let mut relays = Vec::with_capacity(zones.len() * RELAYS_EACH);
-    for drawn in zones.values_mut() {
-        drawn.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
-        relays.extend(drawn.iter().take(RELAYS_EACH).map(|(_, address)| *address));
+    let mut relays = Vec::with_capacity(zones.len() * RELAYS_PER_ZONE);
+    for ranked in zones.values_mut() {
+        ranked.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
+        relays.extend(
+            ranked
+                .iter()
+                .take(RELAYS_PER_ZONE)
+                .map(|(_, address)| *address),
+        );
     }
     relays
 }
@@ -106,41 +111,41 @@
 
 impl RelayQueue {
     /// Queues an update, unless a newer one is queued.
-    pub fn take(&mut self, word: EngineWord) {
-        let kept = match &word {
+    pub fn take(&mut self, update: EngineWord) {
+        let queue = match &update {
             EngineWord::Pulse(_) => &mut self.pulses,
             EngineWord::Load(_) => &mut self.loads,
         };
-        let known = kept.get(&word.engine()).map(EngineWord::number);
-        if known.is_none_or(|known| word.number().supersedes(known)) {
-            kept.insert(word.engine(), word);
+        let queued = queue.get(&update.engine()).map(EngineWord::number);
+        if queued.is_none_or(|queued| update.number().supersedes(queued)) {
+            queue.insert(update.engine(), update);
         }
     }
 
     /// Drops an update that another relay of the zone has already forwarded.
-    pub fn note_passed_on(&mut self, word: &EngineWord) {
-        let kept = match word {
+    pub fn note_passed_on(&mut self, update: &EngineWord) {
+        let queue = match update {
             EngineWord::Pulse(_) => &mut self.pulses,
             EngineWord::Load(_) => &mut self.loads,
         };
-        let engine = word.engine();
-        if kept
+        let engine = update.engine();
+        if queue
             .get(&engine)
-            .is_some_and(|known| is_covered(known.number(), word.number()))
+            .is_some_and(|queued| is_covered(queued.number(), update.number()))
         {
-            kept.remove(&engine);
+            queue.remove(&engine);
         }
     }
 
     /// Removes all queued updates and returns them grouped by datagram.
     pub fn drain(&mut self) -> Vec<Vec<EngineWord>> {
         let mut datagrams = Vec::new();
-        for (kept, most) in [
-            (&mut self.pulses, PULSES_TOGETHER),
-            (&mut self.loads, LOADS_TOGETHER),
+        for (queue, max_updates) in [
+            (&mut self.pulses, PULSES_PER_DATAGRAM),
+            (&mut self.loads, LOADS_PER_DATAGRAM),
         ] {
-            let words: Vec<EngineWord> = kept.drain().map(|(_, word)| word).collect();
-            datagrams.extend(words.chunks(most).map(<[EngineWord]>::to_vec));
+            let updates: Vec<EngineWord> = queue.drain().map(|(_, update)| update).collect();
+            datagrams.extend(updates.chunks(max_updates).map(<[EngineWord]>::to_vec));
         }
         datagrams
     }
@@ -148,6 +153,6 @@
 
 /// Returns whether a forwarded update is of the same sidecar incarnation as the queued one and at least as
 /// new.
-fn is_covered(kept: MessageNumber, passed: MessageNumber) -> bool {
-    kept.boot == passed.boot && kept.number <= passed.number
+fn is_covered(queued: MessageNumber, forwarded: MessageNumber) -> bool {
+    queued.boot == forwarded.boot && queued.number <= forwarded.number
 }
--- a/crates/oatpier-serving/tests/testsuite/notices.rs
+++ b/crates/oatpier-serving/tests/testsuite/notices.rs
@@ -202,7 +202,7 @@
     );
     assert!(say(&mut directory, leaving(true), 20).is_empty());
     assert!(say(&mut directory, leaving(false), 30).is_empty());
-    assert!(directory.row(&endpoint("e1")).unwrap().says_leaving());
+    assert!(directory.row(&endpoint("e1")).unwrap().is_leaving());
 }
 
 fn is_open(directory: &EndpointDirectory, name: &str, now_ms: u64) -> bool {
