--- a/crates/oatpier-serving/tests/testsuite/directory.rs
+++ b/crates/oatpier-serving/tests/testsuite/directory.rs
@@ -1,4 +1,4 @@
-//! What is believed of endpoints.
+//! Tests of the endpoint directory.
 
 use oatpier_serving::choice;
 use oatpier_serving::directory::{DirectoryChange, EndpointDirectory, EndpointRecord};
@@ -9,17 +9,19 @@
 use crate::support::{at, directory, endpoint, millis, model, pulse, record, request};
 
 #[test]
-fn an_entry_that_is_missing_while_the_store_answers_is_gone() {
+fn missing_entry_removes_the_endpoint_while_the_store_is_up() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 0)], at(0));
     let changes = directory.apply_registry(vec![record(1, &["m1"])], at(900));
     assert_eq!(changes, vec![DirectoryChange::Gone(endpoint("e2"))]);
 }
 
-/// Entries lapse while the store is down, and their endpoints write them again within two seconds
-/// of its return. A caller would be refused for want of endpoints that all live: so for that long
-/// a missing entry stays, and after that it is gone.
+/// Entries expire while the store is down, and their endpoints rewrite them within two seconds of its
+/// recovery. Requests
+///
+/// would be refused for lack of endpoints although all of them are running. A missing entry is therefore
+/// kept for that long and removed afterwards.
 #[test]
-fn entries_that_lapsed_with_the_store_get_time_to_come_back() {
+fn expired_entries_are_kept_for_a_grace_period_after_a_store_outage() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     directory.note_store_failure(at(1_000));
     assert!(directory.apply_registry(Vec::new(), at(1_500)).is_empty());
@@ -29,21 +31,21 @@
 }
 
 #[test]
-fn a_draining_endpoint_gets_no_new_requests_by_either_word() {
+fn endpoint_draining_by_registry_or_sidecar_gets_no_requests() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 0)], at(0));
     let mut leaving = record(1, &["m1"]);
     leaving.draining = true;
     directory.apply_registry(vec![leaving, record(2, &["m1"])], at(10));
-    let mut told = pulse(2, &["m1"], 0);
-    told.number.number = 2;
-    told.draining = true;
-    directory.take_pulse(told, at(20));
+    let mut status = pulse(2, &["m1"], 0);
+    status.number.number = 2;
+    status.draining = true;
+    directory.take_pulse(status, at(20));
     assert!(!directory.row(&endpoint("e1")).unwrap().is_open(at(30)));
     assert!(!directory.row(&endpoint("e2")).unwrap().is_open(at(30)));
 }
 
 #[test]
-fn an_old_pulse_says_nothing_of_what_is_held() {
+fn expired_status_update_is_ignored() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
     directory.take_pulse(pulse(1, &["m2"], 0), at(0));
@@ -53,19 +55,21 @@
 }
 
 #[test]
-fn a_doubled_or_crossed_pulse_changes_nothing() {
+fn duplicate_or_reordered_status_update_is_ignored() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     assert!(!directory.take_pulse(pulse(1, &["m2"], 9), at(10)));
     let row = directory.row(&endpoint("e1")).unwrap();
     assert_eq!(row.present(), 0);
 }
 
-/// The caller sees no refusal after a restart of engines. The registry lists their old names for a
-/// heartbeat more, and every request that names the old one is turned away by the new one. Where
-/// the sidecar at the address speaks for the same service, the new one is taken at once, and the old
-/// entry does not bring the old name back.
+/// Guards against refusals after a restart of engines. The registry lists the old name for one more
+/// heartbeat, and the
+///
+/// new engine rejects every request addressed to the old name. If the sidecar at the address reports the
+/// same service, the new engine replaces the old one immediately, and the old entry does not bring the old
+/// name back.
 #[test]
-fn a_restarted_engine_takes_its_predecessors_place() {
+fn restarted_engine_replaces_its_predecessor() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     directory.note_replaced(&endpoint("e1"), Some(&endpoint("e1b")), at(100));
     assert!(directory.row(&endpoint("e1")).is_none());
@@ -75,10 +79,12 @@
     assert!(directory.row(&endpoint("e1b")).is_some());
 }
 
-/// The address of an endpoint that is gone may belong to another service by now. Without a sidecar
-/// that speaks for the service, its requests must not go to whoever answers there.
+/// The address of an endpoint that is gone may now belong to another service. Without a sidecar that
+/// reports the same
+///
+/// service, requests must not be sent to the endpoint that responds there.
 #[test]
-fn a_stranger_at_the_address_is_not_taken_for_a_restart() {
+fn unknown_endpoint_at_the_address_is_not_taken_for_a_restart() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
     directory.note_replaced(&endpoint("e1"), Some(&endpoint("other")), at(100));
@@ -87,7 +93,7 @@
 }
 
 #[test]
-fn own_requests_count_until_the_endpoint_tells_its_load() {
+fn own_requests_count_until_the_endpoint_reports_its_load() {
     let mut directory = directory(&[(&["m1"], 2)], at(0));
     let name = endpoint("e1");
     directory.note_sent(&name, None);
@@ -101,16 +107,17 @@
     assert_eq!(directory.row(&name).unwrap().present(), 3);
 }
 
-/// All engines and gateways were restarted. The registry still lists the old engines, and every gateway
-/// would send each of them a request in vain before it knew better. The sidecar has asked its engine
-/// for its name and tells it to all of them.
+/// All engines and gateways were restarted, and the registry still lists the old engines. Without the
+/// instance name in
+///
+/// the sidecar's status update, every gateway would first send each of them a request that is rejected.
 #[test]
-fn a_sidecar_names_its_restarted_engine() {
+fn status_update_with_a_new_instance_replaces_the_engine() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
-    let mut named = pulse(1, &["m1"], 0);
-    named.instance = Some(endpoint("e1b"));
-    assert!(directory.take_pulse(named, at(10)));
+    let mut status = pulse(1, &["m1"], 0);
+    status.instance = Some(endpoint("e1b"));
+    assert!(directory.take_pulse(status, at(10)));
     assert!(directory.row(&endpoint("e1")).is_none());
     assert!(
         directory
@@ -120,33 +127,35 @@
     );
 }
 
-/// The registry lists a restarted engine beside its predecessor until the old entry lapses. What the
-/// sidecar at their address says is about the present one; taken for the other one's, it would leave
-/// the present one without loads and adapters for seconds.
+/// The registry lists a restarted engine beside its predecessor until the old entry expires. The status
+/// updates from
+///
+/// their address describe the current engine. If they were assigned to the predecessor, the current engine
+/// would receive no loads and adapters for seconds.
 #[test]
-fn a_pulse_belongs_to_the_later_of_two_endpoints_at_an_address() {
+fn status_update_applies_to_the_later_of_two_endpoints_at_an_address() {
     let mut later = record(1, &[]);
     later.name = endpoint("a-later-name");
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     directory.apply_registry(vec![record(1, &["m1"]), later], at(10));
-    let mut told = pulse(1, &["m2"], 0);
-    told.number.number = 2;
-    directory.take_pulse(told, at(20));
+    let mut status = pulse(1, &["m2"], 0);
+    status.number.number = 2;
+    directory.take_pulse(status, at(20));
     let row = directory.row(&endpoint("a-later-name")).unwrap();
     assert!(row.holds(&model("m2"), at(30)));
 }
 
-/// As above, where the old endpoint is found out only when the sidecar names its engine.
+/// Like the test above, but the old endpoint is recognized only when the sidecar names its engine.
 #[test]
-fn what_was_told_under_the_old_name_is_true_of_the_present_endpoint() {
+fn status_update_under_the_old_name_applies_to_the_current_endpoint() {
     let mut old = record(1, &["m1"]);
     old.name = endpoint("z-old");
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &[])], at(0));
     directory.apply_registry(vec![record(1, &[]), old], at(5));
-    let mut named = pulse(1, &["m2"], 0);
-    named.instance = Some(endpoint("e1"));
-    directory.take_pulse(named, at(10));
+    let mut status = pulse(1, &["m2"], 0);
+    status.instance = Some(endpoint("e1"));
+    directory.take_pulse(status, at(10));
     assert!(!directory.row(&endpoint("z-old")).unwrap().is_open(at(20)));
     assert!(
         directory
@@ -156,37 +165,41 @@
     );
 }
 
-/// A pulse of an engine's start, the number of its sidecar's words so far.
-fn pulse_of(start: u64, number: u64, models: &[&str]) -> EnginePulse {
-    let mut told = pulse(1, models, 0);
-    told.number.number = number;
-    told.start = Some(StartTime(start));
-    told
+/// Returns a status update with the start time of the engine and the message number of its sidecar.
+fn pulse_of_start(start: u64, number: u64, models: &[&str]) -> EnginePulse {
+    let mut status = pulse(1, models, 0);
+    status.number.number = number;
+    status.start = Some(StartTime(start));
+    status
 }
 
-/// An engine crashes and starts again under its name between two heartbeats: the registry lists it all the
-/// while. Requests for what its last start held would be turned away; prompts that it kept are read anew.
+/// An engine crashes and restarts under the same name between two heartbeats, so the registry lists it
+/// throughout. It
+///
+/// would reject requests for the models that it held before, and its prompt cache is empty.
 #[test]
-fn an_engine_that_starts_again_under_its_name_holds_and_keeps_nothing() {
+fn engine_restarted_under_its_name_has_no_models_or_cached_prompts() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     let name = endpoint("e1");
-    directory.take_pulse(pulse_of(1_000, 2, &["m1"]), at(10));
+    directory.take_pulse(pulse_of_start(1_000, 2, &["m1"]), at(10));
     let chain = choice::prefix_chain(&request("m1"));
     directory.note_prompt(&name, &chain, at(20));
     assert_eq!(directory.prefixes().holders(&chain, at(30)).len(), 1);
-    assert!(directory.take_pulse(pulse_of(2_000, 3, &[]), at(100)));
+    assert!(directory.take_pulse(pulse_of_start(2_000, 3, &[]), at(100)));
     let row = directory.row(&name).unwrap();
     assert!(!row.holds(&model("m1"), at(110)));
     let holders = directory.prefixes().holders(&chain, at(110));
     assert!(holders.iter().all(|holder| holder.endpoint != row.index));
 }
 
-/// The registry still lists the last start with all that it held, after the sidecar has told of the next
-/// one. The later word on the start is the sidecar's.
+/// The registry still lists the previous incarnation and its models after the sidecar has reported the next
+/// one. The
+///
+/// sidecar's report is newer.
 #[test]
-fn an_old_entry_does_not_bring_an_ended_start_back() {
+fn old_entry_does_not_restore_an_earlier_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.take_pulse(pulse_of(2_000, 2, &[]), at(10));
+    directory.take_pulse(pulse_of_start(2_000, 2, &[]), at(10));
     let mut old = record(1, &["m1"]);
     old.start = Some(StartTime(1_000));
     old.draining = true;
@@ -196,21 +209,23 @@
     assert!(row.is_open(at(60)));
 }
 
-/// The engine's clock was set back before it started again, so that the later start seems the earlier one.
-/// It is taken all the same: starts are told apart, not compared.
+/// The engine's clock was set back before it restarted, so the new incarnation has the earlier start time.
+/// It is
+///
+/// accepted, because start times are only compared for equality.
 #[test]
-fn a_later_start_may_say_an_earlier_time() {
+fn later_incarnation_may_have_an_earlier_start_time() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.take_pulse(pulse_of(2_000, 2, &["m1"]), at(10));
-    directory.take_pulse(pulse_of(1_500, 3, &[]), at(100));
+    directory.take_pulse(pulse_of_start(2_000, 2, &["m1"]), at(10));
+    directory.take_pulse(pulse_of_start(1_500, 3, &[]), at(100));
     assert!(
         !directory
             .row(&endpoint("e1"))
             .unwrap()
             .holds(&model("m1"), at(110))
     );
-    // A word of the start before crosses it on the way, and is older.
-    directory.take_pulse(pulse_of(2_000, 2, &["m1"]), at(120));
+    // A delayed update of the previous incarnation has a lower message number and is ignored.
+    directory.take_pulse(pulse_of_start(2_000, 2, &["m1"]), at(120));
     assert!(
         !directory
             .row(&endpoint("e1"))
@@ -219,10 +234,12 @@
     );
 }
 
-/// No sidecar is heard, so the registry is the last word: a plain service starts again under its name, and
-/// what was learned of its last start (here: that it is slow) is forgotten.
+/// Without a sidecar, only the registry reports restarts. A plain service restarts under the same name, and
+/// the state
+///
+/// of its previous incarnation (here: slow responses) is discarded.
 #[test]
-fn without_a_sidecar_the_registry_tells_of_the_next_start() {
+fn registry_reports_restarts_without_a_sidecar() {
     let mut directory = EndpointDirectory::default();
     let mut first = record(1, &[]);
     first.start = Some(StartTime(1_000));
@@ -238,17 +255,19 @@
     assert!(directory.row(&name).unwrap().first.mean_ms() < 100.0);
 }
 
-/// The streams of an engine break off as it crashes, and it starts again under its name before the gateway
-/// has counted them. They say nothing of the new start.
+/// The streams of an engine break off when it crashes, and it restarts under the same name before the
+/// gateway has
+///
+/// recorded them. They must not count as failures of the new incarnation.
 #[test]
-fn what_a_last_start_broke_off_is_not_blamed_on_the_next_one() {
+fn broken_streams_do_not_count_against_the_next_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     let name = endpoint("e1");
-    directory.take_pulse(pulse_of(1_000, 2, &["m1"]), at(10));
+    directory.take_pulse(pulse_of_start(1_000, 2, &["m1"]), at(10));
     let weights = request("m1").weights.unwrap();
     let sent = directory.note_reading(&name, &weights, 400.0);
     assert!(directory.is_present_start(&name, &sent));
-    directory.take_pulse(pulse_of(2_000, 3, &["m1"]), at(100));
+    directory.take_pulse(pulse_of_start(2_000, 3, &["m1"]), at(100));
     assert!(!directory.is_present_start(&name, &sent));
     let next = directory.note_reading(&name, &weights, 400.0);
     directory.note_read(&name, &sent);
@@ -257,16 +276,18 @@
     assert!(directory.row(&name).unwrap().reading.is_idle());
 }
 
-/// An answer tells that another instance has the address, before its sidecar names it: it takes its
-/// predecessor's place. The sidecar's next word is of its start, which is not the predecessor's. The instance
-/// must not be taken for one that has started once more: the registry does not list it yet, and it would
-/// be dropped and its callers refused until it does.
+/// A response shows that another instance has the address before the sidecar names it, and the instance
+/// replaces its
+///
+/// predecessor. The sidecar's next update has the start time of the new instance. It must not be taken for
+/// one more restart: the registry does not list the instance yet, so it would be dropped and requests
+/// refused until it does.
 #[test]
-fn an_adopted_engine_stays_when_its_sidecar_tells_its_start() {
+fn successor_is_kept_when_its_sidecar_reports_its_start_time() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.take_pulse(pulse_of(1_000, 2, &["m1"]), at(10));
+    directory.take_pulse(pulse_of_start(1_000, 2, &["m1"]), at(10));
     directory.note_replaced(&endpoint("e1"), Some(&endpoint("e9")), at(100));
-    directory.take_pulse(pulse_of(2_000, 3, &["m1"]), at(150));
+    directory.take_pulse(pulse_of_start(2_000, 3, &["m1"]), at(150));
     directory.apply_registry(vec![record(1, &["m1"])], at(200));
     let row = directory.row(&endpoint("e9")).expect("it is still there");
     assert!(row.holds(&model("m1"), at(210)));
@@ -284,10 +305,13 @@
     row.is_some_and(|row| row.is_open(at(now)))
 }
 
-/// An engine says that it drains, and every gateway acknowledges it. The store comes back from a copy in which it is
-/// ready. It leaves all the same, so it must not get work; one that starts anew under its name must.
+/// An engine reports that it drains, and every gateway acknowledges it. The store is then restored from a
+/// copy in which
+///
+/// the engine is ready. It is still leaving and must not receive work, but a new incarnation under its name
+/// must.
 #[test]
-fn an_engine_that_drains_is_not_ready_again_in_an_older_copy_of_the_store() {
+fn draining_engine_stays_closed_after_the_store_is_restored() {
     let mut directory = EndpointDirectory::default();
     let draining = EndpointRecord {
         draining: true,
@@ -303,10 +327,12 @@
     assert!(is_open(&directory, "e1", 3_000));
 }
 
-/// The same for engines that are gone: one that drained, and one whose entry lapsed. The second may live, and is
-/// known to once it is still listed when a dead one's entry would have lapsed.
+/// Like the test above, for engines that are gone: one that drained, and one whose entry expired. The
+/// second may still
+///
+/// be running, which is certain once it is listed for longer than the entry of a dead engine lasts.
 #[test]
-fn an_engine_that_is_gone_comes_back_only_if_it_lives() {
+fn departed_engine_in_a_restored_store_returns_only_if_it_is_running() {
     let mut directory = EndpointDirectory::default();
     let drained = EndpointRecord {
         draining: true,
@@ -325,9 +351,10 @@
     assert!(is_open(&directory, "e2", 9_000));
 }
 
-/// Entries lapse while the store is away and come back: nothing was lost, and the engines take work at once.
+/// Entries expire while the store is down and are rewritten. No data was lost, so the engines take work
+/// immediately.
 #[test]
-fn an_engine_whose_entry_lapsed_is_there_again_when_the_store_lists_it() {
+fn engine_with_an_expired_entry_returns_when_it_is_listed_again() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![started(1, 7)], at(0));
     directory.apply_registry(Vec::new(), at(1_000));
@@ -335,10 +362,12 @@
     assert!(is_open(&directory, "e1", 2_000));
 }
 
-/// Engines that registered since the copy was made are missing until they write again, which takes a heartbeat or
-/// two. They must not be dropped meanwhile.
+/// Engines that registered after the copy was made are missing until they rewrite their entries, which
+/// takes one or two
+///
+/// heartbeats. They must not be removed in the meantime.
 #[test]
-fn an_engine_that_an_older_copy_does_not_have_stays_until_it_writes_again() {
+fn engine_missing_from_a_restored_store_is_kept_until_it_rewrites_its_entry() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![started(1, 7)], at(0));
     directory.note_store_return(at(1_000));
--- a/crates/oatpier-serving/tests/testsuite/failures.rs
+++ b/crates/oatpier-serving/tests/testsuite/failures.rs
@@ -1,4 +1,4 @@
-//! Engines that lose a part of their requests.
+//! Tests of the failure share of engines that lose a part of their requests.
 
 use oatpier_serving::choice::{self, ChoiceQuery, ChoiceVerdict};
 use oatpier_serving::failures::{EngineFailure, FailureCount};
@@ -6,9 +6,10 @@
 
 use crate::support::{at, directory, engine_rule, pulse, request, service, zone};
 
-/// An engine loses a fifth of its answers from second 2 to 6, at twenty requests a second.
+/// An engine receives twenty requests per second and loses a fifth of its responses from second 2 to second
+/// 6.
 #[test]
-fn a_share_of_failures_shows_within_a_second_and_fades_within_some() {
+fn failure_share_rises_within_a_second_and_decays_within_six() {
     let mut count = FailureCount::default();
     let mut shown = Vec::new();
     for number in 0..240_u64 {
@@ -27,17 +28,19 @@
 }
 
 #[test]
-fn a_single_failure_of_a_quiet_engine_says_little() {
+fn single_failure_of_an_idle_engine_has_little_weight() {
     let mut count = FailureCount::default();
     count.note_request(at(0));
     count.note_failure(EngineFailure::Broken, at(0));
     assert!(count.share_percent(at(0)) <= 10);
 }
 
-/// Two engines hold the model, and one of them loses a fifth of its answers. No request of this gateway was lost
-/// there. It goes to the other one, unless that is so full that the request would rather be late.
+/// Two engines hold the model, and one of them loses a fifth of its responses, none of which were to this
+/// gateway. The
+///
+/// request goes to the other engine, unless that one is so full that the request would be late.
 #[test]
-fn an_engine_that_loses_requests_of_others_gets_fewer() {
+fn engine_that_fails_requests_of_other_gateways_is_avoided() {
     let chosen = |losing_percent: u8, other_running: u32| {
         let mut directory = directory(&[(&["m1"], 2), (&["m1"], other_running)], at(0));
         let word = EnginePulse {
--- a/crates/oatpier-serving/tests/testsuite/greetings.rs
+++ b/crates/oatpier-serving/tests/testsuite/greetings.rs
@@ -1,37 +1,40 @@
-//! Greetings of sidecars that are not heard.
+//! Tests of the intervals between greetings to sidecars that send no updates.
 
 use oatpier_serving::greetings::GreetingPaces;
 
 use crate::support::{at, endpoint};
 
-fn greeted(from_ms: u64, to_ms: u64, paces: &mut GreetingPaces) -> Vec<u64> {
+fn greeting_times(from_ms: u64, to_ms: u64, paces: &mut GreetingPaces) -> Vec<u64> {
     let ticks = (from_ms..to_ms).step_by(125);
     ticks
         .filter(|now| paces.is_due(&endpoint("e1"), at(*now)))
         .collect()
 }
 
-/// All processes start together, and a sidecar comes up a second or two after the gateways.
+/// All processes start together, and a sidecar is ready one or two seconds after the gateways.
 #[test]
-fn a_sidecar_that_starts_late_is_greeted_each_eighth_of_a_second() {
+fn sidecar_that_starts_late_is_greeted_eight_times_a_second() {
     let mut paces = GreetingPaces::default();
-    assert_eq!(greeted(0, 4_000, &mut paces).len(), 32);
+    assert_eq!(greeting_times(0, 4_000, &mut paces).len(), 32);
 }
 
-/// An engine has no sidecar. Whoever goes on greeting it at full pace sends its VM as much as all others together.
+/// An engine has no sidecar. Greetings at the initial rate would be as much traffic to its VM as all other
+/// messages
+///
+/// together.
 #[test]
-fn a_sidecar_that_never_answers_is_greeted_rarely() {
+fn sidecar_that_never_answers_is_greeted_rarely() {
     let mut paces = GreetingPaces::default();
-    greeted(0, 30_000, &mut paces);
-    let later = greeted(30_000, 90_000, &mut paces);
+    greeting_times(0, 30_000, &mut paces);
+    let later = greeting_times(30_000, 90_000, &mut paces);
     assert!(later.len() <= 13, "{later:?}");
     assert!(later.windows(2).all(|pair| pair[1] - pair[0] <= 5_125));
 }
 
 #[test]
-fn a_sidecar_that_was_heard_again_is_greeted_at_once_when_it_falls_silent() {
+fn recovered_sidecar_is_greeted_at_the_initial_rate_when_it_falls_silent() {
     let mut paces = GreetingPaces::default();
-    greeted(0, 60_000, &mut paces);
+    greeting_times(0, 60_000, &mut paces);
     paces.retain(|_| false);
-    assert_eq!(greeted(60_000, 61_000, &mut paces).len(), 8);
+    assert_eq!(greeting_times(60_000, 61_000, &mut paces).len(), 8);
 }
--- a/crates/oatpier-serving/tests/testsuite/main.rs
+++ b/crates/oatpier-serving/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions of gateways and sidecars.
+//! Tests of the decision logic of gateways and sidecars.
 
 mod admission;
 mod budget;
--- a/crates/oatpier-serving/tests/testsuite/notices.rs
+++ b/crates/oatpier-serving/tests/testsuite/notices.rs
@@ -1,4 +1,4 @@
-//! What is believed of an endpoint by what its answers say.
+//! Tests of the state that endpoints report in their responses.
 
 use oatpier_serving::directory::{EndpointDirectory, HeardNotice};
 use oatpier_serving::engine::StartTime;
@@ -11,25 +11,25 @@
     RequestRate::try_from(value).unwrap()
 }
 
-/// A request that was sent at one moment and answered at another, with a limit or without one.
+/// A request that was sent and answered at the given times, with or without a rate limit in the response.
 struct LimitAnswer {
     sent_ms: u64,
-    heard_ms: u64,
+    received_ms: u64,
     limit: Option<f64>,
 }
 
-fn hear(directory: &mut EndpointDirectory, answer: &LimitAnswer) -> Vec<NoticeChange> {
+fn apply_answer(directory: &mut EndpointDirectory, answer: &LimitAnswer) -> Vec<NoticeChange> {
     let sent = directory.sent_without_prompt(&endpoint("e1"));
-    hear_of(directory, &sent, answer)
+    apply_answer_to(directory, &sent, answer)
 }
 
-fn hear_of(
+fn apply_answer_to(
     directory: &mut EndpointDirectory,
     sent: &SentPrompt,
     answer: &LimitAnswer,
 ) -> Vec<NoticeChange> {
     let limit = answer.limit.map(rate);
-    let heard = HeardNotice {
+    let received = HeardNotice {
         notice: EndpointNotice {
             rate: limit.map_or(NoticeValue::Absent, NoticeValue::Given),
             ..EndpointNotice::default()
@@ -38,7 +38,7 @@
         sent_at: at(answer.sent_ms),
         was_taken: true,
     };
-    let changes = directory.take_notice(&endpoint("e1"), &heard, at(answer.heard_ms));
+    let changes = directory.take_notice(&endpoint("e1"), &received, at(answer.received_ms));
     changes.into_vec()
 }
 
@@ -47,46 +47,48 @@
     row.limit().map(|limit| limit.rate.per_second())
 }
 
-fn answer(sent_ms: u64, heard_ms: u64, limit: Option<f64>) -> LimitAnswer {
+fn answer(sent_ms: u64, received_ms: u64, limit: Option<f64>) -> LimitAnswer {
     LimitAnswer {
         sent_ms,
-        heard_ms,
+        received_ms,
         limit,
     }
 }
 
 #[test]
-fn a_limit_holds_until_an_answer_comes_without_one() {
+fn limit_applies_until_a_response_without_one() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    let named = hear(&mut directory, &answer(0, 10, Some(2.5)));
+    let named = apply_answer(&mut directory, &answer(0, 10, Some(2.5)));
     assert_eq!(named, vec![NoticeChange::RateNamed(rate(2.5))]);
-    assert!(hear(&mut directory, &answer(20, 30, Some(2.5))).is_empty());
+    assert!(apply_answer(&mut directory, &answer(20, 30, Some(2.5))).is_empty());
     assert_eq!(limit(&directory), Some(2.5));
-    let ended = hear(&mut directory, &answer(40, 50, None));
+    let ended = apply_answer(&mut directory, &answer(40, 50, None));
     assert_eq!(ended, vec![NoticeChange::RateEnded]);
     assert_eq!(limit(&directory), None);
 }
 
-/// Answers overtake each other on different connections: one from before the limit, or before it fell, would end it
-/// for all that comes next.
+/// Responses on different connections can arrive out of order. A response from before the limit, or from
+/// before it was
+///
+/// lowered, must not end the limit.
 #[test]
-fn an_older_answer_that_comes_late_takes_no_limit_back() {
+fn late_older_response_does_not_raise_or_end_the_limit() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    hear(&mut directory, &answer(10, 20, Some(9.0)));
-    hear(&mut directory, &answer(30, 40, Some(2.5)));
-    assert!(hear(&mut directory, &answer(15, 50, None)).is_empty());
-    assert!(hear(&mut directory, &answer(35, 60, Some(9.0))).is_empty());
+    apply_answer(&mut directory, &answer(10, 20, Some(9.0)));
+    apply_answer(&mut directory, &answer(30, 40, Some(2.5)));
+    assert!(apply_answer(&mut directory, &answer(15, 50, None)).is_empty());
+    assert!(apply_answer(&mut directory, &answer(35, 60, Some(9.0))).is_empty());
     assert_eq!(limit(&directory), Some(2.5));
-    hear(&mut directory, &answer(70, 80, Some(9.0)));
+    apply_answer(&mut directory, &answer(70, 80, Some(9.0)));
     assert_eq!(limit(&directory), Some(9.0));
 }
 
 #[test]
-fn a_limit_that_cannot_be_read_changes_nothing_but_a_count() {
+fn unreadable_limit_is_reported_and_leaves_the_limit_unchanged() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    hear(&mut directory, &answer(0, 10, Some(2.5)));
+    apply_answer(&mut directory, &answer(0, 10, Some(2.5)));
     let sent = directory.sent_without_prompt(&endpoint("e1"));
-    let heard = HeardNotice {
+    let received = HeardNotice {
         notice: EndpointNotice {
             rate: NoticeValue::Unusable,
             ..EndpointNotice::default()
@@ -95,15 +97,17 @@
         sent_at: at(20),
         was_taken: true,
     };
-    let changes = directory.take_notice(&endpoint("e1"), &heard, at(30));
+    let changes = directory.take_notice(&endpoint("e1"), &received, at(30));
     assert_eq!(changes.as_slice(), [NoticeChange::RateUnusable]);
     assert_eq!(limit(&directory), Some(2.5));
 }
 
-/// An endpoint starts again under its name. What its last start said, and an answer of that start which comes late,
-/// would hold the new one to a limit that it never named.
+/// An endpoint restarts under the same name. Neither the limit of its previous incarnation nor a late
+/// response of that
+///
+/// incarnation may apply to the new one, which has not reported a limit.
 #[test]
-fn a_new_start_inherits_no_limit() {
+fn new_incarnation_inherits_no_limit() {
     let start = |time| {
         let mut record = record(1, &["m1"]);
         record.start = Some(StartTime(time));
@@ -112,28 +116,28 @@
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![start(1)], at(0));
     let sent = directory.sent_without_prompt(&endpoint("e1"));
-    hear(&mut directory, &answer(0, 10, Some(2.5)));
+    apply_answer(&mut directory, &answer(0, 10, Some(2.5)));
     directory.apply_registry(vec![start(2)], at(1_000));
     assert_eq!(limit(&directory), None);
-    let late = hear_of(&mut directory, &sent, &answer(5, 1_100, Some(2.5)));
+    let late = apply_answer_to(&mut directory, &sent, &answer(5, 1_100, Some(2.5)));
     assert!(late.is_empty());
     assert_eq!(limit(&directory), None);
 }
 
-/// What one answer says of rest and leaving.
-fn say(
+/// Applies the rest period or leaving flag of one response.
+fn apply_notice(
     directory: &mut EndpointDirectory,
     notice: EndpointNotice,
-    heard_ms: u64,
+    received_ms: u64,
 ) -> Vec<NoticeChange> {
     let sent = directory.sent_without_prompt(&endpoint("e1"));
-    let heard = HeardNotice {
+    let received = HeardNotice {
         notice,
         sent: &sent,
-        sent_at: at(heard_ms),
+        sent_at: at(received_ms),
         was_taken: false,
     };
-    let changes = directory.take_notice(&endpoint("e1"), &heard, at(heard_ms));
+    let changes = directory.take_notice(&endpoint("e1"), &received, at(received_ms));
     changes.into_vec()
 }
 
@@ -149,38 +153,41 @@
     row.rest_left(at(now_ms)).as_millis()
 }
 
-/// A second answer asks for less rest, or comes late: the endpoint still counts what it asked for first.
+/// A second response requests less rest or arrives late. The endpoint still enforces the longer period.
 #[test]
-fn a_rest_is_never_shortened() {
+fn rest_period_is_never_shortened() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    assert_eq!(say(&mut directory, rest(3.0), 100).len(), 1);
-    assert!(say(&mut directory, rest(0.5), 200).is_empty());
+    assert_eq!(apply_notice(&mut directory, rest(3.0), 100).len(), 1);
+    assert!(apply_notice(&mut directory, rest(0.5), 200).is_empty());
     assert_eq!(rest_left(&directory, 1_100), 2_000);
-    assert_eq!(say(&mut directory, rest(3.0), 2_100).len(), 1);
+    assert_eq!(apply_notice(&mut directory, rest(3.0), 2_100).len(), 1);
     assert_eq!(rest_left(&directory, 4_100), 1_000);
     assert_eq!(rest_left(&directory, 5_200), 0);
 }
 
 #[test]
-fn rests_of_nothing_a_moment_and_an_hour_are_kept_as_asked() {
+fn rest_periods_from_zero_to_the_maximum_of_an_hour_are_applied() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    assert!(say(&mut directory, rest(0.0), 0).is_empty());
-    say(&mut directory, rest(0.001), 0);
+    assert!(apply_notice(&mut directory, rest(0.0), 0).is_empty());
+    apply_notice(&mut directory, rest(0.001), 0);
     assert_eq!(rest_left(&directory, 0), 1);
-    say(&mut directory, rest(1e300), 0);
+    apply_notice(&mut directory, rest(1e300), 0);
     assert_eq!(rest_left(&directory, 0), 3_600_000);
 }
 
-/// The time can't be read, and that rest is wanted can: taken for none, the endpoint would get the next request at once.
+/// The duration is unreadable, but it is known that rest is requested. If it were ignored, the endpoint
+/// would receive
+///
+/// the next request immediately.
 #[test]
-fn a_rest_that_cannot_be_read_is_a_second() {
+fn unreadable_rest_period_counts_as_one_second() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     let unreadable = EndpointNotice {
         rest: NoticeValue::Unusable,
         ..EndpointNotice::default()
     };
     assert_eq!(
-        say(&mut directory, unreadable, 0),
+        apply_notice(&mut directory, unreadable, 0),
         [NoticeChange::RestUnusable]
     );
     assert_eq!(rest_left(&directory, 0), 1_000);
@@ -194,14 +201,14 @@
 }
 
 #[test]
-fn leaving_is_told_once_and_never_taken_back() {
+fn leaving_is_reported_once_and_never_revoked() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     assert_eq!(
-        say(&mut directory, leaving(true), 10),
+        apply_notice(&mut directory, leaving(true), 10),
         [NoticeChange::Leaving]
     );
-    assert!(say(&mut directory, leaving(true), 20).is_empty());
-    assert!(say(&mut directory, leaving(false), 30).is_empty());
+    assert!(apply_notice(&mut directory, leaving(true), 20).is_empty());
+    assert!(apply_notice(&mut directory, leaving(false), 30).is_empty());
     assert!(directory.row(&endpoint("e1")).unwrap().is_leaving());
 }
 
@@ -210,17 +217,19 @@
     row.is_some_and(|row| row.is_open(at(now_ms)))
 }
 
-/// The registry lists the endpoint as ready for as long as the store is away, and again when the store comes back from an
-/// older copy; its sidecar hears no more of it than the registry. It would get work again by either word.
+/// The registry lists the endpoint as ready while the store is down and again after the store is restored
+/// from an older
+///
+/// copy, and its sidecar knows no more than the registry. Neither source may reopen the endpoint.
 #[test]
-fn an_endpoint_that_said_that_it_leaves_stays_closed_whatever_comes_later() {
+fn leaving_endpoint_stays_closed_whatever_later_sources_report() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    say(&mut directory, leaving(true), 10);
+    apply_notice(&mut directory, leaving(true), 10);
     assert!(!is_open(&directory, "e1", 20));
     directory.apply_registry(vec![record(1, &["m1"])], at(1_000));
-    let mut heard = pulse(1, &["m1"], 0);
-    heard.number.number = 2;
-    directory.take_pulse(heard, at(1_100));
+    let mut status = pulse(1, &["m1"], 0);
+    status.number.number = 2;
+    directory.take_pulse(status, at(1_100));
     assert!(!is_open(&directory, "e1", 1_200));
     directory.apply_registry(Vec::new(), at(5_000));
     directory.note_store_return(at(6_000));
@@ -228,9 +237,12 @@
     assert!(!is_open(&directory, "e1", 6_200));
 }
 
-/// Another start under the name, and another endpoint at the address: each would be without work until it leaves too.
+/// Neither a new incarnation under the same name nor another endpoint at the same address may inherit the
+/// leaving flag.
+///
+/// Otherwise it would receive no work until it leaves too.
 #[test]
-fn who_comes_after_an_endpoint_that_left_inherits_nothing() {
+fn successor_of_a_leaving_endpoint_inherits_nothing() {
     let start = |time| {
         let mut record = record(1, &["m1"]);
         record.start = Some(StartTime(time));
@@ -238,36 +250,36 @@
     };
     let mut restarted = EndpointDirectory::default();
     restarted.apply_registry(vec![start(1)], at(0));
-    say(&mut restarted, leaving(true), 10);
+    apply_notice(&mut restarted, leaving(true), 10);
     restarted.apply_registry(vec![start(2)], at(1_000));
     assert!(is_open(&restarted, "e1", 1_100));
 
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    say(&mut directory, leaving(true), 10);
-    say(&mut directory, rest(30.0), 20);
-    let mut heard = pulse(1, &["m1"], 0);
-    heard.number.number = 2;
-    heard.instance = Some(endpoint("e9"));
-    directory.take_pulse(heard, at(1_100));
+    apply_notice(&mut directory, leaving(true), 10);
+    apply_notice(&mut directory, rest(30.0), 20);
+    let mut status = pulse(1, &["m1"], 0);
+    status.number.number = 2;
+    status.instance = Some(endpoint("e9"));
+    directory.take_pulse(status, at(1_100));
     assert!(is_open(&directory, "e9", 1_200));
     let row = directory.row(&endpoint("e9")).unwrap();
     assert_eq!(row.rest_left(at(1_200)), millis(0));
 }
 
-/// A request that was sent at a moment was taken.
-fn take(directory: &mut EndpointDirectory, sent_ms: u64) {
+/// Records that a request sent at the given time was accepted.
+fn accept(directory: &mut EndpointDirectory, sent_ms: u64) {
     let sent = directory.sent_without_prompt(&endpoint("e1"));
-    let heard = HeardNotice {
+    let received = HeardNotice {
         notice: EndpointNotice::default(),
         sent: &sent,
         sent_at: at(sent_ms),
         was_taken: true,
     };
-    directory.take_notice(&endpoint("e1"), &heard, at(sent_ms + 5));
+    directory.take_notice(&endpoint("e1"), &received, at(sent_ms + 5));
 }
 
-/// Sends as many requests as may be sent at a moment.
-fn tries(directory: &mut EndpointDirectory, now_ms: u64) -> usize {
+/// Sends as many requests as are allowed at the given time and returns their number.
+fn send_allowed(directory: &mut EndpointDirectory, now_ms: u64) -> usize {
     let name = endpoint("e1");
     let sends = (0..100).take_while(|_| {
         let may_send = directory.may_send(&name, None, at(now_ms));
@@ -279,30 +291,36 @@
     sends.count()
 }
 
-/// All that waits for the end of a rest, sent in its first millisecond, is the next overload.
+/// If all requests that wait for the end of a rest period were sent in its first millisecond, they would
+/// overload the
+///
+/// endpoint again.
 #[test]
-fn requests_after_a_rest_grow_with_those_that_are_taken() {
+fn requests_after_a_rest_period_ramp_up_with_accepted_ones() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    say(&mut directory, rest(3.0), 0);
-    assert_eq!(tries(&mut directory, 2_999), 0);
+    apply_notice(&mut directory, rest(3.0), 0);
+    assert_eq!(send_allowed(&mut directory, 2_999), 0);
     let mut sent = 1;
     for now_ms in [3_000, 3_010, 3_020, 3_030] {
-        assert_eq!(tries(&mut directory, now_ms), sent);
+        assert_eq!(send_allowed(&mut directory, now_ms), sent);
         for _ in 0..sent {
-            take(&mut directory, now_ms);
+            accept(&mut directory, now_ms);
         }
         sent *= 2;
     }
-    assert_eq!(tries(&mut directory, 3_040), 100);
+    assert_eq!(send_allowed(&mut directory, 3_040), 100);
 }
 
-/// The first request after a rest is lost, or its caller leaves: the endpoint must not stay closed for that.
+/// The first request after a rest period is lost, or its caller disconnects. The endpoint must not stay
+/// closed for that
+///
+/// reason.
 #[test]
-fn after_a_request_without_an_answer_another_one_is_tried() {
+fn unanswered_probe_after_a_rest_period_is_repeated() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    say(&mut directory, rest(3.0), 0);
-    take(&mut directory, 2_000);
-    assert_eq!(tries(&mut directory, 3_000), 1);
-    assert_eq!(tries(&mut directory, 3_400), 0);
-    assert_eq!(tries(&mut directory, 3_600), 1);
+    apply_notice(&mut directory, rest(3.0), 0);
+    accept(&mut directory, 2_000);
+    assert_eq!(send_allowed(&mut directory, 3_000), 1);
+    assert_eq!(send_allowed(&mut directory, 3_400), 0);
+    assert_eq!(send_allowed(&mut directory, 3_600), 1);
 }
--- a/crates/oatpier-serving/tests/testsuite/peers.rs
+++ b/crates/oatpier-serving/tests/testsuite/peers.rs
@@ -1,4 +1,4 @@
-//! Which gateways there are, and which of them plans.
+//! Tests of gateway membership and the choice of the planner.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::support::{address, at, millis, model, zone};
 
-/// From one report of a gateway to its next; three are missing after 2.25 s.
+/// Interval between the reports of a gateway. Three are missing after 2.25 s.
 const EVERY_MS: u32 = 750;
 
 fn report(number: u64, leaving: bool, running: f32) -> PeerReport {
@@ -48,22 +48,22 @@
 }
 
 #[test]
-fn the_lowest_address_of_equals_plans_while_it_is_heard_of() {
+fn lowest_address_among_equals_plans_while_it_is_live() {
     let book = book(2, &[1, 3]);
     assert_eq!(book.planner(at(500)), address(1));
     assert_eq!(book.planner(at(3_000)), address(2));
 }
 
-/// A gateway on its way out must not plan: its last advice would be followed by nobody's.
+/// A leaving gateway must not plan: no planner would follow up on its last advice.
 #[test]
-fn a_gateway_that_leaves_does_not_plan() {
+fn leaving_gateway_does_not_plan() {
     let mut book = book(2, &[1]);
     book.take_report(address(1), report(2, true, 0.0), at(100));
     assert_eq!(book.planner(at(200)), address(2));
 }
 
 #[test]
-fn demand_is_summed_over_those_heard_of() {
+fn demand_is_summed_over_live_gateways() {
     let book = book(2, &[1, 3]);
     assert!((book.total(&[], at(100))[&model("m1")].running - 4.0).abs() < 1e-6);
     let later = book.total(&[], at(5_000));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_late_report_changes_nothing() {
+fn late_report_is_ignored() {
     let mut book = book(2, &[]);
     book.take_report(address(1), report(5, false, 1.0), at(0));
     book.take_report(address(1), report(4, false, 9.0), at(10));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_gateway_that_a_sidecar_names_is_told_reports_for_a_while() {
+fn gateway_named_by_a_sidecar_is_sent_reports_until_it_expires() {
     let mut book = book(2, &[]);
     let named: [SocketAddr; 2] = [address(1), address(2)];
     book.note_named(&named, at(0));
@@ -92,24 +92,27 @@
     assert!(later.readers.is_empty() && later.near.is_empty() && later.far.is_empty());
 }
 
-/// With many gateways, telling each of them the whole demand would cost with the square of their
-/// number. Only those that plan, or follow the one that does, are told; one that went silent is not
-/// among them.
+/// Sending the full demand to every gateway would cost bytes and CPU time that grow with the square of
+/// their number. Only
+///
+/// the planner and its successor receive it, and a gateway whose reports are missing is not one of them.
 #[test]
-fn only_the_first_gateways_heard_of_are_told_the_demand() {
+fn only_the_planner_and_its_successor_receive_the_demand() {
     let mut book = book(9, &[1, 2, 3, 4, 5]);
     book.take_report(address(2), report(2, false, 0.0), at(2_600));
     book.take_report(address(4), report(2, false, 0.0), at(2_600));
-    let told = book.addresses(&zone("near"), at(3_000));
-    assert_eq!(told.readers, vec![address(2), address(4)]);
-    assert_eq!(told.near.len() + told.far.len(), 3);
+    let addresses = book.addresses(&zone("near"), at(3_000));
+    assert_eq!(addresses.readers, vec![address(2), address(4)]);
+    assert_eq!(addresses.near.len() + addresses.far.len(), 3);
 }
 
-/// All processes were restarted, and the gateway with the lowest address came up last. It has heard two of
-/// eight engines, and would take the others for busy while their models are asked for. It plans once it
-/// hears nearly as many as the others.
+/// All processes were restarted, and the gateway with the lowest address started last. It receives updates
+/// from two of
+///
+/// eight engines and would take the others for busy while their models are in demand. It plans only when it
+/// receives updates from nearly as many engines as the others.
 #[test]
-fn a_gateway_that_hears_few_engines_does_not_plan() {
+fn gateway_with_updates_from_few_engines_does_not_plan() {
     let mut book = book(2, &[]);
     let mut late = report(2, false, 0.0);
     late.engines_heard = 2;
@@ -121,19 +124,23 @@
     assert_eq!(book.planner(at(250)), address(1));
 }
 
-/// The gateway is cut off from the sidecars, not from its peers. As the planner it would see no engine that
-/// could load anything.
+/// The gateway is partitioned from the sidecars, but not from its peers. As the planner it would know of no
+/// engine that
+///
+/// could load a model.
 #[test]
-fn a_gateway_that_is_cut_off_from_sidecars_leaves_planning_to_others() {
+fn gateway_partitioned_from_sidecars_does_not_plan() {
     let mut book = book(1, &[2, 3]);
     book.note_own(0, false);
     assert_eq!(book.planner(at(100)), address(2));
 }
 
-/// The gateway with the lowest address is on the thinnest VM. A round of planning takes it a fifth of a
-/// second there, and meanwhile nothing is loaded anywhere; one with five times the processor plans.
+/// The gateway with the lowest address is on the smallest VM. A planning round takes it 200 ms, during
+/// which no model is
+///
+/// loaded anywhere. A gateway with five times the CPU allotment plans instead.
 #[test]
-fn the_gateway_with_the_largest_processor_plans() {
+fn gateway_with_the_largest_cpu_allotment_plans() {
     let mut book = book(1, &[2]);
     let strong = PeerReport {
         processor: 500,
@@ -141,7 +148,7 @@
     };
     book.take_report(address(9), strong.clone(), at(0));
     assert_eq!(book.planner(at(100)), address(9));
-    // It has more to do than its processor does: its advice would come late.
+    // The gateway is overloaded, so its advice would be late.
     let behind = PeerReport {
         number: MessageNumber { boot: 1, number: 2 },
         is_behind: true,
@@ -151,20 +158,24 @@
     assert_eq!(book.planner(at(300)), address(1));
 }
 
-/// The gateway that plans is killed. Those of other zones hear it as often as those of its own, so that
-/// the next one plans within three of its reports everywhere.
+/// The planner is killed. Gateways of other zones receive its reports as often as those of its own zone, so
+/// the next
+///
+/// planner takes over within three report intervals in all zones.
 #[test]
-fn the_next_gateway_plans_soon_after_the_planner_is_gone() {
+fn successor_plans_soon_after_the_planner_fails() {
     let book = book(2, &[1]);
     assert!(book.is_reader(at(100)));
     assert_eq!(book.planner(at(2_300)), address(1));
     assert_eq!(book.planner(at(2_500)), address(2));
 }
 
-/// Requests of one model can't be served. The planner hears of that model at once; what it knows of the
-/// others stays.
+/// Requests for one model cannot be served. The planner receives the demand for that model immediately, and
+/// its data
+///
+/// about other models is kept.
 #[test]
-fn a_partial_report_renews_the_models_that_it_names() {
+fn partial_report_replaces_only_the_models_it_lists() {
     let mut book = book(2, &[1]);
     let mut pressed = report(2, false, 0.0);
     pressed.is_partial = true;
@@ -176,10 +187,12 @@
     assert!((total[&model("m2")].unserved - 3.0).abs() < 1e-6);
 }
 
-/// A gateway that has just started was named sixty others by sidecars, and has heard of none yet. It takes
-/// its part of what all share, not the whole.
+/// Sidecars have named sixty other gateways to one that has just started, and none of them has reported
+/// yet. The
+///
+/// gateway must take only its part of the shared rates, not all of it.
 #[test]
-fn gateways_that_were_only_named_count() {
+fn gateways_only_named_by_sidecars_are_counted() {
     let mut book = PeerBook::new(address(1), 100);
     let named: Vec<SocketAddr> = (2..62).map(address).collect();
     book.note_named(&named, at(0));
@@ -187,16 +200,16 @@
 }
 
 #[test]
-fn gateways_of_other_zones_are_told_apart() {
+fn gateways_of_other_zones_are_listed_separately() {
     let mut book = book(1, &[2, 3, 4]);
     let far = PeerReport {
         zone: zone("far"),
         ..report(2, false, 0.0)
     };
     book.take_report(address(5), far, at(0));
-    let told = book.addresses(&zone("near"), at(10));
-    assert_eq!(told.near, vec![address(4)]);
-    assert_eq!(told.far, vec![address(5)]);
+    let addresses = book.addresses(&zone("near"), at(10));
+    assert_eq!(addresses.near, vec![address(4)]);
+    assert_eq!(addresses.far, vec![address(5)]);
     let mut near: Vec<SocketAddr> = book.in_zone(&zone("near"), at(10)).collect();
     near.sort_unstable();
     assert_eq!(near, vec![address(2), address(3), address(4)]);
--- a/crates/oatpier-serving/tests/testsuite/reads.rs
+++ b/crates/oatpier-serving/tests/testsuite/reads.rs
@@ -1,6 +1,7 @@
-//! When a gateway reads the store.
+//! Tests of the schedule of store reads and of the changes that gateways exchange.
 //!
-//! The load: a dozen gateways of one zone, each of which must see a change within two seconds.
+//!
+//! The scenario has about twelve gateways in one zone, each of which must see a change within two seconds.
 
 use std::time::Duration;
 
@@ -12,11 +13,14 @@
 
 const PERIOD: Duration = Duration::from_millis(1_800);
 
-/// Gateways of a zone in steps of 10 ms: whoever is due reads, and those that hear it are told 20 ms later.
-/// Counts the reads, and the longest time that any gateway went without a word on the store.
+/// Simulates the gateways of a zone in steps of 10 ms. A gateway whose read is due reads, and those that
+/// receive its
+///
+/// message do so 20 ms later. Counts the reads and the longest time for which any gateway had no news of
+/// the store.
 struct ZoneRun {
     schedules: Vec<ReadSchedule>,
-    heard_at: Vec<u64>,
+    news_at: Vec<u64>,
     reads: u32,
     longest_ms: u64,
 }
@@ -25,70 +29,74 @@
     fn new(gateways: u64) -> Self {
         let mut run = Self {
             schedules: (0..gateways).map(ReadSchedule::new).collect(),
-            heard_at: Vec::new(),
+            news_at: Vec::new(),
             reads: 0,
             longest_ms: 0,
         };
         for schedule in &mut run.schedules {
             schedule.note_read(at(0), PERIOD);
-            run.heard_at.push(0);
+            run.news_at.push(0);
         }
         run
     }
 
-    fn play(&mut self, from_ms: u64, to_ms: u64, hears: impl Fn(usize, usize) -> bool) {
+    fn simulate(&mut self, from_ms: u64, to_ms: u64, receives: impl Fn(usize, usize) -> bool) {
         for now in (from_ms..to_ms).step_by(10) {
-            for place in 0..self.schedules.len() {
-                if self.schedules[place].next_at() <= at(now) {
-                    self.read(place, now, &hears);
+            for index in 0..self.schedules.len() {
+                if self.schedules[index].next_at() <= at(now) {
+                    self.read(index, now, &receives);
                 }
             }
         }
     }
 
-    fn read(&mut self, reader: usize, now: u64, hears: &impl Fn(usize, usize) -> bool) {
+    fn read(&mut self, reader: usize, now: u64, receives: &impl Fn(usize, usize) -> bool) {
         self.reads += 1;
         self.schedules[reader].note_read(at(now), PERIOD);
-        self.note_heard(reader, now);
+        self.note_news(reader, now);
         for other in 0..self.schedules.len() {
-            if other != reader && hears(reader, other) {
+            if other != reader && receives(reader, other) {
                 self.schedules[other].note_told(PERIOD, at(now + 20));
-                self.note_heard(other, now + 20);
+                self.note_news(other, now + 20);
             }
         }
     }
 
-    fn note_heard(&mut self, place: usize, now: u64) {
-        self.longest_ms = self
-            .longest_ms
-            .max(now.saturating_sub(self.heard_at[place]));
-        self.heard_at[place] = now;
+    fn note_news(&mut self, index: usize, now: u64) {
+        self.longest_ms = self.longest_ms.max(now.saturating_sub(self.news_at[index]));
+        self.news_at[index] = now;
     }
 }
 
 #[test]
-fn a_zone_reads_hardly_more_often_than_one_gateway() {
+fn gateways_of_a_zone_share_reads() {
     let mut run = ZoneRun::new(13);
-    run.play(10, 60_000, |_, _| true);
-    // One gateway alone reads some 38 times a minute, thirteen without a word to each other 500 times.
+    run.simulate(10, 60_000, |_, _| true);
+    // A single gateway reads about 38 times per minute, and thirteen without messages to each other 500
+    // times.
     assert!(run.reads < 80, "{} reads", run.reads);
     assert!(run.longest_ms <= 1_850, "{} ms", run.longest_ms);
 }
 
-/// The gateway that has read last is killed, one is cut off from the others, and all words are lost for a
-/// while. Everybody still knows the store within its period.
+/// The gateway that read last is killed, one is partitioned from the others, and all messages are lost for
+/// a while. Every
+///
+/// gateway must still see the store within its period.
 #[test]
-fn nobody_depends_on_another_gateways_reads() {
+fn gateways_see_changes_in_time_without_messages_from_others() {
     let mut run = ZoneRun::new(13);
-    run.play(10, 10_000, |reader, other| reader != 0 && other != 1);
-    run.play(10_000, 20_000, |_, _| false);
+    run.simulate(10, 10_000, |reader, other| reader != 0 && other != 1);
+    run.simulate(10_000, 20_000, |_, _| false);
     assert!(run.longest_ms <= 1_850, "{} ms", run.longest_ms);
 }
 
-/// An endpoint drains, one goes and one comes between two reads of a gateway. Those that knew what it knew take
-/// all of that over from its word; one that had missed the word before can't, and reads when that is due.
+/// Between two reads of a gateway, one endpoint drains, one is removed and one is added. Gateways with the
+/// same previous
+///
+/// view apply these changes from its message. A gateway that has missed an earlier message cannot, and
+/// reads when its next read is due.
 #[test]
-fn what_has_changed_is_taken_over_by_who_knew_what_was_there() {
+fn changes_apply_only_to_a_matching_view() {
     let first = StoreView::new(7, vec![record(1, &["m1"]), record(2, &["m1"])]);
     let mut draining = record(1, &["m1"]);
     draining.draining = true;
@@ -104,9 +112,9 @@
     assert_eq!(behind.endpoints().len(), 1);
 }
 
-/// The operator changes the configuration. A word does not carry it: who hears the word reads.
+/// The operator changes the configuration. A message does not carry it, so the receivers read the store.
 #[test]
-fn a_new_configuration_is_not_taken_for_known() {
+fn configuration_change_is_not_applied_from_a_message() {
     let first = StoreView::new(7, vec![record(1, &["m1"])]);
     let second = StoreView::new(8, vec![record(1, &["m1"]), record(2, &["m1"])]);
     let mut other = first.clone();
@@ -115,9 +123,12 @@
     assert_eq!(other, first);
 }
 
-/// A whole fleet has started between two reads. The word stays one packet, and others read by themselves.
+/// A whole fleet has started between two reads. The message must still fit into one packet, and other
+/// gateways read the
+///
+/// store themselves.
 #[test]
-fn a_word_stays_small_and_is_of_no_use_where_too_much_has_changed() {
+fn too_many_changes_are_left_out_of_the_message() {
     let first = StoreView::new(7, Vec::new());
     let second = StoreView::new(7, (1..100).map(|number| record(number, &["m1"])).collect());
     let word = second.word_since(Some(&first));
@@ -125,9 +136,9 @@
     assert_eq!(first.clone().take_word(&word), WordOutcome::Unknown);
 }
 
-/// Other gateways spare one its reads for a while, not for ever: the digest leaves out what engines hold.
+/// The digest leaves out what engines hold, so messages must not replace a gateway's reads indefinitely.
 #[test]
-fn a_gateway_reads_now_and_then_whatever_it_hears() {
+fn messages_do_not_replace_reads_indefinitely() {
     let mut schedule = ReadSchedule::new(1);
     schedule.note_read(at(0), PERIOD);
     let spared = (1..=40).take_while(|number| {
@@ -139,7 +150,7 @@
 }
 
 #[test]
-fn a_digest_tells_who_is_there_and_the_configuration() {
+fn digest_covers_registered_endpoints_and_configuration() {
     let endpoints = [record(1, &["m1"]), record(2, &["m1"])];
     let digest = StoreDigest::of(7, &endpoints);
     let crossed = [endpoints[1].clone(), endpoints[0].clone()];
@@ -157,10 +168,13 @@
     assert_eq!(digest, StoreDigest::of(7, &moved));
 }
 
-/// The store comes back from an older copy and gives its revisions out again: an old configuration then has the
-/// revision of a new one. A gateway that knows the old one must not take a neighbour's word for its own view.
+/// The store is restored from an older copy and assigns its revisions again, so an old configuration may
+/// have the
+///
+/// revision of a new one. A gateway with the old configuration must not take a message as confirmation of
+/// its own view.
 #[test]
-fn configurations_are_told_apart_by_what_they_say() {
+fn configurations_are_distinguished_by_contents() {
     assert_ne!(
         config_mark(b"{\"version\":7}"),
         config_mark(b"{\"version\":8}")
--- a/crates/oatpier-serving/tests/testsuite/relays.rs
+++ b/crates/oatpier-serving/tests/testsuite/relays.rs
@@ -1,7 +1,8 @@
-//! Which gateways of each zone hear a sidecar, and what they pass on.
+//! Tests of the selection of relays and of forwarding by them.
 //!
-//! The load: 93 sidecars before 68 gateways in five zones, thin and strong VMs side by side; relays are
-//! killed, and datagrams are lost, doubled and crossed.
+//!
+//! The scenario has 93 sidecars and 68 gateways in five zones, on a mix of small and large VMs. Relays are
+//! killed, and datagrams are lost, duplicated and reordered.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,7 +20,7 @@
     SocketAddr::from(([10, 1, 0, number], 7_380))
 }
 
-/// The relays of a sidecar among gateways of one zone.
+/// Returns the relays of a sidecar among the gateways of one zone.
 fn relays(sidecar: u8, zone: &ZoneName, gateways: &[(u8, u32)]) -> Vec<SocketAddr> {
     let candidates = gateways.iter().map(|(number, processor)| RelayCandidate {
         zone,
@@ -51,8 +52,8 @@
     EngineWord::Pulse(Box::new(whole))
 }
 
-fn hear(directory: &mut EndpointDirectory, word: &EngineWord, now: u64) {
-    match word {
+fn apply_update(directory: &mut EndpointDirectory, update: &EngineWord, now: u64) {
+    match update {
         EngineWord::Pulse(pulse) => {
             directory.take_pulse((**pulse).clone(), at(now));
         }
@@ -60,9 +61,9 @@
     }
 }
 
-/// A relay is killed. Only the sidecars that had drawn it draw another one; what the others do stays.
+/// A relay is killed. Only the sidecars that had selected it select another one.
 #[test]
-fn when_a_relay_is_gone_only_its_own_sidecars_draw_anew() {
+fn failed_relay_is_replaced_only_by_its_own_sidecars() {
     let near = zone("near");
     let all: Vec<(u8, u32)> = (1..=13).map(|number| (number, 90)).collect();
     let left: Vec<(u8, u32)> = all[1..].to_vec();
@@ -78,10 +79,12 @@
     }
 }
 
-/// Three VMs of a zone have five times the processor of the ten others: they relay most sidecars, and the
-/// others few.
+/// Three VMs of a zone have five times the CPU allotment of the ten others. They must relay for most
+/// sidecars, and the
+///
+/// others for few.
 #[test]
-fn relays_are_drawn_by_processor() {
+fn relays_are_selected_by_cpu_allotment() {
     let near = zone("near");
     let gateways: Vec<(u8, u32)> = (1..=13)
         .map(|number| (number, if number <= 3 { 500 } else { 90 }))
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn a_relay_keeps_the_newest_word_of_each_kind() {
+fn relay_queue_keeps_the_newest_update_of_each_kind() {
     let mut queue = RelayQueue::default();
     queue.take(EngineWord::Load(load(3, 5)));
     queue.take(EngineWord::Load(load(2, 9)));
@@ -114,9 +117,9 @@
     assert!(queue.drain().is_empty());
 }
 
-/// Two relays of a zone hear the same. The one that comes second does not tell it all again.
+/// Two relays of a zone receive the same updates. The later one must not forward them again.
 #[test]
-fn what_another_relay_has_passed_on_is_not_passed_on_again() {
+fn updates_forwarded_by_another_relay_are_not_forwarded_again() {
     let mut queue = RelayQueue::default();
     queue.take(EngineWord::Load(load(3, 5)));
     queue.take(whole(4, &["m1"], 1));
@@ -124,21 +127,23 @@
     assert_eq!(queue.drain(), vec![vec![whole(4, &["m1"], 1)]]);
 }
 
-/// A whole pulse is overtaken by a word on the load that came by the other relay: what the engine holds is
-/// taken from the one, its load from the other.
+/// A load update that arrives through another relay overtakes a full status update. The models are taken
+/// from the status
+///
+/// update and the load from the load update.
 #[test]
-fn a_pulse_that_was_overtaken_says_what_is_held_and_not_the_load() {
+fn overtaken_status_update_sets_the_models_but_not_the_load() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
-    hear(&mut directory, &whole(1, &["m1"], 1), 0);
-    hear(&mut directory, &EngineWord::Load(load(3, 7)), 10);
-    hear(&mut directory, &whole(2, &["m1", "m2"], 2), 20);
+    apply_update(&mut directory, &whole(1, &["m1"], 1), 0);
+    apply_update(&mut directory, &EngineWord::Load(load(3, 7)), 10);
+    apply_update(&mut directory, &whole(2, &["m1", "m2"], 2), 20);
     let row = directory.row(&endpoint("e1")).unwrap();
     assert!(row.holds(&model("m2"), at(30)));
     assert_eq!(row.present(), 7);
 }
 
-/// Three zones of four gateways before some engines, each gateway with what it knows of them.
+/// Three zones of four gateways and some engines, with the directory of each gateway.
 struct RelayFleet {
     zones: Vec<ZoneName>,
     queues: Vec<RelayQueue>,
@@ -167,65 +172,70 @@
         }
     }
 
-    fn place(relay: SocketAddr) -> usize {
+    fn index(relay: SocketAddr) -> usize {
         match relay {
             SocketAddr::V4(relay) => usize::from(relay.ip().octets()[3]),
-            SocketAddr::V6(_) => panic!("an address of the test is no IPv4 address"),
+            SocketAddr::V6(_) => panic!("the test uses only IPv4 addresses"),
         }
     }
 
-    /// One period: each sidecar tells its relays, and these pass on. `loses` says which datagrams are lost.
+    /// Runs one period, in which each sidecar sends an update to its relays, which forward it. A datagram
+    /// is lost if `loses`
+    ///
+    /// returns true.
     fn period(&mut self, number: u64, holds: &str, mut loses: impl FnMut() -> bool) {
         let now = number * 100;
         for engine in 1..=FLEET_ENGINES {
-            let candidates = (0..FLEET_GATEWAYS).map(|place| RelayCandidate {
-                zone: &self.zones[place % 3],
-                address: gateway(u8::try_from(place).unwrap()),
+            let candidates = (0..FLEET_GATEWAYS).map(|index| RelayCandidate {
+                zone: &self.zones[index % 3],
+                address: gateway(u8::try_from(index).unwrap()),
                 processor: 100,
             });
             let relays = draw(address(engine), candidates);
-            let mut told = pulse(engine, &[holds], 1);
-            told.number.number = number;
-            let word = EngineWord::Pulse(Box::new(told));
-            for relay in relays.into_iter().map(Self::place) {
+            let mut status = pulse(engine, &[holds], 1);
+            status.number.number = number;
+            let update = EngineWord::Pulse(Box::new(status));
+            for relay in relays.into_iter().map(Self::index) {
                 if !self.dead.contains(&relay) && !loses() {
-                    hear(&mut self.known[relay], &word, now);
-                    self.queues[relay].take(word.clone());
+                    apply_update(&mut self.known[relay], &update, now);
+                    self.queues[relay].take(update.clone());
                 }
             }
         }
         for relay in 0..FLEET_GATEWAYS {
-            for words in self.queues[relay].drain() {
+            for updates in self.queues[relay].drain() {
                 for other in (relay % 3..FLEET_GATEWAYS).step_by(3) {
                     if other == relay || self.dead.contains(&other) || loses() {
                         continue;
                     }
-                    for word in &words {
-                        self.queues[other].note_passed_on(word);
-                        hear(&mut self.known[other], word, now + 40);
+                    for update in &updates {
+                        self.queues[other].note_passed_on(update);
+                        apply_update(&mut self.known[other], update, now + 40);
                     }
                 }
             }
         }
     }
 
-    /// Gateways that live and don't know what every engine holds.
-    fn behind(&self, holds: &str, now: u64) -> usize {
+    /// Returns the number of running gateways that do not know the models of every engine.
+    fn outdated_count(&self, holds: &str, now: u64) -> usize {
         let knows = |directory: &EndpointDirectory| {
             directory.all().all(|row| row.holds(&model(holds), at(now)))
         };
-        let live = (0..FLEET_GATEWAYS).filter(|place| !self.dead.contains(place));
-        live.filter(|place| !knows(&self.known[*place])).count()
+        let live = (0..FLEET_GATEWAYS).filter(|index| !self.dead.contains(index));
+        live.filter(|index| !knows(&self.known[*index])).count()
     }
 }
 
 proptest! {
     #![proptest_config(fixed_cases(128))]
 
-    /// One gateway of each zone is dead and still counts as a relay, and half of all datagrams are lost for a
-    /// while. One period after the losses end everybody knows what every engine holds.
+    /// One gateway of each zone is dead and still counts as a relay, and half of all datagrams are lost for
+    /// a while. One
+    ///
+    /// period after the losses end, every gateway must know the models of every engine.
     #[test]
-    fn a_fleet_knows_within_a_period_with_dead_relays_and_after_losses(
+    fn gateways_converge_within_a_period_despite_dead_relays_and_losses(
         dead in (0_usize..4, 0_usize..4, 0_usize..4),
         losses in prop::collection::vec(any::<bool>(), 200),
     ) {
@@ -236,33 +246,32 @@
             fleet.period(number, "m1", || draws.next().copied().unwrap_or(false));
         }
         fleet.period(6, "m2", || false);
-        prop_assert_eq!(fleet.behind("m2", 650), 0);
+        prop_assert_eq!(fleet.outdated_count("m2", 650), 0);
     }
 
-    /// A sidecar tells more than goes through: words are lost, doubled and crossed on both ways. Once two
-    /// periods bring a whole pulse and a load through, in whatever order, the gateway knows what the
-    /// sidecar said last.
+    /// Updates are lost, duplicated and reordered on both paths. Once the latest full status update and the latest
+    /// load update have arrived, in either order, the gateway must know the latest state.
     #[test]
-    fn knowledge_converges_under_loss_doubling_and_crossing(
+    fn state_converges_under_loss_duplication_and_reordering(
         noise in prop::collection::vec((0_usize..40, any::<bool>()), 0..80),
         models in prop::collection::vec(any::<bool>(), 40),
         load_first in any::<bool>(),
     ) {
         let names = |holds: bool| if holds { ["m1"].as_slice() } else { ["m2"].as_slice() };
-        let mut words: Vec<EngineWord> = Vec::new();
+        let mut updates: Vec<EngineWord> = Vec::new();
         for (number, holds) in (1..).zip(&models) {
-            words.push(whole(2 * number, names(*holds), 1));
-            words.push(EngineWord::Load(load(2 * number + 1, u32::try_from(number).unwrap())));
+            updates.push(whole(2 * number, names(*holds), 1));
+            updates.push(EngineWord::Load(load(2 * number + 1, u32::try_from(number).unwrap())));
         }
         let mut directory = EndpointDirectory::default();
         directory.apply_registry(vec![record(1, &["m3"])], at(0));
-        for (place, is_load) in noise {
-            hear(&mut directory, &words[2 * place + usize::from(is_load)], 100);
+        for (index, is_load) in noise {
+            apply_update(&mut directory, &updates[2 * index + usize::from(is_load)], 100);
         }
-        let last = words.len() - 2;
+        let last = updates.len() - 2;
         let order = if load_first { [last + 1, last, last + 1] } else { [last, last + 1, last] };
-        for place in order {
-            hear(&mut directory, &words[place], 200);
+        for index in order {
+            apply_update(&mut directory, &updates[index], 200);
         }
         let row = directory.row(&endpoint("e1")).unwrap();
         let held = names(models[39])[0];
--- a/crates/oatpier-serving/tests/testsuite/site.rs
+++ b/crates/oatpier-serving/tests/testsuite/site.rs
@@ -1,4 +1,4 @@
-//! The route of a request.
+//! Tests of the choice of a request's route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,35 +29,38 @@
     }
 }
 
-fn found(config: &SiteConfig, host: &str, path: &str) -> Option<String> {
+fn route_prefix(config: &SiteConfig, host: &str, path: &str) -> Option<String> {
     let route = config.route(host, path)?;
     Some(route.prefix.to_string())
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_is_taken() {
+fn longest_prefix_of_the_host_matches() {
     let config = config(&[
         ("a.example", "/x/"),
         ("a.example", "/x/y/"),
         ("b.example", "/x/y/z/"),
     ]);
     assert_eq!(
-        found(&config, "a.example", "/x/y/z/1").as_deref(),
+        route_prefix(&config, "a.example", "/x/y/z/1").as_deref(),
         Some("/x/y/")
     );
-    assert_eq!(found(&config, "a.example", "/x/1").as_deref(), Some("/x/"));
-    assert_eq!(found(&config, "a.example", "/other/"), None);
-    assert_eq!(found(&config, "c.example", "/x/"), None);
+    assert_eq!(
+        route_prefix(&config, "a.example", "/x/1").as_deref(),
+        Some("/x/")
+    );
+    assert_eq!(route_prefix(&config, "a.example", "/other/"), None);
+    assert_eq!(route_prefix(&config, "c.example", "/x/"), None);
 }
 
 #[test]
-fn a_host_is_found_with_its_port_and_in_any_case() {
+fn host_matches_with_port_and_in_any_case() {
     let config = config(&[("a.example", "/x/")]);
-    assert!(found(&config, "A.Example:8080", "/x/1").is_some());
+    assert!(route_prefix(&config, "A.Example:8080", "/x/1").is_some());
 }
 
 #[test]
-fn adapters_never_take_room_from_models() {
+fn adapter_memory_is_reserved_beside_models() {
     let rule = engine_rule(&["m1"]);
     assert!((rule.model_room_mb() - 196.0).abs() < 1e-9);
 }
--- a/crates/oatpier-serving/tests/testsuite/support.rs
+++ b/crates/oatpier-serving/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Endpoints, pulses and rules for tests.
+//! Endpoints, status updates and rules for tests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -105,7 +105,8 @@
     }
 }
 
-/// A directory of engines that hold these models and run so many requests, heard of at `now`.
+/// Returns a directory of engines with the given models and numbers of running requests, as reported at
+/// `now`.
 pub fn directory(engines: &[(&[&str], u32)], now: ClockTime) -> EndpointDirectory {
     let mut directory = EndpointDirectory::default();
     let numbered = || (1..).zip(engines);
@@ -154,7 +155,7 @@
     }
 }
 
-/// A service whose engines have room for two models of `names`.
+/// Returns the rule of a service whose engines have memory for two models of `names`.
 pub fn engine_rule(names: &[&str]) -> EngineRule {
     EngineRule {
         weights_mb: 200.0,
@@ -176,8 +177,10 @@
     }
 }
 
-/// Cases from a fixed seed, so that every run gives the same verdict. Failures are kept as tests of
-/// their own instead of files.
+/// Returns a configuration with a fixed seed, so that every run has the same result. Failures are kept as
+/// separate tests
+///
+/// instead of files.
 pub fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
