--- a/crates/oatpier-serving/src/directory/departures.rs
+++ b/crates/oatpier-serving/src/directory/departures.rs
@@ -1,6 +1,5 @@
 //! Endpoints that have left, so that entries which reappear in the store do not bring them back.
 //!
-//!
 //! When the store is restored from an older copy, it may list an endpoint as ready that has left since.
 //! That endpoint would receive work until its entry expires, although every gateway had acknowledged that
 //! it was leaving.
@@ -18,9 +17,7 @@
 const DEPARTURE_RETENTION: Duration = Duration::from_mins(1);
 
 /// Time after the store's recovery for which an endpoint that had left is excluded. The entry of a dead
-/// endpoint expires
-///
-/// earlier, after three heartbeats of about 1.2 s each.
+/// endpoint expires earlier, after three heartbeats of about 1.2 s each.
 const RESTORE_EXCLUSION: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
--- a/crates/oatpier-serving/src/directory/liveness.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -10,19 +10,17 @@
 use crate::crashes::CrashSite;
 use crate::crashes::cuts::EndpointFate;
 
-/// Maximum age on arrival of a sidecar's report that its engine responds. The sidecar reads the engine's
-/// report several
+/// Maximum age on arrival of a sidecar's report that its engine responds.
 ///
-/// times a second and relays forward updates within 100 ms. An update that arrives later than this after
-/// the break was produced after it.
+/// The sidecar reads the engine's report several times a second and relays forward updates within 100 ms.
+/// An update that arrives later than this after the break was produced after it.
 const MAX_UPDATE_AGE: Duration = Duration::from_millis(400);
 
 impl EndpointDirectory {
-    /// Returns the incarnation that a request was sent to, unless it is leaving. Endpoints that leave
-    /// terminate by
+    /// Returns the incarnation that a request was sent to, unless it is leaving.
     ///
-    /// themselves, and so may those that the registry no longer lists, so their termination is not
-    /// attributed to a request.
+    /// Endpoints that leave terminate by themselves, and so may those that the registry no longer lists, so
+    /// their termination is not attributed to a request.
     #[must_use]
     pub fn staying_start(
         &self,
--- a/crates/oatpier-serving/src/directory/mod.rs
+++ b/crates/oatpier-serving/src/directory/mod.rs
@@ -1,9 +1,8 @@
 //! The endpoints that a gateway knows, from the registry, sidecars' status updates and its own requests.
 //!
-//!
-//! The registry lists the endpoints with a delay of seconds. The status update of a sidecar reports what
-//! its engine holds and does, with a delay of a fraction of a second. Responses report the load of an
-//! endpoint a moment ago. For each fact the newest source applies.
+//! The registry lists the endpoints with a delay of seconds. The status update of a sidecar
+//! ([`EnginePulse`]) reports what its engine holds and does, with a delay of a fraction of a second.
+//! Responses report the load of an endpoint a moment ago. For each fact the newest source applies.
 
 mod departures;
 mod liveness;
@@ -33,19 +32,15 @@
 pub use row::{AdapterState, EndpointRecord, EndpointRow, PULSE_EXPIRY, ReportedLimit};
 
 /// Time after the store's recovery within which an endpoint may still rewrite an entry that is missing from
-/// the
-///
-/// registry. The platform guarantees about two seconds.
+/// the registry. The platform guarantees about two seconds.
 pub const REGISTRY_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Units per block in the prefix index. A block stands for one part of a prompt, and parts differ in length. A large
-/// unit keeps the rounding error small.
+/// Units per block in the prefix index. A block stands for one part of a prompt, and parts differ in
+/// length. A large unit keeps the rounding error small.
 pub(crate) const PART_UNITS: u32 = 1_000;
 
 /// Capacity of the prefix index in prompt parts. At about four parts per prompt this covers about 16,000
-/// prompts and
-///
-/// takes 1.5 MB.
+/// prompts and takes 1.5 MB.
 const PREFIX_INDEX_BLOCKS: usize = 1 << 16;
 
 /// A change in the set of endpoints.
@@ -119,16 +114,16 @@
         self.store_failed_at = Some(now);
     }
 
-    /// Records that the store was restored from a copy that is some seconds old. Entries written since the
-    /// copy was made
+    /// Records that the store was restored from a copy that is some seconds old.
     ///
-    /// are missing until their endpoints rewrite them, and entries removed since then have reappeared.
+    /// Entries written since the copy was made are missing until their endpoints rewrite them, and entries
+    /// removed since then have reappeared.
     pub fn note_store_return(&mut self, now: ClockTime) {
         self.store_failed_at = Some(now);
         self.departures.note_store_return(now);
     }
 
-    /// Replaces the known endpoints with the contents of the registry and returns the changes.
+    /// Applies the full contents of the registry and returns the changes.
     pub fn apply_registry(
         &mut self,
         records: Vec<EndpointRecord>,
@@ -153,18 +148,14 @@
     }
 
     /// Returns whether the store has only just recovered. Entries that expired during an outage are being
-    /// rewritten, and
-    ///
-    /// treating their endpoints as gone would refuse requests that can be served.
+    /// rewritten, and treating their endpoints as gone would refuse requests that can be served.
     fn is_recovering(&self, now: ClockTime) -> bool {
         self.store_failed_at
             .is_some_and(|at| now.since(at) < REGISTRY_GRACE)
     }
 
     /// Returns whether the record is of an endpoint whose successor at the same address has already
-    /// responded. The registry
-    ///
-    /// may still list such an endpoint.
+    /// responded. The registry may still list such an endpoint.
     fn is_superseded(&self, record: &EndpointRecord, now: ClockTime) -> bool {
         let present = self
             .by_address
@@ -189,9 +180,7 @@
         };
         if row.is_other_incarnation(record.start) {
             // The sidecar reads its engine's report on the same VM several times a second, while the
-            // registry lists an
-            //
-            // incarnation until the next heartbeat of its endpoint.
+            // registry lists an incarnation until the next heartbeat of its endpoint.
             if row.pulse(now).is_some_and(|pulse| pulse.start.is_some()) {
                 return;
             }
@@ -205,9 +194,7 @@
         }
         let start = record.start.or(row.record.start);
         // An incarnation that drains never accepts work again. An entry that says otherwise is from an
-        // older copy of the
-        //
-        // store.
+        // older copy of the store.
         let draining = record.draining || row.record.draining;
         row.record = EndpointRecord {
             start,
@@ -245,9 +232,7 @@
             let row = &self.rows[name];
             let record = &row.record;
             // The registry lists a restarted endpoint beside its predecessor for a few heartbeats. The
-            // status updates from this
-            //
-            // address describe the later one.
+            // status updates from this address describe the later one.
             let known = self.by_address.get(&record.address);
             let known = known.and_then(|name| self.rows.get(name));
             if known.is_none_or(|known| known.is_gone || known.index.0 < row.index.0) {
@@ -304,9 +289,7 @@
     }
 
     /// Applies a sidecar's update of its engine's load. It is ignored unless a full status update of the
-    /// same sidecar
-    ///
-    /// incarnation has been received before.
+    /// same sidecar incarnation has been received before.
     pub fn take_load_pulse(&mut self, load: &LoadPulse, now: ClockTime) {
         let row = self
             .by_address
@@ -333,7 +316,6 @@
 
     /// Records that another endpoint responded at the address, so this one is gone.
     ///
-    ///
     /// The sidecar knows a restarted engine long before the registry lists it. If the status update for the
     /// address names the same service, the new engine replaces the old one immediately. Otherwise the
     /// address may now belong to another service.
@@ -377,9 +359,8 @@
     fn adopt(&mut self, old: EndpointRow, name: EndpointName, now: ClockTime) -> EndpointRow {
         let index = self.indices.allocate();
         // The start time of the predecessor does not apply. If it were kept, the sidecar's next update
-        // would look like one
-        //
-        // more restart, and the engine would be dropped because the registry does not list it yet.
+        // would look like one more restart, and the engine would be dropped because the registry does not
+        // list it yet.
         let record = EndpointRecord {
             name,
             start: None,
--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -31,56 +31,52 @@
 
 impl EndpointDirectory {
     /// Applies the notice in a response and returns the changes that it caused. A response from an earlier
-    /// incarnation
-    ///
-    /// of the endpoint is ignored.
+    /// incarnation of the endpoint is ignored.
     pub fn take_notice(
         &mut self,
         name: &EndpointName,
-        heard: &HeardNotice<'_>,
+        received: &HeardNotice<'_>,
         now: ClockTime,
     ) -> SmallVec<[NoticeChange; 2]> {
-        if !self.is_present_start(name, heard.sent) {
+        if !self.is_present_start(name, received.sent) {
             return SmallVec::new();
         }
         let Some(row) = self.rows.get_mut(name) else {
             return SmallVec::new();
         };
-        let notice = heard.notice;
+        let notice = received.notice;
         let changes = [
-            row.apply_rate(notice.rate, heard.sent_at, now),
+            row.apply_rate(notice.rate, received.sent_at, now),
             row.apply_leaving(notice.leaving),
             row.apply_rest(notice.rest, now),
         ];
-        if heard.was_taken {
-            row.note_accepted(heard.sent_at);
+        if received.was_taken {
+            row.note_accepted(received.sent_at);
         }
         changes.into_iter().flatten().collect()
     }
 
     /// Applies a rate limit that another gateway has received from the endpoint.
-    pub fn take_limit_word(&mut self, word: &LimitWord, now: ClockTime) -> Option<NoticeChange> {
-        let row = self.rows.get_mut(&word.endpoint)?;
-        if row.is_other_incarnation(word.start) {
+    pub fn take_limit_word(&mut self, report: &LimitWord, now: ClockTime) -> Option<NoticeChange> {
+        let row = self.rows.get_mut(&report.endpoint)?;
+        if row.is_other_incarnation(report.start) {
             return None;
         }
-        let reported = word.rate.map_or(NoticeValue::Absent, NoticeValue::Given);
-        row.apply_rate(reported, now - word.sent_ago(), now)
+        let reported = report.rate.map_or(NoticeValue::Absent, NoticeValue::Given);
+        row.apply_rate(reported, now - report.sent_ago(), now)
     }
 
     /// Applies a report by another gateway that an endpoint is leaving.
-    pub fn take_leaving_word(&mut self, word: &LeavingWord) -> Option<NoticeChange> {
-        let row = self.rows.get_mut(&word.endpoint)?;
-        if row.is_other_incarnation(word.start) {
+    pub fn take_leaving_word(&mut self, report: &LeavingWord) -> Option<NoticeChange> {
+        let row = self.rows.get_mut(&report.endpoint)?;
+        if row.is_other_incarnation(report.start) {
             return None;
         }
         row.apply_leaving(NoticeValue::Given(true))
     }
 
     /// Returns the message that tells other gateways this gateway's view of an endpoint's rate limit, dated
-    /// by the
-    ///
-    /// request sent at `sent_at`, or else by the last request whose response carried a limit.
+    /// by the request sent at `sent_at`, or else by the last request whose response carried a limit.
     #[must_use]
     pub fn limit_word(
         &self,
@@ -99,9 +95,7 @@
     }
 
     /// Returns the next step of a request that needs a turn at an endpoint, or `None` if the endpoint
-    /// reports no rate
-    ///
-    /// limit.
+    /// reports no rate limit.
     pub fn turn_step(
         &mut self,
         name: &EndpointName,
@@ -168,9 +162,7 @@
 
 impl EndpointRow {
     /// Applies the leaving flag of a response. An incarnation that has reported leaving stays closed,
-    /// whatever later
-    ///
-    /// responses, the registry or its sidecar report.
+    /// whatever later responses, the registry or its sidecar report.
     fn apply_leaving(&mut self, leaving: NoticeValue<bool>) -> Option<NoticeChange> {
         match leaving {
             NoticeValue::Given(true) => {
@@ -184,9 +176,7 @@
     }
 
     /// Applies a requested rest period. A rest period is never shortened, because the endpoint enforces
-    /// every one that it
-    ///
-    /// has requested.
+    /// every one that it has requested.
     fn apply_rest(&mut self, rest: NoticeValue<RestSpan>, now: ClockTime) -> Option<NoticeChange> {
         let span = match rest {
             NoticeValue::Given(span) => span,
@@ -215,10 +205,10 @@
         }
     }
 
-    /// Applies a reported rate. A lower rate takes effect immediately. Because responses can arrive out of
-    /// order, a higher
+    /// Applies a reported rate.
     ///
-    /// rate, or none, takes effect only if the request was sent after the limit was last reported.
+    /// A lower rate takes effect immediately. Because responses can arrive out of order, a higher rate, or
+    /// none, takes effect only if the request was sent after the limit was last reported.
     pub(super) fn apply_rate(
         &mut self,
         reported: NoticeValue<RequestRate>,
--- a/crates/oatpier-serving/src/directory/requests.rs
+++ b/crates/oatpier-serving/src/directory/requests.rs
@@ -55,11 +55,10 @@
         }
     }
 
-    /// Returns whether a request was sent to the current incarnation of the endpoint. The outcome of a
-    /// request to an
+    /// Returns whether a request was sent to the current incarnation of the endpoint.
     ///
-    /// earlier incarnation is ignored. Otherwise, an engine that has just restarted would be avoided
-    /// because of the streams that its previous incarnation broke off.
+    /// The outcome of a request to an earlier incarnation is ignored. Otherwise, an engine that has just
+    /// restarted would be avoided because of the streams that its previous incarnation broke off.
     #[must_use]
     pub fn is_present_start(&self, name: &EndpointName, sent: &SentPrompt) -> bool {
         let row = self.rows.get(name);
@@ -168,9 +167,7 @@
     }
 
     /// Records that a request has ended at its endpoint. Returns whether this released an adapter that may
-    /// be unloaded, at
-    ///
-    /// an endpoint that had no room for another adapter.
+    /// be unloaded, at an endpoint that had no room for another adapter.
     pub fn note_end(
         &mut self,
         name: &EndpointName,
--- a/crates/oatpier-serving/src/directory/rest.rs
+++ b/crates/oatpier-serving/src/directory/rest.rs
@@ -1,6 +1,5 @@
 //! Rest periods that endpoints ask this gateway for, and the ramp-up after them.
 //!
-//!
 //! If all requests that wait for the end of a rest period were sent at once, they would overload the
 //! endpoint again. Therefore a single probe is sent first, and each accepted probe allows two more
 //! requests, until the number of allowed requests reaches the number of slots of the endpoint.
@@ -56,9 +55,7 @@
     }
 
     /// Records that a request sent at `sent_at` was accepted, and returns whether the ramp-up is complete
-    /// for an endpoint
-    ///
-    /// with `slots` slots.
+    /// for an endpoint with `slots` slots.
     pub(super) fn note_accepted(&mut self, sent_at: ClockTime, slots: u32) -> bool {
         if sent_at >= self.until {
             self.allowance += REQUESTS_PER_ACCEPTED;
--- a/crates/oatpier-serving/src/directory/row.rs
+++ b/crates/oatpier-serving/src/directory/row.rs
@@ -21,48 +21,34 @@
 use crate::site::EngineRule;
 
 /// Age after which a status update no longer counts and the registry entry applies instead. Six periods of
-/// an idle
-///
-/// sidecar.
+/// an idle sidecar.
 pub const PULSE_EXPIRY: Duration = Duration::from_millis(1_500);
 
 /// Time without an update after which a sidecar is overdue. Sidecars send an update at least every 0.8 s,
-/// and every
-///
-/// 100 ms while the engine is working.
+/// and every 100 ms while the engine is working.
 const PULSE_OVERDUE_AFTER: Duration = Duration::from_secs(1);
 
 /// Minimum remaining time assumed for a load in progress. It applies to a load that exceeds its expected
-/// duration,
-///
-/// because engines report no progress.
+/// duration, because engines report no progress.
 const MIN_REMAINING_LOAD: Duration = Duration::from_millis(200);
 
 /// Additional load time assumed while the engine waits for the streams of another model to end. They end
-/// one by one, and
-///
-/// a stream takes one to a few seconds.
+/// one by one, and a stream takes one to a few seconds.
 const INITIAL_DRAIN_TIME: Duration = Duration::from_secs(1);
 
 /// Initial estimate of the time to the first chunk, in milliseconds, not counting the prefill. It covers
-/// one step of an
-///
-/// engine under low load and the network latency.
+/// one step of an engine under low load and the network latency.
 const INITIAL_FIRST_CHUNK_MS: f64 = 15.0;
 
 /// Initial estimate of how long a request holds a slot, in milliseconds. It corresponds to a few hundred
-/// tokens at an
-///
-/// engine under low load.
+/// tokens at an engine under low load.
 const INITIAL_HOLD_MS: f64 = 700.0;
 
 /// Like [`INITIAL_HOLD_MS`], for a plain service.
 const INITIAL_SERVICE_HOLD_MS: f64 = 30.0;
 
 /// An endpoint is throttled if its rate limit keeps its running requests below this share of its slots: it
-/// then holds
-///
-/// its models for few requests.
+/// then holds its models for few requests.
 const THROTTLED_SHARE: f64 = 0.25;
 
 /// A rate limit or rest period that ends within this time does not justify loading the model elsewhere.
@@ -219,9 +205,7 @@
     }
 
     /// Returns whether its rate limit or rest period has restricted it so much and for so long that its
-    /// models need other
-    ///
-    /// holders.
+    /// models need other holders.
     #[must_use]
     pub fn is_squeezed(&self, now: ClockTime) -> bool {
         let is_limited = self.limit.is_some_and(|limit| {
@@ -240,9 +224,7 @@
     }
 
     /// Resets the state for a new incarnation. Nothing known about the previous incarnation applies to the
-    /// new one, even
-    ///
-    /// under the same name.
+    /// new one, even under the same name.
     pub(super) fn restart(&mut self, record: EndpointRecord, index: EndpointIndex) {
         *self = Self::new(record, index);
     }
@@ -362,9 +344,7 @@
     }
 
     /// Stores a status update. Status updates and load updates arrive through different relays, so a newer
-    /// load update may
-    ///
-    /// already have been applied.
+    /// load update may already have been applied.
     pub(super) fn store_pulse(&mut self, pulse: EnginePulse, now: ClockTime) {
         let newer = self.pulse.as_ref().map(LatestPulse::load);
         let mut kept = LatestPulse {
@@ -442,7 +422,8 @@
         self.load.waiting()
     }
 
-    /// Returns the share of its memory taken by requests and `more` additional tokens; 0 if unknown.
+    /// Returns the share of its memory taken by requests and `more` additional tokens, as a fraction; 0 if
+    /// unknown.
     #[must_use]
     pub fn memory_share(&self, more: u64, now: ClockTime) -> f64 {
         let Some(pulse) = self.pulse(now).filter(|pulse| pulse.memory_total > 0) else {
--- a/crates/oatpier-serving/src/engine.rs
+++ b/crates/oatpier-serving/src/engine.rs
@@ -45,7 +45,6 @@
 
 /// Identifier of an incarnation of an endpoint: the wall-clock time of its start, in Unix milliseconds.
 ///
-///
 /// An endpoint may restart under the same name, and then holds nothing and has no earlier state.
 /// Incarnations may only be compared for equality, not for order: clocks are adjusted, so the later
 /// incarnation may have the earlier time. The current incarnation is the one reported last.
--- a/crates/oatpier-serving/src/failures.rs
+++ b/crates/oatpier-serving/src/failures.rs
@@ -1,6 +1,5 @@
 //! The share of an engine's requests that fail, over all gateways.
 //!
-//!
 //! Consider 24 gateways and 50 engines, half of which lose a fifth of their responses for some seconds. A
 //! gateway sends each engine one request per second. From its own requests it would learn of the failures
 //! only when they are over. The engine's sidecar grants the permits for all gateways' requests and is told
@@ -74,7 +73,8 @@
         self.failures.add(failure.weight(), now);
     }
 
-    /// Returns the share of failures in steps of 5 percent, so that small changes cause no status updates.
+    /// Returns the share of failures in steps of 5 percentage points, so that small changes cause no status
+    /// updates.
     #[must_use]
     pub fn share_percent(&self, now: ClockTime) -> u8 {
         let requests = self.requests.at(now).max(MIN_REQUESTS);
--- a/crates/oatpier-serving/src/greetings.rs
+++ b/crates/oatpier-serving/src/greetings.rs
@@ -1,6 +1,5 @@
 //! How often a gateway sends greetings to sidecars that it receives no updates from.
 //!
-//!
 //! A greeting asks a sidecar for its status updates. After a start of all processes, the updates of every
 //! sidecar must arrive promptly, so a sidecar without updates is greeted eight times a second. In a fleet
 //! with ten engines for each of our VMs, most engines have no sidecar at all, and unanswered greetings were
@@ -19,10 +18,8 @@
 /// Time that a process takes to start.
 const INITIAL_PERIOD: Duration = Duration::from_secs(4);
 
-/// After [`INITIAL_PERIOD`], each greeting is sent when the time without updates is this many times what it was
-/// at the
-///
-/// previous greeting.
+/// After [`INITIAL_PERIOD`], each greeting is sent when the time without updates is this many times what it
+/// was at the previous greeting.
 const BACKOFF_FACTOR: f64 = 1.25;
 
 /// Maximum interval between greetings. A sidecar whose VM was partitioned is found again within this time.
--- a/crates/oatpier-serving/src/health.rs
+++ b/crates/oatpier-serving/src/health.rs
@@ -1,10 +1,9 @@
 //! Health of endpoints as observed on the data path.
 //!
-//!
 //! [`HealthTracker`] detects endpoints that are dead, frozen, slow or break off every response. An endpoint
 //! that fails a part of its requests and answers the rest passes these checks, because its failures are not
-//! consecutive. [`FailureShare`] detects it by its share of failures, and [`DurationEstimate`] estimates how
-//! long its responses take.
+//! consecutive. [`FailureShare`] detects it by its share of failures, and [`DurationEstimate`] estimates
+//! how long its responses take.
 
 use std::time::Duration;
 
@@ -18,9 +17,7 @@
 const RESULT_WEIGHT: f64 = 0.12;
 
 /// Time without requests after which the failure share of an endpoint is halved, so that an endpoint that
-/// has recovered
-///
-/// receives requests again.
+/// has recovered receives requests again.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// The share of an endpoint's requests that have failed recently.
--- a/crates/oatpier-serving/src/lib.rs
+++ b/crates/oatpier-serving/src/lib.rs
@@ -1,6 +1,5 @@
 //! Decision logic of gateways and sidecars, as deterministic state machines.
 //!
-//!
 //! A gateway accepts callers' requests and sends them directly to endpoints. A sidecar runs beside an
 //! engine and is the only process that sends it orders. All code in this crate maps an event and the
 //! current time to a decision, without I/O, clocks or `async`. Random choices use a seeded generator.
--- a/crates/oatpier-serving/src/peers.rs
+++ b/crates/oatpier-serving/src/peers.rs
@@ -1,6 +1,5 @@
 //! Membership of the gateways, and the choice of the gateway that plans.
 //!
-//!
 //! A gateway counts as live until three of its reports in a row are missing. Among the gateways that keep
 //! up with their work, the one with the largest CPU allotment is the planner. While the gateways' views
 //! differ, two of them may plan. This costs a few loads at most, because each sidecar enforces all limits
@@ -22,17 +21,14 @@
 /// Tolerance for late reports: one round of the sender's timers on a busy VM.
 const REPORT_SLACK: Duration = Duration::from_millis(150);
 
-/// Number of gateways that receive the full demand: the planner and its successor. The others only receive
-/// reports that
+/// Number of gateways that receive the full demand: the planner and its successor.
 ///
-/// show the sender is live. Sending the full demand to all of them would cost bytes and CPU time that grow
-/// with the square of the number of gateways.
+/// The others only receive reports that show the sender is live. Sending the full demand to all of them
+/// would cost bytes and CPU time that grow with the square of the number of gateways.
 const DEMAND_READERS: usize = 2;
 
 /// A gateway may plan only if it misses at most this fraction (one in four) of the engines that the
-/// best-connected
-///
-/// gateway receives updates from. A few lost datagrams must not move the planner.
+/// best-connected gateway receives updates from. A few lost datagrams must not move the planner.
 const MISSED_ENGINES_DIVISOR: u32 = 4;
 
 /// Time for which a gateway's address is sent reports after a sidecar last named it.
@@ -107,9 +103,7 @@
     }
 
     /// Sort key: the gateway with the lowest key plans. A planning round takes 200 ms on the smallest VMs
-    /// and a few
-    ///
-    /// milliseconds on the others, and the demand of every gateway is sent to the planner.
+    /// and a few milliseconds on the others, and the demand of every gateway is sent to the planner.
     fn sort_key(&self) -> (bool, Reverse<u32>, SocketAddr) {
         (self.is_behind, Reverse(self.processor), self.address)
     }
@@ -142,9 +136,7 @@
     /// The same, averaged over about ten seconds.
     pub asked_long: f64,
     /// Recently requested adapters at the gateway that saw the most of them. They are not summed, because
-    /// gateways see
-    ///
-    /// mostly the same adapters.
+    /// gateways see mostly the same adapters.
     pub adapters: f64,
     /// Time since the last request; `None` if there was none.
     pub idle: Option<Duration>,
@@ -296,9 +288,7 @@
     }
 
     /// Returns whether this gateway is the planner or its successor, in which case the others must detect
-    /// its failure
-    ///
-    /// quickly.
+    /// its failure quickly.
     #[must_use]
     pub fn is_reader(&self, now: ClockTime) -> bool {
         let before = self.live(now).filter(|(address, kept)| {
@@ -328,11 +318,10 @@
         live.map(|(address, _)| *address)
     }
 
-    /// Returns the number of gateways, including this one. Gateways that a sidecar has named count before
-    /// their first
+    /// Returns the number of gateways, including this one.
     ///
-    /// report. Otherwise, gateways that have just started would take too large a part of what is divided by
-    /// this number.
+    /// Gateways that a sidecar has named count before their first report. Otherwise, gateways that have
+    /// just started would take too large a part of what is divided by this number.
     #[must_use]
     pub fn count(&self, now: ClockTime) -> usize {
         let is_named = |named_at: &&ClockTime| now.since(**named_at) < ADDRESS_EXPIRY;
@@ -341,9 +330,9 @@
     }
 
     /// Returns the gateway that plans: the highest-ranked one among those that receive updates from most of
-    /// the engines. A
+    /// the engines.
     ///
-    /// gateway that has just started, or is partitioned from the sidecars, takes engines that wait for
+    /// A gateway that has just started, or is partitioned from the sidecars, takes engines that wait for
     /// advice for busy. No model would be loaded while it planned.
     #[must_use]
     pub fn planner(&self, now: ClockTime) -> SocketAddr {
--- a/crates/oatpier-serving/src/reads.rs
+++ b/crates/oatpier-serving/src/reads.rs
@@ -1,6 +1,5 @@
 //! When a gateway reads the store, and how the reads of other gateways replace its own.
 //!
-//!
 //! With 68 gateways that each read the configuration and the registry every 1.8 s, the store received
 //! nearly 40 calls per second that all returned the same data, and the smallest gateways spent a twentieth
 //! of their CPU time on decoding it. Therefore, a gateway that has read the store sends the gateways of its
@@ -25,18 +24,16 @@
 use crate::directory::EndpointRecord;
 use crate::quota::tenure::{PartEntry, StoreEra};
 
-/// Minimum interval between two reads as a share of the period. Each gateway draws its interval between
-/// this share and
+/// Minimum interval between two reads as a share of the period.
 ///
-/// the whole period, so that the first of about twelve gateways in a zone reads and sends the changes
-/// before the others are due.
+/// Each gateway draws its interval between this share and the whole period, so that the first of about
+/// twelve gateways in a zone reads and sends the changes before the others are due.
 const MIN_INTERVAL_SHARE: f64 = 0.75;
 
-/// Maximum number of consecutive reads that messages of other gateways may replace. The digest leaves out
-/// what engines
+/// Maximum number of consecutive reads that messages of other gateways may replace.
 ///
-/// hold, because sidecars report it sooner. If a sidecar's updates do not arrive, this bounds the age of
-/// that information.
+/// The digest leaves out what engines hold, because sidecars report it sooner. If a sidecar's updates do
+/// not arrive, this bounds the age of that information.
 const MAX_SKIPPED_READS: u32 = 20;
 
 /// A digest of the store's contents: the configuration and the registered endpoints.
@@ -65,11 +62,10 @@
     }
 }
 
-/// Returns a hash that identifies a configuration by its contents. The store's revision does not identify
-/// it: a store
+/// Returns a hash that identifies a configuration by its contents.
 ///
-/// restored from an older copy assigns revisions again, and a gateway with the old configuration would seem
-/// up to date.
+/// The store's revision does not identify it: a store restored from an older copy assigns revisions again,
+/// and a gateway with the old configuration would seem up to date.
 #[must_use]
 pub fn config_mark(value: &[u8]) -> u64 {
     xxh3_64(value)
@@ -87,11 +83,10 @@
     pub era: StoreEra,
 }
 
-/// A digest of [`OwnEntries`], 0 if there are none. Messages between gateways do not carry the entries. A
-/// gateway with a
+/// A digest of [`OwnEntries`], 0 if there are none.
 ///
-/// different digest reads the store itself, which costs each gateway one or two reads after an endpoint has
-/// terminated.
+/// Messages between gateways do not carry the entries. A gateway with a different digest reads the store
+/// itself, which costs each gateway one or two reads after an endpoint has terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct InternalDigest(u64);
 
@@ -130,9 +125,7 @@
 }
 
 /// Maximum number of registry changes in one message, so that it fits into one packet. After more changes,
-/// such as at
-///
-/// the start of a fleet, each gateway reads the store itself.
+/// such as at the start of a fleet, each gateway reads the store itself.
 const MAX_CHANGES: usize = 6;
 
 /// The changes to the store that a gateway has seen between two reads.
@@ -225,23 +218,22 @@
     }
 
     /// Applies another gateway's changes. The result is checked against the digest, so changes that are
-    /// incomplete, for
-    ///
-    /// example because the configuration has changed, are rejected.
-    pub fn take_word(&mut self, word: &StoreWord) -> WordOutcome {
-        if word.now == self.digest {
+    /// incomplete, for example because the configuration has changed, are rejected.
+    pub fn take_word(&mut self, delta: &StoreWord) -> WordOutcome {
+        if delta.now == self.digest {
             return WordOutcome::Same;
         }
-        if word.before != self.digest {
+        if delta.before != self.digest {
             return WordOutcome::Unknown;
         }
         let is_replaced = |row: &EndpointRecord| {
-            word.removed.contains(&row.name) || word.changed.iter().any(|new| new.name == row.name)
+            delta.removed.contains(&row.name)
+                || delta.changed.iter().any(|new| new.name == row.name)
         };
         let kept = self.endpoints.iter().filter(|row| !is_replaced(row));
-        let endpoints = kept.chain(&word.changed).cloned().collect();
+        let endpoints = kept.chain(&delta.changed).cloned().collect();
         let patched = Self::new(self.config_mark, endpoints).with_internal_digest(self.internal);
-        if patched.digest != word.now {
+        if patched.digest != delta.now {
             return WordOutcome::Unknown;
         }
         *self = patched;
--- a/crates/oatpier-serving/src/relays.rs
+++ b/crates/oatpier-serving/src/relays.rs
@@ -1,7 +1,6 @@
 //! The gateways of each availability zone that receive a sidecar's updates directly, and forwarding to the
 //! others.
 //!
-//!
 //! With 68 gateways and 93 engines, sidecars that sent their updates to every gateway caused 840 MB of
 //! traffic between availability zones per minute, although they limited load updates to one every 0.8 s.
 //! Requests then went to engines that had long been full. Therefore, a sidecar sends its updates to two
@@ -25,15 +24,11 @@
 use crate::message::{EngineWord, MessageNumber};
 
 /// Number of relays of a sidecar in each zone. A relay that was killed sends no more greetings and is
-/// dropped after some
-///
-/// seconds. Until then the updates arrive through the other one.
+/// dropped after some seconds. Until then the updates arrive through the other one.
 const RELAYS_PER_ZONE: usize = 2;
 
 /// Maximum number of full status updates per datagram. Each takes about 400 bytes, and a datagram of
-/// several packets is
-///
-/// lost if any one of them is lost.
+/// several packets is lost if any one of them is lost.
 const PULSES_PER_DATAGRAM: usize = 3;
 
 /// Maximum number of load updates, of about 45 bytes each, per datagram.
@@ -79,9 +74,7 @@
 }
 
 /// Computes a rank by weighted rendezvous hashing: the probability of ranking first is the candidate's
-/// share of the
-///
-/// total weight.
+/// share of the total weight.
 fn rank(sidecar: SocketAddr, candidate: &RelayCandidate<'_>) -> f64 {
     let mut hasher = Xxh3::new();
     for address in [sidecar, candidate.address] {
--- a/crates/oatpier-serving/src/site.rs
+++ b/crates/oatpier-serving/src/site.rs
@@ -138,9 +138,7 @@
     }
 
     /// Returns the memory available to models, in MB, which is what remains if every adapter slot holds the
-    /// largest adapter.
-    ///
-    /// Adapters then never compete with weights for memory.
+    /// largest adapter. Adapters then never compete with weights for memory.
     #[must_use]
     pub fn model_room_mb(&self) -> f64 {
         let largest = self.models.iter().map(|model| model.adapter_mb);
--- a/crates/oatpier-serving/tests/testsuite/directory.rs
+++ b/crates/oatpier-serving/tests/testsuite/directory.rs
@@ -16,10 +16,8 @@
 }
 
 /// Entries expire while the store is down, and their endpoints rewrite them within two seconds of its
-/// recovery. Requests
-///
-/// would be refused for lack of endpoints although all of them are running. A missing entry is therefore
-/// kept for that long and removed afterwards.
+/// recovery. Requests would be refused for lack of endpoints although all of them are running. A missing
+/// entry is therefore kept for that long and removed afterwards.
 #[test]
 fn expired_entries_are_kept_for_a_grace_period_after_a_store_outage() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -63,11 +61,9 @@
 }
 
 /// Guards against refusals after a restart of engines. The registry lists the old name for one more
-/// heartbeat, and the
-///
-/// new engine rejects every request addressed to the old name. If the sidecar at the address reports the
-/// same service, the new engine replaces the old one immediately, and the old entry does not bring the old
-/// name back.
+/// heartbeat, and the new engine rejects every request addressed to the old name. If the sidecar at the
+/// address reports the same service, the new engine replaces the old one immediately, and the old entry
+/// does not bring the old name back.
 #[test]
 fn restarted_engine_replaces_its_predecessor() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -80,9 +76,7 @@
 }
 
 /// The address of an endpoint that is gone may now belong to another service. Without a sidecar that
-/// reports the same
-///
-/// service, requests must not be sent to the endpoint that responds there.
+/// reports the same service, requests must not be sent to the endpoint that responds there.
 #[test]
 fn unknown_endpoint_at_the_address_is_not_taken_for_a_restart() {
     let mut directory = EndpointDirectory::default();
@@ -108,9 +102,8 @@
 }
 
 /// All engines and gateways were restarted, and the registry still lists the old engines. Without the
-/// instance name in
-///
-/// the sidecar's status update, every gateway would first send each of them a request that is rejected.
+/// instance name in the sidecar's status update, every gateway would first send each of them a request that
+/// is rejected.
 #[test]
 fn status_update_with_a_new_instance_replaces_the_engine() {
     let mut directory = EndpointDirectory::default();
@@ -128,10 +121,8 @@
 }
 
 /// The registry lists a restarted engine beside its predecessor until the old entry expires. The status
-/// updates from
-///
-/// their address describe the current engine. If they were assigned to the predecessor, the current engine
-/// would receive no loads and adapters for seconds.
+/// updates from their address describe the current engine. If they were assigned to the predecessor, the
+/// current engine would receive no loads and adapters for seconds.
 #[test]
 fn status_update_applies_to_the_later_of_two_endpoints_at_an_address() {
     let mut later = record(1, &[]);
@@ -174,9 +165,7 @@
 }
 
 /// An engine crashes and restarts under the same name between two heartbeats, so the registry lists it
-/// throughout. It
-///
-/// would reject requests for the models that it held before, and its prompt cache is empty.
+/// throughout. It would reject requests for the models that it held before, and its prompt cache is empty.
 #[test]
 fn engine_restarted_under_its_name_has_no_models_or_cached_prompts() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -193,9 +182,7 @@
 }
 
 /// The registry still lists the previous incarnation and its models after the sidecar has reported the next
-/// one. The
-///
-/// sidecar's report is newer.
+/// one. The sidecar's report is newer.
 #[test]
 fn old_entry_does_not_restore_an_earlier_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -210,9 +197,7 @@
 }
 
 /// The engine's clock was set back before it restarted, so the new incarnation has the earlier start time.
-/// It is
-///
-/// accepted, because start times are only compared for equality.
+/// It is accepted, because start times are only compared for equality.
 #[test]
 fn later_incarnation_may_have_an_earlier_start_time() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -235,9 +220,7 @@
 }
 
 /// Without a sidecar, only the registry reports restarts. A plain service restarts under the same name, and
-/// the state
-///
-/// of its previous incarnation (here: slow responses) is discarded.
+/// the state of its previous incarnation (here: slow responses) is discarded.
 #[test]
 fn registry_reports_restarts_without_a_sidecar() {
     let mut directory = EndpointDirectory::default();
@@ -256,9 +239,7 @@
 }
 
 /// The streams of an engine break off when it crashes, and it restarts under the same name before the
-/// gateway has
-///
-/// recorded them. They must not count as failures of the new incarnation.
+/// gateway has recorded them. They must not count as failures of the new incarnation.
 #[test]
 fn broken_streams_do_not_count_against_the_next_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -277,11 +258,9 @@
 }
 
 /// A response shows that another instance has the address before the sidecar names it, and the instance
-/// replaces its
-///
-/// predecessor. The sidecar's next update has the start time of the new instance. It must not be taken for
-/// one more restart: the registry does not list the instance yet, so it would be dropped and requests
-/// refused until it does.
+/// replaces its predecessor. The sidecar's next update has the start time of the new instance. It must not
+/// be taken for one more restart: the registry does not list the instance yet, so it would be dropped and
+/// requests refused until it does.
 #[test]
 fn successor_is_kept_when_its_sidecar_reports_its_start_time() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -306,10 +285,8 @@
 }
 
 /// An engine reports that it drains, and every gateway acknowledges it. The store is then restored from a
-/// copy in which
-///
-/// the engine is ready. It is still leaving and must not receive work, but a new incarnation under its name
-/// must.
+/// copy in which the engine is ready. It is still leaving and must not receive work, but a new incarnation
+/// under its name must.
 #[test]
 fn draining_engine_stays_closed_after_the_store_is_restored() {
     let mut directory = EndpointDirectory::default();
@@ -328,9 +305,8 @@
 }
 
 /// Like the test above, for engines that are gone: one that drained, and one whose entry expired. The
-/// second may still
-///
-/// be running, which is certain once it is listed for longer than the entry of a dead engine lasts.
+/// second may still be running, which is certain once it is listed for longer than the entry of a dead
+/// engine lasts.
 #[test]
 fn departed_engine_in_a_restored_store_returns_only_if_it_is_running() {
     let mut directory = EndpointDirectory::default();
@@ -363,9 +339,7 @@
 }
 
 /// Engines that registered after the copy was made are missing until they rewrite their entries, which
-/// takes one or two
-///
-/// heartbeats. They must not be removed in the meantime.
+/// takes one or two heartbeats. They must not be removed in the meantime.
 #[test]
 fn engine_missing_from_a_restored_store_is_kept_until_it_rewrites_its_entry() {
     let mut directory = EndpointDirectory::default();
--- a/crates/oatpier-serving/tests/testsuite/failures.rs
+++ b/crates/oatpier-serving/tests/testsuite/failures.rs
@@ -36,9 +36,8 @@
 }
 
 /// Two engines hold the model, and one of them loses a fifth of its responses, none of which were to this
-/// gateway. The
-///
-/// request goes to the other engine, unless that one is so full that the request would be late.
+/// gateway. The request goes to the other engine, unless that one is so full that the request would be
+/// late.
 #[test]
 fn engine_that_fails_requests_of_other_gateways_is_avoided() {
     let chosen = |losing_percent: u8, other_running: u32| {
--- a/crates/oatpier-serving/tests/testsuite/greetings.rs
+++ b/crates/oatpier-serving/tests/testsuite/greetings.rs
@@ -19,9 +19,7 @@
 }
 
 /// An engine has no sidecar. Greetings at the initial rate would be as much traffic to its VM as all other
-/// messages
-///
-/// together.
+/// messages together.
 #[test]
 fn sidecar_that_never_answers_is_greeted_rarely() {
     let mut paces = GreetingPaces::default();
--- a/crates/oatpier-serving/tests/testsuite/notices.rs
+++ b/crates/oatpier-serving/tests/testsuite/notices.rs
@@ -68,9 +68,7 @@
 }
 
 /// Responses on different connections can arrive out of order. A response from before the limit, or from
-/// before it was
-///
-/// lowered, must not end the limit.
+/// before it was lowered, must not end the limit.
 #[test]
 fn late_older_response_does_not_raise_or_end_the_limit() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -103,9 +101,7 @@
 }
 
 /// An endpoint restarts under the same name. Neither the limit of its previous incarnation nor a late
-/// response of that
-///
-/// incarnation may apply to the new one, which has not reported a limit.
+/// response of that incarnation may apply to the new one, which has not reported a limit.
 #[test]
 fn new_incarnation_inherits_no_limit() {
     let start = |time| {
@@ -176,9 +172,7 @@
 }
 
 /// The duration is unreadable, but it is known that rest is requested. If it were ignored, the endpoint
-/// would receive
-///
-/// the next request immediately.
+/// would receive the next request immediately.
 #[test]
 fn unreadable_rest_period_counts_as_one_second() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -218,9 +212,8 @@
 }
 
 /// The registry lists the endpoint as ready while the store is down and again after the store is restored
-/// from an older
-///
-/// copy, and its sidecar knows no more than the registry. Neither source may reopen the endpoint.
+/// from an older copy, and its sidecar knows no more than the registry. Neither source may reopen the
+/// endpoint.
 #[test]
 fn leaving_endpoint_stays_closed_whatever_later_sources_report() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -238,9 +231,7 @@
 }
 
 /// Neither a new incarnation under the same name nor another endpoint at the same address may inherit the
-/// leaving flag.
-///
-/// Otherwise it would receive no work until it leaves too.
+/// leaving flag. Otherwise it would receive no work until it leaves too.
 #[test]
 fn successor_of_a_leaving_endpoint_inherits_nothing() {
     let start = |time| {
@@ -292,9 +283,7 @@
 }
 
 /// If all requests that wait for the end of a rest period were sent in its first millisecond, they would
-/// overload the
-///
-/// endpoint again.
+/// overload the endpoint again.
 #[test]
 fn requests_after_a_rest_period_ramp_up_with_accepted_ones() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -312,9 +301,7 @@
 }
 
 /// The first request after a rest period is lost, or its caller disconnects. The endpoint must not stay
-/// closed for that
-///
-/// reason.
+/// closed for that reason.
 #[test]
 fn unanswered_probe_after_a_rest_period_is_repeated() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
--- a/crates/oatpier-serving/tests/testsuite/peers.rs
+++ b/crates/oatpier-serving/tests/testsuite/peers.rs
@@ -93,9 +93,8 @@
 }
 
 /// Sending the full demand to every gateway would cost bytes and CPU time that grow with the square of
-/// their number. Only
-///
-/// the planner and its successor receive it, and a gateway whose reports are missing is not one of them.
+/// their number. Only the planner and its successor receive it, and a gateway whose reports are missing is
+/// not one of them.
 #[test]
 fn only_the_planner_and_its_successor_receive_the_demand() {
     let mut book = book(9, &[1, 2, 3, 4, 5]);
@@ -107,10 +106,8 @@
 }
 
 /// All processes were restarted, and the gateway with the lowest address started last. It receives updates
-/// from two of
-///
-/// eight engines and would take the others for busy while their models are in demand. It plans only when it
-/// receives updates from nearly as many engines as the others.
+/// from two of eight engines and would take the others for busy while their models are in demand. It plans
+/// only when it receives updates from nearly as many engines as the others.
 #[test]
 fn gateway_with_updates_from_few_engines_does_not_plan() {
     let mut book = book(2, &[]);
@@ -125,9 +122,7 @@
 }
 
 /// The gateway is partitioned from the sidecars, but not from its peers. As the planner it would know of no
-/// engine that
-///
-/// could load a model.
+/// engine that could load a model.
 #[test]
 fn gateway_partitioned_from_sidecars_does_not_plan() {
     let mut book = book(1, &[2, 3]);
@@ -136,9 +131,7 @@
 }
 
 /// The gateway with the lowest address is on the smallest VM. A planning round takes it 200 ms, during
-/// which no model is
-///
-/// loaded anywhere. A gateway with five times the CPU allotment plans instead.
+/// which no model is loaded anywhere. A gateway with five times the CPU allotment plans instead.
 #[test]
 fn gateway_with_the_largest_cpu_allotment_plans() {
     let mut book = book(1, &[2]);
@@ -159,9 +152,7 @@
 }
 
 /// The planner is killed. Gateways of other zones receive its reports as often as those of its own zone, so
-/// the next
-///
-/// planner takes over within three report intervals in all zones.
+/// the next planner takes over within three report intervals in all zones.
 #[test]
 fn successor_plans_soon_after_the_planner_fails() {
     let book = book(2, &[1]);
@@ -171,9 +162,7 @@
 }
 
 /// Requests for one model cannot be served. The planner receives the demand for that model immediately, and
-/// its data
-///
-/// about other models is kept.
+/// its data about other models is kept.
 #[test]
 fn partial_report_replaces_only_the_models_it_lists() {
     let mut book = book(2, &[1]);
@@ -188,9 +177,7 @@
 }
 
 /// Sidecars have named sixty other gateways to one that has just started, and none of them has reported
-/// yet. The
-///
-/// gateway must take only its part of the shared rates, not all of it.
+/// yet. The gateway must take only its part of the shared rates, not all of it.
 #[test]
 fn gateways_only_named_by_sidecars_are_counted() {
     let mut book = PeerBook::new(address(1), 100);
--- a/crates/oatpier-serving/tests/testsuite/reads.rs
+++ b/crates/oatpier-serving/tests/testsuite/reads.rs
@@ -1,6 +1,5 @@
 //! Tests of the schedule of store reads and of the changes that gateways exchange.
 //!
-//!
 //! The scenario has about twelve gateways in one zone, each of which must see a change within two seconds.
 
 use std::time::Duration;
@@ -14,10 +13,8 @@
 const PERIOD: Duration = Duration::from_millis(1_800);
 
 /// Simulates the gateways of a zone in steps of 10 ms. A gateway whose read is due reads, and those that
-/// receive its
-///
-/// message do so 20 ms later. Counts the reads and the longest time for which any gateway had no news of
-/// the store.
+/// receive its message do so 20 ms later. Counts the reads and the longest time for which any gateway had
+/// no news of the store.
 struct ZoneRun {
     schedules: Vec<ReadSchedule>,
     news_at: Vec<u64>,
@@ -79,9 +76,7 @@
 }
 
 /// The gateway that read last is killed, one is partitioned from the others, and all messages are lost for
-/// a while. Every
-///
-/// gateway must still see the store within its period.
+/// a while. Every gateway must still see the store within its period.
 #[test]
 fn gateways_see_changes_in_time_without_messages_from_others() {
     let mut run = ZoneRun::new(13);
@@ -91,10 +86,8 @@
 }
 
 /// Between two reads of a gateway, one endpoint drains, one is removed and one is added. Gateways with the
-/// same previous
-///
-/// view apply these changes from its message. A gateway that has missed an earlier message cannot, and
-/// reads when its next read is due.
+/// same previous view apply these changes from its message. A gateway that has missed an earlier message
+/// cannot, and reads when its next read is due.
 #[test]
 fn changes_apply_only_to_a_matching_view() {
     let first = StoreView::new(7, vec![record(1, &["m1"]), record(2, &["m1"])]);
@@ -124,9 +117,7 @@
 }
 
 /// A whole fleet has started between two reads. The message must still fit into one packet, and other
-/// gateways read the
-///
-/// store themselves.
+/// gateways read the store themselves.
 #[test]
 fn too_many_changes_are_left_out_of_the_message() {
     let first = StoreView::new(7, Vec::new());
@@ -169,10 +160,8 @@
 }
 
 /// The store is restored from an older copy and assigns its revisions again, so an old configuration may
-/// have the
-///
-/// revision of a new one. A gateway with the old configuration must not take a message as confirmation of
-/// its own view.
+/// have the revision of a new one. A gateway with the old configuration must not take a message as
+/// confirmation of its own view.
 #[test]
 fn configurations_are_distinguished_by_contents() {
     assert_ne!(
--- a/crates/oatpier-serving/tests/testsuite/relays.rs
+++ b/crates/oatpier-serving/tests/testsuite/relays.rs
@@ -1,6 +1,5 @@
 //! Tests of the selection of relays and of forwarding by them.
 //!
-//!
 //! The scenario has 93 sidecars and 68 gateways in five zones, on a mix of small and large VMs. Relays are
 //! killed, and datagrams are lost, duplicated and reordered.
 
@@ -80,9 +79,7 @@
 }
 
 /// Three VMs of a zone have five times the CPU allotment of the ten others. They must relay for most
-/// sidecars, and the
-///
-/// others for few.
+/// sidecars, and the others for few.
 #[test]
 fn relays_are_selected_by_cpu_allotment() {
     let near = zone("near");
@@ -128,9 +125,7 @@
 }
 
 /// A load update that arrives through another relay overtakes a full status update. The models are taken
-/// from the status
-///
-/// update and the load from the load update.
+/// from the status update and the load from the load update.
 #[test]
 fn overtaken_status_update_sets_the_models_but_not_the_load() {
     let mut directory = EndpointDirectory::default();
@@ -180,9 +175,7 @@
     }
 
     /// Runs one period, in which each sidecar sends an update to its relays, which forward it. A datagram
-    /// is lost if `loses`
-    ///
-    /// returns true.
+    /// is lost if `loses` returns true.
     fn period(&mut self, number: u64, holds: &str, mut loses: impl FnMut() -> bool) {
         let now = number * 100;
         for engine in 1..=FLEET_ENGINES {
@@ -231,9 +224,7 @@
     #![proptest_config(fixed_cases(128))]
 
     /// One gateway of each zone is dead and still counts as a relay, and half of all datagrams are lost for
-    /// a while. One
-    ///
-    /// period after the losses end, every gateway must know the models of every engine.
+    /// a while. One period after the losses end, every gateway must know the models of every engine.
     #[test]
     fn gateways_converge_within_a_period_despite_dead_relays_and_losses(
         dead in (0_usize..4, 0_usize..4, 0_usize..4),
@@ -249,8 +240,8 @@
         prop_assert_eq!(fleet.outdated_count("m2", 650), 0);
     }
 
-    /// Updates are lost, duplicated and reordered on both paths. Once the latest full status update and the latest
-    /// load update have arrived, in either order, the gateway must know the latest state.
+    /// Updates are lost, duplicated and reordered on both paths. Once the latest full status update and the
+    /// latest load update have arrived, in either order, the gateway must know the latest state.
     #[test]
     fn state_converges_under_loss_duplication_and_reordering(
         noise in prop::collection::vec((0_usize..40, any::<bool>()), 0..80),
--- a/crates/oatpier-serving/tests/testsuite/support.rs
+++ b/crates/oatpier-serving/tests/testsuite/support.rs
@@ -178,9 +178,7 @@
 }
 
 /// Returns a configuration with a fixed seed, so that every run has the same result. Failures are kept as
-/// separate tests
-///
-/// instead of files.
+/// separate tests instead of files.
 pub fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
