--- a/crates/oatpier-serving/src/peers.rs
+++ b/crates/oatpier-serving/src/peers.rs
@@ -31,7 +31,7 @@
 /// best-connected gateway receives updates from. A few lost datagrams must not move the planner.
 const MISSED_ENGINES_DIVISOR: u32 = 4;
 
-/// Time for which a gateway's address is sent reports after a sidecar last named it.
+/// Time for which a gateway's address is sent reports after a sidecar last named it or its last report.
 const ADDRESS_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Time after the last request for a model from which on the model counts as never requested.
@@ -332,8 +332,8 @@
     /// Returns the gateway that plans: the highest-ranked one among those that receive updates from most of
     /// the engines.
     ///
-    /// A gateway that has just started, or is partitioned from the sidecars, takes engines that wait for
-    /// advice for busy. No model would be loaded while it planned.
+    /// A gateway that has just started, or is partitioned from the sidecars, regards engines that wait
+    /// for advice as busy. No model would be loaded while it planned.
     #[must_use]
     pub fn planner(&self, now: ClockTime) -> SocketAddr {
         let peers = self.live(now).filter(|(_, kept)| !kept.report.leaving);
