--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints said of themselves in their answers.
+//! State that endpoints report about themselves in their responses: rate limits, rest periods and leaving.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use smallvec::SmallVec;
 
 use super::rest::RestState;
-use super::row::NamedLimit;
+use super::row::ReportedLimit;
 use super::{EndpointDirectory, EndpointRow};
 use crate::message::{LeavingWord, LimitWord};
 use crate::notice::{EndpointNotice, NoticeChange, NoticeValue, RequestRate, RestSpan};
@@ -16,67 +16,67 @@
 use crate::quota::turns::{HeldTurn, TurnAnswer, TurnEstimates, TurnStep};
 use crate::reading::SentPrompt;
 
-/// A notice, and the request that it came with.
+/// A notice and the request whose response carried it.
 #[derive(Debug, Clone, Copy)]
 pub struct HeardNotice<'a> {
-    /// What the answer said.
+    /// The notice in the response.
     pub notice: EndpointNotice,
     /// The request that was answered.
     pub sent: &'a SentPrompt,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: ClockTime,
-    /// Whether the endpoint took it, and did not turn it away.
+    /// Whether the endpoint accepted the request rather than refusing it.
     pub was_taken: bool,
 }
 
 impl EndpointDirectory {
-    /// Takes what an answer said of its endpoint; gives back what is believed anew. An answer of an earlier start says
-    /// nothing of the present one.
+    /// Applies the notice in a response and returns the changes that it caused. A response from an earlier
+    /// incarnation of the endpoint is ignored.
     pub fn take_notice(
         &mut self,
         name: &EndpointName,
-        heard: &HeardNotice<'_>,
+        received: &HeardNotice<'_>,
         now: ClockTime,
     ) -> SmallVec<[NoticeChange; 2]> {
-        if !self.is_present_start(name, heard.sent) {
+        if !self.is_present_start(name, received.sent) {
             return SmallVec::new();
         }
         let Some(row) = self.rows.get_mut(name) else {
             return SmallVec::new();
         };
-        let notice = heard.notice;
+        let notice = received.notice;
         let changes = [
-            row.take_rate(notice.rate, heard.sent_at, now),
-            row.take_leaving(notice.leaving),
-            row.take_rest(notice.rest, now),
+            row.apply_rate(notice.rate, received.sent_at, now),
+            row.apply_leaving(notice.leaving),
+            row.apply_rest(notice.rest, now),
         ];
-        if heard.was_taken {
-            row.note_taken(heard.sent_at);
+        if received.was_taken {
+            row.note_accepted(received.sent_at);
         }
         changes.into_iter().flatten().collect()
     }
 
-    /// Takes what another gateway's answer said of a limit.
-    pub fn take_limit_word(&mut self, word: &LimitWord, now: ClockTime) -> Option<NoticeChange> {
-        let row = self.rows.get_mut(&word.endpoint)?;
-        if row.is_other_start(word.start) {
+    /// Applies a rate limit that another gateway has received from the endpoint.
+    pub fn take_limit_word(&mut self, report: &LimitWord, now: ClockTime) -> Option<NoticeChange> {
+        let row = self.rows.get_mut(&report.endpoint)?;
+        if row.is_other_incarnation(report.start) {
             return None;
         }
-        let named = word.rate.map_or(NoticeValue::Absent, NoticeValue::Given);
-        row.take_rate(named, now - word.sent_ago(), now)
+        let reported = report.rate.map_or(NoticeValue::Absent, NoticeValue::Given);
+        row.apply_rate(reported, now - report.sent_ago(), now)
     }
 
-    /// Takes another gateway's word that an endpoint leaves.
-    pub fn take_leaving_word(&mut self, word: &LeavingWord) -> Option<NoticeChange> {
-        let row = self.rows.get_mut(&word.endpoint)?;
-        if row.is_other_start(word.start) {
+    /// Applies a report by another gateway that an endpoint is leaving.
+    pub fn take_leaving_word(&mut self, report: &LeavingWord) -> Option<NoticeChange> {
+        let row = self.rows.get_mut(&report.endpoint)?;
+        if row.is_other_incarnation(report.start) {
             return None;
         }
-        row.take_leaving(NoticeValue::Given(true))
+        row.apply_leaving(NoticeValue::Given(true))
     }
 
-    /// What this gateway knows of an endpoint's limit, for the others: what the answer to a request that was sent at
-    /// `sent_at` said, or the last one that named a limit.
+    /// Returns the message that tells other gateways this gateway's view of an endpoint's rate limit, dated
+    /// by the request sent at `sent_at`, or else by the last request whose response carried a limit.
     #[must_use]
     pub fn limit_word(
         &self,
@@ -94,7 +94,8 @@
         })
     }
 
-    /// What a request does next to get its turn at an endpoint; none where that names no limit.
+    /// Returns the next step of a request that needs a turn at an endpoint, or `None` if the endpoint
+    /// reports no rate limit.
     pub fn turn_step(
         &mut self,
         name: &EndpointName,
@@ -106,7 +107,7 @@
         Some(limit.turns.step(holders, most_wait, now))
     }
 
-    /// Takes a holder's answer to an ask for a turn; gives back the turn, if there is one.
+    /// Applies a holder's response to a turn request and returns the turn if one was granted.
     pub fn take_turn_answer(
         &mut self,
         name: &EndpointName,
@@ -121,7 +122,8 @@
             .take_answer(holders, part, answer, limit.rate, now)
     }
 
-    /// A request is sent to an endpoint, which may have asked for rest before.
+    /// Records that a request is sent to an endpoint, which uses up one probe if the endpoint has asked for
+    /// rest.
     pub fn note_try(&mut self, name: &EndpointName, now: ClockTime) {
         let row = self.rows.get_mut(name);
         if let Some(rest) = row.and_then(|row| row.rest.as_mut()) {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Whether an endpoint may be sent a request that has this turn.
+    /// Returns whether an endpoint may be sent a request that holds this turn.
     #[must_use]
     pub fn may_send(&self, name: &EndpointName, turn: Option<HeldTurn>, now: ClockTime) -> bool {
         self.row(name).is_some_and(|row| {
@@ -138,20 +140,20 @@
         })
     }
 
-    /// Endpoints whose answers said that they leave.
+    /// Returns the number of endpoints that have reported that they are leaving.
     #[must_use]
     pub fn said_leaving(&self) -> usize {
-        self.rows.values().filter(|row| row.says_leaving).count()
+        self.rows.values().filter(|row| row.is_leaving).count()
     }
 
-    /// Endpoints that want no requests from this gateway now.
+    /// Returns the number of endpoints that have currently asked this gateway to send no requests.
     #[must_use]
     pub fn resting(&self, now: ClockTime) -> usize {
         let rows = self.rows.values();
         rows.filter(|row| !row.rest_left(now).is_zero()).count()
     }
 
-    /// Endpoints that name a limit.
+    /// Returns the number of endpoints that report a rate limit.
     #[must_use]
     pub fn limited(&self) -> usize {
         self.rows.values().filter(|row| row.limit.is_some()).count()
@@ -159,12 +161,13 @@
 }
 
 impl EndpointRow {
-    /// A start that leaves stays leaving, whatever a later answer, the registry or its sidecar says.
-    fn take_leaving(&mut self, leaving: NoticeValue<bool>) -> Option<NoticeChange> {
+    /// Applies the leaving flag of a response. An incarnation that has reported leaving stays closed,
+    /// whatever later responses, the registry or its sidecar report.
+    fn apply_leaving(&mut self, leaving: NoticeValue<bool>) -> Option<NoticeChange> {
         match leaving {
             NoticeValue::Given(true) => {
                 self.record.draining = true;
-                let is_known = std::mem::replace(&mut self.says_leaving, true);
+                let is_known = std::mem::replace(&mut self.is_leaving, true);
                 (!is_known).then_some(NoticeChange::Leaving)
             }
             NoticeValue::Unusable => Some(NoticeChange::LeavingUnusable),
@@ -172,8 +175,9 @@
         }
     }
 
-    /// A rest is never shortened: the endpoint holds the gateway to each that it asked for.
-    fn take_rest(&mut self, rest: NoticeValue<RestSpan>, now: ClockTime) -> Option<NoticeChange> {
+    /// Applies a requested rest period. A rest period is never shortened, because the endpoint enforces
+    /// every one that it has requested.
+    fn apply_rest(&mut self, rest: NoticeValue<RestSpan>, now: ClockTime) -> Option<NoticeChange> {
         let span = match rest {
             NoticeValue::Given(span) => span,
             NoticeValue::Unusable => RestSpan::UNREADABLE,
@@ -190,27 +194,29 @@
         }
     }
 
-    fn note_taken(&mut self, sent_at: ClockTime) {
+    fn note_accepted(&mut self, sent_at: ClockTime) {
         let slots = self.record.slots;
         let is_over = self
             .rest
             .as_mut()
-            .is_some_and(|rest| rest.note_taken(sent_at, slots));
+            .is_some_and(|rest| rest.note_accepted(sent_at, slots));
         if is_over {
             self.rest = None;
         }
     }
 
-    /// A lower limit holds at once. Answers may overtake each other, so a higher one, or none, counts only where the
-    /// request was sent after the limit was last named.
-    pub(super) fn take_rate(
+    /// Applies a reported rate.
+    ///
+    /// A lower rate takes effect immediately. Because responses can arrive out of order, a higher rate, or
+    /// none, takes effect only if the request was sent after the limit was last reported.
+    pub(super) fn apply_rate(
         &mut self,
-        named: NoticeValue<RequestRate>,
+        reported: NoticeValue<RequestRate>,
         sent_at: ClockTime,
         now: ClockTime,
     ) -> Option<NoticeChange> {
-        let is_later = self.limit.is_none_or(|limit| sent_at > limit.named_at);
-        match (named, self.limit) {
+        let is_later = self.limit.is_none_or(|limit| sent_at > limit.reported_at);
+        match (reported, self.limit) {
             (NoticeValue::Unusable, _) => Some(NoticeChange::RateUnusable),
             (NoticeValue::Absent, Some(_)) if is_later => {
                 self.limit = None;
@@ -220,15 +226,16 @@
             (NoticeValue::Given(rate), known) => {
                 let is_kept = known.is_some_and(|known| rate > known.rate && !is_later);
                 let kept = known.filter(|_| is_kept).map_or(rate, |known| known.rate);
-                // Turns at a lower rate lie further apart than those that can be had now.
+                // At a lower rate turns are further apart, so the current estimates remain valid only if
+                // the rate is not raised.
                 let is_raised = known.is_some_and(|known| kept > known.rate);
                 let turns = known
                     .filter(|_| !is_raised)
                     .map_or(TurnEstimates::default(), |known| known.turns);
-                self.limit = Some(NamedLimit {
+                self.limit = Some(ReportedLimit {
                     rate: kept,
                     since: known.map_or(now, |known| known.since),
-                    named_at: now,
+                    reported_at: now,
                     sent_at: known.map_or(sent_at, |known| known.sent_at.max(sent_at)),
                     turns,
                 });
--- a/crates/oatpier-serving/src/reads.rs
+++ b/crates/oatpier-serving/src/reads.rs
@@ -1,12 +1,14 @@
-//! When a gateway reads the store, and what spares it a read.
+//! When a gateway reads the store, and how the reads of other gateways replace its own.
 //!
-//! The load: 68 gateways that each read configuration and registry every 1.8 s made nearly 40 calls a
-//! second, all of which said the same, and the thinnest of them spent a twentieth of their processor on
-//! decoding it. So who has read tells the gateways of its availability zone what has changed since its last
-//! read, with digests of what was there before and after. Who knows the one takes the change over, who knows the
-//! other knows it already, and neither need read; anybody else reads when that is due, as without a word.
-//! Nobody is elected: whoever is due first reads, and when it is gone the next one is due a moment later. A
-//! bound on how late a change is seen holds for each gateway by itself, whatever it hears.
+//! With 68 gateways that each read the configuration and the registry every 1.8 s, the store received
+//! nearly 40 calls per second that all returned the same data, and the smallest gateways spent a twentieth
+//! of their CPU time on decoding it. Therefore, a gateway that has read the store sends the gateways of its
+//! availability zone the changes since its previous read, with digests of the contents before and after. A
+//! gateway whose view matches the digest before applies the changes, and one whose view matches the digest
+//! after is up to date. Neither needs to read. All others read when their next read is due, as without the
+//! message. There is no election: the gateway that is due first reads, and if it fails the next one is due
+//! shortly after. Each gateway ensures by itself that it sees a change in time, whatever messages it
+//! receives.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,21 +24,25 @@
 use crate::directory::EndpointRecord;
 use crate::quota::tenure::{PartEntry, StoreEra};
 
-/// The least share of a period between two reads. Each gateway draws its own between this and the whole, so
-/// that the first of a zone's dozen reads and tells before the others are due.
-const LEAST_SHARE: f64 = 0.75;
+/// Minimum interval between two reads as a share of the period.
+///
+/// Each gateway draws its interval between this share and the whole period, so that the first of about
+/// twelve gateways in a zone reads and sends the changes before the others are due.
+const MIN_INTERVAL_SHARE: f64 = 0.75;
 
-/// Reads in a row that others may spare a gateway. What an engine holds is not in the digest, since sidecars
-/// tell it sooner; of an engine whose sidecar is not heard it gets this old.
-const MOST_SPARED: u32 = 20;
+/// Maximum number of consecutive reads that messages of other gateways may replace.
+///
+/// The digest leaves out what engines hold, because sidecars report it sooner. If a sidecar's updates do
+/// not arrive, this bounds the age of that information.
+const MAX_SKIPPED_READS: u32 = 20;
 
-/// A digest of what lies in the store: the configuration, and who is there.
+/// A digest of the store's contents: the configuration and the registered endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoreDigest(pub u64);
 
 impl StoreDigest {
-    /// The digest of a configuration, by its [`config_mark`], and of the registry.
+    /// Returns the digest of a configuration, given by its [`config_mark`], and of the registry.
     #[must_use]
     pub fn of(config_mark: u64, endpoints: &[EndpointRecord]) -> Self {
         let mut sorted: Vec<&EndpointRecord> = endpoints.iter().collect();
@@ -44,42 +50,47 @@
         let mut hasher = Xxh3::new();
         hasher.update(&config_mark.to_le_bytes());
         for record in sorted {
-            hasher.update(digest_row(record).as_bytes());
+            hasher.update(endpoint_text(record).as_bytes());
         }
         Self(hasher.digest())
     }
 
-    /// The digest with what lies there of our own.
+    /// Returns the digest combined with that of the entries written by gateways and sidecars.
     #[must_use]
-    fn with(self, own: OwnDigest) -> Self {
-        Self(self.0 ^ own.0)
+    fn combined_with(self, internal: InternalDigest) -> Self {
+        Self(self.0 ^ internal.0)
     }
 }
 
-/// What tells one configuration from another. Not its revision: a store that came back from an older copy gives
-/// revisions out again, and a gateway with the old configuration would take itself for one with the new.
+/// Returns a hash that identifies a configuration by its contents.
+///
+/// The store's revision does not identify it: a store restored from an older copy assigns revisions again,
+/// and a gateway with the old configuration would seem up to date.
 #[must_use]
 pub fn config_mark(value: &[u8]) -> u64 {
     xxh3_64(value)
 }
 
-/// What lies in the store that our own processes wrote, and which copy of the store it is.
+/// The entries in the store that gateways and sidecars wrote, and the copy of the store they were read
+/// from.
 #[derive(Debug, Clone, Copy)]
 pub struct OwnEntries<'a> {
-    /// Requests that were at endpoints that ended.
+    /// Requests that were running at endpoints when those terminated.
     pub crashes: &'a [CrashRecord],
-    /// Who holds the parts of limits.
+    /// The holders of the parts of rate limits.
     pub parts: &'a [PartEntry],
-    /// Which copy it is: words of another one say nothing here.
+    /// The copy of the store. Messages about another copy are ignored.
     pub era: StoreEra,
 }
 
-/// A digest of that, 0 for nothing. Words between gateways do not carry it: who knows another one reads by itself,
-/// which costs each gateway a read or two after an endpoint's end.
+/// A digest of [`OwnEntries`], 0 if there are none.
+///
+/// Messages between gateways do not carry the entries. A gateway with a different digest reads the store
+/// itself, which costs each gateway one or two reads after an endpoint has terminated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-struct OwnDigest(u64);
+struct InternalDigest(u64);
 
-impl OwnDigest {
+impl InternalDigest {
     fn of(own: &OwnEntries<'_>) -> Self {
         let crashes = own.crashes.iter().map(digest_crash);
         let parts = own.parts.iter().map(digest_part);
@@ -97,14 +108,15 @@
     xxh3_64(format!("{}/{};", crash.fingerprint, crash.site).as_bytes())
 }
 
-/// Renewals change nothing for others, so they are left out.
+/// Returns the digest of the holder of a part. Renewals are left out because they are irrelevant to other
+/// gateways.
 fn digest_part(entry: &PartEntry) -> u64 {
     let record = &entry.record;
     xxh3_64(format!("{}={:?};", record.part, record.holder).as_bytes())
 }
 
-/// What of an endpoint goes into the digest.
-fn digest_row(record: &EndpointRecord) -> String {
+/// Returns the text that represents a registry entry in the digest.
+fn endpoint_text(record: &EndpointRecord) -> String {
     let start = record.start.map(|start| start.0);
     format!(
         "{}|{start:?}|{}|{}|{}|{}|{};",
@@ -112,90 +124,91 @@
     )
 }
 
-/// Changes of the registry that one word carries; a word is one packet. After more, as when a fleet starts, each
-/// gateway reads by itself.
-const MOST_CHANGES: usize = 6;
+/// Maximum number of registry changes in one message, so that it fits into one packet. After more changes,
+/// such as at the start of a fleet, each gateway reads the store itself.
+const MAX_CHANGES: usize = 6;
 
-/// What a gateway has seen change in the store between two reads.
+/// The changes to the store that a gateway has seen between two reads.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct StoreWord {
-    /// What was there before.
+    /// Digest of the contents before the changes.
     pub before: StoreDigest,
-    /// What is there now.
+    /// Digest of the contents after the changes.
     pub now: StoreDigest,
-    /// Endpoints that have appeared or changed. Empty where there were too many.
+    /// Endpoints that were added or changed. Empty if there were more than fit into a message.
     pub changed: Vec<EndpointRecord>,
     /// Endpoints that are no longer listed.
     pub removed: Vec<EndpointName>,
 }
 
-/// What a gateway knows of the store.
+/// A gateway's view of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreView {
     config_mark: u64,
     endpoints: Vec<EndpointRecord>,
-    own: OwnDigest,
+    internal: InternalDigest,
     digest: StoreDigest,
 }
 
-/// What a word of another gateway comes to.
+/// The result of applying another gateway's changes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WordOutcome {
-    /// The store holds what was known.
+    /// The view was already up to date.
     Same,
-    /// The store holds something else, which is now known.
+    /// The changes were applied to the view.
     Patched,
-    /// The word is about a store that was not known here: it says nothing.
+    /// The changes apply to other contents than those of the view, and were ignored.
     Unknown,
 }
 
 impl StoreView {
-    /// What a read brought.
+    /// Creates a view from the result of a read.
     #[must_use]
     pub fn new(config_mark: u64, endpoints: Vec<EndpointRecord>) -> Self {
         Self {
             digest: StoreDigest::of(config_mark, &endpoints),
             config_mark,
             endpoints,
-            own: OwnDigest::default(),
+            internal: InternalDigest::default(),
         }
     }
 
-    /// The same with what the read brought of our own.
+    /// Returns the view with the entries that gateways and sidecars wrote.
     #[must_use]
     pub fn with_own(self, own: &OwnEntries<'_>) -> Self {
-        self.with_own_digest(OwnDigest::of(own))
+        self.with_internal_digest(InternalDigest::of(own))
     }
 
-    fn with_own_digest(self, own: OwnDigest) -> Self {
+    fn with_internal_digest(self, internal: InternalDigest) -> Self {
         let digest = StoreDigest::of(self.config_mark, &self.endpoints);
         Self {
-            digest: digest.with(own),
-            own,
+            digest: digest.combined_with(internal),
+            internal,
             ..self
         }
     }
 
-    /// The endpoints that are registered.
+    /// Returns the registered endpoints.
     #[must_use]
     pub fn endpoints(&self) -> &[EndpointRecord] {
         &self.endpoints
     }
 
-    /// What to tell others after a read, whose last one brought `before`.
+    /// Returns the changes to send to other gateways after a read, where `before` is the result of the
+    /// previous one.
     #[must_use]
     pub fn word_since(&self, before: Option<&Self>) -> StoreWord {
         let known = by_name(before.map_or(&[], Self::endpoints));
         let present = by_name(&self.endpoints);
         let is_new = |row: &&EndpointRecord| {
             let old = known.get(&row.name);
-            old.is_none_or(|old| digest_row(old) != digest_row(row))
+            old.is_none_or(|old| endpoint_text(old) != endpoint_text(row))
         };
         let changed: Vec<EndpointRecord> = self.endpoints.iter().filter(is_new).cloned().collect();
         let gone = known.keys().filter(|name| !present.contains_key(*name));
         let removed = gone.map(|name| (*name).clone()).collect();
-        let fits = changed.len() <= MOST_CHANGES;
+        let fits = changed.len() <= MAX_CHANGES;
         StoreWord {
             before: before.map_or(self.digest, |view| view.digest),
             now: self.digest,
@@ -204,22 +217,23 @@
         }
     }
 
-    /// Takes another gateway's word over. What it comes to is checked by its digest: a word that leaves something
-    /// out, as a change of the configuration, is of no use.
-    pub fn take_word(&mut self, word: &StoreWord) -> WordOutcome {
-        if word.now == self.digest {
+    /// Applies another gateway's changes. The result is checked against the digest, so changes that are
+    /// incomplete, for example because the configuration has changed, are rejected.
+    pub fn take_word(&mut self, delta: &StoreWord) -> WordOutcome {
+        if delta.now == self.digest {
             return WordOutcome::Same;
         }
-        if word.before != self.digest {
+        if delta.before != self.digest {
             return WordOutcome::Unknown;
         }
         let is_replaced = |row: &EndpointRecord| {
-            word.removed.contains(&row.name) || word.changed.iter().any(|new| new.name == row.name)
+            delta.removed.contains(&row.name)
+                || delta.changed.iter().any(|new| new.name == row.name)
         };
         let kept = self.endpoints.iter().filter(|row| !is_replaced(row));
-        let endpoints = kept.chain(&word.changed).cloned().collect();
-        let patched = Self::new(self.config_mark, endpoints).with_own_digest(self.own);
-        if patched.digest != word.now {
+        let endpoints = kept.chain(&delta.changed).cloned().collect();
+        let patched = Self::new(self.config_mark, endpoints).with_internal_digest(self.internal);
+        if patched.digest != delta.now {
             return WordOutcome::Unknown;
         }
         *self = patched;
@@ -231,52 +245,53 @@
     endpoints.iter().map(|row| (&row.name, row)).collect()
 }
 
-/// When the store is read next.
+/// The schedule of reads of the store.
 #[derive(Debug)]
 pub struct ReadSchedule {
     generator: ChaCha8Rng,
     next_at: ClockTime,
-    spared: u32,
+    skipped_reads: u32,
 }
 
 impl ReadSchedule {
-    /// A schedule whose first read is due at once, and whose spread follows from `seed`.
+    /// Creates a schedule whose first read is due immediately. `seed` determines its random intervals.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
             generator: ChaCha8Rng::seed_from_u64(seed),
             next_at: ClockTime::ZERO,
-            spared: 0,
+            skipped_reads: 0,
         }
     }
 
-    /// When the next read is due.
+    /// Returns when the next read is due.
     #[must_use]
     pub fn next_at(&self) -> ClockTime {
         self.next_at
     }
 
-    /// The store was read; a change must be seen within `period` from now.
+    /// Records a read that began at `begun`. A later change must be seen within `period` after that.
     pub fn note_read(&mut self, begun: ClockTime, period: Duration) {
-        self.spared = 0;
-        self.next_at = begun + self.pause(period);
+        self.skipped_reads = 0;
+        self.next_at = begun + self.interval(period);
     }
 
-    /// The store could not be read, and is to be read again at `at`.
+    /// Records that the store could not be read and is to be read again at `at`.
     pub fn note_failure(&mut self, at: ClockTime) {
         self.next_at = at;
     }
 
-    /// Another gateway has read the store, and what it saw is known here.
+    /// Records that another gateway has read the store and that its result is known here.
     pub fn note_told(&mut self, period: Duration, now: ClockTime) {
-        if self.spared < MOST_SPARED {
-            self.spared += 1;
-            self.next_at = now + self.pause(period);
+        if self.skipped_reads < MAX_SKIPPED_READS {
+            self.skipped_reads += 1;
+            self.next_at = now + self.interval(period);
         }
     }
 
-    fn pause(&mut self, period: Duration) -> Duration {
-        let share = LEAST_SHARE + (1.0 - LEAST_SHARE) * self.generator.random::<f64>();
+    fn interval(&mut self, period: Duration) -> Duration {
+        let share =
+            MIN_INTERVAL_SHARE + (1.0 - MIN_INTERVAL_SHARE) * self.generator.random::<f64>();
         period.mul_f64(share)
     }
 }
