--- a/crates/oatpier-serving/src/planner/forecast.rs
+++ b/crates/oatpier-serving/src/planner/forecast.rs
@@ -1,58 +1,59 @@
-//! How many slots each model's requests will take once a load that begins now is done.
+//! Forecasts how many slots the requests of each model will occupy when a load that begins now is done.
 //!
-//! The load: demand leaves the busiest models and rises at others over 4 to 6 s, and a load takes
-//! from half a second to more than four, an engine's wait for running streams not counted. Requests
-//! at engines show the rise late, and no further than the slots of the present holders. So the
-//! rate at which requests come in is taken, its rise is continued for as long as a load takes, and
-//! multiplied by the time that a request holds a slot.
+//! Demand leaves the busiest models and rises at others over 4 to 6 s. A load takes from half a second to
+//! more than four, not counting the time that an engine waits for running streams. The number of requests
+//! at engines shows the rise late, and never exceeds the slots of the current holders. The forecast
+//! therefore takes the arrival rate of requests, extrapolates its rise over the duration of a load, and
+//! multiplies the result by the time that a request occupies a slot.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use oatpier_types::names::ModelName;
 
-use crate::demand::{FAST_LIFE, SLOW_LIFE};
+use crate::demand::{FAST_DECAY, SLOW_DECAY};
 use crate::peers::TotalDemand;
 
-/// How much of a rise is believed: part of it is chance, and no rise goes on for ever.
-const RISE_TRUST: f64 = 0.7;
+/// Share of a rise that is extrapolated. Part of each rise is noise, and no rise continues indefinitely.
+const RISE_SHARE: f64 = 0.7;
 
-/// A rise is continued this far at the most: the longest load, and the time until it begins.
-const LONGEST_LEAD: Duration = Duration::from_millis(4_500);
+/// Longest time over which a rise is extrapolated: the longest load, and the time until it begins.
+const MAX_LEAD: Duration = Duration::from_millis(4_500);
 
-/// The time that a request holds a slot where none was seen yet, in seconds: between the means of
-/// short and long streams.
-const HOLD_GUESS_S: f64 = 0.9;
+/// Hold time that is assumed before any request was observed, in seconds. Lies between the means of short
+/// and long streams.
+const DEFAULT_HOLD_S: f64 = 0.9;
 
-/// Requests a second that the mean of all models weighs in a model's own hold time, so that a model
-/// with few requests is not judged by one long stream.
+/// Weight of the fleet-wide mean in the hold time of one model, in requests per second. Keeps a single long
+/// stream from dominating the estimate for a model with few requests.
 const HOLD_PRIOR_PER_S: f64 = 2.0;
 
-/// The hold times of all models.
+/// Mean time that requests occupy a slot, over all models.
 #[derive(Debug, Clone, Copy)]
 pub struct HoldTimes {
     mean_s: f64,
 }
 
 impl HoldTimes {
-    /// The mean hold time over all models: requests at engines divided by requests sent a second.
+    /// Returns the mean hold time over all models: the requests at engines divided by the requests sent per
+    /// second.
     #[must_use]
     pub fn of_fleet(demand: &HashMap<ModelName, TotalDemand>) -> Self {
         let running: f64 = demand.values().map(|total| total.running).sum();
         let sent: f64 = demand.values().map(|total| total.sent).sum();
         Self {
-            mean_s: (running + HOLD_GUESS_S) / (sent + 1.0),
+            mean_s: (running + DEFAULT_HOLD_S) / (sent + 1.0),
         }
     }
 
-    /// The hold time of one model's requests, in seconds.
+    /// Returns the hold time of one model's requests, in seconds.
     pub(super) fn of_model(self, total: &TotalDemand) -> f64 {
         let held = total.running + self.mean_s * HOLD_PRIOR_PER_S;
         held / (total.sent + HOLD_PRIOR_PER_S)
     }
 }
 
-/// Requests of a model that will hold slots at the same time after `lead`.
+/// Returns the number of slots that requests of a model will occupy at the same time after `lead`.
 #[must_use]
 pub fn slots_wanted(total: &TotalDemand, holds: HoldTimes, lead: Duration) -> f64 {
     total
@@ -60,12 +61,12 @@
         .max(rate_after(total, lead) * holds.of_model(total))
 }
 
-/// The rate at which requests of a model will come in after `lead`, a second.
+/// Returns the arrival rate of requests for a model after `lead`, in requests per second.
 fn rate_after(total: &TotalDemand, lead: Duration) -> f64 {
-    // A mean that forgets within T follows a steady rise T late, so the difference of two such means
-    // tells how steep it is.
-    let apart = SLOW_LIFE.saturating_sub(FAST_LIFE).as_secs_f64();
-    let rise = ((total.asked_fast - total.asked_slow) / apart).max(0.0);
-    let ahead = (FAST_LIFE + lead.min(LONGEST_LEAD)).as_secs_f64();
-    total.asked_fast + rise * ahead * RISE_TRUST
+    // An exponentially decaying mean with time constant T follows a steady rise with a lag of T. The
+    // difference of two such means therefore gives the slope.
+    let lag_difference_s = SLOW_DECAY.saturating_sub(FAST_DECAY).as_secs_f64();
+    let rise = ((total.asked_fast - total.asked_slow) / lag_difference_s).max(0.0);
+    let ahead_s = (FAST_DECAY + lead.min(MAX_LEAD)).as_secs_f64();
+    total.asked_fast + rise * ahead_s * RISE_SHARE
 }
--- a/crates/oatpier-serving/src/planner/gain.rs
+++ b/crates/oatpier-serving/src/planner/gain.rs
@@ -1,7 +1,7 @@
-//! What a load would gain, and what the models that make room for it weigh.
+//! Computes the gain of a load and the cost of the evictions that make room for it.
 //!
-//! Everything is counted in squared shares of an engine: the sum over all engines of the square of their
-//! load, which grows like the waiting there.
+//! All values are in squared engine shares: the sum of the squared utilizations of all engines, which grows
+//! like the waiting time there.
 
 use std::time::Duration;
 
@@ -10,71 +10,74 @@
 use super::LoadReason;
 use super::round::{EngineShare, EngineView, ModelView, PlanRound};
 
-/// What a load from the weight store weighs, in squared shares of an engine: the others wait for their part of its
-/// rate. Little, since demand that rises needs replicas before its holders are full. Priced by the time that such
-/// a load takes an engine, one day of the largest fleet was worth 0.66 beside 0.68: one play each, and plays of the
-/// same code differ by 0.02.
-const STORE_LOAD_PRICE: f64 = 0.05;
+/// Cost of a load from the weight store, in squared engine shares. Other engines wait for their share of
+/// the store's rate. The cost is low because rising demand needs replicas before the current holders are
+/// full. When the cost was instead derived from the engine time of such a load, a full-day run of the
+/// largest fleet scored 0.66 rather than 0.68. That is one run each, and runs of the same code differ by
+/// 0.02.
+const STORE_LOAD_COST: f64 = 0.05;
 
-/// The same where callers already wait for the model and are refused when it does not come in time.
-const STORE_WAIT_PRICE: f64 = 0.3;
+/// Cost of a load from the weight store for a model that no engine holds: its callers already wait, and are
+/// refused if it is not loaded in time.
+const MISSING_STORE_LOAD_COST: f64 = 0.3;
 
-/// What a second of an engine's time weighs, in squared shares of an engine: meanwhile it can load nothing
-/// else, adapters included, and who waits for that is late. A load takes 0.4 s from its host's memory, about one
-/// from its disk, and up to six from the weight store.
-const ENGINE_TIME_PRICE_PER_S: f64 = 0.12;
+/// Cost of one second of engine time, in squared engine shares. During a load the engine can load nothing
+/// else, including adapters, and requests that wait for those become late. A load takes 0.4 s from the
+/// host's memory, about one second from its disk, and up to six from the weight store.
+const ENGINE_TIME_COST_PER_S: f64 = 0.12;
 
-/// What dropping the last holder of a model weighs, in squared shares of an engine: the next request
-/// for it is late. An engine that is asked for 1.3 of what it can do turns away some ten requests a
-/// second, 0.7 in these units.
-const LAST_PRICE: f64 = 0.1;
+/// Cost of evicting the last holder of a model, in squared engine shares: the next request for the model
+/// becomes late. For comparison, an engine with a demand of 1.3 times its capacity refuses about ten
+/// requests per second, which is 0.7 in this unit.
+const LAST_HOLDER_COST: f64 = 0.1;
 
-/// The rate of requests for a model, a second, at which those that wait while it is loaded weigh as much as
-/// the engine's time: at four a second about as many are late as one engine turns away in that time.
-const LAST_RATE: f64 = 4.0;
+/// Request rate of a model, per second, at which the requests that wait for its reload cost as much as the
+/// engine time. At four requests per second, about as many are late as one engine refuses during that time.
+const RELOAD_WAIT_RATE_PER_S: f64 = 4.0;
 
-/// A model that was asked for within this time is likely to be asked for again.
-const RECENT: Duration = Duration::from_secs(10);
+/// A model that was requested within this time is likely to be requested again.
+const RECENT_WINDOW: Duration = Duration::from_secs(10);
 
-/// How likely one is that was not. A guess: on days with 90 models most were asked for every second or two,
-/// and few fell silent for this long without having lost their callers.
-const OLD_CHANCE: f64 = 0.33;
+/// Probability that a model is requested again if its last request is older than [`RECENT_WINDOW`]. With 90
+/// models, most are requested every second or two, and few stay idle for this long without having lost
+/// their callers.
+const IDLE_RETURN_PROBABILITY: f64 = 0.33;
 
-/// What dropping the last holder weighs where nobody ever asked for the model: little, and not nothing, so
-/// that of two such engines the one with room is taken.
-const LAST_UNASKED_PRICE: f64 = 0.03;
+/// Cost of evicting the last holder of a model that was never requested. Low but not zero, so that of two
+/// such engines the one with free memory is selected.
+const UNREQUESTED_HOLDER_COST: f64 = 0.03;
 
-/// A possible load.
+/// A possible load on one engine.
 pub(super) struct LoadOption {
     pub(super) engine: usize,
     pub(super) unload: Vec<ModelName>,
-    /// By how much the load relieves the fleet, less what it costs, in squared shares of an engine.
+    /// Reduction of the fleet's summed squared utilization minus the costs of the load.
     pub(super) gain: f64,
-    /// What it weighs that callers wait for the load, beside the shortest one. It tells options for one model
-    /// apart, and not whether the model is to be loaded.
-    pub(super) delay: f64,
+    /// Cost of the time that callers wait for the load beyond the shortest possible load. Used only to
+    /// compare options for the same model, not to decide whether to load it.
+    pub(super) delay_cost: f64,
     pub(super) from_store: bool,
-    /// Whether the engine's own right to load from the weight store is spent.
+    /// Whether the engine has used up its own right to load from the weight store.
     pub(super) needs_right: bool,
-    /// Requests a second for the models that go and that nobody else holds.
-    pub(super) absent_rate: f64,
+    /// Requests per second for the evicted models that no other engine holds.
+    pub(super) displaced_rate: f64,
 }
 
 impl LoadOption {
-    /// By which options for one model are compared.
+    /// Returns the value by which options for the same model are compared.
     pub(super) fn rank(&self) -> f64 {
-        self.gain - self.delay
+        self.gain - self.delay_cost
     }
 }
 
-/// Models that make room for a load.
+/// Models that are evicted to make room for a load.
 #[derive(Default)]
 pub(super) struct LoadVictims {
     models: Vec<ModelName>,
-    /// What losing them weighs.
-    loss: f64,
-    /// Requests a second for those of them that nobody else holds.
-    absent_rate: f64,
+    /// Cost of evicting them.
+    cost: f64,
+    /// Requests per second for those of them that no other engine holds.
+    displaced_rate: f64,
 }
 
 impl PlanRound<'_> {
@@ -85,7 +88,7 @@
         reason: LoadReason,
     ) -> Option<LoadOption> {
         let view = &self.engines[engine];
-        if !view.free || view.held.contains(&model) {
+        if !view.is_free || view.held.contains(&model) {
             return None;
         }
         let pulse = view.row.pulse(self.now)?;
@@ -96,52 +99,53 @@
         }
         let victims = self.victims(view, model)?;
         let rule = self.rule.model(model)?;
-        let longer = rule
+        let extra_time = rule
             .load_with(&pulse.copies)
             .saturating_sub(rule.load_from_memory);
-        let price = match (from_store, reason) {
+        let cost = match (from_store, reason) {
             (false, _) => 0.0,
-            (true, LoadReason::Unreachable) => STORE_WAIT_PRICE,
-            (true, _) => STORE_LOAD_PRICE,
+            (true, LoadReason::Unreachable) => MISSING_STORE_LOAD_COST,
+            (true, _) => STORE_LOAD_COST,
         };
         Some(LoadOption {
             engine,
-            gain: self.gain(view, model, &victims) - price,
-            delay: ENGINE_TIME_PRICE_PER_S * longer.as_secs_f64(),
+            gain: self.gain(view, model, &victims) - cost,
+            delay_cost: ENGINE_TIME_COST_PER_S * extra_time.as_secs_f64(),
             unload: victims.models,
             from_store,
             needs_right,
-            absent_rate: victims.absent_rate,
+            displaced_rate: victims.displaced_rate,
         })
     }
 
-    /// The cheapest models that make room; none if there is no room however many go.
+    /// Returns the cheapest models to evict, or `None` if evicting all of them would not make enough room.
     pub(super) fn victims(&self, view: &EngineView<'_>, model: &ModelName) -> Option<LoadVictims> {
         let room = self.rule.model_room_mb();
         let needed = self.rule.model(model)?.size_mb;
-        let mut used: f64 = view.held.iter().map(|held| self.size(held)).sum();
+        let mut used: f64 = view.held.iter().map(|held| self.size_mb(held)).sum();
         let mut candidates: Vec<(&ModelName, f64)> = view
             .held
             .iter()
-            .map(|held| (*held, self.loss(view, held)))
+            .map(|held| (*held, self.eviction_cost(view, held)))
             .collect();
         candidates.sort_by(|one, other| one.1.total_cmp(&other.1));
         let mut victims = LoadVictims::default();
-        for (victim, loss) in candidates {
+        for (victim, cost) in candidates {
             if used + needed <= room {
                 break;
             }
-            used -= self.size(victim);
+            used -= self.size_mb(victim);
             victims.models.push(victim.clone());
-            victims.loss += loss;
-            victims.absent_rate += self.absent_rate(victim);
+            victims.cost += cost;
+            victims.displaced_rate += self.displaced_rate(victim);
         }
         (used + needed <= room).then_some(victims)
     }
 
-    /// By how much a load relieves the fleet, less what the models that go weigh. Waiting grows faster
-    /// than load, so load counts by its square: taking a little from a full engine is worth more than
-    /// what the same adds to an idle one.
+    /// Returns the reduction of the fleet's summed squared utilization by a load, minus the cost of its
+    /// evictions.
+    /// Waiting time grows faster than utilization, so utilization is squared. Removing a small share from a
+    /// full engine gains more than adding the same share to an idle one costs.
     fn gain(&self, view: &EngineView<'_>, model: &ModelName, victims: &LoadVictims) -> f64 {
         let Some(wanted) = self.models.get(model) else {
             return 0.0;
@@ -150,7 +154,14 @@
         let shared = wanted.share_among(wanted.holders() + 1.0);
         let relief: f64 = self
             .other_holders(view, wanted)
-            .map(|holder| holder.load.squared() - holder.load.minus(present).plus(shared).squared())
+            .map(|holder| {
+                holder.utilization.squared()
+                    - holder
+                        .utilization
+                        .saturating_minus(present)
+                        .plus(shared)
+                        .squared()
+            })
             .sum();
         let leaving = victims
             .models
@@ -158,55 +169,63 @@
             .filter_map(|victim| self.models.get(victim))
             .map(ModelView::share)
             .fold(EngineShare::default(), EngineShare::plus);
-        let after = view.load.minus(leaving).plus(shared);
-        let added = after.squared() - view.load.squared();
-        relief - added - victims.loss
+        let after = view.utilization.saturating_minus(leaving).plus(shared);
+        let added = after.squared() - view.utilization.squared();
+        relief - added - victims.cost
     }
 
-    /// What losing a model at an engine weighs: the time until its streams are over, and what its other
-    /// holders get on top, or, where there is no other one, the requests that wait until it is loaded again.
-    fn loss(&self, view: &EngineView<'_>, model: &ModelName) -> f64 {
+    /// Returns the cost of evicting a model from an engine. It consists of the time until the model's
+    /// streams have ended there and the share that its other holders take over. If there is no other
+    /// holder, the second part is the cost of the requests that wait until the model is loaded again.
+    fn eviction_cost(&self, view: &EngineView<'_>, model: &ModelName) -> f64 {
         let Some(lost) = self.models.get(model) else {
             return 0.0;
         };
         let streams = self.uses.requests(view.row.record.address, model);
-        let drain_s = lost.hold_s * longest_of(streams);
-        ENGINE_TIME_PRICE_PER_S * drain_s + self.absence(view, model, lost)
+        let drain_s = lost.hold_s * expected_longest(streams);
+        ENGINE_TIME_COST_PER_S * drain_s + self.removal_cost(view, model, lost)
     }
 
-    /// Requests a second for a model, if dropping one holder leaves it without any.
-    fn absent_rate(&self, model: &ModelName) -> f64 {
+    /// Returns the requests per second for a model that would have no holder left after one eviction, or 0
+    /// if it has other holders.
+    fn displaced_rate(&self, model: &ModelName) -> f64 {
         let lost = self.models.get(model);
         let lost = lost.filter(|lost| lost.served_by.len() <= 1);
-        lost.map_or(0.0, |lost| lost.asked_long)
+        lost.map_or(0.0, |lost| lost.long_request_rate)
     }
 
-    /// What it weighs that a model is no longer there.
-    fn absence(&self, view: &EngineView<'_>, model: &ModelName, lost: &ModelView) -> f64 {
+    /// Returns the cost of having one holder less for a model.
+    fn removal_cost(&self, view: &EngineView<'_>, model: &ModelName, lost: &ModelView) -> f64 {
         if lost.served_by.len() > 1 {
             let present = lost.share();
             let shared = lost.share_among(lost.holders() - 1.0);
             let others = self.other_holders(view, lost);
             return others
                 .map(|holder| {
-                    holder.load.minus(present).plus(shared).squared() - holder.load.squared()
+                    holder
+                        .utilization
+                        .saturating_minus(present)
+                        .plus(shared)
+                        .squared()
+                        - holder.utilization.squared()
                 })
                 .sum();
         }
-        let chance = match lost.idle {
-            None => return LAST_UNASKED_PRICE,
-            Some(idle) if idle < RECENT => 1.0,
-            Some(_) => OLD_CHANCE,
+        let return_probability = match lost.idle {
+            None => return UNREQUESTED_HOLDER_COST,
+            Some(idle) if idle < RECENT_WINDOW => 1.0,
+            Some(_) => IDLE_RETURN_PROBABILITY,
         };
         let reload_s = self.reload_time(view, model).as_secs_f64();
-        let waiting = 1.0 + lost.asked / LAST_RATE;
-        let price = LAST_PRICE + ENGINE_TIME_PRICE_PER_S * reload_s * waiting;
-        price * chance + lost.share().squared()
+        let waiting = 1.0 + lost.request_rate / RELOAD_WAIT_RATE_PER_S;
+        let cost = LAST_HOLDER_COST + ENGINE_TIME_COST_PER_S * reload_s * waiting;
+        cost * return_probability + lost.share().squared()
     }
 
-    /// How long a model takes to be loaded after an engine has dropped it. That engine has a copy, but
-    /// loads something else first. Others that have one can load it soon if one of them is not busy itself:
-    /// where loads take five seconds and two in three engines are at one, most copies are of no use.
+    /// Returns the expected time to load a model again after an engine has evicted it. That engine has a
+    /// copy of the weights but loads another model first. Other engines with a copy can load it soon if at
+    /// least one of them is not busy: if loads take five seconds and two in three engines are loading, most
+    /// copies are of no use.
     fn reload_time(&self, view: &EngineView<'_>, model: &ModelName) -> Duration {
         let Some(rule) = self.rule.model(model) else {
             return Duration::ZERO;
@@ -226,13 +245,13 @@
         model: &ModelView,
     ) -> impl Iterator<Item = &EngineView<'_>> {
         let own = view.row.index;
-        let holders = model.served_by.iter().map(|place| &self.engines[*place]);
+        let holders = model.served_by.iter().map(|index| &self.engines[*index]);
         holders.filter(move |holder| holder.row.index != own)
     }
 }
 
-/// How long the longest of so many streams goes on, in hold times: their ends come at random, so the first
-/// one takes a part of a hold time and the last ones take whole ones.
-fn longest_of(streams: u32) -> f64 {
+/// Returns the expected remaining time of the longest of `streams` streams, in hold times. Streams end at
+/// random times, so the first end takes a fraction of a hold time and the last ones take whole hold times.
+fn expected_longest(streams: u32) -> f64 {
     (1..=streams).map(|left| 1.0 / f64::from(left)).sum()
 }
--- a/crates/oatpier-serving/src/planner/mod.rs
+++ b/crates/oatpier-serving/src/planner/mod.rs
@@ -1,17 +1,18 @@
-//! Which engine should load which model next.
+//! Plans which engine loads which model next.
 //!
-//! Demand moves between models within seconds, and a load takes from half a second to four. Each
-//! round looks for gaps: models that are asked for and that nobody holds, and models whose holders are
-//! much busier than another engine would be with them. What gains most goes first. It answers with one
-//! load at a time and engine, the victims included; the sidecar there checks memory and pace.
+//! Demand moves between models within seconds, and a load takes between half a second and four seconds.
+//! Each round looks for two kinds of gaps: requested models that no engine holds, and models whose holders
+//! are much busier than another engine would be with them. The loads with the largest gain are planned
+//! first. The planner advises at most one load at a time per engine, including the models to evict for it.
+//! The engine's sidecar checks memory and the store rate before it carries out the advice.
 //!
-//! The last holder of a model may be a victim too, where what it makes room for relieves the fleet by more
-//! than the next requests for the model lose while it is loaded again. Every model stays reachable: one
-//! that was dropped comes back when it is asked for.
+//! The last holder of a model may be evicted too, if the load that replaces it relieves the fleet by more
+//! than the next requests for the evicted model lose while it is loaded again. Every model stays reachable,
+//! because an evicted model is loaded again when it is requested.
 
+mod crash_tracker;
 pub mod forecast;
 mod gain;
-mod load_watch;
 mod round;
 mod wanted;
 
@@ -27,25 +28,25 @@
 use crate::peers::{FleetUses, TotalDemand};
 use crate::site::EngineRule;
 
+use crash_tracker::CrashTracker;
 use gain::LoadOption;
-use load_watch::LoadWatch;
 use round::{EngineShare, EngineView, PlanRound};
 use wanted::WantedLoad;
 
-/// How long advice is waited for before the engine gets other advice: a datagram, a notice to
-/// gateways, and an order.
-const ADVICE_LIFE: Duration = Duration::from_millis(700);
+/// Time that the planner waits for advice to take effect before it gives the engine other advice. Covers a
+/// datagram, the notice to gateways, and an order to the engine.
+const ADVICE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// An engine that was named as a lender is not named again for this long: the right is asked for when the
-/// borrower's streams have ended, and a lender that was named twice lends once.
-const LENDER_LIFE: Duration = Duration::from_secs(2);
+/// Minimum time before the same engine is named as a lender again. The borrower requests the right only
+/// after its streams have ended, and a lender that is named twice can still lend only once.
+const LENDER_COOLDOWN: Duration = Duration::from_secs(2);
 
-/// Loads from the weight store that may be advised at once, as seconds of its rate.
+/// Burst size of the weight store's load rate, in seconds of that rate.
 const BURST_S: f64 = 3.0;
 
-/// Advice that an engine was given.
+/// Advice that was sent to an engine.
 #[derive(Debug, Clone)]
-struct GivenAdvice {
+struct SentAdvice {
     model: ModelName,
     at: ClockTime,
 }
@@ -57,23 +58,24 @@
     pub endpoint: EndpointName,
     /// The advice.
     pub advice: LoadAdvice,
-    /// Why.
+    /// Reason for the load.
     pub reason: LoadReason,
 }
 
-/// Why a load is advised.
+/// Reason for a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReason {
-    /// The model is asked for, and nobody holds it.
+    /// The model is requested, and no engine holds it.
     Unreachable,
-    /// The model's holders are too busy.
+    /// The holders of the model are too busy.
     Busy,
-    /// An engine has room, and nobody holds the model, or the engine holds nothing after a restart.
+    /// An engine has free memory, and either no engine holds the model or this engine is empty after a
+    /// restart.
     Room,
 }
 
 impl LoadReason {
-    /// The word that logs and metrics use.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -84,65 +86,65 @@
     }
 }
 
-/// A load that is wanted and that no engine can take now.
+/// A wanted load that no engine can carry out now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BlockedLoad {
     /// The model.
     pub model: ModelName,
-    /// Why it is wanted.
+    /// Reason for the load.
     pub reason: LoadReason,
-    /// Engines that its demand would fill.
+    /// Number of engines that the demand for the model would fill.
     pub want: f64,
-    /// Engines that hold it.
+    /// Number of engines that hold the model.
     pub holders: f64,
-    /// Whether the weight store's rate is used up for the moment.
+    /// Whether the load rate of the weight store is used up for now.
     pub rate_spent: bool,
-    /// Whether its loads wait, since they ended the engines that carried them out.
+    /// Whether loads of the model are backed off because they crashed the engines that carried them out.
     pub rests: bool,
-    /// Engines that are busy with another load, or not heard of.
+    /// Number of engines that are busy with another load, or from which no status is received.
     pub busy: u32,
-    /// Engines that must wait for their part of the weight store's rate.
+    /// Number of engines that must wait for their share of the weight store's rate.
     pub paced: u32,
-    /// Engines where too much would have to go.
+    /// Number of engines that would have to evict too much.
     pub full: u32,
-    /// Engines that could take it, but where it would gain too little.
+    /// Number of engines that could take the load but would gain too little from it.
     pub idle: u32,
 }
 
-/// What a round came to.
+/// Result of one planning round.
 #[derive(Debug, Default)]
 pub struct PlanOutcome {
     /// Loads to advise.
     pub planned: Vec<PlannedLoad>,
-    /// Loads that are wanted and not possible.
+    /// Loads that are wanted but not possible.
     pub blocked: Vec<BlockedLoad>,
 }
 
-/// What the gateways' callers ask for and use.
+/// Demand and current use as reported by all gateways.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetDemand<'a> {
-    /// The demand for each model.
+    /// Demand for each model.
     pub models: &'a HashMap<ModelName, TotalDemand>,
-    /// Requests at engines.
+    /// Requests at each engine.
     pub uses: &'a FleetUses,
 }
 
-/// Plans loads; remembers what was advised and not yet seen.
+/// Planner of model loads. Remembers advice that has not taken effect yet.
 #[derive(Debug, Default)]
 pub struct LoadPlanner {
-    given: HashMap<EndpointName, GivenAdvice>,
+    advised: HashMap<EndpointName, SentAdvice>,
     /// Engines that were named as lenders, and when.
-    named: HashMap<SocketAddr, ClockTime>,
-    /// Models that are asked for and that nobody holds or loads, and since when.
+    named_lenders: HashMap<SocketAddr, ClockTime>,
+    /// Requested models that no engine holds or loads, and since when.
     missing: HashMap<ModelName, ClockTime>,
-    /// Which models' loads end the engines that carry them out.
-    watch: LoadWatch,
-    tokens: f64,
-    at: ClockTime,
+    /// Models whose loads crash the engines that carry them out.
+    crashes: CrashTracker,
+    store_tokens: f64,
+    refilled_at: ClockTime,
 }
 
 impl LoadPlanner {
-    /// Plans the next loads of one service's engines.
+    /// Plans the next loads for the engines of one service.
     pub fn plan<'a>(
         &mut self,
         rule: &'a EngineRule,
@@ -150,38 +152,43 @@
         demand: FleetDemand<'a>,
         now: ClockTime,
     ) -> PlanOutcome {
-        self.refill(rule, now);
-        self.given
-            .retain(|_, given| now.since(given.at) < ADVICE_LIFE);
-        self.named
-            .retain(|_, named_at| now.since(*named_at) < LENDER_LIFE);
+        self.refill_tokens(rule, now);
+        self.advised
+            .retain(|_, sent| now.since(sent.at) < ADVICE_TIMEOUT);
+        self.named_lenders
+            .retain(|_, named_at| now.since(*named_at) < LENDER_COOLDOWN);
         let rows: Vec<&EndpointRow> = rows.collect();
-        self.watch.look(&rows, now);
-        let mut round = self.round(rule, rows.into_iter(), demand, now);
-        self.note_missing(&round);
+        self.crashes.observe(&rows, now);
+        let mut round = self.build_round(rule, rows.into_iter(), demand, now);
+        self.update_missing(&round);
         let mut outcome = PlanOutcome::default();
         for wanted in round.wanted(&self.missing) {
-            if self.watch.rests(&wanted.model, now) {
-                let mut blocked = round.blocked(&wanted.model, wanted.reason);
+            if self.crashes.is_backed_off(&wanted.model, now) {
+                let mut blocked = round.describe_blocked(&wanted.model, wanted.reason);
                 blocked.rests = true;
                 outcome.blocked.push(blocked);
                 continue;
             }
-            self.advise(&mut round, &wanted, &mut outcome);
+            self.plan_load(&mut round, &wanted, &mut outcome);
         }
         for engine in 0..round.engines.len() {
-            self.fill(&mut round, engine, &mut outcome);
+            self.fill_free_memory(&mut round, engine, &mut outcome);
         }
         outcome
     }
 
-    /// Loads into free room what an engine has copies of. After a restart engines are empty, and
-    /// waiting for requests that can't be served would cost each model its first ones.
-    fn fill(&mut self, round: &mut PlanRound<'_>, engine: usize, outcome: &mut PlanOutcome) {
-        let Some(model) = round.best_fill(engine) else {
+    /// Loads a model of which the engine has a copy into free memory. Engines are empty after a restart,
+    /// and waiting for requests that cannot be served would delay the first requests for every model.
+    fn fill_free_memory(
+        &mut self,
+        round: &mut PlanRound<'_>,
+        engine: usize,
+        outcome: &mut PlanOutcome,
+    ) {
+        let Some(model) = round.best_model_for(engine) else {
             return;
         };
-        if self.watch.rests(&model, round.now) {
+        if self.crashes.is_backed_off(&model, round.now) {
             return;
         }
         let Some(option) = round.option(engine, &model, LoadReason::Room) else {
@@ -190,10 +197,10 @@
         if option.from_store || !option.unload.is_empty() {
             return;
         }
-        self.give(round, &option, &model, LoadReason::Room, outcome);
+        self.record_advice(round, &option, &model, LoadReason::Room, outcome);
     }
 
-    fn note_missing(&mut self, round: &PlanRound<'_>) {
+    fn update_missing(&mut self, round: &PlanRound<'_>) {
         let since = |model: &ModelName| self.missing.get(model).copied().unwrap_or(round.now);
         let missing = round
             .unreachable()
@@ -201,13 +208,13 @@
         self.missing = missing.collect();
     }
 
-    fn refill(&mut self, rule: &EngineRule, now: ClockTime) {
-        let gained = now.since(self.at).as_secs_f64() * rule.loads_per_s;
-        self.tokens = (self.tokens + gained).min((rule.loads_per_s * BURST_S).max(1.0));
-        self.at = now;
+    fn refill_tokens(&mut self, rule: &EngineRule, now: ClockTime) {
+        let gained = now.since(self.refilled_at).as_secs_f64() * rule.loads_per_s;
+        self.store_tokens = (self.store_tokens + gained).min((rule.loads_per_s * BURST_S).max(1.0));
+        self.refilled_at = now;
     }
 
-    fn round<'a>(
+    fn build_round<'a>(
         &self,
         rule: &'a EngineRule,
         rows: impl Iterator<Item = &'a EndpointRow>,
@@ -229,62 +236,62 @@
             slots: f64::from(slots.max(1)),
             now,
         };
-        round.count_models(demand.models);
-        round.spread_load();
+        round.add_models(demand.models);
+        round.update_utilization();
         round
     }
 
-    /// Engines that may lend their right to load from the weight store.
+    /// Returns the engines that can lend their right to load from the weight store.
     fn lenders(&self, engines: &[EngineView<'_>], now: ClockTime) -> Vec<usize> {
         let has_right = |view: &EngineView<'_>| {
             let pulse = view.row.pulse(now);
             pulse.is_some_and(|pulse| pulse.answers && pulse.load_wait_ms == 0)
         };
-        let places = engines.iter().enumerate();
-        let able = places.filter(|(_, view)| {
-            has_right(view) && !self.named.contains_key(&view.row.record.address)
+        let indexed = engines.iter().enumerate();
+        let eligible = indexed.filter(|(_, view)| {
+            has_right(view) && !self.named_lenders.contains_key(&view.row.record.address)
         });
-        able.map(|(place, _)| place).collect()
+        eligible.map(|(index, _)| index).collect()
     }
 
     fn engine_view<'a>(&self, row: &'a EndpointRow, now: ClockTime) -> EngineView<'a> {
         let held = row.models(now).iter().map(|held| &held.model);
         let held = held.filter(|model| row.holds(model, now)).collect();
-        let is_idle = |pulse: &crate::message::EnginePulse| {
+        let takes_load = |pulse: &crate::message::EnginePulse| {
             pulse.answers && pulse.loading.is_none() && pulse.retiring.is_empty()
         };
-        let free = row.pulse(now).is_some_and(is_idle);
+        let is_idle = row.pulse(now).is_some_and(takes_load);
         let loading = row.pulse(now).and_then(|pulse| pulse.loading.clone());
-        let advised = self.given.get(&row.record.name);
+        let advised = self.advised.get(&row.record.name);
         EngineView {
             row,
             held,
-            coming: loading.or_else(|| advised.map(|given| given.model.clone())),
-            load: EngineShare::default(),
-            free: free && !self.given.contains_key(&row.record.name),
+            incoming: loading.or_else(|| advised.map(|sent| sent.model.clone())),
+            utilization: EngineShare::default(),
+            is_free: is_idle && !self.advised.contains_key(&row.record.name),
         }
     }
 
-    fn advise(
+    fn plan_load(
         &mut self,
         round: &mut PlanRound<'_>,
         wanted: &WantedLoad,
         outcome: &mut PlanOutcome,
     ) {
         let (model, reason) = (&wanted.model, wanted.reason);
-        let Some(option) = round.best_option(wanted, self.tokens >= 1.0) else {
-            let mut blocked = round.blocked(model, reason);
-            blocked.rate_spent = self.tokens < 1.0;
+        let Some(option) = round.best_option(wanted, self.store_tokens >= 1.0) else {
+            let mut blocked = round.describe_blocked(model, reason);
+            blocked.rate_spent = self.store_tokens < 1.0;
             outcome.blocked.push(blocked);
             return;
         };
         if option.from_store {
-            self.tokens -= 1.0;
+            self.store_tokens -= 1.0;
         }
-        self.give(round, &option, model, reason, outcome);
+        self.record_advice(round, &option, model, reason, outcome);
     }
 
-    fn give(
+    fn record_advice(
         &mut self,
         round: &mut PlanRound<'_>,
         option: &LoadOption,
@@ -292,25 +299,25 @@
         reason: LoadReason,
         outcome: &mut PlanOutcome,
     ) {
-        let load = round.advice(option, model, reason);
+        let load = round.build_advice(option, model, reason);
         let lenders = load.advice.lenders.iter();
-        self.named
+        self.named_lenders
             .extend(lenders.map(|lender| (*lender, round.now)));
-        self.given.insert(
+        self.advised.insert(
             load.endpoint.clone(),
-            GivenAdvice {
+            SentAdvice {
                 model: model.clone(),
                 at: round.now,
             },
         );
-        round.note_advised(option, model);
+        round.apply_advised(option, model);
         outcome.planned.push(load);
     }
 }
 
-/// The share of engines that can't be told to load anything now.
+/// Returns the share of engines that cannot be told to load anything now.
 fn busy_share(engines: &[EngineView<'_>]) -> f64 {
     let count = |number: usize| f64::from(u32::try_from(number).unwrap_or(u32::MAX));
-    let busy = engines.iter().filter(|view| !view.free).count();
+    let busy = engines.iter().filter(|view| !view.is_free).count();
     count(busy) / count(engines.len().max(1))
 }
--- a/crates/oatpier-serving/src/planner/round.rs
+++ b/crates/oatpier-serving/src/planner/round.rs
@@ -1,4 +1,4 @@
-//! One round of the planner: engines and models as they stand, and which loads they call for.
+//! State of one planning round: the engines and models, and the advice that results from them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,71 +16,72 @@
 use crate::peers::{FleetUses, TotalDemand};
 use crate::site::EngineRule;
 
-/// Engines that one advice names as lenders. By the time at which the right is needed, seconds later where
-/// streams have to end first, some have used their own.
-const LENDERS_EACH: usize = 3;
+/// Number of engines that one piece of advice names as lenders. The right is needed seconds later if
+/// streams have to end first, and by then some lenders have used their own right.
+const LENDERS_PER_ADVICE: usize = 3;
 
-/// How much of a place for an adapter counts as load: places that are all in use cost less than slots
-/// that are, since one is free as soon as the streams of one adapter have ended.
+/// Weight of a used adapter slot in the utilization. Full adapter slots cost less than full request slots,
+/// because an adapter slot is free as soon as the streams of one adapter have ended.
 const ADAPTER_WEIGHT: f64 = 0.7;
 
 /// One engine during a round.
 #[derive(Debug)]
 pub(super) struct EngineView<'a> {
     pub(super) row: &'a EndpointRow,
-    /// Models that are there and stay.
+    /// Models that the engine holds and is not about to unload.
     pub(super) held: Vec<&'a ModelName>,
-    /// The model that is being loaded, or was advised: it takes its share soon.
-    pub(super) coming: Option<ModelName>,
-    /// What its models' demand takes of it.
-    pub(super) load: EngineShare,
-    pub(super) free: bool,
+    /// The model that is being loaded or was advised. It receives a share of the requests soon.
+    pub(super) incoming: Option<ModelName>,
+    /// Share of the engine that the demand for its models takes.
+    pub(super) utilization: EngineShare,
+    pub(super) is_free: bool,
 }
 
-/// A part of an engine, as its requests take slots and its adapters take places.
+/// A share of an engine's capacity, in request slots and adapter slots.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct EngineShare {
     pub(super) slots: f64,
-    places: f64,
+    adapter_slots: f64,
 }
 
 impl EngineShare {
     fn divided(self, holders: f64) -> Self {
         Self {
             slots: self.slots / holders,
-            places: self.places / holders,
+            adapter_slots: self.adapter_slots / holders,
         }
     }
 
     pub(super) fn plus(self, other: Self) -> Self {
         Self {
             slots: self.slots + other.slots,
-            places: self.places + other.places,
+            adapter_slots: self.adapter_slots + other.adapter_slots,
         }
     }
 
-    pub(super) fn minus(self, other: Self) -> Self {
+    pub(super) fn saturating_minus(self, other: Self) -> Self {
         Self {
             slots: (self.slots - other.slots).max(0.0),
-            places: (self.places - other.places).max(0.0),
+            adapter_slots: (self.adapter_slots - other.adapter_slots).max(0.0),
         }
     }
 
     pub(super) fn squared(self) -> f64 {
-        self.load().powi(2)
+        self.dominant_share().powi(2)
     }
 
-    /// The load by whichever is scarcer.
-    pub(super) fn load(self) -> f64 {
-        self.slots.max(self.places * ADAPTER_WEIGHT)
+    /// Returns the share of the scarcer resource.
+    pub(super) fn dominant_share(self) -> f64 {
+        self.slots.max(self.adapter_slots * ADAPTER_WEIGHT)
     }
 
-    /// What of it counts towards the load of an engine with `whole` on it.
-    pub(super) fn part_of(self, whole: Self) -> f64 {
-        if whole.slots >= whole.places * ADAPTER_WEIGHT {
+    /// Returns the part of this share that counts towards the utilization of an engine whose total is
+    /// `whole`.
+    pub(super) fn dominant_part_in(self, whole: Self) -> f64 {
+        if whole.slots >= whole.adapter_slots * ADAPTER_WEIGHT {
             self.slots
         } else {
-            self.places * ADAPTER_WEIGHT
+            self.adapter_slots * ADAPTER_WEIGHT
         }
     }
 }
@@ -88,20 +89,20 @@
 /// One model during a round.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ModelView {
-    /// Engines that hold it, are loading it, or were advised to: their places in the round.
+    /// Indices of the engines that hold the model, are loading it, or were advised to load it.
     pub(super) served_by: SmallVec<[usize; 8]>,
-    /// Engines that have a copy of it.
+    /// Number of engines that have a local copy of the weights.
     pub(super) copies: u32,
-    /// Engines that its demand would fill.
-    want: EngineShare,
-    /// Requests a second.
-    pub(super) asked: f64,
-    /// The same over the last ten seconds or so.
-    pub(super) asked_long: f64,
-    /// The time since it was asked for last; none if never.
+    /// Demand for the model, in engines that it would fill.
+    demand: EngineShare,
+    /// Requests per second.
+    pub(super) request_rate: f64,
+    /// Requests per second over about the last ten seconds.
+    pub(super) long_request_rate: f64,
+    /// Time since the last request; `None` if there was none.
     pub(super) idle: Option<Duration>,
     pub(super) unserved: f64,
-    /// How long a request holds a slot, in seconds.
+    /// Time that a request occupies a slot, in seconds.
     pub(super) hold_s: f64,
 }
 
@@ -110,55 +111,57 @@
         f64::from(u32::try_from(self.served_by.len()).unwrap_or(u32::MAX))
     }
 
-    /// What it takes of each of its holders.
+    /// Returns the share that the model takes of each of its holders.
     pub(super) fn share(&self) -> EngineShare {
         self.share_among(self.holders())
     }
 
-    /// What it would take of each of so many holders.
+    /// Returns the share that the model would take of each of `holders` engines.
     pub(super) fn share_among(&self, holders: f64) -> EngineShare {
-        self.want.divided(holders.max(1.0))
+        self.demand.divided(holders.max(1.0))
     }
 }
 
 impl EngineView<'_> {
-    /// Whether it holds a model, or soon will.
+    /// Returns whether the engine holds a model or will hold it soon.
     fn serves(&self, model: &ModelName) -> bool {
-        self.held.contains(&model) || self.coming.as_ref() == Some(model)
+        self.held.contains(&model) || self.incoming.as_ref() == Some(model)
     }
 }
 
-/// What a round works on.
+/// Input and working state of one round.
 pub(super) struct PlanRound<'a> {
     pub(super) rule: &'a EngineRule,
     pub(super) engines: Vec<EngineView<'a>>,
     pub(super) models: HashMap<&'a ModelName, ModelView>,
     pub(super) uses: &'a FleetUses,
-    /// Engines whose right to load from the weight store is not spent, and that were not named as lenders
-    /// lately: their places in the round.
+    /// Indices of the engines whose right to load from the weight store is unused and that were not named
+    /// as lenders recently.
     pub(super) lenders: Vec<usize>,
-    /// The share of engines that can't be told to load anything now.
+    /// Share of engines that cannot be told to load anything now.
     pub(super) busy_share: f64,
     pub(super) slots: f64,
     pub(super) now: ClockTime,
 }
 
 impl PlanRound<'_> {
-    pub(super) fn count_models(&mut self, demand: &HashMap<ModelName, TotalDemand>) {
+    pub(super) fn add_models(&mut self, demand: &HashMap<ModelName, TotalDemand>) {
         let holds = HoldTimes::of_fleet(demand);
         for rule in &self.rule.models {
             let total = demand.get(&rule.name).copied().unwrap_or_default();
             let requests = forecast::slots_wanted(&total, holds, rule.load);
-            let places = f64::from(u32::try_from(self.rule.adapter_slots).unwrap_or(u32::MAX));
+            let adapter_slots =
+                f64::from(u32::try_from(self.rule.adapter_slots).unwrap_or(u32::MAX));
             let view = ModelView {
                 served_by: self.served_by(&rule.name),
-                copies: self.copies(&rule.name),
-                want: EngineShare {
+                copies: self.count_copies(&rule.name),
+                demand: EngineShare {
                     slots: requests / self.slots,
-                    places: adapters_in_use(total.adapters, requests) / places.max(1.0),
+                    adapter_slots: adapters_in_use(total.adapters, requests)
+                        / adapter_slots.max(1.0),
                 },
-                asked: total.asked_fast.max(total.asked_slow),
-                asked_long: total.asked_long,
+                request_rate: total.asked_fast.max(total.asked_slow),
+                long_request_rate: total.asked_long,
                 idle: total.idle,
                 unserved: total.unserved,
                 hold_s: holds.of_model(&total),
@@ -170,36 +173,36 @@
     fn served_by(&self, model: &ModelName) -> SmallVec<[usize; 8]> {
         let engines = self.engines.iter().enumerate();
         let serving = engines.filter(|(_, view)| view.serves(model));
-        serving.map(|(place, _)| place).collect()
+        serving.map(|(index, _)| index).collect()
     }
 
-    /// Counts a load that has just been advised, so that the next one of this round sees what it changes.
-    pub(super) fn note_advised(&mut self, option: &LoadOption, model: &ModelName) {
+    /// Accounts for a load that was just advised, so that the next decision of this round sees its effect.
+    pub(super) fn apply_advised(&mut self, option: &LoadOption, model: &ModelName) {
         let view = &mut self.engines[option.engine];
-        view.free = false;
-        view.coming = Some(model.clone());
+        view.is_free = false;
+        view.incoming = Some(model.clone());
         view.held.retain(|held| !option.unload.contains(*held));
         for victim in &option.unload {
             if let Some(lost) = self.models.get_mut(victim) {
-                lost.served_by.retain(|place| *place != option.engine);
+                lost.served_by.retain(|index| *index != option.engine);
             }
         }
         if let Some(wanted) = self.models.get_mut(model) {
             wanted.served_by.push(option.engine);
         }
-        self.spread_load();
+        self.update_utilization();
     }
 
-    pub(super) fn spread_load(&mut self) {
+    pub(super) fn update_utilization(&mut self) {
         for view in &mut self.engines {
-            let served = view.held.iter().copied().chain(&view.coming);
+            let served = view.held.iter().copied().chain(&view.incoming);
             let shares = served.filter_map(|model| self.models.get(model));
             let shares = shares.map(ModelView::share);
-            view.load = shares.fold(EngineShare::default(), EngineShare::plus);
+            view.utilization = shares.fold(EngineShare::default(), EngineShare::plus);
         }
     }
 
-    /// Models that are asked for and that nobody holds.
+    /// Returns the requested models that no engine holds.
     pub(super) fn unreachable(&self) -> impl Iterator<Item = &ModelName> {
         let missing = self
             .models
@@ -208,15 +211,15 @@
         missing.map(|(model, _)| *model)
     }
 
-    /// The model that an engine with room should hold: one that nobody holds, or, where the engine
-    /// holds nothing, one that many engines have copies of beside those that hold it. A model that
-    /// had many replicas was much asked for.
-    pub(super) fn best_fill(&self, engine: usize) -> Option<ModelName> {
+    /// Returns the model that an engine should load into its free memory. This is a model that no engine
+    /// holds or, if the engine is empty, one with many local copies across the fleet relative to its
+    /// current holders. A model that had many replicas was in high demand.
+    pub(super) fn best_model_for(&self, engine: usize) -> Option<ModelName> {
         let view = &self.engines[engine];
         let copies = &view.row.pulse(self.now)?.copies;
         let local = copies.in_memory.iter().chain(&copies.on_disk);
         let local = local.filter(|model| !view.held.contains(model));
-        let worth = |model: &ModelName| {
+        let value = |model: &ModelName| {
             let Some(known) = self.models.get(model) else {
                 return 0.0;
             };
@@ -225,11 +228,11 @@
             }
             f64::from(known.copies) / (known.holders() + 1.0).powi(2)
         };
-        let best = local.max_by(|one, other| worth(one).total_cmp(&worth(other)))?;
-        (worth(best) > 0.0).then(|| best.clone())
+        let best = local.max_by(|one, other| value(one).total_cmp(&value(other)))?;
+        (value(best) > 0.0).then(|| best.clone())
     }
 
-    fn copies(&self, model: &ModelName) -> u32 {
+    fn count_copies(&self, model: &ModelName) -> u32 {
         let pulses = self
             .engines
             .iter()
@@ -238,13 +241,13 @@
         u32::try_from(copies).unwrap_or(u32::MAX)
     }
 
-    /// Why no engine takes a load.
-    pub(super) fn blocked(&self, model: &ModelName, reason: LoadReason) -> BlockedLoad {
+    /// Counts the reasons why no engine carries out a load.
+    pub(super) fn describe_blocked(&self, model: &ModelName, reason: LoadReason) -> BlockedLoad {
         let view = self.models.get(model);
         let mut blocked = BlockedLoad {
             model: model.clone(),
             reason,
-            want: view.map_or(0.0, |view| view.want.load()),
+            want: view.map_or(0.0, |view| view.demand.dominant_share()),
             holders: view.map_or(0.0, ModelView::holders),
             rate_spent: false,
             rests: false,
@@ -261,7 +264,7 @@
             let pulse = view.row.pulse(self.now);
             let paced = self.lenders.is_empty()
                 && pulse.is_some_and(|pulse| pulse.load_wait_ms > 0 && !pulse.copies.has(model));
-            if !view.free {
+            if !view.is_free {
                 blocked.busy += 1;
             } else if paced {
                 blocked.paced += 1;
@@ -274,26 +277,26 @@
         blocked
     }
 
-    pub(super) fn size(&self, model: &ModelName) -> f64 {
-        // A model that the configuration no longer names takes all room: it is never kept beside
-        // another one by a wrong guess.
+    pub(super) fn size_mb(&self, model: &ModelName) -> f64 {
+        // A model that is no longer in the configuration counts as taking all memory, so that a wrong size
+        // never places another model beside it.
         let rule = self.rule.model(model);
         rule.map_or(self.rule.weights_mb, |rule| rule.size_mb)
     }
 
-    /// Takes a few engines off the lenders for one advice. Those that are at a load go first: the others may
-    /// need their right themselves.
+    /// Removes a few engines from the lenders for one piece of advice. Engines that are loading go first,
+    /// because the others may need their right themselves.
     fn take_lenders(&mut self) -> Vec<SocketAddr> {
         let engines = &self.engines;
         self.lenders
-            .sort_by_key(|place| (!engines[*place].free, *place));
-        let kept = self.lenders.len().saturating_sub(LENDERS_EACH);
+            .sort_by_key(|index| (!engines[*index].is_free, *index));
+        let kept = self.lenders.len().saturating_sub(LENDERS_PER_ADVICE);
         let taken = self.lenders.split_off(kept);
-        let rows = taken.iter().map(|place| engines[*place].row);
+        let rows = taken.iter().map(|index| engines[*index].row);
         rows.map(|row| row.record.address).collect()
     }
 
-    pub(super) fn advice(
+    pub(super) fn build_advice(
         &mut self,
         option: &LoadOption,
         model: &ModelName,
@@ -308,7 +311,7 @@
         let held = view.row.models(self.now).iter().map(|held| &held.model);
         let sizes = held.chain([model]).map(|model| ModelSize {
             model: model.clone(),
-            size_mb: self.size(model),
+            size_mb: self.size_mb(model),
         });
         PlannedLoad {
             endpoint: view.row.record.name.clone(),
@@ -324,7 +327,8 @@
     }
 }
 
-/// How many of `adapters` are in use at the same time by `requests` that are spread over them evenly.
+/// Returns how many of `adapters` are in use at the same time by `requests` that are spread over them
+/// evenly.
 fn adapters_in_use(adapters: f64, requests: f64) -> f64 {
     if adapters < 1.0 {
         return 0.0;
--- a/crates/oatpier-serving/src/planner/wanted.rs
+++ b/crates/oatpier-serving/src/planner/wanted.rs
@@ -1,4 +1,4 @@
-//! Which loads a round calls for, and in which order.
+//! Selects the loads that a round needs, and their order.
 
 use std::collections::HashMap;
 
@@ -9,107 +9,111 @@
 use super::gain::LoadOption;
 use super::round::PlanRound;
 
-/// What a replica must gain, beyond its costs, in squared shares of an engine. The only holder of a
-/// model that takes 0.6 of it gains 0.18 by a second one.
-const REPLICA_GAIN: f64 = 0.05;
+/// Minimum gain of an additional replica after its costs, in squared engine shares. A second replica of a
+/// model that takes 0.6 of its only holder gains 0.18.
+const MIN_REPLICA_GAIN: f64 = 0.05;
 
-/// What one request a second for a model weighs that nobody holds. An engine that is asked for 1.3 of what
-/// it can do turns away some ten a second, 0.07 for each; these are all turned away, and not one in four.
-const MISSING_PRICE: f64 = 0.2;
+/// Weight of one request per second for a model that no engine holds. An engine with a demand of 1.3 times
+/// its capacity refuses about ten requests per second, at a weight of 0.07 each. For a missing model all
+/// requests are refused instead of one in four.
+const MISSING_RATE_WEIGHT: f64 = 0.2;
 
-/// What each second weighs for which a model that is asked for has been missing. Its callers are few, but
-/// wait for it: after some two seconds it goes before replicas that bring little.
-const WAITING_PRICE_PER_S: f64 = 0.2;
+/// Weight of each second for which a requested model has been missing. Few callers request it, but they
+/// wait for it. After about two seconds its load takes precedence over replicas with a small gain.
+const MISSING_WEIGHT_PER_S: f64 = 0.2;
 
-/// A model that nobody holds takes the place of the last holder of one that is asked for at most this part as
-/// often. With equal ones, the one that goes would be the next one's turn at once: where more models are
-/// in demand than there are places free, of two loads one only put a model in another's place, a median of
-/// 0.8 s after its own was taken, and each takes an engine five seconds.
-const TURN_SHARE: f64 = 0.5;
+/// A model that no engine holds may evict the last holder of another model whose request rate is at most
+/// this fraction of its own. With equal rates allowed, the evicted model would be the next one to be
+/// loaded. If more models are in demand than fit, every second load would then only swap two models, at a
+/// median of 0.8 s after the evicted one was loaded, and each load takes five seconds of engine time.
+const DISPLACED_RATE_SHARE: f64 = 0.5;
 
-/// With each second that such a model is missing it counts as asked for by so much more a second: one that is
-/// asked for every other second takes another such one's place after five, the longest time of a load.
-const TURN_RATE_PER_S: f64 = 0.05;
+/// Request rate that is added to a missing model's own for each second that it is missing. A model that is
+/// requested every other second evicts a similar one after five seconds, the longest duration of a load.
+const DISPLACED_RATE_PER_S: f64 = 0.05;
 
-/// A model that takes less than this share of an engine gets no further replica: another model there
-/// is the cause of the load.
-const LEAST_SHARE: f64 = 0.1;
+/// A model that takes less than this share of an engine gets no additional replica, because another model
+/// causes the engine's load.
+const MIN_REPLICA_SHARE: f64 = 0.1;
 
-/// The share of its slots above which an engine's models get replicas.
-const BUSY_SHARE: f64 = 0.35;
+/// Utilization above which an engine's models get replicas.
+const BUSY_UTILIZATION: f64 = 0.35;
 
-/// A load that is called for.
+/// A load that the round needs.
 #[derive(Debug)]
 pub(super) struct WantedLoad {
     pub(super) model: ModelName,
     pub(super) reason: LoadReason,
-    /// What it gains, in engines' loads as [`EngineShare::squared`] counts them.
-    worth: f64,
-    /// The rate of requests, a second, up to which other models may lose their last holder for it.
-    turn_rate: f64,
+    /// Gain of the load, in squared engine shares as counted by [`EngineShare::squared`].
+    priority: f64,
+    /// Request rate per second up to which other models may lose their last holder to this load.
+    max_displaced_rate: f64,
 }
 
 impl PlanRound<'_> {
-    /// The loads that are called for, what gains most first: each takes an engine for seconds and one of
-    /// the weight store's loads, so the order says who gets them.
+    /// Returns the loads that are needed, those with the largest gain first. Each load takes seconds of
+    /// engine time and one load of the weight store's rate, so the order decides which models get them.
     pub(super) fn wanted(&self, missing: &HashMap<ModelName, ClockTime>) -> Vec<WantedLoad> {
         let unreachable = self
             .unreachable()
-            .map(|model| self.wanted_missing(model, missing));
+            .map(|model| self.missing_load(model, missing));
         let busy = self
-            .busiest()
+            .busiest_models()
             .into_iter()
-            .map(|model| self.wanted_replica(model));
+            .map(|model| self.replica_load(model));
         let mut wanted: Vec<WantedLoad> = unreachable.chain(busy).collect();
         wanted.sort_by(|one, other| {
-            let by_worth = other.worth.total_cmp(&one.worth);
-            by_worth.then(one.model.cmp(&other.model))
+            let by_priority = other.priority.total_cmp(&one.priority);
+            by_priority.then(one.model.cmp(&other.model))
         });
         wanted
     }
 
-    fn wanted_missing(
+    fn missing_load(
         &self,
         model: &ModelName,
         missing: &HashMap<ModelName, ClockTime>,
     ) -> WantedLoad {
         let known = self.models.get(model);
-        let rate = known.map_or(0.0, |view| view.unserved.max(view.asked));
-        let long_rate = known.map_or(0.0, |view| view.asked_long);
+        let rate = known.map_or(0.0, |view| view.unserved.max(view.request_rate));
+        let long_rate = known.map_or(0.0, |view| view.long_request_rate);
         let since = missing.get(model).copied().unwrap_or(self.now);
-        let waited_s = self.now.since(since).as_secs_f64();
+        let missing_s = self.now.since(since).as_secs_f64();
         WantedLoad {
             model: model.clone(),
             reason: LoadReason::Unreachable,
-            worth: rate * MISSING_PRICE + waited_s * WAITING_PRICE_PER_S,
-            turn_rate: long_rate * TURN_SHARE + waited_s * TURN_RATE_PER_S,
+            priority: rate * MISSING_RATE_WEIGHT + missing_s * MISSING_WEIGHT_PER_S,
+            max_displaced_rate: long_rate * DISPLACED_RATE_SHARE + missing_s * DISPLACED_RATE_PER_S,
         }
     }
 
-    fn wanted_replica(&self, model: ModelName) -> WantedLoad {
+    fn replica_load(&self, model: ModelName) -> WantedLoad {
         let mut wanted = WantedLoad {
             model,
             reason: LoadReason::Busy,
-            worth: 0.0,
-            turn_rate: f64::INFINITY,
+            priority: 0.0,
+            max_displaced_rate: f64::INFINITY,
         };
         let best = self.best_option(&wanted, true);
-        wanted.worth = best.map_or(0.0, |option| option.gain);
+        wanted.priority = best.map_or(0.0, |option| option.gain);
         wanted
     }
 
-    /// Models of the busiest engines, those that bring them most load first.
-    pub(super) fn busiest(&self) -> Vec<ModelName> {
+    /// Returns models of the busiest engines, those with the largest contribution to the utilization first.
+    pub(super) fn busiest_models(&self) -> Vec<ModelName> {
         let busy = self
             .engines
             .iter()
-            .filter(|view| view.load.load() > BUSY_SHARE);
+            .filter(|view| view.utilization.dominant_share() > BUSY_UTILIZATION);
         let mut models: Vec<(&ModelName, f64)> = busy
-            .flat_map(|view| view.held.iter().map(|model| (*model, view.load)))
+            .flat_map(|view| view.held.iter().map(|model| (*model, view.utilization)))
             .filter_map(|(model, load)| {
-                Some((model, self.models.get(model)?.share().part_of(load)))
+                Some((
+                    model,
+                    self.models.get(model)?.share().dominant_part_in(load),
+                ))
             })
-            .filter(|(_, part)| *part >= LEAST_SHARE)
+            .filter(|(_, part)| *part >= MIN_REPLICA_SHARE)
             .collect();
         models.sort_by(|one, other| other.1.total_cmp(&one.1).then(one.0.cmp(other.0)));
         let mut names: Vec<ModelName> =
@@ -119,17 +123,22 @@
         names
     }
 
-    /// The engine where a load gains most, if it gains enough and takes no place from callers who lose more.
-    pub(super) fn best_option(&self, wanted: &WantedLoad, store_open: bool) -> Option<LoadOption> {
+    /// Returns the engine on which a load gains most, if the gain is large enough and the load evicts no
+    /// model whose callers lose more.
+    pub(super) fn best_option(
+        &self,
+        wanted: &WantedLoad,
+        store_has_tokens: bool,
+    ) -> Option<LoadOption> {
         let options = (0..self.engines.len())
             .filter_map(|engine| self.option(engine, &wanted.model, wanted.reason));
         let best = options
-            .filter(|option| store_open || !option.from_store)
-            .filter(|option| option.absent_rate <= wanted.turn_rate)
+            .filter(|option| store_has_tokens || !option.from_store)
+            .filter(|option| option.displaced_rate <= wanted.max_displaced_rate)
             .max_by(|one, other| one.rank().total_cmp(&other.rank()))?;
         match wanted.reason {
             LoadReason::Unreachable | LoadReason::Room => Some(best),
-            LoadReason::Busy => (best.gain > REPLICA_GAIN).then_some(best),
+            LoadReason::Busy => (best.gain > MIN_REPLICA_GAIN).then_some(best),
         }
     }
 }
