--- a/crates/oatpier-serving/src/residency/adapters.rs
+++ b/crates/oatpier-serving/src/residency/adapters.rs
@@ -1,50 +1,53 @@
-//! Which adapters come and go.
+//! Decides which adapters an engine loads and unloads.
 
 use std::time::Duration;
 
 use oatpier_types::clock::ClockTime;
 
-use super::{EngineResidency, KeptWish};
+use super::{EngineResidency, TimedAdapter};
 use crate::engine::{AdapterKey, EngineOrder, EngineReport, HeldModel};
 
-/// A wish for an adapter that is this old is dropped; who still waits repeats it.
-const WISH_LIFE: Duration = Duration::from_millis(300);
+/// Time after which a request for an adapter expires. A gateway that still waits repeats its request.
+const ADAPTER_REQUEST_TTL: Duration = Duration::from_millis(300);
 
-/// An adapter counts as in use for this long after a gateway last named it: a request may be on its
+/// An adapter counts as in use for this long after a gateway last named it, because a request may be on its
 /// way to it.
-const ADAPTER_REST: Duration = Duration::from_millis(40);
+const ADAPTER_IDLE_TIME: Duration = Duration::from_millis(40);
 
-/// An adapter that was to make room is offered again after this long: its requests take longer than
-/// whoever wished for the room waits.
-const YIELD_LIFE: Duration = Duration::from_secs(4);
+/// Time after which an adapter that was to be unloaded is offered again. Its requests take longer than the
+/// gateway that needs the slot waits.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Adapters that an engine may have on their way at the same time, by its interface.
-const ADAPTERS_COMING: usize = 4;
+/// Maximum number of adapters that an engine may load at the same time, as defined by its interface.
+const MAX_ADAPTER_LOADS: usize = 4;
 
 impl EngineResidency {
-    /// The next order for an adapter that is wished for.
+    /// Returns the next order for a requested adapter.
     pub(super) fn adapter_order(&mut self, now: ClockTime) -> Option<EngineOrder> {
         let report = self.report.as_ref()?;
-        self.yielding.retain(|kept| now.since(kept.at) < YIELD_LIFE);
-        self.wishes
-            .retain(|wish| now.since(wish.at) < WISH_LIFE && is_needed(report, &wish.key));
-        let wish = self.wishes.front()?;
-        if report.coming.len() >= ADAPTERS_COMING {
+        self.draining
+            .retain(|entry| now.since(entry.at) < DRAIN_TIMEOUT);
+        self.requested.retain(|requested| {
+            now.since(requested.at) < ADAPTER_REQUEST_TTL && is_needed(report, &requested.key)
+        });
+        let requested = self.requested.front()?;
+        if report.coming.len() >= MAX_ADAPTER_LOADS {
             return None;
         }
-        if places_taken(report) < self.slots {
-            return Some(EngineOrder::LoadAdapter(wish.key.clone()));
+        if slots_taken(report) < self.adapter_slots {
+            return Some(EngineOrder::LoadAdapter(requested.key.clone()));
         }
         let idle = held_adapters(&report.models).filter(|key| self.is_idle(key, now));
-        if let Some(idlest) = idle.min_by_key(|key| self.used_at(key)) {
+        if let Some(idlest) = idle.min_by_key(|key| self.last_used_at(key)) {
             return Some(EngineOrder::UnloadAdapter(idlest));
         }
-        // Each one that yields makes room for one wish; more would throw out what is in use.
-        if self.yielding.len() < self.wishes.len() {
+        // Each draining adapter makes room for one request. Draining more would remove adapters that are in
+        // use.
+        if self.draining.len() < self.requested.len() {
             let next = held_adapters(&report.models)
-                .filter(|key| !self.is_yielding(key))
-                .min_by_key(|key| self.used_at(key))?;
-            self.yielding.push(KeptWish { key: next, at: now });
+                .filter(|key| !self.is_draining(key))
+                .min_by_key(|key| self.last_used_at(key))?;
+            self.draining.push(TimedAdapter { key: next, at: now });
         }
         None
     }
@@ -54,56 +57,58 @@
             .in_use
             .values()
             .any(|gateway| gateway.keys.contains(key));
-        !in_use && now.since(self.used_at(key)) >= ADAPTER_REST
+        !in_use && now.since(self.last_used_at(key)) >= ADAPTER_IDLE_TIME
     }
 
-    fn used_at(&self, key: &AdapterKey) -> ClockTime {
-        self.used.get(key).copied().unwrap_or(ClockTime::ZERO)
+    fn last_used_at(&self, key: &AdapterKey) -> ClockTime {
+        self.last_used.get(key).copied().unwrap_or(ClockTime::ZERO)
     }
 
-    fn is_yielding(&self, key: &AdapterKey) -> bool {
-        self.yielding.iter().any(|kept| kept.key == *key)
+    fn is_draining(&self, key: &AdapterKey) -> bool {
+        self.draining.iter().any(|entry| entry.key == *key)
     }
 
-    /// What gateways may send requests for.
+    /// Returns the models and adapters that gateways may send requests for.
     #[must_use]
     pub fn offered(&self) -> Vec<HeldModel> {
         let mut models = match &self.report {
             Some(report) => report.models.clone(),
             None => Vec::new(),
         };
-        for kept in &self.yielding {
+        for entry in &self.draining {
             for held in models
                 .iter_mut()
-                .filter(|held| held.model == kept.key.model)
+                .filter(|held| held.model == entry.key.model)
             {
-                held.adapters.retain(|adapter| *adapter != kept.key.adapter);
+                held.adapters
+                    .retain(|adapter| *adapter != entry.key.adapter);
             }
         }
         models
     }
 
-    /// Adapters that could be loaded without waiting for requests that use others.
+    /// Returns the number of adapters that could be loaded without waiting for requests that use other
+    /// adapters.
     #[must_use]
     pub fn adapter_room(&self, now: ClockTime) -> u32 {
         let Some(report) = &self.report else {
             return 0;
         };
-        let free = self.slots.saturating_sub(places_taken(report));
+        let free = self.adapter_slots.saturating_sub(slots_taken(report));
         let idle = held_adapters(&report.models)
             .filter(|key| self.is_idle(key, now))
             .count();
-        u32::try_from((free + idle).saturating_sub(self.wishes.len())).unwrap_or(u32::MAX)
+        u32::try_from((free + idle).saturating_sub(self.requested.len())).unwrap_or(u32::MAX)
     }
 }
 
-/// Places for adapters that are taken.
-fn places_taken(report: &EngineReport) -> usize {
+/// Returns the number of adapter slots in use, including those of adapters that are being loaded.
+fn slots_taken(report: &EngineReport) -> usize {
     let held: usize = report.models.iter().map(|held| held.adapters.len()).sum();
     held + report.coming.len()
 }
 
-/// The adapters of these models.
+/// Returns the adapters of `models`.
 pub fn held_adapters(models: &[HeldModel]) -> impl Iterator<Item = AdapterKey> {
     models.iter().flat_map(|held| {
         held.adapters.iter().map(|adapter| AdapterKey {
@@ -113,8 +118,8 @@
     })
 }
 
-/// Whether a wish still needs an order: its model is there, and the adapter neither there nor
-/// coming.
+/// Returns whether a requested adapter still needs an order: its model is held, and the adapter is neither
+/// held nor being loaded.
 fn is_needed(report: &EngineReport, key: &AdapterKey) -> bool {
     let held = report.models.iter().find(|held| held.model == key.model);
     held.is_some_and(|held| !held.adapters.contains(&key.adapter)) && !report.coming.contains(key)
--- a/crates/oatpier-serving/src/residency/mod.rs
+++ b/crates/oatpier-serving/src/residency/mod.rs
@@ -1,12 +1,14 @@
-//! Which order an engine gets next.
+//! Decides which order an engine gets next.
 //!
-//! A sidecar is the only process that orders its engine about, so what it keeps here holds however
-//! the fleet is cut: weights never exceed the engine's memory, adapters never its slots, and loads
-//! from the weight store never the sidecar's part of the shared rate. Gateways only wish.
+//! A sidecar is the only process that gives orders to its engine, so the limits that it enforces hold under
+//! any network partition. The weights never exceed the engine's memory, the adapters never exceed its
+//! slots, and the loads from the weight store never exceed the sidecar's share of the common rate. Gateways
+//! can only make requests.
 //!
-//! Every order names the sequence that the engine must be at. An order whose answer was lost may be
-//! carried out seconds later; by then either it was given again under the same sequence, and only
-//! one of the two is taken, or another order has moved the sequence on, and the late one is void.
+//! Every order names the sequence number that the engine must be at. An order whose answer was lost may be
+//! carried out seconds later. By then it was either repeated under the same sequence number, in which case
+//! the engine accepts only one of the two, or another order has advanced the sequence and the late one is
+//! invalid.
 
 mod adapters;
 mod pace;
@@ -25,105 +27,110 @@
 
 pub use adapters::held_adapters;
 pub use pace::LoadPace;
-use rights::AskedRight;
-pub use rights::RightQuestion;
+use rights::RequestedRight;
+pub use rights::RightRequest;
 
-/// From telling gateways that a model is going to the order that unloads it: pulses reach them
-/// within a few milliseconds, and requests that were sent before are at the engine by then.
-const RETIRE_NOTICE: Duration = Duration::from_millis(30);
+/// Delay between telling gateways that a model is about to be unloaded and the order that unloads it.
+/// Pulses reach the gateways within a few milliseconds, and requests that were sent earlier have arrived at
+/// the engine by then.
+const RETIRE_DELAY: Duration = Duration::from_millis(30);
 
-/// Advice that could not be carried out for this long is dropped: demand has moved on. Unloading
-/// waits for the engine's requests, up to their deadlines.
-const ADVICE_LIFE: Duration = Duration::from_secs(12);
+/// Advice that could not be carried out for this long is dropped, because demand has changed since.
+/// Unloading waits for the engine's requests, up to their deadlines.
+const ADVICE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// What a gateway said it uses counts for this long, three greetings: one that is gone uses nothing.
-const USE_LIFE: Duration = Duration::from_millis(1_600);
+/// Time for which a gateway's report of the adapters in use is valid: three greeting intervals. A gateway
+/// that is gone uses none.
+const USE_TTL: Duration = Duration::from_millis(1_600);
 
-/// An order whose answer was lost is carried out within this time, or never: the longest delay that engines
-/// are known for, and a second more.
-const STRAY_LIFE: Duration = Duration::from_secs(13);
+/// An order whose answer was lost is carried out within this time or never. This is the longest known delay
+/// of engines plus one second.
+const ORPHAN_LIFETIME: Duration = Duration::from_secs(13);
 
-/// An order, and the sequence that the engine must be at.
+/// An order and the sequence number that the engine must be at.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NumberedOrder {
-    /// What to do.
+    /// The order.
     pub order: EngineOrder,
-    /// Orders that the engine must have accepted before.
+    /// Number of orders that the engine must have accepted before.
     pub expect: u64,
 }
 
 #[derive(Debug)]
-struct KeptAdvice {
+struct PendingAdvice {
     advice: LoadAdvice,
     at: ClockTime,
 }
 
 #[derive(Debug, Clone)]
-struct KeptWish {
+struct TimedAdapter {
     key: AdapterKey,
     at: ClockTime,
 }
 
-/// The adapters that one gateway's requests use.
+/// Adapters that the requests of one gateway use.
 #[derive(Debug)]
-struct GatewayUse {
+struct GatewayAdapters {
     keys: Vec<AdapterKey>,
     at: ClockTime,
 }
 
-/// A load whose answer was lost before the engine started again under its name. Orders name the engine and
-/// the sequence that it must be at, and the next start gets to that sequence again: the load would come
-/// beside whatever it holds by then, and an engine that is ordered to hold too much crashes. Room is kept
-/// for it until it can no longer come.
+/// A load whose answer was lost before the engine restarted under the same name. Orders identify the engine
+/// by its name and sequence number, and the restarted engine reaches that sequence number again. It would
+/// then load the model in addition to the models that it holds by that time, and an engine that is ordered
+/// to hold more than its memory crashes. Memory is therefore reserved for this load until it can no longer
+/// be carried out.
 #[derive(Debug)]
-struct StrayLoad {
+struct OrphanedLoad {
     model: ModelName,
     size_mb: f64,
     expect: u64,
     until: ClockTime,
 }
 
-/// The decisions about one engine.
+/// Decisions about the models and adapters of one engine.
 #[derive(Debug)]
 pub struct EngineResidency {
     pace: LoadPace,
     report: Option<EngineReport>,
-    /// Orders that the engine had accepted at its last report.
+    /// Number of orders that the engine had accepted at its last report.
     sequence: u64,
-    advice: Option<KeptAdvice>,
+    advice: Option<PendingAdvice>,
     retiring: SmallVec<[ModelName; 2]>,
     retiring_since: ClockTime,
     loading: Option<ModelName>,
-    wishes: VecDeque<KeptWish>,
-    used: HashMap<AdapterKey, ClockTime>,
-    /// Adapters that each gateway's requests use, as it last said.
-    in_use: HashMap<SocketAddr, GatewayUse>,
-    /// Adapters that get no new requests, so that they can be unloaded once theirs are over. An
-    /// engine that is told to unload one in use takes no other order until those are over.
-    yielding: Vec<KeptWish>,
-    slots: usize,
+    requested: VecDeque<TimedAdapter>,
+    last_used: HashMap<AdapterKey, ClockTime>,
+    /// Adapters in use by each gateway's requests, as last reported.
+    in_use: HashMap<SocketAddr, GatewayAdapters>,
+    /// Adapters that get no new requests and are unloaded once their current ones have ended. An engine
+    /// that is told to unload an adapter in use accepts no other order until those requests have ended.
+    draining: Vec<TimedAdapter>,
+    adapter_slots: usize,
     next_store_load: ClockTime,
-    /// The right to load from the weight store that another engine was asked for last.
-    asked: Option<AskedRight>,
-    /// The place among the advised lenders of the one that is asked next.
+    /// The right to load from the weight store that was last requested from another engine.
+    requested_right: Option<RequestedRight>,
+    /// Index of the advised lender that is asked next.
     next_lender: usize,
-    /// A load from the weight store whose answer was lost: given again before anything else.
-    unsettled: Option<NumberedOrder>,
-    /// A load that an earlier start of the engine was ordered, and that this one may still carry out.
-    stray: Option<StrayLoad>,
-    /// The start of the engine that reported last.
-    start: Option<StartTime>,
+    /// A load from the weight store whose answer was lost. It is repeated before any other order.
+    unconfirmed: Option<NumberedOrder>,
+    /// A load that an earlier start of the engine was ordered to carry out, and that the current start may
+    /// still carry out.
+    orphan: Option<OrphanedLoad>,
+    /// Start of the engine that reported last.
+    engine_start: Option<StartTime>,
 }
 
 impl EngineResidency {
-    /// Decisions that begin now. A process that was restarted does not know when its predecessor
-    /// loaded or lent its right last, so it waits a whole spacing; `first_start` says that there was none.
+    /// Creates the state for an engine. A restarted process does not know when the previous one last loaded
+    /// or lent its right, so it waits for a whole spacing first. `is_first_start` states that there was no
+    /// previous process.
     #[must_use]
-    pub fn new(pace: LoadPace, first_start: bool, now: ClockTime) -> Self {
-        let wait = if first_start {
+    pub fn new(pace: LoadPace, is_first_start: bool, now: ClockTime) -> Self {
+        let wait = if is_first_start {
             Duration::ZERO
         } else {
-            pace.longest_spacing() + rights::RIGHT_LIFE
+            pace.longest_spacing() + rights::RIGHT_LIFETIME
         };
         Self {
             pace,
@@ -133,55 +140,57 @@
             retiring: SmallVec::new(),
             retiring_since: now,
             loading: None,
-            wishes: VecDeque::new(),
-            used: HashMap::new(),
+            requested: VecDeque::new(),
+            last_used: HashMap::new(),
             in_use: HashMap::new(),
-            yielding: Vec::new(),
-            slots: 0,
+            draining: Vec::new(),
+            adapter_slots: 0,
             next_store_load: now + wait,
-            asked: None,
+            requested_right: None,
             next_lender: 0,
-            unsettled: None,
-            stray: None,
-            start: None,
+            unconfirmed: None,
+            orphan: None,
+            engine_start: None,
         }
     }
 
-    /// The window over which loads from the weight store are bounded has changed.
+    /// Sets the window over which loads from the weight store are limited.
     pub fn set_load_window(&mut self, window: Duration) {
         self.pace.window = window;
     }
 
-    /// Whether a report comes from another start of the engine than the one before: it tells another one,
-    /// or the number of orders that it has accepted begins anew.
+    /// Returns whether a report comes from another start of the engine than the previous one: it names a
+    /// different start, or its number of accepted orders is lower.
     #[must_use]
     pub fn is_restarted(&self, report: &EngineReport) -> bool {
-        let other = self.start.is_some() && report.start.is_some() && report.start != self.start;
-        other || report.sequence < self.sequence
+        let is_other_start = self.engine_start.is_some()
+            && report.start.is_some()
+            && report.start != self.engine_start;
+        is_other_start || report.sequence < self.sequence
     }
 
-    /// The engine reported.
+    /// Applies a report of the engine.
     pub fn take_report(&mut self, report: EngineReport) {
         self.sequence = report.sequence;
-        self.start = report.start.or(self.start);
-        let settled = self
-            .unsettled
+        self.engine_start = report.start.or(self.engine_start);
+        let is_confirmed = self
+            .unconfirmed
             .as_ref()
             .is_some_and(|order| order.expect != report.sequence);
-        if settled {
-            self.unsettled = None;
+        if is_confirmed {
+            self.unconfirmed = None;
         }
         let holds = |model: &ModelName| report.models.iter().any(|held| held.model == *model);
         if !report.busy || self.loading.as_ref().is_some_and(holds) {
             self.loading = None;
         }
         self.retiring.retain(|model| holds(model));
-        self.yielding
-            .retain(|kept| held_adapters(&report.models).any(|key| key == kept.key));
+        self.draining
+            .retain(|entry| held_adapters(&report.models).any(|key| key == entry.key));
         if self
             .advice
             .as_ref()
-            .is_some_and(|kept| holds(&kept.advice.load))
+            .is_some_and(|pending| holds(&pending.advice.load))
         {
             self.advice = None;
             self.retiring.clear();
@@ -189,83 +198,87 @@
         self.report = Some(report);
     }
 
-    /// The engine does not answer, or was restarted: nothing is known of it.
+    /// Discards the state of an engine that does not answer or was restarted.
     pub fn forget_engine(&mut self, now: ClockTime) {
         self.report = None;
         self.sequence = 0;
-        self.start = None;
+        self.engine_start = None;
         self.loading = None;
-        self.stray = self
-            .unsettled
+        self.orphan = self
+            .unconfirmed
             .take()
-            .and_then(|order| self.stray(order, now));
-        self.yielding.clear();
+            .and_then(|order| self.orphaned_load(order, now));
+        self.draining.clear();
         self.retiring.clear();
     }
 
-    /// The last report.
+    /// Returns the last report.
     #[must_use]
     pub fn report(&self) -> Option<&EngineReport> {
         self.report.as_ref()
     }
 
-    /// A gateway greeted.
+    /// Applies a greeting from a gateway.
     pub fn take_greeting(&mut self, from: SocketAddr, greeting: &GatewayGreeting, now: ClockTime) {
         if greeting.engines > 0 {
             self.pace.engines = greeting.engines;
             self.pace.loads = greeting.loads_per_window;
             self.pace.place = greeting.place;
         }
-        self.slots = greeting.adapter_slots as usize;
+        self.adapter_slots = greeting.adapter_slots as usize;
         for used in &greeting.used {
-            self.used.insert(used.key.clone(), now);
+            self.last_used.insert(used.key.clone(), now);
         }
         let busy = greeting.used.iter().filter(|used| used.requests > 0);
-        let gateway = GatewayUse {
+        let gateway = GatewayAdapters {
             keys: busy.map(|used| used.key.clone()).collect(),
             at: now,
         };
         self.in_use.insert(from, gateway);
         self.in_use
-            .retain(|_, gateway| now.since(gateway.at) < USE_LIFE);
+            .retain(|_, gateway| now.since(gateway.at) < USE_TTL);
     }
 
-    /// A gateway waits for an adapter.
+    /// Records that a gateway waits for an adapter.
     pub fn take_wish(&mut self, wish: AdapterWish, now: ClockTime) {
-        self.slots = wish.slots as usize;
-        self.used.insert(wish.key.clone(), now);
-        match self.wishes.iter_mut().find(|kept| kept.key == wish.key) {
-            Some(kept) => kept.at = now,
-            None => self.wishes.push_back(KeptWish {
+        self.adapter_slots = wish.slots as usize;
+        self.last_used.insert(wish.key.clone(), now);
+        match self
+            .requested
+            .iter_mut()
+            .find(|entry| entry.key == wish.key)
+        {
+            Some(entry) => entry.at = now,
+            None => self.requested.push_back(TimedAdapter {
                 key: wish.key,
                 at: now,
             }),
         }
     }
 
-    /// The planner advises a load. Advice that is being carried out is finished first.
+    /// Accepts advice from the planner, unless earlier advice is still being carried out.
     pub fn take_advice(&mut self, advice: LoadAdvice, now: ClockTime) {
         if self.advice.is_none() && self.loading.is_none() {
             self.retiring_since = now;
             self.retiring = advice.unload.iter().cloned().collect();
-            self.advice = Some(KeptAdvice { advice, at: now });
+            self.advice = Some(PendingAdvice { advice, at: now });
         }
     }
 
-    /// Models that are about to be unloaded.
+    /// Returns the models that are about to be unloaded.
     #[must_use]
     pub fn retiring(&self) -> &[ModelName] {
         &self.retiring
     }
 
-    /// The model that is being loaded, or will be next.
+    /// Returns the model that is being loaded or will be loaded next.
     #[must_use]
     pub fn loading(&self) -> Option<&ModelName> {
-        let advised = self.advice.as_ref().map(|kept| &kept.advice.load);
+        let advised = self.advice.as_ref().map(|pending| &pending.advice.load);
         self.loading.as_ref().or(advised)
     }
 
-    /// How long until it may load from the weight store.
+    /// Returns the time until the engine may load from the weight store.
     #[must_use]
     pub fn store_load_wait(&self, now: ClockTime) -> Duration {
         match self.pace.spacing() {
@@ -274,32 +287,32 @@
         }
     }
 
-    /// The next order, if there is one to give.
+    /// Returns the next order, if there is one.
     pub fn next_order(&mut self, now: ClockTime) -> Option<NumberedOrder> {
         let report = self.report.as_ref()?;
-        // While an order is carried out the engine takes no other.
+        // The engine accepts no other order while it carries one out.
         if report.busy {
             return None;
         }
         let expect = report.sequence;
-        if let Some(unsettled) = &self.unsettled {
-            return Some(unsettled.clone());
+        if let Some(unconfirmed) = &self.unconfirmed {
+            return Some(unconfirmed.clone());
         }
         let order = self.adapter_order(now).or_else(|| self.model_order(now))?;
         Some(NumberedOrder { order, expect })
     }
 
-    /// An order was answered, or its answer was lost.
+    /// Records the answer to an order, or its loss.
     pub fn note_answer(&mut self, numbered: &NumberedOrder, answer: OrderAnswer, now: ClockTime) {
         match &numbered.order {
             EngineOrder::LoadModel(model) => self.note_load(model.clone(), numbered, answer, now),
-            // The engine will not take it the next time either; what was advised can't be done.
+            // The engine would reject the order again, so the advice cannot be carried out.
             EngineOrder::UnloadModel(_) if answer == OrderAnswer::Rejected => self.drop_advice(),
             EngineOrder::UnloadModel(_)
             | EngineOrder::LoadAdapter(_)
             | EngineOrder::UnloadAdapter(_) => {}
         }
-        // What the engine holds, and its sequence, may have moved: the next order needs a new
+        // The models and the sequence number of the engine may have changed, so the next order needs a new
         // report.
         self.report = None;
     }
@@ -313,48 +326,48 @@
     ) {
         match answer {
             OrderAnswer::Taken => {
-                self.unsettled = None;
-                self.charge_load(&model, now);
+                self.unconfirmed = None;
+                self.charge_store_load(&model, now);
                 self.loading = Some(model);
             }
             OrderAnswer::Unknown => {
-                self.charge_load(&model, now);
-                self.unsettled = Some(numbered.clone());
+                self.charge_store_load(&model, now);
+                self.unconfirmed = Some(numbered.clone());
             }
             OrderAnswer::Holds | OrderAnswer::Rejected => {
-                self.unsettled = None;
+                self.unconfirmed = None;
                 self.drop_advice();
             }
             OrderAnswer::Conflict => {}
         }
     }
 
-    /// What a load becomes whose engine is gone before it was answered.
-    fn stray(&self, order: NumberedOrder, now: ClockTime) -> Option<StrayLoad> {
+    /// Returns the load to reserve memory for if the engine ended before it answered `order`.
+    fn orphaned_load(&self, order: NumberedOrder, now: ClockTime) -> Option<OrphanedLoad> {
         let EngineOrder::LoadModel(model) = order.order else {
             return None;
         };
         let advised = self.advice.as_ref();
-        let sizes = advised.map_or(&[][..], |kept| &kept.advice.sizes);
+        let sizes = advised.map_or(&[][..], |pending| &pending.advice.sizes);
         let size = sizes.iter().find(|row| row.model == model);
-        Some(StrayLoad {
-            // A size that is no longer known could be any: nothing fits beside it.
+        Some(OrphanedLoad {
+            // A model of unknown size could have any size, so no other model fits beside it.
             size_mb: size.map_or(f64::INFINITY, |row| row.size_mb),
             model,
             expect: order.expect,
-            until: now + STRAY_LIFE,
+            until: now + ORPHAN_LIFETIME,
         })
     }
 
-    /// Memory that has to stay free for a stray load, in MB.
-    fn stray_mb(&self, report: &EngineReport, advice: &LoadAdvice, now: ClockTime) -> f64 {
-        let counts = |stray: &&StrayLoad| {
-            stray.until > now && stray.expect >= report.sequence && stray.model != advice.load
+    /// Returns the memory to reserve for an orphaned load, in MB.
+    fn orphaned_mb(&self, report: &EngineReport, advice: &LoadAdvice, now: ClockTime) -> f64 {
+        let counts = |orphan: &&OrphanedLoad| {
+            orphan.until > now && orphan.expect >= report.sequence && orphan.model != advice.load
         };
-        self.stray
+        self.orphan
             .as_ref()
             .filter(counts)
-            .map_or(0.0, |stray| stray.size_mb)
+            .map_or(0.0, |orphan| orphan.size_mb)
     }
 
     fn drop_advice(&mut self) {
@@ -362,7 +375,7 @@
         self.retiring.clear();
     }
 
-    fn charge_load(&mut self, model: &ModelName, now: ClockTime) {
+    fn charge_store_load(&mut self, model: &ModelName, now: ClockTime) {
         let local = self
             .report
             .as_ref()
@@ -374,38 +387,39 @@
 
     fn model_order(&mut self, now: ClockTime) -> Option<EngineOrder> {
         let report = self.report.as_ref()?;
-        let kept = self.advice.as_ref()?;
+        let pending = self.advice.as_ref()?;
         if self.loading.is_some() {
             return None;
         }
-        let kept_free = self.stray_mb(report, &kept.advice, now);
-        if now.since(kept.at) > ADVICE_LIFE || !can_fit(report, &kept.advice, kept_free) {
+        let reserved_mb = self.orphaned_mb(report, &pending.advice, now);
+        if now.since(pending.at) > ADVICE_TIMEOUT || !can_fit(report, &pending.advice, reserved_mb)
+        {
             self.drop_advice();
             return None;
         }
-        let from_store = !report.copies.has(&kept.advice.load);
+        let from_store = !report.copies.has(&pending.advice.load);
         let may_load = !from_store || self.may_load_from_store(now);
-        if !may_load && kept.advice.lenders.is_empty() {
+        if !may_load && pending.advice.lenders.is_empty() {
             return None;
         }
         let is_held = |model: &&ModelName| report.models.iter().any(|held| held.model == **model);
-        if let Some(victim) = kept.advice.unload.iter().find(is_held) {
-            let told = now.since(self.retiring_since) >= RETIRE_NOTICE;
-            return told.then(|| EngineOrder::UnloadModel(victim.clone()));
+        if let Some(victim) = pending.advice.unload.iter().find(is_held) {
+            let is_announced = now.since(self.retiring_since) >= RETIRE_DELAY;
+            return is_announced.then(|| EngineOrder::UnloadModel(victim.clone()));
         }
-        may_load.then(|| EngineOrder::LoadModel(kept.advice.load.clone()))
+        may_load.then(|| EngineOrder::LoadModel(pending.advice.load.clone()))
     }
 }
 
-/// Whether the engine's memory holds everything once the advice is carried out. A held model whose
-/// size is not told could be of any size: an engine that is ordered to hold too much crashes.
-fn can_fit(report: &EngineReport, advice: &LoadAdvice, kept_free_mb: f64) -> bool {
+/// Returns whether the engine's memory holds all models once the advice is carried out. A held model of
+/// unknown size could have any size, and an engine that is ordered to hold more than its memory crashes.
+fn can_fit(report: &EngineReport, advice: &LoadAdvice, reserved_mb: f64) -> bool {
     let size_of = |model: &ModelName| {
         let row = advice.sizes.iter().find(|row| row.model == *model);
         row.map(|row| row.size_mb)
     };
     let stays = |model: &&ModelName| !advice.unload.contains(*model);
-    let kept = report.models.iter().map(|held| &held.model).filter(stays);
-    let sizes: Option<f64> = kept.chain([&advice.load]).map(size_of).sum();
-    sizes.is_some_and(|sum| sum + kept_free_mb <= advice.room_mb)
+    let remaining = report.models.iter().map(|held| &held.model).filter(stays);
+    let sizes: Option<f64> = remaining.chain([&advice.load]).map(size_of).sum();
+    sizes.is_some_and(|sum| sum + reserved_mb <= advice.room_mb)
 }
--- a/crates/oatpier-serving/src/residency/pace.rs
+++ b/crates/oatpier-serving/src/residency/pace.rs
@@ -1,24 +1,25 @@
-//! How often one engine may load from the weight store.
+//! Limits how often one engine may load from the weight store.
 
 use std::time::Duration;
 
-/// The pace of loads from the weight store that one sidecar keeps to.
+/// Rate limit of one sidecar for loads from the weight store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadPace {
-    /// Loads that all engines may begin within [`LoadPace::window`].
+    /// Number of loads that all engines together may begin within [`LoadPace::window`].
     pub loads: u32,
-    /// Engines among which they are divided.
+    /// Number of engines that share these loads.
     pub engines: u32,
-    /// This engine's place among them, from 0. Where there are fewer loads than engines, only the
-    /// first ones may load from the weight store: any other division would need agreement on time.
+    /// Index of this engine among them, starting at 0. If there are fewer loads than engines, only the
+    /// first engines may load from the weight store, because any other division would need a synchronized
+    /// clock.
     pub place: u32,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
 impl LoadPace {
-    /// The time from one load of this engine to its next one, so that all engines together keep
-    /// the rate without asking each other; none if it may not load from the store.
+    /// Returns the minimum time between two loads of this engine that keeps the shared rate without
+    /// coordination between engines. Returns `None` if the engine may not load from the weight store.
     #[must_use]
     pub fn spacing(&self) -> Option<Duration> {
         let each = self.loads / self.engines.max(1);
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The time to wait where nothing is known of earlier loads.
+    /// Returns the time to wait if earlier loads are unknown.
     pub(super) fn longest_spacing(&self) -> Duration {
         self.window
     }
