--- a/crates/oatpier-serving/src/admission.rs
+++ b/crates/oatpier-serving/src/admission.rs
@@ -1,10 +1,10 @@
-//! Who goes on to an endpoint, who waits at the gateway, and who is refused.
+//! Decides which requests are sent to an endpoint, wait at the gateway, or are refused.
 //!
-//! A queue at an engine makes every request behind it late. What finds no slot therefore waits at the
-//! gateway, where it holds up nobody: first for as long as it can still be in time, then behind those who
-//! can, for a part of its caller's patience. After that it is refused with a time to return.
-//! These times grow with the share of requests that are refused, and are spread, so that callers come
-//! back when there is room and not together.
+//! A queue at an engine makes every request behind it late. Requests that find no free slot therefore wait
+//! at the gateway, where they block no others: first as long as they can still be in time, and then behind
+//! the requests that can, for a part of their caller's timeout. After that they are refused with a retry
+//! time. Retry times grow with the share of refused requests and are jittered, so that callers return when
+//! there is capacity and not all at once.
 
 use std::time::Duration;
 
@@ -16,142 +16,143 @@
 use crate::choice::{EndpointChoice, HeldService, HoldCause};
 use crate::site::RouteRule;
 
-/// The share of a class's target that may be spent waiting for a slot; the rest is the way to the
-/// endpoint, reading the prompt, and the error of the prediction.
+/// Share of a class's latency target that may be spent waiting for a slot. The rest covers the transfer to
+/// the endpoint, the prefill of the prompt, and the error of the prediction.
 const WAIT_SHARE: f64 = 0.7;
 
-/// The share of a class's target within which a plain service's answer must be expected; the rest is the way there
-/// and back, and the error of the prediction.
-const ANSWER_SHARE: f64 = 0.85;
+/// Share of a class's latency target within which the response of a plain service must be expected. The
+/// rest covers the round trip and the error of the prediction.
+const RESPONSE_SHARE: f64 = 0.85;
 
-/// The share of an engine's slots by which the most urgent classes may go over them: their requests
-/// are short, and the engine has the next one at hand when a slot is free. More, or for all classes,
-/// makes everything behind it late: with 0, 5, 15 and 30% for all, the mean worth of the heavy days
-/// fell from step to step.
-const URGENT_EXTRA: f64 = 0.06;
+/// Share of an engine's slots by which the most urgent classes may exceed them. Their requests are short,
+/// and the engine has the next one ready when a slot becomes free. A larger share, or one for all classes,
+/// makes all requests behind them late: with 0, 5, 15 and 30% for all classes, each step lowered the mean
+/// score under heavy load.
+const URGENT_OVERCOMMIT: f64 = 0.06;
 
-/// The share of a caller's patience for the first piece that it may wait for a slot, once it can no longer be
-/// in time. The rest is for reading its prompt; who is refused then has the time to come back once. Without such
-/// waits .075 of the heaviest site's requests were not served, with them .067.
-const LATE_SHARE: f64 = 0.6;
+/// Share of a caller's timeout for the first chunk that a request may wait for a slot once it can no longer
+/// be in time. The rest covers the prefill of its prompt, and leaves a refused caller time to retry once.
+/// Without such waits 7.5% of the requests of the most loaded site were not served, with them 6.7%.
+const LATE_WAIT_SHARE: f64 = 0.6;
 
-/// The share of an engine's slots that is kept from requests which can only be late: as much as the most urgent
-/// ones may go over them. A guess, not measured apart.
+/// Share of an engine's slots that is reserved for requests that can still be in time. Equal to the share
+/// by which the most urgent requests may exceed the slots.
 const LATE_RESERVE: f64 = 0.06;
 
-/// A class whose first piece may take longer than this is not urgent.
-const PATIENT_TARGET: Duration = Duration::from_millis(600);
+/// A class whose latency target for the first chunk is longer than this is not urgent.
+const MAX_URGENT_TARGET: Duration = Duration::from_millis(600);
 
-/// How soon a request that waits for a slot looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(25);
+/// Interval at which a request that waits for a slot is checked again.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The least and the most that a refused caller is told to wait. Below, it would come back
-/// before anything has changed; above, most callers have given up. A load from the weight store takes up to
-/// four seconds, and its callers should not come back before it is done.
-const RETURN_LEAST: Duration = Duration::from_millis(60);
-const RETURN_MOST: Duration = Duration::from_secs(5);
+/// Shortest and longest retry time of a refused caller. A caller that returns earlier would find the same
+/// state, and most callers have given up after the maximum. A load from the weight store takes up to four
+/// seconds, and its callers should not return before it is done.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// What a refusal for want of room adds to the time to return, where all requests are refused.
-const RETURN_PRESSED: Duration = Duration::from_millis(1_800);
+/// Increase of the retry time if all requests are refused for lack of capacity.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(1_800);
 
-/// Refused callers come back up to this share later than told at the least.
-const RETURN_SPREAD: f64 = 0.6;
+/// Maximum jitter of a retry time, as a share of the time without jitter.
+const RETRY_JITTER: f64 = 0.6;
 
-/// The longest spread of returns to an endpoint that takes requests again at a known time.
-const HELD_SPREAD: Duration = Duration::from_secs(1);
+/// Maximum jitter for callers of an endpoint that accepts requests again at a known time.
+const MAX_THROTTLE_JITTER: Duration = Duration::from_secs(1);
 
-/// The weight of one more request in the share of refused ones: about the last forty count.
-const PRESSURE_WEIGHT: f64 = 0.025;
+/// Weight of one request in the moving share of refused requests. About the last forty requests count.
+const REFUSED_SHARE_WEIGHT: f64 = 0.025;
 
-/// How long a request of a route may wait at the gateway and be in time.
+/// Returns how long a request of a route may wait at the gateway and still be in time.
 #[must_use]
 pub fn latest_wait(route: &RouteRule) -> Duration {
     route.target.mul_f64(WAIT_SHARE)
 }
 
-/// How long a request may wait at the gateway at all, whose caller waits so long for the first piece.
+/// Returns how long a request may wait at the gateway at all, given its caller's timeout for the first
+/// chunk.
 #[must_use]
 pub fn longest_wait(route: &RouteRule, patience: Duration) -> Duration {
-    latest_wait(route).max(patience.mul_f64(LATE_SHARE))
+    latest_wait(route).max(patience.mul_f64(LATE_WAIT_SHARE))
 }
 
-/// A request that asks for a slot.
+/// A request that needs a slot.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionQuery<'a> {
-    /// The endpoint for it.
+    /// The endpoint selected for it.
     pub choice: &'a EndpointChoice,
     /// Its route.
     pub route: &'a RouteRule,
-    /// Its rank, 0 first.
+    /// Its priority level; 0 is the highest.
     pub priority: u8,
-    /// How long it has been here.
+    /// Time since it arrived at the gateway.
     pub waited: Duration,
-    /// How long its caller waits for the first piece of the answer, from when it came.
+    /// Time that its caller waits for the first chunk of the response, measured from its arrival.
     pub patience: Duration,
 }
 
 impl AdmissionQuery<'_> {
-    /// Until when it may wait and be in time.
-    fn latest(&self) -> Duration {
+    /// Returns how long the request may wait and still be in time.
+    fn timely_wait(&self) -> Duration {
         latest_wait(self.route)
     }
 
-    /// Whether its first piece can only be late.
+    /// Returns whether the first chunk can only be late.
     fn is_late(&self) -> bool {
-        self.waited >= self.latest()
+        self.waited >= self.timely_wait()
     }
 }
 
-/// What is to be done with a request that has an endpoint.
+/// Decision on a request for which an endpoint was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionVerdict {
-    /// It goes there.
+    /// Send it to the endpoint.
     Send,
-    /// It waits at the gateway and looks again after this long.
+    /// Let it wait at the gateway and check again after this time.
     Wait(Duration),
-    /// It is refused.
+    /// Refuse it.
     Refuse(Refusal),
 }
 
-/// Judges requests; holds the generator that spreads returns.
+/// Admission control of a gateway, with the random generator for the jitter of retry times.
 #[derive(Debug)]
 pub struct AdmissionJudge {
     generator: ChaCha8Rng,
-    pressure: f64,
+    refused_share: f64,
 }
 
 impl AdmissionJudge {
-    /// A judge whose spread follows from `seed`.
+    /// Creates a controller whose jitter is derived from `seed`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
             generator: ChaCha8Rng::seed_from_u64(seed),
-            pressure: 0.0,
+            refused_share: 0.0,
         }
     }
 
-    /// What is to be done with a request.
+    /// Decides whether a request is sent, waits or is refused.
     pub fn judge(&mut self, query: &AdmissionQuery<'_>) -> AdmissionVerdict {
         let choice = query.choice;
         if has_slot(query) {
-            self.pressure -= self.pressure * PRESSURE_WEIGHT;
+            self.refused_share -= self.refused_share * REFUSED_SHARE_WEIGHT;
             return AdmissionVerdict::Send;
         }
-        let most = longest_wait(query.route, query.patience);
-        if query.waited + choice.queue / 2 < most {
-            return AdmissionVerdict::Wait(LOOK_AGAIN);
+        let max_wait = longest_wait(query.route, query.patience);
+        if query.waited + choice.queue / 2 < max_wait {
+            return AdmissionVerdict::Wait(RECHECK_INTERVAL);
         }
         AdmissionVerdict::Refuse(self.too_late(choice.queue))
     }
 
-    /// A refusal for want of room, where a queue of this length is left.
+    /// Returns a refusal for lack of capacity, given the remaining queueing time.
     pub fn too_late(&mut self, queue: Duration) -> Refusal {
-        self.pressure += (1.0 - self.pressure) * PRESSURE_WEIGHT;
-        let after = queue + RETURN_PRESSED.mul_f64(self.pressure);
+        self.refused_share += (1.0 - self.refused_share) * REFUSED_SHARE_WEIGHT;
+        let after = queue + OVERLOAD_RETRY_AFTER.mul_f64(self.refused_share);
         self.refusal(RefusalCause::TooLate, after)
     }
 
-    /// A refusal with a time to return, spread.
+    /// Returns a refusal with a jittered retry time.
     pub fn refusal(&mut self, cause: RefusalCause, after: Duration) -> Refusal {
         Refusal {
             cause,
@@ -159,68 +160,69 @@
         }
     }
 
-    /// A refusal where no endpoint takes the request for a time that is known: what is told is not shortened, and its
-    /// spread is bounded, so that the room that there is then is used.
+    /// Returns a refusal for a request that no endpoint accepts for a known time. That time is not
+    /// shortened, and its jitter is bounded so that the capacity is used once it is available.
     pub fn held(&mut self, held: &HeldService) -> Refusal {
         let cause = match held.cause {
             HoldCause::Limit => RefusalCause::RateLimited,
             HoldCause::Rest => RefusalCause::EndpointRests,
         };
-        let spread = held.left.mul_f64(RETURN_SPREAD).min(HELD_SPREAD);
-        let after = held.left.max(RETURN_LEAST) + spread.mul_f64(self.generator.random::<f64>());
+        let jitter = held.left.mul_f64(RETRY_JITTER).min(MAX_THROTTLE_JITTER);
+        let after = held.left.max(MIN_RETRY_AFTER) + jitter.mul_f64(self.generator.random::<f64>());
         Refusal {
             cause,
             retry_after: Some(after),
         }
     }
 
-    /// A time to return, spread.
+    /// Returns a retry time with jitter.
     pub fn spread(&mut self, after: Duration) -> Duration {
-        let after = after.clamp(RETURN_LEAST, RETURN_MOST);
-        let spread = 1.0 + RETURN_SPREAD * self.generator.random::<f64>();
-        after.mul_f64(spread)
+        let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+        let jitter = 1.0 + RETRY_JITTER * self.generator.random::<f64>();
+        after.mul_f64(jitter)
     }
 }
 
-/// Whether a request may take one more slot at the chosen endpoint.
+/// Returns whether a request may take one more slot at the selected endpoint.
 fn has_slot(query: &AdmissionQuery<'_>) -> bool {
     let (choice, route) = (query.choice, query.route);
     if !choice.batches {
-        return has_turn(query);
+        return is_sent_now(query);
     }
     if choice.memory_full {
         return false;
     }
-    choice.occupancy < slots_share(query.is_late(), is_urgent(route, query.priority))
+    choice.occupancy < max_slot_share(query.is_late(), is_urgent(route, query.priority))
 }
 
-/// Whether a request goes to a plain service now.
+/// Returns whether a request is sent to a plain service now.
 ///
-/// In a burst a queue at the service makes everybody late who stands in it: it serves as many a second as without
-/// one, and none in time. So a request goes there while its whole answer is expected in time. One that can only be
-/// late takes what the others leave.
-fn has_turn(query: &AdmissionQuery<'_>) -> bool {
+/// During a burst, a queue at the service makes all requests in it late: the service completes as many
+/// requests per second as without a queue, but none in time. A request is therefore sent only while its
+/// whole response is expected in time. A request that can only be late uses the capacity that the others
+/// leave.
+fn is_sent_now(query: &AdmissionQuery<'_>) -> bool {
     let choice = query.choice;
-    let expected = query.waited + choice.predicted;
-    if expected <= query.route.target.mul_f64(ANSWER_SHARE) {
+    let expected_total = query.waited + choice.predicted;
+    if expected_total <= query.route.target.mul_f64(RESPONSE_SHARE) {
         return true;
     }
     choice.queue.is_zero() && choice.occupancy < 1.0 - LATE_RESERVE
 }
 
-/// Whether requests of this rank on a route are of the most urgent ones, which may go over an engine's slots by a
-/// few.
+/// Returns whether requests with this priority on a route belong to the most urgent class, which may
+/// slightly exceed an engine's slots.
 #[must_use]
 pub fn is_urgent(route: &RouteRule, priority: u8) -> bool {
-    priority == 0 && route.target <= PATIENT_TARGET
+    priority == 0 && route.target <= MAX_URGENT_TARGET
 }
 
-/// The share of an engine's slots below which a request may take one more.
+/// Returns the share of an engine's slots below which a request may take one more.
 #[must_use]
-pub fn slots_share(is_late: bool, is_urgent: bool) -> f64 {
+pub fn max_slot_share(is_late: bool, is_urgent: bool) -> f64 {
     match (is_late, is_urgent) {
         (true, _) => 1.0 - LATE_RESERVE,
-        (false, true) => 1.0 + URGENT_EXTRA,
+        (false, true) => 1.0 + URGENT_OVERCOMMIT,
         (false, false) => 1.0,
     }
 }
--- a/crates/oatpier-serving/src/permits.rs
+++ b/crates/oatpier-serving/src/permits.rs
@@ -1,18 +1,19 @@
-//! When an engine may be sent the next request.
+//! Decides when an engine may be sent the next request.
 //!
-//! The load: an engine reads prompts between the steps of the streams that it serves, as much as is there,
-//! and gateways that don't know of each other send theirs in clumps. Three or four prompts that are read in a
-//! row make every stream there pause for longer than is in time, at an engine that is at work for less than
-//! half of the time. And with 68 gateways, each of which sends an engine a request every few seconds, nobody
-//! but the engine's own sidecar knows whether a slot is free: each free one is seen by many gateways, and all
-//! but one of the requests that they send wait at the engine, behind whatever is long there.
+//! An engine prefills prompts between the decoding steps of its running streams, as many as are waiting,
+//! and gateways that do not coordinate send theirs in bursts. Three or four prompts that are prefilled in a
+//! row pause every stream there for longer than the latency target allows, even on an engine that is busy
+//! for less than half of the time. With 68 gateways that each send an engine a request every few seconds,
+//! only the engine's own sidecar knows whether a slot is free. Many gateways see the same free slot, and
+//! all but one of their requests wait at the engine behind long ones.
 //!
-//! So the sidecar beside the engine gives permits. One says that a slot is free, and that what the engine has
-//! to read before it is so little that the steps between two pieces of a stream fit into the longest pause
-//! that is in time; it is given back when the prompt was read. What has to wait does so before it is sent, in
-//! the order in which it would be late; what can only be late goes when nothing else waits.
+//! The sidecar beside the engine therefore issues permits. A permit states that a slot is free, and that
+//! the prefill work ahead is small enough for the steps between two chunks of a stream to stay within the
+//! pause limit, the longest pause that is in time. The permit is released once the prompt is prefilled.
+//! Requests that have to wait do so before they are sent, in the order of their deadlines. Requests that
+//! can only be late are sent when no others wait.
 //!
-//! A permit is a matter of speed only: a gateway that hears nothing sends without one.
+//! Permits affect only latency: a gateway that receives no answer sends its request without one.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,223 +25,241 @@
 use crate::engine::EndpointLoad;
 use crate::message::{PermitAsk, PermitGrant};
 
-/// The share of the longest pause that is in time for which an engine may have prompts before it. A stream's
-/// piece takes some three steps, and each may read that much; the rest of a pause is the steps themselves.
-const READING_SHARE: f64 = 0.27;
+/// Share of the pause limit for which an engine may have prompts to prefill. A chunk of a stream takes about
+/// three steps, each of which may prefill that much. The steps themselves take the rest of the pause.
+const PREFILL_SHARE: f64 = 0.27;
 
-/// A permit that was not given back for this long counts no more: the word was lost, or its gateway is
-/// gone. Far longer than a prompt takes to be read, and short beside what is late by then.
-const PERMIT_LIFE: Duration = Duration::from_millis(400);
+/// Time after which a permit that was not released expires, because the message was lost or the gateway is
+/// gone. Much longer than a prefill, and short compared with the delay of requests that are late by then.
+const PERMIT_TTL: Duration = Duration::from_millis(400);
 
-/// A prompt counts as read after this many times the time that it takes to be read, and [`READING_SLACK`]. A
-/// gateway on a thin VM gives a permit back long after the engine has read the prompt.
-const READING_TIMES: u32 = 2;
+/// A prompt counts as prefilled after this multiple of its prefill time plus [`PREFILL_SLACK`]. A gateway
+/// on a VM with little CPU releases a permit long after the engine has prefilled the prompt.
+const PREFILL_TIME_FACTOR: u32 = 2;
 
-/// The way to the gateway and from there to the engine, a new connection, and the step under way.
-const READING_SLACK: Duration = Duration::from_millis(40);
+/// Additional time after which a prompt counts as prefilled. Covers the messages to the gateway and from
+/// there to the engine, a new connection, and the current step.
+const PREFILL_SLACK: Duration = Duration::from_millis(40);
 
-/// How much later a request may be late, for each rank that its class is less urgent, and still go first. Where
-/// slots are short the urgent classes then get them: their requests are short, and each long one that goes first
-/// makes several of them late. Less than callers wait, so that the others have their turn.
-const RANK_SPAN: Duration = Duration::from_millis(200);
+/// Amount per priority level by which the deadline of a request of a more urgent class may be later for it
+/// to still go first. If slots are short, the urgent classes get them: their requests are short, and each
+/// long request that goes first makes several of them late. Less than the time that callers wait, so that
+/// the other classes are served too.
+const PRIORITY_STEP: Duration = Duration::from_millis(200);
 
-/// An ask that was not repeated for this long is given up: its request was sent elsewhere or is over.
-/// Gateways repeat theirs three times within it.
-const ASK_LIFE: Duration = Duration::from_millis(100);
+/// Time after which a permit request that was not repeated is dropped, because its request was sent
+/// elsewhere or has ended. Gateways repeat theirs three times within this time.
+const REQUEST_TTL: Duration = Duration::from_millis(100);
 
-/// From giving a permit until its request shows in the engine's report: the way to the gateway and to the
-/// engine, and a new connection. Counted twice for a moment, a request costs a slot that long.
-const ARRIVAL: Duration = Duration::from_millis(8);
+/// Time between issuing a permit and the appearance of its request in the engine's report: the messages to
+/// the gateway and to the engine, and a new connection. A request that is counted twice for a moment blocks
+/// a slot for that long.
+const ARRIVAL_DELAY: Duration = Duration::from_millis(8);
 
-/// An ask that waits.
+/// A permit request that waits.
 #[derive(Debug)]
-struct KeptAsk {
+struct PendingRequest {
     from: SocketAddr,
     ask: PermitAsk,
-    /// Until when it can be in time.
+    /// Latest time at which the request can still be in time.
     due_at: ClockTime,
-    came_at: ClockTime,
-    /// When it was last repeated.
-    heard_at: ClockTime,
+    arrived_at: ClockTime,
+    /// Time of the last repetition.
+    repeated_at: ClockTime,
 }
 
-/// A permit that was given.
+/// A permit that was issued.
 #[derive(Debug)]
-struct GivenPermit {
+struct IssuedPermit {
     id: u64,
     at: ClockTime,
-    reading: Duration,
+    prefill: Duration,
 }
 
-impl GivenPermit {
-    /// When it counts no more, if it is not given back before.
-    fn ends_at(&self) -> ClockTime {
-        self.at + (self.reading * READING_TIMES + READING_SLACK).min(PERMIT_LIFE)
+impl IssuedPermit {
+    /// Returns the time at which the permit expires if it is not released before.
+    fn expires_at(&self) -> ClockTime {
+        self.at + (self.prefill * PREFILL_TIME_FACTOR + PREFILL_SLACK).min(PERMIT_TTL)
     }
 }
 
-/// An answer to an ask, and where it goes.
+/// A permit and its destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DueGrant {
+pub struct AddressedGrant {
     /// The gateway.
     pub to: SocketAddr,
-    /// The answer.
+    /// The permit.
     pub grant: PermitGrant,
 }
 
-/// Gives permits for one engine.
+/// Issuer of permits for one engine.
 #[derive(Debug, Default)]
 pub struct PermitDesk {
-    asks: Vec<KeptAsk>,
-    given: VecDeque<GivenPermit>,
-    /// The shortest of the longest pauses that are in time, among those that asked last.
-    pause: Option<Duration>,
-    /// Requests at the engine at its last report; none while it is not known.
-    reported: Option<u32>,
-    /// When permits were given whose requests the last report may not show yet.
-    unseen: VecDeque<ClockTime>,
+    pending: Vec<PendingRequest>,
+    issued: VecDeque<IssuedPermit>,
+    /// Shortest pause limit of the most recent permit requests.
+    max_pause: Option<Duration>,
+    /// Requests at the engine in its last report; `None` while unknown.
+    reported_requests: Option<u32>,
+    /// Issue times of permits whose requests the last report may not contain yet.
+    unreported: VecDeque<ClockTime>,
 }
 
 impl PermitDesk {
-    /// The engine reported its load. Requests that had their permit a moment ago are not in it yet.
+    /// Records the load that the engine reported. Requests whose permits were issued a moment ago are not
+    /// in it yet.
     pub fn note_load(&mut self, load: EndpointLoad, now: ClockTime) {
-        self.reported = Some(load.running + load.waiting);
-        self.unseen
-            .retain(|given_at| now.since(*given_at) < ARRIVAL);
+        self.reported_requests = Some(load.running + load.waiting);
+        self.unreported
+            .retain(|issued_at| now.since(*issued_at) < ARRIVAL_DELAY);
     }
 
-    /// Nothing is known of the engine's load: permits are given by what it has to read alone.
+    /// Discards the engine's load. Permits are then issued by the prefill work alone.
     pub fn forget_load(&mut self) {
-        self.reported = None;
-        self.unseen.clear();
+        self.reported_requests = None;
+        self.unreported.clear();
     }
 
-    /// A gateway asks for a permit, or repeats an ask.
+    /// Records a new or repeated permit request of a gateway.
     pub fn take_ask(&mut self, from: SocketAddr, ask: PermitAsk, now: ClockTime) {
-        self.pause = Some(
-            self.pause
+        self.max_pause = Some(
+            self.max_pause
                 .map_or(ask.pause(), |known| known.min(ask.pause())),
         );
-        if let Some(kept) = self.asks.iter_mut().find(|kept| kept.ask.id == ask.id) {
-            kept.heard_at = now;
+        if let Some(request) = self
+            .pending
+            .iter_mut()
+            .find(|request| request.ask.id == ask.id)
+        {
+            request.repeated_at = now;
             return;
         }
-        self.asks.push(KeptAsk {
+        self.pending.push(PendingRequest {
             from,
             due_at: now + ask.due_in(),
-            came_at: now,
-            heard_at: now,
+            arrived_at: now,
+            repeated_at: now,
             ask,
         });
     }
 
-    /// The permits that can be given now.
-    pub fn due(&mut self, now: ClockTime) -> Vec<DueGrant> {
-        self.forget(now);
+    /// Issues the permits that are possible now.
+    pub fn due(&mut self, now: ClockTime) -> Vec<AddressedGrant> {
+        self.expire(now);
         let mut due = Vec::new();
-        while let Some(place) = self.next(now) {
-            let kept = self.asks.swap_remove(place);
-            self.note_given(&kept.ask, now);
-            due.push(DueGrant {
-                to: kept.from,
-                grant: PermitGrant { id: kept.ask.id },
+        while let Some(index) = self.next_issuable(now) {
+            let request = self.pending.swap_remove(index);
+            self.note_issued(&request.ask, now);
+            due.push(AddressedGrant {
+                to: request.from,
+                grant: PermitGrant { id: request.ask.id },
             });
         }
         due
     }
 
-    /// A gateway gives a permit back, or withdraws an ask.
+    /// Releases a permit, or withdraws a permit request.
     pub fn take_back(&mut self, id: u64) {
-        self.given.retain(|given| given.id != id);
-        self.asks.retain(|kept| kept.ask.id != id);
+        self.issued.retain(|permit| permit.id != id);
+        self.pending.retain(|request| request.ask.id != id);
     }
 
-    /// When a permit may be given next that is not given back, while asks wait.
+    /// Returns the next time at which a permit expires while requests wait.
     #[must_use]
     pub fn next_at(&self) -> Option<ClockTime> {
-        if self.asks.is_empty() {
+        if self.pending.is_empty() {
             return None;
         }
-        self.given.iter().map(GivenPermit::ends_at).min()
+        self.issued.iter().map(IssuedPermit::expires_at).min()
     }
 
-    /// Requests that wait.
+    /// Returns the number of requests that wait.
     #[must_use]
     pub fn waiting_requests(&self) -> u32 {
-        u32::try_from(self.asks.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.pending.len()).unwrap_or(u32::MAX)
     }
 
-    /// The time to read everything that waits, in milliseconds.
+    /// Returns the time to prefill all waiting prompts.
     #[must_use]
     pub fn waiting(&self) -> Duration {
-        self.asks.iter().map(|kept| kept.ask.reading()).sum()
+        self.pending
+            .iter()
+            .map(|request| request.ask.reading())
+            .sum()
     }
 
-    fn forget(&mut self, now: ClockTime) {
-        self.asks.retain(|kept| now.since(kept.heard_at) < ASK_LIFE);
-        self.given.retain(|given| given.ends_at() > now);
-        if self.given.is_empty() && self.asks.is_empty() {
-            self.pause = None;
+    fn expire(&mut self, now: ClockTime) {
+        self.pending
+            .retain(|request| now.since(request.repeated_at) < REQUEST_TTL);
+        self.issued.retain(|permit| permit.expires_at() > now);
+        if self.issued.is_empty() && self.pending.is_empty() {
+            self.max_pause = None;
         }
     }
 
-    /// The ask that is answered next: one that was answered already, or the most urgent one if the engine
-    /// may read its prompt now.
-    fn next(&self, now: ClockTime) -> Option<usize> {
-        let repeated = |kept: &KeptAsk| self.given.iter().any(|given| given.id == kept.ask.id);
-        if let Some(place) = self.asks.iter().position(repeated) {
-            return Some(place);
+    /// Returns the index of the request that gets a permit next: one whose permit was already issued, or
+    /// the most urgent one if the engine can accept its prompt now.
+    fn next_issuable(&self, now: ClockTime) -> Option<usize> {
+        let is_issued =
+            |request: &PendingRequest| self.issued.iter().any(|permit| permit.id == request.ask.id);
+        if let Some(index) = self.pending.iter().position(is_issued) {
+            return Some(index);
         }
-        let asks = self.asks.iter().enumerate();
-        let (place, kept) = asks.min_by_key(|(_, kept)| kept.order(now))?;
-        let has_room = self.has_slot(&kept.ask, kept.is_late(now));
-        (has_room && self.has_time(kept.ask.reading())).then_some(place)
+        let pending = self.pending.iter().enumerate();
+        let (index, request) = pending.min_by_key(|(_, request)| request.sort_key(now))?;
+        let has_room = self.has_slot(&request.ask, request.is_late(now));
+        (has_room && self.has_prefill_budget(request.ask.reading())).then_some(index)
     }
 
-    /// Whether a slot is free for a request, by the engine's last report and the permits since then.
+    /// Returns whether a slot is free for a request, by the engine's last report and the permits issued
+    /// since.
     fn has_slot(&self, ask: &PermitAsk, is_late: bool) -> bool {
-        let Some(reported) = self.reported else {
+        let Some(reported) = self.reported_requests else {
             return true;
         };
-        let unseen = u32::try_from(self.unseen.len()).unwrap_or(u32::MAX);
-        let taken = f64::from(reported.saturating_add(unseen));
-        taken < f64::from(ask.slots) * admission::slots_share(is_late, ask.is_urgent)
+        let unreported = u32::try_from(self.unreported.len()).unwrap_or(u32::MAX);
+        let taken = f64::from(reported.saturating_add(unreported));
+        taken < f64::from(ask.slots) * admission::max_slot_share(is_late, ask.is_urgent)
     }
 
-    /// Whether the engine can read a prompt without stretching the pauses of its streams too far. One that
-    /// has nothing before it takes a prompt of any length.
-    fn has_time(&self, reading: Duration) -> bool {
-        let Some(pause) = self.pause else {
+    /// Returns whether the engine can prefill a prompt without pausing its streams for too long. An engine
+    /// with no prefill work accepts a prompt of any length.
+    fn has_prefill_budget(&self, prefill: Duration) -> bool {
+        let Some(pause) = self.max_pause else {
             return true;
         };
-        let ahead: Duration = self.given.iter().map(|given| given.reading).sum();
-        self.given.is_empty() || ahead + reading <= pause.mul_f64(READING_SHARE)
+        let ahead: Duration = self.issued.iter().map(|permit| permit.prefill).sum();
+        self.issued.is_empty() || ahead + prefill <= pause.mul_f64(PREFILL_SHARE)
     }
 
-    fn note_given(&mut self, ask: &PermitAsk, now: ClockTime) {
-        if self.given.iter().any(|given| given.id == ask.id) {
+    fn note_issued(&mut self, ask: &PermitAsk, now: ClockTime) {
+        if self.issued.iter().any(|permit| permit.id == ask.id) {
             return;
         }
-        self.given.push_back(GivenPermit {
+        self.issued.push_back(IssuedPermit {
             id: ask.id,
             at: now,
-            reading: ask.reading(),
+            prefill: ask.reading(),
         });
-        self.unseen.push_back(now);
+        self.unreported.push_back(now);
     }
 }
 
-impl KeptAsk {
-    /// Whether its request can only be late.
+impl PendingRequest {
+    /// Returns whether the request can only be late.
     fn is_late(&self, now: ClockTime) -> bool {
         self.due_at <= now
     }
 
-    /// Requests that can be in time go first, the one first that would be late first; the others follow in
-    /// the order in which they came. Less urgent classes count as later.
-    fn order(&self, now: ClockTime) -> (bool, ClockTime) {
+    /// Returns the sort key of a request. Requests that can still be in time come first, ordered by their
+    /// deadlines. The others follow in the order of their arrival. Less urgent classes count as later.
+    fn sort_key(&self, now: ClockTime) -> (bool, ClockTime) {
         let is_late = self.is_late(now);
-        let at = if is_late { self.came_at } else { self.due_at };
-        (is_late, at + RANK_SPAN * u32::from(self.ask.priority))
+        let at = if is_late {
+            self.arrived_at
+        } else {
+            self.due_at
+        };
+        (is_late, at + PRIORITY_STEP * u32::from(self.ask.priority))
     }
 }
--- a/crates/oatpier-serving/src/reading.rs
+++ b/crates/oatpier-serving/src/reading.rs
@@ -1,8 +1,9 @@
-//! How long engines take to read prompts.
+//! Estimates how long engines take to prefill prompts.
 //!
-//! An engine reads prompts between the steps of the streams that it serves, so what it has to read makes
-//! the next first pieces late and stretches the pauses of everybody there. How fast it reads depends on
-//! the model and on the engine's hardware, which nobody tells; it is learned from the time to first pieces.
+//! An engine prefills prompts between the decoding steps of its running streams, so pending prefill work
+//! delays the next first chunks and lengthens the pauses of all streams there. The prefill speed depends on
+//! the model and on the engine's hardware, which is not reported. It is estimated from the time to the
+//! first chunk.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,106 +11,113 @@
 use oatpier_policy::index::EndpointIndex;
 use oatpier_types::names::ModelName;
 
-/// Shorter prompts say little about the pace: the way to the engine and its step weigh as much.
-const LEAST_TOKENS: f64 = 200.0;
+/// Shorter prompts are not used to estimate the prefill speed, because the network latency and the engine's
+/// step account for as much of their time.
+const MIN_PROMPT_TOKENS: f64 = 200.0;
 
-/// The share of times that lie below the learned one. Most of what makes a time long is not the reading
-/// (others' prompts, an engine that is slow), so a low one is taken; the lowest ones are prompts
-/// of which an engine kept more than is known here.
-const PACE_QUANTILE: f64 = 0.2;
+/// The quantile of the samples that is estimated. Samples are mostly long for other reasons than the
+/// prefill, such as other prompts or a slow engine, so a low quantile is used. The lowest samples come from
+/// prompts of which an engine has cached more than is known to the gateway.
+const TIME_QUANTILE: f64 = 0.2;
 
-/// How far one time moves the estimate, as a factor's logarithm.
-const PACE_STEP: f64 = 0.12;
+/// Logarithm of the factor by which one sample moves the estimate.
+const ESTIMATE_STEP: f64 = 0.12;
 
-/// How much farther the first times move it, divided by how many there were: the very first may be several
-/// times too long, and a busy model should be known after a second.
-const PACE_FIRST_STEP: f64 = 1.5;
+/// Additional step for the first samples, divided by the number of samples so far. The very first one may be several times
+/// too long, and a busy model should have an estimate after one second.
+const INITIAL_STEP: f64 = 1.5;
 
-/// Times after which the estimate is used.
-const LEAST_TIMES: u32 = 5;
+/// Number of samples after which the estimate is used.
+const MIN_SAMPLES: u32 = 5;
 
-/// Of the time to a first piece at least this share counts as reading, whatever the overhead seems to be.
-const LEAST_READING: f64 = 0.25;
+/// Minimum share of the time to the first chunk that counts as prefill, regardless of the estimated
+/// overhead.
+const MIN_PREFILL_SHARE: f64 = 0.25;
 
-/// A low quantile of times.
+/// Estimate of a low quantile of durations.
 #[derive(Debug, Clone, Copy)]
-struct QuantileTime {
+struct QuantileEstimate {
     ms: f64,
-    times: u32,
+    samples: u32,
 }
 
-impl QuantileTime {
+impl QuantileEstimate {
     fn starting_at(ms: f64) -> Self {
-        Self { ms, times: 0 }
+        Self { ms, samples: 0 }
     }
 
     fn note(&mut self, ms: f64) {
-        let size = PACE_STEP + PACE_FIRST_STEP / f64::from(self.times + 2);
-        let up = size * PACE_QUANTILE;
-        let down = size * (1.0 - PACE_QUANTILE);
+        let size = ESTIMATE_STEP + INITIAL_STEP / f64::from(self.samples + 2);
+        let up = size * TIME_QUANTILE;
+        let down = size * (1.0 - TIME_QUANTILE);
         self.ms = if ms > self.ms {
             ms.min(self.ms * up.exp())
         } else {
             ms.max(self.ms * (-down).exp())
         };
-        self.times = self.times.saturating_add(1);
+        self.samples = self.samples.saturating_add(1);
     }
 
     fn is_known(&self) -> bool {
-        self.times >= LEAST_TIMES
+        self.samples >= MIN_SAMPLES
     }
 }
 
-/// The paces of all models.
+/// Estimated prefill times of all models.
 #[derive(Debug, Default)]
 pub struct ReadingPaces {
-    /// The time to read one token of each model's prompts.
-    models: HashMap<ModelName, QuantileTime>,
-    /// The pace over all models. A gateway before many engines is asked for each of many models every few
-    /// seconds: by itself each model would be known after half a minute, all together after half a second.
-    any: Option<QuantileTime>,
-    /// The time of first pieces that have hardly anything to be read for: connections, steps and this process's
-    /// own delays. On a VM of a tenth of a core it is several times the reading of a common prompt, and
-    /// taken for reading it made engines look as if they read a quarter as fast.
-    overhead: Option<QuantileTime>,
+    /// Prefill time of one token for each model.
+    per_model: HashMap<ModelName, QuantileEstimate>,
+    /// Prefill time of one token over all models. A gateway with many engines receives requests for each of
+    /// many models every few seconds: each model's own estimate is available after half a minute, but the
+    /// common one after half a second.
+    all_models: Option<QuantileEstimate>,
+    /// Time to the first chunk of prompts with almost nothing to prefill: connections, steps, and delays in
+    /// this process. On a VM with a tenth of a core it is several times the prefill time of a typical
+    /// prompt. If it counted as prefill time, engines would appear to prefill at a quarter of their speed.
+    overhead: Option<QuantileEstimate>,
 }
 
 impl ReadingPaces {
-    /// The first piece of an answer came after `took`; the engine had `tokens` to read for it, and nothing
-    /// else that is known of.
+    /// Records that the first chunk of a response arrived after `took`. The engine had `tokens` to prefill
+    /// for it, and no other known prefill work.
     pub fn note(&mut self, model: &ModelName, tokens: f64, took: Duration) {
         let took_ms = took.as_secs_f64() * 1e3;
-        if tokens < LEAST_TOKENS {
-            let first = QuantileTime::starting_at(took_ms);
+        if tokens < MIN_PROMPT_TOKENS {
+            let first = QuantileEstimate::starting_at(took_ms);
             self.overhead.get_or_insert(first).note(took_ms);
             return;
         }
-        let overhead = self.overhead.filter(QuantileTime::is_known);
-        let reading_ms = took_ms - overhead.map_or(0.0, |overhead| overhead.ms);
-        let token_ms = reading_ms.max(took_ms * LEAST_READING) / tokens;
-        let first = QuantileTime::starting_at(token_ms);
-        let pace = self.models.entry(model.clone()).or_insert(first);
-        pace.note(token_ms);
-        self.any.get_or_insert(first).note(token_ms);
+        let overhead = self.overhead.filter(QuantileEstimate::is_known);
+        let prefill_ms = took_ms - overhead.map_or(0.0, |overhead| overhead.ms);
+        let token_ms = prefill_ms.max(took_ms * MIN_PREFILL_SHARE) / tokens;
+        let first = QuantileEstimate::starting_at(token_ms);
+        let estimate = self.per_model.entry(model.clone()).or_insert(first);
+        estimate.note(token_ms);
+        self.all_models.get_or_insert(first).note(token_ms);
     }
 
-    /// The time to read so many tokens, in milliseconds. A model that was hardly seen yet is read like the
-    /// slowest one that was, or like all of them together before one is known; zero before any was seen.
+    /// Returns the time to prefill a number of tokens, in milliseconds. A model with too few samples is
+    /// assumed to be as slow as the slowest known one, or as the common estimate until one is known.
+    /// Returns zero before there are any estimates.
     #[must_use]
     pub fn reading_ms(&self, model: &ModelName, tokens: f64) -> f64 {
-        let known = self.models.get(model).filter(|pace| pace.is_known());
-        let token_ms = known.map_or_else(|| self.slowest(), |pace| pace.ms);
+        let known = self
+            .per_model
+            .get(model)
+            .filter(|estimate| estimate.is_known());
+        let token_ms = known.map_or_else(|| self.slowest(), |estimate| estimate.ms);
         tokens * token_ms
     }
 
     fn slowest(&self) -> f64 {
-        let all = self.models.values().chain(&self.any);
-        let known = all.filter(|pace| pace.is_known());
-        known.map(|pace| pace.ms).fold(0.0, f64::max)
+        let all = self.per_model.values().chain(&self.all_models);
+        let known = all.filter(|estimate| estimate.is_known());
+        known.map(|estimate| estimate.ms).fold(0.0, f64::max)
     }
 }
 
-/// What one gateway has sent to an engine to read.
+/// Prefill work that one gateway has sent to an engine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ReadingLoad {
     prompts: u32,
@@ -117,13 +125,13 @@
 }
 
 impl ReadingLoad {
-    /// Whether nothing is being read.
+    /// Returns whether there is no prefill work.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.prompts == 0
     }
 
-    /// The time that it takes to read it all, in milliseconds.
+    /// Returns the time to complete the prefill work, in milliseconds.
     #[must_use]
     pub fn ms(&self) -> f64 {
         self.ms
@@ -147,14 +155,14 @@
 /// A prompt that was sent to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct SentPrompt {
-    /// Tokens that the engine has to read for it, as far as known.
+    /// Number of tokens that the engine has to prefill for it, as far as known.
     pub tokens: f64,
-    /// The time that this takes, in milliseconds.
+    /// Prefill time of these tokens, in milliseconds.
     pub own_ms: f64,
-    /// The time that the engine needed for what was sent there before, in milliseconds.
+    /// Prefill time of the prompts that were sent there before, in milliseconds.
     pub ahead_ms: f64,
-    /// Whether nothing else of this gateway was being read.
+    /// Whether no other prompt of this gateway was being prefilled there.
     pub alone: bool,
-    /// The start of the endpoint that it was sent to, as its place in the tables tells it.
+    /// Start of the endpoint that the prompt was sent to, as identified by its index in the tables.
     pub start: Option<EndpointIndex>,
 }
--- a/crates/oatpier-serving/tests/testsuite/permits.rs
+++ b/crates/oatpier-serving/tests/testsuite/permits.rs
@@ -9,7 +9,7 @@
 
 use oatpier_serving::engine::EndpointLoad;
 use oatpier_serving::message::PermitAsk;
-use oatpier_serving::permits::{DueGrant, PermitDesk};
+use oatpier_serving::permits::{AddressedGrant, PermitDesk};
 use oatpier_types::clock::ClockTime;
 use proptest::prelude::*;
 
@@ -37,7 +37,7 @@
     address(1)
 }
 
-fn given(due: &[DueGrant]) -> Vec<u64> {
+fn given(due: &[AddressedGrant]) -> Vec<u64> {
     due.iter().map(|due| due.grant.id).collect()
 }
 
