--- a/crates/oatpier-serving/src/admission.rs
+++ b/crates/oatpier-serving/src/admission.rs
@@ -13,7 +13,7 @@
 
 use oatpier_types::refusal::{Refusal, RefusalCause};
 
-use crate::choice::{EndpointChoice, HeldService, HoldCause};
+use crate::choice::{EndpointChoice, HeldService, ThrottleCause};
 use crate::site::RouteRule;
 
 /// Share of a class's latency target that may be spent waiting for a slot. The rest covers the transfer to
@@ -164,8 +164,8 @@
     /// shortened, and its jitter is bounded so that the capacity is used once it is available.
     pub fn held(&mut self, held: &HeldService) -> Refusal {
         let cause = match held.cause {
-            HoldCause::Limit => RefusalCause::RateLimited,
-            HoldCause::Rest => RefusalCause::EndpointRests,
+            ThrottleCause::RateLimit => RefusalCause::RateLimited,
+            ThrottleCause::Backoff => RefusalCause::EndpointRests,
         };
         let jitter = held.left.mul_f64(RETRY_JITTER).min(MAX_THROTTLE_JITTER);
         let after = held.left.max(MIN_RETRY_AFTER) + jitter.mul_f64(self.generator.random::<f64>());
--- a/crates/oatpier-serving/src/choice.rs
+++ b/crates/oatpier-serving/src/choice.rs
@@ -122,27 +122,27 @@
     /// The endpoint that accepts requests again first.
     pub endpoint: EndpointName,
     /// Reason at that endpoint.
-    pub cause: HoldCause,
+    pub cause: ThrottleCause,
     /// Time until it accepts requests again.
     pub left: Duration,
 }
 
 /// Reason not to send a request to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HoldCause {
+pub enum ThrottleCause {
     /// The endpoint's rate limit over all gateways.
-    Limit,
+    RateLimit,
     /// The backoff that the endpoint requested from this gateway.
-    Rest,
+    Backoff,
 }
 
-impl HoldCause {
+impl ThrottleCause {
     /// Returns the name used in logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Limit => "limit",
-            Self::Rest => "rest",
+            Self::RateLimit => "limit",
+            Self::Backoff => "rest",
         }
     }
 }
@@ -168,12 +168,16 @@
             continue;
         }
         if !row.is_rested(now) {
-            skipped.note_throttled(row, HoldCause::Rest, row.rest_left(now).max(PROBE_INTERVAL));
+            skipped.note_throttled(
+                row,
+                ThrottleCause::Backoff,
+                row.rest_left(now).max(PROBE_INTERVAL),
+            );
             continue;
         }
         let turn_wait = row.turn_wait(now);
         if turn_wait > query.turn_patience {
-            skipped.note_throttled(row, HoldCause::Limit, turn_wait);
+            skipped.note_throttled(row, ThrottleCause::RateLimit, turn_wait);
             continue;
         }
         let scored = score(directory, row, query, &holders, now);
@@ -181,7 +185,7 @@
             best = Some(scored);
         }
     }
-    match (best, skipped.held) {
+    match (best, skipped.throttled) {
         (Some((_, choice)), _) => ChoiceVerdict::Endpoint(choice),
         (None, Some(held)) => ChoiceVerdict::Held(held),
         (None, None) if skipped.has_open => ChoiceVerdict::NoModel {
@@ -198,13 +202,13 @@
     has_open: bool,
     ready_in: Option<Duration>,
     load: Option<Duration>,
-    held: Option<HeldService>,
+    throttled: Option<HeldService>,
 }
 
 impl SkippedEndpoints {
-    fn note_throttled(&mut self, row: &EndpointRow, cause: HoldCause, left: Duration) {
-        if self.held.as_ref().is_none_or(|held| left < held.left) {
-            self.held = Some(HeldService {
+    fn note_throttled(&mut self, row: &EndpointRow, cause: ThrottleCause, left: Duration) {
+        if self.throttled.as_ref().is_none_or(|held| left < held.left) {
+            self.throttled = Some(HeldService {
                 endpoint: row.record.name.clone(),
                 cause,
                 left,
--- a/crates/oatpier-serving/src/demand.rs
+++ b/crates/oatpier-serving/src/demand.rs
@@ -106,7 +106,7 @@
 pub struct DemandBook {
     rows: HashMap<ModelName, DemandRow>,
     /// Models with requests that could not be served since the last summary of any kind.
-    starved: HashSet<ModelName>,
+    unserved_models: HashSet<ModelName>,
 }
 
 impl DemandBook {
@@ -138,14 +138,14 @@
     /// Records that a request for the model could not be served: it waits for the weights, or was refused.
     pub fn note_unserved(&mut self, model: &ModelName, now: ClockTime) {
         self.row(model, now).unserved.count(DEMAND_DECAY);
-        self.starved.insert(model.clone());
+        self.unserved_models.insert(model.clone());
     }
 
     /// Returns the demand for the models with requests that could not be served since the last summary of
     /// any kind.
     pub fn pressed_summary(&mut self, now: ClockTime) -> Vec<ModelDemand> {
-        let starved = std::mem::take(&mut self.starved);
-        let rows = starved.into_iter().filter_map(|model| {
+        let unserved_models = std::mem::take(&mut self.unserved_models);
+        let rows = unserved_models.into_iter().filter_map(|model| {
             let row = self.rows.get_mut(&model)?;
             row.advance(now);
             Some(model_demand(&model, row, now))
@@ -155,7 +155,7 @@
 
     /// Returns the demand for all recently requested models.
     pub fn summary(&mut self, now: ClockTime) -> Vec<ModelDemand> {
-        self.starved.clear();
+        self.unserved_models.clear();
         self.rows.retain(|_, row| {
             row.advance(now);
             row.running > 0 || now.since(row.asked_at) < REPORT_WINDOW
