--- a/crates/oatpier-serving/tests/testsuite/admission.rs
+++ b/crates/oatpier-serving/tests/testsuite/admission.rs
@@ -1,7 +1,7 @@
-//! Who goes on, who waits and who is refused.
+//! Which requests are sent, wait, or are refused.
 //!
-//! The load: bursts of two to four times the usual requests for seconds, of classes whose first piece
-//! is due within 250 ms beside patient ones.
+//! The situation: bursts of two to four times the usual request rate for seconds, from classes whose first
+//! chunk is due within 250 ms and classes with longer targets.
 
 use std::time::Duration;
 
@@ -26,14 +26,14 @@
     }
 }
 
-/// Judges a request that has been here for so long, and whose caller waits for two seconds.
-fn judged(
-    judge: &mut AdmissionJudge,
+/// Decides on a request that arrived `waited_ms` ago and whose caller waits for two seconds.
+fn decide_after(
+    controller: &mut AdmissionJudge,
     choice: &EndpointChoice,
     route: &RouteRule,
     waited_ms: u64,
 ) -> AdmissionVerdict {
-    judge.judge(&AdmissionQuery {
+    controller.judge(&AdmissionQuery {
         choice,
         route,
         priority: route.priority,
@@ -42,9 +42,9 @@
     })
 }
 
-fn refused_after(judge: &mut AdmissionJudge) -> Duration {
+fn retry_after_refusal(controller: &mut AdmissionJudge) -> Duration {
     let full = choice(1.5, millis(600));
-    match judged(judge, &full, &route(250, 1), 1_200) {
+    match decide_after(controller, &full, &route(250, 1), 1_200) {
         AdmissionVerdict::Refuse(refusal) => {
             assert_eq!(refusal.cause, RefusalCause::TooLate);
             refusal.retry_after.unwrap()
@@ -54,117 +54,126 @@
 }
 
 #[test]
-fn a_free_slot_is_taken_at_once() {
-    let mut judge = AdmissionJudge::new(1);
-    let verdict = judged(&mut judge, &choice(0.9, Duration::ZERO), &route(250, 1), 0);
-    assert_eq!(verdict, AdmissionVerdict::Send);
+fn request_takes_a_free_slot_at_once() {
+    let mut controller = AdmissionJudge::new(1);
+    let decision = decide_after(
+        &mut controller,
+        &choice(0.9, Duration::ZERO),
+        &route(250, 1),
+        0,
+    );
+    assert_eq!(decision, AdmissionVerdict::Send);
 }
 
-/// A full engine would make the request late and everything behind it as well. It waits at the
-/// gateway while it can still be in time, then while its caller does, and is refused early enough for the
-/// caller to come back.
+/// A full engine would make the request and all requests behind it late. The request waits at the gateway
+/// while it can still be in time, and then as long as its caller does. It is refused early enough for the
+/// caller to retry.
 #[test]
-fn a_request_waits_while_its_caller_does_and_is_refused_after() {
-    let mut judge = AdmissionJudge::new(1);
+fn request_waits_as_long_as_its_caller_and_is_then_refused() {
+    let mut controller = AdmissionJudge::new(1);
     let full = choice(1.0, millis(60));
     let urgent = route(250, 1);
     assert!(matches!(
-        judged(&mut judge, &full, &urgent, 0),
+        decide_after(&mut controller, &full, &urgent, 0),
         AdmissionVerdict::Wait(_)
     ));
     assert!(matches!(
-        judged(&mut judge, &full, &urgent, 170),
+        decide_after(&mut controller, &full, &urgent, 170),
         AdmissionVerdict::Wait(_)
     ));
     assert!(matches!(
-        judged(&mut judge, &full, &urgent, 1_200),
+        decide_after(&mut controller, &full, &urgent, 1_200),
         AdmissionVerdict::Refuse(_)
     ));
     let patient = route(3_000, 1);
     assert!(matches!(
-        judged(&mut judge, &full, &patient, 1_500),
+        decide_after(&mut controller, &full, &patient, 1_500),
         AdmissionVerdict::Wait(_)
     ));
 }
 
 #[test]
-fn the_most_urgent_class_may_go_slightly_over_the_slots() {
-    let mut judge = AdmissionJudge::new(1);
+fn most_urgent_class_may_slightly_exceed_the_slots() {
+    let mut controller = AdmissionJudge::new(1);
     let full = choice(1.0, millis(60));
     assert_eq!(
-        judged(&mut judge, &full, &route(250, 0), 0),
+        decide_after(&mut controller, &full, &route(250, 0), 0),
         AdmissionVerdict::Send
     );
     let over = choice(1.2, millis(200));
     assert_ne!(
-        judged(&mut judge, &over, &route(250, 0), 0),
+        decide_after(&mut controller, &over, &route(250, 0), 0),
         AdmissionVerdict::Send
     );
 }
 
-/// Callers that are all told the same time come back together, and find the same queue.
+/// Callers that are all told the same retry time return together and find the same queue.
 #[test]
-fn times_to_return_differ_and_grow_with_the_share_of_refusals() {
-    let mut judge = AdmissionJudge::new(1);
-    let first: Vec<Duration> = (0..5).map(|_| refused_after(&mut judge)).collect();
+fn retry_times_differ_and_grow_with_the_refused_share() {
+    let mut controller = AdmissionJudge::new(1);
+    let first: Vec<Duration> = (0..5)
+        .map(|_| retry_after_refusal(&mut controller))
+        .collect();
     assert!(first.windows(2).all(|pair| pair[0] != pair[1]));
     for _ in 0..200 {
-        refused_after(&mut judge);
+        retry_after_refusal(&mut controller);
     }
-    let later = refused_after(&mut judge);
+    let later = retry_after_refusal(&mut controller);
     assert!(later > first[0] * 2, "{later:?} against {:?}", first[0]);
 }
 
 #[test]
-fn an_engine_without_memory_gets_no_request() {
-    let mut judge = AdmissionJudge::new(1);
+fn engine_without_free_memory_gets_no_request() {
+    let mut controller = AdmissionJudge::new(1);
     let mut full = choice(0.2, millis(100));
     full.memory_full = true;
-    let verdict = judged(&mut judge, &full, &route(250, 0), 0);
-    assert_ne!(verdict, AdmissionVerdict::Send);
+    let decision = decide_after(&mut controller, &full, &route(250, 0), 0);
+    assert_ne!(decision, AdmissionVerdict::Send);
 }
 
-/// Under overload some requests can only be late. They are served from what is left: the last slots go to
-/// requests that can still be in time.
+/// Under overload some requests can only be late. They use only the remaining capacity: the last slots are
+/// reserved for requests that can still be in time.
 #[test]
-fn a_late_request_leaves_the_last_slots_to_those_in_time() {
-    let mut judge = AdmissionJudge::new(1);
+fn late_request_leaves_the_last_slots_to_timely_ones() {
+    let mut controller = AdmissionJudge::new(1);
     let nearly_full = choice(0.97, Duration::ZERO);
     let route = route(250, 1);
     assert_eq!(
-        judged(&mut judge, &nearly_full, &route, 0),
+        decide_after(&mut controller, &nearly_full, &route, 0),
         AdmissionVerdict::Send
     );
     assert!(matches!(
-        judged(&mut judge, &nearly_full, &route, 400),
+        decide_after(&mut controller, &nearly_full, &route, 400),
         AdmissionVerdict::Wait(_)
     ));
     assert_eq!(
-        judged(&mut judge, &choice(0.9, Duration::ZERO), &route, 400),
+        decide_after(&mut controller, &choice(0.9, Duration::ZERO), &route, 400),
         AdmissionVerdict::Send
     );
 }
 
-/// A plain service gets more requests for some seconds than it can bear. Each gateway sends while the queue there is
-/// below what the target allows, and then everybody waits in that queue and nobody is in time. A request is sent
-/// only where it is expected in time; one that can't be in time any more takes a free slot and no other's turn.
+/// A plain service gets more requests than it can serve for some seconds. If each gateway sent requests
+/// while the queue there is below the latency target, all requests would wait in that queue and none would
+/// be in time. A request is sent only if its response is expected in time. A request that can no longer be
+/// in time uses a free slot but delays no other request.
 #[test]
-fn a_plain_service_is_sent_what_it_can_answer_in_time() {
-    let mut judge = AdmissionJudge::new(1);
+fn plain_service_is_sent_only_what_it_can_answer_in_time() {
+    let mut controller = AdmissionJudge::new(1);
     let route = route(300, 2);
     let plain = |occupancy, queue_ms: u64, answer_ms: u64| EndpointChoice {
         predicted: millis(queue_ms + answer_ms),
         batches: false,
         ..choice(occupancy, millis(queue_ms))
     };
-    let mut verdict = |choice: &EndpointChoice, waited| judged(&mut judge, choice, &route, waited);
-    assert_eq!(verdict(&plain(0.5, 0, 70), 0), AdmissionVerdict::Send);
-    assert_eq!(verdict(&plain(2.0, 100, 70), 0), AdmissionVerdict::Send);
-    assert_ne!(verdict(&plain(3.0, 200, 70), 0), AdmissionVerdict::Send);
-    assert_ne!(verdict(&plain(2.0, 100, 70), 150), AdmissionVerdict::Send);
-    // It is late, and a slot is free, or only just not.
-    assert_eq!(verdict(&plain(0.8, 0, 70), 900), AdmissionVerdict::Send);
-    assert_ne!(verdict(&plain(1.0, 0, 70), 900), AdmissionVerdict::Send);
-    // A slow service is still used, as far as it has slots.
-    assert_eq!(verdict(&plain(0.5, 0, 900), 0), AdmissionVerdict::Send);
+    let mut decision =
+        |choice: &EndpointChoice, waited| decide_after(&mut controller, choice, &route, waited);
+    assert_eq!(decision(&plain(0.5, 0, 70), 0), AdmissionVerdict::Send);
+    assert_eq!(decision(&plain(2.0, 100, 70), 0), AdmissionVerdict::Send);
+    assert_ne!(decision(&plain(3.0, 200, 70), 0), AdmissionVerdict::Send);
+    assert_ne!(decision(&plain(2.0, 100, 70), 150), AdmissionVerdict::Send);
+    // The request is late, and a slot is free or just not free.
+    assert_eq!(decision(&plain(0.8, 0, 70), 900), AdmissionVerdict::Send);
+    assert_ne!(decision(&plain(1.0, 0, 70), 900), AdmissionVerdict::Send);
+    // A slow service is still used while it has free slots.
+    assert_eq!(decision(&plain(0.5, 0, 900), 0), AdmissionVerdict::Send);
 }
--- a/crates/oatpier-serving/tests/testsuite/choice.rs
+++ b/crates/oatpier-serving/tests/testsuite/choice.rs
@@ -26,7 +26,7 @@
     choice::choose(directory, &query, at(100))
 }
 
-fn chosen(directory: &EndpointDirectory, weights: &str) -> String {
+fn chosen_endpoint(directory: &EndpointDirectory, weights: &str) -> String {
     match choose(directory, weights, &[]) {
         ChoiceVerdict::Endpoint(choice) => choice.endpoint.to_string(),
         other => panic!("no endpoint was chosen: {other:?}"),
@@ -34,13 +34,13 @@
 }
 
 #[test]
-fn the_less_busy_holder_of_the_model_is_taken() {
+fn less_busy_holder_is_selected() {
     let directory = directory(&[(&["m1"], 8), (&["m1"], 2), (&["m2"], 0)], at(0));
-    assert_eq!(chosen(&directory, "m1"), "e2");
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
 }
 
 #[test]
-fn a_model_that_nobody_holds_is_told_from_a_service_without_endpoints() {
+fn missing_model_differs_from_a_service_without_endpoints() {
     let directory = directory(&[(&["m2"], 0)], at(0));
     assert_eq!(
         choose(&directory, "m1", &[]),
@@ -55,10 +55,10 @@
     );
 }
 
-/// Callers of a model that is being loaded are told when to come back, or wait. Its engine began 90 ms ago
-/// with a load of two seconds.
+/// Callers of a model that is being loaded are told when to return, or wait. Its engine began a load of two
+/// seconds 90 ms ago.
 #[test]
-fn a_model_that_is_being_loaded_is_told_with_its_time() {
+fn model_being_loaded_is_reported_with_its_remaining_time() {
     let mut directory = directory(&[(&["m2"], 0)], at(0));
     let mut loading = pulse(1, &["m2"], 0);
     loading.number.number = 2;
@@ -73,10 +73,10 @@
     );
 }
 
-/// The engine waits for the streams of another model to end before it loads: nobody knows how long, and
-/// the load has not begun.
+/// The engine waits for the streams of another model to end before it loads. The duration of that wait is
+/// unknown, and the load has not begun.
 #[test]
-fn a_load_that_waits_for_streams_takes_its_whole_time_and_more() {
+fn load_that_waits_for_streams_takes_longer_than_its_load_time() {
     let mut directory = directory(&[(&["m2"], 3)], at(0));
     let mut draining = pulse(1, &["m2"], 3);
     draining.number.number = 2;
@@ -93,32 +93,32 @@
     assert!(ready_in > millis(2_000));
 }
 
-/// One engine has prompts before it that take 300 ms to read, the other one none. Their batches are alike;
-/// the prompt goes where it is read at once.
+/// One engine has 300 ms of prefill work ahead, the other one has none. Their batches are equal. The prompt
+/// goes to the engine that can prefill it at once.
 #[test]
-fn an_engine_that_has_little_to_read_goes_before_one_that_has_much() {
+fn engine_with_less_prefill_work_is_preferred() {
     let mut directory = directory(&[(&["m1"], 3), (&["m1"], 3)], at(0));
     directory.note_asked(&endpoint("e1"), millis(300));
-    assert_eq!(chosen(&directory, "m1"), "e2");
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
     directory.note_permitted(&endpoint("e1"), millis(300));
     directory.note_asked(&endpoint("e2"), millis(300));
-    assert_eq!(chosen(&directory, "m1"), "e1");
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e1");
 }
 
-/// The caller sees no refusal: a model that its engine is about to unload gets no new requests,
-/// since the engine would refuse them while it waits for the running ones.
+/// A model that its engine is about to unload gets no new requests, because the engine would refuse them
+/// while it waits for the running ones. The caller sees no refusal.
 #[test]
-fn a_model_that_retires_gets_no_new_requests() {
+fn retiring_model_gets_no_new_requests() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 5)], at(0));
     let mut retiring = pulse(1, &["m1"], 0);
     retiring.number.number = 2;
     retiring.retiring = vec![crate::support::model("m1")];
     directory.take_pulse(retiring, at(10));
-    assert_eq!(chosen(&directory, "m1"), "e2");
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
 }
 
 #[test]
-fn an_endpoint_that_had_the_request_is_left_out() {
+fn endpoint_that_was_sent_the_request_is_excluded() {
     let directory = directory(&[(&["m1"], 0), (&["m1"], 5)], at(0));
     let verdict = choose(&directory, "m1", &[endpoint("e1")]);
     assert!(
@@ -127,53 +127,53 @@
 }
 
 #[test]
-fn a_ready_adapter_goes_before_a_free_place_for_it() {
+fn ready_adapter_is_preferred_to_a_free_slot() {
     let mut directory = directory(&[(&["m1"], 1), (&["m1"], 2)], at(0));
     let mut ready = pulse(2, &[], 2);
     ready.number.number = 2;
     ready.models = vec![held("m1", &["a1"])];
     directory.take_pulse(ready, at(10));
-    assert_eq!(chosen(&directory, "m1/a1"), "e2");
+    assert_eq!(chosen_endpoint(&directory, "m1/a1"), "e2");
 }
 
-/// All places of the first engine are in use by streams. The caller would wait for one of them to
-/// end; the other engine is busier and has a place at once.
+/// All adapter slots of the first engine are used by streams, and a request would wait for one of them to
+/// end. The other engine is busier but has a free slot.
 #[test]
-fn an_engine_with_a_place_for_the_adapter_goes_before_one_without() {
+fn engine_with_a_free_adapter_slot_is_preferred() {
     let mut directory = directory(&[(&["m1"], 1), (&["m1"], 6)], at(0));
     let mut full = pulse(1, &["m1"], 1);
     full.number.number = 2;
     full.adapter_room = 0;
     directory.take_pulse(full, at(10));
-    assert_eq!(chosen(&directory, "m1/a1"), "e2");
+    assert_eq!(chosen_endpoint(&directory, "m1/a1"), "e2");
 }
 
 #[test]
-fn the_own_availability_zone_is_taken_while_it_is_not_much_busier() {
+fn own_availability_zone_is_preferred_unless_much_busier() {
     let mut far = record(2, &["m1"]);
     far.zone = zone("far");
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"]), far], at(0));
     directory.take_pulse(pulse(1, &["m1"], 1), at(0));
     directory.take_pulse(pulse(2, &["m1"], 0), at(0));
-    assert_eq!(chosen(&directory, "m1"), "e1");
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e1");
     let mut busy = pulse(1, &["m1"], SLOTS);
     busy.number.number = 2;
     directory.take_pulse(busy, at(10));
-    assert_eq!(chosen(&directory, "m1"), "e2");
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
 }
 
 #[test]
-fn an_engine_that_keeps_the_prompt_is_taken_among_equals() {
+fn engine_with_a_cached_prefix_is_preferred_among_equals() {
     let mut directory = directory(&[(&["m1"], 2), (&["m1"], 2)], at(0));
-    learn_reading(&mut directory, "e1");
+    learn_prefill(&mut directory, "e1");
     let chain = choice::prefix_chain(&request("m1"));
     directory.note_prompt(&endpoint("e2"), &chain, at(50));
-    assert_eq!(chosen(&directory, "m1"), "e2");
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
 }
 
-/// Lets an engine read some prompts, a token in a twentieth of a millisecond.
-fn learn_reading(directory: &mut EndpointDirectory, name: &str) {
+/// Lets an engine prefill some prompts at 0.05 ms per token.
+fn learn_prefill(directory: &mut EndpointDirectory, name: &str) {
     let weights = request("m1").weights.unwrap();
     for _ in 0..20 {
         let prompt = directory.note_reading(&endpoint(name), &weights, 400.0);
@@ -182,11 +182,11 @@
     }
 }
 
-/// Callers get errors from an engine whose health check is good: it fails a part of its requests
-/// and answers the others, so that nothing fails in a row. It gets fewer requests by its share of
-/// failures, and gets some again once it was left alone for a while.
+/// Callers get errors from an engine whose health check succeeds: it fails some of its requests and serves
+/// the others, so that failures are not consecutive. It gets fewer requests in proportion to its share of
+/// failures, and gets more again after some time without requests.
 #[test]
-fn an_engine_that_fails_a_part_of_its_requests_is_avoided_for_a_while() {
+fn partially_failing_engine_is_avoided_temporarily() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 4)], at(0));
     for number in 0..12_u64 {
         let outcome = if number % 2 == 0 {
@@ -205,14 +205,14 @@
             at(number),
         );
     }
-    assert_eq!(chosen(&directory, "m1"), "e2");
-    let share = directory.row(&endpoint("e1")).unwrap();
-    assert!(share.failure_share(at(100)) > 0.25);
-    assert!(share.failure_share(at(10_000)) < 0.02);
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
+    let row = directory.row(&endpoint("e1")).unwrap();
+    assert!(row.failure_share(at(100)) > 0.25);
+    assert!(row.failure_share(at(10_000)) < 0.02);
 }
 
 #[test]
-fn an_adapter_that_is_used_is_named_until_its_requests_are_over() {
+fn used_adapter_is_reported_until_its_requests_end() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     let weights = request("m1/a1").weights.unwrap();
     let name = endpoint("e1");
@@ -234,14 +234,15 @@
     assert!(directory.take_used(&name).is_empty());
 }
 
-/// A VM is frozen with its engine and its sidecar. Requests that go there are lost, and the engine's last
-/// known load is low. Its sidecar is overdue, so the other holder is taken though it is busier.
+/// A VM freezes with its engine and its sidecar. Requests that are sent there are lost, and the last known
+/// load of the engine is low. Its sidecar is overdue, so the other holder is selected although it is
+/// busier.
 #[test]
-fn an_engine_whose_sidecar_fell_silent_is_avoided() {
+fn engine_with_an_overdue_sidecar_is_avoided() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 6)], at(0));
-    let mut heard = pulse(2, &["m1"], 6);
-    heard.number.number = 2;
-    directory.take_pulse(heard, at(1_100));
+    let mut later_pulse = pulse(2, &["m1"], 6);
+    later_pulse.number.number = 2;
+    directory.take_pulse(later_pulse, at(1_100));
     let query = ChoiceQuery {
         service: &service(),
         request: &request("m1"),
@@ -256,23 +257,24 @@
     assert_eq!(choice.endpoint, endpoint("e2"));
 }
 
-/// An engine that unloads and loads models takes no order for an adapter for seconds. A request that
-/// needs one there would wait until it is refused; the busier holder has it in a few milliseconds.
+/// An engine that unloads and loads models accepts no order for an adapter for seconds. A request that
+/// needs an adapter there would wait until it is refused. The busier holder loads the adapter within a few
+/// milliseconds.
 #[test]
-fn an_adapter_is_not_sought_at_an_engine_that_changes_models() {
+fn adapter_request_avoids_an_engine_that_changes_models() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 5)], at(0));
     let mut changing = pulse(1, &["m1"], 0);
     changing.number.number = 2;
     changing.loading = Some(crate::support::model("m2"));
     directory.take_pulse(changing, at(10));
-    assert_eq!(chosen(&directory, "m1/a1"), "e2");
-    assert_eq!(chosen(&directory, "m1"), "e1");
+    assert_eq!(chosen_endpoint(&directory, "m1/a1"), "e2");
+    assert_eq!(chosen_endpoint(&directory, "m1"), "e1");
 }
 
-/// All engines were restarted and hold nothing; one of them has the model on its disk. Callers are told of
-/// half a second and not of a load from the weight store.
+/// All engines were restarted and are empty, and one of them has the model on its disk. Callers are told to
+/// expect half a second, not the duration of a load from the weight store.
 #[test]
-fn a_load_is_told_by_the_engine_that_has_the_model_nearest() {
+fn load_time_is_that_of_the_engine_with_the_fastest_copy() {
     let mut directory = directory(&[(&[], 0), (&[], 0)], at(0));
     let mut restarted = pulse(2, &[], 0);
     restarted.number.number = 2;
--- a/crates/oatpier-serving/tests/testsuite/forecast.rs
+++ b/crates/oatpier-serving/tests/testsuite/forecast.rs
@@ -1,6 +1,6 @@
-//! How many slots each model's requests will take.
+//! How many slots the requests of each model will occupy.
 //!
-//! The load: demand leaves one model and rises at another over some seconds, while a load takes as
+//! The situation: demand leaves one model and rises at another over some seconds, and a load takes about as
 //! long.
 
 use std::collections::HashMap;
@@ -13,51 +13,51 @@
 
 use crate::support::{address, at, model, request};
 
-/// What a gateway knows after requests whose rate rises by `per_s2` a second each second.
-fn after_rise(per_s2: u64, seconds: u64) -> HashMap<ModelName, TotalDemand> {
-    let mut book = DemandBook::default();
+/// Demand after requests whose rate rises by `per_s2` per second each second.
+fn demand_after_rise(per_s2: u64, seconds: u64) -> HashMap<ModelName, TotalDemand> {
+    let mut tracker = DemandBook::default();
     let weights = request("m1").weights.unwrap();
     for second in 0..seconds {
         let rate = per_s2 * (second + 1);
         for number in 0..rate {
-            book.note_asked(&weights, at(second * 1_000 + number * 1_000 / rate));
+            tracker.note_asked(&weights, at(second * 1_000 + number * 1_000 / rate));
         }
     }
     let now = at(seconds * 1_000);
-    PeerBook::new(address(1), 100).total(&book.summary(now), now)
+    PeerBook::new(address(1), 100).total(&tracker.summary(now), now)
 }
 
-fn wanted(total: &HashMap<ModelName, TotalDemand>, lead_s: u64) -> f64 {
+fn slots_after(total: &HashMap<ModelName, TotalDemand>, lead_s: u64) -> f64 {
     let holds = HoldTimes::of_fleet(total);
     slots_wanted(&total[&model("m1")], holds, Duration::from_secs(lead_s))
 }
 
-/// Callers of a model that rises would be refused until a load that begins after the rise is done.
-/// The forecast is ahead of the present rate, and further ahead for a longer load.
+/// Callers of a model with rising demand would be refused until a load that begins after the rise is done.
+/// The forecast exceeds the current rate, and exceeds it further for a longer load.
 #[test]
-fn a_rise_is_continued_over_the_time_of_a_load() {
-    let total = after_rise(10, 4);
+fn rise_is_extrapolated_over_the_load_time() {
+    let total = demand_after_rise(10, 4);
     let present = total[&model("m1")].asked_fast * 0.9;
-    assert!(wanted(&total, 0) > present);
-    assert!(wanted(&total, 2) > 1.3 * present);
+    assert!(slots_after(&total, 0) > present);
+    assert!(slots_after(&total, 2) > 1.3 * present);
 }
 
 #[test]
-fn steady_demand_is_not_taken_for_a_rise() {
-    let mut book = DemandBook::default();
+fn steady_demand_is_not_extrapolated() {
+    let mut tracker = DemandBook::default();
     let weights = request("m1").weights.unwrap();
     for number in 0..1_200 {
-        book.note_asked(&weights, at(number * 10));
+        tracker.note_asked(&weights, at(number * 10));
     }
     let now = at(12_000);
-    let total = PeerBook::new(address(1), 100).total(&book.summary(now), now);
-    let slots = wanted(&total, 3);
+    let total = PeerBook::new(address(1), 100).total(&tracker.summary(now), now);
+    let slots = slots_after(&total, 3);
     assert!((80.0..110.0).contains(&slots), "{slots}");
 }
 
-/// Requests at full engines can't be more than their slots; the rate at which callers ask can.
+/// The number of requests at full engines is limited by their slots, but the arrival rate is not.
 #[test]
-fn demand_beyond_the_slots_is_seen_by_its_rate() {
+fn demand_beyond_the_slots_is_forecast_from_the_arrival_rate() {
     let total = TotalDemand {
         running: 10.0,
         sent: 10.0,
@@ -70,11 +70,11 @@
         idle: Some(Duration::ZERO),
     };
     let all = HashMap::from([(model("m1"), total)]);
-    assert!(wanted(&all, 1) > 35.0);
+    assert!(slots_after(&all, 1) > 35.0);
 }
 
 #[test]
-fn a_model_whose_requests_take_longer_wants_more_slots_at_the_same_rate() {
+fn longer_requests_need_more_slots_at_the_same_rate() {
     let row = |running: f64| TotalDemand {
         running,
         sent: 20.0,
--- a/crates/oatpier-serving/tests/testsuite/planner.rs
+++ b/crates/oatpier-serving/tests/testsuite/planner.rs
@@ -1,7 +1,7 @@
-//! Which engine should load which model.
+//! Which engine loads which model.
 //!
-//! The load: demand moves between models within 4 to 6 s, rare models are asked for at once, and
-//! engines come back empty.
+//! The situation: demand moves between models within 4 to 6 s, rarely requested models are needed at once,
+//! and engines are empty after a restart.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,8 +18,8 @@
     address, at, directory, endpoint, engine_rule, model, pulse, record, service,
 };
 
-/// Two engines that are full with a model in great demand, and one with models that are rarely asked for.
-const HOT_BESIDE_RARE: [(&[&str], u32); 3] = [
+/// Two engines that are full with a model in high demand, and one with models that are rarely requested.
+const HOT_AND_RARE: [(&[&str], u32); 3] = [
     (&["hot", "rare1"], 10),
     (&["hot", "rare2"], 10),
     (&["rare3", "rare4"], 0),
@@ -44,11 +44,11 @@
 }
 
 fn plan(directory: &EndpointDirectory, names: &[&str], demand: &Demand) -> PlanOutcome {
-    plan_beside(directory, names, demand, &FleetUses::default())
+    plan_with_uses(directory, names, demand, &FleetUses::default())
 }
 
-/// Plans where engines are used like this.
-fn plan_beside(
+/// Plans with the given use of the engines.
+fn plan_with_uses(
     directory: &EndpointDirectory,
     names: &[&str],
     demand: &Demand,
@@ -56,7 +56,7 @@
 ) -> PlanOutcome {
     let rule = engine_rule(names);
     let mut planner = LoadPlanner::default();
-    // The rate of the weight store fills up with time.
+    // The tokens for loads from the weight store accumulate over time.
     let nothing = Demand::new();
     let idle = FleetDemand {
         models: &nothing,
@@ -70,8 +70,8 @@
     planner.plan(&rule, directory.service(&service()), demand, at(1_000))
 }
 
-/// Requests for a model at the engine of a number.
-fn used(number: u8, name: &str, requests: u32) -> ModelUse {
+/// Requests for a model at the engine with the given number.
+fn model_use(number: u8, name: &str, requests: u32) -> ModelUse {
     ModelUse {
         engine: address(number),
         model: model(name),
@@ -90,10 +90,10 @@
     outcome.planned.iter().map(row).collect()
 }
 
-/// A model that nobody holds is asked for. Its callers wait or are refused until it is loaded; the
-/// idle engine loads it, not the busy one.
+/// A model that no engine holds is requested. Its callers wait or are refused until it is loaded. The idle
+/// engine loads it, not the busy one.
 #[test]
-fn a_model_that_is_asked_for_gets_a_holder_on_the_idlest_engine() {
+fn requested_model_without_holder_is_loaded_on_the_idlest_engine() {
     let directory = directory(&[(&["m1"], 9), (&["m2"], 0)], at(900));
     let demand = demand(&[("m1", 9.0, 0.0), ("m3", 0.0, 2.0)]);
     let outcome = plan(&directory, &["m1", "m2", "m3"], &demand);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn room_is_made_by_a_replica_and_never_by_the_last_holder_of_a_model_in_demand() {
+fn evicts_a_replica_and_never_the_last_holder_of_a_requested_model() {
     let engines: [(&[&str], u32); 2] = [(&["m1", "m2"], 0), (&["m1", "m3"], 0)];
     let directory = directory(&engines, at(900));
     let demand = demand(&[
@@ -119,10 +119,10 @@
     assert_eq!(outcome.planned[0].advice.unload, vec![model("m1")]);
 }
 
-/// Callers of a busy model are refused while other engines idle: one more replica takes a part of
+/// Callers of a busy model are refused while other engines are idle. One more replica takes over a part of
 /// its requests.
 #[test]
-fn a_busy_model_gets_a_replica_where_others_idle() {
+fn busy_model_gets_a_replica_on_an_idle_engine() {
     let directory = directory(&[(&["m1"], 10), (&["m2"], 0), (&["m3"], 0)], at(900));
     let outcome = plan(
         &directory,
@@ -133,10 +133,10 @@
     assert!(!outcome.planned.is_empty());
 }
 
-/// The only holder of a model names a limit that leaves it a request a second: its callers are turned away while other
-/// engines idle. A limit that is over soon is not worth a load.
+/// The only holder of a model sets a rate limit of one request per second. Its callers are refused while
+/// other engines are idle. A limit that ends soon does not justify a load.
 #[test]
-fn a_model_whose_holder_may_take_few_requests_gets_another_holder() {
+fn model_with_a_rate_limited_holder_gets_another_holder() {
     let mut directory = directory(&[(&["hot"], 1), (&["rare"], 0)], at(0));
     let demand = demand(&[("hot", 0.5, 0.5)]);
     let word = LimitWord {
@@ -147,30 +147,30 @@
     };
     directory.take_limit_word(&word, at(0));
     for number in [1, 2] {
-        let mut heard = pulse(
+        let mut later_pulse = pulse(
             number,
             [&["hot"][..], &["rare"]][usize::from(number) - 1],
             0,
         );
-        heard.number.number = 2;
-        directory.take_pulse(heard, at(2_500));
+        later_pulse.number.number = 2;
+        directory.take_pulse(later_pulse, at(2_500));
     }
     let rule = engine_rule(&["hot", "rare"]);
     let mut planner = LoadPlanner::default();
-    let mut round = |now| {
+    let mut plan_at = |now| {
         let demand = FleetDemand {
             models: &demand,
             uses: &FleetUses::default(),
         };
         loads(&planner.plan(&rule, directory.service(&service()), demand, at(now)))
     };
-    assert_eq!(round(1_500), []);
+    assert_eq!(plan_at(1_500), []);
     let load = ("e2".to_owned(), "hot".to_owned(), LoadReason::Unreachable);
-    assert_eq!(round(2_600), [load]);
+    assert_eq!(plan_at(2_600), [load]);
 }
 
 #[test]
-fn a_calm_fleet_is_left_alone() {
+fn no_load_is_planned_under_low_demand() {
     let directory = directory(&[(&["m1"], 2), (&["m2"], 1)], at(900));
     let outcome = plan(
         &directory,
@@ -180,10 +180,10 @@
     assert!(outcome.planned.is_empty());
 }
 
-/// All engines were restarted and are empty, and so is the memory of all gateways. What had many
-/// replicas has many copies on the engines' disks, and comes back first and oftenest.
+/// All engines were restarted and are empty, and the gateways have lost their state too. Models that had
+/// many replicas have many copies on the engines' disks, and are loaded first and most often.
 #[test]
-fn empty_engines_are_refilled_from_their_own_copies() {
+fn empty_engines_reload_models_from_local_copies() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry((1..=3).map(|number| record(number, &[])).collect(), at(900));
     for number in 1..=3 {
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn an_engine_that_must_wait_for_its_part_of_the_rate_is_not_advised() {
+fn no_advice_for_an_engine_that_waits_for_its_rate_share() {
     let mut directory = directory(&[(&["m1"], 0)], at(900));
     let mut paced = pulse(1, &["m1"], 0);
     paced.number.number = 2;
@@ -234,10 +234,10 @@
     assert_eq!(outcome.blocked[0].paced, 1);
 }
 
-/// The advice names the size of everything that the engine holds, so that its sidecar can check
-/// the sum by itself.
+/// The advice contains the size of each model that the engine holds, so that its sidecar can check the sum
+/// itself.
 #[test]
-fn advice_names_every_size() {
+fn advice_contains_the_size_of_every_model() {
     let directory = directory(&[(&["m1"], 0)], at(900));
     let outcome = plan(&directory, &["m1", "m2"], &demand(&[("m2", 0.0, 3.0)]));
     let advice = &outcome.planned[0].advice;
@@ -250,12 +250,12 @@
     assert!((advice.room_mb - 196.0).abs() < 1e-9);
 }
 
-/// Several models lose their holders at once while another one is in great demand. Taking one of its few
-/// replicas to bring a rare model back would turn many callers away for one; the rare model goes where
-/// a rare one leaves.
+/// Several models lose their holders at once while another model is in high demand. Evicting one of its few
+/// replicas for a rarely requested model would refuse many callers for the sake of one. The rarely
+/// requested model replaces another one of its kind.
 #[test]
-fn a_rare_model_does_not_take_the_place_of_one_in_great_demand() {
-    let directory = directory(&HOT_BESIDE_RARE, at(900));
+fn rare_model_does_not_evict_one_in_high_demand() {
+    let directory = directory(&HOT_AND_RARE, at(900));
     let outcome = plan(
         &directory,
         &["hot", "rare1", "rare2", "rare3", "rare4", "rare5"],
@@ -276,12 +276,12 @@
     assert!(!unload.contains(&model("hot")), "{unload:?}");
 }
 
-/// The holders of a model turn callers away while another engine only keeps models that are asked for
-/// now and then. One of those goes, also as the last holder: its next caller waits half a second, and
-/// every second many callers of the other one are served.
+/// The holders of a model refuse callers while another engine holds only rarely requested models. One of
+/// those is evicted, even as the last replica: its next caller waits half a second, while many callers of
+/// the other model are served every second.
 #[test]
-fn a_model_in_great_demand_gets_a_replica_in_the_place_of_a_rare_one() {
-    let directory = directory(&HOT_BESIDE_RARE, at(900));
+fn replica_of_a_model_in_high_demand_evicts_a_rare_one() {
+    let directory = directory(&HOT_AND_RARE, at(900));
     let outcome = plan(
         &directory,
         &["hot", "rare1", "rare2", "rare3", "rare4"],
@@ -297,10 +297,10 @@
     assert_eq!(loads(&outcome), vec![row]);
 }
 
-/// An engine waits for the streams of a model that it unloads, two to five seconds, and takes no other
-/// order meanwhile. Of two replicas that could make room, the one without streams goes.
+/// An engine that unloads a model waits two to five seconds for the model's streams and accepts no other
+/// order meanwhile. Of two replicas that could make room, the one without streams is evicted.
 #[test]
-fn room_is_made_where_no_streams_have_to_end_first() {
+fn evicts_the_replica_without_running_streams() {
     let engines: [(&[&str], u32); 3] = [
         (&["calm", "used"], 2),
         (&["calm", "used"], 2),
@@ -308,9 +308,9 @@
     ];
     let directory = directory(&engines, at(900));
     let mut uses = FleetUses::default();
-    uses.add(&used(1, "used", 2));
-    uses.add(&used(2, "used", 2));
-    let outcome = plan_beside(
+    uses.add(&model_use(1, "used", 2));
+    uses.add(&model_use(2, "used", 2));
+    let outcome = plan_with_uses(
         &directory,
         &["calm", "used", "hot"],
         &demand(&[("calm", 0.0, 0.0), ("used", 4.0, 0.0), ("hot", 10.0, 10.0)]),
@@ -320,11 +320,11 @@
     assert_eq!(outcome.planned[0].advice.unload, vec![model("calm")]);
 }
 
-/// Eight rare models are in demand, each asked for every other second, and there are places for six. Two
-/// can't be served at any time. If each took the place of another one at once, all engines would only load, and
-/// the callers of all eight would wait; so the two wait for a turn, and each then has it for seconds.
+/// Eight rarely requested models are in demand, each requested every other second, and six fit. Two cannot
+/// be served at any time. If each replaced another one at once, all engines would only load, and the
+/// callers of all eight would wait. The two therefore wait, and each then stays loaded for seconds.
 #[test]
-fn models_that_are_asked_for_alike_take_turns_of_seconds() {
+fn equally_requested_models_do_not_evict_each_other_at_once() {
     let names = ["r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8"];
     let engines: [(&[&str], u32); 3] = [(&["r1", "r2"], 1), (&["r3", "r4"], 1), (&["r5", "r6"], 1)];
     let rows: Vec<(&str, f64, f64)> = names
@@ -346,18 +346,19 @@
     let rule = engine_rule(&names);
     let mut planner = LoadPlanner::default();
     let mut rounds = (900..15_000).step_by(150).filter(|now| {
-        let heard = directory(&engines, at(*now));
-        let outcome = planner.plan(&rule, heard.service(&service()), demand, at(*now));
+        let current = directory(&engines, at(*now));
+        let outcome = planner.plan(&rule, current.service(&service()), demand, at(*now));
         !outcome.planned.is_empty()
     });
-    let first = rounds.next().expect("the missing models get their turn");
+    let first = rounds.next().expect("the missing models are loaded");
     assert!((3_000..9_000).contains(&first), "after {first} ms");
 }
 
-/// Fresh engines join a fleet in which every part of the weight store's rate is given away. They are told to
-/// load all the same, and whose right they may borrow: left alone they would stay empty while others are full.
+/// New engines join a fleet in which all of the weight store's rate is allocated. They are still told to
+/// load, together with the engines from which they can borrow the right. Otherwise they would stay empty
+/// while other engines are full.
 #[test]
-fn an_engine_without_a_part_of_the_rate_is_told_whose_it_may_borrow() {
+fn engine_without_a_rate_share_is_told_its_lenders() {
     let mut directory = directory(&[(&["m1"], 10), (&[], 0)], at(900));
     let mut fresh = pulse(2, &[], 0);
     fresh.number.number = 2;
@@ -369,11 +370,11 @@
     assert_eq!(outcome.planned[0].advice.lenders, vec![address(1)]);
 }
 
-/// Two engines could take a replica: an idle one that would load it from the weight store for six seconds, and one
-/// with some work that has it on its disk. The second has it five seconds sooner, and can load the next
-/// model then.
+/// Two engines could load a replica: an idle one that takes six seconds to load it from the weight store,
+/// and one with some load that has a copy on its disk. The second one is done five seconds sooner, and can
+/// then load the next model.
 #[test]
-fn a_replica_goes_where_a_copy_makes_its_load_short() {
+fn replica_is_loaded_where_a_local_copy_shortens_the_load() {
     let mut directory = directory(&[(&["m1"], 10), (&["m2"], 2), (&["m3"], 0)], at(900));
     let mut with_copy = pulse(2, &["m2"], 2);
     with_copy.number.number = 2;
--- a/crates/oatpier-serving/tests/testsuite/residency.rs
+++ b/crates/oatpier-serving/tests/testsuite/residency.rs
@@ -61,7 +61,7 @@
     }
 }
 
-fn wish(name: &str) -> AdapterWish {
+fn adapter_wish(name: &str) -> AdapterWish {
     AdapterWish {
         key: adapter("m1", name),
         slots: 2,
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_load_that_fits_is_ordered_under_the_present_sequence() {
+fn load_that_fits_is_ordered_under_the_current_sequence() {
     let mut residency = residency();
     residency.take_report(report(7, &["m1"]));
     residency.take_advice(advice("m2", &[], &["m1"]), at(0));
@@ -82,10 +82,10 @@
     assert_eq!(order.expect, 7);
 }
 
-/// An engine that is ordered to hold more than its memory crashes with all its requests. The sum is
-/// checked here, whatever the planner believed when it gave the advice.
+/// An engine that is ordered to hold more than its memory crashes with all its requests. The sum is checked
+/// here, regardless of the state that the planner assumed.
 #[test]
-fn a_load_that_does_not_fit_is_refused() {
+fn load_that_exceeds_memory_is_not_ordered() {
     let mut residency = residency();
     residency.take_report(report(1, &["m1", "m2"]));
     residency.take_advice(advice("m3", &[], &["m1", "m2"]), at(0));
@@ -93,15 +93,15 @@
 }
 
 #[test]
-fn a_held_model_of_unknown_size_takes_all_room() {
+fn held_model_of_unknown_size_blocks_loads() {
     let mut residency = residency();
     residency.take_report(report(1, &["stranger"]));
     residency.take_advice(advice("m2", &[], &[]), at(0));
     assert_eq!(residency.next_order(at(0)), None);
 }
 
-/// Requests that are on their way to a model when its unloading is ordered are refused by the
-/// engine. Gateways are told first, and the order follows a moment later.
+/// The engine refuses requests that arrive after the order to unload their model. Gateways are therefore
+/// told first, and the order follows after a short delay.
 #[test]
 fn gateways_are_told_before_a_model_is_unloaded() {
     let mut residency = residency();
@@ -113,18 +113,18 @@
     assert_eq!(order.order, EngineOrder::UnloadModel(model("m1")));
 }
 
-/// The answer to a load is lost; the engine may begin it at once, seconds later, or never. The same
-/// order under the same sequence is given again before any other, so that only one of the two can
-/// be taken.
+/// The answer to a load is lost. The engine may begin the load at once, seconds later, or never. The same
+/// order is repeated under the same sequence number before any other, so that only one of the two is
+/// accepted.
 #[test]
-fn a_load_without_an_answer_is_given_again_before_anything_else() {
+fn unanswered_load_is_repeated_before_other_orders() {
     let mut residency = residency();
     residency.take_report(report(1, &["m1"]));
     residency.take_advice(advice("m2", &[], &["m1"]), at(0));
     let order = residency.next_order(at(0)).unwrap();
     residency.note_answer(&order, OrderAnswer::Unknown, at(10));
     residency.take_report(report(1, &["m1"]));
-    residency.take_wish(wish("a1"), at(20));
+    residency.take_wish(adapter_wish("a1"), at(20));
     assert_eq!(residency.next_order(at(20)), Some(order));
     residency.take_report(report(2, &["m1"]));
     assert!(matches!(
@@ -134,18 +134,18 @@
 }
 
 #[test]
-fn a_restarted_sidecar_waits_a_whole_spacing_before_it_loads_from_the_store() {
+fn restarted_sidecar_waits_a_whole_spacing_before_a_store_load() {
     let mut residency = EngineResidency::new(PACE, false, at(0));
     residency.take_report(report(1, &[]));
     residency.take_advice(advice("m1", &[], &[]), at(0));
     assert_eq!(residency.next_order(at(4_000)), None);
-    // What its predecessor may have lent is used by then.
+    // A right that the previous process may have lent has been used by then.
     assert_eq!(residency.next_order(at(5_000)), None);
     assert!(residency.next_order(at(5_300)).is_some());
 }
 
 #[test]
-fn a_load_from_the_engines_own_copies_waits_for_nothing() {
+fn load_from_local_copies_is_not_rate_limited() {
     let mut residency = EngineResidency::new(PACE, false, at(0));
     let mut own = report(1, &[]);
     own.copies = LocalCopies {
@@ -158,38 +158,38 @@
 }
 
 #[test]
-fn an_adapter_that_is_not_used_makes_room() {
+fn idle_adapter_is_unloaded_to_make_room() {
     let mut residency = residency();
     let mut full = report(1, &[]);
     full.models = vec![held("m1", &["a1", "a2"])];
     residency.take_report(full);
     residency.take_greeting(gateway(), &greeting(&[("a1", 1), ("a2", 0)]), at(0));
-    residency.take_wish(wish("a3"), at(100));
+    residency.take_wish(adapter_wish("a3"), at(100));
     let order = residency.next_order(at(100)).unwrap();
     assert_eq!(order.order, EngineOrder::UnloadAdapter(adapter("m1", "a2")));
 }
 
-/// An engine that is told to unload an adapter in use takes no other order until its streams are
-/// over, so that nothing else can be loaded for seconds. Such an adapter only stops being offered;
-/// it is unloaded once gateways say that nothing uses it.
+/// An engine that is told to unload an adapter in use accepts no other order until its streams have ended,
+/// and can load nothing else for seconds. Such an adapter is only withdrawn from new requests, and is
+/// unloaded once gateways report that no request uses it.
 #[test]
-fn an_adapter_in_use_yields_before_it_is_unloaded() {
+fn adapter_in_use_is_drained_before_it_is_unloaded() {
     let mut residency = residency();
     let mut full = report(1, &[]);
     full.models = vec![held("m1", &["a1", "a2"])];
     residency.take_report(full);
     residency.take_greeting(gateway(), &greeting(&[("a1", 1), ("a2", 3)]), at(0));
-    residency.take_wish(wish("a3"), at(100));
+    residency.take_wish(adapter_wish("a3"), at(100));
     assert_eq!(residency.next_order(at(100)), None);
     assert_eq!(residency.offered()[0].adapters.len(), 1);
     residency.take_greeting(gateway(), &greeting(&[("a2", 3)]), at(150));
-    residency.take_wish(wish("a3"), at(200));
+    residency.take_wish(adapter_wish("a3"), at(200));
     let order = residency.next_order(at(200)).unwrap();
     assert_eq!(order.order, EngineOrder::UnloadAdapter(adapter("m1", "a1")));
 }
 
 #[test]
-fn a_busy_engine_gets_no_order() {
+fn busy_engine_gets_no_order() {
     let mut residency = residency();
     let mut busy = report(1, &["m1"]);
     busy.busy = true;
@@ -199,22 +199,22 @@
 }
 
 #[test]
-fn a_wish_that_nobody_repeats_is_dropped() {
+fn adapter_request_that_is_not_repeated_expires() {
     let mut residency = residency();
     residency.take_report(report(1, &["m1"]));
     residency.take_greeting(gateway(), &greeting(&[]), at(0));
-    residency.take_wish(wish("a1"), at(0));
+    residency.take_wish(adapter_wish("a1"), at(0));
     assert_eq!(residency.next_order(at(1_000)), None);
 }
 
 proptest! {
     #![proptest_config(fixed_cases(128))]
 
-    /// The weight store bounds the loads that begin in any window over all engines. No sidecar asks
-    /// another one, so the sum must hold when every one of them wants to load all the time, also
-    /// while sidecars are killed and started again.
+    /// The weight store limits the loads that begin in any window over all engines. Sidecars do not
+    /// coordinate, so the limit must hold if each of them loads whenever it may, also while sidecars are
+    /// killed and restarted.
     #[test]
-    fn all_sidecars_together_keep_the_rate_of_the_weight_store(
+    fn sidecars_together_keep_the_store_rate_limit(
         engines in 1_u32..40,
         loads in 1_u32..40,
         restarts in prop::collection::vec((0_u64..20_000, 0_usize..40), 0..20),
@@ -247,8 +247,7 @@
         }
     }
 
-    /// Whatever is advised in whatever order, the weights that an engine is told to hold never
-    /// exceed its memory.
+    /// For any advice in any order, the weights that an engine is told to hold never exceed its memory.
     #[test]
     fn memory_is_never_overcommitted(
         steps in prop::collection::vec((0_usize..6, 0_usize..6, any::<bool>()), 1..60),
@@ -281,7 +280,7 @@
 }
 
 #[test]
-fn the_pace_divides_the_rate() {
+fn pace_divides_the_store_rate() {
     let pace = LoadPace {
         loads: 18,
         engines: 18,
@@ -300,10 +299,10 @@
     assert_eq!(last.spacing(), None);
 }
 
-/// Four engines share one load in a window. All of them had a load at hand when they started, and
-/// each kept to its own part only after its first one.
+/// Four engines share one load per window. All of them have advice to load when they start. If each applied
+/// its share only after its first load, all four would begin at once.
 #[test]
-fn engines_beyond_the_rate_do_not_begin_together() {
+fn engines_beyond_the_rate_do_not_load_at_startup() {
     let begun = (0..4).filter(|place| {
         let pace = LoadPace {
             loads: 1,
@@ -319,10 +318,11 @@
     assert_eq!(begun.count(), 1);
 }
 
-/// The engine rejects the unloading that was to make room. Given again at every report it would be
-/// rejected again, and meanwhile the model gets no requests and other advice is not heard.
+/// The engine rejects the unload that was to make room. If the order were repeated after every report, it
+/// would be rejected each time, and meanwhile the model would get no requests and other advice would be
+/// ignored.
 #[test]
-fn advice_whose_unloading_is_rejected_is_dropped() {
+fn advice_is_dropped_when_its_unload_is_rejected() {
     let mut residency = residency();
     residency.take_report(report(1, &["m1", "m2"]));
     residency.take_advice(advice("m3", &["m1"], &["m1", "m2"]), at(0));
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_report_with_fewer_orders_comes_from_a_later_start() {
+fn report_with_fewer_orders_reveals_a_restart() {
     let mut residency = residency();
     residency.take_report(report(5, &["m1"]));
     assert!(residency.is_restarted(&report(0, &[])));
@@ -343,10 +343,10 @@
     assert!(!residency.is_restarted(&report(0, &[])));
 }
 
-/// The settings were changed to a longer window. A sidecar that kept its first one would load from the
-/// weight store more often than the bound in force allows.
+/// The configuration is changed to a longer window. A sidecar that kept its initial one would load from the
+/// weight store more often than the current limit allows.
 #[test]
-fn a_changed_window_holds_from_the_next_load_on() {
+fn changed_window_applies_to_the_next_load() {
     let mut residency = residency();
     residency.set_load_window(Duration::from_secs(20));
     residency.take_report(report(1, &["m1"]));
@@ -356,30 +356,31 @@
     assert_eq!(residency.store_load_wait(at(0)), Duration::from_secs(20));
 }
 
-fn report_of(start: u64, sequence: u64, models: &[&str]) -> EngineReport {
+fn report_from_start(start: u64, sequence: u64, models: &[&str]) -> EngineReport {
     EngineReport {
         start: Some(StartTime(start)),
         ..report(sequence, models)
     }
 }
 
-/// An engine starts again under its name, and has taken as many orders as before when it reports next: only
-/// the time of its start tells.
+/// An engine restarts under the same name and has accepted as many orders as before by its next report.
+/// Only its start time reveals the restart.
 #[test]
-fn a_report_of_another_start_comes_from_a_restarted_engine() {
+fn report_with_another_start_time_reveals_a_restart() {
     let mut residency = residency();
-    residency.take_report(report_of(1_000, 2, &["m1"]));
-    assert!(residency.is_restarted(&report_of(2_000, 2, &[])));
-    assert!(residency.is_restarted(&report_of(500, 4, &[])));
-    assert!(!residency.is_restarted(&report_of(1_000, 3, &["m1"])));
+    residency.take_report(report_from_start(1_000, 2, &["m1"]));
+    assert!(residency.is_restarted(&report_from_start(2_000, 2, &[])));
+    assert!(residency.is_restarted(&report_from_start(500, 4, &[])));
+    assert!(!residency.is_restarted(&report_from_start(1_000, 3, &["m1"])));
     assert!(!residency.is_restarted(&report(3, &["m1"])));
 }
 
-/// The answer to a load is lost, and the engine starts again under its name. The lost order names that
-/// engine, and may be carried out when the new start is at its sequence. Beside two other models it would
-/// be too much, and the engine would crash: room is kept until it can't come any more.
+/// The answer to a load is lost, and the engine restarts under the same name. The lost order names that
+/// engine and may be carried out once the restarted engine is at its sequence number. In addition to two
+/// other models it would exceed the memory and crash the engine. Memory is reserved for it until it can no
+/// longer be carried out.
 #[test]
-fn room_is_kept_for_a_load_that_an_ended_start_was_ordered() {
+fn memory_is_reserved_for_an_orphaned_load() {
     let mut residency = residency();
     residency.take_report(report(1, &["m1"]));
     residency.take_advice(advice("m2", &[], &["m1"]), at(0));
--- a/crates/oatpier-serving/tests/testsuite/rights.rs
+++ b/crates/oatpier-serving/tests/testsuite/rights.rs
@@ -10,11 +10,11 @@
 use crate::residency::{advice, report};
 use crate::support::{address, at, fixed_cases, model};
 
-/// An engine has just joined a fleet of more engines than loads in a window: it has no part of the rate. Its
-/// callers wait while another engine's part lies unused. It borrows that one's, once, and the other one waits
-/// as long as if it had loaded itself.
+/// An engine has just joined a fleet with more engines than loads per window, so it has no share of the
+/// rate. Its callers wait while another engine's share is unused. It borrows that right once, and the
+/// lender waits as long as if it had loaded itself.
 #[test]
-fn an_engine_without_a_part_of_the_rate_borrows_one() {
+fn engine_without_a_rate_share_borrows_a_right() {
     let pace = |place| LoadPace {
         loads: 1,
         engines: 2,
@@ -29,12 +29,12 @@
     advised.lenders = vec![address(1)];
     borrower.take_advice(advised, at(0));
     assert_eq!(borrower.next_order(at(0)), None);
-    let question = borrower.ask_for_right(7, at(0)).unwrap();
-    assert_eq!(question.lender, address(1));
+    let request = borrower.ask_for_right(7, at(0)).unwrap();
+    assert_eq!(request.lender, address(1));
     assert!(lender.lend(at(2)));
     assert!(!lender.lend(at(3)), "a right is lent once");
     assert!(!lender.store_load_wait(at(5_000)).is_zero());
-    borrower.take_right(question.right);
+    borrower.take_right(request.right);
     let order = borrower.next_order(at(4)).unwrap();
     assert_eq!(order.order, EngineOrder::LoadModel(model("m1")));
     borrower.note_answer(&order, OrderAnswer::Taken, at(4));
@@ -49,10 +49,10 @@
     );
 }
 
-/// The lender's yes comes late: the borrower was frozen meanwhile. By then the lender may have its right again,
-/// and two loads would begin where one may.
+/// The lender's grant arrives late because the borrower was frozen. By then the lender may have its right
+/// again, and two loads would begin where only one is allowed.
 #[test]
-fn a_right_that_comes_too_late_is_not_used() {
+fn right_that_arrives_too_late_is_not_used() {
     let pace = LoadPace {
         loads: 1,
         engines: 2,
@@ -64,22 +64,22 @@
     let mut advised = advice("m1", &[], &[]);
     advised.lenders = vec![address(1)];
     borrower.take_advice(advised, at(0));
-    let question = borrower.ask_for_right(7, at(0)).unwrap();
-    borrower.take_right(question.right);
+    let request = borrower.ask_for_right(7, at(0)).unwrap();
+    borrower.take_right(request.right);
     assert_eq!(borrower.next_order(at(400)), None);
 }
 
 proptest! {
     #![proptest_config(fixed_cases(128))]
 
-    /// Engines that load whenever they may lend each other their parts of the rate: questions and answers are lost or come late,
-    /// and lenders and borrowers are killed in between.
+    /// Engines that load whenever they may lend each other their shares of the rate. Messages are lost or
+    /// delayed, and lenders and borrowers are killed in between.
     #[test]
-    fn lent_rights_keep_the_rate_of_the_weight_store(
+    fn lent_rights_keep_the_store_rate_limit(
         engines in 2_u32..30,
         loads in 1_u32..30,
         restarts in prop::collection::vec((0_u64..20_000, 0_usize..30), 0..20),
-        words in prop::collection::vec((any::<bool>(), 0_u64..500, 0_usize..30), 40),
+        deliveries in prop::collection::vec((any::<bool>(), 0_u64..500, 0_usize..30), 40),
     ) {
         let pace_of = |place| LoadPace { loads, engines, place, window: Duration::from_secs(5) };
         let count = engines as usize;
@@ -87,7 +87,7 @@
             (0..engines).map(|place| EngineResidency::new(pace_of(place), true, at(0))).collect();
         let mut begun = Vec::new();
         let mut answers: Vec<(u64, usize, LoadRight)> = Vec::new();
-        let mut word = 0;
+        let mut delivery_index = 0;
         for now in (0..20_000).step_by(20) {
             for (when, which) in &restarts {
                 if (now..now + 20).contains(when) && *which < count {
@@ -110,11 +110,11 @@
                     begun.push(now);
                     sidecars[place].note_answer(&order, OrderAnswer::Taken, at(now));
                     sidecars[place].take_report(report(now + 1, &["m1"]));
-                } else if let Some(question) = sidecars[place].ask_for_right(now, at(now)) {
-                    word += 1;
-                    let (is_lost, delay, lender) = words[word % words.len()];
+                } else if let Some(request) = sidecars[place].ask_for_right(now, at(now)) {
+                    delivery_index += 1;
+                    let (is_lost, delay, lender) = deliveries[delivery_index % deliveries.len()];
                     if !is_lost && sidecars[lender % count].lend(at(now)) {
-                        answers.push((now + delay, place, question.right));
+                        answers.push((now + delay, place, request.right));
                     }
                 }
             }
