--- a/crates/oatpier-serving/src/admission.rs
+++ b/crates/oatpier-serving/src/admission.rs
@@ -162,13 +162,17 @@
 
     /// Returns a refusal for a request that no endpoint accepts for a known time. That time is not
     /// shortened, and its jitter is bounded so that the capacity is used once it is available.
-    pub fn held(&mut self, held: &HeldService) -> Refusal {
-        let cause = match held.cause {
+    pub fn held(&mut self, throttled: &HeldService) -> Refusal {
+        let cause = match throttled.cause {
             ThrottleCause::RateLimit => RefusalCause::RateLimited,
             ThrottleCause::Backoff => RefusalCause::EndpointRests,
         };
-        let jitter = held.left.mul_f64(RETRY_JITTER).min(MAX_THROTTLE_JITTER);
-        let after = held.left.max(MIN_RETRY_AFTER) + jitter.mul_f64(self.generator.random::<f64>());
+        let jitter = throttled
+            .left
+            .mul_f64(RETRY_JITTER)
+            .min(MAX_THROTTLE_JITTER);
+        let after =
+            throttled.left.max(MIN_RETRY_AFTER) + jitter.mul_f64(self.generator.random::<f64>());
         Refusal {
             cause,
             retry_after: Some(after),
--- a/crates/oatpier-serving/src/choice.rs
+++ b/crates/oatpier-serving/src/choice.rs
@@ -187,7 +187,7 @@
     }
     match (best, skipped.throttled) {
         (Some((_, choice)), _) => ChoiceVerdict::Endpoint(choice),
-        (None, Some(held)) => ChoiceVerdict::Held(held),
+        (None, Some(throttled)) => ChoiceVerdict::Held(throttled),
         (None, None) if skipped.has_open => ChoiceVerdict::NoModel {
             ready_in: skipped.ready_in,
             load: skipped.load,
@@ -207,7 +207,11 @@
 
 impl SkippedEndpoints {
     fn note_throttled(&mut self, row: &EndpointRow, cause: ThrottleCause, left: Duration) {
-        if self.throttled.as_ref().is_none_or(|held| left < held.left) {
+        if self
+            .throttled
+            .as_ref()
+            .is_none_or(|earliest| left < earliest.left)
+        {
             self.throttled = Some(HeldService {
                 endpoint: row.record.name.clone(),
                 cause,
@@ -234,6 +238,7 @@
     weights.is_none_or(|weights| row.holds(&weights.model, now))
 }
 
+/// Returns the cost of sending a request to an endpoint, and the choice of that endpoint.
 fn score(
     directory: &EndpointDirectory,
     row: &EndpointRow,
@@ -278,7 +283,7 @@
 }
 
 /// Returns the time until a slot and memory are free, in milliseconds. Each request that ends frees one
-/// slot, and the ends are assumed to be spread evenly over the hold time of requests.
+/// slot, and the ends are assumed to be spread evenly over the time that requests occupy a slot.
 fn queue_ms(row: &EndpointRow, request: &CallerRequest, now: ClockTime) -> f64 {
     let slots = f64::from(row.record.slots.max(1));
     let excess_requests = f64::from(row.present()) + 1.0 - slots;
@@ -339,8 +344,8 @@
         return 0.0;
     };
     let depth = (holder.tokens + PART_UNITS / 2) / PART_UNITS;
-    let kept = parts.iter().take(depth as usize);
-    f64::from(kept.map(|part| part.tokens).sum::<u32>())
+    let cached = parts.iter().take(depth as usize);
+    f64::from(cached.map(|part| part.tokens).sum::<u32>())
 }
 
 /// Returns the hashes of a prompt's prefixes of increasing length. Prefixes are cached per model and
--- a/crates/oatpier-serving/src/planner/forecast.rs
+++ b/crates/oatpier-serving/src/planner/forecast.rs
@@ -20,45 +20,45 @@
 /// Longest time over which a rise is extrapolated: the longest load, and the time until it begins.
 const MAX_LEAD: Duration = Duration::from_millis(4_500);
 
-/// Hold time that is assumed before any request was observed, in seconds. Lies between the means of short
+/// Slot time that is assumed before any request was observed, in seconds. Lies between the means of short
 /// and long streams.
-const DEFAULT_HOLD_S: f64 = 0.9;
+const DEFAULT_SLOT_TIME_S: f64 = 0.9;
 
-/// Weight of the fleet-wide mean in the hold time of one model, in requests per second. Keeps a single long
+/// Weight of the fleet-wide mean in the slot time of one model, in requests per second. Keeps a single long
 /// stream from dominating the estimate for a model with few requests.
-const HOLD_PRIOR_PER_S: f64 = 2.0;
+const SLOT_TIME_PRIOR_PER_S: f64 = 2.0;
 
 /// Mean time that requests occupy a slot, over all models.
 #[derive(Debug, Clone, Copy)]
-pub struct HoldTimes {
+pub struct SlotTimes {
     mean_s: f64,
 }
 
-impl HoldTimes {
-    /// Returns the mean hold time over all models: the requests at engines divided by the requests sent per
+impl SlotTimes {
+    /// Returns the mean slot time over all models: the requests at engines divided by the requests sent per
     /// second.
     #[must_use]
     pub fn of_fleet(demand: &HashMap<ModelName, TotalDemand>) -> Self {
         let running: f64 = demand.values().map(|total| total.running).sum();
         let sent: f64 = demand.values().map(|total| total.sent).sum();
         Self {
-            mean_s: (running + DEFAULT_HOLD_S) / (sent + 1.0),
+            mean_s: (running + DEFAULT_SLOT_TIME_S) / (sent + 1.0),
         }
     }
 
-    /// Returns the hold time of one model's requests, in seconds.
+    /// Returns the slot time of one model's requests, in seconds.
     pub(super) fn of_model(self, total: &TotalDemand) -> f64 {
-        let held = total.running + self.mean_s * HOLD_PRIOR_PER_S;
-        held / (total.sent + HOLD_PRIOR_PER_S)
+        let held = total.running + self.mean_s * SLOT_TIME_PRIOR_PER_S;
+        held / (total.sent + SLOT_TIME_PRIOR_PER_S)
     }
 }
 
 /// Returns the number of slots that requests of a model will occupy at the same time after `lead`.
 #[must_use]
-pub fn slots_wanted(total: &TotalDemand, holds: HoldTimes, lead: Duration) -> f64 {
+pub fn slots_wanted(total: &TotalDemand, slot_times: SlotTimes, lead: Duration) -> f64 {
     total
         .running
-        .max(rate_after(total, lead) * holds.of_model(total))
+        .max(rate_after(total, lead) * slot_times.of_model(total))
 }
 
 /// Returns the arrival rate of requests for a model after `lead`, in requests per second.
--- a/crates/oatpier-serving/src/planner/gain.rs
+++ b/crates/oatpier-serving/src/planner/gain.rs
@@ -81,7 +81,7 @@
 }
 
 impl PlanRound<'_> {
-    pub(super) fn option(
+    pub(super) fn load_option(
         &self,
         engine: usize,
         model: &ModelName,
@@ -182,7 +182,7 @@
             return 0.0;
         };
         let streams = self.uses.requests(view.row.record.address, model);
-        let drain_s = lost.hold_s * expected_longest(streams);
+        let drain_s = lost.slot_time_s * expected_longest(streams);
         ENGINE_TIME_COST_PER_S * drain_s + self.removal_cost(view, model, lost)
     }
 
@@ -250,8 +250,8 @@
     }
 }
 
-/// Returns the expected remaining time of the longest of `streams` streams, in hold times. Streams end at
-/// random times, so the first end takes a fraction of a hold time and the last ones take whole hold times.
+/// Returns the expected remaining time of the longest of `streams` streams, in slot times. Streams end at
+/// random times, so the first end takes a fraction of a slot time and the last ones take whole slot times.
 fn expected_longest(streams: u32) -> f64 {
     (1..=streams).map(|left| 1.0 / f64::from(left)).sum()
 }
--- a/crates/oatpier-serving/src/planner/mod.rs
+++ b/crates/oatpier-serving/src/planner/mod.rs
@@ -162,7 +162,7 @@
         let mut round = self.build_round(rule, rows.into_iter(), demand, now);
         self.update_missing(&round);
         let mut outcome = PlanOutcome::default();
-        for wanted in round.wanted(&self.missing) {
+        for wanted in round.wanted_loads(&self.missing) {
             if self.crashes.is_backed_off(&wanted.model, now) {
                 let mut blocked = round.describe_blocked(&wanted.model, wanted.reason);
                 blocked.rests = true;
@@ -191,7 +191,7 @@
         if self.crashes.is_backed_off(&model, round.now) {
             return;
         }
-        let Some(option) = round.option(engine, &model, LoadReason::Room) else {
+        let Some(option) = round.load_option(engine, &model, LoadReason::Room) else {
             return;
         };
         if option.from_store || !option.unload.is_empty() {
@@ -230,7 +230,7 @@
             rule,
             models: HashMap::new(),
             uses: demand.uses,
-            lenders: self.lenders(&engines, now),
+            lenders: self.available_lenders(&engines, now),
             busy_share: busy_share(&engines),
             engines,
             slots: f64::from(slots.max(1)),
@@ -242,7 +242,7 @@
     }
 
     /// Returns the engines that can lend their right to load from the weight store.
-    fn lenders(&self, engines: &[EngineView<'_>], now: ClockTime) -> Vec<usize> {
+    fn available_lenders(&self, engines: &[EngineView<'_>], now: ClockTime) -> Vec<usize> {
         let has_right = |view: &EngineView<'_>| {
             let pulse = view.row.pulse(now);
             pulse.is_some_and(|pulse| pulse.answers && pulse.load_wait_ms == 0)
--- a/crates/oatpier-serving/src/planner/round.rs
+++ b/crates/oatpier-serving/src/planner/round.rs
@@ -8,7 +8,7 @@
 use oatpier_types::names::ModelName;
 use smallvec::SmallVec;
 
-use super::forecast::{self, HoldTimes};
+use super::forecast::{self, SlotTimes};
 use super::gain::LoadOption;
 use super::{BlockedLoad, LoadReason, PlannedLoad};
 use crate::directory::EndpointRow;
@@ -103,7 +103,7 @@
     pub(super) idle: Option<Duration>,
     pub(super) unserved: f64,
     /// Time that a request occupies a slot, in seconds.
-    pub(super) hold_s: f64,
+    pub(super) slot_time_s: f64,
 }
 
 impl ModelView {
@@ -146,10 +146,10 @@
 
 impl PlanRound<'_> {
     pub(super) fn add_models(&mut self, demand: &HashMap<ModelName, TotalDemand>) {
-        let holds = HoldTimes::of_fleet(demand);
+        let slot_times = SlotTimes::of_fleet(demand);
         for rule in &self.rule.models {
             let total = demand.get(&rule.name).copied().unwrap_or_default();
-            let requests = forecast::slots_wanted(&total, holds, rule.load);
+            let requests = forecast::slots_wanted(&total, slot_times, rule.load);
             let adapter_slots =
                 f64::from(u32::try_from(self.rule.adapter_slots).unwrap_or(u32::MAX));
             let view = ModelView {
@@ -164,7 +164,7 @@
                 long_request_rate: total.asked_long,
                 idle: total.idle,
                 unserved: total.unserved,
-                hold_s: holds.of_model(&total),
+                slot_time_s: slot_times.of_model(&total),
             };
             self.models.insert(&rule.name, view);
         }
@@ -290,8 +290,8 @@
         let engines = &self.engines;
         self.lenders
             .sort_by_key(|index| (!engines[*index].is_free, *index));
-        let kept = self.lenders.len().saturating_sub(LENDERS_PER_ADVICE);
-        let taken = self.lenders.split_off(kept);
+        let remaining = self.lenders.len().saturating_sub(LENDERS_PER_ADVICE);
+        let taken = self.lenders.split_off(remaining);
         let rows = taken.iter().map(|index| engines[*index].row);
         rows.map(|row| row.record.address).collect()
     }
--- a/crates/oatpier-serving/src/planner/wanted.rs
+++ b/crates/oatpier-serving/src/planner/wanted.rs
@@ -53,7 +53,7 @@
 impl PlanRound<'_> {
     /// Returns the loads that are needed, those with the largest gain first. Each load takes seconds of
     /// engine time and one load of the weight store's rate, so the order decides which models get them.
-    pub(super) fn wanted(&self, missing: &HashMap<ModelName, ClockTime>) -> Vec<WantedLoad> {
+    pub(super) fn wanted_loads(&self, missing: &HashMap<ModelName, ClockTime>) -> Vec<WantedLoad> {
         let unreachable = self
             .unreachable()
             .map(|model| self.missing_load(model, missing));
@@ -131,7 +131,7 @@
         store_has_tokens: bool,
     ) -> Option<LoadOption> {
         let options = (0..self.engines.len())
-            .filter_map(|engine| self.option(engine, &wanted.model, wanted.reason));
+            .filter_map(|engine| self.load_option(engine, &wanted.model, wanted.reason));
         let best = options
             .filter(|option| store_has_tokens || !option.from_store)
             .filter(|option| option.displaced_rate <= wanted.max_displaced_rate)
--- a/crates/oatpier-serving/src/reading.rs
+++ b/crates/oatpier-serving/src/reading.rs
@@ -23,8 +23,8 @@
 /// Logarithm of the factor by which one sample moves the estimate.
 const ESTIMATE_STEP: f64 = 0.12;
 
-/// Additional step for the first samples, divided by the number of samples so far. The very first one may be several times
-/// too long, and a busy model should have an estimate after one second.
+/// Additional step for the first samples, divided by the number of samples so far. The very first one may
+/// be several times too long, and a busy model should have an estimate after one second.
 const INITIAL_STEP: f64 = 1.5;
 
 /// Number of samples after which the estimate is used.
--- a/crates/oatpier-serving/src/residency/mod.rs
+++ b/crates/oatpier-serving/src/residency/mod.rs
@@ -56,12 +56,14 @@
     pub expect: u64,
 }
 
+/// Advice that is not carried out yet, and the time at which it was received.
 #[derive(Debug)]
 struct PendingAdvice {
     advice: LoadAdvice,
     at: ClockTime,
 }
 
+/// An adapter, and the time at which it was last requested or began to drain.
 #[derive(Debug, Clone)]
 struct TimedAdapter {
     key: AdapterKey,
@@ -99,6 +101,7 @@
     retiring: SmallVec<[ModelName; 2]>,
     retiring_since: ClockTime,
     loading: Option<ModelName>,
+    /// Adapters that gateways wait for, in the order of their first requests.
     requested: VecDeque<TimedAdapter>,
     last_used: HashMap<AdapterKey, ClockTime>,
     /// Adapters in use by each gateway's requests, as last reported.
--- a/crates/oatpier-serving/src/residency/rights.rs
+++ b/crates/oatpier-serving/src/residency/rights.rs
@@ -57,7 +57,7 @@
         }
         if self
             .requested_right
-            .is_some_and(|asked| now.since(asked.at) < REQUEST_INTERVAL)
+            .is_some_and(|requested| now.since(requested.at) < REQUEST_INTERVAL)
         {
             return None;
         }
@@ -107,12 +107,12 @@
 
     /// Records that a lender granted the requested right.
     pub fn take_right(&mut self, right: LoadRight) {
-        if let Some(asked) = self
+        if let Some(requested) = self
             .requested_right
             .as_mut()
-            .filter(|asked| asked.right == right)
+            .filter(|requested| requested.right == right)
         {
-            asked.is_granted = true;
+            requested.is_granted = true;
         }
     }
 
@@ -120,7 +120,7 @@
     pub(super) fn may_load_from_store(&self, now: ClockTime) -> bool {
         let is_lent = self
             .requested_right
-            .is_some_and(|asked| asked.is_valid(now));
+            .is_some_and(|requested| requested.is_valid(now));
         is_lent || self.store_load_wait(now).is_zero()
     }
 
@@ -130,7 +130,7 @@
         if !is_own
             && self
                 .requested_right
-                .take_if(|asked| asked.is_valid(now))
+                .take_if(|requested| requested.is_valid(now))
                 .is_some()
         {
             return;
--- a/crates/oatpier-serving/tests/testsuite/forecast.rs
+++ b/crates/oatpier-serving/tests/testsuite/forecast.rs
@@ -8,7 +8,7 @@
 
 use oatpier_serving::demand::DemandBook;
 use oatpier_serving::peers::{PeerBook, TotalDemand};
-use oatpier_serving::planner::forecast::{HoldTimes, slots_wanted};
+use oatpier_serving::planner::forecast::{SlotTimes, slots_wanted};
 use oatpier_types::names::ModelName;
 
 use crate::support::{address, at, model, request};
@@ -28,8 +28,12 @@
 }
 
 fn slots_after(total: &HashMap<ModelName, TotalDemand>, lead_s: u64) -> f64 {
-    let holds = HoldTimes::of_fleet(total);
-    slots_wanted(&total[&model("m1")], holds, Duration::from_secs(lead_s))
+    let slot_times = SlotTimes::of_fleet(total);
+    slots_wanted(
+        &total[&model("m1")],
+        slot_times,
+        Duration::from_secs(lead_s),
+    )
 }
 
 /// Callers of a model with rising demand would be refused until a load that begins after the rise is done.
@@ -87,7 +91,7 @@
         idle: Some(Duration::ZERO),
     };
     let all = HashMap::from([(model("short"), row(4.0)), (model("long"), row(40.0))]);
-    let holds = HoldTimes::of_fleet(&all);
-    let slots = |name: &str| slots_wanted(&all[&model(name)], holds, Duration::ZERO);
+    let slot_times = SlotTimes::of_fleet(&all);
+    let slots = |name: &str| slots_wanted(&all[&model(name)], slot_times, Duration::ZERO);
     assert!(slots("long") > 4.0 * slots("short"));
 }
