--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint.
+//! One attempt to send a request to one endpoint.
 
 use std::sync::Arc;
 
@@ -19,58 +19,58 @@
 use super::permits::HeldPermit;
 use super::placement::{PlacedSend, RequestPlan};
 
-/// The largest whole answer, in bytes. Larger ones would have to be relayed before their end is
-/// known; the services answer a few kilobytes.
+/// The maximum size of a buffered response, in bytes. Larger ones would have to be relayed before they are known to
+/// be complete; the services respond with a few kilobytes.
 const WHOLE_ANSWER_BYTES: usize = 8 << 20;
 
-/// What a caller sent.
+/// The request as the caller sent it.
 #[derive(Debug, Clone)]
 pub struct CallerMessage {
-    /// Method, path and headers.
+    /// The method, path and headers.
     pub head: Arc<Parts>,
     /// The body.
     pub body: Bytes,
 }
 
-/// An attempt whose head is here and good: its body follows.
+/// A response whose head was received and accepted; the body follows.
 pub struct OpenAnswer {
-    /// The head.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers, for the caller.
+    /// The response headers for the caller.
     pub headers: HeaderMap,
     /// The body.
     pub body: AnswerBody,
-    /// Accounts for the end.
+    /// Records the end of the attempt.
     pub guard: AttemptGuard,
 }
 
 /// Why an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No connection came about.
+    /// No connection could be established.
     Unreachable,
-    /// A connection was there, and no byte was written to it.
+    /// A connection was established, but no byte was written to it.
     Unsent,
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     Refused,
-    /// Since it was placed the endpoint has said that it does not want it.
+    /// After the request was placed, the endpoint asked not to be sent requests.
     HeldBack,
-    /// Another endpoint has the address, and did not run the request.
+    /// Another endpoint now uses the address and did not run the request.
     Replaced,
-    /// The endpoint lacks the weights, and did not run the request.
+    /// The endpoint lacks the weights and did not run the request.
     WeightsMissing,
-    /// The answer, or its connection, broke off.
+    /// The response or its connection broke off.
     Cut,
-    /// The answer is not the endpoint's whole and own one to this request.
+    /// The response is incomplete, belongs to another request, or does not come from the endpoint itself.
     Spoilt,
-    /// Nothing came for too long.
+    /// No data arrived within the timeout.
     Silent,
-    /// The endpoint failed, and another one may do better.
+    /// The endpoint failed with a server error, and another endpoint may succeed.
     ServerError,
 }
 
 impl AttemptFailure {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     #[must_use]
     pub fn verdict(self) -> RunVerdict {
         match self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether any byte of the request reached the endpoint that it was sent to.
+    /// Returns whether any byte of the request reached the intended endpoint.
     #[must_use]
     pub fn has_reached(self) -> bool {
         !matches!(
@@ -93,8 +93,8 @@
         )
     }
 
-    /// Whether the second send that follows needs nothing of the allowance: it was taken already, or
-    /// no endpoint got the first.
+    /// Returns whether the next send takes nothing from the retry budget, because it was already charged or because
+    /// no endpoint received the first send.
     #[must_use]
     pub fn is_paid(self) -> bool {
         matches!(
@@ -103,7 +103,7 @@
         )
     }
 
-    /// The word that logs and metrics use.
+    /// Returns the value used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -121,7 +121,7 @@
     }
 }
 
-/// Accounts for an attempt exactly once, also when its task is dropped since the caller left.
+/// Records the end of an attempt exactly once, even if its task is dropped because the caller disconnected.
 pub struct AttemptGuard {
     core: Arc<GatewayCore>,
     plan: Arc<RequestPlan>,
@@ -129,14 +129,14 @@
     pub endpoint: EndpointName,
     sent_at: ClockTime,
     sent: SentPrompt,
-    /// Whether the endpoint has yet to read the prompt.
+    /// Whether the endpoint has not processed the prompt yet.
     is_unread: bool,
     permit: Option<HeldPermit>,
     outcome: EndpointOutcome,
 }
 
 impl AttemptGuard {
-    /// An attempt that begins now.
+    /// Starts an attempt now.
     #[must_use]
     pub fn begin(
         core: &Arc<GatewayCore>,
@@ -157,13 +157,13 @@
         }
     }
 
-    /// When it was sent.
+    /// Returns the time at which the request was sent.
     #[must_use]
     pub fn sent_at(&self) -> ClockTime {
         self.sent_at
     }
 
-    /// The head of the answer is here, and says this of the endpoint.
+    /// Records what the response head reports about the endpoint.
     fn note_notice(&self, notice: EndpointNotice, was_taken: bool) {
         let heard = HeardNotice {
             notice,
@@ -175,7 +175,7 @@
         self.core.take_notice(&self.endpoint, &heard, request);
     }
 
-    /// The first piece of the answer is here.
+    /// Records that the first chunk of the response was received.
     pub fn note_first(&mut self) {
         let now = self.core.clock.now();
         let took = now.since(self.sent_at);
@@ -195,13 +195,13 @@
         self.permit = None;
     }
 
-    /// The answer came to its end.
+    /// Ends the attempt with a complete response.
     pub fn finish_whole(mut self) {
         let held = self.core.clock.now().since(self.sent_at);
         self.outcome = EndpointOutcome::Whole { held };
     }
 
-    /// It ended otherwise.
+    /// Ends the attempt with another outcome.
     pub fn finish(mut self, outcome: EndpointOutcome) {
         self.outcome = outcome;
     }
@@ -215,11 +215,11 @@
     }
 }
 
-/// Sends a request to an endpoint and waits for the head of its answer.
+/// Sends a request to an endpoint and waits for the response head.
 ///
 /// # Errors
 ///
-/// Says whether the request may have run.
+/// Returns the cause of the failure, which tells whether the request may have run.
 pub async fn send(
     core: &Arc<GatewayCore>,
     plan: &Arc<RequestPlan>,
@@ -276,7 +276,7 @@
     failure
 }
 
-/// Judges the head of an answer: whether it is this request's, whole in form, and what it says.
+/// Checks whether a response head belongs to this request and is complete, and acts on what it reports.
 fn judge_head(
     core: &Arc<GatewayCore>,
     plan: &RequestPlan,
@@ -306,7 +306,8 @@
     }
 }
 
-/// Whether an answer is its endpoint's own, so that what it says of itself can be believed.
+/// Returns whether a response comes from the endpoint itself, so that its statements about the endpoint can be
+/// trusted.
 fn is_of_endpoint(head: &AnswerHead, endpoint: &EndpointName) -> bool {
     let is_other = head.instance.as_ref().is_some_and(|name| name != endpoint);
     head.kind != AnswerKind::Spoilt && !is_other
@@ -335,11 +336,11 @@
     AttemptFailure::WeightsMissing
 }
 
-/// Reads a whole answer to its end.
+/// Reads a response body to its end.
 ///
 /// # Errors
 ///
-/// It was cut: the request has run.
+/// Returns an error if the response was cut off; the request has run then.
 pub async fn collect(answer: OpenAnswer) -> Result<Response<Bytes>, AttemptFailure> {
     let OpenAnswer {
         status,
--- a/crates/oatpier-gateway/src/gateway/placement.rs
+++ b/crates/oatpier-gateway/src/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! A request on its way to an endpoint, and what is to be done with it.
+//! A request that is being placed, and the possible placement decisions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,50 +19,51 @@
 use super::permits::HeldPermit;
 use super::quota::ChargeCell;
 
-/// A request waits for an adapter at most for this share of the time that it has left; beyond, the
-/// caller does better to come back.
+/// The maximum wait for an adapter, as a share of the time that the caller waits for the first chunk. After that a
+/// retry by the caller is more likely to succeed.
 const ADAPTER_WAIT_SHARE: f64 = 0.4;
 
-/// A request waits for a model at most for this share of its caller's patience: the rest is the way to the
-/// engine and the reading of its prompt, behind others that waited for the same model.
+/// The maximum wait for a model, as a share of the time that the caller waits for the first chunk. The rest is
+/// needed for sending the request and for processing its prompt, queued behind other requests that waited for the
+/// same model.
 const MODEL_WAIT_SHARE: f64 = 0.75;
 
-/// Callers of streams leave when nothing came for the longest of: two seconds, four times the target
-/// of the first piece, and eight times the longest pause that is in time.
+/// Callers of streams give up when nothing arrived for the longest of: two seconds, four times the latency target
+/// of the first chunk, and eight times the longest allowed pause between chunks.
 const PATIENCE_LEAST: Duration = Duration::from_secs(2);
 const PATIENCE_TARGETS: u32 = 4;
 const PATIENCE_PAUSES: u32 = 8;
 
-/// A request on its way to an endpoint.
+/// A request with the properties that its placement depends on.
 #[derive(Debug)]
 pub struct RequestPlan {
-    /// Its route.
+    /// The route that matched.
     pub route: Arc<RouteRule>,
-    /// Whose it is.
+    /// The identity of the caller.
     pub identity: CallerIdentity,
-    /// The service that it goes to.
+    /// The service that the request is sent to.
     pub service: PoolName,
-    /// What it asks for.
+    /// What the caller asked for, decoded from the headers.
     pub request: CallerRequest,
-    /// What tells it from other requests, whichever id it comes with.
+    /// Identifies the request by its content, regardless of the request id.
     pub fingerprint: RequestFingerprint,
-    /// When it came in.
+    /// The time of arrival.
     pub arrived: ClockTime,
-    /// When it gets its final answer at the latest.
+    /// The time at which the caller gets a final response at the latest.
     pub deadline: ClockTime,
-    /// What its workspace was charged for it.
+    /// What the workspace was charged for the request.
     pub charge: ChargeCell,
-    /// Whether it was counted as demand that could not be served at once.
+    /// Whether the request was already counted as demand that could not be served at once.
     pub unserved: AtomicBool,
 }
 
 impl RequestPlan {
-    /// Its rank, 0 first.
+    /// Returns the priority, 0 being the highest.
     pub(super) fn priority(&self) -> u8 {
         self.identity.priority(&self.route)
     }
 
-    /// How long its caller waits for the first piece of the answer.
+    /// Returns how long the caller waits for the first chunk of the response.
     pub(super) fn first_patience(&self) -> Duration {
         let whole = self.deadline.since(self.arrived);
         let RouteKind::Stream { pause, .. } = self.route.kind else {
@@ -72,55 +73,56 @@
         whole.min(first.max(PATIENCE_LEAST))
     }
 
-    /// Whether it has waited as long as it may for an endpoint that can take it.
+    /// Returns whether the request has waited for an endpoint for the maximum time.
     pub(super) fn has_waited_out(&self, now: ClockTime) -> bool {
         let most = admission::longest_wait(&self.route, self.first_patience());
         now.since(self.arrived) > most
     }
 
-    /// How much longer it can wait for its turn at an endpoint that names a limit.
+    /// Returns how much longer the request can wait for a turn at a rate-limited endpoint.
     pub(super) fn turn_patience(&self, now: ClockTime) -> Duration {
         self.wait_left(now).min(MOST_AHEAD)
     }
 
-    /// How much longer it may wait for an endpoint.
+    /// Returns how much longer the request may wait for an endpoint.
     pub(super) fn wait_left(&self, now: ClockTime) -> Duration {
         let most = admission::longest_wait(&self.route, self.first_patience());
         most.saturating_sub(now.since(self.arrived))
     }
 
-    /// How long it waits for its model at the most.
+    /// Returns the maximum wait for a model.
     pub(super) fn model_patience(&self) -> Duration {
         self.first_patience().mul_f64(MODEL_WAIT_SHARE)
     }
 
-    /// How long it waits for its adapter at the most.
+    /// Returns the maximum wait for an adapter.
     pub(super) fn adapter_patience(&self) -> Duration {
         self.first_patience().mul_f64(ADAPTER_WAIT_SHARE)
     }
 }
 
-/// What is to be done with a request now.
+/// What to do with a request now.
 #[derive(Debug)]
 pub enum Placement {
-    /// Send it there.
+    /// Send the request to this endpoint.
     Send(PlacedSend),
-    /// Ask again when something has changed, at the latest after this long.
+    /// Place the request again when the state changes, or after this time at the latest.
     Wait(Duration),
-    /// Ask again after this long: what it waits for changes with every request.
+    /// Place the request again after this time, whatever changes meanwhile: the load of the endpoint changes with
+    /// every request.
     Pause(Duration),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(PlacementRefusal),
 }
 
-/// Why a request has no place.
+/// Why a request could not be placed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementRefusal {
     /// The refusal.
     pub refusal: Refusal,
-    /// The best endpoint for it, if there is one: it is too busy.
+    /// The best endpoint, if there is one; it is overloaded.
     pub best: Option<EndpointChoice>,
-    /// What keeps it from its endpoints, if they asked to be left alone.
+    /// Why no endpoint can be used, if all have asked for a back-off or are over their rate limit.
     pub held: Option<HeldService>,
 }
 
@@ -142,19 +144,19 @@
     }
 }
 
-/// Where a request is sent.
+/// The endpoint that a request is sent to.
 #[derive(Debug)]
 pub struct PlacedSend {
-    /// The choice, with its prediction.
+    /// The chosen endpoint, with its prediction.
     pub choice: EndpointChoice,
-    /// Where the endpoint listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Requests that the endpoint runs at the same time.
+    /// The number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// How old the last word of the endpoint's sidecar was; none without one.
+    /// The age of the last report of the endpoint's sidecar, or `None` without one.
     pub load_age: Option<Duration>,
-    /// Its turn, where the endpoint names a limit.
+    /// The turn, if the endpoint has a rate limit.
     pub turn: Option<HeldTurn>,
-    /// The permit to send it its prompt, if one is needed.
+    /// The permit to send the prompt, if one is needed.
     pub permit: Option<HeldPermit>,
 }
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -1,4 +1,4 @@
-//! Where a request goes now: to an endpoint, to wait, or back to its caller.
+//! Decides where a request goes now: to an endpoint, into a wait, or back to its caller with a refusal.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,36 +15,37 @@
 use super::core::{CoreState, GatewayCore};
 use super::placement::{PlacedSend, Placement, PlacementRefusal, RequestPlan};
 
-/// While no engine is loading the model yet, a request waits so long for the planner to act.
+/// How long a request waits for the planner to act while no engine is loading the model yet.
 const PLANNER_WAIT: Duration = Duration::from_millis(400);
 
-/// When to come back where a model has to be loaded and no engine is heard that could.
+/// The `Retry-After` sent when a model must be loaded and no sidecar of an engine that could load it is reporting.
 const MODEL_RETURN: Duration = Duration::from_millis(900);
 
-/// When to come back where an adapter found no place in time: places are free when streams end.
+/// The `Retry-After` sent when no adapter slot became free in time; slots become free when streams end.
 const ADAPTER_RETURN: Duration = Duration::from_millis(300);
 
-/// When to come back where no endpoint is there, or none is known yet.
+/// The `Retry-After` sent when the service has no endpoint, or none is known yet.
 const ABSENT_RETURN: Duration = Duration::from_millis(500);
 
-/// How soon a request that waits for an adapter asks again, and repeats its wish: a load takes 5 to
-/// 10 ms, and a lost datagram should cost little more.
+/// The interval at which a request that waits for an adapter is placed again and its load request is repeated.
+/// Loading an adapter takes 5 to 10 ms, and a lost datagram should add little to that.
 const ADAPTER_RETRY: Duration = Duration::from_millis(25);
 
-/// How soon a request that waits for a model asks again if nothing is heard.
+/// The interval at which a request that waits for a model is placed again if no change is reported.
 const MODEL_RETRY: Duration = Duration::from_millis(100);
 
-/// After a rest requests look at its endpoint in the order of the time that they can still wait: by so much of it later.
+/// After a back-off, waiting requests retry the endpoint in the order of their remaining wait time: each is delayed
+/// by its remaining time divided by this number.
 const LOOK_SLACKS: u32 = 100;
 
-/// The longest time for which a request that waits does not look whether its gateway is being stopped.
+/// The longest time for which a waiting request does not check whether its gateway is being stopped.
 pub(super) const LONGEST_PAUSE: Duration = Duration::from_millis(100);
 
-/// The latest look of a request after a rest.
+/// The longest delay of a request after a back-off ends.
 const LATEST_LOOK: Duration = Duration::from_millis(30);
 
 impl GatewayCore {
-    /// What is to be done with a request now.
+    /// Decides what to do with a request now.
     pub fn place(&self, plan: &RequestPlan, excluded: &[EndpointName]) -> Placement {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The endpoint that would serve the request best now, whatever waits there.
+    /// Returns the endpoint that would serve the request best now, regardless of its queue.
     pub(super) fn best_choice(&self, plan: &RequestPlan) -> Option<EndpointChoice> {
         let state = self.lock();
         let config = state.config.clone();
@@ -105,7 +106,8 @@
         }
     }
 
-    /// The refusal of a request whose endpoints have all asked to be left alone.
+    /// Returns the refusal of a request whose possible endpoints have all asked for a back-off or are over their
+    /// rate limit.
     pub(super) fn held_everywhere(&self, plan: &RequestPlan) -> Option<(Refusal, HeldService)> {
         let mut state = self.lock();
         let config = state.config.clone();
@@ -137,7 +139,7 @@
         choice::choose(&state.directory, &query, now)
     }
 
-    /// The refusal of a request that has waited as long as it may.
+    /// Returns the refusal of a request that has waited for the maximum time.
     pub(super) fn give_up_wait(&self, plan: &RequestPlan) -> Option<Refusal> {
         let is_over = plan.has_waited_out(self.clock.now());
         is_over.then(|| self.lock().judge.too_late(Duration::ZERO))
@@ -196,14 +198,14 @@
     }
 }
 
-/// What the engines of the request's service may hold; none for a plain service.
+/// Returns what the engines of the request's service can hold, or `None` for a plain service.
 fn engine_of<'a>(config: Option<&'a SiteConfig>, plan: &RequestPlan) -> Option<&'a EngineRule> {
     config?.service(&plan.service)?.engine.as_ref()
 }
 
-/// Whether a request that finds no slot waits for its permit at the sidecar of the engine. The sidecar knows
-/// when a slot is free and gives it to whoever would be late first; a request that waits at its gateway looks
-/// at what the gateway heard last, and so do those of all other gateways, at the same slot.
+/// Returns whether a request that finds no free slot waits for its permit at the engine's sidecar. The sidecar
+/// knows when a slot is free and grants it to the request with the earliest deadline. A request that waits at its
+/// gateway relies on the last reported state, and so do the requests of all other gateways, for the same slot.
 fn queues_at_engine(
     state: &CoreState,
     plan: &RequestPlan,
@@ -215,8 +217,9 @@
     plan.route.kind.is_stream() && choice.batches && !choice.memory_full && is_heard
 }
 
-/// A request whose endpoints asked to be left alone waits if one of them takes requests again in time, and is told at
-/// once to come back when it does otherwise. Those whose callers leave first look first.
+/// Places a request whose endpoints have all asked for a back-off or are over their rate limit. It waits if one of
+/// them accepts requests again in time; otherwise it is refused at once with a `Retry-After`. Requests whose
+/// callers time out first retry first.
 fn place_held(
     state: &mut CoreState,
     plan: &RequestPlan,
@@ -232,26 +235,26 @@
     Placement::Pause(until_look.min(LONGEST_PAUSE))
 }
 
-/// What is known of a model that nobody holds.
+/// The state of a model that no engine holds.
 #[derive(Debug, Clone, Copy)]
 struct ComingModel {
-    /// When it will be there, if an engine loads it or is about to.
+    /// The time until the model is loaded, if an engine is loading it or is about to.
     ready_in: Option<Duration>,
-    /// How long a load takes at best, if any engine is heard.
+    /// The shortest load time, if any engine is reporting.
     load: Option<Duration>,
 }
 
 impl ComingModel {
-    /// When the model will be there as far as can be told. No load is under way where none is known, and the
-    /// planner advises one within a moment if an engine is free.
+    /// Returns the estimated time until the model is loaded. If no load is known to be in progress, the planner
+    /// schedules one within a moment if an engine is free.
     fn expected(self) -> Duration {
         let planned = || self.load.map(|load| load + PLANNER_WAIT);
         self.ready_in.or_else(planned).unwrap_or(MODEL_RETURN)
     }
 }
 
-/// A request whose model nobody holds waits if it will be there before its caller leaves, and is told at once
-/// to come back when it should be there otherwise.
+/// Places a request whose model is not loaded anywhere. It waits if the model will be ready before the caller times
+/// out; otherwise it is refused at once with a `Retry-After` of the time when the model should be ready.
 fn place_without_model(
     state: &mut CoreState,
     plan: &RequestPlan,
@@ -262,7 +265,8 @@
     let most = plan.model_patience();
     let is_in_time = match (coming.ready_in, coming.load) {
         (Some(ready_in), _) => waited + ready_in < most,
-        // Patient callers wait while their model waits for its turn, as long as a load can still be done in time.
+        // Callers with long timeouts wait until the load of their model starts, as long as it can still finish in
+        // time.
         (None, Some(load)) => waited + load < most && waited < PLANNER_WAIT.max(plan.route.target),
         (None, None) => waited < PLANNER_WAIT.min(most),
     };
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! One request on its way, from its place to its final answer.
+//! One request from its placement to its final response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,47 +25,49 @@
 use super::relay;
 use super::turns::{self, TurnVerdict};
 
-/// The least silence after which an idempotent request is sent elsewhere.
+/// The shortest response timeout after which an idempotent request is retried on another endpoint.
 const SILENCE_LEAST: Duration = Duration::from_millis(120);
 
-/// A request is silent when its answer takes this many times as long as predicted.
+/// An attempt times out when the response takes this many times as long as predicted.
 const SILENCE_FACTOR: u32 = 5;
 
-/// The share of a class's target after which silence is acted upon at the latest.
+/// The upper bound of the response timeout, as a multiple of the route's latency target.
 const SILENCE_TARGET_FACTOR: f64 = 1.5;
 
-/// When to come back after an endpoint refused and the request may go nowhere else.
+/// The `Retry-After` sent when an endpoint refused the request and no other endpoint may be tried.
 const REFUSED_RETURN: Duration = Duration::from_millis(80);
 
-/// How far ahead a turn at an endpoint may be where another one could take the request at once.
+/// The longest wait for a turn at a rate-limited endpoint while another endpoint can take the request at once.
 const TURN_BESIDE_OTHERS: Duration = Duration::from_millis(30);
 
-/// When to come back where no gateway that gives turns answers; the next try reaches another gateway.
+/// The `Retry-After` sent when no gateway that grants turns responds; the next attempt reaches another gateway.
 const UNGIVEN_RETURN: Duration = Duration::from_millis(250);
 
-/// A request that is being served.
+/// A request that is being served, with the state of its attempts.
 #[derive(Clone)]
 pub(super) struct RequestRun {
     pub(super) core: Arc<GatewayCore>,
     pub(super) plan: Arc<RequestPlan>,
     pub(super) message: CallerMessage,
-    /// Endpoints that a byte of it reached.
+    /// Endpoints that received at least one byte of the request.
     reached: SmallVec<[EndpointName; 2]>,
-    /// Endpoints that it does not go to again.
+    /// Endpoints that the request is not sent to again.
     pub(super) excluded: SmallVec<[EndpointName; 2]>,
-    /// The verdict on all attempts that have ended.
+    /// The combined verdict on all attempts that have ended.
     settled: RunVerdict,
-    /// Whether an attempt is under way.
+    /// Whether an attempt is in progress.
     sending: bool,
     /// The endpoint of the last attempt.
     pub(super) endpoint: Option<EndpointName>,
-    /// The endpoint that was best and too busy, where the request was refused.
+    /// The best endpoint when the request was refused because that endpoint was overloaded.
     pub(super) too_busy: Option<EndpointChoice>,
-    /// What kept it from its endpoints, where it was refused since they asked to be left alone.
+    /// Why no endpoint could be used when the request was refused because all of them asked for a back-off or are
+    /// over
+    /// their rate limit.
     pub(super) held: Option<HeldService>,
 }
 
-/// What became of a request.
+/// The final outcome of a request.
 enum RunEnd {
     Answered(Reply),
     Own(OwnAnswer),
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Whether the request may have run, as far as known.
+    /// Returns whether the request may have run, as far as this gateway knows.
     pub(super) fn verdict(&self) -> RunVerdict {
         if self.sending {
             self.settled.and(RunVerdict::MayHaveRun)
@@ -138,9 +140,9 @@
 
     /// Waits until the request can be sent.
     ///
-    /// A gateway that is being stopped ends what still waits: kept until the process is killed, its caller
-    /// would see a closed connection, and could not tell whether the request ran. Each wait below is a
-    /// tenth of a second at most, so this is seen long before the end.
+    /// When the gateway is being stopped, requests that still wait are refused. If they were kept until the process
+    /// is killed, the caller would see a closed connection and could not tell whether the request ran. Each wait
+    /// below lasts at most 100 ms, so the stop is noticed long before the process is killed.
     pub(super) async fn placement(&mut self) -> Result<PlacedSend, OwnAnswer> {
         let core = Arc::clone(&self.core);
         let mut passed = self.excluded.clone();
@@ -184,8 +186,8 @@
         }
     }
 
-    /// Refuses a request that ends the endpoints that run it. Looked at before each send and while it waits: the
-    /// verdict may come from another gateway meanwhile.
+    /// Refuses a request that is suspected of crashing the endpoints that run it. This is checked before each send
+    /// and while the request waits, because another gateway may report the verdict meanwhile.
     fn check_suspect(&self) -> Result<(), OwnAnswer> {
         let own = match self.core.judge_suspect(&self.plan) {
             SuspectVerdict::Clear => return Ok(()),
@@ -195,14 +197,14 @@
         Err(self.if_not_run(own))
     }
 
-    /// Charges a request anew that waited for longer than its charge counts.
+    /// Renews the quota charge of a request that waited longer than its charge is valid.
     async fn renew_charge(&self) -> Result<(), OwnAnswer> {
         let patience = quota::unit_patience(&self.plan.route);
         let renewed = quota::renew_charge(&self.core, &self.plan.charge, patience).await;
         renewed.map_err(|own| self.if_not_run(own))
     }
 
-    /// Refuses a request whose key was taken away while it waited.
+    /// Refuses a request whose API key was revoked while it waited.
     fn check_identity(&self) -> Result<(), OwnAnswer> {
         if self.core.still_holds(&self.plan.identity, &self.plan.route) {
             return Ok(());
@@ -210,8 +212,9 @@
         Err(self.if_not_run(OwnAnswer::UnknownKey))
     }
 
-    /// Waits for the request's turn where the endpoint names a limit; none if the request has to be placed anew. Where
-    /// another endpoint could take it at once it waits little, and passes this one over for now.
+    /// Waits for a turn if the endpoint has a rate limit. Returns `None` if the request must be placed again. If
+    /// another endpoint can take the request at once, the wait is short, and this endpoint is skipped for now when
+    /// it has no turn in that time.
     async fn with_turn(
         &mut self,
         placed: PlacedSend,
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Waits until the endpoint may be sent the prompt; none if the request has to be placed anew.
+    /// Waits for the permit to send the prompt to the endpoint. Returns `None` if the request must be placed again.
     async fn permitted(&mut self, placed: PlacedSend) -> Result<Option<PlacedSend>, OwnAnswer> {
         match permits::permit(&self.core, &self.plan, &placed).await {
             PermitVerdict::Free => return Ok(Some(placed)),
@@ -272,7 +275,8 @@
         Err(self.refused(refusal))
     }
 
-    /// A refusal promises that the request did not run, so it is given only where that is known.
+    /// Returns the refusal, or [`OwnAnswer::Broken`] if the request may have run: a refusal promises that it did
+    /// not.
     fn refused(&self, refusal: Refusal) -> OwnAnswer {
         self.if_not_run(OwnAnswer::Refused(refusal))
     }
@@ -296,7 +300,7 @@
         self.check_whole(whole)
     }
 
-    /// When an attempt is called silent.
+    /// Returns the time after which an attempt without a response head counts as timed out.
     fn silence_after(&self, choice: &EndpointChoice) -> Duration {
         let predicted = choice.predicted * SILENCE_FACTOR;
         let latest = self.plan.route.target.mul_f64(SILENCE_TARGET_FACTOR);
@@ -304,9 +308,9 @@
         silence.max(SILENCE_LEAST)
     }
 
-    /// Waits for an answer's head. Silence always counts against the endpoint: a frozen one takes
-    /// requests and brings nothing, and those that come after should go elsewhere, also where this one
-    /// can't. The attempt is given up only where a second send is allowed.
+    /// Waits for the response head. A timeout always counts against the endpoint, even if this request can't be
+    /// sent elsewhere: a frozen endpoint accepts requests and never responds, so later requests should avoid it.
+    /// The attempt is abandoned only if a second send is allowed.
     async fn or_silence<T>(
         &self,
         sending: impl Future<Output = Result<T, AttemptFailure>>,
@@ -328,8 +332,8 @@
         sending.await
     }
 
-    /// Whether the request can be sent to another endpoint at once; takes the second send from the
-    /// allowance if so.
+    /// Returns whether the request can be sent to another endpoint at once, and if so takes the second send from
+    /// the retry budget.
     pub(super) fn may_move_from(&self, endpoint: &EndpointName) -> bool {
         let mut excluded = self.excluded.clone();
         excluded.push(endpoint.clone());
@@ -353,13 +357,13 @@
         }))
     }
 
-    /// Endpoints that the request may still be sent to, the present one included.
+    /// Returns how many endpoints the request may still be sent to, including the current one.
     pub(super) fn sends_left(&self) -> u32 {
         let sent = u32::try_from(self.reached.len()).unwrap_or(u32::MAX);
         self.plan.route.max_attempts.saturating_sub(sent)
     }
 
-    /// What follows from a failed attempt: a final answer, or another attempt.
+    /// Records a failed attempt. Returns the final response, or `None` if another attempt may be made.
     pub(super) fn after(
         &mut self,
         endpoint: &EndpointName,
