--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounts.rs
@@ -1,4 +1,4 @@
-//! What becomes of requests, for the directory, the demand and the allowance.
+//! Records the progress and outcome of requests in the endpoint directory, the demand and the retry budget.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -14,27 +14,35 @@
 use oatpier_types::names::EndpointName;
 
 use super::core::{CoreState, GatewayCore};
-use super::placement::RequestPlan;
+use super::placement::RequestContext;
 
 impl GatewayCore {
-    /// A request came in.
-    pub fn note_arrival(&self, plan: &RequestPlan) {
-        if let Some(workspace) = plan.identity.name() {
+    /// Records the arrival of a request.
+    pub fn record_arrival(&self, context: &RequestContext) {
+        if let Some(workspace) = context.identity.name() {
             self.metrics.workspaces.asked(workspace, "taken");
         }
         let mut state = self.lock();
-        state.allowance.note_request(&plan.service, plan.arrived);
-        if let Some(weights) = &plan.request.weights {
-            state.demand.note_asked(weights, plan.arrived);
+        state
+            .allowance
+            .note_request(&context.service, context.arrived);
+        if let Some(weights) = &context.request.weights {
+            state.demand.note_asked(weights, context.arrived);
         }
     }
 
-    /// Counts a request once, however often it looks again.
-    pub(super) fn note_unserved(&self, state: &mut CoreState, plan: &RequestPlan, now: ClockTime) {
-        if plan.unserved.swap(true, Ordering::Relaxed) {
+    /// Records that a request could not be served at once; each request is counted once, however often it is
+    /// placed.
+    pub(super) fn record_unserved(
+        &self,
+        state: &mut CoreState,
+        context: &RequestContext,
+        now: ClockTime,
+    ) {
+        if context.is_counted_unserved.swap(true, Ordering::Relaxed) {
             return;
         }
-        if let Some(weights) = &plan.request.weights {
+        if let Some(weights) = &context.request.weights {
             state.demand.note_unserved(&weights.model, now);
             if !state.urgent {
                 state.urgent = true;
@@ -43,60 +51,61 @@
         }
     }
 
-    /// A request goes to an endpoint.
-    pub fn note_sent(&self, plan: &RequestPlan, endpoint: &EndpointName) -> SentPrompt {
+    /// Records that a request is sent to an endpoint.
+    pub fn record_sent(&self, context: &RequestContext, endpoint: &EndpointName) -> SentPrompt {
         let now = self.clock.now();
-        let chain = choice::prefix_chain(&plan.request);
+        let chain = choice::prefix_chain(&context.request);
         let mut state = self.lock();
-        let weights = plan.request.weights.as_ref();
-        state.crashes.begin(plan.fingerprint);
+        let weights = context.request.weights.as_ref();
+        state.crashes.begin(context.fingerprint);
         state.directory.note_sent(endpoint, weights);
         state.directory.note_try(endpoint, now);
         let Some(weights) = weights else {
             return state.directory.sent_without_prompt(endpoint);
         };
-        let unread = choice::unread_at(&state.directory, endpoint, &plan.request, now);
+        let unread = choice::unread_at(&state.directory, endpoint, &context.request, now);
         state.directory.note_prompt(endpoint, &chain, now);
         state.demand.note_sent(&weights.model, now);
         state.directory.note_reading(endpoint, weights, unread)
     }
 
-    /// An endpoint has read a request's prompt, or will not.
-    pub fn note_read(&self, endpoint: &EndpointName, prompt: &SentPrompt) {
+    /// Records that an endpoint has processed a request's prompt, or will not process it.
+    pub fn record_prompt_read(&self, endpoint: &EndpointName, prompt: &SentPrompt) {
         self.lock().directory.note_read(endpoint, prompt);
     }
 
-    /// A request is over at an endpoint.
-    pub fn note_end(
+    /// Records the end of a request at an endpoint.
+    pub fn record_end(
         &self,
-        plan: &RequestPlan,
+        context: &RequestContext,
         endpoint: &EndpointName,
         sent: &SentPrompt,
         outcome: EndpointOutcome,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let weights = plan.request.weights.as_ref();
+        let weights = context.request.weights.as_ref();
         let makes_room = state
             .directory
             .note_end(endpoint, weights, sent, outcome, now);
         if let Some(weights) = weights {
             state.demand.note_ended(&weights.model, now);
         }
-        self.tell_failure(&state, plan, endpoint, outcome);
-        let greeting = makes_room.then(|| self.greeting(&mut state, &plan.service, endpoint));
+        self.report_failure(&state, context, endpoint, outcome);
+        let greeting = makes_room.then(|| self.greeting(&mut state, &context.service, endpoint));
         drop(state);
         if let Some(due) = greeting.flatten() {
             due.send(self);
         }
-        self.note_suspect_end(plan, endpoint, sent, outcome);
+        self.record_suspect_end(context, endpoint, sent, outcome);
     }
 
-    /// Tells an engine's sidecar that a request failed there, so that all gateways know soon which engines lose them.
-    fn tell_failure(
+    /// Reports a failed request to the engine's sidecar, so that all gateways soon know which engines fail
+    /// requests.
+    fn report_failure(
         &self,
         state: &CoreState,
-        plan: &RequestPlan,
+        context: &RequestContext,
         endpoint: &EndpointName,
         outcome: EndpointOutcome,
     ) {
@@ -106,7 +115,7 @@
             _ => return,
         };
         let row = state.directory.row(endpoint);
-        let Some(row) = row.filter(|_| plan.request.weights.is_some()) else {
+        let Some(row) = row.filter(|_| context.request.weights.is_some()) else {
             return;
         };
         let sidecar = SocketAddr::new(row.record.address.ip(), self.inner_port);
@@ -114,35 +123,35 @@
             .send(sidecar, &InnerMessage::AttemptFailed(failure));
     }
 
-    /// The first piece of an answer came.
-    pub fn note_first(
+    /// Records the first chunk of a response.
+    pub fn record_first_chunk(
         &self,
-        plan: &RequestPlan,
+        context: &RequestContext,
         endpoint: &EndpointName,
         prompt: &SentPrompt,
         took: Duration,
     ) {
         let now = self.clock.now();
-        let weights = plan.request.weights.as_ref();
+        let weights = context.request.weights.as_ref();
         let mut state = self.lock();
         state
             .directory
             .note_first(endpoint, weights, prompt, took, now);
     }
 
-    /// An answer told how busy its endpoint is.
-    pub fn note_load(&self, endpoint: &EndpointName, load: EndpointLoad) {
+    /// Records the load that an endpoint reported in a response.
+    pub fn record_load(&self, endpoint: &EndpointName, load: EndpointLoad) {
         self.lock().directory.take_load(endpoint, load);
     }
 
-    /// Nothing came from an endpoint since `since`.
-    pub fn note_silence(&self, endpoint: &EndpointName, since: ClockTime) {
+    /// Records that nothing arrived from an endpoint since `since`.
+    pub fn record_timeout(&self, endpoint: &EndpointName, since: ClockTime) {
         let now = self.clock.now();
         self.lock().directory.note_silence(endpoint, since, now);
     }
 
-    /// Another instance answered at an endpoint's address.
-    pub fn note_replaced(&self, endpoint: &EndpointName, successor: Option<&EndpointName>) {
+    /// Records that another instance responded at an endpoint's address.
+    pub fn record_replaced(&self, endpoint: &EndpointName, successor: Option<&EndpointName>) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.directory.note_replaced(endpoint, successor, now);
--- a/crates/oatpier-gateway/src/gateway/answers.rs
+++ b/crates/oatpier-gateway/src/gateway/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own: refusals and failures.
+//! Responses that the gateway generates itself: refusals and failures.
 //!
 //! 503 and 429 promise that the request did not run; a request that may have run gets 502 or 504.
 
@@ -10,57 +10,60 @@
 use oatpier_types::refusal::Refusal;
 use oatpier_wire::reply::{self, Reply};
 
-/// Why a request gets an answer of the gateway's own.
+/// A response that the gateway generates itself, by its cause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnAnswer {
-    /// It was refused and did not run.
+    /// The request was refused and did not run.
     Refused(Refusal),
     /// The gateway has no configuration yet.
     NoConfiguration,
-    /// No route takes it.
+    /// No route matches the request.
     NoRoute,
-    /// It brings no key, where one is needed.
+    /// The request has no API key, but one is required.
     NoKey,
-    /// No workspace holds its key.
+    /// No workspace has the request's API key.
     UnknownKey,
-    /// Its workspace has used up its limit; with a time to return.
+    /// The workspace has used up its limit; holds the time for `Retry-After`.
     OverLimit(Duration),
-    /// It is not known here what its workspace has left; with a time to return.
+    /// This gateway does not know how much of the workspace's limit is left; holds the time for `Retry-After`.
     LimitUnknown(Duration),
-    /// What it names is not known here, and may have been added since the store was last read.
+    /// The request names something that this gateway does not know, and that may have been added since the store
+    /// was last read.
     Outdated,
-    /// Its headers can't be used.
+    /// The headers of the request are invalid.
     Malformed,
-    /// Its body is over the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// Its time passed before it was sent.
+    /// The deadline passed before the request was sent.
     ExpiredUnsent,
-    /// Its time passed, and it may have run.
+    /// The deadline passed, and the request may have run.
     ExpiredSent,
-    /// It was sent, and its answer was lost or spoilt.
+    /// The request was sent, and its response was lost or invalid.
     Broken,
-    /// It did not run, and may not until its runs elsewhere have turned out: it was at endpoints that ended.
+    /// The request did not run. It was at endpoints that ended, and may not run until the outcome of its earlier
+    /// attempts is known.
     Held,
-    /// It did not run, and does not run any more: it ends the endpoints that run it.
+    /// The request did not run and will not run any more, because it crashes the endpoints that run it.
     Barred,
 }
 
-/// When to come back with a request that is held. Whether an endpoint ended is known within half a second, as a
-/// rule, from its sidecar.
-const HELD_RETURN: Duration = Duration::from_millis(500);
+/// The `Retry-After` for a request that is held. The sidecar usually reports within half a second whether an
+/// endpoint ended.
+const HELD_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What the caller of a barred request reads.
-const BARRED_TEXT: &str =
+/// The body of the response to a barred request.
+const BARRED_BODY: &str =
     "barred: this request was not run; the endpoints that ran it before ended with it";
 
-/// When to come back with a request that names what is not known here; the next try reaches another gateway.
-const OUTDATED_RETURN: Duration = Duration::from_millis(100);
+/// The `Retry-After` for a request that names something unknown to this gateway; the next attempt reaches another
+/// gateway.
+const OUTDATED_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// When to come back to a gateway that has no configuration yet.
-const UNCONFIGURED_RETURN: Duration = Duration::from_millis(600);
+/// The `Retry-After` of a gateway that has no configuration yet.
+const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(600);
 
 impl OwnAnswer {
-    /// The status.
+    /// Returns the status.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -72,8 +75,8 @@
             | Self::Held => StatusCode::SERVICE_UNAVAILABLE,
             Self::OverLimit(_) => StatusCode::TOO_MANY_REQUESTS,
             Self::NoKey | Self::UnknownKey => StatusCode::UNAUTHORIZED,
-            // Final: 503, 502 and 504 ask callers and the proxies on their way to try again, and a 4xx would say
-            // that the request is not a proper one.
+            // The response must be final: 503, 502 and 504 invite callers and intermediate proxies to retry, and a
+            // 4xx would mean that the request is invalid.
             Self::Barred => StatusCode::INTERNAL_SERVER_ERROR,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::Malformed => StatusCode::BAD_REQUEST,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// The word that logs and metrics use.
+    /// Returns the value used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -108,27 +111,27 @@
     pub(super) fn retry_after(self) -> Option<Duration> {
         match self {
             Self::Refused(refusal) => refusal.retry_after,
-            Self::NoConfiguration => Some(UNCONFIGURED_RETURN),
+            Self::NoConfiguration => Some(UNCONFIGURED_RETRY_AFTER),
             Self::OverLimit(after) | Self::LimitUnknown(after) => Some(after),
-            Self::Outdated => Some(OUTDATED_RETURN),
-            Self::Held => Some(HELD_RETURN),
+            Self::Outdated => Some(OUTDATED_RETRY_AFTER),
+            Self::Held => Some(HELD_RETRY_AFTER),
             _ => None,
         }
     }
 
-    /// The answer to the request `id`.
+    /// Returns the response to the request `id`.
     #[must_use]
     pub fn reply(self, id: &str) -> Reply {
         let text = match self {
-            Self::Barred => BARRED_TEXT,
+            Self::Barred => BARRED_BODY,
             other => other.as_str(),
         };
-        self.explained(id, text)
+        self.reply_with_text(id, text)
     }
 
-    /// The answer to the request `id`, with an explanation for whoever reads it.
+    /// Returns the response to the request `id` with `text` as an explanation in its body.
     #[must_use]
-    pub fn explained(self, id: &str, text: &str) -> Reply {
+    pub fn reply_with_text(self, id: &str, text: &str) -> Reply {
         let mut reply = reply::text(self.status(), format!("{text}\n"));
         let headers = reply.headers_mut();
         headers::mark_answer(headers, id);
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -17,11 +17,11 @@
 
 use super::core::GatewayCore;
 use super::permits::HeldPermit;
-use super::placement::{PlacedSend, RequestPlan};
+use super::placement::{PlacedSend, RequestContext};
 
 /// The maximum size of a buffered response, in bytes. Larger ones would have to be relayed before they are known to
 /// be complete; the services respond with a few kilobytes.
-const WHOLE_ANSWER_BYTES: usize = 8 << 20;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 
 /// The request as the caller sent it.
 #[derive(Debug, Clone)]
@@ -33,7 +33,7 @@
 }
 
 /// A response whose head was received and accepted; the body follows.
-pub struct OpenAnswer {
+pub struct OpenResponse {
     /// The status.
     pub status: StatusCode,
     /// The response headers for the caller.
@@ -86,7 +86,7 @@
 
     /// Returns whether any byte of the request reached the intended endpoint.
     #[must_use]
-    pub fn has_reached(self) -> bool {
+    pub fn has_reached_endpoint(self) -> bool {
         !matches!(
             self,
             Self::Unreachable | Self::Unsent | Self::HeldBack | Self::Replaced
@@ -96,7 +96,7 @@
     /// Returns whether the next send takes nothing from the retry budget, because it was already charged or because
     /// no endpoint received the first send.
     #[must_use]
-    pub fn is_paid(self) -> bool {
+    pub fn is_free_retry(self) -> bool {
         matches!(
             self,
             Self::Silent | Self::ServerError | Self::Unreachable | Self::Unsent | Self::HeldBack
@@ -124,7 +124,7 @@
 /// Records the end of an attempt exactly once, even if its task is dropped because the caller disconnected.
 pub struct AttemptGuard {
     core: Arc<GatewayCore>,
-    plan: Arc<RequestPlan>,
+    context: Arc<RequestContext>,
     /// The endpoint.
     pub endpoint: EndpointName,
     sent_at: ClockTime,
@@ -140,18 +140,18 @@
     #[must_use]
     pub fn begin(
         core: &Arc<GatewayCore>,
-        plan: &Arc<RequestPlan>,
+        context: &Arc<RequestContext>,
         endpoint: &EndpointName,
         permit: Option<HeldPermit>,
     ) -> Self {
-        let sent = core.note_sent(plan, endpoint);
+        let sent = core.record_sent(context, endpoint);
         Self {
             core: Arc::clone(core),
-            plan: Arc::clone(plan),
+            context: Arc::clone(context),
             endpoint: endpoint.clone(),
             sent_at: core.clock.now(),
             sent,
-            is_unread: plan.request.weights.is_some(),
+            is_unread: context.request.weights.is_some(),
             permit,
             outcome: EndpointOutcome::Abandoned,
         }
@@ -164,33 +164,33 @@
     }
 
     /// Records what the response head reports about the endpoint.
-    fn note_notice(&self, notice: EndpointNotice, was_taken: bool) {
+    fn record_notice(&self, notice: EndpointNotice, was_taken: bool) {
         let heard = HeardNotice {
             notice,
             was_taken,
             sent: &self.sent,
             sent_at: self.sent_at,
         };
-        let request = &self.plan.request.id;
-        self.core.take_notice(&self.endpoint, &heard, request);
+        let request = &self.context.request.id;
+        self.core.record_notice(&self.endpoint, &heard, request);
     }
 
     /// Records that the first chunk of the response was received.
-    pub fn note_first(&mut self) {
+    pub fn record_first_chunk(&mut self) {
         let now = self.core.clock.now();
         let took = now.since(self.sent_at);
         self.core
-            .note_first(&self.plan, &self.endpoint, &self.sent, took);
-        self.settle_prompt();
-        let route = self.plan.route.name.as_str();
+            .record_first_chunk(&self.context, &self.endpoint, &self.sent, took);
+        self.release_prompt();
+        let route = self.context.route.name.as_str();
         self.core
             .metrics
-            .first_after(route, now.since(self.plan.arrived));
+            .first_after(route, now.since(self.context.arrived));
     }
 
-    fn settle_prompt(&mut self) {
+    fn release_prompt(&mut self) {
         if std::mem::take(&mut self.is_unread) {
-            self.core.note_read(&self.endpoint, &self.sent);
+            self.core.record_prompt_read(&self.endpoint, &self.sent);
         }
         self.permit = None;
     }
@@ -209,9 +209,9 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.settle_prompt();
+        self.release_prompt();
         self.core
-            .note_end(&self.plan, &self.endpoint, &self.sent, self.outcome);
+            .record_end(&self.context, &self.endpoint, &self.sent, self.outcome);
     }
 }
 
@@ -222,32 +222,32 @@
 /// Returns the cause of the failure, which tells whether the request may have run.
 pub async fn send(
     core: &Arc<GatewayCore>,
-    plan: &Arc<RequestPlan>,
+    context: &Arc<RequestContext>,
     message: &CallerMessage,
     placed: &mut PlacedSend,
     after_event: Option<&str>,
-) -> Result<OpenAnswer, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let endpoint = placed.choice.endpoint.clone();
     if !core.may_send(&endpoint, placed.turn.take()) {
         return Err(AttemptFailure::HeldBack);
     }
-    let left = plan.deadline.since(core.clock.now());
+    let left = context.deadline.since(core.clock.now());
     let terms = SendTerms {
         instance: &endpoint,
         left,
         after_event,
-        workspace: plan.identity.name(),
-        keeps_key: plan.identity.keeps_key(),
+        workspace: context.identity.name(),
+        keeps_key: context.identity.keeps_key(),
     };
-    let request = outgoing(message, terms);
-    let guard = AttemptGuard::begin(core, plan, &endpoint, placed.permit.take());
+    let request = build_request(message, terms);
+    let guard = AttemptGuard::begin(core, context, &endpoint, placed.permit.take());
     match core.client.send(placed.address, request).await {
-        Ok(answer) => judge_head(core, plan, answer, guard),
-        Err(error) => Err(fail_send(&error, guard)),
+        Ok(response) => check_head(core, context, response, guard),
+        Err(error) => Err(finish_failed_send(&error, guard)),
     }
 }
 
-fn outgoing(message: &CallerMessage, terms: SendTerms<'_>) -> Request<Bytes> {
+fn build_request(message: &CallerMessage, terms: SendTerms<'_>) -> Request<Bytes> {
     let mut request = Request::new(message.body.clone());
     *request.method_mut() = message.head.method.clone();
     *request.uri_mut() = message
@@ -260,7 +260,7 @@
     request
 }
 
-fn fail_send(error: &SendError, guard: AttemptGuard) -> AttemptFailure {
+fn finish_failed_send(error: &SendError, guard: AttemptGuard) -> AttemptFailure {
     let (failure, outcome) = match error.stage {
         SendStage::Connect if error.timed_out => {
             (AttemptFailure::Unreachable, EndpointOutcome::Unreachable)
@@ -277,27 +277,27 @@
 }
 
 /// Checks whether a response head belongs to this request and is complete, and acts on what it reports.
-fn judge_head(
+fn check_head(
     core: &Arc<GatewayCore>,
-    plan: &RequestPlan,
-    answer: Response<AnswerBody>,
+    context: &RequestContext,
+    response: Response<AnswerBody>,
     guard: AttemptGuard,
-) -> Result<OpenAnswer, AttemptFailure> {
-    let (parts, body) = answer.into_parts();
-    let head = headers::decode_answer(parts.status.as_u16(), &parts.headers, &plan.request.id);
+) -> Result<OpenResponse, AttemptFailure> {
+    let (parts, body) = response.into_parts();
+    let head = headers::decode_answer(parts.status.as_u16(), &parts.headers, &context.request.id);
     if let Some(load) = head.load {
-        core.note_load(&guard.endpoint, load);
+        core.record_load(&guard.endpoint, load);
     }
-    if is_of_endpoint(&head, &guard.endpoint) {
-        guard.note_notice(head.notice, head.kind == AnswerKind::Own);
+    if is_from_endpoint(&head, &guard.endpoint) {
+        guard.record_notice(head.notice, head.kind == AnswerKind::Own);
     }
     match head.kind {
-        AnswerKind::NotRun => Err(refused_by_endpoint(core, parts.status, &head, guard)),
+        AnswerKind::NotRun => Err(finish_refused(core, parts.status, &head, guard)),
         AnswerKind::Spoilt => {
             guard.finish(EndpointOutcome::Broken);
             Err(AttemptFailure::Spoilt)
         }
-        AnswerKind::Own => Ok(OpenAnswer {
+        AnswerKind::Own => Ok(OpenResponse {
             status: parts.status,
             headers: headers::returned(&parts.headers),
             body,
@@ -308,12 +308,12 @@
 
 /// Returns whether a response comes from the endpoint itself, so that its statements about the endpoint can be
 /// trusted.
-fn is_of_endpoint(head: &AnswerHead, endpoint: &EndpointName) -> bool {
+fn is_from_endpoint(head: &AnswerHead, endpoint: &EndpointName) -> bool {
     let is_other = head.instance.as_ref().is_some_and(|name| name != endpoint);
     head.kind != AnswerKind::Spoilt && !is_other
 }
 
-fn refused_by_endpoint(
+fn finish_refused(
     core: &GatewayCore,
     status: StatusCode,
     head: &AnswerHead,
@@ -328,7 +328,7 @@
         .as_ref()
         .is_some_and(|name| *name != guard.endpoint);
     if other {
-        core.note_replaced(&guard.endpoint, head.instance.as_ref());
+        core.record_replaced(&guard.endpoint, head.instance.as_ref());
         guard.finish(EndpointOutcome::Abandoned);
         return AttemptFailure::Replaced;
     }
@@ -341,15 +341,18 @@
 /// # Errors
 ///
 /// Returns an error if the response was cut off; the request has run then.
-pub async fn collect(answer: OpenAnswer) -> Result<Response<Bytes>, AttemptFailure> {
-    let OpenAnswer {
+pub async fn read_response(response: OpenResponse) -> Result<Response<Bytes>, AttemptFailure> {
+    let OpenResponse {
         status,
         headers,
         body,
         mut guard,
-    } = answer;
-    guard.note_first();
-    let Ok(collected) = Limited::new(body, WHOLE_ANSWER_BYTES).collect().await else {
+    } = response;
+    guard.record_first_chunk();
+    let Ok(collected) = Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES)
+        .collect()
+        .await
+    else {
         guard.finish(EndpointOutcome::Broken);
         return Err(AttemptFailure::Cut);
     };
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -1,8 +1,9 @@
-//! Requests that end the endpoints that run them: what this gateway sees of them, hears and tells.
+//! Tracks requests that crash the endpoints that run them, and shares what is known with other gateways.
 //!
-//! The gateway whose attempt was cut learns whether the endpoint ended, from its sidecar, the registry, or what
-//! answers at its address. It tells all gateways at once, so that the next return is known wherever it comes, and
-//! writes it to the store, which tells those that were cut off, are new, or have lost everything.
+//! The gateway whose attempt was cut off learns whether the endpoint ended from the endpoint's sidecar, from the
+//! registry, or from a different instance that responds at its address. It informs all gateways at once, so that
+//! the next repetition of the request is recognized at any of them. It also writes the crash to the store, for
+//! gateways that were unreachable, are new, or have lost their state.
 
 use std::net::SocketAddr;
 
@@ -18,42 +19,45 @@
 use oatpier_types::names::{EndpointName, WorkspaceName};
 
 use super::core::{CoreState, GatewayCore};
-use super::placement::RequestPlan;
+use super::placement::RequestContext;
 use crate::decisions::{DecisionLine, LineWeight, wall_clock_ms};
 
-/// Crashes that one datagram tells of: some 150 bytes each, within a packet.
+/// The number of crashes in one datagram; at about 150 bytes each they fit into a packet.
 const CRASHES_PER_MESSAGE: usize = 8;
 
 impl GatewayCore {
-    /// Whether a request may be sent, by what became of the endpoints that it was at.
-    pub(super) fn judge_suspect(&self, plan: &RequestPlan) -> SuspectVerdict {
+    /// Decides whether a request may be sent, based on the fate of the endpoints that ran it before.
+    pub(super) fn suspect_verdict(&self, context: &RequestContext) -> SuspectVerdict {
         let now = self.clock.now();
         let state = self.lock();
-        let open = state.cuts.open(&plan.fingerprint);
-        state.crashes.judge(&plan.fingerprint, open, now)
+        let open = state.cuts.open(&context.fingerprint);
+        state.crashes.judge(&context.fingerprint, open, now)
     }
 
-    /// What an attempt's end says of the request and, with it, of others that were cut there.
-    pub(super) fn note_suspect_end(
+    /// Records what the end of an attempt reveals about its request, and about others that were cut off at the same
+    /// endpoint.
+    pub(super) fn record_suspect_end(
         &self,
-        plan: &RequestPlan,
+        context: &RequestContext,
         endpoint: &EndpointName,
         sent: &SentPrompt,
         outcome: EndpointOutcome,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.crashes.end(&plan.fingerprint);
+        state.crashes.end(&context.fingerprint);
         match outcome {
-            EndpointOutcome::Broken => note_cut(&mut state, plan, endpoint, sent, now),
-            EndpointOutcome::Whole { .. } => self.clear_suspect(&mut state, &plan.fingerprint, now),
+            EndpointOutcome::Broken => record_cut_attempt(&mut state, context, endpoint, sent, now),
+            EndpointOutcome::Whole { .. } => {
+                self.clear_suspect(&mut state, &context.fingerprint, now)
+            }
             _ => {}
         }
         drop(state);
         self.settle_cuts();
     }
 
-    /// Looks what became of the endpoints that cut attempts off.
+    /// Checks whether the endpoints of attempts that were cut off have ended.
     pub(super) fn settle_cuts(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -71,33 +75,35 @@
         }
         for record in &found {
             if let Some(standing) = state.crashes.note_crash(record, now) {
-                self.log_crash(record, &standing, "seen");
+                self.log_suspect(record, &standing, "seen");
             }
-            self.offer_change(CrashChange::Put(record.clone()));
+            self.queue_store_change(CrashChange::Put(record.clone()));
         }
-        self.count_suspects(&state.crashes, now);
+        self.update_suspect_metrics(&state.crashes, now);
         let peers: Vec<SocketAddr> = state.peers.known(now).collect();
         drop(state);
         for records in found.chunks(CRASHES_PER_MESSAGE) {
-            self.tell(&peers, &InnerMessage::CrashesSeen(records.to_vec()));
+            self.send_to_peers(&peers, &InnerMessage::CrashesSeen(records.to_vec()));
         }
     }
 
-    /// Another gateway saw endpoints end under requests.
+    /// Handles a report of another gateway about endpoints that ended while running requests.
     pub fn take_crashes(&self, records: &[CrashRecord]) {
         let now = self.clock.now();
         let mut state = self.lock();
         for record in records {
             let standing = state.crashes.note_crash(record, now);
-            // The gateway that saw it has logged each suspicion; each of the others would log it once more.
+            // The gateway that saw the crash has logged the suspicion already; every other gateway would log it
+            // again.
             if let Some(standing) = standing.filter(|standing| standing.is_barred) {
-                self.log_crash(record, &standing, "told");
+                self.log_suspect(record, &standing, "told");
             }
         }
-        self.count_suspects(&state.crashes, now);
+        self.update_suspect_metrics(&state.crashes, now);
     }
 
-    /// The store lists these crashes, and no others; `has_returned` if it came back from an older copy.
+    /// Replaces the known crashes by those that the store lists. If `has_returned` is set, the store was restored
+    /// from an older copy, and the crashes that it lost are written again.
     pub fn take_stored_crashes(&self, records: &[CrashRecord], has_returned: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -105,7 +111,7 @@
         if has_returned {
             let lost = state.crashes.take_returned(records, now);
             for record in lost {
-                self.offer_change(CrashChange::Put(record));
+                self.queue_store_change(CrashChange::Put(record));
             }
         } else {
             state.crashes.take_stored(records, now);
@@ -117,36 +123,37 @@
                 .with("barred", barred);
             self.log.write(line);
         }
-        self.count_suspects(&state.crashes, now);
+        self.update_suspect_metrics(&state.crashes, now);
     }
 
-    /// Another gateway answered these requests whole.
+    /// Handles a report of another gateway that these requests completed.
     pub fn take_cleared(&self, fingerprints: &[RequestFingerprint]) {
         let now = self.clock.now();
         let mut state = self.lock();
         for fingerprint in fingerprints {
             state.crashes.clear(fingerprint);
         }
-        self.count_suspects(&state.crashes, now);
+        self.update_suspect_metrics(&state.crashes, now);
     }
 
-    /// Drops suspicions that are old, here and in the store; the gateway that plans does it for all.
+    /// Expires old suspicions, here and in the store. The gateway that runs the planner expires them for all
+    /// gateways.
     pub(super) fn expire_suspects(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let pushed_out = state.crashes.take_pushed_out();
-        if !pushed_out.is_empty() {
+        let evicted = state.crashes.take_pushed_out();
+        if !evicted.is_empty() {
             let line = DecisionLine::new(LineWeight::Notable, "suspects pushed out")
-                .with("crashes", pushed_out.len());
+                .with("crashes", evicted.len());
             self.log.write(line);
         }
         if !state.peers.is_planner(now) {
             return;
         }
         let expired = state.crashes.expire(now);
-        self.count_suspects(&state.crashes, now);
-        for record in expired.into_iter().chain(pushed_out) {
-            self.offer_change(CrashChange::Remove(record));
+        self.update_suspect_metrics(&state.crashes, now);
+        for record in expired.into_iter().chain(evicted) {
+            self.queue_store_change(CrashChange::Remove(record));
         }
     }
 
@@ -165,14 +172,14 @@
             .with("crashes", records.len());
         self.log.write(line);
         for record in records {
-            self.offer_change(CrashChange::Remove(record));
+            self.queue_store_change(CrashChange::Remove(record));
         }
-        self.count_suspects(&state.crashes, now);
+        self.update_suspect_metrics(&state.crashes, now);
         let peers: Vec<SocketAddr> = state.peers.known(now).collect();
-        self.tell(&peers, &InnerMessage::CrashesCleared(vec![*fingerprint]));
+        self.send_to_peers(&peers, &InnerMessage::CrashesCleared(vec![*fingerprint]));
     }
 
-    fn log_crash(&self, record: &CrashRecord, standing: &SuspectStanding, source: &'static str) {
+    fn log_suspect(&self, record: &CrashRecord, standing: &SuspectStanding, source: &'static str) {
         let decision = if standing.is_barred {
             "request barred"
         } else {
@@ -192,28 +199,28 @@
         self.log.write(line);
     }
 
-    fn count_suspects(&self, book: &CrashBook, now: ClockTime) {
+    fn update_suspect_metrics(&self, book: &CrashBook, now: ClockTime) {
         self.metrics
             .note_suspects(book.suspects(), book.barred(now));
     }
 
-    fn offer_change(&self, change: CrashChange) {
-        // A full ring counts what it drops. The gateways that are there were told; only ones that come later
-        // will not know of it.
+    fn queue_store_change(&self, change: CrashChange) {
+        // A full ring counts what it drops. Running gateways were informed already; only gateways that start later
+        // will not know of the change.
         let _ = self.crash_changes.offer(change);
     }
 
-    fn tell(&self, peers: &[SocketAddr], message: &InnerMessage) {
+    fn send_to_peers(&self, peers: &[SocketAddr], message: &InnerMessage) {
         for peer in peers {
             self.outlet.send(*peer, message);
         }
     }
 }
 
-/// Notes an attempt that was cut off at an endpoint that was to stay.
-fn note_cut(
+/// Records an attempt that was cut off at an endpoint that was not about to leave.
+fn record_cut_attempt(
     state: &mut CoreState,
-    plan: &RequestPlan,
+    context: &RequestContext,
     endpoint: &EndpointName,
     sent: &SentPrompt,
     now: ClockTime,
@@ -222,11 +229,11 @@
         return;
     };
     state.cuts.note(CutAttempt {
-        fingerprint: plan.fingerprint,
+        fingerprint: context.fingerprint,
         origin: RequestOrigin {
-            host: plan.route.host.clone(),
-            workspace: plan.identity.name().cloned(),
-            route: plan.route.name.clone(),
+            host: context.route.host.clone(),
+            workspace: context.identity.name().cloned(),
+            route: context.route.name.clone(),
         },
         site,
         index,
--- a/crates/oatpier-gateway/src/gateway/exchanges.rs
+++ b/crates/oatpier-gateway/src/gateway/exchanges.rs
@@ -1,4 +1,4 @@
-//! What gateways and sidecars tell each other: hearing, greeting, and passing on.
+//! Exchanges messages with other gateways and sidecars: receives, reports, and relays them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 use crate::parts_writer::ClaimResult;
 use crate::records::StoreNews;
 
-/// From one passing on of what sidecars told to the next. A relay hears some twenty engines in its turn, so
-/// what it passes on within this fits a packet or two.
-const RELAY_EVERY: Duration = Duration::from_millis(40);
+/// The interval at which reports of sidecars are relayed. A relay receives reports from about twenty engines in
+/// that time, which fit into one or two packets.
+const RELAY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// From one look at the parts of limits to the next; renewals are seconds apart.
-const TEND_EVERY: Duration = Duration::from_millis(200);
+/// The interval at which the parts of limits are checked; renewals are seconds apart.
+const PARTS_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// From one count of what workspaces asked of the parts that are held here to the next.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
+/// The interval at which the use of the locally held parts by workspaces is counted.
+const USAGE_COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What other duties of the process tell this one.
+/// What the other duties of the process send to this one.
 pub struct ExchangeInputs {
-    /// What lies in the store.
+    /// The results of reading the store.
     pub news: RingReceiver<StoreNews>,
-    /// What came of claims of parts.
+    /// The results of claiming parts of limits.
     pub claims: RingReceiver<ClaimResult>,
-    /// Configurations that other gateways passed on.
+    /// Configurations fetched from other gateways.
     pub fetched: RingReceiver<Arc<SiteConfig>>,
 }
 
@@ -46,18 +46,18 @@
 ) {
     let reporter = PeerReporter::new(&core, stop);
     tokio::join!(
-        hear(&core, socket),
-        take_news(&core, &inputs.news, stop),
-        take_passed_configs(&core, &inputs.fetched),
+        receive_messages(&core, socket),
+        apply_store_news(&core, &inputs.news, stop),
+        apply_fetched_configs(&core, &inputs.fetched),
         greet(&core),
-        pass_on(&core),
+        relay_reports(&core),
         report(reporter),
         plan(&core, stop),
-        tend_parts(&core, &inputs.claims, stop),
+        maintain_parts(&core, &inputs.claims, stop),
     );
 }
 
-async fn hear(core: &GatewayCore, socket: &InnerSocket) {
+async fn receive_messages(core: &GatewayCore, socket: &InnerSocket) {
     loop {
         let (from, message) = socket.receive().await;
         match message {
@@ -79,7 +79,7 @@
             InnerMessage::StoreSeen(word) => core.take_store_word(*word),
             InnerMessage::CrashesSeen(records) => core.take_crashes(&records),
             InnerMessage::CrashesCleared(requests) => core.take_cleared(&requests),
-            // For sidecars.
+            // Messages to sidecars.
             InnerMessage::Greeting(_)
             | InnerMessage::AdapterWanted(_)
             | InnerMessage::Advice(_)
@@ -92,7 +92,7 @@
     }
 }
 
-async fn take_news(core: &GatewayCore, news: &RingReceiver<StoreNews>, stop: &StopSignal) {
+async fn apply_store_news(core: &GatewayCore, news: &RingReceiver<StoreNews>, stop: &StopSignal) {
     while let Some(news) = news.receive().await {
         match news {
             StoreNews::Read {
@@ -104,10 +104,11 @@
                 word,
             } => {
                 let has_returned = core.note_era(era);
-                // Before the first configuration makes this gateway serve.
+                // The crashes must be known before the first configuration makes this gateway serve requests.
                 core.take_stored_crashes(&crashes, has_returned);
                 core.take_parts(&parts, era);
-                // A holder that has just started goes on with its parts at once: until then their workspaces wait.
+                // A part holder that has just started resumes its parts at once, because their workspaces wait
+                // until then.
                 core.tend_parts(stop.phase() != StopPhase::Serving);
                 core.take_records(config, endpoints);
                 core.tell_word(word);
@@ -120,16 +121,16 @@
     std::future::pending::<()>().await;
 }
 
-async fn take_passed_configs(core: &GatewayCore, fetched: &RingReceiver<Arc<SiteConfig>>) {
+async fn apply_fetched_configs(core: &GatewayCore, fetched: &RingReceiver<Arc<SiteConfig>>) {
     while let Some(config) = fetched.receive().await {
         core.take_passed_config(config);
     }
     std::future::pending::<()>().await;
 }
 
-/// Passes on to the gateways of the same zone what sidecars told this one.
-async fn pass_on(core: &GatewayCore) {
-    let mut ticks = interval(RELAY_EVERY);
+/// Relays the reports of sidecars to the other gateways of the availability zone.
+async fn relay_reports(core: &GatewayCore) {
+    let mut ticks = interval(RELAY_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -147,16 +148,16 @@
     }
 }
 
-/// Claims and renews parts of the workspaces' limits; gives them back when a stop begins.
-async fn tend_parts(core: &GatewayCore, claims: &RingReceiver<ClaimResult>, stop: &StopSignal) {
-    let mut ticks = interval(TEND_EVERY);
+/// Claims and renews parts of the workspaces' limits, and returns them when a stop begins.
+async fn maintain_parts(core: &GatewayCore, claims: &RingReceiver<ClaimResult>, stop: &StopSignal) {
+    let mut ticks = interval(PARTS_CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut counting = interval(COUNT_EVERY);
-    counting.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut count_ticks = interval(USAGE_COUNT_INTERVAL);
+    count_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => core.tend_parts(stop.phase() != StopPhase::Serving),
-            _ = counting.tick() => core.count_limit_use(),
+            _ = count_ticks.tick() => core.count_limit_use(),
             result = claims.receive() => match result {
                 Some(result) => core.take_claim(result),
                 None => break,
--- a/crates/oatpier-gateway/src/gateway/handler.rs
+++ b/crates/oatpier-gateway/src/gateway/handler.rs
@@ -1,4 +1,4 @@
-//! A request as it comes in: route, workspace, limits, and its own answers before it goes on its way.
+//! Handles an incoming request: finds its route and workspace, checks limits, and refuses it or starts to serve it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,21 +24,21 @@
 use super::attempt::CallerMessage;
 use super::core::GatewayCore;
 use super::identity::CallerIdentity;
-use super::placement::RequestPlan;
+use super::placement::RequestContext;
 use super::quota::{self, ChargeCell};
 use super::run::RequestRun;
 use crate::decisions::{DecisionLine, LineWeight};
 
-/// When to come back to a gateway that is behind; the next try reaches another one.
-const BEHIND_RETURN: Duration = Duration::from_millis(60);
+/// The `Retry-After` of an overloaded gateway; the next attempt reaches another one.
+const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(60);
 
-/// Takes callers' requests.
+/// Handles the requests of callers.
 pub struct GatewayHandler {
     core: Arc<GatewayCore>,
 }
 
 impl GatewayHandler {
-    /// A handler over shared parts.
+    /// Creates a handler over the shared state.
     #[must_use]
     pub fn new(core: Arc<GatewayCore>) -> Self {
         Self { core }
@@ -50,7 +50,7 @@
         let core = Arc::clone(&self.core);
         async move {
             core.metrics.in_flight.inc();
-            let reply = answer(&core, request).await;
+            let reply = handle_request(&core, request).await;
             core.metrics.in_flight.dec();
             reply
         }
@@ -58,70 +58,70 @@
     }
 }
 
-async fn answer(core: &Arc<GatewayCore>, request: Request<Bytes>) -> Reply {
+async fn handle_request(core: &Arc<GatewayCore>, request: Request<Bytes>) -> Reply {
     let arrived = core.clock.now();
     let (head, body) = request.into_parts();
     if core.is_behind() {
-        let refusal = core.refusal(RefusalCause::QueueFull, BEHIND_RETURN);
-        return unplanned(core, &head, OwnAnswer::Refused(refusal));
+        let refusal = core.refusal(RefusalCause::QueueFull, OVERLOADED_RETRY_AFTER);
+        return reject_unrouted(core, &head, OwnAnswer::Refused(refusal));
     }
     if core.is_closed() {
         let refusal = core.refusal(RefusalCause::Leaving, Duration::ZERO);
-        return unplanned(core, &head, OwnAnswer::Refused(refusal));
+        return reject_unrouted(core, &head, OwnAnswer::Refused(refusal));
     }
     let Some(config) = core.config() else {
-        return unplanned(core, &head, OwnAnswer::NoConfiguration);
+        return reject_unrouted(core, &head, OwnAnswer::NoConfiguration);
     };
     let Some(route) = find_route(&config, &head) else {
-        return unplanned(core, &head, core.unless_outdated(OwnAnswer::NoRoute));
+        return reject_unrouted(core, &head, core.if_current(OwnAnswer::NoRoute));
     };
     let identity = match core.identify(&config, &route, &head.headers) {
         Ok(identity) => identity,
-        Err(own) => return unplanned(core, &head, own),
+        Err(response) => return reject_unrouted(core, &head, response),
     };
     if body.len() > config.limits.body_bytes {
-        return unplanned(core, &head, OwnAnswer::TooLarge);
+        return reject_unrouted(core, &head, OwnAnswer::TooLarge);
     }
     let message = CallerMessage {
         head: Arc::new(head),
         body,
     };
-    let mut plan = match plan(core, route, identity, &message, arrived) {
-        Ok(plan) => plan,
+    let mut context = match build_context(core, route, identity, &message, arrived) {
+        Ok(context) => context,
         Err(error) => {
             core.metrics.answered("", OwnAnswer::Malformed.as_str());
-            return OwnAnswer::Malformed.explained("", &error.to_string());
+            return OwnAnswer::Malformed.reply_with_text("", &error.to_string());
         }
     };
-    if let Err(own) = charge(core, &mut plan).await {
-        return uncharged(core, &plan, own);
+    if let Err(response) = charge(core, &mut context).await {
+        return reject_over_limit(core, &context, response);
     }
-    let plan = Arc::new(plan);
-    core.note_arrival(&plan);
-    let mut run = RequestRun::new(core, plan, message);
+    let context = Arc::new(context);
+    core.record_arrival(&context);
+    let mut run = RequestRun::new(core, context, message);
     run.serve().await
 }
 
-/// Charges a request's workspace, where that has a limit.
-async fn charge(core: &Arc<GatewayCore>, plan: &mut RequestPlan) -> Result<(), OwnAnswer> {
-    let Some(workspace) = plan.identity.workspace() else {
+/// Charges the request to its workspace if the workspace has a limit.
+async fn charge(core: &Arc<GatewayCore>, context: &mut RequestContext) -> Result<(), OwnAnswer> {
+    let Some(workspace) = context.identity.workspace() else {
         return Ok(());
     };
     let Some(rule) = workspace.quota else {
         return Ok(());
     };
-    let units = rule.cost(&plan.request);
-    let patience = quota::unit_patience(&plan.route);
+    let units = rule.cost(&context.request);
+    let patience = quota::unit_patience(&context.route);
     let charge = quota::charge(core, workspace, units, patience).await?;
-    plan.charge = ChargeCell::new(Some(charge));
+    context.charge = ChargeCell::new(Some(charge));
     Ok(())
 }
 
 fn find_route(config: &SiteConfig, head: &Parts) -> Option<Arc<RouteRule>> {
-    config.route(host_of(head), head.uri.path()).cloned()
+    config.route(request_host(head), head.uri.path()).cloned()
 }
 
-fn host_of(head: &Parts) -> &str {
+fn request_host(head: &Parts) -> &str {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok());
     host.or_else(|| head.uri.host()).unwrap_or_default()
 }
@@ -131,56 +131,58 @@
     let path = head.uri.path_and_query();
     RequestFingerprint::of(&RequestContent {
         method: head.method.as_str(),
-        host: host_of(head),
+        host: request_host(head),
         path: path.map_or_else(|| head.uri.path(), PathAndQuery::as_str),
         body: &message.body,
     })
 }
 
-fn unplanned(core: &GatewayCore, head: &Parts, own: OwnAnswer) -> Reply {
+fn reject_unrouted(core: &GatewayCore, head: &Parts, response: OwnAnswer) -> Reply {
     let id = headers::decode_request(&head.headers).map_or(String::new(), |call| call.id);
     let line = DecisionLine::new(LineWeight::Notable, "answer")
         .with("request", id.as_str())
-        .with("outcome", own.as_str())
+        .with("outcome", response.as_str())
         .with("path", head.uri.path());
     core.log.write(line);
-    core.metrics.answered("", own.as_str());
-    own.reply(&id)
+    core.metrics.answered("", response.as_str());
+    response.reply(&id)
 }
 
-/// Answers a request that its workspace's limit keeps out, or may keep out.
-fn uncharged(core: &GatewayCore, plan: &RequestPlan, own: OwnAnswer) -> Reply {
-    let id = plan.request.id.as_str();
+/// Responds to a request that exceeds, or may exceed, the limit of its workspace.
+fn reject_over_limit(core: &GatewayCore, context: &RequestContext, response: OwnAnswer) -> Reply {
+    let id = context.request.id.as_str();
     let mut line = DecisionLine::new(LineWeight::Notable, "answer")
         .with("request", id)
-        .with("outcome", own.as_str())
-        .with("route", plan.route.name.as_str());
-    if let Some(workspace) = plan.identity.workspace() {
+        .with("outcome", response.as_str())
+        .with("route", context.route.name.as_str());
+    if let Some(workspace) = context.identity.workspace() {
         let limit = workspace.quota;
         line = line
             .with("workspace", workspace.name.as_str())
-            .with("units", limit.map(|rule| rule.cost(&plan.request)))
+            .with("units", limit.map(|rule| rule.cost(&context.request)))
             .with("limit_per_s", limit.map(|rule| rule.rate))
             .with("burst", limit.map(|rule| rule.burst));
-        core.metrics.workspaces.asked(&workspace.name, own.as_str());
+        core.metrics
+            .workspaces
+            .asked(&workspace.name, response.as_str());
     }
     core.log.write(line);
     core.metrics
-        .answered(plan.route.name.as_str(), own.as_str());
-    own.reply(id)
+        .answered(context.route.name.as_str(), response.as_str());
+    response.reply(id)
 }
 
-fn plan(
+fn build_context(
     core: &GatewayCore,
     route: Arc<RouteRule>,
     identity: CallerIdentity,
     message: &CallerMessage,
     arrived: ClockTime,
-) -> Result<RequestPlan, HeaderError> {
+) -> Result<RequestContext, HeaderError> {
     let request = headers::decode_request(&message.head.headers)?;
     let service = core.pick_service(&route);
     let patience = request.patience.unwrap_or(route.timeout);
-    Ok(RequestPlan {
+    Ok(RequestContext {
         deadline: arrived + patience.min(route.timeout),
         route,
         identity,
@@ -189,6 +191,6 @@
         fingerprint: fingerprint(message),
         arrived,
         charge: ChargeCell::default(),
-        unserved: AtomicBool::new(false),
+        is_counted_unserved: AtomicBool::new(false),
     })
 }
--- a/crates/oatpier-gateway/src/gateway/identity.rs
+++ b/crates/oatpier-gateway/src/gateway/identity.rs
@@ -1,7 +1,7 @@
-//! Whose request it is.
+//! Identifies the caller of a request.
 //!
-//! Decided once, where a request comes in and before anything else is decided of it, and looked at again before
-//! each send: a key may be taken away while its request waits.
+//! The identity is determined once, when the request arrives and before any other decision. It is checked again
+//! before each send, because a key may be revoked while its request waits.
 
 use std::sync::Arc;
 
@@ -15,36 +15,37 @@
 use super::answers::OwnAnswer;
 use super::core::GatewayCore;
 
-/// Whose request it is, as far as the configuration asks.
+/// The identity of a caller, as far as the configuration requires one.
 #[derive(Debug, Clone)]
 pub struct CallerIdentity {
     key: Option<KeyDigest>,
     workspace: Option<Arc<WorkspaceRule>>,
     keeps_key: bool,
-    /// The version of the configuration that said so.
+    /// The version of the configuration that the identity was determined with.
     version: u64,
 }
 
 impl CallerIdentity {
-    /// The workspace; none where nobody had to say.
+    /// Returns the workspace, or `None` if no identification was required.
     #[must_use]
     pub fn workspace(&self) -> Option<&Arc<WorkspaceRule>> {
         self.workspace.as_ref()
     }
 
-    /// The workspace's name.
+    /// Returns the name of the workspace.
     #[must_use]
     pub fn name(&self) -> Option<&WorkspaceName> {
         self.workspace.as_ref().map(|rule| &rule.name)
     }
 
-    /// Whether the caller's key was for the gateway, and goes no further.
+    /// Returns whether the caller's key was meant for the gateway and is not forwarded.
     #[must_use]
     pub fn keeps_key(&self) -> bool {
         self.keeps_key
     }
 
-    /// The rank of a request on a route, 0 first: the workspace's goes before the route's.
+    /// Returns the priority of a request on a route, 0 being the highest. The workspace's priority overrides the
+    /// route's.
     #[must_use]
     pub fn priority(&self, route: &RouteRule) -> u8 {
         let own = self.workspace.as_ref().and_then(|rule| rule.priority);
@@ -53,51 +54,52 @@
 }
 
 impl GatewayCore {
-    /// Whose request it is.
+    /// Identifies the caller of a request.
     ///
     /// # Errors
     ///
-    /// The answer to a request that nobody may send.
+    /// Returns the response to a caller that may not use the route.
     pub(super) fn identify(
         &self,
         config: &SiteConfig,
         route: &RouteRule,
-        callers: &HeaderMap,
+        request_headers: &HeaderMap,
     ) -> Result<CallerIdentity, OwnAnswer> {
-        let unnamed = CallerIdentity {
+        let anonymous = CallerIdentity {
             key: None,
             workspace: None,
             keeps_key: config.workspaces.is_some(),
             version: config.version,
         };
         let Some(table) = &config.workspaces else {
-            return Ok(unnamed);
+            return Ok(anonymous);
         };
-        match (headers::caller_key(callers), route.is_public) {
+        match (headers::caller_key(request_headers), route.is_public) {
             (CallerKey::Given(key), _) if table.holder(&key).is_some() => Ok(CallerIdentity {
                 key: Some(key),
                 workspace: table.holder(&key).cloned(),
-                ..unnamed
+                ..anonymous
             }),
-            (_, true) => Ok(unnamed),
-            // No configuration can make this a key.
+            (_, true) => Ok(anonymous),
+            // No configuration can make this a valid key.
             (CallerKey::Absent | CallerKey::Unusable, false) => Err(OwnAnswer::NoKey),
-            (CallerKey::Given(_), false) => Err(self.unless_outdated(OwnAnswer::UnknownKey)),
+            (CallerKey::Given(_), false) => Err(self.if_current(OwnAnswer::UnknownKey)),
         }
     }
 
-    /// An answer that says that the configuration has no such thing. It is final for its caller, so it is only
-    /// given where a configuration that has it would be known by now; the next gateway may know it.
-    pub(super) fn unless_outdated(&self, own: OwnAnswer) -> OwnAnswer {
+    /// Returns `response`, which says that the configuration does not contain something, or [`OwnAnswer::Outdated`]
+    /// if a newer configuration may contain it. The response is final for the caller, so it is given only if this
+    /// gateway would know a configuration that contains it by now. Otherwise the next gateway may know it.
+    pub(super) fn if_current(&self, response: OwnAnswer) -> OwnAnswer {
         if self.is_current() {
-            own
+            response
         } else {
             OwnAnswer::Outdated
         }
     }
 
-    /// Whether what was known of a request when it came still holds.
-    pub(super) fn still_holds(&self, identity: &CallerIdentity, route: &RouteRule) -> bool {
+    /// Returns whether the identity that was determined at the arrival of a request still holds.
+    pub(super) fn is_still_valid(&self, identity: &CallerIdentity, route: &RouteRule) -> bool {
         let Some(config) = self.config() else {
             return true;
         };
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves in their answers: kept, logged and counted.
+//! Records, logs and counts what endpoints report about themselves in their responses.
 
 use std::net::SocketAddr;
 
@@ -12,8 +12,8 @@
 use crate::notice_metrics::NoticeCounts;
 
 impl GatewayCore {
-    /// Takes what the answer to a request said of its endpoint.
-    pub(super) fn take_notice(
+    /// Handles what the response to a request reports about its endpoint.
+    pub(super) fn record_notice(
         &self,
         endpoint: &EndpointName,
         heard: &HeardNotice<'_>,
@@ -30,28 +30,28 @@
             .row(endpoint)
             .and_then(|row| row.record.start);
         drop(state);
-        self.tell_limit(endpoint, &changes, heard.sent_at);
+        self.broadcast_limit(endpoint, &changes, heard.sent_at);
         if changes.contains(&NoticeChange::Leaving) {
             self.changed.notify_waiters();
-            self.tell_gateways(&InnerMessage::LeavingSeen(LeavingWord {
+            self.broadcast(&InnerMessage::LeavingSeen(LeavingWord {
                 endpoint: endpoint.clone(),
                 start,
             }));
         }
     }
 
-    /// Another gateway told that an endpoint leaves.
-    pub fn take_leaving_word(&self, word: &LeavingWord) {
+    /// Handles a report of another gateway that an endpoint is leaving.
+    pub fn take_leaving_word(&self, report: &LeavingWord) {
         let mut state = self.lock();
-        let change = state.directory.take_leaving_word(word);
+        let change = state.directory.take_leaving_word(report);
         if let Some(change) = change {
-            self.log_notice(&state, &word.endpoint, change, None);
+            self.log_notice(&state, &report.endpoint, change, None);
             self.changed.notify_waiters();
         }
     }
 
-    /// Tells all other gateways.
-    pub(super) fn tell_gateways(&self, message: &InnerMessage) {
+    /// Sends a message to all other known gateways.
+    pub(super) fn broadcast(&self, message: &InnerMessage) {
         let now = self.clock.now();
         let peers: Vec<SocketAddr> = self.lock().peers.known(now).collect();
         for peer in peers {
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Logs and counts what is believed anew of an endpoint, by the answer to a request or, without one, by another
-    /// gateway's word.
+    /// Logs and counts a change of what is known about an endpoint. It comes from the response to `request`, or
+    /// from another gateway if that is `None`.
     pub(super) fn log_notice(
         &self,
         state: &CoreState,
@@ -73,7 +73,7 @@
             .write(notice_line(state, endpoint, change).with("request", request));
     }
 
-    /// Shows how many endpoints have asked for what.
+    /// Updates the metrics of the numbers of endpoints with each kind of notice.
     pub(super) fn show_notices(&self, state: &CoreState) {
         let now = self.clock.now();
         let directory = &state.directory;
@@ -85,7 +85,8 @@
     }
 }
 
-/// What is believed anew of an endpoint. A value that can't be read may come with every answer.
+/// Creates the log line for a change of what is known about an endpoint. Invalid values have a low weight, because
+/// every response may contain one.
 fn notice_line(state: &CoreState, endpoint: &EndpointName, change: NoticeChange) -> DecisionLine {
     let weight = match change {
         NoticeChange::RateUnusable | NoticeChange::LeavingUnusable | NoticeChange::RestUnusable => {
@@ -101,7 +102,7 @@
         _ => None,
     };
     let rest_ms = match change {
-        NoticeChange::Rests(span) => u64::try_from(span.duration().as_millis()).ok(),
+        NoticeChange::Rests(duration) => u64::try_from(duration.duration().as_millis()).ok(),
         _ => None,
     };
     let row = state.directory.row(endpoint);
--- a/crates/oatpier-gateway/src/gateway/pauses.rs
+++ b/crates/oatpier-gateway/src/gateway/pauses.rs
@@ -1,7 +1,7 @@
-//! What made a stream late.
+//! Finds out why a stream was late.
 //!
-//! A stream is in time if its first piece comes within its route's target and no pause between pieces
-//! is longer than the route allows. The engine's load at the longest pause says why there was one.
+//! A stream is in time if its first chunk arrives within the latency target of its route and no pause between
+//! chunks is longer than the route allows. The engine's load at the longest pause explains the pause.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 
 use super::core::GatewayCore;
 
-/// What an endpoint was doing at a moment, as far as its gateway knew.
+/// The load of an endpoint at one moment, as far as the gateway knew it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct EngineMoment {
-    /// Requests there.
+pub struct EngineSnapshot {
+    /// The number of requests at the endpoint.
     pub requests: u32,
-    /// Requests that waited there at its last word.
+    /// The number of requests that waited at the endpoint at its last report.
     pub waiting: u32,
-    /// The time that it needed to read this gateway's prompts, in milliseconds.
+    /// The time that the endpoint needed to process the prompts of this gateway, in milliseconds.
     pub reading_ms: f64,
 }
 
-impl EngineMoment {
+impl EngineSnapshot {
     fn of(row: &EndpointRow) -> Self {
         Self {
             requests: row.present(),
@@ -33,28 +33,28 @@
     }
 }
 
-/// A pause between two pieces of a stream.
+/// A pause between two chunks of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct StreamPause {
-    /// How long it was.
+    /// The length of the pause.
     pub length: Duration,
-    /// Pieces that came before it.
-    pub after_pieces: u32,
-    /// What the endpoint was doing when it ended.
-    pub engine: EngineMoment,
+    /// The number of chunks before the pause.
+    pub after_chunks: u32,
+    /// The load of the endpoint when the pause ended.
+    pub engine: EngineSnapshot,
 }
 
-/// Watches the pauses of a stream.
+/// Measures the pauses between the chunks of a stream.
 #[derive(Debug)]
-pub struct PauseWatch {
+pub struct PauseTracker {
     allowed: Duration,
     last_at: ClockTime,
-    pieces: u32,
+    chunks: u32,
     longest: StreamPause,
 }
 
-impl PauseWatch {
-    /// A watch over a stream of the route whose first piece comes now.
+impl PauseTracker {
+    /// Starts to track a stream of the route; its first chunk arrives now.
     #[must_use]
     pub fn begin(route: &RouteRule, now: ClockTime) -> Self {
         let allowed = match route.kind {
@@ -64,36 +64,36 @@
         Self {
             allowed,
             last_at: now,
-            pieces: 1,
+            chunks: 1,
             longest: StreamPause::default(),
         }
     }
 
-    /// A piece came. The endpoint's load is looked up only at a pause that makes the stream late.
-    pub fn note_piece(&mut self, core: &GatewayCore, endpoint: &EndpointName, now: ClockTime) {
+    /// Records a chunk. The endpoint's load is looked up only for a pause that makes the stream late.
+    pub fn record_chunk(&mut self, core: &GatewayCore, endpoint: &EndpointName, now: ClockTime) {
         let length = now.since(self.last_at);
         self.last_at = now;
         if length > self.allowed && length > self.longest.length {
             self.longest = StreamPause {
                 length,
-                after_pieces: self.pieces,
-                engine: core.engine_moment(endpoint),
+                after_chunks: self.chunks,
+                engine: core.engine_snapshot(endpoint),
             };
         }
-        self.pieces = self.pieces.saturating_add(1);
+        self.chunks = self.chunks.saturating_add(1);
     }
 
-    /// The longest pause, if it made the stream late.
+    /// Returns the longest pause if it made the stream late.
     #[must_use]
-    pub fn late_by(&self) -> Option<StreamPause> {
+    pub fn longest_late_pause(&self) -> Option<StreamPause> {
         (self.longest.length > self.allowed).then_some(self.longest)
     }
 }
 
 impl GatewayCore {
-    fn engine_moment(&self, endpoint: &EndpointName) -> EngineMoment {
+    fn engine_snapshot(&self, endpoint: &EndpointName) -> EngineSnapshot {
         let state = self.lock();
         let row = state.directory.row(endpoint);
-        row.map(EngineMoment::of).unwrap_or_default()
+        row.map(EngineSnapshot::of).unwrap_or_default()
     }
 }
--- a/crates/oatpier-gateway/src/gateway/permits.rs
+++ b/crates/oatpier-gateway/src/gateway/permits.rs
@@ -1,4 +1,4 @@
-//! Asking sidecars for permits to send their engines prompts.
+//! Requests permits to send prompts to engines from the engines' sidecars.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,24 +11,25 @@
 use tokio::time::timeout;
 
 use super::core::GatewayCore;
-use super::placement::{PlacedSend, RequestPlan};
+use super::placement::{PlacedSend, RequestContext};
 use crate::exchange::MessageOutlet;
 
-/// An ask is repeated this often: a lost datagram should cost no more than a prompt takes to be read.
-const ASK_EVERY: Duration = Duration::from_millis(30);
+/// The interval at which a permit request is repeated. A lost datagram should cost no more time than the engine
+/// needs to process a prompt.
+const PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(30);
 
-/// What came of an ask.
+/// The outcome of a permit request.
 #[derive(Debug)]
 pub enum PermitVerdict {
     /// The prompt may be sent.
-    Given(HeldPermit),
-    /// None is needed, or there is nobody to give one.
-    Free,
-    /// The endpoint can no longer take the request, or the wait took too long: it is placed anew.
+    Granted(HeldPermit),
+    /// No permit is needed, or no sidecar can grant one.
+    NotNeeded,
+    /// The endpoint can no longer take the request, or the maximum wait is over; the request is placed again.
     Withdrawn,
 }
 
-/// A permit; given back when it is dropped.
+/// A granted permit, returned to the sidecar when dropped.
 #[derive(Debug)]
 pub struct HeldPermit {
     outlet: Arc<dyn MessageOutlet>,
@@ -43,18 +44,19 @@
     }
 }
 
-/// An ask that is being waited for.
-struct OpenAsk {
+/// A permit request that waits for its answer.
+struct PendingPermit {
     core: Arc<GatewayCore>,
     endpoint: EndpointName,
     sidecar: SocketAddr,
     ask: PermitAsk,
-    /// What becomes the permit. Dropped with the ask it withdraws it: a permit that is given to a request whose
-    /// caller has left would keep the engine from reading until it lapses.
+    /// The permit once it is granted. Dropping it with this request withdraws the request: a permit that is granted
+    /// to a request whose caller has disconnected would keep the engine from processing prompts until the permit
+    /// expires.
     permit: Option<HeldPermit>,
 }
 
-impl OpenAsk {
+impl PendingPermit {
     fn begin(core: &Arc<GatewayCore>, placed: &PlacedSend, ask: PermitAsk) -> Self {
         let endpoint = placed.choice.endpoint.clone();
         let sidecar = SocketAddr::new(placed.address.ip(), core.inner_port);
@@ -72,9 +74,9 @@
         }
     }
 
-    fn send(&self, plan: &RequestPlan) {
+    fn send(&self, context: &RequestContext) {
         let ask = PermitAsk {
-            due_in_ms: due_in_ms(&self.core, plan),
+            due_in_ms: due_in_ms(&self.core, context),
             ..self.ask
         };
         self.core
@@ -83,7 +85,7 @@
     }
 }
 
-impl Drop for OpenAsk {
+impl Drop for PendingPermit {
     fn drop(&mut self) {
         self.core.permits.close(self.ask.id);
         let mut state = self.core.lock();
@@ -93,29 +95,29 @@
     }
 }
 
-/// How long a request may wait and be in time, in milliseconds.
-fn due_in_ms(core: &GatewayCore, plan: &RequestPlan) -> u32 {
-    let waited = core.clock.now().since(plan.arrived);
-    let left = admission::latest_wait(&plan.route).saturating_sub(waited);
+/// Returns how long a request may still wait to be in time, in milliseconds.
+fn due_in_ms(core: &GatewayCore, context: &RequestContext) -> u32 {
+    let waited = core.clock.now().since(context.arrived);
+    let left = admission::latest_wait(&context.route).saturating_sub(waited);
     u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Waits for a permit to send a prompt to an engine. Plain services read no prompts, and an engine whose
-/// sidecar is not heard gives no permits.
+/// Waits for a permit to send a prompt to an engine. Plain services process no prompts, and an engine whose sidecar
+/// is not reporting grants no permits.
 ///
-/// A gateway that has just started does not know how long prompts take. Its prompts are asked for as if each
-/// took a whole pause, so that they are read one after the other until it knows: after a loss of all
-/// processes the first seconds are the busiest.
-pub(super) async fn permit(
+/// A gateway that has just started does not know how long prompts take. It requests permits as if each prompt took
+/// a whole allowed pause, so that prompts are processed one after the other until it knows: after a loss of all
+/// processes, the first seconds carry the highest load.
+pub(super) async fn acquire_permit(
     core: &Arc<GatewayCore>,
-    plan: &RequestPlan,
+    context: &RequestContext,
     placed: &PlacedSend,
 ) -> PermitVerdict {
-    let RouteKind::Stream { pause, .. } = plan.route.kind else {
-        return PermitVerdict::Free;
+    let RouteKind::Stream { pause, .. } = context.route.kind else {
+        return PermitVerdict::NotNeeded;
     };
     if placed.load_age.is_none() {
-        return PermitVerdict::Free;
+        return PermitVerdict::NotNeeded;
     }
     let reading = match placed.choice.own_reading {
         Duration::ZERO => pause,
@@ -127,47 +129,49 @@
         pause_ms: u32::try_from(pause.as_millis()).unwrap_or(u32::MAX),
         due_in_ms: 0,
         slots: placed.slots,
-        is_urgent: admission::is_urgent(&plan.route, plan.priority()),
-        priority: plan.priority(),
+        is_urgent: admission::is_urgent(&context.route, context.priority()),
+        priority: context.priority(),
     };
     let mut answer = core.permits.open(ask.id);
-    let mut open = OpenAsk::begin(core, placed, ask);
+    let mut pending = PendingPermit::begin(core, placed, ask);
     loop {
-        open.send(plan);
-        let is_given = timeout(ASK_EVERY, &mut answer).await.is_ok();
-        if let Some(permit) = open.permit.take_if(|_| is_given) {
-            return PermitVerdict::Given(permit);
+        pending.send(context);
+        let is_granted = timeout(PERMIT_RESEND_INTERVAL, &mut answer).await.is_ok();
+        if let Some(permit) = pending.permit.take_if(|_| is_granted) {
+            return PermitVerdict::Granted(permit);
         }
-        if !core.still_takes(plan, &open.endpoint) || core.has_better(plan, &open.endpoint) {
+        if !core.can_still_take(context, &pending.endpoint)
+            || core.has_free_slot_elsewhere(context, &pending.endpoint)
+        {
             return PermitVerdict::Withdrawn;
         }
     }
 }
 
 impl GatewayCore {
-    /// Takes a sidecar's permit.
+    /// Accepts a permit that a sidecar granted.
     pub fn take_permit(&self, grant: PermitGrant) {
         self.permits.take(grant.id, ());
     }
 
-    /// Whether a request that waits for a permit at an engine that is full would find a free slot at another
-    /// one: replicas come while it waits.
-    fn has_better(&self, plan: &RequestPlan, endpoint: &EndpointName) -> bool {
-        let choice = self.best_choice(plan);
+    /// Returns whether a request that waits for a permit at a full engine would find a free slot at another one.
+    /// Replicas may be added while it waits.
+    fn has_free_slot_elsewhere(&self, context: &RequestContext, endpoint: &EndpointName) -> bool {
+        let choice = self.best_choice(context);
         choice.is_some_and(|choice| choice.endpoint != *endpoint && choice.occupancy < 1.0)
     }
 
-    /// Whether an endpoint can still take a request that waits for a permit there.
-    fn still_takes(&self, plan: &RequestPlan, endpoint: &EndpointName) -> bool {
+    /// Returns whether an endpoint can still take a request that waits for a permit there.
+    fn can_still_take(&self, context: &RequestContext, endpoint: &EndpointName) -> bool {
         let now = self.clock.now();
-        if self.is_closed() || plan.has_waited_out(now) {
+        if self.is_closed() || context.has_exceeded_wait(now) {
             return false;
         }
         let state = self.lock();
         let Some(row) = state.directory.row(endpoint) else {
             return false;
         };
-        let weights = plan.request.weights.as_ref();
+        let weights = context.request.weights.as_ref();
         let holds = weights.is_none_or(|weights| row.holds(&weights.model, now));
         holds && row.is_open(now) && row.is_rested(now) && !row.is_overdue(now)
     }
--- a/crates/oatpier-gateway/src/gateway/placement.rs
+++ b/crates/oatpier-gateway/src/gateway/placement.rs
@@ -30,13 +30,13 @@
 
 /// Callers of streams give up when nothing arrived for the longest of: two seconds, four times the latency target
 /// of the first chunk, and eight times the longest allowed pause between chunks.
-const PATIENCE_LEAST: Duration = Duration::from_secs(2);
-const PATIENCE_TARGETS: u32 = 4;
-const PATIENCE_PAUSES: u32 = 8;
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT_TARGETS: u32 = 4;
+const CALLER_TIMEOUT_PAUSES: u32 = 8;
 
 /// A request with the properties that its placement depends on.
 #[derive(Debug)]
-pub struct RequestPlan {
+pub struct RequestContext {
     /// The route that matched.
     pub route: Arc<RouteRule>,
     /// The identity of the caller.
@@ -54,50 +54,51 @@
     /// What the workspace was charged for the request.
     pub charge: ChargeCell,
     /// Whether the request was already counted as demand that could not be served at once.
-    pub unserved: AtomicBool,
+    pub is_counted_unserved: AtomicBool,
 }
 
-impl RequestPlan {
+impl RequestContext {
     /// Returns the priority, 0 being the highest.
     pub(super) fn priority(&self) -> u8 {
         self.identity.priority(&self.route)
     }
 
     /// Returns how long the caller waits for the first chunk of the response.
-    pub(super) fn first_patience(&self) -> Duration {
-        let whole = self.deadline.since(self.arrived);
+    pub(super) fn first_chunk_timeout(&self) -> Duration {
+        let max_timeout = self.deadline.since(self.arrived);
         let RouteKind::Stream { pause, .. } = self.route.kind else {
-            return whole;
+            return max_timeout;
         };
-        let first = (pause * PATIENCE_PAUSES).max(self.route.target * PATIENCE_TARGETS);
-        whole.min(first.max(PATIENCE_LEAST))
+        let timeout =
+            (pause * CALLER_TIMEOUT_PAUSES).max(self.route.target * CALLER_TIMEOUT_TARGETS);
+        max_timeout.min(timeout.max(MIN_CALLER_TIMEOUT))
     }
 
     /// Returns whether the request has waited for an endpoint for the maximum time.
-    pub(super) fn has_waited_out(&self, now: ClockTime) -> bool {
-        let most = admission::longest_wait(&self.route, self.first_patience());
-        now.since(self.arrived) > most
+    pub(super) fn has_exceeded_wait(&self, now: ClockTime) -> bool {
+        let max_wait = admission::longest_wait(&self.route, self.first_chunk_timeout());
+        now.since(self.arrived) > max_wait
     }
 
     /// Returns how much longer the request can wait for a turn at a rate-limited endpoint.
-    pub(super) fn turn_patience(&self, now: ClockTime) -> Duration {
-        self.wait_left(now).min(MOST_AHEAD)
+    pub(super) fn max_turn_wait(&self, now: ClockTime) -> Duration {
+        self.remaining_wait(now).min(MOST_AHEAD)
     }
 
     /// Returns how much longer the request may wait for an endpoint.
-    pub(super) fn wait_left(&self, now: ClockTime) -> Duration {
-        let most = admission::longest_wait(&self.route, self.first_patience());
-        most.saturating_sub(now.since(self.arrived))
+    pub(super) fn remaining_wait(&self, now: ClockTime) -> Duration {
+        let max_wait = admission::longest_wait(&self.route, self.first_chunk_timeout());
+        max_wait.saturating_sub(now.since(self.arrived))
     }
 
     /// Returns the maximum wait for a model.
-    pub(super) fn model_patience(&self) -> Duration {
-        self.first_patience().mul_f64(MODEL_WAIT_SHARE)
+    pub(super) fn max_model_wait(&self) -> Duration {
+        self.first_chunk_timeout().mul_f64(MODEL_WAIT_SHARE)
     }
 
     /// Returns the maximum wait for an adapter.
-    pub(super) fn adapter_patience(&self) -> Duration {
-        self.first_patience().mul_f64(ADAPTER_WAIT_SHARE)
+    pub(super) fn max_adapter_wait(&self) -> Duration {
+        self.first_chunk_timeout().mul_f64(ADAPTER_WAIT_SHARE)
     }
 }
 
@@ -107,10 +108,10 @@
     /// Send the request to this endpoint.
     Send(PlacedSend),
     /// Place the request again when the state changes, or after this time at the latest.
-    Wait(Duration),
-    /// Place the request again after this time, whatever changes meanwhile: the load of the endpoint changes with
-    /// every request.
-    Pause(Duration),
+    WaitForChange(Duration),
+    /// Place the request again after this time. The load that it waits for changes with every request, so no signal
+    /// reports it.
+    Sleep(Duration),
     /// Refuse the request.
     Refuse(PlacementRefusal),
 }
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -13,92 +13,96 @@
 use oatpier_types::refusal::{Refusal, RefusalCause};
 
 use super::core::{CoreState, GatewayCore};
-use super::placement::{PlacedSend, Placement, PlacementRefusal, RequestPlan};
+use super::placement::{PlacedSend, Placement, PlacementRefusal, RequestContext};
 
 /// How long a request waits for the planner to act while no engine is loading the model yet.
-const PLANNER_WAIT: Duration = Duration::from_millis(400);
+const MAX_PLANNER_WAIT: Duration = Duration::from_millis(400);
 
 /// The `Retry-After` sent when a model must be loaded and no sidecar of an engine that could load it is reporting.
-const MODEL_RETURN: Duration = Duration::from_millis(900);
+const MODEL_RETRY_AFTER: Duration = Duration::from_millis(900);
 
 /// The `Retry-After` sent when no adapter slot became free in time; slots become free when streams end.
-const ADAPTER_RETURN: Duration = Duration::from_millis(300);
+const ADAPTER_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// The `Retry-After` sent when the service has no endpoint, or none is known yet.
-const ABSENT_RETURN: Duration = Duration::from_millis(500);
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The interval at which a request that waits for an adapter is placed again and its load request is repeated.
 /// Loading an adapter takes 5 to 10 ms, and a lost datagram should add little to that.
-const ADAPTER_RETRY: Duration = Duration::from_millis(25);
+const ADAPTER_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The interval at which a request that waits for a model is placed again if no change is reported.
-const MODEL_RETRY: Duration = Duration::from_millis(100);
+const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// After a back-off, waiting requests retry the endpoint in the order of their remaining wait time: each is delayed
 /// by its remaining time divided by this number.
-const LOOK_SLACKS: u32 = 100;
+const BACKOFF_SPREAD_DIVISOR: u32 = 100;
 
 /// The longest time for which a waiting request does not check whether its gateway is being stopped.
-pub(super) const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+pub(super) const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The longest delay of a request after a back-off ends.
-const LATEST_LOOK: Duration = Duration::from_millis(30);
+const MAX_BACKOFF_SPREAD: Duration = Duration::from_millis(30);
 
 impl GatewayCore {
     /// Decides what to do with a request now.
-    pub fn place(&self, plan: &RequestPlan, excluded: &[EndpointName]) -> Placement {
+    pub fn place(&self, context: &RequestContext, excluded: &[EndpointName]) -> Placement {
         let now = self.clock.now();
         let mut state = self.lock();
         let config = state.config.clone();
-        let engine = engine_of(config.as_deref(), plan);
-        match self.choose(&state, plan, excluded, engine, now) {
+        let engine = engine_rule(config.as_deref(), context);
+        match self.choose(&state, context, excluded, engine, now) {
             ChoiceVerdict::Endpoint(choice) => {
                 let verdict = state.judge.judge(&AdmissionQuery {
                     choice: &choice,
-                    route: &plan.route,
-                    priority: plan.priority(),
-                    waited: now.since(plan.arrived),
-                    patience: plan.first_patience(),
+                    route: &context.route,
+                    priority: context.priority(),
+                    waited: now.since(context.arrived),
+                    patience: context.first_chunk_timeout(),
                 });
                 if verdict != AdmissionVerdict::Send {
-                    self.note_unserved(&mut state, plan, now);
+                    self.record_unserved(&mut state, context, now);
                 }
-                let queues = queues_at_engine(&state, plan, &choice, now);
+                let waits_at_sidecar = waits_at_sidecar(&state, context, &choice, now);
                 match verdict {
                     AdmissionVerdict::Refuse(refusal) => Placement::Refuse(PlacementRefusal {
                         refusal,
                         best: Some(choice),
                         held: None,
                     }),
-                    AdmissionVerdict::Wait(most) if !queues => Placement::Pause(most),
+                    AdmissionVerdict::Wait(max_wait) if !waits_at_sidecar => {
+                        Placement::Sleep(max_wait)
+                    }
                     AdmissionVerdict::Send | AdmissionVerdict::Wait(_) => {
                         let slots = engine.map_or(0, |rule| rule.adapter_slots);
-                        self.place_at(&mut state, plan, choice, slots, now)
+                        self.place_at(&mut state, context, choice, slots, now)
                     }
                 }
             }
             ChoiceVerdict::NoModel { ready_in, load } => {
-                self.note_unserved(&mut state, plan, now);
-                let coming = ComingModel { ready_in, load };
-                place_without_model(&mut state, plan, coming, now)
+                self.record_unserved(&mut state, context, now);
+                let pending = PendingModel { ready_in, load };
+                place_without_model(&mut state, context, pending, now)
             }
             ChoiceVerdict::Held(held) => {
-                self.note_unserved(&mut state, plan, now);
-                place_held(&mut state, plan, held, now)
+                self.record_unserved(&mut state, context, now);
+                place_held(&mut state, context, held, now)
             }
             ChoiceVerdict::NoEndpoint => {
-                let refusal = state.judge.refusal(RefusalCause::NoEndpoint, ABSENT_RETURN);
+                let refusal = state
+                    .judge
+                    .refusal(RefusalCause::NoEndpoint, NO_ENDPOINT_RETRY_AFTER);
                 PlacementRefusal::without_endpoint(refusal)
             }
         }
     }
 
     /// Returns the endpoint that would serve the request best now, regardless of its queue.
-    pub(super) fn best_choice(&self, plan: &RequestPlan) -> Option<EndpointChoice> {
+    pub(super) fn best_choice(&self, context: &RequestContext) -> Option<EndpointChoice> {
         let state = self.lock();
         let config = state.config.clone();
-        let engine = engine_of(config.as_deref(), plan);
-        match self.choose(&state, plan, &[], engine, self.clock.now()) {
+        let engine = engine_rule(config.as_deref(), context);
+        match self.choose(&state, context, &[], engine, self.clock.now()) {
             ChoiceVerdict::Endpoint(choice) => Some(choice),
             ChoiceVerdict::NoModel { .. } | ChoiceVerdict::Held(_) | ChoiceVerdict::NoEndpoint => {
                 None
@@ -108,11 +112,14 @@
 
     /// Returns the refusal of a request whose possible endpoints have all asked for a back-off or are over their
     /// rate limit.
-    pub(super) fn held_everywhere(&self, plan: &RequestPlan) -> Option<(Refusal, HeldService)> {
+    pub(super) fn refusal_if_all_held(
+        &self,
+        context: &RequestContext,
+    ) -> Option<(Refusal, HeldService)> {
         let mut state = self.lock();
         let config = state.config.clone();
-        let engine = engine_of(config.as_deref(), plan);
-        match self.choose(&state, plan, &[], engine, self.clock.now()) {
+        let engine = engine_rule(config.as_deref(), context);
+        match self.choose(&state, context, &[], engine, self.clock.now()) {
             ChoiceVerdict::Held(held) => Some((state.judge.held(&held), held)),
             ChoiceVerdict::Endpoint(_)
             | ChoiceVerdict::NoModel { .. }
@@ -123,48 +130,48 @@
     fn choose(
         &self,
         state: &CoreState,
-        plan: &RequestPlan,
+        context: &RequestContext,
         excluded: &[EndpointName],
         engine: Option<&EngineRule>,
         now: ClockTime,
     ) -> ChoiceVerdict {
         let query = ChoiceQuery {
-            service: &plan.service,
-            request: &plan.request,
+            service: &context.service,
+            request: &context.request,
             zone: &self.zone,
             excluded,
             engine,
-            turn_patience: plan.turn_patience(now),
+            turn_patience: context.max_turn_wait(now),
         };
         choice::choose(&state.directory, &query, now)
     }
 
     /// Returns the refusal of a request that has waited for the maximum time.
-    pub(super) fn give_up_wait(&self, plan: &RequestPlan) -> Option<Refusal> {
-        let is_over = plan.has_waited_out(self.clock.now());
+    pub(super) fn refusal_if_wait_exceeded(&self, context: &RequestContext) -> Option<Refusal> {
+        let is_over = context.has_exceeded_wait(self.clock.now());
         is_over.then(|| self.lock().judge.too_late(Duration::ZERO))
     }
 
     fn place_at(
         &self,
         state: &mut CoreState,
-        plan: &RequestPlan,
+        context: &RequestContext,
         choice: EndpointChoice,
         adapter_slots: usize,
         now: ClockTime,
     ) -> Placement {
         let Some(row) = state.directory.row(&choice.endpoint) else {
-            return Placement::Wait(MODEL_RETRY);
+            return Placement::WaitForChange(MODEL_POLL_INTERVAL);
         };
         let address = row.record.address;
         let slots = row.record.slots;
         let load_age = row.pulse_age(now);
         if choice.needs_adapter {
-            if now.since(plan.arrived) > plan.adapter_patience() {
-                self.note_unserved(state, plan, now);
+            if now.since(context.arrived) > context.max_adapter_wait() {
+                self.record_unserved(state, context, now);
                 let refusal = state
                     .judge
-                    .refusal(RefusalCause::WeightsMissing, ADAPTER_RETURN);
+                    .refusal(RefusalCause::WeightsMissing, ADAPTER_RETRY_AFTER);
                 return Placement::Refuse(PlacementRefusal {
                     refusal,
                     best: Some(choice),
@@ -172,8 +179,8 @@
                 });
             }
             let sidecar = SocketAddr::new(address.ip(), self.inner_port);
-            self.wish(plan.request.weights.as_ref(), sidecar, adapter_slots);
-            return Placement::Wait(ADAPTER_RETRY);
+            self.request_adapter(context.request.weights.as_ref(), sidecar, adapter_slots);
+            return Placement::WaitForChange(ADAPTER_POLL_INTERVAL);
         }
         state.directory.note_probe(&choice.endpoint, now);
         Placement::Send(PlacedSend {
@@ -186,7 +193,7 @@
         })
     }
 
-    fn wish(&self, weights: Option<&WeightsKey>, sidecar: SocketAddr, slots: usize) {
+    fn request_adapter(&self, weights: Option<&WeightsKey>, sidecar: SocketAddr, slots: usize) {
         if let Some(key) = weights.and_then(WeightsKey::adapter_key) {
             let wish = AdapterWish {
                 key,
@@ -199,22 +206,25 @@
 }
 
 /// Returns what the engines of the request's service can hold, or `None` for a plain service.
-fn engine_of<'a>(config: Option<&'a SiteConfig>, plan: &RequestPlan) -> Option<&'a EngineRule> {
-    config?.service(&plan.service)?.engine.as_ref()
+fn engine_rule<'a>(
+    config: Option<&'a SiteConfig>,
+    context: &RequestContext,
+) -> Option<&'a EngineRule> {
+    config?.service(&context.service)?.engine.as_ref()
 }
 
 /// Returns whether a request that finds no free slot waits for its permit at the engine's sidecar. The sidecar
 /// knows when a slot is free and grants it to the request with the earliest deadline. A request that waits at its
 /// gateway relies on the last reported state, and so do the requests of all other gateways, for the same slot.
-fn queues_at_engine(
+fn waits_at_sidecar(
     state: &CoreState,
-    plan: &RequestPlan,
+    context: &RequestContext,
     choice: &EndpointChoice,
     now: ClockTime,
 ) -> bool {
     let row = state.directory.row(&choice.endpoint);
-    let is_heard = row.is_some_and(|row| row.pulse(now).is_some());
-    plan.route.kind.is_stream() && choice.batches && !choice.memory_full && is_heard
+    let is_reporting = row.is_some_and(|row| row.pulse(now).is_some());
+    context.route.kind.is_stream() && choice.batches && !choice.memory_full && is_reporting
 }
 
 /// Places a request whose endpoints have all asked for a back-off or are over their rate limit. It waits if one of
@@ -222,34 +232,34 @@
 /// callers time out first retry first.
 fn place_held(
     state: &mut CoreState,
-    plan: &RequestPlan,
+    context: &RequestContext,
     held: HeldService,
     now: ClockTime,
 ) -> Placement {
-    let slack = plan.wait_left(now).saturating_sub(held.left);
+    let slack = context.remaining_wait(now).saturating_sub(held.left);
     if slack.is_zero() {
         let refusal = state.judge.held(&held);
         return PlacementRefusal::held(refusal, held);
     }
-    let until_look = held.left + (slack / LOOK_SLACKS).min(LATEST_LOOK);
-    Placement::Pause(until_look.min(LONGEST_PAUSE))
+    let delay = held.left + (slack / BACKOFF_SPREAD_DIVISOR).min(MAX_BACKOFF_SPREAD);
+    Placement::Sleep(delay.min(STOP_CHECK_INTERVAL))
 }
 
 /// The state of a model that no engine holds.
 #[derive(Debug, Clone, Copy)]
-struct ComingModel {
+struct PendingModel {
     /// The time until the model is loaded, if an engine is loading it or is about to.
     ready_in: Option<Duration>,
     /// The shortest load time, if any engine is reporting.
     load: Option<Duration>,
 }
 
-impl ComingModel {
+impl PendingModel {
     /// Returns the estimated time until the model is loaded. If no load is known to be in progress, the planner
     /// schedules one within a moment if an engine is free.
     fn expected(self) -> Duration {
-        let planned = || self.load.map(|load| load + PLANNER_WAIT);
-        self.ready_in.or_else(planned).unwrap_or(MODEL_RETURN)
+        let planned = || self.load.map(|load| load + MAX_PLANNER_WAIT);
+        self.ready_in.or_else(planned).unwrap_or(MODEL_RETRY_AFTER)
     }
 }
 
@@ -257,24 +267,26 @@
 /// out; otherwise it is refused at once with a `Retry-After` of the time when the model should be ready.
 fn place_without_model(
     state: &mut CoreState,
-    plan: &RequestPlan,
-    coming: ComingModel,
+    context: &RequestContext,
+    pending: PendingModel,
     now: ClockTime,
 ) -> Placement {
-    let waited = now.since(plan.arrived);
-    let most = plan.model_patience();
-    let is_in_time = match (coming.ready_in, coming.load) {
-        (Some(ready_in), _) => waited + ready_in < most,
+    let waited = now.since(context.arrived);
+    let max_wait = context.max_model_wait();
+    let is_in_time = match (pending.ready_in, pending.load) {
+        (Some(ready_in), _) => waited + ready_in < max_wait,
         // Callers with long timeouts wait until the load of their model starts, as long as it can still finish in
         // time.
-        (None, Some(load)) => waited + load < most && waited < PLANNER_WAIT.max(plan.route.target),
-        (None, None) => waited < PLANNER_WAIT.min(most),
+        (None, Some(load)) => {
+            waited + load < max_wait && waited < MAX_PLANNER_WAIT.max(context.route.target)
+        }
+        (None, None) => waited < MAX_PLANNER_WAIT.min(max_wait),
     };
     if is_in_time {
-        return Placement::Wait(MODEL_RETRY);
+        return Placement::WaitForChange(MODEL_POLL_INTERVAL);
     }
     let refusal = state
         .judge
-        .refusal(RefusalCause::WeightsMissing, coming.expected());
+        .refusal(RefusalCause::WeightsMissing, pending.expected());
     PlacementRefusal::without_endpoint(refusal)
 }
--- a/crates/oatpier-gateway/src/gateway/relay.rs
+++ b/crates/oatpier-gateway/src/gateway/relay.rs
@@ -1,8 +1,9 @@
-//! An answer that goes back as a stream of events.
+//! Relays a response as a stream of events.
 //!
-//! Pieces go on as they come. Where a stream may be resumed, only whole events go on, so that a cut
-//! one can be taken up at another endpoint after the last event that the caller has. An end that
-//! the framing does not confirm cuts the caller's connection: it never looks like a whole answer.
+//! Chunks are forwarded as they arrive. If the stream is resumable, only complete events are forwarded, so that a
+//! broken stream can be resumed at another endpoint after the last event that the caller received. If the framing
+//! does not confirm the end of a stream, the caller's connection is cut, so that a truncated response never looks
+//! complete.
 
 use std::time::Duration;
 
@@ -21,62 +22,65 @@
 use oatpier_wire::sse::EventSplitter;
 use tokio::time::timeout_at;
 
-use super::attempt::{self, AttemptFailure, AttemptGuard, OpenAnswer};
-use super::pauses::PauseWatch;
+use super::attempt::{self, AttemptFailure, AttemptGuard, OpenResponse};
+use super::pauses::PauseTracker;
 use super::placement::PlacedSend;
 use super::run::RequestRun;
 
-/// A stream that may be resumed is given up after this many of the longest pauses that are in time.
-const STALL_PAUSES: u32 = 4;
+/// The stall timeout of a resumable stream, as a multiple of the longest allowed pause between chunks.
+const STALL_TIMEOUT_PAUSES: u32 = 4;
 
-/// The least stall that is acted upon: an engine reads long prompts between events.
-const STALL_LEAST: Duration = Duration::from_millis(500);
+/// The shortest stall timeout: an engine processes long prompts between events.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The end of every event.
+/// The bytes that end every event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// A stream on its way.
+/// A stream that is being relayed.
 struct StreamRelay {
     run: RequestRun,
     body: AnswerBody,
     guard: Option<AttemptGuard>,
-    /// Cuts the stream into events, where it may be resumed.
+    /// Splits a resumable stream into events.
     splitter: Option<EventSplitter>,
     last_event: Option<String>,
-    /// Whether the last piece ended with an event.
-    at_event_end: bool,
-    /// The last bytes that went on unchanged.
+    /// Whether the last chunk ended at the end of an event.
+    is_at_event_end: bool,
+    /// The last bytes that were forwarded unchanged.
     tail: Vec<u8>,
-    stall: Duration,
-    first: Option<Bytes>,
-    first_after: Duration,
-    pauses: PauseWatch,
+    stall_timeout: Duration,
+    first_chunk: Option<Bytes>,
+    first_chunk_latency: Duration,
+    pauses: PauseTracker,
 }
 
-/// What came next of a stream.
+/// The next step of a stream.
 enum StreamStep {
-    Piece(Bytes),
+    Chunk(Bytes),
     End,
     Failed(AttemptFailure),
-    /// Nothing came for longer than a stream that can go on elsewhere should wait.
+    /// Nothing arrived within the stall timeout of a stream that can be resumed elsewhere.
     Stalled,
     Expired,
 }
 
-/// Begins to relay a stream, once its first piece is here: until then another endpoint can still
-/// answer.
+/// Starts to relay a stream once its first chunk has arrived; until then another endpoint can still serve the
+/// request.
 ///
 /// # Errors
 ///
-/// The stream broke off before its first piece.
-pub(super) async fn relay(run: &RequestRun, answer: OpenAnswer) -> Result<Reply, AttemptFailure> {
-    let OpenAnswer {
+/// Returns an error if the stream broke off before its first chunk.
+pub(super) async fn relay(
+    run: &RequestRun,
+    response: OpenResponse,
+) -> Result<Reply, AttemptFailure> {
+    let OpenResponse {
         status,
         headers,
         body,
         guard,
-    } = answer;
-    let RouteKind::Stream { resumable, pause } = run.plan.route.kind else {
+    } = response;
+    let RouteKind::Stream { resumable, pause } = run.context.route.kind else {
         return Err(AttemptFailure::Spoilt);
     };
     let mut relay = StreamRelay {
@@ -85,15 +89,15 @@
         guard: Some(guard),
         splitter: resumable.then(EventSplitter::new),
         last_event: None,
-        at_event_end: true,
+        is_at_event_end: true,
         tail: Vec::new(),
-        stall: (pause * STALL_PAUSES).max(STALL_LEAST),
-        first: None,
-        first_after: Duration::ZERO,
-        pauses: PauseWatch::begin(&run.plan.route, run.core.clock.now()),
+        stall_timeout: (pause * STALL_TIMEOUT_PAUSES).max(MIN_STALL_TIMEOUT),
+        first_chunk: None,
+        first_chunk_latency: Duration::ZERO,
+        pauses: PauseTracker::begin(&run.context.route, run.core.clock.now()),
     };
-    match relay.step_or_move().await {
-        StreamStep::Piece(piece) => relay.first = Some(piece),
+    match relay.step_with_failover().await {
+        StreamStep::Chunk(chunk) => relay.first_chunk = Some(chunk),
         StreamStep::End => relay.finish(),
         StreamStep::Failed(failure) => {
             relay.finish_broken();
@@ -102,38 +106,38 @@
         StreamStep::Stalled | StreamStep::Expired => return Err(AttemptFailure::Silent),
     }
     if let Some(guard) = &mut relay.guard {
-        guard.note_first();
+        guard.record_first_chunk();
     }
     let now = run.core.clock.now();
-    relay.first_after = now.since(run.plan.arrived);
-    relay.pauses = PauseWatch::begin(&run.plan.route, now);
-    run.log_answered(status);
-    let pieces = stream::unfold(Some(relay), |relay| async move {
+    relay.first_chunk_latency = now.since(run.context.arrived);
+    relay.pauses = PauseTracker::begin(&run.context.route, now);
+    run.log_response(status);
+    let chunks = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
         match relay.next().await {
-            Some(Ok(piece)) => Some((Ok(Frame::data(piece)), Some(relay))),
+            Some(Ok(chunk)) => Some((Ok(Frame::data(chunk)), Some(relay))),
             Some(Err(error)) => Some((Err(error), None)),
             None => None,
         }
     });
-    let mut reply = Response::new(BodyExt::boxed_unsync(StreamBody::new(pieces)));
+    let mut reply = Response::new(BodyExt::boxed_unsync(StreamBody::new(chunks)));
     *reply.status_mut() = status;
     *reply.headers_mut() = headers;
     Ok(reply)
 }
 
 impl StreamRelay {
-    /// The next piece for the caller; none at the end.
+    /// Returns the next chunk for the caller, or `None` at the end.
     async fn next(&mut self) -> Option<Result<Bytes, BoxError>> {
-        if let Some(first) = self.first.take() {
+        if let Some(first) = self.first_chunk.take() {
             return Some(Ok(first));
         }
         self.guard.as_ref()?;
         loop {
-            let failure = match self.step_or_move().await {
-                StreamStep::Piece(piece) => {
-                    self.note_piece();
-                    return Some(Ok(piece));
+            let failure = match self.step_with_failover().await {
+                StreamStep::Chunk(chunk) => {
+                    self.record_chunk();
+                    return Some(Ok(chunk));
                 }
                 StreamStep::End => {
                     self.finish();
@@ -142,7 +146,7 @@
                 StreamStep::Expired => {
                     if let Some(guard) = self.guard.take() {
                         self.run
-                            .log_cut(&guard.endpoint, AttemptFailure::Silent, false);
+                            .log_broken_stream(&guard.endpoint, AttemptFailure::Silent, false);
                     }
                     return Some(Err("the stream's time is over".into()));
                 }
@@ -151,17 +155,17 @@
             };
             let endpoint = self.guard.as_ref()?.endpoint.clone();
             self.finish_broken();
-            let resumed = self.resume(failure, &endpoint).await.is_some();
-            self.run.log_cut(&endpoint, failure, resumed);
-            if !resumed {
+            let is_resumed = self.resume(failure, &endpoint).await.is_some();
+            self.run.log_broken_stream(&endpoint, failure, is_resumed);
+            if !is_resumed {
                 return Some(Err(failure.as_str().into()));
             }
         }
     }
 
-    /// The next step. A stall counts only where the stream can go on elsewhere at once: an
-    /// endpoint's silence alone is no reason to end an answer.
-    async fn step_or_move(&mut self) -> StreamStep {
+    /// Returns the next step. A stall counts only if the stream can be resumed elsewhere at once: a silent endpoint
+    /// alone is no reason to end a response.
+    async fn step_with_failover(&mut self) -> StreamStep {
         loop {
             let step = self.step().await;
             if !matches!(step, StreamStep::Stalled) {
@@ -171,8 +175,8 @@
                 return step;
             };
             let since = guard.sent_at();
-            self.run.core.note_silence(&guard.endpoint, since);
-            if self.run.may_move_from(&guard.endpoint) {
+            self.run.core.record_timeout(&guard.endpoint, since);
+            if self.run.try_reserve_failover(&guard.endpoint) {
                 return step;
             }
         }
@@ -180,7 +184,7 @@
 
     async fn step(&mut self) -> StreamStep {
         loop {
-            let deadline = self.run.core.clock.instant(self.run.plan.deadline);
+            let deadline = self.run.core.clock.instant(self.run.context.deadline);
             let stalled_at = self.stalled_at();
             let until = stalled_at.map_or(deadline, |at| at.min(deadline));
             let frame = match timeout_at(until, self.body.frame()).await {
@@ -190,67 +194,71 @@
             };
             match frame {
                 Some(Ok(frame)) => {
-                    let piece = frame.into_data().ok().and_then(|data| self.take(data));
-                    if let Some(piece) = piece {
-                        return StreamStep::Piece(piece);
+                    let chunk = frame
+                        .into_data()
+                        .ok()
+                        .and_then(|data| self.process_chunk(data));
+                    if let Some(chunk) = chunk {
+                        return StreamStep::Chunk(chunk);
                     }
                 }
-                None if self.at_event_end => return StreamStep::End,
-                // A stream without a length whose endpoint died ends like a whole one, but in the
-                // middle of an event.
+                None if self.is_at_event_end => return StreamStep::End,
+                // If an endpoint dies while it sends a stream without a length, the stream ends like a complete
+                // one, but in the middle of an event.
                 Some(Err(_)) | None => return StreamStep::Failed(AttemptFailure::Cut),
             }
         }
     }
 
-    /// When the endpoint is thought silent; only streams that can go on elsewhere are given up.
+    /// Returns when the stream counts as stalled. Only streams that can be resumed elsewhere are given up.
     fn stalled_at(&self) -> Option<tokio::time::Instant> {
-        let can_move = self.splitter.is_some() && self.run.sends_left() >= 2;
-        can_move.then(|| {
+        let can_resume = self.splitter.is_some() && self.run.remaining_sends() >= 2;
+        can_resume.then(|| {
             let now: ClockTime = self.run.core.clock.now();
-            self.run.core.clock.instant(now + self.stall)
+            self.run.core.clock.instant(now + self.stall_timeout)
         })
     }
 
-    /// What of a piece goes to the caller now.
-    fn take(&mut self, data: Bytes) -> Option<Bytes> {
+    /// Takes in a chunk and returns the part that is forwarded to the caller now.
+    fn process_chunk(&mut self, data: Bytes) -> Option<Bytes> {
         let Some(splitter) = &mut self.splitter else {
-            self.note_raw(&data);
+            self.track_event_end(&data);
             return (!data.is_empty()).then_some(data);
         };
         splitter.push(&data);
         let mut whole = BytesMut::new();
-        // An event beyond the limit ends the pieces; what is left then never ends with an event.
+        // An event over the size limit ends the stream: the remaining bytes then never end at the end of an event.
         while let Ok(Some(event)) = splitter.next_event() {
             if let Some(id) = headers::event_id(&event.bytes) {
                 self.last_event = Some(id.to_owned());
             }
             whole.extend_from_slice(&event.bytes);
         }
-        self.at_event_end = splitter.rest().is_empty();
+        self.is_at_event_end = splitter.rest().is_empty();
         (!whole.is_empty()).then(|| whole.freeze())
     }
 
-    /// Notes whether the stream is at the end of an event, which may come in two pieces.
-    fn note_raw(&mut self, data: &[u8]) {
+    /// Tracks whether the stream is at the end of an event. The end marker may be split over two chunks.
+    fn track_event_end(&mut self, data: &[u8]) {
         self.tail.extend_from_slice(data);
         let excess = self.tail.len().saturating_sub(EVENT_END.len());
         self.tail.drain(..excess);
-        self.at_event_end = self.tail == EVENT_END;
+        self.is_at_event_end = self.tail == EVENT_END;
     }
 
-    fn note_piece(&mut self) {
+    fn record_chunk(&mut self) {
         if let Some(guard) = &self.guard {
             let now = self.run.core.clock.now();
-            self.pauses.note_piece(&self.run.core, &guard.endpoint, now);
+            self.pauses
+                .record_chunk(&self.run.core, &guard.endpoint, now);
         }
     }
 
     fn finish(&mut self) {
         if let Some(guard) = self.guard.take() {
-            let pause = self.pauses.late_by();
+            let pause = self.pauses.longest_late_pause();
             self.run
-                .log_lateness(&guard.endpoint, self.first_after, pause);
+                .log_late_stream(&guard.endpoint, self.first_chunk_latency, pause);
             guard.finish_whole();
         }
     }
@@ -261,21 +269,21 @@
         }
     }
 
-    /// Takes the stream up at another endpoint, after the last event that the caller has.
+    /// Resumes the stream at another endpoint after the last event that the caller received.
     async fn resume(&mut self, failure: AttemptFailure, endpoint: &EndpointName) -> Option<()> {
         self.splitter.as_ref()?;
         let mut failure = failure;
         let mut endpoint = endpoint.clone();
         loop {
-            if self.run.after(&endpoint, failure).is_some() {
+            if self.run.handle_failure(&endpoint, failure).is_some() {
                 return None;
             }
-            let deadline = self.run.core.clock.instant(self.run.plan.deadline);
-            let mut placed = timeout_at(deadline, self.run.placement())
+            let deadline = self.run.core.clock.instant(self.run.context.deadline);
+            let mut placed = timeout_at(deadline, self.run.await_placement())
                 .await
                 .ok()?
                 .ok()?;
-            match self.send_on(&mut placed).await {
+            match self.resume_at(&mut placed).await {
                 Ok(()) => return Some(()),
                 Err(next) => {
                     failure = next;
@@ -285,22 +293,22 @@
         }
     }
 
-    async fn send_on(&mut self, placed: &mut PlacedSend) -> Result<(), AttemptFailure> {
+    async fn resume_at(&mut self, placed: &mut PlacedSend) -> Result<(), AttemptFailure> {
         let run = &self.run;
         let after_event = self.last_event.as_deref();
-        let sending = attempt::send(&run.core, &run.plan, &run.message, placed, after_event);
-        let deadline = run.core.clock.instant(run.plan.deadline);
-        let answer = timeout_at(deadline, sending)
+        let sending = attempt::send(&run.core, &run.context, &run.message, placed, after_event);
+        let deadline = run.core.clock.instant(run.context.deadline);
+        let response = timeout_at(deadline, sending)
             .await
             .map_err(|_| AttemptFailure::Silent)??;
-        if !answer.status.is_success() {
-            answer.guard.finish(EndpointOutcome::ServerError);
+        if !response.status.is_success() {
+            response.guard.finish(EndpointOutcome::ServerError);
             return Err(AttemptFailure::ServerError);
         }
-        self.body = answer.body;
-        self.guard = Some(answer.guard);
+        self.body = response.body;
+        self.guard = Some(response.guard);
         self.splitter = Some(EventSplitter::new());
-        self.at_event_end = true;
+        self.is_at_event_end = true;
         Ok(())
     }
 }
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -20,47 +20,47 @@
 use super::attempt::{self, AttemptFailure, CallerMessage};
 use super::core::GatewayCore;
 use super::permits::{self, PermitVerdict};
-use super::placement::{PlacedSend, Placement, RequestPlan};
+use super::placement::{PlacedSend, Placement, RequestContext};
 use super::quota;
 use super::relay;
 use super::turns::{self, TurnVerdict};
 
 /// The shortest response timeout after which an idempotent request is retried on another endpoint.
-const SILENCE_LEAST: Duration = Duration::from_millis(120);
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// An attempt times out when the response takes this many times as long as predicted.
-const SILENCE_FACTOR: u32 = 5;
+const RESPONSE_TIMEOUT_FACTOR: u32 = 5;
 
 /// The upper bound of the response timeout, as a multiple of the route's latency target.
-const SILENCE_TARGET_FACTOR: f64 = 1.5;
+const RESPONSE_TIMEOUT_TARGETS: f64 = 1.5;
 
 /// The `Retry-After` sent when an endpoint refused the request and no other endpoint may be tried.
-const REFUSED_RETURN: Duration = Duration::from_millis(80);
+const REFUSED_RETRY_AFTER: Duration = Duration::from_millis(80);
 
 /// The longest wait for a turn at a rate-limited endpoint while another endpoint can take the request at once.
-const TURN_BESIDE_OTHERS: Duration = Duration::from_millis(30);
+const MAX_TURN_WAIT_WITH_ALTERNATIVE: Duration = Duration::from_millis(30);
 
 /// The `Retry-After` sent when no gateway that grants turns responds; the next attempt reaches another gateway.
-const UNGIVEN_RETURN: Duration = Duration::from_millis(250);
+const NO_HOLDER_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// A request that is being served, with the state of its attempts.
 #[derive(Clone)]
 pub(super) struct RequestRun {
     pub(super) core: Arc<GatewayCore>,
-    pub(super) plan: Arc<RequestPlan>,
+    pub(super) context: Arc<RequestContext>,
     pub(super) message: CallerMessage,
     /// Endpoints that received at least one byte of the request.
     reached: SmallVec<[EndpointName; 2]>,
     /// Endpoints that the request is not sent to again.
     pub(super) excluded: SmallVec<[EndpointName; 2]>,
     /// The combined verdict on all attempts that have ended.
-    settled: RunVerdict,
+    ended_verdict: RunVerdict,
     /// Whether an attempt is in progress.
-    sending: bool,
+    is_sending: bool,
     /// The endpoint of the last attempt.
     pub(super) endpoint: Option<EndpointName>,
-    /// The best endpoint when the request was refused because that endpoint was overloaded.
-    pub(super) too_busy: Option<EndpointChoice>,
+    /// The best endpoint when the request was refused because that endpoint could not take it.
+    pub(super) best_choice: Option<EndpointChoice>,
     /// Why no endpoint could be used when the request was refused because all of them asked for a back-off or are
     /// over
     /// their rate limit.
@@ -68,72 +68,74 @@
 }
 
 /// The final outcome of a request.
-enum RunEnd {
-    Answered(Reply),
-    Own(OwnAnswer),
+enum RunOutcome {
+    Relayed(Reply),
+    Local(OwnAnswer),
 }
 
 impl RequestRun {
     pub(super) fn new(
         core: &Arc<GatewayCore>,
-        plan: Arc<RequestPlan>,
+        context: Arc<RequestContext>,
         message: CallerMessage,
     ) -> Self {
         Self {
             core: Arc::clone(core),
-            plan,
+            context,
             message,
             reached: SmallVec::new(),
             excluded: SmallVec::new(),
-            settled: RunVerdict::NotRun,
-            sending: false,
+            ended_verdict: RunVerdict::NotRun,
+            is_sending: false,
             endpoint: None,
-            too_busy: None,
+            best_choice: None,
             held: None,
         }
     }
 
     pub(super) async fn serve(&mut self) -> Reply {
-        let deadline = self.core.clock.instant(self.plan.deadline);
-        let end = match timeout_at(deadline, self.attempts()).await {
-            Ok(end) => end,
-            Err(_) if self.verdict() == RunVerdict::NotRun => RunEnd::Own(OwnAnswer::ExpiredUnsent),
-            Err(_) => RunEnd::Own(OwnAnswer::ExpiredSent),
+        let deadline = self.core.clock.instant(self.context.deadline);
+        let outcome = match timeout_at(deadline, self.run_attempts()).await {
+            Ok(outcome) => outcome,
+            Err(_) if self.verdict() == RunVerdict::NotRun => {
+                RunOutcome::Local(OwnAnswer::ExpiredUnsent)
+            }
+            Err(_) => RunOutcome::Local(OwnAnswer::ExpiredSent),
         };
-        match end {
-            RunEnd::Answered(reply) => reply,
-            RunEnd::Own(own) => {
-                self.log_own(own);
-                own.reply(&self.plan.request.id)
+        match outcome {
+            RunOutcome::Relayed(reply) => reply,
+            RunOutcome::Local(response) => {
+                self.log_local_response(response);
+                response.reply(&self.context.request.id)
             }
         }
     }
 
     /// Returns whether the request may have run, as far as this gateway knows.
     pub(super) fn verdict(&self) -> RunVerdict {
-        if self.sending {
-            self.settled.and(RunVerdict::MayHaveRun)
+        if self.is_sending {
+            self.ended_verdict.and(RunVerdict::MayHaveRun)
         } else {
-            self.settled
+            self.ended_verdict
         }
     }
 
-    async fn attempts(&mut self) -> RunEnd {
+    async fn run_attempts(&mut self) -> RunOutcome {
         loop {
-            let mut placed = match self.placement().await {
+            let mut placed = match self.await_placement().await {
                 Ok(placed) => placed,
-                Err(own) => return RunEnd::Own(own),
+                Err(response) => return RunOutcome::Local(response),
             };
-            self.sending = true;
-            self.plan.charge.set_spent(true);
+            self.is_sending = true;
+            self.context.charge.set_spent(true);
             self.endpoint = Some(placed.choice.endpoint.clone());
             let failure = match self.attempt(&mut placed).await {
-                Ok(reply) => return RunEnd::Answered(reply),
+                Ok(reply) => return RunOutcome::Relayed(reply),
                 Err(failure) => failure,
             };
             self.log_failure(&placed, failure);
-            if let Some(own) = self.after(&placed.choice.endpoint, failure) {
-                return RunEnd::Own(own);
+            if let Some(response) = self.handle_failure(&placed.choice.endpoint, failure) {
+                return RunOutcome::Local(response);
             }
         }
     }
@@ -143,40 +145,40 @@
     /// When the gateway is being stopped, requests that still wait are refused. If they were kept until the process
     /// is killed, the caller would see a closed connection and could not tell whether the request ran. Each wait
     /// below lasts at most 100 ms, so the stop is noticed long before the process is killed.
-    pub(super) async fn placement(&mut self) -> Result<PlacedSend, OwnAnswer> {
+    pub(super) async fn await_placement(&mut self) -> Result<PlacedSend, OwnAnswer> {
         let core = Arc::clone(&self.core);
-        let mut passed = self.excluded.clone();
+        let mut skipped = self.excluded.clone();
         loop {
             let changed = core.changed.notified();
             if core.is_closed() {
                 let refusal = core.refusal(RefusalCause::Leaving, Duration::ZERO);
-                return Err(self.refused(refusal));
+                return Err(self.refusal_unless_run(refusal));
             }
             self.check_identity()?;
             self.check_suspect()?;
-            match core.place(&self.plan, &passed) {
+            match core.place(&self.context, &skipped) {
                 Placement::Send(placed) => {
-                    let Some(placed) = self.with_turn(placed, &mut passed).await? else {
+                    let Some(placed) = self.acquire_turn(placed, &mut skipped).await? else {
                         continue;
                     };
-                    if let Some(permitted) = self.permitted(placed).await? {
+                    if let Some(placed) = self.acquire_permit(placed).await? {
                         self.check_suspect()?;
                         self.renew_charge().await?;
-                        return Ok(permitted);
+                        return Ok(placed);
                     }
                 }
                 Placement::Refuse(refused) => {
-                    self.too_busy = refused.best;
+                    self.best_choice = refused.best;
                     self.held = refused.held;
-                    return Err(self.refused(refused.refusal));
+                    return Err(self.refusal_unless_run(refused.refusal));
                 }
-                Placement::Pause(span) => {
-                    passed = self.excluded.clone();
-                    tokio::time::sleep(span).await;
+                Placement::Sleep(delay) => {
+                    skipped = self.excluded.clone();
+                    tokio::time::sleep(delay).await;
                 }
-                Placement::Wait(most) => {
-                    passed = self.excluded.clone();
-                    let at = self.core.clock.instant(self.core.clock.now() + most);
+                Placement::WaitForChange(max_wait) => {
+                    skipped = self.excluded.clone();
+                    let at = self.core.clock.instant(self.core.clock.now() + max_wait);
                     tokio::select! {
                         () = changed => {}
                         () = sleep_until(at) => {}
@@ -189,78 +191,86 @@
     /// Refuses a request that is suspected of crashing the endpoints that run it. This is checked before each send
     /// and while the request waits, because another gateway may report the verdict meanwhile.
     fn check_suspect(&self) -> Result<(), OwnAnswer> {
-        let own = match self.core.judge_suspect(&self.plan) {
+        let response = match self.core.suspect_verdict(&self.context) {
             SuspectVerdict::Clear => return Ok(()),
             SuspectVerdict::Held => OwnAnswer::Held,
             SuspectVerdict::Barred => OwnAnswer::Barred,
         };
-        Err(self.if_not_run(own))
+        Err(self.unless_run(response))
     }
 
     /// Renews the quota charge of a request that waited longer than its charge is valid.
     async fn renew_charge(&self) -> Result<(), OwnAnswer> {
-        let patience = quota::unit_patience(&self.plan.route);
-        let renewed = quota::renew_charge(&self.core, &self.plan.charge, patience).await;
-        renewed.map_err(|own| self.if_not_run(own))
+        let max_wait = quota::unit_patience(&self.context.route);
+        let renewed = quota::renew_charge(&self.core, &self.context.charge, max_wait).await;
+        renewed.map_err(|response| self.unless_run(response))
     }
 
     /// Refuses a request whose API key was revoked while it waited.
     fn check_identity(&self) -> Result<(), OwnAnswer> {
-        if self.core.still_holds(&self.plan.identity, &self.plan.route) {
+        if self
+            .core
+            .is_still_valid(&self.context.identity, &self.context.route)
+        {
             return Ok(());
         }
-        Err(self.if_not_run(OwnAnswer::UnknownKey))
+        Err(self.unless_run(OwnAnswer::UnknownKey))
     }
 
     /// Waits for a turn if the endpoint has a rate limit. Returns `None` if the request must be placed again. If
     /// another endpoint can take the request at once, the wait is short, and this endpoint is skipped for now when
     /// it has no turn in that time.
-    async fn with_turn(
+    async fn acquire_turn(
         &mut self,
         placed: PlacedSend,
-        passed: &mut SmallVec<[EndpointName; 2]>,
+        skipped: &mut SmallVec<[EndpointName; 2]>,
     ) -> Result<Option<PlacedSend>, OwnAnswer> {
         let endpoint = placed.choice.endpoint.clone();
-        if !self.core.names_limit(&endpoint) {
+        if !self.core.has_rate_limit(&endpoint) {
             return Ok(Some(placed));
         }
-        let mut others = passed.clone();
-        others.push(endpoint.clone());
-        let elsewhere = self.core.place(&self.plan, &others);
-        let has_other = matches!(elsewhere, Placement::Send(_));
-        let patience = self.plan.turn_patience(self.core.clock.now());
-        let most_wait = if has_other {
-            patience.min(TURN_BESIDE_OTHERS)
+        let mut excluded = skipped.clone();
+        excluded.push(endpoint.clone());
+        let alternative = self.core.place(&self.context, &excluded);
+        let has_alternative = matches!(alternative, Placement::Send(_));
+        let max_wait = self.context.max_turn_wait(self.core.clock.now());
+        let max_wait = if has_alternative {
+            max_wait.min(MAX_TURN_WAIT_WITH_ALTERNATIVE)
         } else {
-            patience
+            max_wait
         };
-        match turns::take_turn(&self.core, &endpoint, most_wait).await {
-            TurnVerdict::Free => Ok(Some(placed)),
-            TurnVerdict::Given(turn) => {
-                let is_there = turns::wait_for_turn(&self.core, &endpoint, turn).await;
-                Ok(is_there.then_some(PlacedSend {
+        match turns::acquire_turn(&self.core, &endpoint, max_wait).await {
+            TurnVerdict::NotNeeded => Ok(Some(placed)),
+            TurnVerdict::Granted(turn) => {
+                let can_send = turns::wait_for_turn(&self.core, &endpoint, turn).await;
+                Ok(can_send.then_some(PlacedSend {
                     turn: Some(turn),
                     ..placed
                 }))
             }
-            TurnVerdict::Later | TurnVerdict::Nobody if has_other => {
-                *passed = others;
+            TurnVerdict::TooLate | TurnVerdict::NoHolder if has_alternative => {
+                *skipped = excluded;
                 Ok(None)
             }
-            TurnVerdict::Later => Ok(None),
-            TurnVerdict::Nobody => {
-                let refusal = self.core.refusal(RefusalCause::RateLimited, UNGIVEN_RETURN);
-                self.too_busy = Some(placed.choice);
-                Err(self.refused(refusal))
+            TurnVerdict::TooLate => Ok(None),
+            TurnVerdict::NoHolder => {
+                let refusal = self
+                    .core
+                    .refusal(RefusalCause::RateLimited, NO_HOLDER_RETRY_AFTER);
+                self.best_choice = Some(placed.choice);
+                Err(self.refusal_unless_run(refusal))
             }
         }
     }
 
     /// Waits for the permit to send the prompt to the endpoint. Returns `None` if the request must be placed again.
-    async fn permitted(&mut self, placed: PlacedSend) -> Result<Option<PlacedSend>, OwnAnswer> {
-        match permits::permit(&self.core, &self.plan, &placed).await {
-            PermitVerdict::Free => return Ok(Some(placed)),
-            PermitVerdict::Given(permit) => {
+    async fn acquire_permit(
+        &mut self,
+        placed: PlacedSend,
+    ) -> Result<Option<PlacedSend>, OwnAnswer> {
+        match permits::acquire_permit(&self.core, &self.context, &placed).await {
+            PermitVerdict::NotNeeded => return Ok(Some(placed)),
+            PermitVerdict::Granted(permit) => {
                 return Ok(Some(PlacedSend {
                     permit: Some(permit),
                     ..placed
@@ -268,22 +278,22 @@
             }
             PermitVerdict::Withdrawn => {}
         }
-        let Some(refusal) = self.core.give_up_wait(&self.plan) else {
+        let Some(refusal) = self.core.refusal_if_wait_exceeded(&self.context) else {
             return Ok(None);
         };
-        self.too_busy = Some(placed.choice);
-        Err(self.refused(refusal))
+        self.best_choice = Some(placed.choice);
+        Err(self.refusal_unless_run(refusal))
     }
 
     /// Returns the refusal, or [`OwnAnswer::Broken`] if the request may have run: a refusal promises that it did
     /// not.
-    fn refused(&self, refusal: Refusal) -> OwnAnswer {
-        self.if_not_run(OwnAnswer::Refused(refusal))
+    fn refusal_unless_run(&self, refusal: Refusal) -> OwnAnswer {
+        self.unless_run(OwnAnswer::Refused(refusal))
     }
 
-    fn if_not_run(&self, own: OwnAnswer) -> OwnAnswer {
-        if self.settled == RunVerdict::NotRun {
-            own
+    fn unless_run(&self, response: OwnAnswer) -> OwnAnswer {
+        if self.ended_verdict == RunVerdict::NotRun {
+            response
         } else {
             OwnAnswer::Broken
         }
@@ -291,42 +301,42 @@
 
     async fn attempt(&self, placed: &mut PlacedSend) -> Result<Reply, AttemptFailure> {
         let choice = placed.choice.clone();
-        let sending = attempt::send(&self.core, &self.plan, &self.message, placed, None);
-        let answer = self.or_silence(sending, &choice).await?;
-        if self.plan.route.kind.is_stream() && answer.status.is_success() {
-            return relay::relay(self, answer).await;
+        let sending = attempt::send(&self.core, &self.context, &self.message, placed, None);
+        let response = self.with_response_timeout(sending, &choice).await?;
+        if self.context.route.kind.is_stream() && response.status.is_success() {
+            return relay::relay(self, response).await;
         }
-        let whole = attempt::collect(answer).await?;
-        self.check_whole(whole)
+        let response = attempt::read_response(response).await?;
+        self.check_response(response)
     }
 
     /// Returns the time after which an attempt without a response head counts as timed out.
-    fn silence_after(&self, choice: &EndpointChoice) -> Duration {
-        let predicted = choice.predicted * SILENCE_FACTOR;
-        let latest = self.plan.route.target.mul_f64(SILENCE_TARGET_FACTOR);
-        let silence = predicted.min(latest).max(choice.predicted * 2);
-        silence.max(SILENCE_LEAST)
+    fn response_timeout(&self, choice: &EndpointChoice) -> Duration {
+        let predicted = choice.predicted * RESPONSE_TIMEOUT_FACTOR;
+        let max_timeout = self.context.route.target.mul_f64(RESPONSE_TIMEOUT_TARGETS);
+        let timeout = predicted.min(max_timeout).max(choice.predicted * 2);
+        timeout.max(MIN_RESPONSE_TIMEOUT)
     }
 
     /// Waits for the response head. A timeout always counts against the endpoint, even if this request can't be
     /// sent elsewhere: a frozen endpoint accepts requests and never responds, so later requests should avoid it.
     /// The attempt is abandoned only if a second send is allowed.
-    async fn or_silence<T>(
+    async fn with_response_timeout<T>(
         &self,
         sending: impl Future<Output = Result<T, AttemptFailure>>,
         choice: &EndpointChoice,
     ) -> Result<T, AttemptFailure> {
         let sent_at = self.core.clock.now();
-        let silent_at = sent_at + self.silence_after(choice);
+        let times_out_at = sent_at + self.response_timeout(choice);
         let mut sending = std::pin::pin!(sending);
         tokio::select! {
             biased;
-            answer = sending.as_mut() => return answer,
-            () = sleep_until(self.core.clock.instant(silent_at)) => {}
+            response = sending.as_mut() => return response,
+            () = sleep_until(self.core.clock.instant(times_out_at)) => {}
         }
-        self.core.note_silence(&choice.endpoint, sent_at);
-        let may_repeat = self.plan.route.kind.is_idempotent() && self.sends_left() >= 2;
-        if may_repeat && self.may_move_from(&choice.endpoint) {
+        self.core.record_timeout(&choice.endpoint, sent_at);
+        let may_repeat = self.context.route.kind.is_idempotent() && self.remaining_sends() >= 2;
+        if may_repeat && self.try_reserve_failover(&choice.endpoint) {
             return Err(AttemptFailure::Silent);
         }
         sending.await
@@ -334,23 +344,23 @@
 
     /// Returns whether the request can be sent to another endpoint at once, and if so takes the second send from
     /// the retry budget.
-    pub(super) fn may_move_from(&self, endpoint: &EndpointName) -> bool {
+    pub(super) fn try_reserve_failover(&self, endpoint: &EndpointName) -> bool {
         let mut excluded = self.excluded.clone();
         excluded.push(endpoint.clone());
-        let elsewhere = self.core.place(&self.plan, &excluded);
-        matches!(elsewhere, Placement::Send(_)) && self.core.take_retry(&self.plan.service)
+        let alternative = self.core.place(&self.context, &excluded);
+        matches!(alternative, Placement::Send(_)) && self.core.take_retry(&self.context.service)
     }
 
-    fn check_whole(&self, whole: Response<Bytes>) -> Result<Reply, AttemptFailure> {
-        let status = whole.status();
-        let again = status.is_server_error()
-            && self.plan.route.kind == RouteKind::Safe
-            && self.sends_left() >= 2;
-        if again && self.core.take_retry(&self.plan.service) {
+    fn check_response(&self, response: Response<Bytes>) -> Result<Reply, AttemptFailure> {
+        let status = response.status();
+        let may_retry = status.is_server_error()
+            && self.context.route.kind == RouteKind::Safe
+            && self.remaining_sends() >= 2;
+        if may_retry && self.core.take_retry(&self.context.service) {
             return Err(AttemptFailure::ServerError);
         }
-        self.log_answered(status);
-        Ok(whole.map(|body| {
+        self.log_response(status);
+        Ok(response.map(|body| {
             Full::new(body)
                 .map_err(|never| match never {})
                 .boxed_unsync()
@@ -358,57 +368,57 @@
     }
 
     /// Returns how many endpoints the request may still be sent to, including the current one.
-    pub(super) fn sends_left(&self) -> u32 {
+    pub(super) fn remaining_sends(&self) -> u32 {
         let sent = u32::try_from(self.reached.len()).unwrap_or(u32::MAX);
-        self.plan.route.max_attempts.saturating_sub(sent)
+        self.context.route.max_attempts.saturating_sub(sent)
     }
 
     /// Records a failed attempt. Returns the final response, or `None` if another attempt may be made.
-    pub(super) fn after(
+    pub(super) fn handle_failure(
         &mut self,
         endpoint: &EndpointName,
         failure: AttemptFailure,
     ) -> Option<OwnAnswer> {
         self.core.metrics.attempted(failure.as_str());
-        self.sending = false;
-        self.settled = self.settled.and(failure.verdict());
-        self.plan
+        self.is_sending = false;
+        self.ended_verdict = self.ended_verdict.and(failure.verdict());
+        self.context
             .charge
-            .set_spent(self.settled != RunVerdict::NotRun);
+            .set_spent(self.ended_verdict != RunVerdict::NotRun);
         if failure != AttemptFailure::HeldBack {
             self.excluded.push(endpoint.clone());
         }
-        if failure.has_reached() {
+        if failure.has_reached_endpoint() {
             self.reached.push(endpoint.clone());
         }
-        if !self.settled.may_repeat(self.repeat()) {
+        if !self.ended_verdict.may_repeat(self.repeat()) {
             return Some(OwnAnswer::Broken);
         }
-        let paid = failure.is_paid() || self.core.take_retry(&self.plan.service);
-        if self.sends_left() == 0 || !paid {
-            return Some(self.refused_after(failure));
+        let has_budget = failure.is_free_retry() || self.core.take_retry(&self.context.service);
+        if self.remaining_sends() == 0 || !has_budget {
+            return Some(self.refusal_after(failure));
         }
         None
     }
 
     fn repeat(&self) -> Repeat {
-        if self.plan.route.kind.is_idempotent() {
+        if self.context.route.kind.is_idempotent() {
             Repeat::Idempotent
         } else {
             Repeat::AtMostOnce
         }
     }
 
-    fn refused_after(&mut self, failure: AttemptFailure) -> OwnAnswer {
-        if let Some((refusal, held)) = self.core.held_everywhere(&self.plan) {
+    fn refusal_after(&mut self, failure: AttemptFailure) -> OwnAnswer {
+        if let Some((refusal, held)) = self.core.refusal_if_all_held(&self.context) {
             self.held = Some(held);
-            return self.refused(refusal);
+            return self.refusal_unless_run(refusal);
         }
         let cause = match failure {
             AttemptFailure::WeightsMissing => RefusalCause::WeightsMissing,
             AttemptFailure::Refused => RefusalCause::QueueFull,
             _ => RefusalCause::EndpointDown,
         };
-        self.refused(self.core.refusal(cause, REFUSED_RETURN))
+        self.refusal_unless_run(self.core.refusal(cause, REFUSED_RETRY_AFTER))
     }
 }
--- a/crates/oatpier-gateway/src/gateway/run_log.rs
+++ b/crates/oatpier-gateway/src/gateway/run_log.rs
@@ -1,4 +1,4 @@
-//! What is logged of a request.
+//! Logs and counts the outcome of requests and their attempts.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::decisions::{DecisionLine, LineWeight};
 
 impl RequestRun {
-    /// Logs an attempt that failed.
+    /// Logs a failed attempt.
     pub(super) fn log_failure(&self, placed: &PlacedSend, failure: AttemptFailure) {
         let line = DecisionLine::new(LineWeight::Notable, "attempt failed")
-            .with("request", self.plan.request.id.as_str())
-            .with("fingerprint", self.plan.fingerprint.short())
+            .with("request", self.context.request.id.as_str())
+            .with("fingerprint", self.context.fingerprint.short())
             .with("endpoint", placed.choice.endpoint.as_str())
             .with("cause", failure.as_str())
             .with("verdict", failure.verdict().as_str())
@@ -28,16 +28,21 @@
     }
 
     /// Logs a stream that broke off after its first piece.
-    pub(super) fn log_cut(&self, endpoint: &EndpointName, failure: AttemptFailure, resumed: bool) {
-        let outcome = if resumed {
+    pub(super) fn log_broken_stream(
+        &self,
+        endpoint: &EndpointName,
+        failure: AttemptFailure,
+        is_resumed: bool,
+    ) {
+        let outcome = if is_resumed {
             "resumed"
         } else {
             "cut at the caller"
         };
-        let waited = self.core.clock.now().since(self.plan.arrived);
+        let waited = self.core.clock.now().since(self.context.arrived);
         let line = DecisionLine::new(LineWeight::Notable, "stream broke off")
-            .with("request", self.plan.request.id.as_str())
-            .with("fingerprint", self.plan.fingerprint.short())
+            .with("request", self.context.request.id.as_str())
+            .with("fingerprint", self.context.fingerprint.short())
             .with("endpoint", endpoint.as_str())
             .with("cause", failure.as_str())
             .with("outcome", outcome)
@@ -46,14 +51,14 @@
         self.core.metrics.attempted(failure.as_str());
     }
 
-    /// Logs why a whole stream was late, if it was.
-    pub(super) fn log_lateness(
+    /// Logs why a complete stream was late, if it was.
+    pub(super) fn log_late_stream(
         &self,
         endpoint: &EndpointName,
-        first_after: Duration,
+        first_chunk_latency: Duration,
         pause: Option<StreamPause>,
     ) {
-        let is_late = first_after > self.plan.route.target;
+        let is_late = first_chunk_latency > self.context.route.target;
         let cause = match (is_late, pause.is_some()) {
             (false, false) => return,
             (true, false) => "start",
@@ -61,13 +66,13 @@
             (true, true) => "start and pause",
         };
         let line = DecisionLine::new(LineWeight::Notable, "stream late")
-            .with("request", self.plan.request.id.as_str())
-            .with("route", self.plan.route.name.as_str())
+            .with("request", self.context.request.id.as_str())
+            .with("route", self.context.route.name.as_str())
             .with("endpoint", endpoint.as_str())
             .with("cause", cause)
-            .with("first_ms", millis(first_after))
+            .with("first_ms", millis(first_chunk_latency))
             .with("pause_ms", pause.map(|pause| millis(pause.length)))
-            .with("after_pieces", pause.map(|pause| pause.after_pieces))
+            .with("after_pieces", pause.map(|pause| pause.after_chunks))
             .with("requests_there", pause.map(|pause| pause.engine.requests))
             .with("waiting_there", pause.map(|pause| pause.engine.waiting))
             .with(
@@ -77,8 +82,8 @@
         self.core.log.write(line);
     }
 
-    /// Logs an answer that an endpoint gave.
-    pub(super) fn log_answered(&self, status: StatusCode) {
+    /// Logs a response that an endpoint sent.
+    pub(super) fn log_response(&self, status: StatusCode) {
         let (outcome, weight) = if status.is_success() {
             ("answered", LineWeight::Calm)
         } else {
@@ -88,18 +93,18 @@
         self.core.log.write(line.with("status", status.as_u16()));
         self.core
             .metrics
-            .answered(self.plan.route.name.as_str(), outcome);
+            .answered(self.context.route.name.as_str(), outcome);
     }
 
-    /// Logs an answer of the gateway's own.
-    pub(super) fn log_own(&self, own: OwnAnswer) {
+    /// Logs a response that the gateway generated itself.
+    pub(super) fn log_local_response(&self, response: OwnAnswer) {
         let now = self.core.clock.now();
         let store_read_at = self.core.lock().store_read_at;
-        let best = self.too_busy.as_ref();
+        let best = self.best_choice.as_ref();
         let held = self.held.as_ref();
         let line = self
-            .answer_line(LineWeight::Notable, own.as_str())
-            .with("fingerprint", self.plan.fingerprint.short())
+            .answer_line(LineWeight::Notable, response.as_str())
+            .with("fingerprint", self.context.fingerprint.short())
             .with("best", best.map(|choice| choice.endpoint.to_string()))
             .with(
                 "best_taken",
@@ -109,8 +114,8 @@
             .with("held_by", held.map(|held| held.endpoint.to_string()))
             .with("held_for", held.map(|held| held.cause.as_str()))
             .with("held_ms", held.map(|held| millis(held.left)))
-            .with("return_ms", own.retry_after().map(millis))
-            .with("status", own.status().as_u16())
+            .with("return_ms", response.retry_after().map(millis))
+            .with("status", response.status().as_u16())
             .with("verdict", self.verdict().as_str())
             .with(
                 "store_age_ms",
@@ -119,19 +124,19 @@
         self.core.log.write(line);
         self.core
             .metrics
-            .answered(self.plan.route.name.as_str(), own.as_str());
+            .answered(self.context.route.name.as_str(), response.as_str());
     }
 
     fn answer_line(&self, weight: LineWeight, outcome: &'static str) -> DecisionLine {
-        let plan = &self.plan;
-        let waited = self.core.clock.now().since(plan.arrived);
+        let context = &self.context;
+        let waited = self.core.clock.now().since(context.arrived);
         DecisionLine::new(weight, "answer")
-            .with("request", plan.request.id.as_str())
-            .with("route", plan.route.name.as_str())
+            .with("request", context.request.id.as_str())
+            .with("route", context.route.name.as_str())
             .with("outcome", outcome)
             .with(
                 "weights",
-                plan.request.weights.as_ref().map(ToString::to_string),
+                context.request.weights.as_ref().map(ToString::to_string),
             )
             .with("endpoint", self.endpoint.as_ref().map(ToString::to_string))
             .with("failed_at", names(&self.excluded))
@@ -143,12 +148,12 @@
     endpoints.iter().map(ToString::to_string).collect()
 }
 
-/// A share with two decimals, for a log line.
+/// Rounds a ratio to two decimals for a log line.
 fn hundredths(share: f64) -> f64 {
     (share * 100.0).round() / 100.0
 }
 
-/// Milliseconds with one decimal, for a log line.
-fn millis(span: Duration) -> f64 {
-    (span.as_secs_f64() * 1e4).round() / 10.0
+/// Converts a duration to milliseconds with one decimal for a log line.
+fn millis(duration: Duration) -> f64 {
+    (duration.as_secs_f64() * 1e4).round() / 10.0
 }
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -1,4 +1,7 @@
-//! Turns at endpoints that limit the requests of all gateways: asked for, given, and told of.
+//! Requests and grants turns at endpoints with a rate limit, and shares such limits between gateways.
+//!
+//! A turn is the time at which one request may be sent to an endpoint that limits the requests of all gateways
+//! together.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,43 +17,43 @@
 use tokio::time::sleep;
 
 use super::core::{CoreState, GatewayCore};
-use super::placing::LONGEST_PAUSE;
+use super::placing::STOP_CHECK_INTERVAL;
 use super::quota::ANSWER_WAIT;
 
-/// How a request gets on at an endpoint that may name a limit.
+/// The outcome of a turn request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TurnVerdict {
-    /// The endpoint names no limit.
-    Free,
-    /// It has a turn.
-    Given(HeldTurn),
-    /// The next turn is further ahead than it waits.
-    Later,
-    /// No gateway that gives turns answers.
-    Nobody,
+    /// The endpoint has no rate limit.
+    NotNeeded,
+    /// The request has a turn.
+    Granted(HeldTurn),
+    /// The next turn is later than the request can wait.
+    TooLate,
+    /// No gateway that grants turns responded.
+    NoHolder,
 }
 
-/// Asks for a turn that is at most `most_wait` ahead.
-pub(super) async fn take_turn(
+/// Requests a turn that starts within `max_wait`.
+pub(super) async fn acquire_turn(
     core: &Arc<GatewayCore>,
     endpoint: &EndpointName,
-    most_wait: Duration,
+    max_wait: Duration,
 ) -> TurnVerdict {
     loop {
-        let query = match core.turn_step(endpoint, most_wait) {
-            None => return TurnVerdict::Free,
-            Some(TurnStep::Later(_)) => return TurnVerdict::Later,
-            Some(TurnStep::Nobody) => return TurnVerdict::Nobody,
+        let query = match core.turn_step(endpoint, max_wait) {
+            None => return TurnVerdict::NotNeeded,
+            Some(TurnStep::Later(_)) => return TurnVerdict::TooLate,
+            Some(TurnStep::Nobody) => return TurnVerdict::NoHolder,
             Some(TurnStep::Ask(query)) => query,
         };
-        if let Some(turn) = core.ask_for_turn(endpoint, &query).await {
-            return TurnVerdict::Given(turn);
+        if let Some(turn) = core.request_turn(endpoint, &query).await {
+            return TurnVerdict::Granted(turn);
         }
     }
 }
 
-/// Waits until a turn may be used; false if meanwhile its endpoint has said that it wants nothing, or the gateway is
-/// being stopped.
+/// Waits until a turn may be used. Returns false if the endpoint stops accepting requests meanwhile, or if the
+/// gateway is being stopped.
 pub(super) async fn wait_for_turn(
     core: &GatewayCore,
     endpoint: &EndpointName,
@@ -61,29 +64,29 @@
         if left.is_zero() {
             return true;
         }
-        sleep(left.min(LONGEST_PAUSE)).await;
-        if core.is_closed() || !core.takes_requests(endpoint) {
+        sleep(left.min(STOP_CHECK_INTERVAL)).await;
+        if core.is_closed() || !core.is_accepting(endpoint) {
             return false;
         }
     }
 }
 
 impl GatewayCore {
-    fn turn_step(&self, endpoint: &EndpointName, most_wait: Duration) -> Option<TurnStep> {
+    fn turn_step(&self, endpoint: &EndpointName, max_wait: Duration) -> Option<TurnStep> {
         let now = self.clock.now();
         let mut state = self.lock();
         let CoreState {
             directory, grants, ..
         } = &mut *state;
-        directory.turn_step(endpoint, grants.holders(), most_wait, now)
+        directory.turn_step(endpoint, grants.holders(), max_wait, now)
     }
 
-    async fn ask_for_turn(&self, endpoint: &EndpointName, query: &TurnQuery) -> Option<HeldTurn> {
+    async fn request_turn(&self, endpoint: &EndpointName, query: &TurnQuery) -> Option<HeldTurn> {
         let limit = self.limit_word(endpoint, None)?;
         let answer = if query.holder == self.settings.borrow().inner_address() {
-            Some(self.give_turn(query.part, &limit, query.most_wait))
+            Some(self.grant_turn(query.part, &limit, query.most_wait))
         } else {
-            self.remote_turn(query, limit).await
+            self.request_remote_turn(query, limit).await
         };
         let now = self.clock.now();
         let mut state = self.lock();
@@ -97,7 +100,7 @@
         directory.take_turn_answer(endpoint, grants.holders_mut(), query.part, answer, now)
     }
 
-    async fn remote_turn(&self, query: &TurnQuery, limit: LimitWord) -> Option<TurnAnswer> {
+    async fn request_remote_turn(&self, query: &TurnQuery, limit: LimitWord) -> Option<TurnAnswer> {
         let send = |id| {
             let ask = TurnAsk {
                 id,
@@ -110,21 +113,21 @@
         self.turn_asks.ask(ANSWER_WAIT, send).await
     }
 
-    /// Another gateway asks for a turn of a part that this one holds.
+    /// Handles the request of another gateway for a turn of a part that this gateway holds.
     pub fn take_turn_ask(&self, from: SocketAddr, ask: &TurnAsk) {
-        let most_wait = Duration::from_millis(u64::from(ask.most_wait_ms));
-        let answer = self.give_turn(ask.part, &ask.limit, most_wait);
+        let max_wait = Duration::from_millis(u64::from(ask.most_wait_ms));
+        let answer = self.grant_turn(ask.part, &ask.limit, max_wait);
         let reply = TurnReply { id: ask.id, answer };
         self.outlet.send(from, &InnerMessage::TurnAnswer(reply));
     }
 
-    /// A holder answered.
+    /// Handles the answer of the holder of a part to a turn request.
     pub fn take_turn_reply(&self, reply: TurnReply) {
         self.turn_asks.take(reply.id, reply.answer);
     }
 
-    /// Gives a turn by the newest word on the limit, which may be the asker's.
-    fn give_turn(&self, part: PartIndex, limit: &LimitWord, most_wait: Duration) -> TurnAnswer {
+    /// Grants a turn according to the newest report of the limit, which may come with the request.
+    fn grant_turn(&self, part: PartIndex, limit: &LimitWord, max_wait: Duration) -> TurnAnswer {
         let now = self.clock.now();
         self.take_limit_word(limit);
         let mut state = self.lock();
@@ -138,7 +141,7 @@
         }
         state
             .holder
-            .give_turn(part, &limit.endpoint, rate, most_wait, now)
+            .give_turn(part, &limit.endpoint, rate, max_wait, now)
     }
 
     fn limit_word(&self, endpoint: &EndpointName, sent_at: Option<ClockTime>) -> Option<LimitWord> {
@@ -146,7 +149,7 @@
         self.lock().directory.limit_word(endpoint, sent_at, now)
     }
 
-    /// Another gateway told what an endpoint's answer said of its limit.
+    /// Handles the report of another gateway about the rate limit of an endpoint.
     pub fn take_limit_word(&self, word: &LimitWord) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -155,9 +158,10 @@
         }
     }
 
-    /// Tells the other gateways of a change of an endpoint's limit, which this one saw in the answer to a request that
-    /// was sent at `sent_at`. One that misses it learns of it by an answer of its own.
-    pub(super) fn tell_limit(
+    /// Reports a change of an endpoint's rate limit to the other gateways. This gateway found it in the response to
+    /// a request that was sent at `sent_at`. A gateway that misses the report learns of the change from a response
+    /// of its own.
+    pub(super) fn broadcast_limit(
         &self,
         endpoint: &EndpointName,
         changes: &[NoticeChange],
@@ -172,25 +176,25 @@
         let Some(word) = self.limit_word(endpoint, Some(sent_at)) else {
             return;
         };
-        self.tell_gateways(&InnerMessage::LimitSeen(word));
+        self.broadcast(&InnerMessage::LimitSeen(word));
     }
 
-    /// Whether an endpoint names a limit.
-    pub(super) fn names_limit(&self, endpoint: &EndpointName) -> bool {
+    /// Returns whether an endpoint has a rate limit.
+    pub(super) fn has_rate_limit(&self, endpoint: &EndpointName) -> bool {
         let state = self.lock();
         let row = state.directory.row(endpoint);
         row.is_some_and(|row| row.limit().is_some())
     }
 
-    /// Whether an endpoint neither leaves nor rests.
-    fn takes_requests(&self, endpoint: &EndpointName) -> bool {
+    /// Returns whether an endpoint is neither leaving nor in a back-off period.
+    fn is_accepting(&self, endpoint: &EndpointName) -> bool {
         let now = self.clock.now();
         let state = self.lock();
         let row = state.directory.row(endpoint);
         row.is_some_and(|row| row.is_open(now) && row.is_rested(now))
     }
 
-    /// Whether an endpoint may be sent a request that has this turn, by what is known now.
+    /// Returns whether a request with this turn may be sent to an endpoint now, as far as is known.
     pub(super) fn may_send(&self, endpoint: &EndpointName, turn: Option<HeldTurn>) -> bool {
         let now = self.clock.now();
         self.lock().directory.may_send(endpoint, turn, now)
