--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -178,9 +178,9 @@
     /// Records that the first chunk of the response was received.
     pub fn record_first_chunk(&mut self) {
         let now = self.core.clock.now();
-        let took = now.since(self.sent_at);
+        let elapsed = now.since(self.sent_at);
         self.core
-            .record_first_chunk(&self.context, &self.endpoint, &self.sent, took);
+            .record_first_chunk(&self.context, &self.endpoint, &self.sent, elapsed);
         self.release_prompt();
         let route = self.context.route.name.as_str();
         self.core
@@ -323,11 +323,11 @@
         guard.finish(EndpointOutcome::Refused);
         return AttemptFailure::Refused;
     }
-    let other = head
+    let is_other = head
         .instance
         .as_ref()
         .is_some_and(|name| *name != guard.endpoint);
-    if other {
+    if is_other {
         core.record_replaced(&guard.endpoint, head.instance.as_ref());
         guard.finish(EndpointOutcome::Abandoned);
         return AttemptFailure::Replaced;
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -148,8 +148,8 @@
 
     /// Returns the refusal of a request that has waited for the maximum time.
     pub(super) fn refusal_if_wait_exceeded(&self, context: &RequestContext) -> Option<Refusal> {
-        let is_over = context.has_exceeded_wait(self.clock.now());
-        is_over.then(|| self.lock().judge.too_late(Duration::ZERO))
+        let has_exceeded_wait = context.has_exceeded_wait(self.clock.now());
+        has_exceeded_wait.then(|| self.lock().judge.too_late(Duration::ZERO))
     }
 
     fn place_at(
@@ -236,12 +236,12 @@
     held: HeldService,
     now: ClockTime,
 ) -> Placement {
-    let slack = context.remaining_wait(now).saturating_sub(held.left);
-    if slack.is_zero() {
+    let spare_wait = context.remaining_wait(now).saturating_sub(held.left);
+    if spare_wait.is_zero() {
         let refusal = state.judge.held(&held);
         return PlacementRefusal::held(refusal, held);
     }
-    let delay = held.left + (slack / BACKOFF_SPREAD_DIVISOR).min(MAX_BACKOFF_SPREAD);
+    let delay = held.left + (spare_wait / BACKOFF_SPREAD_DIVISOR).min(MAX_BACKOFF_SPREAD);
     Placement::Sleep(delay.min(STOP_CHECK_INTERVAL))
 }
 
@@ -257,7 +257,7 @@
 impl PendingModel {
     /// Returns the estimated time until the model is loaded. If no load is known to be in progress, the planner
     /// schedules one within a moment if an engine is free.
-    fn expected(self) -> Duration {
+    fn time_until_ready(self) -> Duration {
         let planned = || self.load.map(|load| load + MAX_PLANNER_WAIT);
         self.ready_in.or_else(planned).unwrap_or(MODEL_RETRY_AFTER)
     }
@@ -287,6 +287,6 @@
     }
     let refusal = state
         .judge
-        .refusal(RefusalCause::WeightsMissing, pending.expected());
+        .refusal(RefusalCause::WeightsMissing, pending.time_until_ready());
     PlacementRefusal::without_endpoint(refusal)
 }
--- a/crates/oatpier-gateway/src/gateway/relay.rs
+++ b/crates/oatpier-gateway/src/gateway/relay.rs
@@ -148,7 +148,7 @@
                         self.run
                             .log_broken_stream(&guard.endpoint, AttemptFailure::Silent, false);
                     }
-                    return Some(Err("the stream's time is over".into()));
+                    return Some(Err("the stream's deadline passed".into()));
                 }
                 StreamStep::Failed(failure) => failure,
                 StreamStep::Stalled => AttemptFailure::Silent,
--- a/crates/oatpier-gateway/tests/testsuite/crashes.rs
+++ b/crates/oatpier-gateway/tests/testsuite/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end the endpoints that run them.
+//! Tests of requests that crash the endpoints that run them.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
     EndpointStep, ScriptedEndpoint, TestGateway, own_answer, pulse, read_request, record, request,
 };
 
-/// The body that ends whoever runs it.
+/// The body that crashes an endpoint.
 const CRASHING: &str = "crash";
 
-/// Ends that are allowed before the request must be known, and sends that are allowed after.
-const ENDS_ALLOWED: u32 = 3;
-const SENDS_AFTER: u32 = 3;
+/// The number of crashes before the request must be recognized, and the number of sends allowed after that.
+const CRASHES_ALLOWED: u32 = 3;
+const SENDS_ALLOWED_AFTER: u32 = 3;
 
-/// An endpoint that ends with the first request of a certain body, and answers all others.
+/// An endpoint that crashes at the first request with the body [`CRASHING`], and responds to all others.
 struct FragileEndpoint {
     address: std::net::SocketAddr,
     crashing: Arc<AtomicU32>,
@@ -41,13 +41,13 @@
         Self { address, crashing }
     }
 
-    /// Requests with the body that ends it that have reached it.
+    /// Returns the number of crashing requests that reached the endpoint.
     fn crashing(&self) -> u32 {
         self.crashing.load(Ordering::Relaxed)
     }
 }
 
-/// Serves one connection after the other; the listener goes with the first request that ends it.
+/// Serves one connection after the other, and closes the listener with the first crashing request.
 async fn serve_until_crash(listener: TcpListener, crashing: Arc<AtomicU32>) {
     while let Ok((mut stream, _)) = listener.accept().await {
         while let Some(request) = read_request(&mut stream).await {
@@ -65,7 +65,7 @@
     stream.write_all(bytes.as_bytes()).await.unwrap();
 }
 
-/// A gateway before one endpoint at a time: when it ends, the platform lists another one.
+/// A gateway in front of one endpoint at a time. When the endpoint crashes, the registry lists another one.
 struct FragileFleet {
     gateway: TestGateway,
     endpoint: FragileEndpoint,
@@ -83,16 +83,16 @@
             started: 1,
             reached: 0,
         };
-        fleet.list();
+        fleet.register();
         fleet
     }
 
-    fn list(&self) {
+    fn register(&self) {
         let listed = record(self.started, self.endpoint.address);
         self.gateway.core.take_records(None, vec![listed]);
     }
 
-    /// Sends a request, and replaces the endpoint if that ended it.
+    /// Sends a request, and replaces the endpoint if the request crashed it.
     async fn send(&mut self, request: Request<Bytes>) -> http::Response<Bytes> {
         let answer = self.gateway.send(request).await;
         let reached = self.endpoint.crashing();
@@ -100,7 +100,7 @@
         if reached > 0 {
             self.endpoint = FragileEndpoint::start().await;
             self.started += 1;
-            self.list();
+            self.register();
         }
         answer
     }
@@ -115,12 +115,11 @@
     request
 }
 
-/// Callers see their streams cut and models vanish, again and again: one request ends each endpoint that runs
-/// it, and its caller sends it again under a new id. The gateway held each end against the endpoint and kept
-/// nothing of the request, so each return went to the endpoint that was still sound. What proved it: of twelve returns
-/// under twelve ids, all reached an endpoint, and each of these ended.
+/// Guards against one request that crashes endpoint after endpoint while its caller sends it again under new ids.
+/// If the gateway counted each crash only against the endpoint, every repetition would go to an endpoint that is
+/// still healthy: of twelve repetitions under twelve ids, all would reach and crash one.
 #[tokio::test]
-async fn a_request_that_ended_three_endpoints_reaches_few_more() {
+async fn a_request_that_crashed_three_endpoints_reaches_at_most_three_more() {
     let mut fleet = FragileFleet::start().await;
     let ids = [
         "a1", "a2", "a3", "a4", "a5", "a6", "a7", "a8", "a9", "b1", "b2", "b3",
@@ -129,13 +128,13 @@
         fleet.send(crashing_request(id)).await;
     }
     assert!(
-        fleet.reached <= ENDS_ALLOWED + SENDS_AFTER,
+        fleet.reached <= CRASHES_ALLOWED + SENDS_ALLOWED_AFTER,
         "{} sends reached endpoints",
         fleet.reached
     );
 }
 
-fn told_crashes(gateway: &TestGateway) -> Vec<CrashRecord> {
+fn queued_crashes(gateway: &TestGateway) -> Vec<CrashRecord> {
     std::iter::from_fn(|| gateway.written.poll())
         .filter_map(|change| match change {
             CrashChange::Put(record) => Some(record),
@@ -144,8 +143,8 @@
         .collect()
 }
 
-/// A fleet whose gateway has seen one request end three endpoints.
-async fn barring_fleet() -> FragileFleet {
+/// Creates a fleet whose gateway has seen one request crash three endpoints.
+async fn fleet_with_barred_request() -> FragileFleet {
     let mut fleet = FragileFleet::start().await;
     for id in ["a1", "a2", "a3"] {
         fleet.send(crashing_request(id)).await;
@@ -153,63 +152,64 @@
     fleet
 }
 
-/// The caller of a request that ended three endpoints must not be asked to come back, as 503 would. It is told at
-/// once, and the endpoint that is there goes on serving others.
+/// Guards against callers that are asked to retry a request that crashes endpoints, as a 503 would do. After three
+/// crashes the caller gets a final response at once, and the current endpoint keeps serving other requests.
 #[tokio::test]
 async fn a_barred_request_gets_a_final_answer_at_once() {
-    let mut fleet = barring_fleet().await;
+    let mut fleet = fleet_with_barred_request().await;
     let answer = fleet.send(crashing_request("a4")).await;
     assert_eq!(answer.status(), StatusCode::INTERNAL_SERVER_ERROR);
     assert!(!answer.headers().contains_key("retry-after"));
-    assert_eq!(fleet.reached, ENDS_ALLOWED);
+    assert_eq!(fleet.reached, CRASHES_ALLOWED);
     assert_eq!(fleet.send(request(&[])).await.status(), StatusCode::OK);
 }
 
-/// The request comes back at a gateway that never saw it: one that was told by the others, and one that has just
-/// started and knows only what lies in the store. Neither sends it on.
+/// Guards against barred requests that are repeated at another gateway, either one that was informed by the others,
+/// or one that has just started and only read the store. Neither forwards the request.
 #[tokio::test]
 async fn a_request_is_barred_at_gateways_that_never_saw_it() {
-    let fleet = barring_fleet().await;
-    let crashes = told_crashes(&fleet.gateway);
+    let fleet = fleet_with_barred_request().await;
+    let crashes = queued_crashes(&fleet.gateway);
     assert_eq!(crashes.len(), 3);
-    let told = FragileFleet::start().await;
-    told.gateway.core.take_crashes(&crashes);
+    let informed = FragileFleet::start().await;
+    informed.gateway.core.take_crashes(&crashes);
     let started = FragileFleet::start().await;
     started.gateway.core.take_stored_crashes(&crashes, false);
-    for mut fleet in [told, started] {
+    for mut fleet in [informed, started] {
         let answer = fleet.send(crashing_request("b1")).await;
         assert_eq!(answer.status(), StatusCode::INTERNAL_SERVER_ERROR);
         assert_eq!(fleet.reached, 0);
     }
 }
 
-/// An operator lifts the bar, or the planner drops an old suspicion: the store no longer lists the crashes. The
-/// request is sent again.
+/// An operator lifts the bar, or the planner expires an old suspicion, so the store no longer lists the crashes.
+/// The request is sent again.
 #[tokio::test]
 async fn a_request_that_the_store_no_longer_lists_is_sent_again() {
-    let mut fleet = barring_fleet().await;
-    let crashes = told_crashes(&fleet.gateway);
+    let mut fleet = fleet_with_barred_request().await;
+    let crashes = queued_crashes(&fleet.gateway);
     fleet.gateway.core.take_stored_crashes(&crashes, false);
     fleet.gateway.core.take_stored_crashes(&[], false);
     fleet.send(crashing_request("a4")).await;
-    assert_eq!(fleet.reached, ENDS_ALLOWED + 1);
+    assert_eq!(fleet.reached, CRASHES_ALLOWED + 1);
 }
 
-/// A caller's request was at two endpoints that ended for another reason, and its caller sends it again. It is
-/// served, and nothing is held against it any more, here or in the store.
+/// Guards against requests that stay suspect without a reason. The request was at two endpoints that crashed for
+/// another reason, and its caller sends it again. When it completes, its suspicion is removed, both here and in the
+/// store.
 #[tokio::test]
-async fn a_request_that_runs_whole_is_cleared() {
-    let mut fleet = barring_fleet().await;
-    let mut crashes = told_crashes(&fleet.gateway);
+async fn a_request_that_completes_is_no_longer_suspect() {
+    let mut fleet = fleet_with_barred_request().await;
+    let mut crashes = queued_crashes(&fleet.gateway);
     crashes.truncate(2);
-    let bystander = RequestFingerprint::of(&RequestContent {
+    let unrelated = RequestFingerprint::of(&RequestContent {
         method: "POST",
         host: "a.example",
         path: "/draft/7?x=1",
         body: b"hello",
     });
     for crash in &mut crashes {
-        crash.fingerprint = bystander;
+        crash.fingerprint = unrelated;
     }
     fleet.gateway.core.take_stored_crashes(&crashes, false);
     assert_eq!(fleet.send(request(&[])).await.status(), StatusCode::OK);
@@ -218,12 +218,13 @@
     assert_eq!(removed, expected);
 }
 
-/// An endpoint spoils answers, or a link resets connections: requests are cut off, and their endpoint goes on. That
-/// is not held against them, however often it happens.
+/// Guards against suspicions caused by an endpoint that sends invalid responses, or by a link that resets
+/// connections. Requests are cut off, but their endpoint keeps running, so they do not become suspect however often
+/// it happens.
 #[tokio::test]
-async fn a_request_that_is_cut_at_a_living_endpoint_is_not_suspect() {
-    let whole = || EndpointStep::Answer(own_answer("200 OK", "world"));
-    let steps = (0..8).flat_map(|_| [EndpointStep::Close, whole()]);
+async fn a_request_that_is_cut_off_at_a_running_endpoint_is_not_suspect() {
+    let complete = || EndpointStep::Answer(own_answer("200 OK", "world"));
+    let steps = (0..8).flat_map(|_| [EndpointStep::Close, complete()]);
     let endpoint = ScriptedEndpoint::start(steps.collect()).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     for _ in 0..8 {
@@ -232,29 +233,30 @@
         let other = gateway.send(request(&[])).await;
         assert_eq!(other.status(), StatusCode::OK);
     }
-    assert!(told_crashes(&gateway).is_empty());
+    assert!(queued_crashes(&gateway).is_empty());
 }
 
-/// An engine's sidecar says that the engine is lost, three seconds before the registry drops it. The end counts at
-/// once: a request that comes back within these seconds would take two or three engines more.
+/// The sidecar reports the loss of its engine three seconds before the registry removes the engine. The crash must
+/// count at once: a request that is repeated within these seconds would crash two or three more engines.
 #[tokio::test]
-async fn an_end_counts_as_soon_as_the_sidecar_tells() {
+async fn a_crash_counts_as_soon_as_the_sidecar_reports_it() {
     let fleet = FragileFleet::start().await;
     let core = &fleet.gateway.core;
     let engine = fleet.endpoint.address;
     core.take_pulse(pulse(1, engine, Vec::new()));
     fleet.gateway.send(crashing_request("a1")).await;
-    assert!(told_crashes(&fleet.gateway).is_empty());
+    assert!(queued_crashes(&fleet.gateway).is_empty());
     core.take_pulse(EnginePulse {
         answers: false,
         ..pulse(2, engine, Vec::new())
     });
-    assert_eq!(told_crashes(&fleet.gateway).len(), 1);
+    assert_eq!(queued_crashes(&fleet.gateway).len(), 1);
 }
 
-/// An endpoint that is taken away at short notice ends under its requests. They did not end it.
+/// An endpoint that is removed at short notice ends while it runs requests. The requests did not cause it and do
+/// not become suspect.
 #[tokio::test]
-async fn the_end_of_a_leaving_endpoint_counts_against_nobody() {
+async fn the_end_of_a_leaving_endpoint_makes_no_request_suspect() {
     let silent = ScriptedEndpoint::start(vec![EndpointStep::Silence]).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&silent]);
     let leaving = EndpointRecord {
@@ -272,5 +274,5 @@
     let (answer, ()) = tokio::join!(reply, leave);
     assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
     gateway.core.take_records(None, Vec::new());
-    assert!(told_crashes(&gateway).is_empty());
+    assert!(queued_crashes(&gateway).is_empty());
 }
--- a/crates/oatpier-gateway/tests/testsuite/failures.rs
+++ b/crates/oatpier-gateway/tests/testsuite/failures.rs
@@ -1,26 +1,27 @@
-//! Endpoints that die, fail, lie and fall silent.
+//! Tests of endpoints that die, fail, send invalid responses or stop responding.
 
 use http::StatusCode;
 use oatpier_serving::site::RouteKind;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, not_run, own_answer, pulse, record, request,
+    EndpointStep, ScriptedEndpoint, TestGateway, not_executed_response, own_answer, pulse, record,
+    request,
 };
 
 async fn endpoint(step: EndpointStep) -> ScriptedEndpoint {
     ScriptedEndpoint::start(vec![step]).await
 }
 
-fn whole() -> EndpointStep {
+fn complete_response() -> EndpointStep {
     EndpointStep::Answer(own_answer("200 OK", "world"))
 }
 
-/// The endpoint reads the request and dies. It may have run, so the caller gets 502, which promises
-/// nothing, and no other endpoint gets the request: it must not run twice.
+/// Guards against requests that run twice. The endpoint reads the request and dies. The request may have run, so
+/// the caller gets 502, which promises nothing, and no other endpoint gets the request.
 #[tokio::test]
 async fn a_request_that_may_have_run_is_not_sent_again() {
     let dying = endpoint(EndpointStep::Close).await;
-    let other = endpoint(whole()).await;
+    let other = endpoint(complete_response()).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 2, &[&dying, &other]);
     let mut statuses = Vec::new();
     for _ in 0..2 {
@@ -31,22 +32,25 @@
     assert!(statuses.contains(&StatusCode::BAD_GATEWAY));
 }
 
-/// The same with an idempotent request: the caller gets the other endpoint's answer.
+/// As above with an idempotent request: the caller gets the response of the other endpoint.
 #[tokio::test]
-async fn an_idempotent_request_goes_to_another_endpoint() {
+async fn an_idempotent_request_is_retried_at_another_endpoint() {
     let dying = endpoint(EndpointStep::Close).await;
-    let other = ScriptedEndpoint::start(vec![whole(), whole()]).await;
+    let other = ScriptedEndpoint::start(vec![complete_response(), complete_response()]).await;
     let gateway = TestGateway::before(RouteKind::Safe, 2, &[&dying, &other]);
     for _ in 0..2 {
         assert_eq!(gateway.send(request(&[])).await.status(), StatusCode::OK);
     }
 }
 
-/// The endpoint says that it did not run the request. The caller's 503 then promises the same, and
-/// tells when to come back.
+/// The endpoint reports that it did not run the request. The caller gets a 503, which promises the same, with a
+/// `Retry-After`.
 #[tokio::test]
-async fn a_refusal_of_the_endpoint_becomes_one_of_the_gateway() {
-    let full = endpoint(EndpointStep::Answer(not_run("503 Service Unavailable"))).await;
+async fn an_endpoint_refusal_becomes_a_gateway_refusal() {
+    let full = endpoint(EndpointStep::Answer(not_executed_response(
+        "503 Service Unavailable",
+    )))
+    .await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&full]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -54,12 +58,13 @@
     assert!(!answer.headers().contains_key("x-oatpier-response-stamp"));
 }
 
-/// A late answer to an earlier request lies on the connection where this one's is expected. Its id
-/// tells; relaying it would give the caller another's data.
+/// Guards against a caller that gets another caller's data. The late response to an earlier request arrives on the
+/// connection where the response to this request is expected. Its request id differs.
 #[tokio::test]
-async fn an_answer_to_another_request_is_never_relayed() {
-    let crossed = own_answer("200 OK", "another's").replace(crate::support::ID, "another");
-    let endpoint = endpoint(EndpointStep::Answer(crossed)).await;
+async fn a_response_to_another_request_is_never_relayed() {
+    let other_response =
+        own_answer("200 OK", "another's").replace(crate::support::REQUEST_ID, "another");
+    let endpoint = endpoint(EndpointStep::Answer(other_response)).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
@@ -67,9 +72,9 @@
 }
 
 #[tokio::test]
-async fn a_success_without_signature_is_not_relayed() {
-    let unsigned = own_answer("200 OK", "x").replace("x-oatpier-response-stamp", "x-other");
-    let endpoint = endpoint(EndpointStep::Answer(unsigned)).await;
+async fn a_success_without_response_stamp_is_not_relayed() {
+    let unstamped = own_answer("200 OK", "x").replace("x-oatpier-response-stamp", "x-other");
+    let endpoint = endpoint(EndpointStep::Answer(unstamped)).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     assert_eq!(
         gateway.send(request(&[])).await.status(),
@@ -77,12 +82,13 @@
     );
 }
 
-/// The endpoint breaks off in the middle of its body. The caller must not take the part for a whole
-/// answer.
+/// Guards against a truncated response that the caller takes for a complete one. The endpoint closes the connection
+/// in the middle of the body.
 #[tokio::test]
-async fn a_truncated_answer_never_looks_whole() {
-    let cut = own_answer("200 OK", "world").replace("content-length: 5", "content-length: 50");
-    let endpoint = endpoint(EndpointStep::AnswerAndClose(cut)).await;
+async fn a_truncated_response_never_looks_complete() {
+    let truncated =
+        own_answer("200 OK", "world").replace("content-length: 5", "content-length: 50");
+    let endpoint = endpoint(EndpointStep::AnswerAndClose(truncated)).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     assert_eq!(
         gateway.send(request(&[])).await.status(),
@@ -90,15 +96,20 @@
     );
 }
 
-/// Nobody listens at the address. No byte was sent, so even a request that must run at most once
-/// goes to the other endpoint, and that costs it no attempt.
+/// No process listens at the address. No byte was sent, so even an at-most-once request goes to the other endpoint,
+/// and the failed connection does not count as an attempt.
 #[tokio::test]
-async fn an_endpoint_that_takes_no_connection_costs_nothing() {
+async fn a_refused_connection_does_not_count_as_an_attempt() {
     let gone = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.local_addr().unwrap()
     };
-    let other = ScriptedEndpoint::start(vec![whole(), whole(), whole()]).await;
+    let other = ScriptedEndpoint::start(vec![
+        complete_response(),
+        complete_response(),
+        complete_response(),
+    ])
+    .await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&other]);
     gateway
         .core
@@ -108,14 +119,14 @@
     }
 }
 
-/// An engine was restarted: whoever listens at its address has another name, and turns requests for
-/// the old one away. Its sidecar speaks for the same service, so the caller gets the new engine's
-/// answer instead of a refusal.
+/// Guards against refusals after the restart of an engine. The process at its address now has another instance name
+/// and rejects requests for the old one. Its sidecar reports it for the same service, so the caller gets the
+/// response of the new instance.
 #[tokio::test]
-async fn a_restarted_engine_is_met_under_its_new_name() {
+async fn a_restarted_engine_is_addressed_by_its_new_name() {
     let other = "HTTP/1.1 421 Misdirected Request\r\nx-oatpier-instance-id: i-new\r\n\
                  content-length: 0\r\n\r\n";
-    let steps = vec![EndpointStep::Answer(other.to_owned()), whole()];
+    let steps = vec![EndpointStep::Answer(other.to_owned()), complete_response()];
     let endpoint = ScriptedEndpoint::start(steps).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway
@@ -125,12 +136,12 @@
     assert!(endpoint.requests()[1].contains("x-oatpier-expect-instance: i-new"));
 }
 
-/// A stranger has the address of an endpoint that is gone. It gets no request under its own name.
+/// An unknown instance uses the address of an endpoint that is gone. It gets no request under its own name.
 #[tokio::test]
-async fn a_stranger_at_the_address_gets_no_request() {
+async fn an_unknown_instance_at_the_address_gets_no_request() {
     let other = "HTTP/1.1 421 Misdirected Request\r\nx-oatpier-instance-id: i-new\r\n\
                  content-length: 0\r\n\r\n";
-    let steps = vec![EndpointStep::Answer(other.to_owned()), whole()];
+    let steps = vec![EndpointStep::Answer(other.to_owned()), complete_response()];
     let endpoint = ScriptedEndpoint::start(steps).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     let answer = gateway.send(request(&[])).await;
@@ -138,10 +149,10 @@
     assert_eq!(endpoint.requests().len(), 1);
 }
 
-/// The endpoint takes the request and falls silent. When the route's time is over the caller gets a
-/// final answer at once, and one that does not promise that the request did not run.
+/// Guards against callers that wait without a response. The endpoint reads the request and never responds. At the
+/// deadline the caller gets a final response, which does not promise that the request did not run.
 #[tokio::test(start_paused = true)]
-async fn a_silent_endpoint_is_answered_for_at_the_deadline() {
+async fn a_silent_endpoint_leads_to_gateway_timeout_at_the_deadline() {
     let silent = endpoint(EndpointStep::Silence).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&silent]);
     let answer = gateway
@@ -150,13 +161,13 @@
     assert_eq!(answer.status(), StatusCode::GATEWAY_TIMEOUT);
 }
 
-/// An endpoint is frozen: it takes requests and brings nothing. Those that may not be sent twice wait
-/// for it until their time is over; later ones go to the other endpoint, which is sound.
+/// Guards against further requests to a frozen endpoint, which accepts requests and never responds. At-most-once
+/// requests wait there until their deadline; later ones go to the healthy endpoint.
 #[tokio::test]
-async fn a_silent_endpoint_loses_later_requests_of_every_kind() {
+async fn a_silent_endpoint_gets_no_later_requests_of_any_kind() {
     let frozen = ScriptedEndpoint::start(vec![EndpointStep::Silence; 20]).await;
-    let sound = ScriptedEndpoint::start(vec![whole(); 20]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&frozen, &sound]);
+    let healthy = ScriptedEndpoint::start(vec![complete_response(); 20]).await;
+    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&frozen, &healthy]);
     let mut waiting = Vec::new();
     while frozen.requests().len() < 2 {
         let sending = Box::pin(gateway.send(request(&[])));
--- a/crates/oatpier-gateway/tests/testsuite/forwarding.rs
+++ b/crates/oatpier-gateway/tests/testsuite/forwarding.rs
@@ -1,12 +1,14 @@
-//! What goes on to an endpoint, and what comes back.
+//! Tests of the requests that are forwarded to an endpoint and the responses that are returned.
 
 use http::StatusCode;
 use oatpier_serving::site::RouteKind;
 
-use crate::support::{EndpointStep, ID, ScriptedEndpoint, TestGateway, own_answer, request};
+use crate::support::{
+    EndpointStep, REQUEST_ID, ScriptedEndpoint, TestGateway, own_answer, request,
+};
 
 #[tokio::test]
-async fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
+async fn a_request_is_forwarded_unchanged_and_its_response_is_returned() {
     let answer = EndpointStep::Answer(own_answer("200 OK", "world"));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
@@ -17,12 +19,13 @@
     let sent = &endpoint.requests()[0];
     assert!(sent.starts_with("POST /draft/7?x=1 HTTP/1.1\r\n"), "{sent}");
     assert!(sent.contains("host: a.example\r\n") && sent.contains("x-other: kept\r\n"));
-    assert!(sent.contains(&format!("x-oatpier-request-id: {ID}\r\n")));
+    assert!(sent.contains(&format!("x-oatpier-request-id: {REQUEST_ID}\r\n")));
     assert!(sent.contains("x-oatpier-expect-instance: i-1\r\n"));
     assert!(sent.ends_with("\r\n\r\nhello"), "{sent}");
 }
 
-/// A caller sends headers that place or prefer requests. The endpoint must see only the gateway's.
+/// Guards against callers that send headers for placing or prioritizing requests. The endpoint must see only those
+/// of the gateway.
 #[tokio::test]
 async fn forged_headers_never_reach_an_endpoint() {
     let answer = EndpointStep::Answer(own_answer("200 OK", ""));
@@ -41,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn the_endpoint_is_told_the_shorter_of_patience_and_timeout() {
+async fn the_endpoint_gets_the_shorter_of_caller_and_route_timeout() {
     let answer = EndpointStep::Answer(own_answer("200 OK", ""));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
@@ -57,7 +60,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoints_own_error_is_returned_as_it_is() {
+async fn an_endpoint_error_is_returned_unchanged() {
     let answer = EndpointStep::Answer(own_answer("503 Service Unavailable", "own"));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
--- a/crates/oatpier-gateway/tests/testsuite/leaving.rs
+++ b/crates/oatpier-gateway/tests/testsuite/leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that say in their answers that they leave.
+//! Tests of endpoints that announce in their responses that they are leaving.
 
 use http::StatusCode;
 use oatpier_serving::message::{InnerMessage, LeavingWord};
@@ -10,7 +10,7 @@
     record, request, stream_start, with_headers,
 };
 
-/// Answers that say that their endpoint leaves.
+/// Returns responses that announce that their endpoint is leaving.
 fn leaving_answers(count: usize) -> Vec<EndpointStep> {
     let answer = own_answer("200 OK", "done");
     let answer = with_headers(&answer, &[("server-leaving", "1")]);
@@ -21,14 +21,15 @@
     vec![EndpointStep::Answer(own_answer("200 OK", "done")); count]
 }
 
-/// The store is silent, and the registry's last word is that the endpoint is ready: it gets requests until it is gone.
+/// Guards against requests that are sent to a leaving endpoint until it is gone. The store does not respond, and
+/// the last read of the registry listed the endpoint as ready.
 #[tokio::test]
-async fn an_endpoint_that_said_that_it_leaves_gets_no_more_requests() {
+async fn an_endpoint_that_announced_leaving_gets_no_more_requests() {
     let leaving = ScriptedEndpoint::start(leaving_answers(5)).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
     assert_eq!(gateway.send(request(&[])).await.status(), StatusCode::OK);
     let staying = ScriptedEndpoint::start(answers(4)).await;
-    // The registry lists it as ready, in this read as in the last one.
+    // The registry lists the endpoint as ready, in this read as in the last one.
     let records = vec![record(1, leaving.address), record(2, staying.address)];
     gateway.core.take_records(None, records);
     for _ in 0..4 {
@@ -38,39 +39,39 @@
     assert_eq!(staying.requests().len(), 4);
 }
 
-fn word() -> LeavingWord {
+fn leaving_word() -> LeavingWord {
     LeavingWord {
         endpoint: EndpointName::try_from("i-1").unwrap(),
         start: None,
     }
 }
 
-/// Only one gateway had a request there when the endpoint said so; the others would send it theirs until the registry
-/// is read.
+/// Only one gateway had a request at the endpoint when it announced that it is leaving. The others would keep
+/// sending requests until they read the registry.
 #[tokio::test]
-async fn other_gateways_are_told_that_an_endpoint_leaves() {
+async fn other_gateways_are_informed_that_an_endpoint_is_leaving() {
     let leaving = ScriptedEndpoint::start(leaving_answers(1)).await;
-    let teller = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
+    let reporter = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
     let mut named = pulse(1, leaving.address, Vec::new());
     named.gateways = vec!["10.0.0.9:7380".parse().unwrap()];
-    teller.core.take_pulse(named);
-    teller.send(request(&[])).await;
-    let told = teller.outlet.sent().into_iter();
-    let told = told.filter(|(_, message)| matches!(message, InnerMessage::LeavingSeen(_)));
+    reporter.core.take_pulse(named);
+    reporter.send(request(&[])).await;
+    let reports = reporter.outlet.sent().into_iter();
+    let reports = reports.filter(|(_, message)| matches!(message, InnerMessage::LeavingSeen(_)));
     assert_eq!(
-        told.map(|(_, message)| message).collect::<Vec<_>>(),
-        [InnerMessage::LeavingSeen(word())]
+        reports.map(|(_, message)| message).collect::<Vec<_>>(),
+        [InnerMessage::LeavingSeen(leaving_word())]
     );
 
-    let listener = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
-    listener.core.take_leaving_word(&word());
-    listener.send(request(&[])).await;
+    let receiver = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
+    receiver.core.take_leaving_word(&leaving_word());
+    receiver.send(request(&[])).await;
     assert_eq!(leaving.requests().len(), 1);
 }
 
-/// All endpoints of a service leave. A caller that was kept waiting would learn it at its deadline.
+/// All endpoints of a service are leaving. A caller that is kept waiting would learn this only at its deadline.
 #[tokio::test]
-async fn where_all_endpoints_leave_callers_are_refused_at_once() {
+async fn when_all_endpoints_are_leaving_callers_are_refused_at_once() {
     let leaving = ScriptedEndpoint::start(leaving_answers(1)).await;
     let gateway = TestGateway::before(RouteKind::Safe, 2, &[&leaving]);
     gateway.send(request(&[])).await;
@@ -81,20 +82,20 @@
     assert!(line.contains("no-endpoint"), "{line}");
 }
 
-/// A prompt waits for its permit at an engine when the word comes that the engine leaves, and its permit comes all the
-/// same: it goes to the other engine.
+/// A prompt waits for its permit at an engine when the engine announces that it is leaving. Its permit arrives
+/// nevertheless; the prompt goes to the other engine.
 #[tokio::test]
 async fn a_request_that_waits_when_its_endpoint_leaves_goes_elsewhere() {
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let leaving = ScriptedEndpoint::start(Vec::new()).await;
     let staying = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
     let gateway = TestGateway::before(STREAM, 1, &[&leaving, &staying]);
-    gateway.hear_engine(&leaving, 0);
-    gateway.hear_engine(&staying, 5);
+    gateway.report_engine(&leaving, 0);
+    gateway.report_engine(&staying, 5);
     let answer = tokio::select! {
         answer = gateway.send(prompt()) => answer,
-        () = gateway.give_permits(|| gateway.core.take_leaving_word(&word())) => {
-            unreachable!("permits are given for ever")
+        () = gateway.grant_permits(|| gateway.core.take_leaving_word(&leaving_word())) => {
+            unreachable!("permits are granted until the response arrives")
         }
     };
     assert_eq!(answer.status(), StatusCode::OK);
--- a/crates/oatpier-gateway/tests/testsuite/permits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/permits.rs
@@ -1,4 +1,4 @@
-//! Permits to send an engine a prompt.
+//! Tests of permits to send prompts to engines.
 
 use std::time::Duration;
 
@@ -19,8 +19,8 @@
     pause: Duration::from_millis(300),
 };
 
-/// Prompts after which a gateway knows how long one takes to be read.
-const LEARNED_AFTER: usize = 12;
+/// The number of prompts after which a gateway knows how long an engine takes to process one.
+const PROMPTS_TO_LEARN: usize = 12;
 
 fn prompt() -> Request<Bytes> {
     request(&[
@@ -29,16 +29,17 @@
     ])
 }
 
-fn answers(count: usize) -> Vec<EndpointStep> {
+fn stream_responses(count: usize) -> Vec<EndpointStep> {
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     vec![EndpointStep::Answer(stream); count]
 }
 
-/// A gateway that has sent an engine enough prompts, without permits, to know how long they take.
-async fn learned(engine: &ScriptedEndpoint) -> TestGateway {
+/// Creates a gateway that has sent an engine enough prompts to know how long they take. Every permit request is
+/// granted at once.
+async fn gateway_with_learned_times(engine: &ScriptedEndpoint) -> TestGateway {
     let gateway = TestGateway::before(STREAM, 1, &[engine]);
-    hear(&gateway, engine, 1);
-    for _ in 0..LEARNED_AFTER {
+    report_engine(&gateway, engine, 1);
+    for _ in 0..PROMPTS_TO_LEARN {
         let sending = gateway.send(prompt());
         let granting = async {
             loop {
@@ -54,7 +55,7 @@
     gateway
 }
 
-fn hear(gateway: &TestGateway, engine: &ScriptedEndpoint, number: u64) {
+fn report_engine(gateway: &TestGateway, engine: &ScriptedEndpoint, number: u64) {
     let held = HeldModel {
         model: ModelName::try_from("m1").unwrap(),
         adapters: Vec::new(),
@@ -64,7 +65,7 @@
         .take_pulse(pulse(number, engine.address, vec![held]));
 }
 
-fn asks(gateway: &TestGateway) -> Vec<PermitAsk> {
+fn permit_requests(gateway: &TestGateway) -> Vec<PermitAsk> {
     let ask = |message: &InnerMessage| match message {
         InnerMessage::PermitAsk(ask) => Some(*ask),
         _ => None,
@@ -76,42 +77,44 @@
 }
 
 fn grant_last(gateway: &TestGateway) {
-    if let Some(ask) = asks(gateway).last() {
+    if let Some(ask) = permit_requests(gateway).last() {
         gateway.core.take_permit(PermitGrant { id: ask.id });
     }
 }
 
-/// The caller sees a later first piece, and streams at the engine go on without a pause: the prompt is
-/// sent only with a permit, which is given back once it was read. The ask is repeated meanwhile.
+/// Guards against prompts that are sent without a permit and interrupt the streams at the engine. The prompt is
+/// sent only with a permit, which is returned after the prompt was processed. The permit request is repeated
+/// meanwhile.
 #[tokio::test]
-async fn a_prompt_is_sent_with_a_permit_that_is_given_back() {
-    let engine = ScriptedEndpoint::start(answers(LEARNED_AFTER + 1)).await;
-    let gateway = learned(&engine).await;
-    let before = asks(&gateway).len();
+async fn a_prompt_is_sent_with_a_permit_that_is_returned() {
+    let engine = ScriptedEndpoint::start(stream_responses(PROMPTS_TO_LEARN + 1)).await;
+    let gateway = gateway_with_learned_times(&engine).await;
+    let before = permit_requests(&gateway).len();
     let sending = gateway.send(prompt());
     let granting = async {
-        while asks(&gateway).len() < before + 2 {
+        while permit_requests(&gateway).len() < before + 2 {
             sleep(Duration::from_millis(5)).await;
         }
-        assert_eq!(engine.requests().len(), LEARNED_AFTER);
+        assert_eq!(engine.requests().len(), PROMPTS_TO_LEARN);
         grant_last(&gateway);
     };
     let (answer, ()) = tokio::join!(sending, granting);
     assert_eq!(answer.status(), StatusCode::OK);
-    let ask = asks(&gateway)[before];
+    let ask = permit_requests(&gateway)[before];
     assert!(ask.reading_us > 0);
     assert_eq!(ask.pause_ms, 300);
-    assert_eq!(asks(&gateway)[before + 1].id, ask.id);
+    assert_eq!(permit_requests(&gateway)[before + 1].id, ask.id);
     let done = InnerMessage::PermitDone(PermitGrant { id: ask.id });
-    let given_back = |row: &(std::net::SocketAddr, InnerMessage)| row.1 == done;
-    assert!(gateway.outlet.sent().iter().any(given_back));
+    let is_returned = |row: &(std::net::SocketAddr, InnerMessage)| row.1 == done;
+    assert!(gateway.outlet.sent().iter().any(is_returned));
 }
 
-/// The sidecar is not heard any more: its VM is cut off from the gateway, or it is being restarted. There is
-/// nobody to give permits, and the engine may be well: the prompt is sent without one.
+/// Guards against requests that wait for a permit that cannot come. The sidecar no longer reports, because its VM
+/// is cut off from the gateway or it is being restarted, so no permits are granted. The engine may be healthy: the
+/// prompt is sent without one.
 #[tokio::test]
-async fn a_prompt_goes_without_a_permit_where_nobody_gives_one() {
-    let engine = ScriptedEndpoint::start(answers(1)).await;
+async fn a_prompt_is_sent_without_a_permit_if_no_sidecar_reports() {
+    let engine = ScriptedEndpoint::start(stream_responses(1)).await;
     let gateway = TestGateway::before(STREAM, 1, &[&engine]);
     let mut listed = crate::support::record(1, engine.address);
     listed.models = vec![HeldModel {
@@ -121,42 +124,43 @@
     gateway.core.take_records(None, vec![listed]);
     let answer = gateway.send(prompt()).await;
     assert_eq!(answer.status(), StatusCode::OK);
-    assert!(asks(&gateway).is_empty());
+    assert!(permit_requests(&gateway).is_empty());
 }
 
-/// All processes were killed, and callers come back together. The gateway does not know how long prompts take;
-/// sent at once they would hold up each other and every stream. Each is asked for as if it took a whole
-/// pause, so that the sidecar lets them be read one after the other.
+/// Guards against prompts that are sent together after a restart of all processes and delay each other and every
+/// stream. The gateway does not know yet how long prompts take. It requests each permit as if the prompt took a
+/// whole allowed pause, so that the sidecar lets them be processed one after the other.
 #[tokio::test]
-async fn a_gateway_that_has_just_started_asks_for_one_prompt_after_the_other() {
-    let engine = ScriptedEndpoint::start(answers(1)).await;
+async fn a_gateway_that_has_just_started_requests_permits_for_whole_pauses() {
+    let engine = ScriptedEndpoint::start(stream_responses(1)).await;
     let gateway = TestGateway::before(STREAM, 1, &[&engine]);
-    hear(&gateway, &engine, 1);
+    report_engine(&gateway, &engine, 1);
     let sending = gateway.send(prompt());
     let granting = async {
-        while asks(&gateway).is_empty() {
+        while permit_requests(&gateway).is_empty() {
             sleep(Duration::from_millis(1)).await;
         }
         grant_last(&gateway);
     };
     let (answer, ()) = tokio::join!(sending, granting);
     assert_eq!(answer.status(), StatusCode::OK);
-    assert_eq!(asks(&gateway)[0].reading_us, 300_000);
+    assert_eq!(permit_requests(&gateway)[0].reading_us, 300_000);
 }
 
-/// A caller leaves while its prompt waits for a permit. The ask is withdrawn at once, so that the next
-/// prompt need not wait until a permit for nobody lapses.
+/// Guards against permits granted to callers that have disconnected. The caller disconnects while its prompt waits
+/// for a permit. The permit request is withdrawn at once, so that the next prompt need not wait until an unused
+/// permit expires.
 #[tokio::test]
-async fn an_ask_is_withdrawn_when_its_caller_leaves() {
-    let engine = ScriptedEndpoint::start(answers(1)).await;
+async fn a_permit_request_is_withdrawn_when_its_caller_disconnects() {
+    let engine = ScriptedEndpoint::start(stream_responses(1)).await;
     let gateway = TestGateway::before(STREAM, 1, &[&engine]);
-    hear(&gateway, &engine, 1);
+    report_engine(&gateway, &engine, 1);
     tokio::select! {
-        _ = gateway.send(prompt()) => panic!("nobody gave a permit"),
+        _ = gateway.send(prompt()) => panic!("the prompt was sent without a permit"),
         () = sleep(Duration::from_millis(20)) => {}
     }
     let done = InnerMessage::PermitDone(PermitGrant {
-        id: asks(&gateway)[0].id,
+        id: permit_requests(&gateway)[0].id,
     });
     assert!(gateway.outlet.sent().iter().any(|row| row.1 == done));
     assert!(engine.requests().is_empty());
--- a/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints put on the requests of all gateways.
+//! Tests of rate limits that endpoints set for the requests of all gateways together.
 
 use std::time::Duration;
 
@@ -18,51 +18,51 @@
     request, stream_start, with_headers,
 };
 
-/// Requests a second that the endpoint takes.
+/// The rate that the endpoint accepts, in requests per second.
 const RATE: f64 = 2.5;
 
-/// Requests that each gateway's callers send at once.
+/// The number of requests that the callers of each gateway send at once.
 const CALLERS: usize = 30;
 
-/// Answers that name the limit.
+/// Returns responses that announce the rate limit.
 fn limited_answers(count: usize) -> Vec<EndpointStep> {
     let answer = own_answer("200 OK", "done");
     let answer = with_headers(&answer, &[("server-limit", &RATE.to_string())]);
     vec![EndpointStep::Answer(answer); count]
 }
 
-fn impatient() -> Request<Bytes> {
+fn request_with_short_deadline() -> Request<Bytes> {
     request(&[("x-oatpier-deadline-ms", "600")])
 }
 
-/// What the platform allows an endpoint to get within a span.
-fn allowed(span: Duration) -> f64 {
+/// Returns how many requests the platform lets an endpoint receive within a time span.
+fn allowed_requests(span: Duration) -> f64 {
     1.5 * RATE * span.as_secs_f64() + 5.0
 }
 
-/// Gateways that were told a limit send as before: the endpoint gets what each of them would send alone.
+/// Guards against gateways that each use the whole limit, so that the endpoint receives a multiple of it.
 #[tokio::test]
-async fn gateways_together_keep_the_limit_that_an_endpoint_names() {
+async fn gateways_together_keep_the_rate_limit_of_an_endpoint() {
     let endpoint = ScriptedEndpoint::start(limited_answers(3 * CALLERS)).await;
     let gateways = [0, 1].map(|_| TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for gateway in &gateways {
-        gateway.send(impatient()).await;
+        gateway.send(request_with_short_deadline()).await;
     }
-    let told = endpoint.requests().len();
+    let sent_before = endpoint.requests().len();
     let sending = gateways.iter().flat_map(|gateway| {
         let callers = 0..CALLERS;
-        callers.map(|_| gateway.send(impatient()))
+        callers.map(|_| gateway.send(request_with_short_deadline()))
     });
     join_all(sending).await;
-    let sent = endpoint.requests().len() - told;
+    let sent = endpoint.requests().len() - sent_before;
     let sent = f64::from(u32::try_from(sent).unwrap());
-    let allowed = allowed(begun.elapsed());
+    let allowed = allowed_requests(started_at.elapsed());
     assert!(sent <= allowed, "{sent} requests, allowed {allowed:.1}");
 }
 
-/// A gateway that was told the limit of its first endpoint by another one.
-fn told(endpoints: &[&ScriptedEndpoint]) -> TestGateway {
+/// Creates a gateway that was informed by another gateway of the limit of its first endpoint.
+fn gateway_with_limit(endpoints: &[&ScriptedEndpoint]) -> TestGateway {
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, endpoints);
     gateway.hold_parts_elsewhere();
     gateway.core.take_limit_word(&limit_word());
@@ -81,25 +81,25 @@
 #[tokio::test]
 async fn a_request_is_sent_with_a_turn() {
     let endpoint = ScriptedEndpoint::start(limited_answers(1)).await;
-    let gateway = told(&[&endpoint]);
-    let sending = gateway.send(impatient());
+    let gateway = gateway_with_limit(&[&endpoint]);
+    let sending = gateway.send(request_with_short_deadline());
     let answer = gateway.with_turns(sending, |_| TurnAnswer::In(20)).await;
     assert_eq!(answer.status(), StatusCode::OK);
-    let asks = gateway.turn_asks();
+    let asks = gateway.turn_requests();
     assert_eq!(asks.len(), 1);
     assert_eq!(asks[0].limit.rate, RequestRate::try_from(RATE).ok());
 }
 
-/// One endpoint of two names a limit, and its next turn is a second ahead: the caller would wait for it beside an
-/// endpoint that is idle.
+/// Guards against requests that wait while another endpoint is idle. One of two endpoints has a rate limit, and its
+/// next turn is a second away.
 #[tokio::test]
 async fn beyond_the_limit_a_request_goes_to_another_endpoint() {
     let limited = ScriptedEndpoint::start(limited_answers(1)).await;
     let plain = EndpointStep::Answer(own_answer("200 OK", "done"));
     let other = ScriptedEndpoint::start(vec![plain; 2]).await;
-    let gateway = told(&[&limited, &other]);
+    let gateway = gateway_with_limit(&[&limited, &other]);
     for _ in 0..2 {
-        let sending = gateway.send(impatient());
+        let sending = gateway.send(request_with_short_deadline());
         let answer = gateway
             .with_turns(sending, |_| TurnAnswer::Later(1_000))
             .await;
@@ -107,16 +107,17 @@
     }
     assert_eq!(other.requests().len(), 2);
     assert!(limited.requests().is_empty());
-    assert!(gateway.turn_asks().len() <= PartIndex::all().count());
+    assert!(gateway.turn_requests().len() <= PartIndex::all().count());
 }
 
-/// The only endpoint has no turn before the caller leaves. Kept waiting, the caller would learn it too late to go
-/// elsewhere; told less than the holder said, it would come back in vain.
+/// Guards against late or useless retries. The only endpoint has no turn before the caller's deadline. If the
+/// caller waited, it would learn this too late to go elsewhere. If `Retry-After` were shorter than the holder's
+/// answer, the caller would retry in vain.
 #[tokio::test]
-async fn where_no_turn_is_in_time_the_caller_is_told_at_once_when_to_return() {
+async fn without_a_turn_in_time_the_caller_gets_retry_after_at_once() {
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = told(&[&endpoint]);
-    let sending = gateway.send(impatient());
+    let gateway = gateway_with_limit(&[&endpoint]);
+    let sending = gateway.send(request_with_short_deadline());
     let answer = gateway
         .with_turns(sending, |_| TurnAnswer::Later(9_000))
         .await;
@@ -124,51 +125,52 @@
     let after = answer.headers()["retry-after"].to_str().unwrap();
     let after: f64 = after.parse().unwrap();
     assert!((8.0..=10.0).contains(&after), "{after}");
-    let asked = gateway.turn_asks().len();
-    let again = gateway.send(impatient()).await;
+    let asked = gateway.turn_requests().len();
+    let again = gateway.send(request_with_short_deadline()).await;
     assert_eq!(again.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(
-        gateway.turn_asks().len(),
+        gateway.turn_requests().len(),
         asked,
-        "what is known is not asked again"
+        "a known answer is not requested again"
     );
     assert!(endpoint.requests().is_empty());
     let line = gateway.logged("answer").join("");
     assert!(line.contains("rate-limited"), "{line}");
 }
 
-/// The gateway reaches nobody who gives turns: it can't know what the others send.
+/// The gateway reaches no holder that grants turns, so it cannot know how many requests the others send.
 #[tokio::test]
-async fn without_word_of_any_holder_a_limited_endpoint_gets_nothing() {
+async fn without_any_holder_a_limited_endpoint_gets_no_requests() {
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = told(&[&endpoint]);
-    let answer = gateway.send(impatient()).await;
+    let gateway = gateway_with_limit(&[&endpoint]);
+    let answer = gateway.send(request_with_short_deadline()).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers().contains_key("retry-after"));
-    assert_eq!(gateway.turn_asks().len(), PartIndex::all().count());
+    assert_eq!(gateway.turn_requests().len(), PartIndex::all().count());
     assert!(endpoint.requests().is_empty());
 }
 
-/// A prompt waits for its permit when another gateway tells of the limit: it was placed without a turn, and is looked
-/// at again before its first byte.
+/// Guards against requests that ignore a limit because they were placed before it was known. A prompt waits for its
+/// permit when another gateway reports the limit. It was placed without a turn, and this is checked again before
+/// its first byte is sent.
 #[tokio::test]
-async fn a_limit_holds_for_requests_that_were_placed_before_it_was_known() {
+async fn a_limit_applies_to_requests_that_were_placed_before_it_was_known() {
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
     let gateway = TestGateway::before(STREAM, 1, &[&engine]);
     gateway.hold_parts_elsewhere();
-    gateway.hear_engine(&engine, 0);
+    gateway.report_engine(&engine, 0);
     let sending = async {
         tokio::select! {
             answer = gateway.send(prompt()) => answer,
-            () = gateway.give_permits(|| gateway.core.take_limit_word(&limit_word())) => {
-                unreachable!("permits are given for ever")
+            () = gateway.grant_permits(|| gateway.core.take_limit_word(&limit_word())) => {
+                unreachable!("permits are granted until the response arrives")
             }
         }
     };
     let answer = gateway.with_turns(sending, |_| TurnAnswer::In(0)).await;
     assert_eq!(answer.status(), StatusCode::OK);
-    assert_eq!(gateway.turn_asks().len(), 1);
+    assert_eq!(gateway.turn_requests().len(), 1);
     assert!(
         gateway
             .core
@@ -178,9 +180,10 @@
     );
 }
 
-/// The gateway that hears of a limit first tells the others at once: until they know they send as before.
+/// Guards against gateways that keep sending at the old rate. The gateway that finds a limit, or its end, in a
+/// response informs the others at once.
 #[tokio::test]
-async fn other_gateways_are_told_of_a_limit_and_of_its_end() {
+async fn other_gateways_are_informed_of_a_limit_and_of_its_end() {
     let plain = EndpointStep::Answer(own_answer("200 OK", "done"));
     let steps = [limited_answers(2), vec![plain]].concat();
     let endpoint = ScriptedEndpoint::start(steps).await;
@@ -190,11 +193,11 @@
     named.gateways = vec!["10.0.0.9:7380".parse().unwrap()];
     gateway.core.take_pulse(named);
     for _ in 0..3 {
-        let sending = gateway.send(impatient());
+        let sending = gateway.send(request_with_short_deadline());
         gateway.with_turns(sending, |_| TurnAnswer::In(0)).await;
     }
-    let told = gateway.outlet.sent().into_iter();
-    let told = told.filter_map(|(to, message)| match message {
+    let reports = gateway.outlet.sent().into_iter();
+    let reports = reports.filter_map(|(to, message)| match message {
         InnerMessage::LimitSeen(word) => {
             Some((to.to_string(), word.rate.map(RequestRate::per_second)))
         }
@@ -202,18 +205,19 @@
     });
     let peer = "10.0.0.9:7380".to_owned();
     assert_eq!(
-        told.collect::<Vec<_>>(),
+        reports.collect::<Vec<_>>(),
         [(peer.clone(), Some(RATE)), (peer, None)]
     );
 }
 
-/// The same for a request whose turn lies ahead.
+/// Guards against requests that wait for a turn while their gateway is stopped. If the request were kept until the
+/// process is killed, its caller would see a closed connection.
 #[tokio::test]
 async fn a_request_that_waits_for_its_turn_is_refused_when_its_gateway_stops() {
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = told(&[&endpoint]);
+    let gateway = gateway_with_limit(&[&endpoint]);
     let closing = async {
-        while gateway.turn_asks().is_empty() {
+        while gateway.turn_requests().is_empty() {
             sleep(Duration::from_millis(1)).await;
         }
         gateway.core.close();
--- a/crates/oatpier-gateway/tests/testsuite/refusals.rs
+++ b/crates/oatpier-gateway/tests/testsuite/refusals.rs
@@ -1,4 +1,4 @@
-//! Requests that no endpoint gets.
+//! Tests of requests that are not sent to any endpoint.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 };
 
 #[tokio::test]
-async fn a_gateway_without_configuration_says_when_to_come_back() {
+async fn a_gateway_without_configuration_sends_retry_after() {
     let gateway = TestGateway::unconfigured();
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -30,12 +30,12 @@
 }
 
 #[tokio::test]
-async fn a_request_without_id_or_with_too_large_a_body_is_told_so() {
+async fn a_request_without_id_or_with_too_large_a_body_is_rejected() {
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
-    let mut nameless = request(&[]);
-    nameless.headers_mut().remove("x-oatpier-request-id");
+    let mut without_id = request(&[]);
+    without_id.headers_mut().remove("x-oatpier-request-id");
     assert_eq!(
-        gateway.send(nameless).await.status(),
+        gateway.send(without_id).await.status(),
         StatusCode::BAD_REQUEST
     );
     let mut large = request(&[]);
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn a_service_without_endpoints_is_refused_at_once() {
+async fn a_request_to_a_service_without_endpoints_is_refused_at_once() {
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -55,17 +55,17 @@
 }
 
 #[tokio::test]
-async fn a_gateway_on_its_way_out_refuses() {
+async fn a_closed_gateway_refuses_requests() {
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
     gateway.core.close();
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
 }
 
-/// An older configuration comes after a newer one, from a store that reads behind. Routes that the
-/// newer one has must not vanish again.
+/// Guards against routes that disappear. An older configuration arrives after a newer one, from a store replica
+/// that lags behind.
 #[tokio::test]
-async fn a_configuration_never_gives_way_to_an_older_one() {
+async fn a_configuration_is_never_replaced_by_an_older_one() {
     let gateway = TestGateway::unconfigured();
     let mut newer = config(vec![route(RouteKind::Unsafe, 1)]);
     newer.version = 9;
@@ -76,8 +76,9 @@
     assert_eq!(gateway.core.config().unwrap().version, 9);
 }
 
-/// The adapter is nowhere. The gateway tells the sidecar that it is needed, waits for the word that
-/// it is ready, and sends the request then: the caller sees neither a refusal nor a second try.
+/// Guards against refusals of requests whose adapter is not loaded yet. The gateway asks the sidecar to load the
+/// adapter, waits for the report that it is loaded, and then sends the request. The caller sees neither a refusal
+/// nor a retry.
 #[tokio::test]
 async fn a_request_waits_for_its_adapter() {
     let answer = EndpointStep::Answer(own_answer("200 OK", ""));
@@ -100,7 +101,7 @@
         }
         assert!(
             engine.requests().is_empty(),
-            "it was sent before its adapter was there"
+            "the request was sent before its adapter was loaded"
         );
         gateway
             .core
@@ -108,14 +109,14 @@
     };
     let (answer, ()) = tokio::join!(sending, loading);
     assert_eq!(answer.status(), StatusCode::OK);
-    let wished = gateway.outlet.sent();
-    assert!(matches!(&wished[0].1, InnerMessage::AdapterWanted(wish) if wish.slots == 4));
+    let sent = gateway.outlet.sent();
+    assert!(matches!(&sent[0].1, InnerMessage::AdapterWanted(wish) if wish.slots == 4));
 }
 
-/// Nobody holds the model and nobody loads it. The caller is told to come back well before its time
-/// is over, instead of waiting to the end.
+/// No engine holds or loads the model. The caller is asked to retry well before its deadline, instead of waiting
+/// until then.
 #[tokio::test(start_paused = true)]
-async fn a_model_that_nobody_loads_is_refused_in_time() {
+async fn a_request_for_a_model_that_is_not_loading_is_refused_in_time() {
     let engine = ScriptedEndpoint::start(Vec::new()).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&engine]);
     let begun = tokio::time::Instant::now();
--- a/crates/oatpier-gateway/tests/testsuite/stops.rs
+++ b/crates/oatpier-gateway/tests/testsuite/stops.rs
@@ -1,4 +1,4 @@
-//! Requests that wait in a gateway which is being stopped.
+//! Tests of requests that wait in a gateway that is being stopped.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Sends a request for `weights` that has to wait at the gateway, and closes the gateway while it does.
+/// Sends a request for `weights` that must wait at the gateway, and closes the gateway meanwhile.
 async fn close_while_waiting(pulse: impl Fn(&ScriptedEndpoint) -> EnginePulse, weights: &str) {
     let engine = ScriptedEndpoint::start(Vec::new()).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&engine]);
@@ -45,8 +45,8 @@
     assert!(engine.requests().is_empty(), "a refused request was sent");
 }
 
-/// The caller sees its connection closed without an answer. Its request waits for a model that an engine
-/// loads, the gateway gets SIGTERM, and the process is killed while the request still waits.
+/// Guards against connections that are closed without a response. The request waits for a model that an engine is
+/// loading, the gateway gets SIGTERM, and the process is killed while the request still waits.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_waits_for_its_model_is_refused_before_the_process_ends() {
     let loading = |engine: &ScriptedEndpoint| EnginePulse {
@@ -56,14 +56,14 @@
     close_while_waiting(loading, "m1").await;
 }
 
-/// As above, with a request that waits for an adapter: the engine's sidecar does not answer.
+/// As above with a request that waits for an adapter, because the engine's sidecar does not respond.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_waits_for_its_adapter_is_refused_before_the_process_ends() {
     let without = |engine: &ScriptedEndpoint| pulse(1, engine.address, vec![held("m1")]);
     close_while_waiting(without, "m1/a1").await;
 }
 
-/// As above, with a request that waits for a slot: all of the engine's are taken by others.
+/// As above with a request that waits for a slot, because all slots of the engine are taken.
 #[tokio::test(start_paused = true)]
 async fn a_request_that_waits_for_a_slot_is_refused_before_the_process_ends() {
     let full = |engine: &ScriptedEndpoint| EnginePulse {
--- a/crates/oatpier-gateway/tests/testsuite/streams.rs
+++ b/crates/oatpier-gateway/tests/testsuite/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events.
+//! Tests of event streams.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_stream_is_relayed() {
+async fn a_complete_stream_is_relayed() {
     let stream = stream_start(&[&event(1), &event(2)]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
     let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
@@ -34,10 +34,10 @@
     assert_eq!(&answer.body()[..], (event(1) + &event(2)).as_bytes());
 }
 
-/// The empty line that ends the last event comes in two pieces. The stream is whole, and its caller
-/// must not lose it for that.
+/// Guards against complete streams that are treated as truncated. The empty line that ends the last event arrives
+/// in two chunks.
 #[tokio::test]
-async fn an_event_whose_end_comes_in_two_pieces_is_whole() {
+async fn an_event_whose_end_is_split_over_two_chunks_is_complete() {
     let stream = stream_start(&["id: 1\ndata: 1\n", "\n"]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
     let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
@@ -45,20 +45,20 @@
     assert_eq!(&answer.body()[..], event(1).as_bytes());
 }
 
-/// The engine dies in the middle of the third event. The caller gets the two whole ones, and the
-/// rest from another engine that goes on after the second: nothing twice, nothing missing.
+/// Guards against lost and repeated events. The engine dies in the middle of the third event. The caller gets the
+/// two complete events, and the rest from another engine that resumes after the second.
 #[tokio::test]
-async fn a_cut_stream_goes_on_at_another_engine() {
-    let cut = stream_start(&[&event(1), &event(2), "id: 3\nda"]);
+async fn a_broken_stream_is_resumed_at_another_engine() {
+    let truncated = stream_start(&[&event(1), &event(2), "id: 3\nda"]);
     let rest = stream_start(&[&event(3), &event(4)]) + STREAM_END;
     let steps = vec![
-        EndpointStep::AnswerAndClose(cut.clone()),
+        EndpointStep::AnswerAndClose(truncated.clone()),
         EndpointStep::Answer(rest.clone()),
     ];
     let first = ScriptedEndpoint::start(steps.clone()).await;
     let second = ScriptedEndpoint::start(vec![EndpointStep::Answer(rest)]).await;
     let gateway = TestGateway::before(RESUMABLE, 2, &[&first, &second]);
-    // The first engine is the less busy one by its name; the answer is the same in either order.
+    // The first engine is preferred because of its name; the response is correct in either order.
     let answer = gateway.send(request(&[])).await;
     let body = String::from_utf8(answer.body().to_vec()).unwrap();
     if first.requests().is_empty() {
@@ -69,19 +69,19 @@
     assert!(second.requests()[0].contains("last-event-id: 2\r\n"));
 }
 
-/// A stream that can't be resumed breaks off. The caller's connection is cut: an end that looks
-/// regular would pass half an answer for a whole one.
+/// Guards against truncated responses that look complete. A stream that cannot be resumed breaks off, so the
+/// caller's connection is cut.
 #[tokio::test]
-async fn a_cut_stream_that_cannot_go_on_cuts_the_caller() {
-    let cut = stream_start(&[&event(1)]);
-    let engine = ScriptedEndpoint::start(vec![EndpointStep::AnswerAndClose(cut)]).await;
+async fn a_broken_stream_that_cannot_be_resumed_cuts_the_callers_connection() {
+    let truncated = stream_start(&[&event(1)]);
+    let engine = ScriptedEndpoint::start(vec![EndpointStep::AnswerAndClose(truncated)]).await;
     let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
     let reply = gateway.reply(request(&[])).await;
     assert_eq!(reply.status(), StatusCode::OK);
     assert!(reply.into_body().collect().await.is_err());
 }
 
-/// A stream without length ends with its connection, in the middle of an event: its engine died.
+/// A stream without a length ends with its connection, in the middle of an event, because its engine died.
 #[tokio::test]
 async fn a_stream_without_length_that_ends_within_an_event_is_cut() {
     let head = stream_start(&[]).replace("transfer-encoding: chunked\r\n", "");
@@ -92,10 +92,10 @@
     assert!(reply.into_body().collect().await.is_err());
 }
 
-/// The engine dies before the first event. Nothing went to the caller, so it gets an answer of the
-/// gateway's own that promises nothing.
+/// The engine dies before the first event. Nothing was forwarded to the caller, so it gets a response of the
+/// gateway itself, which promises nothing.
 #[tokio::test]
-async fn a_stream_that_breaks_before_its_first_event_is_answered_for() {
+async fn a_stream_that_breaks_before_its_first_event_gets_bad_gateway() {
     let engine =
         ScriptedEndpoint::start(vec![EndpointStep::AnswerAndClose(stream_start(&[]))]).await;
     let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn pieces_of_an_event_are_held_back_where_a_stream_may_move() {
+async fn partial_events_are_not_forwarded_if_a_stream_is_resumable() {
     let (head, tail) = ("id: 1\nda", "ta: 1\n\n");
     let stream = stream_start(&[]) + &chunk(head) + &chunk(tail) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! A gateway's handler before endpoints that answer by script.
+//! A gateway's request handler in front of endpoints that respond according to a script.
 
 use std::collections::VecDeque;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -38,22 +38,22 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-pub const ID: &str = "9c41d07be2a35f68";
+pub const REQUEST_ID: &str = "9c41d07be2a35f68";
 
-/// What an endpoint does with one request.
+/// How an endpoint handles one request.
 #[derive(Debug, Clone)]
 pub enum EndpointStep {
-    /// It answers with these bytes, and keeps the connection.
+    /// Responds with these bytes and keeps the connection open.
     Answer(String),
-    /// It answers with these bytes, and closes the connection.
+    /// Responds with these bytes and closes the connection.
     AnswerAndClose(String),
-    /// It closes the connection without an answer.
+    /// Closes the connection without a response.
     Close,
-    /// It never answers.
+    /// Never responds.
     Silence,
 }
 
-/// An endpoint that takes one step for each request, in order.
+/// An endpoint that takes one step of its script for each request, in order.
 pub struct ScriptedEndpoint {
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Ends it with all its connections.
+    /// Stops the endpoint and closes all its connections.
     pub fn end(&self) {
         self.ended.notify_one();
     }
 
-    /// The requests that came, head and body.
+    /// Returns the requests received so far, head and body.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().unwrap().clone()
     }
@@ -141,16 +141,16 @@
     }
 }
 
-/// An endpoint's own answer to the request of the tests.
+/// Returns a valid endpoint response to the request with [`REQUEST_ID`].
 pub fn own_answer(status: &str, body: &str) -> String {
     format!(
-        "HTTP/1.1 {status}\r\nx-oatpier-request-id: {ID}\r\nx-oatpier-response-stamp: s1\r\n\
+        "HTTP/1.1 {status}\r\nx-oatpier-request-id: {REQUEST_ID}\r\nx-oatpier-response-stamp: s1\r\n\
          content-length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// An answer whose head has more headers.
+/// Adds headers to the head of a response.
 pub fn with_headers(answer: &str, rows: &[(&str, &str)]) -> String {
     let (status, rest) = answer.split_once("\r\n").unwrap();
     let rows = rows
@@ -159,15 +159,15 @@
     format!("{status}\r\n{}{rest}", rows.collect::<String>())
 }
 
-/// An endpoint's word that it did not run the request.
-pub fn not_run(status: &str) -> String {
+/// Returns a response that reports that the endpoint did not run the request.
+pub fn not_executed_response(status: &str) -> String {
     format!("HTTP/1.1 {status}\r\nx-oatpier-not-executed: 1\r\ncontent-length: 0\r\n\r\n")
 }
 
-/// The head and first events of a stream, each event a chunk.
+/// Returns the head and the first events of a stream, with one chunk per event.
 pub fn stream_start(events: &[&str]) -> String {
     let mut text = format!(
-        "HTTP/1.1 200 OK\r\nx-oatpier-request-id: {ID}\r\nx-oatpier-response-stamp: s1\r\n\
+        "HTTP/1.1 200 OK\r\nx-oatpier-request-id: {REQUEST_ID}\r\nx-oatpier-response-stamp: s1\r\n\
          content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
     );
     for event in events {
@@ -180,10 +180,10 @@
     format!("{:x}\r\n{data}\r\n", data.len())
 }
 
-/// The end of a chunked answer.
+/// The end of a chunked response.
 pub const STREAM_END: &str = "0\r\n\r\n";
 
-/// Messages that the gateway sent to sidecars.
+/// Records the messages that the gateway sends to sidecars and other gateways.
 #[derive(Debug, Default)]
 pub struct KeptOutlet {
     sent: Mutex<Vec<(SocketAddr, InnerMessage)>>,
@@ -201,21 +201,21 @@
     }
 }
 
-/// A gateway before some endpoints.
+/// A gateway in front of scripted endpoints.
 pub struct TestGateway {
     pub core: Arc<GatewayCore>,
     pub outlet: Arc<KeptOutlet>,
-    /// What it logs.
+    /// The lines that the gateway logs.
     pub lines: RingReceiver<String>,
-    /// What it has to write on crashes.
+    /// The changes of crash records that the gateway queues for the store.
     pub written: RingReceiver<CrashChange>,
-    /// Gateways that have a newer configuration.
+    /// The addresses of gateways with a newer configuration.
     pub config_wanted: RingReceiver<SocketAddr>,
     handler: GatewayHandler,
 }
 
 impl TestGateway {
-    /// A gateway that knows nothing.
+    /// Creates a gateway without a configuration.
     pub fn unconfigured() -> Self {
         let outlet = Arc::new(KeptOutlet::default());
         let metrics = ServingMetrics::default();
@@ -247,7 +247,7 @@
         }
     }
 
-    /// A gateway with one route of a kind, before plain endpoints.
+    /// Creates a gateway with one route of this kind to plain endpoints.
     pub fn before(kind: RouteKind, max_attempts: u32, endpoints: &[&ScriptedEndpoint]) -> Self {
         let gateway = Self::unconfigured();
         let records = (1..)
@@ -260,7 +260,7 @@
         gateway
     }
 
-    /// Other gateways hold the parts of limits.
+    /// Makes other gateways the holders of all parts of limits.
     pub fn hold_parts_elsewhere(&self) {
         let entry = |part| PartEntry {
             record: PartRecord {
@@ -275,8 +275,8 @@
         self.core.take_parts(&entries, 0);
     }
 
-    /// The sidecar of an engine that holds the model of the tests is heard; so many requests run there.
-    pub fn hear_engine(&self, engine: &ScriptedEndpoint, running: u32) {
+    /// Reports an engine that holds the model `m1` and runs this many requests.
+    pub fn report_engine(&self, engine: &ScriptedEndpoint, running: u32) {
         let held = HeldModel {
             model: ModelName::try_from("m1").unwrap(),
             adapters: Vec::new(),
@@ -286,8 +286,8 @@
         self.core.take_pulse(heard);
     }
 
-    /// The ids of its asks for permits, each once, in their order.
-    pub fn permit_asks(&self) -> Vec<u64> {
+    /// Returns the ids of the permit requests sent by the gateway, without repetitions, in order.
+    pub fn permit_request_ids(&self) -> Vec<u64> {
         let mut ids = Vec::new();
         for (_, message) in self.outlet.sent() {
             if let InnerMessage::PermitAsk(ask) = message
@@ -299,12 +299,12 @@
         ids
     }
 
-    /// Gives a permit for each ask, after something has happened.
-    pub async fn give_permits(&self, happens: impl Fn()) {
+    /// Grants a permit for each permit request, after calling `happens`.
+    pub async fn grant_permits(&self, happens: impl Fn()) {
         let mut granted = 0;
         loop {
             sleep(Duration::from_millis(1)).await;
-            for id in self.permit_asks().drain(granted..) {
+            for id in self.permit_request_ids().drain(granted..) {
                 granted += 1;
                 happens();
                 self.core.take_permit(PermitGrant { id });
@@ -312,8 +312,8 @@
         }
     }
 
-    /// The asks for turns that it sent.
-    pub fn turn_asks(&self) -> Vec<TurnAsk> {
+    /// Returns the turn requests sent by the gateway.
+    pub fn turn_requests(&self) -> Vec<TurnAsk> {
         let sent = self.outlet.sent().into_iter();
         let asks = sent.filter_map(|(_, message)| match message {
             InnerMessage::TurnAsk(ask) => Some(ask),
@@ -322,16 +322,16 @@
         asks.collect()
     }
 
-    /// Does some work while the holders answer each ask for a turn in the same way.
+    /// Runs `work` while the part holders answer each turn request with `answer`.
     pub async fn with_turns<T>(
         &self,
         work: impl Future<Output = T>,
         answer: impl Fn(&TurnAsk) -> TurnAnswer,
     ) -> T {
         let holders = async {
-            let mut answered = self.turn_asks().len();
+            let mut answered = self.turn_requests().len();
             loop {
-                for ask in self.turn_asks().drain(answered..) {
+                for ask in self.turn_requests().drain(answered..) {
                     answered += 1;
                     let answer = answer(&ask);
                     self.core.take_turn_reply(TurnReply { id: ask.id, answer });
@@ -339,15 +339,15 @@
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        // Holders first: on a busy machine an answer must not come after the time for it is over.
+        // The holders are polled first: on a busy machine an answer must not arrive after its timeout.
         tokio::select! {
             biased;
-            () = holders => unreachable!("holders answer for ever"),
+            () = holders => unreachable!("holders answer until the work is done"),
             done = work => done,
         }
     }
 
-    /// The lines so far on a decision.
+    /// Returns the lines logged so far for a decision.
     pub fn logged(&self, decision: &str) -> Vec<String> {
         let is_on_it = |line: &String| line.contains(&format!("\"decision\":\"{decision}\""));
         std::iter::from_fn(|| self.lines.poll())
@@ -359,7 +359,7 @@
         let reply = self.reply(request).await;
         let (parts, body) = reply.into_parts();
         let body = body.collect().await.map(Collected::to_bytes);
-        Response::from_parts(parts, body.expect("the answer is whole"))
+        Response::from_parts(parts, body.expect("the response body is complete"))
     }
 
     pub async fn reply(&self, request: Request<Bytes>) -> oatpier_wire::reply::Reply {
@@ -368,12 +368,12 @@
     }
 }
 
-/// Where the holder of a part is.
+/// Returns the address of the holder of a part.
 pub fn holder(part: PartIndex) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 50 + part.0], 7380))
 }
 
-/// A prompt for the model of the tests.
+/// Returns a request with a prompt for the model `m1`.
 pub fn prompt() -> Request<Bytes> {
     request(&[
         ("x-oatpier-model", "m1"),
@@ -381,7 +381,7 @@
     ])
 }
 
-/// A stream that runs once at most.
+/// A stream that is sent at most once.
 pub const STREAM: RouteKind = RouteKind::Stream {
     resumable: false,
     pause: Duration::from_millis(300),
@@ -392,7 +392,7 @@
         .method(Method::POST)
         .uri("/draft/7?x=1")
         .header("host", "a.example")
-        .header("x-oatpier-request-id", ID);
+        .header("x-oatpier-request-id", REQUEST_ID);
     for (name, value) in rows {
         builder = builder.header(*name, *value);
     }
