--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounts.rs
@@ -19,7 +19,7 @@
 impl GatewayCore {
     /// Records the arrival of a request.
     pub fn record_arrival(&self, context: &RequestContext) {
-        if let Some(workspace) = context.identity.name() {
+        if let Some(workspace) = context.identity.workspace_name() {
             self.metrics.workspaces.asked(workspace, "taken");
         }
         let mut state = self.lock();
@@ -69,8 +69,8 @@
         state.directory.note_reading(endpoint, weights, unread)
     }
 
-    /// Records that an endpoint has processed a request's prompt, or will not process it.
-    pub fn record_prompt_read(&self, endpoint: &EndpointName, prompt: &SentPrompt) {
+    /// Records that an endpoint has finished the prefill of a request's prompt, or will not start it.
+    pub fn record_prefill_end(&self, endpoint: &EndpointName, prompt: &SentPrompt) {
         self.lock().directory.note_read(endpoint, prompt);
     }
 
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -53,7 +53,8 @@
     Unsent,
     /// The endpoint reported that it did not run the request.
     Refused,
-    /// After the request was placed, the endpoint asked not to be sent requests.
+    /// After the request was placed, the endpoint reported that it does not accept it now: it is leaving, in a
+    /// back-off period, or has a rate limit.
     HeldBack,
     /// Another endpoint now uses the address and did not run the request.
     Replaced,
@@ -129,8 +130,8 @@
     pub endpoint: EndpointName,
     sent_at: ClockTime,
     sent: SentPrompt,
-    /// Whether the endpoint has not processed the prompt yet.
-    is_unread: bool,
+    /// Whether the prefill of the prompt has not finished yet.
+    is_prefill_pending: bool,
     permit: Option<HeldPermit>,
     outcome: EndpointOutcome,
 }
@@ -151,7 +152,7 @@
             endpoint: endpoint.clone(),
             sent_at: core.clock.now(),
             sent,
-            is_unread: context.request.weights.is_some(),
+            is_prefill_pending: context.request.weights.is_some(),
             permit,
             outcome: EndpointOutcome::Abandoned,
         }
@@ -181,16 +182,16 @@
         let elapsed = now.since(self.sent_at);
         self.core
             .record_first_chunk(&self.context, &self.endpoint, &self.sent, elapsed);
-        self.release_prompt();
+        self.end_prefill();
         let route = self.context.route.name.as_str();
         self.core
             .metrics
             .first_after(route, now.since(self.context.arrived));
     }
 
-    fn release_prompt(&mut self) {
-        if std::mem::take(&mut self.is_unread) {
-            self.core.record_prompt_read(&self.endpoint, &self.sent);
+    fn end_prefill(&mut self) {
+        if std::mem::take(&mut self.is_prefill_pending) {
+            self.core.record_prefill_end(&self.endpoint, &self.sent);
         }
         self.permit = None;
     }
@@ -209,7 +210,7 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.release_prompt();
+        self.end_prefill();
         self.core
             .record_end(&self.context, &self.endpoint, &self.sent, self.outcome);
     }
@@ -236,7 +237,7 @@
         instance: &endpoint,
         left,
         after_event,
-        workspace: context.identity.name(),
+        workspace: context.identity.workspace_name(),
         keeps_key: context.identity.keeps_key(),
     };
     let request = build_request(message, terms);
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -102,8 +102,8 @@
         self.update_suspect_metrics(&state.crashes, now);
     }
 
-    /// Replaces the known crashes by those that the store lists. If `has_returned` is set, the store was restored
-    /// from an older copy, and the crashes that it lost are written again.
+    /// Handles a read of the store, which lists these crashes and no others. If `has_returned` is set, the store
+    /// came back from an older copy, and the crashes that are missing there are written again.
     pub fn take_stored_crashes(&self, records: &[CrashRecord], has_returned: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -232,7 +232,7 @@
         fingerprint: context.fingerprint,
         origin: RequestOrigin {
             host: context.route.host.clone(),
-            workspace: context.identity.name().cloned(),
+            workspace: context.identity.workspace_name().cloned(),
             route: context.route.name.clone(),
         },
         site,
--- a/crates/oatpier-gateway/src/gateway/handler.rs
+++ b/crates/oatpier-gateway/src/gateway/handler.rs
@@ -63,24 +63,24 @@
     let (head, body) = request.into_parts();
     if core.is_behind() {
         let refusal = core.refusal(RefusalCause::QueueFull, OVERLOADED_RETRY_AFTER);
-        return reject_unrouted(core, &head, OwnAnswer::Refused(refusal));
+        return reject_early(core, &head, OwnAnswer::Refused(refusal));
     }
     if core.is_closed() {
         let refusal = core.refusal(RefusalCause::Leaving, Duration::ZERO);
-        return reject_unrouted(core, &head, OwnAnswer::Refused(refusal));
+        return reject_early(core, &head, OwnAnswer::Refused(refusal));
     }
     let Some(config) = core.config() else {
-        return reject_unrouted(core, &head, OwnAnswer::NoConfiguration);
+        return reject_early(core, &head, OwnAnswer::NoConfiguration);
     };
     let Some(route) = find_route(&config, &head) else {
-        return reject_unrouted(core, &head, core.if_current(OwnAnswer::NoRoute));
+        return reject_early(core, &head, core.or_outdated(OwnAnswer::NoRoute));
     };
     let identity = match core.identify(&config, &route, &head.headers) {
         Ok(identity) => identity,
-        Err(response) => return reject_unrouted(core, &head, response),
+        Err(response) => return reject_early(core, &head, response),
     };
     if body.len() > config.limits.body_bytes {
-        return reject_unrouted(core, &head, OwnAnswer::TooLarge);
+        return reject_early(core, &head, OwnAnswer::TooLarge);
     }
     let message = CallerMessage {
         head: Arc::new(head),
@@ -111,8 +111,8 @@
         return Ok(());
     };
     let units = rule.cost(&context.request);
-    let patience = quota::unit_patience(&context.route);
-    let charge = quota::charge(core, workspace, units, patience).await?;
+    let max_wait = quota::unit_patience(&context.route);
+    let charge = quota::charge(core, workspace, units, max_wait).await?;
     context.charge = ChargeCell::new(Some(charge));
     Ok(())
 }
@@ -126,7 +126,7 @@
     host.or_else(|| head.uri.host()).unwrap_or_default()
 }
 
-fn fingerprint(message: &CallerMessage) -> RequestFingerprint {
+fn compute_fingerprint(message: &CallerMessage) -> RequestFingerprint {
     let head = &message.head;
     let path = head.uri.path_and_query();
     RequestFingerprint::of(&RequestContent {
@@ -137,7 +137,7 @@
     })
 }
 
-fn reject_unrouted(core: &GatewayCore, head: &Parts, response: OwnAnswer) -> Reply {
+fn reject_early(core: &GatewayCore, head: &Parts, response: OwnAnswer) -> Reply {
     let id = headers::decode_request(&head.headers).map_or(String::new(), |call| call.id);
     let line = DecisionLine::new(LineWeight::Notable, "answer")
         .with("request", id.as_str())
@@ -181,14 +181,14 @@
 ) -> Result<RequestContext, HeaderError> {
     let request = headers::decode_request(&message.head.headers)?;
     let service = core.pick_service(&route);
-    let patience = request.patience.unwrap_or(route.timeout);
+    let timeout = request.patience.unwrap_or(route.timeout);
     Ok(RequestContext {
-        deadline: arrived + patience.min(route.timeout),
+        deadline: arrived + timeout.min(route.timeout),
         route,
         identity,
         service,
         request,
-        fingerprint: fingerprint(message),
+        fingerprint: compute_fingerprint(message),
         arrived,
         charge: ChargeCell::default(),
         is_counted_unserved: AtomicBool::new(false),
--- a/crates/oatpier-gateway/src/gateway/identity.rs
+++ b/crates/oatpier-gateway/src/gateway/identity.rs
@@ -34,7 +34,7 @@
 
     /// Returns the name of the workspace.
     #[must_use]
-    pub fn name(&self) -> Option<&WorkspaceName> {
+    pub fn workspace_name(&self) -> Option<&WorkspaceName> {
         self.workspace.as_ref().map(|rule| &rule.name)
     }
 
@@ -83,14 +83,14 @@
             (_, true) => Ok(anonymous),
             // No configuration can make this a valid key.
             (CallerKey::Absent | CallerKey::Unusable, false) => Err(OwnAnswer::NoKey),
-            (CallerKey::Given(_), false) => Err(self.if_current(OwnAnswer::UnknownKey)),
+            (CallerKey::Given(_), false) => Err(self.or_outdated(OwnAnswer::UnknownKey)),
         }
     }
 
     /// Returns `response`, which says that the configuration does not contain something, or [`OwnAnswer::Outdated`]
     /// if a newer configuration may contain it. The response is final for the caller, so it is given only if this
     /// gateway would know a configuration that contains it by now. Otherwise the next gateway may know it.
-    pub(super) fn if_current(&self, response: OwnAnswer) -> OwnAnswer {
+    pub(super) fn or_outdated(&self, response: OwnAnswer) -> OwnAnswer {
         if self.is_current() {
             response
         } else {
@@ -108,7 +108,7 @@
         }
         let holds = |table: &WorkspaceTable| {
             let holder = identity.key.and_then(|key| table.holder(&key).cloned());
-            holder.is_some_and(|holder| Some(&holder.name) == identity.name())
+            holder.is_some_and(|holder| Some(&holder.name) == identity.workspace_name())
         };
         config.workspaces.as_ref().is_none_or(holds)
     }
--- a/crates/oatpier-gateway/src/gateway/pauses.rs
+++ b/crates/oatpier-gateway/src/gateway/pauses.rs
@@ -19,8 +19,8 @@
     pub requests: u32,
     /// The number of requests that waited at the endpoint at its last report.
     pub waiting: u32,
-    /// The time that the endpoint needed to process the prompts of this gateway, in milliseconds.
-    pub reading_ms: f64,
+    /// The time that the endpoint needed for the prefill of the pending prompts of this gateway, in milliseconds.
+    pub prefill_ms: f64,
 }
 
 impl EngineSnapshot {
@@ -28,7 +28,7 @@
         Self {
             requests: row.present(),
             waiting: row.waiting(),
-            reading_ms: row.reading.ms(),
+            prefill_ms: row.reading.ms(),
         }
     }
 }
--- a/crates/oatpier-gateway/src/gateway/permits.rs
+++ b/crates/oatpier-gateway/src/gateway/permits.rs
@@ -14,8 +14,8 @@
 use super::placement::{PlacedSend, RequestContext};
 use crate::exchange::MessageOutlet;
 
-/// The interval at which a permit request is repeated. A lost datagram should cost no more time than the engine
-/// needs to process a prompt.
+/// The interval at which a permit request is repeated. A lost datagram should cost no more time than the prefill of
+/// a prompt takes.
 const PERMIT_RESEND_INTERVAL: Duration = Duration::from_millis(30);
 
 /// The outcome of a permit request.
@@ -51,8 +51,8 @@
     sidecar: SocketAddr,
     ask: PermitAsk,
     /// The permit once it is granted. Dropping it with this request withdraws the request: a permit that is granted
-    /// to a request whose caller has disconnected would keep the engine from processing prompts until the permit
-    /// expires.
+    /// to a request whose caller has disconnected would keep the engine from the prefill of other prompts until the
+    /// permit expires.
     permit: Option<HeldPermit>,
 }
 
@@ -102,8 +102,8 @@
     u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Waits for a permit to send a prompt to an engine. Plain services process no prompts, and an engine whose sidecar
-/// is not reporting grants no permits.
+/// Waits for a permit to send a prompt to an engine. Plain services have no prefill, and an engine whose sidecar is
+/// not reporting grants no permits.
 ///
 /// A gateway that has just started does not know how long prompts take. It requests permits as if each prompt took
 /// a whole allowed pause, so that prompts are processed one after the other until it knows: after a loss of all
@@ -119,13 +119,13 @@
     if placed.load_age.is_none() {
         return PermitVerdict::NotNeeded;
     }
-    let reading = match placed.choice.own_reading {
+    let prefill = match placed.choice.own_reading {
         Duration::ZERO => pause,
         known => known,
     };
     let ask = PermitAsk {
         id: rand::random(),
-        reading_us: u32::try_from(reading.as_micros()).unwrap_or(u32::MAX),
+        reading_us: u32::try_from(prefill.as_micros()).unwrap_or(u32::MAX),
         pause_ms: u32::try_from(pause.as_millis()).unwrap_or(u32::MAX),
         due_in_ms: 0,
         slots: placed.slots,
--- a/crates/oatpier-gateway/src/gateway/placement.rs
+++ b/crates/oatpier-gateway/src/gateway/placement.rs
@@ -24,8 +24,8 @@
 const ADAPTER_WAIT_SHARE: f64 = 0.4;
 
 /// The maximum wait for a model, as a share of the time that the caller waits for the first chunk. The rest is
-/// needed for sending the request and for processing its prompt, queued behind other requests that waited for the
-/// same model.
+/// needed for sending the request and for processing its prompt (prefill), queued behind other requests that waited
+/// for the same model.
 const MODEL_WAIT_SHARE: f64 = 0.75;
 
 /// Callers of streams give up when nothing arrived for the longest of: two seconds, four times the latency target
@@ -109,8 +109,8 @@
     Send(PlacedSend),
     /// Place the request again when the state changes, or after this time at the latest.
     WaitForChange(Duration),
-    /// Place the request again after this time. The load that it waits for changes with every request, so no signal
-    /// reports it.
+    /// Place the request again after this time. Used where no signal reports the change: the load of an endpoint
+    /// changes with every request.
     Sleep(Duration),
     /// Refuse the request.
     Refuse(PlacementRefusal),
@@ -123,8 +123,8 @@
     pub refusal: Refusal,
     /// The best endpoint, if there is one; it is overloaded.
     pub best: Option<EndpointChoice>,
-    /// Why no endpoint can be used, if all have asked for a back-off or are over their rate limit.
-    pub held: Option<HeldService>,
+    /// Why no endpoint can be used, if all are throttled: they asked for a back-off or are over their rate limit.
+    pub throttled: Option<HeldService>,
 }
 
 impl PlacementRefusal {
@@ -132,15 +132,15 @@
         Placement::Refuse(Self {
             refusal,
             best: None,
-            held: None,
+            throttled: None,
         })
     }
 
-    pub(super) fn held(refusal: Refusal, held: HeldService) -> Placement {
+    pub(super) fn throttled(refusal: Refusal, throttled: HeldService) -> Placement {
         Placement::Refuse(Self {
             refusal,
             best: None,
-            held: Some(held),
+            throttled: Some(throttled),
         })
     }
 }
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -68,7 +68,7 @@
                     AdmissionVerdict::Refuse(refusal) => Placement::Refuse(PlacementRefusal {
                         refusal,
                         best: Some(choice),
-                        held: None,
+                        throttled: None,
                     }),
                     AdmissionVerdict::Wait(max_wait) if !waits_at_sidecar => {
                         Placement::Sleep(max_wait)
@@ -84,9 +84,9 @@
                 let pending = PendingModel { ready_in, load };
                 place_without_model(&mut state, context, pending, now)
             }
-            ChoiceVerdict::Held(held) => {
+            ChoiceVerdict::Held(throttled) => {
                 self.record_unserved(&mut state, context, now);
-                place_held(&mut state, context, held, now)
+                place_throttled(&mut state, context, throttled, now)
             }
             ChoiceVerdict::NoEndpoint => {
                 let refusal = state
@@ -110,9 +110,9 @@
         }
     }
 
-    /// Returns the refusal of a request whose possible endpoints have all asked for a back-off or are over their
-    /// rate limit.
-    pub(super) fn refusal_if_all_held(
+    /// Returns the refusal of a request whose possible endpoints are all throttled: they asked for a back-off or
+    /// are over their rate limit.
+    pub(super) fn refusal_if_throttled(
         &self,
         context: &RequestContext,
     ) -> Option<(Refusal, HeldService)> {
@@ -120,7 +120,7 @@
         let config = state.config.clone();
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, &[], engine, self.clock.now()) {
-            ChoiceVerdict::Held(held) => Some((state.judge.held(&held), held)),
+            ChoiceVerdict::Held(throttled) => Some((state.judge.held(&throttled), throttled)),
             ChoiceVerdict::Endpoint(_)
             | ChoiceVerdict::NoModel { .. }
             | ChoiceVerdict::NoEndpoint => None,
@@ -175,7 +175,7 @@
                 return Placement::Refuse(PlacementRefusal {
                     refusal,
                     best: Some(choice),
-                    held: None,
+                    throttled: None,
                 });
             }
             let sidecar = SocketAddr::new(address.ip(), self.inner_port);
@@ -195,12 +195,12 @@
 
     fn request_adapter(&self, weights: Option<&WeightsKey>, sidecar: SocketAddr, slots: usize) {
         if let Some(key) = weights.and_then(WeightsKey::adapter_key) {
-            let wish = AdapterWish {
+            let request = AdapterWish {
                 key,
                 slots: u32::try_from(slots).unwrap_or(u32::MAX),
             };
             self.outlet
-                .send(sidecar, &InnerMessage::AdapterWanted(wish));
+                .send(sidecar, &InnerMessage::AdapterWanted(request));
         }
     }
 }
@@ -227,21 +227,21 @@
     context.route.kind.is_stream() && choice.batches && !choice.memory_full && is_reporting
 }
 
-/// Places a request whose endpoints have all asked for a back-off or are over their rate limit. It waits if one of
-/// them accepts requests again in time; otherwise it is refused at once with a `Retry-After`. Requests whose
-/// callers time out first retry first.
-fn place_held(
+/// Places a request whose endpoints are all throttled: they asked for a back-off or are over their rate limit. It
+/// waits if one of them accepts requests again in time; otherwise it is refused at once with a `Retry-After`.
+/// Requests whose callers time out first retry first.
+fn place_throttled(
     state: &mut CoreState,
     context: &RequestContext,
-    held: HeldService,
+    throttled: HeldService,
     now: ClockTime,
 ) -> Placement {
-    let spare_wait = context.remaining_wait(now).saturating_sub(held.left);
+    let spare_wait = context.remaining_wait(now).saturating_sub(throttled.left);
     if spare_wait.is_zero() {
-        let refusal = state.judge.held(&held);
-        return PlacementRefusal::held(refusal, held);
+        let refusal = state.judge.held(&throttled);
+        return PlacementRefusal::throttled(refusal, throttled);
     }
-    let delay = held.left + (spare_wait / BACKOFF_SPREAD_DIVISOR).min(MAX_BACKOFF_SPREAD);
+    let delay = throttled.left + (spare_wait / BACKOFF_SPREAD_DIVISOR).min(MAX_BACKOFF_SPREAD);
     Placement::Sleep(delay.min(STOP_CHECK_INTERVAL))
 }
 
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -61,10 +61,9 @@
     pub(super) endpoint: Option<EndpointName>,
     /// The best endpoint when the request was refused because that endpoint could not take it.
     pub(super) best_choice: Option<EndpointChoice>,
-    /// Why no endpoint could be used when the request was refused because all of them asked for a back-off or are
-    /// over
-    /// their rate limit.
-    pub(super) held: Option<HeldService>,
+    /// Why no endpoint could be used when the request was refused because all of them are throttled: they asked for
+    /// a back-off or are over their rate limit.
+    pub(super) throttled: Option<HeldService>,
 }
 
 /// The final outcome of a request.
@@ -89,7 +88,7 @@
             is_sending: false,
             endpoint: None,
             best_choice: None,
-            held: None,
+            throttled: None,
         }
     }
 
@@ -169,7 +168,7 @@
                 }
                 Placement::Refuse(refused) => {
                     self.best_choice = refused.best;
-                    self.held = refused.held;
+                    self.throttled = refused.throttled;
                     return Err(self.refusal_unless_run(refused.refusal));
                 }
                 Placement::Sleep(delay) => {
@@ -410,8 +409,8 @@
     }
 
     fn refusal_after(&mut self, failure: AttemptFailure) -> OwnAnswer {
-        if let Some((refusal, held)) = self.core.refusal_if_all_held(&self.context) {
-            self.held = Some(held);
+        if let Some((refusal, throttled)) = self.core.refusal_if_throttled(&self.context) {
+            self.throttled = Some(throttled);
             return self.refusal_unless_run(refusal);
         }
         let cause = match failure {
--- a/crates/oatpier-gateway/src/gateway/run_log.rs
+++ b/crates/oatpier-gateway/src/gateway/run_log.rs
@@ -77,7 +77,7 @@
             .with("waiting_there", pause.map(|pause| pause.engine.waiting))
             .with(
                 "reading_ms",
-                pause.map(|pause| pause.engine.reading_ms.round()),
+                pause.map(|pause| pause.engine.prefill_ms.round()),
             );
         self.core.log.write(line);
     }
@@ -101,7 +101,7 @@
         let now = self.core.clock.now();
         let store_read_at = self.core.lock().store_read_at;
         let best = self.best_choice.as_ref();
-        let held = self.held.as_ref();
+        let throttled = self.throttled.as_ref();
         let line = self
             .answer_line(LineWeight::Notable, response.as_str())
             .with("fingerprint", self.context.fingerprint.short())
@@ -111,9 +111,15 @@
                 best.map(|choice| hundredths(choice.occupancy)),
             )
             .with("best_queue_ms", best.map(|choice| millis(choice.queue)))
-            .with("held_by", held.map(|held| held.endpoint.to_string()))
-            .with("held_for", held.map(|held| held.cause.as_str()))
-            .with("held_ms", held.map(|held| millis(held.left)))
+            .with(
+                "held_by",
+                throttled.map(|throttled| throttled.endpoint.to_string()),
+            )
+            .with(
+                "held_for",
+                throttled.map(|throttled| throttled.cause.as_str()),
+            )
+            .with("held_ms", throttled.map(|throttled| millis(throttled.left)))
             .with("return_ms", response.retry_after().map(millis))
             .with("status", response.status().as_u16())
             .with("verdict", self.verdict().as_str())
