--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -47,7 +47,9 @@
         let mut state = self.lock();
         state.crashes.end(&context.fingerprint);
         match outcome {
-            EndpointOutcome::Broken => record_cut_attempt(&mut state, context, endpoint, sent, now),
+            EndpointOutcome::Broken => {
+                record_broken_attempt(&mut state, context, endpoint, sent, now)
+            }
             EndpointOutcome::Whole { .. } => {
                 self.clear_suspect(&mut state, &context.fingerprint, now)
             }
@@ -88,7 +90,7 @@
     }
 
     /// Handles a report of another gateway about endpoints that ended while running requests.
-    pub fn take_crashes(&self, records: &[CrashRecord]) {
+    pub fn apply_crashes(&self, records: &[CrashRecord]) {
         let now = self.clock.now();
         let mut state = self.lock();
         for record in records {
@@ -104,7 +106,7 @@
 
     /// Handles a read of the store, which lists these crashes and no others. If `has_returned` is set, the store
     /// came back from an older copy, and the crashes that are missing there are written again.
-    pub fn take_stored_crashes(&self, records: &[CrashRecord], has_returned: bool) {
+    pub fn apply_stored_crashes(&self, records: &[CrashRecord], has_returned: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
         let barred_before = state.crashes.barred(now);
@@ -127,7 +129,7 @@
     }
 
     /// Handles a report of another gateway that these requests completed.
-    pub fn take_cleared(&self, fingerprints: &[RequestFingerprint]) {
+    pub fn apply_cleared(&self, fingerprints: &[RequestFingerprint]) {
         let now = self.clock.now();
         let mut state = self.lock();
         for fingerprint in fingerprints {
@@ -218,7 +220,7 @@
 }
 
 /// Records an attempt that was cut off at an endpoint that was not about to leave.
-fn record_cut_attempt(
+fn record_broken_attempt(
     state: &mut CoreState,
     context: &RequestContext,
     endpoint: &EndpointName,
--- a/crates/oatpier-gateway/src/gateway/exchanges.rs
+++ b/crates/oatpier-gateway/src/gateway/exchanges.rs
@@ -72,13 +72,13 @@
             InnerMessage::Permit(grant) => core.take_permit(grant),
             InnerMessage::QuotaAsk(ask) => core.take_quota_ask(from, &ask),
             InnerMessage::QuotaAnswer(answer) => core.take_quota_answer(answer),
-            InnerMessage::TurnAsk(ask) => core.take_turn_ask(from, &ask),
-            InnerMessage::TurnAnswer(reply) => core.take_turn_reply(reply),
-            InnerMessage::LimitSeen(word) => core.take_limit_word(&word),
-            InnerMessage::LeavingSeen(word) => core.take_leaving_word(&word),
+            InnerMessage::TurnAsk(ask) => core.answer_turn_ask(from, &ask),
+            InnerMessage::TurnAnswer(reply) => core.complete_turn_ask(reply),
+            InnerMessage::LimitSeen(word) => core.apply_limit_report(&word),
+            InnerMessage::LeavingSeen(word) => core.apply_leaving_report(&word),
             InnerMessage::StoreSeen(word) => core.take_store_word(*word),
-            InnerMessage::CrashesSeen(records) => core.take_crashes(&records),
-            InnerMessage::CrashesCleared(requests) => core.take_cleared(&requests),
+            InnerMessage::CrashesSeen(records) => core.apply_crashes(&records),
+            InnerMessage::CrashesCleared(requests) => core.apply_cleared(&requests),
             // Messages to sidecars.
             InnerMessage::Greeting(_)
             | InnerMessage::AdapterWanted(_)
@@ -105,7 +105,7 @@
             } => {
                 let has_returned = core.note_era(era);
                 // The crashes must be known before the first configuration makes this gateway serve requests.
-                core.take_stored_crashes(&crashes, has_returned);
+                core.apply_stored_crashes(&crashes, has_returned);
                 core.take_parts(&parts, era);
                 // A part holder that has just started resumes its parts at once, because their workspaces wait
                 // until then.
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -41,7 +41,7 @@
     }
 
     /// Handles a report of another gateway that an endpoint is leaving.
-    pub fn take_leaving_word(&self, report: &LeavingWord) {
+    pub fn apply_leaving_report(&self, report: &LeavingWord) {
         let mut state = self.lock();
         let change = state.directory.take_leaving_word(report);
         if let Some(change) = change {
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -82,7 +82,7 @@
     }
 
     async fn request_turn(&self, endpoint: &EndpointName, query: &TurnQuery) -> Option<HeldTurn> {
-        let limit = self.limit_word(endpoint, None)?;
+        let limit = self.limit_report(endpoint, None)?;
         let answer = if query.holder == self.settings.borrow().inner_address() {
             Some(self.grant_turn(query.part, &limit, query.most_wait))
         } else {
@@ -114,7 +114,7 @@
     }
 
     /// Handles the request of another gateway for a turn of a part that this gateway holds.
-    pub fn take_turn_ask(&self, from: SocketAddr, ask: &TurnAsk) {
+    pub fn answer_turn_ask(&self, from: SocketAddr, ask: &TurnAsk) {
         let max_wait = Duration::from_millis(u64::from(ask.most_wait_ms));
         let answer = self.grant_turn(ask.part, &ask.limit, max_wait);
         let reply = TurnReply { id: ask.id, answer };
@@ -122,14 +122,14 @@
     }
 
     /// Handles the answer of the holder of a part to a turn request.
-    pub fn take_turn_reply(&self, reply: TurnReply) {
+    pub fn complete_turn_ask(&self, reply: TurnReply) {
         self.turn_asks.take(reply.id, reply.answer);
     }
 
     /// Grants a turn according to the newest report of the limit, which may come with the request.
     fn grant_turn(&self, part: PartIndex, limit: &LimitWord, max_wait: Duration) -> TurnAnswer {
         let now = self.clock.now();
-        self.take_limit_word(limit);
+        self.apply_limit_report(limit);
         let mut state = self.lock();
         let row = state.directory.row(&limit.endpoint);
         let known = row.and_then(EndpointRow::limit).map(|known| known.rate);
@@ -144,17 +144,21 @@
             .give_turn(part, &limit.endpoint, rate, max_wait, now)
     }
 
-    fn limit_word(&self, endpoint: &EndpointName, sent_at: Option<ClockTime>) -> Option<LimitWord> {
+    fn limit_report(
+        &self,
+        endpoint: &EndpointName,
+        sent_at: Option<ClockTime>,
+    ) -> Option<LimitWord> {
         let now = self.clock.now();
         self.lock().directory.limit_word(endpoint, sent_at, now)
     }
 
     /// Handles the report of another gateway about the rate limit of an endpoint.
-    pub fn take_limit_word(&self, word: &LimitWord) {
+    pub fn apply_limit_report(&self, report: &LimitWord) {
         let now = self.clock.now();
         let mut state = self.lock();
-        if let Some(change) = state.directory.take_limit_word(word, now) {
-            self.log_notice(&state, &word.endpoint, change, None);
+        if let Some(change) = state.directory.take_limit_word(report, now) {
+            self.log_notice(&state, &report.endpoint, change, None);
         }
     }
 
@@ -173,10 +177,10 @@
         if !changes.iter().any(is_of_limit) {
             return;
         }
-        let Some(word) = self.limit_word(endpoint, Some(sent_at)) else {
+        let Some(report) = self.limit_report(endpoint, Some(sent_at)) else {
             return;
         };
-        self.broadcast(&InnerMessage::LimitSeen(word));
+        self.broadcast(&InnerMessage::LimitSeen(report));
     }
 
     /// Returns whether an endpoint has a rate limit.
--- a/crates/oatpier-gateway/tests/testsuite/crashes.rs
+++ b/crates/oatpier-gateway/tests/testsuite/crashes.rs
@@ -172,9 +172,9 @@
     let crashes = queued_crashes(&fleet.gateway);
     assert_eq!(crashes.len(), 3);
     let informed = FragileFleet::start().await;
-    informed.gateway.core.take_crashes(&crashes);
+    informed.gateway.core.apply_crashes(&crashes);
     let started = FragileFleet::start().await;
-    started.gateway.core.take_stored_crashes(&crashes, false);
+    started.gateway.core.apply_stored_crashes(&crashes, false);
     for mut fleet in [informed, started] {
         let answer = fleet.send(crashing_request("b1")).await;
         assert_eq!(answer.status(), StatusCode::INTERNAL_SERVER_ERROR);
@@ -188,8 +188,8 @@
 async fn a_request_that_the_store_no_longer_lists_is_sent_again() {
     let mut fleet = fleet_with_barred_request().await;
     let crashes = queued_crashes(&fleet.gateway);
-    fleet.gateway.core.take_stored_crashes(&crashes, false);
-    fleet.gateway.core.take_stored_crashes(&[], false);
+    fleet.gateway.core.apply_stored_crashes(&crashes, false);
+    fleet.gateway.core.apply_stored_crashes(&[], false);
     fleet.send(crashing_request("a4")).await;
     assert_eq!(fleet.reached, CRASHES_ALLOWED + 1);
 }
@@ -211,7 +211,7 @@
     for crash in &mut crashes {
         crash.fingerprint = unrelated;
     }
-    fleet.gateway.core.take_stored_crashes(&crashes, false);
+    fleet.gateway.core.apply_stored_crashes(&crashes, false);
     assert_eq!(fleet.send(request(&[])).await.status(), StatusCode::OK);
     let removed: Vec<CrashChange> = std::iter::from_fn(|| fleet.gateway.written.poll()).collect();
     let expected: Vec<CrashChange> = crashes.into_iter().map(CrashChange::Remove).collect();
--- a/crates/oatpier-gateway/tests/testsuite/leaving.rs
+++ b/crates/oatpier-gateway/tests/testsuite/leaving.rs
@@ -39,7 +39,7 @@
     assert_eq!(staying.requests().len(), 4);
 }
 
-fn leaving_word() -> LeavingWord {
+fn leaving_report() -> LeavingWord {
     LeavingWord {
         endpoint: EndpointName::try_from("i-1").unwrap(),
         start: None,
@@ -60,11 +60,11 @@
     let reports = reports.filter(|(_, message)| matches!(message, InnerMessage::LeavingSeen(_)));
     assert_eq!(
         reports.map(|(_, message)| message).collect::<Vec<_>>(),
-        [InnerMessage::LeavingSeen(leaving_word())]
+        [InnerMessage::LeavingSeen(leaving_report())]
     );
 
     let receiver = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
-    receiver.core.take_leaving_word(&leaving_word());
+    receiver.core.apply_leaving_report(&leaving_report());
     receiver.send(request(&[])).await;
     assert_eq!(leaving.requests().len(), 1);
 }
@@ -94,7 +94,7 @@
     gateway.report_engine(&staying, 5);
     let answer = tokio::select! {
         answer = gateway.send(prompt()) => answer,
-        () = gateway.grant_permits(|| gateway.core.take_leaving_word(&leaving_word())) => {
+        () = gateway.grant_permits(|| gateway.core.apply_leaving_report(&leaving_report())) => {
             unreachable!("permits are granted until the response arrives")
         }
     };
--- a/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
@@ -65,11 +65,11 @@
 fn gateway_with_limit(endpoints: &[&ScriptedEndpoint]) -> TestGateway {
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, endpoints);
     gateway.hold_parts_elsewhere();
-    gateway.core.take_limit_word(&limit_word());
+    gateway.core.apply_limit_report(&limit_report());
     gateway
 }
 
-fn limit_word() -> LimitWord {
+fn limit_report() -> LimitWord {
     LimitWord {
         endpoint: EndpointName::try_from("i-1").unwrap(),
         start: None,
@@ -163,7 +163,7 @@
     let sending = async {
         tokio::select! {
             answer = gateway.send(prompt()) => answer,
-            () = gateway.grant_permits(|| gateway.core.take_limit_word(&limit_word())) => {
+            () = gateway.grant_permits(|| gateway.core.apply_limit_report(&limit_report())) => {
                 unreachable!("permits are granted until the response arrives")
             }
         }
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -334,7 +334,8 @@
                 for ask in self.turn_requests().drain(answered..) {
                     answered += 1;
                     let answer = answer(&ask);
-                    self.core.take_turn_reply(TurnReply { id: ask.id, answer });
+                    self.core
+                        .complete_turn_ask(TurnReply { id: ask.id, answer });
                 }
                 sleep(Duration::from_millis(1)).await;
             }
