--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -48,10 +48,10 @@
         state.crashes.end(&context.fingerprint);
         match outcome {
             EndpointOutcome::Broken => {
-                record_broken_attempt(&mut state, context, endpoint, sent, now)
+                record_broken_attempt(&mut state, context, endpoint, sent, now);
             }
             EndpointOutcome::Whole { .. } => {
-                self.clear_suspect(&mut state, &context.fingerprint, now)
+                self.clear_suspect(&mut state, &context.fingerprint, now);
             }
             _ => {}
         }
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -299,14 +299,14 @@
         ids
     }
 
-    /// Grants a permit for each permit request, after calling `happens`.
-    pub async fn grant_permits(&self, happens: impl Fn()) {
+    /// Grants a permit for each permit request, after calling `before_grant`.
+    pub async fn grant_permits(&self, before_grant: impl Fn()) {
         let mut granted = 0;
         loop {
             sleep(Duration::from_millis(1)).await;
             for id in self.permit_request_ids().drain(granted..) {
                 granted += 1;
-                happens();
+                before_grant();
                 self.core.take_permit(PermitGrant { id });
             }
         }
