--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one endpoint.
+//! One attempt to send a request to one endpoint.
 
 use std::sync::Arc;
 
@@ -17,60 +17,61 @@
 
 use super::core::GatewayCore;
 use super::permits::HeldPermit;
-use super::placement::{PlacedSend, RequestPlan};
+use super::placement::{PlacedSend, RequestContext};
 
-/// The largest whole answer, in bytes. Larger ones would have to be relayed before their end is
-/// known; the services answer a few kilobytes.
-const WHOLE_ANSWER_BYTES: usize = 8 << 20;
+/// The maximum size of a buffered response, in bytes. Larger ones would have to be relayed before they are known to
+/// be complete; the services respond with a few kilobytes.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 8 << 20;
 
-/// What a caller sent.
+/// The request as the caller sent it.
 #[derive(Debug, Clone)]
 pub struct CallerMessage {
-    /// Method, path and headers.
+    /// The method, path and headers.
     pub head: Arc<Parts>,
     /// The body.
     pub body: Bytes,
 }
 
-/// An attempt whose head is here and good: its body follows.
-pub struct OpenAnswer {
-    /// The head.
+/// A response whose head was received and accepted; the body follows.
+pub struct OpenResponse {
+    /// The status.
     pub status: StatusCode,
-    /// Its headers, for the caller.
+    /// The response headers for the caller.
     pub headers: HeaderMap,
     /// The body.
     pub body: AnswerBody,
-    /// Accounts for the end.
+    /// Records the end of the attempt.
     pub guard: AttemptGuard,
 }
 
 /// Why an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No connection came about.
+    /// No connection could be established.
     Unreachable,
-    /// A connection was there, and no byte was written to it.
+    /// A connection was established, but no byte was written to it.
     Unsent,
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reported that it did not run the request.
     Refused,
-    /// Since it was placed the endpoint has said that it does not want it.
+    /// After the request was placed, the endpoint reported that it does not accept it now: it is leaving, in a
+    /// back-off period, or has a rate limit.
     HeldBack,
-    /// Another endpoint has the address, and did not run the request.
+    /// Another endpoint now uses the address and did not run the request.
     Replaced,
-    /// The endpoint lacks the weights, and did not run the request.
+    /// The endpoint lacks the weights and did not run the request.
     WeightsMissing,
-    /// The answer, or its connection, broke off.
+    /// The response or its connection broke off.
     Cut,
-    /// The answer is not the endpoint's whole and own one to this request.
+    /// The response is incomplete, belongs to another request, or does not come from the endpoint itself.
     Spoilt,
-    /// Nothing came for too long.
+    /// No data arrived within the timeout.
     Silent,
-    /// The endpoint failed, and another one may do better.
+    /// The endpoint failed with a server error, and another endpoint may succeed.
     ServerError,
 }
 
 impl AttemptFailure {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     #[must_use]
     pub fn verdict(self) -> RunVerdict {
         match self {
@@ -84,26 +85,26 @@
         }
     }
 
-    /// Whether any byte of the request reached the endpoint that it was sent to.
+    /// Returns whether any byte of the request reached the intended endpoint.
     #[must_use]
-    pub fn has_reached(self) -> bool {
+    pub fn has_reached_endpoint(self) -> bool {
         !matches!(
             self,
             Self::Unreachable | Self::Unsent | Self::HeldBack | Self::Replaced
         )
     }
 
-    /// Whether the second send that follows needs nothing of the allowance: it was taken already, or
-    /// no endpoint got the first.
+    /// Returns whether the next send takes nothing from the retry budget, because it was already charged or because
+    /// no endpoint received the first send.
     #[must_use]
-    pub fn is_paid(self) -> bool {
+    pub fn is_free_retry(self) -> bool {
         matches!(
             self,
             Self::Silent | Self::ServerError | Self::Unreachable | Self::Unsent | Self::HeldBack
         )
     }
 
-    /// The word that logs and metrics use.
+    /// Returns the value used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -121,87 +122,87 @@
     }
 }
 
-/// Accounts for an attempt exactly once, also when its task is dropped since the caller left.
+/// Records the end of an attempt exactly once, even if its task is dropped because the caller disconnected.
 pub struct AttemptGuard {
     core: Arc<GatewayCore>,
-    plan: Arc<RequestPlan>,
+    context: Arc<RequestContext>,
     /// The endpoint.
     pub endpoint: EndpointName,
     sent_at: ClockTime,
     sent: SentPrompt,
-    /// Whether the endpoint has yet to read the prompt.
-    is_unread: bool,
+    /// Whether the prefill of the prompt has not finished yet.
+    is_prefill_pending: bool,
     permit: Option<HeldPermit>,
     outcome: EndpointOutcome,
 }
 
 impl AttemptGuard {
-    /// An attempt that begins now.
+    /// Starts an attempt now.
     #[must_use]
     pub fn begin(
         core: &Arc<GatewayCore>,
-        plan: &Arc<RequestPlan>,
+        context: &Arc<RequestContext>,
         endpoint: &EndpointName,
         permit: Option<HeldPermit>,
     ) -> Self {
-        let sent = core.note_sent(plan, endpoint);
+        let sent = core.record_sent(context, endpoint);
         Self {
             core: Arc::clone(core),
-            plan: Arc::clone(plan),
+            context: Arc::clone(context),
             endpoint: endpoint.clone(),
             sent_at: core.clock.now(),
             sent,
-            is_unread: plan.request.weights.is_some(),
+            is_prefill_pending: context.request.weights.is_some(),
             permit,
             outcome: EndpointOutcome::Abandoned,
         }
     }
 
-    /// When it was sent.
+    /// Returns the time at which the request was sent.
     #[must_use]
     pub fn sent_at(&self) -> ClockTime {
         self.sent_at
     }
 
-    /// The head of the answer is here, and says this of the endpoint.
-    fn note_notice(&self, notice: EndpointNotice, was_taken: bool) {
+    /// Records what the response head reports about the endpoint.
+    fn record_notice(&self, notice: EndpointNotice, was_taken: bool) {
         let heard = HeardNotice {
             notice,
             was_taken,
             sent: &self.sent,
             sent_at: self.sent_at,
         };
-        let request = &self.plan.request.id;
-        self.core.take_notice(&self.endpoint, &heard, request);
+        let request = &self.context.request.id;
+        self.core.record_notice(&self.endpoint, &heard, request);
     }
 
-    /// The first piece of the answer is here.
-    pub fn note_first(&mut self) {
+    /// Records that the first chunk of the response was received.
+    pub fn record_first_chunk(&mut self) {
         let now = self.core.clock.now();
-        let took = now.since(self.sent_at);
+        let elapsed = now.since(self.sent_at);
         self.core
-            .note_first(&self.plan, &self.endpoint, &self.sent, took);
-        self.settle_prompt();
-        let route = self.plan.route.name.as_str();
+            .record_first_chunk(&self.context, &self.endpoint, &self.sent, elapsed);
+        self.end_prefill();
+        let route = self.context.route.name.as_str();
         self.core
             .metrics
-            .first_after(route, now.since(self.plan.arrived));
+            .first_after(route, now.since(self.context.arrived));
     }
 
-    fn settle_prompt(&mut self) {
-        if std::mem::take(&mut self.is_unread) {
-            self.core.note_read(&self.endpoint, &self.sent);
+    fn end_prefill(&mut self) {
+        if std::mem::take(&mut self.is_prefill_pending) {
+            self.core.record_prefill_end(&self.endpoint, &self.sent);
         }
         self.permit = None;
     }
 
-    /// The answer came to its end.
+    /// Ends the attempt with a complete response.
     pub fn finish_whole(mut self) {
         let held = self.core.clock.now().since(self.sent_at);
         self.outcome = EndpointOutcome::Whole { held };
     }
 
-    /// It ended otherwise.
+    /// Ends the attempt with another outcome.
     pub fn finish(mut self, outcome: EndpointOutcome) {
         self.outcome = outcome;
     }
@@ -209,45 +210,45 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.settle_prompt();
+        self.end_prefill();
         self.core
-            .note_end(&self.plan, &self.endpoint, &self.sent, self.outcome);
+            .record_end(&self.context, &self.endpoint, &self.sent, self.outcome);
     }
 }
 
-/// Sends a request to an endpoint and waits for the head of its answer.
+/// Sends a request to an endpoint and waits for the response head.
 ///
 /// # Errors
 ///
-/// Says whether the request may have run.
+/// Returns the cause of the failure, which tells whether the request may have run.
 pub async fn send(
     core: &Arc<GatewayCore>,
-    plan: &Arc<RequestPlan>,
+    context: &Arc<RequestContext>,
     message: &CallerMessage,
     placed: &mut PlacedSend,
     after_event: Option<&str>,
-) -> Result<OpenAnswer, AttemptFailure> {
+) -> Result<OpenResponse, AttemptFailure> {
     let endpoint = placed.choice.endpoint.clone();
     if !core.may_send(&endpoint, placed.turn.take()) {
         return Err(AttemptFailure::HeldBack);
     }
-    let left = plan.deadline.since(core.clock.now());
+    let left = context.deadline.since(core.clock.now());
     let terms = SendTerms {
         instance: &endpoint,
         left,
         after_event,
-        workspace: plan.identity.name(),
-        keeps_key: plan.identity.keeps_key(),
+        workspace: context.identity.workspace_name(),
+        keeps_key: context.identity.keeps_key(),
     };
-    let request = outgoing(message, terms);
-    let guard = AttemptGuard::begin(core, plan, &endpoint, placed.permit.take());
+    let request = build_request(message, terms);
+    let guard = AttemptGuard::begin(core, context, &endpoint, placed.permit.take());
     match core.client.send(placed.address, request).await {
-        Ok(answer) => judge_head(core, plan, answer, guard),
-        Err(error) => Err(fail_send(&error, guard)),
+        Ok(response) => check_head(core, context, response, guard),
+        Err(error) => Err(finish_failed_send(&error, guard)),
     }
 }
 
-fn outgoing(message: &CallerMessage, terms: SendTerms<'_>) -> Request<Bytes> {
+fn build_request(message: &CallerMessage, terms: SendTerms<'_>) -> Request<Bytes> {
     let mut request = Request::new(message.body.clone());
     *request.method_mut() = message.head.method.clone();
     *request.uri_mut() = message
@@ -260,7 +261,7 @@
     request
 }
 
-fn fail_send(error: &SendError, guard: AttemptGuard) -> AttemptFailure {
+fn finish_failed_send(error: &SendError, guard: AttemptGuard) -> AttemptFailure {
     let (failure, outcome) = match error.stage {
         SendStage::Connect if error.timed_out => {
             (AttemptFailure::Unreachable, EndpointOutcome::Unreachable)
@@ -276,28 +277,28 @@
     failure
 }
 
-/// Judges the head of an answer: whether it is this request's, whole in form, and what it says.
-fn judge_head(
+/// Checks whether a response head belongs to this request and is complete, and acts on what it reports.
+fn check_head(
     core: &Arc<GatewayCore>,
-    plan: &RequestPlan,
-    answer: Response<AnswerBody>,
+    context: &RequestContext,
+    response: Response<AnswerBody>,
     guard: AttemptGuard,
-) -> Result<OpenAnswer, AttemptFailure> {
-    let (parts, body) = answer.into_parts();
-    let head = headers::decode_answer(parts.status.as_u16(), &parts.headers, &plan.request.id);
+) -> Result<OpenResponse, AttemptFailure> {
+    let (parts, body) = response.into_parts();
+    let head = headers::decode_answer(parts.status.as_u16(), &parts.headers, &context.request.id);
     if let Some(load) = head.load {
-        core.note_load(&guard.endpoint, load);
+        core.record_load(&guard.endpoint, load);
     }
-    if is_of_endpoint(&head, &guard.endpoint) {
-        guard.note_notice(head.notice, head.kind == AnswerKind::Own);
+    if is_from_endpoint(&head, &guard.endpoint) {
+        guard.record_notice(head.notice, head.kind == AnswerKind::Own);
     }
     match head.kind {
-        AnswerKind::NotRun => Err(refused_by_endpoint(core, parts.status, &head, guard)),
+        AnswerKind::NotRun => Err(finish_refused(core, parts.status, &head, guard)),
         AnswerKind::Spoilt => {
             guard.finish(EndpointOutcome::Broken);
             Err(AttemptFailure::Spoilt)
         }
-        AnswerKind::Own => Ok(OpenAnswer {
+        AnswerKind::Own => Ok(OpenResponse {
             status: parts.status,
             headers: headers::returned(&parts.headers),
             body,
@@ -306,13 +307,14 @@
     }
 }
 
-/// Whether an answer is its endpoint's own, so that what it says of itself can be believed.
-fn is_of_endpoint(head: &AnswerHead, endpoint: &EndpointName) -> bool {
+/// Returns whether a response comes from the endpoint itself, so that its statements about the endpoint can be
+/// trusted.
+fn is_from_endpoint(head: &AnswerHead, endpoint: &EndpointName) -> bool {
     let is_other = head.instance.as_ref().is_some_and(|name| name != endpoint);
     head.kind != AnswerKind::Spoilt && !is_other
 }
 
-fn refused_by_endpoint(
+fn finish_refused(
     core: &GatewayCore,
     status: StatusCode,
     head: &AnswerHead,
@@ -322,12 +324,12 @@
         guard.finish(EndpointOutcome::Refused);
         return AttemptFailure::Refused;
     }
-    let other = head
+    let is_other = head
         .instance
         .as_ref()
         .is_some_and(|name| *name != guard.endpoint);
-    if other {
-        core.note_replaced(&guard.endpoint, head.instance.as_ref());
+    if is_other {
+        core.record_replaced(&guard.endpoint, head.instance.as_ref());
         guard.finish(EndpointOutcome::Abandoned);
         return AttemptFailure::Replaced;
     }
@@ -335,20 +337,23 @@
     AttemptFailure::WeightsMissing
 }
 
-/// Reads a whole answer to its end.
+/// Reads a response body to its end.
 ///
 /// # Errors
 ///
-/// It was cut: the request has run.
-pub async fn collect(answer: OpenAnswer) -> Result<Response<Bytes>, AttemptFailure> {
-    let OpenAnswer {
+/// Returns an error if the response was cut off; the request has run then.
+pub async fn read_response(response: OpenResponse) -> Result<Response<Bytes>, AttemptFailure> {
+    let OpenResponse {
         status,
         headers,
         body,
         mut guard,
-    } = answer;
-    guard.note_first();
-    let Ok(collected) = Limited::new(body, WHOLE_ANSWER_BYTES).collect().await else {
+    } = response;
+    guard.record_first_chunk();
+    let Ok(collected) = Limited::new(body, MAX_BUFFERED_RESPONSE_BYTES)
+        .collect()
+        .await
+    else {
         guard.finish(EndpointOutcome::Broken);
         return Err(AttemptFailure::Cut);
     };
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -1,4 +1,4 @@
-//! Where a request goes now: to an endpoint, to wait, or back to its caller.
+//! Decides where a request goes now: to an endpoint, into a wait, or back to its caller with a refusal.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,91 +13,96 @@
 use oatpier_types::refusal::{Refusal, RefusalCause};
 
 use super::core::{CoreState, GatewayCore};
-use super::placement::{PlacedSend, Placement, PlacementRefusal, RequestPlan};
+use super::placement::{PlacedSend, Placement, PlacementRefusal, RequestContext};
 
-/// While no engine is loading the model yet, a request waits so long for the planner to act.
-const PLANNER_WAIT: Duration = Duration::from_millis(400);
+/// How long a request waits for the planner to act while no engine is loading the model yet.
+const MAX_PLANNER_WAIT: Duration = Duration::from_millis(400);
 
-/// When to come back where a model has to be loaded and no engine is heard that could.
-const MODEL_RETURN: Duration = Duration::from_millis(900);
+/// The `Retry-After` sent when a model must be loaded and no sidecar of an engine that could load it is reporting.
+const MODEL_RETRY_AFTER: Duration = Duration::from_millis(900);
 
-/// When to come back where an adapter found no place in time: places are free when streams end.
-const ADAPTER_RETURN: Duration = Duration::from_millis(300);
+/// The `Retry-After` sent when no adapter slot became free in time; slots become free when streams end.
+const ADAPTER_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When to come back where no endpoint is there, or none is known yet.
-const ABSENT_RETURN: Duration = Duration::from_millis(500);
+/// The `Retry-After` sent when the service has no endpoint, or none is known yet.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How soon a request that waits for an adapter asks again, and repeats its wish: a load takes 5 to
-/// 10 ms, and a lost datagram should cost little more.
-const ADAPTER_RETRY: Duration = Duration::from_millis(25);
+/// The interval at which a request that waits for an adapter is placed again and its load request is repeated.
+/// Loading an adapter takes 5 to 10 ms, and a lost datagram should add little to that.
+const ADAPTER_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How soon a request that waits for a model asks again if nothing is heard.
-const MODEL_RETRY: Duration = Duration::from_millis(100);
+/// The interval at which a request that waits for a model is placed again if no change is reported.
+const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After a rest requests look at its endpoint in the order of the time that they can still wait: by so much of it later.
-const LOOK_SLACKS: u32 = 100;
+/// After a back-off, waiting requests retry the endpoint in the order of their remaining wait time: each is delayed
+/// by its remaining time divided by this number.
+const BACKOFF_SPREAD_DIVISOR: u32 = 100;
 
-/// The longest time for which a request that waits does not look whether its gateway is being stopped.
-pub(super) const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+/// The longest time for which a waiting request does not check whether its gateway is being stopped.
+pub(super) const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The latest look of a request after a rest.
-const LATEST_LOOK: Duration = Duration::from_millis(30);
+/// The longest delay of a request after a back-off ends.
+const MAX_BACKOFF_SPREAD: Duration = Duration::from_millis(30);
 
 impl GatewayCore {
-    /// What is to be done with a request now.
-    pub fn place(&self, plan: &RequestPlan, excluded: &[EndpointName]) -> Placement {
+    /// Decides what to do with a request now.
+    pub fn place(&self, context: &RequestContext, excluded: &[EndpointName]) -> Placement {
         let now = self.clock.now();
         let mut state = self.lock();
         let config = state.config.clone();
-        let engine = engine_of(config.as_deref(), plan);
-        match self.choose(&state, plan, excluded, engine, now) {
+        let engine = engine_rule(config.as_deref(), context);
+        match self.choose(&state, context, excluded, engine, now) {
             ChoiceVerdict::Endpoint(choice) => {
                 let verdict = state.judge.judge(&AdmissionQuery {
                     choice: &choice,
-                    route: &plan.route,
-                    priority: plan.priority(),
-                    waited: now.since(plan.arrived),
-                    patience: plan.first_patience(),
+                    route: &context.route,
+                    priority: context.priority(),
+                    waited: now.since(context.arrived),
+                    patience: context.first_chunk_timeout(),
                 });
                 if verdict != AdmissionVerdict::Send {
-                    self.note_unserved(&mut state, plan, now);
+                    self.record_unserved(&mut state, context, now);
                 }
-                let queues = queues_at_engine(&state, plan, &choice, now);
+                let waits_at_sidecar = waits_at_sidecar(&state, context, &choice, now);
                 match verdict {
                     AdmissionVerdict::Refuse(refusal) => Placement::Refuse(PlacementRefusal {
                         refusal,
                         best: Some(choice),
-                        held: None,
+                        throttled: None,
                     }),
-                    AdmissionVerdict::Wait(most) if !queues => Placement::Pause(most),
+                    AdmissionVerdict::Wait(max_wait) if !waits_at_sidecar => {
+                        Placement::Sleep(max_wait)
+                    }
                     AdmissionVerdict::Send | AdmissionVerdict::Wait(_) => {
                         let slots = engine.map_or(0, |rule| rule.adapter_slots);
-                        self.place_at(&mut state, plan, choice, slots, now)
+                        self.place_at(&mut state, context, choice, slots, now)
                     }
                 }
             }
             ChoiceVerdict::NoModel { ready_in, load } => {
-                self.note_unserved(&mut state, plan, now);
-                let coming = ComingModel { ready_in, load };
-                place_without_model(&mut state, plan, coming, now)
+                self.record_unserved(&mut state, context, now);
+                let pending = PendingModel { ready_in, load };
+                place_without_model(&mut state, context, pending, now)
             }
-            ChoiceVerdict::Held(held) => {
-                self.note_unserved(&mut state, plan, now);
-                place_held(&mut state, plan, held, now)
+            ChoiceVerdict::Held(throttled) => {
+                self.record_unserved(&mut state, context, now);
+                place_throttled(&mut state, context, throttled, now)
             }
             ChoiceVerdict::NoEndpoint => {
-                let refusal = state.judge.refusal(RefusalCause::NoEndpoint, ABSENT_RETURN);
+                let refusal = state
+                    .judge
+                    .refusal(RefusalCause::NoEndpoint, NO_ENDPOINT_RETRY_AFTER);
                 PlacementRefusal::without_endpoint(refusal)
             }
         }
     }
 
-    /// The endpoint that would serve the request best now, whatever waits there.
-    pub(super) fn best_choice(&self, plan: &RequestPlan) -> Option<EndpointChoice> {
+    /// Returns the endpoint that would serve the request best now, regardless of its queue.
+    pub(super) fn best_choice(&self, context: &RequestContext) -> Option<EndpointChoice> {
         let state = self.lock();
         let config = state.config.clone();
-        let engine = engine_of(config.as_deref(), plan);
-        match self.choose(&state, plan, &[], engine, self.clock.now()) {
+        let engine = engine_rule(config.as_deref(), context);
+        match self.choose(&state, context, &[], engine, self.clock.now()) {
             ChoiceVerdict::Endpoint(choice) => Some(choice),
             ChoiceVerdict::NoModel { .. } | ChoiceVerdict::Held(_) | ChoiceVerdict::NoEndpoint => {
                 None
@@ -105,13 +110,17 @@
         }
     }
 
-    /// The refusal of a request whose endpoints have all asked to be left alone.
-    pub(super) fn held_everywhere(&self, plan: &RequestPlan) -> Option<(Refusal, HeldService)> {
+    /// Returns the refusal of a request whose possible endpoints are all throttled: they asked for a back-off or
+    /// are over their rate limit.
+    pub(super) fn refusal_if_throttled(
+        &self,
+        context: &RequestContext,
+    ) -> Option<(Refusal, HeldService)> {
         let mut state = self.lock();
         let config = state.config.clone();
-        let engine = engine_of(config.as_deref(), plan);
-        match self.choose(&state, plan, &[], engine, self.clock.now()) {
-            ChoiceVerdict::Held(held) => Some((state.judge.held(&held), held)),
+        let engine = engine_rule(config.as_deref(), context);
+        match self.choose(&state, context, &[], engine, self.clock.now()) {
+            ChoiceVerdict::Held(throttled) => Some((state.judge.held(&throttled), throttled)),
             ChoiceVerdict::Endpoint(_)
             | ChoiceVerdict::NoModel { .. }
             | ChoiceVerdict::NoEndpoint => None,
@@ -121,57 +130,57 @@
     fn choose(
         &self,
         state: &CoreState,
-        plan: &RequestPlan,
+        context: &RequestContext,
         excluded: &[EndpointName],
         engine: Option<&EngineRule>,
         now: ClockTime,
     ) -> ChoiceVerdict {
         let query = ChoiceQuery {
-            service: &plan.service,
-            request: &plan.request,
+            service: &context.service,
+            request: &context.request,
             zone: &self.zone,
             excluded,
             engine,
-            turn_patience: plan.turn_patience(now),
+            turn_patience: context.max_turn_wait(now),
         };
         choice::choose(&state.directory, &query, now)
     }
 
-    /// The refusal of a request that has waited as long as it may.
-    pub(super) fn give_up_wait(&self, plan: &RequestPlan) -> Option<Refusal> {
-        let is_over = plan.has_waited_out(self.clock.now());
-        is_over.then(|| self.lock().judge.too_late(Duration::ZERO))
+    /// Returns the refusal of a request that has waited for the maximum time.
+    pub(super) fn refusal_if_wait_exceeded(&self, context: &RequestContext) -> Option<Refusal> {
+        let has_exceeded_wait = context.has_exceeded_wait(self.clock.now());
+        has_exceeded_wait.then(|| self.lock().judge.too_late(Duration::ZERO))
     }
 
     fn place_at(
         &self,
         state: &mut CoreState,
-        plan: &RequestPlan,
+        context: &RequestContext,
         choice: EndpointChoice,
         adapter_slots: usize,
         now: ClockTime,
     ) -> Placement {
         let Some(row) = state.directory.row(&choice.endpoint) else {
-            return Placement::Wait(MODEL_RETRY);
+            return Placement::WaitForChange(MODEL_POLL_INTERVAL);
         };
         let address = row.record.address;
         let slots = row.record.slots;
         let load_age = row.pulse_age(now);
         if choice.needs_adapter {
-            if now.since(plan.arrived) > plan.adapter_patience() {
-                self.note_unserved(state, plan, now);
+            if now.since(context.arrived) > context.max_adapter_wait() {
+                self.record_unserved(state, context, now);
                 let refusal = state
                     .judge
-                    .refusal(RefusalCause::WeightsMissing, ADAPTER_RETURN);
+                    .refusal(RefusalCause::WeightsMissing, ADAPTER_RETRY_AFTER);
                 return Placement::Refuse(PlacementRefusal {
                     refusal,
                     best: Some(choice),
-                    held: None,
+                    throttled: None,
                 });
             }
             let sidecar = SocketAddr::new(address.ip(), self.inner_port);
-            self.wish(plan.request.weights.as_ref(), sidecar, adapter_slots);
-            return Placement::Wait(ADAPTER_RETRY);
+            self.request_adapter(context.request.weights.as_ref(), sidecar, adapter_slots);
+            return Placement::WaitForChange(ADAPTER_POLL_INTERVAL);
         }
         state.directory.note_probe(&choice.endpoint, now);
         Placement::Send(PlacedSend {
@@ -184,93 +193,100 @@
         })
     }
 
-    fn wish(&self, weights: Option<&WeightsKey>, sidecar: SocketAddr, slots: usize) {
+    fn request_adapter(&self, weights: Option<&WeightsKey>, sidecar: SocketAddr, slots: usize) {
         if let Some(key) = weights.and_then(WeightsKey::adapter_key) {
-            let wish = AdapterWish {
+            let request = AdapterWish {
                 key,
                 slots: u32::try_from(slots).unwrap_or(u32::MAX),
             };
             self.outlet
-                .send(sidecar, &InnerMessage::AdapterWanted(wish));
+                .send(sidecar, &InnerMessage::AdapterWanted(request));
         }
     }
 }
 
-/// What the engines of the request's service may hold; none for a plain service.
-fn engine_of<'a>(config: Option<&'a SiteConfig>, plan: &RequestPlan) -> Option<&'a EngineRule> {
-    config?.service(&plan.service)?.engine.as_ref()
+/// Returns what the engines of the request's service can hold, or `None` for a plain service.
+fn engine_rule<'a>(
+    config: Option<&'a SiteConfig>,
+    context: &RequestContext,
+) -> Option<&'a EngineRule> {
+    config?.service(&context.service)?.engine.as_ref()
 }
 
-/// Whether a request that finds no slot waits for its permit at the sidecar of the engine. The sidecar knows
-/// when a slot is free and gives it to whoever would be late first; a request that waits at its gateway looks
-/// at what the gateway heard last, and so do those of all other gateways, at the same slot.
-fn queues_at_engine(
+/// Returns whether a request that finds no free slot waits for its permit at the engine's sidecar. The sidecar
+/// knows when a slot is free and grants it to the request with the earliest deadline. A request that waits at its
+/// gateway relies on the last reported state, and so do the requests of all other gateways, for the same slot.
+fn waits_at_sidecar(
     state: &CoreState,
-    plan: &RequestPlan,
+    context: &RequestContext,
     choice: &EndpointChoice,
     now: ClockTime,
 ) -> bool {
     let row = state.directory.row(&choice.endpoint);
-    let is_heard = row.is_some_and(|row| row.pulse(now).is_some());
-    plan.route.kind.is_stream() && choice.batches && !choice.memory_full && is_heard
+    let is_reporting = row.is_some_and(|row| row.pulse(now).is_some());
+    context.route.kind.is_stream() && choice.batches && !choice.memory_full && is_reporting
 }
 
-/// A request whose endpoints asked to be left alone waits if one of them takes requests again in time, and is told at
-/// once to come back when it does otherwise. Those whose callers leave first look first.
-fn place_held(
+/// Places a request whose endpoints are all throttled: they asked for a back-off or are over their rate limit. It
+/// waits if one of them accepts requests again in time; otherwise it is refused at once with a `Retry-After`.
+/// Requests whose callers time out first retry first.
+fn place_throttled(
     state: &mut CoreState,
-    plan: &RequestPlan,
-    held: HeldService,
+    context: &RequestContext,
+    throttled: HeldService,
     now: ClockTime,
 ) -> Placement {
-    let slack = plan.wait_left(now).saturating_sub(held.left);
-    if slack.is_zero() {
-        let refusal = state.judge.held(&held);
-        return PlacementRefusal::held(refusal, held);
+    let spare_wait = context.remaining_wait(now).saturating_sub(throttled.left);
+    if spare_wait.is_zero() {
+        let refusal = state.judge.held(&throttled);
+        return PlacementRefusal::throttled(refusal, throttled);
     }
-    let until_look = held.left + (slack / LOOK_SLACKS).min(LATEST_LOOK);
-    Placement::Pause(until_look.min(LONGEST_PAUSE))
+    let delay = throttled.left + (spare_wait / BACKOFF_SPREAD_DIVISOR).min(MAX_BACKOFF_SPREAD);
+    Placement::Sleep(delay.min(STOP_CHECK_INTERVAL))
 }
 
-/// What is known of a model that nobody holds.
+/// The state of a model that no engine holds.
 #[derive(Debug, Clone, Copy)]
-struct ComingModel {
-    /// When it will be there, if an engine loads it or is about to.
+struct PendingModel {
+    /// The time until the model is loaded, if an engine is loading it or is about to.
     ready_in: Option<Duration>,
-    /// How long a load takes at best, if any engine is heard.
+    /// The shortest load time, if any engine is reporting.
     load: Option<Duration>,
 }
 
-impl ComingModel {
-    /// When the model will be there as far as can be told. No load is under way where none is known, and the
-    /// planner advises one within a moment if an engine is free.
-    fn expected(self) -> Duration {
-        let planned = || self.load.map(|load| load + PLANNER_WAIT);
-        self.ready_in.or_else(planned).unwrap_or(MODEL_RETURN)
+impl PendingModel {
+    /// Returns the estimated time until the model is loaded. If no load is known to be in progress, the planner
+    /// schedules one within a moment if an engine is free.
+    fn time_until_ready(self) -> Duration {
+        let planned = || self.load.map(|load| load + MAX_PLANNER_WAIT);
+        self.ready_in.or_else(planned).unwrap_or(MODEL_RETRY_AFTER)
     }
 }
 
-/// A request whose model nobody holds waits if it will be there before its caller leaves, and is told at once
-/// to come back when it should be there otherwise.
+/// Places a request whose model is not loaded anywhere. It waits if the model will be ready before the caller times
+/// out; otherwise it is refused at once with a `Retry-After` of the time when the model should be ready.
 fn place_without_model(
     state: &mut CoreState,
-    plan: &RequestPlan,
-    coming: ComingModel,
+    context: &RequestContext,
+    pending: PendingModel,
     now: ClockTime,
 ) -> Placement {
-    let waited = now.since(plan.arrived);
-    let most = plan.model_patience();
-    let is_in_time = match (coming.ready_in, coming.load) {
-        (Some(ready_in), _) => waited + ready_in < most,
-        // Patient callers wait while their model waits for its turn, as long as a load can still be done in time.
-        (None, Some(load)) => waited + load < most && waited < PLANNER_WAIT.max(plan.route.target),
-        (None, None) => waited < PLANNER_WAIT.min(most),
+    let waited = now.since(context.arrived);
+    let max_wait = context.max_model_wait();
+    let is_in_time = match (pending.ready_in, pending.load) {
+        (Some(ready_in), _) => waited + ready_in < max_wait,
+        // Callers with long timeouts wait until the load of their model starts, as long as it can still finish in
+        // time.
+        (None, Some(load)) => {
+            waited + load < max_wait && waited < MAX_PLANNER_WAIT.max(context.route.target)
+        }
+        (None, None) => waited < MAX_PLANNER_WAIT.min(max_wait),
     };
     if is_in_time {
-        return Placement::Wait(MODEL_RETRY);
+        return Placement::WaitForChange(MODEL_POLL_INTERVAL);
     }
     let refusal = state
         .judge
-        .refusal(RefusalCause::WeightsMissing, coming.expected());
+        .refusal(RefusalCause::WeightsMissing, pending.time_until_ready());
     PlacementRefusal::without_endpoint(refusal)
 }
