--- a/crates/oatpier-gateway/tests/testsuite/exchange.rs
+++ b/crates/oatpier-gateway/tests/testsuite/exchange.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 
-/// Cases from a fixed seed, so that every run gives the same verdict.
+/// Returns a configuration with a fixed seed, so that every run gives the same result.
 fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -18,10 +18,10 @@
     }
 }
 
-/// Somebody else sends datagrams to our port, or a process of another version does. Each is skipped and
-/// counted, and what comes behind them is heard.
+/// An unrelated process, or one of another version, sends datagrams to this port. Each invalid one is skipped and
+/// counted, and the next valid message is received.
 #[tokio::test]
-async fn datagrams_that_cannot_be_read_are_skipped_and_counted() {
+async fn invalid_datagrams_are_skipped_and_counted() {
     let metrics = ServingMetrics::default();
     let bound = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = bound.local_addr().unwrap();
@@ -38,9 +38,9 @@
     ] {
         stranger.send_to(bytes, address).unwrap();
     }
-    let (from, heard) = socket.receive().await;
+    let (from, received) = socket.receive().await;
     assert_eq!(from, stranger.local_addr().unwrap());
-    assert_eq!(heard, message);
+    assert_eq!(received, message);
     let text = metrics.encode();
     let counted = r#"messages_total{kind="unreadable",direction="received"} 4"#;
     assert!(text.contains(counted), "{text}");
@@ -49,9 +49,9 @@
 proptest! {
     #![proptest_config(fixed_cases(512))]
 
-    /// Whatever bytes come, decoding ends with a message or an error.
+    /// Decoding arbitrary bytes returns a message or an error, and never panics.
     #[test]
-    fn any_bytes_are_a_message_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_decode_to_a_message_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = rmp_serde::from_slice::<InnerMessage>(&bytes);
     }
 }
--- a/crates/oatpier-gateway/tests/testsuite/keys.rs
+++ b/crates/oatpier-gateway/tests/testsuite/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of workspaces: who may send, whose request it is, and what a gateway says that can't know.
+//! API keys of workspaces: authentication, attribution of requests, and answers while the configuration is outdated.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,7 +34,11 @@
     }
 }
 
-fn keyed(version: u64, route: RouteRule, workspaces: Vec<DeclaredWorkspace>) -> SiteConfig {
+fn config_with_keys(
+    version: u64,
+    route: RouteRule,
+    workspaces: Vec<DeclaredWorkspace>,
+) -> SiteConfig {
     SiteConfig {
         version,
         workspaces: Some(WorkspaceTable::try_from(workspaces).unwrap()),
@@ -42,22 +46,25 @@
     }
 }
 
-fn gateway_with(config: SiteConfig, endpoint: &ScriptedEndpoint) -> TestGateway {
+fn configured_gateway(config: SiteConfig, endpoint: &ScriptedEndpoint) -> TestGateway {
     let gateway = TestGateway::unconfigured();
     let records = vec![record(1, endpoint.address)];
     gateway.core.take_records(Some(Arc::new(config)), records);
     gateway
 }
 
-fn answers(count: usize) -> Vec<EndpointStep> {
+fn ok_answers(count: usize) -> Vec<EndpointStep> {
     vec![EndpointStep::Answer(own_answer("200 OK", "done")); count]
 }
 
 #[tokio::test]
 async fn a_request_runs_for_the_workspace_that_holds_its_key() {
-    let endpoint = ScriptedEndpoint::start(answers(2)).await;
+    let endpoint = ScriptedEndpoint::start(ok_answers(2)).await;
     let workspaces = vec![workspace("one", &["k1"]), workspace("two", &["k2", "k3"])];
-    let gateway = gateway_with(keyed(1, route(RouteKind::Unsafe, 1), workspaces), &endpoint);
+    let gateway = configured_gateway(
+        config_with_keys(1, route(RouteKind::Unsafe, 1), workspaces),
+        &endpoint,
+    );
     let answer = gateway
         .send(request(&[
             ("authorization", "Bearer k3"),
@@ -75,10 +82,13 @@
 }
 
 #[tokio::test]
-async fn without_a_known_key_nothing_runs() {
-    let endpoint = ScriptedEndpoint::start(answers(4)).await;
+async fn a_request_without_a_known_key_is_refused() {
+    let endpoint = ScriptedEndpoint::start(ok_answers(4)).await;
     let workspaces = vec![workspace("one", &["k1"])];
-    let gateway = gateway_with(keyed(1, route(RouteKind::Unsafe, 1), workspaces), &endpoint);
+    let gateway = configured_gateway(
+        config_with_keys(1, route(RouteKind::Unsafe, 1), workspaces),
+        &endpoint,
+    );
     for rows in [
         &[][..],
         &[("authorization", "Bearer k2")],
@@ -97,13 +107,16 @@
 }
 
 #[tokio::test]
-async fn a_public_route_needs_no_key_and_passes_none_on() {
-    let endpoint = ScriptedEndpoint::start(answers(3)).await;
+async fn a_public_route_needs_no_key_and_forwards_none() {
+    let endpoint = ScriptedEndpoint::start(ok_answers(3)).await;
     let public = RouteRule {
         is_public: true,
         ..route(RouteKind::Unsafe, 1)
     };
-    let gateway = gateway_with(keyed(1, public, vec![workspace("one", &["k1"])]), &endpoint);
+    let gateway = configured_gateway(
+        config_with_keys(1, public, vec![workspace("one", &["k1"])]),
+        &endpoint,
+    );
     for key in ["Bearer k1", "Bearer unknown"] {
         let answer = gateway.send(request(&[("authorization", key)])).await;
         assert_eq!(answer.status(), StatusCode::OK);
@@ -115,14 +128,16 @@
     assert!(seen.iter().all(|seen| !seen.contains("authorization")));
 }
 
-/// The store turns a gateway away, an operator adds a key meanwhile, and a caller uses it. The gateway does not
-/// know the key. A 401 would be final for the caller, though the next gateway knows it: the answer must be one
-/// that promises "not run" and lets the caller come back.
+/// A gateway can't read the store, an operator adds a key meanwhile, and a caller uses it. A 401 would be final for
+/// the caller, although other gateways know the key. The answer must be one that states "not run" and allows a retry.
 #[tokio::test(start_paused = true)]
 async fn an_old_configuration_does_not_prove_that_a_key_is_unknown() {
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
     let workspaces = vec![workspace("one", &["k1"])];
-    let gateway = gateway_with(keyed(1, route(RouteKind::Unsafe, 1), workspaces), &endpoint);
+    let gateway = configured_gateway(
+        config_with_keys(1, route(RouteKind::Unsafe, 1), workspaces),
+        &endpoint,
+    );
     let unknown = || request(&[("authorization", "Bearer new")]);
     tokio::time::advance(Duration::from_millis(1_900)).await;
     assert_eq!(
@@ -142,17 +157,17 @@
     );
 }
 
-/// A request waits for an endpoint that is not there yet, and its key is taken away. It must not be sent when the
-/// endpoint comes; it did not run, and no return of it can.
+/// A request waits for an endpoint that does not exist yet, and its key is revoked. It must not be sent when the
+/// endpoint appears. The answer is a 401: the request did not run, and retries would fail as well.
 #[tokio::test]
-async fn a_key_that_is_taken_away_while_its_request_waits_sends_nothing() {
-    let endpoint = ScriptedEndpoint::start(answers(1)).await;
+async fn a_waiting_request_is_not_sent_after_its_key_is_revoked() {
+    let endpoint = ScriptedEndpoint::start(ok_answers(1)).await;
     let stream = RouteKind::Stream {
         resumable: false,
         pause: Duration::from_millis(150),
     };
     let both = vec![workspace("one", &["k1"]), workspace("two", &["k2"])];
-    let gateway = gateway_with(keyed(1, route(stream, 1), both), &endpoint);
+    let gateway = configured_gateway(config_with_keys(1, route(stream, 1), both), &endpoint);
     let waiting = gateway.send(request(&[
         ("authorization", "Bearer k1"),
         ("x-oatpier-model", "m1"),
@@ -161,7 +176,7 @@
     let revoking = async {
         tokio::time::sleep(Duration::from_millis(60)).await;
         let left = vec![workspace("two", &["k2"])];
-        let config = keyed(2, route(stream, 1), left);
+        let config = config_with_keys(2, route(stream, 1), left);
         let records = vec![record(1, endpoint.address)];
         gateway.core.take_records(Some(Arc::new(config)), records);
     };
@@ -170,16 +185,16 @@
     assert!(endpoint.requests().is_empty());
 }
 
-/// The store turns one gateway away for ten seconds and serves its neighbour. A key is taken away meanwhile. The
-/// gateway hears of a newer version and takes it from the neighbour: the key no longer works there, though no read
-/// of its own has shown it.
+/// A gateway can't read the store for ten seconds while its neighbour can. A key is revoked meanwhile. The gateway
+/// learns of a newer version and fetches it from the neighbour; the key stops working there without a store read of
+/// its own.
 #[tokio::test]
-async fn a_gateway_that_the_store_turns_away_takes_the_configuration_from_another_one() {
-    let endpoint = ScriptedEndpoint::start(answers(1)).await;
+async fn a_gateway_without_store_access_fetches_the_configuration_from_another_one() {
+    let endpoint = ScriptedEndpoint::start(ok_answers(1)).await;
     let both = vec![workspace("one", &["k1"]), workspace("two", &["k2"])];
-    let config = keyed(1, route(RouteKind::Unsafe, 1), both);
-    let gateway = gateway_with(config, &endpoint);
-    let newer = keyed(
+    let config = config_with_keys(1, route(RouteKind::Unsafe, 1), both);
+    let gateway = configured_gateway(config, &endpoint);
+    let newer = config_with_keys(
         2,
         route(RouteKind::Unsafe, 1),
         vec![workspace("two", &["k2"])],
@@ -200,8 +215,8 @@
         stop: StopSignal::default(),
     }));
     assert!(wanted_sender.offer(neighbour).is_ok());
-    let passed = fetched.receive().await.unwrap();
-    gateway.core.take_passed_config(passed);
+    let config = fetched.receive().await.unwrap();
+    gateway.core.take_passed_config(config);
     let refused = gateway
         .send(request(&[("authorization", "Bearer k1")]))
         .await;
@@ -213,34 +228,37 @@
     sharing.abort();
 }
 
-/// A gateway asks for a newer configuration only while its own reads fail, and not once for each report.
+/// A gateway requests a newer configuration only while its own reads fail, and not once per report.
 #[tokio::test(start_paused = true)]
-async fn a_newer_configuration_is_asked_for_once_while_the_store_does_not_answer() {
+async fn a_newer_configuration_is_requested_once_while_the_store_does_not_answer() {
     let gateway = TestGateway::unconfigured();
-    let config = keyed(3, route(RouteKind::Unsafe, 1), Vec::new());
+    let config = config_with_keys(3, route(RouteKind::Unsafe, 1), Vec::new());
     gateway
         .core
         .take_records(Some(Arc::new(config)), Vec::new());
     let peer = SocketAddr::from(([10, 0, 0, 9], 7380));
-    let tell = |gateway: &TestGateway, version| {
-        let told = ConfigStanding { version, age_ms: 0 };
-        gateway.core.take_config_standing(peer, told);
+    let report = |gateway: &TestGateway, version| {
+        let standing = ConfigStanding { version, age_ms: 0 };
+        gateway.core.take_config_standing(peer, standing);
     };
-    tell(&gateway, 4);
+    report(&gateway, 4);
     assert!(
         gateway.config_wanted.poll().is_none(),
-        "its own read is a moment old"
+        "its own read is recent"
     );
     tokio::time::advance(Duration::from_secs(2)).await;
-    tell(&gateway, 2);
-    assert!(gateway.config_wanted.poll().is_none(), "that one is older");
-    tell(&gateway, 4);
-    tell(&gateway, 4);
+    report(&gateway, 2);
+    assert!(
+        gateway.config_wanted.poll().is_none(),
+        "the reported version is older"
+    );
+    report(&gateway, 4);
+    report(&gateway, 4);
     assert_eq!(gateway.config_wanted.poll(), Some(peer));
     assert!(gateway.config_wanted.poll().is_none());
-    // The same version, known to be the store's by somebody else, is as good as an own read.
+    // A peer that confirms the same version against the store is as good as an own read.
     tokio::time::advance(Duration::from_secs(2)).await;
     assert!(!gateway.core.is_current());
-    tell(&gateway, 3);
+    report(&gateway, 3);
     assert!(gateway.core.is_current());
 }
--- a/crates/oatpier-gateway/tests/testsuite/quota.rs
+++ b/crates/oatpier-gateway/tests/testsuite/quota.rs
@@ -1,4 +1,4 @@
-//! What requests are charged, as their callers and the holders of limits see it.
+//! Charges of requests, as callers and the holders of limits see them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,8 +25,8 @@
     pause: Duration::from_millis(150),
 };
 
-/// A gateway before one endpoint, whose only workspace has a limit that other gateways hold the parts of.
-fn limited(kind: RouteKind, endpoint: &ScriptedEndpoint) -> TestGateway {
+/// Starts a gateway before one endpoint. Its only workspace has a limit, whose parts other gateways hold.
+fn limited_gateway(kind: RouteKind, endpoint: &ScriptedEndpoint) -> TestGateway {
     let declared = DeclaredWorkspace {
         rule: WorkspaceRule {
             name: WorkspaceName::try_from("one").unwrap(),
@@ -50,11 +50,11 @@
     gateway
 }
 
-fn plain() -> Request<Bytes> {
+fn plain_request() -> Request<Bytes> {
     request(&[("authorization", "Bearer k1")])
 }
 
-fn generation() -> Request<Bytes> {
+fn generation_request() -> Request<Bytes> {
     request(&[
         ("authorization", "Bearer k1"),
         ("x-oatpier-model", "m1"),
@@ -63,7 +63,7 @@
     ])
 }
 
-fn asks(gateway: &TestGateway) -> Vec<(SocketAddr, QuotaAsk)> {
+fn sent_asks(gateway: &TestGateway) -> Vec<(SocketAddr, QuotaAsk)> {
     let sent = gateway.outlet.sent().into_iter();
     let asks = sent.filter_map(|(to, message)| match message {
         InnerMessage::QuotaAsk(ask) => Some((to, ask)),
@@ -72,16 +72,16 @@
     asks.collect()
 }
 
-/// Sends a request while the holders answer each ask in the same way.
-async fn send(
+/// Sends a request while the holders answer each request for units in the same way.
+async fn send_with_holders(
     gateway: &TestGateway,
     request: Request<Bytes>,
     answer: impl Fn(&QuotaAsk) -> PartAnswer,
 ) -> Response<Bytes> {
     let holders = async {
-        let mut answered = asks(gateway).len();
+        let mut answered = sent_asks(gateway).len();
         loop {
-            for (_, ask) in asks(gateway).drain(answered..) {
+            for (_, ask) in sent_asks(gateway).drain(answered..) {
                 answered += 1;
                 gateway.core.take_quota_answer(QuotaAnswer {
                     id: ask.id,
@@ -91,85 +91,86 @@
             sleep(Duration::from_millis(1)).await;
         }
     };
-    // Holders first: on a busy machine an answer must not come after the time for it is over.
+    // Poll the holders first: on a busy machine their answer must not arrive after the gateway's timeout.
     tokio::select! {
         biased;
-        () = holders => unreachable!("holders answer for ever"),
+        () = holders => unreachable!("the holders answer without end"),
         answer = gateway.send(request) => answer,
     }
 }
 
-fn granted(ask: &QuotaAsk) -> PartAnswer {
+fn grant_needed(ask: &QuotaAsk) -> PartAnswer {
     PartAnswer::Granted(ask.wanted.need)
 }
 
 #[tokio::test]
-async fn a_request_is_charged_its_tokens_once_and_a_plain_one_what_the_operator_says() {
+async fn a_request_is_charged_its_tokens_and_a_plain_request_the_configured_units() {
     let answer = EndpointStep::Answer(own_answer("200 OK", "done"));
     let endpoint = ScriptedEndpoint::start(vec![answer; 2]).await;
-    let gateway = limited(RouteKind::Unsafe, &endpoint);
-    let answer = send(&gateway, plain(), granted).await;
+    let gateway = limited_gateway(RouteKind::Unsafe, &endpoint);
+    let answer = send_with_holders(&gateway, plain_request(), grant_needed).await;
     assert_eq!(answer.status(), StatusCode::OK);
     let with_tokens = request(&[
         ("authorization", "Bearer k1"),
         ("x-oatpier-token-usage", "400,40"),
     ]);
-    let answer = send(&gateway, with_tokens, granted).await;
+    let answer = send_with_holders(&gateway, with_tokens, grant_needed).await;
     assert_eq!(answer.status(), StatusCode::OK);
-    let needs: Vec<u64> = asks(&gateway)
+    let needs: Vec<u64> = sent_asks(&gateway)
         .iter()
         .map(|(_, ask)| ask.wanted.need)
         .collect();
     assert_eq!(needs, [200, 440]);
 }
 
-/// A workspace sends far more than its limit. Its requests must cost the others nothing: no permit is asked for, no
-/// adapter, and nothing reaches an endpoint. The caller reads when the holders will have units again.
+/// A workspace sends far more than its limit allows. Its requests must not cost others anything: the gateway requests
+/// no permit and no adapter, and sends nothing to the endpoint. `Retry-After` says when the holders will have units
+/// again.
 #[tokio::test]
 async fn beyond_its_limit_a_request_is_refused_at_once_and_costs_nothing() {
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = limited(STREAM, &endpoint);
+    let gateway = limited_gateway(STREAM, &endpoint);
     let later = |ask: &QuotaAsk| PartAnswer::Later(900 - 200 * u32::from(ask.part.0));
-    let answer = send(&gateway, generation(), later).await;
+    let answer = send_with_holders(&gateway, generation_request(), later).await;
     assert_eq!(answer.status(), StatusCode::TOO_MANY_REQUESTS);
     let after = answer.headers()["retry-after"].to_str().unwrap();
     let after: f64 = after.parse().unwrap();
     assert!((0.4..=0.8).contains(&after), "{after}");
-    assert_eq!(asks(&gateway).len(), gateway.outlet.sent().len());
+    assert_eq!(sent_asks(&gateway).len(), gateway.outlet.sent().len());
     assert!(endpoint.requests().is_empty());
-    let asked = asks(&gateway).len();
-    let again = send(&gateway, generation(), later).await;
+    let asked = sent_asks(&gateway).len();
+    let again = send_with_holders(&gateway, generation_request(), later).await;
     assert_eq!(again.status(), StatusCode::TOO_MANY_REQUESTS);
     assert_eq!(
-        asks(&gateway).len(),
+        sent_asks(&gateway).len(),
         asked,
         "the same need is not asked for again at once"
     );
 }
 
 #[tokio::test]
-async fn another_holder_is_asked_where_one_has_nothing_left() {
+async fn another_holder_is_asked_when_one_has_no_units_left() {
     let answer = EndpointStep::Answer(own_answer("200 OK", "done"));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
-    let gateway = limited(RouteKind::Unsafe, &endpoint);
+    let gateway = limited_gateway(RouteKind::Unsafe, &endpoint);
     let last_only = |ask: &QuotaAsk| match ask.part {
-        PartIndex(2) => granted(ask),
+        PartIndex(2) => grant_needed(ask),
         _ => PartAnswer::Later(500),
     };
-    let answer = send(&gateway, plain(), last_only).await;
+    let answer = send_with_holders(&gateway, plain_request(), last_only).await;
     assert_eq!(answer.status(), StatusCode::OK);
 }
 
-/// The gateway is cut off from all holders. It does not know what the workspace has left: a 429 would be untrue, and
+/// A gateway that is cut off from all holders does not know what the workspace has left. A 429 would be wrong, and
 /// the next gateway may know.
 #[tokio::test]
-async fn without_word_of_any_holder_the_caller_is_sent_elsewhere() {
+async fn without_an_answer_from_any_holder_the_caller_is_refused_with_503() {
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = limited(RouteKind::Unsafe, &endpoint);
-    let answer = gateway.send(plain()).await;
+    let gateway = limited_gateway(RouteKind::Unsafe, &endpoint);
+    let answer = gateway.send(plain_request()).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers().contains_key("retry-after"));
-    let mut asked: Vec<SocketAddr> = asks(&gateway).iter().map(|(to, _)| *to).collect();
+    let mut asked: Vec<SocketAddr> = sent_asks(&gateway).iter().map(|(to, _)| *to).collect();
     asked.sort_unstable();
     asked.dedup();
     let all: Vec<SocketAddr> = PartIndex::all().map(holder).collect();
@@ -177,32 +178,32 @@
     assert!(endpoint.requests().is_empty());
 }
 
-/// A request is charged and then refused, since nobody holds its model. It did not run, so what it was charged
-/// serves the next request of its workspace.
+/// A request is charged and then refused, since no engine has its model loaded. It did not run, so its units are
+/// available to the next request of the workspace.
 #[tokio::test]
-async fn a_request_that_was_not_sent_gives_its_units_back() {
+async fn a_request_that_was_not_sent_returns_its_units() {
     let endpoint = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = limited(STREAM, &endpoint);
-    let refused = send(&gateway, generation(), granted).await;
+    let gateway = limited_gateway(STREAM, &endpoint);
+    let refused = send_with_holders(&gateway, generation_request(), grant_needed).await;
     assert_eq!(refused.status(), StatusCode::SERVICE_UNAVAILABLE);
-    let asked = asks(&gateway).len();
-    let again = send(&gateway, generation(), granted).await;
+    let asked = sent_asks(&gateway).len();
+    let again = send_with_holders(&gateway, generation_request(), grant_needed).await;
     assert_eq!(again.status(), StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(asks(&gateway).len(), asked);
+    assert_eq!(sent_asks(&gateway).len(), asked);
 }
 
-/// An endpoint fails a request that may run again, and another one answers. The request ran for its workspace once
-/// or twice, and is charged once.
+/// An endpoint fails a request that may run again, and another endpoint answers it. The request may have run twice,
+/// but is charged once.
 #[tokio::test]
-async fn a_second_send_is_not_charged_again() {
+async fn a_retry_is_not_charged_again() {
     let failed = EndpointStep::Answer(own_answer("500 Internal Server Error", "no"));
     let answered = EndpointStep::Answer(own_answer("200 OK", "done"));
     let endpoint = ScriptedEndpoint::start(vec![failed]).await;
     let other = ScriptedEndpoint::start(vec![answered]).await;
-    let gateway = limited(RouteKind::Safe, &endpoint);
+    let gateway = limited_gateway(RouteKind::Safe, &endpoint);
     let records = vec![record(1, endpoint.address), record(2, other.address)];
     gateway.core.take_records(None, records);
-    let answer = send(&gateway, plain(), granted).await;
+    let answer = send_with_holders(&gateway, plain_request(), grant_needed).await;
     assert!(answer.status() == StatusCode::OK, "{}", answer.status());
-    assert_eq!(asks(&gateway).len(), 1);
+    assert_eq!(sent_asks(&gateway).len(), 1);
 }
--- a/crates/oatpier-gateway/tests/testsuite/relayed.rs
+++ b/crates/oatpier-gateway/tests/testsuite/relayed.rs
@@ -1,4 +1,4 @@
-//! What a gateway hears of engines through relays.
+//! Engine updates that reach a gateway through relays.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     pause: Duration::from_millis(300),
 };
 
-fn word(engine: &ScriptedEndpoint, number: u64, model: &str) -> EngineWord {
+fn full_update(engine: &ScriptedEndpoint, number: u64, model: &str) -> EngineWord {
     let held = HeldModel {
         model: ModelName::try_from(model).unwrap(),
         adapters: Vec::new(),
@@ -26,7 +26,7 @@
     EngineWord::Pulse(Box::new(pulse(number, engine.address, vec![held])))
 }
 
-fn load(engine: &ScriptedEndpoint, number: u64, running: u32) -> EngineWord {
+fn load_update(engine: &ScriptedEndpoint, number: u64, running: u32) -> EngineWord {
     EngineWord::Load(LoadPulse {
         number: MessageNumber { boot: 1, number },
         engine: engine.address,
@@ -42,15 +42,15 @@
     })
 }
 
-/// The gateway is no relay of any sidecar. It knows an engine by what another gateway of its zone passed on, asks
-/// that engine's sidecar for a permit, and its caller is served.
+/// The gateway is not a relay of any sidecar. It knows an engine only by updates that another gateway of its
+/// availability zone forwarded. It still gets a permit from the engine's sidecar and serves its caller.
 #[tokio::test]
-async fn a_request_is_served_by_an_engine_that_only_relays_tell_of() {
+async fn a_request_is_served_by_an_engine_known_only_through_relays() {
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
     let gateway = TestGateway::before(STREAM, 1, &[&engine]);
-    let words = vec![word(&engine, 1, "m1"), load(&engine, 2, 3)];
-    gateway.core.take_relayed(words);
+    let updates = vec![full_update(&engine, 1, "m1"), load_update(&engine, 2, 3)];
+    gateway.core.take_relayed(updates);
     let sending = gateway.send(request(&[
         ("x-oatpier-model", "m1"),
         ("x-oatpier-token-usage", "400,10"),
@@ -70,25 +70,25 @@
     };
     let answer = tokio::select! {
         answer = sending => answer,
-        () = granting => unreachable!("it goes on for ever"),
+        () = granting => unreachable!("permits are granted without end"),
     };
     assert_eq!(answer.status(), StatusCode::OK);
 }
 
-/// Every engine is full when a request comes. It waits at the sidecar of the best one and not at its gateway, and
-/// the sidecar is told how many slots there are and how urgent it is.
+/// All engines are full when a request arrives. The request waits at the sidecar of the best engine and not at the
+/// gateway. The permit request states the number of slots and the urgency.
 #[tokio::test]
 async fn a_request_that_finds_no_slot_waits_at_the_sidecar() {
     let engine = ScriptedEndpoint::start(Vec::new()).await;
     let gateway = TestGateway::before(STREAM, 1, &[&engine]);
-    let words = vec![word(&engine, 1, "m1"), load(&engine, 2, 10)];
-    gateway.core.take_relayed(words);
+    let updates = vec![full_update(&engine, 1, "m1"), load_update(&engine, 2, 10)];
+    gateway.core.take_relayed(updates);
     let sending = gateway.send(request(&[
         ("x-oatpier-model", "m1"),
         ("x-oatpier-token-usage", "400,10"),
     ]));
     tokio::select! {
-        _ = sending => panic!("nobody gave a permit"),
+        _ = sending => panic!("no permit was granted"),
         () = sleep(Duration::from_millis(40)) => {}
     }
     let sent = gateway.outlet.sent();
