--- a/crates/oatpier-gateway/src/config_share.rs
+++ b/crates/oatpier-gateway/src/config_share.rs
@@ -1,9 +1,9 @@
-//! The duty that passes the configuration on between gateways.
+//! Shares the configuration between gateways.
 //!
-//! The store may turn some gateways away for many seconds and serve the others. A key that was taken away meanwhile
-//! would go on working at those, and one that was added would be unknown. Reports tell each gateway which version
-//! the others have; one that can't read the store fetches a newer version from whoever told of it, whole. Keys
-//! travel as digests.
+//! The store may be unavailable to some gateways for many seconds while it serves the others. At those gateways a key
+//! that was revoked meanwhile would still work, and a new key would be unknown. Reports state which version each
+//! gateway has. A gateway that can't read the store fetches a newer version, as a whole, from the gateway that
+//! reported it. Keys are transferred as digests.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -21,36 +21,36 @@
 use oatpier_wire::server::{self, RequestHandler, ServerLimits};
 use tokio::sync::watch;
 
-/// Where a gateway gives the configuration to others.
+/// Path at which a gateway serves its configuration to others.
 const CONFIG_PATH: &str = "/configuration";
 
-/// How long a fetch may take. Configurations have some hundred kilobytes, and gateways some megabytes a second.
-const FETCH_WAIT: Duration = Duration::from_secs(2);
+/// Timeout of a fetch. Configurations have some hundred kilobytes, and gateways transfer some megabytes a second.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The largest configuration, in bytes: the store's own limit for a value, several times.
-const CONFIG_BYTES: usize = 8 << 20;
+/// Maximum size of a configuration, in bytes: several times the store's own limit for a value.
+const MAX_CONFIG_BYTES: usize = 8 << 20;
 
-/// Connections at once. Only gateways that the store turns away come, one fetch each for a version.
-const SHARE_CONNECTIONS: usize = 64;
+/// Maximum number of connections. Only gateways that can't read the store connect, with one fetch per version each.
+const MAX_SHARE_CONNECTIONS: usize = 64;
 
-/// The configuration in force, for whoever asks.
+/// Provides the configuration in force.
 pub type ConfigFeed = watch::Receiver<Option<Arc<SiteConfig>>>;
 
-/// What the duty works on.
+/// Inputs of the thread.
 pub struct ConfigShareInputs {
-    /// Where others ask.
+    /// Accepts the connections of other gateways.
     pub listener: TcpListener,
     /// The configuration in force.
     pub config: ConfigFeed,
-    /// Gateways that have a newer one.
+    /// Gateways that have a newer configuration.
     pub wanted: RingReceiver<SocketAddr>,
-    /// Where fetched configurations go.
+    /// Receives the fetched configurations.
     pub fetched: RingSender<Arc<SiteConfig>>,
-    /// Tells to stop.
+    /// Stop signal of the process.
     pub stop: StopSignal,
 }
 
-/// Shares until the process ends.
+/// Serves and fetches configurations until the process ends.
 pub async fn share_config(inputs: ConfigShareInputs) {
     let ConfigShareInputs {
         listener,
@@ -60,8 +60,8 @@
         stop,
     } = inputs;
     tokio::select! {
-        () = give(listener, config) => {}
-        () = fetch_for_ever(&wanted, &fetched) => {}
+        () = serve_config(listener, config) => {}
+        () = fetch_in_loop(&wanted, &fetched) => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
 }
@@ -87,23 +87,23 @@
         match rmp_serde::to_vec(&*config) {
             Ok(bytes) => reply::whole(StatusCode::OK, "application/msgpack", bytes),
             Err(error) => {
-                spdlog::error!("the configuration can't be encoded", kv: { reason: = error_chain(&error) });
+                spdlog::error!("failed to encode the configuration", kv: { reason: = error_chain(&error) });
                 reply::text(StatusCode::INTERNAL_SERVER_ERROR, "can't be encoded\n")
             }
         }
     }
 }
 
-async fn give(listener: TcpListener, config: ConfigFeed) {
+async fn serve_config(listener: TcpListener, config: ConfigFeed) {
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(error) => {
-            spdlog::error!("the configuration is not passed on", kv: { error: = error.to_string() });
+            spdlog::error!("failed to serve the configuration to other gateways", kv: { error: = error.to_string() });
             return std::future::pending().await;
         }
     };
     let limits = ServerLimits {
-        connections: SHARE_CONNECTIONS,
+        connections: MAX_SHARE_CONNECTIONS,
         ..ServerLimits::default()
     };
     let handler = Arc::new(ShareHandler { config });
@@ -111,7 +111,7 @@
     server::serve(listener, handler, limits, Arc::default(), never).await;
 }
 
-async fn fetch_for_ever(wanted: &RingReceiver<SocketAddr>, fetched: &RingSender<Arc<SiteConfig>>) {
+async fn fetch_in_loop(wanted: &RingReceiver<SocketAddr>, fetched: &RingSender<Arc<SiteConfig>>) {
     let client = HttpClient::new(ClientLimits::default());
     while let Some(from) = wanted.receive().await {
         if let Some(config) = fetch(&client, from).await {
@@ -124,22 +124,25 @@
 async fn fetch(client: &HttpClient, from: SocketAddr) -> Option<SiteConfig> {
     let mut request = Request::new(Bytes::new());
     *request.uri_mut() = Uri::from_static(CONFIG_PATH);
-    let answer = match client.fetch(from, request, FETCH_WAIT, CONFIG_BYTES).await {
+    let answer = match client
+        .fetch(from, request, FETCH_TIMEOUT, MAX_CONFIG_BYTES)
+        .await
+    {
         Ok(answer) if answer.status() == StatusCode::OK => answer,
         Ok(answer) => {
             let status = answer.status().as_u16();
-            spdlog::warn!("a gateway did not pass its configuration on", kv: { from:, status: });
+            spdlog::warn!("a gateway did not return its configuration", kv: { from:, status: });
             return None;
         }
         Err(error) => {
-            spdlog::warn!("a configuration was not fetched", kv: { reason: = error_chain(&error) });
+            spdlog::warn!("failed to fetch the configuration from another gateway", kv: { reason: = error_chain(&error) });
             return None;
         }
     };
     match rmp_serde::from_slice(answer.body()) {
         Ok(config) => Some(config),
         Err(error) => {
-            spdlog::error!("a fetched configuration can't be read", kv: { from:, reason: = error_chain(&error) });
+            spdlog::error!("failed to decode a fetched configuration", kv: { from:, reason: = error_chain(&error) });
             None
         }
     }
--- a/crates/oatpier-gateway/src/crash_writer.rs
+++ b/crates/oatpier-gateway/src/crash_writer.rs
@@ -1,7 +1,7 @@
-//! The duty that writes to the store which requests were at endpoints that ended.
+//! Writes to the store which requests were running at endpoints when these ended.
 //!
-//! Writes are repeated until the store has taken them. They have no condition, so one that was carried out without
-//! an answer may be repeated.
+//! Writes are repeated until the store accepts them. They are unconditional, so a write that was carried out without
+//! an answer can be repeated safely.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,42 +15,42 @@
 use crate::metrics::ServingMetrics;
 use crate::reload::SettingsFeed;
 
-/// How long a write may take. A store under load still answers within some hundred milliseconds; a silent one
-/// answers new calls as soon as it is back, and old ones never.
-const WRITE_WAIT: Duration = Duration::from_millis(500);
+/// Timeout of a write. A store under load still answers within some hundred milliseconds. One that was unreachable
+/// answers new calls as soon as it is back, but never answers old ones.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// From a write that failed to the next one, the first time; each further one waits twice as long.
-const RETRY_FIRST: Duration = Duration::from_millis(200);
+/// Pause after the first failed write. It doubles with each further failure.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// The longest pause. All gateways must know of a crash soon after the store is back.
-const RETRY_LONGEST: Duration = Duration::from_millis(800);
+/// Maximum pause. All gateways must know of a crash soon after the store is back.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(800);
 
-/// What the duty works on.
+/// Inputs of the thread.
 pub struct CrashWriterInputs {
-    /// Where the store is.
+    /// The store's address.
     pub settings: SettingsFeed,
-    /// What is to be written.
+    /// Crash records to write or remove.
     pub changes: RingReceiver<CrashChange>,
     /// Counts writes.
     pub metrics: ServingMetrics,
-    /// Tells to stop.
+    /// Stop signal of the process.
     pub stop: StopSignal,
 }
 
-/// Writes until the process ends.
+/// Writes crash records until the process ends.
 pub async fn write_crashes(inputs: CrashWriterInputs) {
     let stop = inputs.stop.clone();
     tokio::select! {
-        () = write_for_ever(inputs) => {}
+        () = write_in_loop(inputs) => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
 }
 
-async fn write_for_ever(inputs: CrashWriterInputs) {
+async fn write_in_loop(inputs: CrashWriterInputs) {
     let mut writer = CrashWriter {
         queue: ChangeQueue::default(),
         metrics: inputs.metrics,
-        pause: RETRY_FIRST,
+        pause: FIRST_RETRY_PAUSE,
     };
     let mut settings = Arc::clone(&inputs.settings.borrow());
     let mut client = StoreClient::new(settings.store);
@@ -64,10 +64,10 @@
         while let Some(change) = inputs.changes.poll() {
             writer.push(change);
         }
-        let present = Arc::clone(&inputs.settings.borrow());
-        if present != settings {
-            client = StoreClient::new(present.store);
-            settings = present;
+        let current = Arc::clone(&inputs.settings.borrow());
+        if current != settings {
+            client = StoreClient::new(current.store);
+            settings = current;
         }
         if !writer.write(&client).await {
             sleep(writer.next_pause()).await;
@@ -85,19 +85,19 @@
     fn push(&mut self, change: CrashChange) {
         if let Some(dropped) = self.queue.push(change) {
             let fingerprint = dropped.record().fingerprint.to_string();
-            spdlog::warn!("a crash was not written: too many wait for the store", kv: { fingerprint });
+            spdlog::warn!("dropped a crash record: too many are waiting for the store", kv: { fingerprint });
         }
     }
 
-    /// Writes the next changes; false if the store did not take them.
+    /// Writes the next changes. Returns false if the store did not accept them and the write must be repeated.
     async fn write(&mut self, client: &StoreClient) -> bool {
         let batch = self.queue.batch(MOST_CHANGES);
-        match client.change(&changes_of(&batch), WRITE_WAIT).await {
-            Ok(()) => self.metrics.store_written("answered"),
+        match client.change(&group_changes(&batch), WRITE_TIMEOUT).await {
+            Ok(()) => self.metrics.count_store_write("answered"),
             Err(error) if error.is_final() => {
                 let reason = error_chain(&error);
-                spdlog::error!("a crash can't be written", kv: { reason });
-                self.metrics.store_written("left-out");
+                spdlog::error!("failed to write crash records, dropping them", kv: { reason });
+                self.metrics.count_store_write("left-out");
             }
             Err(error) => {
                 self.note_failure(&error);
@@ -105,26 +105,26 @@
             }
         }
         self.queue.settle(&batch);
-        self.pause = RETRY_FIRST;
+        self.pause = FIRST_RETRY_PAUSE;
         true
     }
 
     fn note_failure(&self, error: &WriteError) {
-        self.metrics.store_written("failed");
-        if self.pause == RETRY_FIRST {
+        self.metrics.count_store_write("failed");
+        if self.pause == FIRST_RETRY_PAUSE {
             let reason = error_chain(error);
-            spdlog::warn!("a crash is not written yet", kv: { reason });
+            spdlog::warn!("failed to write crash records, retrying", kv: { reason });
         }
     }
 
     fn next_pause(&mut self) -> Duration {
         let pause = self.pause;
-        self.pause = (pause * 2).min(RETRY_LONGEST);
+        self.pause = (pause * 2).min(MAX_RETRY_PAUSE);
         pause
     }
 }
 
-fn changes_of(batch: &[CrashChange]) -> CrashChanges {
+fn group_changes(batch: &[CrashChange]) -> CrashChanges {
     let mut changes = CrashChanges::default();
     for change in batch {
         match change {
--- a/crates/oatpier-gateway/src/decisions.rs
+++ b/crates/oatpier-gateway/src/decisions.rs
@@ -1,8 +1,8 @@
-//! Decision lines: one for each decision that touches a request or changes what is believed.
+//! Decision log: one line for each decision that affects a request or changes the process's view of other processes.
 //!
-//! Lines go through a ring to a duty that writes them to standard output, so that a reader who
-//! stops reading blocks nobody. Their volume is bounded: each second has room for a number of
-//! lines; good ends give way to failures, and what was left out is counted in a line of its own.
+//! Lines go through a ring to a thread that writes them to standard output, so that a blocked reader of that output
+//! does not block the other threads. The volume is limited to a number of lines per second. Lines about successes are
+//! limited further, to leave room for failures, and the number of omitted lines is logged in a line of its own.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,25 +14,26 @@
 
 use crate::metrics::ServingMetrics;
 
-/// Lines a second, of all kinds. At 300 bytes a line this is 60 KB/s, and 2% of a fifth of a core.
-const LINES_PER_SECOND: u32 = 200;
+/// Maximum number of lines per second, of all kinds. At 300 bytes a line this is 60 KB/s, and 2% of a fifth of a
+/// core.
+const MAX_LINES_PER_SECOND: u32 = 200;
 
-/// Of these, lines on what went well.
-const CALM_LINES_PER_SECOND: u32 = 40;
+/// Maximum number of lines per second about successes, as part of the total.
+const MAX_ROUTINE_LINES_PER_SECOND: u32 = 40;
 
-/// Lines that wait to be written.
-const RING_LINES: usize = 1_024;
+/// Capacity of the queue of lines to write.
+const LINE_RING_CAPACITY: usize = 1_024;
 
-/// How much a line matters when not all can be written.
+/// How important a line is when not all can be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineWeight {
-    /// Something went well.
+    /// Reports a success.
     Calm,
-    /// A failure, a refusal or a change of belief.
+    /// Reports a failure, a refusal or a change of the process's view.
     Notable,
 }
 
-/// One line.
+/// One line of the decision log.
 #[derive(Debug)]
 pub struct DecisionLine {
     fields: Map<String, Value>,
@@ -40,7 +41,7 @@
 }
 
 impl DecisionLine {
-    /// A line about a decision.
+    /// Creates a line about a decision.
     #[must_use]
     pub fn new(weight: LineWeight, decision: &'static str) -> Self {
         let mut fields = Map::new();
@@ -48,7 +49,7 @@
         Self { fields, weight }
     }
 
-    /// Adds an input or an outcome.
+    /// Adds a field: an input or an outcome of the decision.
     #[must_use]
     pub fn with(mut self, name: &'static str, value: impl Into<Value>) -> Self {
         self.fields.insert(name.to_owned(), value.into());
@@ -56,41 +57,41 @@
     }
 }
 
-/// How much was written in the present second.
+/// Lines written in the current second.
 #[derive(Debug)]
 struct LineWindow {
-    begun: Instant,
+    started_at: Instant,
     lines: u32,
-    calm: u32,
+    routine_lines: u32,
     left_out: u64,
 }
 
-/// Where decisions are logged. Cloning shares it.
+/// Writes decision lines. Clones share the same log.
 #[derive(Clone)]
 pub struct DecisionLog {
     process: Arc<str>,
-    start: Instant,
+    started_at: Instant,
     window: Arc<Mutex<LineWindow>>,
     lines: RingSender<String>,
     metrics: ServingMetrics,
 }
 
 impl DecisionLog {
-    /// A log of the process, and what its duty reads.
+    /// Creates the log of a process. The receiver yields the lines for [`write_lines`].
     #[must_use]
     pub fn new(process: &str, metrics: &ServingMetrics) -> (Self, RingReceiver<String>) {
         let full = metrics.lines_left_out.clone();
-        let (lines, receiver) = ring(RING_LINES, RingRule::Drop, full);
+        let (lines, receiver) = ring(LINE_RING_CAPACITY, RingRule::Drop, full);
         let now = Instant::now();
         let window = LineWindow {
-            begun: now,
+            started_at: now,
             lines: 0,
-            calm: 0,
+            routine_lines: 0,
             left_out: 0,
         };
         let log = Self {
             process: Arc::from(process),
-            start: now,
+            started_at: now,
             window: Arc::new(Mutex::new(window)),
             lines,
             metrics: metrics.clone(),
@@ -98,72 +99,72 @@
         (log, receiver)
     }
 
-    /// Logs a decision, unless the second is full.
+    /// Logs a decision, unless the limit of the current second is reached.
     pub fn write(&self, line: DecisionLine) {
-        match self.place_for(line.weight) {
-            LinePlace::Taken { left_out } => {
+        match self.admit(line.weight) {
+            LineAdmission::Admitted { left_out } => {
                 if left_out > 0 {
                     let line = DecisionLine::new(LineWeight::Notable, "lines left out");
                     self.send(line.with("lines", left_out));
                 }
                 self.send(line);
             }
-            LinePlace::Full => {
+            LineAdmission::Full => {
                 self.metrics.lines_left_out.inc();
             }
         }
     }
 
-    fn place_for(&self, weight: LineWeight) -> LinePlace {
+    fn admit(&self, weight: LineWeight) -> LineAdmission {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         let mut left_out = 0;
-        if now.saturating_duration_since(window.begun) >= Duration::from_secs(1) {
+        if now.saturating_duration_since(window.started_at) >= Duration::from_secs(1) {
             left_out = window.left_out;
             *window = LineWindow {
-                begun: now,
+                started_at: now,
                 lines: 0,
-                calm: 0,
+                routine_lines: 0,
                 left_out: 0,
             };
         }
-        let is_calm = weight == LineWeight::Calm;
-        let full =
-            window.lines >= LINES_PER_SECOND || (is_calm && window.calm >= CALM_LINES_PER_SECOND);
-        if full {
+        let is_routine = weight == LineWeight::Calm;
+        let is_full = window.lines >= MAX_LINES_PER_SECOND
+            || (is_routine && window.routine_lines >= MAX_ROUTINE_LINES_PER_SECOND);
+        if is_full {
             window.left_out += 1 + left_out;
-            return LinePlace::Full;
+            return LineAdmission::Full;
         }
         window.lines += 1;
-        window.calm += u32::from(is_calm);
-        LinePlace::Taken { left_out }
+        window.routine_lines += u32::from(is_routine);
+        LineAdmission::Admitted { left_out }
     }
 
     fn send(&self, line: DecisionLine) {
         let mut fields = line.fields;
-        let at_ms = self.start.elapsed().as_secs_f64() * 1e3;
+        let at_ms = self.started_at.elapsed().as_secs_f64() * 1e3;
         fields.insert(
             "at_ms".to_owned(),
             Value::from((at_ms * 10.0).round() / 10.0),
         );
         fields.insert("time_ms".to_owned(), Value::from(wall_clock_ms()));
         fields.insert("process".to_owned(), Value::from(&*self.process));
-        // A full ring counts the line by itself.
+        // A full ring counts the line as left out.
         let _ = self.lines.offer(Value::Object(fields).to_string());
     }
 }
 
-/// The VM's time of day, for reading the lines of several processes together. It may jump; `at_ms`
-/// counts from the process's start and does not.
+/// Returns the VM's wall clock time in milliseconds, which relates the lines of several processes to each other. It
+/// may jump; `at_ms` counts from the start of the process and does not.
 pub(crate) fn wall_clock_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-    let millis = since_epoch.map_or(0, |since| since.as_millis());
+    let millis = since_epoch.map_or(0, |elapsed| elapsed.as_millis());
     u64::try_from(millis).unwrap_or(u64::MAX)
 }
 
-/// Whether a line has a place in its second.
-enum LinePlace {
-    Taken { left_out: u64 },
+/// Whether a line fits into the limits of the current second.
+enum LineAdmission {
+    Admitted { left_out: u64 },
     Full,
 }
 
@@ -183,8 +184,8 @@
     }
 }
 
-/// Writes a line and those that wait behind it at once. Nobody may be reading any more; the process
-/// goes on without its log then.
+/// Writes a line and all lines queued behind it in one call. If standard output is closed, the process continues
+/// without its log.
 fn print_lines(first: String, lines: &RingReceiver<String>) {
     let mut text = first;
     text.push('\n');
--- a/crates/oatpier-gateway/src/exchange.rs
+++ b/crates/oatpier-gateway/src/exchange.rs
@@ -10,35 +10,36 @@
 
 use crate::metrics::ServingMetrics;
 
-/// The largest datagram that is read: far above a pulse of an engine with many adapters, and a
-/// report of demand for five hundred models.
-const DATAGRAM_BYTES: usize = 32 << 10;
+/// Maximum size of a received datagram. It is far above the pulse of an engine with many adapters, and above a report
+/// of demand for five hundred models.
+const MAX_DATAGRAM_BYTES: usize = 32 << 10;
 
-/// The directions of messages, as metrics name them.
+/// Directions of messages, as values of metric labels.
 const SENT: &str = "sent";
 const RECEIVED: &str = "received";
 
-/// Where messages go out. They may be lost on the way: whoever sends them repeats them.
+/// Sends messages. Messages may be lost, so senders repeat them.
 pub trait MessageOutlet: fmt::Debug + Send + Sync {
-    /// Sends a message, without waiting.
+    /// Sends a message without waiting.
     fn send(&self, to: SocketAddr, message: &InnerMessage);
 }
 
-/// The socket on which a process hears gateways and sidecars.
+/// UDP socket for the messages between gateways and sidecars.
 #[derive(Debug)]
 pub struct InnerSocket {
     socket: UdpSocket,
     metrics: ServingMetrics,
-    /// Whether a datagram that can't be read was logged: whoever sends one goes on sending.
+    /// Whether an invalid datagram has been logged. Only the first one is logged, since its sender usually continues
+    /// to send such datagrams.
     has_logged: AtomicBool,
 }
 
 impl InnerSocket {
-    /// Takes a bound socket over.
+    /// Registers a bound socket with the runtime.
     ///
     /// # Errors
     ///
-    /// The runtime does not take the socket.
+    /// Returns an error if the runtime does not accept the socket.
     pub fn new(socket: std::net::UdpSocket, metrics: ServingMetrics) -> io::Result<Self> {
         socket.set_nonblocking(true)?;
         Ok(Self {
@@ -48,33 +49,33 @@
         })
     }
 
-    /// The next message that can be read. What can't be is of another version or of a stranger; it is skipped and
-    /// counted, and the first one is logged.
+    /// Receives the next valid message. An invalid datagram comes from another version or from an unrelated sender;
+    /// it is skipped and counted, and the first one is logged.
     pub async fn receive(&self) -> (SocketAddr, InnerMessage) {
-        let mut buffer = vec![0; DATAGRAM_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let received = self.socket.recv_from(&mut buffer).await;
             let Ok((length, from)) = received else {
-                // An earlier datagram was turned away by its receiver. This one may be fine.
+                // The error reports an earlier datagram that its receiver rejected. The next receive may succeed.
                 continue;
             };
             match rmp_serde::from_slice::<InnerMessage>(&buffer[..length]) {
                 Ok(message) => {
-                    self.metrics.exchanged(message.kind(), RECEIVED, length);
+                    self.metrics.count_message(message.kind(), RECEIVED, length);
                     return (from, message);
                 }
-                Err(error) => self.skip(from, length, &error),
+                Err(error) => self.count_unreadable(from, length, &error),
             }
         }
     }
 }
 
 impl InnerSocket {
-    fn skip(&self, from: SocketAddr, length: usize, error: &dyn std::error::Error) {
-        self.metrics.exchanged("unreadable", RECEIVED, length);
+    fn count_unreadable(&self, from: SocketAddr, length: usize, error: &dyn std::error::Error) {
+        self.metrics.count_message("unreadable", RECEIVED, length);
         if !self.has_logged.swap(true, Ordering::Relaxed) {
             let error = error.to_string();
-            spdlog::warn!("a datagram can't be read, and further ones are only counted", kv: { from:, length:, error: });
+            spdlog::warn!("received an invalid datagram; further ones are only counted", kv: { from:, length:, error: });
         }
     }
 }
@@ -84,12 +85,13 @@
         let bytes = match rmp_serde::to_vec(message) {
             Ok(bytes) => bytes,
             Err(error) => {
-                spdlog::error!("a message can't be encoded", kv: { error: = error.to_string() });
+                spdlog::error!("failed to encode a message", kv: { error: = error.to_string() });
                 return;
             }
         };
-        self.metrics.exchanged(message.kind(), SENT, bytes.len());
-        // A full buffer or an unreachable receiver: the message is repeated anyway.
+        self.metrics
+            .count_message(message.kind(), SENT, bytes.len());
+        // The buffer is full or the receiver unreachable. The message is repeated anyway.
         let _ = self.socket.try_send_to(&bytes, to);
     }
 }
--- a/crates/oatpier-gateway/src/gateway/configuration.rs
+++ b/crates/oatpier-gateway/src/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: from the store, or from another gateway while the store turns this one away.
+//! The configuration in force. It comes from the store, or from another gateway while the store does not answer here.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use super::core::{CoreState, GatewayCore};
 use crate::decisions::{DecisionLine, LineWeight};
 
-/// From one fetch of a newer configuration to the next. The store is read in a moment as a rule, and then nothing
-/// needs to be fetched.
-const FETCH_EVERY: Duration = Duration::from_millis(1_500);
+/// Minimum time between fetches of a newer configuration. Usually a store read succeeds within this time, and no
+/// fetch is needed.
+const FETCH_INTERVAL: Duration = Duration::from_millis(1_500);
 
 impl GatewayCore {
-    /// Whether a configuration that is in force everywhere would be known here.
+    /// Returns whether this gateway would know of a configuration that is in force everywhere.
     #[must_use]
     pub fn is_current(&self) -> bool {
         let bound = self.settings.borrow().bounds.config;
@@ -28,20 +28,24 @@
         known_at.is_some_and(|at| self.clock.now().since(at) <= bound)
     }
 
-    pub(super) fn take_config(&self, state: &mut CoreState, config: Arc<SiteConfig>) {
+    pub(super) fn apply_config(&self, state: &mut CoreState, config: Arc<SiteConfig>) {
         let known = state.config.as_ref().map_or(0, |known| known.version);
-        let newer = state.config.is_none() || config.version > known;
-        let outcome = if newer { "in force" } else { "older, left out" };
+        let is_newer = state.config.is_none() || config.version > known;
+        let outcome = if is_newer {
+            "in force"
+        } else {
+            "older, left out"
+        };
         let line = DecisionLine::new(LineWeight::Notable, "configuration")
             .with("version", config.version)
             .with("known", known)
             .with("routes", config.routes.len())
             .with("outcome", outcome);
         self.log.write(line);
-        if newer {
+        if is_newer {
             let version = i64::try_from(config.version).unwrap_or(i64::MAX);
             self.metrics.config_version.set(version);
-            state.limits = limits_of(&config);
+            state.limits = collect_quota_rules(&config);
             let CoreState {
                 limits,
                 holder,
@@ -55,7 +59,7 @@
         }
     }
 
-    /// What reports say of the configuration here.
+    /// Returns the version and age of the configuration, as reports to peers state them.
     pub(super) fn config_standing(&self, now: ClockTime) -> ConfigStanding {
         let state = self.lock();
         let age = now.since(state.config_known_at.unwrap_or_default());
@@ -65,37 +69,37 @@
         }
     }
 
-    /// Another gateway told which configuration it has. The same one is known to be the store's for as long as that
-    /// gateway knows it to be; a newer one is fetched where the store does not answer here.
-    pub fn take_config_standing(&self, from: SocketAddr, told: ConfigStanding) {
+    /// Handles another gateway's report of its configuration. An equal version counts as confirmed by the store as
+    /// recently as that gateway confirmed it. A newer version is fetched if the store does not answer here.
+    pub fn take_config_standing(&self, from: SocketAddr, reported: ConfigStanding) {
         let now = self.clock.now();
         let mut state = self.lock();
         let known = state.config.as_ref().map_or(0, |config| config.version);
-        if told.version == known {
-            let known_at = now - Duration::from_millis(u64::from(told.age_ms));
+        if reported.version == known {
+            let known_at = now - Duration::from_millis(u64::from(reported.age_ms));
             state.config_known_at = state.config_known_at.max(Some(known_at));
             return;
         }
-        let is_due = |at: ClockTime| now.since(at) >= FETCH_EVERY;
-        let reads_late = state.store_read_at.is_none_or(is_due);
-        let may_ask = state.config_wanted_at.is_none_or(is_due);
-        if told.version > known && reads_late && may_ask {
-            state.config_wanted_at = Some(now);
-            // A full ring counts what it drops; the next report asks again.
+        let is_due = |at: ClockTime| now.since(at) >= FETCH_INTERVAL;
+        let is_read_late = state.store_read_at.is_none_or(is_due);
+        let may_fetch = state.config_requested_at.is_none_or(is_due);
+        if reported.version > known && is_read_late && may_fetch {
+            state.config_requested_at = Some(now);
+            // A full ring counts what it drops; the next report requests the fetch again.
             let _ = self.config_wanted.offer(from);
         }
     }
 
-    /// Takes a configuration that another gateway passed on.
+    /// Applies a configuration that was fetched from another gateway.
     pub fn take_passed_config(&self, config: Arc<SiteConfig>) {
         let mut state = self.lock();
-        self.take_config(&mut state, config);
+        self.apply_config(&mut state, config);
         drop(state);
         self.changed.notify_waiters();
     }
 }
 
-fn limits_of(config: &SiteConfig) -> HashMap<WorkspaceName, QuotaRule> {
+fn collect_quota_rules(config: &SiteConfig) -> HashMap<WorkspaceName, QuotaRule> {
     let rules = config.workspaces.iter().flat_map(WorkspaceTable::rules);
     let limited = rules.filter_map(|rule| Some((rule.name.clone(), rule.quota?)));
     limited.collect()
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share.
+//! State that all requests of a gateway share.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -33,91 +33,90 @@
 use rand::RngExt;
 use tokio::sync::{Notify, watch};
 
-use super::asks::AskBook;
+use super::pending_calls::PendingCalls;
 use crate::decisions::{DecisionLine, DecisionLog, LineWeight};
 use crate::exchange::MessageOutlet;
 use crate::metrics::ServingMetrics;
 use crate::parts_writer::DueClaim;
 use crate::reload::SettingsFeed;
 
-/// How long a connection to an endpoint may take. Endpoints are a few milliseconds away; one that
-/// is dark answers nothing at all.
-const CONNECT_WAIT: Duration = Duration::from_millis(400);
+/// Connect timeout for endpoints. Endpoints are a few milliseconds away; one that is down does not answer at all.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Unused connections to endpoints are closed before the endpoint would do it: a request that
-/// crosses its close may have run.
-const IDLE_CONNECTION: Duration = Duration::from_millis(2_500);
+/// Idle connections to endpoints are closed before the endpoint closes them. A request that crosses the endpoint's
+/// close may have run, so it could not be sent again safely.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Unused connections that are kept for each endpoint.
-const IDLE_PER_ENDPOINT: usize = 24;
+/// Maximum number of idle connections kept for each endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 24;
 
-/// What a core is made of, beside the settings.
+/// Inputs of a [`GatewayCore`], apart from the settings.
 pub struct CoreInputs {
     /// The runtime's clock.
     pub clock: RuntimeClock,
     /// The process's metrics.
     pub metrics: ServingMetrics,
-    /// Where decisions are logged.
+    /// The decision log.
     pub log: DecisionLog,
-    /// Whether the process can serve.
+    /// Readiness flag: whether the process can serve.
     pub able: Arc<AtomicBool>,
-    /// Where the duty that reads the store hears what other gateways saw there.
+    /// Queue of store updates seen by other gateways, read by the thread that reads the store.
     pub words: RingSender<StoreWord>,
-    /// Where the duty that writes crashes hears what is to be written.
+    /// Queue of crash records to write, read by the thread that writes crashes.
     pub crash_changes: RingSender<CrashChange>,
-    /// Where the configuration in force is passed on.
+    /// Publishes the configuration in force.
     pub shared_config: watch::Sender<Option<Arc<SiteConfig>>>,
-    /// Where the duty that fetches configurations hears who has a newer one.
+    /// Queue of gateways that have a newer configuration, read by the thread that fetches configurations.
     pub config_wanted: RingSender<SocketAddr>,
-    /// Where the duty that claims parts of limits hears which are due.
+    /// Queue of due claims of limit parts, read by the thread that claims parts.
     pub claims: RingSender<DueClaim>,
 }
 
-/// The state that all tasks share. They run on one thread, so the lock is never waited for; it is
-/// held for a decision and never across an await.
+/// Mutable state shared by all tasks. They run on one thread, so the lock is never contended. It is held for one
+/// decision and never across an await.
 pub(super) struct CoreState {
     pub(super) config: Option<Arc<SiteConfig>>,
     pub(super) directory: EndpointDirectory,
     pub(super) demand: DemandBook,
     pub(super) allowance: RetryAllowance,
-    /// Requests that were at endpoints that ended.
+    /// Requests that were running at endpoints when these ended.
     pub(super) crashes: CrashBook,
-    /// Attempts that were cut off, until it is known whether their endpoint ended.
+    /// Attempts that were cut off, kept until it is known whether their endpoint ended.
     pub(super) cuts: CutWatch,
     pub(super) peers: PeerBook,
-    /// How often sidecars are greeted that are not heard.
+    /// Intervals between greetings to sidecars without a current pulse.
     pub(super) greeting_paces: GreetingPaces,
-    /// The workspaces with limits.
+    /// Quota rules of the workspaces that have limits.
     pub(super) limits: HashMap<WorkspaceName, QuotaRule>,
-    /// Who holds which part of the limits.
+    /// Which gateway holds which part of the limits.
     pub(super) tenure: PartTenure,
-    /// What the parts give that this gateway holds.
+    /// Units of the limit parts that this gateway holds.
     pub(super) holder: PartHolder,
-    /// What this gateway was given.
+    /// Units that were granted to this gateway.
     pub(super) grants: GrantBook,
-    /// What sidecars told this gateway as a relay of its zone.
+    /// Engine updates from sidecars, to pass on as a relay of this availability zone.
     pub(super) relayed: RelayQueue,
     pub(super) planner: LoadPlanner,
     pub(super) judge: AdmissionJudge,
     pub(super) store_read_at: Option<ClockTime>,
-    /// When the configuration was last known to be the store's, by an own read or another gateway's.
+    /// When the configuration was last known to match the store, from an own read or from another gateway.
     pub(super) config_known_at: Option<ClockTime>,
-    /// When a newer configuration was last asked for.
-    pub(super) config_wanted_at: Option<ClockTime>,
-    /// Which copy of the store was read last.
+    /// When a newer configuration was last requested.
+    pub(super) config_requested_at: Option<ClockTime>,
+    /// Era of the store at the last read; it changes when the store is restored from an older copy.
     pub(super) store_era: Option<StoreEra>,
-    /// Whether demand that can't be served came since the last report to peers.
+    /// Whether demand that can't be served has arrived since the last report to peers.
     pub(super) urgent: bool,
 }
 
-/// The shared parts of a gateway.
+/// Shared state of a gateway.
 pub struct GatewayCore {
     state: Mutex<CoreState>,
-    /// Tells waiting requests that weights or endpoints have changed.
+    /// Wakes waiting requests after a change of weights or endpoints.
     pub(super) changed: Notify,
-    /// Tells the exchanges that endpoints have appeared.
-    pub(super) appeared: Notify,
-    /// Tells the exchanges that demand can't be served.
+    /// Wakes the greeting loop after endpoints have appeared.
+    pub(super) endpoints_appeared: Notify,
+    /// Wakes the reporting loop when demand can't be served.
     pub(super) pressed: Notify,
     pub(super) zone: ZoneName,
     pub(super) inner_port: u16,
@@ -129,18 +128,18 @@
     pub clock: RuntimeClock,
     /// The process's metrics.
     pub metrics: ServingMetrics,
-    /// Where decisions are logged.
+    /// The decision log.
     pub log: DecisionLog,
-    /// Permits that are waited for.
-    pub(super) permits: AskBook<()>,
-    /// Units of limits that are waited for.
-    pub(super) quota_asks: AskBook<PartAnswer>,
-    /// Turns at endpoints that are waited for.
-    pub(super) turn_asks: AskBook<TurnAnswer>,
+    /// Pending permit requests.
+    pub(super) permits: PendingCalls<()>,
+    /// Pending requests for units of limits.
+    pub(super) quota_asks: PendingCalls<PartAnswer>,
+    /// Pending requests for turns at endpoints.
+    pub(super) turn_asks: PendingCalls<TurnAnswer>,
     pub(super) claims: RingSender<DueClaim>,
     pub(super) shared_config: watch::Sender<Option<Arc<SiteConfig>>>,
     pub(super) config_wanted: RingSender<SocketAddr>,
-    /// Calls endpoints.
+    /// HTTP client for endpoints.
     pub client: HttpClient,
     able: Arc<AtomicBool>,
     words: RingSender<StoreWord>,
@@ -150,7 +149,7 @@
 }
 
 impl GatewayCore {
-    /// The shared parts of a gateway without knowledge yet.
+    /// Creates the shared state without configuration or endpoints.
     #[must_use]
     pub fn new(feed: SettingsFeed, inputs: CoreInputs, outlet: Arc<dyn MessageOutlet>) -> Self {
         let settings = Arc::clone(&feed.borrow());
@@ -178,7 +177,7 @@
             holder: PartHolder::default(),
             grants: GrantBook::default(),
             config_known_at: None,
-            config_wanted_at: None,
+            config_requested_at: None,
             store_era: None,
             relayed: RelayQueue::default(),
             planner: LoadPlanner::default(),
@@ -189,7 +188,7 @@
         Self {
             state: Mutex::new(state),
             changed: Notify::new(),
-            appeared: Notify::new(),
+            endpoints_appeared: Notify::new(),
             pressed: Notify::new(),
             zone: settings.zone.clone(),
             inner_port: settings.inner_port,
@@ -199,16 +198,16 @@
             clock: inputs.clock,
             metrics: inputs.metrics,
             log: inputs.log,
-            permits: AskBook::default(),
-            quota_asks: AskBook::default(),
-            turn_asks: AskBook::default(),
+            permits: PendingCalls::default(),
+            quota_asks: PendingCalls::default(),
+            turn_asks: PendingCalls::default(),
             claims: inputs.claims,
             shared_config: inputs.shared_config,
             config_wanted: inputs.config_wanted,
             client: HttpClient::new(ClientLimits {
-                connect: CONNECT_WAIT,
-                idle: IDLE_CONNECTION,
-                idle_per_address: IDLE_PER_ENDPOINT,
+                connect: CONNECT_TIMEOUT,
+                idle: IDLE_TIMEOUT,
+                idle_per_address: MAX_IDLE_PER_ENDPOINT,
                 discard_on_close: true,
             }),
             able: inputs.able,
@@ -223,7 +222,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes whether this process runs far behind its timers.
+    /// Records whether the timers of this process fire late.
     pub fn set_behind(&self, behind: bool) {
         if self.behind.swap(behind, Ordering::Relaxed) != behind {
             let line = DecisionLine::new(LineWeight::Notable, "processor");
@@ -231,37 +230,37 @@
         }
     }
 
-    /// Whether this process runs far behind its timers: what it took now would be late.
+    /// Returns whether the timers of this process fire late. Requests accepted now would be late as well.
     #[must_use]
     pub fn is_behind(&self) -> bool {
         self.behind.load(Ordering::Relaxed)
     }
 
-    /// New requests are refused from now on.
+    /// Refuses new requests from now on.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
     }
 
-    /// Whether new requests are refused.
+    /// Returns whether new requests are refused.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Relaxed)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn config(&self) -> Option<Arc<SiteConfig>> {
         self.lock().config.clone()
     }
 
-    /// Takes what the store said. A version never gives way to an older one.
+    /// Applies the result of a store read. A configuration is never replaced by an older version.
     pub fn take_records(&self, config: Option<Arc<SiteConfig>>, endpoints: Vec<EndpointRecord>) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.store_read_at = Some(now);
         state.config_known_at = Some(now);
         if let Some(config) = config {
-            self.take_config(&mut state, config);
+            self.apply_config(&mut state, config);
         }
         let count = endpoints.len();
         let CoreState {
@@ -271,7 +270,7 @@
         holder.retain_endpoints(|endpoint| directory.row(endpoint).is_some());
         let is_able = state.config.is_some();
         drop(state);
-        self.metrics.endpoints.set(shown(count));
+        self.metrics.endpoints.set(gauge_value(count));
         self.metrics.store_age_ms.set(0);
         for change in &changes {
             let line = DecisionLine::new(LineWeight::Notable, "directory");
@@ -280,42 +279,44 @@
         self.settle_cuts();
         self.able.store(is_able, Ordering::Relaxed);
         if !changes.is_empty() {
-            self.appeared.notify_one();
+            self.endpoints_appeared.notify_one();
             self.changed.notify_waiters();
         }
     }
 
-    /// Notes which copy of the store was read; says whether it is an older one than before, come back.
+    /// Records which copy of the store was read. Returns whether the store was restored from an older copy since the
+    /// last read.
     pub fn note_era(&self, era: StoreEra) -> bool {
         let now = self.clock.now();
         let mut state = self.lock();
         let known = state.store_era.replace(era);
-        let has_returned = known.is_some_and(|known| known != era);
-        if has_returned {
+        let is_restored = known.is_some_and(|known| known != era);
+        if is_restored {
             state.directory.note_store_return(now);
             let line = DecisionLine::new(LineWeight::Notable, "store came back from an older copy");
             self.log.write(line.with("era", era));
         }
-        has_returned
+        is_restored
     }
 
-    /// Tells the other gateways of the zone what was seen in the store, so that they need not read.
-    pub fn tell_word(&self, word: StoreWord) {
+    /// Sends the changes found in the store to the other gateways of the availability zone, so that they need not
+    /// read it.
+    pub fn tell_word(&self, update: StoreWord) {
         let now = self.clock.now();
         let peers: Vec<SocketAddr> = self.lock().peers.in_zone(&self.zone, now).collect();
-        let message = InnerMessage::StoreSeen(Box::new(word));
+        let message = InnerMessage::StoreSeen(Box::new(update));
         for peer in peers {
             self.outlet.send(peer, &message);
         }
     }
 
-    /// Another gateway of the zone has read the store.
-    pub fn take_store_word(&self, word: StoreWord) {
-        // A full ring counts what it drops. The store is then read when that is due, as without the word.
-        let _ = self.words.offer(word);
+    /// Queues a store update from another gateway of the availability zone.
+    pub fn take_store_word(&self, update: StoreWord) {
+        // A full ring counts what it drops. The store is then read at the usual time, as without the update.
+        let _ = self.words.offer(update);
     }
 
-    /// The store holds what is known.
+    /// Records that the store still holds what is known here.
     pub fn note_store_same(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -323,35 +324,35 @@
         state.config_known_at = Some(now);
     }
 
-    /// The store could not be read.
+    /// Records that the store could not be read.
     pub fn note_store_failure(&self) {
         let now = self.clock.now();
         self.lock().directory.note_store_failure(now);
     }
 
-    /// Takes a sidecar's pulse.
+    /// Applies a sidecar's pulse.
     pub fn take_pulse(&self, pulse: EnginePulse) {
-        self.take_word(EngineWord::Pulse(Box::new(pulse)));
+        self.apply_engine_update(EngineWord::Pulse(Box::new(pulse)));
     }
 
-    /// Takes what a sidecar told this gateway as a relay of its zone.
-    pub fn take_spread(&self, word: EngineWord) {
-        self.lock().relayed.take(word.clone());
-        self.take_word(word);
+    /// Applies an engine update from a sidecar, and queues it for the other gateways of the availability zone.
+    pub fn take_spread(&self, update: EngineWord) {
+        self.lock().relayed.take(update.clone());
+        self.apply_engine_update(update);
     }
 
-    /// Takes what a relay passed on.
-    pub fn take_relayed(&self, words: Vec<EngineWord>) {
-        for word in words {
-            self.lock().relayed.note_passed_on(&word);
-            self.take_word(word);
+    /// Applies engine updates that a relay passed on.
+    pub fn take_relayed(&self, updates: Vec<EngineWord>) {
+        for update in updates {
+            self.lock().relayed.note_passed_on(&update);
+            self.apply_engine_update(update);
         }
     }
 
-    fn take_word(&self, word: EngineWord) {
+    fn apply_engine_update(&self, update: EngineWord) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let changed = match word {
+        let changed = match update {
             EngineWord::Pulse(pulse) => {
                 state.peers.note_named(&pulse.gateways, now);
                 state.directory.take_pulse(*pulse, now)
@@ -368,7 +369,7 @@
         }
     }
 
-    /// The service that a request of the route goes to, by the services' shares.
+    /// Picks the service for a request of the route, at random by the weights of the route's targets.
     #[must_use]
     pub fn pick_service(&self, route: &RouteRule) -> PoolName {
         let total: u32 = route.targets.iter().map(|target| target.weight).sum();
@@ -382,18 +383,18 @@
         route.targets[0].service.clone()
     }
 
-    /// Whether a second send may be made.
+    /// Takes one retry from the service's retry budget. Returns false if the budget is used up.
     pub fn take_retry(&self, service: &PoolName) -> bool {
         let now = self.clock.now();
         self.lock().allowance.take(service, now)
     }
 
-    /// A refusal with a spread time to return.
+    /// Returns a refusal whose retry time is randomly spread.
     pub fn refusal(&self, cause: RefusalCause, after: Duration) -> Refusal {
         self.lock().judge.refusal(cause, after)
     }
 }
 
-fn shown(count: usize) -> i64 {
+fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
--- a/crates/oatpier-gateway/src/gateway/greetings.rs
+++ b/crates/oatpier-gateway/src/gateway/greetings.rs
@@ -1,4 +1,4 @@
-//! Greeting sidecars: this gateway is there, what it uses, and what each engine's part of shared bounds is.
+//! Greetings to sidecars: they announce this gateway, the adapters it uses, and each engine's share of common limits.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,26 +15,26 @@
 
 use super::core::{CoreState, GatewayCore};
 
-/// From one greeting to the next of a sidecar that is not heard: after a start of all processes, sidecars
-/// that come up a moment later than gateways are heard this soon.
-const UNHEARD_EVERY: Duration = Duration::from_millis(125);
+/// Interval between greetings to a silent sidecar, one without a current pulse. After a start of all processes,
+/// sidecars that come up slightly later than the gateways send pulses within this time.
+const SILENT_INTERVAL: Duration = Duration::from_millis(125);
 
-/// Greetings of unheard sidecars for each greeting of those whose engines this gateway uses adapters of,
-/// every half a second. A sidecar takes an adapter for unused after three of these.
-const UNHEARD_GREETINGS: u64 = 4;
+/// Ticks for each greeting to sidecars whose engines this gateway uses adapters of: every half second. A sidecar
+/// considers an adapter unused after three of these.
+const USED_ROUND_TICKS: u64 = 4;
 
-/// The same for each greeting of all, every two seconds: it only says that this gateway is still there, and
-/// their number is that of gateways times engines.
-const ALL_GREETINGS: u64 = 16;
+/// Ticks for each greeting to all sidecars: every two seconds. It only says that this gateway is still there, and the
+/// number of these greetings is that of gateways times engines.
+const ALL_ROUND_TICKS: u64 = 16;
 
-/// The share of the weight store's bound that sidecars divide among themselves. The rest covers
-/// loads whose answers were lost, and engines that not all sidecars have heard of yet.
+/// Share of the weight store's limit that sidecars divide among themselves. The rest covers loads whose answers were
+/// lost, and engines that not all sidecars know yet.
 const LOAD_SHARE: f64 = 0.93;
 
-/// Loads that the weight store lets a window go over its rate, beside the margin.
+/// Number of loads by which a window may exceed the weight store's rate, in addition to the margin.
 const LOAD_ALLOWANCE: f64 = 3.0;
 
-/// A greeting, and where it goes.
+/// A greeting and its destination.
 pub(super) struct SidecarGreeting {
     sidecar: SocketAddr,
     greeting: GatewayGreeting,
@@ -47,25 +47,25 @@
     }
 }
 
-/// Which sidecars a round of greetings is for.
+/// The sidecars that one round of greetings addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum GreetingRound {
-    /// Those that are not heard.
-    Unheard,
-    /// Those whose engines this gateway uses adapters of, too.
+    /// Silent sidecars only.
+    Silent,
+    /// Silent sidecars, and those whose engines this gateway uses adapters of.
     Used,
-    /// All.
+    /// All sidecars.
     All,
 }
 
 impl GreetingRound {
     fn of_tick(number: u64) -> Self {
-        if number.is_multiple_of(ALL_GREETINGS) {
+        if number.is_multiple_of(ALL_ROUND_TICKS) {
             Self::All
-        } else if number.is_multiple_of(UNHEARD_GREETINGS) {
+        } else if number.is_multiple_of(USED_ROUND_TICKS) {
             Self::Used
         } else {
-            Self::Unheard
+            Self::Silent
         }
     }
 
@@ -77,29 +77,28 @@
     }
 }
 
-/// Greets until the process ends.
+/// Sends greetings until the process ends.
 pub(super) async fn greet(core: &GatewayCore) {
-    let mut ticks = interval(UNHEARD_EVERY);
+    let mut ticks = interval(SILENT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut number: u64 = 0;
     loop {
-        // An endpoint that has just appeared is greeted at once: until its sidecar answers, nothing
-        // can be loaded there.
+        // A new endpoint is greeted at once: until its sidecar answers, nothing can be loaded there.
         let round = tokio::select! {
             _ = ticks.tick() => {
                 number += 1;
                 GreetingRound::of_tick(number)
             }
-            () = core.appeared.notified() => GreetingRound::Unheard,
+            () = core.endpoints_appeared.notified() => GreetingRound::Silent,
         };
-        for due in greetings(core, round) {
+        for due in due_greetings(core, round) {
             due.send(core);
         }
     }
 }
 
-/// The greetings that are due.
-fn greetings(core: &GatewayCore, round: GreetingRound) -> Vec<SidecarGreeting> {
+/// Returns the greetings that are due in a round.
+fn due_greetings(core: &GatewayCore, round: GreetingRound) -> Vec<SidecarGreeting> {
     let now = core.clock.now();
     let mut state = core.lock();
     let Some(config) = state.config.clone() else {
@@ -124,7 +123,7 @@
 }
 
 impl GatewayCore {
-    /// The greeting of one engine's sidecar, and where it goes.
+    /// Returns the greeting to the sidecar of one engine, with its destination.
     pub(super) fn greeting(
         &self,
         state: &mut CoreState,
@@ -164,7 +163,7 @@
     }
 }
 
-/// The services whose endpoints are engines, with what these may hold.
+/// Returns the services whose endpoints are engines, with the capacity rules of these engines.
 pub(super) fn engine_services(
     config: &SiteConfig,
 ) -> impl Iterator<Item = (&PoolName, &EngineRule)> {
@@ -172,7 +171,7 @@
     services.filter_map(|service| Some((&service.name, service.engine.as_ref()?)))
 }
 
-/// Loads that all engines may begin in one window.
+/// Returns how many loads all engines together may begin in one window.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/oatpier-gateway/src/gateway/mod.rs
+++ b/crates/oatpier-gateway/src/gateway/mod.rs
@@ -1,32 +1,31 @@
-//! A gateway: takes callers' requests, sends them straight to endpoints, answers for the outcome.
+//! A gateway: accepts callers' requests, sends them directly to endpoints and answers with the outcome.
 //!
-//! - `configuration`: the configuration in force, and where it comes from.
-//! - [`core`]: what all requests share: configuration, directory, demand, budget.
-//! - [`handler`]: a request as it comes in.
-//! - `run`: one request on its way, from its place to its final answer.
-//! - [`placement`]: a request on its way, and what is to be done with it.
-//! - `placing`: where a request goes now.
+//! - `configuration`: the configuration in force and its sources.
+//! - [`core`]: state shared by all requests: configuration, directory, demand, retry budget.
+//! - [`handler`]: entry point of incoming requests.
+//! - `run`: the course of one request, from placement to the final answer.
+//! - [`placement`]: a request in progress and the next action for it.
+//! - `placing`: choice of the endpoint for a request.
 //! - [`attempt`]: one attempt at one endpoint.
-//! - [`permits`]: asking sidecars for permits to send their engines prompts.
-//! - [`pauses`]: what made a stream late.
-//! - [`relay`]: an answer that goes back as a stream of events.
-//! - [`answers`]: answers of the gateway's own.
-//! - `asks`: asks to other processes that wait for an answer.
-//! - `run_log`: what is logged of a request.
-//! - `accounts`: what becomes of requests.
-//! - `crashes`: requests that end the endpoints that run them.
-//! - `notices`: what endpoints say of themselves in their answers.
-//! - [`identity`]: whose request it is.
+//! - [`permits`]: requests to sidecars for permits to send prompts to their engines.
+//! - [`pauses`]: causes of late streams.
+//! - [`relay`]: answers forwarded as a stream of events.
+//! - [`answers`]: answers that the gateway itself generates.
+//! - `pending_calls`: calls to other processes that wait for an answer.
+//! - `run_log`: decision lines about requests.
+//! - `accounts`: bookkeeping of request outcomes.
+//! - `crashes`: requests that make the endpoints running them end.
+//! - `notices`: what endpoints report about themselves in answer headers.
+//! - [`identity`]: authentication of requests, and the workspace they belong to.
 //! - [`quota`]: units of workspaces' limits.
-//! - `greetings`: greeting sidecars.
-//! - [`exchanges`]: what gateways and sidecars tell each other.
-//! - `turns`: turns at endpoints that limit the requests of all gateways.
-//! - `reports`: what gateways report to each other.
-//! - `planning`: the planner's rounds.
+//! - `greetings`: greetings to sidecars, which make them send pulses.
+//! - [`exchanges`]: messages between gateways and sidecars.
+//! - `turns`: turns at endpoints that limit the requests of all gateways together.
+//! - `reports`: reports between gateways.
+//! - `planning`: rounds of the load planner.
 
 mod accounts;
 pub mod answers;
-mod asks;
 pub mod attempt;
 mod configuration;
 pub mod core;
@@ -37,6 +36,7 @@
 pub mod identity;
 mod notices;
 pub mod pauses;
+mod pending_calls;
 pub mod permits;
 pub mod placement;
 mod placing;
@@ -65,48 +65,48 @@
 use crate::config_share::{ConfigShareInputs, share_config};
 use crate::crash_writer::{CrashWriterInputs, write_crashes};
 use crate::exchange::{InnerSocket, MessageOutlet};
-use crate::frame::{FrameInputs, ProcessFrame};
+use crate::node_process::{NodeProcess, ProcessInputs};
 use crate::parts_writer::{ClaimResult, PartsWriterInputs, write_parts};
-use crate::records::{RecordsInputs, StoreNews, records};
+use crate::records::{ReaderInputs, StoreNews, read_store};
 use crate::reload::{SettingsFeed, SettingsSource};
 
 use self::core::{CoreInputs, GatewayCore};
 use self::exchanges::ExchangeInputs;
 use self::handler::GatewayHandler;
 
-/// News of the store that wait to be taken; a full ring makes the reader wait.
-const NEWS_RING: usize = 4;
+/// Capacity of the queue of store reads that wait to be applied. When it is full, the reader waits.
+const EVENT_RING: usize = 4;
 
-/// What other gateways saw in the store, waiting for the duty that reads it. What finds the ring full is dropped:
-/// the store is then read when that is due.
-const WORD_RING: usize = 8;
+/// Capacity of the queue of store updates from other gateways. An update that finds the ring full is dropped; the
+/// store is then read at the usual time.
+const UPDATE_RING: usize = 8;
 
-/// From SIGTERM to closing the listener. The platform asks once a second and stops sending
-/// connections after two misses; a connection that was sent just before must still be answered.
-const DRAIN_NOTICE: Duration = Duration::from_millis(3_200);
+/// Time from SIGTERM to closing the listener. The platform's readiness probe runs once a second and stops new
+/// connections after two failures. A connection that was routed just before must still be answered.
+const LISTENER_LINGER: Duration = Duration::from_millis(3_200);
 
-/// From SIGTERM to refusing what comes on connections that are still open, and what still waits for an
-/// endpoint. By then the platform has taken the process out; a stream that began later might not end before
-/// SIGKILL.
-const DRAIN_SERVING: Duration = Duration::from_millis(2_600);
+/// Time from SIGTERM to refusing new requests on open connections and requests that still wait for an endpoint. By
+/// then the platform has removed the process from routing. A stream that began later might not end before SIGKILL.
+const REFUSE_DELAY: Duration = Duration::from_millis(2_600);
 
-/// Crashes that wait for the duty that writes them. Engines that end together leave some hundred; what finds the
-/// ring full is known to the gateways that were told.
+/// Capacity of the queue of crash records to write. Engines that end together leave some hundred records. A record
+/// that finds the ring full is still known to the gateways that were sent it directly.
 const CRASH_RING: usize = 512;
 
-/// Gateways that have a newer configuration, and configurations that they passed on.
+/// Capacity of the queue of gateways with a newer configuration, and of the queue of fetched configurations.
 const FETCH_RING: usize = 2;
 
-/// Claims of parts of limits on their way to the store, and their results on the way back. There are a few parts.
+/// Capacity of the queue of claims of limit parts to the store, and of the queue of their results. There are a few
+/// parts.
 const CLAIM_RING: usize = 8;
 
-/// The part of the time until SIGKILL after which that is done at the latest, where there is little time.
-const DRAIN_PART: u32 = 2;
+/// Divisor of the grace period: requests are refused after half of it at the latest, if it is short.
+const GRACE_DIVISOR: u32 = 2;
 
-/// The largest head before a configuration says otherwise, in bytes.
-const HEAD_BYTES: usize = 16 << 10;
+/// Maximum size of a request head before a configuration sets another one, in bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// What the callers duty works on.
+/// Inputs of the callers thread.
 struct CallersInputs {
     settings: SettingsFeed,
     listener: TcpListener,
@@ -118,11 +118,11 @@
     stop: StopSignal,
 }
 
-/// Starts a gateway's duties.
+/// Starts the threads of a gateway.
 ///
 /// # Errors
 ///
-/// An address that can't be listened on.
+/// Returns an error if an address can't be bound.
 pub fn start(
     settings: &NodeSettings,
     source: Box<dyn SettingsSource>,
@@ -141,44 +141,43 @@
         cause,
     })?;
     let able = Arc::default();
-    let frame_inputs = FrameInputs {
+    let process_inputs = ProcessInputs {
         source,
         metrics_listener,
         readiness_listener,
-        able: Arc::clone(&able),
+        can_serve: Arc::clone(&able),
     };
-    let mut frame = ProcessFrame::start(settings, frame_inputs);
-    let stop = frame.process.stop.clone();
-    let (news_sender, news) = ring(NEWS_RING, RingRule::Wait, frame.metrics.ring_full.clone());
-    let (word_sender, words) = ring(WORD_RING, RingRule::Drop, frame.metrics.ring_full.clone());
+    let mut node = NodeProcess::start(settings, process_inputs);
+    let stop = node.process.stop.clone();
+    let (news_sender, news) = ring(EVENT_RING, RingRule::Wait, node.metrics.ring_full.clone());
+    let (word_sender, words) = ring(UPDATE_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (crash_sender, crash_changes) =
-        ring(CRASH_RING, RingRule::Drop, frame.metrics.ring_full.clone());
+        ring(CRASH_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (claim_sender, due_claims) =
-        ring(CLAIM_RING, RingRule::Drop, frame.metrics.ring_full.clone());
-    let (result_sender, claims) = ring(CLAIM_RING, RingRule::Wait, frame.metrics.ring_full.clone());
+        ring(CLAIM_RING, RingRule::Drop, node.metrics.ring_full.clone());
+    let (result_sender, claims) = ring(CLAIM_RING, RingRule::Wait, node.metrics.ring_full.clone());
     let (shared_config, config_feed) = watch::channel(None);
-    let (wanted_sender, wanted) = ring(FETCH_RING, RingRule::Drop, frame.metrics.ring_full.clone());
+    let (wanted_sender, wanted) = ring(FETCH_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (fetched_sender, fetched) =
-        ring(FETCH_RING, RingRule::Wait, frame.metrics.ring_full.clone());
+        ring(FETCH_RING, RingRule::Wait, node.metrics.ring_full.clone());
     let core = CoreInputs {
         shared_config,
         config_wanted: wanted_sender,
         claims: claim_sender,
         clock: RuntimeClock::start(),
-        metrics: frame.metrics.clone(),
-        log: frame.log,
+        metrics: node.metrics.clone(),
+        log: node.log,
         able,
         words: word_sender,
         crash_changes: crash_sender,
     };
     let writer_inputs = CrashWriterInputs {
-        settings: frame.settings.clone(),
+        settings: node.settings.clone(),
         changes: crash_changes,
-        metrics: frame.metrics.clone(),
+        metrics: node.metrics.clone(),
         stop: stop.clone(),
     };
-    frame
-        .process
+    node.process
         .spawn("crashes", || write_crashes(writer_inputs));
     let share_inputs = ConfigShareInputs {
         listener: bind(inner, "the configuration, for other gateways")?,
@@ -187,25 +186,25 @@
         fetched: fetched_sender,
         stop: stop.clone(),
     };
-    frame.process.spawn("config", || share_config(share_inputs));
+    node.process.spawn("config", || share_config(share_inputs));
     let parts_inputs = PartsWriterInputs {
-        settings: frame.settings.clone(),
+        settings: node.settings.clone(),
         claims: due_claims,
         results: result_sender,
-        metrics: frame.metrics.clone(),
+        metrics: node.metrics.clone(),
         stop: stop.clone(),
     };
-    frame.process.spawn("parts", || write_parts(parts_inputs));
-    let records_inputs = RecordsInputs {
-        settings: frame.settings.clone(),
+    node.process.spawn("parts", || write_parts(parts_inputs));
+    let reader_inputs = ReaderInputs {
+        settings: node.settings.clone(),
         news: news_sender,
         words,
-        metrics: frame.metrics,
+        metrics: node.metrics,
         stop: stop.clone(),
     };
-    frame.process.spawn("records", || records(records_inputs));
+    node.process.spawn("records", || read_store(reader_inputs));
     let callers_inputs = CallersInputs {
-        settings: frame.settings,
+        settings: node.settings,
         listener,
         socket,
         core,
@@ -214,26 +213,25 @@
         fetched,
         stop,
     };
-    frame
-        .process
-        .spawn("callers", || callers_duty(callers_inputs));
-    Ok(frame.process)
+    node.process
+        .spawn("callers", || run_callers(callers_inputs));
+    Ok(node.process)
 }
 
-/// Serves callers until the last request is answered after a stop.
-async fn callers_duty(inputs: CallersInputs) {
+/// Serves callers until, after a stop, the last request is answered.
+async fn run_callers(inputs: CallersInputs) {
     let stop = inputs.stop.clone();
     let socket = match InnerSocket::new(inputs.socket, inputs.core.metrics.clone()) {
         Ok(socket) => Arc::new(socket),
         Err(error) => {
-            spdlog::critical!("the runtime takes no socket", kv: { error: = error.to_string() });
+            spdlog::critical!("failed to register the socket with the runtime", kv: { error: = error.to_string() });
             stop.advance(StopPhase::Ended);
             return;
         }
     };
     let outlet: Arc<dyn MessageOutlet> = Arc::clone(&socket) as Arc<dyn MessageOutlet>;
     let core = Arc::new(GatewayCore::new(inputs.settings, inputs.core, outlet));
-    let heard = ExchangeInputs {
+    let exchange_inputs = ExchangeInputs {
         news: inputs.news,
         claims: inputs.claims,
         fetched: inputs.fetched,
@@ -241,35 +239,35 @@
     let serving = serve_callers(inputs.listener, Arc::clone(&core), &stop);
     tokio::select! {
         () = serving => {}
-        () = close_after_notice(&core, &stop) => {}
-        () = watch_pace(&core) => {}
-        () = exchanges::run(Arc::clone(&core), &socket, heard, &stop) => {}
+        () = refuse_after_stop(&core, &stop) => {}
+        () = watch_timer_delay(&core) => {}
+        () = exchanges::run(Arc::clone(&core), &socket, exchange_inputs, &stop) => {}
     }
     stop.advance(StopPhase::Ended);
 }
 
-/// Has new requests refused once a planned stop is well under way.
-async fn close_after_notice(core: &GatewayCore, stop: &StopSignal) {
+/// Refuses new requests at a fixed time after a planned stop begins.
+async fn refuse_after_stop(core: &GatewayCore, stop: &StopSignal) {
     stop.reached(StopPhase::Draining).await;
     let grace = core.settings.borrow().bounds.grace;
-    sleep(DRAIN_SERVING.min(grace / DRAIN_PART)).await;
+    sleep(REFUSE_DELAY.min(grace / GRACE_DIVISOR)).await;
     core.close();
     std::future::pending::<()>().await;
 }
 
-/// From one look at the process's own pace to the next.
-const PACE_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which the process checks its own timer delay.
+const TIMER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A timer that fires this much late says that the process has more to do than its processor does.
-/// Requests that it took would pass their callers' patience unseen, and reach endpoints after that.
-const PACE_LATE: Duration = Duration::from_millis(300);
+/// Timer delay beyond which the process counts as overloaded. Requests accepted in that state would exceed their
+/// callers' timeouts unnoticed, and reach endpoints after that.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(300);
 
-/// Looks whether timers fire in time.
-async fn watch_pace(core: &GatewayCore) {
+/// Checks continuously whether timers fire in time.
+async fn watch_timer_delay(core: &GatewayCore) {
     loop {
-        let due = Instant::now() + PACE_EVERY;
+        let due = Instant::now() + TIMER_CHECK_INTERVAL;
         sleep_until(due).await;
-        core.set_behind(due.elapsed() > PACE_LATE);
+        core.set_behind(due.elapsed() > MAX_TIMER_DELAY);
     }
 }
 
@@ -277,13 +275,13 @@
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(error) => {
-            spdlog::critical!("the runtime takes no listener", kv: { error: = error.to_string() });
+            spdlog::critical!("failed to register the listener with the runtime", kv: { error: = error.to_string() });
             return;
         }
     };
     let limits = ServerLimits {
-        head_bytes: HEAD_BYTES,
-        linger: DRAIN_NOTICE,
+        head_bytes: MAX_HEAD_BYTES,
+        linger: LISTENER_LINGER,
         ..ServerLimits::default()
     };
     let handler = Arc::new(GatewayHandler::new(core));
--- a/crates/oatpier-gateway/src/gateway/asks.rs
+++ b/crates/oatpier-gateway/src/gateway/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Asks to other processes that wait for an answer.
+//! Calls to other processes that wait for an answer.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,25 +7,25 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Forgets an ask when its answer is here, late, or no longer waited for.
-struct OpenAsk<'a, T> {
-    book: &'a AskBook<T>,
+/// Removes a pending call when its answer has arrived, its time is up, or its caller was dropped.
+struct PendingCall<'a, T> {
+    calls: &'a PendingCalls<T>,
     id: u64,
 }
 
-impl<T> Drop for OpenAsk<'_, T> {
+impl<T> Drop for PendingCall<'_, T> {
     fn drop(&mut self) {
-        self.book.close(self.id);
+        self.calls.close(self.id);
     }
 }
 
-/// Asks by their ids, each with whoever waits for its answer.
+/// Pending calls by id, each with the channel that takes its answer.
 #[derive(Debug)]
-pub(super) struct AskBook<T> {
+pub(super) struct PendingCalls<T> {
     open: Mutex<HashMap<u64, oneshot::Sender<T>>>,
 }
 
-impl<T> Default for AskBook<T> {
+impl<T> Default for PendingCalls<T> {
     fn default() -> Self {
         Self {
             open: Mutex::default(),
@@ -33,33 +33,33 @@
     }
 }
 
-impl<T> AskBook<T> {
-    /// Sends an ask and waits for its answer; none if that did not come in time.
+impl<T> PendingCalls<T> {
+    /// Sends a call and waits for its answer. Returns `None` if the answer did not arrive in time.
     pub(super) async fn ask(&self, wait: Duration, send: impl FnOnce(u64)) -> Option<T> {
         let id = rand::random();
         let answer = self.open(id);
-        let _open = OpenAsk { book: self, id };
+        let _open = PendingCall { calls: self, id };
         send(id);
         timeout(wait, answer).await.ok()?.ok()
     }
 
-    /// An ask is sent; gives back where its answer comes.
+    /// Registers a call that is sent, and returns the channel on which its answer arrives.
     pub(super) fn open(&self, id: u64) -> oneshot::Receiver<T> {
         let (sender, receiver) = oneshot::channel();
         self.lock().insert(id, sender);
         receiver
     }
 
-    /// An answer came. Nobody may be waiting for it any more.
+    /// Passes an answer to its call. The call may no longer be pending.
     pub(super) fn take(&self, id: u64, answer: T) {
         if let Some(waiting) = self.lock().remove(&id) {
-            // The request may have been given up at this moment: a permit lapses, and units are lost, which no
-            // limit minds.
+            // The receiver may have been dropped at this moment. A permit then expires, and granted units are lost,
+            // which only makes the limit stricter.
             let _ = waiting.send(answer);
         }
     }
 
-    /// Nobody waits for the answer any more.
+    /// Removes a call whose answer is no longer needed.
     pub(super) fn close(&self, id: u64) {
         self.lock().remove(&id);
     }
--- a/crates/oatpier-gateway/src/gateway/planning.rs
+++ b/crates/oatpier-gateway/src/gateway/planning.rs
@@ -1,4 +1,4 @@
-//! The planner's rounds, and what is logged of them.
+//! Rounds of the load planner and their log lines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,35 +14,35 @@
 use super::greetings::engine_services;
 use crate::decisions::{DecisionLine, LineWeight};
 
-/// From one round of the planner to the next while nothing changes.
-const PLAN_EVERY: Duration = Duration::from_millis(150);
+/// Interval between planning rounds while nothing changes.
+const PLAN_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The least time between two rounds. An engine that is done with a load gets the next one this soon;
-/// after a restart each has three to do in a row.
-const PLAN_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum time between two rounds. An engine that has finished a load gets the next one within this time; after a
+/// restart each engine has three loads to do in a row.
+const MIN_PLAN_PAUSE: Duration = Duration::from_millis(50);
 
-/// Rounds of the planner between two pictures of the engines in the log: three seconds.
-const PICTURE_ROUNDS: u64 = 20;
+/// Rounds between two log snapshots of the engines: three seconds.
+const SNAPSHOT_ROUNDS: u64 = 20;
 
-/// Rounds of the planner between two accounts of loads that are not possible: 0.6 s.
+/// Rounds between two log reports of blocked loads: 0.6 s.
 const BLOCKED_ROUNDS: u64 = 4;
 
-/// Plans loads, in rounds, while this gateway is the one that plans.
+/// Plans loads in rounds while this gateway is the planner.
 pub(super) async fn plan(core: &GatewayCore, stop: &StopSignal) {
     let mut rounds: u64 = 0;
-    let mut ticks = interval(PLAN_EVERY);
+    let mut ticks = interval(PLAN_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = ticks.tick() => {}
-            () = core.changed.notified() => sleep(PLAN_PAUSE).await,
+            () = core.changed.notified() => sleep(MIN_PLAN_PAUSE).await,
         }
         if stop.phase() != StopPhase::Serving {
             continue;
         }
         rounds += 1;
-        if rounds.is_multiple_of(PICTURE_ROUNDS) {
-            log_picture(core);
+        if rounds.is_multiple_of(SNAPSHOT_ROUNDS) {
+            log_snapshot(core);
             core.expire_suspects();
         }
         let round = plan_round(core);
@@ -57,20 +57,20 @@
     }
 }
 
-/// A load, and the sidecar that is advised.
+/// A planned load and the sidecar that receives the advice.
 struct AdvisedLoad {
     sidecar: SocketAddr,
     planned: PlannedLoad,
 }
 
-/// What a round of the planner came to.
+/// Result of one planning round.
 #[derive(Default)]
 struct PlannedRound {
     loads: Vec<AdvisedLoad>,
     blocked: Vec<BlockedLoad>,
 }
 
-/// The loads to advise now, if this gateway plans.
+/// Returns the loads to advise now; empty if this gateway is not the planner.
 fn plan_round(core: &GatewayCore) -> PlannedRound {
     let now: ClockTime = core.clock.now();
     let mut state = core.lock();
@@ -126,8 +126,8 @@
     }
 }
 
-/// Logs what the planner sees of each engine, for whoever asks later why a model was where it was.
-fn log_picture(core: &GatewayCore) {
+/// Logs the planner's view of each engine, so that the placement of models can be explained afterwards.
+fn log_snapshot(core: &GatewayCore) {
     let now = core.clock.now();
     let state = core.lock();
     if !state.peers.is_planner(now) {
@@ -137,14 +137,14 @@
         .directory
         .all()
         .filter(|row| !row.models(now).is_empty());
-    let lines: Vec<DecisionLine> = rows.map(|row| picture_line(row, now)).collect();
+    let lines: Vec<DecisionLine> = rows.map(|row| snapshot_line(row, now)).collect();
     drop(state);
     for line in lines {
         core.log.write(line);
     }
 }
 
-fn picture_line(row: &EndpointRow, now: ClockTime) -> DecisionLine {
+fn snapshot_line(row: &EndpointRow, now: ClockTime) -> DecisionLine {
     let models = row.models(now).iter().map(|held| {
         let adapters = held.adapters.len();
         format!("{}+{adapters}", held.model)
@@ -170,5 +170,5 @@
         .with("unload", unload.collect::<Vec<_>>())
         .with("reason", reason);
     core.log.write(line);
-    core.metrics.advised(reason);
+    core.metrics.count_advice(reason);
 }
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -1,8 +1,8 @@
-//! Units of workspaces' limits: what requests are charged, and the parts that this gateway holds.
+//! Units of workspaces' limits: charges for requests, and the limit parts that this gateway holds.
 //!
-//! A request is charged where it comes in, before anything is done for it: what is beyond a limit takes no slot, no
-//! permit and no place in the demand that moves models. What it was given counts for a moment; a request that
-//! waited longer is charged anew when it is sent. A request that provably did not run costs nothing.
+//! A request is charged on arrival, before any other work: a request beyond its limit takes no slot and no permit,
+//! and does not count as demand that moves models. A charge is valid for a short time; a request that waited longer
+//! is charged again when it is sent. A request that provably did not run costs nothing.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,29 +24,30 @@
 use crate::decisions::{DecisionLine, LineWeight};
 use crate::parts_writer::{ClaimResult, DueClaim};
 
-/// How long a holder has for an answer: a few times the way between availability zones and a turn of a busy
-/// processor. After it another holder is asked.
+/// Timeout for a holder's answer: a few times the network latency between availability zones plus the scheduling delay
+/// of a busy processor. After that another holder is asked.
 pub(super) const ANSWER_WAIT: Duration = Duration::from_millis(40);
 
-/// How soon a request that waits for units looks again where nobody holds them yet, as after a start.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// Retry interval of a request that waits for units while no holder is known, as after a start.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The share of a class's target that a request may wait for units. A caller who is sent away for less loses more
-/// by the way back and forth, and may come back only once; one that waits takes nothing from others.
+/// Share of a class's target latency that a request may wait for units. A caller that is refused for a shorter wait
+/// loses more by the extra round trip, and may retry only once. A waiting request takes no capacity from others.
 const WAIT_SHARE: f64 = 0.25;
 
-/// The longest such wait: patient classes as well learn soon that their limit is used up.
-const LONGEST_WAIT: Duration = Duration::from_millis(250);
+/// Upper bound of that wait, so that callers of classes with long targets also learn soon that their limit is used
+/// up.
+const MAX_WAIT: Duration = Duration::from_millis(250);
 
-/// How long a request of a route may wait for units.
+/// Returns how long a request of a route may wait for units.
 pub(super) fn unit_patience(route: &RouteRule) -> Duration {
-    route.target.mul_f64(WAIT_SHARE).min(LONGEST_WAIT)
+    route.target.mul_f64(WAIT_SHARE).min(MAX_WAIT)
 }
 
-/// When to come back where no holder could be asked; the next try reaches another gateway.
-const UNASKED_RETURN: Duration = Duration::from_millis(250);
+/// Retry time where no holder could be asked; the next try reaches another gateway.
+const UNREACHABLE_RETRY: Duration = Duration::from_millis(250);
 
-/// Units that a request was charged. Put back when it is dropped before the request may have run.
+/// Units that a request was charged. They are returned when this is dropped before the request may have run.
 pub struct UnitsCharge {
     core: Arc<GatewayCore>,
     workspace: Arc<WorkspaceRule>,
@@ -78,7 +79,7 @@
 }
 
 impl ChargeCell {
-    /// A charge that was just made.
+    /// Creates a cell with a charge that was just made.
     #[must_use]
     pub fn new(charge: Option<UnitsCharge>) -> Self {
         Self {
@@ -86,19 +87,19 @@
         }
     }
 
-    /// Notes whether the request may have run.
+    /// Records whether the request may have run.
     pub(super) fn set_spent(&self, is_spent: bool) {
         if let Some(charge) = self.lock().as_mut() {
             charge.is_spent = is_spent;
         }
     }
 
-    /// The workspace and the units of a charge that has lapsed before the request was sent.
-    fn lapsed(&self, now: ClockTime) -> Option<(Arc<WorkspaceRule>, u64)> {
+    /// Returns the workspace and the units of a charge that expired before the request was sent.
+    fn expired(&self, now: ClockTime) -> Option<(Arc<WorkspaceRule>, u64)> {
         let charge = self.lock();
         let charge = charge.as_ref()?;
-        let is_lapsed = !charge.is_spent && charge.lot.until <= now;
-        is_lapsed.then(|| (Arc::clone(&charge.workspace), charge.lot.units))
+        let is_expired = !charge.is_spent && charge.lot.until <= now;
+        is_expired.then(|| (Arc::clone(&charge.workspace), charge.lot.units))
     }
 
     fn renew(&self, charge: UnitsCharge) {
@@ -110,19 +111,19 @@
     }
 }
 
-/// Charges a request of a workspace; nothing where that has no limit.
+/// Charges a request to the limit of its workspace, which must have one.
 ///
 /// # Errors
 ///
-/// The answer to a request that is beyond the limit, or where nobody can tell.
+/// Returns the answer to the caller if the request is beyond the limit, or if no holder of the limit answered.
 pub(super) async fn charge(
     core: &Arc<GatewayCore>,
     workspace: &Arc<WorkspaceRule>,
     units: u64,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Result<UnitsCharge, OwnAnswer> {
     let mut asked = AskedParts::default();
-    let until = core.clock.now() + patience;
+    let until = core.clock.now() + max_wait;
     loop {
         let now = core.clock.now();
         let step = core.lock().grants.step(&workspace.name, units, &asked, now);
@@ -140,12 +141,12 @@
                 ask_holder(core, &workspace.name, &ask).await;
             }
             GrantStep::Spent(after) if now + after < until => {
-                sleep(after.max(LOOK_AGAIN)).await;
+                sleep(after.max(RETRY_INTERVAL)).await;
                 asked = AskedParts::default();
             }
             GrantStep::Spent(after) => return Err(core.over_limit(after)),
-            GrantStep::Nobody if now + LOOK_AGAIN < until => {
-                sleep(LOOK_AGAIN).await;
+            GrantStep::Nobody if now + RETRY_INTERVAL < until => {
+                sleep(RETRY_INTERVAL).await;
                 asked = AskedParts::default();
             }
             GrantStep::Nobody => return Err(core.limit_unknown()),
@@ -153,16 +154,16 @@
     }
 }
 
-/// Charges a request anew that waited longer than its charge counts.
+/// Charges a request again if its charge expired while it waited.
 pub(super) async fn renew_charge(
     core: &Arc<GatewayCore>,
     cell: &ChargeCell,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Result<(), OwnAnswer> {
-    let Some((workspace, units)) = cell.lapsed(core.clock.now()) else {
+    let Some((workspace, units)) = cell.expired(core.clock.now()) else {
         return Ok(());
     };
-    cell.renew(charge(core, &workspace, units, patience).await?);
+    cell.renew(charge(core, &workspace, units, max_wait).await?);
     Ok(())
 }
 
@@ -171,21 +172,21 @@
     let answer = if ask.holder == core.settings.borrow().inner_address() {
         Some(core.hand_out(ask.part, workspace, ask.wanted))
     } else {
-        remote_answer(core, workspace, ask).await
+        ask_remote_holder(core, workspace, ask).await
     };
     let now = core.clock.now();
-    let life = core.settings.borrow().bounds.quota.grant_life();
+    let lifetime = core.settings.borrow().bounds.quota.grant_life();
     let mut state = core.lock();
     match answer {
         Some(answer) => {
             let grants = &mut state.grants;
-            grants.take_answer(workspace, ask, answer, asked_at, life, now);
+            grants.take_answer(workspace, ask, answer, asked_at, lifetime, now);
         }
         None => state.grants.holders_mut().note_silence(ask.part, now),
     }
 }
 
-async fn remote_answer(
+async fn ask_remote_holder(
     core: &GatewayCore,
     workspace: &WorkspaceName,
     ask: &PartAsk,
@@ -208,17 +209,17 @@
     }
 
     fn limit_unknown(&self) -> OwnAnswer {
-        OwnAnswer::LimitUnknown(self.lock().judge.spread(UNASKED_RETURN))
+        OwnAnswer::LimitUnknown(self.lock().judge.spread(UNREACHABLE_RETRY))
     }
 
-    /// Another gateway asks for units of a part that this one holds.
+    /// Answers another gateway's request for units of a part that this gateway holds.
     pub fn take_quota_ask(&self, from: SocketAddr, ask: &QuotaAsk) {
         let answer = self.hand_out(ask.part, &ask.workspace, ask.wanted);
         let message = InnerMessage::QuotaAnswer(QuotaAnswer { id: ask.id, answer });
         self.outlet.send(from, &message);
     }
 
-    /// A holder answered.
+    /// Handles a holder's answer to a request for units.
     pub fn take_quota_answer(&self, answer: QuotaAnswer) {
         self.quota_asks.take(answer.id, answer.answer);
     }
@@ -242,15 +243,15 @@
         state.holder.hand_out(part, workspace, &terms, wanted, now)
     }
 
-    /// Takes what the store says of the parts' holders.
+    /// Applies the holders of the limit parts as read from the store.
     pub fn take_parts(&self, parts: &[PartEntry], era: StoreEra) {
         let now = self.clock.now();
         let mut state = self.lock();
         let changes = state.tenure.take_read(parts, era, now);
-        self.apply_tenure(&mut state, changes);
+        self.apply_tenure_changes(&mut state, changes);
     }
 
-    /// Takes what came of a claim.
+    /// Applies the result of a claim.
     pub fn take_claim(&self, result: ClaimResult) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -258,10 +259,14 @@
         let change = state
             .tenure
             .take_outcome(&due.claim, outcome, due.sent_at, now);
-        self.apply_tenure(&mut state, change);
+        self.apply_tenure_changes(&mut state, change);
     }
 
-    fn apply_tenure(&self, state: &mut CoreState, changes: impl IntoIterator<Item = TenureChange>) {
+    fn apply_tenure_changes(
+        &self,
+        state: &mut CoreState,
+        changes: impl IntoIterator<Item = TenureChange>,
+    ) {
         for change in changes {
             match change {
                 TenureChange::Begun(begin) => {
@@ -278,7 +283,8 @@
         state.grants.holders_mut().set(holders);
     }
 
-    /// Counts and logs what workspaces asked of the parts that are held here. A line for each that was refused some.
+    /// Counts and logs the units that workspaces requested from the parts held here. Writes one line for each
+    /// workspace that was refused units.
     pub(super) fn count_limit_use(&self) {
         let uses = self.lock().holder.count_use();
         for used in uses {
@@ -286,13 +292,13 @@
             let units = used.units;
             self.metrics
                 .workspaces
-                .used(workspace, "granted", units.granted);
+                .count_units(workspace, "granted", units.granted);
             if units.refused == 0 {
                 continue;
             }
             self.metrics
                 .workspaces
-                .used(workspace, "refused", units.refused);
+                .count_units(workspace, "refused", units.refused);
             let line = DecisionLine::new(LineWeight::Notable, "limit use")
                 .with("workspace", workspace.as_str())
                 .with("granted", units.granted)
@@ -302,7 +308,7 @@
         }
     }
 
-    /// Claims and renews parts as they are due.
+    /// Claims and renews parts that are due; gives them back if this gateway is leaving.
     pub(super) fn tend_parts(&self, is_leaving: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
--- a/crates/oatpier-gateway/src/gateway/reports.rs
+++ b/crates/oatpier-gateway/src/gateway/reports.rs
@@ -1,4 +1,4 @@
-//! What gateways report to each other.
+//! Reports that gateways send to each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,31 +11,31 @@
 
 use super::core::{CoreState, GatewayCore};
 
-/// From one report to peers to the next.
-const REPORT_EVERY: Duration = Duration::from_millis(250);
+/// Interval between reports to peers.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Reports of demand for each report to the gateways that do not need it: 0.75 s. They need it to pass on
-/// what sidecars tell, and to see when the one that plans is gone.
-const RARE_REPORTS: u32 = 3;
+/// Ticks for each report to gateways that do not need the demand: 0.75 s. These use it to forward engine updates to
+/// each other, and to notice that the planner is gone.
+const NEAR_REPORT_TICKS: u32 = 3;
 
-/// The same for gateways of other zones, from one that neither plans nor would follow: 2.25 s. They only
-/// count it.
-const FAR_REPORTS: u32 = 9;
+/// Ticks for each report to gateways of other availability zones, from one that neither plans nor is next in line to
+/// plan: 2.25 s. The receivers use it only to count gateways.
+const FAR_REPORT_TICKS: u32 = 9;
 
-/// Demand that can't be served is reported this soon, so that requests which come together are told
-/// of together. Short beside half a second, the least that a load takes.
-const PRESSED_PAUSE: Duration = Duration::from_millis(40);
+/// Delay before demand that can't be served is reported, so that requests that arrive together go into one report.
+/// Short compared with the half second that the fastest load takes.
+const UNSERVED_DELAY: Duration = Duration::from_millis(40);
 
 /// Reports demand to peers.
 pub(super) struct PeerReporter<'a> {
     core: &'a GatewayCore,
     stop: &'a StopSignal,
-    /// The last report's place among all.
+    /// Number of the last report.
     number: MessageNumber,
 }
 
 impl<'a> PeerReporter<'a> {
-    /// A reporter of this incarnation of the process.
+    /// Creates a reporter for this incarnation of the process.
     pub(super) fn new(core: &'a GatewayCore, stop: &'a StopSignal) -> Self {
         Self {
             core,
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Reports everything; `number` counts these reports.
-    fn send_whole(&mut self, number: u32) {
+    /// Sends full reports to the gateways that plan, and reports without demand to the others when they are due.
+    /// `number` counts the ticks.
+    fn send_full(&mut self, number: u32) {
         let now = self.core.clock.now();
         let mut state = self.core.lock();
         let demand = state.demand.summary(now);
@@ -56,28 +57,32 @@
         let uses = state.directory.model_uses();
         let peers = state.peers.addresses(&self.core.zone, now);
         let is_reader = state.peers.is_reader(now);
-        self.note_standing(&mut state, now);
+        self.update_standing(&mut state, now);
         let own = state.peers.own();
         drop(state);
-        let whole = PeerReport {
+        let full = PeerReport {
             demand,
             uses,
             ..self.report(own, 1)
         };
-        self.tell(&peers.readers, whole);
-        if number.is_multiple_of(RARE_REPORTS) {
-            let report = self.report(own, RARE_REPORTS);
-            self.tell(&peers.near, report);
+        self.send(&peers.readers, full);
+        if number.is_multiple_of(NEAR_REPORT_TICKS) {
+            let report = self.report(own, NEAR_REPORT_TICKS);
+            self.send(&peers.near, report);
         }
-        let far = if is_reader { RARE_REPORTS } else { FAR_REPORTS };
+        let far = if is_reader {
+            NEAR_REPORT_TICKS
+        } else {
+            FAR_REPORT_TICKS
+        };
         if number.is_multiple_of(far) {
             let report = self.report(own, far);
-            self.tell(&peers.far, report);
+            self.send(&peers.far, report);
         }
     }
 
-    /// Reports the demand that can't be served to those who can do something about it.
-    fn send_pressed(&mut self) {
+    /// Reports the demand that can't be served to the gateways that plan.
+    fn send_unserved(&mut self) {
         let now = self.core.clock.now();
         let mut state = self.core.lock();
         state.urgent = false;
@@ -90,11 +95,11 @@
             demand,
             ..self.report(own, 1)
         };
-        self.tell(&peers.readers, partial);
+        self.send(&peers.readers, partial);
     }
 
-    /// Notes what this gateway's own state says of its share and its fitness to plan.
-    fn note_standing(&self, state: &mut CoreState, now: ClockTime) {
+    /// Updates this gateway's own standing: its share of the retry budget and its fitness to plan.
+    fn update_standing(&self, state: &mut CoreState, now: ClockTime) {
         let engines_heard = state.directory.engines_heard(now);
         state.peers.note_own(engines_heard, self.core.is_behind());
         let count = state.peers.count(now);
@@ -111,15 +116,15 @@
         self.core.metrics.gateways.set(count);
     }
 
-    /// A report without demand to gateways that get one with each `reports`th.
-    fn report(&mut self, own: PeerStanding, reports: u32) -> PeerReport {
+    /// Builds a report without demand, for receivers that get one every `ticks` ticks.
+    fn report(&mut self, own: PeerStanding, ticks: u32) -> PeerReport {
         self.number.number += 1;
-        let every_ms = REPORT_EVERY.as_millis();
+        let every_ms = REPORT_INTERVAL.as_millis();
         PeerReport {
             number: self.number,
             name: self.core.name.clone(),
             zone: self.core.zone.clone(),
-            every_ms: u32::try_from(every_ms).unwrap_or(u32::MAX) * reports,
+            every_ms: u32::try_from(every_ms).unwrap_or(u32::MAX) * ticks,
             processor: own.processor,
             is_behind: own.is_behind,
             leaving: self.stop.phase() != StopPhase::Serving,
@@ -131,7 +136,7 @@
         }
     }
 
-    fn tell(&self, peers: &[SocketAddr], report: PeerReport) {
+    fn send(&self, peers: &[SocketAddr], report: PeerReport) {
         let report = InnerMessage::Peer(Box::new(report));
         for peer in peers {
             self.core.outlet.send(*peer, &report);
@@ -139,20 +144,20 @@
     }
 }
 
-/// Reports until the process ends.
+/// Sends reports until the process ends.
 pub(super) async fn report(mut reporter: PeerReporter<'_>) {
-    let mut ticks = interval(REPORT_EVERY);
+    let mut ticks = interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut number: u32 = 0;
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 number = number.wrapping_add(1);
-                reporter.send_whole(number);
+                reporter.send_full(number);
             }
             () = reporter.core.pressed.notified() => {
-                sleep(PRESSED_PAUSE).await;
-                reporter.send_pressed();
+                sleep(UNSERVED_DELAY).await;
+                reporter.send_unserved();
             }
         }
     }
--- a/crates/oatpier-gateway/src/metrics.rs
+++ b/crates/oatpier-gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of gateways and sidecars, in the Prometheus text form.
+//! Metrics of gateways and sidecars, in the Prometheus text format.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use crate::notice_metrics::NoticeMetrics;
 use crate::workspace_metrics::WorkspaceMetrics;
 
-/// Labels of a request that was answered.
+/// Labels of an answered request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct RequestLabels {
-    /// Its route.
+    /// The request's route.
     pub route: String,
-    /// How it ended, as in the log.
+    /// The request's outcome, as in the log.
     pub outcome: &'static str,
 }
 
-/// Labels of a cause or an outcome.
+/// Label with a cause or an outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct CauseLabels {
@@ -31,7 +31,7 @@
     pub cause: &'static str,
 }
 
-/// Labels of a route.
+/// Label with a route.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct RouteLabels {
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct MessageLabels {
-    /// What they say.
+    /// The kind of message.
     pub kind: &'static str,
-    /// Whether they were sent or received.
+    /// Whether the message was sent or received.
     pub direction: &'static str,
 }
 
-/// The counters that the duties share. Cloning shares them.
+/// Metrics shared by the threads of a process. Clones share the same values.
 #[derive(Debug, Clone)]
 pub struct ServingMetrics {
     registry: Arc<Registry>,
@@ -62,25 +62,25 @@
     advice: Family<CauseLabels, Counter>,
     messages: Family<MessageLabels, Counter>,
     message_bytes: Family<MessageLabels, Counter>,
-    /// What workspaces ask for and use.
+    /// Requests and used units of workspaces.
     pub workspaces: WorkspaceMetrics,
-    /// What endpoints say of themselves.
+    /// What endpoints report about themselves.
     pub notices: NoticeMetrics,
     /// The version of the configuration in force.
     pub config_version: Gauge,
-    /// Endpoints that are registered.
+    /// Number of registered endpoints.
     pub endpoints: Gauge,
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     pub in_flight: Gauge,
-    /// Gateways that were heard of lately.
+    /// Number of gateways that have sent a report recently.
     pub gateways: Gauge,
     /// Milliseconds since the store was last read.
     pub store_age_ms: Gauge,
     suspects: Gauge,
     barred: Gauge,
-    /// Each time that a ring was full.
+    /// Number of times that a ring was full.
     pub ring_full: Counter,
-    /// Decision lines that were left out.
+    /// Number of decision lines that were left out of the log.
     pub lines_left_out: Counter,
 }
 
@@ -90,7 +90,7 @@
             registry: Arc::default(),
             requests: Family::default(),
             attempts: Family::default(),
-            first_seconds: Family::new_with_constructor(first_histogram),
+            first_seconds: Family::new_with_constructor(first_piece_histogram),
             store_reads: Family::default(),
             store_writes: Family::default(),
             orders: Family::default(),
@@ -114,13 +114,13 @@
     }
 }
 
-/// From two milliseconds to about a minute.
-fn first_histogram() -> Histogram {
+/// Creates a histogram with buckets from two milliseconds to about half a minute.
+fn first_piece_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.002, 2.0, 15))
 }
 
 impl ServingMetrics {
-    /// The text that is served.
+    /// Returns all metrics in the text format.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut text = String::new();
@@ -129,7 +129,7 @@
         text
     }
 
-    /// Counts a request that was answered.
+    /// Counts an answered request.
     pub fn answered(&self, route: &str, outcome: &'static str) {
         let labels = RequestLabels {
             route: route.to_owned(),
@@ -138,12 +138,12 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Counts an attempt that ended.
+    /// Counts a finished attempt.
     pub fn attempted(&self, cause: &'static str) {
         self.attempts.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    /// Notes how long the first piece of an answer took.
+    /// Records the time until the first piece of an answer.
     pub fn first_after(&self, route: &str, took: Duration) {
         let labels = RouteLabels {
             route: route.to_owned(),
@@ -153,36 +153,36 @@
     }
 
     /// Counts a read of the store.
-    pub fn store_read(&self, cause: &'static str) {
+    pub fn count_store_read(&self, cause: &'static str) {
         self.store_reads.get_or_create(&CauseLabels { cause }).inc();
     }
 
     /// Counts a write to the store.
-    pub fn store_written(&self, cause: &'static str) {
+    pub fn count_store_write(&self, cause: &'static str) {
         self.store_writes
             .get_or_create(&CauseLabels { cause })
             .inc();
     }
 
-    /// Notes how many requests are suspect, and how many of them are barred.
+    /// Sets the number of suspect requests, and how many of them are barred from endpoints.
     pub fn note_suspects(&self, suspects: usize, barred: usize) {
         self.suspects
             .set(i64::try_from(suspects).unwrap_or(i64::MAX));
         self.barred.set(i64::try_from(barred).unwrap_or(i64::MAX));
     }
 
-    /// Counts an order to an engine, by its answer.
-    pub fn ordered(&self, cause: &'static str) {
+    /// Counts an order to an engine, by its outcome.
+    pub fn count_order(&self, cause: &'static str) {
         self.orders.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    /// Counts advice to sidecars, by its reason.
-    pub fn advised(&self, cause: &'static str) {
+    /// Counts load advice to sidecars, by its reason.
+    pub fn count_advice(&self, cause: &'static str) {
         self.advice.get_or_create(&CauseLabels { cause }).inc();
     }
 
     /// Counts a message between gateways and sidecars.
-    pub fn exchanged(&self, kind: &'static str, direction: &'static str, bytes: usize) {
+    pub fn count_message(&self, kind: &'static str, direction: &'static str, bytes: usize) {
         let labels = MessageLabels { kind, direction };
         self.messages.get_or_create(&labels).inc();
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
--- a/crates/oatpier-gateway/src/frame.rs
+++ b/crates/oatpier-gateway/src/node_process.rs
@@ -1,4 +1,4 @@
-//! The duties that gateways and sidecars share: reloads, metrics and readiness, log lines.
+//! The threads that gateways and sidecars have in common: settings reload, metrics and readiness, log output.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -13,34 +13,34 @@
 use crate::observe::{ObserveInputs, observe};
 use crate::reload::{ReloadInputs, SettingsFeed, SettingsSource, reload};
 
-/// What the shared duties are made of.
-pub struct FrameInputs {
-    /// Reads the settings again.
+/// Inputs of the common threads.
+pub struct ProcessInputs {
+    /// Reads the settings again after a change.
     pub source: Box<dyn SettingsSource>,
-    /// Where metrics are served.
+    /// Accepts connections to the metrics.
     pub metrics_listener: TcpListener,
-    /// Where the platform asks whether the process takes callers.
+    /// Accepts connections of the platform's readiness probe.
     pub readiness_listener: Option<TcpListener>,
-    /// Whether the process can serve.
-    pub able: Arc<AtomicBool>,
+    /// Readiness flag: whether the process can serve.
+    pub can_serve: Arc<AtomicBool>,
 }
 
-/// A process whose shared duties run.
-pub struct ProcessFrame {
-    /// Takes further duties.
+/// A process whose common threads are running.
+pub struct NodeProcess {
+    /// Spawns and stops the process's threads.
     pub process: DutyProcess,
     /// The settings in force.
     pub settings: SettingsFeed,
     /// The process's metrics.
     pub metrics: ServingMetrics,
-    /// Where decisions are logged.
+    /// The decision log.
     pub log: DecisionLog,
 }
 
-impl ProcessFrame {
-    /// Starts the shared duties.
+impl NodeProcess {
+    /// Starts the common threads.
     #[must_use]
-    pub fn start(settings: &NodeSettings, inputs: FrameInputs) -> Self {
+    pub fn start(settings: &NodeSettings, inputs: ProcessInputs) -> Self {
         let mut process = DutyProcess::default();
         let metrics = ServingMetrics::default();
         let (log, lines) = DecisionLog::new(settings.name.as_str(), &metrics);
@@ -55,7 +55,7 @@
             metrics_listener: inputs.metrics_listener,
             readiness_listener: inputs.readiness_listener,
             metrics: metrics.clone(),
-            able: inputs.able,
+            can_serve: inputs.can_serve,
             stop: process.stop.clone(),
         };
         process.spawn("observe", || observe(observe_inputs));
--- a/crates/oatpier-gateway/src/notice_metrics.rs
+++ b/crates/oatpier-gateway/src/notice_metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of what endpoints say of themselves.
+//! Metrics of what endpoints report about themselves.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -7,7 +7,7 @@
 
 use crate::metrics::CauseLabels;
 
-/// What endpoints said, and how many have asked for what. Cloning shares it.
+/// Notices from endpoints, and endpoints by their last notice. Clones share the same values.
 #[derive(Debug, Clone, Default)]
 pub struct NoticeMetrics {
     notices: Family<CauseLabels, Counter>,
@@ -16,24 +16,24 @@
     resting: Gauge,
 }
 
-/// Endpoints by what they have asked for.
+/// Numbers of endpoints, by what they reported.
 #[derive(Debug, Clone, Copy)]
 pub struct NoticeCounts {
-    /// They name a limit.
+    /// Endpoints that state a limit.
     pub limited: usize,
-    /// Their answers said that they leave.
+    /// Endpoints whose answers said that they are shutting down.
     pub leaving: usize,
-    /// They want no requests from this gateway now.
+    /// Endpoints that currently accept no requests from this gateway.
     pub resting: usize,
 }
 
 impl NoticeMetrics {
-    /// Counts what an endpoint said, by what is believed anew.
+    /// Counts an endpoint's notice, by the change that it caused.
     pub fn noticed(&self, cause: &'static str) {
         self.notices.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    /// Notes how many endpoints have asked for what.
+    /// Sets the numbers of endpoints.
     pub fn note_counts(&self, counts: NoticeCounts) {
         let shown = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.limited.set(shown(counts.limited));
--- a/crates/oatpier-gateway/src/observe.rs
+++ b/crates/oatpier-gateway/src/observe.rs
@@ -1,4 +1,4 @@
-//! Metrics, and whether a gateway takes callers.
+//! HTTP endpoints for metrics and readiness.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -9,20 +9,20 @@
 
 use crate::metrics::ServingMetrics;
 
-/// Connections at once; more are answered 503.
-const OBSERVE_CONNECTIONS: usize = 32;
+/// Maximum number of connections; further ones are answered with 503.
+const MAX_OBSERVE_CONNECTIONS: usize = 32;
 
-/// What the duty works on.
+/// Inputs of the thread.
 pub struct ObserveInputs {
-    /// Where metrics are served.
+    /// Accepts connections to the metrics.
     pub metrics_listener: std::net::TcpListener,
-    /// Where the platform asks whether the process takes callers.
+    /// Accepts connections of the platform's readiness probe.
     pub readiness_listener: Option<std::net::TcpListener>,
     /// The metrics.
     pub metrics: ServingMetrics,
-    /// Whether the process can serve.
-    pub able: Arc<AtomicBool>,
-    /// Tells to stop.
+    /// Readiness flag: whether the process can serve.
+    pub can_serve: Arc<AtomicBool>,
+    /// Stop signal of the process.
     pub stop: StopSignal,
 }
 
@@ -30,7 +30,7 @@
 pub async fn observe(inputs: ObserveInputs) {
     let handler = Arc::new(ObserveHandler {
         metrics: Box::new(inputs.metrics),
-        able: inputs.able,
+        able: inputs.can_serve,
         stop: inputs.stop.clone(),
     });
     let metrics = serve(Some(inputs.metrics_listener), Arc::clone(&handler));
@@ -49,12 +49,12 @@
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(error) => {
-            spdlog::error!("can't observe", kv: { error: = error.to_string() });
+            spdlog::error!("failed to serve metrics or readiness", kv: { error: = error.to_string() });
             return std::future::pending().await;
         }
     };
     let limits = ServerLimits {
-        connections: OBSERVE_CONNECTIONS,
+        connections: MAX_OBSERVE_CONNECTIONS,
         ..ServerLimits::default()
     };
     server::serve(
--- a/crates/oatpier-gateway/src/parts_writer.rs
+++ b/crates/oatpier-gateway/src/parts_writer.rs
@@ -1,4 +1,4 @@
-//! The duty that claims and renews parts of limits in the store.
+//! Claims and renews parts of workspaces' limits in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,69 +12,69 @@
 use crate::metrics::ServingMetrics;
 use crate::reload::SettingsFeed;
 
-/// How long a claim may take. One that comes back later counts from when it was sent all the same.
-const CLAIM_WAIT: Duration = Duration::from_millis(800);
+/// Timeout of a claim. A claim that succeeds later still counts from the time at which it was sent.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A claim that is to be written.
+/// A claim to be written.
 #[derive(Debug, Clone)]
 pub struct DueClaim {
     /// The claim.
     pub claim: PartClaim,
-    /// When it was decided, which is before it is sent: what is held by it is counted from here.
+    /// When the claim was decided, which is before it is sent. The holding time that it grants counts from here.
     pub sent_at: ClockTime,
 }
 
-/// What came of a claim.
+/// The result of a claim.
 #[derive(Debug, Clone)]
 pub struct ClaimResult {
     /// The claim.
     pub due: DueClaim,
-    /// What came of it.
+    /// The claim's outcome.
     pub outcome: ClaimOutcome,
 }
 
-/// What the duty works on.
+/// Inputs of the thread.
 pub struct PartsWriterInputs {
-    /// Where the store is.
+    /// The store's address.
     pub settings: SettingsFeed,
-    /// What is to be written.
+    /// Claims to write.
     pub claims: RingReceiver<DueClaim>,
-    /// Where results go.
+    /// Receives the results.
     pub results: RingSender<ClaimResult>,
     /// Counts writes.
     pub metrics: ServingMetrics,
-    /// Tells to stop.
+    /// Stop signal of the process.
     pub stop: StopSignal,
 }
 
-/// Writes until the process ends.
+/// Writes claims until the process ends.
 pub async fn write_parts(inputs: PartsWriterInputs) {
     let stop = inputs.stop.clone();
     tokio::select! {
-        () = write_for_ever(inputs) => {}
+        () = write_in_loop(inputs) => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
 }
 
-async fn write_for_ever(inputs: PartsWriterInputs) {
+async fn write_in_loop(inputs: PartsWriterInputs) {
     let mut settings = Arc::clone(&inputs.settings.borrow());
     let mut client = StoreClient::new(settings.store);
     while let Some(due) = inputs.claims.receive().await {
-        let present = Arc::clone(&inputs.settings.borrow());
-        if present != settings {
-            client = StoreClient::new(present.store);
-            settings = present;
+        let current = Arc::clone(&inputs.settings.borrow());
+        if current != settings {
+            client = StoreClient::new(current.store);
+            settings = current;
         }
-        let outcome = match client.claim(&due.claim, CLAIM_WAIT).await {
+        let outcome = match client.claim(&due.claim, CLAIM_TIMEOUT).await {
             Ok(outcome) => {
-                inputs.metrics.store_written("answered");
+                inputs.metrics.count_store_write("answered");
                 outcome
             }
             Err(error) => {
-                inputs.metrics.store_written("failed");
+                inputs.metrics.count_store_write("failed");
                 let part = due.claim.record.part.to_string();
                 let reason = error_chain(&error);
-                spdlog::warn!("a part of the limits was not claimed", kv: { part, reason });
+                spdlog::warn!("failed to claim a part of the limits", kv: { part, reason });
                 ClaimOutcome::Failed
             }
         };
--- a/crates/oatpier-gateway/src/records.rs
+++ b/crates/oatpier-gateway/src/records.rs
@@ -1,8 +1,8 @@
-//! The records duty: reads configuration and registry from the store, over and over, unless another gateway
-//! of the same zone has just seen that nothing changed; see [`oatpier_serving::reads`].
+//! Reads configuration and registry from the store periodically. A read is skipped when another gateway of the same
+//! availability zone has just read the store and sent what changed; see [`oatpier_serving::reads`].
 //!
-//! One call reads both. There is no watch: one would return at each heartbeat of each endpoint, and
-//! one that fell silent would leave the gateway with an old configuration.
+//! One call reads both. There is no watch: it would return at each heartbeat of each endpoint, and a watch that
+//! stopped delivering would leave the gateway with an old configuration.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,84 +25,85 @@
 use crate::metrics::ServingMetrics;
 use crate::reload::SettingsFeed;
 
-/// The share of the shorter of the two bounds (configuration, draining) between two reads. A
-/// change is then seen within half of its bound, and once more if one read fails.
+/// Interval between reads, as a share of the shorter of the two bounds (configuration, draining). A change is then
+/// seen within half of its bound, with time for one more read if one fails.
 const READ_SHARE: f64 = 0.45;
 
-/// The share of the time between reads that one read may take.
-const WAIT_SHARE: f64 = 0.8;
+/// Timeout of a read, as a share of the interval between reads.
+const TIMEOUT_SHARE: f64 = 0.8;
 
-/// After a failed read the next one comes this much sooner, so that a gateway without a
-/// configuration gets one soon after the store is back. At most one more call a period.
-const FAILED_SHARE: f64 = 0.5;
+/// Pause after a failed read, as a share of the interval between reads. It is shorter than the interval so that a
+/// gateway without a configuration gets one soon after the store is back. It costs at most one more call per
+/// interval.
+const RETRY_SHARE: f64 = 0.5;
 
-/// From one read to the next while there is no configuration yet: until then every request is refused.
-const COLD_EVERY: Duration = Duration::from_millis(250);
+/// Interval between reads while there is no configuration yet: until then every request is refused.
+const COLD_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a read may take while there is no configuration yet, the first time and by how much longer
-/// each time after, up to the usual time. A store that was silent answers new calls some milliseconds
-/// after its return and old ones never; one that is slow must get its time as well.
-const COLD_WAIT: Duration = Duration::from_millis(300);
+/// Timeout of the first read while there is no configuration yet, and its increase after each failure, up to the
+/// usual timeout. A store that was unreachable answers new calls some milliseconds after it is back, but never
+/// answers old ones. A slow store must get enough time as well.
+const COLD_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Reads without a configuration after which the wait begins anew.
-const COLD_ROUND: u32 = 4;
+/// Number of failed reads without a configuration after which the timeout starts again at its first value.
+const COLD_TIMEOUT_STEPS: u32 = 4;
 
-/// What the store said.
+/// Result of a store read, by this gateway or another one.
 #[derive(Debug)]
 pub enum StoreNews {
-    /// It was read.
+    /// This gateway has read the store.
     Read {
         /// The configuration, if it has changed since the last read.
         config: Option<Arc<SiteConfig>>,
-        /// All endpoints that are registered.
+        /// All registered endpoints.
         endpoints: Vec<EndpointRecord>,
-        /// Requests that were at endpoints that ended.
+        /// Requests that were running at endpoints when these ended.
         crashes: Vec<CrashRecord>,
-        /// Who holds the parts of limits.
+        /// The holders of limit parts.
         parts: Vec<PartEntry>,
-        /// Which copy of the store was read.
+        /// Era of the store: which copy of it was read.
         era: StoreEra,
-        /// What others are told of it.
+        /// The update to send to other gateways.
         word: StoreWord,
     },
-    /// Another gateway of the zone has read it, and nothing has changed.
+    /// Another gateway of the availability zone has read the store, and nothing has changed.
     Same,
-    /// Another gateway of the zone has read it, and endpoints have changed.
+    /// Another gateway of the availability zone has read the store, and endpoints have changed.
     Told {
-        /// All endpoints that are registered.
+        /// All registered endpoints.
         endpoints: Vec<EndpointRecord>,
     },
-    /// It could not be read.
+    /// The store could not be read.
     Failed,
 }
 
-/// What the duty works on.
-pub struct RecordsInputs {
-    /// Where the store is, and how soon changes must be seen.
+/// Inputs of the thread.
+pub struct ReaderInputs {
+    /// The store's address, and how soon changes must be seen.
     pub settings: SettingsFeed,
-    /// Where news goes.
+    /// Receives the results of reads.
     pub news: RingSender<StoreNews>,
-    /// What other gateways saw there.
+    /// Store updates from other gateways.
     pub words: RingReceiver<StoreWord>,
-    /// Counts calls.
+    /// Counts reads.
     pub metrics: ServingMetrics,
-    /// Tells to stop.
+    /// Stop signal of the process.
     pub stop: StopSignal,
 }
 
 /// Reads the store until the process ends.
-pub async fn records(inputs: RecordsInputs) {
+pub async fn read_store(inputs: ReaderInputs) {
     let stop = inputs.stop.clone();
     tokio::select! {
-        () = read_for_ever(inputs) => {}
+        () = read_in_loop(inputs) => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
 }
 
-async fn read_for_ever(inputs: RecordsInputs) {
+async fn read_in_loop(inputs: ReaderInputs) {
     let mut settings = Arc::clone(&inputs.settings.borrow());
     let mut client = StoreClient::new(settings.store);
-    let mut reader = RecordsReader::new(inputs.metrics);
+    let mut reader = StoreReader::new(inputs.metrics);
     let clock = RuntimeClock::start();
     let mut schedule = ReadSchedule::new(rand::random());
     loop {
@@ -111,14 +112,14 @@
             () = sleep_until(due) => None,
             word = inputs.words.receive() => word,
         };
-        let present = Arc::clone(&inputs.settings.borrow());
-        if present != settings {
-            client = StoreClient::new(present.store);
-            settings = present;
+        let current = Arc::clone(&inputs.settings.borrow());
+        if current != settings {
+            client = StoreClient::new(current.store);
+            settings = current;
         }
         let period = read_period(&settings);
         let news = match word {
-            Some(word) => reader.take_word(&word),
+            Some(word) => reader.apply_update(&word),
             None => Some(read_once(&client, &mut reader, &mut schedule, period, clock).await),
         };
         let Some(news) = news else {
@@ -133,106 +134,107 @@
 
 async fn read_once(
     client: &StoreClient,
-    reader: &mut RecordsReader,
+    reader: &mut StoreReader,
     schedule: &mut ReadSchedule,
     period: Duration,
     clock: RuntimeClock,
 ) -> StoreNews {
-    let begun = clock.now();
-    match client.read(reader.wait(period)).await {
+    let started_at = clock.now();
+    match client.read(reader.read_timeout(period)).await {
         Ok(snapshot) => {
-            schedule.note_read(begun, period);
-            reader.take(snapshot)
+            schedule.note_read(started_at, period);
+            reader.apply_snapshot(snapshot)
         }
         Err(error) => {
             reader.note_failure(&error);
-            schedule.note_failure(begun + reader.pause_after_failure(period));
+            schedule.note_failure(started_at + reader.retry_interval(period));
             StoreNews::Failed
         }
     }
 }
 
-/// From one read to the next.
+/// Returns the interval between reads.
 fn read_period(settings: &NodeSettings) -> Duration {
     let bounds = &settings.bounds;
     bounds.config.min(bounds.drain).mul_f64(READ_SHARE)
 }
 
-/// Turns snapshots into news, and logs what changes about the store.
-struct RecordsReader {
+/// Turns store snapshots into events, and logs changes of the store's state.
+struct StoreReader {
     metrics: ServingMetrics,
     config: Option<Bytes>,
-    /// What is known of the store.
+    /// The state of the store as last read or updated.
     view: Option<StoreView>,
-    reachable: Option<bool>,
-    /// Reads in a row that failed.
+    is_reachable: Option<bool>,
+    /// Number of consecutive failed reads.
     failures: u32,
     unreadable: UnreadableEntries,
 }
 
-/// Entries of the store that can't be read. They are read anew about once a second, and would fill the log.
+/// Entries of the store that can't be decoded. They are read again about once a second; logging them each time would
+/// fill the log.
 #[derive(Debug, Default)]
 pub struct UnreadableEntries {
     known: Vec<UnreadableEntry>,
 }
 
 impl UnreadableEntries {
-    /// Takes what the last read found; gives back those that have appeared or changed.
-    pub fn renew(&mut self, found: Vec<UnreadableEntry>) -> Vec<UnreadableEntry> {
-        let is_new = |entry: &&UnreadableEntry| !self.known.contains(entry);
-        let fresh = found.iter().filter(is_new).cloned().collect();
+    /// Replaces the known entries by those of the last read. Returns the entries that are new or have changed.
+    pub fn replace(&mut self, found: Vec<UnreadableEntry>) -> Vec<UnreadableEntry> {
+        let is_changed = |entry: &&UnreadableEntry| !self.known.contains(entry);
+        let fresh = found.iter().filter(is_changed).cloned().collect();
         self.known = found;
         fresh
     }
 }
 
-impl RecordsReader {
+impl StoreReader {
     fn new(metrics: ServingMetrics) -> Self {
         Self {
             metrics,
             config: None,
             view: None,
-            reachable: None,
+            is_reachable: None,
             failures: 0,
             unreadable: UnreadableEntries::default(),
         }
     }
 
-    /// Whether no configuration was read yet.
+    /// Returns whether no configuration has been read yet.
     fn is_cold(&self) -> bool {
         self.config.is_none()
     }
 
-    /// How long the next read may take.
-    fn wait(&self, period: Duration) -> Duration {
-        let usual = period.mul_f64(WAIT_SHARE);
+    /// Returns the timeout of the next read.
+    fn read_timeout(&self, period: Duration) -> Duration {
+        let usual = period.mul_f64(TIMEOUT_SHARE);
         if self.is_cold() {
-            usual.min(COLD_WAIT * (1 + self.failures % COLD_ROUND))
+            usual.min(COLD_TIMEOUT * (1 + self.failures % COLD_TIMEOUT_STEPS))
         } else {
             usual
         }
     }
 
-    /// From the beginning of a read that failed to the next one.
-    fn pause_after_failure(&self, period: Duration) -> Duration {
+    /// Returns the time from the start of a failed read to the next read.
+    fn retry_interval(&self, period: Duration) -> Duration {
         if self.is_cold() {
-            COLD_EVERY
+            COLD_INTERVAL
         } else {
-            period.mul_f64(FAILED_SHARE)
+            period.mul_f64(RETRY_SHARE)
         }
     }
 
-    fn take(&mut self, snapshot: StoreSnapshot) -> StoreNews {
-        self.metrics.store_read("answered");
-        if self.reachable != Some(true) {
+    fn apply_snapshot(&mut self, snapshot: StoreSnapshot) -> StoreNews {
+        self.metrics.count_store_read("answered");
+        if self.is_reachable != Some(true) {
             let (endpoints, crashes) = (snapshot.endpoints.len(), snapshot.crashes.len());
-            spdlog::info!("the store is read", kv: { endpoints:, crashes: });
+            spdlog::info!("the store is reachable", kv: { endpoints:, crashes: });
         }
-        self.reachable = Some(true);
+        self.is_reachable = Some(true);
         self.failures = 0;
-        for entry in self.unreadable.renew(snapshot.unreadable) {
+        for entry in self.unreadable.replace(snapshot.unreadable) {
             let (key, reason) = (entry.key.as_str(), entry.reason.as_str());
-            spdlog::warn!("an entry of the store can't be used", kv: { key:, reason: });
+            spdlog::warn!("ignoring an invalid entry of the store", kv: { key:, reason: });
         }
         let own = OwnEntries {
             crashes: &snapshot.crashes,
@@ -245,7 +247,7 @@
         let endpoints = view.endpoints().to_vec();
         self.view = Some(view);
         StoreNews::Read {
-            config: snapshot.config.and_then(|value| self.changed(value)),
+            config: snapshot.config.and_then(|value| self.decode_changed(value)),
             endpoints,
             crashes: snapshot.crashes,
             parts: snapshot.parts,
@@ -254,8 +256,8 @@
         }
     }
 
-    /// Takes what another gateway saw; none if that says nothing here.
-    fn take_word(&mut self, word: &StoreWord) -> Option<StoreNews> {
+    /// Applies another gateway's update. Returns `None` if the update does not fit the state known here.
+    fn apply_update(&mut self, word: &StoreWord) -> Option<StoreNews> {
         let view = self.view.as_mut()?;
         match view.take_word(word) {
             WordOutcome::Same => Some(StoreNews::Same),
@@ -266,8 +268,8 @@
         }
     }
 
-    /// A configuration that can't be used is refused, and the one in force stays.
-    fn changed(&mut self, value: Bytes) -> Option<Arc<SiteConfig>> {
+    /// Decodes a configuration that has changed. An invalid one is rejected, and the one in force stays.
+    fn decode_changed(&mut self, value: Bytes) -> Option<Arc<SiteConfig>> {
         if self.config.as_ref() == Some(&value) {
             return None;
         }
@@ -276,18 +278,18 @@
         match decoded {
             Ok(config) => Some(Arc::new(config)),
             Err(error) => {
-                spdlog::error!("the configuration was refused", kv: { reason: = error_chain(&error) });
+                spdlog::error!("rejected an invalid configuration, keeping the current one", kv: { reason: = error_chain(&error) });
                 None
             }
         }
     }
 
     fn note_failure(&mut self, error: &dyn std::error::Error) {
-        self.metrics.store_read("failed");
-        if self.reachable != Some(false) {
-            spdlog::warn!("the store can't be read", kv: { reason: = error_chain(error) });
+        self.metrics.count_store_read("failed");
+        if self.is_reachable != Some(false) {
+            spdlog::warn!("failed to read the store", kv: { reason: = error_chain(error) });
         }
-        self.reachable = Some(false);
+        self.is_reachable = Some(false);
         self.failures = self.failures.wrapping_add(1);
     }
 }
--- a/crates/oatpier-gateway/src/reload.rs
+++ b/crates/oatpier-gateway/src/reload.rs
@@ -1,8 +1,7 @@
-//! The reload duty: takes changes of the settings file over, after SIGHUP or without it.
+//! Reloads the settings file, on SIGHUP and when the file has changed.
 //!
-//! Bounds and the store's address are taken over at once. Addresses that the process listens on are
-//! read at the start only; a change of them is logged and takes effect with the next start. A file
-//! that can't be used is refused, and the settings in force stay.
+//! Changed bounds and a changed store address apply at once. Listen addresses are read only at the start; a change of
+//! them is logged and applies after a restart. An invalid file is rejected, and the current settings stay in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,17 +12,17 @@
 use tokio::sync::watch;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// The settings file is looked at this often, since it may change without a signal. It has one or two
+/// Interval between reads of the settings file, since it may change without a signal. The file has one or two
 /// kilobytes.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Where settings come from.
+/// Source of the settings.
 pub trait SettingsSource: Send {
-    /// Reads and checks them.
+    /// Reads and validates the settings.
     ///
     /// # Errors
     ///
-    /// What is wrong with them, as a line for the log.
+    /// Returns a description of what is wrong with the settings, for the log.
     fn read(&self) -> Result<NodeSettings, String>;
 }
 
@@ -36,71 +35,71 @@
     }
 }
 
-/// The settings in force, as the duties see them.
+/// Provides the settings in force to the threads.
 pub type SettingsFeed = watch::Receiver<Arc<NodeSettings>>;
 
-/// What the duty works on.
+/// Inputs of the thread.
 pub struct ReloadInputs {
-    /// Where settings come from.
+    /// Source of the settings.
     pub source: Box<dyn SettingsSource>,
-    /// The settings in force.
+    /// Publishes the settings in force.
     pub settings: watch::Sender<Arc<NodeSettings>>,
-    /// Tells to stop.
+    /// Stop signal of the process.
     pub stop: StopSignal,
 }
 
-/// Takes changes over until the process ends.
+/// Reloads settings until the process ends.
 pub async fn reload(inputs: ReloadInputs) {
     tokio::select! {
-        () = look_for_ever(&inputs) => {}
+        () = watch_source(&inputs) => {}
         () = inputs.stop.reached(StopPhase::Ended) => {}
     }
 }
 
-async fn look_for_ever(inputs: &ReloadInputs) {
-    let mut ticks = interval(LOOK_EVERY);
+async fn watch_source(inputs: &ReloadInputs) {
+    let mut ticks = interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut hangup = match signal(SignalKind::hangup()) {
         Ok(hangup) => hangup,
         Err(error) => {
-            spdlog::error!("the system takes no handler", kv: { error: = error.to_string() });
+            spdlog::error!("failed to install the SIGHUP handler", kv: { error: = error.to_string() });
             return std::future::pending().await;
         }
     };
-    let mut refused = None;
+    let mut last_error = None;
     loop {
-        let asked = tokio::select! {
+        let is_requested = tokio::select! {
             _ = ticks.tick() => false,
             _ = hangup.recv() => true,
         };
-        if asked {
-            spdlog::info!("reload asked for");
+        if is_requested {
+            spdlog::info!("reload requested by SIGHUP");
         }
         match inputs.source.read() {
             Ok(settings) => {
-                refused = None;
-                take(&inputs.settings, settings);
+                last_error = None;
+                apply(&inputs.settings, settings);
             }
-            Err(reason) if asked || refused.as_ref() != Some(&reason) => {
-                spdlog::error!("the settings were refused, the old ones stay", kv: { reason: });
-                refused = Some(reason);
+            Err(reason) if is_requested || last_error.as_ref() != Some(&reason) => {
+                spdlog::error!("rejected invalid settings, keeping the current ones", kv: { reason: });
+                last_error = Some(reason);
             }
             Err(_) => {}
         }
     }
 }
 
-fn take(feed: &watch::Sender<Arc<NodeSettings>>, settings: NodeSettings) {
+fn apply(feed: &watch::Sender<Arc<NodeSettings>>, settings: NodeSettings) {
     let known = Arc::clone(&feed.borrow());
     if *known == settings {
         return;
     }
-    let moved = known.callers != settings.callers
+    let is_listener_changed = known.callers != settings.callers
         || known.readiness != settings.readiness
         || known.metrics != settings.metrics
         || known.inner_address() != settings.inner_address();
-    if moved {
-        spdlog::warn!("an address to listen on has changed; it takes effect with the next start");
+    if is_listener_changed {
+        spdlog::warn!("a listen address has changed; restart the process to apply it");
     }
     spdlog::info!("settings reloaded");
     feed.send_replace(Arc::new(settings));
--- a/crates/oatpier-gateway/src/sidecar/engine_link.rs
+++ b/crates/oatpier-gateway/src/sidecar/engine_link.rs
@@ -1,4 +1,4 @@
-//! Calls to the engine beside a sidecar.
+//! Calls to the engine on the sidecar's VM.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::client::{ClientLimits, HttpClient};
 
-/// How long a report may take: the engine is on the same VM and answers at once if it lives.
-const REPORT_WAIT: Duration = Duration::from_millis(400);
+/// Timeout for a report: the engine is on the same VM and, if alive, answers at once.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the answer to an order may take; it says that the order was accepted, not done, and comes
-/// within a few milliseconds from the same VM.
-const ORDER_WAIT: Duration = Duration::from_millis(200);
+/// Timeout for the answer to an order. The answer says that the order was accepted, not carried out, and comes within
+/// a few milliseconds from the same VM.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The largest report, in bytes.
-const REPORT_BYTES: usize = 1 << 20;
+/// Maximum size of a report, in bytes.
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
-/// The largest answer to an order, in bytes.
-const ANSWER_BYTES: usize = 64 << 10;
+/// Maximum size of an answer to an order, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// The engine beside a sidecar.
+/// HTTP connection to the engine on the sidecar's VM.
 pub struct EngineLink {
     client: HttpClient,
     address: SocketAddr,
@@ -33,11 +33,11 @@
 }
 
 impl EngineLink {
-    /// A link to the engine at an address, for the sidecar `holder`.
+    /// Creates a link to the engine at an address, for the sidecar `holder`.
     #[must_use]
     pub fn new(address: SocketAddr, holder: DaemonName) -> Self {
         let limits = ClientLimits {
-            connect: REPORT_WAIT,
+            connect: REPORT_TIMEOUT,
             idle_per_address: 1,
             ..ClientLimits::default()
         };
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The engine's instance, if it was asked.
+    /// Returns the engine's instance, if it was identified.
     #[must_use]
     pub fn instance(&self) -> Option<&EndpointName> {
         self.instance.as_ref()
@@ -59,12 +59,12 @@
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// Returns the reason if no report could be read.
     pub async fn report(&mut self) -> Result<EngineReport, String> {
         let request = engine::report_request();
         let answer = self
             .client
-            .fetch(self.address, request, REPORT_WAIT, REPORT_BYTES)
+            .fetch(self.address, request, REPORT_TIMEOUT, MAX_REPORT_BYTES)
             .await
             .map_err(|error| error.to_string())?;
         if answer.status() != StatusCode::OK {
@@ -77,35 +77,37 @@
         })
     }
 
-    /// Asks the engine which instance it is. It tells with every health check, also where it is not
-    /// healthy, and nowhere else that is open to a sidecar.
+    /// Asks the engine for its instance. The engine states it in the answer to each health check, also while it is
+    /// not healthy, and in no other answer that a sidecar can get.
     ///
     /// # Errors
     ///
-    /// It did not answer, or did not tell.
+    /// Returns the reason if the engine did not answer, or the answer names no instance.
     pub async fn identify(&mut self, health_path: &str) -> Result<(), String> {
         let request = engine::health_request(health_path).map_err(|error| error.to_string())?;
         let answer = self
             .client
-            .fetch(self.address, request, REPORT_WAIT, ANSWER_BYTES)
+            .fetch(self.address, request, REPORT_TIMEOUT, MAX_ANSWER_BYTES)
             .await
             .map_err(|error| error.to_string())?;
         let instance = engine::instance_of(&answer);
-        self.instance = Some(instance.ok_or_else(|| format!("{} named none", answer.status()))?);
+        self.instance = Some(
+            instance.ok_or_else(|| format!("the {} answer names no instance", answer.status()))?,
+        );
         Ok(())
     }
 
-    /// The engine may have been restarted.
+    /// Forgets the instance, as the engine may have been restarted.
     pub fn forget_instance(&mut self) {
         self.instance = None;
     }
 
-    /// Gives an order.
+    /// Sends an order.
     pub async fn order(&mut self, order: &NumberedOrder) -> OrderAnswer {
         let request = engine::order_request(order, &self.holder, self.instance.as_ref());
         let answer = self
             .client
-            .fetch(self.address, request, ORDER_WAIT, ANSWER_BYTES)
+            .fetch(self.address, request, ORDER_TIMEOUT, MAX_ANSWER_BYTES)
             .await;
         match answer {
             Ok(answer) => engine::order_answer(answer.status()),
--- a/crates/oatpier-gateway/src/sidecar/mod.rs
+++ b/crates/oatpier-gateway/src/sidecar/mod.rs
@@ -1,10 +1,10 @@
-//! A sidecar: the only process that gives its engine orders.
+//! A sidecar: the only process that sends orders to its engine.
 //!
 //! - [`engine_link`]: calls to the engine.
-//! - [`pulses`]: what gateways are told, and when.
+//! - [`pulses`]: status messages to gateways, and when they are sent.
 //!
-//! One loop reads the engine's report, hears gateways, gives the orders that
-//! [`oatpier_serving::residency`] decides, and sends pulses.
+//! One loop reads the engine's report, receives messages from gateways, sends the orders that
+//! [`oatpier_serving::residency`] decides on, and sends pulses.
 
 pub mod engine_link;
 pub mod pulses;
@@ -25,44 +25,45 @@
 
 use crate::decisions::{DecisionLine, DecisionLog, LineWeight};
 use crate::exchange::{InnerSocket, MessageOutlet};
-use crate::frame::{FrameInputs, ProcessFrame};
 use crate::metrics::ServingMetrics;
+use crate::node_process::{NodeProcess, ProcessInputs};
 use crate::reload::{SettingsFeed, SettingsSource};
 
 use self::engine_link::EngineLink;
 use self::pulses::PulseSender;
 
-/// From one reading of the engine's report to the next. The report is free on its own VM; gateways
-/// place requests by it, so it should be fresher than the time to a first token.
-const REPORT_EVERY: Duration = Duration::from_millis(60);
+/// Interval between reads of the engine's report. Reading it on the same VM costs next to nothing. Gateways place
+/// requests by it, so it should be fresher than the time to a first token.
+const REPORT_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Orders that are given in a row before the loop hears gateways again.
-const ORDERS_IN_A_ROW: usize = 8;
+/// Maximum number of orders sent in a row before the loop receives messages from gateways again.
+const MAX_CONSECUTIVE_ORDERS: usize = 8;
 
-/// After an order without an answer, the next one waits this long. The order may still be carried out,
-/// seconds later or never; given again under the same sequence, only one of the two is taken.
+/// Pause after an order that got no answer. The order may still be carried out, seconds later or never. If it is sent
+/// again under the same sequence number, the engine accepts only one of the two.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(50);
 
-/// After an order that crossed another one, the next one waits this long.
+/// Pause after an order that conflicted with another one.
 const CONFLICT_PAUSE: Duration = Duration::from_millis(20);
 
-/// How often an engine that does not tell its instance is asked. Each time counts as a health check.
-const IDENTIFY_EVERY: Duration = Duration::from_secs(1);
+/// Interval between attempts to identify an engine that does not state its instance. Each attempt counts as a health
+/// check.
+const IDENTIFY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Loads that the weight store bears before a gateway has said how many; one a window for each
-/// engine is far below any rate.
-const UNKNOWN_PACE: LoadPace = LoadPace {
+/// Load pace before a gateway has stated the weight store's limit. One load per window for each engine is far below
+/// any rate.
+const DEFAULT_PACE: LoadPace = LoadPace {
     loads: 1,
     engines: 64,
     place: u32::MAX,
     window: Duration::from_secs(5),
 };
 
-/// Starts a sidecar's duties.
+/// Starts the threads of a sidecar.
 ///
 /// # Errors
 ///
-/// An address that can't be listened on.
+/// Returns an error if an address can't be bound.
 pub fn start(
     settings: &NodeSettings,
     source: Box<dyn SettingsSource>,
@@ -74,25 +75,25 @@
         purpose: "gateways",
         cause,
     })?;
-    let frame_inputs = FrameInputs {
+    let process_inputs = ProcessInputs {
         source,
         metrics_listener,
         readiness_listener: None,
-        able: Arc::new(AtomicBool::new(true)),
+        can_serve: Arc::new(AtomicBool::new(true)),
     };
-    let mut frame = ProcessFrame::start(settings, frame_inputs);
+    let mut node = NodeProcess::start(settings, process_inputs);
     let inputs = EngineInputs {
-        settings: frame.settings,
+        settings: node.settings,
         socket,
-        metrics: frame.metrics,
-        log: frame.log,
-        stop: frame.process.stop.clone(),
+        metrics: node.metrics,
+        log: node.log,
+        stop: node.process.stop.clone(),
     };
-    frame.process.spawn("engine", || engine_duty(inputs));
-    Ok(frame.process)
+    node.process.spawn("engine", || run_engine(inputs));
+    Ok(node.process)
 }
 
-/// What the engine duty works on.
+/// Inputs of the engine thread.
 struct EngineInputs {
     settings: SettingsFeed,
     socket: UdpSocket,
@@ -101,22 +102,24 @@
     stop: StopSignal,
 }
 
-/// Runs the engine's orders and pulses until the process is told to stop. An order that is under way
-/// goes on at the engine by itself, so there is nothing to drain.
-async fn engine_duty(inputs: EngineInputs) {
+/// Runs the sidecar's loop until the process is told to stop. The engine finishes an order in progress by itself, so
+/// there is nothing to drain.
+async fn run_engine(inputs: EngineInputs) {
     let stop = inputs.stop.clone();
     let settings = Arc::clone(&inputs.settings.borrow());
     let address = settings.engine;
     let socket = InnerSocket::new(inputs.socket, inputs.metrics.clone());
     let (Some(address), Ok(socket)) = (address, socket) else {
-        spdlog::critical!("the settings name no engine, or the runtime takes no socket");
+        spdlog::critical!(
+            "the settings name no engine, or the socket could not be registered with the runtime"
+        );
         stop.advance(StopPhase::Ended);
         return;
     };
     let clock = RuntimeClock::start();
     let pace = LoadPace {
         window: settings.bounds.load_window,
-        ..UNKNOWN_PACE
+        ..DEFAULT_PACE
     };
     let mut sidecar = EngineSidecar {
         residency: EngineResidency::new(pace, settings.first_start, clock.now()),
@@ -140,11 +143,11 @@
     stop.advance(StopPhase::Ended);
 }
 
-/// The loop around one engine.
+/// State of the loop that manages one engine.
 struct EngineSidecar {
     residency: EngineResidency,
     permits: PermitDesk,
-    /// The engine's requests, and those that failed.
+    /// Counts of the engine's requests and of those that failed.
     failures: FailureCount,
     link: EngineLink,
     pulses: PulseSender,
@@ -153,9 +156,9 @@
     metrics: ServingMetrics,
     log: DecisionLog,
     paused_until: Instant,
-    /// Where the engine says which instance it is, once a gateway has told.
+    /// Path at which the engine states its instance, once a gateway has sent it.
     health_path: Option<Arc<str>>,
-    /// When it may be asked for that again.
+    /// Earliest time of the next attempt to identify the engine.
     identify_at: Instant,
     /// The settings in force.
     settings: SettingsFeed,
@@ -163,17 +166,17 @@
 
 impl EngineSidecar {
     async fn run(&mut self) {
-        let mut ticks = interval(REPORT_EVERY);
+        let mut ticks = interval(REPORT_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let permit_at = self.next_permit();
             tokio::select! {
                 biased;
-                (from, message) = self.socket.receive() => self.hear(from, message),
-                () = permit_at => self.give_permits(),
-                _ = ticks.tick() => self.refresh().await,
+                (from, message) = self.socket.receive() => self.handle_message(from, message),
+                () = permit_at => self.send_permits(),
+                _ = ticks.tick() => self.refresh_report().await,
             }
-            self.give_orders().await;
+            self.send_orders().await;
             let now = self.clock.now();
             self.pulses.set_waiting(&self.permits);
             let failing = self.failures.share_percent(self.clock.now());
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Returns when a permit may be given that could not be given before.
+    /// Returns a future that completes when a waiting permit can be granted.
     fn next_permit(&self) -> impl Future<Output = ()> + use<> {
         let at = self.permits.next_at();
         let at = at.map(|at| self.clock.instant(at));
@@ -194,7 +197,7 @@
         }
     }
 
-    fn give_permits(&mut self) {
+    fn send_permits(&mut self) {
         for due in self.permits.due(self.clock.now()) {
             self.failures.note_request(self.clock.now());
             let message = InnerMessage::Permit(due.grant);
@@ -202,7 +205,7 @@
         }
     }
 
-    fn hear(&mut self, from: SocketAddr, message: InnerMessage) {
+    fn handle_message(&mut self, from: SocketAddr, message: InnerMessage) {
         let now = self.clock.now();
         match message {
             InnerMessage::Greeting(greeting) => {
@@ -211,7 +214,7 @@
                 self.residency.take_greeting(from, &greeting, now);
             }
             InnerMessage::AdapterWanted(wish) => {
-                self.pulses.note_asker(from, now);
+                self.pulses.note_requester(from, now);
                 self.residency.take_wish(wish, now);
             }
             InnerMessage::Advice(advice) => {
@@ -234,14 +237,14 @@
             InnerMessage::Right(right) => self.residency.take_right(right),
             InnerMessage::PermitAsk(ask) => {
                 self.permits.take_ask(from, ask, now);
-                self.give_permits();
+                self.send_permits();
             }
             InnerMessage::PermitDone(permit) => {
                 self.permits.take_back(permit.id);
-                self.give_permits();
+                self.send_permits();
             }
             InnerMessage::AttemptFailed(failure) => self.failures.note_failure(failure, now),
-            // For gateways.
+            // Addressed to gateways.
             InnerMessage::Pulse(_)
             | InnerMessage::Spread(_)
             | InnerMessage::Relayed(_)
@@ -259,26 +262,26 @@
         }
     }
 
-    /// Reads the engine's report. An engine that does not answer, or a new one, is not known.
-    async fn refresh(&mut self) {
+    /// Reads the engine's report. All that is known of an engine is discarded if it does not answer or was restarted.
+    async fn refresh_report(&mut self) {
         let window = self.settings.borrow().bounds.load_window;
         self.residency.set_load_window(window);
         match self.link.report().await {
             Ok(report) => {
                 if self.residency.is_restarted(&report) {
-                    self.note_engine("engine restarted");
+                    self.log_engine("engine restarted");
                     self.forget_engine();
                 }
-                if !self.pulses.set_answers(true) {
-                    self.note_engine("engine answers");
+                if !self.pulses.set_answering(true) {
+                    self.log_engine("engine answers");
                 }
                 self.permits.note_load(report.load, self.clock.now());
                 self.residency.take_report(report);
-                self.give_permits();
+                self.send_permits();
                 self.identify().await;
             }
             Err(cause) => {
-                if self.pulses.set_answers(false) {
+                if self.pulses.set_answering(false) {
                     let line = DecisionLine::new(LineWeight::Notable, "engine lost");
                     self.log.write(line.with("cause", cause));
                 }
@@ -295,17 +298,17 @@
         self.pulses.set_instance(None);
     }
 
-    /// Asks the engine which instance it is, unless that is known. Gateways that start together, or a
-    /// registry that still lists the last instance, would otherwise send a request each there in vain.
+    /// Asks the engine for its instance, unless it is known. Without it, each gateway would send the engine one request
+    /// that is rejected when gateways start together or the registry still lists the previous instance.
     async fn identify(&mut self) {
         let due = self.link.instance().is_none() && Instant::now() >= self.identify_at;
         let Some(path) = self.health_path.clone().filter(|_| due) else {
             return;
         };
-        self.identify_at = Instant::now() + IDENTIFY_EVERY;
+        self.identify_at = Instant::now() + IDENTIFY_INTERVAL;
         match self.link.identify(&path).await {
             Ok(()) => {
-                self.note_engine("engine named");
+                self.log_engine("engine named");
                 self.pulses.set_instance(self.link.instance());
             }
             Err(cause) => {
@@ -315,45 +318,45 @@
         }
     }
 
-    fn note_engine(&self, decision: &'static str) {
+    fn log_engine(&self, decision: &'static str) {
         let instance = self.link.instance().map(ToString::to_string);
         let line = DecisionLine::new(LineWeight::Notable, decision);
         self.log.write(line.with("instance", instance));
     }
 
-    async fn give_orders(&mut self) {
-        for _ in 0..ORDERS_IN_A_ROW {
+    async fn send_orders(&mut self) {
+        for _ in 0..MAX_CONSECUTIVE_ORDERS {
             if Instant::now() < self.paused_until {
                 return;
             }
             if self.residency.report().is_none() {
-                self.refresh().await;
+                self.refresh_report().await;
             }
             let Some(order) = self.residency.next_order(self.clock.now()) else {
-                self.ask_for_right();
+                self.request_load_right();
                 return;
             };
-            self.give(&order).await;
+            self.send_order(&order).await;
         }
     }
 
-    /// Asks another engine's sidecar for its right to load, where that is all that is missing.
-    fn ask_for_right(&mut self) {
-        let question = self
+    /// Asks another engine's sidecar for its right to load, if nothing else prevents a load.
+    fn request_load_right(&mut self) {
+        let ask = self
             .residency
             .ask_for_right(rand::random(), self.clock.now());
-        if let Some(question) = question {
-            let message = InnerMessage::RightAsk(question.right);
-            MessageOutlet::send(&self.socket, question.lender, &message);
+        if let Some(ask) = ask {
+            let message = InnerMessage::RightAsk(ask.right);
+            MessageOutlet::send(&self.socket, ask.lender, &message);
         }
     }
 
-    async fn give(&mut self, order: &NumberedOrder) {
+    async fn send_order(&mut self, order: &NumberedOrder) {
         let answer = self.link.order(order).await;
         match answer {
             OrderAnswer::Unknown => self.paused_until = Instant::now() + UNANSWERED_PAUSE,
             OrderAnswer::Conflict => self.paused_until = Instant::now() + CONFLICT_PAUSE,
-            // Another instance turns away an order that was meant for its predecessor.
+            // The engine has been replaced by another instance, which rejects orders addressed to its predecessor.
             OrderAnswer::Rejected => {
                 self.link.forget_instance();
                 self.paused_until = Instant::now() + CONFLICT_PAUSE;
@@ -388,6 +391,6 @@
             .with("expect", order.expect)
             .with("outcome", outcome);
         self.log.write(line);
-        self.metrics.ordered(outcome);
+        self.metrics.count_order(outcome);
     }
 }
--- a/crates/oatpier-gateway/src/sidecar/pulses.rs
+++ b/crates/oatpier-gateway/src/sidecar/pulses.rs
@@ -1,10 +1,10 @@
-//! What gateways are told of an engine, and when.
+//! Pulses: a sidecar's status messages about its engine, and when gateways get them.
 //!
-//! Words go to two relays in each availability zone, which pass them on; see
-//! [`oatpier_serving::relays`]. What makes a gateway send elsewhere goes out at once, and a change of load
-//! soon. What only makes a place a little better, an adapter more, is told at once to the gateways that have
-//! just asked for one, since their requests wait for it, and to the others with the next whole pulse. What
-//! has not changed is told now and then, so that a lost pulse is made good.
+//! Pulses go to two relays in each availability zone, which forward them; see [`oatpier_serving::relays`]. Changes
+//! that make gateways place requests elsewhere are sent at once, changes of load after a short interval. A change
+//! that only improves a placement, such as an additional adapter, is sent at once to the gateways that have just
+//! requested an adapter, since their requests wait for it; the others get it with the next full pulse. Unchanged
+//! state is repeated at intervals to make up for lost pulses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,66 +22,66 @@
 
 use crate::exchange::MessageOutlet;
 
-/// A gateway that has not greeted for this long is no relay any more and is named to nobody: two greetings
-/// and a half.
-const GATEWAY_LIFE: Duration = Duration::from_secs(5);
+/// Time after its last greeting at which a gateway is no longer used as a relay or listed in pulses: two and a half
+/// greeting intervals.
+const GATEWAY_EXPIRY: Duration = Duration::from_secs(5);
 
-/// A gateway is told of changes directly for this long after it asked for an adapter, or greeted as one that
-/// hears nothing: it repeats both several times within it.
-const ASKER_LIFE: Duration = Duration::from_millis(400);
+/// How long a gateway is sent changes directly after it requested an adapter, or sent a greeting that says it gets no
+/// pulses of this engine. It repeats both several times within this period.
+const REQUESTER_EXPIRY: Duration = Duration::from_millis(400);
 
-/// The least time between two pulses while only the load changes.
-const LOAD_EVERY: Duration = Duration::from_millis(100);
+/// Minimum time between two pulses while only the load changes.
+const LOAD_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The time between two whole pulses while nothing changes.
-const WHOLE_EVERY: Duration = Duration::from_millis(800);
+/// Interval between full pulses while nothing changes.
+const FULL_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Gateways that one whole pulse names, in turn. Naming all of them made the bytes grow with the square of
-/// their number: 610 KB a second at each of 130 gateways. A gateway hears all sidecars, each at another
-/// place of its turn, so it still learns of all others within a pulse or two.
-const NAMED_GATEWAYS: usize = 16;
+/// Number of gateways listed in one full pulse, in rotation. Listing all of them made the traffic grow with the
+/// square of their number: 610 KB a second at each of 130 gateways. A gateway gets the pulses of all sidecars, each
+/// at a different position of its rotation, so it still learns of all others within one or two pulses.
+const GATEWAYS_PER_PULSE: usize = 16;
 
-/// What gateways are to be told.
+/// The kind of pulse that is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PulseDue {
     Nothing,
     Load,
-    Whole,
+    Full,
 }
 
-/// A gateway that greets.
+/// A gateway that sends greetings.
 #[derive(Debug)]
-struct GreetedGateway {
+struct KnownGateway {
     zone: ZoneName,
     processor: u32,
     at: ClockTime,
 }
 
-/// Sends pulses.
+/// Decides when pulses are due, and sends them.
 #[derive(Debug)]
 pub struct PulseSender {
     engine: SocketAddr,
     service: Option<PoolName>,
     instance: Option<EndpointName>,
     number: MessageNumber,
-    answers: bool,
+    is_answering: bool,
     permit_wait_ms: u32,
     permits_waiting: u32,
     failing_percent: u8,
-    gateways: HashMap<SocketAddr, GreetedGateway>,
-    /// Gateways that wait for something here, and since when.
-    askers: HashMap<SocketAddr, ClockTime>,
-    /// What the askers were told last.
-    asked_last: Option<EnginePulse>,
-    /// Where the next whole pulse goes on naming gateways.
-    next_named: usize,
-    last: Option<EnginePulse>,
-    whole_at: ClockTime,
-    load_at: ClockTime,
+    gateways: HashMap<SocketAddr, KnownGateway>,
+    /// Gateways that wait for a change here, with the time of their last request.
+    requesters: HashMap<SocketAddr, ClockTime>,
+    /// The last pulse that was sent to the requesters.
+    last_to_requesters: Option<EnginePulse>,
+    /// Position in the sorted gateways at which the next full pulse continues.
+    next_listed: usize,
+    last_sent: Option<EnginePulse>,
+    full_sent_at: ClockTime,
+    load_sent_at: ClockTime,
 }
 
 impl PulseSender {
-    /// A sender for the engine of a service at an address.
+    /// Creates a sender for the engine at an address, and its service.
     #[must_use]
     pub fn new(engine: SocketAddr, service: Option<PoolName>) -> Self {
         Self {
@@ -92,62 +92,62 @@
                 boot: rand::random(),
                 number: 0,
             },
-            answers: false,
+            is_answering: false,
             permit_wait_ms: 0,
             permits_waiting: 0,
             failing_percent: 0,
             gateways: HashMap::new(),
-            askers: HashMap::new(),
-            asked_last: None,
-            next_named: rand::random_range(0..NAMED_GATEWAYS * NAMED_GATEWAYS),
-            last: None,
-            whole_at: ClockTime::ZERO,
-            load_at: ClockTime::ZERO,
+            requesters: HashMap::new(),
+            last_to_requesters: None,
+            next_listed: rand::random_range(0..GATEWAYS_PER_PULSE * GATEWAYS_PER_PULSE),
+            last_sent: None,
+            full_sent_at: ClockTime::ZERO,
+            load_sent_at: ClockTime::ZERO,
         }
     }
 
-    /// Whether the engine answers; gives back what was known before.
-    pub fn set_answers(&mut self, answers: bool) -> bool {
-        std::mem::replace(&mut self.answers, answers)
+    /// Sets whether the engine answers. Returns the previous value.
+    pub fn set_answering(&mut self, is_answering: bool) -> bool {
+        std::mem::replace(&mut self.is_answering, is_answering)
     }
 
-    /// What waits for permits.
+    /// Sets the number of requests that wait for permits, and the time to read their prompts.
     pub fn set_waiting(&mut self, desk: &PermitDesk) {
         self.permit_wait_ms = u32::try_from(desk.waiting().as_millis()).unwrap_or(u32::MAX);
         self.permits_waiting = desk.waiting_requests();
     }
 
-    /// The share of the engine's requests that fails.
+    /// Sets the share of the engine's requests that fail.
     pub fn set_failing(&mut self, percent: u8) {
         self.failing_percent = percent;
     }
 
-    /// A gateway greeted. One that hears nothing of this engine is told directly, until relays reach it.
+    /// Records a greeting. A gateway that gets no pulses of this engine is sent them directly until relays reach it.
     pub fn take_greeting(&mut self, from: SocketAddr, greeting: &GatewayGreeting, now: ClockTime) {
-        let gateway = GreetedGateway {
+        let gateway = KnownGateway {
             zone: greeting.zone.clone(),
             processor: greeting.processor,
             at: now,
         };
         self.gateways.insert(from, gateway);
         if !greeting.is_heard {
-            self.note_asker(from, now);
+            self.note_requester(from, now);
         }
     }
 
-    /// A gateway waits for an adapter here.
-    pub fn note_asker(&mut self, gateway: SocketAddr, now: ClockTime) {
-        if self.askers.insert(gateway, now).is_none() {
-            self.asked_last = None;
+    /// Records that a gateway waits for an adapter of this engine.
+    pub fn note_requester(&mut self, gateway: SocketAddr, now: ClockTime) {
+        if self.requesters.insert(gateway, now).is_none() {
+            self.last_to_requesters = None;
         }
     }
 
-    /// Which instance the engine is, as far as known.
+    /// Sets the engine's instance, if known.
     pub fn set_instance(&mut self, instance: Option<&EndpointName>) {
         self.instance = instance.cloned();
     }
 
-    /// Sends what is due.
+    /// Sends the pulses that are due.
     pub fn send_due(
         &mut self,
         outlet: &dyn MessageOutlet,
@@ -155,28 +155,28 @@
         now: ClockTime,
     ) {
         self.gateways
-            .retain(|_, greeted| now.since(greeted.at) < GATEWAY_LIFE);
-        self.askers
-            .retain(|_, asked_at| now.since(*asked_at) < ASKER_LIFE);
-        // Without a report there is only something to say when the engine is lost.
+            .retain(|_, greeted| now.since(greeted.at) < GATEWAY_EXPIRY);
+        self.requesters
+            .retain(|_, requested_at| now.since(*requested_at) < REQUESTER_EXPIRY);
+        // Without a report, the only change worth sending is the loss of the engine.
         let report = residency.report().cloned();
-        if report.is_none() && self.answers {
+        if report.is_none() && self.is_answering {
             return;
         }
         let pulse = self.pulse(&report.unwrap_or_default(), residency, now);
-        self.tell_askers(outlet, &pulse);
+        self.send_to_requesters(outlet, &pulse);
         match self.due(&pulse, now) {
             PulseDue::Nothing => {}
             PulseDue::Load => self.send_load(outlet, &pulse, now),
-            PulseDue::Whole => self.send_whole(outlet, pulse, now),
+            PulseDue::Full => self.send_full(outlet, pulse, now),
         }
     }
 
-    fn tell_askers(&mut self, outlet: &dyn MessageOutlet, pulse: &EnginePulse) {
-        if self.askers.is_empty() {
+    fn send_to_requesters(&mut self, outlet: &dyn MessageOutlet, pulse: &EnginePulse) {
+        if self.requesters.is_empty() {
             return;
         }
-        let known = self.asked_last.as_ref();
+        let known = self.last_to_requesters.as_ref();
         if known.is_some_and(|known| with_load_of(pulse, known) == *known) {
             return;
         }
@@ -184,31 +184,31 @@
             number: self.next_number(),
             ..pulse.clone()
         };
-        self.asked_last = Some(pulse.clone());
+        self.last_to_requesters = Some(pulse.clone());
         let message = InnerMessage::Pulse(Box::new(pulse));
-        for asker in self.askers.keys() {
-            outlet.send(*asker, &message);
+        for requester in self.requesters.keys() {
+            outlet.send(*requester, &message);
         }
     }
 
-    fn send_whole(&mut self, outlet: &dyn MessageOutlet, mut pulse: EnginePulse, now: ClockTime) {
+    fn send_full(&mut self, outlet: &dyn MessageOutlet, mut pulse: EnginePulse, now: ClockTime) {
         pulse.number = self.next_number();
-        self.last = Some(pulse.clone());
-        pulse.gateways = self.named_gateways();
-        self.whole_at = now;
-        self.load_at = now;
-        self.tell_relays(outlet, EngineWord::Pulse(Box::new(pulse)));
+        self.last_sent = Some(pulse.clone());
+        pulse.gateways = self.next_gateways();
+        self.full_sent_at = now;
+        self.load_sent_at = now;
+        self.send_to_relays(outlet, EngineWord::Pulse(Box::new(pulse)));
     }
 
     fn send_load(&mut self, outlet: &dyn MessageOutlet, pulse: &EnginePulse, now: ClockTime) {
         let number = self.next_number();
-        self.load_at = now;
-        if let Some(last) = &mut self.last {
-            last.load = pulse.load;
-            last.memory_used = pulse.memory_used;
-            last.permit_wait_ms = pulse.permit_wait_ms;
-            last.permits_waiting = pulse.permits_waiting;
-            last.failing_percent = pulse.failing_percent;
+        self.load_sent_at = now;
+        if let Some(last_sent) = &mut self.last_sent {
+            last_sent.load = pulse.load;
+            last_sent.memory_used = pulse.memory_used;
+            last_sent.permit_wait_ms = pulse.permit_wait_ms;
+            last_sent.permits_waiting = pulse.permits_waiting;
+            last_sent.failing_percent = pulse.failing_percent;
         }
         let load = LoadPulse {
             number,
@@ -220,10 +220,10 @@
             permits_waiting: pulse.permits_waiting,
             failing_percent: pulse.failing_percent,
         };
-        self.tell_relays(outlet, EngineWord::Load(load));
+        self.send_to_relays(outlet, EngineWord::Load(load));
     }
 
-    fn tell_relays(&self, outlet: &dyn MessageOutlet, word: EngineWord) {
+    fn send_to_relays(&self, outlet: &dyn MessageOutlet, update: EngineWord) {
         let candidates = self
             .gateways
             .iter()
@@ -232,7 +232,7 @@
                 address: *address,
                 processor: gateway.processor,
             });
-        let message = InnerMessage::Spread(word);
+        let message = InnerMessage::Spread(update);
         for relay in relays::draw(self.engine, candidates) {
             outlet.send(relay, &message);
         }
@@ -244,18 +244,18 @@
     }
 
     fn due(&self, pulse: &EnginePulse, now: ClockTime) -> PulseDue {
-        let Some(last) = &self.last else {
-            return PulseDue::Whole;
+        let Some(last_sent) = &self.last_sent else {
+            return PulseDue::Full;
         };
-        if is_urgent(last, pulse) || now.since(self.whole_at) >= WHOLE_EVERY {
-            return PulseDue::Whole;
+        if is_urgent(last_sent, pulse) || now.since(self.full_sent_at) >= FULL_INTERVAL {
+            return PulseDue::Full;
         }
-        let load_changed = last.load != pulse.load
-            || last.memory_used != pulse.memory_used
-            || last.permit_wait_ms != pulse.permit_wait_ms
-            || last.permits_waiting != pulse.permits_waiting
-            || last.failing_percent != pulse.failing_percent;
-        if load_changed && now.since(self.load_at) >= LOAD_EVERY {
+        let load_changed = last_sent.load != pulse.load
+            || last_sent.memory_used != pulse.memory_used
+            || last_sent.permit_wait_ms != pulse.permit_wait_ms
+            || last_sent.permits_waiting != pulse.permits_waiting
+            || last_sent.failing_percent != pulse.failing_percent;
+        if load_changed && now.since(self.load_sent_at) >= LOAD_INTERVAL {
             PulseDue::Load
         } else {
             PulseDue::Nothing
@@ -275,7 +275,7 @@
             service: self.service.clone(),
             instance: self.instance.clone(),
             start: report.start,
-            answers: self.answers,
+            answers: self.is_answering,
             load: EndpointLoad {
                 running: report.load.running,
                 waiting: report.load.waiting,
@@ -297,19 +297,19 @@
         }
     }
 
-    /// The gateways that the next whole pulse names.
-    fn named_gateways(&mut self) -> Vec<SocketAddr> {
+    /// Returns the gateways to list in the next full pulse.
+    fn next_gateways(&mut self) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self.gateways.keys().copied().collect();
         all.sort_unstable();
-        let first = self.next_named.checked_rem(all.len()).unwrap_or(0);
-        self.next_named = first + NAMED_GATEWAYS;
+        let first = self.next_listed.checked_rem(all.len()).unwrap_or(0);
+        self.next_listed = first + GATEWAYS_PER_PULSE;
         all.rotate_left(first);
-        all.truncate(NAMED_GATEWAYS);
+        all.truncate(GATEWAYS_PER_PULSE);
         all
     }
 }
 
-/// A pulse with another one's load, to see whether they differ in anything else.
+/// Returns a pulse with the load of another one, to compare everything else.
 fn with_load_of(pulse: &EnginePulse, other: &EnginePulse) -> EnginePulse {
     EnginePulse {
         number: other.number,
@@ -323,31 +323,32 @@
     }
 }
 
-/// Whether a change must reach all gateways at once: they would send what the engine can no longer take, or
-/// refuse what it can. An adapter more is neither; one less is the first.
-fn is_urgent(last: &EnginePulse, pulse: &EnginePulse) -> bool {
+/// Returns whether a change must reach all gateways at once, because otherwise they would send requests that the
+/// engine can no longer serve, or refuse requests that it can. An additional adapter is neither; a missing one is the
+/// former.
+fn is_urgent(last_sent: &EnginePulse, pulse: &EnginePulse) -> bool {
     let changed = EnginePulse {
-        models: last.models.clone(),
-        coming: last.coming.clone(),
-        adapter_room: last.adapter_room,
-        copies: last.copies.clone(),
-        ..with_load_of(pulse, last)
+        models: last_sent.models.clone(),
+        coming: last_sent.coming.clone(),
+        adapter_room: last_sent.adapter_room,
+        copies: last_sent.copies.clone(),
+        ..with_load_of(pulse, last_sent)
     };
-    changed != *last || holds_other_models(last, pulse) || lacks_adapter(last, pulse)
+    changed != *last_sent || holds_other_models(last_sent, pulse) || lacks_adapter(last_sent, pulse)
 }
 
-fn holds_other_models(last: &EnginePulse, pulse: &EnginePulse) -> bool {
+fn holds_other_models(last_sent: &EnginePulse, pulse: &EnginePulse) -> bool {
     let models = |pulse: &EnginePulse| -> Vec<ModelName> {
         let held = pulse.models.iter();
         held.map(|held| held.model.clone()).collect()
     };
-    models(last) != models(pulse)
+    models(last_sent) != models(pulse)
 }
 
-fn lacks_adapter(last: &EnginePulse, pulse: &EnginePulse) -> bool {
+fn lacks_adapter(last_sent: &EnginePulse, pulse: &EnginePulse) -> bool {
     let has = |key: &AdapterKey| {
         let held = pulse.models.iter().find(|held| held.model == key.model);
         held.is_some_and(|held| held.adapters.contains(&key.adapter))
     };
-    !held_adapters(&last.models).all(|key| has(&key))
+    !held_adapters(&last_sent.models).all(|key| has(&key))
 }
--- a/crates/oatpier-gateway/src/workspace_metrics.rs
+++ b/crates/oatpier-gateway/src/workspace_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of workspaces, with a bound on the series that they take.
+//! Metrics of workspaces, with a limit on the number of series.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,20 +13,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct WorkspaceLabels {
-    /// The workspace, or `other` for all that have no series of their own.
+    /// The workspace, or `other` for all workspaces without series of their own.
     pub workspace: String,
-    /// What became of its requests or units.
+    /// The outcome of the requests or units.
     pub outcome: &'static str,
 }
 
-/// Workspaces with series of their own. Further ones are counted together: a series takes some hundred bytes in
-/// each gateway and in whatever collects them.
-const MOST_WORKSPACES: usize = 200;
+/// Maximum number of workspaces with series of their own. Further ones are counted together: a series takes some
+/// hundred bytes in each gateway and in each system that collects metrics.
+const MAX_NAMED_WORKSPACES: usize = 200;
 
 /// The label of workspaces without series of their own.
 const OTHER_WORKSPACES: &str = "other";
 
-/// Workspaces that have series of their own, the first that were met.
+/// Workspaces that have series of their own: the first ones that occurred.
 #[derive(Debug, Clone, Default)]
 struct NamedWorkspaces(Arc<Mutex<HashSet<WorkspaceName>>>);
 
@@ -36,7 +36,7 @@
         if named.contains(workspace) {
             return workspace.as_str().to_owned();
         }
-        if named.len() >= MOST_WORKSPACES {
+        if named.len() >= MAX_NAMED_WORKSPACES {
             return OTHER_WORKSPACES.to_owned();
         }
         named.insert(workspace.clone());
@@ -44,7 +44,7 @@
     }
 }
 
-/// What workspaces ask for and use. Cloning shares it.
+/// Requests and used units of workspaces. Clones share the same values.
 #[derive(Debug, Clone, Default)]
 pub struct WorkspaceMetrics {
     named: NamedWorkspaces,
@@ -53,14 +53,14 @@
 }
 
 impl WorkspaceMetrics {
-    /// Counts a workspace's request that came in, or was turned away by its limit.
+    /// Counts a request of a workspace that was accepted, or refused by its limit.
     pub fn asked(&self, workspace: &WorkspaceName, outcome: &'static str) {
         let labels = self.labels(workspace, outcome);
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Counts units of a workspace's limit that were handed out or refused here.
-    pub fn used(&self, workspace: &WorkspaceName, outcome: &'static str, units: u64) {
+    /// Counts units of a workspace's limit that the parts held here granted or refused.
+    pub fn count_units(&self, workspace: &WorkspaceName, outcome: &'static str, units: u64) {
         let labels = self.labels(workspace, outcome);
         self.units.get_or_create(&labels).inc_by(units);
     }
--- a/crates/oatpier-gateway/tests/testsuite/observing.rs
+++ b/crates/oatpier-gateway/tests/testsuite/observing.rs
@@ -1,4 +1,4 @@
-//! What engineers see: decision lines and metrics.
+//! The decision log and the metrics.
 
 use oatpier_gateway::decisions::{DecisionLine, DecisionLog, LineWeight};
 use oatpier_gateway::metrics::ServingMetrics;
@@ -12,7 +12,7 @@
 };
 
 #[tokio::test(start_paused = true)]
-async fn failures_are_logged_when_good_ends_no_longer_are() {
+async fn failures_are_logged_when_the_limit_for_successes_is_reached() {
     let metrics = ServingMetrics::default();
     let (log, lines) = DecisionLog::new("gateway", &metrics);
     for _ in 0..60 {
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_left_out_is_told_in_the_next_second() {
+async fn the_number_of_omitted_lines_is_logged_in_the_next_second() {
     let metrics = ServingMetrics::default();
     let (log, lines) = DecisionLog::new("gateway", &metrics);
     for _ in 0..45 {
@@ -35,22 +35,22 @@
     tokio::time::advance(std::time::Duration::from_secs(1)).await;
     log.write(DecisionLine::new(LineWeight::Calm, "answer"));
     let written: Vec<String> = std::iter::from_fn(|| lines.poll()).collect();
-    let told = written.iter().find(|line| line.contains("lines left out"));
-    assert!(told.unwrap().contains("\"lines\":5"));
+    let omitted = written.iter().find(|line| line.contains("lines left out"));
+    assert!(omitted.unwrap().contains("\"lines\":5"));
 }
 
-/// docs/OPERATIONS.md sends engineers to these names.
+/// Engineers look these names up in docs/OPERATIONS.md.
 #[tokio::test]
-async fn every_metric_that_the_operators_page_names_is_served() {
+async fn every_metric_named_in_the_operations_page_is_served() {
     let answer = EndpointStep::Answer(own_answer("200 OK", ""));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.send(request(&[])).await;
-    gateway.core.metrics.store_read("answered");
-    gateway.core.metrics.store_written("answered");
-    gateway.core.metrics.ordered("taken");
-    gateway.core.metrics.advised("busy");
-    gateway.core.metrics.exchanged("pulse", "sent", 400);
+    gateway.core.metrics.count_store_read("answered");
+    gateway.core.metrics.count_store_write("answered");
+    gateway.core.metrics.count_order("taken");
+    gateway.core.metrics.count_advice("busy");
+    gateway.core.metrics.count_message("pulse", "sent", 400);
     gateway.core.metrics.attempted("cut");
     gateway.core.metrics.notices.noticed("limit-named");
     let workspace = WorkspaceName::try_from("one").unwrap();
@@ -59,7 +59,7 @@
         .core
         .metrics
         .workspaces
-        .used(&workspace, "granted", 200);
+        .count_units(&workspace, "granted", 200);
     let text = gateway.core.metrics.encode();
     let page = include_str!("../../../../docs/OPERATIONS.md");
     let named: Vec<&str> = page
@@ -72,7 +72,8 @@
     }
 }
 
-/// An endpoint names a limit, names it again, and no longer does: a line and a count for each change, none between.
+/// An endpoint states a limit, states it again, and then no longer does. Each change gives one log line and one
+/// count; the repetition gives none.
 #[tokio::test]
 async fn a_change_of_an_endpoints_limit_is_logged_and_counted_once() {
     let plain = own_answer("200 OK", "");
@@ -101,10 +102,11 @@
     assert!(text.contains("endpoint_notices_total{cause=\"limit-ended\"} 1"));
 }
 
-/// Ten thousand workspaces come. Each series takes memory here and wherever they are collected, so only the first ones
-/// have series of their own; the rest is counted together and nothing is lost.
+/// There are more workspaces than may have series of their own. Each series takes memory here and in the systems that
+/// collect metrics, so only the first ones get their own. The rest is counted together, so no request is missing from
+/// the total.
 #[test]
-fn workspaces_take_a_bounded_number_of_series() {
+fn the_number_of_workspace_series_is_bounded() {
     let metrics = ServingMetrics::default();
     for number in 0..1_000 {
         let workspace = WorkspaceName::try_from(format!("w{number}")).unwrap();
--- a/crates/oatpier-gateway/tests/testsuite/pulses.rs
+++ b/crates/oatpier-gateway/tests/testsuite/pulses.rs
@@ -1,4 +1,4 @@
-//! What sidecars tell gateways.
+//! Pulses that sidecars send to gateways.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -47,8 +47,8 @@
     ClockTime::from_millis(millis)
 }
 
-/// Reports of an engine that holds a model with these adapters.
-fn holding(residency: &mut EngineResidency, adapters: &[&str]) {
+/// Reports an engine that holds a model with these adapters.
+fn report_adapters(residency: &mut EngineResidency, adapters: &[&str]) {
     let adapters = adapters.iter().map(|name| adapter_name(name));
     residency.take_report(EngineReport {
         models: vec![HeldModel {
@@ -63,8 +63,8 @@
     AdapterName::try_from(name).unwrap()
 }
 
-/// Whole pulses that were sent, with their receivers.
-fn whole(outlet: &KeptOutlet) -> Vec<(SocketAddr, EnginePulse)> {
+/// Returns the full pulses that were sent, with their receivers.
+fn sent_full_pulses(outlet: &KeptOutlet) -> Vec<(SocketAddr, EnginePulse)> {
     let pulse = |(to, message): (SocketAddr, InnerMessage)| match message {
         InnerMessage::Pulse(pulse) | InnerMessage::Spread(EngineWord::Pulse(pulse)) => {
             Some((to, *pulse))
@@ -74,13 +74,13 @@
     outlet.sent().into_iter().filter_map(pulse).collect()
 }
 
-/// Many gateways greet a sidecar. Pulses that named all of them would cost each gateway bytes with the
-/// square of their number. Each names a few, and within some pulses each gateway was named.
+/// Many gateways send greetings to a sidecar. If each pulse listed all of them, the traffic at each gateway would
+/// grow with the square of their number. Each pulse lists a few, and all gateways are listed within some pulses.
 #[test]
-fn pulses_name_gateways_in_turn() {
+fn pulses_list_gateways_in_rotation() {
     let outlet = KeptOutlet::default();
     let mut sender = PulseSender::new(address(200), None);
-    sender.set_answers(true);
+    sender.set_answering(true);
     let residency = residency();
     for second in 1..=5 {
         let now = ClockTime::from_millis(second * 1_000);
@@ -89,49 +89,50 @@
         }
         sender.send_due(&outlet, &residency, now);
     }
-    let mut named: Vec<SocketAddr> = Vec::new();
+    let mut listed: Vec<SocketAddr> = Vec::new();
     for (_, message) in outlet.sent() {
         if let InnerMessage::Spread(EngineWord::Pulse(pulse)) = message {
             assert!(pulse.gateways.len() <= 16);
-            named.extend(pulse.gateways);
+            listed.extend(pulse.gateways);
         }
     }
-    named.sort_unstable();
-    named.dedup();
-    assert_eq!(named.len(), 60);
+    listed.sort_unstable();
+    listed.dedup();
+    assert_eq!(listed.len(), 60);
 }
 
-/// The load: 60 gateways in three zones greet a sidecar. It tells two of each zone, whatever their number.
+/// 60 gateways in three availability zones send greetings to a sidecar. It sends its pulse to two in each zone,
+/// whatever their number.
 #[test]
 fn a_pulse_goes_to_two_gateways_of_each_zone() {
     let outlet = KeptOutlet::default();
     let mut sender = PulseSender::new(address(200), None);
-    sender.set_answers(true);
+    sender.set_answering(true);
     for number in 0..60 {
         let zone = ["a", "b", "c"][usize::from(number % 3)];
         sender.take_greeting(address(number), &greeting(zone, true), at(1_000));
     }
     sender.send_due(&outlet, &residency(), at(1_000));
-    let told = whole(&outlet);
-    assert_eq!(told.len(), 6);
-    let mut zones: Vec<u8> = told
+    let sent = sent_full_pulses(&outlet);
+    assert_eq!(sent.len(), 6);
+    let mut zones: Vec<u8> = sent
         .iter()
         .map(|(to, _)| match to {
             SocketAddr::V4(to) => to.ip().octets()[3] % 3,
-            SocketAddr::V6(_) => panic!("an address of the test is no IPv4 address"),
+            SocketAddr::V6(_) => panic!("the test uses only IPv4 addresses"),
         })
         .collect();
     zones.sort_unstable();
     assert_eq!(zones, vec![0, 0, 1, 1, 2, 2]);
 }
 
-/// A gateway that has just started, or whose relays are gone, hears nothing of an engine and would take it for
-/// one without a sidecar. It says so when it greets, and is told directly.
+/// A gateway that has just started, or whose relays are gone, gets no pulses of an engine and would assume that the
+/// engine has no sidecar. Its greeting says so, and the sidecar sends it pulses directly.
 #[test]
-fn a_gateway_that_hears_nothing_is_told_directly() {
+fn a_gateway_without_pulses_is_sent_them_directly() {
     let outlet = KeptOutlet::default();
     let mut sender = PulseSender::new(address(200), None);
-    sender.set_answers(true);
+    sender.set_answering(true);
     for number in 0..9 {
         sender.take_greeting(address(number), &greeting("near", true), at(1_000));
     }
@@ -141,34 +142,36 @@
         sender.take_greeting(address(number), &greeting("near", false), at(1_100));
     }
     sender.send_due(&outlet, &residency, at(1_100));
-    let told = outlet
+    let sent = outlet
         .sent()
         .into_iter()
         .filter(|(_, message)| matches!(message, InnerMessage::Pulse(_)));
-    assert_eq!(told.count(), 9);
+    assert_eq!(sent.count(), 9);
 }
 
-/// An adapter is loaded for one gateway's request, which waits for it: that gateway hears of it at once, the
-/// others with the next whole pulse. When an adapter goes, all hear of it at once, or they would send
-/// requests that the engine turns away.
+/// An adapter is loaded for a request of one gateway, which waits for it. That gateway is notified at once, the
+/// others with the next full pulse. The loss of an adapter is sent to all at once; otherwise they would send requests
+/// that the engine rejects.
 #[test]
-fn a_new_adapter_is_told_to_who_waits_for_it_and_a_lost_one_to_all() {
+fn a_new_adapter_is_sent_at_once_to_its_requester_and_a_lost_one_to_all() {
     let outlet = KeptOutlet::default();
     let mut sender = PulseSender::new(address(200), None);
-    sender.set_answers(true);
+    sender.set_answering(true);
     sender.take_greeting(address(1), &greeting("near", true), at(1_000));
     let mut residency = residency();
-    holding(&mut residency, &["a1"]);
+    report_adapters(&mut residency, &["a1"]);
     sender.send_due(&outlet, &residency, at(1_000));
-    sender.note_asker(address(2), at(1_010));
-    holding(&mut residency, &["a1", "a2"]);
+    sender.note_requester(address(2), at(1_010));
+    report_adapters(&mut residency, &["a1", "a2"]);
     sender.send_due(&outlet, &residency, at(1_020));
-    holding(&mut residency, &["a2"]);
+    report_adapters(&mut residency, &["a2"]);
     sender.send_due(&outlet, &residency, at(1_040));
-    let told = whole(&outlet);
+    let sent = sent_full_pulses(&outlet);
     let adapters = |to: SocketAddr| -> Vec<Vec<AdapterName>> {
-        let to_it = told.iter().filter(|row| row.0 == to);
-        to_it.map(|row| row.1.models[0].adapters.clone()).collect()
+        let received = sent.iter().filter(|row| row.0 == to);
+        received
+            .map(|row| row.1.models[0].adapters.clone())
+            .collect()
     };
     let (first, second) = (adapter_name("a1"), adapter_name("a2"));
     assert_eq!(
--- a/crates/oatpier-gateway/tests/testsuite/records.rs
+++ b/crates/oatpier-gateway/tests/testsuite/records.rs
@@ -1,4 +1,4 @@
-//! What is read from the store.
+//! Entries read from the store.
 
 use oatpier_gateway::records::UnreadableEntries;
 use oatpier_platform::store::UnreadableEntry;
@@ -11,15 +11,15 @@
     }
 }
 
-/// Another program leaves an entry in the registry that can't be read. It is read again every second; the
-/// log names it when it appears and when it changes, and not a thousand times a day.
+/// Another program leaves an invalid entry in the registry. It is read again every second. The log must name it when
+/// it appears and when it changes, and not a thousand times a day.
 #[test]
-fn an_entry_that_cannot_be_read_is_named_once_for_each_change() {
+fn an_invalid_entry_is_reported_once_for_each_change() {
     let mut entries = UnreadableEntries::default();
-    assert_eq!(entries.renew(vec![entry("a", 1)]), vec![entry("a", 1)]);
-    assert!(entries.renew(vec![entry("a", 1)]).is_empty());
+    assert_eq!(entries.replace(vec![entry("a", 1)]), vec![entry("a", 1)]);
+    assert!(entries.replace(vec![entry("a", 1)]).is_empty());
     let both = vec![entry("a", 2), entry("b", 1)];
-    assert_eq!(entries.renew(both.clone()), both);
-    assert!(entries.renew(Vec::new()).is_empty());
-    assert_eq!(entries.renew(vec![entry("a", 2)]), vec![entry("a", 2)]);
+    assert_eq!(entries.replace(both.clone()), both);
+    assert!(entries.replace(Vec::new()).is_empty());
+    assert_eq!(entries.replace(vec![entry("a", 2)]), vec![entry("a", 2)]);
 }
