--- a/crates/oatpier-gateway/src/gateway/configuration.rs
+++ b/crates/oatpier-gateway/src/gateway/configuration.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns the version and age of the configuration, as reports to peers state them.
-    pub(super) fn config_standing(&self, now: ClockTime) -> ConfigStanding {
+    pub(super) fn config_status(&self, now: ClockTime) -> ConfigStanding {
         let state = self.lock();
         let age = now.since(state.config_known_at.unwrap_or_default());
         ConfigStanding {
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -60,7 +60,7 @@
     pub log: DecisionLog,
     /// Readiness flag: whether the process can serve.
     pub able: Arc<AtomicBool>,
-    /// Queue of store updates seen by other gateways, read by the thread that reads the store.
+    /// Queue of store deltas from other gateways, read by the thread that reads the store.
     pub words: RingSender<StoreWord>,
     /// Queue of crash records to write, read by the thread that writes crashes.
     pub crash_changes: RingSender<CrashChange>,
@@ -85,7 +85,7 @@
     pub(super) cuts: CutWatch,
     pub(super) peers: PeerBook,
     /// Intervals between greetings to sidecars without a current pulse.
-    pub(super) greeting_paces: GreetingPaces,
+    pub(super) greeting_schedule: GreetingPaces,
     /// Quota rules of the workspaces that have limits.
     pub(super) limits: HashMap<WorkspaceName, QuotaRule>,
     /// Which gateway holds which part of the limits.
@@ -166,7 +166,7 @@
             crashes: CrashBook::default(),
             cuts: CutWatch::default(),
             peers: PeerBook::new(settings.inner_address(), settings.processor),
-            greeting_paces: GreetingPaces::default(),
+            greeting_schedule: GreetingPaces::default(),
             limits: HashMap::new(),
             tenure: PartTenure::new(TenureIdentity {
                 address: settings.inner_address(),
@@ -301,19 +301,19 @@
 
     /// Sends the changes found in the store to the other gateways of the availability zone, so that they need not
     /// read it.
-    pub fn tell_word(&self, update: StoreWord) {
+    pub fn tell_word(&self, delta: StoreWord) {
         let now = self.clock.now();
         let peers: Vec<SocketAddr> = self.lock().peers.in_zone(&self.zone, now).collect();
-        let message = InnerMessage::StoreSeen(Box::new(update));
+        let message = InnerMessage::StoreSeen(Box::new(delta));
         for peer in peers {
             self.outlet.send(peer, &message);
         }
     }
 
-    /// Queues a store update from another gateway of the availability zone.
-    pub fn take_store_word(&self, update: StoreWord) {
-        // A full ring counts what it drops. The store is then read at the usual time, as without the update.
-        let _ = self.words.offer(update);
+    /// Queues a store delta from another gateway of the availability zone.
+    pub fn take_store_word(&self, delta: StoreWord) {
+        // A full ring counts what it drops. The store is then read at the usual time, as without the delta.
+        let _ = self.words.offer(delta);
     }
 
     /// Records that the store still holds what is known here.
--- a/crates/oatpier-gateway/src/gateway/greetings.rs
+++ b/crates/oatpier-gateway/src/gateway/greetings.rs
@@ -69,9 +69,9 @@
         }
     }
 
-    fn includes(self, row: &EndpointRow, paces: &mut GreetingPaces, now: ClockTime) -> bool {
+    fn includes(self, row: &EndpointRow, schedule: &mut GreetingPaces, now: ClockTime) -> bool {
         if row.pulse(now).is_none() {
-            return paces.is_due(&row.record.name, now);
+            return schedule.is_due(&row.record.name, now);
         }
         self == Self::All || (self == Self::Used && row.uses_adapters())
     }
@@ -105,20 +105,20 @@
         return Vec::new();
     };
     let mut greetings = Vec::new();
-    let mut paces = std::mem::take(&mut state.greeting_paces);
-    paces.retain(|name| {
+    let mut schedule = std::mem::take(&mut state.greeting_schedule);
+    schedule.retain(|name| {
         let row = state.directory.row(name);
         row.is_some_and(|row| row.pulse(now).is_none())
     });
     for (service, _) in engine_services(&config) {
         let rows = state.directory.service(service);
-        let due = rows.filter(|row| round.includes(row, &mut paces, now));
+        let due = rows.filter(|row| round.includes(row, &mut schedule, now));
         let engines: Vec<EndpointName> = due.map(|row| row.record.name.clone()).collect();
         for engine in engines {
             greetings.extend(core.greeting(&mut state, service, &engine));
         }
     }
-    state.greeting_paces = paces;
+    state.greeting_schedule = schedule;
     greetings
 }
 
--- a/crates/oatpier-gateway/src/gateway/mod.rs
+++ b/crates/oatpier-gateway/src/gateway/mod.rs
@@ -77,9 +77,9 @@
 /// Capacity of the queue of store reads that wait to be applied. When it is full, the reader waits.
 const EVENT_RING: usize = 4;
 
-/// Capacity of the queue of store updates from other gateways. An update that finds the ring full is dropped; the
+/// Capacity of the queue of store deltas from other gateways. A delta that finds the ring full is dropped; the
 /// store is then read at the usual time.
-const UPDATE_RING: usize = 8;
+const DELTA_RING: usize = 8;
 
 /// Time from SIGTERM to closing the listener. The platform's readiness probe runs once a second and stops new
 /// connections after two failures. A connection that was routed just before must still be answered.
@@ -150,7 +150,7 @@
     let mut node = NodeProcess::start(settings, process_inputs);
     let stop = node.process.stop.clone();
     let (news_sender, news) = ring(EVENT_RING, RingRule::Wait, node.metrics.ring_full.clone());
-    let (word_sender, words) = ring(UPDATE_RING, RingRule::Drop, node.metrics.ring_full.clone());
+    let (word_sender, words) = ring(DELTA_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (crash_sender, crash_changes) =
         ring(CRASH_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (claim_sender, due_claims) =
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -170,7 +170,7 @@
 async fn ask_holder(core: &Arc<GatewayCore>, workspace: &WorkspaceName, ask: &PartAsk) {
     let asked_at = core.clock.now();
     let answer = if ask.holder == core.settings.borrow().inner_address() {
-        Some(core.hand_out(ask.part, workspace, ask.wanted))
+        Some(core.grant_units(ask.part, workspace, ask.wanted))
     } else {
         ask_remote_holder(core, workspace, ask).await
     };
@@ -214,7 +214,7 @@
 
     /// Answers another gateway's request for units of a part that this gateway holds.
     pub fn take_quota_ask(&self, from: SocketAddr, ask: &QuotaAsk) {
-        let answer = self.hand_out(ask.part, &ask.workspace, ask.wanted);
+        let answer = self.grant_units(ask.part, &ask.workspace, ask.wanted);
         let message = InnerMessage::QuotaAnswer(QuotaAnswer { id: ask.id, answer });
         self.outlet.send(from, &message);
     }
@@ -224,7 +224,7 @@
         self.quota_asks.take(answer.id, answer.answer);
     }
 
-    fn hand_out(
+    fn grant_units(
         &self,
         part: PartIndex,
         workspace: &WorkspaceName,
@@ -248,7 +248,7 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let changes = state.tenure.take_read(parts, era, now);
-        self.apply_tenure_changes(&mut state, changes);
+        self.apply_lease_changes(&mut state, changes);
     }
 
     /// Applies the result of a claim.
@@ -259,10 +259,10 @@
         let change = state
             .tenure
             .take_outcome(&due.claim, outcome, due.sent_at, now);
-        self.apply_tenure_changes(&mut state, change);
+        self.apply_lease_changes(&mut state, change);
     }
 
-    fn apply_tenure_changes(
+    fn apply_lease_changes(
         &self,
         state: &mut CoreState,
         changes: impl IntoIterator<Item = TenureChange>,
@@ -312,7 +312,7 @@
     pub(super) fn tend_parts(&self, is_leaving: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let standing = ClaimStanding {
+        let priority = ClaimStanding {
             rank: state.peers.rank(now),
             is_wanted: !is_leaving,
         };
@@ -325,7 +325,7 @@
             state.holder.end(claim.record.part);
         }
         let mut claims = released;
-        while let Some(claim) = state.tenure.due(standing, now) {
+        while let Some(claim) = state.tenure.due(priority, now) {
             claims.push(claim);
         }
         drop(state);
--- a/crates/oatpier-gateway/src/gateway/reports.rs
+++ b/crates/oatpier-gateway/src/gateway/reports.rs
@@ -56,8 +56,8 @@
         state.urgent = false;
         let uses = state.directory.model_uses();
         let peers = state.peers.addresses(&self.core.zone, now);
-        let is_reader = state.peers.is_reader(now);
-        self.update_standing(&mut state, now);
+        let receives_demand = state.peers.is_reader(now);
+        self.update_own(&mut state, now);
         let own = state.peers.own();
         drop(state);
         let full = PeerReport {
@@ -70,7 +70,7 @@
             let report = self.report(own, NEAR_REPORT_TICKS);
             self.send(&peers.near, report);
         }
-        let far = if is_reader {
+        let far = if receives_demand {
             NEAR_REPORT_TICKS
         } else {
             FAR_REPORT_TICKS
@@ -98,8 +98,8 @@
         self.send(&peers.readers, partial);
     }
 
-    /// Updates this gateway's own standing: its share of the retry budget and its fitness to plan.
-    fn update_standing(&self, state: &mut CoreState, now: ClockTime) {
+    /// Updates this gateway's fitness to plan and its share of the retry budget.
+    fn update_own(&self, state: &mut CoreState, now: ClockTime) {
         let engines_heard = state.directory.engines_heard(now);
         state.peers.note_own(engines_heard, self.core.is_behind());
         let count = state.peers.count(now);
@@ -129,7 +129,7 @@
             is_behind: own.is_behind,
             leaving: self.stop.phase() != StopPhase::Serving,
             engines_heard: own.engines_heard,
-            config: self.core.config_standing(self.core.clock.now()),
+            config: self.core.config_status(self.core.clock.now()),
             is_partial: false,
             demand: Vec::new(),
             uses: Vec::new(),
--- a/crates/oatpier-gateway/src/metrics.rs
+++ b/crates/oatpier-gateway/src/metrics.rs
@@ -90,7 +90,7 @@
             registry: Arc::default(),
             requests: Family::default(),
             attempts: Family::default(),
-            first_seconds: Family::new_with_constructor(first_piece_histogram),
+            first_seconds: Family::new_with_constructor(first_chunk_histogram),
             store_reads: Family::default(),
             store_writes: Family::default(),
             orders: Family::default(),
@@ -115,7 +115,7 @@
 }
 
 /// Creates a histogram with buckets from two milliseconds to about half a minute.
-fn first_piece_histogram() -> Histogram {
+fn first_chunk_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.002, 2.0, 15))
 }
 
@@ -143,7 +143,7 @@
         self.attempts.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    /// Records the time until the first piece of an answer.
+    /// Records the time until the first chunk of an answer.
     pub fn first_after(&self, route: &str, took: Duration) {
         let labels = RouteLabels {
             route: route.to_owned(),
--- a/crates/oatpier-gateway/src/parts_writer.rs
+++ b/crates/oatpier-gateway/src/parts_writer.rs
@@ -20,7 +20,7 @@
 pub struct DueClaim {
     /// The claim.
     pub claim: PartClaim,
-    /// When the claim was decided, which is before it is sent. The holding time that it grants counts from here.
+    /// When the claim was decided, which is before it is sent. The lease that it grants starts here.
     pub sent_at: ClockTime,
 }
 
--- a/crates/oatpier-gateway/src/records.rs
+++ b/crates/oatpier-gateway/src/records.rs
@@ -63,7 +63,7 @@
         parts: Vec<PartEntry>,
         /// Era of the store: which copy of it was read.
         era: StoreEra,
-        /// The update to send to other gateways.
+        /// The delta to send to other gateways.
         word: StoreWord,
     },
     /// Another gateway of the availability zone has read the store, and nothing has changed.
@@ -83,7 +83,7 @@
     pub settings: SettingsFeed,
     /// Receives the results of reads.
     pub news: RingSender<StoreNews>,
-    /// Store updates from other gateways.
+    /// Store deltas from other gateways.
     pub words: RingReceiver<StoreWord>,
     /// Counts reads.
     pub metrics: ServingMetrics,
@@ -119,7 +119,7 @@
         }
         let period = read_period(&settings);
         let news = match word {
-            Some(word) => reader.apply_update(&word),
+            Some(word) => reader.apply_delta(&word),
             None => Some(read_once(&client, &mut reader, &mut schedule, period, clock).await),
         };
         let Some(news) = news else {
@@ -163,7 +163,7 @@
 struct StoreReader {
     metrics: ServingMetrics,
     config: Option<Bytes>,
-    /// The state of the store as last read or updated.
+    /// The state of the store after the last read or delta.
     view: Option<StoreView>,
     is_reachable: Option<bool>,
     /// Number of consecutive failed reads.
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Applies another gateway's update. Returns `None` if the update does not fit the state known here.
-    fn apply_update(&mut self, word: &StoreWord) -> Option<StoreNews> {
+    /// Applies another gateway's delta. Returns `None` if the delta does not fit the state known here.
+    fn apply_delta(&mut self, word: &StoreWord) -> Option<StoreNews> {
         let view = self.view.as_mut()?;
         match view.take_word(word) {
             WordOutcome::Same => Some(StoreNews::Same),
