--- a/crates/oatpier-serving/src/directory/departures.rs
+++ b/crates/oatpier-serving/src/directory/departures.rs
@@ -1,7 +1,8 @@
-//! Endpoints that have left, for a store that lists them again.
+//! Endpoints that have left, so that entries which reappear in the store do not bring them back.
 //!
-//! The failure: the store comes back from an older copy, in which an endpoint that has left is ready. It would get
-//! work until its entry lapses, though every gateway had acknowledged that it was leaving.
+//! When the store is restored from an older copy, it may list an endpoint as ready that has left since.
+//! That endpoint would receive work until its entry expires, although every gateway had acknowledged that
+//! it was leaving.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,12 +13,12 @@
 use super::EndpointRecord;
 use crate::engine::StartTime;
 
-/// An endpoint that left is remembered for this long. A copy of the store is some seconds old.
-const REMEMBERED: Duration = Duration::from_mins(1);
+/// Time for which an endpoint that has left is remembered. A copy of the store is some seconds old.
+const DEPARTURE_RETENTION: Duration = Duration::from_mins(1);
 
-/// After the store's return an endpoint that had left is kept out for this long. Its entry lapses before that, after
-/// three heartbeats at some 1.2 s each, unless it lives.
-const HELD_OUT: Duration = Duration::from_secs(5);
+/// Time after the store's recovery for which an endpoint that had left is excluded. The entry of a dead
+/// endpoint expires earlier, after three heartbeats of about 1.2 s each.
+const RESTORE_EXCLUSION: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
 struct Departure {
@@ -26,18 +27,18 @@
     at: ClockTime,
 }
 
-/// Endpoints that have left lately.
+/// Endpoints that have left recently.
 #[derive(Debug, Default)]
-pub(super) struct Departures {
+pub(super) struct DepartedEndpoints {
     departed: HashMap<EndpointName, Departure>,
-    returned_at: Option<ClockTime>,
+    restored_at: Option<ClockTime>,
 }
 
-impl Departures {
-    /// An endpoint is no longer listed.
-    pub(super) fn note(&mut self, record: &EndpointRecord, now: ClockTime) {
+impl DepartedEndpoints {
+    /// Records that an endpoint is no longer listed.
+    pub(super) fn record(&mut self, record: &EndpointRecord, now: ClockTime) {
         self.departed
-            .retain(|_, departure| now.since(departure.at) < REMEMBERED);
+            .retain(|_, departure| now.since(departure.at) < DEPARTURE_RETENTION);
         let departure = Departure {
             start: record.start,
             was_draining: record.draining,
@@ -46,22 +47,22 @@
         self.departed.insert(record.name.clone(), departure);
     }
 
-    /// The store came back from an older copy.
+    /// Records that the store was restored from an older copy.
     pub(super) fn note_store_return(&mut self, now: ClockTime) {
-        self.returned_at = Some(now);
+        self.restored_at = Some(now);
     }
 
-    /// Whether an entry is of a start that has left and is not to be taken for there again.
-    pub(super) fn hold(&self, record: &EndpointRecord, now: ClockTime) -> bool {
+    /// Returns whether an entry belongs to an incarnation that has left and must not be added again.
+    pub(super) fn is_excluded(&self, record: &EndpointRecord, now: ClockTime) -> bool {
         let Some(departure) = self.departed.get(&record.name) else {
             return false;
         };
-        if departure.start != record.start || now.since(departure.at) >= REMEMBERED {
+        if departure.start != record.start || now.since(departure.at) >= DEPARTURE_RETENTION {
             return false;
         }
-        let held_out = self
-            .returned_at
-            .is_some_and(|at| at >= departure.at && now.since(at) < HELD_OUT);
-        departure.was_draining || held_out
+        let is_recently_restored = self
+            .restored_at
+            .is_some_and(|at| at >= departure.at && now.since(at) < RESTORE_EXCLUSION);
+        departure.was_draining || is_recently_restored
     }
 }
--- a/crates/oatpier-serving/src/directory/fate.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -1,4 +1,4 @@
-//! What became of an endpoint that cut a request off.
+//! Whether an endpoint that broke off a request has terminated or is still running.
 
 use std::time::Duration;
 
@@ -10,13 +10,17 @@
 use crate::crashes::CrashSite;
 use crate::crashes::cuts::EndpointFate;
 
-/// A sidecar's word that its engine answers may be this old when it comes: it reads the engine's report several
-/// times a second, and relays pass the word on within a tenth of a second. A later one is from after the cut.
-const WORD_AGE: Duration = Duration::from_millis(400);
+/// Maximum age on arrival of a sidecar's report that its engine responds.
+///
+/// The sidecar reads the engine's report several times a second and relays forward updates within 100 ms.
+/// An update that arrives later than this after the break was produced after it.
+const MAX_UPDATE_AGE: Duration = Duration::from_millis(400);
 
 impl EndpointDirectory {
-    /// The start that a request was sent to, while the endpoint stays. Endpoints that leave end by themselves, and
-    /// so may those that the registry no longer lists: their ends are nobody's doing.
+    /// Returns the incarnation that a request was sent to, unless it is leaving.
+    ///
+    /// Endpoints that leave terminate by themselves, and so may those that the registry no longer lists, so
+    /// their termination is not attributed to a request.
     #[must_use]
     pub fn staying_start(
         &self,
@@ -25,15 +29,16 @@
         now: ClockTime,
     ) -> Option<(CrashSite, EndpointIndex)> {
         let row = self.row(name)?;
-        let is_sent_there = index.is_none_or(|index| index == row.index);
-        if !is_sent_there || !row.is_open(now) {
+        let is_same_incarnation = index.is_none_or(|index| index == row.index);
+        if !is_same_incarnation || !row.is_open(now) {
             return None;
         }
         let site = CrashSite::new(row.record.name.clone(), row.record.start);
         Some((site, row.index))
     }
 
-    /// What became of a start of an endpoint since it cut a request off at `since`.
+    /// Returns whether an incarnation of an endpoint has terminated since it broke off a request at
+    /// `since`.
     #[must_use]
     pub fn fate(
         &self,
@@ -46,11 +51,11 @@
             return EndpointFate::Ended;
         };
         let is_refused = row.refused_at.is_some_and(|at| at >= since);
-        if row.index != index || row.gone || is_refused || row.has_fallen_silent(now) {
+        if row.index != index || row.is_gone || is_refused || row.is_unresponsive(now) {
             return EndpointFate::Ended;
         }
         let has_served = row.served_at.is_some_and(|at| at > since);
-        if has_served || row.has_answered_sidecar(since + WORD_AGE, now) {
+        if has_served || row.has_responded_to_sidecar(since + MAX_UPDATE_AGE, now) {
             return EndpointFate::Alive;
         }
         EndpointFate::Unknown
@@ -58,12 +63,12 @@
 }
 
 impl EndpointRow {
-    /// Whether its sidecar, on the same VM, can't reach it.
-    fn has_fallen_silent(&self, now: ClockTime) -> bool {
+    /// Returns whether the engine's sidecar, on the same VM, gets no answer from it.
+    fn is_unresponsive(&self, now: ClockTime) -> bool {
         self.pulse(now).is_some_and(|pulse| !pulse.answers)
     }
 
-    fn has_answered_sidecar(&self, after: ClockTime, now: ClockTime) -> bool {
+    fn has_responded_to_sidecar(&self, after: ClockTime, now: ClockTime) -> bool {
         let kept = self.pulse.as_ref();
         let is_later = kept.is_some_and(|kept| kept.whole_at >= after);
         is_later && self.pulse(now).is_some_and(|pulse| pulse.answers)
--- a/crates/oatpier-serving/src/directory/row.rs
+++ b/crates/oatpier-serving/src/directory/row.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint.
+//! The state of one endpoint.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,133 +9,136 @@
 use oatpier_types::names::{AdapterName, EndpointName, ModelName, PoolName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-use super::REGISTRY_SETTLE;
-use super::pulse::{KeptPulse, LoadView};
+use super::REGISTRY_GRACE;
+use super::pulse::{LatestPulse, LoadEstimate};
 use super::rest::RestState;
 use crate::engine::{AdapterKey, HeldModel, LocalCopies, StartTime};
-use crate::health::{FailureShare, PaceEstimate};
+use crate::health::{DurationEstimate, FailureShare};
 use crate::message::EnginePulse;
 use crate::notice::RequestRate;
 use crate::quota::turns::TurnEstimates;
 use crate::reading::ReadingLoad;
 use crate::site::EngineRule;
 
-/// A pulse older than this no longer says what the engine holds; the registry does. Six periods
-/// of an idle sidecar.
-pub const PULSE_LIFE: Duration = Duration::from_millis(1_500);
+/// Age after which a status update no longer counts and the registry entry applies instead. Six periods of
+/// an idle sidecar.
+pub const PULSE_EXPIRY: Duration = Duration::from_millis(1_500);
 
-/// A sidecar that was heard and then not for this long is overdue: it tells something at least every
-/// 0.8 s, and every tenth of a second while its engine works.
-const PULSE_DUE: Duration = Duration::from_secs(1);
+/// Time without an update after which a sidecar is overdue. Sidecars send an update at least every 0.8 s,
+/// and every 100 ms while the engine is working.
+const PULSE_OVERDUE_AFTER: Duration = Duration::from_secs(1);
 
-/// How much longer a load takes that should be done: nobody tells how far it is.
-const READY_LEAST: Duration = Duration::from_millis(200);
+/// Minimum remaining time assumed for a load in progress. It applies to a load that exceeds its expected
+/// duration, because engines report no progress.
+const MIN_REMAINING_LOAD: Duration = Duration::from_millis(200);
 
-/// How much longer a load takes whose engine waits for the streams of another model to end. They end one
-/// by one; a stream takes one to a few seconds.
-const DRAIN_GUESS: Duration = Duration::from_secs(1);
+/// Additional load time assumed while the engine waits for the streams of another model to end. They end
+/// one by one, and a stream takes one to a few seconds.
+const INITIAL_DRAIN_TIME: Duration = Duration::from_secs(1);
 
-/// The time to the first piece that is assumed of an endpoint before it has answered, in
-/// milliseconds, the reading of the prompt not counted: a step of a calm engine and the way there.
-const FIRST_GUESS_MS: f64 = 15.0;
+/// Initial estimate of the time to the first chunk, in milliseconds, not counting the prefill. It covers
+/// one step of an engine under low load and the network latency.
+const INITIAL_FIRST_CHUNK_MS: f64 = 15.0;
 
-/// The time that a request is assumed to hold a slot before any has ended, in milliseconds: a few
-/// hundred tokens at a calm engine.
-const HOLD_GUESS_MS: f64 = 700.0;
+/// Initial estimate of how long a request holds a slot, in milliseconds. It corresponds to a few hundred
+/// tokens at an engine under low load.
+const INITIAL_HOLD_MS: f64 = 700.0;
 
-/// As [`HOLD_GUESS_MS`] for a plain service.
-const SERVICE_HOLD_GUESS_MS: f64 = 30.0;
+/// Like [`INITIAL_HOLD_MS`], for a plain service.
+const INITIAL_SERVICE_HOLD_MS: f64 = 30.0;
 
-/// An engine whose limit keeps its requests below this share of its slots holds its models for few callers.
-const SQUEEZED_SHARE: f64 = 0.25;
+/// An endpoint is throttled if its rate limit keeps its running requests below this share of its slots: it
+/// then holds its models for few requests.
+const THROTTLED_SHARE: f64 = 0.25;
 
-/// A limit or a rest that is over within this is not worth a load elsewhere.
-const SQUEEZED_AFTER: Duration = Duration::from_secs(2);
+/// A rate limit or rest period that ends within this time does not justify loading the model elsewhere.
+const THROTTLED_AFTER: Duration = Duration::from_secs(2);
 
-/// An endpoint as the registry lists it.
+/// An endpoint as listed in the registry.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its name; one that starts again may keep it.
+    /// Name of the endpoint, which it may keep across restarts.
     pub name: EndpointName,
-    /// Which start this entry is of, if it tells.
+    /// Start time of the incarnation that the entry describes, if known.
     pub start: Option<StartTime>,
-    /// What it serves.
+    /// The service that it provides.
     pub service: PoolName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it is.
+    /// Its availability zone.
     pub zone: ZoneName,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which it is slow after its start.
     pub cold: Duration,
-    /// What it held at its last heartbeat; empty for a plain service.
+    /// Models that it held at its last heartbeat; empty for a plain service.
     pub models: Vec<HeldModel>,
-    /// What it could load by itself at its last heartbeat.
+    /// Models that it could load from local copies at its last heartbeat.
     pub copies: LocalCopies,
 }
 
-/// A limit on the requests of all gateways that an endpoint named.
+/// A rate limit, over the requests of all gateways, that an endpoint has reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NamedLimit {
+pub struct ReportedLimit {
     /// The limit.
     pub rate: RequestRate,
-    /// Since when there is one.
+    /// When the endpoint first reported a limit, with no response without one since.
     pub since: ClockTime,
-    /// When it was last named.
-    pub(super) named_at: ClockTime,
-    /// When the last request was sent whose answer named it.
+    /// When it was last reported.
+    pub(super) reported_at: ClockTime,
+    /// When the latest request was sent whose response reported it.
     pub(super) sent_at: ClockTime,
-    /// When the endpoint may be sent the next request.
+    /// Estimates of when the endpoint may be sent the next requests.
     pub(super) turns: TurnEstimates,
 }
 
-/// A model that an engine loads or is about to.
+/// A model that an engine is loading or about to load.
 #[derive(Debug, Clone)]
-pub(super) struct ComingModel {
+pub(super) struct LoadingModel {
     model: ModelName,
     since: ClockTime,
 }
 
-/// One endpoint.
+/// An endpoint in the directory.
 #[derive(Debug)]
 pub struct EndpointRow {
     /// Its registry entry.
     pub record: EndpointRecord,
-    /// Its place in health and prefix tables.
+    /// Its index in the health and prefix tables.
     pub index: EndpointIndex,
-    /// This gateway's requests there.
+    /// Number of this gateway's requests in progress at the endpoint.
     pub own: u32,
-    /// Time to the first piece, beyond the reading of prompts.
-    pub first: PaceEstimate,
-    /// This gateway's prompts that are being read there.
+    /// Time to the first chunk after the prefill.
+    pub first: DurationEstimate,
+    /// Prefill of this gateway's prompts at the endpoint.
     pub reading: ReadingLoad,
-    /// Time that a request holds a slot.
-    pub hold: PaceEstimate,
-    pub(super) load: LoadView,
-    pub(super) pulse: Option<KeptPulse>,
+    /// Time for which a request holds a slot.
+    pub hold: DurationEstimate,
+    pub(super) load: LoadEstimate,
+    pub(super) pulse: Option<LatestPulse>,
     pub(super) failures: FailureShare,
-    /// This gateway's requests there, by adapter; 0 for one that was used since the last greeting.
+    /// This gateway's requests in progress by adapter; 0 for an adapter that was used since the last
+    /// greeting.
     pub(super) adapters: HashMap<AdapterKey, u32>,
-    /// This gateway's requests there, by model.
+    /// This gateway's requests in progress by model.
     pub(super) models: HashMap<ModelName, u32>,
-    /// The model that is coming, by its sidecar, and since when.
-    pub(super) coming: Option<ComingModel>,
-    pub(super) gone: bool,
-    /// When it took its predecessor's place, before the registry listed it.
+    /// The model that is being loaded according to the sidecar, and since when.
+    pub(super) loading: Option<LoadingModel>,
+    pub(super) is_gone: bool,
+    /// When it replaced its predecessor, before the registry listed it.
     pub(super) adopted_at: Option<ClockTime>,
-    /// When its address last refused a connection: nothing listens there.
+    /// When its address last refused a connection, which means that nothing listens there.
     pub(super) refused_at: Option<ClockTime>,
-    /// When the last request was sent that it answered whole.
+    /// When the latest request was sent that it answered completely.
     pub(super) served_at: Option<ClockTime>,
-    /// The limit that it named, while it names one.
-    pub(super) limit: Option<NamedLimit>,
-    /// Whether an answer of its said that it leaves.
-    pub(super) says_leaving: bool,
-    /// The rest that it asked this gateway for, until it serves as before.
+    /// The rate limit that it currently reports, if any.
+    pub(super) limit: Option<ReportedLimit>,
+    /// Whether it has reported in a response that it is leaving.
+    pub(super) is_leaving: bool,
+    /// The rest period that it asked this gateway for, until the ramp-up afterwards is complete.
     pub(super) rest: Option<RestState>,
 }
 
@@ -143,94 +146,96 @@
     pub(super) fn new(record: EndpointRecord, index: EndpointIndex) -> Self {
         let is_engine = !record.models.is_empty();
         let hold = if is_engine {
-            HOLD_GUESS_MS
+            INITIAL_HOLD_MS
         } else {
-            SERVICE_HOLD_GUESS_MS
+            INITIAL_SERVICE_HOLD_MS
         };
         Self {
             record,
             index,
             own: 0,
-            first: PaceEstimate::starting_at(FIRST_GUESS_MS),
+            first: DurationEstimate::starting_at(INITIAL_FIRST_CHUNK_MS),
             reading: ReadingLoad::default(),
-            hold: PaceEstimate::starting_at(hold),
-            load: LoadView::default(),
+            hold: DurationEstimate::starting_at(hold),
+            load: LoadEstimate::default(),
             pulse: None,
             failures: FailureShare::default(),
             adapters: HashMap::new(),
             models: HashMap::new(),
-            coming: None,
-            gone: false,
+            loading: None,
+            is_gone: false,
             adopted_at: None,
             refused_at: None,
             served_at: None,
             limit: None,
-            says_leaving: false,
+            is_leaving: false,
             rest: None,
         }
     }
 
-    /// Whether an answer of its said that it leaves.
+    /// Returns whether it has reported in a response that it is leaving.
     #[must_use]
-    pub fn says_leaving(&self) -> bool {
-        self.says_leaving
+    pub fn is_leaving(&self) -> bool {
+        self.is_leaving
     }
 
-    /// How much longer it wants no requests from this gateway.
+    /// Returns the time until the end of the rest period that it asked this gateway for.
     #[must_use]
     pub fn rest_left(&self, now: ClockTime) -> Duration {
-        self.rest.map_or(Duration::ZERO, |rest| rest.left(now))
+        self.rest.map_or(Duration::ZERO, |rest| rest.remaining(now))
     }
 
-    /// Whether this gateway may send it a request, by the rest that it asked for.
+    /// Returns whether its rest period and the ramp-up afterwards allow this gateway to send a request.
     #[must_use]
     pub fn is_rested(&self, now: ClockTime) -> bool {
-        self.rest.is_none_or(|rest| rest.may_try(now))
+        self.rest.is_none_or(|rest| rest.allows_request(now))
     }
 
-    /// The limit on the requests of all gateways, if it named one.
+    /// Returns the rate limit over all gateways that it reports, if any.
     #[must_use]
-    pub fn limit(&self) -> Option<NamedLimit> {
+    pub fn limit(&self) -> Option<ReportedLimit> {
         self.limit
     }
 
-    /// How long until a limit lets it be sent a request, at the least.
+    /// Returns the minimum wait until its rate limit allows a request.
     #[must_use]
     pub fn turn_wait(&self, now: ClockTime) -> Duration {
         self.limit
             .map_or(Duration::ZERO, |limit| limit.turns.wait(now))
     }
 
-    /// Whether its limit, or its rest, has left it so little for so long that its models need other holders.
+    /// Returns whether its rate limit or rest period has restricted it so much and for so long that its
+    /// models need other holders.
     #[must_use]
     pub fn is_squeezed(&self, now: ClockTime) -> bool {
         let is_limited = self.limit.is_some_and(|limit| {
             let running = limit.rate.per_second() * self.hold.mean_ms() / 1e3;
-            let is_small = running < f64::from(self.record.slots) * SQUEEZED_SHARE;
-            is_small && now.since(limit.since) >= SQUEEZED_AFTER
+            let is_small = running < f64::from(self.record.slots) * THROTTLED_SHARE;
+            is_small && now.since(limit.since) >= THROTTLED_AFTER
         });
-        let rests = |rest: RestState| now.since(rest.since) >= SQUEEZED_AFTER;
+        let rests = |rest: RestState| now.since(rest.since) >= THROTTLED_AFTER;
         is_limited || self.rest.is_some_and(rests)
     }
 
-    /// Whether this gateway's requests use adapters there, or did since its last greeting.
+    /// Returns whether this gateway's requests use its adapters or have used them since the last greeting.
     #[must_use]
     pub fn uses_adapters(&self) -> bool {
         !self.adapters.is_empty()
     }
 
-    /// What is known of a start that ended is not true of the next one under the same name.
+    /// Resets the state for a new incarnation. Nothing known about the previous incarnation applies to the
+    /// new one, even under the same name.
     pub(super) fn restart(&mut self, record: EndpointRecord, index: EndpointIndex) {
         *self = Self::new(record, index);
     }
 
-    /// Whether a word on this endpoint is of another start than the one that is known.
-    pub(super) fn is_other_start(&self, start: Option<StartTime>) -> bool {
+    /// Returns whether a start time belongs to another incarnation than the known one.
+    pub(super) fn is_other_incarnation(&self, start: Option<StartTime>) -> bool {
         let known = self.record.start;
         known.is_some() && start.is_some() && known != start
     }
 
-    /// A request for a model is over.
+    /// Records that a request for a model has ended.
     pub(super) fn release_model(&mut self, model: &ModelName) {
         let Some(requests) = self.models.get_mut(model) else {
             return;
@@ -241,50 +246,50 @@
         }
     }
 
-    /// The last pulse, unless it is too old to say anything.
+    /// Returns the latest status update, unless it has expired.
     #[must_use]
     pub fn pulse(&self, now: ClockTime) -> Option<&EnginePulse> {
         let kept = self.pulse.as_ref()?;
-        (now.since(kept.at) <= PULSE_LIFE).then_some(&kept.pulse)
+        (now.since(kept.at) <= PULSE_EXPIRY).then_some(&kept.pulse)
     }
 
-    /// How old the last pulse is, if it still counts.
+    /// Returns the age of the latest status update, unless it has expired.
     #[must_use]
     pub fn pulse_age(&self, now: ClockTime) -> Option<Duration> {
         let age = now.since(self.pulse.as_ref()?.at);
-        (age <= PULSE_LIFE).then_some(age)
+        (age <= PULSE_EXPIRY).then_some(age)
     }
 
-    /// The time to read what was sent there or waits for a permit, in milliseconds, as far as known.
+    /// Returns the prefill time, in milliseconds, of the prompts known to be at the endpoint or to wait for
+    /// a permit.
     #[must_use]
     pub fn reading_ahead_ms(&self, now: ClockTime) -> f64 {
-        let told = self.pulse(now).map_or(0, |pulse| pulse.permit_wait_ms);
-        self.reading.ms().max(f64::from(told))
+        let queued_ms = self.pulse(now).map_or(0, |pulse| pulse.permit_wait_ms);
+        self.reading.ms().max(f64::from(queued_ms))
     }
 
-    /// Whether its sidecar was heard and has fallen silent.
+    /// Returns whether its sidecar has sent updates before but is overdue with the next one.
     #[must_use]
     pub fn is_overdue(&self, now: ClockTime) -> bool {
         self.pulse
             .as_ref()
-            .is_some_and(|kept| now.since(kept.at) > PULSE_DUE)
+            .is_some_and(|kept| now.since(kept.at) > PULSE_OVERDUE_AFTER)
     }
 
-    /// Whether it was taken for its predecessor's successor lately, so that the registry may not list
-    /// it yet.
+    /// Returns whether it replaced its predecessor so recently that the registry may not list it yet.
     pub(super) fn is_adopted(&self, now: ClockTime) -> bool {
         self.adopted_at
-            .is_some_and(|at| now.since(at) < REGISTRY_SETTLE)
+            .is_some_and(|at| now.since(at) < REGISTRY_GRACE)
     }
 
-    /// Whether it may get new requests.
+    /// Returns whether it may be sent new requests.
     #[must_use]
     pub fn is_open(&self, now: ClockTime) -> bool {
-        let leaving = self.record.draining || self.gone;
+        let leaving = self.record.draining || self.is_gone;
         !leaving && !self.pulse(now).is_some_and(|pulse| pulse.draining)
     }
 
-    /// What it holds, by the newest word.
+    /// Returns the models that it holds according to the newest source.
     #[must_use]
     pub fn models(&self, now: ClockTime) -> &[HeldModel] {
         match self.pulse(now) {
@@ -293,7 +298,7 @@
         }
     }
 
-    /// Whether a model is there and stays.
+    /// Returns whether it holds a model that is not about to be unloaded.
     #[must_use]
     pub fn holds(&self, model: &ModelName, now: ClockTime) -> bool {
         let retiring = self
@@ -302,7 +307,7 @@
         !retiring && self.models(now).iter().any(|held| held.model == *model)
     }
 
-    /// How long a load of a model takes there, by what it has copies of.
+    /// Returns how long it takes to load a model, given its local copies.
     #[must_use]
     pub fn load_time(
         &self,
@@ -314,7 +319,7 @@
         Some(rule.model(model)?.load_with(&pulse.copies))
     }
 
-    /// When a model will be there, if it is being loaded or is about to be.
+    /// Returns the time until a model is ready, if it is being loaded or about to be loaded.
     #[must_use]
     pub fn ready_in(
         &self,
@@ -323,57 +328,58 @@
         now: ClockTime,
     ) -> Option<Duration> {
         let pulse = self.pulse(now)?;
-        let coming = self.coming.as_ref()?;
-        if coming.model != *model {
+        let loading = self.loading.as_ref()?;
+        if loading.model != *model {
             return None;
         }
         let load = self.load_time(model, rule, now)?;
         if pulse.retiring.is_empty() {
             Some(
-                load.saturating_sub(now.since(coming.since))
-                    .max(READY_LEAST),
+                load.saturating_sub(now.since(loading.since))
+                    .max(MIN_REMAINING_LOAD),
             )
         } else {
-            Some(load + DRAIN_GUESS)
+            Some(load + INITIAL_DRAIN_TIME)
         }
     }
 
-    /// Keeps a pulse. Pulses and words on the load come by different relays, so a newer word on the load may
-    /// be here already.
-    pub(super) fn keep(&mut self, pulse: EnginePulse, now: ClockTime) {
-        let newer = self.pulse.as_ref().map(KeptPulse::load);
-        let mut kept = KeptPulse {
+    /// Stores a status update. Status updates and load updates arrive through different relays, so a newer
+    /// load update may already have been applied.
+    pub(super) fn store_pulse(&mut self, pulse: EnginePulse, now: ClockTime) {
+        let newer = self.pulse.as_ref().map(LatestPulse::load);
+        let mut kept = LatestPulse {
             load_number: pulse.number,
             pulse,
             at: now,
             whole_at: now,
         };
         if !newer.is_some_and(|load| kept.take_load(&load)) {
-            self.load.renew(kept.pulse.load);
+            self.load.reset(kept.pulse.load);
         }
         self.pulse = Some(kept);
-        self.note_coming(now);
+        self.update_loading(now);
     }
 
-    /// Notes what the last pulse says of a model that is coming.
-    pub(super) fn note_coming(&mut self, now: ClockTime) {
+    /// Updates which model is being loaded from the latest status update.
+    pub(super) fn update_loading(&mut self, now: ClockTime) {
         let loading = self.pulse(now).and_then(|pulse| pulse.loading.clone());
         let draining = self
             .pulse(now)
             .is_some_and(|pulse| !pulse.retiring.is_empty());
-        let known = self.coming.take();
+        let known = self.loading.take();
         let known = known.filter(|known| !draining && loading.as_ref() == Some(&known.model));
-        let fresh = || loading.map(|model| ComingModel { model, since: now });
-        self.coming = known.or_else(fresh);
+        let fresh = || loading.map(|model| LoadingModel { model, since: now });
+        self.loading = known.or_else(fresh);
     }
 
-    /// Whether it loads a model or is about to, which the unloading of others comes before.
+    /// Returns whether it is loading a model or about to load one, including the time to unload others
+    /// first.
     #[must_use]
     pub fn is_changing(&self, now: ClockTime) -> bool {
         self.pulse(now).is_some_and(|pulse| pulse.loading.is_some())
     }
 
-    /// How far an adapter is.
+    /// Returns the state of an adapter.
     #[must_use]
     pub fn adapter(
         &self,
@@ -396,13 +402,13 @@
         }
     }
 
-    /// Adapters that could be loaded without waiting for requests that use others.
+    /// Returns the number of adapters that can be loaded without waiting for requests that use others.
     #[must_use]
     pub fn adapter_room(&self, now: ClockTime) -> u32 {
         self.pulse(now).map_or(0, |pulse| pulse.adapter_room)
     }
 
-    /// Requests there or waiting at its sidecar, as far as known.
+    /// Returns the number of requests known to be at the endpoint or queued at its sidecar.
     #[must_use]
     pub fn present(&self) -> u32 {
         let kept = self.pulse.as_ref();
@@ -410,13 +416,14 @@
         self.load.present().max(self.own) + asking
     }
 
-    /// Requests that waited there at its last word.
+    /// Returns the number of requests queued at the endpoint according to its latest report.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.load.waiting()
     }
 
-    /// The share of its memory that requests take, from 0 to 1; 0 if it is not known.
+    /// Returns the share of its memory taken by requests and `more` additional tokens, as a fraction; 0 if
+    /// unknown.
     #[must_use]
     pub fn memory_share(&self, more: u64, now: ClockTime) -> f64 {
         let Some(pulse) = self.pulse(now).filter(|pulse| pulse.memory_total > 0) else {
@@ -430,27 +437,28 @@
         share
     }
 
-    /// The share of all gateways' requests that failed there lately, by its sidecar's word.
+    /// Returns the share of all gateways' requests that have failed there recently, as reported by its
+    /// sidecar.
     #[must_use]
     pub fn fleet_failure_share(&self, now: ClockTime) -> f64 {
         let percent = self.pulse(now).map_or(0, |pulse| pulse.failing_percent);
         f64::from(percent) / 100.0
     }
 
-    /// The share of this gateway's requests that failed there lately.
+    /// Returns the share of this gateway's requests that have failed there recently.
     #[must_use]
     pub fn failure_share(&self, now: ClockTime) -> f64 {
         self.failures.at(now)
     }
 }
 
-/// How far an adapter is at an engine.
+/// The state of an adapter at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdapterState {
-    /// Requests may use it.
+    /// The adapter is loaded and can be used.
     Ready,
-    /// It is on its way.
+    /// The adapter is being loaded.
     Coming,
-    /// It has to be loaded.
+    /// The adapter is not loaded.
     Absent,
 }
--- a/crates/oatpier-serving/src/greetings.rs
+++ b/crates/oatpier-serving/src/greetings.rs
@@ -1,9 +1,10 @@
-//! How often a gateway greets sidecars that it does not hear.
+//! How often a gateway sends greetings to sidecars that it receives no updates from.
 //!
-//! The load: after a start of all processes every sidecar is to be heard within a moment, so an unheard one is
-//! greeted eight times a second. In a fleet with ten engines for each VM of ours most engines have no sidecar at
-//! all, and greetings that nobody answers were most of what gateways and engines' VMs exchanged. So a sidecar that
-//! stays unheard is greeted ever more rarely.
+//! A greeting asks a sidecar for its status updates. After a start of all processes, the updates of every
+//! sidecar must arrive promptly, so a sidecar without updates is greeted eight times a second. In a fleet
+//! with ten engines for each of our VMs, most engines have no sidecar at all, and unanswered greetings were
+//! most of the traffic between gateways and engine VMs. Therefore, the interval grows for as long as a
+//! sidecar sends no updates.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,60 +12,61 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 
-/// From one greeting to the next for as long as a process takes to start.
-const FIRST_PAUSE: Duration = Duration::from_millis(125);
+/// Interval between greetings during [`INITIAL_PERIOD`].
+const INITIAL_INTERVAL: Duration = Duration::from_millis(125);
 
-/// How long that is.
-const FIRST_SPAN: Duration = Duration::from_secs(4);
+/// Time that a process takes to start.
+const INITIAL_PERIOD: Duration = Duration::from_secs(4);
 
-/// After that a greeting comes when the sidecar has been unheard for this much longer than at the last one.
-const GROWTH: f64 = 1.25;
+/// After [`INITIAL_PERIOD`], each greeting is sent when the time without updates is this many times what it
+/// was at the previous greeting.
+const BACKOFF_FACTOR: f64 = 1.25;
 
-/// The longest pause: a sidecar whose VM was cut off is found again this soon.
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+/// Maximum interval between greetings. A sidecar whose VM was partitioned is found again within this time.
+const MAX_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
-struct UnheardSidecar {
+struct SilentSidecar {
     since: ClockTime,
     greeted_at: ClockTime,
 }
 
-impl UnheardSidecar {
-    fn pause(&self) -> Duration {
-        let unheard_for = self.greeted_at.since(self.since);
-        if unheard_for < FIRST_SPAN {
-            return FIRST_PAUSE;
+impl SilentSidecar {
+    fn interval(&self) -> Duration {
+        let silent_for = self.greeted_at.since(self.since);
+        if silent_for < INITIAL_PERIOD {
+            return INITIAL_INTERVAL;
         }
-        unheard_for.mul_f64(GROWTH - 1.0).min(LONGEST_PAUSE)
+        silent_for.mul_f64(BACKOFF_FACTOR - 1.0).min(MAX_INTERVAL)
     }
 }
 
-/// The sidecars that are not heard, by their engines.
+/// The sidecars that this gateway receives no updates from, by engine.
 #[derive(Debug, Default)]
 pub struct GreetingPaces {
-    unheard: HashMap<EndpointName, UnheardSidecar>,
+    silent: HashMap<EndpointName, SilentSidecar>,
 }
 
 impl GreetingPaces {
-    /// Whether an engine's sidecar, which is not heard, is greeted now.
+    /// Returns whether a greeting to a sidecar without updates is due, and records that it is sent.
     pub fn is_due(&mut self, engine: &EndpointName, now: ClockTime) -> bool {
-        let Some(known) = self.unheard.get_mut(engine) else {
-            let fresh = UnheardSidecar {
+        let Some(known) = self.silent.get_mut(engine) else {
+            let sidecar = SilentSidecar {
                 since: now,
                 greeted_at: now,
             };
-            self.unheard.insert(engine.clone(), fresh);
+            self.silent.insert(engine.clone(), sidecar);
             return true;
         };
-        let is_due = now.since(known.greeted_at) >= known.pause();
+        let is_due = now.since(known.greeted_at) >= known.interval();
         if is_due {
             known.greeted_at = now;
         }
         is_due
     }
 
-    /// Only these engines' sidecars are still unheard.
-    pub fn retain(&mut self, is_unheard: impl Fn(&EndpointName) -> bool) {
-        self.unheard.retain(|engine, _| is_unheard(engine));
+    /// Keeps only the sidecars for which `is_silent` returns true.
+    pub fn retain(&mut self, is_silent: impl Fn(&EndpointName) -> bool) {
+        self.silent.retain(|engine, _| is_silent(engine));
     }
 }
--- a/crates/oatpier-serving/src/peers.rs
+++ b/crates/oatpier-serving/src/peers.rs
@@ -1,8 +1,9 @@
-//! Which gateways there are, and which of them plans.
+//! Membership of the gateways, and the choice of the gateway that plans.
 //!
-//! A gateway counts as there until three of its reports in a row are missing. Of those that keep up with
-//! their work, the one with the largest processor plans. While gateways disagree, two may plan: sidecars
-//! keep every promise by themselves, so this costs a few loads at most.
+//! A gateway counts as live until three of its reports in a row are missing. Among the gateways that keep
+//! up with their work, the one with the largest CPU allotment is the planner. While the gateways' views
+//! differ, two of them may plan. This costs a few loads at most, because each sidecar enforces all limits
+//! by itself.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -14,41 +15,42 @@
 
 use crate::message::{ModelDemand, ModelUse, PeerReport};
 
-/// Reports of a gateway that may be lost in a row before it counts as gone, stopped or cut off.
-const LOST_REPORTS: u32 = 3;
+/// Consecutive reports of a gateway that may be missing before it counts as gone, stopped or partitioned.
+const MAX_MISSING_REPORTS: u32 = 3;
 
-/// How much later than due a report may come: a round of the sender's timers on a busy VM.
+/// Tolerance for late reports: one round of the sender's timers on a busy VM.
 const REPORT_SLACK: Duration = Duration::from_millis(150);
 
-/// Gateways that are told the demand: the one that plans, and the one that follows if it is gone. The
-/// others are only told that this one is there; telling all of them everything would cost bytes and
-/// processor time with the square of their number.
+/// Number of gateways that receive the full demand: the planner and its successor.
+///
+/// The others only receive reports that show the sender is live. Sending the full demand to all of them
+/// would cost bytes and CPU time that grow with the square of the number of gateways.
 const DEMAND_READERS: usize = 2;
 
-/// A gateway plans only if it misses no more than one in this many of the engines that others hear: a few
-/// lost datagrams must not move the planning about.
-const MISSED_PART: u32 = 4;
+/// A gateway may plan only if it misses at most this fraction (one in four) of the engines that the
+/// best-connected gateway receives updates from. A few lost datagrams must not move the planner.
+const MISSED_ENGINES_DIVISOR: u32 = 4;
 
-/// An address that greeted a sidecar is told reports for this long after it was last named.
-const ADDRESS_LIFE: Duration = Duration::from_secs(5);
+/// Time for which a gateway's address is sent reports after a sidecar last named it or its last report.
+const ADDRESS_EXPIRY: Duration = Duration::from_secs(5);
 
-/// A model that was asked for this long ago is as good as never asked for.
-const ASKED_LIFE: Duration = Duration::from_mins(2);
+/// Time after the last request for a model from which on the model counts as never requested.
+const DEMAND_EXPIRY: Duration = Duration::from_mins(2);
 
 #[derive(Debug, Clone)]
-struct KeptReport {
+struct LatestReport {
     report: PeerReport,
     at: ClockTime,
 }
 
-impl KeptReport {
-    /// Whether its sender still counts as there.
+impl LatestReport {
+    /// Returns whether the sender counts as live.
     fn is_live(&self, now: ClockTime) -> bool {
         let every = Duration::from_millis(u64::from(self.report.every_ms));
-        now.since(self.at) < every * LOST_REPORTS + REPORT_SLACK
+        now.since(self.at) < every * MAX_MISSING_REPORTS + REPORT_SLACK
     }
 
-    /// A partial report renews the models that it names, and its sender's word on itself.
+    /// Merges a partial report, which replaces the demand for the models it lists and the sender's state.
     fn merge(&mut self, partial: PeerReport, now: ClockTime) {
         let known = std::mem::take(&mut self.report.demand);
         let is_renewed =
@@ -67,26 +69,26 @@
     }
 }
 
-/// The other gateways.
+/// The other gateways as known to this one.
 #[derive(Debug)]
 pub struct PeerBook {
     own: PeerStanding,
-    named: HashMap<SocketAddr, ClockTime>,
-    reports: HashMap<SocketAddr, KeptReport>,
-    /// When each model was asked for last, by any gateway that reported it.
-    asked: HashMap<ModelName, ClockTime>,
+    named_at: HashMap<SocketAddr, ClockTime>,
+    reports: HashMap<SocketAddr, LatestReport>,
+    /// When each model was last requested at any gateway that reported it.
+    last_requested: HashMap<ModelName, ClockTime>,
 }
 
-/// How fit a gateway is for planning.
+/// The properties by which gateways are ranked for planning.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerStanding {
-    /// Where it hears.
+    /// The address that it listens on for gateways and sidecars.
     pub address: SocketAddr,
-    /// Its processor, in thousandths of a core.
+    /// Its CPU allotment in thousandths of a core.
     pub processor: u32,
-    /// Whether it has more to do than its processor does.
+    /// Whether it has more work than its CPU allotment allows.
     pub is_behind: bool,
-    /// Engines that it hears of.
+    /// Number of engines that it receives updates from.
     pub engines_heard: u32,
 }
 
@@ -100,43 +102,43 @@
         }
     }
 
-    /// The least plans. A round of planning takes a fifth of a second on the thinnest VMs and a few
-    /// milliseconds on the others, and every gateway's demand arrives there.
-    fn order(&self) -> (bool, Reverse<u32>, SocketAddr) {
+    /// Sort key: the gateway with the lowest key plans. A planning round takes 200 ms on the smallest VMs
+    /// and a few milliseconds on the others, and the demand of every gateway is sent to the planner.
+    fn sort_key(&self) -> (bool, Reverse<u32>, SocketAddr) {
         (self.is_behind, Reverse(self.processor), self.address)
     }
 }
 
-/// Where reports go.
+/// Addresses that reports are sent to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportAddresses {
-    /// Gateways that plan, or follow the one that does.
+    /// The planner and its successor.
     pub readers: Vec<SocketAddr>,
-    /// The others of the same availability zone, and those that were not heard of yet.
+    /// The other gateways in the same availability zone, and those that have not reported yet.
     pub near: Vec<SocketAddr>,
-    /// The others.
+    /// The gateways in other availability zones.
     pub far: Vec<SocketAddr>,
 }
 
-/// The demand of all gateways for one model.
+/// The demand for one model, summed over all gateways.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TotalDemand {
-    /// Requests at engines, on average.
+    /// Average number of requests at engines.
     pub running: f64,
-    /// Requests sent to engines, a second, averaged like `running`.
+    /// Requests sent to engines per second, averaged like `running`.
     pub sent: f64,
-    /// Requests that can't be served, a second.
+    /// Requests per second that cannot be served.
     pub unserved: f64,
-    /// Requests that came in, a second, over the last second or so.
+    /// Requests received per second, averaged over about one second.
     pub asked_fast: f64,
-    /// The same over the last few seconds.
+    /// The same, averaged over a few seconds.
     pub asked_slow: f64,
-    /// The same over the last ten seconds or so.
+    /// The same, averaged over about ten seconds.
     pub asked_long: f64,
-    /// Adapters that were asked for lately, at the gateway that saw most of them: gateways see much
-    /// the same ones.
+    /// Recently requested adapters at the gateway that saw the most of them. They are not summed, because
+    /// gateways see mostly the same adapters.
     pub adapters: f64,
-    /// The time since it was asked for last; none if never.
+    /// Time since the last request; `None` if there was none.
     pub idle: Option<Duration>,
 }
 
@@ -157,20 +159,20 @@
     }
 }
 
-/// The requests of all gateways at engines.
+/// The requests of all gateways at each engine.
 #[derive(Debug, Clone, Default)]
 pub struct FleetUses {
     engines: HashMap<SocketAddr, HashMap<ModelName, u32>>,
 }
 
 impl FleetUses {
-    /// Counts one gateway's requests in.
+    /// Adds the requests of one gateway.
     pub fn add(&mut self, used: &ModelUse) {
         let models = self.engines.entry(used.engine).or_default();
         *models.entry(used.model.clone()).or_default() += used.requests;
     }
 
-    /// Requests that use a model at an engine.
+    /// Returns the number of requests that use a model at an engine.
     #[must_use]
     pub fn requests(&self, engine: SocketAddr, model: &ModelName) -> u32 {
         let models = self.engines.get(&engine);
@@ -182,7 +184,7 @@
 }
 
 impl PeerBook {
-    /// No peers yet.
+    /// Creates a table without peers.
     #[must_use]
     pub fn new(own: SocketAddr, processor: u32) -> Self {
         Self {
@@ -192,75 +194,76 @@
                 is_behind: false,
                 engines_heard: 0,
             },
-            named: HashMap::new(),
+            named_at: HashMap::new(),
             reports: HashMap::new(),
-            asked: HashMap::new(),
+            last_requested: HashMap::new(),
         }
     }
 
-    /// How this gateway stands itself.
+    /// Updates the properties of this gateway.
     pub fn note_own(&mut self, engines_heard: u32, is_behind: bool) {
         self.own.engines_heard = engines_heard;
         self.own.is_behind = is_behind;
     }
 
-    /// How this gateway stands itself, as it was noted last.
+    /// Returns the properties of this gateway as last updated.
     #[must_use]
     pub fn own(&self) -> PeerStanding {
         self.own
     }
 
-    /// A sidecar named gateways that greet it.
+    /// Records the gateways that a sidecar has received greetings from.
     pub fn note_named(&mut self, gateways: &[SocketAddr], now: ClockTime) {
         let own = self.own.address;
         for address in gateways.iter().filter(|address| **address != own) {
-            self.named.insert(*address, now);
+            self.named_at.insert(*address, now);
         }
     }
 
-    /// A peer reported. An older report than the one that is kept changes nothing.
+    /// Applies a report of a peer, unless a newer one has been applied.
     pub fn take_report(&mut self, from: SocketAddr, report: PeerReport, now: ClockTime) {
         let kept = self.reports.get(&from).map(|kept| kept.report.number);
         if !kept.is_none_or(|kept| report.number.supersedes(kept)) {
             return;
         }
-        self.named.insert(from, now);
-        self.note_asked(&report.demand, now);
+        self.named_at.insert(from, now);
+        self.note_requested(&report.demand, now);
         match self.reports.get_mut(&from) {
             Some(kept) if report.is_partial && kept.report.number.boot == report.number.boot => {
                 kept.merge(report, now);
             }
             _ => {
-                self.reports.insert(from, KeptReport { report, at: now });
+                self.reports.insert(from, LatestReport { report, at: now });
             }
         }
     }
 
-    /// Remembers when models were asked for: gateways report them only while they are.
-    fn note_asked(&mut self, demand: &[ModelDemand], now: ClockTime) {
-        self.asked.retain(|_, asked| now.since(*asked) < ASKED_LIFE);
+    /// Records when models were requested, because gateways report a model only while it is in demand.
+    fn note_requested(&mut self, demand: &[ModelDemand], now: ClockTime) {
+        self.last_requested
+            .retain(|_, requested_at| now.since(*requested_at) < DEMAND_EXPIRY);
         for row in demand {
             let at = now - Duration::from_millis(u64::from(row.idle_ms));
-            let asked = self.asked.entry(row.model.clone()).or_insert(at);
-            *asked = at.max(*asked);
+            let requested_at = self.last_requested.entry(row.model.clone()).or_insert(at);
+            *requested_at = at.max(*requested_at);
         }
     }
 
-    /// All other gateways that were heard or named lately.
+    /// Returns all other gateways that have recently reported or been named by a sidecar.
     pub fn known(&self, now: ClockTime) -> impl Iterator<Item = SocketAddr> + '_ {
-        let named = self.named.iter();
-        let known = named.filter(move |(_, named_at)| now.since(**named_at) < ADDRESS_LIFE);
+        let named = self.named_at.iter();
+        let known = named.filter(move |(_, named_at)| now.since(**named_at) < ADDRESS_EXPIRY);
         known.map(|(address, _)| *address)
     }
 
-    /// Where reports go: the gateways that need the demand, and the others.
+    /// Returns the addresses that reports are sent to, and removes expired peers.
     pub fn addresses(&mut self, zone: &ZoneName, now: ClockTime) -> ReportAddresses {
-        self.named
-            .retain(|_, named_at| now.since(*named_at) < ADDRESS_LIFE);
+        self.named_at
+            .retain(|_, named_at| now.since(*named_at) < ADDRESS_EXPIRY);
         self.reports
-            .retain(|_, kept| kept.is_live(now) || now.since(kept.at) < ADDRESS_LIFE);
+            .retain(|_, kept| kept.is_live(now) || now.since(kept.at) < ADDRESS_EXPIRY);
         let readers = self.readers(now);
-        let others = self.named.keys().copied();
+        let others = self.named_at.keys().copied();
         let others = others.filter(|address| !readers.contains(address));
         let is_far = |address: &SocketAddr| {
             let kept = self.reports.get(address);
@@ -272,38 +275,40 @@
         ReportAddresses { readers, near, far }
     }
 
-    /// The gateways that are told the demand, this one left out.
+    /// Returns the other gateways that receive the full demand.
     fn readers(&self, now: ClockTime) -> Vec<SocketAddr> {
-        let mut heard: Vec<PeerStanding> = self
+        let mut candidates: Vec<PeerStanding> = self
             .live(now)
             .filter(|(_, kept)| !kept.report.leaving)
             .map(|(address, kept)| PeerStanding::of(*address, &kept.report))
             .collect();
-        heard.sort_by_key(PeerStanding::order);
-        let heard = heard.iter().map(|standing| standing.address);
-        heard.take(DEMAND_READERS).collect()
+        candidates.sort_by_key(PeerStanding::sort_key);
+        let addresses = candidates.iter().map(|standing| standing.address);
+        addresses.take(DEMAND_READERS).collect()
     }
 
-    /// Whether this gateway plans, or follows the one that does, so that the others must know soon when it is
-    /// gone.
+    /// Returns whether this gateway is the planner or its successor, in which case the others must detect
+    /// its failure quickly.
     #[must_use]
     pub fn is_reader(&self, now: ClockTime) -> bool {
         let before = self.live(now).filter(|(address, kept)| {
             let peer = PeerStanding::of(**address, &kept.report);
-            !kept.report.leaving && peer.order() < self.own.order()
+            !kept.report.leaving && peer.sort_key() < self.own.sort_key()
         });
         before.count() < DEMAND_READERS
     }
 
-    /// How many gateways that are to stay are fitter than this one.
+    /// Returns the number of gateways, excluding those that are leaving, that rank before this one.
     #[must_use]
     pub fn rank(&self, now: ClockTime) -> usize {
         let live = self.live(now).filter(|(_, kept)| !kept.report.leaving);
         let peers = live.map(|(address, kept)| PeerStanding::of(*address, &kept.report));
-        peers.filter(|peer| peer.order() < self.own.order()).count()
+        peers
+            .filter(|peer| peer.sort_key() < self.own.sort_key())
+            .count()
     }
 
-    /// The live gateways of an availability zone, this one left out.
+    /// Returns the other live gateways of an availability zone.
     pub fn in_zone<'a>(
         &'a self,
         zone: &'a ZoneName,
@@ -313,38 +318,42 @@
         live.map(|(address, _)| *address)
     }
 
-    /// How many gateways there are, this one included. Those that a sidecar named count before they are
-    /// heard of: what is shared by their number must not be taken twice by those that have just started.
+    /// Returns the number of gateways, including this one.
+    ///
+    /// Gateways that a sidecar has named count before their first report. Otherwise, gateways that have
+    /// just started would take too large a part of what is divided by this number.
     #[must_use]
     pub fn count(&self, now: ClockTime) -> usize {
-        let is_named = |named_at: &&ClockTime| now.since(**named_at) < ADDRESS_LIFE;
-        let named = self.named.values().filter(is_named).count();
+        let is_named = |named_at: &&ClockTime| now.since(**named_at) < ADDRESS_EXPIRY;
+        let named = self.named_at.values().filter(is_named).count();
         1 + named.max(self.live(now).count())
     }
 
-    /// The gateway that plans: the fittest of those that hear most of the engines that anybody hears. One
-    /// that has just started, or is cut off from sidecars, takes engines for busy that wait for advice; for
-    /// as long as it planned, nothing would be loaded.
+    /// Returns the gateway that plans: the highest-ranked one among those that receive updates from most of
+    /// the engines.
+    ///
+    /// A gateway that has just started, or is partitioned from the sidecars, regards engines that wait
+    /// for advice as busy. No model would be loaded while it planned.
     #[must_use]
     pub fn planner(&self, now: ClockTime) -> SocketAddr {
         let peers = self.live(now).filter(|(_, kept)| !kept.report.leaving);
         let peers = peers.map(|(address, kept)| PeerStanding::of(*address, &kept.report));
         let all: Vec<PeerStanding> = peers.chain([self.own]).collect();
-        let heard = all.iter().map(|standing| standing.engines_heard);
-        let most = heard.max().unwrap_or(0);
-        let least = most - most / MISSED_PART;
-        let able = all.iter().filter(|peer| peer.engines_heard >= least);
-        let fittest = able.min_by_key(|standing| standing.order());
-        fittest.map_or(self.own.address, |standing| standing.address)
+        let counts = all.iter().map(|standing| standing.engines_heard);
+        let most = counts.max().unwrap_or(0);
+        let least = most - most / MISSED_ENGINES_DIVISOR;
+        let eligible = all.iter().filter(|peer| peer.engines_heard >= least);
+        let best = eligible.min_by_key(|standing| standing.sort_key());
+        best.map_or(self.own.address, |standing| standing.address)
     }
 
-    /// Whether this gateway plans.
+    /// Returns whether this gateway plans.
     #[must_use]
     pub fn is_planner(&self, now: ClockTime) -> bool {
         self.planner(now) == self.own.address
     }
 
-    /// The demand of all gateways, this one's own included.
+    /// Returns the demand of all gateways, including this one, by model.
     #[must_use]
     pub fn total(&self, own: &[ModelDemand], now: ClockTime) -> HashMap<ModelName, TotalDemand> {
         let mut total: HashMap<ModelName, TotalDemand> = HashMap::new();
@@ -353,14 +362,14 @@
             let sum = total.entry(demand.model.clone()).or_default();
             sum.add(demand);
         }
-        for (model, asked) in &self.asked {
+        for (model, requested_at) in &self.last_requested {
             let sum = total.entry(model.clone()).or_default();
-            sum.note_idle(now.since(*asked));
+            sum.note_idle(now.since(*requested_at));
         }
         total
     }
 
-    /// The requests of all gateways at engines, this one's own included.
+    /// Returns the requests of all gateways, including this one, at each engine.
     #[must_use]
     pub fn uses(&self, own: &[ModelUse], now: ClockTime) -> FleetUses {
         let mut uses = FleetUses::default();
@@ -369,7 +378,7 @@
         uses
     }
 
-    fn live(&self, now: ClockTime) -> impl Iterator<Item = (&SocketAddr, &KeptReport)> {
+    fn live(&self, now: ClockTime) -> impl Iterator<Item = (&SocketAddr, &LatestReport)> {
         self.reports
             .iter()
             .filter(move |(_, kept)| kept.is_live(now))
--- a/crates/oatpier-serving/src/relays.rs
+++ b/crates/oatpier-serving/src/relays.rs
@@ -1,15 +1,18 @@
-//! Which gateways of each availability zone hear a sidecar, and what they pass on.
+//! The gateways of each availability zone that receive a sidecar's updates directly, and forwarding to the
+//! others.
 //!
-//! The load: with 68 gateways before 93 engines, sidecars that told every gateway sent 840 MB between
-//! availability zones within a minute, and told their load only every 0.8 s to bear that. Requests went to
-//! engines that were long full. So a sidecar tells two gateways of each zone, and each of these passes
-//! on what it hears to the others of its zone, many words in one datagram. What a sidecar sends then
-//! grows with the number of zones and not of gateways, and its load can be told as soon as it changes.
+//! With 68 gateways and 93 engines, sidecars that sent their updates to every gateway caused 840 MB of
+//! traffic between availability zones per minute, although they limited load updates to one every 0.8 s.
+//! Requests then went to engines that had long been full. Therefore, a sidecar sends its updates to two
+//! gateways of each zone, its relays. Each relay forwards what it receives to the other gateways of its
+//! zone, with many updates in one datagram. The traffic of a sidecar grows with the number of zones instead
+//! of gateways, and its load can be sent as soon as it changes.
 //!
-//! Nobody elects relays: each sidecar draws its own from the gateways that greet it, by a hash that both
-//! its address and theirs go into. When one is gone only the sidecars that drew it draw another one. The chance to
-//! be drawn grows with the square of a gateway's processor: one that hears many sidecars passes on as much in a
-//! datagram as ten that hear few pass on in ten, and thin VMs need their processor for requests.
+//! There is no election: each sidecar selects its relays from the gateways that greet it, by a hash of its
+//! address and theirs. If a relay fails, only the sidecars that had selected it select another one. The
+//! probability of selection grows with the square of a gateway's CPU allotment. One gateway that receives
+//! from many sidecars forwards as much in a datagram as ten that receive from few do in ten datagrams, and
+//! the smallest VMs need their CPU time for requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,52 +23,58 @@
 
 use crate::message::{EngineWord, MessageNumber};
 
-/// Relays that each sidecar has in a zone. One that was killed is greeted for by nobody and drops out after
-/// seconds; until then the other one is heard.
-const RELAYS_EACH: usize = 2;
+/// Number of relays of a sidecar in each zone. A relay that was killed sends no more greetings and is
+/// dropped after some seconds. Until then the updates arrive through the other one.
+const RELAYS_PER_ZONE: usize = 2;
 
-/// Whole pulses in one datagram: each takes some 400 bytes, and a datagram of more than one packet is lost if
-/// any of its packets is.
-const PULSES_TOGETHER: usize = 3;
+/// Maximum number of full status updates per datagram. Each takes about 400 bytes, and a datagram of
+/// several packets is lost if any one of them is lost.
+const PULSES_PER_DATAGRAM: usize = 3;
 
-/// Load pulses in one datagram, of some 45 bytes.
-const LOADS_TOGETHER: usize = 24;
+/// Maximum number of load updates, of about 45 bytes each, per datagram.
+const LOADS_PER_DATAGRAM: usize = 24;
 
-/// A gateway that a sidecar may draw as a relay.
+/// A gateway that a sidecar may select as a relay.
 #[derive(Debug, Clone, Copy)]
 pub struct RelayCandidate<'a> {
     /// Its availability zone.
     pub zone: &'a ZoneName,
-    /// Where it hears.
+    /// The address that it listens on for gateways and sidecars.
     pub address: SocketAddr,
-    /// Its processor, in thousandths of a core.
+    /// Its CPU allotment in thousandths of a core.
     pub processor: u32,
 }
 
-/// A candidate's rank in its zone: the lower the better.
-type DrawnRelay = (f64, SocketAddr);
+/// Rank and address of a candidate in its zone. The lowest ranks are selected.
+type RankedRelay = (f64, SocketAddr);
 
-/// The relays of a sidecar in all zones.
+/// Selects the relays of a sidecar in all zones.
 #[must_use]
 pub fn draw<'a>(
     sidecar: SocketAddr,
     candidates: impl Iterator<Item = RelayCandidate<'a>>,
 ) -> Vec<SocketAddr> {
-    let mut zones: HashMap<&ZoneName, SmallVec<[DrawnRelay; 16]>> = HashMap::new();
+    let mut zones: HashMap<&ZoneName, SmallVec<[RankedRelay; 16]>> = HashMap::new();
     for candidate in candidates {
         let rank = rank(sidecar, &candidate);
-        let drawn = zones.entry(candidate.zone).or_default();
-        drawn.push((rank, candidate.address));
+        let ranked = zones.entry(candidate.zone).or_default();
+        ranked.push((rank, candidate.address));
     }
-    let mut relays = Vec::with_capacity(zones.len() * RELAYS_EACH);
-    for drawn in zones.values_mut() {
-        drawn.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
-        relays.extend(drawn.iter().take(RELAYS_EACH).map(|(_, address)| *address));
+    let mut relays = Vec::with_capacity(zones.len() * RELAYS_PER_ZONE);
+    for ranked in zones.values_mut() {
+        ranked.sort_by(|one, other| one.0.total_cmp(&other.0).then(one.1.cmp(&other.1)));
+        relays.extend(
+            ranked
+                .iter()
+                .take(RELAYS_PER_ZONE)
+                .map(|(_, address)| *address),
+        );
     }
     relays
 }
 
-/// Weighted rendezvous hashing: the chance to come first is the candidate's share of all weights.
+/// Computes a rank by weighted rendezvous hashing: the probability of ranking first is the candidate's
+/// share of the total weight.
 fn rank(sidecar: SocketAddr, candidate: &RelayCandidate<'_>) -> f64 {
     let mut hasher = Xxh3::new();
     for address in [sidecar, candidate.address] {
@@ -75,7 +84,8 @@
         }
         hasher.update(&address.port().to_le_bytes());
     }
-    // The upper 53 bits, so that every value has an exact fraction, which is never zero.
+    // Only the upper 53 bits are used, so that the conversion is exact. Adding 0.5 keeps the value above
+    // zero.
     #[expect(
         clippy::cast_precision_loss,
         reason = "a number of 53 bits is exact in a float"
@@ -84,7 +94,8 @@
     -uniform.ln() / f64::from(candidate.processor.max(1)).powi(2)
 }
 
-/// What a relay has heard from sidecars and not passed on yet: the newest word of each kind and engine.
+/// Updates that a relay has received from sidecars and not forwarded yet: the latest one of each kind and
+/// engine.
 #[derive(Debug, Default)]
 pub struct RelayQueue {
     pulses: HashMap<SocketAddr, EngineWord>,
@@ -92,48 +103,49 @@
 }
 
 impl RelayQueue {
-    /// A sidecar told something.
-    pub fn take(&mut self, word: EngineWord) {
-        let kept = match &word {
+    /// Queues an update, unless a newer one is queued.
+    pub fn take(&mut self, update: EngineWord) {
+        let queue = match &update {
             EngineWord::Pulse(_) => &mut self.pulses,
             EngineWord::Load(_) => &mut self.loads,
         };
-        let known = kept.get(&word.engine()).map(EngineWord::number);
-        if known.is_none_or(|known| word.number().supersedes(known)) {
-            kept.insert(word.engine(), word);
+        let queued = queue.get(&update.engine()).map(EngineWord::number);
+        if queued.is_none_or(|queued| update.number().supersedes(queued)) {
+            queue.insert(update.engine(), update);
         }
     }
 
-    /// Another relay of the zone passed this on: who it told need not be told again.
-    pub fn note_passed_on(&mut self, word: &EngineWord) {
-        let kept = match word {
+    /// Drops an update that another relay of the zone has already forwarded.
+    pub fn note_passed_on(&mut self, update: &EngineWord) {
+        let queue = match update {
             EngineWord::Pulse(_) => &mut self.pulses,
             EngineWord::Load(_) => &mut self.loads,
         };
-        let engine = word.engine();
-        if kept
+        let engine = update.engine();
+        if queue
             .get(&engine)
-            .is_some_and(|known| is_covered(known.number(), word.number()))
+            .is_some_and(|queued| is_covered(queued.number(), update.number()))
         {
-            kept.remove(&engine);
+            queue.remove(&engine);
         }
     }
 
-    /// Everything that is to be passed on, in datagrams.
+    /// Removes all queued updates and returns them grouped by datagram.
     pub fn drain(&mut self) -> Vec<Vec<EngineWord>> {
         let mut datagrams = Vec::new();
-        for (kept, most) in [
-            (&mut self.pulses, PULSES_TOGETHER),
-            (&mut self.loads, LOADS_TOGETHER),
+        for (queue, max_updates) in [
+            (&mut self.pulses, PULSES_PER_DATAGRAM),
+            (&mut self.loads, LOADS_PER_DATAGRAM),
         ] {
-            let words: Vec<EngineWord> = kept.drain().map(|(_, word)| word).collect();
-            datagrams.extend(words.chunks(most).map(<[EngineWord]>::to_vec));
+            let updates: Vec<EngineWord> = queue.drain().map(|(_, update)| update).collect();
+            datagrams.extend(updates.chunks(max_updates).map(<[EngineWord]>::to_vec));
         }
         datagrams
     }
 }
 
-/// Whether a word says all that another one of the same sidecar's incarnation does.
-fn is_covered(kept: MessageNumber, passed: MessageNumber) -> bool {
-    kept.boot == passed.boot && kept.number <= passed.number
+/// Returns whether a forwarded update is of the same sidecar incarnation as the queued one and at least as
+/// new.
+fn is_covered(queued: MessageNumber, forwarded: MessageNumber) -> bool {
+    queued.boot == forwarded.boot && queued.number <= forwarded.number
 }
