--- a/crates/oatpier-policy/src/action.rs
+++ b/crates/oatpier-policy/src/action.rs
@@ -1,4 +1,4 @@
-//! What an entry is to do about a request.
+//! Actions that the entry's request handling asks its driver to perform.
 
 use oatpier_types::ids::AttemptId;
 use oatpier_types::names::EndpointName;
@@ -8,66 +8,70 @@
 
 use crate::outcome::FinalAnswer;
 
-/// Actions in the order in which they are to be taken.
+/// A list of actions, in the order in which they must be performed.
 pub type EntryActions = SmallVec<[EntryAction; 2]>;
 
-/// How far a cancel goes.
+/// How a cancel treats an attempt that has already reached its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelMode {
-    /// Seal the attempt if it has not reached the endpoint (verdict "not run", a late arrival is
-    /// refused); otherwise leave it running, and say so.
+    /// Seal the attempt if it has not reached the endpoint: the verdict is "not run", and the agent
+    /// refuses the attempt if it arrives later. An attempt that has reached the endpoint keeps
+    /// running, and the verdict says so.
     SealOnly,
-    /// Seal the attempt if it has not reached the endpoint; otherwise cancel it there.
+    /// Seal the attempt if it has not reached the endpoint; otherwise cancel it at the endpoint.
     Abort,
 }
 
-/// One thing to do.
+/// One action.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryAction {
-    /// Claim the request's idempotency key; answer with one of the `Claim` events.
+    /// Claim the request's idempotency key. The driver reports the result with one of the `Claim`
+    /// events.
     Claim {
-        /// The key, hashed.
+        /// The hashed idempotency key.
         key: u64,
     },
-    /// Note at the key's claim how the request ended: `NotRun` frees the key, also where the
-    /// claim's own outcome is unknown; `Ran` and `MayHaveRun` keep it used. Comes a second time,
-    /// after the final answer, when a seal is answered late: the later one holds.
+    /// Record at the key's claim how the request ended. `NotRun` frees the key, even if the outcome
+    /// of the claim itself is unknown; `Ran` and `MayHaveRun` keep it used.
+    ///
+    /// If a seal is answered late, a second `SettleClaim` follows the final answer and overrides
+    /// the first.
     SettleClaim {
-        /// The key, hashed.
+        /// The hashed idempotency key.
         key: u64,
         /// Whether the request may have run.
         verdict: RunVerdict,
     },
-    /// Send a first or repeated attempt, from the start of the answer.
+    /// Send a first or repeated attempt that produces the answer from its start.
     Send {
-        /// To whose agent.
+        /// The endpoint whose agent receives the attempt.
         endpoint: EndpointName,
-        /// What.
+        /// The attempt.
         spec: Box<AttemptSpec>,
     },
-    /// Send an attempt that goes on after the `resume_after` tokens that were relayed. Its head
-    /// is dropped; its pieces follow those relayed.
+    /// Send an attempt that continues the answer after the `resume_after` tokens that were relayed.
+    /// The head of its answer is dropped; its pieces follow those already relayed.
     Resume {
-        /// To whose agent.
+        /// The endpoint whose agent receives the attempt.
         endpoint: EndpointName,
-        /// What.
+        /// The attempt.
         spec: Box<AttemptSpec>,
     },
-    /// Cancel an attempt; answer with `CancelAnswered`.
+    /// Cancel an attempt. The driver reports the result with `CancelAnswered`.
     Cancel {
-        /// At whose agent.
+        /// The endpoint whose agent receives the cancel.
         endpoint: EndpointName,
-        /// Which.
+        /// The attempt to cancel.
         attempt: AttemptId,
-        /// How far.
+        /// Whether a running attempt is cancelled too.
         mode: CancelMode,
     },
-    /// Relay the piece just seen to the caller (before the first: the head).
+    /// Relay the piece of the event just handled to the caller. The head precedes the first piece.
     Relay {
-        /// Whose piece.
+        /// The attempt that the piece belongs to.
         attempt: AttemptId,
     },
-    /// End the request at its caller. Exactly one for each request, and the last of its actions,
-    /// but for a `SettleClaim` that a seal brings which is answered later.
+    /// Send the final answer to the caller. Each request has exactly one. It is the request's last
+    /// action, except for the `SettleClaim` of a seal that is answered later.
     Answer(FinalAnswer),
 }
--- a/crates/oatpier-policy/src/attainment.rs
+++ b/crates/oatpier-policy/src/attainment.rs
@@ -1,7 +1,7 @@
-//! The attained share of each class over a sliding window.
+//! Share of each class's requests that meet its target, over a sliding window.
 //!
-//! A class whose share is below its target has need, and goes before one with slack where
-//! something must be refused.
+//! When requests must be refused, a class whose share is below its target takes precedence over a
+//! class that meets its target.
 
 use oatpier_types::clock::ClockTime;
 
@@ -9,19 +9,19 @@
 use crate::index::ClassIndex;
 use crate::units::micros;
 
-/// Parts of the window; the oldest part is dropped at a time.
+/// Number of buckets in the window. The window advances by one bucket at a time.
 const PARTS: u64 = 12;
 const PART_COUNT: usize = 12;
 
-/// Parts of a million.
+/// Parts per million in a share of 1.
 const MILLION: u64 = 1_000_000;
 
-/// Requests of one class, counted since the start.
+/// Requests of one class, counted since the entry started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ClassTotals {
-    /// That ended.
+    /// Number of requests that ended.
     pub ended: u64,
-    /// That were whole and within the target.
+    /// Number of requests with a complete answer within the target.
     pub in_time: u64,
 }
 
@@ -38,7 +38,7 @@
     parts: [WindowPart; PART_COUNT],
 }
 
-/// The attained share of each class.
+/// Tracks the attained share of each class.
 #[derive(Debug)]
 pub struct AttainmentLedger {
     part_us: u64,
@@ -46,7 +46,7 @@
 }
 
 impl AttainmentLedger {
-    /// An empty ledger.
+    /// Creates a tracker without classes.
     #[must_use]
     pub fn new(settings: AttainmentSettings) -> Self {
         Self {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Sets the wanted share of a class, in parts of a million. Counts are kept.
+    /// Sets the target share of a class, in parts per million. Existing counts are kept.
     pub fn set_target(&mut self, class: ClassIndex, wanted_ppm: u64) {
         let fresh = ClassWindow {
             wanted_ppm,
@@ -68,7 +68,7 @@
         self.classes[class.place()].wanted_ppm = wanted_ppm;
     }
 
-    /// A request ended.
+    /// Records the end of a request.
     pub fn record(&mut self, class: ClassIndex, in_time: bool, now: ClockTime) {
         let number = self.part_number(now);
         let Some(window) = self.classes.get_mut(class.place()) else {
@@ -85,7 +85,8 @@
         count(&mut window.totals, in_time);
     }
 
-    /// The attained share in the window, in parts of a million; none if nothing ended in it.
+    /// Returns the attained share within the window, in parts per million, or `None` if no request
+    /// ended in it.
     #[must_use]
     pub fn share_ppm(&self, class: ClassIndex, now: ClockTime) -> Option<u64> {
         let number = self.part_number(now);
@@ -100,7 +101,7 @@
         (ended > 0).then(|| in_time * MILLION / ended)
     }
 
-    /// Whether the class is below its target. A class of which nothing is known has no need.
+    /// Returns whether the class is below its target. A class without data is not.
     #[must_use]
     pub fn has_need(&self, class: ClassIndex, now: ClockTime) -> bool {
         let wanted = self
@@ -113,13 +114,13 @@
         }
     }
 
-    /// Whether any class is below its target.
+    /// Returns whether any class is below its target.
     #[must_use]
     pub fn any_need(&self, now: ClockTime) -> bool {
         (0..self.classes.len()).any(|place| self.has_need(ClassIndex::of_place(place), now))
     }
 
-    /// Counts since the start.
+    /// Returns the counts since the entry started.
     #[must_use]
     pub fn totals(&self, class: ClassIndex) -> ClassTotals {
         self.classes
--- a/crates/oatpier-policy/src/entry/classes.rs
+++ b/crates/oatpier-policy/src/entry/classes.rs
@@ -1,4 +1,4 @@
-//! The classes and goals that the configuration knows.
+//! The classes and goals of the configuration.
 
 use indexmap::IndexSet;
 use oatpier_types::config::{ClassTarget, FleetConfig, PoolKind};
@@ -7,8 +7,9 @@
 
 use crate::index::ClassIndex;
 
-/// Classes with their targets, and goals. An index of a class stays its own when the class is
-/// removed and comes back.
+/// Classes with their targets, and goals.
+///
+/// The index of a class stays reserved for it when the class is removed and added again.
 #[derive(Debug, Default)]
 pub(super) struct KnownWork {
     classes: IndexSet<ClassName>,
--- a/crates/oatpier-policy/src/entry/core.rs
+++ b/crates/oatpier-policy/src/entry/core.rs
@@ -1,4 +1,4 @@
-//! What requests share: the table, the router, health, prefixes and retry budgets.
+//! State shared by all requests: the table, the router, health, prefixes and retry budgets.
 
 use std::time::Duration;
 
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Replicas that left or were unloaded may have made too few those that are left beside an
-    /// ejected one: it takes work again, for all of its goals.
+    /// Reinstates ejected endpoints that are no longer ejected from any goal. That happens when
+    /// replicas leave or are unloaded and the rest is too few to keep the endpoint ejected.
     pub(super) fn keep_share(&mut self, now: ClockTime) {
         while let Some(endpoint) = self.first_spared() {
             self.reinstate(endpoint, now);
--- a/crates/oatpier-policy/src/entry/counts.rs
+++ b/crates/oatpier-policy/src/entry/counts.rs
@@ -1,20 +1,20 @@
-//! What an entry counts about requests, for metrics.
+//! Counters of an entry's requests, for metrics.
 
 use indexmap::IndexMap;
 use oatpier_types::refusal::RefusalCause;
 
 use crate::outcome::{FinalAnswer, FinalCause};
 
-/// Counts since the entry started.
+/// Counters since the entry started.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct EntryCounts {
-    /// Requests that came in.
+    /// Requests that arrived.
     pub started: u64,
     /// Final answers.
     pub answered: u64,
-    /// Whole answers within the target.
+    /// Complete answers within the target.
     pub in_time: u64,
-    /// Attempts that were sent, of answered requests.
+    /// Attempts sent for requests that were answered.
     pub attempts: u64,
     /// Late, crossed or contradictory events that were dropped.
     pub dropped: u64,
@@ -30,8 +30,10 @@
     }
 }
 
-/// A request that its caller gave up, or that could not be served by any fleet, says nothing of
-/// how well its class is served.
+/// Returns whether an end counts towards the class's attainment.
+///
+/// A request that its caller abandoned, or that no fleet could have served, says nothing about how
+/// well the class is served.
 pub(super) fn counts_for_target(cause: FinalCause) -> bool {
     !matches!(
         cause,
--- a/crates/oatpier-policy/src/entry/mod.rs
+++ b/crates/oatpier-policy/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The façade: all decisions of an entry about requests.
+//! Façade over all decisions of an entry about requests.
 
 mod classes;
 mod core;
@@ -43,15 +43,15 @@
 #[derive(Debug)]
 struct OpenRequest {
     machine: RequestMachine,
-    /// When its timer is armed for.
+    /// Time for which the request's timer is armed.
     armed: ClockTime,
 }
 
-/// All decisions of one entry.
+/// All decisions of one entry about requests.
 ///
-/// A caller feeds it what it learns of endpoints (`on_*`, `mark_leaving`, `forget`) and of
-/// requests (`start`, `handle`, `fire_timers`), and takes the actions that come back, in order.
-/// It never blocks and does no I/O. One instance serves one thread.
+/// The driver reports changes of endpoints (`on_*`, `mark_leaving`, `forget`) and of requests
+/// (`start`, `handle`, `fire_timers`), and performs the returned actions in order. No method blocks
+/// or does I/O. One instance serves one thread.
 #[derive(Debug)]
 pub struct EntryPolicy {
     settings: EntrySettings,
@@ -59,7 +59,7 @@
     work: KnownWork,
     limiter: EntryLimiter,
     ledger: AttainmentLedger,
-    /// Never iterated: its order differs between runs.
+    /// Must not be iterated: the order differs between runs.
     requests: HashMap<RequestId, OpenRequest>,
     timers: TimerQueue,
     seals: SealBook,
@@ -68,8 +68,10 @@
 }
 
 impl EntryPolicy {
-    /// The decisions of an entry in `own_zone`. `seed` must differ between processes that run at
-    /// the same time, since attempt ids are drawn from it.
+    /// Creates the policy of an entry in `own_zone`.
+    ///
+    /// `seed` must differ between processes that run at the same time, because attempt ids are
+    /// generated from it.
     #[must_use]
     pub fn new(settings: EntrySettings, own_zone: ZoneName, seed: u64) -> Self {
         Self {
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Takes a configuration over: classes with their targets, regions, known goals. Requests in
-    /// flight keep the targets that they came in with.
+    /// Applies a configuration: classes with their targets, regions and known goals. Requests in
+    /// flight keep the targets that applied when they arrived.
     pub fn apply_config(&mut self, config: &FleetConfig) {
         self.core.table.apply_config(config);
         self.work.apply_config(config);
@@ -99,36 +101,39 @@
         }
     }
 
-    /// An agent's whole word on its endpoint came, from the agent or through the registrars.
+    /// Applies an agent's full status of its endpoint, received from the agent or through the
+    /// registrars.
     pub fn on_status(&mut self, status: &EndpointStatus, now: ClockTime) {
         self.core.table.on_status(status, now);
         self.core.keep_share(now);
     }
 
-    /// An agent's pulse came outside a request's event. One of an unknown endpoint is ignored.
+    /// Applies an agent's pulse that was received outside a request's event. A pulse of an unknown
+    /// endpoint is ignored.
     pub fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &AgentPulse, now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.table.on_pulse(index, pulse, now);
         }
     }
 
-    /// An engine's lagged load report came.
+    /// Applies an engine's load report, which lags behind its actual load.
     pub fn on_report(&mut self, endpoint: &EndpointName, report: &LoadReport, _now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.table.on_report(index, report);
         }
     }
 
-    /// An engine's cache event came, late and perhaps after a gap.
+    /// Applies an engine's cache event, which may be late and follow a gap.
     pub fn on_cache_event(&mut self, endpoint: &EndpointName, event: &CacheEvent, now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.prefix.on_event(index, event, now);
         }
     }
 
-    /// The endpoint or its VM is said to leave: no new work goes there until it starts anew, or
-    /// [`Self::clear_leaving`]. Requests in flight there go on. One that is not known yet is
-    /// marked when its first status comes.
+    /// Marks an endpoint as leaving because it or its VM is reported to leave.
+    ///
+    /// It gets no new work until it restarts or [`Self::clear_leaving`] is called. Requests in
+    /// flight there continue. An unknown endpoint is marked when its first status arrives.
     pub fn mark_leaving(&mut self, endpoint: &EndpointName, now: ClockTime) {
         match self.core.table.find(endpoint) {
             Some(index) => {
@@ -139,7 +144,7 @@
         }
     }
 
-    /// The endpoint does not leave after all.
+    /// Withdraws the mark that an endpoint is leaving.
     pub fn clear_leaving(&mut self, endpoint: &EndpointName) {
         match self.core.table.find(endpoint) {
             Some(index) => self.core.table.clear_leaving(index),
@@ -147,8 +152,8 @@
         }
     }
 
-    /// The endpoint is gone from the directory, until a status of it comes. Requests in flight
-    /// there go on.
+    /// Marks an endpoint as removed from the directory, until a status of it arrives. Requests in
+    /// flight there continue.
     pub fn forget(&mut self, endpoint: &EndpointName, now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.table.forget(index);
@@ -157,8 +162,8 @@
         }
     }
 
-    /// A request came in. The actions may hold its final answer already (a refusal at once).
-    /// `intake.request` must be new.
+    /// Starts a request. The actions may already hold its final answer, if it is refused at once.
+    /// `intake.request` must be a new id.
     pub fn start(&mut self, intake: RequestIntake, now: ClockTime) -> EntryActions {
         self.counts.started += 1;
         let frame = match self.admit(&intake, now) {
@@ -175,8 +180,10 @@
         actions
     }
 
-    /// Something happened to a request. Events of finished requests are dropped and counted, but
-    /// for the answer to a seal of a claimed change: it settles the claim anew.
+    /// Handles an event of a request.
+    ///
+    /// Events of finished requests are dropped and counted, except for the answer to a seal of a
+    /// claimed key: it settles the claim again.
     pub fn handle(
         &mut self,
         request: RequestId,
@@ -196,13 +203,13 @@
         actions
     }
 
-    /// When [`Self::fire_timers`] is to be called next.
+    /// Returns the time at which [`Self::fire_timers`] must be called next.
     #[must_use]
     pub fn next_timer(&self) -> Option<ClockTime> {
         self.timers.next()
     }
 
-    /// Gives `Timer` to the requests whose time has come, in order of time, and appends their
+    /// Delivers `Timer` to the requests whose timer is due, in order of time, and appends their
     /// actions to `fired`.
     pub fn fire_timers(&mut self, now: ClockTime, fired: &mut Vec<(RequestId, EntryActions)>) {
         while let Some(request) = self.timers.take_due(now) {
@@ -223,66 +230,66 @@
         }
     }
 
-    /// The entry stops: new requests are refused, those in flight go on.
+    /// Begins to stop the entry: new requests are refused, those in flight continue.
     pub fn begin_stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Requests without a final answer. A stopping entry ends at 0.
+    /// Returns the number of requests without a final answer. A stopping entry ends at 0.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// The live attempt of a request, if it has one.
+    /// Returns the live attempt of a request, if it has one.
     #[must_use]
     pub fn live_attempt(&self, request: RequestId) -> Option<AttemptId> {
         self.requests.get(&request)?.machine.attempt()
     }
 
-    /// What is known of endpoints.
+    /// Returns the known state of the endpoints.
     #[must_use]
     pub fn table(&self) -> &EndpointTable {
         &self.core.table
     }
 
-    /// The health of endpoints.
+    /// Returns the health of the endpoints.
     #[must_use]
     pub fn health(&self) -> &HealthTracker {
         &self.core.health
     }
 
-    /// Who is expected to have prefixes cached.
+    /// Returns the index of expected prefix caches.
     #[must_use]
     pub fn prefix(&self) -> &PrefixIndex {
         &self.core.prefix
     }
 
-    /// The retry budgets.
+    /// Returns the retry budgets.
     #[must_use]
     pub fn retry(&self) -> &RetryBudget {
         &self.core.retry
     }
 
-    /// The bound on concurrent requests.
+    /// Returns the limiter of concurrent requests.
     #[must_use]
     pub fn limiter(&self) -> &EntryLimiter {
         &self.limiter
     }
 
-    /// The attained shares.
+    /// Returns the attained shares of the classes.
     #[must_use]
     pub fn ledger(&self) -> &AttainmentLedger {
         &self.ledger
     }
 
-    /// The index of a class that was ever configured.
+    /// Returns the index of a class that was ever configured.
     #[must_use]
     pub fn class_index(&self, class: &ClassName) -> Option<ClassIndex> {
         self.work.index(class)
     }
 
-    /// Counts for metrics.
+    /// Returns the counters for metrics.
     #[must_use]
     pub fn counts(&self) -> &EntryCounts {
         &self.counts
@@ -350,7 +357,8 @@
         }
     }
 
-    /// Keeps a request with its timer armed, or accounts for its end.
+    /// Stores an unfinished request with its timer armed, or accounts for the end of a finished
+    /// one.
     fn settle(
         &mut self,
         request: RequestId,
@@ -388,7 +396,7 @@
     }
 }
 
-/// The pulse of an event of the live attempt, and the endpoint that it is of.
+/// Returns the pulse that an event of the live attempt carries, with the attempt's endpoint.
 fn live_pulse<'a>(
     machine: &RequestMachine,
     event: &'a EntryEvent,
--- a/crates/oatpier-policy/src/entry/seals.rs
+++ b/crates/oatpier-policy/src/entry/seals.rs
@@ -1,8 +1,8 @@
-//! Seals that are answered after their request's final answer.
+//! Pending seals, whose answer may arrive after the request's final answer.
 //!
-//! A change that nothing was heard of ends at its deadline as "may have run", and its key stays
-//! used. If the agent then says that the change never ran, and it never will, the key can be free
-//! again: else its caller could not submit the change under this key at all.
+//! An at-most-once request without a response ends at its deadline with the verdict "may have run",
+//! and its key stays used. If the agent later answers that the attempt never ran and never will,
+//! the key can be freed. Otherwise the caller could never submit the request under this key.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -14,13 +14,13 @@
 use crate::action::EntryAction;
 use crate::machine::OpenSeal;
 
-/// The most seals that are awaited; beyond them the oldest key stays used.
+/// Upper bound on the pending seals. Beyond it, the oldest seal is dropped and its key stays used.
 const MOST_SEALS: usize = 4_096;
 
-/// How long an answer is awaited: longer than a cancel is tried for.
+/// Time to wait for an answer; longer than the time for which a cancel is retried.
 const SEAL_LIFE: Duration = Duration::from_secs(30);
 
-/// Seals that are answered after their request's final answer.
+/// Pending seals by request, dropped when they are too old or too many.
 #[derive(Debug, Default)]
 pub(super) struct SealBook {
     open: HashMap<RequestId, OpenSeal>,
@@ -34,7 +34,8 @@
         self.order.push_back((now, request));
     }
 
-    /// A cancel was answered. None if no seal of the request is open for this attempt.
+    /// Resolves a pending seal with the answer to a cancel. Returns `None` if no seal of the
+    /// request is pending for this attempt.
     pub(super) fn answered(
         &mut self,
         request: RequestId,
--- a/crates/oatpier-policy/src/entry/settings.rs
+++ b/crates/oatpier-policy/src/entry/settings.rs
@@ -1,4 +1,4 @@
-//! What an entry's decisions can be tuned by. The defaults are meant to hold.
+//! Settings of an entry's decisions. The defaults are intended to fit most deployments.
 
 use std::time::Duration;
 
@@ -17,21 +17,21 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct EntrySettings {
-    /// The lives of requests.
+    /// The request state machine.
     pub machine: MachineSettings,
-    /// The choice of endpoints.
+    /// Selection of endpoints.
     pub router: RouterSettings,
-    /// What is known of endpoints.
+    /// The endpoint table.
     pub table: TableSettings,
     /// Prefix affinity.
     pub prefix: PrefixSettings,
-    /// Ejection and probes.
+    /// Health checks, ejection and probes.
     pub health: HealthSettings,
     /// Retry budgets.
     pub retry: RetrySettings,
-    /// The bound on concurrent requests.
+    /// Admission control.
     pub limit: LimitSettings,
-    /// The sliding window of attained shares.
+    /// Measurement of attained shares.
     pub attainment: AttainmentSettings,
 }
 
--- a/crates/oatpier-policy/src/entry/timers.rs
+++ b/crates/oatpier-policy/src/entry/timers.rs
@@ -1,12 +1,14 @@
-//! When each request's timer is due.
+//! Timers of requests.
 
 use std::collections::BTreeSet;
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::RequestId;
 
-/// Armed timers in order of time. A request has one; it may be earlier than needed, since a
-/// stream's stall timer moves on with each piece and is not rearmed until it fires.
+/// Armed timers in order of time, at most one per request.
+///
+/// A timer may fire earlier than needed: the stall timer of a stream moves with each piece, and is
+/// rearmed only when it fires.
 #[derive(Debug, Default)]
 pub(super) struct TimerQueue {
     armed: BTreeSet<(ClockTime, RequestId)>,
@@ -17,7 +19,7 @@
         self.armed.first().map(|(at, _)| *at)
     }
 
-    /// Moves a request's timer from `old` to `new`; `NEVER` stands for none.
+    /// Moves a request's timer from `old` to `new`; `NEVER` means no timer.
     pub(super) fn rearm(&mut self, request: RequestId, old: ClockTime, new: ClockTime) {
         self.armed.remove(&(old, request));
         if new != ClockTime::NEVER {
@@ -25,7 +27,7 @@
         }
     }
 
-    /// Takes the first timer that is due.
+    /// Removes the first timer that is due and returns its request.
     pub(super) fn take_due(&mut self, now: ClockTime) -> Option<RequestId> {
         let (at, request) = *self.armed.first()?;
         if at > now {
--- a/crates/oatpier-policy/src/event.rs
+++ b/crates/oatpier-policy/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a request, as its entry sees it.
+//! Events of a request, as observed by its entry.
 
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::names::{CallerName, ClassName};
@@ -7,107 +7,108 @@
 use oatpier_types::request::{PrefixChain, RequestGoal, TokenDemand};
 use oatpier_types::verdict::{Repeat, RunVerdict};
 
-/// A request as it comes in.
+/// A request as received from its caller.
 #[derive(Debug, Clone)]
 pub struct RequestIntake {
-    /// The request.
+    /// The id of the request.
     pub request: RequestId,
-    /// What it is for.
+    /// The goal (model, adapter or service) of the request.
     pub goal: RequestGoal,
-    /// Its class; gives the target.
+    /// The class, which determines the target.
     pub class: ClassName,
-    /// Who sent it.
+    /// The caller.
     pub caller: CallerName,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// The caller's idempotency key, hashed. Claimed before an at-most-once request is sent.
+    /// The caller's hashed idempotency key. It is claimed before an at-most-once request is sent.
     pub key: Option<u64>,
-    /// Its size.
+    /// The number of prompt and output tokens.
     pub tokens: TokenDemand,
-    /// The growing prefixes of its prompt; empty for a plain service.
+    /// Hashes of the growing prefixes of the prompt; empty for a plain service.
     pub prefixes: PrefixChain,
-    /// Whether a cut answer can be resumed after the tokens that were relayed.
+    /// Whether an interrupted answer can be resumed after the tokens that were relayed.
     pub resumable: bool,
 }
 
-/// Something that happened to a request. Attempt ids tell late and crossed events apart.
+/// An event of a request. Attempt ids identify late and crossed events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryEvent {
-    /// The idempotency key is this request's.
+    /// The idempotency key was claimed for this request.
     ClaimGranted,
-    /// The idempotency key was used before.
+    /// The idempotency key was already used.
     ClaimRefused {
-        /// Whether the request that used it may have run.
+        /// Whether the earlier request that used the key may have run.
         earlier: RunVerdict,
     },
-    /// The key can't be claimed: the key-value service is away, or its answer is.
+    /// The key can't be claimed, because the key-value service is unavailable or its response was
+    /// lost.
     ClaimUnavailable,
-    /// The head of an attempt's answer came. Held until the first piece or the end.
+    /// The head of an attempt's answer arrived. It is held until the first piece or the end.
     FirstFrame {
         /// The attempt.
         attempt: AttemptId,
-        /// The agent's word on its queue.
+        /// The agent's report on its queue, if it sent one.
         pulse: Option<AgentPulse>,
     },
-    /// A piece of an attempt's answer came.
+    /// A piece of an attempt's answer arrived.
     Piece {
         /// The attempt.
         attempt: AttemptId,
-        /// Tokens in it; 0 for a plain service.
+        /// Number of tokens in the piece; 0 for a plain service.
         tokens: u32,
     },
-    /// An attempt's answer came to its terminator.
+    /// An attempt's answer arrived completely, including its terminator.
     Ended {
         /// The attempt.
         attempt: AttemptId,
-        /// The agent's word on its queue.
+        /// The agent's report on its queue, if it sent one.
         pulse: Option<AgentPulse>,
     },
-    /// The agent refused an attempt: it did not run there.
+    /// The agent refused an attempt, which did not run there.
     Refused {
         /// The attempt.
         attempt: AttemptId,
-        /// Why, and when to come back.
+        /// The cause and the suggested retry delay.
         refusal: Refusal,
-        /// The agent's word on its queue.
+        /// The agent's report on its queue, if it sent one.
         pulse: Option<AgentPulse>,
     },
-    /// The agent says that an attempt failed.
+    /// The agent reported that an attempt failed.
     Failed {
         /// The attempt.
         attempt: AttemptId,
-        /// Whether it may have run.
+        /// Whether the attempt may have run.
         verdict: RunVerdict,
     },
-    /// The connection broke after the attempt was sent: it may have run.
+    /// The connection broke after the attempt was sent, so the attempt may have run.
     Cut {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// No connection to the agent came about: no byte of the attempt was sent.
+    /// The connection to the agent could not be established; no byte of the attempt was sent.
     ConnectFailed {
         /// The attempt.
         attempt: AttemptId,
     },
-    /// The agent answered a cancel. A cancel whose answer is lost is `MayHaveRun`.
+    /// The agent answered a cancel. If the answer is lost, the verdict is `MayHaveRun`.
     CancelAnswered {
         /// The attempt.
         attempt: AttemptId,
-        /// Whether it may have run.
+        /// Whether the attempt may have run.
         verdict: RunVerdict,
     },
-    /// The caller takes no more of the answer at the moment.
+    /// The caller currently accepts no more of the answer.
     CallerBlocked,
-    /// The caller takes more of the answer again.
+    /// The caller accepts more of the answer again.
     CallerReady,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The time that [`crate::machine::RequestMachine::timer`] named has come.
+    /// The time returned by [`crate::machine::RequestMachine::timer`] was reached.
     Timer,
 }
 
 impl EntryEvent {
-    /// The agent's word that rides on the event.
+    /// Returns the agent's queue report that the event carries.
     #[must_use]
     pub fn pulse(&self) -> Option<&AgentPulse> {
         match self {
@@ -118,7 +119,7 @@
         }
     }
 
-    /// The attempt that the event is about.
+    /// Returns the attempt that the event concerns.
     #[must_use]
     pub fn attempt(&self) -> Option<AttemptId> {
         match self {
--- a/crates/oatpier-policy/src/health.rs
+++ b/crates/oatpier-policy/src/health.rs
@@ -1,8 +1,9 @@
-//! Ejection of endpoints on evidence of the data path, and probes back.
+//! Passive health checks: ejects endpoints by the outcome of attempts, and probes them for
+//! recovery.
 //!
-//! Only what happened to this entry's own attempts counts; a directory or a heartbeat may be
-//! right about an agent whose engine has stopped. A dead endpoint refuses connections; a frozen
-//! one accepts attempts and brings nothing at all; a slow one brings something, late.
+//! Only the outcomes of this entry's own attempts count, because a directory or a heartbeat can
+//! report an agent as healthy whose engine has stopped. A dead endpoint refuses connections, a
+//! frozen one accepts attempts and sends nothing, and a slow one responds late.
 
 use std::time::Duration;
 
@@ -19,23 +20,24 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct HealthSettings {
-    /// Failed connections in a row that show a dead endpoint.
+    /// Consecutive failed connections after which an endpoint counts as dead.
     pub connect_failures: u32,
-    /// Silent attempts, with nothing else coming either, that show a frozen endpoint.
+    /// Silent attempts, without any other response in between, after which an endpoint counts as
+    /// frozen.
     pub frozen_silences: u32,
-    /// Late or silent attempts in a row that show a slow endpoint.
+    /// Consecutive late or silent attempts after which an endpoint counts as slow.
     pub slow_attempts: u32,
-    /// Cut answers in a row.
+    /// Consecutive interrupted answers after which an endpoint is ejected.
     pub cuts: u32,
-    /// The time until the first probe.
+    /// Time from an ejection to the first probe.
     #[serde(with = "humantime_serde")]
     pub first_backoff: Duration,
-    /// The longest time between probes.
+    /// Upper bound on the time between probes.
     #[serde(with = "humantime_serde")]
     pub longest_backoff: Duration,
-    /// The largest share of a goal's replicas that may be ejected, in percent.
+    /// Upper bound on the ejected share of a goal's replicas, in percent.
     pub ejected_percent: u32,
-    /// A first frame is never called late before this.
+    /// Lower bound on the time after which a first frame counts as late.
     #[serde(with = "humantime_serde")]
     pub silence_floor: Duration,
 }
@@ -55,66 +57,69 @@
     }
 }
 
-/// What an entry saw of one of its attempts.
+/// An observation that the entry made of one of its attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvidence {
-    /// No connection came about.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The agent refused it.
+    /// The agent refused the attempt.
     Refused(RefusalCause),
-    /// Its first frame came.
+    /// The first frame of the answer arrived.
     FirstFrame {
-        /// After so long.
+        /// Time from sending the attempt to its first frame.
         took: Duration,
-        /// Where so long was predicted.
+        /// Predicted time to the first frame.
         predicted: Duration,
     },
-    /// A piece of its answer came.
+    /// A piece of the answer arrived.
     Piece,
-    /// Nothing came in the time expected.
+    /// Nothing arrived within the expected time.
     Silent {
-        /// When it was sent, or its last piece came.
+        /// Time at which the attempt was sent or its last piece arrived.
         since: ClockTime,
     },
-    /// Its answer was cut, or it failed after it began to run.
+    /// The answer was interrupted, or the attempt failed after it began to run.
     Cut,
-    /// It came to its end.
+    /// The answer was complete.
     Ended,
 }
 
-/// What is wrong with an endpoint.
+/// The kind of failure of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum EndpointFault {
-    /// It takes no connections.
+    /// The endpoint refuses connections.
     Dead,
-    /// It takes attempts and brings nothing.
+    /// The endpoint accepts attempts and sends nothing.
     Frozen,
-    /// It brings things late.
+    /// The endpoint responds late.
     Slow,
-    /// It cuts its answers.
+    /// The endpoint interrupts its answers.
     Cutting,
 }
 
-/// What evidence calls for.
+/// A change of an endpoint's health that follows from an observation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
-    /// The endpoint should be ejected, if the share allows.
+    /// The endpoint should be ejected, if the bound on the ejected share permits it.
     Eject(EndpointFault),
-    /// The ejected endpoint works again.
+    /// The ejected endpoint has recovered.
     Reinstate,
 }
 
-/// First frames between two estimates of the expected quantile.
+/// Number of first frames between two updates of the expected quantile.
 const QUANTILE_SAMPLES: u64 = 1_024;
 
-/// Percent of the prediction that a first frame may take, until enough was seen, and at least.
+/// Time that a first frame may take until enough samples exist, in percent of its prediction.
 const DEFAULT_PERCENT: u64 = 400;
+
+/// Lower bound on the expected quantile, in percent of the prediction.
 const LEAST_PERCENT: u64 = 200;
 
-/// The largest percentage that is told apart.
+/// Upper bound of the histogram of ratios, in percent.
 const MOST_PERCENT: u64 = 100_000;
 
-/// Predictions below this are taken for this, in microseconds: ratios to less mean nothing.
+/// Lower bound that is applied to predictions, in microseconds. Ratios to smaller predictions carry
+/// no information.
 const LEAST_PREDICTION_US: u64 = 10_000;
 
 #[derive(Debug, Clone, Copy)]
@@ -137,19 +142,19 @@
     ejection: Option<EjectionState>,
 }
 
-/// The health of endpoints as this entry sees it.
+/// Tracks the health of endpoints as observed by this entry.
 #[derive(Debug)]
 pub struct HealthTracker {
     settings: HealthSettings,
     rows: Vec<HealthRow>,
     ejected: Vec<EndpointIndex>,
-    /// First frames' times, in percent of their predictions.
+    /// Times to the first frame, in percent of their predictions.
     ratios: Histogram<u64>,
     expected_percent: u64,
 }
 
 impl HealthTracker {
-    /// All endpoints healthy.
+    /// Creates a tracker in which all endpoints are healthy.
     ///
     /// # Panics
     ///
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Takes evidence over, and says what it calls for.
+    /// Records an observation and returns the change that follows from it.
     pub fn note(
         &mut self,
         endpoint: EndpointIndex,
@@ -207,7 +212,9 @@
         }
     }
 
-    /// Ejects an endpoint. Ejected again soon after it came back, it stays out twice as long.
+    /// Ejects an endpoint.
+    ///
+    /// The backoff doubles if the endpoint was reinstated less than `longest_backoff` ago.
     pub fn eject(&mut self, endpoint: EndpointIndex, fault: EndpointFault, now: ClockTime) {
         let settings = self.settings;
         let row = self.row(endpoint);
@@ -229,7 +236,7 @@
         }
     }
 
-    /// Puts an endpoint back.
+    /// Reinstates an ejected endpoint.
     pub fn reinstate(&mut self, endpoint: EndpointIndex, now: ClockTime) {
         let row = self.row(endpoint);
         *row = HealthRow {
@@ -241,7 +248,7 @@
         self.ejected.retain(|other| *other != endpoint);
     }
 
-    /// Whether an ejected endpoint is due for a probe.
+    /// Returns whether an ejected endpoint is due for a probe.
     #[must_use]
     pub fn probe_due(&self, endpoint: EndpointIndex, now: ClockTime) -> bool {
         self.rows
@@ -250,7 +257,7 @@
             .is_some_and(|ejection| ejection.probe_at <= now)
     }
 
-    /// A probe goes to the endpoint; the next one only after the backoff, if this one is lost.
+    /// Records that a probe was sent. If it is lost, the next probe waits for the backoff.
     pub fn start_probe(&mut self, endpoint: EndpointIndex, now: ClockTime) {
         let row = self.row(endpoint);
         let probe_at = now + row.backoff;
@@ -260,21 +267,23 @@
         }
     }
 
-    /// The ejected endpoints.
+    /// Returns the ejected endpoints.
     #[must_use]
     pub fn ejected(&self) -> &[EndpointIndex] {
         &self.ejected
     }
 
-    /// What is wrong with an ejected endpoint.
+    /// Returns the failure for which an endpoint is ejected.
     #[must_use]
     pub fn fault(&self, endpoint: EndpointIndex) -> Option<EndpointFault> {
         let row = self.rows.get(endpoint.place())?;
         row.ejection.map(|ejection| ejection.fault)
     }
 
-    /// The time after which an attempt with this prediction is silent: the expected quantile of
-    /// what first frames took lately against their predictions.
+    /// Returns the time after which an attempt with this prediction counts as silent.
+    ///
+    /// It is the expected quantile of the ratio of recent first-frame times to their predictions,
+    /// applied to `predicted`.
     #[must_use]
     pub fn silence_after(&self, predicted: Duration) -> Duration {
         let predicted = micros(predicted).max(LEAST_PREDICTION_US);
@@ -345,7 +354,8 @@
         (row.late >= settings.slow_attempts).then_some(EndpointFault::Slow)
     }
 
-    /// A failure of an endpoint in use may eject it; one of a probe lengthens its backoff.
+    /// Handles a failure: one of an endpoint in use may eject it, one of a probe lengthens the
+    /// backoff.
     fn failed(
         &mut self,
         endpoint: EndpointIndex,
--- a/crates/oatpier-policy/src/index.rs
+++ b/crates/oatpier-policy/src/index.rs
@@ -1,6 +1,6 @@
-//! Dense indices, so that a hot path compares numbers and hashes no names.
+//! Dense indices, so that hot paths compare integers instead of hashing names.
 //!
-//! An index is an entry's own and means nothing to another process.
+//! An index is valid only within the entry that assigned it.
 
 macro_rules! indices {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
@@ -9,17 +9,17 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The place in a vector.
+            /// Returns the position in a vector.
             #[must_use]
             pub fn place(self) -> usize {
                 self.0 as usize
             }
 
-            /// The index of the place in a vector.
+            /// Returns the index for a position in a vector.
             ///
             /// # Panics
             ///
-            /// Beyond `u32::MAX` places, which no table reaches.
+            /// Panics if the position exceeds `u32::MAX`, which no table reaches.
             #[must_use]
             pub fn of_place(place: usize) -> Self {
                 Self(u32::try_from(place).expect("a table holds fewer than 2^32 rows"))
@@ -35,6 +35,6 @@
     GoalIndex;
     /// An availability zone in an entry's table.
     ZoneIndex;
-    /// A class in an entry's ledger.
+    /// A class in an entry's tables.
     ClassIndex;
 }
--- a/crates/oatpier-policy/src/lib.rs
+++ b/crates/oatpier-policy/src/lib.rs
@@ -1,22 +1,22 @@
-//! Decisions of an entry about requests, as plain state machines.
+//! Decisions of an entry about requests, as plain state machines. An entry is the process that
+//! accepts requests from callers and sends them to endpoints.
 //!
-//! Everything here goes from `(event, now)` to actions, without I/O, clocks or `async`; what is
-//! random comes from a seeded generator. The daemon, the policy bench and the fault tests hold
-//! one [`entry::EntryPolicy`] each and drive it the same way. Nothing here is needed for safety
-//! at an endpoint: an agent refuses by itself what it must not run, however old this entry's
-//! table is.
+//! Each state machine maps `(event, now)` to actions, without I/O, clocks or `async`; randomness
+//! comes from a seeded generator. The daemon, the policy bench and the fault tests each hold one
+//! [`entry::EntryPolicy`] and drive it the same way. The safety of an endpoint does not depend on
+//! this crate: an agent itself refuses what it must not run, however stale this entry's table is.
 //!
-//! - [`entry`]: the façade over all that follows; the one thing that a caller holds.
-//! - [`event`], [`action`]: what happens to a request, and what is to be done about it.
+//! - [`entry`]: the façade over all other modules; the only type that a driver needs.
+//! - [`event`], [`action`]: the events of a request, and the actions that result.
 //! - [`outcome`]: the final answer to a request.
-//! - [`machine`]: the life of one request at its entry.
-//! - [`table`]: what is known of endpoints, and who can serve what.
-//! - [`router`]: the choice of an endpoint from a short sample.
-//! - [`prefix`]: who is expected to have a prompt's prefix cached.
-//! - [`health`]: ejection on evidence of the data path, and probes back.
-//! - [`retry`]: retry budgets, so that a fault does not multiply load.
-//! - [`limit`]: the bound on concurrent requests, shared fairly.
-//! - [`attainment`]: the attained share of each class.
+//! - [`machine`]: the state machine of one request.
+//! - [`table`]: the known state of endpoints, and which goals each can serve.
+//! - [`router`]: selection of an endpoint from a small random sample.
+//! - [`prefix`]: index of the endpoints that are expected to have a prompt's prefix cached.
+//! - [`health`]: passive health checks, ejection and probes.
+//! - [`retry`]: retry budgets, which keep a fault from multiplying the load.
+//! - [`limit`]: admission control by an upper bound on concurrent requests, shared fairly.
+//! - [`attainment`]: share of each class's requests that meet its target.
 
 pub mod action;
 pub mod attainment;
--- a/crates/oatpier-policy/src/limit.rs
+++ b/crates/oatpier-policy/src/limit.rs
@@ -1,8 +1,8 @@
-//! The bound on concurrent requests at an entry, shared fairly.
+//! Admission control: an upper bound on the concurrent requests of an entry, shared fairly.
 //!
-//! Without a bound, a burst or a retry storm fills the entry's memory and makes every answer
-//! late. Near the bound one caller may not take what others need, and a class with slack gives
-//! way to one that misses its target. A refusal is given at once, with when to come back.
+//! Without a bound, a burst or a retry storm exhausts the entry's memory and delays every answer.
+//! Near the bound, a caller is limited to its fair share, and a class that meets its target yields
+//! to one that misses its own. A refusal is immediate and suggests when to retry.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct LimitSettings {
-    /// The most concurrent requests.
+    /// Upper bound on concurrent requests.
     pub bound: u32,
-    /// The share of the bound above which a caller gets its fair share only, in percent.
+    /// Share of the bound above which each caller is limited to its fair share, in percent.
     pub fair_percent: u32,
-    /// The share of the bound above which a class with slack gives way, in percent.
+    /// Share of the bound above which requests of a class with slack are refused, in percent.
     pub slack_percent: u32,
-    /// The shortest time to come back after.
+    /// Lower bound on the suggested retry delay.
     #[serde(with = "humantime_serde")]
     pub shortest_wait: Duration,
-    /// The longest time to come back after.
+    /// Upper bound on the suggested retry delay.
     #[serde(with = "humantime_serde")]
     pub longest_wait: Duration,
 }
@@ -44,35 +44,36 @@
     }
 }
 
-/// How a request's class stands against the others.
+/// The attainment of a request's class compared with that of the other classes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClassStanding {
-    /// Below its target.
+    /// The class is below its target.
     Need,
     /// No class is below its target.
     Level,
-    /// At its target, while another class is below its own.
+    /// The class meets its target, while another class is below its own.
     Slack,
 }
 
-/// A mean takes one new value in sixteen.
+/// Divisor of the weight of a new value in the exponential moving average.
 const MEAN_WEIGHT: u64 = 16;
 
-/// Admits requests up to a bound.
+/// Admits requests up to a bound on concurrency.
 #[derive(Debug)]
 pub struct EntryLimiter {
     settings: LimitSettings,
     in_flight: u32,
     callers: IndexMap<CallerName, u32>,
-    /// Mean time that a request is in flight, in microseconds.
+    /// Moving average of the time that a request is in flight, in microseconds.
     hold_us: u64,
-    /// Refused since, less those that ended since: who may come back before a later one.
+    /// Refused requests minus requests that ended since, an estimate of the callers that may retry
+    /// before the next one.
     turned_away: u64,
     refused: u64,
 }
 
 impl EntryLimiter {
-    /// An empty limiter.
+    /// Creates a limiter without requests in flight.
     #[must_use]
     pub fn new(settings: LimitSettings) -> Self {
         Self {
@@ -85,11 +86,11 @@
         }
     }
 
-    /// Admits a request. Each admitted one is to be released once.
+    /// Admits a request. Each admitted request must be released once.
     ///
     /// # Errors
     ///
-    /// A refusal with when to come back.
+    /// Returns a refusal with a suggested retry delay if there is no room.
     pub fn admit(&mut self, caller: &CallerName, standing: ClassStanding) -> Result<(), Refusal> {
         if !self.has_room(caller, standing) {
             return Err(self.refuse());
@@ -99,7 +100,7 @@
         Ok(())
     }
 
-    /// An admitted request ended after `held`.
+    /// Releases an admitted request that was in flight for `held`.
     pub fn release(&mut self, caller: &CallerName, held: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.turned_away = self.turned_away.saturating_sub(1);
@@ -114,13 +115,13 @@
         }
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// How many requests were refused.
+    /// Returns the number of refused requests.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused
@@ -151,7 +152,8 @@
         u32::try_from(part).unwrap_or(u32::MAX)
     }
 
-    /// The time until so many requests have ended as were turned away lately, this one included.
+    /// Counts a refusal and returns it, with the estimated time until as many requests have ended
+    /// as were refused recently, including this one.
     fn refuse(&mut self) -> Refusal {
         self.refused += 1;
         self.turned_away += 1;
--- a/crates/oatpier-policy/src/machine/again.rs
+++ b/crates/oatpier-policy/src/machine/again.rs
@@ -1,4 +1,5 @@
-//! Another attempt: after a refusal, a failure or silence, if verdict and budget allow.
+//! Sends attempts, and repeats them after a refusal, a failure or silence if the verdict and the
+//! retry budget permit it.
 
 use std::time::Duration;
 
@@ -16,22 +17,23 @@
 use crate::outcome::FinalCause;
 use crate::router::{RouteChoice, RouteQuery};
 
-/// Why an attempt is sent.
+/// The reason for which an attempt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptCause {
-    /// It is the first.
+    /// It is the first attempt.
     First,
-    /// The former one was refused since the entry's table was old. It cost its endpoint nothing.
+    /// The previous attempt was refused because the entry's table was stale. The refusal cost the
+    /// endpoint nothing.
     StaleTable,
-    /// The former one was refused, or sealed before it ran.
+    /// The previous attempt was refused, or sealed before it ran.
     Refused,
-    /// The former one failed. Its endpoint may do better the next time, and is often the only
-    /// replica there is.
+    /// The previous attempt failed. Its endpoint may succeed the next time, and is often the only
+    /// replica.
     Failed,
 }
 
 impl RequestMachine {
-    /// Sends another attempt, or ends the request.
+    /// Sends the next attempt, or ends the request if none is permitted.
     pub(super) fn try_again(&mut self, cause: AttemptCause, turn: &mut EventTurn<'_>) {
         if !self.may_repeat(self.settled_for_repeat()) {
             self.finish_failed(FinalCause::Incomplete, turn);
@@ -109,8 +111,10 @@
         });
     }
 
-    /// While an endpoint's speed is not known, a prediction says nothing: it gets a share of the
-    /// time left before it is called silent.
+    /// Returns the time after which an attempt counts as silent.
+    ///
+    /// While the speed of an endpoint is unknown, the prediction is meaningless, and the attempt
+    /// gets a share of the remaining time.
     fn silence_of(&self, choice: &RouteChoice, turn: &EventTurn<'_>) -> Duration {
         let expected = turn.context.silence_after(choice.predicted);
         let remaining = self.remaining(turn.now);
@@ -140,8 +144,10 @@
         can_go_on && verdict.may_repeat(self.intake.repeat)
     }
 
-    /// What another attempt depends on. At most once looks at all former attempts, however their
-    /// words contradict each other; for the rest each attempt was judged when it ended.
+    /// Returns the verdict that decides whether another attempt is permitted.
+    ///
+    /// For an at-most-once request it combines all previous attempts, even if the reports on them
+    /// contradict each other. For an idempotent request each attempt was checked when it ended.
     fn settled_for_repeat(&self) -> RunVerdict {
         match self.intake.repeat {
             Repeat::AtMostOnce => self.settled,
@@ -153,7 +159,7 @@
         self.attempts >= self.settings.attempts
     }
 
-    /// Gives a live attempt up whose verdict is not known.
+    /// Cancels the live attempt and drops it while its verdict is unknown.
     fn abandon(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         turn.cancel(&live, CancelMode::Abort);
         self.unsettled.push(live.attempt);
@@ -176,8 +182,10 @@
         }
     }
 
-    /// A silent attempt at an idempotent request is left only for another one: while there is
-    /// none, its answer may still come.
+    /// Replaces a silent attempt of an idempotent request by another one.
+    ///
+    /// Without another endpoint or retry budget the attempt is kept, because its answer may still
+    /// arrive.
     fn replace_silent(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         let allowed = self.may_repeat(RunVerdict::MayHaveRun) && !self.attempts_spent();
         let choice = allowed
@@ -193,8 +201,10 @@
         }
     }
 
-    /// Waits on until the deadline. A stream that has begun has none: it ends when the last sign
-    /// of its attempt is a stall old.
+    /// Keeps waiting for the live attempt until the deadline.
+    ///
+    /// A stream that has begun has no deadline: it ends when its attempt was inactive for the stall
+    /// timeout.
     fn wait_or_end(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         let stalled_at = live.last_sign + self.stall_span();
         if self.begun() && turn.now >= stalled_at {
--- a/crates/oatpier-policy/src/machine/attempt.rs
+++ b/crates/oatpier-policy/src/machine/attempt.rs
@@ -1,4 +1,4 @@
-//! The one attempt of a request that is live.
+//! The live attempt of a request.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::index::EndpointIndex;
 use crate::router::RouteChoice;
 
-/// Whether the attempt was asked to be sealed.
+/// Whether the agent was asked to seal the attempt, and the result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SealState {
-    /// No.
+    /// No seal was requested.
     Unasked,
-    /// Yes; its answer is awaited until then.
+    /// A seal was requested; the answer is awaited until `until`.
     Asked { until: ClockTime },
-    /// Yes; no answer in time. A late one still counts.
+    /// The answer did not arrive in time. A late answer is still accepted.
     Overdue,
-    /// Yes; it runs, or may.
+    /// The agent answered that the attempt runs or may have run.
     Refused,
 }
 
@@ -28,11 +28,11 @@
     pub sent_at: ClockTime,
     pub predicted: Duration,
     pub queue: Duration,
-    /// Whether anything of its answer came.
+    /// Whether any part of the answer arrived.
     pub framed: bool,
-    /// When it was sent, or its last piece came.
+    /// Time at which the attempt was sent or its last piece arrived.
     pub last_sign: ClockTime,
-    /// When it counts as silent.
+    /// Time from which the attempt counts as silent.
     pub silent_at: ClockTime,
     pub seal: SealState,
 }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The next point at which something is due of the attempt by itself.
+    /// Returns the time of the attempt's next timeout.
     pub(super) fn timer(&self) -> ClockTime {
         match self.seal {
             SealState::Asked { until } => until.min(self.silent_at),
@@ -65,7 +65,8 @@
         }
     }
 
-    /// How long it ran at its endpoint, as far as can be told from here.
+    /// Returns how long the attempt ran at its endpoint, estimated by subtracting the predicted
+    /// queue time.
     pub(super) fn ran(&self, now: ClockTime) -> Duration {
         now.since(self.sent_at).saturating_sub(self.queue)
     }
--- a/crates/oatpier-policy/src/machine/context.rs
+++ b/crates/oatpier-policy/src/machine/context.rs
@@ -1,4 +1,4 @@
-//! What the life of a request needs from the rest of the entry.
+//! Interface between a request's state machine and the state shared by all requests of an entry.
 
 use std::time::Duration;
 
@@ -11,37 +11,37 @@
 use crate::index::{ClassIndex, EndpointIndex, GoalIndex};
 use crate::router::{RouteChoice, RouteQuery};
 
-/// The decisions around a request, as its machine sees them.
+/// Decisions and records that a request's state machine delegates.
 pub trait AttemptContext {
-    /// Chooses an endpoint.
+    /// Chooses an endpoint for an attempt.
     ///
     /// # Errors
     ///
-    /// A refusal where none can serve in time.
+    /// Returns a refusal if no endpoint can serve the attempt in time.
     fn choose(&mut self, query: &RouteQuery<'_>, now: ClockTime) -> Result<RouteChoice, Refusal>;
 
-    /// The name of an endpoint.
+    /// Returns the name of an endpoint.
     fn endpoint_name(&self, endpoint: EndpointIndex) -> EndpointName;
 
-    /// A fresh attempt id.
+    /// Returns a new, unique attempt id.
     fn next_attempt(&mut self) -> AttemptId;
 
-    /// Takes one repeat from the class's budget; false if it is spent.
+    /// Takes one retry from the class's budget. Returns `false` if the budget is spent.
     fn take_retry(&mut self, class: ClassIndex) -> bool;
 
-    /// The time after which an attempt with this prediction counts as silent.
+    /// Returns the time after which an attempt with this prediction counts as silent.
     fn silence_after(&self, predicted: Duration) -> Duration;
 
-    /// An attempt was sent.
+    /// Records that an attempt was sent.
     fn note_sent(&mut self, choice: &RouteChoice, prefixes: &[u64], now: ClockTime);
 
-    /// An attempt is over; `ran` tells how long it ran if it came to its end.
+    /// Records that an attempt is over. `run_time` is set if its answer was complete.
     fn note_done(&mut self, endpoint: EndpointIndex, ran: Option<Duration>);
 
-    /// Something was seen of an attempt.
+    /// Records an observation of an attempt.
     fn note_evidence(&mut self, endpoint: EndpointIndex, evidence: AttemptEvidence, now: ClockTime);
 
-    /// An agent refused an attempt.
+    /// Records that an agent refused an attempt.
     fn note_refused(
         &mut self,
         endpoint: EndpointIndex,
--- a/crates/oatpier-policy/src/machine/finish.rs
+++ b/crates/oatpier-policy/src/machine/finish.rs
@@ -1,4 +1,4 @@
-//! The end of a request: exactly one final answer.
+//! Ends a request with exactly one final answer.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::outcome::{FinalAnswer, FinalCause};
 
 impl RequestMachine {
-    /// Ends a request that no attempt is live for.
+    /// Ends a request that has no live attempt with a refusal.
     pub(super) fn finish_refused(&mut self, refusal: Refusal, turn: &mut EventTurn<'_>) {
         if self.begun() {
             self.finish_failed(FinalCause::Incomplete, turn);
@@ -26,7 +26,7 @@
         self.finish(answer, turn);
     }
 
-    /// Ends a request without a whole answer; its live attempt is cancelled.
+    /// Ends a request without a complete answer and cancels its live attempt.
     pub(super) fn finish_failed(&mut self, cause: FinalCause, turn: &mut EventTurn<'_>) {
         let verdict = self.verdict();
         if let Some(live) = self.live {
@@ -61,7 +61,8 @@
         matches!(self.frame.target, ClassTarget::Whole { .. })
     }
 
-    /// Time left for another attempt: until the deadline, or until a begun stream has stalled.
+    /// Returns the time remaining for another attempt: until the deadline, or the stall timeout of
+    /// a stream that has begun.
     pub(super) fn remaining(&self, now: ClockTime) -> Duration {
         if self.begun() {
             return self.stall_span();
@@ -80,8 +81,10 @@
         turn.actions.push(EntryAction::Answer(answer));
     }
 
-    /// A half-done change is worse than a done one: an at-most-once attempt that may run already
-    /// is left to its end, and only one that has not reached its endpoint is stopped.
+    /// Cancels the live attempt of a request that ends.
+    ///
+    /// An at-most-once attempt that may be running is left to complete, because a partially applied
+    /// change is worse than a complete one. It is stopped only if it has not reached its endpoint.
     fn cancel_last(&self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         let mode = match self.intake.repeat {
             Repeat::Idempotent => CancelMode::Abort,
@@ -92,8 +95,10 @@
         }
     }
 
-    /// The seal of a claimed change whose answer may yet say that nothing ran. An earlier attempt
-    /// that may have run, or an answer that has begun, leaves no doubt to settle.
+    /// Returns the unanswered seal of a request with a claimed key, if its answer can still
+    /// establish that nothing ran.
+    ///
+    /// That is not possible if an earlier attempt may have run or if the answer has begun.
     fn seal_left_open(&self, live: &LiveAttempt) -> Option<OpenSeal> {
         let key = self.key_to_claim().filter(|_| self.claimed)?;
         let settled = live.framed || live.seal == SealState::Refused;
@@ -104,7 +109,8 @@
         })
     }
 
-    /// What an agent said goes before "no endpoint is left to try".
+    /// Returns the last refusal of an agent instead of the general refusal that no endpoint is left
+    /// to try.
     fn telling_refusal(&self, refusal: Refusal) -> Refusal {
         let general = matches!(
             refusal.cause,
@@ -127,8 +133,8 @@
         Refusal { cause, retry_after }
     }
 
-    /// Whether a caller gains by sending the request again, and does no harm: it may be repeated,
-    /// or its key makes the next submission find out what became of this one.
+    /// Returns whether the caller may usefully and safely submit the request again: it may be
+    /// repeated, or its key lets the next submission learn the outcome of this one.
     fn may_come_back(&self, verdict: RunVerdict) -> bool {
         let can_find_out = verdict == RunVerdict::MayHaveRun && self.key_to_claim().is_some();
         can_find_out || verdict.may_repeat(self.intake.repeat)
--- a/crates/oatpier-policy/src/machine/mod.rs
+++ b/crates/oatpier-policy/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one request at its entry.
+//! State machine of one request at its entry.
 //!
 //! ```text
 //! claim -> choose -> attempt -> relay -> answer
@@ -6,10 +6,11 @@
 //!             +- again -+   if the verdict and the retry budget allow
 //! ```
 //!
-//! An at-most-once request has one live attempt at a time, and another one only after the former's
-//! verdict is "not run". An idempotent request that hears nothing is sent elsewhere at once, while
-//! the former attempt is cancelled. Whatever comes of an attempt that isn't the live one is
-//! dropped and counted. A request whose time has passed gets its final answer at once.
+//! An at-most-once request has one live attempt at a time. Another one is sent only after the
+//! verdict on the previous one is "not run". An idempotent request without a response is sent to
+//! another endpoint at once, and the previous attempt is cancelled. Events of an attempt that isn't
+//! the live one are dropped and counted. A request whose deadline has passed gets its final answer
+//! at once.
 
 mod again;
 mod attempt;
@@ -36,7 +37,7 @@
 pub use context::AttemptContext;
 pub use settings::MachineSettings;
 
-/// Where a request stands.
+/// The phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RequestStep {
     Claiming,
@@ -44,18 +45,18 @@
     Done,
 }
 
-/// What the façade adds to an intake: indices and the class's target.
+/// The indices and the class's target that the façade looks up for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestFrame {
-    /// Its class.
+    /// The class of the request.
     pub class: ClassIndex,
-    /// The class's target.
+    /// The target of the class.
     pub target: ClassTarget,
-    /// Its goal.
+    /// The goal (model, adapter or service) of the request.
     pub goal: GoalIndex,
 }
 
-/// The life of one request.
+/// State machine of one request.
 #[derive(Debug)]
 pub struct RequestMachine {
     intake: RequestIntake,
@@ -68,9 +69,9 @@
     live: Option<LiveAttempt>,
     tried: SmallVec<[EndpointIndex; 4]>,
     attempts: u32,
-    /// Attempts that were cancelled, and whose verdict is not known yet.
+    /// Cancelled attempts whose verdict is not known yet.
     unsettled: SmallVec<[AttemptId; 2]>,
-    /// The verdict on all settled attempts.
+    /// The combined verdict on all attempts whose verdict is known.
     settled: RunVerdict,
     claimed: bool,
     first_piece: Option<ClockTime>,
@@ -81,16 +82,16 @@
     dropped: u32,
 }
 
-/// A seal that was asked for a claimed change, and not answered when the request ended.
+/// A requested seal of an attempt with a claimed key, not yet answered when the request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenSeal {
-    /// The claimed key, hashed.
+    /// The hashed idempotency key that was claimed.
     pub key: u64,
-    /// The attempt.
+    /// The attempt to be sealed.
     pub attempt: AttemptId,
 }
 
-/// One event's handling: what surrounds it, and the actions that come of it.
+/// The context in which one event is handled, and the resulting actions.
 struct EventTurn<'a> {
     context: &'a mut dyn AttemptContext,
     now: ClockTime,
@@ -98,7 +99,8 @@
 }
 
 impl RequestMachine {
-    /// The life of a request that came in now. [`Self::start`] is to be called once.
+    /// Creates the state machine of a request that arrived at `now`. [`Self::start`] must be called
+    /// once.
     #[must_use]
     pub fn new(
         settings: MachineSettings,
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Claims the request's key, or sends its first attempt.
+    /// Starts the request: claims its key, or sends its first attempt.
     pub fn start(&mut self, context: &mut dyn AttemptContext, now: ClockTime) -> EntryActions {
         let mut turn = EventTurn::new(context, now);
         match self.key_to_claim() {
@@ -143,7 +145,7 @@
         turn.actions
     }
 
-    /// Takes an event over.
+    /// Handles an event.
     pub fn handle(
         &mut self,
         event: &EntryEvent,
@@ -158,7 +160,8 @@
         turn.actions
     }
 
-    /// When `Timer` is to be given next; `NEVER` once it is done.
+    /// Returns the time at which `Timer` must be delivered next; `NEVER` after the end of the
+    /// request.
     #[must_use]
     pub fn timer(&self) -> ClockTime {
         if self.step == RequestStep::Done {
@@ -171,61 +174,62 @@
         attempt.min(self.deadline())
     }
 
-    /// Whether its final answer was given.
+    /// Returns whether the final answer was given.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.step == RequestStep::Done
     }
 
-    /// Late, crossed or contradictory events that were dropped.
+    /// Returns the number of late, crossed or contradictory events that were dropped.
     #[must_use]
     pub fn dropped(&self) -> u32 {
         self.dropped
     }
 
-    /// After its end: the seal whose answer may yet free its key.
+    /// Returns the unanswered seal that may still free the request's key, after the end of the
+    /// request.
     #[must_use]
     pub fn open_seal(&self) -> Option<OpenSeal> {
         self.open_seal
     }
 
-    /// The request.
+    /// Returns the request.
     #[must_use]
     pub fn intake(&self) -> &RequestIntake {
         &self.intake
     }
 
-    /// Its class.
+    /// Returns the class of the request.
     #[must_use]
     pub fn class(&self) -> ClassIndex {
         self.frame.class
     }
 
-    /// When it came in.
+    /// Returns the time of arrival.
     #[must_use]
     pub fn arrived(&self) -> ClockTime {
         self.arrived
     }
 
-    /// The endpoint of the live attempt.
+    /// Returns the endpoint of the live attempt.
     #[must_use]
     pub fn endpoint(&self) -> Option<EndpointIndex> {
         self.live.map(|live| live.endpoint)
     }
 
-    /// The live attempt.
+    /// Returns the id of the live attempt.
     #[must_use]
     pub fn attempt(&self) -> Option<AttemptId> {
         self.live.map(|live| live.attempt)
     }
 
-    /// How many attempts were sent.
+    /// Returns the number of attempts that were sent.
     #[must_use]
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Whether it may have run, as far as known.
+    /// Returns whether the request may have run, as far as known.
     #[must_use]
     pub fn verdict(&self) -> RunVerdict {
         if self.live.is_none() && self.unsettled.is_empty() {
@@ -250,8 +254,10 @@
         }
     }
 
-    /// An event of an attempt that isn't the live one is late or crossed: relaying it would mix
-    /// two answers, and judging by it would judge the wrong attempt.
+    /// Handles an event of an attempt.
+    ///
+    /// An event of any attempt but the live one is late or crossed and is dropped: relaying its
+    /// data would mix two answers, and its outcome would be attributed to the wrong attempt.
     fn on_attempt(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
         let live = self
             .live
@@ -281,8 +287,10 @@
         self.first_piece.is_some()
     }
 
-    /// Until the first piece, the class's target gives the deadline. After it, the caller has a
-    /// part of its answer, and only a stall ends the request.
+    /// Returns the deadline of the request.
+    ///
+    /// Before the first piece, the class's target determines it. After the first piece, the caller
+    /// has a part of its answer, and only a stall ends the request.
     fn deadline(&self) -> ClockTime {
         if self.begun() {
             ClockTime::NEVER
--- a/crates/oatpier-policy/src/machine/settings.rs
+++ b/crates/oatpier-policy/src/machine/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the lives of requests.
+//! Settings of the request state machine.
 
 use std::time::Duration;
 
@@ -9,29 +9,30 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct MachineSettings {
-    /// The most attempts at one request.
+    /// Upper bound on the attempts of one request.
     pub attempts: u32,
-    /// The share of the class's target after which a request is given up, in percent.
+    /// Time after which a request is given up, in percent of the class's target.
     pub give_up_percent: u32,
-    /// The share of the time left that an endpoint of unknown speed gets before it is called
-    /// silent, in percent.
+    /// Time after which an endpoint of unknown speed counts as silent, in percent of the remaining
+    /// time.
     pub uninformed_percent: u32,
-    /// The share of the time left after which an endpoint is called silent at the latest, in
-    /// percent: what is called silent later leaves no time to go elsewhere. An attempt that was
-    /// predicted to take longer gets its prediction and half of that again.
+    /// Upper bound on the time after which an endpoint counts as silent, in percent of the
+    /// remaining time. A later detection would leave no time for another endpoint. If one and a
+    /// half times the predicted time is longer, that is the bound instead.
     pub silent_percent: u32,
-    /// Steps of the class's target between tokens after which a stream counts as stalled.
+    /// Time after which a stream counts as stalled, in multiples of the class's target time between
+    /// tokens.
     pub stall_steps: u32,
-    /// No stream counts as stalled before this.
+    /// Lower bound on the time after which a stream counts as stalled.
     #[serde(with = "humantime_serde")]
     pub stall_floor: Duration,
-    /// The time that the answer to a cancel is awaited.
+    /// Time to wait for the answer to a cancel.
     #[serde(with = "humantime_serde")]
     pub cancel_wait: Duration,
-    /// The longest time that a caller may take nothing of its answer.
+    /// Upper bound on the time for which a caller may accept no data of its answer.
     #[serde(with = "humantime_serde")]
     pub caller_hold: Duration,
-    /// When to come back after a request that was given up.
+    /// Retry delay that is suggested to a caller whose request was given up.
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
 }
--- a/crates/oatpier-policy/src/machine/steps.rs
+++ b/crates/oatpier-policy/src/machine/steps.rs
@@ -1,4 +1,4 @@
-//! What each event does to a request.
+//! Event handlers of the request's state machine.
 
 use oatpier_types::ids::AttemptId;
 use oatpier_types::refusal::{Refusal, RefusalCause};
@@ -21,7 +21,8 @@
         match event {
             EntryEvent::ClaimGranted => self.send_first(turn),
             EntryEvent::ClaimRefused { earlier } => {
-                // The key is another submission's: it is not this one's to settle.
+                // The key was claimed by another submission, so this request must not settle the
+                // claim.
                 self.claimed = false;
                 self.settled = *earlier;
                 self.finish_refused(refusal(RefusalCause::KeyUsed), turn);
@@ -98,12 +99,12 @@
         turn: &mut EventTurn<'_>,
     ) {
         if refusal.cause == RefusalCause::Duplicate {
-            // The message was doubled on its way. Its first copy is the attempt, and goes on.
+            // The message was duplicated in transit. Its first copy is the attempt, and continues.
             self.dropped += 1;
             return;
         }
         if live.framed {
-            // Something of its answer came: it can't be "not run".
+            // A part of the answer arrived, so the verdict can't be "not run".
             self.on_failed(live, RunVerdict::MayHaveRun, turn);
             return;
         }
@@ -114,7 +115,8 @@
         self.last_refusal = Some(refusal);
         match refusal.cause {
             RefusalCause::KeyUsed => {
-                // The refusal is of this attempt; what used the key may have run.
+                // The refusal concerns this attempt only. The request that used the key may have
+                // run.
                 self.settled = self.settled.and(RunVerdict::MayHaveRun);
                 self.finish_refused(refusal, turn);
             }
@@ -183,8 +185,10 @@
         }
     }
 
-    /// Only "not run" allows another attempt at an at-most-once request. Otherwise the attempt is
-    /// left to answer until the deadline.
+    /// Handles the answer to a seal.
+    ///
+    /// Only "not run" permits another attempt of an at-most-once request. Otherwise the live
+    /// attempt may still answer until the deadline.
     fn on_seal_answered(
         &mut self,
         live: LiveAttempt,
--- a/crates/oatpier-policy/src/outcome.rs
+++ b/crates/oatpier-policy/src/outcome.rs
@@ -1,27 +1,27 @@
-//! The final answer to a request: status, cause, verdict and when to come back.
+//! The final answer to a request: status, cause, verdict and suggested retry delay.
 
 use std::time::Duration;
 
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::verdict::RunVerdict;
 
-/// Why a request ended.
+/// The cause of a request's end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FinalCause {
-    /// Its answer was relayed to the terminator.
+    /// The answer was relayed completely, including its terminator.
     Whole,
-    /// It was refused.
+    /// The request was refused.
     Refused(RefusalCause),
-    /// Its time passed without an answer.
+    /// The deadline passed without a complete answer.
     DeadlinePassed,
-    /// Its answer ended before the terminator and can't be resumed, or all of it was lost.
+    /// The answer ended before its terminator and can't be resumed, or all of it was lost.
     Incomplete,
-    /// Its caller went away, or took nothing for too long.
+    /// The caller disconnected, or accepted no data for too long.
     CallerGone,
 }
 
 impl FinalCause {
-    /// The word that answers, logs and metrics use.
+    /// Returns the name used in answers, logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -34,27 +34,28 @@
     }
 }
 
-/// The one final answer to a request.
+/// The final answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FinalAnswer {
-    /// The HTTP status, if no head was relayed yet. 200 stands for the endpoint's own status,
-    /// 499 for a caller that is gone.
+    /// The HTTP status, used if no head was relayed yet. 200 stands for the endpoint's own status,
+    /// 499 for a caller that disconnected.
     pub status: u16,
-    /// Why.
+    /// The cause of the end.
     pub cause: FinalCause,
     /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// When to come back; none where coming back is of no use.
+    /// Suggested retry delay; `None` if a retry is of no use.
     pub retry_after: Option<Duration>,
-    /// Whether a piece of the answer was relayed before: the end is then an explicit error
-    /// within the stream, never a quiet stop.
+    /// Whether a piece of the answer was already relayed. The end is then an explicit error within
+    /// the stream, never a silent end of the stream.
     pub begun: bool,
-    /// Whether the answer was whole and within the class's target.
+    /// Whether the answer was complete and within the class's target.
     pub in_time: bool,
 }
 
 impl FinalAnswer {
-    /// The answer to a request that was refused before any attempt: certainly not run.
+    /// Creates the answer to a request that was refused before any attempt, with the verdict "not
+    /// run".
     #[must_use]
     pub fn refused(refusal: Refusal) -> Self {
         Self::failed(
@@ -64,7 +65,7 @@
         )
     }
 
-    /// An answer other than a whole one.
+    /// Creates the answer to a request without a complete answer.
     #[must_use]
     pub fn failed(cause: FinalCause, verdict: RunVerdict, retry_after: Option<Duration>) -> Self {
         Self {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The end of a whole answer.
+    /// Creates the final answer of a request whose answer was relayed completely.
     #[must_use]
     pub fn whole(begun: bool, in_time: bool) -> Self {
         Self {
@@ -91,8 +92,10 @@
     }
 }
 
-/// The HTTP status of an end. A status that invites a blind repeat (429, 503) is given only with
-/// the verdict "not run"; a request that may have run gets 504 or 502.
+/// Returns the HTTP status for a cause and a verdict.
+///
+/// A status that invites an unconditional retry (429, 503) is returned only with the verdict "not
+/// run". A request that may have run gets 504 or 502.
 #[must_use]
 pub fn status_of(cause: FinalCause, verdict: RunVerdict) -> u16 {
     match cause {
--- a/crates/oatpier-policy/src/prefix.rs
+++ b/crates/oatpier-policy/src/prefix.rs
@@ -1,8 +1,8 @@
-//! Who is expected to have a prompt's prefix cached.
+//! Index of the endpoints that are expected to have a prompt's prefix cached.
 //!
-//! Learnt from what this entry itself sent, and corrected by cache events, which come late and
-//! with gaps. Bounded: a fixed table of small sets, where the oldest of a set makes room. A wrong
-//! expectation costs some prefill time, never a wrong answer.
+//! Entries are recorded when this entry sends a prompt, and corrected by cache events, which arrive
+//! late and with gaps. Memory is bounded: a set-associative table in which the oldest slot of a set
+//! is replaced. A wrong expectation costs prefill time, never a wrong answer.
 
 use std::time::Duration;
 
@@ -19,14 +19,15 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct PrefixSettings {
-    /// Blocks that are remembered; rounded up to a power of two.
+    /// Number of blocks in the table; rounded up to a power of two.
     pub blocks: usize,
-    /// Tokens in a block, as the prefix hashes are made.
+    /// Tokens in a block; must match how the prefix hashes are made.
     pub block_tokens: u32,
-    /// The age at which an expectation counts half.
+    /// Age at which the confidence in a recorded block has halved.
     #[serde(with = "humantime_serde")]
     pub half_life: Duration,
-    /// How late cache events may come: a removal does not undo what was sent since then.
+    /// Upper bound on the delay of cache events. A removal does not undo a block that was recorded
+    /// within this time.
     #[serde(with = "humantime_serde")]
     pub event_lag: Duration,
 }
@@ -42,19 +43,20 @@
     }
 }
 
-/// Slots of one set.
+/// Number of slots in a set.
 const WAYS: usize = 4;
 
-/// The most blocks of one prompt that are looked up; of a longer prompt, evenly spread ones.
+/// Upper bound on the blocks of a prompt that are looked up. Of a longer prompt, evenly spaced
+/// blocks are used.
 const LOOKUP_BOUND: usize = 16;
 
-/// The most blocks of one prompt that are learnt, the first ones.
+/// Upper bound on the blocks of a prompt that are recorded, from its start.
 const LEARN_BOUND: usize = 128;
 
-/// Full confidence.
+/// Fixed-point representation of full confidence.
 const CERTAIN: u64 = 1_000;
 
-/// An event number so far below the expected one comes from a restarted engine.
+/// A sequence number this far below the expected one indicates a restarted engine.
 const RESTART_DISTANCE: u64 = 64;
 
 #[derive(Debug, Clone, Copy)]
@@ -70,28 +72,28 @@
     learnt_at: ClockTime::ZERO,
 };
 
-/// How far what was learnt of an endpoint is trusted.
+/// Position in an endpoint's event stream, and the confidence in its recorded blocks.
 #[derive(Debug, Clone, Copy, Default)]
 struct EventTrack {
     next: Option<u64>,
-    /// What was learnt before this point counts by `trust` only.
+    /// Blocks recorded before this time are weighted by `prior_confidence`.
     doubted_at: ClockTime,
     trust: u64,
 }
 
-/// An endpoint that is expected to have a part of a prompt cached.
+/// An endpoint that is expected to have a prefix of a prompt cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PrefixHolder {
     /// The endpoint.
     pub endpoint: EndpointIndex,
-    /// Tokens that it is expected to save, weighed by confidence.
+    /// Expected number of cached tokens, weighted by confidence.
     pub tokens: u32,
 }
 
-/// Holders of a prompt's prefixes, the longest first.
+/// Holders of a prompt's prefixes, longest prefix first.
 pub type PrefixHolders = SmallVec<[PrefixHolder; WAYS]>;
 
-/// A bounded index from prefix blocks to endpoints.
+/// Bounded index from prefix blocks to endpoints.
 #[derive(Debug)]
 pub struct PrefixIndex {
     settings: PrefixSettings,
@@ -101,7 +103,7 @@
 }
 
 impl PrefixIndex {
-    /// An empty index. All its memory is taken here.
+    /// Creates an empty index and allocates the memory of its table.
     #[must_use]
     pub fn new(settings: PrefixSettings) -> Self {
         let sets = settings.blocks.div_ceil(WAYS).next_power_of_two();
@@ -113,15 +115,17 @@
         }
     }
 
-    /// A prompt was sent to the endpoint, which will have its prefixes cached.
+    /// Records that a prompt was sent to an endpoint, which then has its prefixes cached.
     pub fn learn(&mut self, endpoint: EndpointIndex, prefixes: &[u64], now: ClockTime) {
         for block in prefixes.iter().take(LEARN_BOUND) {
             self.insert(*block, endpoint, now);
         }
     }
 
-    /// An engine's cache event came. A gap says that removals may have been missed: all that was
-    /// learnt of the endpoint before counts half from then on.
+    /// Applies a cache event of an engine.
+    ///
+    /// A gap in the sequence means that removals may have been missed: the confidence in all blocks
+    /// recorded before for the endpoint is halved.
     pub fn on_event(&mut self, endpoint: EndpointIndex, event: &CacheEvent, now: ClockTime) {
         let track = self.track(endpoint);
         let next = track.next.unwrap_or(event.sequence);
@@ -140,15 +144,17 @@
         }
     }
 
-    /// Nothing that was learnt of the endpoint holds any longer.
+    /// Invalidates all recorded blocks of an endpoint.
     pub fn forget(&mut self, endpoint: EndpointIndex, now: ClockTime) {
         let track = self.track(endpoint);
         track.doubted_at = now;
         track.trust = 0;
     }
 
-    /// Who is expected to have prefixes of a prompt cached. `prefixes` holds the hashes of its
-    /// growing prefixes, the shortest first. Does not allocate.
+    /// Returns the endpoints that are expected to have prefixes of a prompt cached.
+    ///
+    /// `prefixes` holds the hashes of the prompt's growing prefixes, the shortest first. Does not
+    /// allocate.
     #[must_use]
     pub fn holders(&self, prefixes: &[u64], now: ClockTime) -> PrefixHolders {
         let mut holders = PrefixHolders::new();
@@ -163,7 +169,7 @@
         holders
     }
 
-    /// How many gaps in cache events were seen.
+    /// Returns the number of gaps seen in cache events.
     #[must_use]
     pub fn gaps(&self) -> u64 {
         self.gaps
--- a/crates/oatpier-policy/src/retry.rs
+++ b/crates/oatpier-policy/src/retry.rs
@@ -1,14 +1,14 @@
-//! Retry budgets, so that a fault does not multiply load.
+//! Retry budgets, which keep a fault from multiplying the load.
 //!
-//! While endpoints fail, each request would be sent several times, and the repeats would take
-//! what capacity is left. A class may owe a bounded number of repeats, and its successes pay them
-//! back: when nothing succeeds, repeats soon stop, and requests are refused at once.
+//! While endpoints fail, each request would be sent several times, and the retries would consume
+//! the remaining capacity. Each class therefore has a leaky bucket of outstanding retries, which
+//! its successes drain: when nothing succeeds, retries soon stop, and requests are refused at once.
 //!
-//! The bound follows the requests in flight. An endpoint that dies takes all its requests with it
-//! at one moment, and each of them needs one repeat; a fixed number would lose the rest, although
-//! the other endpoints have room. Repeating each request in flight once is no more load than the
-//! fleet had a moment before. What fails again, and what comes while nothing succeeds, is not
-//! repeated.
+//! The capacity of the bucket scales with the requests in flight. When an endpoint dies, all its
+//! requests fail at one moment, and each needs one retry; a fixed capacity would fail some of them
+//! although the other endpoints have room. One retry of each request in flight is no more load than
+//! the fleet had a moment before. Requests that fail again, or that arrive while nothing succeeds,
+//! are not retried.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,11 +19,12 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeats allowed for each hundred successes.
+    /// Retries permitted per hundred successes.
     pub percent: u32,
-    /// Repeats that a class may owe, however few of its requests are in flight.
+    /// Outstanding retries that a class may always have, however few of its requests are in flight.
     pub burst: u32,
-    /// Repeats that a class may owe for each hundred of its requests in flight, if that is more.
+    /// Outstanding retries that a class may have per hundred of its requests in flight, if that is
+    /// more than `burst`.
     pub in_flight_percent: u32,
 }
 
@@ -37,18 +38,18 @@
     }
 }
 
-/// Hundredths of a repeat.
+/// Units per retry; the bucket counts hundredths of a retry.
 const WHOLE_REPEAT: u32 = 100;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct ClassDebt {
-    /// Requests without a final answer.
+    /// Number of requests without a final answer.
     in_flight: u32,
-    /// Repeats that were taken and not paid back, in hundredths.
+    /// Retries taken and not yet drained by successes, in hundredths.
     owed: u32,
 }
 
-/// A leaky bucket of repeats for each class, drained by its successes.
+/// A leaky bucket of retries for each class, drained by the class's successes.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
@@ -57,7 +58,7 @@
 }
 
 impl RetryBudget {
-    /// Nothing owed.
+    /// Creates a budget without outstanding retries.
     #[must_use]
     pub fn new(settings: RetrySettings) -> Self {
         Self {
@@ -67,25 +68,25 @@
         }
     }
 
-    /// A request of the class was taken in.
+    /// Records that a request of the class was admitted.
     pub fn note_started(&mut self, class: ClassIndex) {
         self.debt(class).in_flight += 1;
     }
 
-    /// A request of the class got its final answer.
+    /// Records that a request of the class got its final answer.
     pub fn note_ended(&mut self, class: ClassIndex) {
         let debt = self.debt(class);
         debt.in_flight = debt.in_flight.saturating_sub(1);
     }
 
-    /// A request of the class came to a whole answer.
+    /// Records that a request of the class got a complete answer.
     pub fn note_success(&mut self, class: ClassIndex) {
         let paid = self.settings.percent;
         let debt = self.debt(class);
         debt.owed = debt.owed.saturating_sub(paid);
     }
 
-    /// Takes one repeat; false if the class may owe no more.
+    /// Takes one retry from the class's budget. Returns `false` if the budget is spent.
     pub fn take(&mut self, class: ClassIndex) -> bool {
         let settings = self.settings;
         let debt = self.debt(class);
@@ -99,7 +100,7 @@
         false
     }
 
-    /// How many repeats were refused.
+    /// Returns the number of refused retries.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused
@@ -113,7 +114,7 @@
     }
 }
 
-/// What a class may owe, in hundredths of a repeat.
+/// Returns the capacity of a class's bucket, in hundredths of a retry.
 fn bound_of(settings: &RetrySettings, in_flight: u32) -> u32 {
     let fixed = settings.burst.saturating_mul(WHOLE_REPEAT);
     fixed.max(in_flight.saturating_mul(settings.in_flight_percent))
--- a/crates/oatpier-policy/src/router.rs
+++ b/crates/oatpier-policy/src/router.rs
@@ -1,8 +1,8 @@
-//! The choice of an endpoint from a short sample.
+//! Selection of an endpoint from a small random sample.
 //!
-//! A scan of all candidates grows with the fleet, and makes all entries choose the same best one
-//! until its next pulse. A few random candidates are nearly as good, cost the same at any size,
-//! and spread the entries.
+//! The cost of a scan of all candidates grows with the fleet, and it makes all entries pick the
+//! same best endpoint until its next pulse. A few random candidates are nearly as good, cost the
+//! same at any fleet size, and spread the load of the entries.
 
 use std::time::Duration;
 
@@ -25,18 +25,18 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RouterSettings {
-    /// Candidates sampled from the own availability zone.
+    /// Number of candidates sampled from the entry's own availability zone.
     pub own_sample: usize,
-    /// Candidates sampled from another availability zone.
+    /// Number of candidates sampled from another availability zone.
     pub other_sample: usize,
-    /// The own availability zone is taken while its prediction is below this share of the time
-    /// left, in percent.
+    /// The entry's own availability zone is preferred while its predicted time is below this share
+    /// of the remaining time, in percent.
     pub own_percent: u32,
-    /// A request is refused where even the best prediction is above this share of the time left,
-    /// in percent. Far above 100: predictions err, and the agent, which judges again, knows better
-    /// and refuses for the price of a round trip.
+    /// A request is refused if even the best predicted time exceeds this share of the remaining
+    /// time, in percent. The value is far above 100 because predictions are inexact, and the agent,
+    /// which checks again with better information, can refuse at the cost of a round trip.
     pub refuse_percent: u32,
-    /// When to come back where no endpoint can serve.
+    /// Retry delay that is suggested to a caller when no endpoint can serve the request.
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
 }
@@ -53,60 +53,60 @@
     }
 }
 
-/// The most candidates that are looked at when all sampled ones are excluded.
+/// Upper bound on the candidates that are considered when all sampled ones are excluded.
 const FALLBACK_BOUND: usize = 32;
 
-/// The most ejected endpoints that are looked at for a probe.
+/// Upper bound on the ejected endpoints that are considered for a probe.
 const PROBE_BOUND: usize = 4;
 
-/// What the router may look at.
+/// State that the router reads.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteView<'a> {
-    /// What is known of endpoints.
+    /// Known state of the endpoints.
     pub table: &'a EndpointTable,
-    /// Their health.
+    /// Health of the endpoints.
     pub health: &'a HealthTracker,
-    /// Their caches.
+    /// Expected prefix caches of the endpoints.
     pub prefix: &'a PrefixIndex,
 }
 
-/// What an attempt needs.
+/// The requirements of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteQuery<'a> {
-    /// What it is for.
+    /// The goal (model, adapter or service) to serve.
     pub goal: GoalIndex,
-    /// Its size.
+    /// Number of prompt and output tokens.
     pub tokens: TokenDemand,
-    /// The growing prefixes of its prompt.
+    /// Hashes of the growing prefixes of the prompt, the shortest first.
     pub prefixes: &'a [u64],
-    /// Whether the whole answer is due, not its first token.
+    /// Whether the target applies to the whole answer instead of its first token.
     pub whole: bool,
-    /// Time left.
+    /// Time remaining for the attempt.
     pub remaining: Duration,
-    /// Endpoints that had an attempt already.
+    /// Endpoints that must not be chosen because they already had an attempt.
     pub excluded: &'a [EndpointIndex],
-    /// Whether it may serve as a probe of an ejected endpoint.
+    /// Whether the attempt may serve as a probe of an ejected endpoint.
     pub may_probe: bool,
 }
 
-/// Where an attempt goes.
+/// The endpoint chosen for an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteChoice {
     /// The endpoint.
     pub endpoint: EndpointIndex,
-    /// Predicted time until what is due.
+    /// Predicted time until the first token or the whole answer, as the query requires.
     pub predicted: Duration,
-    /// Predicted time until it runs.
+    /// Predicted time until the attempt starts to run.
     pub queue: Duration,
-    /// Prompt tokens not expected in the cache there.
+    /// Prompt tokens that are not expected in the endpoint's prefix cache.
     pub tokens_to_read: u32,
-    /// Whether the endpoint's speed is known, so that the prediction says something.
+    /// Whether the endpoint's speed is known. Without it the prediction is meaningless.
     pub informed: bool,
-    /// Whether this is a probe of an ejected endpoint.
+    /// Whether the attempt is a probe of an ejected endpoint.
     pub probe: bool,
 }
 
-/// Chooses endpoints; holds the seeded generator.
+/// Chooses endpoints, with a seeded random number generator.
 #[derive(Debug)]
 pub struct RequestRouter {
     settings: RouterSettings,
@@ -114,7 +114,7 @@
 }
 
 impl RequestRouter {
-    /// A router whose choices follow from `seed`.
+    /// Creates a router whose choices are determined by `seed`.
     #[must_use]
     pub fn new(settings: RouterSettings, seed: u64) -> Self {
         Self {
@@ -123,11 +123,11 @@
         }
     }
 
-    /// Chooses an endpoint. Does not allocate.
+    /// Chooses an endpoint for an attempt. Does not allocate.
     ///
     /// # Errors
     ///
-    /// A refusal where no endpoint can serve, or none in time.
+    /// Returns a refusal if no endpoint can serve the attempt, or none in time.
     pub fn choose(
         &mut self,
         view: RouteView<'_>,
@@ -148,7 +148,7 @@
         self.check_in_time(choice, query.remaining)
     }
 
-    /// Draws a fresh 128-bit number, for an attempt id.
+    /// Returns a random 128-bit number, used as an attempt id.
     pub fn draw(&mut self) -> u128 {
         self.generator.random()
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Another availability zone with open candidates, from a random start.
+    /// Returns another availability zone with open candidates, searching from a random one on.
     fn other_zone(&mut self, list: &CandidateList, table: &EndpointTable) -> Option<ZoneIndex> {
         let own = table.own_zone();
         if list.open() == list.open_in(own).len() {
@@ -209,7 +209,7 @@
     }
 }
 
-/// The best candidates seen so far.
+/// The best candidates considered so far.
 struct RouteSample<'a> {
     view: RouteView<'a>,
     query: &'a RouteQuery<'a>,
@@ -235,7 +235,7 @@
         self.any.is_none()
     }
 
-    /// Expected holders of the prompt's prefix are candidates too, wherever they are.
+    /// Considers the expected holders of the prompt's prefix, in any availability zone.
     fn consider_holders(&mut self) {
         let endpoints: SmallVec<[EndpointIndex; 4]> =
             self.holders.iter().map(|holder| holder.endpoint).collect();
@@ -247,7 +247,8 @@
         }
     }
 
-    /// All sampled candidates were excluded: look on in order, at a bounded number.
+    /// Considers a bounded number of open candidates in order, for when all sampled ones were
+    /// excluded.
     fn consider_rest(&mut self, list: &CandidateList) {
         let zones = self.view.table.zone_count();
         let open = (0..zones).flat_map(|place| list.open_in(ZoneIndex::of_place(place)));
@@ -274,7 +275,8 @@
         keep_better(&mut self.any, choice);
     }
 
-    /// The own availability zone goes first, unless it would be late.
+    /// Returns the best candidate of the entry's own availability zone, unless its predicted time
+    /// exceeds the bound; otherwise the best candidate of any zone.
     fn pick(&self, own_percent: u32) -> Option<RouteChoice> {
         let bound = scale(micros(self.query.remaining), u64::from(own_percent), 100);
         self.own
@@ -316,7 +318,7 @@
     }
 }
 
-/// An ejected endpoint that is due for a probe gets this attempt, if it can bear a repeat.
+/// Returns an ejected endpoint that is due for a probe, if the attempt may be repeated.
 fn probe_choice(
     view: RouteView<'_>,
     query: &RouteQuery<'_>,
--- a/crates/oatpier-policy/src/table/candidates.rs
+++ b/crates/oatpier-policy/src/table/candidates.rs
@@ -1,22 +1,22 @@
-//! Who can serve a goal, by availability zone, kept up to date change by change.
+//! Replicas of a goal by availability zone, updated incrementally.
 
 use smallvec::SmallVec;
 
 use crate::index::{EndpointIndex, ZoneIndex};
 
-/// How an endpoint stands in the lists of its goals.
+/// State of an endpoint in the lists of its goals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListingState {
-    /// It counts as a replica and takes work.
+    /// The endpoint counts as a replica and accepts work.
     Open,
-    /// It counts as a replica; it takes no work at the moment.
+    /// The endpoint counts as a replica and currently accepts no work.
     Closed,
-    /// It counts as a replica; it is faulty.
+    /// The endpoint counts as a replica and is faulty.
     Faulty {
-        /// Whether it would take work.
+        /// Whether the endpoint accepts work.
         accepting: bool,
     },
-    /// It is leaving or gone.
+    /// The endpoint is leaving or gone, and doesn't count as a replica.
     Absent,
 }
 
@@ -30,14 +30,15 @@
 
 /// The replicas of one goal.
 ///
-/// Faulty ones are ejected up to a share of the replicas; those beyond it are spared, and take
-/// work. Each goal decides for itself: an endpoint that is one model's only replica still serves
-/// that model, while another model with replicas elsewhere does without it.
+/// Faulty replicas are ejected up to a share of all replicas. Those beyond it are retained and
+/// still get work. Each goal decides independently: an endpoint that is the only replica of one
+/// model still serves that model, while it is ejected for another model that has other replicas.
 #[derive(Debug, Default)]
 pub struct CandidateList {
     zones: Vec<Vec<EndpointIndex>>,
     ejected: SmallVec<[EndpointIndex; 4]>,
-    /// All faulty ones, those that were found first before others: they are ejected first.
+    /// All faulty replicas in the order in which they were found faulty. Earlier ones are ejected
+    /// first.
     faulty: SmallVec<[FaultyReplica; 4]>,
     open: usize,
     members: u32,
@@ -45,7 +46,7 @@
 }
 
 impl CandidateList {
-    /// The empty list of a goal of whose replicas `ejected_percent` may be ejected.
+    /// Creates the empty list of a goal; up to `ejected_percent` of its replicas may be ejected.
     pub(super) fn new(ejected_percent: u32) -> Self {
         Self {
             ejected_percent,
@@ -53,32 +54,35 @@
         }
     }
 
-    /// The endpoints of an availability zone that take work, in no order.
+    /// Returns the endpoints of an availability zone that accept work, in no particular order.
     #[must_use]
     pub fn open_in(&self, zone: ZoneIndex) -> &[EndpointIndex] {
         self.zones.get(zone.place()).map_or(&[], Vec::as_slice)
     }
 
-    /// How many endpoints take work.
+    /// Returns the number of endpoints that accept work.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// The ejected endpoints.
+    /// Returns the ejected endpoints.
     #[must_use]
     pub fn ejected(&self) -> &[EndpointIndex] {
         &self.ejected
     }
 
-    /// How many replicas there are, ejected and closed ones included.
+    /// Returns the number of replicas, including ejected and closed ones.
     #[must_use]
     pub fn members(&self) -> u32 {
         self.members
     }
 
-    /// Whether one more replica may be ejected. Beyond the share the fault is more likely here or
-    /// in what is asked of them, and ejecting more would only pile all load on the rest.
+    /// Returns whether one more replica may be ejected.
+    ///
+    /// If more replicas than the share seem faulty, the fault is more likely in this entry or in
+    /// the requests, and further ejections would only concentrate the load on the remaining
+    /// replicas.
     pub(super) fn has_room(&self) -> bool {
         self.faulty.len() < self.most_ejected()
     }
@@ -114,7 +118,7 @@
         usize::try_from(most).unwrap_or(usize::MAX)
     }
 
-    /// The first faulty ones are ejected, as many as the share allows; the rest are spared.
+    /// Ejects faulty replicas in order, as many as the share permits, and retains the rest.
     fn keep_share(&mut self) {
         let wanted = self.most_ejected().min(self.faulty.len());
         while self.ejected.len() > wanted {
--- a/crates/oatpier-policy/src/table/mod.rs
+++ b/crates/oatpier-policy/src/table/mod.rs
@@ -1,6 +1,7 @@
-//! What an entry knows of endpoints, and who can serve what.
+//! Table of the known state of endpoints, and of the goals that each can serve.
 //!
-//! The table may be old or wrong; agents refuse what they can't run. It serves efficiency alone.
+//! The table may be stale or wrong; agents refuse what they can't run. It affects efficiency only,
+//! not safety.
 
 mod candidates;
 mod row;
@@ -33,19 +34,19 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct TableSettings {
-    /// The age at which a pulse counts half, and the prior the other half.
+    /// Age at which the predicted wait is an equal mix of the last pulse and the prior.
     #[serde(with = "humantime_serde")]
     pub pulse_half_life: Duration,
-    /// Round trip within the availability zone.
+    /// Round-trip time within the availability zone.
     #[serde(with = "humantime_serde")]
     pub zone_trip: Duration,
-    /// Round trip to another availability zone of the region.
+    /// Round-trip time to another availability zone of the region.
     #[serde(with = "humantime_serde")]
     pub region_trip: Duration,
-    /// Round trip to another region.
+    /// Round-trip time to another region.
     #[serde(with = "humantime_serde")]
     pub far_trip: Duration,
-    /// Time to read one prompt token while an endpoint has not said, in nanoseconds.
+    /// Prefill time per prompt token, used until an endpoint reports its own, in nanoseconds.
     pub prompt_token_ns: u32,
 }
 
@@ -61,38 +62,39 @@
     }
 }
 
-/// The most endpoints that are remembered as leaving before anything else is known of them.
+/// Upper bound on the endpoints that are remembered as leaving before they are known.
 const MOST_EXPECTED: usize = 1_024;
 
-/// The zone that the entry itself is in.
+/// Index of the entry's own availability zone.
 const OWN_ZONE: ZoneIndex = ZoneIndex(0);
 
-/// What an entry knows of endpoints.
+/// Known state of the endpoints, and lists of the replicas of each goal.
 #[derive(Debug)]
 pub struct EndpointTable {
     settings: TableSettings,
-    /// Round trips in microseconds, by zone; the own zone comes first.
+    /// Round-trip times in microseconds by availability zone; the entry's own zone comes first.
     zones: IndexMap<ZoneName, u64>,
     by_name: IndexMap<EndpointName, EndpointIndex>,
     rows: Vec<EndpointRow>,
     goals: IndexSet<RequestGoal>,
     lists: Vec<CandidateList>,
-    /// Endpoints that are said to leave before anything else is known of them.
+    /// Endpoints that are reported to leave before they are known.
     leaving: IndexSet<EndpointName>,
     ejected_percent: u32,
     stale_dropped: u64,
 }
 
 impl EndpointTable {
-    /// An empty table of an entry in `own_zone`. No more than the usual share of a goal's replicas
-    /// is ever ejected.
+    /// Creates an empty table for an entry in `own_zone`, with the default bound on the ejected
+    /// share of a goal's replicas.
     #[must_use]
     pub fn new(settings: TableSettings, own_zone: ZoneName) -> Self {
         let usual = HealthSettings::default().ejected_percent;
         Self::with_ejected(settings, own_zone, usual)
     }
 
-    /// The same, with the largest share of a goal's replicas that may be ejected, in percent.
+    /// Creates an empty table with the given bound on the ejected share of a goal's replicas, in
+    /// percent.
     #[must_use]
     pub fn with_ejected(settings: TableSettings, own_zone: ZoneName, ejected_percent: u32) -> Self {
         let own_trip = micros(settings.zone_trip);
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Takes over which availability zones are near.
+    /// Applies the regions of a configuration, which determine the round-trip times.
     pub fn apply_config(&mut self, config: &FleetConfig) {
         let own = self.zones.get_index(0).map(|(name, _)| name.clone());
         let own_region = own.as_ref().and_then(|name| config.region_of(name));
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Takes an agent's whole word over. Stale parts are ignored and counted.
+    /// Applies an agent's full status. Stale parts are ignored and counted.
     pub fn on_status(&mut self, status: &EndpointStatus, now: ClockTime) -> EndpointIndex {
         let index = self.intern(&status.endpoint, &status.pool, &status.zone);
         if self.check_boot(index, status.pulse.boot, now) == BootCheck::Former {
@@ -155,7 +157,7 @@
         index
     }
 
-    /// Takes a pulse of a known endpoint over. A stale one is ignored and counted.
+    /// Applies a pulse of a known endpoint. A stale one is ignored and counted.
     pub fn on_pulse(&mut self, index: EndpointIndex, pulse: &AgentPulse, now: ClockTime) {
         match self.check_boot(index, pulse.boot, now) {
             BootCheck::Former => self.stale_dropped += 1,
@@ -163,81 +165,85 @@
         }
     }
 
-    /// Takes a lagged load report over as the prior of the wait.
+    /// Applies a load report, which lags behind the actual load, as the prior of the predicted
+    /// wait.
     pub fn on_report(&mut self, index: EndpointIndex, report: &LoadReport) {
         self.rows[index.place()].take_report(report);
     }
 
-    /// No new work goes to the endpoint until its agent starts anew or [`Self::clear_leaving`].
+    /// Marks an endpoint as leaving. It gets no new work until its agent restarts or
+    /// [`Self::clear_leaving`] is called.
     pub fn mark_leaving(&mut self, index: EndpointIndex) {
         self.relist(index, |row| row.leaving = true);
     }
 
-    /// The endpoint does not leave after all.
+    /// Withdraws the mark that an endpoint is leaving.
     pub fn clear_leaving(&mut self, index: EndpointIndex) {
         self.relist(index, |row| row.leaving = false);
     }
 
-    /// An endpoint that is not known yet is said to leave: it is marked when it becomes known. The
-    /// list of VMs and an agent's status come by different ways, the mark perhaps first. Without
-    /// this the mark would be lost, and the endpoint get new work until its next refusal.
+    /// Records that an unknown endpoint is leaving, to mark it when it becomes known.
+    ///
+    /// The list of VMs and an agent's status arrive on different paths, and the mark may arrive
+    /// first. If it were lost, the endpoint would get new work until it refuses an attempt.
     pub fn expect_leaving(&mut self, name: &EndpointName) {
         if self.leaving.len() < MOST_EXPECTED {
             self.leaving.insert(name.clone());
         }
     }
 
-    /// An endpoint that is not known yet does not leave after all.
+    /// Withdraws the record that an unknown endpoint is leaving.
     pub fn unexpect_leaving(&mut self, name: &EndpointName) {
         self.leaving.swap_remove(name);
     }
 
-    /// The agent said that it takes no new work: none goes there until a newer pulse says else.
+    /// Records that an agent accepts no new work, until a newer pulse says otherwise.
     pub fn close(&mut self, index: EndpointIndex) {
         self.relist(index, EndpointRow::close);
     }
 
-    /// The endpoint is gone, until a status of it comes.
+    /// Marks an endpoint as gone, until a status of it arrives.
     pub fn forget(&mut self, index: EndpointIndex) {
         self.relist(index, |row| row.gone = true);
     }
 
-    /// The endpoint lacks the goal's weights, whatever its last status said.
+    /// Removes a goal from an endpoint that lacks its weights, whatever its last status said.
     pub fn drop_goal(&mut self, index: EndpointIndex, goal: GoalIndex) {
         self.relist(index, |row| row.goals.retain(|other| *other != goal));
     }
 
-    /// Ejects an endpoint from those of its goals that have other replicas enough, or reinstates
+    /// Ejects an endpoint from those of its goals that have enough other replicas, or reinstates
     /// it.
     pub fn set_ejected(&mut self, index: EndpointIndex, ejected: bool) {
         self.relist(index, |row| row.faulty = ejected);
     }
 
-    /// Whether any of the endpoint's goals has other replicas enough to eject it.
+    /// Returns whether any of the endpoint's goals has enough other replicas to eject it.
     #[must_use]
     pub fn may_eject(&self, index: EndpointIndex) -> bool {
         let mut lists = self.lists_of(index);
         lists.any(CandidateList::has_room)
     }
 
-    /// Whether the endpoint is ejected from any of its goals.
+    /// Returns whether the endpoint is ejected from any of its goals.
     #[must_use]
     pub fn is_ejected(&self, index: EndpointIndex) -> bool {
         let mut lists = self.lists_of(index);
         lists.any(|list| list.ejected().contains(&index))
     }
 
-    /// An attempt was sent to the endpoint; `tokens` of its prompt are to be read.
+    /// Records that an attempt with `tokens` uncached prompt tokens was sent to the endpoint.
     pub fn note_sent(&mut self, index: EndpointIndex, tokens: u32, now: ClockTime) {
         self.rows[index.place()].note_sent(tokens, now);
     }
 
-    /// An attempt at the endpoint is over; `took` if it came to its end.
+    /// Records that an attempt at the endpoint is over. `run_time` is set if its answer was
+    /// complete.
     pub fn note_done(&mut self, index: EndpointIndex, took: Option<Duration>) {
         self.rows[index.place()].note_done(took.map(micros));
     }
 
-    /// The predicted times of an attempt sent now, network included.
+    /// Returns the predicted times of an attempt sent now, including the network.
     #[must_use]
     pub fn predict(
         &self,
@@ -252,49 +258,49 @@
         prediction
     }
 
-    /// The index of an endpoint.
+    /// Returns the index of an endpoint.
     #[must_use]
     pub fn find(&self, name: &EndpointName) -> Option<EndpointIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// The index of a goal; none if no endpoint ever served it.
+    /// Returns the index of a goal, or `None` if no endpoint ever served it.
     #[must_use]
     pub fn find_goal(&self, goal: &RequestGoal) -> Option<GoalIndex> {
         self.goals.get_index_of(goal).map(GoalIndex::of_place)
     }
 
-    /// One endpoint.
+    /// Returns the row of an endpoint.
     #[must_use]
     pub fn row(&self, index: EndpointIndex) -> &EndpointRow {
         &self.rows[index.place()]
     }
 
-    /// The replicas of a goal.
+    /// Returns the replicas of a goal.
     #[must_use]
     pub fn candidates(&self, goal: GoalIndex) -> &CandidateList {
         &self.lists[goal.place()]
     }
 
-    /// The entry's own availability zone.
+    /// Returns the entry's own availability zone.
     #[must_use]
     pub fn own_zone(&self) -> ZoneIndex {
         OWN_ZONE
     }
 
-    /// How many availability zones are known.
+    /// Returns the number of known availability zones.
     #[must_use]
     pub fn zone_count(&self) -> usize {
         self.zones.len()
     }
 
-    /// How many endpoints were ever known.
+    /// Returns the number of endpoints that were ever known.
     #[must_use]
     pub fn endpoint_count(&self) -> usize {
         self.rows.len()
     }
 
-    /// How many stale statuses and pulses were ignored.
+    /// Returns the number of stale statuses and pulses that were ignored.
     #[must_use]
     pub fn stale_dropped(&self) -> u64 {
         self.stale_dropped
@@ -338,8 +344,10 @@
         index
     }
 
-    /// The goals that ready weights serve. A model's goal needs its base ready, an adapter's
-    /// needs the adapter beside its base; versions don't appear in requests.
+    /// Returns the goals that the ready weights serve, and assigns indices to new ones.
+    ///
+    /// A model's goal requires its base model to be ready. An adapter's goal requires the adapter
+    /// and its base model. Versions don't appear in requests.
     fn intern_goals(&mut self, pool: &PoolName, ready: &[WeightsKey]) -> SmallVec<[GoalIndex; 8]> {
         let base_ready = |key: &WeightsKey| {
             ready
@@ -366,7 +374,7 @@
         goals
     }
 
-    /// Changes a row, and moves it within the lists of its goals if its standing changes.
+    /// Changes a row, and updates the lists of its goals accordingly.
     fn relist<T>(&mut self, index: EndpointIndex, change: impl FnOnce(&mut EndpointRow) -> T) -> T {
         self.each_list(index, CandidateList::remove);
         let value = change(&mut self.rows[index.place()]);
--- a/crates/oatpier-policy/src/table/row.rs
+++ b/crates/oatpier-policy/src/table/row.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint.
+//! Known state of one endpoint.
 
 use std::time::Duration;
 
@@ -14,16 +14,17 @@
 use crate::index::{GoalIndex, ZoneIndex};
 use crate::units::{micros, scale};
 
-/// The most own attempts that are remembered as not yet in a pulse.
+/// Upper bound on this entry's attempts that are remembered as not yet reflected in a pulse.
 const UNSEEN_BOUND: usize = 64;
 
-/// Former starts of an agent that are remembered, so that their late pulses are ignored.
+/// Number of previous incarnations of an agent that are remembered, so that their late pulses are
+/// ignored.
 const FORMER_BOUND: usize = 4;
 
-/// Messages of a former start that come later than this are not expected.
+/// Time for which messages of a previous incarnation may still arrive.
 const FORMER_HOLD: Duration = Duration::from_secs(5);
 
-/// A running mean takes one new value in eight.
+/// Divisor of the weight of a new value in the exponential moving average.
 const MEAN_WEIGHT: u64 = 8;
 
 #[derive(Debug, Clone, Copy)]
@@ -38,14 +39,14 @@
     replaced_at: ClockTime,
 }
 
-/// One endpoint, as its entry knows it.
+/// Known state of one endpoint.
 #[derive(Debug)]
 pub struct EndpointRow {
-    /// Its name.
+    /// Name of the endpoint.
     pub name: EndpointName,
-    /// Its pool.
+    /// Pool of the endpoint.
     pub pool: PoolName,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneIndex,
     pub(super) goals: SmallVec<[GoalIndex; 8]>,
     pub(super) ready_sequence: Option<u64>,
@@ -88,25 +89,25 @@
         }
     }
 
-    /// Whether it serves a goal, as far as known.
+    /// Returns whether the endpoint serves a goal, as far as known.
     #[must_use]
     pub fn serves(&self, goal: GoalIndex) -> bool {
         self.goals.binary_search(&goal).is_ok()
     }
 
-    /// Whether it takes new work.
+    /// Returns whether the endpoint accepts new work.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.listing() == ListingState::Open
     }
 
-    /// This entry's attempts that are live there.
+    /// Returns the number of this entry's live attempts at the endpoint.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Its last pulse.
+    /// Returns the last pulse.
     #[must_use]
     pub fn pulse(&self) -> Option<&AgentPulse> {
         self.pulse.as_ref()
@@ -122,10 +123,12 @@
         }
     }
 
-    /// Whether a message is of the present start of the agent, of a new one or of a former one.
-    /// Boot ids have no order, so former ones are remembered. Not for ever: where a late message
-    /// of a former start was the first that came of it, the present one was taken for former by
-    /// mistake, and its next messages must count again.
+    /// Returns whether a message is from the current incarnation of the agent, a new one or a
+    /// previous one.
+    ///
+    /// Boot ids have no order, so previous ones are remembered, for a limited time only. If a late
+    /// message of a previous incarnation is the first that arrives from it, the current incarnation
+    /// is taken for a previous one by mistake, and its later messages must be accepted again.
     pub(super) fn check_boot(&self, boot: BootId, now: ClockTime) -> BootCheck {
         if self.boot == Some(boot) {
             return BootCheck::Present;
@@ -139,7 +142,8 @@
         BootCheck::New
     }
 
-    /// Takes a new start of the agent over; what the former one said is void.
+    /// Switches to a new incarnation of the agent and discards the state reported by the previous
+    /// one.
     pub(super) fn adopt_boot(&mut self, boot: BootId, now: ClockTime) {
         self.former.retain(|former| former.boot != boot);
         if let Some(former) = self.boot.replace(boot) {
@@ -158,7 +162,7 @@
         self.leaving = false;
     }
 
-    /// Whether a pulse says something new.
+    /// Returns whether a pulse is newer than the last one.
     pub(super) fn is_news(&self, pulse: &AgentPulse) -> bool {
         self.pulse
             .is_none_or(|known| known.sequence < pulse.sequence)
@@ -205,7 +209,7 @@
         }
     }
 
-    /// The predicted times of an attempt sent now, network apart.
+    /// Returns the predicted times of an attempt sent now, without the network.
     pub(super) fn predict(
         &self,
         size: AttemptSize,
@@ -237,7 +241,7 @@
         }
     }
 
-    /// The agent's predicted wait; the older it is, the more the prior counts.
+    /// Returns the agent's predicted wait. The older it is, the more weight the prior gets.
     fn aged_wait_us(&self, settings: &TableSettings, now: ClockTime) -> u64 {
         let half_life = micros(settings.pulse_half_life).max(1);
         let age = micros(now.since(self.pulse_at));
@@ -254,7 +258,7 @@
         })
     }
 
-    /// The time until `queued` attempts ahead have got a slot.
+    /// Returns the time until `queued` attempts ahead have got a slot.
     fn slot_wait_us(&self, queued: u64) -> u64 {
         let slots = self.pulse.map_or(1, |pulse| u64::from(pulse.slots.max(1)));
         queued.saturating_mul(self.run_us) / slots
@@ -265,8 +269,9 @@
         u64::from(if known == 0 { fallback } else { known })
     }
 
-    /// Attempts sent longer ago than a round trip are in the pulse that just came. Younger ones
-    /// may have crossed it on the way, and would be forgotten just as they arrive.
+    /// Drops the attempts that the pulse just received reflects, which were sent at least a round
+    /// trip ago. Younger ones may have crossed the pulse in transit, and dropping them would leave
+    /// them uncounted just as they arrive.
     fn drop_seen(&mut self, trip_us: u64, now: ClockTime) {
         self.unseen
             .retain(|attempt| micros(now.since(attempt.sent_at)) < trip_us);
@@ -278,27 +283,27 @@
     }
 }
 
-/// What an attempt asks of an endpoint.
+/// The size of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptSize {
-    /// Prompt tokens that are not expected in the endpoint's cache.
+    /// Prompt tokens that are not expected in the endpoint's prefix cache.
     pub tokens_to_read: u32,
-    /// Whether the whole answer is due, not its first token.
+    /// Whether the target applies to the whole answer instead of its first token.
     pub whole: bool,
 }
 
 /// Predicted times of an attempt, in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptPrediction {
-    /// Until it runs.
+    /// Time until the attempt starts to run.
     pub queue_us: u64,
-    /// Until what is due: the first token or the whole answer.
+    /// Time until the first token or the whole answer, as the size requires.
     pub total_us: u64,
     /// Whether the endpoint's speed is known.
     pub informed: bool,
 }
 
-/// What the boot id of a message says.
+/// Result of comparing a message's boot id with the known ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BootCheck {
     Present,
--- a/crates/oatpier-policy/src/units.rs
+++ b/crates/oatpier-policy/src/units.rs
@@ -6,7 +6,7 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// `value` × `numerator` / `denominator`, saturating; `value` itself if `denominator` is 0.
+/// Returns `value` × `numerator` / `denominator`, saturating, or `value` if `denominator` is 0.
 pub(crate) fn scale(value: u64, numerator: u64, denominator: u64) -> u64 {
     if denominator == 0 {
         return value;
@@ -14,7 +14,7 @@
     value.saturating_mul(numerator) / denominator
 }
 
-/// A share as parts of a million; shares are between 0 and 1.
+/// Converts a share, clamped to between 0 and 1, to parts per million.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
