--- a/crates/oatpier-policy/src/attainment.rs
+++ b/crates/oatpier-policy/src/attainment.rs
@@ -10,11 +10,11 @@
 use crate::units::micros;
 
 /// Number of buckets in the window. The window advances by one bucket at a time.
-const PARTS: u64 = 12;
-const PART_COUNT: usize = 12;
+const BUCKETS: u64 = 12;
+const BUCKET_COUNT: usize = 12;
 
 /// Parts per million in a share of 1.
-const MILLION: u64 = 1_000_000;
+const PARTS_PER_MILLION: u64 = 1_000_000;
 
 /// Requests of one class, counted since the entry started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -26,98 +26,99 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct WindowPart {
+struct WindowBucket {
     number: u64,
     counts: ClassTotals,
 }
 
 #[derive(Debug, Clone)]
 struct ClassWindow {
-    wanted_ppm: u64,
+    target_ppm: u64,
     totals: ClassTotals,
-    parts: [WindowPart; PART_COUNT],
+    buckets: [WindowBucket; BUCKET_COUNT],
 }
 
 /// Tracks the attained share of each class.
 #[derive(Debug)]
-pub struct AttainmentLedger {
-    part_us: u64,
+pub struct AttainmentTracker {
+    bucket_us: u64,
     classes: Vec<ClassWindow>,
 }
 
-impl AttainmentLedger {
+impl AttainmentTracker {
     /// Creates a tracker without classes.
     #[must_use]
     pub fn new(settings: AttainmentSettings) -> Self {
         Self {
-            part_us: (micros(settings.window) / PARTS).max(1),
+            bucket_us: (micros(settings.window) / BUCKETS).max(1),
             classes: Vec::new(),
         }
     }
 
     /// Sets the target share of a class, in parts per million. Existing counts are kept.
-    pub fn set_target(&mut self, class: ClassIndex, wanted_ppm: u64) {
+    pub fn set_target(&mut self, class: ClassIndex, target_ppm: u64) {
         let fresh = ClassWindow {
-            wanted_ppm,
+            target_ppm,
             totals: ClassTotals::default(),
-            parts: [WindowPart::default(); PART_COUNT],
+            buckets: [WindowBucket::default(); BUCKET_COUNT],
         };
         if self.classes.len() <= class.place() {
             self.classes.resize(class.place() + 1, fresh);
         }
-        self.classes[class.place()].wanted_ppm = wanted_ppm;
+        self.classes[class.place()].target_ppm = target_ppm;
     }
 
     /// Records the end of a request.
     pub fn record(&mut self, class: ClassIndex, in_time: bool, now: ClockTime) {
-        let number = self.part_number(now);
+        let number = self.bucket_number(now);
         let Some(window) = self.classes.get_mut(class.place()) else {
             return;
         };
-        let part = &mut window.parts[part_place(number)];
-        if part.number != number {
-            *part = WindowPart {
+        let bucket = &mut window.buckets[bucket_index(number)];
+        if bucket.number != number {
+            *bucket = WindowBucket {
                 number,
                 counts: ClassTotals::default(),
             };
         }
-        count(&mut part.counts, in_time);
-        count(&mut window.totals, in_time);
+        count_request(&mut bucket.counts, in_time);
+        count_request(&mut window.totals, in_time);
     }
 
     /// Returns the attained share within the window, in parts per million, or `None` if no request
     /// ended in it.
     #[must_use]
     pub fn share_ppm(&self, class: ClassIndex, now: ClockTime) -> Option<u64> {
-        let number = self.part_number(now);
+        let number = self.bucket_number(now);
         let window = self.classes.get(class.place())?;
         let (ended, in_time) = window
-            .parts
+            .buckets
             .iter()
-            .filter(|part| part.number <= number && part.number + PARTS > number)
-            .fold((0, 0), |(ended, in_time), part| {
-                (ended + part.counts.ended, in_time + part.counts.in_time)
+            .filter(|bucket| bucket.number <= number && bucket.number + BUCKETS > number)
+            .fold((0, 0), |(ended, in_time), bucket| {
+                (ended + bucket.counts.ended, in_time + bucket.counts.in_time)
             });
-        (ended > 0).then(|| in_time * MILLION / ended)
+        (ended > 0).then(|| in_time * PARTS_PER_MILLION / ended)
     }
 
     /// Returns whether the class is below its target. A class without data is not.
     #[must_use]
-    pub fn has_need(&self, class: ClassIndex, now: ClockTime) -> bool {
-        let wanted = self
+    pub fn is_below_target(&self, class: ClassIndex, now: ClockTime) -> bool {
+        let target_ppm = self
             .classes
             .get(class.place())
-            .map(|window| window.wanted_ppm);
-        match (self.share_ppm(class, now), wanted) {
-            (Some(share), Some(wanted)) => share < wanted,
+            .map(|window| window.target_ppm);
+        match (self.share_ppm(class, now), target_ppm) {
+            (Some(share), Some(target_ppm)) => share < target_ppm,
             _ => false,
         }
     }
 
     /// Returns whether any class is below its target.
     #[must_use]
-    pub fn any_need(&self, now: ClockTime) -> bool {
-        (0..self.classes.len()).any(|place| self.has_need(ClassIndex::of_place(place), now))
+    pub fn is_any_below_target(&self, now: ClockTime) -> bool {
+        (0..self.classes.len())
+            .any(|place| self.is_below_target(ClassIndex::from_usize(place), now))
     }
 
     /// Returns the counts since the entry started.
@@ -129,16 +130,16 @@
             .unwrap_or_default()
     }
 
-    fn part_number(&self, now: ClockTime) -> u64 {
-        now.as_micros() / self.part_us
+    fn bucket_number(&self, now: ClockTime) -> u64 {
+        now.as_micros() / self.bucket_us
     }
 }
 
-fn part_place(number: u64) -> usize {
-    usize::try_from(number % PARTS).unwrap_or(0)
+fn bucket_index(number: u64) -> usize {
+    usize::try_from(number % BUCKETS).unwrap_or(0)
 }
 
-fn count(totals: &mut ClassTotals, in_time: bool) {
+fn count_request(totals: &mut ClassTotals, in_time: bool) {
     totals.ended += 1;
     totals.in_time += u64::from(in_time);
 }
--- a/crates/oatpier-policy/src/entry/classes.rs
+++ b/crates/oatpier-policy/src/entry/classes.rs
@@ -11,34 +11,34 @@
 ///
 /// The index of a class stays reserved for it when the class is removed and added again.
 #[derive(Debug, Default)]
-pub(super) struct KnownWork {
+pub(super) struct ConfigCatalog {
     classes: IndexSet<ClassName>,
     targets: Vec<Option<ClassTarget>>,
     goals: IndexSet<RequestGoal>,
 }
 
-impl KnownWork {
+impl ConfigCatalog {
     pub(super) fn apply_config(&mut self, config: &FleetConfig) {
         self.targets.fill(None);
         for (name, spec) in &config.classes {
-            let place = self.classes.insert_full(name.clone()).0;
+            let index = self.classes.insert_full(name.clone()).0;
             self.targets.resize(self.classes.len(), None);
-            self.targets[place] = Some(spec.target);
+            self.targets[index] = Some(spec.target);
         }
         self.goals = config_goals(config);
     }
 
     pub(super) fn class(&self, name: &ClassName) -> Option<(ClassIndex, ClassTarget)> {
-        let place = self.classes.get_index_of(name)?;
-        let target = self.targets[place]?;
-        Some((ClassIndex::of_place(place), target))
+        let index = self.classes.get_index_of(name)?;
+        let target = self.targets[index]?;
+        Some((ClassIndex::from_usize(index), target))
     }
 
     pub(super) fn index(&self, name: &ClassName) -> Option<ClassIndex> {
-        self.classes.get_index_of(name).map(ClassIndex::of_place)
+        self.classes.get_index_of(name).map(ClassIndex::from_usize)
     }
 
-    pub(super) fn knows(&self, goal: &RequestGoal) -> bool {
+    pub(super) fn has_goal(&self, goal: &RequestGoal) -> bool {
         self.goals.contains(goal)
     }
 }
--- a/crates/oatpier-policy/src/entry/core.rs
+++ b/crates/oatpier-policy/src/entry/core.rs
@@ -29,7 +29,7 @@
     pub(super) fn new(settings: &EntrySettings, own_zone: ZoneName, seed: u64) -> Self {
         let ejected_percent = settings.health.ejected_percent;
         Self {
-            table: EndpointTable::with_ejected(settings.table, own_zone, ejected_percent),
+            table: EndpointTable::with_ejected_percent(settings.table, own_zone, ejected_percent),
             router: RequestRouter::new(settings.router, seed),
             health: HealthTracker::new(settings.health),
             prefix: PrefixIndex::new(settings.prefix),
@@ -39,13 +39,13 @@
 
     /// Reinstates ejected endpoints that are no longer ejected from any goal. That happens when
     /// replicas leave or are unloaded and the rest is too few to keep the endpoint ejected.
-    pub(super) fn keep_share(&mut self, now: ClockTime) {
-        while let Some(endpoint) = self.first_spared() {
+    pub(super) fn reinstate_retained(&mut self, now: ClockTime) {
+        while let Some(endpoint) = self.first_retained() {
             self.reinstate(endpoint, now);
         }
     }
 
-    fn first_spared(&self) -> Option<EndpointIndex> {
+    fn first_retained(&self) -> Option<EndpointIndex> {
         let ejected = self.health.ejected().iter().copied();
         ejected
             .into_iter()
@@ -57,7 +57,7 @@
         self.table.set_ejected(endpoint, false);
     }
 
-    fn apply(&mut self, endpoint: EndpointIndex, change: HealthChange, now: ClockTime) {
+    fn apply_change(&mut self, endpoint: EndpointIndex, change: HealthChange, now: ClockTime) {
         match change {
             HealthChange::Reinstate => self.reinstate(endpoint, now),
             HealthChange::Eject(fault) => {
@@ -84,43 +84,44 @@
         self.table.row(endpoint).name.clone()
     }
 
-    fn next_attempt(&mut self) -> AttemptId {
-        AttemptId(self.router.draw())
+    fn next_attempt_id(&mut self) -> AttemptId {
+        AttemptId(self.router.random_u128())
     }
 
     fn take_retry(&mut self, class: ClassIndex) -> bool {
         self.retry.take(class)
     }
 
-    fn silence_after(&self, predicted: Duration) -> Duration {
-        self.health.silence_after(predicted)
+    fn silence_timeout(&self, predicted: Duration) -> Duration {
+        self.health.silence_timeout(predicted)
     }
 
-    fn note_sent(&mut self, choice: &RouteChoice, prefixes: &[u64], now: ClockTime) {
+    fn record_sent(&mut self, choice: &RouteChoice, prefixes: &[u64], now: ClockTime) {
         let endpoint = choice.endpoint;
-        self.table.note_sent(endpoint, choice.tokens_to_read, now);
+        self.table
+            .record_sent(endpoint, choice.uncached_tokens, now);
         self.prefix.learn(endpoint, prefixes, now);
-        if choice.probe {
+        if choice.is_probe {
             self.health.start_probe(endpoint, now);
         }
     }
 
-    fn note_done(&mut self, endpoint: EndpointIndex, ran: Option<Duration>) {
-        self.table.note_done(endpoint, ran);
+    fn record_finished(&mut self, endpoint: EndpointIndex, run_time: Option<Duration>) {
+        self.table.record_finished(endpoint, run_time);
     }
 
-    fn note_evidence(
+    fn record_evidence(
         &mut self,
         endpoint: EndpointIndex,
         evidence: AttemptEvidence,
         now: ClockTime,
     ) {
         if let Some(change) = self.health.note(endpoint, evidence, now) {
-            self.apply(endpoint, change, now);
+            self.apply_change(endpoint, change, now);
         }
     }
 
-    fn note_refused(
+    fn record_refusal(
         &mut self,
         endpoint: EndpointIndex,
         goal: GoalIndex,
@@ -130,11 +131,11 @@
         match cause {
             RefusalCause::Leaving => self.table.close(endpoint),
             RefusalCause::WeightsMissing => {
-                self.table.drop_goal(endpoint, goal);
-                self.keep_share(now);
+                self.table.remove_goal(endpoint, goal);
+                self.reinstate_retained(now);
             }
             _ => {}
         }
-        self.note_evidence(endpoint, AttemptEvidence::Refused(cause), now);
+        self.record_evidence(endpoint, AttemptEvidence::Refused(cause), now);
     }
 }
--- a/crates/oatpier-policy/src/entry/counts.rs
+++ b/crates/oatpier-policy/src/entry/counts.rs
@@ -23,7 +23,7 @@
 }
 
 impl EntryCounts {
-    pub(super) fn note_answer(&mut self, answer: &FinalAnswer) {
+    pub(super) fn record_answer(&mut self, answer: &FinalAnswer) {
         self.answered += 1;
         self.in_time += u64::from(answer.in_time);
         *self.causes.entry(answer.cause).or_insert(0) += 1;
--- a/crates/oatpier-policy/src/entry/mod.rs
+++ b/crates/oatpier-policy/src/entry/mod.rs
@@ -18,22 +18,22 @@
 use oatpier_types::refusal::{Refusal, RefusalCause};
 
 use crate::action::{EntryAction, EntryActions};
-use crate::attainment::AttainmentLedger;
+use crate::attainment::AttainmentTracker;
 use crate::event::{EntryEvent, RequestIntake};
 use crate::health::HealthTracker;
 use crate::index::{ClassIndex, EndpointIndex};
-use crate::limit::{ClassStanding, EntryLimiter};
-use crate::machine::{RequestFrame, RequestMachine};
+use crate::limit::{ClassStatus, EntryLimiter};
+use crate::machine::{RequestLookup, RequestMachine};
 use crate::outcome::{FinalAnswer, FinalCause};
 use crate::prefix::PrefixIndex;
 use crate::retry::RetryBudget;
 use crate::table::EndpointTable;
 use crate::units::parts_per_million;
 
-use self::classes::KnownWork;
+use self::classes::ConfigCatalog;
 use self::core::EntryCore;
 use self::counts::counts_for_target;
-use self::seals::SealBook;
+use self::seals::SealTracker;
 use self::timers::TimerQueue;
 
 pub use counts::EntryCounts;
@@ -44,7 +44,7 @@
 struct OpenRequest {
     machine: RequestMachine,
     /// Time for which the request's timer is armed.
-    armed: ClockTime,
+    timer_at: ClockTime,
 }
 
 /// All decisions of one entry about requests.
@@ -56,15 +56,15 @@
 pub struct EntryPolicy {
     settings: EntrySettings,
     core: EntryCore,
-    work: KnownWork,
+    catalog: ConfigCatalog,
     limiter: EntryLimiter,
-    ledger: AttainmentLedger,
+    ledger: AttainmentTracker,
     /// Must not be iterated: the order differs between runs.
     requests: HashMap<RequestId, OpenRequest>,
     timers: TimerQueue,
-    seals: SealBook,
+    seals: SealTracker,
     counts: EntryCounts,
-    stopping: bool,
+    is_stopping: bool,
 }
 
 impl EntryPolicy {
@@ -76,14 +76,14 @@
     pub fn new(settings: EntrySettings, own_zone: ZoneName, seed: u64) -> Self {
         Self {
             core: EntryCore::new(&settings, own_zone, seed),
-            work: KnownWork::default(),
+            catalog: ConfigCatalog::default(),
             limiter: EntryLimiter::new(settings.limit),
-            ledger: AttainmentLedger::new(settings.attainment),
+            ledger: AttainmentTracker::new(settings.attainment),
             requests: HashMap::new(),
             timers: TimerQueue::default(),
-            seals: SealBook::default(),
+            seals: SealTracker::default(),
             counts: EntryCounts::default(),
-            stopping: false,
+            is_stopping: false,
             settings,
         }
     }
@@ -92,9 +92,9 @@
     /// flight keep the targets that applied when they arrived.
     pub fn apply_config(&mut self, config: &FleetConfig) {
         self.core.table.apply_config(config);
-        self.work.apply_config(config);
+        self.catalog.apply_config(config);
         for (name, spec) in &config.classes {
-            if let Some(class) = self.work.index(name) {
+            if let Some(class) = self.catalog.index(name) {
                 self.ledger
                     .set_target(class, parts_per_million(spec.attain));
             }
@@ -105,7 +105,7 @@
     /// registrars.
     pub fn on_status(&mut self, status: &EndpointStatus, now: ClockTime) {
         self.core.table.on_status(status, now);
-        self.core.keep_share(now);
+        self.core.reinstate_retained(now);
     }
 
     /// Applies an agent's pulse that was received outside a request's event. A pulse of an unknown
@@ -138,9 +138,9 @@
         match self.core.table.find(endpoint) {
             Some(index) => {
                 self.core.table.mark_leaving(index);
-                self.core.keep_share(now);
+                self.core.reinstate_retained(now);
             }
-            None => self.core.table.expect_leaving(endpoint),
+            None => self.core.table.mark_unknown_leaving(endpoint),
         }
     }
 
@@ -148,7 +148,7 @@
     pub fn clear_leaving(&mut self, endpoint: &EndpointName) {
         match self.core.table.find(endpoint) {
             Some(index) => self.core.table.clear_leaving(index),
-            None => self.core.table.unexpect_leaving(endpoint),
+            None => self.core.table.clear_unknown_leaving(endpoint),
         }
     }
 
@@ -157,8 +157,8 @@
     pub fn forget(&mut self, endpoint: &EndpointName, now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.table.forget(index);
-            self.core.prefix.forget(index, now);
-            self.core.keep_share(now);
+            self.core.prefix.invalidate(index, now);
+            self.core.reinstate_retained(now);
         }
     }
 
@@ -166,17 +166,17 @@
     /// `intake.request` must be a new id.
     pub fn start(&mut self, intake: RequestIntake, now: ClockTime) -> EntryActions {
         self.counts.started += 1;
-        let frame = match self.admit(&intake, now) {
-            Ok(frame) => frame,
+        let lookup = match self.admit(&intake, now) {
+            Ok(lookup) => lookup,
             Err(refusal) => return self.refuse(&intake, refusal, now),
         };
         let request = intake.request;
-        self.core.retry.note_started(frame.class);
-        let mut machine = RequestMachine::new(self.settings.machine, intake, frame, now);
+        self.core.retry.record_started(lookup.class);
+        let mut machine = RequestMachine::new(self.settings.machine, intake, lookup, now);
         let actions = machine.start(&mut self.core, now);
-        let armed = ClockTime::NEVER;
-        let open = OpenRequest { machine, armed };
-        self.settle(request, open, &actions, now);
+        let timer_at = ClockTime::NEVER;
+        let open = OpenRequest { machine, timer_at };
+        self.store_or_finish(request, open, &actions, now);
         actions
     }
 
@@ -197,8 +197,8 @@
             self.core.table.on_pulse(endpoint, pulse, now);
         }
         let actions = open.machine.handle(event, &mut self.core, now);
-        if open.machine.is_done() || open.machine.timer() < open.armed {
-            self.resettle(request, &actions, now);
+        if open.machine.is_done() || open.machine.timer() < open.timer_at {
+            self.update(request, &actions, now);
         }
         actions
     }
@@ -216,14 +216,14 @@
             let Some(open) = self.requests.get_mut(&request) else {
                 continue;
             };
-            open.armed = ClockTime::NEVER;
+            open.timer_at = ClockTime::NEVER;
             let is_due = open.machine.timer() <= now;
             let actions = if is_due {
                 open.machine.handle(&EntryEvent::Timer, &mut self.core, now)
             } else {
                 EntryActions::new()
             };
-            self.resettle(request, &actions, now);
+            self.update(request, &actions, now);
             if !actions.is_empty() {
                 fired.push((request, actions));
             }
@@ -232,7 +232,7 @@
 
     /// Begins to stop the entry: new requests are refused, those in flight continue.
     pub fn begin_stop(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
     }
 
     /// Returns the number of requests without a final answer. A stopping entry ends at 0.
@@ -279,14 +279,14 @@
 
     /// Returns the attained shares of the classes.
     #[must_use]
-    pub fn ledger(&self) -> &AttainmentLedger {
+    pub fn ledger(&self) -> &AttainmentTracker {
         &self.ledger
     }
 
     /// Returns the index of a class that was ever configured.
     #[must_use]
     pub fn class_index(&self, class: &ClassName) -> Option<ClassIndex> {
-        self.work.index(class)
+        self.catalog.index(class)
     }
 
     /// Returns the counters for metrics.
@@ -296,45 +296,45 @@
     }
 
     fn handle_late(&mut self, request: RequestId, event: &EntryEvent) -> EntryActions {
-        let settled = match event {
+        let settlement = match event {
             EntryEvent::CancelAnswered { attempt, verdict } => {
-                self.seals.answered(request, *attempt, *verdict)
+                self.seals.resolve(request, *attempt, *verdict)
             }
             _ => None,
         };
-        self.counts.dropped += u64::from(settled.is_none());
-        settled.into_iter().collect()
+        self.counts.dropped += u64::from(settlement.is_none());
+        settlement.into_iter().collect()
     }
 
-    fn admit(&mut self, intake: &RequestIntake, now: ClockTime) -> Result<RequestFrame, Refusal> {
-        if self.stopping {
+    fn admit(&mut self, intake: &RequestIntake, now: ClockTime) -> Result<RequestLookup, Refusal> {
+        if self.is_stopping {
             return Err(self.refusal(RefusalCause::Leaving));
         }
-        let known = self.work.class(&intake.class);
+        let known = self.catalog.class(&intake.class);
         let (class, target) = known
-            .filter(|_| self.work.knows(&intake.goal))
+            .filter(|_| self.catalog.has_goal(&intake.goal))
             .ok_or(Refusal {
                 cause: RefusalCause::Unknown,
                 retry_after: None,
             })?;
         let goal = self.core.table.find_goal(&intake.goal);
         let goal = goal.ok_or_else(|| self.refusal(RefusalCause::NoEndpoint))?;
-        let standing = self.standing(class, now);
-        self.limiter.admit(&intake.caller, standing)?;
-        Ok(RequestFrame {
+        let class_status = self.class_status(class, now);
+        self.limiter.admit(&intake.caller, class_status)?;
+        Ok(RequestLookup {
             class,
             target,
             goal,
         })
     }
 
-    fn standing(&self, class: ClassIndex, now: ClockTime) -> ClassStanding {
-        if self.ledger.has_need(class, now) {
-            ClassStanding::Need
-        } else if self.ledger.any_need(now) {
-            ClassStanding::Slack
+    fn class_status(&self, class: ClassIndex, now: ClockTime) -> ClassStatus {
+        if self.ledger.is_below_target(class, now) {
+            ClassStatus::BelowTarget
+        } else if self.ledger.is_any_below_target(now) {
+            ClassStatus::Slack
         } else {
-            ClassStanding::Level
+            ClassStatus::Balanced
         }
     }
 
@@ -347,19 +347,19 @@
 
     fn refuse(&mut self, intake: &RequestIntake, refusal: Refusal, now: ClockTime) -> EntryActions {
         let answer = FinalAnswer::refused(refusal);
-        self.note_answer(self.work.index(&intake.class), &answer, now);
+        self.record_answer(self.catalog.index(&intake.class), &answer, now);
         EntryActions::from_iter([EntryAction::Answer(answer)])
     }
 
-    fn resettle(&mut self, request: RequestId, actions: &EntryActions, now: ClockTime) {
+    fn update(&mut self, request: RequestId, actions: &EntryActions, now: ClockTime) {
         if let Some(open) = self.requests.remove(&request) {
-            self.settle(request, open, actions, now);
+            self.store_or_finish(request, open, actions, now);
         }
     }
 
     /// Stores an unfinished request with its timer armed, or accounts for the end of a finished
     /// one.
-    fn settle(
+    fn store_or_finish(
         &mut self,
         request: RequestId,
         mut open: OpenRequest,
@@ -367,29 +367,30 @@
         now: ClockTime,
     ) {
         let timer = open.machine.timer();
-        self.timers.rearm(request, open.armed, timer);
-        open.armed = timer;
+        self.timers.rearm(request, open.timer_at, timer);
+        open.timer_at = timer;
         let machine = &open.machine;
         let Some(EntryAction::Answer(answer)) = actions.last().filter(|_| machine.is_done()) else {
             self.requests.insert(request, open);
             return;
         };
-        if let Some(seal) = machine.open_seal() {
-            self.seals.keep(request, seal, now);
+        if let Some(seal) = machine.pending_seal() {
+            self.seals.insert(request, seal, now);
         }
         let caller = &machine.intake().caller;
-        self.limiter.release(caller, now.since(machine.arrived()));
+        self.limiter
+            .release(caller, now.since(machine.arrived_at()));
         self.counts.attempts += u64::from(machine.attempts());
         self.counts.dropped += u64::from(machine.dropped());
-        self.core.retry.note_ended(machine.class());
+        self.core.retry.record_ended(machine.class());
         if answer.cause == FinalCause::Whole {
-            self.core.retry.note_success(machine.class());
+            self.core.retry.record_success(machine.class());
         }
-        self.note_answer(Some(machine.class()), answer, now);
+        self.record_answer(Some(machine.class()), answer, now);
     }
 
-    fn note_answer(&mut self, class: Option<ClassIndex>, answer: &FinalAnswer, now: ClockTime) {
-        self.counts.note_answer(answer);
+    fn record_answer(&mut self, class: Option<ClassIndex>, answer: &FinalAnswer, now: ClockTime) {
+        self.counts.record_answer(answer);
         if let Some(class) = class.filter(|_| counts_for_target(answer.cause)) {
             self.ledger.record(class, answer.in_time, now);
         }
--- a/crates/oatpier-policy/src/entry/seals.rs
+++ b/crates/oatpier-policy/src/entry/seals.rs
@@ -12,55 +12,55 @@
 use oatpier_types::verdict::RunVerdict;
 
 use crate::action::EntryAction;
-use crate::machine::OpenSeal;
+use crate::machine::PendingSeal;
 
 /// Upper bound on the pending seals. Beyond it, the oldest seal is dropped and its key stays used.
-const MOST_SEALS: usize = 4_096;
+const MAX_SEALS: usize = 4_096;
 
 /// Time to wait for an answer; longer than the time for which a cancel is retried.
-const SEAL_LIFE: Duration = Duration::from_secs(30);
+const SEAL_TTL: Duration = Duration::from_secs(30);
 
 /// Pending seals by request, dropped when they are too old or too many.
 #[derive(Debug, Default)]
-pub(super) struct SealBook {
-    open: HashMap<RequestId, OpenSeal>,
-    order: VecDeque<(ClockTime, RequestId)>,
+pub(super) struct SealTracker {
+    pending: HashMap<RequestId, PendingSeal>,
+    insertion_order: VecDeque<(ClockTime, RequestId)>,
 }
 
-impl SealBook {
-    pub(super) fn keep(&mut self, request: RequestId, seal: OpenSeal, now: ClockTime) {
-        self.drop_old(now);
-        self.open.insert(request, seal);
-        self.order.push_back((now, request));
+impl SealTracker {
+    pub(super) fn insert(&mut self, request: RequestId, seal: PendingSeal, now: ClockTime) {
+        self.evict_old(now);
+        self.pending.insert(request, seal);
+        self.insertion_order.push_back((now, request));
     }
 
     /// Resolves a pending seal with the answer to a cancel. Returns `None` if no seal of the
     /// request is pending for this attempt.
-    pub(super) fn answered(
+    pub(super) fn resolve(
         &mut self,
         request: RequestId,
         attempt: AttemptId,
         verdict: RunVerdict,
     ) -> Option<EntryAction> {
-        let seal = *self.open.get(&request)?;
+        let seal = *self.pending.get(&request)?;
         if seal.attempt != attempt {
             return None;
         }
-        self.open.remove(&request);
+        self.pending.remove(&request);
         Some(EntryAction::SettleClaim {
             key: seal.key,
             verdict,
         })
     }
 
-    fn drop_old(&mut self, now: ClockTime) {
-        while let Some((kept, request)) = self.order.front().copied() {
-            let full = self.order.len() >= MOST_SEALS;
-            if !full && now.since(kept) < SEAL_LIFE {
+    fn evict_old(&mut self, now: ClockTime) {
+        while let Some((inserted_at, request)) = self.insertion_order.front().copied() {
+            let is_full = self.insertion_order.len() >= MAX_SEALS;
+            if !is_full && now.since(inserted_at) < SEAL_TTL {
                 return;
             }
-            self.order.pop_front();
-            self.open.remove(&request);
+            self.insertion_order.pop_front();
+            self.pending.remove(&request);
         }
     }
 }
--- a/crates/oatpier-policy/src/entry/settings.rs
+++ b/crates/oatpier-policy/src/entry/settings.rs
@@ -35,7 +35,7 @@
     pub attainment: AttainmentSettings,
 }
 
-/// Settings of the [`crate::attainment::AttainmentLedger`].
+/// Settings of the [`crate::attainment::AttainmentTracker`].
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
--- a/crates/oatpier-policy/src/health.rs
+++ b/crates/oatpier-policy/src/health.rs
@@ -110,33 +110,33 @@
 const QUANTILE_SAMPLES: u64 = 1_024;
 
 /// Time that a first frame may take until enough samples exist, in percent of its prediction.
-const DEFAULT_PERCENT: u64 = 400;
+const INITIAL_QUANTILE_PERCENT: u64 = 400;
 
 /// Lower bound on the expected quantile, in percent of the prediction.
-const LEAST_PERCENT: u64 = 200;
+const MIN_QUANTILE_PERCENT: u64 = 200;
 
 /// Upper bound of the histogram of ratios, in percent.
-const MOST_PERCENT: u64 = 100_000;
+const MAX_RATIO_PERCENT: u64 = 100_000;
 
 /// Lower bound that is applied to predictions, in microseconds. Ratios to smaller predictions carry
 /// no information.
-const LEAST_PREDICTION_US: u64 = 10_000;
+const MIN_PREDICTION_US: u64 = 10_000;
 
 #[derive(Debug, Clone, Copy)]
 struct EjectionState {
     fault: EndpointFault,
     probe_at: ClockTime,
-    probing: bool,
+    is_probing: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct HealthRow {
     connect_failures: u32,
-    silences: u32,
-    late: u32,
+    silent_attempts: u32,
+    late_attempts: u32,
     cuts: u32,
     silent_since: ClockTime,
-    last_sign: ClockTime,
+    last_activity: ClockTime,
     backoff: Duration,
     reinstated_at: Option<ClockTime>,
     ejection: Option<EjectionState>,
@@ -161,13 +161,13 @@
     /// Never: the histogram's bounds are constants.
     #[must_use]
     pub fn new(settings: HealthSettings) -> Self {
-        let ratios = Histogram::new_with_bounds(1, MOST_PERCENT, 2).expect("constant bounds");
+        let ratios = Histogram::new_with_bounds(1, MAX_RATIO_PERCENT, 2).expect("constant bounds");
         Self {
             settings,
             rows: Vec::new(),
             ejected: Vec::new(),
             ratios,
-            expected_percent: DEFAULT_PERCENT,
+            expected_percent: INITIAL_QUANTILE_PERCENT,
         }
     }
 
@@ -181,32 +181,32 @@
         match evidence {
             AttemptEvidence::ConnectFailed
             | AttemptEvidence::Refused(RefusalCause::EndpointDown) => {
-                let fault = self.note_connect_failure(endpoint);
-                self.failed(endpoint, fault, now)
+                let fault = self.record_connect_failure(endpoint);
+                self.apply_failure(endpoint, fault, now)
             }
             AttemptEvidence::FirstFrame { took, predicted } => {
-                self.note_first_frame(endpoint, took, predicted, now)
+                self.record_first_frame(endpoint, took, predicted, now)
             }
             AttemptEvidence::Silent { since } => {
-                let fault = self.note_silence(endpoint, since);
-                self.failed(endpoint, fault, now)
+                let fault = self.record_silence(endpoint, since);
+                self.apply_failure(endpoint, fault, now)
             }
             AttemptEvidence::Cut => {
-                let fault = self.note_cut(endpoint);
-                self.failed(endpoint, fault, now)
+                let fault = self.record_cut(endpoint);
+                self.apply_failure(endpoint, fault, now)
             }
             AttemptEvidence::Refused(_) => {
                 self.row(endpoint).connect_failures = 0;
                 None
             }
             AttemptEvidence::Piece => {
-                self.row(endpoint).last_sign = now;
+                self.row(endpoint).last_activity = now;
                 None
             }
             AttemptEvidence::Ended => {
                 let row = self.row(endpoint);
                 row.cuts = 0;
-                row.last_sign = now;
+                row.last_activity = now;
                 None
             }
         }
@@ -218,10 +218,10 @@
     pub fn eject(&mut self, endpoint: EndpointIndex, fault: EndpointFault, now: ClockTime) {
         let settings = self.settings;
         let row = self.row(endpoint);
-        let again = row
+        let is_repeated = row
             .reinstated_at
             .is_some_and(|at| now.since(at) < settings.longest_backoff);
-        row.backoff = if again {
+        row.backoff = if is_repeated {
             (row.backoff * 2).min(settings.longest_backoff)
         } else {
             settings.first_backoff
@@ -229,7 +229,7 @@
         row.ejection = Some(EjectionState {
             fault,
             probe_at: now + row.backoff,
-            probing: false,
+            is_probing: false,
         });
         if !self.ejected.contains(&endpoint) {
             self.ejected.push(endpoint);
@@ -242,7 +242,7 @@
         *row = HealthRow {
             backoff: row.backoff,
             reinstated_at: Some(now),
-            last_sign: row.last_sign,
+            last_activity: row.last_activity,
             ..HealthRow::default()
         };
         self.ejected.retain(|other| *other != endpoint);
@@ -262,7 +262,7 @@
         let row = self.row(endpoint);
         let probe_at = now + row.backoff;
         if let Some(ejection) = &mut row.ejection {
-            ejection.probing = true;
+            ejection.is_probing = true;
             ejection.probe_at = probe_at;
         }
     }
@@ -285,91 +285,95 @@
     /// It is the expected quantile of the ratio of recent first-frame times to their predictions,
     /// applied to `predicted`.
     #[must_use]
-    pub fn silence_after(&self, predicted: Duration) -> Duration {
-        let predicted = micros(predicted).max(LEAST_PREDICTION_US);
+    pub fn silence_timeout(&self, predicted: Duration) -> Duration {
+        let predicted = micros(predicted).max(MIN_PREDICTION_US);
         let expected = Duration::from_micros(scale(predicted, self.expected_percent, 100));
         expected.max(self.settings.silence_floor)
     }
 
-    fn note_connect_failure(&mut self, endpoint: EndpointIndex) -> Option<EndpointFault> {
+    fn record_connect_failure(&mut self, endpoint: EndpointIndex) -> Option<EndpointFault> {
         let bound = self.settings.connect_failures;
         let row = self.row(endpoint);
         row.connect_failures += 1;
         (row.connect_failures >= bound).then_some(EndpointFault::Dead)
     }
 
-    fn note_cut(&mut self, endpoint: EndpointIndex) -> Option<EndpointFault> {
+    fn record_cut(&mut self, endpoint: EndpointIndex) -> Option<EndpointFault> {
         let bound = self.settings.cuts;
         let row = self.row(endpoint);
         row.cuts += 1;
         (row.cuts >= bound).then_some(EndpointFault::Cutting)
     }
 
-    fn note_first_frame(
+    fn record_first_frame(
         &mut self,
         endpoint: EndpointIndex,
         took: Duration,
         predicted: Duration,
         now: ClockTime,
     ) -> Option<HealthChange> {
-        let in_time = took <= self.silence_after(predicted);
+        let is_in_time = took <= self.silence_timeout(predicted);
         self.record_ratio(took, predicted);
         let slow_attempts = self.settings.slow_attempts;
         let row = self.row(endpoint);
-        row.last_sign = now;
+        row.last_activity = now;
         row.connect_failures = 0;
-        row.silences = 0;
-        if !in_time {
-            row.late += 1;
-            let slow = row.late >= slow_attempts;
-            return self.failed(endpoint, slow.then_some(EndpointFault::Slow), now);
+        row.silent_attempts = 0;
+        if !is_in_time {
+            row.late_attempts += 1;
+            let is_slow = row.late_attempts >= slow_attempts;
+            return self.apply_failure(endpoint, is_slow.then_some(EndpointFault::Slow), now);
         }
-        row.late = 0;
+        row.late_attempts = 0;
         row.ejection.map(|_| HealthChange::Reinstate)
     }
 
     fn record_ratio(&mut self, took: Duration, predicted: Duration) {
-        let predicted = micros(predicted).max(LEAST_PREDICTION_US);
+        let predicted = micros(predicted).max(MIN_PREDICTION_US);
         self.ratios
             .saturating_record(scale(micros(took), 100, predicted));
         if self.ratios.len() >= QUANTILE_SAMPLES {
-            let seen = self.ratios.value_at_quantile(0.99);
-            self.expected_percent = seen.max(LEAST_PERCENT);
+            let observed = self.ratios.value_at_quantile(0.99);
+            self.expected_percent = observed.max(MIN_QUANTILE_PERCENT);
             self.ratios.reset();
         }
     }
 
-    fn note_silence(&mut self, endpoint: EndpointIndex, since: ClockTime) -> Option<EndpointFault> {
+    fn record_silence(
+        &mut self,
+        endpoint: EndpointIndex,
+        since: ClockTime,
+    ) -> Option<EndpointFault> {
         let settings = self.settings;
         let row = self.row(endpoint);
-        if row.silences == 0 {
+        if row.silent_attempts == 0 {
             row.silent_since = since;
         }
-        row.silences += 1;
-        row.late += 1;
-        let nothing_came = row.last_sign <= row.silent_since;
-        if nothing_came && row.silences >= settings.frozen_silences {
+        row.silent_attempts += 1;
+        row.late_attempts += 1;
+        let is_inactive = row.last_activity <= row.silent_since;
+        if is_inactive && row.silent_attempts >= settings.frozen_silences {
             return Some(EndpointFault::Frozen);
         }
-        (row.late >= settings.slow_attempts).then_some(EndpointFault::Slow)
+        (row.late_attempts >= settings.slow_attempts).then_some(EndpointFault::Slow)
     }
 
     /// Handles a failure: one of an endpoint in use may eject it, one of a probe lengthens the
     /// backoff.
-    fn failed(
+    fn apply_failure(
         &mut self,
         endpoint: EndpointIndex,
         fault: Option<EndpointFault>,
         now: ClockTime,
     ) -> Option<HealthChange> {
-        let longest = self.settings.longest_backoff;
+        let max_backoff = self.settings.longest_backoff;
         let row = self.row(endpoint);
         let Some(ejection) = &mut row.ejection else {
             return fault.map(HealthChange::Eject);
         };
-        if ejection.probing {
-            row.backoff = (row.backoff * 2).min(longest);
-            ejection.probing = false;
+        if ejection.is_probing {
+            row.backoff = (row.backoff * 2).min(max_backoff);
+            ejection.is_probing = false;
             ejection.probe_at = now + row.backoff;
         }
         None
--- a/crates/oatpier-policy/src/index.rs
+++ b/crates/oatpier-policy/src/index.rs
@@ -2,7 +2,7 @@
 //!
 //! An index is valid only within the entry that assigned it.
 
-macro_rules! indices {
+macro_rules! define_indices {
     ($($(#[$doc:meta])* $name:ident;)*) => {$(
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -21,14 +21,14 @@
             ///
             /// Panics if the position exceeds `u32::MAX`, which no table reaches.
             #[must_use]
-            pub fn of_place(place: usize) -> Self {
-                Self(u32::try_from(place).expect("a table holds fewer than 2^32 rows"))
+            pub fn from_usize(position: usize) -> Self {
+                Self(u32::try_from(position).expect("a table holds fewer than 2^32 rows"))
             }
         }
     )*};
 }
 
-indices! {
+define_indices! {
     /// An endpoint in an entry's table.
     EndpointIndex;
     /// A goal (model, adapter or service) in an entry's table.
--- a/crates/oatpier-policy/src/limit.rs
+++ b/crates/oatpier-policy/src/limit.rs
@@ -46,17 +46,17 @@
 
 /// The attainment of a request's class compared with that of the other classes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ClassStanding {
+pub enum ClassStatus {
     /// The class is below its target.
-    Need,
+    BelowTarget,
     /// No class is below its target.
-    Level,
+    Balanced,
     /// The class meets its target, while another class is below its own.
     Slack,
 }
 
 /// Divisor of the weight of a new value in the exponential moving average.
-const MEAN_WEIGHT: u64 = 16;
+const MEAN_DIVISOR: u64 = 16;
 
 /// Admits requests up to a bound on concurrency.
 #[derive(Debug)]
@@ -65,10 +65,10 @@
     in_flight: u32,
     callers: IndexMap<CallerName, u32>,
     /// Moving average of the time that a request is in flight, in microseconds.
-    hold_us: u64,
+    mean_hold_us: u64,
     /// Refused requests minus requests that ended since, an estimate of the callers that may retry
     /// before the next one.
-    turned_away: u64,
+    recent_refusals: u64,
     refused: u64,
 }
 
@@ -80,8 +80,8 @@
             settings,
             in_flight: 0,
             callers: IndexMap::new(),
-            hold_us: 0,
-            turned_away: 0,
+            mean_hold_us: 0,
+            recent_refusals: 0,
             refused: 0,
         }
     }
@@ -91,8 +91,8 @@
     /// # Errors
     ///
     /// Returns a refusal with a suggested retry delay if there is no room.
-    pub fn admit(&mut self, caller: &CallerName, standing: ClassStanding) -> Result<(), Refusal> {
-        if !self.has_room(caller, standing) {
+    pub fn admit(&mut self, caller: &CallerName, status: ClassStatus) -> Result<(), Refusal> {
+        if !self.has_room(caller, status) {
             return Err(self.refuse());
         }
         self.in_flight += 1;
@@ -103,9 +103,9 @@
     /// Releases an admitted request that was in flight for `held`.
     pub fn release(&mut self, caller: &CallerName, held: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.turned_away = self.turned_away.saturating_sub(1);
-        let sum = self.hold_us.saturating_mul(MEAN_WEIGHT - 1);
-        self.hold_us = sum.saturating_add(micros(held)) / MEAN_WEIGHT;
+        self.recent_refusals = self.recent_refusals.saturating_sub(1);
+        let sum = self.mean_hold_us.saturating_mul(MEAN_DIVISOR - 1);
+        self.mean_hold_us = sum.saturating_add(micros(held)) / MEAN_DIVISOR;
         let Some(count) = self.callers.get_mut(caller) else {
             return;
         };
@@ -127,11 +127,11 @@
         self.refused
     }
 
-    fn has_room(&self, caller: &CallerName, standing: ClassStanding) -> bool {
+    fn has_room(&self, caller: &CallerName, status: ClassStatus) -> bool {
         let settings = &self.settings;
-        let bound = match standing {
-            ClassStanding::Slack => self.share(settings.slack_percent),
-            ClassStanding::Need | ClassStanding::Level => settings.bound,
+        let bound = match status {
+            ClassStatus::Slack => self.share(settings.slack_percent),
+            ClassStatus::BelowTarget | ClassStatus::Balanced => settings.bound,
         };
         if self.in_flight >= bound {
             return false;
@@ -141,8 +141,8 @@
 
     fn is_below_fair_share(&self, caller: &CallerName) -> bool {
         let held = self.callers.get(caller).copied();
-        let newcomer = usize::from(held.is_none());
-        let callers = u32::try_from(self.callers.len() + newcomer).unwrap_or(u32::MAX);
+        let new_callers = usize::from(held.is_none());
+        let callers = u32::try_from(self.callers.len() + new_callers).unwrap_or(u32::MAX);
         let fair = (self.settings.bound / callers.max(1)).max(1);
         held.unwrap_or(0) < fair
     }
@@ -156,9 +156,9 @@
     /// as were refused recently, including this one.
     fn refuse(&mut self) -> Refusal {
         self.refused += 1;
-        self.turned_away += 1;
+        self.recent_refusals += 1;
         let bound = u64::from(self.settings.bound.max(1));
-        let drain = Duration::from_micros(scale(self.hold_us, self.turned_away, bound));
+        let drain = Duration::from_micros(scale(self.mean_hold_us, self.recent_refusals, bound));
         let wait = drain.clamp(self.settings.shortest_wait, self.settings.longest_wait);
         Refusal {
             cause: RefusalCause::QueueFull,
--- a/crates/oatpier-policy/src/machine/attempt.rs
+++ b/crates/oatpier-policy/src/machine/attempt.rs
@@ -12,11 +12,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SealState {
     /// No seal was requested.
-    Unasked,
+    NotRequested,
     /// A seal was requested; the answer is awaited until `until`.
-    Asked { until: ClockTime },
+    Requested { until: ClockTime },
     /// The answer did not arrive in time. A late answer is still accepted.
-    Overdue,
+    TimedOut,
     /// The agent answered that the attempt runs or may have run.
     Refused,
 }
@@ -29,9 +29,9 @@
     pub predicted: Duration,
     pub queue: Duration,
     /// Whether any part of the answer arrived.
-    pub framed: bool,
+    pub has_first_frame: bool,
     /// Time at which the attempt was sent or its last piece arrived.
-    pub last_sign: ClockTime,
+    pub last_activity: ClockTime,
     /// Time from which the attempt counts as silent.
     pub silent_at: ClockTime,
     pub seal: SealState,
@@ -41,7 +41,7 @@
     pub(super) fn new(
         attempt: AttemptId,
         choice: &RouteChoice,
-        silence: Duration,
+        timeout: Duration,
         now: ClockTime,
     ) -> Self {
         Self {
@@ -50,24 +50,24 @@
             sent_at: now,
             predicted: choice.predicted,
             queue: choice.queue,
-            framed: false,
-            last_sign: now,
-            silent_at: now + silence,
-            seal: SealState::Unasked,
+            has_first_frame: false,
+            last_activity: now,
+            silent_at: now + timeout,
+            seal: SealState::NotRequested,
         }
     }
 
     /// Returns the time of the attempt's next timeout.
     pub(super) fn timer(&self) -> ClockTime {
         match self.seal {
-            SealState::Asked { until } => until.min(self.silent_at),
+            SealState::Requested { until } => until.min(self.silent_at),
             _ => self.silent_at,
         }
     }
 
     /// Returns how long the attempt ran at its endpoint, estimated by subtracting the predicted
     /// queue time.
-    pub(super) fn ran(&self, now: ClockTime) -> Duration {
+    pub(super) fn run_time(&self, now: ClockTime) -> Duration {
         now.since(self.sent_at).saturating_sub(self.queue)
     }
 }
--- a/crates/oatpier-policy/src/machine/context.rs
+++ b/crates/oatpier-policy/src/machine/context.rs
@@ -24,25 +24,30 @@
     fn endpoint_name(&self, endpoint: EndpointIndex) -> EndpointName;
 
     /// Returns a new, unique attempt id.
-    fn next_attempt(&mut self) -> AttemptId;
+    fn next_attempt_id(&mut self) -> AttemptId;
 
     /// Takes one retry from the class's budget. Returns `false` if the budget is spent.
     fn take_retry(&mut self, class: ClassIndex) -> bool;
 
     /// Returns the time after which an attempt with this prediction counts as silent.
-    fn silence_after(&self, predicted: Duration) -> Duration;
+    fn silence_timeout(&self, predicted: Duration) -> Duration;
 
     /// Records that an attempt was sent.
-    fn note_sent(&mut self, choice: &RouteChoice, prefixes: &[u64], now: ClockTime);
+    fn record_sent(&mut self, choice: &RouteChoice, prefixes: &[u64], now: ClockTime);
 
     /// Records that an attempt is over. `run_time` is set if its answer was complete.
-    fn note_done(&mut self, endpoint: EndpointIndex, ran: Option<Duration>);
+    fn record_finished(&mut self, endpoint: EndpointIndex, run_time: Option<Duration>);
 
     /// Records an observation of an attempt.
-    fn note_evidence(&mut self, endpoint: EndpointIndex, evidence: AttemptEvidence, now: ClockTime);
+    fn record_evidence(
+        &mut self,
+        endpoint: EndpointIndex,
+        evidence: AttemptEvidence,
+        now: ClockTime,
+    );
 
     /// Records that an agent refused an attempt.
-    fn note_refused(
+    fn record_refusal(
         &mut self,
         endpoint: EndpointIndex,
         goal: GoalIndex,
--- a/crates/oatpier-policy/src/machine/again.rs
+++ b/crates/oatpier-policy/src/machine/dispatch.rs
@@ -34,8 +34,8 @@
 
 impl RequestMachine {
     /// Sends the next attempt, or ends the request if none is permitted.
-    pub(super) fn try_again(&mut self, cause: AttemptCause, turn: &mut EventTurn<'_>) {
-        if !self.may_repeat(self.settled_for_repeat()) {
+    pub(super) fn send_next(&mut self, cause: AttemptCause, turn: &mut EventTurn<'_>) {
+        if !self.may_repeat(self.verdict_for_retry()) {
             self.finish_failed(FinalCause::Incomplete, turn);
             return;
         }
@@ -43,7 +43,7 @@
             self.finish_failed(FinalCause::DeadlinePassed, turn);
             return;
         }
-        if self.attempts_spent() {
+        if self.has_spent_attempts() {
             self.finish_refused(refusal(RefusalCause::RetriesSpent), turn);
             return;
         }
@@ -51,9 +51,9 @@
             Ok(choice) => choice,
             Err(refusal) => return self.finish_refused(refusal, turn),
         };
-        let class = self.frame.class;
-        let charged = matches!(cause, AttemptCause::Refused | AttemptCause::Failed);
-        if charged && !turn.context.take_retry(class) {
+        let class = self.lookup.class;
+        let uses_budget = matches!(cause, AttemptCause::Refused | AttemptCause::Failed);
+        if uses_budget && !turn.context.take_retry(class) {
             self.finish_refused(refusal(RefusalCause::RetriesSpent), turn);
             return;
         }
@@ -65,14 +65,14 @@
         cause: AttemptCause,
         turn: &mut EventTurn<'_>,
     ) -> Result<RouteChoice, Refusal> {
-        let elsewhere = self.choose(&self.tried, turn);
-        match elsewhere {
+        let untried = self.choose(&self.tried_endpoints, turn);
+        match untried {
             Err(refusal)
                 if cause == AttemptCause::Failed && refusal.cause == RefusalCause::NoEndpoint =>
             {
                 self.choose(&[], turn)
             }
-            _ => elsewhere,
+            _ => untried,
         }
     }
 
@@ -81,30 +81,30 @@
         excluded: &[EndpointIndex],
         turn: &mut EventTurn<'_>,
     ) -> Result<RouteChoice, Refusal> {
-        let first_idempotent = self.attempts == 0 && self.intake.repeat == Repeat::Idempotent;
+        let is_first_idempotent = self.attempts == 0 && self.intake.repeat == Repeat::Idempotent;
         let query = RouteQuery {
-            goal: self.frame.goal,
+            goal: self.lookup.goal,
             tokens: self.intake.tokens,
             prefixes: &self.intake.prefixes,
-            whole: self.is_whole(),
+            whole: self.targets_whole_answer(),
             remaining: self.remaining(turn.now),
             excluded,
-            may_probe: first_idempotent,
+            may_probe: is_first_idempotent,
         };
         turn.context.choose(&query, turn.now)
     }
 
     fn send(&mut self, choice: &RouteChoice, turn: &mut EventTurn<'_>) {
-        let attempt = turn.context.next_attempt();
-        let silence = self.silence_of(choice, turn);
+        let attempt = turn.context.next_attempt_id();
+        let timeout = self.attempt_timeout(choice, turn);
         turn.context
-            .note_sent(choice, &self.intake.prefixes, turn.now);
-        self.live = Some(LiveAttempt::new(attempt, choice, silence, turn.now));
+            .record_sent(choice, &self.intake.prefixes, turn.now);
+        self.live = Some(LiveAttempt::new(attempt, choice, timeout, turn.now));
         self.attempts += 1;
-        self.tried.push(choice.endpoint);
+        self.tried_endpoints.push(choice.endpoint);
         let endpoint = turn.context.endpoint_name(choice.endpoint);
-        let spec = Box::new(self.spec(attempt, turn.now));
-        turn.actions.push(if self.begun() {
+        let spec = Box::new(self.attempt_spec(attempt, turn.now));
+        turn.actions.push(if self.has_begun() {
             EntryAction::Resume { endpoint, spec }
         } else {
             EntryAction::Send { endpoint, spec }
@@ -115,17 +115,17 @@
     ///
     /// While the speed of an endpoint is unknown, the prediction is meaningless, and the attempt
     /// gets a share of the remaining time.
-    fn silence_of(&self, choice: &RouteChoice, turn: &EventTurn<'_>) -> Duration {
-        let expected = turn.context.silence_after(choice.predicted);
+    fn attempt_timeout(&self, choice: &RouteChoice, turn: &EventTurn<'_>) -> Duration {
+        let expected = turn.context.silence_timeout(choice.predicted);
         let remaining = self.remaining(turn.now);
-        if !choice.informed {
+        if !choice.is_speed_known {
             return expected.max(remaining * self.settings.uninformed_percent / 100);
         }
         let latest = remaining * self.settings.silent_percent / 100;
         expected.min(latest.max(choice.predicted * 3 / 2))
     }
 
-    fn spec(&self, attempt: AttemptId, now: ClockTime) -> AttemptSpec {
+    fn attempt_spec(&self, attempt: AttemptId, now: ClockTime) -> AttemptSpec {
         AttemptSpec {
             attempt,
             request: self.intake.request,
@@ -140,45 +140,45 @@
     }
 
     pub(super) fn may_repeat(&self, verdict: RunVerdict) -> bool {
-        let can_go_on = !self.begun() || self.intake.resumable;
-        can_go_on && verdict.may_repeat(self.intake.repeat)
+        let can_continue = !self.has_begun() || self.intake.resumable;
+        can_continue && verdict.may_repeat(self.intake.repeat)
     }
 
     /// Returns the verdict that decides whether another attempt is permitted.
     ///
     /// For an at-most-once request it combines all previous attempts, even if the reports on them
     /// contradict each other. For an idempotent request each attempt was checked when it ended.
-    fn settled_for_repeat(&self) -> RunVerdict {
+    fn verdict_for_retry(&self) -> RunVerdict {
         match self.intake.repeat {
-            Repeat::AtMostOnce => self.settled,
+            Repeat::AtMostOnce => self.known_verdict,
             Repeat::Idempotent => RunVerdict::NotRun,
         }
     }
 
-    fn attempts_spent(&self) -> bool {
+    fn has_spent_attempts(&self) -> bool {
         self.attempts >= self.settings.attempts
     }
 
     /// Cancels the live attempt and drops it while its verdict is unknown.
     fn abandon(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         turn.cancel(&live, CancelMode::Abort);
-        self.unsettled.push(live.attempt);
-        self.drop_live(live, turn);
+        self.pending_cancels.push(live.attempt);
+        self.release_live(live, turn);
     }
 
-    pub(super) fn drop_live(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
+    pub(super) fn release_live(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         self.live = None;
-        turn.context.note_done(live.endpoint, None);
+        turn.context.record_finished(live.endpoint, None);
     }
 
     pub(super) fn on_silence(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
-        let since = live.last_sign;
+        let since = live.last_activity;
         turn.context
-            .note_evidence(live.endpoint, AttemptEvidence::Silent { since }, turn.now);
+            .record_evidence(live.endpoint, AttemptEvidence::Silent { since }, turn.now);
         match self.intake.repeat {
             Repeat::Idempotent => self.replace_silent(live, turn),
-            Repeat::AtMostOnce if live.framed => self.wait_or_end(live, turn),
-            Repeat::AtMostOnce => self.ask_seal(live, turn),
+            Repeat::AtMostOnce if live.has_first_frame => self.wait_or_end(live, turn),
+            Repeat::AtMostOnce => self.request_seal(live, turn),
         }
     }
 
@@ -187,11 +187,11 @@
     /// Without another endpoint or retry budget the attempt is kept, because its answer may still
     /// arrive.
     fn replace_silent(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
-        let allowed = self.may_repeat(RunVerdict::MayHaveRun) && !self.attempts_spent();
-        let choice = allowed
-            .then(|| self.choose(&self.tried, turn).ok())
+        let is_allowed = self.may_repeat(RunVerdict::MayHaveRun) && !self.has_spent_attempts();
+        let choice = is_allowed
+            .then(|| self.choose(&self.tried_endpoints, turn).ok())
             .flatten();
-        let class = self.frame.class;
+        let class = self.lookup.class;
         match choice {
             Some(choice) if turn.context.take_retry(class) => {
                 self.abandon(live, turn);
@@ -206,12 +206,12 @@
     /// A stream that has begun has no deadline: it ends when its attempt was inactive for the stall
     /// timeout.
     fn wait_or_end(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
-        let stalled_at = live.last_sign + self.stall_span();
-        if self.begun() && turn.now >= stalled_at {
+        let stalled_at = live.last_activity + self.stall_timeout();
+        if self.has_begun() && turn.now >= stalled_at {
             self.finish_failed(FinalCause::Incomplete, turn);
             return;
         }
-        let silent_at = if self.begun() {
+        let silent_at = if self.has_begun() {
             stalled_at
         } else {
             ClockTime::NEVER
@@ -219,12 +219,12 @@
         self.live = Some(LiveAttempt { silent_at, ..live });
     }
 
-    fn ask_seal(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
+    fn request_seal(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         let until = turn.now + self.settings.cancel_wait;
         turn.cancel(&live, CancelMode::SealOnly);
         self.live = Some(LiveAttempt {
             silent_at: ClockTime::NEVER,
-            seal: SealState::Asked { until },
+            seal: SealState::Requested { until },
             ..live
         });
     }
--- a/crates/oatpier-policy/src/machine/steps.rs
+++ b/crates/oatpier-policy/src/machine/handlers.rs
@@ -4,9 +4,9 @@
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::verdict::RunVerdict;
 
-use super::again::{AttemptCause, refusal};
 use super::attempt::{LiveAttempt, SealState};
-use super::{EventTurn, RequestMachine, RequestStep};
+use super::dispatch::{AttemptCause, refusal};
+use super::{EventTurn, RequestMachine, RequestPhase};
 use crate::action::EntryAction;
 use crate::event::EntryEvent;
 use crate::health::AttemptEvidence;
@@ -14,7 +14,7 @@
 
 impl RequestMachine {
     pub(super) fn on_claim(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
-        if self.step != RequestStep::Claiming {
+        if self.phase != RequestPhase::Claiming {
             self.dropped += 1;
             return;
         }
@@ -23,8 +23,8 @@
             EntryEvent::ClaimRefused { earlier } => {
                 // The key was claimed by another submission, so this request must not settle the
                 // claim.
-                self.claimed = false;
-                self.settled = *earlier;
+                self.has_claim = false;
+                self.known_verdict = *earlier;
                 self.finish_refused(refusal(RefusalCause::KeyUsed), turn);
             }
             _ => {
@@ -36,42 +36,42 @@
     }
 
     pub(super) fn send_first(&mut self, turn: &mut EventTurn<'_>) {
-        self.step = RequestStep::Attempting;
-        self.try_again(AttemptCause::First, turn);
+        self.phase = RequestPhase::Attempting;
+        self.send_next(AttemptCause::First, turn);
     }
 
-    pub(super) fn on_frame(&mut self, turn: &mut EventTurn<'_>) {
-        let stall = self.stall_span();
+    pub(super) fn on_first_frame(&mut self, turn: &mut EventTurn<'_>) {
+        let stall = self.stall_timeout();
         let Some(live) = &mut self.live else {
             return;
         };
-        if live.framed {
+        if live.has_first_frame {
             self.dropped += 1;
             return;
         }
-        live.framed = true;
-        live.last_sign = turn.now;
+        live.has_first_frame = true;
+        live.last_activity = turn.now;
         live.silent_at = turn.now + stall;
         let evidence = AttemptEvidence::FirstFrame {
             took: turn.now.since(live.sent_at),
             predicted: live.predicted,
         };
         turn.context
-            .note_evidence(live.endpoint, evidence, turn.now);
+            .record_evidence(live.endpoint, evidence, turn.now);
     }
 
     pub(super) fn on_piece(&mut self, tokens: u32, turn: &mut EventTurn<'_>) {
-        if self.live.is_some_and(|live| !live.framed) {
-            self.on_frame(turn);
+        if self.live.is_some_and(|live| !live.has_first_frame) {
+            self.on_first_frame(turn);
         }
-        let stall = self.stall_span();
+        let stall = self.stall_timeout();
         let Some(live) = &mut self.live else {
             return;
         };
-        live.last_sign = turn.now;
+        live.last_activity = turn.now;
         live.silent_at = turn.now + stall;
         turn.context
-            .note_evidence(live.endpoint, AttemptEvidence::Piece, turn.now);
+            .record_evidence(live.endpoint, AttemptEvidence::Piece, turn.now);
         turn.actions.push(EntryAction::Relay {
             attempt: live.attempt,
         });
@@ -80,15 +80,15 @@
     }
 
     pub(super) fn on_ended(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
-        if !live.framed {
-            self.on_frame(turn);
+        if !live.has_first_frame {
+            self.on_first_frame(turn);
         }
-        let ran = live.ran(turn.now);
+        let run_time = live.run_time(turn.now);
         turn.context
-            .note_evidence(live.endpoint, AttemptEvidence::Ended, turn.now);
-        turn.context.note_done(live.endpoint, Some(ran));
+            .record_evidence(live.endpoint, AttemptEvidence::Ended, turn.now);
+        turn.context.record_finished(live.endpoint, Some(run_time));
         self.live = None;
-        self.settled = RunVerdict::Ran;
+        self.known_verdict = RunVerdict::Ran;
         self.finish_whole(turn);
     }
 
@@ -103,41 +103,41 @@
             self.dropped += 1;
             return;
         }
-        if live.framed {
+        if live.has_first_frame {
             // A part of the answer arrived, so the verdict can't be "not run".
             self.on_failed(live, RunVerdict::MayHaveRun, turn);
             return;
         }
-        self.drop_live(live, turn);
-        let goal = self.frame.goal;
+        self.release_live(live, turn);
+        let goal = self.lookup.goal;
         turn.context
-            .note_refused(live.endpoint, goal, refusal.cause, turn.now);
+            .record_refusal(live.endpoint, goal, refusal.cause, turn.now);
         self.last_refusal = Some(refusal);
         match refusal.cause {
             RefusalCause::KeyUsed => {
                 // The refusal concerns this attempt only. The request that used the key may have
                 // run.
-                self.settled = self.settled.and(RunVerdict::MayHaveRun);
+                self.known_verdict = self.known_verdict.and(RunVerdict::MayHaveRun);
                 self.finish_refused(refusal, turn);
             }
             RefusalCause::Invalid | RefusalCause::Unknown => self.finish_refused(refusal, turn),
             RefusalCause::Leaving | RefusalCause::WeightsMissing => {
-                self.try_again(AttemptCause::StaleTable, turn);
+                self.send_next(AttemptCause::StaleTable, turn);
             }
-            _ => self.try_again(AttemptCause::Refused, turn),
+            _ => self.send_next(AttemptCause::Refused, turn),
         }
     }
 
     pub(super) fn on_connect_failed(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
-        if live.framed {
+        if live.has_first_frame {
             self.on_failed(live, RunVerdict::MayHaveRun, turn);
             return;
         }
-        self.drop_live(live, turn);
+        self.release_live(live, turn);
         turn.context
-            .note_evidence(live.endpoint, AttemptEvidence::ConnectFailed, turn.now);
+            .record_evidence(live.endpoint, AttemptEvidence::ConnectFailed, turn.now);
         self.last_refusal = Some(self.endpoint_down());
-        self.try_again(AttemptCause::Failed, turn);
+        self.send_next(AttemptCause::Failed, turn);
     }
 
     pub(super) fn on_failed(
@@ -146,7 +146,7 @@
         verdict: RunVerdict,
         turn: &mut EventTurn<'_>,
     ) {
-        let least = if live.framed {
+        let least = if live.has_first_frame {
             RunVerdict::MayHaveRun
         } else {
             RunVerdict::NotRun
@@ -156,13 +156,13 @@
             RunVerdict::NotRun => AttemptEvidence::Refused(RefusalCause::EndpointDown),
             RunVerdict::MayHaveRun | RunVerdict::Ran => AttemptEvidence::Cut,
         };
-        self.drop_live(live, turn);
+        self.release_live(live, turn);
         turn.context
-            .note_evidence(live.endpoint, evidence, turn.now);
-        self.settled = self.settled.and(verdict);
+            .record_evidence(live.endpoint, evidence, turn.now);
+        self.known_verdict = self.known_verdict.and(verdict);
         self.last_refusal = Some(self.endpoint_down());
         if self.may_repeat(verdict) {
-            self.try_again(AttemptCause::Failed, turn);
+            self.send_next(AttemptCause::Failed, turn);
         } else {
             self.finish_failed(FinalCause::Incomplete, turn);
         }
@@ -174,9 +174,13 @@
         verdict: RunVerdict,
         turn: &mut EventTurn<'_>,
     ) {
-        if let Some(place) = self.unsettled.iter().position(|other| *other == attempt) {
-            self.unsettled.remove(place);
-            self.settled = self.settled.and(verdict);
+        if let Some(place) = self
+            .pending_cancels
+            .iter()
+            .position(|other| *other == attempt)
+        {
+            self.pending_cancels.remove(place);
+            self.known_verdict = self.known_verdict.and(verdict);
             return;
         }
         match self.live.filter(|live| live.attempt == attempt) {
@@ -196,11 +200,11 @@
         turn: &mut EventTurn<'_>,
     ) {
         if verdict == RunVerdict::NotRun {
-            self.drop_live(live, turn);
-            self.try_again(AttemptCause::Refused, turn);
+            self.release_live(live, turn);
+            self.send_next(AttemptCause::Refused, turn);
             return;
         }
-        self.settled = self.settled.and(verdict);
+        self.known_verdict = self.known_verdict.and(verdict);
         self.live = Some(LiveAttempt {
             seal: SealState::Refused,
             ..live
@@ -221,8 +225,8 @@
         let Some(live) = &mut self.live else {
             return;
         };
-        if matches!(live.seal, SealState::Asked { until } if turn.now >= until) {
-            live.seal = SealState::Overdue;
+        if matches!(live.seal, SealState::Requested { until } if turn.now >= until) {
+            live.seal = SealState::TimedOut;
         }
         if turn.now >= live.silent_at {
             let live = *live;
@@ -231,13 +235,13 @@
     }
 
     pub(super) fn on_caller_blocked(&mut self, turn: &mut EventTurn<'_>) {
-        if self.begun() {
+        if self.has_begun() {
             self.blocked_since.get_or_insert(turn.now);
         }
     }
 
     pub(super) fn on_caller_ready(&mut self, turn: &mut EventTurn<'_>) {
-        let stall = self.stall_span();
+        let stall = self.stall_timeout();
         if self.blocked_since.take().is_some()
             && let Some(live) = &mut self.live
         {
@@ -251,6 +255,6 @@
 }
 
 fn awaits_seal(live: &LiveAttempt) -> bool {
-    let asked = matches!(live.seal, SealState::Asked { .. } | SealState::Overdue);
-    asked && !live.framed
+    let was_requested = matches!(live.seal, SealState::Requested { .. } | SealState::TimedOut);
+    was_requested && !live.has_first_frame
 }
--- a/crates/oatpier-policy/src/machine/mod.rs
+++ b/crates/oatpier-policy/src/machine/mod.rs
@@ -12,12 +12,12 @@
 //! the live one are dropped and counted. A request whose deadline has passed gets its final answer
 //! at once.
 
-mod again;
 mod attempt;
 mod context;
+mod dispatch;
 mod finish;
+mod handlers;
 mod settings;
-mod steps;
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
 
 /// The phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RequestStep {
+enum RequestPhase {
     Claiming,
     Attempting,
     Done,
@@ -47,7 +47,7 @@
 
 /// The indices and the class's target that the façade looks up for a request.
 #[derive(Debug, Clone, Copy)]
-pub struct RequestFrame {
+pub struct RequestLookup {
     /// The class of the request.
     pub class: ClassIndex,
     /// The target of the class.
@@ -60,31 +60,31 @@
 #[derive(Debug)]
 pub struct RequestMachine {
     intake: RequestIntake,
-    frame: RequestFrame,
+    lookup: RequestLookup,
     settings: MachineSettings,
-    step: RequestStep,
-    arrived: ClockTime,
-    due: ClockTime,
-    give_up: ClockTime,
+    phase: RequestPhase,
+    arrived_at: ClockTime,
+    due_at: ClockTime,
+    give_up_at: ClockTime,
     live: Option<LiveAttempt>,
-    tried: SmallVec<[EndpointIndex; 4]>,
+    tried_endpoints: SmallVec<[EndpointIndex; 4]>,
     attempts: u32,
     /// Cancelled attempts whose verdict is not known yet.
-    unsettled: SmallVec<[AttemptId; 2]>,
+    pending_cancels: SmallVec<[AttemptId; 2]>,
     /// The combined verdict on all attempts whose verdict is known.
-    settled: RunVerdict,
-    claimed: bool,
+    known_verdict: RunVerdict,
+    has_claim: bool,
     first_piece: Option<ClockTime>,
     relayed_tokens: u32,
     blocked_since: Option<ClockTime>,
     last_refusal: Option<Refusal>,
-    open_seal: Option<OpenSeal>,
+    pending_seal: Option<PendingSeal>,
     dropped: u32,
 }
 
 /// A requested seal of an attempt with a claimed key, not yet answered when the request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OpenSeal {
+pub struct PendingSeal {
     /// The hashed idempotency key that was claimed.
     pub key: u64,
     /// The attempt to be sealed.
@@ -105,29 +105,29 @@
     pub fn new(
         settings: MachineSettings,
         intake: RequestIntake,
-        frame: RequestFrame,
+        lookup: RequestLookup,
         now: ClockTime,
     ) -> Self {
-        let span = frame.target.first_due();
+        let span = lookup.target.first_due();
         Self {
             intake,
-            frame,
+            lookup,
             settings,
-            step: RequestStep::Claiming,
-            arrived: now,
-            due: now + span,
-            give_up: now + span * settings.give_up_percent / 100,
+            phase: RequestPhase::Claiming,
+            arrived_at: now,
+            due_at: now + span,
+            give_up_at: now + span * settings.give_up_percent / 100,
             live: None,
-            tried: SmallVec::new(),
+            tried_endpoints: SmallVec::new(),
             attempts: 0,
-            unsettled: SmallVec::new(),
-            settled: RunVerdict::NotRun,
-            claimed: false,
+            pending_cancels: SmallVec::new(),
+            known_verdict: RunVerdict::NotRun,
+            has_claim: false,
             first_piece: None,
             relayed_tokens: 0,
             blocked_since: None,
             last_refusal: None,
-            open_seal: None,
+            pending_seal: None,
             dropped: 0,
         }
     }
@@ -137,7 +137,7 @@
         let mut turn = EventTurn::new(context, now);
         match self.key_to_claim() {
             Some(key) => {
-                self.claimed = true;
+                self.has_claim = true;
                 turn.actions.push(EntryAction::Claim { key });
             }
             None => self.send_first(&mut turn),
@@ -153,9 +153,9 @@
         now: ClockTime,
     ) -> EntryActions {
         let mut turn = EventTurn::new(context, now);
-        match self.step {
-            RequestStep::Done => self.dropped += 1,
-            RequestStep::Claiming | RequestStep::Attempting => self.take(event, &mut turn),
+        match self.phase {
+            RequestPhase::Done => self.dropped += 1,
+            RequestPhase::Claiming | RequestPhase::Attempting => self.apply_event(event, &mut turn),
         }
         turn.actions
     }
@@ -164,7 +164,7 @@
     /// request.
     #[must_use]
     pub fn timer(&self) -> ClockTime {
-        if self.step == RequestStep::Done {
+        if self.phase == RequestPhase::Done {
             return ClockTime::NEVER;
         }
         if let Some(since) = self.blocked_since {
@@ -177,7 +177,7 @@
     /// Returns whether the final answer was given.
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.step == RequestStep::Done
+        self.phase == RequestPhase::Done
     }
 
     /// Returns the number of late, crossed or contradictory events that were dropped.
@@ -189,8 +189,8 @@
     /// Returns the unanswered seal that may still free the request's key, after the end of the
     /// request.
     #[must_use]
-    pub fn open_seal(&self) -> Option<OpenSeal> {
-        self.open_seal
+    pub fn pending_seal(&self) -> Option<PendingSeal> {
+        self.pending_seal
     }
 
     /// Returns the request.
@@ -202,13 +202,13 @@
     /// Returns the class of the request.
     #[must_use]
     pub fn class(&self) -> ClassIndex {
-        self.frame.class
+        self.lookup.class
     }
 
     /// Returns the time of arrival.
     #[must_use]
-    pub fn arrived(&self) -> ClockTime {
-        self.arrived
+    pub fn arrived_at(&self) -> ClockTime {
+        self.arrived_at
     }
 
     /// Returns the endpoint of the live attempt.
@@ -232,13 +232,13 @@
     /// Returns whether the request may have run, as far as known.
     #[must_use]
     pub fn verdict(&self) -> RunVerdict {
-        if self.live.is_none() && self.unsettled.is_empty() {
-            return self.settled;
+        if self.live.is_none() && self.pending_cancels.is_empty() {
+            return self.known_verdict;
         }
-        self.settled.and(RunVerdict::MayHaveRun)
+        self.known_verdict.and(RunVerdict::MayHaveRun)
     }
 
-    fn take(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
+    fn apply_event(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
         match event {
             EntryEvent::Timer => self.on_timer(turn),
             EntryEvent::CallerGone => self.on_caller_gone(turn),
@@ -250,7 +250,7 @@
             EntryEvent::CancelAnswered { attempt, verdict } => {
                 self.on_cancel_answered(*attempt, *verdict, turn);
             }
-            _ => self.on_attempt(event, turn),
+            _ => self.on_attempt_event(event, turn),
         }
     }
 
@@ -258,7 +258,7 @@
     ///
     /// An event of any attempt but the live one is late or crossed and is dropped: relaying its
     /// data would mix two answers, and its outcome would be attributed to the wrong attempt.
-    fn on_attempt(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
+    fn on_attempt_event(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
         let live = self
             .live
             .filter(|live| Some(live.attempt) == event.attempt());
@@ -267,7 +267,7 @@
             return;
         };
         match event {
-            EntryEvent::FirstFrame { .. } => self.on_frame(turn),
+            EntryEvent::FirstFrame { .. } => self.on_first_frame(turn),
             EntryEvent::Piece { tokens, .. } => self.on_piece(*tokens, turn),
             EntryEvent::Ended { .. } => self.on_ended(live, turn),
             EntryEvent::Refused { refusal, .. } => self.on_refused(live, *refusal, turn),
@@ -283,7 +283,7 @@
         self.intake.key.filter(|_| at_most_once)
     }
 
-    fn begun(&self) -> bool {
+    fn has_begun(&self) -> bool {
         self.first_piece.is_some()
     }
 
@@ -292,15 +292,15 @@
     /// Before the first piece, the class's target determines it. After the first piece, the caller
     /// has a part of its answer, and only a stall ends the request.
     fn deadline(&self) -> ClockTime {
-        if self.begun() {
+        if self.has_begun() {
             ClockTime::NEVER
         } else {
-            self.give_up
+            self.give_up_at
         }
     }
 
-    fn stall_span(&self) -> Duration {
-        let steps = match self.frame.target {
+    fn stall_timeout(&self) -> Duration {
+        let steps = match self.lookup.target {
             ClassTarget::Stream { between_tokens, .. } => {
                 between_tokens * self.settings.stall_steps
             }
--- a/crates/oatpier-policy/src/prefix.rs
+++ b/crates/oatpier-policy/src/prefix.rs
@@ -48,37 +48,37 @@
 
 /// Upper bound on the blocks of a prompt that are looked up. Of a longer prompt, evenly spaced
 /// blocks are used.
-const LOOKUP_BOUND: usize = 16;
+const MAX_LOOKUP_BLOCKS: usize = 16;
 
 /// Upper bound on the blocks of a prompt that are recorded, from its start.
-const LEARN_BOUND: usize = 128;
+const MAX_RECORDED_BLOCKS: usize = 128;
 
 /// Fixed-point representation of full confidence.
-const CERTAIN: u64 = 1_000;
+const FULL_CONFIDENCE: u64 = 1_000;
 
 /// A sequence number this far below the expected one indicates a restarted engine.
-const RESTART_DISTANCE: u64 = 64;
+const RESTART_SEQUENCE_GAP: u64 = 64;
 
 #[derive(Debug, Clone, Copy)]
 struct BlockSlot {
     block: u64,
     endpoint: EndpointIndex,
-    learnt_at: ClockTime,
+    recorded_at: ClockTime,
 }
 
 const EMPTY_SLOT: BlockSlot = BlockSlot {
     block: 0,
     endpoint: EndpointIndex(u32::MAX),
-    learnt_at: ClockTime::ZERO,
+    recorded_at: ClockTime::ZERO,
 };
 
 /// Position in an endpoint's event stream, and the confidence in its recorded blocks.
 #[derive(Debug, Clone, Copy, Default)]
-struct EventTrack {
-    next: Option<u64>,
+struct EventCursor {
+    next_sequence: Option<u64>,
     /// Blocks recorded before this time are weighted by `prior_confidence`.
-    doubted_at: ClockTime,
-    trust: u64,
+    discounted_at: ClockTime,
+    prior_confidence: u64,
 }
 
 /// An endpoint that is expected to have a prefix of a prompt cached.
@@ -98,7 +98,7 @@
 pub struct PrefixIndex {
     settings: PrefixSettings,
     sets: Vec<[BlockSlot; WAYS]>,
-    tracks: Vec<EventTrack>,
+    cursors: Vec<EventCursor>,
     gaps: u64,
 }
 
@@ -110,14 +110,14 @@
         Self {
             settings,
             sets: vec![[EMPTY_SLOT; WAYS]; sets],
-            tracks: Vec::new(),
+            cursors: Vec::new(),
             gaps: 0,
         }
     }
 
     /// Records that a prompt was sent to an endpoint, which then has its prefixes cached.
     pub fn learn(&mut self, endpoint: EndpointIndex, prefixes: &[u64], now: ClockTime) {
-        for block in prefixes.iter().take(LEARN_BOUND) {
+        for block in prefixes.iter().take(MAX_RECORDED_BLOCKS) {
             self.insert(*block, endpoint, now);
         }
     }
@@ -127,16 +127,16 @@
     /// A gap in the sequence means that removals may have been missed: the confidence in all blocks
     /// recorded before for the endpoint is halved.
     pub fn on_event(&mut self, endpoint: EndpointIndex, event: &CacheEvent, now: ClockTime) {
-        let track = self.track(endpoint);
-        let next = track.next.unwrap_or(event.sequence);
-        if event.sequence + RESTART_DISTANCE < next {
-            self.forget(endpoint, now);
-        } else if event.sequence < next {
+        let cursor = self.cursor(endpoint);
+        let next_sequence = cursor.next_sequence.unwrap_or(event.sequence);
+        if event.sequence + RESTART_SEQUENCE_GAP < next_sequence {
+            self.invalidate(endpoint, now);
+        } else if event.sequence < next_sequence {
             return;
-        } else if event.sequence > next {
-            self.doubt(endpoint, now);
+        } else if event.sequence > next_sequence {
+            self.discount(endpoint, now);
         }
-        self.track(endpoint).next = Some(event.sequence + 1);
+        self.cursor(endpoint).next_sequence = Some(event.sequence + 1);
         if event.present {
             self.insert(event.block, endpoint, now);
         } else {
@@ -145,10 +145,10 @@
     }
 
     /// Invalidates all recorded blocks of an endpoint.
-    pub fn forget(&mut self, endpoint: EndpointIndex, now: ClockTime) {
-        let track = self.track(endpoint);
-        track.doubted_at = now;
-        track.trust = 0;
+    pub fn invalidate(&mut self, endpoint: EndpointIndex, now: ClockTime) {
+        let cursor = self.cursor(endpoint);
+        cursor.discounted_at = now;
+        cursor.prior_confidence = 0;
     }
 
     /// Returns the endpoints that are expected to have prefixes of a prompt cached.
@@ -158,10 +158,10 @@
     #[must_use]
     pub fn holders(&self, prefixes: &[u64], now: ClockTime) -> PrefixHolders {
         let mut holders = PrefixHolders::new();
-        let stride = prefixes.len().div_ceil(LOOKUP_BOUND).max(1);
+        let stride = prefixes.len().div_ceil(MAX_LOOKUP_BLOCKS).max(1);
         for (place, block) in prefixes.iter().enumerate().rev().step_by(stride) {
             let depth = u64::try_from(place + 1).unwrap_or(u64::MAX);
-            self.collect(*block, depth, now, &mut holders);
+            self.collect_holders(*block, depth, now, &mut holders);
             if holders.len() == WAYS {
                 break;
             }
@@ -175,17 +175,17 @@
         self.gaps
     }
 
-    fn collect(&self, block: u64, depth: u64, now: ClockTime, holders: &mut PrefixHolders) {
+    fn collect_holders(&self, block: u64, depth: u64, now: ClockTime, holders: &mut PrefixHolders) {
         let set = &self.sets[self.set_of(block)];
-        for slot in set.iter().filter(|slot| is_filled(slot, block)) {
-            let known = holders
+        for slot in set.iter().filter(|slot| holds_block(slot, block)) {
+            let is_listed = holders
                 .iter()
                 .any(|holder| holder.endpoint == slot.endpoint);
-            if known || holders.len() == WAYS {
+            if is_listed || holders.len() == WAYS {
                 continue;
             }
             let tokens = depth.saturating_mul(u64::from(self.settings.block_tokens));
-            let expected = scale(tokens, self.confidence(slot, now), CERTAIN);
+            let expected = scale(tokens, self.confidence(slot, now), FULL_CONFIDENCE);
             holders.push(PrefixHolder {
                 endpoint: slot.endpoint,
                 tokens: u32::try_from(expected).unwrap_or(u32::MAX),
@@ -195,38 +195,40 @@
 
     fn confidence(&self, slot: &BlockSlot, now: ClockTime) -> u64 {
         let half_life = micros(self.settings.half_life).max(1);
-        let age = micros(now.since(slot.learnt_at));
-        let fresh = scale(CERTAIN, half_life, half_life.saturating_add(age));
-        let track = self.tracks.get(slot.endpoint.place());
-        match track {
-            Some(track) if slot.learnt_at < track.doubted_at => scale(fresh, track.trust, CERTAIN),
+        let age = micros(now.since(slot.recorded_at));
+        let fresh = scale(FULL_CONFIDENCE, half_life, half_life.saturating_add(age));
+        let cursor = self.cursors.get(slot.endpoint.place());
+        match cursor {
+            Some(cursor) if slot.recorded_at < cursor.discounted_at => {
+                scale(fresh, cursor.prior_confidence, FULL_CONFIDENCE)
+            }
             _ => fresh,
         }
     }
 
-    fn doubt(&mut self, endpoint: EndpointIndex, now: ClockTime) {
+    fn discount(&mut self, endpoint: EndpointIndex, now: ClockTime) {
         self.gaps += 1;
-        let track = self.track(endpoint);
-        let trust = if track.doubted_at == ClockTime::ZERO {
-            CERTAIN
+        let cursor = self.cursor(endpoint);
+        let prior_confidence = if cursor.discounted_at == ClockTime::ZERO {
+            FULL_CONFIDENCE
         } else {
-            track.trust
+            cursor.prior_confidence
         };
-        track.trust = trust / 2;
-        track.doubted_at = now;
+        cursor.prior_confidence = prior_confidence / 2;
+        cursor.discounted_at = now;
     }
 
     fn insert(&mut self, block: u64, endpoint: EndpointIndex, now: ClockTime) {
         let place = self.set_of(block);
         let set = &mut self.sets[place];
-        let same = set
+        let existing = set
             .iter()
-            .position(|slot| is_filled(slot, block) && slot.endpoint == endpoint);
-        let way = same.unwrap_or_else(|| oldest_way(set));
+            .position(|slot| holds_block(slot, block) && slot.endpoint == endpoint);
+        let way = existing.unwrap_or_else(|| oldest_way(set));
         set[way] = BlockSlot {
             block,
             endpoint,
-            learnt_at: now,
+            recorded_at: now,
         };
     }
 
@@ -234,19 +236,19 @@
         let lag = self.settings.event_lag;
         let place = self.set_of(block);
         for slot in &mut self.sets[place] {
-            let same = is_filled(slot, block) && slot.endpoint == endpoint;
-            if same && now.since(slot.learnt_at) >= lag {
+            let is_same = holds_block(slot, block) && slot.endpoint == endpoint;
+            if is_same && now.since(slot.recorded_at) >= lag {
                 *slot = EMPTY_SLOT;
             }
         }
     }
 
-    fn track(&mut self, endpoint: EndpointIndex) -> &mut EventTrack {
-        if self.tracks.len() <= endpoint.place() {
-            self.tracks
-                .resize(endpoint.place() + 1, EventTrack::default());
+    fn cursor(&mut self, endpoint: EndpointIndex) -> &mut EventCursor {
+        if self.cursors.len() <= endpoint.place() {
+            self.cursors
+                .resize(endpoint.place() + 1, EventCursor::default());
         }
-        &mut self.tracks[endpoint.place()]
+        &mut self.cursors[endpoint.place()]
     }
 
     fn set_of(&self, block: u64) -> usize {
@@ -255,7 +257,7 @@
     }
 }
 
-fn is_filled(slot: &BlockSlot, block: u64) -> bool {
+fn holds_block(slot: &BlockSlot, block: u64) -> bool {
     slot.block == block && slot.endpoint != EMPTY_SLOT.endpoint
 }
 
@@ -263,7 +265,7 @@
     let age_order = |way: &usize| {
         (
             set[*way].endpoint != EMPTY_SLOT.endpoint,
-            set[*way].learnt_at,
+            set[*way].recorded_at,
         )
     };
     (0..WAYS).min_by_key(age_order).unwrap_or(0)
--- a/crates/oatpier-policy/src/retry.rs
+++ b/crates/oatpier-policy/src/retry.rs
@@ -39,21 +39,21 @@
 }
 
 /// Units per retry; the bucket counts hundredths of a retry.
-const WHOLE_REPEAT: u32 = 100;
+const UNITS_PER_RETRY: u32 = 100;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct ClassDebt {
+struct ClassBucket {
     /// Number of requests without a final answer.
     in_flight: u32,
     /// Retries taken and not yet drained by successes, in hundredths.
-    owed: u32,
+    outstanding: u32,
 }
 
 /// A leaky bucket of retries for each class, drained by the class's successes.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
-    debts: Vec<ClassDebt>,
+    buckets: Vec<ClassBucket>,
     refused: u64,
 }
 
@@ -63,37 +63,37 @@
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
-            debts: Vec::new(),
+            buckets: Vec::new(),
             refused: 0,
         }
     }
 
     /// Records that a request of the class was admitted.
-    pub fn note_started(&mut self, class: ClassIndex) {
-        self.debt(class).in_flight += 1;
+    pub fn record_started(&mut self, class: ClassIndex) {
+        self.bucket(class).in_flight += 1;
     }
 
     /// Records that a request of the class got its final answer.
-    pub fn note_ended(&mut self, class: ClassIndex) {
-        let debt = self.debt(class);
-        debt.in_flight = debt.in_flight.saturating_sub(1);
+    pub fn record_ended(&mut self, class: ClassIndex) {
+        let bucket = self.bucket(class);
+        bucket.in_flight = bucket.in_flight.saturating_sub(1);
     }
 
     /// Records that a request of the class got a complete answer.
-    pub fn note_success(&mut self, class: ClassIndex) {
-        let paid = self.settings.percent;
-        let debt = self.debt(class);
-        debt.owed = debt.owed.saturating_sub(paid);
+    pub fn record_success(&mut self, class: ClassIndex) {
+        let drained = self.settings.percent;
+        let bucket = self.bucket(class);
+        bucket.outstanding = bucket.outstanding.saturating_sub(drained);
     }
 
     /// Takes one retry from the class's budget. Returns `false` if the budget is spent.
     pub fn take(&mut self, class: ClassIndex) -> bool {
         let settings = self.settings;
-        let debt = self.debt(class);
-        let bound = bound_of(&settings, debt.in_flight);
-        let owed = debt.owed.saturating_add(WHOLE_REPEAT);
-        if owed <= bound {
-            debt.owed = owed;
+        let bucket = self.bucket(class);
+        let capacity = bucket_capacity(&settings, bucket.in_flight);
+        let outstanding = bucket.outstanding.saturating_add(UNITS_PER_RETRY);
+        if outstanding <= capacity {
+            bucket.outstanding = outstanding;
             return true;
         }
         self.refused += 1;
@@ -106,16 +106,17 @@
         self.refused
     }
 
-    fn debt(&mut self, class: ClassIndex) -> &mut ClassDebt {
-        if self.debts.len() <= class.place() {
-            self.debts.resize(class.place() + 1, ClassDebt::default());
+    fn bucket(&mut self, class: ClassIndex) -> &mut ClassBucket {
+        if self.buckets.len() <= class.place() {
+            self.buckets
+                .resize(class.place() + 1, ClassBucket::default());
         }
-        &mut self.debts[class.place()]
+        &mut self.buckets[class.place()]
     }
 }
 
 /// Returns the capacity of a class's bucket, in hundredths of a retry.
-fn bound_of(settings: &RetrySettings, in_flight: u32) -> u32 {
-    let fixed = settings.burst.saturating_mul(WHOLE_REPEAT);
+fn bucket_capacity(settings: &RetrySettings, in_flight: u32) -> u32 {
+    let fixed = settings.burst.saturating_mul(UNITS_PER_RETRY);
     fixed.max(in_flight.saturating_mul(settings.in_flight_percent))
 }
--- a/crates/oatpier-policy/src/router.rs
+++ b/crates/oatpier-policy/src/router.rs
@@ -54,10 +54,10 @@
 }
 
 /// Upper bound on the candidates that are considered when all sampled ones are excluded.
-const FALLBACK_BOUND: usize = 32;
+const MAX_FALLBACK_CANDIDATES: usize = 32;
 
 /// Upper bound on the ejected endpoints that are considered for a probe.
-const PROBE_BOUND: usize = 4;
+const MAX_PROBE_CANDIDATES: usize = 4;
 
 /// State that the router reads.
 #[derive(Debug, Clone, Copy)]
@@ -99,18 +99,18 @@
     /// Predicted time until the attempt starts to run.
     pub queue: Duration,
     /// Prompt tokens that are not expected in the endpoint's prefix cache.
-    pub tokens_to_read: u32,
+    pub uncached_tokens: u32,
     /// Whether the endpoint's speed is known. Without it the prediction is meaningless.
-    pub informed: bool,
+    pub is_speed_known: bool,
     /// Whether the attempt is a probe of an ejected endpoint.
-    pub probe: bool,
+    pub is_probe: bool,
 }
 
 /// Chooses endpoints, with a seeded random number generator.
 #[derive(Debug)]
 pub struct RequestRouter {
     settings: RouterSettings,
-    generator: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 impl RequestRouter {
@@ -119,7 +119,7 @@
     pub fn new(settings: RouterSettings, seed: u64) -> Self {
         Self {
             settings,
-            generator: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
@@ -139,8 +139,8 @@
             return Ok(choice);
         }
         let mut sample = RouteSample::new(view, query, now);
-        self.sample_all(list, &mut sample);
-        let choice = sample.pick(self.settings.own_percent);
+        self.sample_candidates(list, &mut sample);
+        let choice = sample.best_choice(self.settings.own_percent);
         let choice = choice.ok_or(Refusal {
             cause: RefusalCause::NoEndpoint,
             retry_after: Some(self.settings.retry_after),
@@ -149,11 +149,11 @@
     }
 
     /// Returns a random 128-bit number, used as an attempt id.
-    pub fn draw(&mut self) -> u128 {
-        self.generator.random()
+    pub fn random_u128(&mut self) -> u128 {
+        self.rng.random()
     }
 
-    fn sample_all(&mut self, list: &CandidateList, sample: &mut RouteSample<'_>) {
+    fn sample_candidates(&mut self, list: &CandidateList, sample: &mut RouteSample<'_>) {
         let own = sample.view.table.own_zone();
         self.sample_zone(list.open_in(own), self.settings.own_sample, sample);
         if let Some(other) = self.other_zone(list, sample.view.table) {
@@ -161,7 +161,7 @@
         }
         sample.consider_holders();
         if sample.is_empty() {
-            sample.consider_rest(list);
+            sample.consider_fallback(list);
         }
     }
 
@@ -171,21 +171,21 @@
             return;
         }
         for _ in 0..count {
-            let place = self.generator.random_range(0..open.len());
-            sample.consider(open[place]);
+            let index = self.rng.random_range(0..open.len());
+            sample.consider(open[index]);
         }
     }
 
     /// Returns another availability zone with open candidates, searching from a random one on.
     fn other_zone(&mut self, list: &CandidateList, table: &EndpointTable) -> Option<ZoneIndex> {
         let own = table.own_zone();
-        if list.open() == list.open_in(own).len() {
+        if list.open_count() == list.open_in(own).len() {
             return None;
         }
         let zones = table.zone_count();
-        let start = self.generator.random_range(0..zones);
+        let start = self.rng.random_range(0..zones);
         (0..zones)
-            .map(|step| ZoneIndex::of_place((start + step) % zones))
+            .map(|step| ZoneIndex::from_usize((start + step) % zones))
             .find(|zone| *zone != own && !list.open_in(*zone).is_empty())
     }
 
@@ -215,8 +215,8 @@
     query: &'a RouteQuery<'a>,
     holders: PrefixHolders,
     now: ClockTime,
-    own: Option<RouteChoice>,
-    any: Option<RouteChoice>,
+    best_in_own_zone: Option<RouteChoice>,
+    best: Option<RouteChoice>,
 }
 
 impl<'a> RouteSample<'a> {
@@ -226,13 +226,13 @@
             query,
             holders: view.prefix.holders(query.prefixes, now),
             now,
-            own: None,
-            any: None,
+            best_in_own_zone: None,
+            best: None,
         }
     }
 
     fn is_empty(&self) -> bool {
-        self.any.is_none()
+        self.best.is_none()
     }
 
     /// Considers the expected holders of the prompt's prefix, in any availability zone.
@@ -249,10 +249,10 @@
 
     /// Considers a bounded number of open candidates in order, for when all sampled ones were
     /// excluded.
-    fn consider_rest(&mut self, list: &CandidateList) {
+    fn consider_fallback(&mut self, list: &CandidateList) {
         let zones = self.view.table.zone_count();
-        let open = (0..zones).flat_map(|place| list.open_in(ZoneIndex::of_place(place)));
-        for endpoint in open.take(FALLBACK_BOUND) {
+        let open = (0..zones).flat_map(|index| list.open_in(ZoneIndex::from_usize(index)));
+        for endpoint in open.take(MAX_FALLBACK_CANDIDATES) {
             self.consider(*endpoint);
         }
     }
@@ -270,18 +270,18 @@
         let choice = predicted_choice(self.view, self.query, &self.holders, endpoint, self.now);
         let row = self.view.table.row(endpoint);
         if row.zone == self.view.table.own_zone() {
-            keep_better(&mut self.own, choice);
+            keep_better(&mut self.best_in_own_zone, choice);
         }
-        keep_better(&mut self.any, choice);
+        keep_better(&mut self.best, choice);
     }
 
     /// Returns the best candidate of the entry's own availability zone, unless its predicted time
     /// exceeds the bound; otherwise the best candidate of any zone.
-    fn pick(&self, own_percent: u32) -> Option<RouteChoice> {
+    fn best_choice(&self, own_percent: u32) -> Option<RouteChoice> {
         let bound = scale(micros(self.query.remaining), u64::from(own_percent), 100);
-        self.own
+        self.best_in_own_zone
             .filter(|choice| micros(choice.predicted) <= bound)
-            .or(self.any)
+            .or(self.best)
     }
 }
 
@@ -302,9 +302,9 @@
         .iter()
         .find(|holder| holder.endpoint == endpoint)
         .map_or(0, |holder| holder.tokens);
-    let tokens_to_read = query.tokens.prompt.saturating_sub(cached);
+    let uncached_tokens = query.tokens.prompt.saturating_sub(cached);
     let size = AttemptSize {
-        tokens_to_read,
+        uncached_tokens,
         whole: query.whole,
     };
     let prediction = view.table.predict(endpoint, size, now);
@@ -312,9 +312,9 @@
         endpoint,
         predicted: Duration::from_micros(prediction.total_us),
         queue: Duration::from_micros(prediction.queue_us),
-        tokens_to_read,
-        informed: prediction.informed,
-        probe: false,
+        uncached_tokens,
+        is_speed_known: prediction.is_speed_known,
+        is_probe: false,
     }
 }
 
@@ -328,13 +328,17 @@
     if !query.may_probe {
         return None;
     }
-    let due = |index: &&EndpointIndex| {
+    let is_due = |index: &&EndpointIndex| {
         view.health.probe_due(**index, now) && !query.excluded.contains(*index)
     };
-    let endpoint = *list.ejected().iter().take(PROBE_BOUND).find(due)?;
+    let endpoint = *list
+        .ejected()
+        .iter()
+        .take(MAX_PROBE_CANDIDATES)
+        .find(is_due)?;
     let choice = predicted_choice(view, query, &PrefixHolders::new(), endpoint, now);
     Some(RouteChoice {
-        probe: true,
+        is_probe: true,
         ..choice
     })
 }
--- a/crates/oatpier-policy/src/table/candidates.rs
+++ b/crates/oatpier-policy/src/table/candidates.rs
@@ -40,8 +40,8 @@
     /// All faulty replicas in the order in which they were found faulty. Earlier ones are ejected
     /// first.
     faulty: SmallVec<[FaultyReplica; 4]>,
-    open: usize,
-    members: u32,
+    open_count: usize,
+    replica_count: u32,
     ejected_percent: u32,
 }
 
@@ -62,8 +62,8 @@
 
     /// Returns the number of endpoints that accept work.
     #[must_use]
-    pub fn open(&self) -> usize {
-        self.open
+    pub fn open_count(&self) -> usize {
+        self.open_count
     }
 
     /// Returns the ejected endpoints.
@@ -74,8 +74,8 @@
 
     /// Returns the number of replicas, including ejected and closed ones.
     #[must_use]
-    pub fn members(&self) -> u32 {
-        self.members
+    pub fn replica_count(&self) -> u32 {
+        self.replica_count
     }
 
     /// Returns whether one more replica may be ejected.
@@ -83,8 +83,8 @@
     /// If more replicas than the share seem faulty, the fault is more likely in this entry or in
     /// the requests, and further ejections would only concentrate the load on the remaining
     /// replicas.
-    pub(super) fn has_room(&self) -> bool {
-        self.faulty.len() < self.most_ejected()
+    pub(super) fn may_eject_more(&self) -> bool {
+        self.faulty.len() < self.max_ejected()
     }
 
     pub(super) fn add(&mut self, index: EndpointIndex, zone: ZoneIndex, listing: ListingState) {
@@ -98,8 +98,8 @@
             }),
             ListingState::Open => self.add_open(index, zone),
         }
-        self.members += 1;
-        self.keep_share();
+        self.replica_count += 1;
+        self.rebalance_ejected();
     }
 
     pub(super) fn remove(&mut self, index: EndpointIndex, zone: ZoneIndex, listing: ListingState) {
@@ -109,54 +109,54 @@
             ListingState::Faulty { .. } => self.remove_faulty(index),
             ListingState::Open => self.remove_open(index, zone),
         }
-        self.members -= 1;
-        self.keep_share();
+        self.replica_count -= 1;
+        self.rebalance_ejected();
     }
 
-    fn most_ejected(&self) -> usize {
-        let most = u64::from(self.members) * u64::from(self.ejected_percent) / 100;
-        usize::try_from(most).unwrap_or(usize::MAX)
+    fn max_ejected(&self) -> usize {
+        let max_ejected = u64::from(self.replica_count) * u64::from(self.ejected_percent) / 100;
+        usize::try_from(max_ejected).unwrap_or(usize::MAX)
     }
 
     /// Ejects faulty replicas in order, as many as the share permits, and retains the rest.
-    fn keep_share(&mut self) {
-        let wanted = self.most_ejected().min(self.faulty.len());
+    fn rebalance_ejected(&mut self) {
+        let wanted = self.max_ejected().min(self.faulty.len());
         while self.ejected.len() > wanted {
-            let spared = self.faulty[self.ejected.len() - 1];
+            let retained = self.faulty[self.ejected.len() - 1];
             self.ejected.pop();
-            self.spare(spared);
+            self.list_retained(retained);
         }
         while self.ejected.len() < wanted {
             let next = self.faulty[self.ejected.len()];
-            self.unspare(next);
+            self.unlist_retained(next);
             self.ejected.push(next.index);
         }
     }
 
     fn add_faulty(&mut self, replica: FaultyReplica) {
         self.faulty.push(replica);
-        self.spare(replica);
+        self.list_retained(replica);
     }
 
     fn remove_faulty(&mut self, index: EndpointIndex) {
-        let Some(place) = self.faulty.iter().position(|other| other.index == index) else {
+        let Some(position) = self.faulty.iter().position(|other| other.index == index) else {
             return;
         };
-        let replica = self.faulty.remove(place);
-        if place < self.ejected.len() {
-            self.ejected.remove(place);
+        let replica = self.faulty.remove(position);
+        if position < self.ejected.len() {
+            self.ejected.remove(position);
         } else {
-            self.unspare(replica);
+            self.unlist_retained(replica);
         }
     }
 
-    fn spare(&mut self, replica: FaultyReplica) {
+    fn list_retained(&mut self, replica: FaultyReplica) {
         if replica.accepting {
             self.add_open(replica.index, replica.zone);
         }
     }
 
-    fn unspare(&mut self, replica: FaultyReplica) {
+    fn unlist_retained(&mut self, replica: FaultyReplica) {
         if replica.accepting {
             self.remove_open(replica.index, replica.zone);
         }
@@ -167,14 +167,14 @@
             self.zones.resize_with(zone.place() + 1, Vec::new);
         }
         self.zones[zone.place()].push(index);
-        self.open += 1;
+        self.open_count += 1;
     }
 
     fn remove_open(&mut self, index: EndpointIndex, zone: ZoneIndex) {
         let list = &mut self.zones[zone.place()];
-        if let Some(place) = list.iter().position(|other| *other == index) {
-            list.swap_remove(place);
-            self.open -= 1;
+        if let Some(position) = list.iter().position(|other| *other == index) {
+            list.swap_remove(position);
+            self.open_count -= 1;
         }
     }
 }
--- a/crates/oatpier-policy/src/table/mod.rs
+++ b/crates/oatpier-policy/src/table/mod.rs
@@ -63,7 +63,7 @@
 }
 
 /// Upper bound on the endpoints that are remembered as leaving before they are known.
-const MOST_EXPECTED: usize = 1_024;
+const MAX_UNKNOWN_LEAVING: usize = 1_024;
 
 /// Index of the entry's own availability zone.
 const OWN_ZONE: ZoneIndex = ZoneIndex(0);
@@ -79,7 +79,7 @@
     goals: IndexSet<RequestGoal>,
     lists: Vec<CandidateList>,
     /// Endpoints that are reported to leave before they are known.
-    leaving: IndexSet<EndpointName>,
+    unknown_leaving: IndexSet<EndpointName>,
     ejected_percent: u32,
     stale_dropped: u64,
 }
@@ -89,23 +89,27 @@
     /// share of a goal's replicas.
     #[must_use]
     pub fn new(settings: TableSettings, own_zone: ZoneName) -> Self {
-        let usual = HealthSettings::default().ejected_percent;
-        Self::with_ejected(settings, own_zone, usual)
+        let default_percent = HealthSettings::default().ejected_percent;
+        Self::with_ejected_percent(settings, own_zone, default_percent)
     }
 
     /// Creates an empty table with the given bound on the ejected share of a goal's replicas, in
     /// percent.
     #[must_use]
-    pub fn with_ejected(settings: TableSettings, own_zone: ZoneName, ejected_percent: u32) -> Self {
-        let own_trip = micros(settings.zone_trip);
+    pub fn with_ejected_percent(
+        settings: TableSettings,
+        own_zone: ZoneName,
+        ejected_percent: u32,
+    ) -> Self {
+        let own_round_trip_us = micros(settings.zone_trip);
         Self {
             settings,
-            zones: IndexMap::from([(own_zone, own_trip)]),
+            zones: IndexMap::from([(own_zone, own_round_trip_us)]),
             by_name: IndexMap::new(),
             rows: Vec::new(),
             goals: IndexSet::new(),
             lists: Vec::new(),
-            leaving: IndexSet::new(),
+            unknown_leaving: IndexSet::new(),
             ejected_percent,
             stale_dropped: 0,
         }
@@ -115,16 +119,16 @@
     pub fn apply_config(&mut self, config: &FleetConfig) {
         let own = self.zones.get_index(0).map(|(name, _)| name.clone());
         let own_region = own.as_ref().and_then(|name| config.region_of(name));
-        let near = micros(self.settings.region_trip);
-        let far = micros(self.settings.far_trip);
+        let near_us = micros(self.settings.region_trip);
+        let far_us = micros(self.settings.far_trip);
         for (region, spec) in &config.regions {
-            let trip = if Some(region) == own_region {
-                near
+            let round_trip_us = if Some(region) == own_region {
+                near_us
             } else {
-                far
+                far_us
             };
             for zone in spec.zones.iter().filter(|zone| Some(*zone) != own.as_ref()) {
-                self.zones.insert(zone.clone(), trip);
+                self.zones.insert(zone.clone(), round_trip_us);
             }
         }
     }
@@ -132,26 +136,26 @@
     /// Applies an agent's full status. Stale parts are ignored and counted.
     pub fn on_status(&mut self, status: &EndpointStatus, now: ClockTime) -> EndpointIndex {
         let index = self.intern(&status.endpoint, &status.pool, &status.zone);
-        if self.check_boot(index, status.pulse.boot, now) == BootCheck::Former {
+        if self.check_boot(index, status.pulse.boot, now) == BootCheck::Previous {
             self.stale_dropped += 1;
             return index;
         }
-        if self.rows[index.place()].gone {
-            self.relist(index, |row| row.gone = false);
+        if self.rows[index.place()].is_gone {
+            self.update_row(index, |row| row.is_gone = false);
         }
         let row = &self.rows[index.place()];
-        let news = row
+        let is_newer = row
             .ready_sequence
             .is_none_or(|known| known < status.ready_sequence);
-        if news {
+        if is_newer {
             let goals = self.intern_goals(&status.pool, &status.ready);
-            self.relist(index, |row| {
+            self.update_row(index, |row| {
                 row.goals = goals;
                 row.ready_sequence = Some(status.ready_sequence);
             });
         }
-        self.take_pulse(index, &status.pulse, now);
-        if self.leaving.swap_remove(&status.endpoint) {
+        self.apply_pulse(index, &status.pulse, now);
+        if self.unknown_leaving.swap_remove(&status.endpoint) {
             self.mark_leaving(index);
         }
         index
@@ -160,69 +164,69 @@
     /// Applies a pulse of a known endpoint. A stale one is ignored and counted.
     pub fn on_pulse(&mut self, index: EndpointIndex, pulse: &AgentPulse, now: ClockTime) {
         match self.check_boot(index, pulse.boot, now) {
-            BootCheck::Former => self.stale_dropped += 1,
-            BootCheck::Present | BootCheck::New => self.take_pulse(index, pulse, now),
+            BootCheck::Previous => self.stale_dropped += 1,
+            BootCheck::Current | BootCheck::New => self.apply_pulse(index, pulse, now),
         }
     }
 
     /// Applies a load report, which lags behind the actual load, as the prior of the predicted
     /// wait.
     pub fn on_report(&mut self, index: EndpointIndex, report: &LoadReport) {
-        self.rows[index.place()].take_report(report);
+        self.rows[index.place()].apply_report(report);
     }
 
     /// Marks an endpoint as leaving. It gets no new work until its agent restarts or
     /// [`Self::clear_leaving`] is called.
     pub fn mark_leaving(&mut self, index: EndpointIndex) {
-        self.relist(index, |row| row.leaving = true);
+        self.update_row(index, |row| row.is_leaving = true);
     }
 
     /// Withdraws the mark that an endpoint is leaving.
     pub fn clear_leaving(&mut self, index: EndpointIndex) {
-        self.relist(index, |row| row.leaving = false);
+        self.update_row(index, |row| row.is_leaving = false);
     }
 
     /// Records that an unknown endpoint is leaving, to mark it when it becomes known.
     ///
     /// The list of VMs and an agent's status arrive on different paths, and the mark may arrive
     /// first. If it were lost, the endpoint would get new work until it refuses an attempt.
-    pub fn expect_leaving(&mut self, name: &EndpointName) {
-        if self.leaving.len() < MOST_EXPECTED {
-            self.leaving.insert(name.clone());
+    pub fn mark_unknown_leaving(&mut self, name: &EndpointName) {
+        if self.unknown_leaving.len() < MAX_UNKNOWN_LEAVING {
+            self.unknown_leaving.insert(name.clone());
         }
     }
 
     /// Withdraws the record that an unknown endpoint is leaving.
-    pub fn unexpect_leaving(&mut self, name: &EndpointName) {
-        self.leaving.swap_remove(name);
+    pub fn clear_unknown_leaving(&mut self, name: &EndpointName) {
+        self.unknown_leaving.swap_remove(name);
     }
 
     /// Records that an agent accepts no new work, until a newer pulse says otherwise.
     pub fn close(&mut self, index: EndpointIndex) {
-        self.relist(index, EndpointRow::close);
+        self.update_row(index, EndpointRow::close);
     }
 
     /// Marks an endpoint as gone, until a status of it arrives.
     pub fn forget(&mut self, index: EndpointIndex) {
-        self.relist(index, |row| row.gone = true);
+        self.update_row(index, |row| row.is_gone = true);
     }
 
     /// Removes a goal from an endpoint that lacks its weights, whatever its last status said.
-    pub fn drop_goal(&mut self, index: EndpointIndex, goal: GoalIndex) {
-        self.relist(index, |row| row.goals.retain(|other| *other != goal));
+    pub fn remove_goal(&mut self, index: EndpointIndex, goal: GoalIndex) {
+        self.update_row(index, |row| row.goals.retain(|other| *other != goal));
     }
 
     /// Ejects an endpoint from those of its goals that have enough other replicas, or reinstates
     /// it.
     pub fn set_ejected(&mut self, index: EndpointIndex, ejected: bool) {
-        self.relist(index, |row| row.faulty = ejected);
+        self.update_row(index, |row| row.is_faulty = ejected);
     }
 
     /// Returns whether any of the endpoint's goals has enough other replicas to eject it.
     #[must_use]
     pub fn may_eject(&self, index: EndpointIndex) -> bool {
         let mut lists = self.lists_of(index);
-        lists.any(CandidateList::has_room)
+        lists.any(CandidateList::may_eject_more)
     }
 
     /// Returns whether the endpoint is ejected from any of its goals.
@@ -233,14 +237,14 @@
     }
 
     /// Records that an attempt with `tokens` uncached prompt tokens was sent to the endpoint.
-    pub fn note_sent(&mut self, index: EndpointIndex, tokens: u32, now: ClockTime) {
-        self.rows[index.place()].note_sent(tokens, now);
+    pub fn record_sent(&mut self, index: EndpointIndex, tokens: u32, now: ClockTime) {
+        self.rows[index.place()].record_sent(tokens, now);
     }
 
     /// Records that an attempt at the endpoint is over. `run_time` is set if its answer was
     /// complete.
-    pub fn note_done(&mut self, index: EndpointIndex, took: Option<Duration>) {
-        self.rows[index.place()].note_done(took.map(micros));
+    pub fn record_finished(&mut self, index: EndpointIndex, run_time: Option<Duration>) {
+        self.rows[index.place()].record_finished(run_time.map(micros));
     }
 
     /// Returns the predicted times of an attempt sent now, including the network.
@@ -253,8 +257,8 @@
     ) -> AttemptPrediction {
         let row = &self.rows[index.place()];
         let mut prediction = row.predict(size, &self.settings, now);
-        let trip = self.zones[row.zone.place()];
-        prediction.total_us = prediction.total_us.saturating_add(trip);
+        let round_trip_us = self.zones[row.zone.place()];
+        prediction.total_us = prediction.total_us.saturating_add(round_trip_us);
         prediction
     }
 
@@ -267,7 +271,7 @@
     /// Returns the index of a goal, or `None` if no endpoint ever served it.
     #[must_use]
     pub fn find_goal(&self, goal: &RequestGoal) -> Option<GoalIndex> {
-        self.goals.get_index_of(goal).map(GoalIndex::of_place)
+        self.goals.get_index_of(goal).map(GoalIndex::from_usize)
     }
 
     /// Returns the row of an endpoint.
@@ -309,23 +313,23 @@
     fn check_boot(&mut self, index: EndpointIndex, boot: BootId, now: ClockTime) -> BootCheck {
         let check = self.rows[index.place()].check_boot(boot, now);
         if check == BootCheck::New {
-            self.relist(index, |row| row.adopt_boot(boot, now));
+            self.update_row(index, |row| row.adopt_boot(boot, now));
         }
         check
     }
 
-    fn take_pulse(&mut self, index: EndpointIndex, pulse: &AgentPulse, now: ClockTime) {
+    fn apply_pulse(&mut self, index: EndpointIndex, pulse: &AgentPulse, now: ClockTime) {
         let row = &mut self.rows[index.place()];
-        if !row.is_news(pulse) {
+        if !row.is_newer(pulse) {
             self.stale_dropped += 1;
             return;
         }
-        let trip = self.zones[row.zone.place()];
+        let round_trip_us = self.zones[row.zone.place()];
         let known = row.pulse().map(|known| known.accepting);
         if known == Some(pulse.accepting) {
-            row.take_pulse(pulse, trip, now);
+            row.apply_pulse(pulse, round_trip_us, now);
         } else {
-            self.relist(index, |row| row.take_pulse(pulse, trip, now));
+            self.update_row(index, |row| row.apply_pulse(pulse, round_trip_us, now));
         }
     }
 
@@ -333,11 +337,11 @@
         if let Some(index) = self.find(name) {
             return index;
         }
-        let index = EndpointIndex::of_place(self.rows.len());
-        let far = micros(self.settings.far_trip);
+        let index = EndpointIndex::from_usize(self.rows.len());
+        let far_us = micros(self.settings.far_trip);
         let zone_entry = self.zones.entry(zone.clone());
-        let zone_index = ZoneIndex::of_place(zone_entry.index());
-        zone_entry.or_insert(far);
+        let zone_index = ZoneIndex::from_usize(zone_entry.index());
+        zone_entry.or_insert(far_us);
         self.by_name.insert(name.clone(), index);
         self.rows
             .push(EndpointRow::new(name.clone(), pool.clone(), zone_index));
@@ -364,7 +368,7 @@
         let service = RequestGoal::Service { pool: pool.clone() };
         let mut goals: SmallVec<[GoalIndex; 8]> = models
             .chain([service])
-            .map(|goal| GoalIndex::of_place(self.goals.insert_full(goal).0))
+            .map(|goal| GoalIndex::from_usize(self.goals.insert_full(goal).0))
             .collect();
         let percent = self.ejected_percent;
         self.lists
@@ -375,10 +379,14 @@
     }
 
     /// Changes a row, and updates the lists of its goals accordingly.
-    fn relist<T>(&mut self, index: EndpointIndex, change: impl FnOnce(&mut EndpointRow) -> T) -> T {
-        self.each_list(index, CandidateList::remove);
+    fn update_row<T>(
+        &mut self,
+        index: EndpointIndex,
+        change: impl FnOnce(&mut EndpointRow) -> T,
+    ) -> T {
+        self.for_each_list(index, CandidateList::remove);
         let value = change(&mut self.rows[index.place()]);
-        self.each_list(index, CandidateList::add);
+        self.for_each_list(index, CandidateList::add);
         value
     }
 
@@ -387,7 +395,7 @@
         goals.map(|goal| &self.lists[goal.place()])
     }
 
-    fn each_list(
+    fn for_each_list(
         &mut self,
         index: EndpointIndex,
         step: fn(&mut CandidateList, EndpointIndex, ZoneIndex, ListingState),
--- a/crates/oatpier-policy/src/table/row.rs
+++ b/crates/oatpier-policy/src/table/row.rs
@@ -15,26 +15,26 @@
 use crate::units::{micros, scale};
 
 /// Upper bound on this entry's attempts that are remembered as not yet reflected in a pulse.
-const UNSEEN_BOUND: usize = 64;
+const MAX_UNREPORTED_ATTEMPTS: usize = 64;
 
 /// Number of previous incarnations of an agent that are remembered, so that their late pulses are
 /// ignored.
-const FORMER_BOUND: usize = 4;
+const MAX_PREVIOUS_BOOTS: usize = 4;
 
 /// Time for which messages of a previous incarnation may still arrive.
-const FORMER_HOLD: Duration = Duration::from_secs(5);
+const PREVIOUS_BOOT_TTL: Duration = Duration::from_secs(5);
 
 /// Divisor of the weight of a new value in the exponential moving average.
-const MEAN_WEIGHT: u64 = 8;
+const MEAN_DIVISOR: u64 = 8;
 
 #[derive(Debug, Clone, Copy)]
-struct UnseenAttempt {
+struct UnreportedAttempt {
     sent_at: ClockTime,
     tokens: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct FormerBoot {
+struct PreviousBoot {
     boot: BootId,
     replaced_at: ClockTime,
 }
@@ -50,18 +50,18 @@
     pub zone: ZoneIndex,
     pub(super) goals: SmallVec<[GoalIndex; 8]>,
     pub(super) ready_sequence: Option<u64>,
-    pub(super) leaving: bool,
-    pub(super) faulty: bool,
-    pub(super) gone: bool,
+    pub(super) is_leaving: bool,
+    pub(super) is_faulty: bool,
+    pub(super) is_gone: bool,
     boot: Option<BootId>,
-    former: SmallVec<[FormerBoot; FORMER_BOUND]>,
+    previous_boots: SmallVec<[PreviousBoot; MAX_PREVIOUS_BOOTS]>,
     pulse: Option<AgentPulse>,
     pulse_at: ClockTime,
     wait_us: u64,
-    prior_us: u64,
-    run_us: u64,
-    unseen: SmallVec<[UnseenAttempt; 8]>,
-    unseen_tokens: u64,
+    prior_wait_us: u64,
+    mean_run_us: u64,
+    unreported: SmallVec<[UnreportedAttempt; 8]>,
+    unreported_tokens: u64,
     in_flight: u32,
 }
 
@@ -73,18 +73,18 @@
             zone,
             goals: SmallVec::new(),
             ready_sequence: None,
-            leaving: false,
-            faulty: false,
-            gone: false,
+            is_leaving: false,
+            is_faulty: false,
+            is_gone: false,
             boot: None,
-            former: SmallVec::new(),
+            previous_boots: SmallVec::new(),
             pulse: None,
             pulse_at: ClockTime::ZERO,
             wait_us: 0,
-            prior_us: 0,
-            run_us: 0,
-            unseen: SmallVec::new(),
-            unseen_tokens: 0,
+            prior_wait_us: 0,
+            mean_run_us: 0,
+            unreported: SmallVec::new(),
+            unreported_tokens: 0,
             in_flight: 0,
         }
     }
@@ -115,7 +115,7 @@
 
     pub(super) fn listing(&self) -> ListingState {
         let accepting = self.pulse.is_some_and(|pulse| pulse.accepting);
-        match (self.leaving || self.gone, self.faulty, accepting) {
+        match (self.is_leaving || self.is_gone, self.is_faulty, accepting) {
             (true, _, _) => ListingState::Absent,
             (false, true, accepting) => ListingState::Faulty { accepting },
             (false, false, true) => ListingState::Open,
@@ -131,13 +131,13 @@
     /// is taken for a previous one by mistake, and its later messages must be accepted again.
     pub(super) fn check_boot(&self, boot: BootId, now: ClockTime) -> BootCheck {
         if self.boot == Some(boot) {
-            return BootCheck::Present;
+            return BootCheck::Current;
         }
-        let is_former = |former: &FormerBoot| {
-            former.boot == boot && now.since(former.replaced_at) < FORMER_HOLD
+        let is_previous = |previous: &PreviousBoot| {
+            previous.boot == boot && now.since(previous.replaced_at) < PREVIOUS_BOOT_TTL
         };
-        if self.former.iter().any(is_former) {
-            return BootCheck::Former;
+        if self.previous_boots.iter().any(is_previous) {
+            return BootCheck::Previous;
         }
         BootCheck::New
     }
@@ -145,35 +145,35 @@
     /// Switches to a new incarnation of the agent and discards the state reported by the previous
     /// one.
     pub(super) fn adopt_boot(&mut self, boot: BootId, now: ClockTime) {
-        self.former.retain(|former| former.boot != boot);
-        if let Some(former) = self.boot.replace(boot) {
-            self.former.truncate(FORMER_BOUND - 1);
+        self.previous_boots.retain(|previous| previous.boot != boot);
+        if let Some(previous) = self.boot.replace(boot) {
+            self.previous_boots.truncate(MAX_PREVIOUS_BOOTS - 1);
             let replaced_at = now;
-            self.former.insert(
+            self.previous_boots.insert(
                 0,
-                FormerBoot {
-                    boot: former,
+                PreviousBoot {
+                    boot: previous,
                     replaced_at,
                 },
             );
         }
         self.pulse = None;
         self.ready_sequence = None;
-        self.leaving = false;
+        self.is_leaving = false;
     }
 
     /// Returns whether a pulse is newer than the last one.
-    pub(super) fn is_news(&self, pulse: &AgentPulse) -> bool {
+    pub(super) fn is_newer(&self, pulse: &AgentPulse) -> bool {
         self.pulse
             .is_none_or(|known| known.sequence < pulse.sequence)
     }
 
-    pub(super) fn take_pulse(&mut self, pulse: &AgentPulse, trip_us: u64, now: ClockTime) {
+    pub(super) fn apply_pulse(&mut self, pulse: &AgentPulse, round_trip_us: u64, now: ClockTime) {
         self.wait_us = micros(pulse.wait);
-        self.prior_us = running_mean(self.prior_us, self.wait_us);
+        self.prior_wait_us = moving_mean(self.prior_wait_us, self.wait_us);
         self.pulse = Some(*pulse);
         self.pulse_at = now;
-        self.drop_seen(trip_us, now);
+        self.drop_reported(round_trip_us, now);
     }
 
     pub(super) fn close(&mut self) {
@@ -182,30 +182,30 @@
         }
     }
 
-    pub(super) fn take_report(&mut self, report: &LoadReport) {
-        let token_ns = self.token_ns(0);
-        let reading = u64::from(report.waiting_tokens).saturating_mul(token_ns) / 1_000;
-        let queueing = self.slot_wait_us(u64::from(report.waiting));
-        self.prior_us = reading.saturating_add(queueing);
+    pub(super) fn apply_report(&mut self, report: &LoadReport) {
+        let prompt_token_ns = self.prompt_token_ns_or(0);
+        let prefill = u64::from(report.waiting_tokens).saturating_mul(prompt_token_ns) / 1_000;
+        let slot_wait = self.slot_wait_us(u64::from(report.waiting));
+        self.prior_wait_us = prefill.saturating_add(slot_wait);
     }
 
-    pub(super) fn note_sent(&mut self, tokens: u32, now: ClockTime) {
+    pub(super) fn record_sent(&mut self, tokens: u32, now: ClockTime) {
         self.in_flight += 1;
-        if self.unseen.len() == UNSEEN_BOUND {
-            let oldest = self.unseen.remove(0);
-            self.unseen_tokens -= u64::from(oldest.tokens);
+        if self.unreported.len() == MAX_UNREPORTED_ATTEMPTS {
+            let oldest = self.unreported.remove(0);
+            self.unreported_tokens -= u64::from(oldest.tokens);
         }
-        self.unseen_tokens += u64::from(tokens);
-        self.unseen.push(UnseenAttempt {
+        self.unreported_tokens += u64::from(tokens);
+        self.unreported.push(UnreportedAttempt {
             sent_at: now,
             tokens,
         });
     }
 
-    pub(super) fn note_done(&mut self, took_us: Option<u64>) {
+    pub(super) fn record_finished(&mut self, run_time_us: Option<u64>) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if let Some(took) = took_us {
-            self.run_us = running_mean(self.run_us, took);
+        if let Some(run_time) = run_time_us {
+            self.mean_run_us = moving_mean(self.mean_run_us, run_time);
         }
     }
 
@@ -216,28 +216,32 @@
         settings: &TableSettings,
         now: ClockTime,
     ) -> AttemptPrediction {
-        let token_ns = self.token_ns(settings.prompt_token_ns);
-        let read_us = |tokens: u64| tokens.saturating_mul(token_ns) / 1_000;
-        let unseen = self.unseen.len() as u64;
+        let prompt_token_ns = self.prompt_token_ns_or(settings.prompt_token_ns);
+        let prefill_us = |tokens: u64| tokens.saturating_mul(prompt_token_ns) / 1_000;
+        let unreported = self.unreported.len() as u64;
         let queue_us = self
             .aged_wait_us(settings, now)
-            .saturating_add(self.slot_wait_us(unseen.saturating_sub(self.free_slots())))
-            .saturating_add(read_us(self.unseen_tokens));
+            .saturating_add(self.slot_wait_us(unreported.saturating_sub(self.free_slots())))
+            .saturating_add(prefill_us(self.unreported_tokens));
         let step_us = self.pulse.map_or(0, |pulse| u64::from(pulse.step_us));
-        let run_us = if size.whole { self.run_us } else { step_us };
-        let told_speed = self.pulse.is_some_and(|pulse| pulse.prompt_token_ns > 0);
-        let informed = if size.whole {
-            self.run_us > 0
+        let run_us = if size.whole {
+            self.mean_run_us
         } else {
-            told_speed
+            step_us
+        };
+        let has_prefill_speed = self.pulse.is_some_and(|pulse| pulse.prompt_token_ns > 0);
+        let is_speed_known = if size.whole {
+            self.mean_run_us > 0
+        } else {
+            has_prefill_speed
         };
         let total_us = queue_us
-            .saturating_add(read_us(u64::from(size.tokens_to_read)))
+            .saturating_add(prefill_us(u64::from(size.uncached_tokens)))
             .saturating_add(run_us);
         AttemptPrediction {
             queue_us,
             total_us,
-            informed,
+            is_speed_known,
         }
     }
 
@@ -247,7 +251,7 @@
         let age = micros(now.since(self.pulse_at));
         let all = half_life.saturating_add(age);
         let fresh = scale(self.wait_us, half_life, all);
-        let prior = scale(self.prior_us, all - half_life, all);
+        let prior = scale(self.prior_wait_us, all - half_life, all);
         fresh.saturating_add(prior)
     }
 
@@ -261,10 +265,10 @@
     /// Returns the time until `queued` attempts ahead have got a slot.
     fn slot_wait_us(&self, queued: u64) -> u64 {
         let slots = self.pulse.map_or(1, |pulse| u64::from(pulse.slots.max(1)));
-        queued.saturating_mul(self.run_us) / slots
+        queued.saturating_mul(self.mean_run_us) / slots
     }
 
-    fn token_ns(&self, fallback: u32) -> u64 {
+    fn prompt_token_ns_or(&self, fallback: u32) -> u64 {
         let known = self.pulse.map_or(0, |pulse| pulse.prompt_token_ns);
         u64::from(if known == 0 { fallback } else { known })
     }
@@ -272,11 +276,11 @@
     /// Drops the attempts that the pulse just received reflects, which were sent at least a round
     /// trip ago. Younger ones may have crossed the pulse in transit, and dropping them would leave
     /// them uncounted just as they arrive.
-    fn drop_seen(&mut self, trip_us: u64, now: ClockTime) {
-        self.unseen
-            .retain(|attempt| micros(now.since(attempt.sent_at)) < trip_us);
-        self.unseen_tokens = self
-            .unseen
+    fn drop_reported(&mut self, round_trip_us: u64, now: ClockTime) {
+        self.unreported
+            .retain(|attempt| micros(now.since(attempt.sent_at)) < round_trip_us);
+        self.unreported_tokens = self
+            .unreported
             .iter()
             .map(|attempt| u64::from(attempt.tokens))
             .sum();
@@ -287,7 +291,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptSize {
     /// Prompt tokens that are not expected in the endpoint's prefix cache.
-    pub tokens_to_read: u32,
+    pub uncached_tokens: u32,
     /// Whether the target applies to the whole answer instead of its first token.
     pub whole: bool,
 }
@@ -300,20 +304,20 @@
     /// Time until the first token or the whole answer, as the size requires.
     pub total_us: u64,
     /// Whether the endpoint's speed is known.
-    pub informed: bool,
+    pub is_speed_known: bool,
 }
 
 /// Result of comparing a message's boot id with the known ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BootCheck {
-    Present,
+    Current,
     New,
-    Former,
+    Previous,
 }
 
-fn running_mean(mean: u64, value: u64) -> u64 {
+fn moving_mean(mean: u64, value: u64) -> u64 {
     if mean == 0 {
         return value;
     }
-    (mean.saturating_mul(MEAN_WEIGHT - 1)).saturating_add(value) / MEAN_WEIGHT
+    (mean.saturating_mul(MEAN_DIVISOR - 1)).saturating_add(value) / MEAN_DIVISOR
 }
--- a/crates/oatpier-policy/tests/testsuite/attainment.rs
+++ b/crates/oatpier-policy/tests/testsuite/attainment.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oatpier_policy::attainment::AttainmentLedger;
+use oatpier_policy::attainment::AttainmentTracker;
 use oatpier_policy::entry::settings::AttainmentSettings;
 use oatpier_policy::event::EntryEvent;
 use oatpier_policy::index::ClassIndex;
@@ -12,35 +12,38 @@
 
 const CLASS: ClassIndex = ClassIndex(0);
 
-fn ledger() -> AttainmentLedger {
-    let mut ledger = AttainmentLedger::new(AttainmentSettings {
+fn tracker() -> AttainmentTracker {
+    let mut tracker = AttainmentTracker::new(AttainmentSettings {
         window: Duration::from_secs(12),
     });
-    ledger.set_target(CLASS, 900_000);
-    ledger
+    tracker.set_target(CLASS, 900_000);
+    tracker
 }
 
 #[test]
 fn a_class_below_its_target_has_need() {
-    let mut ledger = ledger();
-    assert!(!ledger.has_need(CLASS, at(0)), "nothing is known yet");
+    let mut tracker = tracker();
+    assert!(
+        !tracker.is_below_target(CLASS, at(0)),
+        "nothing is known yet"
+    );
     for number in 0..10 {
-        ledger.record(CLASS, number >= 2, at(0));
+        tracker.record(CLASS, number >= 2, at(0));
     }
-    assert_eq!(ledger.share_ppm(CLASS, at(0)), Some(800_000));
-    assert!(ledger.has_need(CLASS, at(0)));
-    assert!(ledger.any_need(at(0)));
+    assert_eq!(tracker.share_ppm(CLASS, at(0)), Some(800_000));
+    assert!(tracker.is_below_target(CLASS, at(0)));
+    assert!(tracker.is_any_below_target(at(0)));
 }
 
 #[test]
 fn what_left_the_window_no_longer_counts() {
-    let mut ledger = ledger();
-    ledger.record(CLASS, false, at(0));
-    ledger.record(CLASS, true, at(6_000));
-    assert_eq!(ledger.share_ppm(CLASS, at(6_000)), Some(500_000));
-    assert_eq!(ledger.share_ppm(CLASS, at(13_000)), Some(1_000_000));
-    assert_eq!(ledger.share_ppm(CLASS, at(60_000)), None);
-    assert_eq!(ledger.totals(CLASS).ended, 2);
+    let mut tracker = tracker();
+    tracker.record(CLASS, false, at(0));
+    tracker.record(CLASS, true, at(6_000));
+    assert_eq!(tracker.share_ppm(CLASS, at(6_000)), Some(500_000));
+    assert_eq!(tracker.share_ppm(CLASS, at(13_000)), Some(1_000_000));
+    assert_eq!(tracker.share_ppm(CLASS, at(60_000)), None);
+    assert_eq!(tracker.totals(CLASS).ended, 2);
 }
 
 fn share_after(
--- a/crates/oatpier-policy/tests/testsuite/health.rs
+++ b/crates/oatpier-policy/tests/testsuite/health.rs
@@ -153,7 +153,7 @@
 fn silence_follows_what_first_frames_take() {
     let mut policy = policy(1, 0, 4);
     let predicted = Duration::from_millis(100);
-    let before = policy.health().silence_after(predicted);
+    let before = policy.health().silence_timeout(predicted);
     for number in 0..1_024 {
         let actions = policy.start(draft(number), at(0));
         let attempt = sent(&actions).expect("an attempt").1.attempt;
@@ -171,7 +171,7 @@
     }
     assert_eq!(before, Duration::from_millis(400));
     assert_eq!(
-        policy.health().silence_after(predicted),
+        policy.health().silence_timeout(predicted),
         Duration::from_millis(200)
     );
 }
--- a/crates/oatpier-policy/tests/testsuite/limits.rs
+++ b/crates/oatpier-policy/tests/testsuite/limits.rs
@@ -5,7 +5,7 @@
 use oatpier_policy::entry::EntrySettings;
 use oatpier_policy::event::EntryEvent;
 use oatpier_policy::index::ClassIndex;
-use oatpier_policy::limit::{ClassStanding, EntryLimiter, LimitSettings};
+use oatpier_policy::limit::{ClassStatus, EntryLimiter, LimitSettings};
 use oatpier_policy::retry::{RetryBudget, RetrySettings};
 use oatpier_types::ids::RequestId;
 use oatpier_types::names::CallerName;
@@ -26,7 +26,7 @@
 fn admitted(limiter: &mut EntryLimiter, caller: &CallerName, tries: u32) -> usize {
     let tries = 0..tries;
     tries
-        .filter(|_| limiter.admit(caller, ClassStanding::Level).is_ok())
+        .filter(|_| limiter.admit(caller, ClassStatus::Balanced).is_ok())
         .count()
 }
 
@@ -57,11 +57,11 @@
 fn a_class_with_slack_gives_way_near_the_bound() {
     let mut limiter = limiter(100);
     for number in 0..85 {
-        assert!(limiter.admit(&caller(number), ClassStanding::Slack).is_ok());
+        assert!(limiter.admit(&caller(number), ClassStatus::Slack).is_ok());
     }
-    assert!(limiter.admit(&caller(90), ClassStanding::Slack).is_err());
-    assert!(limiter.admit(&caller(90), ClassStanding::Need).is_ok());
-    assert!(limiter.admit(&caller(91), ClassStanding::Level).is_ok());
+    assert!(limiter.admit(&caller(90), ClassStatus::Slack).is_err());
+    assert!(limiter.admit(&caller(90), ClassStatus::BelowTarget).is_ok());
+    assert!(limiter.admit(&caller(91), ClassStatus::Balanced).is_ok());
 }
 
 #[test]
@@ -74,7 +74,7 @@
     }
     admitted(&mut limiter, &caller(1), 1);
     let waits: Vec<Duration> = (0..20)
-        .filter_map(|_| limiter.admit(&caller(2), ClassStanding::Level).err())
+        .filter_map(|_| limiter.admit(&caller(2), ClassStatus::Balanced).err())
         .filter_map(|refusal| refusal.retry_after)
         .collect();
     assert_eq!(waits.len(), 20);
@@ -106,7 +106,7 @@
     let taken = (0..10).filter(|_| budget.take(class)).count();
     assert_eq!(taken, 3);
     for _ in 0..10 {
-        budget.note_success(class);
+        budget.record_success(class);
     }
     let taken = (0..10).filter(|_| budget.take(class)).count();
     assert_eq!(taken, 2);
--- a/crates/oatpier-policy/tests/testsuite/table.rs
+++ b/crates/oatpier-policy/tests/testsuite/table.rs
@@ -10,7 +10,7 @@
 use crate::support::{ZONES, at, model_goal, name, policy, pulse, status, weights};
 
 const SIZE: AttemptSize = AttemptSize {
-    tokens_to_read: 0,
+    uncached_tokens: 0,
     whole: false,
 };
 
@@ -20,7 +20,7 @@
 
 fn open_count(table: &EndpointTable, goal: &RequestGoal) -> usize {
     let goal = table.find_goal(goal);
-    goal.map_or(0, |goal| table.candidates(goal).open())
+    goal.map_or(0, |goal| table.candidates(goal).open_count())
 }
 
 #[test]
@@ -140,7 +140,7 @@
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
     let idle = predicted(&table, at(1));
-    table.note_sent(index, 5_000, at(1));
+    table.record_sent(index, 5_000, at(1));
     assert_eq!(predicted(&table, at(1)), idle + Duration::from_millis(100));
     table.on_pulse(index, &pulse(1, 2, 0), at(1));
     assert!(
