--- a/crates/oatpier-policy/tests/testsuite/attainment.rs
+++ b/crates/oatpier-policy/tests/testsuite/attainment.rs
@@ -1,4 +1,4 @@
-//! The attained share of each class.
+//! Tests of the attained share of each class.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use oatpier_policy::index::ClassIndex;
 use oatpier_types::ids::RequestId;
 
-use crate::support::{at, begin, draft, ended, name, policy};
+use crate::support::{at, ended, name, policy, start_and_send, stream_request};
 
 const CLASS: ClassIndex = ClassIndex(0);
 
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn a_class_below_its_target_has_need() {
+fn a_class_with_a_low_share_is_below_its_target() {
     let mut tracker = tracker();
     assert!(
         !tracker.is_below_target(CLASS, at(0)),
-        "nothing is known yet"
+        "no request has ended yet"
     );
     for number in 0..10 {
         tracker.record(CLASS, number >= 2, at(0));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn what_left_the_window_no_longer_counts() {
+fn requests_outside_the_window_do_not_count() {
     let mut tracker = tracker();
     tracker.record(CLASS, false, at(0));
     tracker.record(CLASS, true, at(6_000));
@@ -50,7 +50,7 @@
     events: impl Fn(oatpier_types::ids::AttemptId) -> Vec<(EntryEvent, u64)>,
 ) -> Option<u64> {
     let mut policy = policy(3, 0, 1);
-    let (attempt, _) = begin(&mut policy, draft(1));
+    let (attempt, _) = start_and_send(&mut policy, stream_request(1));
     for (event, millis) in events(attempt) {
         policy.handle(RequestId(1), &event, at(millis));
     }
@@ -58,9 +58,10 @@
     policy.ledger().share_ppm(class, at(10_000))
 }
 
-/// A stream is in time only if its first token was, and the rest kept the pace on average.
+/// A stream is in time only if its first token is, and the following tokens keep the target rate on
+/// average.
 #[test]
-fn a_stream_is_judged_by_first_token_and_pace() {
+fn a_stream_must_meet_the_first_token_and_rate_targets() {
     let piece = |attempt, tokens| EntryEvent::Piece { attempt, tokens };
     let kept = share_after(|attempt| {
         vec![
@@ -81,6 +82,6 @@
 }
 
 #[test]
-fn a_caller_that_went_away_says_nothing_of_the_class() {
+fn a_disconnected_caller_does_not_count() {
     assert_eq!(share_after(|_| vec![(EntryEvent::CallerGone, 10)]), None);
 }
--- a/crates/oatpier-policy/tests/testsuite/fault_grid.rs
+++ b/crates/oatpier-policy/tests/testsuite/fault_grid.rs
@@ -1,4 +1,4 @@
-//! Every fault at every step of a request, as one reviewed table of what the entry does.
+//! Snapshot test of the entry's reaction to every fault at every step of a request.
 
 use std::fmt::Write;
 
@@ -10,12 +10,13 @@
 use oatpier_types::verdict::RunVerdict;
 
 use crate::support::{
-    at, change, draft, ended, fetch, fire, first_frame, policy, refused, sent_attempt,
+    at, at_most_once_call, ended, fire_due, first_frame, idempotent_call, policy, refused,
+    sent_attempt, stream_request,
 };
 
 const REQUEST: RequestId = RequestId(1);
 
-/// How far a request has come when the fault strikes.
+/// The step that a request has reached when the fault occurs.
 #[derive(Debug, Clone, Copy)]
 enum FaultStep {
     Claiming,
@@ -33,7 +34,7 @@
     FaultStep::Piece,
 ];
 
-fn brought_to(step: FaultStep, intake: RequestIntake) -> Option<(EntryPolicy, AttemptId)> {
+fn policy_at_step(step: FaultStep, intake: RequestIntake) -> Option<(EntryPolicy, AttemptId)> {
     let mut policy = policy(6, 3, 5);
     let mut actions = policy.start(intake, at(0));
     let claims = matches!(actions.first(), Some(EntryAction::Claim { .. }));
@@ -46,7 +47,7 @@
     let attempt = sent_attempt(&actions);
     if matches!(step, FaultStep::Silent) {
         let due = policy.next_timer().expect("a silence timer");
-        fire(&mut policy, due);
+        fire_due(&mut policy, due);
     }
     if matches!(step, FaultStep::Head | FaultStep::Piece) {
         policy.handle(REQUEST, &first_frame(attempt), at(10));
@@ -136,42 +137,43 @@
 }
 
 fn timer_rows(step: FaultStep, intake: &RequestIntake, grid: &mut String) {
-    let Some((mut policy, _)) = brought_to(step, intake.clone()) else {
+    let Some((mut policy, _)) = policy_at_step(step, intake.clone()) else {
         return;
     };
     let mut outcome = Vec::new();
     while let Some(due) = policy.next_timer() {
-        let actions = fire(&mut policy, due);
+        let actions = fire_due(&mut policy, due);
         if !actions.is_empty() {
             let after = due.since(at(0)).as_millis();
             outcome.push(format!("{after} ms: {}", describe_all(&actions)));
         }
     }
     let line = outcome.join("; ");
-    writeln!(grid, "  {:<20} {line}", "nothing more").expect("a string takes it");
+    writeln!(grid, "  {:<20} {line}", "nothing more").expect("writing to a string succeeds");
 }
 
-/// A caller must get one true answer whatever strikes its request, at whatever step. The table
-/// is what the entry does at once; `nothing more` is what its timers do when no event comes.
+/// A caller must get exactly one correct answer, whatever fault occurs at whatever step. Each row
+/// lists the immediate actions of the entry; `nothing more` lists what its timers do if no event
+/// arrives.
 #[test]
 fn every_fault_at_every_step() {
     let mut grid = String::new();
     let kinds = [
-        ("stream", draft(1)),
-        ("idempotent call", fetch(1)),
-        ("at-most-once call", change(1)),
+        ("stream", stream_request(1)),
+        ("idempotent call", idempotent_call(1)),
+        ("at-most-once call", at_most_once_call(1)),
     ];
     for (kind, intake) in kinds {
         for step in FAULT_STEPS {
-            let Some((_, attempt)) = brought_to(step, intake.clone()) else {
+            let Some((_, attempt)) = policy_at_step(step, intake.clone()) else {
                 continue;
             };
-            writeln!(grid, "{kind}, {step:?}").expect("a string takes it");
+            writeln!(grid, "{kind}, {step:?}").expect("writing to a string succeeds");
             for (fault, event) in faults(attempt) {
-                let (mut policy, _) = brought_to(step, intake.clone()).expect("as before");
+                let (mut policy, _) = policy_at_step(step, intake.clone()).expect("as before");
                 let actions = policy.handle(REQUEST, &event, at(150));
                 let line = describe_all(&actions);
-                writeln!(grid, "  {fault:<20} {line}").expect("a string takes it");
+                writeln!(grid, "  {fault:<20} {line}").expect("writing to a string succeeds");
             }
             timer_rows(step, &intake, &mut grid);
         }
--- a/crates/oatpier-policy/tests/testsuite/health.rs
+++ b/crates/oatpier-policy/tests/testsuite/health.rs
@@ -1,4 +1,4 @@
-//! Ejection on evidence of the data path, and probes back.
+//! Tests of passive health checks, ejection and probes.
 
 use std::time::Duration;
 
@@ -11,24 +11,25 @@
 use oatpier_types::names::EndpointName;
 
 use crate::support::{
-    ZONES, at, draft, first_frame, model_goal, name, policy, sent, status, weights,
+    ZONES, at, first_frame, model_goal, name, policy, sent, status, stream_request, weights,
 };
 
-/// Sends `count` requests from `from` on and lets the attempts at endpoints that are `bad` fail.
+/// Sends `count` requests with numbers from `from` on, fails the attempts at endpoints that are
+/// failing, and returns the number of failures.
 fn run_requests(
     policy: &mut EntryPolicy,
     from: u128,
     count: u128,
     now: ClockTime,
-    bad: impl Fn(&EndpointName) -> bool,
+    is_failing: impl Fn(&EndpointName) -> bool,
 ) -> u32 {
     let mut failures = 0;
     for number in from..from + count {
         let request = RequestId(number);
-        let mut actions = policy.start(draft(number), now);
+        let mut actions = policy.start(stream_request(number), now);
         while let Some((endpoint, spec)) = sent(&actions) {
             let attempt = spec.attempt;
-            if bad(&endpoint) {
+            if is_failing(&endpoint) {
                 failures += 1;
                 actions = policy.handle(request, &EntryEvent::ConnectFailed { attempt }, now);
             } else {
@@ -40,12 +41,12 @@
     failures
 }
 
-fn index(policy: &EntryPolicy, endpoint: &str) -> EndpointIndex {
+fn endpoint_index(policy: &EntryPolicy, endpoint: &str) -> EndpointIndex {
     policy.table().find(&name(endpoint)).expect("known")
 }
 
-/// An endpoint's VM is gone, while the directory still lists it. After two refused connections
-/// no caller's request is spent on it.
+/// An endpoint's VM is gone while the directory still lists it. After two refused connections no
+/// further request may be sent to it.
 #[test]
 fn a_dead_endpoint_is_ejected() {
     let mut policy = policy(6, 0, 4);
@@ -53,12 +54,12 @@
         name.as_str() == "engine-0"
     });
     assert_eq!(failures, 2);
-    let dead = index(&policy, "engine-0");
+    let dead = endpoint_index(&policy, "engine-0");
     assert_eq!(policy.health().fault(dead), Some(EndpointFault::Dead));
 }
 
-/// This entry's own network fails, so that all endpoints look dead. Ejecting all of them would
-/// refuse everything for the backoff after the network is back.
+/// The entry's own network fails, so that all endpoints look dead. If all were ejected, every
+/// request would be refused until the backoff ends, even after the network has recovered.
 #[test]
 fn at_most_half_of_the_replicas_are_ejected() {
     let mut policy = policy(6, 0, 4);
@@ -66,9 +67,10 @@
     assert_eq!(policy.health().ejected().len(), 3);
 }
 
-/// Of two replicas one is ejected; then the other one leaves. The ejected one is all there is.
+/// Of two replicas one is ejected, then the other one leaves. The ejected one is the only replica
+/// left.
 #[test]
-fn the_last_replica_is_put_back() {
+fn the_last_replica_is_reinstated() {
     let mut policy = policy(2, 0, 4);
     run_requests(&mut policy, 0, 20, at(0), |name| {
         name.as_str() == "engine-0"
@@ -76,18 +78,18 @@
     assert_eq!(policy.health().ejected().len(), 1);
     policy.mark_leaving(&name("engine-1"), at(1));
     assert_eq!(policy.health().ejected().len(), 0);
-    assert!(sent(&policy.start(draft(99), at(2))).is_some());
+    assert!(sent(&policy.start(stream_request(99), at(2))).is_some());
 }
 
 #[test]
-fn probes_are_few_and_a_good_one_reinstates() {
+fn probes_follow_the_backoff_and_a_success_reinstates() {
     let mut policy = policy(6, 0, 4);
     let dead = |name: &EndpointName| name.as_str() == "engine-0";
     run_requests(&mut policy, 0, 100, at(0), dead);
     assert_eq!(
         run_requests(&mut policy, 100, 100, at(400), dead),
         0,
-        "before the backoff"
+        "the backoff has not passed"
     );
     assert_eq!(
         run_requests(&mut policy, 200, 100, at(500), dead),
@@ -108,14 +110,14 @@
     assert!(policy.health().ejected().is_empty());
 }
 
-/// Its agent and its VM answer, but the engine has stopped: connections are taken and nothing
-/// comes. Two silent attempts with no sign of life in between show it.
+/// The agent and the VM respond, but the engine has stopped: connections are accepted and nothing
+/// is sent. Two silent attempts without any response in between indicate that.
 #[test]
 fn a_frozen_endpoint_is_ejected() {
     let mut policy = policy(6, 0, 4);
     let mut fired = Vec::new();
     for number in 0..40 {
-        let actions = policy.start(draft(number), at(0));
+        let actions = policy.start(stream_request(number), at(0));
         let (endpoint, spec) = sent(&actions).expect("an attempt");
         if endpoint.as_str() != "engine-0" {
             let frame = first_frame(spec.attempt);
@@ -123,18 +125,18 @@
         }
     }
     policy.fire_timers(at(300), &mut fired);
-    let frozen = index(&policy, "engine-0");
+    let frozen = endpoint_index(&policy, "engine-0");
     assert_eq!(policy.health().fault(frozen), Some(EndpointFault::Frozen));
 }
 
-/// An endpoint that brings pieces of another answer lives, however slow it is to begin a new one:
-/// two silent attempts don't eject it as frozen.
+/// An endpoint that sends pieces of one answer is alive, however late it begins others. Two silent
+/// attempts must not eject it as frozen.
 #[test]
 fn a_slow_endpoint_is_not_taken_for_frozen() {
     let mut policy = policy(6, 0, 4);
     let mut slow = Vec::new();
     for number in 0..40 {
-        let actions = policy.start(draft(number), at(0));
+        let actions = policy.start(stream_request(number), at(0));
         let (endpoint, spec) = sent(&actions).expect("an attempt");
         if endpoint.as_str() == "engine-0" && slow.len() < 3 {
             slow.push((RequestId(number), spec.attempt));
@@ -146,16 +148,19 @@
     let (request, attempt) = slow[0];
     policy.handle(request, &EntryEvent::Piece { attempt, tokens: 1 }, at(1));
     policy.fire_timers(at(300), &mut Vec::new());
-    assert_eq!(policy.health().fault(index(&policy, "engine-0")), None);
+    assert_eq!(
+        policy.health().fault(endpoint_index(&policy, "engine-0")),
+        None
+    );
 }
 
 #[test]
-fn silence_follows_what_first_frames_take() {
+fn the_silence_timeout_follows_first_frame_times() {
     let mut policy = policy(1, 0, 4);
     let predicted = Duration::from_millis(100);
     let before = policy.health().silence_timeout(predicted);
     for number in 0..1_024 {
-        let actions = policy.start(draft(number), at(0));
+        let actions = policy.start(stream_request(number), at(0));
         let attempt = sent(&actions).expect("an attempt").1.attempt;
         policy.handle(RequestId(number), &first_frame(attempt), at(5));
         let pulse = Some(crate::support::pulse(
@@ -176,11 +181,11 @@
     );
 }
 
-/// An engine freezes that is the only replica of one model and one of two of another. Were it kept
-/// because of the former, the requests for the latter would go on waiting for it, although the
+/// An engine fails that is the only replica of one model and one of two replicas of another. If
+/// the first model kept it in use for both, requests for the second would wait for it although the
 /// other replica has room.
 #[test]
-fn a_model_with_other_replicas_does_without_a_frozen_endpoint() {
+fn a_failing_endpoint_is_ejected_only_from_goals_with_other_replicas() {
     let mut policy = policy(2, 0, 4);
     let both = [weights("hall", None), weights("seat", None)];
     let mut row = status("engine-0", "seat-llm", ZONES[0], &both);
@@ -190,13 +195,13 @@
         name.as_str() == "engine-0"
     });
     for number in 100..140 {
-        let actions = policy.start(draft(number), at(1));
+        let actions = policy.start(stream_request(number), at(1));
         let (endpoint, _) = sent(&actions).expect("an attempt");
         assert_eq!(endpoint.as_str(), "engine-1");
     }
     let only = RequestIntake {
         goal: model_goal("hall"),
-        ..draft(200)
+        ..stream_request(200)
     };
     assert!(
         sent(&policy.start(only, at(1))).is_some(),
@@ -204,38 +209,38 @@
     );
 }
 
-/// First frames took long against their predictions for a while, so the expected quantile is far
-/// beyond the target. An engine freezes. Were its attempts awaited by that quantile, they would
-/// end at their deadlines; called silent while there is time, they are answered elsewhere.
+/// First frames were slow compared with their predictions, so the expected quantile is far beyond
+/// the target. Then an engine freezes. If its attempts were awaited for that quantile, they would
+/// end at their deadlines. They must count as silent while there is time for another endpoint.
 #[test]
-fn silence_leaves_time_to_go_elsewhere() {
+fn a_silent_attempt_is_retried_before_the_deadline() {
     let mut policy = policy(3, 0, 4);
     for number in 0..1_100 {
-        let came = hear_all(&mut policy, number);
+        let arrived_at = report_idle_engines(&mut policy, number);
         let request = RequestId(u128::from(number));
-        let actions = policy.start(draft(request.0), came);
+        let actions = policy.start(stream_request(request.0), arrived_at);
         let attempt = sent(&actions).expect("an attempt").1.attempt;
-        let answered = came + Duration::from_millis(300);
+        let answered = arrived_at + Duration::from_millis(300);
         policy.handle(request, &first_frame(attempt), answered);
         policy.handle(request, &crate::support::ended(attempt), answered);
     }
-    let came = hear_all(&mut policy, 2_000);
-    let actions = policy.start(draft(2_000), came);
+    let arrived_at = report_idle_engines(&mut policy, 2_000);
+    let actions = policy.start(stream_request(2_000), arrived_at);
     assert!(sent(&actions).is_some());
     let mut fired = Vec::new();
-    let in_time = came + Duration::from_millis(250);
-    while let Some(due) = policy.next_timer().filter(|due| *due < in_time) {
+    let retry_deadline = arrived_at + Duration::from_millis(250);
+    while let Some(due) = policy.next_timer().filter(|due| *due < retry_deadline) {
         policy.fire_timers(due, &mut fired);
     }
     let resent = fired.iter().any(|(_, actions)| sent(actions).is_some());
     assert!(resent, "{fired:?}");
 }
 
-/// All three engines say that they are idle; gives when.
-fn hear_all(policy: &mut EntryPolicy, number: u64) -> ClockTime {
+/// Reports all three engines as idle and returns the time of the report.
+fn report_idle_engines(policy: &mut EntryPolicy, number: u64) -> ClockTime {
     let now = at(number * 400);
-    for place in 0..3 {
-        let engine = name(&format!("engine-{place}"));
+    for engine_number in 0..3 {
+        let engine = name(&format!("engine-{engine_number}"));
         policy.on_pulse(&engine, &crate::support::pulse(1, 2 + number, 0), now);
     }
     now
--- a/crates/oatpier-policy/tests/testsuite/limits.rs
+++ b/crates/oatpier-policy/tests/testsuite/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds: concurrent requests, fair shares, retry budgets.
+//! Tests of the bound on concurrent requests, fair shares and retry budgets.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use oatpier_types::ids::RequestId;
 use oatpier_types::names::CallerName;
 
-use crate::support::{answer, at, begin, draft, name, policy_with, sent};
+use crate::support::{answer, at, name, policy_with, sent, start_and_send, stream_request};
 
 fn limiter(bound: u32) -> EntryLimiter {
     EntryLimiter::new(LimitSettings {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_bound_holds() {
+fn requests_beyond_the_bound_are_refused() {
     let mut limiter = limiter(10);
     let total: usize = (0..20)
         .map(|number| admitted(&mut limiter, &caller(number), 1))
@@ -41,10 +41,10 @@
     assert_eq!(admitted(&mut limiter, &caller(30), 1), 1);
 }
 
-/// One caller sends a hundred requests at once, and others want one each. Without shares the one
-/// takes all places.
+/// One caller sends a hundred requests at once while others send one each. Without fair shares the
+/// one would take all slots.
 #[test]
-fn a_greedy_caller_leaves_room() {
+fn a_caller_is_limited_to_its_fair_share() {
     let mut limiter = limiter(20);
     assert_eq!(admitted(&mut limiter, &caller(1), 5), 5);
     let greedy = admitted(&mut limiter, &caller(0), 100);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_class_with_slack_gives_way_near_the_bound() {
+fn a_class_with_slack_is_refused_near_the_bound() {
     let mut limiter = limiter(100);
     for number in 0..85 {
         assert!(limiter.admit(&caller(number), ClassStatus::Slack).is_ok());
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn later_refusals_come_back_later() {
+fn the_suggested_retry_delay_grows_with_refusals() {
     let mut limiter = limiter(2);
     admitted(&mut limiter, &caller(0), 1);
     for _ in 0..50 {
@@ -87,16 +87,16 @@
     let mut settings = EntrySettings::default();
     settings.limit.bound = 1;
     let mut policy = policy_with(settings, 3, 0, 1);
-    let (attempt, _) = begin(&mut policy, draft(1));
-    let refused = answer(&policy.start(draft(2), at(1))).expect("a refusal");
+    let (attempt, _) = start_and_send(&mut policy, stream_request(1));
+    let refused = answer(&policy.start(stream_request(2), at(1))).expect("a refusal");
     assert_eq!(refused.status, 429);
     assert!(refused.retry_after.is_some());
     policy.handle(RequestId(1), &crate::support::ended(attempt), at(2));
-    assert!(sent(&policy.start(draft(3), at(3))).is_some());
+    assert!(sent(&policy.start(stream_request(3), at(3))).is_some());
 }
 
 #[test]
-fn repeats_are_a_share_of_successes() {
+fn retries_are_bounded_by_successes() {
     let mut budget = RetryBudget::new(RetrySettings {
         percent: 20,
         burst: 3,
@@ -113,14 +113,14 @@
     assert_eq!(budget.refused(), 15);
 }
 
-/// All endpoints cut every answer. If each request were sent four times, the fault would multiply
-/// the load by four just when there is least room; the budget allows a burst, then one each.
+/// All endpoints interrupt every answer. If each request were sent four times, the load would
+/// quadruple when capacity is lowest. The budget permits a burst, then one attempt per request.
 #[test]
 fn a_fault_does_not_multiply_load() {
     let mut policy = policy_with(EntrySettings::default(), 12, 0, 1);
     let mut attempts = 0_u32;
     for number in 0..500 {
-        let mut actions = policy.start(draft(number), at(0));
+        let mut actions = policy.start(stream_request(number), at(0));
         while let Some((_, spec)) = sent(&actions) {
             attempts += 1;
             let attempt = spec.attempt;
@@ -130,14 +130,14 @@
     assert!(attempts <= 500 + 20, "{attempts}");
 }
 
-/// Streams spread over four engines, and one of the engines dies. All of its streams could go on
-/// at the others, but a fixed burst of repeats ends after twenty: the rest end in an error.
+/// Streams are spread over four engines, and one of the engines dies. All of its streams could
+/// continue at the others, but a fixed burst of twenty retries would end the rest with an error.
 #[test]
-fn the_streams_of_a_dead_engine_all_go_on() {
+fn all_streams_of_a_dead_engine_are_resumed() {
     let mut policy = policy_with(EntrySettings::default(), 4, 0, 1);
     let mut streams = Vec::new();
     for number in 0..200 {
-        let actions = policy.start(draft(number), at(0));
+        let actions = policy.start(stream_request(number), at(0));
         let (endpoint, spec) = sent(&actions).expect("an attempt is sent");
         streams.push((RequestId(number), spec.attempt, endpoint));
     }
@@ -155,15 +155,15 @@
     }
 }
 
-/// Many requests are in flight when every endpoint begins to cut every answer, and it goes on.
-/// Each is repeated once at most, together: with their bound in flight all could otherwise be sent
-/// four times, at the moment with least room.
+/// Many requests are in flight when all endpoints begin to interrupt every answer. The retries must
+/// not exceed one per request in flight in total. A bound that only followed the requests in flight
+/// could send each four times when capacity is lowest.
 #[test]
-fn a_fault_of_all_repeats_what_is_in_flight_once() {
+fn a_fault_of_all_endpoints_retries_requests_in_flight_once() {
     let mut policy = policy_with(EntrySettings::default(), 12, 0, 1);
     let mut live = Vec::new();
     for number in 0..500 {
-        let actions = policy.start(draft(number), at(0));
+        let actions = policy.start(stream_request(number), at(0));
         live.push((RequestId(number), sent(&actions).expect("sent").1.attempt));
     }
     let mut repeats = 0_u32;
--- a/crates/oatpier-policy/tests/testsuite/prefix.rs
+++ b/crates/oatpier-policy/tests/testsuite/prefix.rs
@@ -1,4 +1,4 @@
-//! Who is expected to have a prompt's prefix cached.
+//! Tests of the index of expected prefix caches.
 
 use std::time::Duration;
 
@@ -43,16 +43,16 @@
 }
 
 #[test]
-fn expectations_fade() {
+fn expectations_decay_with_age() {
     let mut index = index();
     index.learn(HOLDER, &[1], at(0));
     assert_eq!(expected(&index, &[1], HOLDER, 120_000), 50);
 }
 
-/// Removal events come late. One of before the last request must not undo what that request has
-/// cached since.
+/// Removal events arrive late. A removal from before the last prompt must not undo what that prompt
+/// has cached.
 #[test]
-fn a_late_removal_does_not_undo_what_was_sent_since() {
+fn a_late_removal_keeps_recently_recorded_blocks() {
     let mut index = index();
     index.learn(HOLDER, &[1], at(0));
     index.on_event(HOLDER, &event(1, 1, false), at(500));
@@ -61,10 +61,10 @@
     assert_eq!(expected(&index, &[1], HOLDER, 2_500), 0);
 }
 
-/// Events were lost: some of them may have been removals. What was learnt before counts half;
-/// what is learnt after the gap counts whole.
+/// Lost events may include removals. Blocks recorded before the gap count half, and blocks recorded
+/// after it count fully.
 #[test]
-fn a_gap_halves_what_was_learnt_before() {
+fn a_gap_halves_the_confidence_in_earlier_blocks() {
     let mut index = index();
     index.on_event(HOLDER, &event(1, 70, true), at(0));
     index.learn(HOLDER, &[1], at(0));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn late_and_doubled_events_are_ignored() {
+fn late_and_duplicate_events_are_ignored() {
     let mut index = index();
     index.on_event(HOLDER, &event(1, 70, true), at(0));
     index.on_event(HOLDER, &event(2, 71, true), at(0));
@@ -87,7 +87,7 @@
     assert!(expected(&index, &[71], HOLDER, 5_000) > 0);
 }
 
-/// A restarted engine has an empty cache and counts from 1 again.
+/// A restarted engine has an empty cache and numbers its events from 1 again.
 #[test]
 fn a_restarted_engine_has_nothing_cached() {
     let mut index = index();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn memory_is_bounded_and_the_oldest_makes_room() {
+fn a_full_set_replaces_its_oldest_slot() {
     let mut index = PrefixIndex::new(PrefixSettings {
         blocks: 8,
         half_life: Duration::from_hours(1),
--- a/crates/oatpier-policy/tests/testsuite/properties.rs
+++ b/crates/oatpier-policy/tests/testsuite/properties.rs
@@ -1,4 +1,4 @@
-//! What holds whatever comes, in whatever order, late, doubled or contradictory.
+//! Property tests with random events: reordered, late, duplicate or contradictory.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -13,11 +13,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use crate::support::{at, change, draft, ended, fetch, first_frame, policy, refused};
+use crate::support::{
+    at, at_most_once_call, ended, first_frame, idempotent_call, policy, refused, stream_request,
+};
 
 const REQUEST: RequestId = RequestId(1);
 
-/// One random random: which event, of which of the attempts so far, after how long.
+/// A random event: its kind, which of the attempts so far it concerns, its verdict and the delay
+/// before it.
 #[derive(Debug, Clone)]
 struct RandomEvent {
     event: u8,
@@ -32,14 +35,14 @@
         Just(RunVerdict::MayHaveRun),
         Just(RunVerdict::Ran),
     ];
-    let one = (0_u8..20, 0_usize..4, verdict, 0_u64..120);
-    let one = one.prop_map(|(event, attempt, verdict, after_ms)| RandomEvent {
+    let event = (0_u8..20, 0_usize..4, verdict, 0_u64..120);
+    let event = event.prop_map(|(event, attempt, verdict, after_ms)| RandomEvent {
         event,
         attempt,
         verdict,
         after_ms,
     });
-    prop::collection::vec(one, 1..40)
+    prop::collection::vec(event, 1..40)
 }
 
 fn event_of(random: &RandomEvent, attempts: &[AttemptId]) -> EntryEvent {
@@ -68,17 +71,17 @@
     }
 }
 
-/// What an observer of one request's actions and events knows.
+/// Tracks the actions and events of one request and checks the invariants.
 #[derive(Debug)]
 struct RequestObserver {
     repeat: Repeat,
     attempts: Vec<AttemptId>,
-    /// Attempts that said, or were found by the connection, to be "not run".
+    /// Attempts reported as "not run" by their agent or by the connection.
     not_run: HashSet<AttemptId>,
-    /// Attempts of which something else was heard.
-    other_word: HashSet<AttemptId>,
+    /// Attempts for which anything else was reported.
+    otherwise_reported: HashSet<AttemptId>,
     answers: usize,
-    /// Settlements of the claim after the final answer.
+    /// Number of claim settlements after the final answer.
     late_settlements: usize,
     relayed: bool,
 }
@@ -89,14 +92,14 @@
             repeat,
             attempts: Vec::new(),
             not_run: HashSet::new(),
-            other_word: HashSet::new(),
+            otherwise_reported: HashSet::new(),
             answers: 0,
             late_settlements: 0,
             relayed: false,
         }
     }
 
-    fn hear(&mut self, event: &EntryEvent) {
+    fn record_event(&mut self, event: &EntryEvent) {
         let Some(attempt) = event.attempt() else {
             return;
         };
@@ -110,12 +113,12 @@
             }
             _ => false,
         };
-        let words = if not_run {
+        let reports = if not_run {
             &mut self.not_run
         } else {
-            &mut self.other_word
+            &mut self.otherwise_reported
         };
-        words.insert(attempt);
+        reports.insert(attempt);
     }
 
     fn check(&mut self, actions: &EntryActions) {
@@ -132,7 +135,7 @@
                     assert_eq!(
                         self.attempts.last(),
                         Some(attempt),
-                        "only the live one is relayed"
+                        "only the live attempt is relayed"
                     );
                     self.relayed = true;
                 }
@@ -146,50 +149,53 @@
         }
     }
 
-    /// Nothing follows the final answer, but for one settlement of a claim.
+    /// Checks that nothing follows the final answer except one settlement of a claim.
     fn check_late(&mut self, action: &EntryAction) {
         let EntryAction::SettleClaim { verdict, .. } = action else {
             panic!("{action:?} follows the final answer");
         };
         assert_eq!(self.repeat, Repeat::AtMostOnce);
         self.late_settlements += 1;
-        assert_eq!(self.late_settlements, 1, "one late settlement");
+        assert_eq!(
+            self.late_settlements, 1,
+            "more than one settlement after the final answer"
+        );
         self.check_settled(*verdict);
     }
 
-    /// A key is freed only if all attempts said that they did not run.
+    /// Checks that a key is freed only if all attempts were reported as not run.
     fn check_settled(&self, verdict: RunVerdict) {
         if verdict == RunVerdict::NotRun {
-            let not_run = |former: &AttemptId| self.not_run.contains(former);
+            let not_run = |previous: &AttemptId| self.not_run.contains(previous);
             assert!(self.attempts.iter().all(not_run), "a used key is freed");
         }
     }
 
     fn check_send(&mut self, attempt: AttemptId) {
-        assert!(
-            !self.attempts.contains(&attempt),
-            "an attempt id is used once"
-        );
+        assert!(!self.attempts.contains(&attempt), "an attempt id is reused");
         if self.repeat == Repeat::AtMostOnce {
-            let settled = self
+            let is_settled = self
                 .attempts
                 .iter()
-                .all(|former| self.not_run.contains(former));
-            assert!(settled, "a former attempt is not known to be not run");
-            assert!(!self.relayed, "an answer has begun");
+                .all(|previous| self.not_run.contains(previous));
+            assert!(is_settled, "a previous attempt is not known to be not run");
+            assert!(
+                !self.relayed,
+                "an at-most-once call is repeated after a part of its answer was relayed"
+            );
         }
         self.attempts.push(attempt);
     }
 
-    /// "Not run" is claimed only if all attempts said so; statuses that invite a blind repeat
-    /// only with it.
+    /// Checks that the verdict "not run" is given only if all attempts were reported as not run,
+    /// and that statuses which invite an unconditional retry are given only with that verdict.
     fn check_verdict(&self, verdict: RunVerdict, status: u16) {
         if verdict == RunVerdict::NotRun {
-            let settled = self
+            let is_settled = self
                 .attempts
                 .iter()
-                .all(|former| self.not_run.contains(former));
-            assert!(settled, "an attempt is not known to be not run");
+                .all(|previous| self.not_run.contains(previous));
+            assert!(is_settled, "an attempt is not known to be not run");
         }
         if matches!(status, 429 | 503) {
             assert_eq!(verdict, RunVerdict::NotRun);
@@ -197,7 +203,8 @@
     }
 }
 
-/// Drives one request through events, timers first; then lets its timers run out.
+/// Drives one request through events, firing due timers before each, and then fires its remaining
+/// timers.
 fn drive(
     intake: RequestIntake,
     events: &[RandomEvent],
@@ -212,7 +219,7 @@
         now = now + Duration::from_millis(random.after_ms);
         run_timers(&mut policy, now, &mut observer, &mut log);
         let event = event_of(random, &observer.attempts);
-        observer.hear(&event);
+        observer.record_event(&event);
         let actions = policy.handle(REQUEST, &event, now);
         observer.check(&actions);
         log.push(actions);
@@ -220,7 +227,7 @@
     while let Some(due) = policy.next_timer() {
         run_timers(&mut policy, due.max(now), &mut observer, &mut log);
     }
-    assert_eq!(policy.in_flight(), 0, "no request is held");
+    assert_eq!(policy.in_flight(), 0, "a request has no final answer");
     (observer, log)
 }
 
@@ -240,7 +247,7 @@
     }
 }
 
-/// The same cases in every run.
+/// Returns a configuration with a fixed seed, so that every run has the same cases.
 fn seeded_config() -> ProptestConfig {
     ProptestConfig {
         cases: 2_000,
@@ -253,43 +260,43 @@
 proptest! {
     #![proptest_config(seeded_config())]
 
-    /// A change is applied twice if a second attempt is sent while the first may run. Whatever
-    /// an endpoint or the network says, the former attempt's "not run" must come first.
+    /// A second attempt sent while the first may run could apply a call twice. Whatever an endpoint
+    /// or the network reports, the verdict "not run" on the previous attempt must come first.
     #[test]
     fn at_most_once_has_one_attempt_that_may_run(events in events(), seed: u64) {
-        let (observer, _) = drive(change(1), &events, seed);
+        let (observer, _) = drive(at_most_once_call(1), &events, seed);
         prop_assert_eq!(observer.answers, 1);
     }
 
     #[test]
-    fn idempotent_calls_get_one_true_answer(events in events(), seed: u64) {
-        let (observer, _) = drive(fetch(1), &events, seed);
+    fn idempotent_calls_get_one_correct_answer(events in events(), seed: u64) {
+        let (observer, _) = drive(idempotent_call(1), &events, seed);
         prop_assert_eq!(observer.answers, 1);
     }
 
     #[test]
-    fn streams_get_one_true_answer(events in events(), seed: u64) {
-        let (observer, _) = drive(draft(1), &events, seed);
+    fn streams_get_one_correct_answer(events in events(), seed: u64) {
+        let (observer, _) = drive(stream_request(1), &events, seed);
         prop_assert_eq!(observer.answers, 1);
     }
 
-    /// A caller that has got nothing when its time is over is told so at that very point.
+    /// A caller without any data at its deadline must get its answer at exactly that time.
     #[test]
-    fn an_answer_not_begun_ends_at_the_deadline(events in events(), seed: u64) {
+    fn a_request_without_a_piece_ends_at_the_deadline(events in events(), seed: u64) {
         let early: Vec<RandomEvent> = events
             .into_iter()
             .filter(|random| random.event != 5)
             .collect();
         let mut policy = policy(6, 3, seed);
         let mut observer = RequestObserver::new(Repeat::Idempotent);
-        let mut log = vec![policy.start(draft(1), at(0))];
+        let mut log = vec![policy.start(stream_request(1), at(0))];
         observer.check(&log[0]);
         let mut now = at(0);
         for random in &early {
             now = (now + Duration::from_millis(random.after_ms)).min(at(319));
             run_timers(&mut policy, now, &mut observer, &mut log);
             let event = event_of(random, &observer.attempts);
-            observer.hear(&event);
+            observer.record_event(&event);
             let actions = policy.handle(REQUEST, &event, now);
             observer.check(&actions);
         }
@@ -297,11 +304,11 @@
         prop_assert_eq!(observer.answers, 1);
     }
 
-    /// Equal seeds and events give equal actions, so that a run can be repeated to the byte.
+    /// Equal seeds and events must give equal actions, so that a run can be reproduced exactly.
     #[test]
-    fn equal_seeds_act_equally(events in events(), seed: u64) {
-        let (_, first) = drive(draft(1), &events, seed);
-        let (_, second) = drive(draft(1), &events, seed);
+    fn equal_seeds_give_equal_actions(events in events(), seed: u64) {
+        let (_, first) = drive(stream_request(1), &events, seed);
+        let (_, second) = drive(stream_request(1), &events, seed);
         prop_assert_eq!(first, second);
     }
 }
--- a/crates/oatpier-policy/tests/testsuite/requests.rs
+++ b/crates/oatpier-policy/tests/testsuite/requests.rs
@@ -1,4 +1,4 @@
-//! Requests through faults, one story each.
+//! Tests of single requests under faults.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use oatpier_types::verdict::RunVerdict;
 
 use crate::support::{
-    FIRST_TOKEN, answer, at, begin, change, draft, ended, fetch, fire, first_frame, policy,
-    refused, sent, sent_attempt,
+    FIRST_TOKEN_TARGET, answer, at, at_most_once_call, ended, fire_due, first_frame,
+    idempotent_call, policy, refused, sent, sent_attempt, start_and_send, stream_request,
 };
 
 const REQUEST: RequestId = RequestId(1);
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn a_whole_answer_in_time() {
+fn a_complete_answer_ends_the_request_in_time() {
     let mut policy = policy(3, 0, 1);
-    let (attempt, _) = begin(&mut policy, draft(1));
+    let (attempt, _) = start_and_send(&mut policy, stream_request(1));
     policy.handle(REQUEST, &first_frame(attempt), at(50));
     let relayed = policy.handle(REQUEST, &piece(attempt, 1), at(60));
     assert_eq!(relayed.as_slice(), [EntryAction::Relay { attempt }]);
@@ -34,13 +34,13 @@
     assert_eq!(policy.in_flight(), 0);
 }
 
-/// The caller sees its stream go on after a hiccup. The connection to the first endpoint breaks
-/// after four tokens; an engine resumes after the tokens that a caller has, so another endpoint
-/// continues there. Sending all of it again would repeat the first four tokens.
+/// The connection to the first endpoint breaks after four tokens. An engine can resume after the
+/// tokens that a caller has, so another endpoint continues from there. Sending the whole answer
+/// again would repeat the first four tokens.
 #[test]
-fn a_cut_stream_is_resumed_after_the_relayed_tokens() {
+fn an_interrupted_stream_is_resumed_after_the_relayed_tokens() {
     let mut policy = policy(3, 0, 1);
-    let (attempt, endpoint) = begin(&mut policy, draft(1));
+    let (attempt, endpoint) = start_and_send(&mut policy, stream_request(1));
     policy.handle(REQUEST, &piece(attempt, 4), at(50));
     let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(60));
     let (next, spec) = sent(&actions).expect("a resumed attempt");
@@ -49,23 +49,23 @@
     assert_eq!(spec.resume_after, 4);
 }
 
-/// The only replica of a model restarts in the middle of an answer. No other endpoint can serve,
-/// so the same one is asked to go on; without that the caller gets an error for each restart.
+/// The only replica of a model restarts in the middle of an answer. No other endpoint can serve, so
+/// the same one must be asked to continue; otherwise each restart causes an error at the caller.
 #[test]
-fn a_cut_stream_of_the_only_replica_goes_on_there() {
+fn an_interrupted_stream_is_resumed_at_the_only_replica() {
     let mut policy = policy(1, 0, 1);
-    let (attempt, endpoint) = begin(&mut policy, draft(1));
+    let (attempt, endpoint) = start_and_send(&mut policy, stream_request(1));
     policy.handle(REQUEST, &piece(attempt, 4), at(50));
     let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(60));
     assert_eq!(sent(&actions).map(|(next, _)| next), Some(endpoint));
 }
 
-/// The caller must learn that its answer is not whole. It was cut after a part was relayed, and
-/// can't be resumed; a quiet end would be taken for a short answer.
+/// An answer breaks off after a part was relayed and can't be resumed. The caller must get an
+/// explicit error, because it would take a silent end for a complete short answer.
 #[test]
-fn a_cut_answer_that_cannot_be_resumed_ends_in_an_error() {
+fn an_interrupted_answer_that_cannot_be_resumed_ends_in_an_error() {
     let mut policy = policy(0, 3, 1);
-    let (attempt, _) = begin(&mut policy, fetch(1));
+    let (attempt, _) = start_and_send(&mut policy, idempotent_call(1));
     policy.handle(REQUEST, &piece(attempt, 0), at(50));
     let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(60));
     let answer = answer(&actions).expect("an explicit end");
@@ -73,14 +73,14 @@
     assert_eq!(answer.cause, FinalCause::Incomplete);
 }
 
-/// Two answers must not mix. The first endpoint is silent and the request goes elsewhere; then
-/// the first one's pieces come after all. They are dropped, and the second answer is relayed.
+/// The first endpoint is silent and the request is sent to another one, then pieces of the first
+/// arrive after all. They must be dropped, or two answers would mix.
 #[test]
 fn late_pieces_of_a_replaced_attempt_are_dropped() {
     let mut policy = policy(3, 0, 1);
-    let (late, _) = begin(&mut policy, draft(1));
+    let (late, _) = start_and_send(&mut policy, stream_request(1));
     let due = policy.next_timer().expect("a silence timer");
-    let actions = fire(&mut policy, due);
+    let actions = fire_due(&mut policy, due);
     let live = sent_attempt(&actions);
     assert_ne!(late, live);
     assert!(policy.handle(REQUEST, &piece(late, 1), at(200)).is_empty());
@@ -91,14 +91,14 @@
     assert_eq!(policy.counts().dropped, 2);
 }
 
-/// A change is sent, and nothing is heard. It may have been lost on the way, or be running. The
-/// agent is asked to seal it: only its word "not run" lets the change go elsewhere.
+/// An at-most-once call gets no response: it may have been lost in transit, or be running. The
+/// agent is asked to seal it, and only the verdict "not run" permits another endpoint.
 #[test]
-fn a_silent_change_goes_elsewhere_only_once_sealed() {
+fn a_silent_at_most_once_call_is_retried_only_once_sealed() {
     let mut policy = policy(0, 3, 1);
-    let (attempt, endpoint) = begin(&mut policy, change(1));
+    let (attempt, endpoint) = start_and_send(&mut policy, at_most_once_call(1));
     let due = policy.next_timer().expect("a silence timer");
-    let actions = fire(&mut policy, due);
+    let actions = fire_due(&mut policy, due);
     let seal = EntryAction::Cancel {
         endpoint: endpoint.clone(),
         attempt,
@@ -111,39 +111,39 @@
     assert_ne!(sent(&actions).expect("another attempt").0, endpoint);
 }
 
-/// The same, but the change runs already. Its answer is still awaited until the deadline; then
-/// the caller is told at once that it may have run, and no replica is asked a second time.
+/// As above, but the call is already running. Its answer is awaited until the deadline. Then the
+/// caller is told at once that it may have run, and no other replica gets the call.
 #[test]
-fn a_silent_change_that_may_run_is_awaited_then_answered() {
+fn a_silent_call_that_may_run_is_awaited_until_the_deadline() {
     let mut policy = policy(0, 3, 1);
-    let (attempt, _) = begin(&mut policy, change(1));
+    let (attempt, _) = start_and_send(&mut policy, at_most_once_call(1));
     let due = policy.next_timer().expect("a silence timer");
-    fire(&mut policy, due);
+    fire_due(&mut policy, due);
     let verdict = RunVerdict::MayHaveRun;
     let running = EntryEvent::CancelAnswered { attempt, verdict };
     assert!(policy.handle(REQUEST, &running, due).is_empty());
-    assert!(fire(&mut policy, at(1_999)).is_empty());
-    let actions = fire(&mut policy, at(2_000));
-    let answer = answer(&actions).expect("the deadline's answer");
+    assert!(fire_due(&mut policy, at(1_999)).is_empty());
+    let actions = fire_due(&mut policy, at(2_000));
+    let answer = answer(&actions).expect("an answer at the deadline");
     assert_eq!(
         (answer.status, answer.verdict),
         (504, RunVerdict::MayHaveRun)
     );
     assert!(
         answer.retry_after.is_some(),
-        "its key tells a resubmission what became of it"
+        "its key lets a resubmission learn the outcome"
     );
 }
 
-/// A message is doubled on its way. Its first copy runs, as the agent says when asked to seal it;
-/// then the agent begins to leave, and refuses the second copy. That refusal is no word on the
-/// first copy: sending the change elsewhere on it would apply it twice.
+/// A message is duplicated in transit. Its first copy runs, as the agent reports when asked to seal
+/// it. Then the agent begins to leave and refuses the second copy. That refusal says nothing about
+/// the first copy: sending the call to another endpoint would apply it twice.
 #[test]
-fn a_refusal_does_not_undo_that_a_change_may_have_run() {
+fn a_refusal_does_not_override_may_have_run() {
     let mut policy = policy(0, 3, 1);
-    let (attempt, _) = begin(&mut policy, change(1));
+    let (attempt, _) = start_and_send(&mut policy, at_most_once_call(1));
     let due = policy.next_timer().expect("a silence timer");
-    fire(&mut policy, due);
+    fire_due(&mut policy, due);
     let verdict = RunVerdict::MayHaveRun;
     policy.handle(
         REQUEST,
@@ -159,16 +159,16 @@
     );
 }
 
-/// A change without a key may have run, and its caller has no way to find out by sending it again:
-/// an invitation to come back would be one to apply it twice.
+/// A call without a key may have run, and its caller can't learn the outcome by sending it again. A
+/// suggestion to retry could apply it twice.
 #[test]
-fn an_unkeyed_change_that_may_have_run_is_not_invited_back() {
+fn an_unkeyed_call_that_may_have_run_gets_no_retry_after() {
     let mut policy = policy(0, 3, 1);
     let intake = RequestIntake {
         key: None,
-        ..change(1)
+        ..at_most_once_call(1)
     };
-    let (attempt, _) = begin(&mut policy, intake);
+    let (attempt, _) = start_and_send(&mut policy, intake);
     let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(5));
     let answer = answer(&actions).expect("an end");
     assert_eq!(
@@ -178,12 +178,12 @@
     assert_eq!(answer.retry_after, None);
 }
 
-/// A burst fills all queues. Each agent refuses; the caller is told at once when to come back, in
-/// the agent's words, and the request is not held until its deadline.
+/// A burst fills all queues and each agent refuses. The caller must be told at once when to retry,
+/// with the delay that the agent suggested, instead of waiting until its deadline.
 #[test]
-fn refused_everywhere_is_refused_at_once() {
+fn a_request_refused_by_all_agents_is_refused_at_once() {
     let mut policy = policy(2, 0, 1);
-    let (first, _) = begin(&mut policy, draft(1));
+    let (first, _) = start_and_send(&mut policy, stream_request(1));
     let actions = policy.handle(REQUEST, &refused(first, RefusalCause::QueueFull), at(5));
     let second = sent_attempt(&actions);
     let actions = policy.handle(REQUEST, &refused(second, RefusalCause::QueueFull), at(10));
@@ -193,14 +193,14 @@
     assert_eq!(answer.retry_after, Some(Duration::from_millis(700)));
 }
 
-/// An idempotent request's first attempt is silent and cancelled, its second one refused. The
-/// first may still run, so the answer must not say "not run".
+/// The first attempt of an idempotent request is silent and cancelled, the second one is refused.
+/// The first may still run, so the answer must not be "not run".
 #[test]
-fn a_refusal_after_a_silent_attempt_does_not_say_not_run() {
+fn a_refusal_after_a_silent_attempt_is_not_reported_as_not_run() {
     let mut policy = policy(2, 0, 1);
-    begin(&mut policy, draft(1));
+    start_and_send(&mut policy, stream_request(1));
     let due = policy.next_timer().expect("a silence timer");
-    let second = sent_attempt(&fire(&mut policy, due));
+    let second = sent_attempt(&fire_due(&mut policy, due));
     let actions = policy.handle(REQUEST, &refused(second, RefusalCause::QueueFull), due);
     let answer = answer(&actions).expect("a refusal");
     assert_eq!(
@@ -210,37 +210,37 @@
 }
 
 #[test]
-fn nothing_by_the_deadline_is_answered_then() {
+fn a_request_without_a_response_ends_at_the_deadline() {
     let mut policy = policy(1, 0, 1);
-    begin(&mut policy, draft(1));
+    start_and_send(&mut policy, stream_request(1));
     let mut answered = None;
     while let Some(due) = policy.next_timer() {
-        answered = answer(&fire(&mut policy, due)).map(|answer| (answer, due));
+        answered = answer(&fire_due(&mut policy, due)).map(|answer| (answer, due));
     }
     let (answer, when) = answered.expect("an answer");
-    assert_eq!(when, at(0) + FIRST_TOKEN);
+    assert_eq!(when, at(0) + FIRST_TOKEN_TARGET);
     assert_eq!(answer.cause, FinalCause::DeadlinePassed);
 }
 
-/// A caller that takes nothing must not be mistaken for a stalled endpoint: while it is blocked
-/// the stream isn't resumed elsewhere. It can't hold its place for ever either.
+/// A caller that accepts no data must not be mistaken for a stalled endpoint: while it is blocked,
+/// the stream isn't resumed at another endpoint. It must not hold its slot for ever either.
 #[test]
-fn a_blocked_caller_is_bounded_and_not_the_endpoints_fault() {
+fn a_blocked_caller_times_out_without_a_retry() {
     let mut policy = policy(3, 0, 1);
-    let (attempt, _) = begin(&mut policy, draft(1));
+    let (attempt, _) = start_and_send(&mut policy, stream_request(1));
     policy.handle(REQUEST, &piece(attempt, 1), at(50));
     policy.handle(REQUEST, &EntryEvent::CallerBlocked, at(60));
-    assert!(fire(&mut policy, at(20_000)).is_empty());
-    let actions = fire(&mut policy, at(60) + Duration::from_secs(30));
+    assert!(fire_due(&mut policy, at(20_000)).is_empty());
+    let actions = fire_due(&mut policy, at(60) + Duration::from_secs(30));
     let answer = answer(&actions).expect("an end");
     assert_eq!(answer.cause, FinalCause::CallerGone);
     assert!(matches!(actions[0], EntryAction::Cancel { .. }));
 }
 
 #[test]
-fn a_gone_caller_cancels_its_work() {
+fn a_disconnected_caller_cancels_its_attempt() {
     let mut policy = policy(3, 0, 1);
-    let (attempt, endpoint) = begin(&mut policy, draft(1));
+    let (attempt, endpoint) = start_and_send(&mut policy, stream_request(1));
     let actions = policy.handle(REQUEST, &EntryEvent::CallerGone, at(10));
     let cancel = EntryAction::Cancel {
         endpoint,
@@ -251,14 +251,13 @@
     assert_eq!(policy.in_flight(), 0);
 }
 
-/// A planned stop cuts nothing off: what is in flight goes on to its end, and only new requests
-/// are refused, truly not run.
+/// A planned stop must not interrupt requests in flight. Only new requests are refused, as not run.
 #[test]
-fn a_stopping_entry_finishes_what_it_has() {
+fn a_stopping_entry_completes_requests_in_flight() {
     let mut policy = policy(3, 0, 1);
-    let (attempt, _) = begin(&mut policy, draft(1));
+    let (attempt, _) = start_and_send(&mut policy, stream_request(1));
     policy.begin_stop();
-    let refused = answer(&policy.start(draft(2), at(5))).expect("a refusal");
+    let refused = answer(&policy.start(stream_request(2), at(5))).expect("a refusal");
     assert_eq!((refused.status, refused.verdict), (503, RunVerdict::NotRun));
     policy.handle(REQUEST, &piece(attempt, 1), at(50));
     let actions = policy.handle(REQUEST, &ended(attempt), at(60));
--- a/crates/oatpier-policy/tests/testsuite/routing.rs
+++ b/crates/oatpier-policy/tests/testsuite/routing.rs
@@ -1,4 +1,4 @@
-//! The choice of endpoints.
+//! Tests of the selection of endpoints.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,31 +11,32 @@
 use oatpier_types::request::PrefixChain;
 
 use crate::support::{
-    answer, at, begin, config, draft, first_frame, name, policy, pulse, sent, status, weights,
+    answer, at, config, first_frame, name, policy, pulse, sent, start_and_send, status,
+    stream_request, weights,
 };
 
-fn zone_place(endpoint: &str) -> usize {
+fn zone_number(endpoint: &str) -> usize {
     let number: usize = endpoint["engine-".len()..].parse().expect("a number");
     number % 3
 }
 
 #[test]
-fn the_own_zone_goes_first() {
+fn the_own_zone_is_preferred() {
     let mut policy = policy(30, 0, 3);
     for number in 0..20 {
-        let (_, endpoint) = begin(&mut policy, draft(number));
-        assert_eq!(zone_place(endpoint.as_str()), 0);
+        let (_, endpoint) = start_and_send(&mut policy, stream_request(number));
+        assert_eq!(zone_number(endpoint.as_str()), 0);
     }
 }
 
 #[test]
-fn another_zone_is_taken_when_the_own_one_would_be_late() {
+fn another_zone_is_used_when_the_own_zone_would_be_late() {
     let mut policy = policy(30, 0, 3);
-    for place in (0..30).step_by(3) {
-        policy.on_pulse(&name(&format!("engine-{place}")), &pulse(1, 2, 300), at(0));
+    for number in (0..30).step_by(3) {
+        policy.on_pulse(&name(&format!("engine-{number}")), &pulse(1, 2, 300), at(0));
     }
-    let (_, endpoint) = begin(&mut policy, draft(1));
-    assert_ne!(zone_place(endpoint.as_str()), 0);
+    let (_, endpoint) = start_and_send(&mut policy, stream_request(1));
+    assert_ne!(zone_number(endpoint.as_str()), 0);
 }
 
 #[test]
@@ -43,7 +44,7 @@
     let mut policy = policy(30, 0, 3);
     let mut counts: HashMap<String, u32> = HashMap::new();
     for number in 0..100 {
-        let (_, endpoint) = begin(&mut policy, draft(number));
+        let (_, endpoint) = start_and_send(&mut policy, stream_request(number));
         *counts.entry(endpoint.to_string()).or_default() += 1;
     }
     assert_eq!(counts.len(), 10);
@@ -51,12 +52,12 @@
 }
 
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut policy = policy(3, 0, 3);
-    for place in 0..3 {
-        policy.on_pulse(&name(&format!("engine-{place}")), &pulse(1, 2, 900), at(0));
+    for number in 0..3 {
+        policy.on_pulse(&name(&format!("engine-{number}")), &pulse(1, 2, 900), at(0));
     }
-    let answer = answer(&policy.start(draft(1), at(0))).expect("a refusal");
+    let answer = answer(&policy.start(stream_request(1), at(0))).expect("a refusal");
     assert_eq!(answer.cause, FinalCause::Refused(RefusalCause::TooLate));
     assert!(
         answer
@@ -66,16 +67,16 @@
 }
 
 #[test]
-fn a_prompt_goes_where_its_prefix_is() {
+fn a_prompt_is_routed_to_the_holder_of_its_prefix() {
     let mut policy = policy(60, 0, 3);
     let prefixes: PrefixChain = (1..=100).collect();
     let intake = |number| {
-        let mut intake = draft(number);
+        let mut intake = stream_request(number);
         intake.tokens.prompt = 6_400;
         intake.prefixes = prefixes.clone();
         intake
     };
-    let (attempt, holder) = begin(&mut policy, intake(1));
+    let (attempt, holder) = start_and_send(&mut policy, intake(1));
     policy.handle(RequestId(1), &first_frame(attempt), at(50));
     policy.handle(
         RequestId(1),
@@ -99,41 +100,41 @@
     }
 }
 
-/// An endpoint is told to leave while its pulses still say that it takes work. Whatever the
-/// sample, it gets no new work.
+/// An endpoint is marked as leaving while its pulses still report that it accepts work. It must get
+/// no new work, whatever the random sample.
 #[test]
 fn a_leaving_endpoint_is_never_chosen() {
     let mut policy = policy(6, 0, 3);
     policy.mark_leaving(&name("engine-0"), at(0));
     for number in 0..50 {
-        let (_, endpoint) = begin(&mut policy, draft(number));
+        let (_, endpoint) = start_and_send(&mut policy, stream_request(number));
         assert_ne!(endpoint.as_str(), "engine-0");
     }
 }
 
 #[test]
-fn an_agent_that_says_leaving_gets_no_more() {
+fn an_agent_that_refuses_as_leaving_gets_no_more_attempts() {
     let mut policy = policy(6, 0, 3);
-    let (attempt, endpoint) = begin(&mut policy, draft(1));
+    let (attempt, endpoint) = start_and_send(&mut policy, stream_request(1));
     policy.handle(
         RequestId(1),
         &crate::support::refused(attempt, RefusalCause::Leaving),
         at(1),
     );
     for number in 2..50 {
-        let (_, next) = begin(&mut policy, draft(number));
+        let (_, next) = start_and_send(&mut policy, stream_request(number));
         assert_ne!(next, endpoint);
     }
 }
 
 #[test]
-fn unknown_goals_and_classes_are_refused_for_good() {
+fn only_an_unknown_goal_is_refused_without_retry_after() {
     let mut policy = policy(3, 0, 3);
-    let mut intake = draft(1);
+    let mut intake = stream_request(1);
     intake.goal = crate::support::model_goal("nowhere");
     let unknown = answer(&policy.start(intake, at(0))).expect("a refusal");
     assert_eq!((unknown.status, unknown.retry_after), (404, None));
-    let mut intake = draft(2);
+    let mut intake = stream_request(2);
     intake.goal = crate::support::model_goal("hall");
     let unready = answer(&policy.start(intake, at(0))).expect("a refusal");
     assert_eq!(unready.status, 503);
@@ -146,7 +147,7 @@
     let mut config = config();
     config.classes.shift_remove(&name::<ClassName, _>("draft"));
     policy.apply_config(&config);
-    let actions = policy.start(draft(1), at(0));
+    let actions = policy.start(stream_request(1), at(0));
     assert_eq!(answer(&actions).map(|answer| answer.status), Some(404));
 }
 
@@ -156,8 +157,8 @@
     let mut row = status("engine-0", "seat-llm", "ikeja", &[weights("hall", None)]);
     row.ready_sequence = 2;
     policy.on_status(&row, at(1));
-    let mut intake = draft(1);
+    let mut intake = stream_request(1);
     intake.goal = crate::support::model_goal("hall");
     assert!(sent(&policy.start(intake, at(2))).is_some());
-    assert!(sent(&policy.start(draft(2), at(2))).is_none());
+    assert!(sent(&policy.start(stream_request(2), at(2))).is_none());
 }
--- a/crates/oatpier-policy/tests/testsuite/support.rs
+++ b/crates/oatpier-policy/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests share.
+//! Builders and helpers shared by the tests.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
 
 pub(crate) const ZONES: [&str; 3] = ["ikeja", "lekki", "yaba"];
 
-/// The target of class `draft`, until the first token.
-pub(crate) const FIRST_TOKEN: Duration = Duration::from_millis(320);
+/// Target of class `draft` for the first token.
+pub(crate) const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(320);
 
-/// The target of class `apply`, until the whole answer.
-pub(crate) const WHOLE: Duration = Duration::from_secs(2);
+/// Target of class `apply` for the whole answer.
+pub(crate) const WHOLE_ANSWER_TARGET: Duration = Duration::from_secs(2);
 
 pub(crate) fn name<N: for<'a> TryFrom<&'a str, Error = E>, E: std::fmt::Debug>(raw: &str) -> N {
     N::try_from(raw).expect("a valid name")
@@ -96,7 +96,12 @@
         .insert(name::<RegionName, _>("lagos"), RegionSpec { zones });
     for (class, target) in [
         ("draft", stream_target()),
-        ("apply", ClassTarget::Whole { answer: WHOLE }),
+        (
+            "apply",
+            ClassTarget::Whole {
+                answer: WHOLE_ANSWER_TARGET,
+            },
+        ),
     ] {
         let spec = ClassSpec {
             target,
@@ -119,7 +124,7 @@
 
 fn stream_target() -> ClassTarget {
     ClassTarget::Stream {
-        first_token: FIRST_TOKEN,
+        first_token: FIRST_TOKEN_TARGET,
         between_tokens: Duration::from_millis(33),
     }
 }
@@ -136,8 +141,8 @@
     }
 }
 
-/// An entry in the first zone, with `engines` engines and `services` service endpoints spread
-/// over the zones; each engine has model `seat` ready.
+/// Creates the policy of an entry in the first zone, with `engines` engines and `services` service
+/// endpoints spread over the zones. Each engine has model `seat` ready.
 pub(crate) fn policy(engines: usize, services: usize, seed: u64) -> EntryPolicy {
     policy_with(EntrySettings::default(), engines, services, seed)
 }
@@ -150,25 +155,25 @@
 ) -> EntryPolicy {
     let mut policy = EntryPolicy::new(settings, name(ZONES[0]), seed);
     policy.apply_config(&config());
-    for place in 0..engines {
+    for number in 0..engines {
         let ready = [weights("seat", None)];
         let row = status(
-            &format!("engine-{place}"),
+            &format!("engine-{number}"),
             "seat-llm",
-            ZONES[place % 3],
+            ZONES[number % 3],
             &ready,
         );
         policy.on_status(&row, at(0));
     }
-    for place in 0..services {
-        let row = status(&format!("api-{place}"), "plan-api", ZONES[place % 3], &[]);
+    for number in 0..services {
+        let row = status(&format!("api-{number}"), "plan-api", ZONES[number % 3], &[]);
         policy.on_status(&row, at(0));
     }
     policy
 }
 
-/// A streamed request to model `seat`, idempotent and resumable.
-pub(crate) fn draft(number: u128) -> RequestIntake {
+/// Returns a streamed request to model `seat`, idempotent and resumable.
+pub(crate) fn stream_request(number: u128) -> RequestIntake {
     RequestIntake {
         request: RequestId(number),
         goal: model_goal("seat"),
@@ -185,8 +190,8 @@
     }
 }
 
-/// A keyed call to the plain service that may run at most once.
-pub(crate) fn change(number: u128) -> RequestIntake {
+/// Returns a keyed call to the plain service that may run at most once.
+pub(crate) fn at_most_once_call(number: u128) -> RequestIntake {
     RequestIntake {
         goal: service_goal(),
         class: name("apply"),
@@ -194,16 +199,16 @@
         key: Some(7),
         tokens: TokenDemand::default(),
         resumable: false,
-        ..draft(number)
+        ..stream_request(number)
     }
 }
 
-/// A call to the plain service that may run again.
-pub(crate) fn fetch(number: u128) -> RequestIntake {
+/// Returns a call to the plain service that may run more than once.
+pub(crate) fn idempotent_call(number: u128) -> RequestIntake {
     RequestIntake {
         repeat: Repeat::Idempotent,
         key: None,
-        ..change(number)
+        ..at_most_once_call(number)
     }
 }
 
@@ -252,8 +257,11 @@
     }
 }
 
-/// Starts a request, with its claim granted if it makes one, and gives its first attempt.
-pub(crate) fn begin(policy: &mut EntryPolicy, intake: RequestIntake) -> (AttemptId, EndpointName) {
+/// Starts a request, grants its claim if it makes one, and returns its first attempt.
+pub(crate) fn start_and_send(
+    policy: &mut EntryPolicy,
+    intake: RequestIntake,
+) -> (AttemptId, EndpointName) {
     let request = intake.request;
     let mut actions = policy.start(intake, at(0));
     if matches!(actions.first(), Some(EntryAction::Claim { .. })) {
@@ -263,8 +271,8 @@
     (spec.attempt, endpoint)
 }
 
-/// Fires the timers due at `now` of the one request in flight.
-pub(crate) fn fire(policy: &mut EntryPolicy, now: ClockTime) -> EntryActions {
+/// Fires the timers due at `now` and returns the actions; for tests with one request in flight.
+pub(crate) fn fire_due(policy: &mut EntryPolicy, now: ClockTime) -> EntryActions {
     let mut fired = Vec::new();
     policy.fire_timers(now, &mut fired);
     fired.into_iter().flat_map(|(_, actions)| actions).collect()
--- a/crates/oatpier-policy/tests/testsuite/table.rs
+++ b/crates/oatpier-policy/tests/testsuite/table.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of endpoints.
+//! Tests of the endpoint table.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn an_adapter_needs_its_base_beside_it() {
+fn an_adapter_requires_its_base_model() {
     let mut table = table();
     let adapter = weights("seat", Some("lagos"));
     let goal = RequestGoal::Model {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_older_word_on_what_is_ready_is_ignored() {
+fn an_older_status_does_not_replace_ready_weights() {
     let mut table = table();
     let mut newer = status("a", "p", ZONES[0], &[weights("seat", None)]);
     newer.ready_sequence = 5;
@@ -56,8 +56,8 @@
     assert_eq!(open_count(&table, &model_goal("hall")), 0);
 }
 
-/// An agent says that it takes no more work; a pulse that it sent before comes after that. If it
-/// counted, new work would go to a leaving endpoint again.
+/// An agent reports that it accepts no more work, and an earlier pulse arrives after that. If the
+/// earlier pulse counted, a leaving endpoint would get new work again.
 #[test]
 fn a_late_pulse_does_not_open_a_closed_endpoint() {
     let mut table = table();
@@ -72,10 +72,10 @@
     assert_eq!(open_count(&table, &model_goal("seat")), 1);
 }
 
-/// A restarted agent counts from 1 again, and late pulses of its former start are still on the
-/// way. Judged by sequence alone, they would shut out the new one.
+/// A restarted agent numbers its pulses from 1 again, while late pulses of its previous incarnation
+/// are still in transit. Compared by sequence number alone, these would suppress the new ones.
 #[test]
-fn a_former_start_is_told_from_a_new_one() {
+fn late_pulses_of_a_previous_incarnation_are_ignored() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
     table.on_pulse(index, &pulse(1, 900, 40), at(1));
@@ -87,10 +87,11 @@
     );
 }
 
-/// Boot ids have no order: an entry that heard a late message of a former start first takes the
-/// present start for former when another such message comes. That must not last.
+/// Boot ids have no order. An entry that first receives a late message of a previous incarnation
+/// takes the current one for a previous one when another late message arrives. That must not be
+/// permanent.
 #[test]
-fn a_start_taken_for_former_by_mistake_counts_again() {
+fn an_incarnation_taken_for_previous_by_mistake_is_accepted_again() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
     table.on_pulse(index, &pulse(2, 1, 0), at(1));
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_is_no_replica() {
+fn a_leaving_endpoint_is_not_a_candidate() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
     table.mark_leaving(index);
@@ -117,10 +118,10 @@
     Duration::from_micros(table.predict(index, SIZE, now).total_us)
 }
 
-/// An agent's word on its wait is exact when it comes, and says less and less; the lagged report
-/// takes its place.
+/// The wait that an agent reports is exact on arrival and then loses accuracy; the load report,
+/// which lags behind, takes its place.
 #[test]
-fn an_aging_wait_moves_to_the_report() {
+fn the_predicted_wait_decays_to_the_load_report() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
     table.on_pulse(index, &pulse(1, 2, 200), at(0));
@@ -133,10 +134,10 @@
     assert!(old < Duration::from_millis(7));
 }
 
-/// Ten requests come between two pulses. If the entry did not count what it sent itself, all
-/// would go to the endpoint that was idle when it last spoke.
+/// Several requests arrive between two pulses. If the entry did not count the attempts that it sent
+/// itself, all would go to the endpoint that was idle at the last pulse.
 #[test]
-fn own_attempts_count_until_a_pulse_has_seen_them() {
+fn own_attempts_count_until_a_pulse_reflects_them() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
     let idle = predicted(&table, at(1));
@@ -145,16 +146,16 @@
     table.on_pulse(index, &pulse(1, 2, 0), at(1));
     assert!(
         predicted(&table, at(1)) > idle,
-        "it was on its way when the pulse was made"
+        "the attempt was in transit when the pulse was sent"
     );
     table.on_pulse(index, &pulse(1, 3, 0), at(50));
     assert_eq!(predicted(&table, at(50)), idle);
 }
 
-/// The list of VMs says that an endpoint leaves, before the agent's first status reaches this
-/// entry, through registrars. Were the mark lost, the entry would send it new work.
+/// The list of VMs reports an endpoint as leaving before the agent's first status reaches this
+/// entry through the registrars. If the mark were lost, the entry would send it new work.
 #[test]
-fn a_leaving_mark_holds_for_an_endpoint_not_known_yet() {
+fn a_leaving_mark_applies_to_an_endpoint_not_known_yet() {
     let mut policy = policy(2, 0, 1);
     let leaving = name("engine-9");
     policy.mark_leaving(&leaving, at(0));
