--- a/crates/oatpier-policy/src/entry/mod.rs
+++ b/crates/oatpier-policy/src/entry/mod.rs
@@ -58,7 +58,7 @@
     core: EntryCore,
     catalog: ConfigCatalog,
     limiter: EntryLimiter,
-    ledger: AttainmentTracker,
+    attainment: AttainmentTracker,
     /// Must not be iterated: the order differs between runs.
     requests: HashMap<RequestId, OpenRequest>,
     timers: TimerQueue,
@@ -78,7 +78,7 @@
             core: EntryCore::new(&settings, own_zone, seed),
             catalog: ConfigCatalog::default(),
             limiter: EntryLimiter::new(settings.limit),
-            ledger: AttainmentTracker::new(settings.attainment),
+            attainment: AttainmentTracker::new(settings.attainment),
             requests: HashMap::new(),
             timers: TimerQueue::default(),
             seals: SealTracker::default(),
@@ -95,7 +95,7 @@
         self.catalog.apply_config(config);
         for (name, spec) in &config.classes {
             if let Some(class) = self.catalog.index(name) {
-                self.ledger
+                self.attainment
                     .set_target(class, parts_per_million(spec.attain));
             }
         }
@@ -280,7 +280,7 @@
     /// Returns the attained shares of the classes.
     #[must_use]
     pub fn ledger(&self) -> &AttainmentTracker {
-        &self.ledger
+        &self.attainment
     }
 
     /// Returns the index of a class that was ever configured.
@@ -329,9 +329,9 @@
     }
 
     fn class_status(&self, class: ClassIndex, now: ClockTime) -> ClassStatus {
-        if self.ledger.is_below_target(class, now) {
+        if self.attainment.is_below_target(class, now) {
             ClassStatus::BelowTarget
-        } else if self.ledger.is_any_below_target(now) {
+        } else if self.attainment.is_any_below_target(now) {
             ClassStatus::Slack
         } else {
             ClassStatus::Balanced
@@ -392,7 +392,7 @@
     fn record_answer(&mut self, class: Option<ClassIndex>, answer: &FinalAnswer, now: ClockTime) {
         self.counts.record_answer(answer);
         if let Some(class) = class.filter(|_| counts_for_target(answer.cause)) {
-            self.ledger.record(class, answer.in_time, now);
+            self.attainment.record(class, answer.in_time, now);
         }
     }
 }
--- a/crates/oatpier-policy/src/health.rs
+++ b/crates/oatpier-policy/src/health.rs
@@ -94,7 +94,7 @@
     /// The endpoint responds late.
     Slow,
     /// The endpoint interrupts its answers.
-    Cutting,
+    Interrupting,
 }
 
 /// A change of an endpoint's health that follows from an observation.
@@ -302,7 +302,7 @@
         let bound = self.settings.cuts;
         let row = self.row(endpoint);
         row.cuts += 1;
-        (row.cuts >= bound).then_some(EndpointFault::Cutting)
+        (row.cuts >= bound).then_some(EndpointFault::Interrupting)
     }
 
     fn record_first_frame(
--- a/crates/oatpier-policy/src/router.rs
+++ b/crates/oatpier-policy/src/router.rs
@@ -305,7 +305,7 @@
     let uncached_tokens = query.tokens.prompt.saturating_sub(cached);
     let size = AttemptSize {
         uncached_tokens,
-        whole: query.whole,
+        is_whole_answer: query.whole,
     };
     let prediction = view.table.predict(endpoint, size, now);
     RouteChoice {
--- a/crates/oatpier-policy/src/table/row.rs
+++ b/crates/oatpier-policy/src/table/row.rs
@@ -224,13 +224,13 @@
             .saturating_add(self.slot_wait_us(unreported.saturating_sub(self.free_slots())))
             .saturating_add(prefill_us(self.unreported_tokens));
         let step_us = self.pulse.map_or(0, |pulse| u64::from(pulse.step_us));
-        let run_us = if size.whole {
+        let run_us = if size.is_whole_answer {
             self.mean_run_us
         } else {
             step_us
         };
         let has_prefill_speed = self.pulse.is_some_and(|pulse| pulse.prompt_token_ns > 0);
-        let is_speed_known = if size.whole {
+        let is_speed_known = if size.is_whole_answer {
             self.mean_run_us > 0
         } else {
             has_prefill_speed
@@ -293,7 +293,7 @@
     /// Prompt tokens that are not expected in the endpoint's prefix cache.
     pub uncached_tokens: u32,
     /// Whether the target applies to the whole answer instead of its first token.
-    pub whole: bool,
+    pub is_whole_answer: bool,
 }
 
 /// Predicted times of an attempt, in microseconds.
--- a/crates/oatpier-policy/tests/testsuite/table.rs
+++ b/crates/oatpier-policy/tests/testsuite/table.rs
@@ -11,7 +11,7 @@
 
 const SIZE: AttemptSize = AttemptSize {
     uncached_tokens: 0,
-    whole: false,
+    is_whole_answer: false,
 };
 
 fn table() -> EndpointTable {
