--- a/crates/oatpier-policy/src/entry/counts.rs
+++ b/crates/oatpier-policy/src/entry/counts.rs
@@ -16,7 +16,7 @@
     pub in_time: u64,
     /// Attempts sent for requests that were answered.
     pub attempts: u64,
-    /// Late, crossed or contradictory events that were dropped.
+    /// Late, reordered or contradictory events that were dropped.
     pub dropped: u64,
     /// Final answers by cause.
     pub causes: IndexMap<FinalCause, u64>,
--- a/crates/oatpier-policy/src/event.rs
+++ b/crates/oatpier-policy/src/event.rs
@@ -30,7 +30,8 @@
     pub resumable: bool,
 }
 
-/// An event of a request. Attempt ids identify late and crossed events.
+/// An event of a request. Its attempt id tells whether it belongs to the live attempt or arrived
+/// late or out of order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryEvent {
     /// The idempotency key was claimed for this request.
--- a/crates/oatpier-policy/src/machine/handlers.rs
+++ b/crates/oatpier-policy/src/machine/handlers.rs
@@ -174,12 +174,12 @@
         verdict: RunVerdict,
         turn: &mut EventTurn<'_>,
     ) {
-        if let Some(place) = self
+        if let Some(position) = self
             .pending_cancels
             .iter()
             .position(|other| *other == attempt)
         {
-            self.pending_cancels.remove(place);
+            self.pending_cancels.remove(position);
             self.known_verdict = self.known_verdict.and(verdict);
             return;
         }
--- a/crates/oatpier-policy/src/machine/mod.rs
+++ b/crates/oatpier-policy/src/machine/mod.rs
@@ -3,7 +3,7 @@
 //! ```text
 //! claim -> choose -> attempt -> relay -> answer
 //!             ^         |
-//!             +- again -+   if the verdict and the retry budget allow
+//!             +- retry -+   if the verdict and the retry budget permit
 //! ```
 //!
 //! An at-most-once request has one live attempt at a time. Another one is sent only after the
@@ -180,7 +180,7 @@
         self.phase == RequestPhase::Done
     }
 
-    /// Returns the number of late, crossed or contradictory events that were dropped.
+    /// Returns the number of late, reordered or contradictory events that were dropped.
     #[must_use]
     pub fn dropped(&self) -> u32 {
         self.dropped
@@ -256,8 +256,9 @@
 
     /// Handles an event of an attempt.
     ///
-    /// An event of any attempt but the live one is late or crossed and is dropped: relaying its
-    /// data would mix two answers, and its outcome would be attributed to the wrong attempt.
+    /// An event of any attempt but the live one arrived late or out of order and is dropped:
+    /// relaying its data would mix two answers, and its outcome would be attributed to the wrong
+    /// attempt.
     fn on_attempt_event(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
         let live = self
             .live
--- a/crates/oatpier-policy/src/prefix.rs
+++ b/crates/oatpier-policy/src/prefix.rs
@@ -1,6 +1,6 @@
 //! Index of the endpoints that are expected to have a prompt's prefix cached.
 //!
-//! Entries are recorded when this entry sends a prompt, and corrected by cache events, which arrive
+//! Blocks are recorded when this entry sends a prompt, and corrected by cache events, which arrive
 //! late and with gaps. Memory is bounded: a set-associative table in which the oldest slot of a set
 //! is replaced. A wrong expectation costs prefill time, never a wrong answer.
 
