--- a/crates/oatpier-policy/src/entry/mod.rs
+++ b/crates/oatpier-policy/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The façade: all decisions of an entry about requests.
+//! Façade over all decisions of an entry about requests.
 
 mod classes;
 mod core;
@@ -18,22 +18,22 @@
 use oatpier_types::refusal::{Refusal, RefusalCause};
 
 use crate::action::{EntryAction, EntryActions};
-use crate::attainment::AttainmentLedger;
+use crate::attainment::AttainmentTracker;
 use crate::event::{EntryEvent, RequestIntake};
 use crate::health::HealthTracker;
 use crate::index::{ClassIndex, EndpointIndex};
-use crate::limit::{ClassStanding, EntryLimiter};
-use crate::machine::{RequestFrame, RequestMachine};
+use crate::limit::{ClassStatus, EntryLimiter};
+use crate::machine::{RequestLookup, RequestMachine};
 use crate::outcome::{FinalAnswer, FinalCause};
 use crate::prefix::PrefixIndex;
 use crate::retry::RetryBudget;
 use crate::table::EndpointTable;
 use crate::units::parts_per_million;
 
-use self::classes::KnownWork;
+use self::classes::ConfigCatalog;
 use self::core::EntryCore;
 use self::counts::counts_for_target;
-use self::seals::SealBook;
+use self::seals::SealTracker;
 use self::timers::TimerQueue;
 
 pub use counts::EntryCounts;
@@ -43,140 +43,147 @@
 #[derive(Debug)]
 struct OpenRequest {
     machine: RequestMachine,
-    /// When its timer is armed for.
-    armed: ClockTime,
+    /// Time for which the request's timer is armed.
+    timer_at: ClockTime,
 }
 
-/// All decisions of one entry.
+/// All decisions of one entry about requests.
 ///
-/// A caller feeds it what it learns of endpoints (`on_*`, `mark_leaving`, `forget`) and of
-/// requests (`start`, `handle`, `fire_timers`), and takes the actions that come back, in order.
-/// It never blocks and does no I/O. One instance serves one thread.
+/// The driver reports changes of endpoints (`on_*`, `mark_leaving`, `forget`) and of requests
+/// (`start`, `handle`, `fire_timers`), and performs the returned actions in order. No method blocks
+/// or does I/O. One instance serves one thread.
 #[derive(Debug)]
 pub struct EntryPolicy {
     settings: EntrySettings,
     core: EntryCore,
-    work: KnownWork,
+    catalog: ConfigCatalog,
     limiter: EntryLimiter,
-    ledger: AttainmentLedger,
-    /// Never iterated: its order differs between runs.
+    attainment: AttainmentTracker,
+    /// Must not be iterated: the order differs between runs.
     requests: HashMap<RequestId, OpenRequest>,
     timers: TimerQueue,
-    seals: SealBook,
+    seals: SealTracker,
     counts: EntryCounts,
-    stopping: bool,
+    is_stopping: bool,
 }
 
 impl EntryPolicy {
-    /// The decisions of an entry in `own_zone`. `seed` must differ between processes that run at
-    /// the same time, since attempt ids are drawn from it.
+    /// Creates the policy of an entry in `own_zone`.
+    ///
+    /// `seed` must differ between processes that run at the same time, because attempt ids are
+    /// generated from it.
     #[must_use]
     pub fn new(settings: EntrySettings, own_zone: ZoneName, seed: u64) -> Self {
         Self {
             core: EntryCore::new(&settings, own_zone, seed),
-            work: KnownWork::default(),
+            catalog: ConfigCatalog::default(),
             limiter: EntryLimiter::new(settings.limit),
-            ledger: AttainmentLedger::new(settings.attainment),
+            attainment: AttainmentTracker::new(settings.attainment),
             requests: HashMap::new(),
             timers: TimerQueue::default(),
-            seals: SealBook::default(),
+            seals: SealTracker::default(),
             counts: EntryCounts::default(),
-            stopping: false,
+            is_stopping: false,
             settings,
         }
     }
 
-    /// Takes a configuration over: classes with their targets, regions, known goals. Requests in
-    /// flight keep the targets that they came in with.
+    /// Applies a configuration: classes with their targets, regions and known goals. Requests in
+    /// flight keep the targets that applied when they arrived.
     pub fn apply_config(&mut self, config: &FleetConfig) {
         self.core.table.apply_config(config);
-        self.work.apply_config(config);
+        self.catalog.apply_config(config);
         for (name, spec) in &config.classes {
-            if let Some(class) = self.work.index(name) {
-                self.ledger
+            if let Some(class) = self.catalog.index(name) {
+                self.attainment
                     .set_target(class, parts_per_million(spec.attain));
             }
         }
     }
 
-    /// An agent's whole word on its endpoint came, from the agent or through the registrars.
+    /// Applies an agent's full status of its endpoint, received from the agent or through the
+    /// registrars.
     pub fn on_status(&mut self, status: &EndpointStatus, now: ClockTime) {
         self.core.table.on_status(status, now);
-        self.core.keep_share(now);
+        self.core.reinstate_retained(now);
     }
 
-    /// An agent's pulse came outside a request's event. One of an unknown endpoint is ignored.
+    /// Applies an agent's pulse that was received outside a request's event. A pulse of an unknown
+    /// endpoint is ignored.
     pub fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &AgentPulse, now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.table.on_pulse(index, pulse, now);
         }
     }
 
-    /// An engine's lagged load report came.
+    /// Applies an engine's load report, which lags behind its actual load.
     pub fn on_report(&mut self, endpoint: &EndpointName, report: &LoadReport, _now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.table.on_report(index, report);
         }
     }
 
-    /// An engine's cache event came, late and perhaps after a gap.
+    /// Applies an engine's cache event, which may be late and follow a gap.
     pub fn on_cache_event(&mut self, endpoint: &EndpointName, event: &CacheEvent, now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.prefix.on_event(index, event, now);
         }
     }
 
-    /// The endpoint or its VM is said to leave: no new work goes there until it starts anew, or
-    /// [`Self::clear_leaving`]. Requests in flight there go on. One that is not known yet is
-    /// marked when its first status comes.
+    /// Marks an endpoint as leaving because it or its VM is reported to leave.
+    ///
+    /// It gets no new work until it restarts or [`Self::clear_leaving`] is called. Requests in
+    /// flight there continue. An unknown endpoint is marked when its first status arrives.
     pub fn mark_leaving(&mut self, endpoint: &EndpointName, now: ClockTime) {
         match self.core.table.find(endpoint) {
             Some(index) => {
                 self.core.table.mark_leaving(index);
-                self.core.keep_share(now);
+                self.core.reinstate_retained(now);
             }
-            None => self.core.table.expect_leaving(endpoint),
+            None => self.core.table.mark_unknown_leaving(endpoint),
         }
     }
 
-    /// The endpoint does not leave after all.
+    /// Withdraws the mark that an endpoint is leaving.
     pub fn clear_leaving(&mut self, endpoint: &EndpointName) {
         match self.core.table.find(endpoint) {
             Some(index) => self.core.table.clear_leaving(index),
-            None => self.core.table.unexpect_leaving(endpoint),
+            None => self.core.table.clear_unknown_leaving(endpoint),
         }
     }
 
-    /// The endpoint is gone from the directory, until a status of it comes. Requests in flight
-    /// there go on.
+    /// Marks an endpoint as removed from the directory, until a status of it arrives. Requests in
+    /// flight there continue.
     pub fn forget(&mut self, endpoint: &EndpointName, now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.table.forget(index);
-            self.core.prefix.forget(index, now);
-            self.core.keep_share(now);
+            self.core.prefix.invalidate(index, now);
+            self.core.reinstate_retained(now);
         }
     }
 
-    /// A request came in. The actions may hold its final answer already (a refusal at once).
-    /// `intake.request` must be new.
+    /// Starts a request. The actions may already hold its final answer, if it is refused at once.
+    /// `intake.request` must be a new id.
     pub fn start(&mut self, intake: RequestIntake, now: ClockTime) -> EntryActions {
         self.counts.started += 1;
-        let frame = match self.admit(&intake, now) {
-            Ok(frame) => frame,
+        let lookup = match self.admit(&intake, now) {
+            Ok(lookup) => lookup,
             Err(refusal) => return self.refuse(&intake, refusal, now),
         };
         let request = intake.request;
-        self.core.retry.note_started(frame.class);
-        let mut machine = RequestMachine::new(self.settings.machine, intake, frame, now);
+        self.core.retry.record_started(lookup.class);
+        let mut machine = RequestMachine::new(self.settings.machine, intake, lookup, now);
         let actions = machine.start(&mut self.core, now);
-        let armed = ClockTime::NEVER;
-        let open = OpenRequest { machine, armed };
-        self.settle(request, open, &actions, now);
+        let timer_at = ClockTime::NEVER;
+        let open = OpenRequest { machine, timer_at };
+        self.store_or_finish(request, open, &actions, now);
         actions
     }
 
-    /// Something happened to a request. Events of finished requests are dropped and counted, but
-    /// for the answer to a seal of a claimed change: it settles the claim anew.
+    /// Handles an event of a request.
+    ///
+    /// Events of finished requests are dropped and counted, except for the answer to a seal of a
+    /// claimed key: it settles the claim again.
     pub fn handle(
         &mut self,
         request: RequestId,
@@ -190,144 +197,144 @@
             self.core.table.on_pulse(endpoint, pulse, now);
         }
         let actions = open.machine.handle(event, &mut self.core, now);
-        if open.machine.is_done() || open.machine.timer() < open.armed {
-            self.resettle(request, &actions, now);
+        if open.machine.is_done() || open.machine.timer() < open.timer_at {
+            self.update(request, &actions, now);
         }
         actions
     }
 
-    /// When [`Self::fire_timers`] is to be called next.
+    /// Returns the time at which [`Self::fire_timers`] must be called next.
     #[must_use]
     pub fn next_timer(&self) -> Option<ClockTime> {
         self.timers.next()
     }
 
-    /// Gives `Timer` to the requests whose time has come, in order of time, and appends their
+    /// Delivers `Timer` to the requests whose timer is due, in order of time, and appends their
     /// actions to `fired`.
     pub fn fire_timers(&mut self, now: ClockTime, fired: &mut Vec<(RequestId, EntryActions)>) {
         while let Some(request) = self.timers.take_due(now) {
             let Some(open) = self.requests.get_mut(&request) else {
                 continue;
             };
-            open.armed = ClockTime::NEVER;
+            open.timer_at = ClockTime::NEVER;
             let is_due = open.machine.timer() <= now;
             let actions = if is_due {
                 open.machine.handle(&EntryEvent::Timer, &mut self.core, now)
             } else {
                 EntryActions::new()
             };
-            self.resettle(request, &actions, now);
+            self.update(request, &actions, now);
             if !actions.is_empty() {
                 fired.push((request, actions));
             }
         }
     }
 
-    /// The entry stops: new requests are refused, those in flight go on.
+    /// Begins to stop the entry: new requests are refused, those in flight continue.
     pub fn begin_stop(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
     }
 
-    /// Requests without a final answer. A stopping entry ends at 0.
+    /// Returns the number of requests without a final answer. A stopping entry ends at 0.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// The live attempt of a request, if it has one.
+    /// Returns the live attempt of a request, if it has one.
     #[must_use]
     pub fn live_attempt(&self, request: RequestId) -> Option<AttemptId> {
         self.requests.get(&request)?.machine.attempt()
     }
 
-    /// What is known of endpoints.
+    /// Returns the known state of the endpoints.
     #[must_use]
     pub fn table(&self) -> &EndpointTable {
         &self.core.table
     }
 
-    /// The health of endpoints.
+    /// Returns the health of the endpoints.
     #[must_use]
     pub fn health(&self) -> &HealthTracker {
         &self.core.health
     }
 
-    /// Who is expected to have prefixes cached.
+    /// Returns the index of expected prefix caches.
     #[must_use]
     pub fn prefix(&self) -> &PrefixIndex {
         &self.core.prefix
     }
 
-    /// The retry budgets.
+    /// Returns the retry budgets.
     #[must_use]
     pub fn retry(&self) -> &RetryBudget {
         &self.core.retry
     }
 
-    /// The bound on concurrent requests.
+    /// Returns the limiter of concurrent requests.
     #[must_use]
     pub fn limiter(&self) -> &EntryLimiter {
         &self.limiter
     }
 
-    /// The attained shares.
+    /// Returns the attained shares of the classes.
     #[must_use]
-    pub fn ledger(&self) -> &AttainmentLedger {
-        &self.ledger
+    pub fn ledger(&self) -> &AttainmentTracker {
+        &self.attainment
     }
 
-    /// The index of a class that was ever configured.
+    /// Returns the index of a class that was ever configured.
     #[must_use]
     pub fn class_index(&self, class: &ClassName) -> Option<ClassIndex> {
-        self.work.index(class)
+        self.catalog.index(class)
     }
 
-    /// Counts for metrics.
+    /// Returns the counters for metrics.
     #[must_use]
     pub fn counts(&self) -> &EntryCounts {
         &self.counts
     }
 
     fn handle_late(&mut self, request: RequestId, event: &EntryEvent) -> EntryActions {
-        let settled = match event {
+        let settlement = match event {
             EntryEvent::CancelAnswered { attempt, verdict } => {
-                self.seals.answered(request, *attempt, *verdict)
+                self.seals.resolve(request, *attempt, *verdict)
             }
             _ => None,
         };
-        self.counts.dropped += u64::from(settled.is_none());
-        settled.into_iter().collect()
+        self.counts.dropped += u64::from(settlement.is_none());
+        settlement.into_iter().collect()
     }
 
-    fn admit(&mut self, intake: &RequestIntake, now: ClockTime) -> Result<RequestFrame, Refusal> {
-        if self.stopping {
+    fn admit(&mut self, intake: &RequestIntake, now: ClockTime) -> Result<RequestLookup, Refusal> {
+        if self.is_stopping {
             return Err(self.refusal(RefusalCause::Leaving));
         }
-        let known = self.work.class(&intake.class);
+        let known = self.catalog.class(&intake.class);
         let (class, target) = known
-            .filter(|_| self.work.knows(&intake.goal))
+            .filter(|_| self.catalog.has_goal(&intake.goal))
             .ok_or(Refusal {
                 cause: RefusalCause::Unknown,
                 retry_after: None,
             })?;
         let goal = self.core.table.find_goal(&intake.goal);
         let goal = goal.ok_or_else(|| self.refusal(RefusalCause::NoEndpoint))?;
-        let standing = self.standing(class, now);
-        self.limiter.admit(&intake.caller, standing)?;
-        Ok(RequestFrame {
+        let class_status = self.class_status(class, now);
+        self.limiter.admit(&intake.caller, class_status)?;
+        Ok(RequestLookup {
             class,
             target,
             goal,
         })
     }
 
-    fn standing(&self, class: ClassIndex, now: ClockTime) -> ClassStanding {
-        if self.ledger.has_need(class, now) {
-            ClassStanding::Need
-        } else if self.ledger.any_need(now) {
-            ClassStanding::Slack
+    fn class_status(&self, class: ClassIndex, now: ClockTime) -> ClassStatus {
+        if self.attainment.is_below_target(class, now) {
+            ClassStatus::BelowTarget
+        } else if self.attainment.is_any_below_target(now) {
+            ClassStatus::Slack
         } else {
-            ClassStanding::Level
+            ClassStatus::Balanced
         }
     }
 
@@ -340,18 +347,19 @@
 
     fn refuse(&mut self, intake: &RequestIntake, refusal: Refusal, now: ClockTime) -> EntryActions {
         let answer = FinalAnswer::refused(refusal);
-        self.note_answer(self.work.index(&intake.class), &answer, now);
+        self.record_answer(self.catalog.index(&intake.class), &answer, now);
         EntryActions::from_iter([EntryAction::Answer(answer)])
     }
 
-    fn resettle(&mut self, request: RequestId, actions: &EntryActions, now: ClockTime) {
+    fn update(&mut self, request: RequestId, actions: &EntryActions, now: ClockTime) {
         if let Some(open) = self.requests.remove(&request) {
-            self.settle(request, open, actions, now);
+            self.store_or_finish(request, open, actions, now);
         }
     }
 
-    /// Keeps a request with its timer armed, or accounts for its end.
-    fn settle(
+    /// Stores an unfinished request with its timer armed, or accounts for the end of a finished
+    /// one.
+    fn store_or_finish(
         &mut self,
         request: RequestId,
         mut open: OpenRequest,
@@ -359,36 +367,37 @@
         now: ClockTime,
     ) {
         let timer = open.machine.timer();
-        self.timers.rearm(request, open.armed, timer);
-        open.armed = timer;
+        self.timers.rearm(request, open.timer_at, timer);
+        open.timer_at = timer;
         let machine = &open.machine;
         let Some(EntryAction::Answer(answer)) = actions.last().filter(|_| machine.is_done()) else {
             self.requests.insert(request, open);
             return;
         };
-        if let Some(seal) = machine.open_seal() {
-            self.seals.keep(request, seal, now);
+        if let Some(seal) = machine.pending_seal() {
+            self.seals.insert(request, seal, now);
         }
         let caller = &machine.intake().caller;
-        self.limiter.release(caller, now.since(machine.arrived()));
+        self.limiter
+            .release(caller, now.since(machine.arrived_at()));
         self.counts.attempts += u64::from(machine.attempts());
         self.counts.dropped += u64::from(machine.dropped());
-        self.core.retry.note_ended(machine.class());
+        self.core.retry.record_ended(machine.class());
         if answer.cause == FinalCause::Whole {
-            self.core.retry.note_success(machine.class());
+            self.core.retry.record_success(machine.class());
         }
-        self.note_answer(Some(machine.class()), answer, now);
+        self.record_answer(Some(machine.class()), answer, now);
     }
 
-    fn note_answer(&mut self, class: Option<ClassIndex>, answer: &FinalAnswer, now: ClockTime) {
-        self.counts.note_answer(answer);
+    fn record_answer(&mut self, class: Option<ClassIndex>, answer: &FinalAnswer, now: ClockTime) {
+        self.counts.record_answer(answer);
         if let Some(class) = class.filter(|_| counts_for_target(answer.cause)) {
-            self.ledger.record(class, answer.in_time, now);
+            self.attainment.record(class, answer.in_time, now);
         }
     }
 }
 
-/// The pulse of an event of the live attempt, and the endpoint that it is of.
+/// Returns the pulse that an event of the live attempt carries, with the attempt's endpoint.
 fn live_pulse<'a>(
     machine: &RequestMachine,
     event: &'a EntryEvent,
--- a/crates/oatpier-policy/src/health.rs
+++ b/crates/oatpier-policy/src/health.rs
@@ -1,8 +1,9 @@
-//! Ejection of endpoints on evidence of the data path, and probes back.
+//! Passive health checks: ejects endpoints by the outcome of attempts, and probes them for
+//! recovery.
 //!
-//! Only what happened to this entry's own attempts counts; a directory or a heartbeat may be
-//! right about an agent whose engine has stopped. A dead endpoint refuses connections; a frozen
-//! one accepts attempts and brings nothing at all; a slow one brings something, late.
+//! Only the outcomes of this entry's own attempts count, because a directory or a heartbeat can
+//! report an agent as healthy whose engine has stopped. A dead endpoint refuses connections, a
+//! frozen one accepts attempts and sends nothing, and a slow one responds late.
 
 use std::time::Duration;
 
@@ -19,23 +20,24 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct HealthSettings {
-    /// Failed connections in a row that show a dead endpoint.
+    /// Consecutive failed connections after which an endpoint counts as dead.
     pub connect_failures: u32,
-    /// Silent attempts, with nothing else coming either, that show a frozen endpoint.
+    /// Silent attempts, without any other response in between, after which an endpoint counts as
+    /// frozen.
     pub frozen_silences: u32,
-    /// Late or silent attempts in a row that show a slow endpoint.
+    /// Consecutive late or silent attempts after which an endpoint counts as slow.
     pub slow_attempts: u32,
-    /// Cut answers in a row.
+    /// Consecutive interrupted answers after which an endpoint is ejected.
     pub cuts: u32,
-    /// The time until the first probe.
+    /// Time from an ejection to the first probe.
     #[serde(with = "humantime_serde")]
     pub first_backoff: Duration,
-    /// The longest time between probes.
+    /// Upper bound on the time between probes.
     #[serde(with = "humantime_serde")]
     pub longest_backoff: Duration,
-    /// The largest share of a goal's replicas that may be ejected, in percent.
+    /// Upper bound on the ejected share of a goal's replicas, in percent.
     pub ejected_percent: u32,
-    /// A first frame is never called late before this.
+    /// Lower bound on the time after which a first frame counts as late.
     #[serde(with = "humantime_serde")]
     pub silence_floor: Duration,
 }
@@ -55,118 +57,121 @@
     }
 }
 
-/// What an entry saw of one of its attempts.
+/// An observation that the entry made of one of its attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEvidence {
-    /// No connection came about.
+    /// The connection could not be established.
     ConnectFailed,
-    /// The agent refused it.
+    /// The agent refused the attempt.
     Refused(RefusalCause),
-    /// Its first frame came.
+    /// The first frame of the answer arrived.
     FirstFrame {
-        /// After so long.
+        /// Time from sending the attempt to its first frame.
         took: Duration,
-        /// Where so long was predicted.
+        /// Predicted time to the first frame.
         predicted: Duration,
     },
-    /// A piece of its answer came.
+    /// A piece of the answer arrived.
     Piece,
-    /// Nothing came in the time expected.
+    /// Nothing arrived within the expected time.
     Silent {
-        /// When it was sent, or its last piece came.
+        /// Time at which the attempt was sent or its last piece arrived.
         since: ClockTime,
     },
-    /// Its answer was cut, or it failed after it began to run.
+    /// The answer was interrupted, or the attempt failed after it began to run.
     Cut,
-    /// It came to its end.
+    /// The answer was complete.
     Ended,
 }
 
-/// What is wrong with an endpoint.
+/// The kind of failure of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum EndpointFault {
-    /// It takes no connections.
+    /// The endpoint refuses connections.
     Dead,
-    /// It takes attempts and brings nothing.
+    /// The endpoint accepts attempts and sends nothing.
     Frozen,
-    /// It brings things late.
+    /// The endpoint responds late.
     Slow,
-    /// It cuts its answers.
-    Cutting,
+    /// The endpoint interrupts its answers.
+    Interrupting,
 }
 
-/// What evidence calls for.
+/// A change of an endpoint's health that follows from an observation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
-    /// The endpoint should be ejected, if the share allows.
+    /// The endpoint should be ejected, if the bound on the ejected share permits it.
     Eject(EndpointFault),
-    /// The ejected endpoint works again.
+    /// The ejected endpoint has recovered.
     Reinstate,
 }
 
-/// First frames between two estimates of the expected quantile.
+/// Number of first frames between two updates of the expected quantile.
 const QUANTILE_SAMPLES: u64 = 1_024;
 
-/// Percent of the prediction that a first frame may take, until enough was seen, and at least.
-const DEFAULT_PERCENT: u64 = 400;
-const LEAST_PERCENT: u64 = 200;
+/// Time that a first frame may take until enough samples exist, in percent of its prediction.
+const INITIAL_QUANTILE_PERCENT: u64 = 400;
 
-/// The largest percentage that is told apart.
-const MOST_PERCENT: u64 = 100_000;
+/// Lower bound on the expected quantile, in percent of the prediction.
+const MIN_QUANTILE_PERCENT: u64 = 200;
 
-/// Predictions below this are taken for this, in microseconds: ratios to less mean nothing.
-const LEAST_PREDICTION_US: u64 = 10_000;
+/// Upper bound of the histogram of ratios, in percent.
+const MAX_RATIO_PERCENT: u64 = 100_000;
+
+/// Lower bound that is applied to predictions, in microseconds. Ratios to smaller predictions carry
+/// no information.
+const MIN_PREDICTION_US: u64 = 10_000;
 
 #[derive(Debug, Clone, Copy)]
 struct EjectionState {
     fault: EndpointFault,
     probe_at: ClockTime,
-    probing: bool,
+    is_probing: bool,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
 struct HealthRow {
     connect_failures: u32,
-    silences: u32,
-    late: u32,
+    silent_attempts: u32,
+    late_attempts: u32,
     cuts: u32,
     silent_since: ClockTime,
-    last_sign: ClockTime,
+    last_activity: ClockTime,
     backoff: Duration,
     reinstated_at: Option<ClockTime>,
     ejection: Option<EjectionState>,
 }
 
-/// The health of endpoints as this entry sees it.
+/// Tracks the health of endpoints as observed by this entry.
 #[derive(Debug)]
 pub struct HealthTracker {
     settings: HealthSettings,
     rows: Vec<HealthRow>,
     ejected: Vec<EndpointIndex>,
-    /// First frames' times, in percent of their predictions.
+    /// Times to the first frame, in percent of their predictions.
     ratios: Histogram<u64>,
     expected_percent: u64,
 }
 
 impl HealthTracker {
-    /// All endpoints healthy.
+    /// Creates a tracker in which all endpoints are healthy.
     ///
     /// # Panics
     ///
     /// Never: the histogram's bounds are constants.
     #[must_use]
     pub fn new(settings: HealthSettings) -> Self {
-        let ratios = Histogram::new_with_bounds(1, MOST_PERCENT, 2).expect("constant bounds");
+        let ratios = Histogram::new_with_bounds(1, MAX_RATIO_PERCENT, 2).expect("constant bounds");
         Self {
             settings,
             rows: Vec::new(),
             ejected: Vec::new(),
             ratios,
-            expected_percent: DEFAULT_PERCENT,
+            expected_percent: INITIAL_QUANTILE_PERCENT,
         }
     }
 
-    /// Takes evidence over, and says what it calls for.
+    /// Records an observation and returns the change that follows from it.
     pub fn note(
         &mut self,
         endpoint: EndpointIndex,
@@ -176,45 +181,47 @@
         match evidence {
             AttemptEvidence::ConnectFailed
             | AttemptEvidence::Refused(RefusalCause::EndpointDown) => {
-                let fault = self.note_connect_failure(endpoint);
-                self.failed(endpoint, fault, now)
+                let fault = self.record_connect_failure(endpoint);
+                self.apply_failure(endpoint, fault, now)
             }
             AttemptEvidence::FirstFrame { took, predicted } => {
-                self.note_first_frame(endpoint, took, predicted, now)
+                self.record_first_frame(endpoint, took, predicted, now)
             }
             AttemptEvidence::Silent { since } => {
-                let fault = self.note_silence(endpoint, since);
-                self.failed(endpoint, fault, now)
+                let fault = self.record_silence(endpoint, since);
+                self.apply_failure(endpoint, fault, now)
             }
             AttemptEvidence::Cut => {
-                let fault = self.note_cut(endpoint);
-                self.failed(endpoint, fault, now)
+                let fault = self.record_cut(endpoint);
+                self.apply_failure(endpoint, fault, now)
             }
             AttemptEvidence::Refused(_) => {
                 self.row(endpoint).connect_failures = 0;
                 None
             }
             AttemptEvidence::Piece => {
-                self.row(endpoint).last_sign = now;
+                self.row(endpoint).last_activity = now;
                 None
             }
             AttemptEvidence::Ended => {
                 let row = self.row(endpoint);
                 row.cuts = 0;
-                row.last_sign = now;
+                row.last_activity = now;
                 None
             }
         }
     }
 
-    /// Ejects an endpoint. Ejected again soon after it came back, it stays out twice as long.
+    /// Ejects an endpoint.
+    ///
+    /// The backoff doubles if the endpoint was reinstated less than `longest_backoff` ago.
     pub fn eject(&mut self, endpoint: EndpointIndex, fault: EndpointFault, now: ClockTime) {
         let settings = self.settings;
         let row = self.row(endpoint);
-        let again = row
+        let is_repeated = row
             .reinstated_at
             .is_some_and(|at| now.since(at) < settings.longest_backoff);
-        row.backoff = if again {
+        row.backoff = if is_repeated {
             (row.backoff * 2).min(settings.longest_backoff)
         } else {
             settings.first_backoff
@@ -222,26 +229,26 @@
         row.ejection = Some(EjectionState {
             fault,
             probe_at: now + row.backoff,
-            probing: false,
+            is_probing: false,
         });
         if !self.ejected.contains(&endpoint) {
             self.ejected.push(endpoint);
         }
     }
 
-    /// Puts an endpoint back.
+    /// Reinstates an ejected endpoint.
     pub fn reinstate(&mut self, endpoint: EndpointIndex, now: ClockTime) {
         let row = self.row(endpoint);
         *row = HealthRow {
             backoff: row.backoff,
             reinstated_at: Some(now),
-            last_sign: row.last_sign,
+            last_activity: row.last_activity,
             ..HealthRow::default()
         };
         self.ejected.retain(|other| *other != endpoint);
     }
 
-    /// Whether an ejected endpoint is due for a probe.
+    /// Returns whether an ejected endpoint is due for a probe.
     #[must_use]
     pub fn probe_due(&self, endpoint: EndpointIndex, now: ClockTime) -> bool {
         self.rows
@@ -250,116 +257,123 @@
             .is_some_and(|ejection| ejection.probe_at <= now)
     }
 
-    /// A probe goes to the endpoint; the next one only after the backoff, if this one is lost.
+    /// Records that a probe was sent. If it is lost, the next probe waits for the backoff.
     pub fn start_probe(&mut self, endpoint: EndpointIndex, now: ClockTime) {
         let row = self.row(endpoint);
         let probe_at = now + row.backoff;
         if let Some(ejection) = &mut row.ejection {
-            ejection.probing = true;
+            ejection.is_probing = true;
             ejection.probe_at = probe_at;
         }
     }
 
-    /// The ejected endpoints.
+    /// Returns the ejected endpoints.
     #[must_use]
     pub fn ejected(&self) -> &[EndpointIndex] {
         &self.ejected
     }
 
-    /// What is wrong with an ejected endpoint.
+    /// Returns the failure for which an endpoint is ejected.
     #[must_use]
     pub fn fault(&self, endpoint: EndpointIndex) -> Option<EndpointFault> {
         let row = self.rows.get(endpoint.place())?;
         row.ejection.map(|ejection| ejection.fault)
     }
 
-    /// The time after which an attempt with this prediction is silent: the expected quantile of
-    /// what first frames took lately against their predictions.
+    /// Returns the time after which an attempt with this prediction counts as silent.
+    ///
+    /// It is the expected quantile of the ratio of recent first-frame times to their predictions,
+    /// applied to `predicted`.
     #[must_use]
-    pub fn silence_after(&self, predicted: Duration) -> Duration {
-        let predicted = micros(predicted).max(LEAST_PREDICTION_US);
+    pub fn silence_timeout(&self, predicted: Duration) -> Duration {
+        let predicted = micros(predicted).max(MIN_PREDICTION_US);
         let expected = Duration::from_micros(scale(predicted, self.expected_percent, 100));
         expected.max(self.settings.silence_floor)
     }
 
-    fn note_connect_failure(&mut self, endpoint: EndpointIndex) -> Option<EndpointFault> {
+    fn record_connect_failure(&mut self, endpoint: EndpointIndex) -> Option<EndpointFault> {
         let bound = self.settings.connect_failures;
         let row = self.row(endpoint);
         row.connect_failures += 1;
         (row.connect_failures >= bound).then_some(EndpointFault::Dead)
     }
 
-    fn note_cut(&mut self, endpoint: EndpointIndex) -> Option<EndpointFault> {
+    fn record_cut(&mut self, endpoint: EndpointIndex) -> Option<EndpointFault> {
         let bound = self.settings.cuts;
         let row = self.row(endpoint);
         row.cuts += 1;
-        (row.cuts >= bound).then_some(EndpointFault::Cutting)
+        (row.cuts >= bound).then_some(EndpointFault::Interrupting)
     }
 
-    fn note_first_frame(
+    fn record_first_frame(
         &mut self,
         endpoint: EndpointIndex,
         took: Duration,
         predicted: Duration,
         now: ClockTime,
     ) -> Option<HealthChange> {
-        let in_time = took <= self.silence_after(predicted);
+        let is_in_time = took <= self.silence_timeout(predicted);
         self.record_ratio(took, predicted);
         let slow_attempts = self.settings.slow_attempts;
         let row = self.row(endpoint);
-        row.last_sign = now;
+        row.last_activity = now;
         row.connect_failures = 0;
-        row.silences = 0;
-        if !in_time {
-            row.late += 1;
-            let slow = row.late >= slow_attempts;
-            return self.failed(endpoint, slow.then_some(EndpointFault::Slow), now);
+        row.silent_attempts = 0;
+        if !is_in_time {
+            row.late_attempts += 1;
+            let is_slow = row.late_attempts >= slow_attempts;
+            return self.apply_failure(endpoint, is_slow.then_some(EndpointFault::Slow), now);
         }
-        row.late = 0;
+        row.late_attempts = 0;
         row.ejection.map(|_| HealthChange::Reinstate)
     }
 
     fn record_ratio(&mut self, took: Duration, predicted: Duration) {
-        let predicted = micros(predicted).max(LEAST_PREDICTION_US);
+        let predicted = micros(predicted).max(MIN_PREDICTION_US);
         self.ratios
             .saturating_record(scale(micros(took), 100, predicted));
         if self.ratios.len() >= QUANTILE_SAMPLES {
-            let seen = self.ratios.value_at_quantile(0.99);
-            self.expected_percent = seen.max(LEAST_PERCENT);
+            let observed = self.ratios.value_at_quantile(0.99);
+            self.expected_percent = observed.max(MIN_QUANTILE_PERCENT);
             self.ratios.reset();
         }
     }
 
-    fn note_silence(&mut self, endpoint: EndpointIndex, since: ClockTime) -> Option<EndpointFault> {
+    fn record_silence(
+        &mut self,
+        endpoint: EndpointIndex,
+        since: ClockTime,
+    ) -> Option<EndpointFault> {
         let settings = self.settings;
         let row = self.row(endpoint);
-        if row.silences == 0 {
+        if row.silent_attempts == 0 {
             row.silent_since = since;
         }
-        row.silences += 1;
-        row.late += 1;
-        let nothing_came = row.last_sign <= row.silent_since;
-        if nothing_came && row.silences >= settings.frozen_silences {
+        row.silent_attempts += 1;
+        row.late_attempts += 1;
+        let is_inactive = row.last_activity <= row.silent_since;
+        if is_inactive && row.silent_attempts >= settings.frozen_silences {
             return Some(EndpointFault::Frozen);
         }
-        (row.late >= settings.slow_attempts).then_some(EndpointFault::Slow)
+        (row.late_attempts >= settings.slow_attempts).then_some(EndpointFault::Slow)
     }
 
-    /// A failure of an endpoint in use may eject it; one of a probe lengthens its backoff.
-    fn failed(
+    /// Handles a failure: one of an endpoint in use may eject it, one of a probe lengthens the
+    /// backoff.
+    fn apply_failure(
         &mut self,
         endpoint: EndpointIndex,
         fault: Option<EndpointFault>,
         now: ClockTime,
     ) -> Option<HealthChange> {
-        let longest = self.settings.longest_backoff;
+        let max_backoff = self.settings.longest_backoff;
         let row = self.row(endpoint);
         let Some(ejection) = &mut row.ejection else {
             return fault.map(HealthChange::Eject);
         };
-        if ejection.probing {
-            row.backoff = (row.backoff * 2).min(longest);
-            ejection.probing = false;
+        if ejection.is_probing {
+            row.backoff = (row.backoff * 2).min(max_backoff);
+            ejection.is_probing = false;
             ejection.probe_at = now + row.backoff;
         }
         None
--- a/crates/oatpier-policy/src/machine/mod.rs
+++ b/crates/oatpier-policy/src/machine/mod.rs
@@ -1,22 +1,23 @@
-//! The life of one request at its entry.
+//! State machine of one request at its entry.
 //!
 //! ```text
 //! claim -> choose -> attempt -> relay -> answer
 //!             ^         |
-//!             +- again -+   if the verdict and the retry budget allow
+//!             +- retry -+   if the verdict and the retry budget permit
 //! ```
 //!
-//! An at-most-once request has one live attempt at a time, and another one only after the former's
-//! verdict is "not run". An idempotent request that hears nothing is sent elsewhere at once, while
-//! the former attempt is cancelled. Whatever comes of an attempt that isn't the live one is
-//! dropped and counted. A request whose time has passed gets its final answer at once.
+//! An at-most-once request has one live attempt at a time. Another one is sent only after the
+//! verdict on the previous one is "not run". An idempotent request without a response is sent to
+//! another endpoint at once, and the previous attempt is cancelled. Events of an attempt that isn't
+//! the live one are dropped and counted. A request whose deadline has passed gets its final answer
+//! at once.
 
-mod again;
 mod attempt;
 mod context;
+mod dispatch;
 mod finish;
+mod handlers;
 mod settings;
-mod steps;
 
 use std::time::Duration;
 
@@ -36,61 +37,61 @@
 pub use context::AttemptContext;
 pub use settings::MachineSettings;
 
-/// Where a request stands.
+/// The phase of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum RequestStep {
+enum RequestPhase {
     Claiming,
     Attempting,
     Done,
 }
 
-/// What the façade adds to an intake: indices and the class's target.
+/// The indices and the class's target that the façade looks up for a request.
 #[derive(Debug, Clone, Copy)]
-pub struct RequestFrame {
-    /// Its class.
+pub struct RequestLookup {
+    /// The class of the request.
     pub class: ClassIndex,
-    /// The class's target.
+    /// The target of the class.
     pub target: ClassTarget,
-    /// Its goal.
+    /// The goal (model, adapter or service) of the request.
     pub goal: GoalIndex,
 }
 
-/// The life of one request.
+/// State machine of one request.
 #[derive(Debug)]
 pub struct RequestMachine {
     intake: RequestIntake,
-    frame: RequestFrame,
+    lookup: RequestLookup,
     settings: MachineSettings,
-    step: RequestStep,
-    arrived: ClockTime,
-    due: ClockTime,
-    give_up: ClockTime,
+    phase: RequestPhase,
+    arrived_at: ClockTime,
+    due_at: ClockTime,
+    give_up_at: ClockTime,
     live: Option<LiveAttempt>,
-    tried: SmallVec<[EndpointIndex; 4]>,
+    tried_endpoints: SmallVec<[EndpointIndex; 4]>,
     attempts: u32,
-    /// Attempts that were cancelled, and whose verdict is not known yet.
-    unsettled: SmallVec<[AttemptId; 2]>,
-    /// The verdict on all settled attempts.
-    settled: RunVerdict,
-    claimed: bool,
+    /// Cancelled attempts whose verdict is not known yet.
+    pending_cancels: SmallVec<[AttemptId; 2]>,
+    /// The combined verdict on all attempts whose verdict is known.
+    known_verdict: RunVerdict,
+    has_claim: bool,
     first_piece: Option<ClockTime>,
     relayed_tokens: u32,
     blocked_since: Option<ClockTime>,
     last_refusal: Option<Refusal>,
-    open_seal: Option<OpenSeal>,
+    pending_seal: Option<PendingSeal>,
     dropped: u32,
 }
 
-/// A seal that was asked for a claimed change, and not answered when the request ended.
+/// A requested seal of an attempt with a claimed key, not yet answered when the request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OpenSeal {
-    /// The claimed key, hashed.
+pub struct PendingSeal {
+    /// The hashed idempotency key that was claimed.
     pub key: u64,
-    /// The attempt.
+    /// The attempt to be sealed.
     pub attempt: AttemptId,
 }
 
-/// One event's handling: what surrounds it, and the actions that come of it.
+/// The context in which one event is handled, and the resulting actions.
 struct EventTurn<'a> {
     context: &'a mut dyn AttemptContext,
     now: ClockTime,
@@ -98,44 +99,45 @@
 }
 
 impl RequestMachine {
-    /// The life of a request that came in now. [`Self::start`] is to be called once.
+    /// Creates the state machine of a request that arrived at `now`. [`Self::start`] must be called
+    /// once.
     #[must_use]
     pub fn new(
         settings: MachineSettings,
         intake: RequestIntake,
-        frame: RequestFrame,
+        lookup: RequestLookup,
         now: ClockTime,
     ) -> Self {
-        let span = frame.target.first_due();
+        let span = lookup.target.first_due();
         Self {
             intake,
-            frame,
+            lookup,
             settings,
-            step: RequestStep::Claiming,
-            arrived: now,
-            due: now + span,
-            give_up: now + span * settings.give_up_percent / 100,
+            phase: RequestPhase::Claiming,
+            arrived_at: now,
+            due_at: now + span,
+            give_up_at: now + span * settings.give_up_percent / 100,
             live: None,
-            tried: SmallVec::new(),
+            tried_endpoints: SmallVec::new(),
             attempts: 0,
-            unsettled: SmallVec::new(),
-            settled: RunVerdict::NotRun,
-            claimed: false,
+            pending_cancels: SmallVec::new(),
+            known_verdict: RunVerdict::NotRun,
+            has_claim: false,
             first_piece: None,
             relayed_tokens: 0,
             blocked_since: None,
             last_refusal: None,
-            open_seal: None,
+            pending_seal: None,
             dropped: 0,
         }
     }
 
-    /// Claims the request's key, or sends its first attempt.
+    /// Starts the request: claims its key, or sends its first attempt.
     pub fn start(&mut self, context: &mut dyn AttemptContext, now: ClockTime) -> EntryActions {
         let mut turn = EventTurn::new(context, now);
         match self.key_to_claim() {
             Some(key) => {
-                self.claimed = true;
+                self.has_claim = true;
                 turn.actions.push(EntryAction::Claim { key });
             }
             None => self.send_first(&mut turn),
@@ -143,7 +145,7 @@
         turn.actions
     }
 
-    /// Takes an event over.
+    /// Handles an event.
     pub fn handle(
         &mut self,
         event: &EntryEvent,
@@ -151,17 +153,18 @@
         now: ClockTime,
     ) -> EntryActions {
         let mut turn = EventTurn::new(context, now);
-        match self.step {
-            RequestStep::Done => self.dropped += 1,
-            RequestStep::Claiming | RequestStep::Attempting => self.take(event, &mut turn),
+        match self.phase {
+            RequestPhase::Done => self.dropped += 1,
+            RequestPhase::Claiming | RequestPhase::Attempting => self.apply_event(event, &mut turn),
         }
         turn.actions
     }
 
-    /// When `Timer` is to be given next; `NEVER` once it is done.
+    /// Returns the time at which `Timer` must be delivered next; `NEVER` after the end of the
+    /// request.
     #[must_use]
     pub fn timer(&self) -> ClockTime {
-        if self.step == RequestStep::Done {
+        if self.phase == RequestPhase::Done {
             return ClockTime::NEVER;
         }
         if let Some(since) = self.blocked_since {
@@ -171,70 +174,71 @@
         attempt.min(self.deadline())
     }
 
-    /// Whether its final answer was given.
+    /// Returns whether the final answer was given.
     #[must_use]
     pub fn is_done(&self) -> bool {
-        self.step == RequestStep::Done
+        self.phase == RequestPhase::Done
     }
 
-    /// Late, crossed or contradictory events that were dropped.
+    /// Returns the number of late, reordered or contradictory events that were dropped.
     #[must_use]
     pub fn dropped(&self) -> u32 {
         self.dropped
     }
 
-    /// After its end: the seal whose answer may yet free its key.
+    /// Returns the unanswered seal that may still free the request's key, after the end of the
+    /// request.
     #[must_use]
-    pub fn open_seal(&self) -> Option<OpenSeal> {
-        self.open_seal
+    pub fn pending_seal(&self) -> Option<PendingSeal> {
+        self.pending_seal
     }
 
-    /// The request.
+    /// Returns the request.
     #[must_use]
     pub fn intake(&self) -> &RequestIntake {
         &self.intake
     }
 
-    /// Its class.
+    /// Returns the class of the request.
     #[must_use]
     pub fn class(&self) -> ClassIndex {
-        self.frame.class
+        self.lookup.class
     }
 
-    /// When it came in.
+    /// Returns the time of arrival.
     #[must_use]
-    pub fn arrived(&self) -> ClockTime {
-        self.arrived
+    pub fn arrived_at(&self) -> ClockTime {
+        self.arrived_at
     }
 
-    /// The endpoint of the live attempt.
+    /// Returns the endpoint of the live attempt.
     #[must_use]
     pub fn endpoint(&self) -> Option<EndpointIndex> {
         self.live.map(|live| live.endpoint)
     }
 
-    /// The live attempt.
+    /// Returns the id of the live attempt.
     #[must_use]
     pub fn attempt(&self) -> Option<AttemptId> {
         self.live.map(|live| live.attempt)
     }
 
-    /// How many attempts were sent.
+    /// Returns the number of attempts that were sent.
     #[must_use]
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Whether it may have run, as far as known.
+    /// Returns whether the request may have run, as far as known.
     #[must_use]
     pub fn verdict(&self) -> RunVerdict {
-        if self.live.is_none() && self.unsettled.is_empty() {
-            return self.settled;
+        if self.live.is_none() && self.pending_cancels.is_empty() {
+            return self.known_verdict;
         }
-        self.settled.and(RunVerdict::MayHaveRun)
+        self.known_verdict.and(RunVerdict::MayHaveRun)
     }
 
-    fn take(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
+    fn apply_event(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
         match event {
             EntryEvent::Timer => self.on_timer(turn),
             EntryEvent::CallerGone => self.on_caller_gone(turn),
@@ -246,13 +250,16 @@
             EntryEvent::CancelAnswered { attempt, verdict } => {
                 self.on_cancel_answered(*attempt, *verdict, turn);
             }
-            _ => self.on_attempt(event, turn),
+            _ => self.on_attempt_event(event, turn),
         }
     }
 
-    /// An event of an attempt that isn't the live one is late or crossed: relaying it would mix
-    /// two answers, and judging by it would judge the wrong attempt.
-    fn on_attempt(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
+    /// Handles an event of an attempt.
+    ///
+    /// An event of any attempt but the live one arrived late or out of order and is dropped:
+    /// relaying its data would mix two answers, and its outcome would be attributed to the wrong
+    /// attempt.
+    fn on_attempt_event(&mut self, event: &EntryEvent, turn: &mut EventTurn<'_>) {
         let live = self
             .live
             .filter(|live| Some(live.attempt) == event.attempt());
@@ -261,7 +268,7 @@
             return;
         };
         match event {
-            EntryEvent::FirstFrame { .. } => self.on_frame(turn),
+            EntryEvent::FirstFrame { .. } => self.on_first_frame(turn),
             EntryEvent::Piece { tokens, .. } => self.on_piece(*tokens, turn),
             EntryEvent::Ended { .. } => self.on_ended(live, turn),
             EntryEvent::Refused { refusal, .. } => self.on_refused(live, *refusal, turn),
@@ -277,22 +284,24 @@
         self.intake.key.filter(|_| at_most_once)
     }
 
-    fn begun(&self) -> bool {
+    fn has_begun(&self) -> bool {
         self.first_piece.is_some()
     }
 
-    /// Until the first piece, the class's target gives the deadline. After it, the caller has a
-    /// part of its answer, and only a stall ends the request.
+    /// Returns the deadline of the request.
+    ///
+    /// Before the first piece, the class's target determines it. After the first piece, the caller
+    /// has a part of its answer, and only a stall ends the request.
     fn deadline(&self) -> ClockTime {
-        if self.begun() {
+        if self.has_begun() {
             ClockTime::NEVER
         } else {
-            self.give_up
+            self.give_up_at
         }
     }
 
-    fn stall_span(&self) -> Duration {
-        let steps = match self.frame.target {
+    fn stall_timeout(&self) -> Duration {
+        let steps = match self.lookup.target {
             ClassTarget::Stream { between_tokens, .. } => {
                 between_tokens * self.settings.stall_steps
             }
--- a/crates/oatpier-policy/src/table/candidates.rs
+++ b/crates/oatpier-policy/src/table/candidates.rs
@@ -1,22 +1,22 @@
-//! Who can serve a goal, by availability zone, kept up to date change by change.
+//! Replicas of a goal by availability zone, updated incrementally.
 
 use smallvec::SmallVec;
 
 use crate::index::{EndpointIndex, ZoneIndex};
 
-/// How an endpoint stands in the lists of its goals.
+/// State of an endpoint in the lists of its goals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListingState {
-    /// It counts as a replica and takes work.
+    /// The endpoint counts as a replica and accepts work.
     Open,
-    /// It counts as a replica; it takes no work at the moment.
+    /// The endpoint counts as a replica and currently accepts no work.
     Closed,
-    /// It counts as a replica; it is faulty.
+    /// The endpoint counts as a replica and is faulty.
     Faulty {
-        /// Whether it would take work.
+        /// Whether the endpoint accepts work.
         accepting: bool,
     },
-    /// It is leaving or gone.
+    /// The endpoint is leaving or gone, and doesn't count as a replica.
     Absent,
 }
 
@@ -30,22 +30,23 @@
 
 /// The replicas of one goal.
 ///
-/// Faulty ones are ejected up to a share of the replicas; those beyond it are spared, and take
-/// work. Each goal decides for itself: an endpoint that is one model's only replica still serves
-/// that model, while another model with replicas elsewhere does without it.
+/// Faulty replicas are ejected up to a share of all replicas. Those beyond it are retained and
+/// still get work. Each goal decides independently: an endpoint that is the only replica of one
+/// model still serves that model, while it is ejected for another model that has other replicas.
 #[derive(Debug, Default)]
 pub struct CandidateList {
     zones: Vec<Vec<EndpointIndex>>,
     ejected: SmallVec<[EndpointIndex; 4]>,
-    /// All faulty ones, those that were found first before others: they are ejected first.
+    /// All faulty replicas in the order in which they were found faulty. Earlier ones are ejected
+    /// first.
     faulty: SmallVec<[FaultyReplica; 4]>,
-    open: usize,
-    members: u32,
+    open_count: usize,
+    replica_count: u32,
     ejected_percent: u32,
 }
 
 impl CandidateList {
-    /// The empty list of a goal of whose replicas `ejected_percent` may be ejected.
+    /// Creates the empty list of a goal; up to `ejected_percent` of its replicas may be ejected.
     pub(super) fn new(ejected_percent: u32) -> Self {
         Self {
             ejected_percent,
@@ -53,34 +54,37 @@
         }
     }
 
-    /// The endpoints of an availability zone that take work, in no order.
+    /// Returns the endpoints of an availability zone that accept work, in no particular order.
     #[must_use]
     pub fn open_in(&self, zone: ZoneIndex) -> &[EndpointIndex] {
         self.zones.get(zone.place()).map_or(&[], Vec::as_slice)
     }
 
-    /// How many endpoints take work.
+    /// Returns the number of endpoints that accept work.
     #[must_use]
-    pub fn open(&self) -> usize {
-        self.open
+    pub fn open_count(&self) -> usize {
+        self.open_count
     }
 
-    /// The ejected endpoints.
+    /// Returns the ejected endpoints.
     #[must_use]
     pub fn ejected(&self) -> &[EndpointIndex] {
         &self.ejected
     }
 
-    /// How many replicas there are, ejected and closed ones included.
+    /// Returns the number of replicas, including ejected and closed ones.
     #[must_use]
-    pub fn members(&self) -> u32 {
-        self.members
+    pub fn replica_count(&self) -> u32 {
+        self.replica_count
     }
 
-    /// Whether one more replica may be ejected. Beyond the share the fault is more likely here or
-    /// in what is asked of them, and ejecting more would only pile all load on the rest.
-    pub(super) fn has_room(&self) -> bool {
-        self.faulty.len() < self.most_ejected()
+    /// Returns whether one more replica may be ejected.
+    ///
+    /// If more replicas than the share seem faulty, the fault is more likely in this entry or in
+    /// the requests, and further ejections would only concentrate the load on the remaining
+    /// replicas.
+    pub(super) fn may_eject_more(&self) -> bool {
+        self.faulty.len() < self.max_ejected()
     }
 
     pub(super) fn add(&mut self, index: EndpointIndex, zone: ZoneIndex, listing: ListingState) {
@@ -94,8 +98,8 @@
             }),
             ListingState::Open => self.add_open(index, zone),
         }
-        self.members += 1;
-        self.keep_share();
+        self.replica_count += 1;
+        self.rebalance_ejected();
     }
 
     pub(super) fn remove(&mut self, index: EndpointIndex, zone: ZoneIndex, listing: ListingState) {
@@ -105,54 +109,54 @@
             ListingState::Faulty { .. } => self.remove_faulty(index),
             ListingState::Open => self.remove_open(index, zone),
         }
-        self.members -= 1;
-        self.keep_share();
+        self.replica_count -= 1;
+        self.rebalance_ejected();
     }
 
-    fn most_ejected(&self) -> usize {
-        let most = u64::from(self.members) * u64::from(self.ejected_percent) / 100;
-        usize::try_from(most).unwrap_or(usize::MAX)
+    fn max_ejected(&self) -> usize {
+        let max_ejected = u64::from(self.replica_count) * u64::from(self.ejected_percent) / 100;
+        usize::try_from(max_ejected).unwrap_or(usize::MAX)
     }
 
-    /// The first faulty ones are ejected, as many as the share allows; the rest are spared.
-    fn keep_share(&mut self) {
-        let wanted = self.most_ejected().min(self.faulty.len());
+    /// Ejects faulty replicas in order, as many as the share permits, and retains the rest.
+    fn rebalance_ejected(&mut self) {
+        let wanted = self.max_ejected().min(self.faulty.len());
         while self.ejected.len() > wanted {
-            let spared = self.faulty[self.ejected.len() - 1];
+            let retained = self.faulty[self.ejected.len() - 1];
             self.ejected.pop();
-            self.spare(spared);
+            self.list_retained(retained);
         }
         while self.ejected.len() < wanted {
             let next = self.faulty[self.ejected.len()];
-            self.unspare(next);
+            self.unlist_retained(next);
             self.ejected.push(next.index);
         }
     }
 
     fn add_faulty(&mut self, replica: FaultyReplica) {
         self.faulty.push(replica);
-        self.spare(replica);
+        self.list_retained(replica);
     }
 
     fn remove_faulty(&mut self, index: EndpointIndex) {
-        let Some(place) = self.faulty.iter().position(|other| other.index == index) else {
+        let Some(position) = self.faulty.iter().position(|other| other.index == index) else {
             return;
         };
-        let replica = self.faulty.remove(place);
-        if place < self.ejected.len() {
-            self.ejected.remove(place);
+        let replica = self.faulty.remove(position);
+        if position < self.ejected.len() {
+            self.ejected.remove(position);
         } else {
-            self.unspare(replica);
+            self.unlist_retained(replica);
         }
     }
 
-    fn spare(&mut self, replica: FaultyReplica) {
+    fn list_retained(&mut self, replica: FaultyReplica) {
         if replica.accepting {
             self.add_open(replica.index, replica.zone);
         }
     }
 
-    fn unspare(&mut self, replica: FaultyReplica) {
+    fn unlist_retained(&mut self, replica: FaultyReplica) {
         if replica.accepting {
             self.remove_open(replica.index, replica.zone);
         }
@@ -163,14 +167,14 @@
             self.zones.resize_with(zone.place() + 1, Vec::new);
         }
         self.zones[zone.place()].push(index);
-        self.open += 1;
+        self.open_count += 1;
     }
 
     fn remove_open(&mut self, index: EndpointIndex, zone: ZoneIndex) {
         let list = &mut self.zones[zone.place()];
-        if let Some(place) = list.iter().position(|other| *other == index) {
-            list.swap_remove(place);
-            self.open -= 1;
+        if let Some(position) = list.iter().position(|other| *other == index) {
+            list.swap_remove(position);
+            self.open_count -= 1;
         }
     }
 }
