--- a/crates/oatpier-types/src/config/diff.rs
+++ b/crates/oatpier-types/src/config/diff.rs
@@ -35,7 +35,7 @@
 /// The pool and availability zone of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct EndpointSite {
+pub struct EndpointLocation {
     /// The pool of the endpoint.
     pub pool: PoolName,
     /// The availability zone of the endpoint.
@@ -54,7 +54,7 @@
     /// A pool, not including its endpoints.
     Pool(ItemEdit<PoolName, PoolKind>),
     /// An endpoint of a pool.
-    Endpoint(ItemEdit<EndpointName, EndpointSite>),
+    Endpoint(ItemEdit<EndpointName, EndpointLocation>),
     /// A base model.
     Model(ItemEdit<ModelName, ModelSpec>),
     /// An adapter.
@@ -123,14 +123,14 @@
 
     /// Returns the edit that reverts this one.
     #[must_use]
-    pub fn undo(&self) -> Self {
+    pub fn invert(&self) -> Self {
         match self.clone() {
-            Self::Region(edit) => Self::Region(edit.undo()),
-            Self::Class(edit) => Self::Class(edit.undo()),
-            Self::Pool(edit) => Self::Pool(edit.undo()),
-            Self::Endpoint(edit) => Self::Endpoint(edit.undo()),
-            Self::Model(edit) => Self::Model(edit.undo()),
-            Self::Adapter(edit) => Self::Adapter(edit.undo()),
+            Self::Region(edit) => Self::Region(edit.invert()),
+            Self::Class(edit) => Self::Class(edit.invert()),
+            Self::Pool(edit) => Self::Pool(edit.invert()),
+            Self::Endpoint(edit) => Self::Endpoint(edit.invert()),
+            Self::Model(edit) => Self::Model(edit.invert()),
+            Self::Adapter(edit) => Self::Adapter(edit.invert()),
             Self::WeightStore { before, after } => Self::WeightStore {
                 before: after,
                 after: before,
@@ -145,12 +145,12 @@
             Self::Region(edit) => edit.fit(config.regions.get(&edit.name)),
             Self::Class(edit) => edit.fit(config.classes.get(&edit.name)),
             Self::Pool(edit) => edit.fit(config.pools.get(&edit.name).map(|pool| &pool.kind)),
-            Self::Endpoint(edit) => edit.fit(config.site_of(&edit.name).as_ref()),
+            Self::Endpoint(edit) => edit.fit(config.location_of(&edit.name).as_ref()),
             Self::Model(edit) => edit.fit(config.models.get(&edit.name)),
             Self::Adapter(edit) => edit.fit(config.adapters.get(&edit.name)),
             Self::WeightStore { before, after } => {
                 let present = Some(&config.weight_store);
-                fit_of(present, Some(before), Some(after))
+                edit_fit(present, Some(before), Some(after))
             }
         }
     }
@@ -176,7 +176,7 @@
         }
     }
 
-    fn undo(self) -> Self {
+    fn invert(self) -> Self {
         Self {
             name: self.name,
             before: self.after,
@@ -185,11 +185,11 @@
     }
 
     fn fit(&self, present: Option<&S>) -> EditFit {
-        fit_of(present, self.before.as_ref(), self.after.as_ref())
+        edit_fit(present, self.before.as_ref(), self.after.as_ref())
     }
 }
 
-fn fit_of<S: PartialEq>(present: Option<&S>, before: Option<&S>, after: Option<&S>) -> EditFit {
+fn edit_fit<S: PartialEq>(present: Option<&S>, before: Option<&S>, after: Option<&S>) -> EditFit {
     if present == after {
         EditFit::Done
     } else if present == before {
@@ -215,7 +215,7 @@
     edits.extend(classes.into_iter().map(ConfigEdit::Class));
     let pools = item_edits(&before.pool_kinds(), &after.pool_kinds());
     edits.extend(pools.into_iter().map(ConfigEdit::Pool));
-    let endpoints = item_edits(&before.endpoint_sites(), &after.endpoint_sites());
+    let endpoints = item_edits(&before.endpoint_locations(), &after.endpoint_locations());
     edits.extend(endpoints.into_iter().map(ConfigEdit::Endpoint));
     let models = item_edits(&before.models, &after.models);
     edits.extend(models.into_iter().map(ConfigEdit::Model));
@@ -245,14 +245,14 @@
 
 /// Returns the items that two edit lists, based on the same configuration, change differently.
 #[must_use]
-pub fn clashing_items(left: &[ConfigEdit], right: &[ConfigEdit]) -> Vec<ItemRef> {
-    let theirs: std::collections::HashMap<ItemRef, &ConfigEdit> =
+pub fn conflicting_items(left: &[ConfigEdit], right: &[ConfigEdit]) -> Vec<ItemRef> {
+    let right_by_item: std::collections::HashMap<ItemRef, &ConfigEdit> =
         right.iter().map(|edit| (edit.item(), edit)).collect();
-    let both = left.iter().filter(|edit| {
-        let other = theirs.get(&edit.item());
+    let differing = left.iter().filter(|edit| {
+        let other = right_by_item.get(&edit.item());
         other.is_some_and(|other| *other != *edit)
     });
-    both.map(ConfigEdit::item).collect()
+    differing.map(ConfigEdit::item).collect()
 }
 
 /// Applies `edits` to `config` without checking the previous values.
@@ -311,25 +311,26 @@
     pools.insert(edit.name.clone(), PoolSpec { kind, endpoints });
 }
 
-fn set_endpoint(config: &mut FleetConfig, edit: &ItemEdit<EndpointName, EndpointSite>) {
+fn set_endpoint(config: &mut FleetConfig, edit: &ItemEdit<EndpointName, EndpointLocation>) {
     for pool in config.pools.values_mut() {
         pool.endpoints.swap_remove(&edit.name);
     }
-    let Some(site) = &edit.after else {
+    let Some(location) = &edit.after else {
         return;
     };
-    if let Some(pool) = config.pools.get_mut(&site.pool) {
-        pool.endpoints.insert(edit.name.clone(), site.zone.clone());
+    if let Some(pool) = config.pools.get_mut(&location.pool) {
+        pool.endpoints
+            .insert(edit.name.clone(), location.zone.clone());
     }
 }
 
 impl FleetConfig {
     /// Returns the pool and availability zone of an endpoint.
     #[must_use]
-    pub fn site_of(&self, endpoint: &EndpointName) -> Option<EndpointSite> {
+    pub fn location_of(&self, endpoint: &EndpointName) -> Option<EndpointLocation> {
         let (pool, spec) = self.pool_of(endpoint)?;
         let zone = spec.endpoints.get(endpoint)?;
-        Some(EndpointSite {
+        Some(EndpointLocation {
             pool: pool.clone(),
             zone: zone.clone(),
         })
@@ -358,7 +359,8 @@
     pub fn content_hash(&self) -> u64 {
         let mut canonical = self.clone();
         canonical.sort_items();
-        let bytes = serde_json::to_vec(&canonical).expect("a configuration is representable in JSON");
+        let bytes =
+            serde_json::to_vec(&canonical).expect("a configuration is representable in JSON");
         xxhash_rust::xxh3::xxh3_64(&bytes)
     }
 
@@ -369,16 +371,16 @@
             .collect()
     }
 
-    fn endpoint_sites(&self) -> IndexMap<EndpointName, EndpointSite> {
+    fn endpoint_locations(&self) -> IndexMap<EndpointName, EndpointLocation> {
         let pools = self.pools.iter();
         pools
             .flat_map(|(name, pool)| {
                 pool.endpoints.iter().map(move |(endpoint, zone)| {
-                    let site = EndpointSite {
+                    let location = EndpointLocation {
                         pool: name.clone(),
                         zone: zone.clone(),
                     };
-                    (endpoint.clone(), site)
+                    (endpoint.clone(), location)
                 })
             })
             .collect()
--- a/crates/oatpier-types/src/config/fault.rs
+++ b/crates/oatpier-types/src/config/fault.rs
@@ -93,7 +93,7 @@
 /// The reason why a part of a configuration is invalid.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Error)]
-pub enum FaultCause {
+pub enum ErrorCause {
     /// The text is not valid TOML.
     #[error("the text is not valid TOML: {message}")]
     Syntax {
@@ -126,28 +126,28 @@
     },
     /// A name with invalid characters or an invalid length.
     #[error(transparent)]
-    BadName(#[from] NameError),
+    InvalidName(#[from] NameError),
     /// A string that is not a duration.
     #[error("`{value}` is not a duration")]
-    BadDuration {
+    InvalidDuration {
         /// The invalid value.
         value: String,
     },
     /// A string that is not a call pattern of a plain service.
     #[error("`{value}` is not a method and a path")]
-    BadCall {
+    InvalidCall {
         /// The invalid value.
         value: String,
     },
     /// An unknown kind of pool.
     #[error("`{value}` is not a kind of pool")]
-    BadKind {
+    InvalidKind {
         /// The invalid value.
         value: String,
     },
     /// Keys that cannot be combined.
     #[error("`{key}` cannot be combined with `{other}`")]
-    KeysExclude {
+    ConflictingKeys {
         /// The key.
         key: &'static str,
         /// The key or setting that excludes it.
@@ -169,7 +169,7 @@
     },
     /// A share that is not between 0 and 1.
     #[error("a share of {value} cannot be attained")]
-    ShareOutside {
+    ShareOutOfRange {
         /// The invalid value.
         value: f64,
     },
@@ -182,14 +182,14 @@
         value: String,
     },
     /// A number above its maximum.
-    #[error("`{key}` is {value}, more than {most}")]
-    TooMany {
+    #[error("`{key}` is {value}, more than {maximum}")]
+    AboveMaximum {
         /// The key.
         key: &'static str,
         /// The invalid value.
         value: u64,
         /// The maximum.
-        most: u64,
+        maximum: u64,
     },
     /// An empty list where at least one entry is required.
     #[error("`{key}` is empty")]
@@ -199,22 +199,22 @@
     },
     /// A model assigned to a pool of plain services.
     #[error("{pool} contains plain services, which cannot load models")]
-    NotEngines {
+    NotEnginePool {
         /// The pool.
         pool: ItemRef,
     },
     /// A class with streaming targets that is assigned to plain services.
     #[error("{class} has streaming targets, but a plain service does not stream tokens")]
-    NotWhole {
+    StreamingClass {
         /// The class.
         class: ItemRef,
     },
 }
 
-impl FaultCause {
+impl ErrorCause {
     /// Returns a suggestion for correcting the error.
     #[must_use]
-    pub fn mend(&self) -> String {
+    pub fn help(&self) -> String {
         match self {
             Self::Syntax { .. } => "correct the syntax; see https://toml.io".to_owned(),
             Self::UnknownKey { known, nearest, .. } => nearest.as_ref().map_or_else(
@@ -223,42 +223,44 @@
             ),
             Self::WrongType { .. } => "use a value of the expected type".to_owned(),
             Self::MissingKey { key } => format!("add `{key} = ...`"),
-            Self::BadName(_) => "choose another name".to_owned(),
-            Self::BadDuration { .. } => "write a number and a unit, such as \"320ms\"".to_owned(),
-            Self::BadCall { .. } => {
+            Self::InvalidName(_) => "choose another name".to_owned(),
+            Self::InvalidDuration { .. } => {
+                "write a number and a unit, such as \"320ms\"".to_owned()
+            }
+            Self::InvalidCall { .. } => {
                 "write a method in uppercase and a path, such as \"POST /plans/*/apply\"".to_owned()
             }
-            Self::BadKind { .. } => "use \"engine\" or \"service\"".to_owned(),
-            Self::KeysExclude { key, other } => format!("remove `{key}` or `{other}`"),
+            Self::InvalidKind { .. } => "use \"engine\" or \"service\"".to_owned(),
+            Self::ConflictingKeys { key, other } => format!("remove `{key}` or `{other}`"),
             Self::UnknownReference { target, nearest } => nearest.as_ref().map_or_else(
                 || format!("configure it under [{}.{}]", target.kind, target.name),
                 |near| format!("did you mean `{near}`?"),
             ),
             Self::NameTaken { .. } => "rename one of the two".to_owned(),
-            Self::ShareOutside { .. } => "give a share above 0 and below 1, as 0.95".to_owned(),
+            Self::ShareOutOfRange { .. } => "give a share above 0 and below 1, as 0.95".to_owned(),
             Self::NotPositive { key, .. } => format!("use a value greater than zero for `{key}`"),
-            Self::TooMany { most, .. } => format!("use at most {most}"),
+            Self::AboveMaximum { maximum, .. } => format!("use at most {maximum}"),
             Self::EmptyList { key } => format!("add at least one entry to `{key}`"),
-            Self::NotEngines { .. } => "use a pool with kind = \"engine\"".to_owned(),
-            Self::NotWhole { .. } => "use a class with `answer = ...`".to_owned(),
+            Self::NotEnginePool { .. } => "use a pool with kind = \"engine\"".to_owned(),
+            Self::StreamingClass { .. } => "use a class with `answer = ...`".to_owned(),
         }
     }
 }
 
 /// An error in a configuration.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ConfigFault {
+pub struct ConfigError {
     /// The item with the error.
     pub item: ItemRef,
     /// The key with the error; empty if the error concerns the whole item or is located by its span.
     pub key: &'static str,
     /// The reason for the error.
-    pub cause: FaultCause,
+    pub cause: ErrorCause,
     /// The location in the text; `None` if the configuration was not read from a text.
-    pub place: Option<SourceSpan>,
+    pub span: Option<SourceSpan>,
 }
 
-impl fmt::Display for ConfigFault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.item.kind == ItemKind::Document {
             write!(formatter, "{}", self.cause)
@@ -268,16 +270,16 @@
     }
 }
 
-impl Error for ConfigFault {}
+impl Error for ConfigError {}
 
-impl Diagnostic for ConfigFault {
+impl Diagnostic for ConfigError {
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        Some(Box::new(self.cause.mend()))
+        Some(Box::new(self.cause.help()))
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        let place = self.place?;
-        let label = LabeledSpan::new_with_span(Some("here".to_owned()), place);
+        let span = self.span?;
+        let label = LabeledSpan::new_with_span(Some("here".to_owned()), span);
         Some(Box::new(std::iter::once(label)))
     }
 }
@@ -288,12 +290,12 @@
     /// The text, with the name of its file.
     pub source: NamedSource<Arc<str>>,
     /// The errors, in the order of the text.
-    pub faults: Vec<ConfigFault>,
+    pub errors: Vec<ConfigError>,
 }
 
 impl fmt::Display for ConfigErrors {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let count = self.faults.len();
+        let count = self.errors.len();
         let noun = if count == 1 { "error" } else { "errors" };
         write!(formatter, "{}: {count} {noun}", self.source.name())
     }
@@ -307,18 +309,18 @@
     }
 
     fn related<'a>(&'a self) -> Option<Box<dyn Iterator<Item = &'a dyn Diagnostic> + 'a>> {
-        let faults = self.faults.iter().map(|fault| fault as &dyn Diagnostic);
-        Some(Box::new(faults))
+        let errors = self.errors.iter().map(|error| error as &dyn Diagnostic);
+        Some(Box::new(errors))
     }
 }
 
 /// Returns the name in `known` that is most similar to `found`, if it is similar enough to suggest a typing error.
 #[must_use]
 pub fn nearest_name<'a>(found: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
-    const LEAST_LIKENESS: f64 = 0.75;
+    const MIN_SIMILARITY: f64 = 0.75;
     known
         .map(|name| (strsim::jaro_winkler(found, name), name))
-        .filter(|(likeness, _)| *likeness >= LEAST_LIKENESS)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.0.total_cmp(&right.0))
         .map(|(_, name)| name.to_owned())
 }
--- a/crates/oatpier-types/src/config/reach.rs
+++ b/crates/oatpier-types/src/config/reach.rs
@@ -47,7 +47,7 @@
     /// The packing with a second copy of the largest model and its adapters.
     pub changing: PackResult,
     /// The packing of all models and adapters without one availability zone, for each zone.
-    pub zone_away: Vec<ZoneAway>,
+    pub zone_away: Vec<ZoneOutage>,
 }
 
 /// The result of a packing.
@@ -65,7 +65,7 @@
 /// The memory shortage during an outage of one availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct ZoneAway {
+pub struct ZoneOutage {
     /// The availability zone.
     pub zone: ZoneName,
     /// Total size of the models and adapters that do not fit into the other zones, in MiB; 0: everything fits.
@@ -109,20 +109,20 @@
 #[must_use]
 pub fn check_reach(config: &FleetConfig) -> ReachReport {
     let pools = config.pools.iter();
-    let pools = pools.filter_map(|(name, pool)| pool_reach(config, name, pool));
+    let pools = pools.filter_map(|(name, pool)| check_pool(config, name, pool));
     ReachReport {
         pools: pools.collect(),
     }
 }
 
-fn pool_reach(config: &FleetConfig, name: &PoolName, pool: &PoolSpec) -> Option<PoolReach> {
+fn check_pool(config: &FleetConfig, name: &PoolName, pool: &PoolSpec) -> Option<PoolReach> {
     let PoolKind::Engine { memory_mib, .. } = pool.kind else {
         return None;
     };
     let groups = model_groups(config, name);
     let largest = groups.first()?.clone();
-    let mut doubled = groups.clone();
-    doubled.insert(0, largest.clone());
+    let mut with_duplicate = groups.clone();
+    with_duplicate.insert(0, largest.clone());
     let count = pool.endpoints.len();
     Some(PoolReach {
         pool: name.clone(),
@@ -133,8 +133,8 @@
         change_mib: largest.total_mib(),
         largest: ModelName::try_from(largest.name).ok()?,
         steady: pack(&groups, count, memory_mib),
-        changing: pack(&doubled, count, memory_mib),
-        zone_away: zones_away(pool, &groups, memory_mib),
+        changing: pack(&with_duplicate, count, memory_mib),
+        zone_away: check_zone_outages(pool, &groups, memory_mib),
     })
 }
 
@@ -142,8 +142,8 @@
 fn model_groups<'a>(config: &'a FleetConfig, pool: &PoolName) -> Vec<ModelGroup<'a>> {
     let mut adapters = HashMap::<&ModelName, Vec<(&str, u64)>>::new();
     for (name, adapter) in &config.adapters {
-        let beside = adapters.entry(&adapter.model).or_default();
-        beside.push((name.as_str(), adapter.memory_mib));
+        let model_adapters = adapters.entry(&adapter.model).or_default();
+        model_adapters.push((name.as_str(), adapter.memory_mib));
     }
     let models = config.models.iter();
     let models = models.filter(|(_, model)| model.pool == *pool);
@@ -159,19 +159,23 @@
         })
         .collect::<Vec<_>>();
     groups.sort_by(|left, right| {
-        let sizes = right.total_mib().cmp(&left.total_mib());
-        sizes.then(left.name.cmp(right.name))
+        let by_size = right.total_mib().cmp(&left.total_mib());
+        by_size.then(left.name.cmp(right.name))
     });
     groups
 }
 
-fn zones_away(pool: &PoolSpec, groups: &[ModelGroup<'_>], memory_mib: u64) -> Vec<ZoneAway> {
+fn check_zone_outages(
+    pool: &PoolSpec,
+    groups: &[ModelGroup<'_>],
+    memory_mib: u64,
+) -> Vec<ZoneOutage> {
     let mut zones = pool.endpoints.values().collect::<Vec<_>>();
     zones.sort_unstable();
     let count = zones.len();
     zones
         .chunk_by(|left, right| left == right)
-        .map(|zone| ZoneAway {
+        .map(|zone| ZoneOutage {
             zone: zone[0].clone(),
             short_mib: pack(groups, count - zone.len(), memory_mib).short_mib,
         })
@@ -186,7 +190,7 @@
         let total = group.total_mib();
         match free.iter_mut().find(|free| **free >= total) {
             Some(free) => *free -= total,
-            None => pack_apart(group, &mut free, &mut result),
+            None => pack_split(group, &mut free, &mut result),
         }
     }
     result.used = free.iter().filter(|free| **free < memory_mib).count();
@@ -197,33 +201,33 @@
 ///
 /// Places as many replicas of the base model as needed, each on the endpoint with the most free
 /// memory, together with as many of the remaining adapters as fit.
-fn pack_apart(group: &ModelGroup<'_>, free: &mut [u64], result: &mut PackResult) {
-    let mut rest = group.adapters.clone();
+fn pack_split(group: &ModelGroup<'_>, free: &mut [u64], result: &mut PackResult) {
+    let mut remaining = group.adapters.clone();
     let mut placed_base = false;
-    while !placed_base || !rest.is_empty() {
-        let roomiest = (0..free.len()).rev().max_by_key(|index| free[*index]);
-        let roomiest = roomiest.filter(|index| free[*index] >= group.base_mib);
-        let Some(most) = roomiest.map(|index| &mut free[index]) else {
+    while !placed_base || !remaining.is_empty() {
+        let emptiest = (0..free.len()).rev().max_by_key(|index| free[*index]);
+        let emptiest = emptiest.filter(|index| free[*index] >= group.base_mib);
+        let Some(free_mib) = emptiest.map(|index| &mut free[index]) else {
             break;
         };
-        let mut room = *most - group.base_mib;
-        let before = rest.len();
-        rest.retain(|(_, size)| {
-            let fits = *size <= room;
-            room -= if fits { *size } else { 0 };
+        let mut left_mib = *free_mib - group.base_mib;
+        let before = remaining.len();
+        remaining.retain(|(_, size)| {
+            let fits = *size <= left_mib;
+            left_mib -= if fits { *size } else { 0 };
             !fits
         });
-        if placed_base && rest.len() == before {
+        if placed_base && remaining.len() == before {
             break;
         }
-        *most = room;
+        *free_mib = left_mib;
         placed_base = true;
     }
     if !placed_base {
         result.short_mib += group.base_mib;
         result.unplaced.push(group.name.to_owned());
     }
-    for (name, size) in rest {
+    for (name, size) in remaining {
         result.short_mib += size;
         result.unplaced.push(name.to_owned());
     }
--- a/crates/oatpier-types/src/config/record/merge.rs
+++ b/crates/oatpier-types/src/config/record/merge.rs
@@ -8,7 +8,7 @@
 use super::{ConfigChange, ConfigRecord, MAX_RECENT_CHANGES, MAX_RECORD_BYTES};
 use crate::config::FleetConfig;
 use crate::config::diff::{ConfigEdit, EditFit, apply, diff};
-use crate::config::fault::{ConfigFault, ItemRef};
+use crate::config::fault::{ConfigError, ItemRef};
 use crate::config::reach::{ReachReport, check_reach};
 use crate::config::verify::verify;
 use crate::ids::{ChangeId, Generation};
@@ -70,7 +70,7 @@
 #[derive(Error)]
 pub enum MergeError {
     /// Another change since the base generation changed the same items differently.
-    #[error("{} changed since generation {base}{}", item_list(items), by_whom(other.as_ref()))]
+    #[error("{} changed since generation {base}{}", format_items(items), format_author(other.as_ref()))]
     Clash {
         /// The generation that the proposal is based on.
         base: Generation,
@@ -82,14 +82,14 @@
     /// Each change is valid on its own, but the merged configuration is invalid.
     #[error(
         "the configuration is invalid when merged with the changes since generation {base}{}: {}",
-        by_whom(other.as_ref()),
-        fault_list(faults)
+        format_author(other.as_ref()),
+        format_errors(errors)
     )]
     Together {
         /// The generation that the proposal is based on.
         base: Generation,
         /// The errors in the merged configuration.
-        faults: Vec<ConfigFault>,
+        errors: Vec<ConfigError>,
         /// The last change since the base generation.
         other: Option<OtherChange>,
     },
@@ -129,29 +129,32 @@
         // This check must come first: the response to an earlier attempt may have been lost after
         // its write took effect. Without the check, the change would be applied twice, or conflict
         // with itself.
-        if let Some(done) = self
+        if let Some(change) = self
             .recent
             .iter()
-            .find(|done| done.change == proposal.change)
+            .find(|change| change.change == proposal.change)
         {
             return Ok(MergeStep::Accepted {
-                generation: done.generation,
+                generation: change.generation,
             });
         }
-        self.remembers_tries_of(proposal)?;
-        let open = self.open_edits(proposal)?;
-        if open.is_empty() {
+        self.check_earlier_attempt(proposal)?;
+        let pending = self.pending_edits(proposal)?;
+        if pending.is_empty() {
             return Ok(MergeStep::Unchanged {
                 generation: self.generation,
             });
         }
-        let content = apply(&self.content, &open);
-        self.check_effect(&content, &open, proposal)?;
-        self.check_merged(&content, proposal)?;
-        let record = self.followed_by(content, open, proposal)?;
+        let content = apply(&self.content, &pending);
+        self.check_effect(&content, &pending, proposal)?;
+        self.validate_merged(&content, proposal)?;
+        let record = self.next_record(content, pending, proposal)?;
         Ok(MergeStep::Write {
             record: Box::new(record),
-            beside: self.since(proposal.base).map(|done| done.change).collect(),
+            beside: self
+                .changes_since(proposal.base)
+                .map(|change| change.change)
+                .collect(),
         })
     }
 
@@ -159,11 +162,11 @@
     ///
     /// If its generation is older than all changes in the record, the record cannot show whether
     /// it was accepted, and another attempt could apply the change twice.
-    fn remembers_tries_of(&self, proposal: &ChangeProposal) -> Result<(), MergeError> {
+    fn check_earlier_attempt(&self, proposal: &ChangeProposal) -> Result<(), MergeError> {
         let Some(unanswered) = proposal.unanswered else {
             return Ok(());
         };
-        let oldest = self.recent.first().map(|done| done.generation);
+        let oldest = self.recent.first().map(|change| change.generation);
         if oldest.is_some_and(|oldest| oldest > unanswered) {
             return Err(MergeError::OutcomeUnknown {
                 change: proposal.change,
@@ -173,12 +176,12 @@
     }
 
     /// Returns the edits that are not applied yet, or an error if any of them conflicts.
-    fn open_edits(&self, proposal: &ChangeProposal) -> Result<Vec<ConfigEdit>, MergeError> {
+    fn pending_edits(&self, proposal: &ChangeProposal) -> Result<Vec<ConfigEdit>, MergeError> {
         let fits = proposal.edits.iter();
         let fits = fits.map(|edit| (edit, edit.fit(&self.content)));
         let fits = fits.collect::<Vec<_>>();
-        let clashing = fits.iter().filter(|(_, fit)| *fit == EditFit::Clashes);
-        let items = clashing.map(|(edit, _)| edit.item()).collect::<Vec<_>>();
+        let conflicting = fits.iter().filter(|(_, fit)| *fit == EditFit::Clashes);
+        let items = conflicting.map(|(edit, _)| edit.item()).collect::<Vec<_>>();
         if !items.is_empty() {
             let other = self.last_change_to(&items, proposal.base);
             return Err(MergeError::Clash {
@@ -187,8 +190,8 @@
                 other,
             });
         }
-        let open = fits.into_iter().filter(|(_, fit)| *fit == EditFit::Applies);
-        Ok(open.map(|(edit, _)| edit.clone()).collect())
+        let pending = fits.into_iter().filter(|(_, fit)| *fit == EditFit::Applies);
+        Ok(pending.map(|(edit, _)| edit.clone()).collect())
     }
 
     /// Checks that the edits have exactly their intended effect.
@@ -199,10 +202,10 @@
     fn check_effect(
         &self,
         content: &FleetConfig,
-        open: &[ConfigEdit],
+        pending: &[ConfigEdit],
         proposal: &ChangeProposal,
     ) -> Result<(), MergeError> {
-        let wanted = open.iter().map(ConfigEdit::item).collect::<HashSet<_>>();
+        let wanted = pending.iter().map(ConfigEdit::item).collect::<HashSet<_>>();
         let effect = diff(&self.content, content);
         let effect = effect.iter().map(ConfigEdit::item).collect::<HashSet<_>>();
         let mut items = wanted
@@ -220,17 +223,20 @@
         })
     }
 
-    fn check_merged(
+    fn validate_merged(
         &self,
         content: &FleetConfig,
         proposal: &ChangeProposal,
     ) -> Result<(), MergeError> {
-        let other = self.since(proposal.base).last().map(OtherChange::from);
-        let faults = verify(content);
-        if !faults.is_empty() {
+        let other = self
+            .changes_since(proposal.base)
+            .last()
+            .map(OtherChange::from);
+        let errors = verify(content);
+        if !errors.is_empty() {
             return Err(MergeError::Together {
                 base: proposal.base,
-                faults,
+                errors,
                 other,
             });
         }
@@ -241,7 +247,7 @@
         Ok(())
     }
 
-    fn followed_by(
+    fn next_record(
         &self,
         content: FleetConfig,
         edits: Vec<ConfigEdit>,
@@ -286,18 +292,18 @@
         Ok(())
     }
 
-    fn since(&self, base: Generation) -> impl Iterator<Item = &ConfigChange> {
+    fn changes_since(&self, base: Generation) -> impl Iterator<Item = &ConfigChange> {
         let recent = self.recent.iter();
         recent.filter(move |change| change.generation > base)
     }
 
     fn last_change_to(&self, items: &[ItemRef], base: Generation) -> Option<OtherChange> {
-        let touches = |change: &&ConfigChange| {
+        let changes_items = |change: &&ConfigChange| {
             let mut edits = change.edits.iter().flatten();
             edits.any(|edit| items.contains(&edit.item()))
         };
-        self.since(base)
-            .filter(touches)
+        self.changes_since(base)
+            .filter(changes_items)
             .last()
             .map(OtherChange::from)
     }
@@ -317,22 +323,22 @@
     serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-fn item_list(items: &[ItemRef]) -> String {
-    const SHOWN: usize = 3;
-    let shown = items.iter().take(SHOWN).map(ToString::to_string);
+fn format_items(items: &[ItemRef]) -> String {
+    const MAX_SHOWN_ITEMS: usize = 3;
+    let shown = items.iter().take(MAX_SHOWN_ITEMS).map(ToString::to_string);
     let shown = shown.collect::<Vec<_>>().join(", ");
-    match items.len().saturating_sub(SHOWN) {
+    match items.len().saturating_sub(MAX_SHOWN_ITEMS) {
         0 => shown,
         more => format!("{shown} and {more} more"),
     }
 }
 
-fn fault_list(faults: &[ConfigFault]) -> String {
-    let faults = faults.iter().map(ToString::to_string);
-    faults.collect::<Vec<_>>().join("; ")
+fn format_errors(errors: &[ConfigError]) -> String {
+    let errors = errors.iter().map(ToString::to_string);
+    errors.collect::<Vec<_>>().join("; ")
 }
 
-fn by_whom(other: Option<&OtherChange>) -> String {
+fn format_author(other: Option<&OtherChange>) -> String {
     other.map_or_else(String::new, |other| {
         format!(
             " by {} (change {}, generation {})",
--- a/crates/oatpier-types/src/config/record/mod.rs
+++ b/crates/oatpier-types/src/config/record/mod.rs
@@ -132,8 +132,8 @@
         let later = later.take_while(|change| change.generation > wanted);
         let content = later.fold(self.content.clone(), |content, change| {
             let edits = change.edits.iter().flatten().rev();
-            let undone = edits.map(ConfigEdit::undo).collect::<Vec<_>>();
-            apply(&content, &undone)
+            let inverted = edits.map(ConfigEdit::invert).collect::<Vec<_>>();
+            apply(&content, &inverted)
         });
         Ok(content)
     }
@@ -172,8 +172,10 @@
     pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<ChangeId, D::Error> {
         let text = String::deserialize(from)?;
         let number = u128::from_str_radix(&text, 16);
-        number
-            .map(ChangeId)
-            .map_err(|_| D::Error::custom(format!("`{text}` is not a change id of 32 hexadecimal digits")))
+        number.map(ChangeId).map_err(|_| {
+            D::Error::custom(format!(
+                "`{text}` is not a change id of 32 hexadecimal digits"
+            ))
+        })
     }
 }
--- a/crates/oatpier-types/src/config/render.rs
+++ b/crates/oatpier-types/src/config/render.rs
@@ -107,17 +107,17 @@
         });
         let document = TextDocument {
             based_on: based_on.map(|generation| generation.0),
-            weight_store: self.store_text(),
-            region: self.region_texts(),
-            class: named(&self.classes, crate::names::ClassName::as_str, class_text),
-            pool: named(&self.pools, crate::names::PoolName::as_str, pool_text),
+            weight_store: self.render_weight_store(),
+            region: self.render_regions(),
+            class: render_named(&self.classes, crate::names::ClassName::as_str, render_class),
+            pool: render_named(&self.pools, crate::names::PoolName::as_str, render_pool),
             model: models.collect(),
             adapter: adapters.collect(),
         };
         toml::to_string(&document).expect("names, numbers and strings are representable in TOML")
     }
 
-    fn store_text(&self) -> Option<TextStore> {
+    fn render_weight_store(&self) -> Option<TextStore> {
         let store = self.weight_store;
         (store != super::WeightStoreSpec::default()).then_some(TextStore {
             loads_per_second: store.loads_per_second,
@@ -125,7 +125,7 @@
         })
     }
 
-    fn region_texts(&self) -> BTreeMap<&str, TextRegion<'_>> {
+    fn render_regions(&self) -> BTreeMap<&str, TextRegion<'_>> {
         let regions = self.regions.iter();
         regions
             .map(|(name, region)| {
@@ -136,7 +136,7 @@
     }
 }
 
-fn named<'a, N, S, T>(
+fn render_named<'a, N, S, T>(
     items: &'a IndexMap<N, S>,
     name: fn(&N) -> &str,
     text: fn(&'a S) -> T,
@@ -145,11 +145,11 @@
     items.map(|(key, spec)| (name(key), text(spec))).collect()
 }
 
-fn time_text(time: Duration) -> String {
+fn format_time(time: Duration) -> String {
     format_duration(time).to_string()
 }
 
-fn class_text(class: &ClassSpec) -> TextClass {
+fn render_class(class: &ClassSpec) -> TextClass {
     let (first_token, between_tokens, answer) = match class.target {
         ClassTarget::Stream {
             first_token,
@@ -158,15 +158,15 @@
         ClassTarget::Whole { answer } => (None, None, Some(answer)),
     };
     TextClass {
-        first_token: first_token.map(time_text),
-        between_tokens: between_tokens.map(time_text),
-        answer: answer.map(time_text),
+        first_token: first_token.map(format_time),
+        between_tokens: between_tokens.map(format_time),
+        answer: answer.map(format_time),
         attain: class.attain,
     }
 }
 
-fn pool_text(pool: &PoolSpec) -> TextPool<'_> {
-    let group = group_texts(&pool.endpoints);
+fn render_pool(pool: &PoolSpec) -> TextPool<'_> {
+    let group = render_groups(&pool.endpoints);
     match &pool.kind {
         PoolKind::Engine {
             accelerators,
@@ -198,7 +198,7 @@
 }
 
 /// Converts endpoints to groups: consecutive numbers with a common prefix, and all others by name.
-fn group_texts(endpoints: &IndexMap<EndpointName, ZoneName>) -> Vec<TextGroup<'_>> {
+fn render_groups(endpoints: &IndexMap<EndpointName, ZoneName>) -> Vec<TextGroup<'_>> {
     let mut numbered = BTreeMap::<(&str, &str), Vec<u64>>::new();
     let mut others = BTreeMap::<&str, Vec<&str>>::new();
     for (name, zone) in endpoints {
--- a/crates/oatpier-types/src/config/text/items.rs
+++ b/crates/oatpier-types/src/config/text/items.rs
@@ -5,9 +5,9 @@
 use indexmap::IndexMap;
 
 use super::ConfigDocument;
-use super::fields::{CheckedName, ItemBuilder, substitute};
+use super::fields::{CheckedName, ItemBuilder, placeholder};
 use super::reader::{RawDocument, RawItem};
-use crate::config::fault::ConfigFault;
+use crate::config::fault::ConfigError;
 use crate::config::raw::{RawAdapter, RawClass, RawModel, RawRegion, RawStore};
 use crate::config::{
     AdapterSpec, ClassSpec, ClassTarget, FleetConfig, ModelSpec, RegionSpec, WeightStoreSpec,
@@ -15,16 +15,16 @@
 use crate::ids::Generation;
 
 /// Replaces a share that is missing or invalid.
-const SUBSTITUTE_SHARE: f64 = 0.5;
+const PLACEHOLDER_SHARE: f64 = 0.5;
 
 impl TryFrom<RawDocument> for ConfigDocument {
-    type Error = Vec<ConfigFault>;
+    type Error = Vec<ConfigError>;
 
-    fn try_from(mut raw: RawDocument) -> Result<Self, Vec<ConfigFault>> {
-        let faults = std::mem::take(&mut raw.faults);
-        let places = std::mem::take(&mut raw.places);
-        let mut builder = ItemBuilder::new(faults, places);
-        let config = builder.fleet(&raw);
+    fn try_from(mut raw: RawDocument) -> Result<Self, Vec<ConfigError>> {
+        let errors = std::mem::take(&mut raw.errors);
+        let spans = std::mem::take(&mut raw.spans);
+        let mut builder = ItemBuilder::new(errors, spans);
+        let config = builder.build_fleet(&raw);
         builder.verify(&config);
         builder.finish()?;
         Ok(Self {
@@ -35,97 +35,97 @@
 }
 
 impl ItemBuilder {
-    fn fleet(&mut self, raw: &RawDocument) -> FleetConfig {
+    fn build_fleet(&mut self, raw: &RawDocument) -> FleetConfig {
         FleetConfig {
-            regions: self.items(&raw.regions, Self::region),
-            classes: self.items(&raw.classes, Self::class),
-            pools: self.pools(&raw.pools),
-            models: self.items(&raw.models, Self::model),
-            adapters: self.items(&raw.adapters, Self::adapter),
-            weight_store: self.store(raw.store.as_ref()),
+            regions: self.build_items(&raw.regions, Self::build_region),
+            classes: self.build_items(&raw.classes, Self::build_class),
+            pools: self.build_pools(&raw.pools),
+            models: self.build_items(&raw.models, Self::build_model),
+            adapters: self.build_items(&raw.adapters, Self::build_adapter),
+            weight_store: self.build_weight_store(raw.store.as_ref()),
         }
     }
 
-    fn items<N, T, S, M>(&mut self, raw: &[RawItem<T>], make: M) -> IndexMap<N, S>
+    fn build_items<N, T, S, M>(&mut self, raw: &[RawItem<T>], make: M) -> IndexMap<N, S>
     where
         N: CheckedName + Hash + Eq,
         M: Fn(&mut Self, &RawItem<T>) -> S,
     {
         raw.iter()
             .filter_map(|raw| {
-                let name = self.item_name(raw);
+                let name = self.parse_item_name(raw);
                 let spec = make(self, raw);
                 name.map(|name| (name, spec))
             })
             .collect()
     }
 
-    fn region(&mut self, raw: &RawItem<RawRegion>) -> RegionSpec {
-        let Some(zones) = self.required(raw, "zones", raw.raw.zones.as_ref()) else {
-            let zones = vec![substitute()];
+    fn build_region(&mut self, raw: &RawItem<RawRegion>) -> RegionSpec {
+        let Some(zones) = self.require(raw, "zones", raw.raw.zones.as_ref()) else {
+            let zones = vec![placeholder()];
             return RegionSpec { zones };
         };
         let zones = zones.get_ref().iter();
         RegionSpec {
-            zones: zones.map(|zone| self.parse(&raw.item, zone)).collect(),
+            zones: zones.map(|zone| self.parse_name(&raw.item, zone)).collect(),
         }
     }
 
-    fn class(&mut self, raw: &RawItem<RawClass>) -> ClassSpec {
+    fn build_class(&mut self, raw: &RawItem<RawClass>) -> ClassSpec {
         let attain = raw.raw.attain.as_ref();
         ClassSpec {
-            attain: self.number(raw, "attain", attain, SUBSTITUTE_SHARE),
+            attain: self.require_number(raw, "attain", attain, PLACEHOLDER_SHARE),
             target: if raw.raw.answer.is_some() {
-                self.whole_target(raw)
+                self.build_whole_target(raw)
             } else {
-                self.stream_target(raw)
+                self.build_stream_target(raw)
             },
         }
     }
 
-    fn whole_target(&mut self, raw: &RawItem<RawClass>) -> ClassTarget {
+    fn build_whole_target(&mut self, raw: &RawItem<RawClass>) -> ClassTarget {
         let first_token = raw.raw.first_token.as_ref();
-        self.refuse_with(raw, "first_token", first_token, "answer");
+        self.reject_with(raw, "first_token", first_token, "answer");
         let between_tokens = raw.raw.between_tokens.as_ref();
-        self.refuse_with(raw, "between_tokens", between_tokens, "answer");
+        self.reject_with(raw, "between_tokens", between_tokens, "answer");
         ClassTarget::Whole {
-            answer: self.duration(raw, "answer", &raw.raw.answer),
+            answer: self.require_duration(raw, "answer", &raw.raw.answer),
         }
     }
 
-    fn stream_target(&mut self, raw: &RawItem<RawClass>) -> ClassTarget {
+    fn build_stream_target(&mut self, raw: &RawItem<RawClass>) -> ClassTarget {
         ClassTarget::Stream {
-            first_token: self.duration(raw, "first_token", &raw.raw.first_token),
-            between_tokens: self.duration(raw, "between_tokens", &raw.raw.between_tokens),
+            first_token: self.require_duration(raw, "first_token", &raw.raw.first_token),
+            between_tokens: self.require_duration(raw, "between_tokens", &raw.raw.between_tokens),
         }
     }
 
-    fn model(&mut self, raw: &RawItem<RawModel>) -> ModelSpec {
+    fn build_model(&mut self, raw: &RawItem<RawModel>) -> ModelSpec {
         ModelSpec {
-            pool: self.name(raw, "pool", &raw.raw.pool),
-            version: self.name(raw, "version", &raw.raw.version),
-            memory_mib: self.number(raw, "memory_mib", raw.raw.memory_mib.as_ref(), 1),
-            class: self.name(raw, "class", &raw.raw.class),
+            pool: self.require_name(raw, "pool", &raw.raw.pool),
+            version: self.require_name(raw, "version", &raw.raw.version),
+            memory_mib: self.require_number(raw, "memory_mib", raw.raw.memory_mib.as_ref(), 1),
+            class: self.require_name(raw, "class", &raw.raw.class),
         }
     }
 
-    fn adapter(&mut self, raw: &RawItem<RawAdapter>) -> AdapterSpec {
+    fn build_adapter(&mut self, raw: &RawItem<RawAdapter>) -> AdapterSpec {
         AdapterSpec {
-            model: self.name(raw, "model", &raw.raw.model),
-            version: self.name(raw, "version", &raw.raw.version),
-            memory_mib: self.number(raw, "memory_mib", raw.raw.memory_mib.as_ref(), 1),
+            model: self.require_name(raw, "model", &raw.raw.model),
+            version: self.require_name(raw, "version", &raw.raw.version),
+            memory_mib: self.require_number(raw, "memory_mib", raw.raw.memory_mib.as_ref(), 1),
         }
     }
 
-    fn store(&mut self, raw: Option<&RawItem<RawStore>>) -> WeightStoreSpec {
+    fn build_weight_store(&mut self, raw: Option<&RawItem<RawStore>>) -> WeightStoreSpec {
         let Some(raw) = raw else {
             return WeightStoreSpec::default();
         };
         let rate = raw.raw.loads_per_second.as_ref();
         let loads = raw.raw.full_speed_loads.as_ref();
         WeightStoreSpec {
-            loads_per_second: self.number(raw, "loads_per_second", rate, 1.0),
-            full_speed_loads: self.number(raw, "full_speed_loads", loads, 1),
+            loads_per_second: self.require_number(raw, "loads_per_second", rate, 1.0),
+            full_speed_loads: self.require_number(raw, "full_speed_loads", loads, 1),
         }
     }
 }
--- a/crates/oatpier-types/src/config/text/mod.rs
+++ b/crates/oatpier-types/src/config/text/mod.rs
@@ -19,7 +19,7 @@
 use reader::RawDocument;
 
 /// The source name in error reports for text that was not read from a file.
-const NO_FILE: &str = "configuration";
+const DEFAULT_SOURCE_NAME: &str = "configuration";
 
 /// A parsed configuration text.
 #[derive(Debug, Clone, PartialEq)]
@@ -41,9 +41,9 @@
     /// Returns all errors in the text, with their locations.
     pub fn read(file: &str, text: &str) -> Result<Self, ConfigErrors> {
         let raw = RawDocument::read(text);
-        Self::try_from(raw).map_err(|faults| ConfigErrors {
+        Self::try_from(raw).map_err(|errors| ConfigErrors {
             source: NamedSource::new(file, Arc::from(text)).with_language("TOML"),
-            faults,
+            errors,
         })
     }
 }
@@ -52,6 +52,6 @@
     type Error = ConfigErrors;
 
     fn try_from(text: &str) -> Result<Self, ConfigErrors> {
-        ConfigDocument::read(NO_FILE, text).map(|document| document.config)
+        ConfigDocument::read(DEFAULT_SOURCE_NAME, text).map(|document| document.config)
     }
 }
--- a/crates/oatpier-types/src/config/text/reader.rs
+++ b/crates/oatpier-types/src/config/text/reader.rs
@@ -7,13 +7,13 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue, ValueDeserializer};
 
-use crate::config::fault::{ConfigFault, FaultCause, ItemKind, ItemRef, nearest_name};
+use crate::config::fault::{ConfigError, ErrorCause, ItemKind, ItemRef, nearest_name};
 use crate::config::raw::{
     RawAdapter, RawClass, RawGroup, RawModel, RawPool, RawRegion, RawStore, RawTable,
 };
 
 /// The tables and keys at the top level of a text.
-const TOP_KEYS: &[&str] = &[
+const TOP_LEVEL_KEYS: &[&str] = &[
     "based_on",
     "weight_store",
     "region",
@@ -25,20 +25,20 @@
 
 /// The locations of the keys of all items; the empty key stands for the item itself.
 #[derive(Debug, Default)]
-pub(super) struct PlaceIndex {
-    places: HashMap<(ItemRef, String), SourceSpan>,
+pub(super) struct SpanIndex {
+    spans: HashMap<(ItemRef, String), SourceSpan>,
 }
 
-impl PlaceIndex {
-    pub(super) fn note(&mut self, item: &ItemRef, key: &str, place: SourceSpan) {
+impl SpanIndex {
+    pub(super) fn record(&mut self, item: &ItemRef, key: &str, span: SourceSpan) {
         let entry = (item.clone(), key.to_owned());
-        self.places.entry(entry).or_insert(place);
+        self.spans.entry(entry).or_insert(span);
     }
 
     /// Returns the location of a key, or of its item if the key is not present.
     pub(super) fn find(&self, item: &ItemRef, key: &str) -> Option<SourceSpan> {
-        let place = |key: &str| self.places.get(&(item.clone(), key.to_owned())).copied();
-        place(key).or_else(|| place(""))
+        let span = |key: &str| self.spans.get(&(item.clone(), key.to_owned())).copied();
+        span(key).or_else(|| span(""))
     }
 }
 
@@ -46,10 +46,10 @@
 #[derive(Debug)]
 pub(super) struct RawItem<T> {
     pub(super) item: ItemRef,
-    pub(super) place: SourceSpan,
+    pub(super) span: SourceSpan,
     pub(super) raw: T,
     /// Keys with invalid values. They are already reported, so they must not be reported as missing.
-    pub(super) dropped: Vec<String>,
+    pub(super) invalid_keys: Vec<String>,
 }
 
 /// A raw pool table with its groups.
@@ -69,8 +69,8 @@
     pub(super) pools: Vec<RawPoolItem>,
     pub(super) models: Vec<RawItem<RawModel>>,
     pub(super) adapters: Vec<RawItem<RawAdapter>>,
-    pub(super) faults: Vec<ConfigFault>,
-    pub(super) places: PlaceIndex,
+    pub(super) errors: Vec<ConfigError>,
+    pub(super) spans: SpanIndex,
 }
 
 impl RawDocument {
@@ -82,43 +82,45 @@
         let mut document = Self::default();
         let (root, errors) = DeTable::parse_recoverable(text);
         if errors.is_empty() {
-            document.read_top(root.into_inner());
+            document.read_tables(root.into_inner());
         }
         for error in errors {
             let message = error.message().to_owned();
-            document.note_top(FaultCause::Syntax { message }, error.span());
+            document.report_top_level(ErrorCause::Syntax { message }, error.span());
         }
         document
     }
 
-    fn read_top(&mut self, root: DeTable<'_>) {
+    fn read_tables(&mut self, root: DeTable<'_>) {
         for (key, value) in root {
             match key.get_ref().as_ref() {
-                "based_on" => self.read_base(&value),
-                "weight_store" => self.store = self.read_single(value),
+                "based_on" => self.read_based_on(&value),
+                "weight_store" => self.store = self.read_weight_store(value),
                 "region" => self.regions = self.read_named(ItemKind::Region, value),
                 "class" => self.classes = self.read_named(ItemKind::Class, value),
                 "model" => self.models = self.read_named(ItemKind::Model, value),
                 "adapter" => self.adapters = self.read_named(ItemKind::Adapter, value),
                 "pool" => self.pools = self.read_pools(value),
-                unknown => self.note_top(unknown_key(unknown, TOP_KEYS), Some(key.span())),
+                unknown => {
+                    self.report_top_level(unknown_key(unknown, TOP_LEVEL_KEYS), Some(key.span()))
+                }
             }
         }
     }
 
-    fn read_base(&mut self, value: &Spanned<DeValue<'_>>) {
+    fn read_based_on(&mut self, value: &Spanned<DeValue<'_>>) {
         let number = value.get_ref().as_integer();
         self.based_on = number.and_then(|number| number.as_str().parse().ok());
         if self.based_on.is_none() {
             let cause = wrong_type("based_on", "expected a generation number");
-            self.note_top(cause, Some(value.span()));
+            self.report_top_level(cause, Some(value.span()));
         }
     }
 
-    fn read_single(&mut self, value: Spanned<DeValue<'_>>) -> Option<RawItem<RawStore>> {
+    fn read_weight_store(&mut self, value: Spanned<DeValue<'_>>) -> Option<RawItem<RawStore>> {
         let item = ItemRef::new(ItemKind::WeightStore, "");
-        let (place, table) = self.expect_table(item.kind.as_str(), value)?;
-        Some(self.read_table(item, place, table))
+        let (span, table) = self.expect_table(item.kind.as_str(), value)?;
+        Some(self.read_table(item, span, table))
     }
 
     fn read_named<T: RawTable>(
@@ -126,18 +128,18 @@
         kind: ItemKind,
         value: Spanned<DeValue<'_>>,
     ) -> Vec<RawItem<T>> {
-        self.split_named(kind, value)
+        self.named_tables(kind, value)
             .into_iter()
-            .map(|(item, place, table)| self.read_table(item, place, table))
+            .map(|(item, span, table)| self.read_table(item, span, table))
             .collect()
     }
 
     fn read_pools(&mut self, value: Spanned<DeValue<'_>>) -> Vec<RawPoolItem> {
-        self.split_named(ItemKind::Pool, value)
+        self.named_tables(ItemKind::Pool, value)
             .into_iter()
-            .map(|(item, place, mut table)| {
+            .map(|(item, span, mut table)| {
                 let groups = table.remove("group");
-                let pool = self.read_table(item.clone(), place, table);
+                let pool = self.read_table(item.clone(), span, table);
                 let groups = groups.map_or_else(Vec::new, |list| self.read_groups(&item, list));
                 RawPoolItem { pool, groups }
             })
@@ -149,22 +151,22 @@
         pool: &ItemRef,
         value: Spanned<DeValue<'_>>,
     ) -> Vec<RawItem<RawGroup>> {
-        let place = value.span();
+        let span = value.span();
         let DeValue::Array(list) = value.into_inner() else {
             let cause = wrong_type("group", "expected [[pool.NAME.group]] tables");
-            self.note(pool, cause, place);
+            self.report(pool, cause, span);
             return Vec::new();
         };
         list.into_iter()
             .filter_map(|group| self.expect_table("group", group))
             .collect::<Vec<_>>()
             .into_iter()
-            .map(|(place, table)| self.read_table(pool.clone(), place, table))
+            .map(|(span, table)| self.read_table(pool.clone(), span, table))
             .collect()
     }
 
     /// Returns the tables under `[KIND.NAME]`, each with its item and location.
-    fn split_named<'t>(
+    fn named_tables<'t>(
         &mut self,
         kind: ItemKind,
         value: Spanned<DeValue<'t>>,
@@ -187,12 +189,12 @@
         key: &str,
         value: Spanned<DeValue<'t>>,
     ) -> Option<(Range<usize>, DeTable<'t>)> {
-        let place = value.span();
+        let span = value.span();
         match value.into_inner() {
-            DeValue::Table(table) => Some((place, table)),
+            DeValue::Table(table) => Some((span, table)),
             other => {
                 let message = format!("expected a table, found {}", other.type_str());
-                self.note_top(wrong_type(key, &message), Some(place));
+                self.report_top_level(wrong_type(key, &message), Some(span));
                 None
             }
         }
@@ -201,85 +203,88 @@
     fn read_table<T: RawTable>(
         &mut self,
         item: ItemRef,
-        place: Range<usize>,
+        span: Range<usize>,
         mut table: DeTable<'_>,
     ) -> RawItem<T> {
-        self.places.note(&item, "", place.clone().into());
-        self.drop_unknown::<T>(&item, &mut table);
+        self.spans.record(&item, "", span.clone().into());
+        self.remove_unknown::<T>(&item, &mut table);
         for (key, value) in &table {
-            self.places.note(&item, key.get_ref(), value.span().into());
+            self.spans.record(&item, key.get_ref(), value.span().into());
         }
-        let mut dropped = Vec::new();
+        let mut invalid_keys = Vec::new();
         let raw = loop {
-            let value = Spanned::new(place.clone(), DeValue::Table(table.clone()));
+            let value = Spanned::new(span.clone(), DeValue::Table(table.clone()));
             let error = match T::deserialize(ValueDeserializer::from(value)) {
                 Ok(raw) => break raw,
                 Err(error) => error,
             };
             // Deserialization stops at the first error. Removing the key that caused it lets the
             // next iteration find the next error. Every iteration removes a key, so the loop ends.
-            let Some((key, place)) = key_around(&table, error.span()) else {
-                self.note(&item, wrong_type("", error.message()), place.clone());
+            let Some((key, span)) = key_containing(&table, error.span()) else {
+                self.report(&item, wrong_type("", error.message()), span.clone());
                 break T::default();
             };
-            self.note(&item, wrong_type(&key, error.message()), place);
+            self.report(&item, wrong_type(&key, error.message()), span);
             table.remove(key.as_str());
-            dropped.push(key);
+            invalid_keys.push(key);
         };
         RawItem {
             item,
-            place: place.into(),
+            span: span.into(),
             raw,
-            dropped,
+            invalid_keys,
         }
     }
 
-    fn drop_unknown<T: RawTable>(&mut self, item: &ItemRef, table: &mut DeTable<'_>) {
+    fn remove_unknown<T: RawTable>(&mut self, item: &ItemRef, table: &mut DeTable<'_>) {
         let unknown: Vec<(String, Range<usize>)> = table
             .keys()
             .filter(|key| !T::KEYS.contains(&key.get_ref().as_ref()))
             .map(|key| (key.get_ref().to_string(), key.span()))
             .collect();
-        for (key, place) in unknown {
+        for (key, span) in unknown {
             table.remove(key.as_str());
-            self.note(item, unknown_key(&key, T::KEYS), place);
+            self.report(item, unknown_key(&key, T::KEYS), span);
         }
     }
 
-    fn note(&mut self, item: &ItemRef, cause: FaultCause, place: Range<usize>) {
-        self.faults.push(ConfigFault {
+    fn report(&mut self, item: &ItemRef, cause: ErrorCause, span: Range<usize>) {
+        self.errors.push(ConfigError {
             item: item.clone(),
             key: "",
             cause,
-            place: Some(place.into()),
+            span: Some(span.into()),
         });
     }
 
-    fn note_top(&mut self, cause: FaultCause, place: Option<Range<usize>>) {
+    fn report_top_level(&mut self, cause: ErrorCause, span: Option<Range<usize>>) {
         let item = ItemRef::new(ItemKind::Document, "");
-        self.note(&item, cause, place.unwrap_or(0..0));
+        self.report(&item, cause, span.unwrap_or(0..0));
     }
 }
 
 /// Returns the key of `table` whose value contains the location.
-fn key_around(table: &DeTable<'_>, place: Option<Range<usize>>) -> Option<(String, Range<usize>)> {
-    let place = place?;
+fn key_containing(
+    table: &DeTable<'_>,
+    span: Option<Range<usize>>,
+) -> Option<(String, Range<usize>)> {
+    let span = span?;
     table
         .iter()
-        .find(|(_, value)| value.span().start <= place.start && place.end <= value.span().end)
-        .map(|(key, _)| (key.get_ref().to_string(), place))
+        .find(|(_, value)| value.span().start <= span.start && span.end <= value.span().end)
+        .map(|(key, _)| (key.get_ref().to_string(), span))
 }
 
-fn unknown_key(key: &str, known: &'static [&'static str]) -> FaultCause {
-    FaultCause::UnknownKey {
+fn unknown_key(key: &str, known: &'static [&'static str]) -> ErrorCause {
+    ErrorCause::UnknownKey {
         key: key.to_owned(),
         known,
         nearest: nearest_name(key, known.iter().copied()),
     }
 }
 
-fn wrong_type(key: &str, message: &str) -> FaultCause {
-    FaultCause::WrongType {
+fn wrong_type(key: &str, message: &str) -> ErrorCause {
+    ErrorCause::WrongType {
         key: key.to_owned(),
         message: message.to_owned(),
     }
--- a/crates/oatpier-types/src/config/verify.rs
+++ b/crates/oatpier-types/src/config/verify.rs
@@ -7,105 +7,105 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::fault::{ConfigFault, FaultCause, ItemKind, ItemRef, nearest_name};
+use super::fault::{ConfigError, ErrorCause, ItemKind, ItemRef, nearest_name};
 use super::{CallPattern, ClassTarget, FleetConfig, PoolKind, WeightStoreSpec};
 use crate::names::{ClassName, EndpointName, PoolName, ZoneName};
 
 /// Maximum memory of weights or of an endpoint, in MiB.
 pub const MAX_MEMORY_MIB: u64 = 1 << 30;
 
-const METHODS: &[&str] = &["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
+const HTTP_METHODS: &[&str] = &["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"];
 
 impl TryFrom<&str> for CallPattern {
-    type Error = FaultCause;
+    type Error = ErrorCause;
 
-    fn try_from(raw: &str) -> Result<Self, FaultCause> {
-        let bad = || FaultCause::BadCall {
+    fn try_from(raw: &str) -> Result<Self, ErrorCause> {
+        let invalid_call = || ErrorCause::InvalidCall {
             value: raw.to_owned(),
         };
-        let (method, path) = raw.split_once(' ').ok_or_else(bad)?;
-        let plain = path.bytes().all(|byte| byte.is_ascii_graphic());
-        if METHODS.contains(&method) && path.starts_with('/') && plain {
+        let (method, path) = raw.split_once(' ').ok_or_else(invalid_call)?;
+        let is_printable = path.bytes().all(|byte| byte.is_ascii_graphic());
+        if HTTP_METHODS.contains(&method) && path.starts_with('/') && is_printable {
             Ok(Self {
                 method: method.into(),
                 path: path.into(),
             })
         } else {
-            Err(bad())
+            Err(invalid_call())
         }
     }
 }
 
 /// Returns all inconsistencies between the items of `config`, without locations in a text.
 #[must_use]
-pub fn verify(config: &FleetConfig) -> Vec<ConfigFault> {
-    let mut check = ItemCheck {
+pub fn verify(config: &FleetConfig) -> Vec<ConfigError> {
+    let mut checker = ItemChecker {
         config,
-        faults: Vec::new(),
+        errors: Vec::new(),
     };
-    check.regions();
-    check.classes();
-    check.pools();
-    check.endpoints();
-    check.models();
-    check.adapters();
-    check.weight_store();
-    check.faults
+    checker.check_regions();
+    checker.check_classes();
+    checker.check_pools();
+    checker.check_endpoints();
+    checker.check_models();
+    checker.check_adapters();
+    checker.check_weight_store();
+    checker.errors
 }
 
-struct ItemCheck<'a> {
+struct ItemChecker<'a> {
     config: &'a FleetConfig,
-    faults: Vec<ConfigFault>,
+    errors: Vec<ConfigError>,
 }
 
-impl ItemCheck<'_> {
-    fn regions(&mut self) {
-        let mut homes = HashMap::<&ZoneName, ItemRef>::new();
+impl ItemChecker<'_> {
+    fn check_regions(&mut self) {
+        let mut owners = HashMap::<&ZoneName, ItemRef>::new();
         for (name, region) in &self.config.regions {
             let item = ItemRef::new(ItemKind::Region, name.as_str());
             if region.zones.is_empty() {
-                self.note(&item, "zones", FaultCause::EmptyList { key: "zones" });
+                self.report(&item, "zones", ErrorCause::EmptyList { key: "zones" });
             }
             for zone in &region.zones {
-                if let Some(other) = homes.insert(zone, item.clone()) {
+                if let Some(other) = owners.insert(zone, item.clone()) {
                     let zone = ItemRef::new(ItemKind::Zone, zone.as_str());
-                    let cause = FaultCause::NameTaken { other };
-                    self.faults.push(ConfigFault {
+                    let cause = ErrorCause::NameTaken { other };
+                    self.errors.push(ConfigError {
                         item: zone,
                         key: "",
                         cause,
-                        place: None,
+                        span: None,
                     });
                 }
             }
         }
     }
 
-    fn classes(&mut self) {
+    fn check_classes(&mut self) {
         for (name, class) in &self.config.classes {
             let item = ItemRef::new(ItemKind::Class, name.as_str());
             if !(class.attain > 0.0 && class.attain < 1.0) {
                 let value = class.attain;
-                self.note(&item, "attain", FaultCause::ShareOutside { value });
+                self.report(&item, "attain", ErrorCause::ShareOutOfRange { value });
             }
             match class.target {
                 ClassTarget::Stream {
                     first_token,
                     between_tokens,
                 } => {
-                    self.positive_time(&item, "first_token", first_token);
-                    self.positive_time(&item, "between_tokens", between_tokens);
+                    self.check_positive_time(&item, "first_token", first_token);
+                    self.check_positive_time(&item, "between_tokens", between_tokens);
                 }
-                ClassTarget::Whole { answer } => self.positive_time(&item, "answer", answer),
+                ClassTarget::Whole { answer } => self.check_positive_time(&item, "answer", answer),
             }
         }
     }
 
-    fn pools(&mut self) {
+    fn check_pools(&mut self) {
         for (name, pool) in &self.config.pools {
             let item = ItemRef::new(ItemKind::Pool, name.as_str());
             if pool.endpoints.is_empty() {
-                self.note(&item, "group", FaultCause::EmptyList { key: "group" });
+                self.report(&item, "group", ErrorCause::EmptyList { key: "group" });
             }
             match &pool.kind {
                 PoolKind::Engine {
@@ -114,114 +114,114 @@
                     slots,
                     ..
                 } => {
-                    self.positive(&item, "accelerators", u64::from(*accelerators));
-                    self.memory(&item, *memory_mib);
-                    self.positive(&item, "slots", u64::from(*slots));
+                    self.check_positive(&item, "accelerators", u64::from(*accelerators));
+                    self.check_memory(&item, *memory_mib);
+                    self.check_positive(&item, "slots", u64::from(*slots));
                 }
                 PoolKind::Service { class, slots, .. } => {
-                    self.positive(&item, "slots", u64::from(*slots));
-                    self.service_class(&item, class);
+                    self.check_positive(&item, "slots", u64::from(*slots));
+                    self.check_service_class(&item, class);
                 }
             }
         }
     }
 
-    fn service_class(&mut self, item: &ItemRef, class: &ClassName) {
-        self.known_class(item, class);
+    fn check_service_class(&mut self, item: &ItemRef, class: &ClassName) {
+        self.check_class_exists(item, class);
         let target = self.config.classes.get(class).map(|spec| spec.target);
         if matches!(target, Some(ClassTarget::Stream { .. })) {
             let class = ItemRef::new(ItemKind::Class, class.as_str());
-            self.note(item, "class", FaultCause::NotWhole { class });
+            self.report(item, "class", ErrorCause::StreamingClass { class });
         }
     }
 
     /// Reports one error per pair of pools that share endpoints, and one per pool and unknown zone,
     /// instead of one per endpoint.
-    fn endpoints(&mut self) {
-        let mut homes = HashMap::<&EndpointName, &PoolName>::new();
+    fn check_endpoints(&mut self) {
+        let mut owners = HashMap::<&EndpointName, &PoolName>::new();
         for (pool, spec) in &self.config.pools {
             let mut shared = Vec::new();
             let mut unknown = Vec::new();
             for (endpoint, zone) in &spec.endpoints {
                 let item = ItemRef::new(ItemKind::Endpoint, endpoint.as_str());
-                if let Some(other) = homes.insert(endpoint, pool)
+                if let Some(other) = owners.insert(endpoint, pool)
                     && !shared.contains(&other)
                 {
                     shared.push(other);
                     let other = ItemRef::new(ItemKind::Pool, other.as_str());
-                    self.note(&item, "", FaultCause::NameTaken { other });
+                    self.report(&item, "", ErrorCause::NameTaken { other });
                 }
                 if self.config.region_of(zone).is_none() && !unknown.contains(&zone) {
                     unknown.push(zone);
-                    self.unknown_zone(&item, zone);
+                    self.report_unknown_zone(&item, zone);
                 }
             }
         }
     }
 
-    fn unknown_zone(&mut self, item: &ItemRef, zone: &ZoneName) {
+    fn report_unknown_zone(&mut self, item: &ItemRef, zone: &ZoneName) {
         let config = self.config;
         let zones = config.regions.values().flat_map(|region| &region.zones);
         let nearest = nearest_name(zone.as_str(), zones.map(ZoneName::as_str));
         let target = ItemRef::new(ItemKind::Zone, zone.as_str());
-        self.note(
+        self.report(
             item,
             "zone",
-            FaultCause::UnknownReference { target, nearest },
+            ErrorCause::UnknownReference { target, nearest },
         );
     }
 
-    fn models(&mut self) {
+    fn check_models(&mut self) {
         for (name, model) in &self.config.models {
             let item = ItemRef::new(ItemKind::Model, name.as_str());
-            self.memory(&item, model.memory_mib);
-            self.known_class(&item, &model.class);
-            self.engine_pool(&item, &model.pool);
+            self.check_memory(&item, model.memory_mib);
+            self.check_class_exists(&item, &model.class);
+            self.check_engine_pool(&item, &model.pool);
         }
     }
 
-    fn engine_pool(&mut self, item: &ItemRef, pool: &PoolName) {
+    fn check_engine_pool(&mut self, item: &ItemRef, pool: &PoolName) {
         let pools = &self.config.pools;
         let target = ItemRef::new(ItemKind::Pool, pool.as_str());
         match pools.get(pool).map(|spec| &spec.kind) {
             Some(PoolKind::Engine { .. }) => {}
             Some(PoolKind::Service { .. }) => {
-                self.note(item, "pool", FaultCause::NotEngines { pool: target });
+                self.report(item, "pool", ErrorCause::NotEnginePool { pool: target });
             }
             None => {
                 let nearest = nearest_name(pool.as_str(), pools.keys().map(PoolName::as_str));
-                self.note(
+                self.report(
                     item,
                     "pool",
-                    FaultCause::UnknownReference { target, nearest },
+                    ErrorCause::UnknownReference { target, nearest },
                 );
             }
         }
     }
 
-    fn adapters(&mut self) {
+    fn check_adapters(&mut self) {
         let models = &self.config.models;
         for (name, adapter) in &self.config.adapters {
             let item = ItemRef::new(ItemKind::Adapter, name.as_str());
-            self.memory(&item, adapter.memory_mib);
+            self.check_memory(&item, adapter.memory_mib);
             if models.keys().any(|model| model.as_str() == name.as_str()) {
                 let other = ItemRef::new(ItemKind::Model, name.as_str());
-                self.note(&item, "", FaultCause::NameTaken { other });
+                self.report(&item, "", ErrorCause::NameTaken { other });
             }
             if !models.contains_key(&adapter.model) {
                 let known = models.keys().map(crate::names::ModelName::as_str);
                 let nearest = nearest_name(adapter.model.as_str(), known);
                 let target = ItemRef::new(ItemKind::Model, adapter.model.as_str());
-                self.note(
+                self.report(
                     &item,
                     "model",
-                    FaultCause::UnknownReference { target, nearest },
+                    ErrorCause::UnknownReference { target, nearest },
                 );
             }
         }
     }
 
-    fn weight_store(&mut self) {
+    fn check_weight_store(&mut self) {
         let store = self.config.weight_store;
         let item = ItemRef::new(ItemKind::WeightStore, "");
         if self.config.models.is_empty() && store == WeightStoreSpec::default() {
@@ -230,59 +230,59 @@
         if !(store.loads_per_second > 0.0 && store.loads_per_second.is_finite()) {
             let value = store.loads_per_second.to_string();
             let key = "loads_per_second";
-            self.note(&item, key, FaultCause::NotPositive { key, value });
+            self.report(&item, key, ErrorCause::NotPositive { key, value });
         }
-        self.positive(&item, "full_speed_loads", u64::from(store.full_speed_loads));
+        self.check_positive(&item, "full_speed_loads", u64::from(store.full_speed_loads));
     }
 
-    fn known_class(&mut self, item: &ItemRef, class: &ClassName) {
+    fn check_class_exists(&mut self, item: &ItemRef, class: &ClassName) {
         let classes = &self.config.classes;
         if classes.contains_key(class) {
             return;
         }
         let nearest = nearest_name(class.as_str(), classes.keys().map(ClassName::as_str));
         let target = ItemRef::new(ItemKind::Class, class.as_str());
-        self.note(
+        self.report(
             item,
             "class",
-            FaultCause::UnknownReference { target, nearest },
+            ErrorCause::UnknownReference { target, nearest },
         );
     }
 
-    fn positive(&mut self, item: &ItemRef, key: &'static str, value: u64) {
+    fn check_positive(&mut self, item: &ItemRef, key: &'static str, value: u64) {
         if value == 0 {
             let value = value.to_string();
-            self.note(item, key, FaultCause::NotPositive { key, value });
+            self.report(item, key, ErrorCause::NotPositive { key, value });
         }
     }
 
     /// Checks a memory size in MiB. The upper bound prevents overflow in sums of sizes.
-    fn memory(&mut self, item: &ItemRef, value: u64) {
+    fn check_memory(&mut self, item: &ItemRef, value: u64) {
         const KEY: &str = "memory_mib";
-        self.positive(item, KEY, value);
+        self.check_positive(item, KEY, value);
         if value > MAX_MEMORY_MIB {
-            let cause = FaultCause::TooMany {
+            let cause = ErrorCause::AboveMaximum {
                 key: KEY,
                 value,
-                most: MAX_MEMORY_MIB,
+                maximum: MAX_MEMORY_MIB,
             };
-            self.note(item, KEY, cause);
+            self.report(item, KEY, cause);
         }
     }
 
-    fn positive_time(&mut self, item: &ItemRef, key: &'static str, value: Duration) {
+    fn check_positive_time(&mut self, item: &ItemRef, key: &'static str, value: Duration) {
         if value.is_zero() {
             let value = format!("{value:?}");
-            self.note(item, key, FaultCause::NotPositive { key, value });
+            self.report(item, key, ErrorCause::NotPositive { key, value });
         }
     }
 
-    fn note(&mut self, item: &ItemRef, key: &'static str, cause: FaultCause) {
-        self.faults.push(ConfigFault {
+    fn report(&mut self, item: &ItemRef, key: &'static str, cause: ErrorCause) {
+        self.errors.push(ConfigError {
             item: item.clone(),
             key,
             cause,
-            place: None,
+            span: None,
         });
     }
 }
--- a/crates/oatpier-types/src/names.rs
+++ b/crates/oatpier-types/src/names.rs
@@ -25,7 +25,7 @@
     },
     /// The string is longer than [`MAX_NAME_BYTES`].
     #[error("{kind} name `{value}` is {length} bytes long; use at most {MAX_NAME_BYTES}")]
-    Long {
+    TooLong {
         /// The kind of object that the name identifies.
         kind: &'static str,
         /// The start of the invalid value.
@@ -37,7 +37,7 @@
     #[error(
         "{kind} name `{value}` holds `{found}`; use letters, digits, `.`, `_`, `:`, `/` and `-`"
     )]
-    Character {
+    InvalidCharacter {
         /// The kind of object that the name identifies.
         kind: &'static str,
         /// The invalid value.
@@ -52,14 +52,14 @@
         return Err(NameError::Empty { kind });
     }
     if raw.len() > MAX_NAME_BYTES {
-        return Err(NameError::Long {
+        return Err(NameError::TooLong {
             kind,
             value: raw.chars().take(32).collect(),
             length: raw.len(),
         });
     }
     match raw.chars().find(|character| !is_name_character(*character)) {
-        Some(found) => Err(NameError::Character {
+        Some(found) => Err(NameError::InvalidCharacter {
             kind,
             value: raw.to_owned(),
             found,
--- a/crates/oatpier-types/tests/testsuite/config_diff.rs
+++ b/crates/oatpier-types/tests/testsuite/config_diff.rs
@@ -1,7 +1,7 @@
-//! The edits between configurations.
+//! Tests of computing, applying and inverting the edits between configurations.
 
 use oatpier_types::config::FleetConfig;
-use oatpier_types::config::diff::{ConfigEdit, EditFit, apply, clashing_items, diff};
+use oatpier_types::config::diff::{ConfigEdit, EditFit, apply, conflicting_items, diff};
 use oatpier_types::names::{AdapterName, EndpointName, ModelName, PoolName};
 use proptest::prelude::*;
 
@@ -26,29 +26,29 @@
 }
 
 #[test]
-fn removed_pool_comes_back_with_its_endpoints() {
+fn inverted_removal_restores_a_pool_with_its_endpoints() {
     let before = small();
     let mut after = before.clone();
     after
         .pools
         .shift_remove(&PoolName::try_from("plan-api").unwrap());
     let edits = diff(&before, &after);
-    let undone: Vec<ConfigEdit> = edits.iter().map(ConfigEdit::undo).collect();
-    assert_eq!(apply(&after, &undone), before);
+    let inverted: Vec<ConfigEdit> = edits.iter().map(ConfigEdit::invert).collect();
+    assert_eq!(apply(&after, &inverted), before);
 }
 
 #[test]
-fn lists_clash_on_items_that_they_want_differently() {
+fn lists_conflict_on_items_that_they_change_differently() {
     let base = small();
     let left = diff(&base, &small_with("memory_mib = 300", "memory_mib = 301"));
     let right = diff(&base, &small_with("memory_mib = 300", "memory_mib = 302"));
     let other = diff(&base, &small_with("memory_mib = 400", "memory_mib = 402"));
-    assert_eq!(clashing_items(&left, &right).len(), 1);
-    assert!(clashing_items(&left, &left).is_empty());
-    assert!(clashing_items(&left, &other).is_empty());
+    assert_eq!(conflicting_items(&left, &right).len(), 1);
+    assert!(conflicting_items(&left, &left).is_empty());
+    assert!(conflicting_items(&left, &other).is_empty());
 }
 
-/// A configuration that differs from the small one in drawn items.
+/// Generates configurations that differ from [`small`] in random items.
 fn variant() -> impl Strategy<Value = FleetConfig> {
     let models = proptest::collection::vec((0u8..6, 1u64..100), 0..6);
     let adapters = proptest::collection::vec((0u8..6, 1u64..100), 0..6);
@@ -90,7 +90,7 @@
 
 proptest! {
     #[test]
-    fn edits_lead_there_and_back(before in variant(), after in variant()) {
+    fn edits_apply_and_revert(before in variant(), after in variant()) {
         let edits = diff(&before, &after);
         for edit in &edits {
             prop_assert_eq!(edit.fit(&before), EditFit::Applies);
@@ -100,19 +100,20 @@
         let sent: Vec<ConfigEdit> = rmp_serde::from_slice(&bytes).unwrap();
         prop_assert_eq!(&sent, &edits);
         prop_assert_eq!(&apply(&before, &edits), &after);
-        let undone: Vec<ConfigEdit> = edits.iter().map(ConfigEdit::undo).collect();
-        prop_assert_eq!(&apply(&after, &undone), &before);
+        let inverted: Vec<ConfigEdit> = edits.iter().map(ConfigEdit::invert).collect();
+        prop_assert_eq!(&apply(&after, &inverted), &before);
     }
 
     #[test]
-    fn lists_that_do_not_clash_commute(base in variant(), left in variant(), right in variant()) {
-        // A pool takes its endpoints with it, which the record's merge refuses by itself.
+    fn lists_without_conflicts_commute(base in variant(), left in variant(), right in variant()) {
+        // Pool edits are left out: removing a pool also removes its endpoints, which the merge of the
+        // record rejects separately.
         let whole = |edit: &ConfigEdit| !matches!(edit, ConfigEdit::Pool(_));
         let left: Vec<ConfigEdit> = diff(&base, &left).into_iter().filter(whole).collect();
         let mut right: Vec<ConfigEdit> = diff(&base, &right).into_iter().filter(whole).collect();
-        let clashing = clashing_items(&left, &right);
+        let clashing = conflicting_items(&left, &right);
         right.retain(|edit| !clashing.contains(&edit.item()));
-        prop_assert!(clashing_items(&left, &right).is_empty());
+        prop_assert!(conflicting_items(&left, &right).is_empty());
         let one = apply(&apply(&base, &left), &right);
         let other = apply(&apply(&base, &right), &left);
         prop_assert_eq!(one, other);
--- a/crates/oatpier-types/tests/testsuite/config_errors.rs
+++ b/crates/oatpier-types/tests/testsuite/config_errors.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a wrong text: all faults at once, each with its place and its mend.
+//! Error reports for invalid texts: all errors at once, each with its location and a suggestion.
 
 use miette::{GraphicalReportHandler, GraphicalTheme};
 use oatpier_types::config::text::ConfigDocument;
@@ -16,13 +16,13 @@
     out
 }
 
-fn faults(text: &str) -> Vec<String> {
+fn error_messages(text: &str) -> Vec<String> {
     let errors = ConfigDocument::read("fleet.toml", text).unwrap_err();
-    errors.faults.iter().map(ToString::to_string).collect()
+    errors.errors.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn all_faults_of_a_text_come_at_once() {
+fn all_errors_of_a_text_are_reported_at_once() {
     let text = SMALL
         .replace("attain = 0.95", "attain = 1.5")
         .replace("between_tokens = \"33ms\"", "between_tokens = \"33\"")
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn syntax_faults_come_alone() {
+fn syntax_errors_hide_other_errors() {
     let text = SMALL
         .replace("slots = 16", "slots = ")
         .replace("attain = 0.95", "attain 0.95");
@@ -52,27 +52,35 @@
 }
 
 #[test]
-fn table_given_twice_is_a_fault() {
+fn duplicate_table_is_an_error() {
     let text = format!("{SMALL}\n[model.tables]\npool = \"seat-llm\"\n");
     assert!(
-        faults(&text)[0].contains("duplicate key"),
+        error_messages(&text)[0].contains("duplicate key"),
         "{:?}",
-        faults(&text)
+        error_messages(&text)
     );
 }
 
 #[test]
-fn fault_of_an_item_does_not_show_as_faults_of_its_users() {
-    // The class can't be read, so two models and a pool refer to nothing. The operator made one
-    // mistake and is to see one.
+fn error_in_an_item_is_not_repeated_for_its_references() {
+    // The class is invalid, so the references to it from two models cannot be resolved. The
+    // report must contain only the error in the class itself.
     let text = SMALL.replace("attain = 0.95", "");
-    assert_eq!(faults(&text), ["class `drafting`: `attain` is missing"]);
+    assert_eq!(
+        error_messages(&text),
+        ["class `drafting`: `attain` is missing"]
+    );
     let text = SMALL.replace("zones = [\"ikeja\", \"lekki\"]", "zones = 3");
-    assert_eq!(faults(&text).len(), 1, "{:?}", faults(&text));
+    assert_eq!(
+        error_messages(&text).len(),
+        1,
+        "{:?}",
+        error_messages(&text)
+    );
 }
 
 #[test]
-fn endpoint_in_two_places_is_a_fault() {
+fn duplicate_endpoint_is_an_error() {
     let overlapping = "[[pool.seat-llm.group]]\nzone = \"lekki\"\nprefix = \"seat-llm-ikeja-\"\n\
                        count = 9\n";
     let same_pool = SMALL.replace(
@@ -80,26 +88,34 @@
         &format!("{overlapping}\n[pool.plan-api]\n"),
     );
     assert_eq!(
-        faults(&same_pool),
-        ["endpoint `seat-llm-ikeja-1`: the name is in use already, by pool `seat-llm`"]
+        error_messages(&same_pool),
+        ["endpoint `seat-llm-ikeja-1`: the name is already used by pool `seat-llm`"]
     );
     let other_pool = SMALL.replace(
         "prefix = \"plan-api-\"\nfirst = 7",
         "prefix = \"seat-llm-ikeja-\"",
     );
-    assert_eq!(faults(&other_pool).len(), 1, "{:?}", faults(&other_pool));
+    assert_eq!(
+        error_messages(&other_pool).len(),
+        1,
+        "{:?}",
+        error_messages(&other_pool)
+    );
 }
 
 #[test]
-fn forgotten_list_of_calls_is_a_fault() {
-    // A call that was left out by oversight would be repeated after a fault: a seating change
-    // applied twice. The list must therefore stand there, even if empty.
+fn missing_list_of_once_calls_is_an_error() {
+    // A call that is left out by mistake would be retried after a failure, and a change could be
+    // applied twice. The list is therefore required, even if it is empty.
     let text = SMALL.replace("once = [\"POST /plans/*/apply\"]\n", "");
-    assert_eq!(faults(&text), ["pool `plan-api`: `once` is missing"]);
+    assert_eq!(
+        error_messages(&text),
+        ["pool `plan-api`: `once` is missing"]
+    );
 }
 
 #[test]
-fn keys_of_the_other_kind_are_faults() {
+fn keys_of_another_kind_are_errors() {
     let text = SMALL
         .replace("kind = \"service\"", "kind = \"service\"\nmemory_mib = 5")
         .replace(
@@ -108,33 +124,33 @@
         )
         .replace("count = 3", "count = 3\nnames = []");
     assert_eq!(
-        faults(&text),
+        error_messages(&text),
         [
-            "class `lookup`: `first_token` does not go with `answer`",
-            "pool `seat-llm`: `prefix` does not go with `names`",
-            "pool `seat-llm`: `count` does not go with `names`",
-            "pool `plan-api`: `memory_mib` does not go with `kind = \"service\"`",
+            "class `lookup`: `first_token` cannot be combined with `answer`",
+            "pool `seat-llm`: `prefix` cannot be combined with `names`",
+            "pool `seat-llm`: `count` cannot be combined with `names`",
+            "pool `plan-api`: `memory_mib` cannot be combined with `kind = \"service\"`",
         ]
     );
 }
 
 #[test]
-fn slip_of_a_digit_does_not_fill_the_memory() {
+fn excessive_count_is_an_error() {
     let text = SMALL.replace("count = 3", "count = 3000000000");
     assert_eq!(
-        faults(&text),
+        error_messages(&text),
         ["pool `seat-llm`: `count` is 3000000000, more than 20000"]
     );
 }
 
 #[test]
-fn sizes_whose_sum_overflows_are_faults() {
+fn sizes_whose_sum_overflows_are_errors() {
     let huge = i64::MAX;
     let text = SMALL
         .replace("memory_mib = 400", &format!("memory_mib = {huge}"))
         .replace("memory_mib = 300", &format!("memory_mib = {huge}"));
     assert_eq!(
-        faults(&text),
+        error_messages(&text),
         [
             format!("model `tables`: `memory_mib` is {huge}, more than 1073741824"),
             format!("model `halls`: `memory_mib` is {huge}, more than 1073741824"),
@@ -143,20 +159,20 @@
 }
 
 #[test]
-fn service_needs_a_class_of_whole_answers() {
+fn service_with_a_streaming_class_is_an_error() {
     let text = SMALL.replace("class = \"lookup\"", "class = \"drafting\"");
-    assert!(faults(&text)[0].contains("a plain service does not stream"));
+    assert!(error_messages(&text)[0].contains("a plain service does not stream"));
 }
 
 #[test]
-fn zero_sizes_are_faults() {
+fn zero_values_are_errors() {
     let text = SMALL
         .replace("memory_mib = 400", "memory_mib = 0")
         .replace("slots = 32", "slots = 0")
         .replace("loads_per_second = 3.0", "loads_per_second = 0.0")
         .replace("answer = \"150ms\"", "answer = \"0s\"");
     assert_eq!(
-        faults(&text),
+        error_messages(&text),
         [
             "weight_store: `loads_per_second` is 0",
             "class `lookup`: `answer` is 0ns",
--- a/crates/oatpier-types/tests/testsuite/config_reach.rs
+++ b/crates/oatpier-types/tests/testsuite/config_reach.rs
@@ -1,4 +1,4 @@
-//! Whether everything fits into the memory there is.
+//! Tests of the check that all models and adapters fit into the available memory.
 
 use std::collections::BTreeMap;
 
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn shortage_is_told_in_figures() {
-    // A model that is larger than any endpoint has no place, however many endpoints there are.
+fn shortage_is_reported_with_size_and_names() {
+    // A model that is larger than one endpoint doesn't fit, regardless of the number of endpoints.
     let report = check_reach(&small_with("memory_mib = 300", "memory_mib = 1300"));
     assert!(!report.fits());
     assert_eq!(report.pools[0].steady.short_mib, 1_300);
@@ -34,9 +34,9 @@
 }
 
 #[test]
-fn change_of_a_version_needs_room_beside() {
-    // Everything fits exactly once, one model an endpoint. The new version of any of them could
-    // only be loaded after the old one was unloaded, and callers would find it nowhere.
+fn version_change_needs_memory_for_both_versions() {
+    // Each endpoint has memory for exactly one model. A new version could only be loaded after the
+    // old one was unloaded, and meanwhile the model would be unavailable to callers.
     let mut config = small();
     config.adapters.clear();
     let model = config.models[0].clone();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn adapters_beyond_one_endpoint_take_the_base_again() {
+fn adapters_on_several_endpoints_need_several_base_replicas() {
     let mut config = small();
     let adapter = config.adapters[0].clone();
     config.adapters.clear();
@@ -65,13 +65,14 @@
         config.adapters.insert(name, adapter);
     }
     let report = check_reach(&config);
-    // 400 and four adapters, twice, and 400 with one; the other model goes beside the last.
+    // Two endpoints hold the base (400 MiB) with four adapters each. The third holds the base with one
+    // adapter, and the other model.
     assert_eq!(report.pools[0].steady.short_mib, 0);
     assert_eq!(report.pools[0].steady.used, 3);
 }
 
 #[test]
-fn lost_zone_is_told_in_figures() {
+fn shortage_in_a_zone_outage_is_reported() {
     let mut config = small();
     let name = ModelName::try_from("tables").unwrap();
     config.models[&name].memory_mib = 900;
@@ -86,10 +87,10 @@
 }
 
 proptest! {
-    /// What fits a fleet fits the same fleet with one more endpoint, and what the check accepts
-    /// never takes more than there is.
+    /// An accepted configuration never needs more memory or endpoints than there are, and the
+    /// reported shortage is consistent with the reported names.
     #[test]
-    fn accepted_is_possible(
+    fn accepted_configuration_fits_into_total_memory(
         sizes in proptest::collection::vec(1u64..900, 1..12),
         adapters in proptest::collection::vec((0usize..12, 1u64..300), 0..20),
         endpoints in 1usize..10,
--- a/crates/oatpier-types/tests/testsuite/config_record.rs
+++ b/crates/oatpier-types/tests/testsuite/config_record.rs
@@ -1,4 +1,4 @@
-//! Merging changes into the record, through races and lost answers.
+//! Tests of merging changes into the record, including races and lost responses.
 
 use oatpier_types::config::FleetConfig;
 use oatpier_types::config::record::merge::{ChangeProposal, MergeError, MergeStep};
@@ -10,7 +10,7 @@
 
 use crate::fleets::{small, small_with};
 
-/// The edits that an operator made who saw `record` and wants `wanted`.
+/// Returns the proposal of an operator who read `record` and wants the configuration `wanted`.
 fn proposal(
     id: u128,
     operator: &str,
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn first_change_makes_generation_one() {
+fn first_change_creates_generation_one() {
     let record = first_record();
     assert_eq!(record.generation, Generation(1));
     assert_eq!(record.content, small());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn record_reads_back_from_its_bytes() {
+fn record_survives_encoding() {
     let record = first_record();
     let bytes = record.encode().unwrap();
     assert_eq!(ConfigRecord::decode(&bytes).unwrap(), record);
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn disjoint_changes_both_stand() {
-    // Two operators read generation 1 and change different models. Ada's write comes first;
-    // Ben's compare-and-swap fails, and he tries again on what is there now.
+fn disjoint_changes_are_both_kept() {
+    // Two operators read generation 1 and change different models. Ada's write succeeds first.
+    // Ben's compare-and-swap fails, and his change is merged again into the new record.
     let first = first_record();
     let ben = proposal(
         3,
@@ -75,7 +75,7 @@
     );
     let second = accept(&first, &proposal(2, "ada", &first, &resized(310)));
     let Ok(MergeStep::Write { record, beside }) = second.merge(&ben) else {
-        panic!("a disjoint change must stand");
+        panic!("a disjoint change must be accepted");
     };
     assert_eq!(record.generation, Generation(3));
     assert_eq!(beside, [ChangeId(2)]);
@@ -84,9 +84,9 @@
 }
 
 #[test]
-fn clash_names_the_other_change() {
-    // Two operators give one model different sizes. The later one must not undo the earlier
-    // one unseen: he is told whose change stands there.
+fn conflict_names_the_other_change() {
+    // Two operators set different sizes for one model. The later change must not silently revert
+    // the earlier one; the error names the other operator's change.
     let first = first_record();
     let ben = proposal(3, "ben", &first, &resized(320));
     let second = accept(&first, &proposal(2, "ada", &first, &resized(310)));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn same_change_by_two_operators_is_no_clash() {
+fn same_change_by_two_operators_is_no_conflict() {
     let first = first_record();
     let second = accept(&first, &proposal(2, "ada", &first, &resized(310)));
     let ben = proposal(3, "ben", &first, &resized(310));
@@ -109,10 +109,10 @@
 }
 
 #[test]
-fn lost_answer_is_settled_by_the_change_id() {
-    // The store takes the write and its answer is lost. The operator's process tries again with
-    // the same id, after another operator has undone the change. It must learn that its change
-    // was accepted as generation 2, and must not make it a second time.
+fn lost_response_is_resolved_by_the_change_id() {
+    // The store applies the write, but the response is lost. The operator's process retries with
+    // the same id after another operator has reverted the change. The retry must report that the
+    // change was accepted as generation 2, and must not apply it a second time.
     let first = first_record();
     let ada = proposal(2, "ada", &first, &resized(310));
     let second = accept(&first, &ada);
@@ -122,9 +122,10 @@
 }
 
 #[test]
-fn outcome_that_is_forgotten_is_not_guessed() {
-    // The answer is lost and so many changes follow that the id is no longer remembered. A new
-    // try could make the change twice; the operator is told that it can't be known.
+fn outcome_missing_from_the_record_is_reported_as_unknown() {
+    // The response is lost, and so many changes follow that the record no longer contains the id.
+    // A retry could apply the change twice, so the operator gets an error that the outcome is
+    // unknown.
     let mut record = first_record();
     let mut ada = proposal(2, "ada", &record, &resized(310));
     ada.unanswered = Some(Generation(2));
@@ -145,9 +146,9 @@
 }
 
 #[test]
-fn removed_pool_does_not_take_new_endpoints_with_it() {
-    // Ben removes a pool. Meanwhile Ada has put an endpoint into it. Each edit fits by itself,
-    // yet the endpoint would vanish without anyone having asked for that.
+fn removing_a_pool_conflicts_with_an_added_endpoint() {
+    // Ben removes a pool while Ada adds an endpoint to it. Neither edit conflicts on its own, but
+    // the merge would silently drop Ada's endpoint.
     let first = first_record();
     let mut without = small();
     without.pools.retain(|name, _| name.as_str() != "plan-api");
@@ -163,8 +164,8 @@
 }
 
 #[test]
-fn changes_that_are_wrong_together_are_refused() {
-    // Ben removes a class that nothing uses. Meanwhile Ada has given it to a model.
+fn changes_that_are_invalid_together_are_rejected() {
+    // Ben removes an unused class while Ada assigns it to a model.
     let unused = "[class.spare]\nanswer = \"1s\"\nattain = 0.9\n\n[class.lookup]";
     let with_spare = small_with("[class.lookup]", unused);
     let empty = ConfigRecord::default();
@@ -179,8 +180,8 @@
 }
 
 #[test]
-fn changes_that_do_not_fit_together_are_refused() {
-    // Each operator adds a model for which there is room once, not twice.
+fn changes_that_exceed_memory_together_are_rejected() {
+    // Each operator adds a model. There is enough memory for one of them, but not for both.
     let grown = |model: &str| {
         let mut config = small();
         let mut spec = config.models[0].clone();
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn former_content_comes_back_as_a_new_generation() {
+fn restored_content_gets_a_new_generation() {
     let first = first_record();
     let second = accept(&first, &proposal(2, "ada", &first, &resized(310)));
     let former = second.content_at(Generation(1)).unwrap();
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn generations_beyond_memory_are_told_apart() {
+fn future_and_discarded_generations_are_distinguished() {
     let first = first_record();
     let wanted = Generation(9);
     let newest = Generation(1);
@@ -229,7 +230,7 @@
     assert_eq!(trimmed.content_at(wanted), Err(forgotten));
 }
 
-/// As large as the fleet is to grow: 3,500 engines, 490 models, 1,200 adapters.
+/// A configuration of the planned maximum size: 3,500 engines, 490 models, 1,200 adapters.
 fn large() -> FleetConfig {
     let mut config = small();
     let model = config.models[0].clone();
@@ -264,8 +265,8 @@
 
 #[test]
 fn record_of_a_large_fleet_fits_into_the_store() {
-    // The first change of a large fleet holds everything twice: as content and as edits. When
-    // the two don't fit, the edits go, and the change's id stays.
+    // The first record of a large fleet contains everything twice: as content and as edits. If both
+    // don't fit, the edits are dropped and the id of the change is kept.
     let empty = ConfigRecord::default();
     let first = accept(&empty, &proposal(1, "ada", &empty, &large()));
     assert_eq!(first.recent[0].change, ChangeId(1));
@@ -280,7 +281,7 @@
 }
 
 #[test]
-fn edits_go_before_the_record_outgrows_the_store() {
+fn old_edits_are_dropped_to_keep_the_record_within_its_limit() {
     let mut record = ConfigRecord::default();
     for id in 1..20u128 {
         let mut wanted = large();
--- a/crates/oatpier-types/tests/testsuite/config_text.rs
+++ b/crates/oatpier-types/tests/testsuite/config_text.rs
@@ -1,4 +1,4 @@
-//! Reading a right text, and writing it back.
+//! Tests of parsing valid configuration texts and writing them back.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn times_are_read_with_their_units() {
+fn durations_are_parsed_with_units() {
     let config = small();
     let class = &config.classes[&ClassName::try_from("drafting").unwrap()];
     assert_eq!(
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn text_names_its_generation() {
+fn based_on_generation_survives_writing() {
     let text = format!("based_on = 17\n{SMALL}");
     let document = ConfigDocument::read("test.toml", &text).unwrap();
     assert_eq!(document.based_on, Some(Generation(17)));
@@ -62,23 +62,23 @@
 }
 
 #[test]
-fn hash_does_not_see_the_order_of_items() {
+fn hash_ignores_the_order_of_items() {
     let config = small();
-    let mut turned = config.clone();
-    turned.models.reverse();
-    for pool in turned.pools.values_mut() {
+    let mut reordered = config.clone();
+    reordered.models.reverse();
+    for pool in reordered.pools.values_mut() {
         pool.endpoints.reverse();
     }
-    assert_eq!(config.content_hash(), turned.content_hash());
+    assert_eq!(config.content_hash(), reordered.content_hash());
     let name = ModelName::try_from("tables").unwrap();
-    turned.models[&name].memory_mib += 1;
-    assert_ne!(config.content_hash(), turned.content_hash());
+    reordered.models[&name].memory_mib += 1;
+    assert_ne!(config.content_hash(), reordered.content_hash());
 }
 
 #[test]
 fn hash_stays_the_same_between_versions() {
-    // Processes of two versions run side by side during an upgrade. A hash that differs for the
-    // same content would show as a configuration that isn't in force everywhere.
+    // During an upgrade, processes of two software versions run at the same time. If their hashes of
+    // the same content differed, the configuration would appear to be not applied everywhere.
     assert_eq!(
         FleetConfig::default().content_hash(),
         3_915_609_756_580_633_065
@@ -86,7 +86,8 @@
     assert_eq!(small().content_hash(), 17_501_193_379_252_219_802);
 }
 
-/// Endpoint names that test how groups are written: numbers with gaps, leading zeros and none.
+/// Generates endpoint names that exercise the grouping: numbers with gaps, with leading zeros, and
+/// names without a number.
 fn endpoint_names() -> impl Strategy<Value = Vec<String>> {
     let name = prop_oneof![
         (0u32..40).prop_map(|number| format!("engine-{number}")),
@@ -99,7 +100,7 @@
 
 proptest! {
     #[test]
-    fn any_configuration_reads_back(
+    fn written_configuration_parses_back(
         names in endpoint_names(),
         zones in proptest::collection::vec(0usize..2, 40),
         attain in 0.001f64..0.999,
--- a/crates/oatpier-types/tests/testsuite/fleets.rs
+++ b/crates/oatpier-types/tests/testsuite/fleets.rs
@@ -1,9 +1,9 @@
-//! Configurations for the tests.
+//! Configurations used by the tests.
 
 use oatpier_types::config::FleetConfig;
 use oatpier_types::config::text::ConfigDocument;
 
-/// A small configuration that is right.
+/// A small valid configuration.
 pub const SMALL: &str = r#"
 [weight_store]
 loads_per_second = 3.0
@@ -67,21 +67,21 @@
 memory_mib = 50
 "#;
 
-/// Reads a text that must be right.
+/// Parses a text that must be valid.
 pub fn read(text: &str) -> FleetConfig {
     match ConfigDocument::read("test.toml", text) {
         Ok(document) => document.config,
-        Err(errors) => panic!("{:?}", errors.faults),
+        Err(errors) => panic!("{:?}", errors.errors),
     }
 }
 
-/// [`SMALL`].
+/// Returns the parsed [`SMALL`].
 pub fn small() -> FleetConfig {
     read(SMALL)
 }
 
-/// [`SMALL`] with a part of its text replaced.
-pub fn small_with(part: &str, other: &str) -> FleetConfig {
+/// Returns the parsed [`SMALL`] with a part of its text replaced.
+pub fn small_with(part: &str, replacement: &str) -> FleetConfig {
     assert!(SMALL.contains(part), "`{part}` is not in the text");
-    read(&SMALL.replace(part, other))
+    read(&SMALL.replace(part, replacement))
 }
--- a/crates/oatpier-types/tests/testsuite/main.rs
+++ b/crates/oatpier-types/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the shared types.
+//! Tests of the shared domain types.
 
 mod config_diff;
 mod config_errors;
