--- a/crates/oatpier-types/src/config/diff.rs
+++ b/crates/oatpier-types/src/config/diff.rs
@@ -150,7 +150,7 @@
             Self::Adapter(edit) => edit.fit(config.adapters.get(&edit.name)),
             Self::WeightStore { before, after } => {
                 let present = Some(&config.weight_store);
-                edit_fit(present, Some(before), Some(after))
+                edit_status(present, Some(before), Some(after))
             }
         }
     }
@@ -185,11 +185,15 @@
     }
 
     fn fit(&self, present: Option<&S>) -> EditFit {
-        edit_fit(present, self.before.as_ref(), self.after.as_ref())
+        edit_status(present, self.before.as_ref(), self.after.as_ref())
     }
 }
 
-fn edit_fit<S: PartialEq>(present: Option<&S>, before: Option<&S>, after: Option<&S>) -> EditFit {
+fn edit_status<S: PartialEq>(
+    present: Option<&S>,
+    before: Option<&S>,
+    after: Option<&S>,
+) -> EditFit {
     if present == after {
         EditFit::Done
     } else if present == before {
--- a/crates/oatpier-types/src/config/raw.rs
+++ b/crates/oatpier-types/src/config/raw.rs
@@ -7,7 +7,7 @@
 use toml::Spanned;
 
 /// An optional string with its location in the text.
-pub(super) type RawText = Option<Spanned<String>>;
+pub(super) type RawString = Option<Spanned<String>>;
 /// An optional number with its location in the text.
 pub(super) type RawCount = Option<Spanned<u64>>;
 
@@ -35,7 +35,7 @@
 
 raw_tables! {
     /// `[weight_store]`.
-    RawStore {
+    RawWeightStore {
         loads_per_second: Option<Spanned<f64>>,
         full_speed_loads: Option<Spanned<u32>>,
     }
@@ -45,41 +45,41 @@
     }
     /// `[class.NAME]`.
     RawClass {
-        first_token: RawText,
-        between_tokens: RawText,
-        answer: RawText,
+        first_token: RawString,
+        between_tokens: RawString,
+        answer: RawString,
         attain: Option<Spanned<f64>>,
     }
     /// `[pool.NAME]`; the groups are parsed separately.
     RawPool {
-        kind: RawText,
+        kind: RawString,
         accelerators: Option<Spanned<u32>>,
         memory_mib: RawCount,
         slots: Option<Spanned<u32>>,
         checks_order_numbers: Option<Spanned<bool>>,
-        class: RawText,
+        class: RawString,
         once: Option<Spanned<Vec<Spanned<String>>>>,
         group: Option<serde::de::IgnoredAny>,
     }
     /// `[[pool.NAME.group]]`.
     RawGroup {
-        zone: RawText,
-        prefix: RawText,
+        zone: RawString,
+        prefix: RawString,
         count: RawCount,
         first: RawCount,
         names: Option<Spanned<Vec<Spanned<String>>>>,
     }
     /// `[model.NAME]`.
     RawModel {
-        pool: RawText,
-        version: RawText,
+        pool: RawString,
+        version: RawString,
         memory_mib: RawCount,
-        class: RawText,
+        class: RawString,
     }
     /// `[adapter.NAME]`.
     RawAdapter {
-        model: RawText,
-        version: RawText,
+        model: RawString,
+        version: RawString,
         memory_mib: RawCount,
     }
 }
--- a/crates/oatpier-types/src/config/record/merge.rs
+++ b/crates/oatpier-types/src/config/record/merge.rs
@@ -54,7 +54,7 @@
     },
 }
 
-/// Another operator's change that conflicts with a proposal.
+/// A change by another operator that a proposal conflicts with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OtherChange {
     /// The id of the change.
--- a/crates/oatpier-types/src/config/render.rs
+++ b/crates/oatpier-types/src/config/render.rs
@@ -14,7 +14,7 @@
 #[derive(Serialize)]
 struct TextDocument<'a> {
     based_on: Option<u64>,
-    weight_store: Option<TextStore>,
+    weight_store: Option<TextWeightStore>,
     region: BTreeMap<&'a str, TextRegion<'a>>,
     class: BTreeMap<&'a str, TextClass>,
     pool: BTreeMap<&'a str, TextPool<'a>>,
@@ -23,7 +23,7 @@
 }
 
 #[derive(Serialize)]
-struct TextStore {
+struct TextWeightStore {
     loads_per_second: f64,
     full_speed_loads: u32,
 }
@@ -117,9 +117,9 @@
         toml::to_string(&document).expect("names, numbers and strings are representable in TOML")
     }
 
-    fn render_weight_store(&self) -> Option<TextStore> {
+    fn render_weight_store(&self) -> Option<TextWeightStore> {
         let store = self.weight_store;
-        (store != super::WeightStoreSpec::default()).then_some(TextStore {
+        (store != super::WeightStoreSpec::default()).then_some(TextWeightStore {
             loads_per_second: store.loads_per_second,
             full_speed_loads: store.full_speed_loads,
         })
--- a/crates/oatpier-types/src/config/text/fields.rs
+++ b/crates/oatpier-types/src/config/text/fields.rs
@@ -11,7 +11,7 @@
 
 use super::reader::{RawItem, SpanIndex};
 use crate::config::fault::{ConfigError, ErrorCause, ItemKind, ItemRef};
-use crate::config::raw::RawText;
+use crate::config::raw::RawString;
 use crate::config::{FleetConfig, verify};
 use crate::names::NameError;
 
@@ -82,7 +82,7 @@
         &mut self,
         raw: &RawItem<T>,
         key: &'static str,
-        value: &RawText,
+        value: &RawString,
     ) -> N {
         match self.require(raw, key, value.as_ref()) {
             Some(value) => self.parse_name(&raw.item, value),
@@ -108,7 +108,7 @@
         &mut self,
         raw: &RawItem<T>,
         key: &'static str,
-        value: &RawText,
+        value: &RawString,
     ) -> Duration {
         let Some(value) = self.require(raw, key, value.as_ref()) else {
             return PLACEHOLDER_TIME;
--- a/crates/oatpier-types/src/config/text/items.rs
+++ b/crates/oatpier-types/src/config/text/items.rs
@@ -8,7 +8,7 @@
 use super::fields::{CheckedName, ItemBuilder, placeholder};
 use super::reader::{RawDocument, RawItem};
 use crate::config::fault::ConfigError;
-use crate::config::raw::{RawAdapter, RawClass, RawModel, RawRegion, RawStore};
+use crate::config::raw::{RawAdapter, RawClass, RawModel, RawRegion, RawWeightStore};
 use crate::config::{
     AdapterSpec, ClassSpec, ClassTarget, FleetConfig, ModelSpec, RegionSpec, WeightStoreSpec,
 };
@@ -42,7 +42,7 @@
             pools: self.build_pools(&raw.pools),
             models: self.build_items(&raw.models, Self::build_model),
             adapters: self.build_items(&raw.adapters, Self::build_adapter),
-            weight_store: self.build_weight_store(raw.store.as_ref()),
+            weight_store: self.build_weight_store(raw.weight_store.as_ref()),
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     fn build_region(&mut self, raw: &RawItem<RawRegion>) -> RegionSpec {
-        let Some(zones) = self.require(raw, "zones", raw.raw.zones.as_ref()) else {
+        let Some(zones) = self.require(raw, "zones", raw.values.zones.as_ref()) else {
             let zones = vec![placeholder()];
             return RegionSpec { zones };
         };
@@ -72,10 +72,10 @@
     }
 
     fn build_class(&mut self, raw: &RawItem<RawClass>) -> ClassSpec {
-        let attain = raw.raw.attain.as_ref();
+        let attain = raw.values.attain.as_ref();
         ClassSpec {
             attain: self.require_number(raw, "attain", attain, PLACEHOLDER_SHARE),
-            target: if raw.raw.answer.is_some() {
+            target: if raw.values.answer.is_some() {
                 self.build_whole_target(raw)
             } else {
                 self.build_stream_target(raw)
@@ -84,45 +84,49 @@
     }
 
     fn build_whole_target(&mut self, raw: &RawItem<RawClass>) -> ClassTarget {
-        let first_token = raw.raw.first_token.as_ref();
+        let first_token = raw.values.first_token.as_ref();
         self.reject_with(raw, "first_token", first_token, "answer");
-        let between_tokens = raw.raw.between_tokens.as_ref();
+        let between_tokens = raw.values.between_tokens.as_ref();
         self.reject_with(raw, "between_tokens", between_tokens, "answer");
         ClassTarget::Whole {
-            answer: self.require_duration(raw, "answer", &raw.raw.answer),
+            answer: self.require_duration(raw, "answer", &raw.values.answer),
         }
     }
 
     fn build_stream_target(&mut self, raw: &RawItem<RawClass>) -> ClassTarget {
         ClassTarget::Stream {
-            first_token: self.require_duration(raw, "first_token", &raw.raw.first_token),
-            between_tokens: self.require_duration(raw, "between_tokens", &raw.raw.between_tokens),
+            first_token: self.require_duration(raw, "first_token", &raw.values.first_token),
+            between_tokens: self.require_duration(
+                raw,
+                "between_tokens",
+                &raw.values.between_tokens,
+            ),
         }
     }
 
     fn build_model(&mut self, raw: &RawItem<RawModel>) -> ModelSpec {
         ModelSpec {
-            pool: self.require_name(raw, "pool", &raw.raw.pool),
-            version: self.require_name(raw, "version", &raw.raw.version),
-            memory_mib: self.require_number(raw, "memory_mib", raw.raw.memory_mib.as_ref(), 1),
-            class: self.require_name(raw, "class", &raw.raw.class),
+            pool: self.require_name(raw, "pool", &raw.values.pool),
+            version: self.require_name(raw, "version", &raw.values.version),
+            memory_mib: self.require_number(raw, "memory_mib", raw.values.memory_mib.as_ref(), 1),
+            class: self.require_name(raw, "class", &raw.values.class),
         }
     }
 
     fn build_adapter(&mut self, raw: &RawItem<RawAdapter>) -> AdapterSpec {
         AdapterSpec {
-            model: self.require_name(raw, "model", &raw.raw.model),
-            version: self.require_name(raw, "version", &raw.raw.version),
-            memory_mib: self.require_number(raw, "memory_mib", raw.raw.memory_mib.as_ref(), 1),
+            model: self.require_name(raw, "model", &raw.values.model),
+            version: self.require_name(raw, "version", &raw.values.version),
+            memory_mib: self.require_number(raw, "memory_mib", raw.values.memory_mib.as_ref(), 1),
         }
     }
 
-    fn build_weight_store(&mut self, raw: Option<&RawItem<RawStore>>) -> WeightStoreSpec {
+    fn build_weight_store(&mut self, raw: Option<&RawItem<RawWeightStore>>) -> WeightStoreSpec {
         let Some(raw) = raw else {
             return WeightStoreSpec::default();
         };
-        let rate = raw.raw.loads_per_second.as_ref();
-        let loads = raw.raw.full_speed_loads.as_ref();
+        let rate = raw.values.loads_per_second.as_ref();
+        let loads = raw.values.full_speed_loads.as_ref();
         WeightStoreSpec {
             loads_per_second: self.require_number(raw, "loads_per_second", rate, 1.0),
             full_speed_loads: self.require_number(raw, "full_speed_loads", loads, 1),
--- a/crates/oatpier-types/src/config/text/pools.rs
+++ b/crates/oatpier-types/src/config/text/pools.rs
@@ -28,7 +28,7 @@
     }
 
     fn build_pool_kind(&mut self, raw: &RawItem<RawPool>) -> PoolKind {
-        let kind = self.require(raw, "kind", raw.raw.kind.as_ref());
+        let kind = self.require(raw, "kind", raw.values.kind.as_ref());
         match kind.map(|kind| (kind.get_ref().as_str(), kind.span())) {
             Some(("engine", _)) => return self.build_engine_kind(raw),
             Some(("service", _)) => return self.build_service_kind(raw),
@@ -48,7 +48,7 @@
 
     fn build_engine_kind(&mut self, raw: &RawItem<RawPool>) -> PoolKind {
         const KIND: &str = "kind = \"engine\"";
-        let table = &raw.raw;
+        let table = &raw.values;
         self.reject_with(raw, "class", table.class.as_ref(), KIND);
         self.reject_with(raw, "once", table.once.as_ref(), KIND);
         let accelerators = table.accelerators.as_ref();
@@ -63,7 +63,7 @@
 
     fn build_service_kind(&mut self, raw: &RawItem<RawPool>) -> PoolKind {
         const KIND: &str = "kind = \"service\"";
-        let table = &raw.raw;
+        let table = &raw.values;
         self.reject_with(raw, "accelerators", table.accelerators.as_ref(), KIND);
         self.reject_with(raw, "memory_mib", table.memory_mib.as_ref(), KIND);
         let checks = table.checks_order_numbers.as_ref();
@@ -80,7 +80,7 @@
     /// The key is required, even if the list is empty: a call that is left out by mistake would be
     /// retried after a failure.
     fn build_once_calls(&mut self, raw: &RawItem<RawPool>) -> Vec<CallPattern> {
-        let list = self.require(raw, "once", raw.raw.once.as_ref());
+        let list = self.require(raw, "once", raw.values.once.as_ref());
         let mut calls = Vec::new();
         for call in list.into_iter().flat_map(Spanned::get_ref) {
             match CallPattern::try_from(call.get_ref().as_str()) {
@@ -94,7 +94,7 @@
     fn build_endpoints(&mut self, raw: &RawPoolItem) -> IndexMap<EndpointName, ZoneName> {
         let mut endpoints = IndexMap::new();
         for group in &raw.groups {
-            let zone: ZoneName = self.require_name(group, "zone", &group.raw.zone);
+            let zone: ZoneName = self.require_name(group, "zone", &group.values.zone);
             for name in self.expand_group(group) {
                 self.record_endpoint_spans(group, &name);
                 if endpoints.insert(name.clone(), zone.clone()).is_some() {
@@ -109,12 +109,12 @@
     }
 
     fn expand_group(&mut self, group: &RawItem<RawGroup>) -> Vec<EndpointName> {
-        let Some(names) = &group.raw.names else {
+        let Some(names) = &group.values.names else {
             return self.number_endpoints(group);
         };
-        self.reject_with(group, "prefix", group.raw.prefix.as_ref(), "names");
-        self.reject_with(group, "count", group.raw.count.as_ref(), "names");
-        self.reject_with(group, "first", group.raw.first.as_ref(), "names");
+        self.reject_with(group, "prefix", group.values.prefix.as_ref(), "names");
+        self.reject_with(group, "count", group.values.count.as_ref(), "names");
+        self.reject_with(group, "first", group.values.first.as_ref(), "names");
         let names = names.get_ref().iter();
         names
             .map(|name| self.parse_name(&group.item, name))
@@ -122,8 +122,8 @@
     }
 
     fn number_endpoints(&mut self, group: &RawItem<RawGroup>) -> Vec<EndpointName> {
-        let prefix = self.require(group, "prefix", group.raw.prefix.as_ref());
-        let count = self.require(group, "count", group.raw.count.as_ref());
+        let prefix = self.require(group, "prefix", group.values.prefix.as_ref());
+        let count = self.require(group, "count", group.values.count.as_ref());
         let Some((prefix, count)) = prefix.zip(count) else {
             return vec![placeholder()];
         };
@@ -136,7 +136,11 @@
             self.report(&group.item, cause, count.span().into());
             return vec![placeholder()];
         }
-        let first = group.raw.first.as_ref().map_or(1, |first| *first.get_ref());
+        let first = group
+            .values
+            .first
+            .as_ref()
+            .map_or(1, |first| *first.get_ref());
         let last = first.saturating_add(*count.get_ref());
         let mut names = Vec::new();
         for number in first..last {
@@ -156,7 +160,7 @@
     fn record_endpoint_spans(&mut self, group: &RawItem<RawGroup>, name: &EndpointName) {
         let item = ItemRef::new(ItemKind::Endpoint, name.as_str());
         self.record_span(&item, "", group.span);
-        if let Some(zone) = &group.raw.zone {
+        if let Some(zone) = &group.values.zone {
             self.record_span(&item, "zone", zone.span().into());
         }
     }
--- a/crates/oatpier-types/src/config/text/reader.rs
+++ b/crates/oatpier-types/src/config/text/reader.rs
@@ -9,11 +9,11 @@
 
 use crate::config::fault::{ConfigError, ErrorCause, ItemKind, ItemRef, nearest_name};
 use crate::config::raw::{
-    RawAdapter, RawClass, RawGroup, RawModel, RawPool, RawRegion, RawStore, RawTable,
+    RawAdapter, RawClass, RawGroup, RawModel, RawPool, RawRegion, RawTable, RawWeightStore,
 };
 
-/// The tables and keys at the top level of a text.
-const TOP_LEVEL_KEYS: &[&str] = &[
+/// The keys of the root table.
+const ROOT_KEYS: &[&str] = &[
     "based_on",
     "weight_store",
     "region",
@@ -47,7 +47,7 @@
 pub(super) struct RawItem<T> {
     pub(super) item: ItemRef,
     pub(super) span: SourceSpan,
-    pub(super) raw: T,
+    pub(super) values: T,
     /// Keys with invalid values. They are already reported, so they must not be reported as missing.
     pub(super) invalid_keys: Vec<String>,
 }
@@ -63,7 +63,7 @@
 #[derive(Debug, Default)]
 pub(super) struct RawDocument {
     pub(super) based_on: Option<u64>,
-    pub(super) store: Option<RawItem<RawStore>>,
+    pub(super) weight_store: Option<RawItem<RawWeightStore>>,
     pub(super) regions: Vec<RawItem<RawRegion>>,
     pub(super) classes: Vec<RawItem<RawClass>>,
     pub(super) pools: Vec<RawPoolItem>,
@@ -82,28 +82,26 @@
         let mut document = Self::default();
         let (root, errors) = DeTable::parse_recoverable(text);
         if errors.is_empty() {
-            document.read_tables(root.into_inner());
+            document.read_root(root.into_inner());
         }
         for error in errors {
             let message = error.message().to_owned();
-            document.report_top_level(ErrorCause::Syntax { message }, error.span());
+            document.report_root(ErrorCause::Syntax { message }, error.span());
         }
         document
     }
 
-    fn read_tables(&mut self, root: DeTable<'_>) {
+    fn read_root(&mut self, root: DeTable<'_>) {
         for (key, value) in root {
             match key.get_ref().as_ref() {
                 "based_on" => self.read_based_on(&value),
-                "weight_store" => self.store = self.read_weight_store(value),
+                "weight_store" => self.weight_store = self.read_weight_store(value),
                 "region" => self.regions = self.read_named(ItemKind::Region, value),
                 "class" => self.classes = self.read_named(ItemKind::Class, value),
                 "model" => self.models = self.read_named(ItemKind::Model, value),
                 "adapter" => self.adapters = self.read_named(ItemKind::Adapter, value),
                 "pool" => self.pools = self.read_pools(value),
-                unknown => {
-                    self.report_top_level(unknown_key(unknown, TOP_LEVEL_KEYS), Some(key.span()))
-                }
+                unknown => self.report_root(unknown_key(unknown, ROOT_KEYS), Some(key.span())),
             }
         }
     }
@@ -113,11 +111,14 @@
         self.based_on = number.and_then(|number| number.as_str().parse().ok());
         if self.based_on.is_none() {
             let cause = wrong_type("based_on", "expected a generation number");
-            self.report_top_level(cause, Some(value.span()));
+            self.report_root(cause, Some(value.span()));
         }
     }
 
-    fn read_weight_store(&mut self, value: Spanned<DeValue<'_>>) -> Option<RawItem<RawStore>> {
+    fn read_weight_store(
+        &mut self,
+        value: Spanned<DeValue<'_>>,
+    ) -> Option<RawItem<RawWeightStore>> {
         let item = ItemRef::new(ItemKind::WeightStore, "");
         let (span, table) = self.expect_table(item.kind.as_str(), value)?;
         Some(self.read_table(item, span, table))
@@ -194,7 +195,7 @@
             DeValue::Table(table) => Some((span, table)),
             other => {
                 let message = format!("expected a table, found {}", other.type_str());
-                self.report_top_level(wrong_type(key, &message), Some(span));
+                self.report_root(wrong_type(key, &message), Some(span));
                 None
             }
         }
@@ -212,10 +213,10 @@
             self.spans.record(&item, key.get_ref(), value.span().into());
         }
         let mut invalid_keys = Vec::new();
-        let raw = loop {
+        let values = loop {
             let value = Spanned::new(span.clone(), DeValue::Table(table.clone()));
             let error = match T::deserialize(ValueDeserializer::from(value)) {
-                Ok(raw) => break raw,
+                Ok(values) => break values,
                 Err(error) => error,
             };
             // Deserialization stops at the first error. Removing the key that caused it lets the
@@ -231,7 +232,7 @@
         RawItem {
             item,
             span: span.into(),
-            raw,
+            values,
             invalid_keys,
         }
     }
@@ -257,7 +258,7 @@
         });
     }
 
-    fn report_top_level(&mut self, cause: ErrorCause, span: Option<Range<usize>>) {
+    fn report_root(&mut self, cause: ErrorCause, span: Option<Range<usize>>) {
         let item = ItemRef::new(ItemKind::Document, "");
         self.report(&item, cause, span.unwrap_or(0..0));
     }
