--- a/crates/oatpier-types/src/config/reach.rs
+++ b/crates/oatpier-types/src/config/reach.rs
@@ -4,7 +4,8 @@
 //! base model needs memory on an endpoint of its pool, and every adapter needs memory on an
 //! endpoint with a replica of its base model. The check packs them with the first-fit-decreasing
 //! heuristic. It is sound: the packing that it finds is a valid placement. It is not complete: a
-//! configuration that needs nearly all memory can be rejected although a better packing exists.
+//! configuration that needs all but a few percent of the memory can be rejected although a better
+//! packing exists.
 //!
 //! During a version change, the new weights are loaded before the old ones are unloaded. The
 //! packing therefore includes the largest model of each pool, with its adapters, twice.
--- a/crates/oatpier-types/src/operator.rs
+++ b/crates/oatpier-types/src/operator.rs
@@ -61,7 +61,7 @@
     pub generation: Generation,
     /// The state of the daemon.
     pub state: DaemonState,
-    /// Time since the last sign of life, in milliseconds.
+    /// Time since the daemon was last heard from, in milliseconds.
     pub heard_ms: u64,
 }
 
