--- a/crates/oatpier-types/src/config/record/merge.rs
+++ b/crates/oatpier-types/src/config/record/merge.rs
@@ -1,4 +1,4 @@
-//! How a change is merged into the record: a pure decision.
+//! Merges a change into the record, as a pure function without I/O.
 
 use std::collections::HashSet;
 
@@ -8,157 +8,165 @@
 use super::{ConfigChange, ConfigRecord, MAX_RECENT_CHANGES, MAX_RECORD_BYTES};
 use crate::config::FleetConfig;
 use crate::config::diff::{ConfigEdit, EditFit, apply, diff};
-use crate::config::fault::{ConfigFault, ItemRef};
+use crate::config::fault::{ConfigError, ItemRef};
 use crate::config::reach::{ReachReport, check_reach};
 use crate::config::verify::verify;
 use crate::ids::{ChangeId, Generation};
 
-/// A change that is to be accepted.
+/// A change that an operator submits for acceptance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangeProposal {
-    /// Its id: the same for each try.
+    /// The id of the change, the same for every attempt.
     pub change: ChangeId,
-    /// The generation that the edits were made from.
+    /// The generation that the edits are based on.
     pub base: Generation,
-    /// What it changes.
+    /// The edits of the change.
     pub edits: Vec<ConfigEdit>,
-    /// Who makes it.
+    /// The operator who makes the change.
     pub operator: String,
-    /// When, in seconds since 1970.
+    /// Time of the change, in seconds since the Unix epoch.
     pub at: u64,
-    /// What it is for.
+    /// A description of the change.
     pub summary: String,
-    /// The highest generation that a try without an answer may have made.
+    /// The highest generation that an earlier attempt without a response may have created.
     pub unanswered: Option<Generation>,
 }
 
-/// What to do with a proposal, given the record that is there.
+/// The action to take for a proposal, given the current record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MergeStep {
-    /// It was accepted already, by an earlier try.
+    /// The change was already accepted in an earlier attempt.
     Accepted {
-        /// The generation that it made.
+        /// The generation that the change created.
         generation: Generation,
     },
-    /// What it wants is so already.
+    /// The record already contains all edits of the change.
     Unchanged {
-        /// The generation that is in force.
+        /// The current generation.
         generation: Generation,
     },
-    /// Write this record in place of the one that is there.
+    /// The current record must be replaced by this one.
     Write {
         /// The record to write.
         record: Box<ConfigRecord>,
-        /// Changes of others since the base, which stand beside it.
+        /// Changes by others since the base generation, which are kept.
         beside: Vec<ChangeId>,
     },
 }
 
-/// Another operator's change that stands against a proposal.
+/// A change by another operator that a proposal conflicts with.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OtherChange {
-    /// Its id.
+    /// The id of the change.
     pub change: ChangeId,
-    /// The generation that it made.
+    /// The generation that the change created.
     pub generation: Generation,
-    /// Who made it.
+    /// The operator who made the change.
     pub operator: String,
 }
 
-/// Why a proposal cannot be accepted. Nothing was written.
+/// The reason why a proposal is rejected. Nothing was written.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Error)]
 pub enum MergeError {
-    /// Another change since the base wants the same items differently.
-    #[error("{} changed since generation {base}{}", item_list(items), by_whom(other.as_ref()))]
+    /// Another change since the base generation changed the same items differently.
+    #[error("{} changed since generation {base}{}", format_items(items), format_author(other.as_ref()))]
     Clash {
-        /// The generation that the proposal was made from.
+        /// The generation that the proposal is based on.
         base: Generation,
-        /// The items.
+        /// The conflicting items.
         items: Vec<ItemRef>,
-        /// The last change to one of them, if it is still remembered.
+        /// The last change to one of these items, if it is still in the record.
         other: Option<OtherChange>,
     },
-    /// Each change is right by itself, and both together are not.
+    /// Each change is valid on its own, but the merged configuration is invalid.
     #[error(
-        "together with the changes since generation {base}{} it is not valid: {}",
-        by_whom(other.as_ref()),
-        fault_list(faults)
+        "the configuration is invalid when merged with the changes since generation {base}{}: {}",
+        format_author(other.as_ref()),
+        format_errors(errors)
     )]
     Together {
-        /// The generation that the proposal was made from.
+        /// The generation that the proposal is based on.
         base: Generation,
-        /// What is wrong.
-        faults: Vec<ConfigFault>,
-        /// The last change.
+        /// The errors in the merged configuration.
+        errors: Vec<ConfigError>,
+        /// The last change since the base generation.
         other: Option<OtherChange>,
     },
-    /// Not everything would be reachable.
-    #[error("the memory there is cannot keep every model reachable")]
+    /// The pools have too little memory to keep every model reachable.
+    #[error("there is not enough memory to keep every model reachable")]
     Unreachable {
-        /// The figures.
+        /// The required and available memory per pool.
         report: ReachReport,
-        /// The last change, if the proposal was made from an older generation.
+        /// The last change, if the proposal is based on an older generation.
         other: Option<OtherChange>,
     },
-    /// A try without an answer may have been accepted and then forgotten: too many changes came
-    /// since.
-    #[error("it cannot be told whether an earlier try of change {change} was accepted")]
+    /// An earlier attempt without a response may have been accepted, but so many changes followed
+    /// that the record no longer shows it.
+    #[error("cannot determine whether an earlier attempt of change {change} was accepted")]
     OutcomeUnknown {
-        /// The change.
+        /// The id of the change.
         change: ChangeId,
     },
-    /// The record does not fit into the store.
-    #[error("the configuration takes {bytes} bytes, more than {MAX_RECORD_BYTES}")]
+    /// The record exceeds the size limit of the store.
+    #[error("the configuration record has {bytes} bytes; the maximum is {MAX_RECORD_BYTES}")]
     TooLarge {
-        /// Its size.
+        /// The size of the record.
         bytes: usize,
     },
 }
 
 impl ConfigRecord {
-    /// Decides what to do with a proposal. Reads no clock and no store: the caller reads the
-    /// record, asks, and writes the answer by compare-and-swap; when that fails it begins again.
+    /// Merges a proposal into the record.
+    ///
+    /// Accesses neither a clock nor the store. The caller reads the record, calls this method, and
+    /// writes the result with compare-and-swap. If that fails, the caller starts over.
     ///
     /// # Errors
     ///
-    /// Why the proposal cannot be accepted.
+    /// Returns the reason why the proposal is rejected.
     pub fn merge(&self, proposal: &ChangeProposal) -> Result<MergeStep, MergeError> {
-        // Comes first: the answer of an earlier try may have been lost after its write took
-        // effect. Without this the change would be made twice, or clash with itself.
-        if let Some(done) = self
+        // This check must come first: the response to an earlier attempt may have been lost after
+        // its write took effect. Without the check, the change would be applied twice, or conflict
+        // with itself.
+        if let Some(change) = self
             .recent
             .iter()
-            .find(|done| done.change == proposal.change)
+            .find(|change| change.change == proposal.change)
         {
             return Ok(MergeStep::Accepted {
-                generation: done.generation,
+                generation: change.generation,
             });
         }
-        self.remembers_tries_of(proposal)?;
-        let open = self.open_edits(proposal)?;
-        if open.is_empty() {
+        self.check_earlier_attempt(proposal)?;
+        let pending = self.pending_edits(proposal)?;
+        if pending.is_empty() {
             return Ok(MergeStep::Unchanged {
                 generation: self.generation,
             });
         }
-        let content = apply(&self.content, &open);
-        self.check_effect(&content, &open, proposal)?;
-        self.check_merged(&content, proposal)?;
-        let record = self.followed_by(content, open, proposal)?;
+        let content = apply(&self.content, &pending);
+        self.check_effect(&content, &pending, proposal)?;
+        self.validate_merged(&content, proposal)?;
+        let record = self.next_record(content, pending, proposal)?;
         Ok(MergeStep::Write {
             record: Box::new(record),
-            beside: self.since(proposal.base).map(|done| done.change).collect(),
+            beside: self
+                .changes_since(proposal.base)
+                .map(|change| change.change)
+                .collect(),
         })
     }
 
-    /// A try without an answer, whose generation is older than all that is remembered, may have
-    /// been accepted: to try again could make it twice.
-    fn remembers_tries_of(&self, proposal: &ChangeProposal) -> Result<(), MergeError> {
+    /// Rejects the proposal if an earlier attempt without a response may have been accepted.
+    ///
+    /// If its generation is older than all changes in the record, the record cannot show whether
+    /// it was accepted, and another attempt could apply the change twice.
+    fn check_earlier_attempt(&self, proposal: &ChangeProposal) -> Result<(), MergeError> {
         let Some(unanswered) = proposal.unanswered else {
             return Ok(());
         };
-        let oldest = self.recent.first().map(|done| done.generation);
+        let oldest = self.recent.first().map(|change| change.generation);
         if oldest.is_some_and(|oldest| oldest > unanswered) {
             return Err(MergeError::OutcomeUnknown {
                 change: proposal.change,
@@ -167,13 +175,13 @@
         Ok(())
     }
 
-    /// The edits that are not so already, if none clashes.
-    fn open_edits(&self, proposal: &ChangeProposal) -> Result<Vec<ConfigEdit>, MergeError> {
+    /// Returns the edits that are not applied yet, or an error if any of them conflicts.
+    fn pending_edits(&self, proposal: &ChangeProposal) -> Result<Vec<ConfigEdit>, MergeError> {
         let fits = proposal.edits.iter();
         let fits = fits.map(|edit| (edit, edit.fit(&self.content)));
         let fits = fits.collect::<Vec<_>>();
-        let clashing = fits.iter().filter(|(_, fit)| *fit == EditFit::Clashes);
-        let items = clashing.map(|(edit, _)| edit.item()).collect::<Vec<_>>();
+        let conflicting = fits.iter().filter(|(_, fit)| *fit == EditFit::Clashes);
+        let items = conflicting.map(|(edit, _)| edit.item()).collect::<Vec<_>>();
         if !items.is_empty() {
             let other = self.last_change_to(&items, proposal.base);
             return Err(MergeError::Clash {
@@ -182,20 +190,22 @@
                 other,
             });
         }
-        let open = fits.into_iter().filter(|(_, fit)| *fit == EditFit::Applies);
-        Ok(open.map(|(edit, _)| edit.clone()).collect())
+        let pending = fits.into_iter().filter(|(_, fit)| *fit == EditFit::Applies);
+        Ok(pending.map(|(edit, _)| edit.clone()).collect())
     }
 
-    /// The edits must do what they say and no more. A pool that is removed takes endpoints with
-    /// it that another operator has put there since, and an endpoint finds no place in a pool
-    /// that another has removed: both would undo a change unseen.
+    /// Checks that the edits have exactly their intended effect.
+    ///
+    /// Removing a pool also removes endpoints that another operator has added to it since, and an
+    /// endpoint cannot be added to a pool that another operator has removed. Both would silently
+    /// revert a change.
     fn check_effect(
         &self,
         content: &FleetConfig,
-        open: &[ConfigEdit],
+        pending: &[ConfigEdit],
         proposal: &ChangeProposal,
     ) -> Result<(), MergeError> {
-        let wanted = open.iter().map(ConfigEdit::item).collect::<HashSet<_>>();
+        let wanted = pending.iter().map(ConfigEdit::item).collect::<HashSet<_>>();
         let effect = diff(&self.content, content);
         let effect = effect.iter().map(ConfigEdit::item).collect::<HashSet<_>>();
         let mut items = wanted
@@ -213,17 +223,20 @@
         })
     }
 
-    fn check_merged(
+    fn validate_merged(
         &self,
         content: &FleetConfig,
         proposal: &ChangeProposal,
     ) -> Result<(), MergeError> {
-        let other = self.since(proposal.base).last().map(OtherChange::from);
-        let faults = verify(content);
-        if !faults.is_empty() {
+        let other = self
+            .changes_since(proposal.base)
+            .last()
+            .map(OtherChange::from);
+        let errors = verify(content);
+        if !errors.is_empty() {
             return Err(MergeError::Together {
                 base: proposal.base,
-                faults,
+                errors,
                 other,
             });
         }
@@ -234,7 +247,7 @@
         Ok(())
     }
 
-    fn followed_by(
+    fn next_record(
         &self,
         content: FleetConfig,
         edits: Vec<ConfigEdit>,
@@ -261,8 +274,9 @@
         Ok(record)
     }
 
-    /// Drops the edits of the oldest changes until the record fits into the store. Their ids
-    /// stay, so that lost answers are still settled.
+    /// Drops the edits of the oldest changes until the record fits into the store.
+    ///
+    /// The ids of these changes are kept, so that attempts with a lost response are still recognized.
     fn trim(&mut self) -> Result<(), MergeError> {
         let mut bytes = encoded_size(self);
         for index in 0..self.recent.len() {
@@ -278,18 +292,18 @@
         Ok(())
     }
 
-    fn since(&self, base: Generation) -> impl Iterator<Item = &ConfigChange> {
+    fn changes_since(&self, base: Generation) -> impl Iterator<Item = &ConfigChange> {
         let recent = self.recent.iter();
         recent.filter(move |change| change.generation > base)
     }
 
     fn last_change_to(&self, items: &[ItemRef], base: Generation) -> Option<OtherChange> {
-        let touches = |change: &&ConfigChange| {
+        let changes_items = |change: &&ConfigChange| {
             let mut edits = change.edits.iter().flatten();
             edits.any(|edit| items.contains(&edit.item()))
         };
-        self.since(base)
-            .filter(touches)
+        self.changes_since(base)
+            .filter(changes_items)
             .last()
             .map(OtherChange::from)
     }
@@ -309,22 +323,22 @@
     serde_json::to_vec(value).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-fn item_list(items: &[ItemRef]) -> String {
-    const SHOWN: usize = 3;
-    let shown = items.iter().take(SHOWN).map(ToString::to_string);
+fn format_items(items: &[ItemRef]) -> String {
+    const MAX_SHOWN_ITEMS: usize = 3;
+    let shown = items.iter().take(MAX_SHOWN_ITEMS).map(ToString::to_string);
     let shown = shown.collect::<Vec<_>>().join(", ");
-    match items.len().saturating_sub(SHOWN) {
+    match items.len().saturating_sub(MAX_SHOWN_ITEMS) {
         0 => shown,
         more => format!("{shown} and {more} more"),
     }
 }
 
-fn fault_list(faults: &[ConfigFault]) -> String {
-    let faults = faults.iter().map(ToString::to_string);
-    faults.collect::<Vec<_>>().join("; ")
+fn format_errors(errors: &[ConfigError]) -> String {
+    let errors = errors.iter().map(ToString::to_string);
+    errors.collect::<Vec<_>>().join("; ")
 }
 
-fn by_whom(other: Option<&OtherChange>) -> String {
+fn format_author(other: Option<&OtherChange>) -> String {
     other.map_or_else(String::new, |other| {
         format!(
             " by {} (change {}, generation {})",
--- a/crates/oatpier-types/src/config/render.rs
+++ b/crates/oatpier-types/src/config/render.rs
@@ -14,7 +14,7 @@
 #[derive(Serialize)]
 struct TextDocument<'a> {
     based_on: Option<u64>,
-    weight_store: Option<TextStore>,
+    weight_store: Option<TextWeightStore>,
     region: BTreeMap<&'a str, TextRegion<'a>>,
     class: BTreeMap<&'a str, TextClass>,
     pool: BTreeMap<&'a str, TextPool<'a>>,
@@ -23,7 +23,7 @@
 }
 
 #[derive(Serialize)]
-struct TextStore {
+struct TextWeightStore {
     loads_per_second: f64,
     full_speed_loads: u32,
 }
@@ -79,11 +79,13 @@
 }
 
 impl FleetConfig {
-    /// The configuration as a text that reads back as the same, with the generation that it is.
+    /// Returns the configuration as TOML text that parses to the same configuration.
+    ///
+    /// `based_on` is the generation that the text represents.
     ///
     /// # Panics
     ///
-    /// Never: names, numbers and texts always have a form in TOML.
+    /// Never: names, numbers and strings are always representable in TOML.
     #[must_use]
     pub fn to_text(&self, based_on: Option<Generation>) -> String {
         let models = self.models.iter().map(|(name, spec)| {
@@ -105,25 +107,25 @@
         });
         let document = TextDocument {
             based_on: based_on.map(|generation| generation.0),
-            weight_store: self.store_text(),
-            region: self.region_texts(),
-            class: named(&self.classes, crate::names::ClassName::as_str, class_text),
-            pool: named(&self.pools, crate::names::PoolName::as_str, pool_text),
+            weight_store: self.render_weight_store(),
+            region: self.render_regions(),
+            class: render_named(&self.classes, crate::names::ClassName::as_str, render_class),
+            pool: render_named(&self.pools, crate::names::PoolName::as_str, render_pool),
             model: models.collect(),
             adapter: adapters.collect(),
         };
-        toml::to_string(&document).expect("names, numbers and texts have a form in TOML")
+        toml::to_string(&document).expect("names, numbers and strings are representable in TOML")
     }
 
-    fn store_text(&self) -> Option<TextStore> {
+    fn render_weight_store(&self) -> Option<TextWeightStore> {
         let store = self.weight_store;
-        (store != super::WeightStoreSpec::default()).then_some(TextStore {
+        (store != super::WeightStoreSpec::default()).then_some(TextWeightStore {
             loads_per_second: store.loads_per_second,
             full_speed_loads: store.full_speed_loads,
         })
     }
 
-    fn region_texts(&self) -> BTreeMap<&str, TextRegion<'_>> {
+    fn render_regions(&self) -> BTreeMap<&str, TextRegion<'_>> {
         let regions = self.regions.iter();
         regions
             .map(|(name, region)| {
@@ -134,7 +136,7 @@
     }
 }
 
-fn named<'a, N, S, T>(
+fn render_named<'a, N, S, T>(
     items: &'a IndexMap<N, S>,
     name: fn(&N) -> &str,
     text: fn(&'a S) -> T,
@@ -143,11 +145,11 @@
     items.map(|(key, spec)| (name(key), text(spec))).collect()
 }
 
-fn time_text(time: Duration) -> String {
+fn format_time(time: Duration) -> String {
     format_duration(time).to_string()
 }
 
-fn class_text(class: &ClassSpec) -> TextClass {
+fn render_class(class: &ClassSpec) -> TextClass {
     let (first_token, between_tokens, answer) = match class.target {
         ClassTarget::Stream {
             first_token,
@@ -156,15 +158,15 @@
         ClassTarget::Whole { answer } => (None, None, Some(answer)),
     };
     TextClass {
-        first_token: first_token.map(time_text),
-        between_tokens: between_tokens.map(time_text),
-        answer: answer.map(time_text),
+        first_token: first_token.map(format_time),
+        between_tokens: between_tokens.map(format_time),
+        answer: answer.map(format_time),
         attain: class.attain,
     }
 }
 
-fn pool_text(pool: &PoolSpec) -> TextPool<'_> {
-    let group = group_texts(&pool.endpoints);
+fn render_pool(pool: &PoolSpec) -> TextPool<'_> {
+    let group = render_groups(&pool.endpoints);
     match &pool.kind {
         PoolKind::Engine {
             accelerators,
@@ -195,8 +197,8 @@
     }
 }
 
-/// The endpoints as groups: runs of numbers after one prefix, and the rest by name.
-fn group_texts(endpoints: &IndexMap<EndpointName, ZoneName>) -> Vec<TextGroup<'_>> {
+/// Converts endpoints to groups: consecutive numbers with a common prefix, and all others by name.
+fn render_groups(endpoints: &IndexMap<EndpointName, ZoneName>) -> Vec<TextGroup<'_>> {
     let mut numbered = BTreeMap::<(&str, &str), Vec<u64>>::new();
     let mut others = BTreeMap::<&str, Vec<&str>>::new();
     for (name, zone) in endpoints {
@@ -233,7 +235,9 @@
     groups
 }
 
-/// Splits `seat-llm-12` into `seat-llm-` and 12; none if the number would not read back.
+/// Splits `seat-llm-12` into `seat-llm-` and 12.
+///
+/// Returns `None` if the number does not format back to the same digits.
 fn split_number(name: &str) -> Option<(&str, u64)> {
     let prefix = name.trim_end_matches(|digit: char| digit.is_ascii_digit());
     let digits = &name[prefix.len()..];
