--- a/crates/oatpier-faults/src/configuration/operators.rs
+++ b/crates/oatpier-faults/src/configuration/operators.rs
@@ -5,7 +5,7 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::diff::{ConfigEdit, diff};
 use oatpier_types::config::record::ConfigRecord;
-use oatpier_types::config::record::merge::{ChangeProposal, MergeError, MergeStep};
+use oatpier_types::config::record::merge::{ChangeProposal, MergeError, MergeOutcome};
 use oatpier_types::config::{ClassSpec, ClassTarget, FleetConfig};
 use oatpier_types::event::{FleetEvent, LoggedEvent};
 use oatpier_types::ids::{ChangeId, Generation, Revision};
@@ -253,10 +253,10 @@
             return;
         };
         match record.merge(&proposal) {
-            Ok(MergeStep::Accepted { generation }) => self.accept(operator, generation),
-            Ok(MergeStep::Unchanged { .. }) => self.done(operator),
-            Ok(MergeStep::Write { record, .. }) => self.write(operator, record, revision),
-            Err(MergeError::Clash { other, .. }) => {
+            Ok(MergeOutcome::Accepted { generation }) => self.accept(operator, generation),
+            Ok(MergeOutcome::Unchanged { .. }) => self.done(operator),
+            Ok(MergeOutcome::Write { record, .. }) => self.write(operator, record, revision),
+            Err(MergeError::Conflict { other, .. }) => {
                 self.clashes += 1;
                 if other.is_none() {
                     let text = "a clash does not name the other change".to_owned();
--- a/crates/oatpier-membership/src/payload.rs
+++ b/crates/oatpier-membership/src/payload.rs
@@ -1,7 +1,7 @@
 //! The operators' configuration as it is spread.
 
 use oatpier_types::config::FleetConfig;
-use oatpier_types::config::diff::{ConfigEdit, EditFit, apply, diff};
+use oatpier_types::config::diff::{ConfigEdit, EditStatus, apply, diff};
 
 use crate::generation::ConfigPayload;
 
@@ -13,7 +13,9 @@
     }
 
     fn apply(&self, edits: &Vec<ConfigEdit>) -> Option<Self> {
-        let fits = edits.iter().all(|edit| edit.fit(self) != EditFit::Clashes);
+        let fits = edits
+            .iter()
+            .all(|edit| edit.status_in(self) != EditStatus::Conflicts);
         fits.then(|| apply(self, edits))
     }
 
--- a/crates/oatpier-types/src/config/reach.rs
+++ b/crates/oatpier-types/src/config/capacity.rs
@@ -20,15 +20,15 @@
 /// The result of the capacity check, per pool.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
-pub struct ReachReport {
+pub struct CapacityReport {
     /// One entry per engine pool with models.
-    pub pools: Vec<PoolReach>,
+    pub pools: Vec<PoolCapacity>,
 }
 
 /// The result of the capacity check for one pool. All sizes are in MiB.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct PoolReach {
+pub struct PoolCapacity {
     /// The pool.
     pub pool: PoolName,
     /// Number of endpoints in the pool.
@@ -73,15 +73,15 @@
     pub short_mib: u64,
 }
 
-impl ReachReport {
+impl CapacityReport {
     /// Returns whether everything fits, including the version change of one model.
     #[must_use]
     pub fn fits(&self) -> bool {
-        self.pools.iter().all(PoolReach::fits)
+        self.pools.iter().all(PoolCapacity::fits)
     }
 }
 
-impl PoolReach {
+impl PoolCapacity {
     /// Returns whether everything fits, including the version change of one model.
     #[must_use]
     pub fn fits(&self) -> bool {
@@ -108,15 +108,15 @@
 
 /// Checks the capacity of all pools of a configuration.
 #[must_use]
-pub fn check_reach(config: &FleetConfig) -> ReachReport {
+pub fn check_capacity(config: &FleetConfig) -> CapacityReport {
     let pools = config.pools.iter();
     let pools = pools.filter_map(|(name, pool)| check_pool(config, name, pool));
-    ReachReport {
+    CapacityReport {
         pools: pools.collect(),
     }
 }
 
-fn check_pool(config: &FleetConfig, name: &PoolName, pool: &PoolSpec) -> Option<PoolReach> {
+fn check_pool(config: &FleetConfig, name: &PoolName, pool: &PoolSpec) -> Option<PoolCapacity> {
     let PoolKind::Engine { memory_mib, .. } = pool.kind else {
         return None;
     };
@@ -125,7 +125,7 @@
     let mut with_duplicate = groups.clone();
     with_duplicate.insert(0, largest.clone());
     let count = pool.endpoints.len();
-    Some(PoolReach {
+    Some(PoolCapacity {
         pool: name.clone(),
         endpoints: count,
         endpoint_mib: memory_mib,
--- a/crates/oatpier-types/src/config/diff.rs
+++ b/crates/oatpier-types/src/config/diff.rs
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::fault::{ItemKind, ItemRef};
+use super::error::{ItemKind, ItemRef};
 use super::{
     AdapterSpec, ClassSpec, FleetConfig, ModelSpec, PoolKind, PoolSpec, RegionSpec, WeightStoreSpec,
 };
@@ -83,13 +83,13 @@
 
 /// Whether an edit can be applied to a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EditFit {
+pub enum EditStatus {
     /// The item has the value from before the edit.
     Applies,
     /// The item already has the value from after the edit.
-    Done,
+    AlreadyApplied,
     /// The item has a different value: the edit conflicts with another change.
-    Clashes,
+    Conflicts,
 }
 
 impl ConfigEdit {
@@ -140,14 +140,14 @@
 
     /// Returns whether the edit can be applied to `config`.
     #[must_use]
-    pub fn fit(&self, config: &FleetConfig) -> EditFit {
+    pub fn status_in(&self, config: &FleetConfig) -> EditStatus {
         match self {
-            Self::Region(edit) => edit.fit(config.regions.get(&edit.name)),
-            Self::Class(edit) => edit.fit(config.classes.get(&edit.name)),
-            Self::Pool(edit) => edit.fit(config.pools.get(&edit.name).map(|pool| &pool.kind)),
-            Self::Endpoint(edit) => edit.fit(config.location_of(&edit.name).as_ref()),
-            Self::Model(edit) => edit.fit(config.models.get(&edit.name)),
-            Self::Adapter(edit) => edit.fit(config.adapters.get(&edit.name)),
+            Self::Region(edit) => edit.status_in(config.regions.get(&edit.name)),
+            Self::Class(edit) => edit.status_in(config.classes.get(&edit.name)),
+            Self::Pool(edit) => edit.status_in(config.pools.get(&edit.name).map(|pool| &pool.kind)),
+            Self::Endpoint(edit) => edit.status_in(config.location_of(&edit.name).as_ref()),
+            Self::Model(edit) => edit.status_in(config.models.get(&edit.name)),
+            Self::Adapter(edit) => edit.status_in(config.adapters.get(&edit.name)),
             Self::WeightStore { before, after } => {
                 let present = Some(&config.weight_store);
                 edit_status(present, Some(before), Some(after))
@@ -184,7 +184,7 @@
         }
     }
 
-    fn fit(&self, present: Option<&S>) -> EditFit {
+    fn status_in(&self, present: Option<&S>) -> EditStatus {
         edit_status(present, self.before.as_ref(), self.after.as_ref())
     }
 }
@@ -193,13 +193,13 @@
     present: Option<&S>,
     before: Option<&S>,
     after: Option<&S>,
-) -> EditFit {
+) -> EditStatus {
     if present == after {
-        EditFit::Done
+        EditStatus::AlreadyApplied
     } else if present == before {
-        EditFit::Applies
+        EditStatus::Applies
     } else {
-        EditFit::Clashes
+        EditStatus::Conflicts
     }
 }
 
@@ -262,7 +262,7 @@
 /// Applies `edits` to `config` without checking the previous values.
 ///
 /// The result is in canonical order. If the configuration may differ from the one that the edits
-/// are based on, check them with [`ConfigEdit::fit`] first. An endpoint whose pool does not exist
+/// are based on, check them with [`ConfigEdit::status_in`] first. An endpoint whose pool does not exist
 /// is dropped.
 #[must_use]
 pub fn apply(config: &FleetConfig, edits: &[ConfigEdit]) -> FleetConfig {
--- a/crates/oatpier-types/src/config/mod.rs
+++ b/crates/oatpier-types/src/config/mod.rs
@@ -6,16 +6,16 @@
 //! reports all errors of a text at once.
 //!
 //! - [`text`]: reads a [`FleetConfig`] from TOML and writes it back.
-//! - [`fault`]: errors in a configuration, with their locations in the text.
+//! - [`error`]: errors in a configuration, with their locations in the text.
 //! - [`verify`]: consistency checks between the items of a configuration.
-//! - [`reach`]: whether all models and adapters fit into the available memory.
+//! - [`capacity`]: whether all models and adapters fit into the available memory.
 //! - [`diff`]: the edits between two configurations.
 //! - [`record`]: the stored form of the configuration, and how a change is merged into it.
 
+pub mod capacity;
 pub mod diff;
-pub mod fault;
+pub mod error;
 mod raw;
-pub mod reach;
 pub mod record;
 mod render;
 pub mod text;
--- a/crates/oatpier-types/src/config/record/merge.rs
+++ b/crates/oatpier-types/src/config/record/merge.rs
@@ -7,9 +7,9 @@
 
 use super::{ConfigChange, ConfigRecord, MAX_RECENT_CHANGES, MAX_RECORD_BYTES};
 use crate::config::FleetConfig;
-use crate::config::diff::{ConfigEdit, EditFit, apply, diff};
-use crate::config::fault::{ConfigError, ItemRef};
-use crate::config::reach::{ReachReport, check_reach};
+use crate::config::capacity::{CapacityReport, check_capacity};
+use crate::config::diff::{ConfigEdit, EditStatus, apply, diff};
+use crate::config::error::{ConfigError, ItemRef};
 use crate::config::verify::verify;
 use crate::ids::{ChangeId, Generation};
 
@@ -34,7 +34,7 @@
 
 /// The action to take for a proposal, given the current record.
 #[derive(Debug, Clone, PartialEq)]
-pub enum MergeStep {
+pub enum MergeOutcome {
     /// The change was already accepted in an earlier attempt.
     Accepted {
         /// The generation that the change created.
@@ -50,7 +50,7 @@
         /// The record to write.
         record: Box<ConfigRecord>,
         /// Changes by others since the base generation, which are kept.
-        beside: Vec<ChangeId>,
+        concurrent: Vec<ChangeId>,
     },
 }
 
@@ -71,7 +71,7 @@
 pub enum MergeError {
     /// Another change since the base generation changed the same items differently.
     #[error("{} changed since generation {base}{}", format_items(items), format_author(other.as_ref()))]
-    Clash {
+    Conflict {
         /// The generation that the proposal is based on.
         base: Generation,
         /// The conflicting items.
@@ -85,7 +85,7 @@
         format_author(other.as_ref()),
         format_errors(errors)
     )]
-    Together {
+    InvalidMerge {
         /// The generation that the proposal is based on.
         base: Generation,
         /// The errors in the merged configuration.
@@ -95,9 +95,9 @@
     },
     /// The pools have too little memory to keep every model reachable.
     #[error("there is not enough memory to keep every model reachable")]
-    Unreachable {
+    InsufficientMemory {
         /// The required and available memory per pool.
-        report: ReachReport,
+        report: CapacityReport,
         /// The last change, if the proposal is based on an older generation.
         other: Option<OtherChange>,
     },
@@ -125,7 +125,7 @@
     /// # Errors
     ///
     /// Returns the reason why the proposal is rejected.
-    pub fn merge(&self, proposal: &ChangeProposal) -> Result<MergeStep, MergeError> {
+    pub fn merge(&self, proposal: &ChangeProposal) -> Result<MergeOutcome, MergeError> {
         // This check must come first: the response to an earlier attempt may have been lost after
         // its write took effect. Without the check, the change would be applied twice, or conflict
         // with itself.
@@ -134,14 +134,14 @@
             .iter()
             .find(|change| change.change == proposal.change)
         {
-            return Ok(MergeStep::Accepted {
+            return Ok(MergeOutcome::Accepted {
                 generation: change.generation,
             });
         }
         self.check_earlier_attempt(proposal)?;
         let pending = self.pending_edits(proposal)?;
         if pending.is_empty() {
-            return Ok(MergeStep::Unchanged {
+            return Ok(MergeOutcome::Unchanged {
                 generation: self.generation,
             });
         }
@@ -149,9 +149,9 @@
         self.check_effect(&content, &pending, proposal)?;
         self.validate_merged(&content, proposal)?;
         let record = self.next_record(content, pending, proposal)?;
-        Ok(MergeStep::Write {
+        Ok(MergeOutcome::Write {
             record: Box::new(record),
-            beside: self
+            concurrent: self
                 .changes_since(proposal.base)
                 .map(|change| change.change)
                 .collect(),
@@ -177,20 +177,24 @@
 
     /// Returns the edits that are not applied yet, or an error if any of them conflicts.
     fn pending_edits(&self, proposal: &ChangeProposal) -> Result<Vec<ConfigEdit>, MergeError> {
-        let fits = proposal.edits.iter();
-        let fits = fits.map(|edit| (edit, edit.fit(&self.content)));
-        let fits = fits.collect::<Vec<_>>();
-        let conflicting = fits.iter().filter(|(_, fit)| *fit == EditFit::Clashes);
+        let statuses = proposal.edits.iter();
+        let statuses = statuses.map(|edit| (edit, edit.status_in(&self.content)));
+        let statuses = statuses.collect::<Vec<_>>();
+        let conflicting = statuses
+            .iter()
+            .filter(|(_, status)| *status == EditStatus::Conflicts);
         let items = conflicting.map(|(edit, _)| edit.item()).collect::<Vec<_>>();
         if !items.is_empty() {
             let other = self.last_change_to(&items, proposal.base);
-            return Err(MergeError::Clash {
+            return Err(MergeError::Conflict {
                 base: proposal.base,
                 items,
                 other,
             });
         }
-        let pending = fits.into_iter().filter(|(_, fit)| *fit == EditFit::Applies);
+        let pending = statuses
+            .into_iter()
+            .filter(|(_, status)| *status == EditStatus::Applies);
         Ok(pending.map(|(edit, _)| edit.clone()).collect())
     }
 
@@ -216,7 +220,7 @@
             return Ok(());
         }
         items.sort_unstable();
-        Err(MergeError::Clash {
+        Err(MergeError::Conflict {
             base: proposal.base,
             other: self.last_change_to(&items, proposal.base),
             items,
@@ -234,15 +238,15 @@
             .map(OtherChange::from);
         let errors = verify(content);
         if !errors.is_empty() {
-            return Err(MergeError::Together {
+            return Err(MergeError::InvalidMerge {
                 base: proposal.base,
                 errors,
                 other,
             });
         }
-        let report = check_reach(content);
+        let report = check_capacity(content);
         if !report.fits() {
-            return Err(MergeError::Unreachable { report, other });
+            return Err(MergeError::InsufficientMemory { report, other });
         }
         Ok(())
     }
--- a/crates/oatpier-types/src/config/record/mod.rs
+++ b/crates/oatpier-types/src/config/record/mod.rs
@@ -66,7 +66,7 @@
     },
     /// The record no longer contains all changes since the generation.
     #[error("generation {wanted} is no longer in the history; the oldest available is {oldest}")]
-    Forgotten {
+    Discarded {
         /// The requested generation.
         wanted: Generation,
         /// The oldest available generation.
@@ -126,7 +126,7 @@
         }
         let oldest = self.oldest();
         if wanted < oldest {
-            return Err(HistoryError::Forgotten { wanted, oldest });
+            return Err(HistoryError::Discarded { wanted, oldest });
         }
         let later = self.recent.iter().rev();
         let later = later.take_while(|change| change.generation > wanted);
--- a/crates/oatpier-types/src/config/text/fields.rs
+++ b/crates/oatpier-types/src/config/text/fields.rs
@@ -10,7 +10,7 @@
 use toml::Spanned;
 
 use super::reader::{RawItem, SpanIndex};
-use crate::config::fault::{ConfigError, ErrorCause, ItemKind, ItemRef};
+use crate::config::error::{ConfigError, ErrorCause, ItemKind, ItemRef};
 use crate::config::raw::RawString;
 use crate::config::{FleetConfig, verify};
 use crate::names::NameError;
--- a/crates/oatpier-types/src/config/text/items.rs
+++ b/crates/oatpier-types/src/config/text/items.rs
@@ -7,7 +7,7 @@
 use super::ConfigDocument;
 use super::fields::{CheckedName, ItemBuilder, placeholder};
 use super::reader::{RawDocument, RawItem};
-use crate::config::fault::ConfigError;
+use crate::config::error::ConfigError;
 use crate::config::raw::{RawAdapter, RawClass, RawModel, RawRegion, RawWeightStore};
 use crate::config::{
     AdapterSpec, ClassSpec, ClassTarget, FleetConfig, ModelSpec, RegionSpec, WeightStoreSpec,
--- a/crates/oatpier-types/src/config/text/mod.rs
+++ b/crates/oatpier-types/src/config/text/mod.rs
@@ -14,7 +14,7 @@
 use miette::NamedSource;
 
 use super::FleetConfig;
-use super::fault::ConfigErrors;
+use super::error::ConfigErrors;
 use crate::ids::Generation;
 use reader::RawDocument;
 
--- a/crates/oatpier-types/src/config/text/pools.rs
+++ b/crates/oatpier-types/src/config/text/pools.rs
@@ -5,7 +5,7 @@
 
 use super::fields::{ItemBuilder, placeholder};
 use super::reader::{RawItem, RawPoolItem};
-use crate::config::fault::{ErrorCause, ItemKind, ItemRef};
+use crate::config::error::{ErrorCause, ItemKind, ItemRef};
 use crate::config::raw::{RawGroup, RawPool};
 use crate::config::{CallPattern, PoolKind, PoolSpec};
 use crate::names::{EndpointName, PoolName, ZoneName};
--- a/crates/oatpier-types/src/config/text/reader.rs
+++ b/crates/oatpier-types/src/config/text/reader.rs
@@ -7,7 +7,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue, ValueDeserializer};
 
-use crate::config::fault::{ConfigError, ErrorCause, ItemKind, ItemRef, nearest_name};
+use crate::config::error::{ConfigError, ErrorCause, ItemKind, ItemRef, nearest_name};
 use crate::config::raw::{
     RawAdapter, RawClass, RawGroup, RawModel, RawPool, RawRegion, RawTable, RawWeightStore,
 };
--- a/crates/oatpier-types/src/config/verify.rs
+++ b/crates/oatpier-types/src/config/verify.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::fault::{ConfigError, ErrorCause, ItemKind, ItemRef, nearest_name};
+use super::error::{ConfigError, ErrorCause, ItemKind, ItemRef, nearest_name};
 use super::{CallPattern, ClassTarget, FleetConfig, PoolKind, WeightStoreSpec};
 use crate::names::{ClassName, EndpointName, PoolName, ZoneName};
 
--- a/crates/oatpier-types/tests/testsuite/config_reach.rs
+++ b/crates/oatpier-types/tests/testsuite/config_capacity.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use oatpier_types::config::FleetConfig;
-use oatpier_types::config::reach::check_reach;
+use oatpier_types::config::capacity::check_capacity;
 use oatpier_types::names::{AdapterName, EndpointName, ModelName, PoolName};
 use proptest::prelude::*;
 
@@ -15,7 +15,7 @@
 
 #[test]
 fn small_configuration_fits() {
-    let report = check_reach(&small());
+    let report = check_capacity(&small());
     let pool = &report.pools[0];
     assert!(report.fits(), "{report:?}");
     assert_eq!(pool.total_mib, 4_000);
@@ -27,7 +27,7 @@
 #[test]
 fn shortage_is_reported_with_size_and_names() {
     // A model that is larger than one endpoint doesn't fit, regardless of the number of endpoints.
-    let report = check_reach(&small_with("memory_mib = 300", "memory_mib = 1300"));
+    let report = check_capacity(&small_with("memory_mib = 300", "memory_mib = 1300"));
     assert!(!report.fits());
     assert_eq!(report.pools[0].steady.short_mib, 1_300);
     assert_eq!(report.pools[0].steady.unplaced, ["halls"]);
@@ -47,7 +47,7 @@
         let name = ModelName::try_from(format!("m{index}")).unwrap();
         config.models.insert(name, model);
     }
-    let report = check_reach(&config);
+    let report = check_capacity(&config);
     assert_eq!(report.pools[0].steady.short_mib, 0);
     assert_eq!(report.pools[0].changing.short_mib, 900);
     assert!(!report.fits());
@@ -64,7 +64,7 @@
         let name = AdapterName::try_from(format!("a{index}")).unwrap();
         config.adapters.insert(name, adapter);
     }
-    let report = check_reach(&config);
+    let report = check_capacity(&config);
     // Two endpoints hold the base (400 MiB) with four adapters each. The third holds the base with one
     // adapter, and the other model.
     assert_eq!(report.pools[0].steady.short_mib, 0);
@@ -76,7 +76,7 @@
     let mut config = small();
     let name = ModelName::try_from("tables").unwrap();
     config.models[&name].memory_mib = 900;
-    let report = check_reach(&config);
+    let report = check_capacity(&config);
     let away = &report.pools[0].zone_away;
     let short: BTreeMap<&str, u64> = away
         .iter()
@@ -96,7 +96,7 @@
         endpoints in 1usize..10,
     ) {
         let config = fleet_of(&sizes, &adapters, endpoints);
-        let report = check_reach(&config);
+        let report = check_capacity(&config);
         let pool = &report.pools[0];
         if pool.steady.short_mib == 0 {
             prop_assert!(pool.weights_mib <= pool.total_mib);
--- a/crates/oatpier-types/tests/testsuite/config_diff.rs
+++ b/crates/oatpier-types/tests/testsuite/config_diff.rs
@@ -1,7 +1,7 @@
 //! Tests of computing, applying and inverting the edits between configurations.
 
 use oatpier_types::config::FleetConfig;
-use oatpier_types::config::diff::{ConfigEdit, EditFit, apply, conflicting_items, diff};
+use oatpier_types::config::diff::{ConfigEdit, EditStatus, apply, conflicting_items, diff};
 use oatpier_types::names::{AdapterName, EndpointName, ModelName, PoolName};
 use proptest::prelude::*;
 
@@ -93,8 +93,8 @@
     fn edits_apply_and_revert(before in variant(), after in variant()) {
         let edits = diff(&before, &after);
         for edit in &edits {
-            prop_assert_eq!(edit.fit(&before), EditFit::Applies);
-            prop_assert_eq!(edit.fit(&after), EditFit::Done);
+            prop_assert_eq!(edit.status_in(&before), EditStatus::Applies);
+            prop_assert_eq!(edit.status_in(&after), EditStatus::AlreadyApplied);
         }
         let bytes = rmp_serde::to_vec(&edits).unwrap();
         let sent: Vec<ConfigEdit> = rmp_serde::from_slice(&bytes).unwrap();
--- a/crates/oatpier-types/tests/testsuite/config_record.rs
+++ b/crates/oatpier-types/tests/testsuite/config_record.rs
@@ -1,7 +1,7 @@
 //! Tests of merging changes into the record, including races and lost responses.
 
 use oatpier_types::config::FleetConfig;
-use oatpier_types::config::record::merge::{ChangeProposal, MergeError, MergeStep};
+use oatpier_types::config::record::merge::{ChangeProposal, MergeError, MergeOutcome};
 use oatpier_types::config::record::{
     ConfigRecord, HistoryError, MAX_RECENT_CHANGES, MAX_RECORD_BYTES,
 };
@@ -30,7 +30,7 @@
 
 fn accept(record: &ConfigRecord, proposal: &ChangeProposal) -> ConfigRecord {
     match record.merge(proposal) {
-        Ok(MergeStep::Write { record, .. }) => *record,
+        Ok(MergeOutcome::Write { record, .. }) => *record,
         other => panic!("{other:?}"),
     }
 }
@@ -74,11 +74,11 @@
         &small_with("memory_mib = 400", "memory_mib = 410"),
     );
     let second = accept(&first, &proposal(2, "ada", &first, &resized(310)));
-    let Ok(MergeStep::Write { record, beside }) = second.merge(&ben) else {
+    let Ok(MergeOutcome::Write { record, concurrent }) = second.merge(&ben) else {
         panic!("a disjoint change must be accepted");
     };
     assert_eq!(record.generation, Generation(3));
-    assert_eq!(beside, [ChangeId(2)]);
+    assert_eq!(concurrent, [ChangeId(2)]);
     assert_eq!(record.content.models[&name("halls")].memory_mib, 310);
     assert_eq!(record.content.models[&name("tables")].memory_mib, 410);
 }
@@ -91,7 +91,7 @@
     let ben = proposal(3, "ben", &first, &resized(320));
     let second = accept(&first, &proposal(2, "ada", &first, &resized(310)));
     let error = second.merge(&ben).unwrap_err();
-    let MergeError::Clash { items, other, .. } = &error else {
+    let MergeError::Conflict { items, other, .. } = &error else {
         panic!("{error:?}");
     };
     assert_eq!(items[0].name, "halls");
@@ -105,7 +105,10 @@
     let second = accept(&first, &proposal(2, "ada", &first, &resized(310)));
     let ben = proposal(3, "ben", &first, &resized(310));
     let generation = Generation(2);
-    assert_eq!(second.merge(&ben), Ok(MergeStep::Unchanged { generation }));
+    assert_eq!(
+        second.merge(&ben),
+        Ok(MergeOutcome::Unchanged { generation })
+    );
 }
 
 #[test]
@@ -118,7 +121,7 @@
     let second = accept(&first, &ada);
     let third = accept(&second, &proposal(3, "ben", &second, &small()));
     let generation = Generation(2);
-    assert_eq!(third.merge(&ada), Ok(MergeStep::Accepted { generation }));
+    assert_eq!(third.merge(&ada), Ok(MergeOutcome::Accepted { generation }));
 }
 
 #[test]
@@ -156,11 +159,11 @@
     let more = small_with("first = 7\ncount = 2", "first = 7\ncount = 3");
     let second = accept(&first, &proposal(2, "ada", &first, &more));
     let error = second.merge(&ben).unwrap_err();
-    assert!(matches!(&error, MergeError::Clash { items, .. } if items[0].name == "plan-api-9"));
+    assert!(matches!(&error, MergeError::Conflict { items, .. } if items[0].name == "plan-api-9"));
     let ada = proposal(4, "ada", &first, &more);
     let second = accept(&first, &proposal(5, "ben", &first, &without));
     let error = second.merge(&ada).unwrap_err();
-    assert!(matches!(&error, MergeError::Clash { items, .. } if items[0].name == "plan-api-9"));
+    assert!(matches!(&error, MergeError::Conflict { items, .. } if items[0].name == "plan-api-9"));
 }
 
 #[test]
@@ -175,7 +178,7 @@
     used.models[&name("halls")].class = "spare".try_into().unwrap();
     let second = accept(&first, &proposal(2, "ada", &first, &used));
     let error = second.merge(&ben).unwrap_err();
-    assert!(matches!(error, MergeError::Together { .. }));
+    assert!(matches!(error, MergeError::InvalidMerge { .. }));
     insta::assert_snapshot!(error);
 }
 
@@ -195,7 +198,7 @@
     let ben = proposal(3, "ben", &first, &grown("b"));
     let second = accept(&first, &proposal(2, "ada", &first, &grown("a")));
     let error = second.merge(&ben).unwrap_err();
-    let MergeError::Unreachable { report, .. } = error else {
+    let MergeError::InsufficientMemory { report, .. } = error else {
         panic!("{error:?}");
     };
     assert!(report.pools[0].changing.short_mib > 0);
@@ -223,7 +226,7 @@
     let mut trimmed = first;
     trimmed.recent[0].edits = None;
     let wanted = Generation(0);
-    let forgotten = HistoryError::Forgotten {
+    let forgotten = HistoryError::Discarded {
         wanted,
         oldest: newest,
     };
--- a/crates/oatpier/src/commands/config/apply.rs
+++ b/crates/oatpier/src/commands/config/apply.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use clap::{Arg, ArgMatches, Command, value_parser};
-use oatpier_types::config::reach::check_reach;
+use oatpier_types::config::capacity::check_capacity;
 use oatpier_types::config::text::ConfigDocument;
 use oatpier_types::ids::{ChangeId, Generation};
 
@@ -66,7 +66,7 @@
 pub fn exec(context: &CliContext, matches: &ArgMatches) -> CommandResult {
     let path = file_of(matches);
     let document = read_config(&path)?;
-    let report = check_reach(&document.config);
+    let report = check_capacity(&document.config);
     if !report.fits() {
         return Err(CommandError::Unreachable { report });
     }
--- a/crates/oatpier/src/commands/config/check.rs
+++ b/crates/oatpier/src/commands/config/check.rs
@@ -1,7 +1,7 @@
 //! `oatpier config check`: whether a file is right, and whether everything fits.
 
 use clap::{ArgMatches, Command};
-use oatpier_types::config::reach::{ReachReport, check_reach};
+use oatpier_types::config::capacity::{CapacityReport, check_capacity};
 use serde::Serialize;
 
 use super::{file_arg, file_of};
@@ -19,7 +19,7 @@
     classes: usize,
     content: String,
     warnings: Vec<String>,
-    reach: ReachReport,
+    reach: CapacityReport,
 }
 
 /// The arguments.
@@ -39,7 +39,7 @@
     let path = file_of(matches);
     context.shell.status("Checking", path.display());
     let config = read_config(&path)?.config;
-    let report = check_reach(&config);
+    let report = check_capacity(&config);
     if !report.fits() {
         return Err(CommandError::Unreachable { report });
     }
--- a/crates/oatpier/src/commands/config/diff.rs
+++ b/crates/oatpier/src/commands/config/diff.rs
@@ -4,7 +4,7 @@
 
 use clap::{Arg, ArgMatches, Command, value_parser};
 use oatpier_types::config::diff::{ConfigEdit, EditKind, diff};
-use oatpier_types::config::fault::ItemRef;
+use oatpier_types::config::error::ItemRef;
 use oatpier_types::config::text::ConfigDocument;
 use serde::Serialize;
 
--- a/crates/oatpier/src/commands/explain/model.rs
+++ b/crates/oatpier/src/commands/explain/model.rs
@@ -1,7 +1,7 @@
 //! `oatpier explain model`: why a model or an adapter is where it is.
 
 use clap::{Arg, ArgMatches, Command};
-use oatpier_types::config::fault::nearest_name;
+use oatpier_types::config::error::nearest_name;
 use oatpier_types::names::ModelName;
 use oatpier_types::operator::{ExplainModel, ReplicaRow};
 
--- a/crates/oatpier/src/commands/stop/plan.rs
+++ b/crates/oatpier/src/commands/stop/plan.rs
@@ -4,7 +4,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use oatpier_ports::store::KeyStore;
-use oatpier_types::config::fault::nearest_name;
+use oatpier_types::config::error::nearest_name;
 use oatpier_types::names::{DaemonName, EndpointName, ZoneName};
 use oatpier_types::operator::{DaemonState, StatusAnswer};
 use serde::Serialize;
--- a/crates/oatpier/src/error.rs
+++ b/crates/oatpier/src/error.rs
@@ -6,8 +6,8 @@
 use miette::Diagnostic;
 use oatpier_platform::store::{ReadError, WriteError};
 use oatpier_ports::store::StoreError;
-use oatpier_types::config::fault::ConfigErrors;
-use oatpier_types::config::reach::ReachReport;
+use oatpier_types::config::capacity::CapacityReport;
+use oatpier_types::config::error::ConfigErrors;
 use oatpier_types::config::record::merge::MergeError;
 use oatpier_types::config::record::{HistoryError, RecordError};
 use oatpier_types::ids::{ChangeId, Generation};
@@ -70,7 +70,7 @@
     )]
     Unreachable {
         /// The figures.
-        report: ReachReport,
+        report: CapacityReport,
     },
     /// The change was not accepted.
     #[error("the change was not accepted")]
@@ -319,23 +319,23 @@
 
 fn merge_code(error: &MergeError) -> u8 {
     match error {
-        MergeError::Clash { .. } | MergeError::Together { .. } => EXIT_CLASH,
-        MergeError::Unreachable { other, .. } if other.is_some() => EXIT_CLASH,
+        MergeError::Conflict { .. } | MergeError::InvalidMerge { .. } => EXIT_CLASH,
+        MergeError::InsufficientMemory { other, .. } if other.is_some() => EXIT_CLASH,
         MergeError::OutcomeUnknown { .. } => EXIT_UNCERTAIN,
-        MergeError::Unreachable { .. } | MergeError::TooLarge { .. } => EXIT_FAILED,
+        MergeError::InsufficientMemory { .. } | MergeError::TooLarge { .. } => EXIT_FAILED,
     }
 }
 
 fn merge_mend(error: &MergeError) -> Option<String> {
     let mend = match error {
-        MergeError::Clash { .. } | MergeError::Together { .. } => {
+        MergeError::Conflict { .. } | MergeError::InvalidMerge { .. } => {
             "take the present text from `oatpier config show`, make the change in it and apply \
              it again"
         }
         MergeError::OutcomeUnknown { .. } => {
             "see `oatpier config history` and `oatpier config show` for what is in force"
         }
-        MergeError::Unreachable { report, .. } => return Some(shortages(report)),
+        MergeError::InsufficientMemory { report, .. } => return Some(shortages(report)),
         MergeError::TooLarge { .. } => return None,
     };
     Some(mend.to_owned())
--- a/crates/oatpier/src/ops/apply.rs
+++ b/crates/oatpier/src/ops/apply.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use oatpier_ports::store::{KeyStore, StoreError};
 use oatpier_types::config::FleetConfig;
-use oatpier_types::config::record::merge::{ChangeProposal, MergeStep};
+use oatpier_types::config::record::merge::{ChangeProposal, MergeOutcome};
 use oatpier_types::config::record::{CONFIG_KEY, ConfigRecord};
 use oatpier_types::ids::{ChangeId, Generation};
 use serde::Serialize;
@@ -83,16 +83,16 @@
     loop {
         let step = read.record.merge(&proposal);
         match step.map_err(|source| CommandError::Merge { source })? {
-            MergeStep::Accepted { generation } => {
+            MergeOutcome::Accepted { generation } => {
                 return Ok(outcome(&proposal, generation, true, &[]));
             }
-            MergeStep::Unchanged { generation } => {
+            MergeOutcome::Unchanged { generation } => {
                 return Ok(outcome(&proposal, generation, false, &[]));
             }
-            MergeStep::Write { record, beside } => {
+            MergeOutcome::Write { record, concurrent } => {
                 let generation = record.generation;
                 if run.write(&record, &read, &mut proposal).await? {
-                    return Ok(outcome(&proposal, generation, true, &beside));
+                    return Ok(outcome(&proposal, generation, true, &concurrent));
                 }
             }
         }
--- a/crates/oatpier/src/ops/reach_text.rs
+++ b/crates/oatpier/src/ops/reach_text.rs
@@ -1,6 +1,6 @@
 //! The figures of reachability, as text.
 
-use oatpier_types::config::reach::{PackResult, PoolReach, ReachReport};
+use oatpier_types::config::capacity::{CapacityReport, PackResult, PoolCapacity};
 
 use crate::shell::table;
 
@@ -9,12 +9,12 @@
 
 /// What is short, a line for each pool where something is.
 #[must_use]
-pub fn shortages(report: &ReachReport) -> String {
+pub fn shortages(report: &CapacityReport) -> String {
     let short = report.pools.iter().filter(|pool| !pool.fits());
     short.map(shortage).collect::<Vec<_>>().join("\n")
 }
 
-fn shortage(pool: &PoolReach) -> String {
+fn shortage(pool: &PoolCapacity) -> String {
     let there = format!(
         "pool `{}`: {} endpoints of {} MiB hold {} MiB",
         pool.pool, pool.endpoints, pool.endpoint_mib, pool.total_mib
@@ -45,7 +45,7 @@
 
 /// The figures of all pools.
 #[must_use]
-pub fn figures(report: &ReachReport) -> String {
+pub fn figures(report: &CapacityReport) -> String {
     let rows = report.pools.iter().map(|pool| {
         vec![
             pool.pool.to_string(),
@@ -71,7 +71,7 @@
 
 /// What would be short with an availability zone away, a line each.
 #[must_use]
-pub fn zone_warnings(report: &ReachReport) -> Vec<String> {
+pub fn zone_warnings(report: &CapacityReport) -> Vec<String> {
     let pools = report.pools.iter();
     let rows = pools.flat_map(|pool| pool.zone_away.iter().map(move |away| (pool, away)));
     rows.filter(|(_, away)| away.short_mib > 0)
--- a/crates/oatpier/src/ops/stops.rs
+++ b/crates/oatpier/src/ops/stops.rs
@@ -6,8 +6,8 @@
 use oatpier_membership::stops::STOP_PREFIX;
 use oatpier_ports::store::{ExpectedValue, KeyStore, StoreError};
 use oatpier_types::config::FleetConfig;
-use oatpier_types::config::fault::nearest_name;
-use oatpier_types::config::reach::check_reach;
+use oatpier_types::config::capacity::check_capacity;
+use oatpier_types::config::error::nearest_name;
 use oatpier_types::names::DaemonName;
 use serde::{Deserialize, Serialize};
 
@@ -126,7 +126,7 @@
         pool.endpoints
             .retain(|endpoint, _| !leaving.contains(endpoint.as_str()));
     }
-    let report = check_reach(&rest);
+    let report = check_capacity(&rest);
     report.pools.iter().map(|pool| pool.steady.short_mib).sum()
 }
 
--- a/crates/oatpier/src/settings.rs
+++ b/crates/oatpier/src/settings.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
-use oatpier_types::config::fault::nearest_name;
+use oatpier_types::config::error::nearest_name;
 use serde::Deserialize;
 use thiserror::Error;
 use toml::Spanned;
--- a/crates/oatpierd/examples/quickstart/fleet.rs
+++ b/crates/oatpierd/examples/quickstart/fleet.rs
@@ -17,7 +17,7 @@
 use oatpier_standin::vms::{LocalVms, start_vms};
 use oatpier_standin::weights::{SharedWeights, WeightStore, WeightsOptions};
 use oatpier_types::config::FleetConfig;
-use oatpier_types::config::record::merge::{ChangeProposal, MergeStep};
+use oatpier_types::config::record::merge::{ChangeProposal, MergeOutcome};
 use oatpier_types::config::record::{CONFIG_KEY, ConfigRecord};
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{ChangeId, Generation};
@@ -113,7 +113,7 @@
         summary: "the quickstart's fleet".to_owned(),
         unanswered: None,
     };
-    let MergeStep::Write { record, .. } = before.merge(&proposal)? else {
+    let MergeOutcome::Write { record, .. } = before.merge(&proposal)? else {
         return Err("the configuration changes nothing".into());
     };
     let value = Bytes::from(record.encode()?);
