--- a/crates/oatpier-admission/src/event.rs
+++ b/crates/oatpier-admission/src/event.rs
@@ -12,7 +12,7 @@
 use oatpier_types::verdict::RunVerdict;
 use smallvec::SmallVec;
 
-pub use oatpier_types::pulse::AdmissionTicket;
+pub use oatpier_types::status::AdmissionTicket;
 
 /// Weights that an engine is loading.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/oatpier-admission/src/policy.rs
+++ b/crates/oatpier-admission/src/policy.rs
@@ -13,9 +13,9 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{AttemptId, BootId};
 use oatpier_types::names::ClassName;
-use oatpier_types::pulse::AgentPulse;
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::request::AttemptSpec;
+use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 
 use crate::attempts::{ArrivalJudgement, AttemptLedger, CancelJudgement};
@@ -129,9 +129,9 @@
     }
 
     /// A fresh pulse. Each has the next sequence number.
-    pub fn pulse(&mut self, now: ClockTime) -> AgentPulse {
+    pub fn pulse(&mut self, now: ClockTime) -> QueueReport {
         self.pulses += 1;
-        AgentPulse {
+        QueueReport {
             boot: self.boot,
             sequence: self.pulses,
             queued: saturate(self.queue.len()),
--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -11,9 +11,9 @@
 use oatpier_types::config::{FleetConfig, PoolKind};
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{AttemptId, BootId, Generation};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
 use oatpier_types::refusal::Refusal;
 use oatpier_types::request::{AttemptSpec, RequestGoal};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use oatpier_types::verdict::RunVerdict;
 use tokio::sync::{Notify, mpsc};
 
@@ -352,7 +352,7 @@
 
     /// A fresh word on the queue; none without a configuration.
     #[must_use]
-    pub fn pulse(&self) -> Option<AgentPulse> {
+    pub fn pulse(&self) -> Option<QueueReport> {
         let now = self.clock.now();
         self.lock().policy.as_mut().map(|policy| policy.pulse(now))
     }
--- a/crates/oatpier-agent/src/membership/machine.rs
+++ b/crates/oatpier-agent/src/membership/machine.rs
@@ -17,7 +17,7 @@
 use oatpier_types::config::record::ConfigRecord;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::DaemonName;
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -366,7 +366,7 @@
         ready: smallvec::SmallVec::new(),
         ready_sequence: 0,
         generation: oatpier_types::ids::Generation(0),
-        pulse: AgentPulse {
+        pulse: QueueReport {
             boot: inputs.boot,
             sequence: 0,
             queued: 0,
--- a/crates/oatpier-agent/src/news.rs
+++ b/crates/oatpier-agent/src/news.rs
@@ -19,7 +19,7 @@
 use oatpier_types::config::FleetConfig;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::Generation;
-use oatpier_types::pulse::EndpointStatus;
+use oatpier_types::status::EndpointStatus;
 use tokio::sync::oneshot;
 
 use oatpier_duty::placement::{PlacementView, PlanRow};
--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -313,7 +313,7 @@
     fn view(
         &self,
         number: u16,
-        ready: &[Option<oatpier_types::pulse::EndpointStatus>],
+        ready: &[Option<oatpier_types::status::EndpointStatus>],
     ) -> PlacementView {
         let mut view = PlacementView::default();
         for model in self.shape.models {
--- a/crates/oatpier-bench/src/cost/fleet.rs
+++ b/crates/oatpier-bench/src/cost/fleet.rs
@@ -5,7 +5,7 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::{EndpointName, PoolName, ZoneName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 
 use crate::load::deployment::{
     ENGINE_MEMORY_MIB, ENGINE_SLOTS, classes, model_name, model_spec, name,
@@ -120,8 +120,8 @@
 }
 
 /// An agent's word on its queue.
-pub(super) fn pulse(index: usize, sequence: u64) -> AgentPulse {
-    AgentPulse {
+pub(super) fn pulse(index: usize, sequence: u64) -> QueueReport {
+    QueueReport {
         boot: BootId(index as u128 + 1),
         sequence,
         queued: 0,
--- a/crates/oatpier-bench/src/cost/state.rs
+++ b/crates/oatpier-bench/src/cost/state.rs
@@ -19,7 +19,7 @@
 use oatpier_types::ids::{Generation, Term};
 use oatpier_types::names::DaemonName;
 use oatpier_types::plan::PlacementPlan;
-use oatpier_types::pulse::EndpointStatus;
+use oatpier_types::status::EndpointStatus;
 
 use super::CostMeter;
 use super::fleet::{CostFleet, pool, pulse, zone};
--- a/crates/oatpier-bench/src/fleet/agent.rs
+++ b/crates/oatpier-bench/src/fleet/agent.rs
@@ -6,9 +6,9 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{AttemptId, BootId};
-use oatpier_types::pulse::AgentPulse;
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::request::RequestGoal;
+use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 
 /// Decides about requests at one agent.
@@ -18,7 +18,7 @@
     /// When the next timer is due.
     fn next_timer(&self) -> ClockTime;
     /// A fresh pulse.
-    fn pulse(&mut self, now: ClockTime) -> AgentPulse;
+    fn pulse(&mut self, now: ClockTime) -> QueueReport;
 }
 
 impl AgentBrain for AgentPolicy {
@@ -30,7 +30,7 @@
         Self::next_timer(self)
     }
 
-    fn pulse(&mut self, now: ClockTime) -> AgentPulse {
+    fn pulse(&mut self, now: ClockTime) -> QueueReport {
         Self::pulse(self, now)
     }
 }
@@ -109,9 +109,9 @@
         ClockTime::NEVER
     }
 
-    fn pulse(&mut self, _now: ClockTime) -> AgentPulse {
+    fn pulse(&mut self, _now: ClockTime) -> QueueReport {
         self.sequence += 1;
-        AgentPulse {
+        QueueReport {
             boot: self.boot,
             sequence: self.sequence,
             queued: 0,
--- a/crates/oatpier-bench/src/fleet/entry.rs
+++ b/crates/oatpier-bench/src/fleet/entry.rs
@@ -9,9 +9,9 @@
 use oatpier_types::engine::{CacheEvent, LoadReport};
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::names::EndpointName;
-use oatpier_types::pulse::EndpointStatus;
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::request::{AttemptSpec, RequestGoal};
+use oatpier_types::status::EndpointStatus;
 use oatpier_types::verdict::RunVerdict;
 
 /// Actions of one request, from a timer.
--- a/crates/oatpier-bench/src/fleet/node.rs
+++ b/crates/oatpier-bench/src/fleet/node.rs
@@ -15,8 +15,8 @@
 use oatpier_types::ids::{AttemptId, BootId, RequestId};
 use oatpier_types::names::{EndpointName, PoolName, ZoneName};
 use oatpier_types::plan::EndpointPlan;
-use oatpier_types::pulse::EndpointStatus;
 use oatpier_types::request::{AttemptSpec, RequestGoal};
+use oatpier_types::status::EndpointStatus;
 use smallvec::SmallVec;
 
 use super::agent::AgentBrain;
--- a/crates/oatpier-bench/src/fleet/requests.rs
+++ b/crates/oatpier-bench/src/fleet/requests.rs
@@ -11,8 +11,8 @@
 use oatpier_types::engine::{CacheEvent, LoadReport};
 use oatpier_types::ids::RequestId;
 use oatpier_types::names::{CallerName, EndpointName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
 use oatpier_types::request::{AttemptSpec, RequestGoal};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use oatpier_types::verdict::Repeat;
 
 use super::caller::{AnswerSeen, CallerTry};
@@ -205,7 +205,7 @@
         &mut self,
         entry: usize,
         attempt: oatpier_types::ids::AttemptId,
-        pulse: AgentPulse,
+        pulse: QueueReport,
     ) {
         let Some(endpoint) = self.endpoint_of(pulse.boot) else {
             return;
@@ -221,7 +221,7 @@
             .map(|node| node.place.endpoint.clone())
     }
 
-    fn keep_pulse(&mut self, entry: usize, endpoint: &EndpointName, pulse: AgentPulse) {
+    fn keep_pulse(&mut self, entry: usize, endpoint: &EndpointName, pulse: QueueReport) {
         let pulses = &mut self.entries[entry].pulses;
         let newer = pulses
             .get(endpoint)
--- a/crates/oatpier-bench/src/fleet/step.rs
+++ b/crates/oatpier-bench/src/fleet/step.rs
@@ -8,8 +8,8 @@
 use oatpier_types::engine::{CacheEvent, LoadReport};
 use oatpier_types::ids::{AttemptId, BootId, RequestId};
 use oatpier_types::plan::EndpointPlan;
-use oatpier_types::pulse::EndpointStatus;
 use oatpier_types::request::AttemptSpec;
+use oatpier_types::status::EndpointStatus;
 
 /// Something that happens.
 pub(super) enum FleetStep {
--- a/crates/oatpier-bench/src/fleet/world.rs
+++ b/crates/oatpier-bench/src/fleet/world.rs
@@ -12,8 +12,8 @@
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::names::{EndpointName, ZoneName};
 use oatpier_types::plan::PlacementPlan;
-use oatpier_types::pulse::AgentPulse;
 use oatpier_types::request::PrefixChain;
+use oatpier_types::status::QueueReport;
 
 use super::caller::CallerBook;
 use super::entry::EntryBrain;
@@ -59,7 +59,7 @@
     pub(super) zone: ZoneName,
     pub(super) armed: ClockTime,
     pub(super) demand: DemandLedger,
-    pub(super) pulses: IndexMap<EndpointName, AgentPulse>,
+    pub(super) pulses: IndexMap<EndpointName, QueueReport>,
     pub(super) tickets: IndexMap<AttemptId, Option<AdmissionTicket>>,
 }
 
--- a/crates/oatpier-bench/src/state/support/mod.rs
+++ b/crates/oatpier-bench/src/state/support/mod.rs
@@ -19,7 +19,7 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::ZoneName;
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -41,8 +41,8 @@
     }
 }
 
-pub fn pulse(boot: BootId, sequence: u64) -> AgentPulse {
-    AgentPulse {
+pub fn pulse(boot: BootId, sequence: u64) -> QueueReport {
+    QueueReport {
         boot,
         sequence,
         queued: 0,
--- a/crates/oatpier-entry/src/attempt.rs
+++ b/crates/oatpier-entry/src/attempt.rs
@@ -9,7 +9,7 @@
 use oatpier_policy::event::EntryEvent;
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::names::EndpointName;
-use oatpier_types::pulse::AgentPulse;
+use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::attempt::{
     AttemptFrame, AttemptHead, AttemptStream, CancelAttempt, CancelReach, to_headers,
@@ -127,7 +127,7 @@
         }
     }
 
-    async fn signal_head(&self, head: AnswerHead, pulse: AgentPulse) {
+    async fn signal_head(&self, head: AnswerHead, pulse: QueueReport) {
         let signal = AttemptSignal {
             endpoint: self.endpoint.clone(),
             event: EntryEvent::FirstFrame {
--- a/crates/oatpier-entry/src/core.rs
+++ b/crates/oatpier-entry/src/core.rs
@@ -14,8 +14,8 @@
 use oatpier_types::ids::{Generation, RequestId};
 use oatpier_types::names::{DaemonName, EndpointName};
 use oatpier_types::operator::ExplainRequest;
-use oatpier_types::pulse::{AdmissionTicket, AgentPulse};
 use oatpier_types::request::RequestGoal;
+use oatpier_types::status::{AdmissionTicket, QueueReport};
 use oatpier_wire::peer::PeerClient;
 use tokio::sync::{Notify, mpsc};
 
@@ -342,7 +342,7 @@
         self.agents.insert(endpoint.clone(), contact);
     }
 
-    fn renew_ticket(&mut self, endpoint: &EndpointName, pulse: &AgentPulse) {
+    fn renew_ticket(&mut self, endpoint: &EndpointName, pulse: &QueueReport) {
         let Some(contact) = self.agents.get_mut(endpoint) else {
             return;
         };
--- a/crates/oatpier-entry/src/decisions.rs
+++ b/crates/oatpier-entry/src/decisions.rs
@@ -8,7 +8,7 @@
 use oatpier_types::ids::RequestId;
 use oatpier_types::names::EndpointName;
 use oatpier_types::operator::AttainmentRow;
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 
 use crate::news::CallersStanding;
 
@@ -19,7 +19,7 @@
     /// An agent's whole word on its endpoint came.
     fn on_status(&mut self, status: &EndpointStatus, now: ClockTime);
     /// An agent's word on its queue came.
-    fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &AgentPulse, now: ClockTime);
+    fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &QueueReport, now: ClockTime);
     /// The endpoint is said to leave.
     fn mark_leaving(&mut self, endpoint: &EndpointName, now: ClockTime);
     /// The endpoint does not leave after all.
@@ -51,7 +51,7 @@
         Self::on_status(self, status, now);
     }
 
-    fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &AgentPulse, now: ClockTime) {
+    fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &QueueReport, now: ClockTime) {
         Self::on_pulse(self, endpoint, pulse, now);
     }
 
--- a/crates/oatpier-entry/src/links.rs
+++ b/crates/oatpier-entry/src/links.rs
@@ -7,7 +7,7 @@
 use futures::future::BoxFuture;
 use oatpier_duty::messages::{FleetAnswer, FleetCall, PEER_PATH, STATUS_PATH};
 use oatpier_membership::spread::CALL_WITHIN;
-use oatpier_types::pulse::EndpointStatus;
+use oatpier_types::status::EndpointStatus;
 use oatpier_wire::client::ClientLimits;
 use oatpier_wire::peer::PeerClient;
 use serde::Serialize;
--- a/crates/oatpier-entry/src/news.rs
+++ b/crates/oatpier-entry/src/news.rs
@@ -7,7 +7,7 @@
 use oatpier_types::ids::{Generation, RequestId};
 use oatpier_types::names::{DaemonName, EndpointName};
 use oatpier_types::operator::{AttainmentRow, ExplainRequest};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use tokio::sync::oneshot;
 
 /// News for the callers duty.
@@ -43,7 +43,7 @@
         /// The endpoint.
         endpoint: EndpointName,
         /// The word.
-        pulse: AgentPulse,
+        pulse: QueueReport,
     },
     /// An endpoint leaves.
     Leaving(EndpointName),
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -7,7 +7,7 @@
 use oatpier_types::config::{FleetConfig, PoolKind};
 use oatpier_types::engine::{EngineRole, HeldWeights, WeightsState};
 use oatpier_types::names::{DaemonName, EndpointName, PoolName, ZoneName};
-use oatpier_types::pulse::EndpointStatus;
+use oatpier_types::status::EndpointStatus;
 use smallvec::SmallVec;
 
 use super::driver::DriverState;
--- a/crates/oatpier-entry/src/peers/driver.rs
+++ b/crates/oatpier-entry/src/peers/driver.rs
@@ -16,7 +16,7 @@
 use oatpier_types::config::FleetConfig;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::{DaemonName, EndpointName};
-use oatpier_types::pulse::AgentPulse;
+use oatpier_types::status::QueueReport;
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::Notify;
 
@@ -46,7 +46,7 @@
     /// Members of which the callers duty is to be told anew. Bounded by the table.
     pub(super) dirty: IndexSet<DaemonName>,
     /// Queues that the callers duty is to be told; a later word replaces an earlier one.
-    pub(super) pulses: IndexMap<EndpointName, AgentPulse>,
+    pub(super) pulses: IndexMap<EndpointName, QueueReport>,
     /// The call to the store that the machine wants; it wants one at a time.
     pub(super) order: Option<StoreOrder>,
     /// The generation that the callers duty was told.
--- a/crates/oatpier-entry/src/peers/mod.rs
+++ b/crates/oatpier-entry/src/peers/mod.rs
@@ -22,7 +22,7 @@
 use oatpier_ports::vms::VmList;
 use oatpier_types::ids::BootId;
 use oatpier_types::names::DaemonName;
-use oatpier_types::pulse::AgentPulse;
+use oatpier_types::status::QueueReport;
 use oatpier_wire::server::{self, ServerLimits};
 use rand_chacha::ChaCha8Rng;
 
@@ -48,7 +48,7 @@
     /// Whether it is there.
     pub evidence: PathEvidence,
     /// Its queue, if it said.
-    pub pulse: Option<AgentPulse>,
+    pub pulse: Option<QueueReport>,
 }
 
 /// What an event of an attempt tells of whether its agent is there.
--- a/crates/oatpier-entry/tests/testsuite/late.rs
+++ b/crates/oatpier-entry/tests/testsuite/late.rs
@@ -23,8 +23,8 @@
 use oatpier_types::config::FleetConfig;
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::names::{CallerName, ClassName, EndpointName, PoolName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
 use oatpier_types::request::{PrefixChain, RequestGoal, TokenDemand};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use oatpier_types::verdict::{Repeat, RunVerdict};
 use oatpier_wire::client::ClientLimits;
 use oatpier_wire::peer::PeerClient;
@@ -48,7 +48,7 @@
 impl EntryDecisions for OpenSeal {
     fn apply_config(&mut self, _: &FleetConfig) {}
     fn on_status(&mut self, _: &EndpointStatus, _: ClockTime) {}
-    fn on_pulse(&mut self, _: &EndpointName, _: &AgentPulse, _: ClockTime) {}
+    fn on_pulse(&mut self, _: &EndpointName, _: &QueueReport, _: ClockTime) {}
     fn mark_leaving(&mut self, _: &EndpointName, _: ClockTime) {}
     fn clear_leaving(&mut self, _: &EndpointName) {}
     fn forget(&mut self, _: &EndpointName, _: ClockTime) {}
--- a/crates/oatpier-entry/tests/testsuite/stops.rs
+++ b/crates/oatpier-entry/tests/testsuite/stops.rs
@@ -12,7 +12,7 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{BootId, Generation, Revision};
 use oatpier_types::names::{DaemonName, EndpointName, ModelName, PoolName, VersionName, ZoneName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
@@ -65,7 +65,7 @@
     /// An agent says that it has these models ready.
     fn beat(&mut self, number: u16, models: &[&str]) {
         self.beats += 1;
-        let pulse = AgentPulse {
+        let pulse = QueueReport {
             boot: BootId(number.into()),
             sequence: self.beats,
             queued: 0,
--- a/crates/oatpier-entry/tests/testsuite/support.rs
+++ b/crates/oatpier-entry/tests/testsuite/support.rs
@@ -18,7 +18,7 @@
 use oatpier_standin::store::LocalStore;
 use oatpier_types::ids::{BootId, RequestId};
 use oatpier_types::names::{DaemonName, ZoneName};
-use oatpier_types::pulse::EndpointStatus;
+use oatpier_types::status::EndpointStatus;
 use oatpier_types::verdict::RunVerdict;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/oatpier-faults/src/membership/world.rs
+++ b/crates/oatpier-faults/src/membership/world.rs
@@ -15,7 +15,7 @@
 use oatpier_types::event::{FleetEvent, LoggedEvent};
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::ZoneName;
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -371,7 +371,7 @@
         ready: smallvec::SmallVec::from_iter([crate::request::weights()]),
         ready_sequence: 1,
         generation: Generation(0),
-        pulse: AgentPulse {
+        pulse: QueueReport {
             boot,
             sequence: 1,
             queued: 0,
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -7,9 +7,9 @@
 };
 use oatpier_admission::policy::AgentPolicy;
 use oatpier_types::ids::{AttemptId, BootId, Generation, RequestId};
-use oatpier_types::pulse::EndpointStatus;
 use oatpier_types::refusal::RefusalCause;
 use oatpier_types::request::{AttemptSpec, RequestGoal};
+use oatpier_types::status::EndpointStatus;
 use oatpier_types::verdict::RunVerdict;
 
 use super::entry::copy_refusal;
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -9,9 +9,9 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{AttemptId, BootId, RequestId};
 use oatpier_types::names::EndpointName;
-use oatpier_types::pulse::{AdmissionTicket, AgentPulse};
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::request::AttemptSpec;
+use oatpier_types::status::{AdmissionTicket, QueueReport};
 use oatpier_types::verdict::Repeat;
 use std::time::Duration;
 
@@ -47,7 +47,7 @@
         }
     }
 
-    fn note_pulse(&mut self, agent: NodeId, pulse: &AgentPulse) {
+    fn note_pulse(&mut self, agent: NodeId, pulse: &QueueReport) {
         let ticket = AdmissionTicket::of(pulse);
         let known = self.tickets.entry(agent).or_insert(ticket);
         let newer = known.boot != ticket.boot || known.sequence < ticket.sequence;
--- a/crates/oatpier-faults/src/request/message.rs
+++ b/crates/oatpier-faults/src/request/message.rs
@@ -3,9 +3,9 @@
 use oatpier_claims::event::{CallNumber, ClaimAction, StoreAnswer};
 use oatpier_claims::message::{ClaimAnswer, ClaimAsk};
 use oatpier_types::ids::{AttemptId, RequestId};
-use oatpier_types::pulse::{AdmissionTicket, AgentPulse, EndpointStatus};
 use oatpier_types::refusal::Refusal;
 use oatpier_types::request::AttemptSpec;
+use oatpier_types::status::{AdmissionTicket, EndpointStatus, QueueReport};
 use oatpier_types::verdict::RunVerdict;
 
 /// A process: an entry, an agent, an endpoint or the callers.
@@ -27,13 +27,13 @@
 /// A part of an answer.
 #[derive(Debug, Clone, Copy)]
 pub enum AnswerFrame {
-    Head(AgentPulse),
+    Head(QueueReport),
     Piece {
         place: u32,
         content: RequestId,
     },
-    End(AgentPulse),
-    Refused(Refusal, AgentPulse),
+    End(QueueReport),
+    Refused(Refusal, QueueReport),
     Failed(RunVerdict),
     /// The connection broke after the attempt was sent.
     Cut,
--- a/crates/oatpier-membership/src/agent.rs
+++ b/crates/oatpier-membership/src/agent.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, Generation};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -41,7 +41,7 @@
     /// The endpoint's whole status.
     Status(Box<EndpointStatus>),
     /// The agent's queue.
-    Pulse(AgentPulse),
+    Pulse(QueueReport),
     /// The agent's own phase.
     Phase(MemberPhase),
 }
--- a/crates/oatpier-membership/src/entry/mod.rs
+++ b/crates/oatpier-membership/src/entry/mod.rs
@@ -11,7 +11,7 @@
 
 use oatpier_types::ids::Revision;
 use oatpier_types::names::DaemonName;
-use oatpier_types::pulse::AgentPulse;
+use oatpier_types::status::QueueReport;
 
 use crate::exchange::ExchangeScope;
 use crate::generation::{ConfigPayload, HeldConfig};
@@ -58,7 +58,7 @@
         /// The agent.
         daemon: DaemonName,
         /// Its queue.
-        pulse: AgentPulse,
+        pulse: QueueReport,
     },
     /// This entry's own phase.
     Phase(MemberPhase),
--- a/crates/oatpier-membership/src/members/row.rs
+++ b/crates/oatpier-membership/src/members/row.rs
@@ -4,7 +4,7 @@
 
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::{DaemonName, ZoneName};
-use oatpier_types::pulse::EndpointStatus;
+use oatpier_types::status::EndpointStatus;
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::Xxh3;
--- a/crates/oatpier-membership/src/members/table.rs
+++ b/crates/oatpier-membership/src/members/table.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::DaemonName;
-use oatpier_types::pulse::AgentPulse;
+use oatpier_types::status::QueueReport;
 use smallvec::SmallVec;
 
 use super::evidence::{PathEvidence, PathMemory};
@@ -100,7 +100,7 @@
     /// What it says of itself.
     pub facts: &'a MemberFacts,
     /// Its latest queue, for an agent.
-    pub pulse: Option<&'a AgentPulse>,
+    pub pulse: Option<&'a QueueReport>,
     /// Where it stands.
     pub state: MemberState,
     /// Whether the list of VMs says that it will be stopped.
@@ -191,7 +191,7 @@
     }
 
     /// Remembers an agent's queue, if it is later than the one known. Nobody is told of it.
-    pub fn note_pulse(&mut self, daemon: &DaemonName, pulse: &AgentPulse) {
+    pub fn note_pulse(&mut self, daemon: &DaemonName, pulse: &QueueReport) {
         let Some(record) = self.records.get_mut(daemon) else {
             return;
         };
--- a/crates/oatpier-membership/src/messages.rs
+++ b/crates/oatpier-membership/src/messages.rs
@@ -8,7 +8,7 @@
 
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::{DaemonName, ZoneName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
@@ -64,7 +64,7 @@
         /// The number of the last full status.
         ready_sequence: u64,
         /// The queue.
-        pulse: AgentPulse,
+        pulse: QueueReport,
     },
 }
 
--- a/crates/oatpier-membership/src/registrar/keeper.rs
+++ b/crates/oatpier-membership/src/registrar/keeper.rs
@@ -6,7 +6,7 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::DaemonName;
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
 
@@ -151,7 +151,7 @@
     }
 
     /// Sets the queue, which goes with the next heartbeat.
-    pub fn set_pulse(&mut self, pulse: AgentPulse) {
+    pub fn set_pulse(&mut self, pulse: QueueReport) {
         self.status.pulse = pulse;
     }
 
--- a/crates/oatpier-membership/tests/testsuite/support/fleet.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/fleet.rs
@@ -13,7 +13,7 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::{DaemonName, ZoneName};
-use oatpier_types::pulse::EndpointStatus;
+use oatpier_types::status::EndpointStatus;
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
--- a/crates/oatpier-membership/tests/testsuite/support/mod.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/mod.rs
@@ -14,7 +14,7 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::{DaemonName, EndpointName, ModelName, PoolName, VersionName, ZoneName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -66,8 +66,8 @@
     }
 }
 
-pub fn pulse(boot: BootId, sequence: u64) -> AgentPulse {
-    AgentPulse {
+pub fn pulse(boot: BootId, sequence: u64) -> QueueReport {
+    QueueReport {
         boot,
         sequence,
         queued: 0,
--- a/crates/oatpier-policy/src/entry/mod.rs
+++ b/crates/oatpier-policy/src/entry/mod.rs
@@ -14,8 +14,8 @@
 use oatpier_types::engine::{CacheEvent, LoadReport};
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::names::{ClassName, EndpointName, ZoneName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
 use oatpier_types::refusal::{Refusal, RefusalCause};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 
 use crate::action::{EntryAction, EntryActions};
 use crate::attainment::AttainmentTracker;
@@ -110,7 +110,7 @@
 
     /// Applies an agent's pulse that was received outside a request's event. A pulse of an unknown
     /// endpoint is ignored.
-    pub fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &AgentPulse, now: ClockTime) {
+    pub fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &QueueReport, now: ClockTime) {
         if let Some(index) = self.core.table.find(endpoint) {
             self.core.table.on_pulse(index, pulse, now);
         }
@@ -401,7 +401,7 @@
 fn live_pulse<'a>(
     machine: &RequestMachine,
     event: &'a EntryEvent,
-) -> Option<(EndpointIndex, &'a AgentPulse)> {
+) -> Option<(EndpointIndex, &'a QueueReport)> {
     let is_live = machine.attempt().is_some() && machine.attempt() == event.attempt();
     let endpoint = machine.endpoint().filter(|_| is_live)?;
     event.pulse().map(|pulse| (endpoint, pulse))
--- a/crates/oatpier-policy/src/event.rs
+++ b/crates/oatpier-policy/src/event.rs
@@ -2,9 +2,9 @@
 
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::names::{CallerName, ClassName};
-use oatpier_types::pulse::AgentPulse;
 use oatpier_types::refusal::Refusal;
 use oatpier_types::request::{PrefixChain, RequestGoal, TokenDemand};
+use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::{Repeat, RunVerdict};
 
 /// A request as received from its caller.
@@ -49,7 +49,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// The agent's report on its queue, if it sent one.
-        pulse: Option<AgentPulse>,
+        pulse: Option<QueueReport>,
     },
     /// A piece of an attempt's answer arrived.
     Piece {
@@ -63,7 +63,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// The agent's report on its queue, if it sent one.
-        pulse: Option<AgentPulse>,
+        pulse: Option<QueueReport>,
     },
     /// The agent refused an attempt, which did not run there.
     Refused {
@@ -72,7 +72,7 @@
         /// The cause and the suggested retry delay.
         refusal: Refusal,
         /// The agent's report on its queue, if it sent one.
-        pulse: Option<AgentPulse>,
+        pulse: Option<QueueReport>,
     },
     /// The agent reported that an attempt failed.
     Failed {
@@ -111,7 +111,7 @@
 impl EntryEvent {
     /// Returns the agent's queue report that the event carries.
     #[must_use]
-    pub fn pulse(&self) -> Option<&AgentPulse> {
+    pub fn pulse(&self) -> Option<&QueueReport> {
         match self {
             Self::FirstFrame { pulse, .. }
             | Self::Ended { pulse, .. }
--- a/crates/oatpier-policy/src/table/mod.rs
+++ b/crates/oatpier-policy/src/table/mod.rs
@@ -14,8 +14,8 @@
 use oatpier_types::engine::{LoadReport, WeightsKey};
 use oatpier_types::ids::BootId;
 use oatpier_types::names::{EndpointName, PoolName, ZoneName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
 use oatpier_types::request::RequestGoal;
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
@@ -162,7 +162,7 @@
     }
 
     /// Applies a pulse of a known endpoint. A stale one is ignored and counted.
-    pub fn on_pulse(&mut self, index: EndpointIndex, pulse: &AgentPulse, now: ClockTime) {
+    pub fn on_pulse(&mut self, index: EndpointIndex, pulse: &QueueReport, now: ClockTime) {
         match self.check_boot(index, pulse.boot, now) {
             BootCheck::Previous => self.stale_dropped += 1,
             BootCheck::Current | BootCheck::New => self.apply_pulse(index, pulse, now),
@@ -318,7 +318,7 @@
         check
     }
 
-    fn apply_pulse(&mut self, index: EndpointIndex, pulse: &AgentPulse, now: ClockTime) {
+    fn apply_pulse(&mut self, index: EndpointIndex, pulse: &QueueReport, now: ClockTime) {
         let row = &mut self.rows[index.place()];
         if !row.is_newer(pulse) {
             self.stale_dropped += 1;
--- a/crates/oatpier-policy/src/table/row.rs
+++ b/crates/oatpier-policy/src/table/row.rs
@@ -6,7 +6,7 @@
 use oatpier_types::engine::LoadReport;
 use oatpier_types::ids::BootId;
 use oatpier_types::names::{EndpointName, PoolName};
-use oatpier_types::pulse::AgentPulse;
+use oatpier_types::status::QueueReport;
 use smallvec::SmallVec;
 
 use super::TableSettings;
@@ -55,7 +55,7 @@
     pub(super) is_gone: bool,
     boot: Option<BootId>,
     previous_boots: SmallVec<[PreviousBoot; MAX_PREVIOUS_BOOTS]>,
-    pulse: Option<AgentPulse>,
+    pulse: Option<QueueReport>,
     pulse_at: ClockTime,
     wait_us: u64,
     prior_wait_us: u64,
@@ -109,7 +109,7 @@
 
     /// Returns the last pulse.
     #[must_use]
-    pub fn pulse(&self) -> Option<&AgentPulse> {
+    pub fn pulse(&self) -> Option<&QueueReport> {
         self.pulse.as_ref()
     }
 
@@ -163,12 +163,12 @@
     }
 
     /// Returns whether a pulse is newer than the last one.
-    pub(super) fn is_newer(&self, pulse: &AgentPulse) -> bool {
+    pub(super) fn is_newer(&self, pulse: &QueueReport) -> bool {
         self.pulse
             .is_none_or(|known| known.sequence < pulse.sequence)
     }
 
-    pub(super) fn apply_pulse(&mut self, pulse: &AgentPulse, round_trip_us: u64, now: ClockTime) {
+    pub(super) fn apply_pulse(&mut self, pulse: &QueueReport, round_trip_us: u64, now: ClockTime) {
         self.wait_us = micros(pulse.wait);
         self.prior_wait_us = moving_mean(self.prior_wait_us, self.wait_us);
         self.pulse = Some(*pulse);
--- a/crates/oatpier-policy/tests/testsuite/support.rs
+++ b/crates/oatpier-policy/tests/testsuite/support.rs
@@ -15,9 +15,9 @@
 use oatpier_types::names::{
     AdapterName, ClassName, EndpointName, ModelName, PoolName, RegionName, VersionName, ZoneName,
 };
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::request::{AttemptSpec, PrefixChain, RequestGoal, TokenDemand};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use oatpier_types::verdict::Repeat;
 
 pub(crate) const ZONES: [&str; 3] = ["ikeja", "lekki", "yaba"];
@@ -57,8 +57,8 @@
     }
 }
 
-pub(crate) fn pulse(boot: u128, sequence: u64, wait_ms: u64) -> AgentPulse {
-    AgentPulse {
+pub(crate) fn pulse(boot: u128, sequence: u64, wait_ms: u64) -> QueueReport {
+    QueueReport {
         boot: BootId(boot),
         sequence,
         queued: 0,
--- a/crates/oatpier-types/src/lib.rs
+++ b/crates/oatpier-types/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`operator`]: JSON responses of a daemon to operator commands.
 //! - [`plan`]: the assignment of models to endpoints.
 //! - [`prefix`]: hashes that identify the prefixes of a prompt.
-//! - [`pulse`]: the status that an agent reports for its endpoint.
+//! - [`status`]: the status that an agent reports for its endpoint.
 //! - [`refusal`]: why a request is refused, and when the caller may retry.
 //! - [`errors`]: formatting of errors for log lines.
 //! - [`event`]: the typed event log that the invariant checker reads.
@@ -29,7 +29,7 @@
 pub mod operator;
 pub mod plan;
 pub mod prefix;
-pub mod pulse;
 pub mod refusal;
 pub mod request;
+pub mod status;
 pub mod verdict;
--- a/crates/oatpier-types/src/pulse.rs
+++ b/crates/oatpier-types/src/status.rs
@@ -12,7 +12,7 @@
 /// The current state of an agent's queue. Kept small because it is sent with every answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct AgentPulse {
+pub struct QueueReport {
     /// Identifies the start of the agent process; a pulse from a previous start is ignored.
     pub boot: BootId,
     /// Increases by one with each pulse; an older pulse that arrives late is ignored.
@@ -50,7 +50,7 @@
     /// The generation of the configuration that the agent applies.
     pub generation: Generation,
     /// The state of the agent's queue.
-    pub pulse: AgentPulse,
+    pub pulse: QueueReport,
 }
 
 /// Identifies the latest pulse of the agent that an entry had received when it created an attempt.
@@ -69,7 +69,7 @@
 impl AdmissionTicket {
     /// Creates the ticket for a pulse.
     #[must_use]
-    pub fn of(pulse: &AgentPulse) -> Self {
+    pub fn of(pulse: &QueueReport) -> Self {
         Self {
             boot: pulse.boot,
             sequence: pulse.sequence,
--- a/crates/oatpier-wire/src/attempt.rs
+++ b/crates/oatpier-wire/src/attempt.rs
@@ -11,9 +11,9 @@
 use http::header::{HeaderName, HeaderValue};
 use http::{HeaderMap, StatusCode};
 use oatpier_types::ids::{AttemptId, RequestId};
-use oatpier_types::pulse::{AdmissionTicket, AgentPulse};
 use oatpier_types::refusal::Refusal;
 use oatpier_types::request::AttemptSpec;
+use oatpier_types::status::{AdmissionTicket, QueueReport};
 use oatpier_types::verdict::RunVerdict;
 use serde::{Deserialize, Serialize};
 
@@ -111,7 +111,7 @@
         /// Why.
         refusal: Refusal,
         /// The agent's queue now.
-        pulse: AgentPulse,
+        pulse: QueueReport,
     },
     /// The endpoint's answer has begun.
     Started {
@@ -120,7 +120,7 @@
         /// Its headers that pass through.
         headers: Vec<HeaderPair>,
         /// The agent's queue now.
-        pulse: AgentPulse,
+        pulse: QueueReport,
     },
     /// Bytes of the endpoint's answer.
     Piece {
@@ -132,7 +132,7 @@
     /// The endpoint's answer came to its terminator. The last frame.
     Ended {
         /// The agent's queue now.
-        pulse: AgentPulse,
+        pulse: QueueReport,
     },
     /// The attempt failed. The last frame.
     Failed {
@@ -141,7 +141,7 @@
         /// What happened.
         cause: String,
         /// The agent's queue now.
-        pulse: AgentPulse,
+        pulse: QueueReport,
     },
 }
 
@@ -157,7 +157,7 @@
 
     /// The agent's queue, where the frame tells it.
     #[must_use]
-    pub fn pulse(&self) -> Option<&AgentPulse> {
+    pub fn pulse(&self) -> Option<&QueueReport> {
         match self {
             Self::Refused { pulse, .. }
             | Self::Started { pulse, .. }
--- a/crates/oatpier-wire/tests/testsuite/support.rs
+++ b/crates/oatpier-wire/tests/testsuite/support.rs
@@ -9,8 +9,8 @@
 use http::Request;
 use oatpier_types::ids::{AttemptId, BootId, RequestId};
 use oatpier_types::names::{CallerName, ClassName, PoolName};
-use oatpier_types::pulse::{AdmissionTicket, AgentPulse};
 use oatpier_types::request::{AttemptSpec, RequestGoal, TokenDemand};
+use oatpier_types::status::{AdmissionTicket, QueueReport};
 use oatpier_types::verdict::Repeat;
 use oatpier_wire::attempt::{AttemptHead, HeaderPair};
 use oatpier_wire::server::{RequestHandler, ServerCounters, ServerLimits, serve};
@@ -95,8 +95,8 @@
     waited.expect("what is waited for never comes");
 }
 
-pub fn pulse(sequence: u64) -> AgentPulse {
-    AgentPulse {
+pub fn pulse(sequence: u64) -> QueueReport {
+    QueueReport {
         boot: BootId(7),
         sequence,
         queued: 1,
