--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -369,7 +369,7 @@
             ready: state.ready.iter().cloned().collect(),
             ready_sequence: state.ready_sequence,
             generation: state.generation,
-            pulse,
+            queue: pulse,
         })
     }
 
--- a/crates/oatpier-agent/src/membership/machine.rs
+++ b/crates/oatpier-agent/src/membership/machine.rs
@@ -366,7 +366,7 @@
         ready: smallvec::SmallVec::new(),
         ready_sequence: 0,
         generation: oatpier_types::ids::Generation(0),
-        pulse: QueueReport {
+        queue: QueueReport {
             boot: inputs.boot,
             sequence: 0,
             queued: 0,
--- a/crates/oatpier-bench/src/cost/fleet.rs
+++ b/crates/oatpier-bench/src/cost/fleet.rs
@@ -115,7 +115,7 @@
         ready: ready.collect(),
         ready_sequence: 1,
         generation: Generation(1),
-        pulse: pulse(index, 1),
+        queue: pulse(index, 1),
     }
 }
 
--- a/crates/oatpier-bench/src/cost/state.rs
+++ b/crates/oatpier-bench/src/cost/state.rs
@@ -136,8 +136,8 @@
         leaving: false,
         held: held(status),
         role: EngineRole::Both,
-        prompt_token_ns: status.pulse.prompt_token_ns,
-        step_us: status.pulse.step_us,
+        prompt_token_ns: status.queue.prompt_token_ns,
+        step_us: status.queue.step_us,
     }
 }
 
@@ -193,7 +193,7 @@
         daemon: agent(index),
         zone: status.zone.clone(),
         address: address(index),
-        boot: status.pulse.boot,
+        boot: status.queue.boot,
         incarnation: 1,
         phase: MemberPhase::Serving,
         generation: Generation(1),
@@ -217,7 +217,7 @@
         daemon: agent(index),
         zone: zone(index % fleet.size.zones),
         address: address(index),
-        boot: status.pulse.boot,
+        boot: status.queue.boot,
         incarnation: 1,
         phase: MemberPhase::Serving,
         generation: Generation(1),
--- a/crates/oatpier-bench/src/fleet/entry.rs
+++ b/crates/oatpier-bench/src/fleet/entry.rs
@@ -190,7 +190,7 @@
         let outstanding = self
             .endpoints
             .get(&status.endpoint)
-            .filter(|row| row.status.pulse.boot == status.pulse.boot)
+            .filter(|row| row.status.queue.boot == status.queue.boot)
             .map_or(0, |row| row.outstanding);
         let row = PlainEndpoint {
             status: status.clone(),
--- a/crates/oatpier-bench/src/fleet/requests.rs
+++ b/crates/oatpier-bench/src/fleet/requests.rs
@@ -232,7 +232,7 @@
     }
 
     pub(super) fn status_at(&mut self, entry: usize, status: &EndpointStatus) {
-        self.keep_pulse(entry, &status.endpoint, status.pulse);
+        self.keep_pulse(entry, &status.endpoint, status.queue);
         self.entries[entry].brain.on_status(status, self.now);
     }
 
--- a/crates/oatpier-bench/src/state/support/mod.rs
+++ b/crates/oatpier-bench/src/state/support/mod.rs
@@ -68,6 +68,6 @@
         ready: ready.collect(),
         ready_sequence: 1,
         generation: Generation(0),
-        pulse: pulse(boot, 1),
+        queue: pulse(boot, 1),
     }
 }
--- a/crates/oatpier-entry/src/core.rs
+++ b/crates/oatpier-entry/src/core.rs
@@ -215,9 +215,9 @@
                 let contact = AgentContact {
                     daemon,
                     address,
-                    ticket: AdmissionTicket::of(&status.pulse),
+                    ticket: AdmissionTicket::of(&status.queue),
                     replicas: status.ready.len(),
-                    accepting: status.pulse.accepting,
+                    accepting: status.queue.accepting,
                     answered: None,
                 };
                 state.take_contact(&status.endpoint, contact);
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -83,7 +83,7 @@
 /// otherwise: such an agent gets work, and refuses by itself what it does not take.
 fn gossiped_status(status: &EndpointStatus, phase: MemberPhase) -> EndpointStatus {
     let mut status = status.clone();
-    status.pulse.accepting |= phase == MemberPhase::Serving;
+    status.queue.accepting |= phase == MemberPhase::Serving;
     status
 }
 
--- a/crates/oatpier-entry/src/peers/driver.rs
+++ b/crates/oatpier-entry/src/peers/driver.rs
@@ -286,7 +286,7 @@
     fn note_pulse(&mut self, daemon: &DaemonName, body: &HeartbeatBody) {
         match body {
             HeartbeatBody::Full(status) => {
-                self.pulses.insert(status.endpoint.clone(), status.pulse);
+                self.pulses.insert(status.endpoint.clone(), status.queue);
             }
             HeartbeatBody::Pulse { pulse, .. } => {
                 let view = self.member.table().get(daemon);
--- a/crates/oatpier-entry/src/peers/operator/explain.rs
+++ b/crates/oatpier-entry/src/peers/operator/explain.rs
@@ -81,7 +81,7 @@
     if ready.is_none() && !planned {
         return None;
     }
-    let pulse = view.pulse.copied().unwrap_or(status.pulse);
+    let pulse = view.pulse.copied().unwrap_or(status.queue);
     Some(ReplicaRow {
         endpoint: status.endpoint.clone(),
         zone: status.zone.clone(),
--- a/crates/oatpier-entry/tests/testsuite/stops.rs
+++ b/crates/oatpier-entry/tests/testsuite/stops.rs
@@ -86,7 +86,7 @@
                 .collect::<SmallVec<_>>(),
             ready_sequence: self.beats,
             generation: Generation(1),
-            pulse,
+            queue: pulse,
         };
         let heartbeat = AgentHeartbeat {
             daemon: agent(number),
--- a/crates/oatpier-faults/src/membership/world.rs
+++ b/crates/oatpier-faults/src/membership/world.rs
@@ -371,7 +371,7 @@
         ready: smallvec::SmallVec::from_iter([crate::request::weights()]),
         ready_sequence: 1,
         generation: Generation(0),
-        pulse: QueueReport {
+        queue: QueueReport {
             boot,
             sequence: 1,
             queued: 0,
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -88,7 +88,7 @@
             ready: engine.then(fleet::weights).into_iter().collect(),
             ready_sequence: 1,
             generation: Generation(1),
-            pulse,
+            queue: pulse,
         };
         for entry in 0..ENTRIES {
             if self.nodes[entry].up {
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -81,7 +81,7 @@
                 let node = &mut self.entries[entry];
                 let agent = fleet::agent_of(&status.endpoint);
                 node.policy.on_status(&status, self.now);
-                node.note_pulse(agent, &status.pulse);
+                node.note_pulse(agent, &status.queue);
             }
             Message::Leave => self.take_leave(entry),
             other => self.claims_take(entry, from, other),
--- a/crates/oatpier-membership/examples/spread_cost.rs
+++ b/crates/oatpier-membership/examples/spread_cost.rs
@@ -141,7 +141,7 @@
         status.ready_sequence += 1;
         status.ready[0] = weights(&format!("model-{:03}", (first + step) % 490));
         fleet.processes[index].status = Some(status.clone());
-        status.pulse.boot = BootId(index as u128 + 1);
+        status.queue.boot = BootId(index as u128 + 1);
         fleet.agent_event(index, AgentEvent::Status(Box::new(status)));
     }
 }
--- a/crates/oatpier-membership/src/members/table.rs
+++ b/crates/oatpier-membership/src/members/table.rs
@@ -130,7 +130,7 @@
     fn view(&self) -> MemberView<'_> {
         MemberView {
             facts: &self.row.facts,
-            pulse: self.row.facts.status().map(|status| &status.pulse),
+            pulse: self.row.facts.status().map(|status| &status.queue),
             state: self.state,
             hinted_leaving: self.hinted_leaving,
         }
@@ -198,8 +198,8 @@
         let MemberKind::Agent(status) = &mut record.row.facts.kind else {
             return;
         };
-        if status.pulse.boot == pulse.boot && status.pulse.sequence < pulse.sequence {
-            status.pulse = *pulse;
+        if status.queue.boot == pulse.boot && status.queue.sequence < pulse.sequence {
+            status.queue = *pulse;
         }
     }
 
--- a/crates/oatpier-membership/src/registrar/keeper.rs
+++ b/crates/oatpier-membership/src/registrar/keeper.rs
@@ -152,7 +152,7 @@
 
     /// Sets the queue, which goes with the next heartbeat.
     pub fn set_pulse(&mut self, pulse: QueueReport) {
-        self.status.pulse = pulse;
+        self.status.queue = pulse;
     }
 
     /// Sets the whole status; a change of what is ready is told at once.
@@ -274,7 +274,7 @@
         let body = if slot.acked == Some(order) {
             HeartbeatBody::Pulse {
                 ready_sequence: self.status.ready_sequence,
-                pulse: self.status.pulse,
+                pulse: self.status.queue,
             }
         } else {
             HeartbeatBody::Full(Box::new(EndpointStatus {
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -279,7 +279,7 @@
                 words: SmallVec::new(),
             };
             members.merge(&row, now);
-            members.note_pulse(&heartbeat.daemon, &status.pulse);
+            members.note_pulse(&heartbeat.daemon, &status.queue);
             true
         }
         HeartbeatBody::Pulse {
--- a/crates/oatpier-membership/tests/testsuite/support/fleet.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/fleet.rs
@@ -239,7 +239,7 @@
             }
             Some(status) => {
                 let mut status = status.clone();
-                status.pulse.boot = boot;
+                status.queue.boot = boot;
                 let agent = AgentMember::new(own, boot, seeds, status, generator, start);
                 Node::Agent(Box::new(agent))
             }
--- a/crates/oatpier-membership/tests/testsuite/support/mod.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/mod.rs
@@ -88,6 +88,6 @@
         ready: models.iter().map(|model| weights(model)).collect(),
         ready_sequence: 1,
         generation: Generation(0),
-        pulse: pulse(boot, 1),
+        queue: pulse(boot, 1),
     }
 }
--- a/crates/oatpier-policy/src/table/mod.rs
+++ b/crates/oatpier-policy/src/table/mod.rs
@@ -136,7 +136,7 @@
     /// Applies an agent's full status. Stale parts are ignored and counted.
     pub fn on_status(&mut self, status: &EndpointStatus, now: ClockTime) -> EndpointIndex {
         let index = self.intern(&status.endpoint, &status.pool, &status.zone);
-        if self.check_boot(index, status.pulse.boot, now) == BootCheck::Previous {
+        if self.check_boot(index, status.queue.boot, now) == BootCheck::Previous {
             self.stale_dropped += 1;
             return index;
         }
@@ -154,7 +154,7 @@
                 row.ready_sequence = Some(status.ready_sequence);
             });
         }
-        self.apply_pulse(index, &status.pulse, now);
+        self.apply_pulse(index, &status.queue, now);
         if self.unknown_leaving.swap_remove(&status.endpoint) {
             self.mark_leaving(index);
         }
--- a/crates/oatpier-policy/tests/testsuite/support.rs
+++ b/crates/oatpier-policy/tests/testsuite/support.rs
@@ -84,7 +84,7 @@
         ready: ready.iter().cloned().collect(),
         ready_sequence: 1,
         generation: oatpier_types::ids::Generation(1),
-        pulse: pulse(1, 1, 0),
+        queue: pulse(1, 1, 0),
     }
 }
 
--- a/crates/oatpier-policy/tests/testsuite/table.rs
+++ b/crates/oatpier-policy/tests/testsuite/table.rs
@@ -50,7 +50,7 @@
     table.on_status(&newer, at(0));
     let mut older = status("a", "p", ZONES[0], &[weights("hall", None)]);
     older.ready_sequence = 4;
-    older.pulse.sequence = 2;
+    older.queue.sequence = 2;
     table.on_status(&older, at(1));
     assert_eq!(open_count(&table, &model_goal("seat")), 1);
     assert_eq!(open_count(&table, &model_goal("hall")), 0);
--- a/crates/oatpier-types/src/status.rs
+++ b/crates/oatpier-types/src/status.rs
@@ -50,7 +50,8 @@
     /// The generation of the configuration that the agent applies.
     pub generation: Generation,
     /// The state of the agent's queue.
-    pub pulse: QueueReport,
+    #[serde(rename = "pulse")]
+    pub queue: QueueReport,
 }
 
 /// Identifies the latest pulse of the agent that an entry had received when it created an attempt.
