--- a/crates/oatpier-admission/src/attempts.rs
+++ b/crates/oatpier-admission/src/attempts.rs
@@ -8,12 +8,12 @@
 //! Records must be dropped at some point, and no span of time is long enough: a copy can lie in
 //! a socket's buffer for as long as a process or a VM is paused. So dropping a record rests on
 //! order instead of time. Each attempt carries a ticket, the `(boot, sequence)` of the newest
-//! pulse of this agent that its entry had seen when it made the attempt, and a cancel carries the
+//! queue report of this agent that its entry had seen when it made the attempt, and a cancel carries the
 //! ticket of its attempt. Dropping a record raises a floor to the record's ticket, and an arrival
 //! whose ticket is not above the floor is refused unless it is on record. Any copy of the dropped
 //! attempt carries that very ticket, so it is refused for ever. The price is that an entry which
 //! has heard nothing of the agent for a record's life (a minute) is refused once; that answer
-//! brings it a fresh pulse. A ticket with a number that was not given out yet is refused as well.
+//! brings it a fresh queue report. A ticket with a number that was not given out yet is refused as well.
 //!
 //! A restarted agent has an empty ledger and another boot. It refuses attempts that name another
 //! boot: they were made for the former process, which may have told their cancels "not run". That
@@ -97,13 +97,13 @@
         }
     }
 
-    /// Judges an arrival, and records it if it is new. `pulses` is the number of the last pulse
+    /// Judges an arrival, and records it if it is new. `reports` is the number of the last queue report
     /// that was given out.
     pub fn arrive(
         &mut self,
         attempt: AttemptId,
         ticket: AdmissionTicket,
-        pulses: u64,
+        reports: u64,
     ) -> ArrivalJudgement {
         if ticket.boot != self.boot {
             return ArrivalJudgement::GivenUp;
@@ -114,7 +114,7 @@
         if ticket.sequence <= self.started_floor {
             return ArrivalJudgement::Copy(RunVerdict::MayHaveRun);
         }
-        if ticket.sequence <= self.floor || ticket.sequence > pulses {
+        if ticket.sequence <= self.floor || ticket.sequence > reports {
             return ArrivalJudgement::GivenUp;
         }
         self.insert(attempt, AttemptStage::Waiting, ticket.sequence);
@@ -145,7 +145,7 @@
         &mut self,
         attempt: AttemptId,
         ticket: AdmissionTicket,
-        pulses: u64,
+        reports: u64,
         now: ClockTime,
     ) -> CancelJudgement {
         match self.records.get(&attempt).map(|record| record.stage) {
@@ -155,7 +155,7 @@
                 self.settle(attempt, RunVerdict::NotRun, now);
                 CancelJudgement::Unqueued
             }
-            None => CancelJudgement::Settled(self.cancel_unknown(attempt, ticket, pulses, now)),
+            None => CancelJudgement::Settled(self.cancel_unknown(attempt, ticket, reports, now)),
         }
     }
 
@@ -188,12 +188,12 @@
         &mut self,
         attempt: AttemptId,
         ticket: AdmissionTicket,
-        pulses: u64,
+        reports: u64,
         now: ClockTime,
     ) -> RunVerdict {
         let unprovable = ticket.boot != self.boot
             || ticket.sequence <= self.started_floor
-            || ticket.sequence > pulses;
+            || ticket.sequence > reports;
         if unprovable {
             return RunVerdict::MayHaveRun;
         }
--- a/crates/oatpier-admission/src/event.rs
+++ b/crates/oatpier-admission/src/event.rs
@@ -30,7 +30,7 @@
     Arrive {
         /// What it asks for.
         spec: AttemptSpec,
-        /// The pulse that it was made on.
+        /// The queue report that it was made on.
         ticket: AdmissionTicket,
     },
     /// An entry gives an attempt up, or its caller went away.
--- a/crates/oatpier-admission/src/policy.rs
+++ b/crates/oatpier-admission/src/policy.rs
@@ -60,7 +60,7 @@
 pub struct AgentPolicy {
     boot: BootId,
     limits: AdmissionLimits,
-    pulses: u64,
+    reports: u64,
     ledger: AttemptLedger,
     queue: AdmissionQueue,
     running: IndexMap<AttemptId, RunningAttempt>,
@@ -80,7 +80,7 @@
     pub fn new(boot: BootId, limits: AdmissionLimits) -> Self {
         Self {
             boot,
-            pulses: 0,
+            reports: 0,
             ledger: AttemptLedger::new(boot, &limits),
             queue: AdmissionQueue::new(limits.queue),
             running: IndexMap::new(),
@@ -128,12 +128,12 @@
             .min(hopeless.unwrap_or(ClockTime::NEVER))
     }
 
-    /// A fresh pulse. Each has the next sequence number.
-    pub fn pulse(&mut self, now: ClockTime) -> QueueReport {
-        self.pulses += 1;
+    /// A fresh queue report. Each has the next sequence number.
+    pub fn queue_report(&mut self, now: ClockTime) -> QueueReport {
+        self.reports += 1;
         QueueReport {
             boot: self.boot,
-            sequence: self.pulses,
+            sequence: self.reports,
             queued: saturate(self.queue.len()),
             running: saturate(self.running.len()),
             slots: self.limits.slots,
@@ -202,7 +202,7 @@
         actions: &mut AgentActions,
     ) {
         let attempt = spec.attempt;
-        match self.ledger.arrive(attempt, ticket, self.pulses) {
+        match self.ledger.arrive(attempt, ticket, self.reports) {
             ArrivalJudgement::New => self.admit(spec, now, actions),
             ArrivalJudgement::GivenUp => {
                 self.counters.given_up += 1;
@@ -246,7 +246,7 @@
         now: ClockTime,
         actions: &mut AgentActions,
     ) {
-        let verdict = match self.ledger.cancel(attempt, ticket, self.pulses, now) {
+        let verdict = match self.ledger.cancel(attempt, ticket, self.reports, now) {
             CancelJudgement::Unqueued => {
                 self.queue.remove(attempt);
                 RunVerdict::NotRun
--- a/crates/oatpier-admission/tests/testsuite/arrivals.rs
+++ b/crates/oatpier-admission/tests/testsuite/arrivals.rs
@@ -49,7 +49,11 @@
     let ticket = crowded.fresh_ticket();
     let spec = spec(50);
     let fresh = crowded.step(AgentEvent::Arrive { spec, ticket });
-    assert_eq!(started(&fresh), [50], "a fresh pulse is all it takes");
+    assert_eq!(
+        started(&fresh),
+        [50],
+        "a fresh queue report is all it takes"
+    );
 }
 
 #[test]
--- a/crates/oatpier-admission/tests/testsuite/bench.rs
+++ b/crates/oatpier-admission/tests/testsuite/bench.rs
@@ -103,7 +103,7 @@
     pub fn with_limits(limits: AdmissionLimits) -> Self {
         let mut policy = AgentPolicy::new(BOOT, limits);
         let now = ClockTime::from_millis(1_000);
-        let ticket = AdmissionTicket::of(&policy.pulse(now));
+        let ticket = AdmissionTicket::of(&policy.queue_report(now));
         Self {
             policy,
             now,
@@ -134,9 +134,9 @@
         self.now = self.now + Duration::from_millis(millis);
     }
 
-    /// The ticket of a pulse that is given out now.
+    /// The ticket of a queue report that is given out now.
     pub fn fresh_ticket(&mut self) -> AdmissionTicket {
-        AdmissionTicket::of(&self.policy.pulse(self.now))
+        AdmissionTicket::of(&self.policy.queue_report(self.now))
     }
 
     pub fn arrive(&mut self, spec: AttemptSpec) -> AgentActions {
--- a/crates/oatpier-admission/tests/testsuite/drains.rs
+++ b/crates/oatpier-admission/tests/testsuite/drains.rs
@@ -19,7 +19,7 @@
     assert!(!leave.contains(&AgentAction::Drained));
     assert!(refused(3, RefusalCause::Leaving, &bench.arrive(spec(3))));
     let now = bench.now;
-    assert!(!bench.policy.pulse(now).accepting);
+    assert!(!bench.policy.queue_report(now).accepting);
     assert!(bench.end(1).contains(&AgentAction::Drained));
     assert!(bench.step(AgentEvent::Leave).is_empty());
     assert_eq!(bench.policy.drain_state(), DrainState::Drained);
--- a/crates/oatpier-admission/tests/testsuite/order.rs
+++ b/crates/oatpier-admission/tests/testsuite/order.rs
@@ -131,7 +131,7 @@
         .sum();
     assert_eq!(begun, 3);
     let now = bench.now;
-    let pulse = bench.policy.pulse(now);
-    assert_eq!((pulse.running, pulse.queued, pulse.slots), (3, 2, 3));
+    let report = bench.policy.queue_report(now);
+    assert_eq!((report.running, report.queued, report.slots), (3, 2, 3));
     assert_eq!(started(&bench.end(2)), [4]);
 }
--- a/crates/oatpier-admission/tests/testsuite/slots.rs
+++ b/crates/oatpier-admission/tests/testsuite/slots.rs
@@ -16,7 +16,7 @@
     });
     assert_eq!(change(&mut bench, 3), [2, 3]);
     let now = bench.now;
-    assert_eq!(bench.policy.pulse(now).slots, 3);
+    assert_eq!(bench.policy.queue_report(now).slots, 3);
 }
 
 #[test]
--- a/crates/oatpier-admission/tests/testsuite/timeliness.rs
+++ b/crates/oatpier-admission/tests/testsuite/timeliness.rs
@@ -75,7 +75,7 @@
         &bench.arrive(within(32, 1_000))
     ));
     let now = bench.now;
-    assert!(bench.policy.pulse(now).wait >= Duration::from_secs(5));
+    assert!(bench.policy.queue_report(now).wait >= Duration::from_secs(5));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     // Calls took 3 s for a while, so all with 1 s left are refused and nothing new is learnt.
     // After a while an idle endpoint has to get one again, or it stays empty for ever.
     let mut bench = learnt(3_000);
-    // The learning took a minute: an entry has heard the agent's pulse since.
+    // The learning took a minute: an entry has heard the agent's queue report since.
     bench.ticket = bench.fresh_ticket();
     assert!(refused(
         31,
@@ -129,12 +129,16 @@
     long.remaining = Duration::from_millis(300);
     assert!(refused(50, RefusalCause::TooLate, &bench.arrive(long)));
     let now = bench.now;
-    let pulse = bench.policy.pulse(now);
-    assert!((4_000..6_000).contains(&pulse.step_us), "{}", pulse.step_us);
+    let report = bench.policy.queue_report(now);
     assert!(
-        (190_000..260_000).contains(&pulse.prompt_token_ns),
+        (4_000..6_000).contains(&report.step_us),
         "{}",
-        pulse.prompt_token_ns
+        report.step_us
+    );
+    assert!(
+        (190_000..260_000).contains(&report.prompt_token_ns),
+        "{}",
+        report.prompt_token_ns
     );
 }
 
@@ -154,7 +158,7 @@
     let actions = bench.arrive(within(40, 60_000));
     assert!(actions.is_empty(), "{actions:?}");
     let now = bench.now;
-    let wait = bench.policy.pulse(now).wait;
+    let wait = bench.policy.queue_report(now).wait;
     assert!(wait <= Duration::from_millis(450), "{wait:?}");
 }
 
@@ -209,7 +213,7 @@
         bench.arrive(spec(attempt));
     });
     let now = bench.now;
-    let wait = bench.policy.pulse(now).wait;
+    let wait = bench.policy.queue_report(now).wait;
     assert!(wait <= Duration::from_millis(300), "{wait:?}");
 }
 
--- a/crates/oatpier-agent/src/attempt.rs
+++ b/crates/oatpier-agent/src/attempt.rs
@@ -81,8 +81,8 @@
                 self.run_at_endpoint(priority, &span).await;
             }
             Some(AttemptOrder::Refuse { refusal }) => {
-                if let Some(pulse) = self.core.pulse() {
-                    self.tell_last(AttemptFrame::Refused { refusal, pulse })
+                if let Some(report) = self.core.queue_report() {
+                    self.tell_last(AttemptFrame::Refused { refusal, report })
                         .await;
                 }
             }
@@ -132,8 +132,8 @@
             Ok(()) => {
                 self.core.step(AgentEvent::EndpointEnded { attempt });
                 self.core.metrics.attempted(RunVerdict::Ran);
-                if let Some(pulse) = self.core.pulse() {
-                    self.tell_last(AttemptFrame::Ended { pulse }).await;
+                if let Some(report) = self.core.queue_report() {
+                    self.tell_last(AttemptFrame::Ended { report }).await;
                 }
             }
             Err(error) => {
@@ -252,7 +252,7 @@
     }
 
     async fn tell_started(&mut self, status: StatusCode, headers: &HeaderMap) {
-        let Some(pulse) = self.core.pulse() else {
+        let Some(report) = self.core.queue_report() else {
             return;
         };
         let headers = headers
@@ -266,7 +266,7 @@
         self.tell(AttemptFrame::Started {
             status: status.as_u16(),
             headers,
-            pulse,
+            report,
         })
         .await;
     }
@@ -282,11 +282,11 @@
     }
 
     async fn tell_failed(&mut self, verdict: RunVerdict, cause: String) {
-        if let Some(pulse) = self.core.pulse() {
+        if let Some(report) = self.core.queue_report() {
             self.tell_last(AttemptFrame::Failed {
                 verdict,
                 cause,
-                pulse,
+                report,
             })
             .await;
         }
--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -352,15 +352,18 @@
 
     /// A fresh word on the queue; none without a configuration.
     #[must_use]
-    pub fn pulse(&self) -> Option<QueueReport> {
+    pub fn queue_report(&self) -> Option<QueueReport> {
         let now = self.clock.now();
-        self.lock().policy.as_mut().map(|policy| policy.pulse(now))
+        self.lock()
+            .policy
+            .as_mut()
+            .map(|policy| policy.queue_report(now))
     }
 
     /// The whole word on the endpoint; none without a configuration.
     #[must_use]
     pub fn status(&self) -> Option<EndpointStatus> {
-        let pulse = self.pulse()?;
+        let report = self.queue_report()?;
         let state = self.lock();
         Some(EndpointStatus {
             endpoint: self.identity.endpoint.clone(),
@@ -369,7 +372,7 @@
             ready: state.ready.iter().cloned().collect(),
             ready_sequence: state.ready_sequence,
             generation: state.generation,
-            queue: pulse,
+            queue: report,
         })
     }
 
--- a/crates/oatpier-agent/src/work.rs
+++ b/crates/oatpier-agent/src/work.rs
@@ -282,13 +282,13 @@
 }
 
 fn tell_copy(core: &AgentCore, verdict: RunVerdict, frames: &mpsc::Sender<AttemptFrame>) {
-    let Some(pulse) = core.pulse() else {
+    let Some(report) = core.queue_report() else {
         return;
     };
     let frame = AttemptFrame::Failed {
         verdict,
         cause: "a copy of this attempt came before".to_owned(),
-        pulse,
+        report,
     };
     // The channel is new and has room.
     let _ = frames.try_send(frame);
--- a/crates/oatpier-agent/tests/testsuite/attempt.rs
+++ b/crates/oatpier-agent/tests/testsuite/attempt.rs
@@ -24,7 +24,7 @@
 impl TestAttempt {
     /// The attempt with a number of its own at an agent.
     pub fn new(core: Arc<AgentCore>, number: u128, model: &str, tokens: u32) -> Self {
-        let pulse = core.pulse().unwrap();
+        let report = core.queue_report().unwrap();
         let spec = AttemptSpec {
             attempt: AttemptId(number),
             request: RequestId(number),
@@ -45,7 +45,7 @@
         Self {
             core,
             spec,
-            ticket: AdmissionTicket::of(&pulse),
+            ticket: AdmissionTicket::of(&report),
             model: model.to_owned(),
         }
     }
--- a/crates/oatpier-agent/tests/testsuite/leave.rs
+++ b/crates/oatpier-agent/tests/testsuite/leave.rs
@@ -35,11 +35,11 @@
     let mut late = fleet.attempt(1, "seats", 5).arrive().unwrap();
     for frames in [&mut waiting, &mut late] {
         let last = last_frame(frames).await.1;
-        let AttemptFrame::Refused { refusal, pulse } = last else {
+        let AttemptFrame::Refused { refusal, report } = last else {
             panic!("{last:?}");
         };
         assert_eq!(refusal.cause, RefusalCause::Leaving);
-        assert!(!pulse.accepting);
+        assert!(!report.accepting);
     }
     assert_eq!(fleet.agent(1).stop.phase(), StopPhase::Draining);
     for frames in &mut running {
--- a/crates/oatpier-agent/tests/testsuite/requests.rs
+++ b/crates/oatpier-agent/tests/testsuite/requests.rs
@@ -35,7 +35,7 @@
 }
 
 fn running(fleet: &Fleet) -> u32 {
-    fleet.agent(1).core.pulse().unwrap().running
+    fleet.agent(1).core.queue_report().unwrap().running
 }
 
 /// An entry gives an attempt up which has not arrived yet, is told "not run", and tries
@@ -164,11 +164,14 @@
     let mut frames = fleet.attempt(1, "seats", 50).arrive().unwrap();
     let (tokens, last) = last_frame(&mut frames).await;
     assert_eq!(tokens, 7);
-    let AttemptFrame::Failed { verdict, pulse, .. } = last else {
+    let AttemptFrame::Failed {
+        verdict, report, ..
+    } = last
+    else {
         panic!("{last:?}");
     };
     assert_eq!(verdict, RunVerdict::MayHaveRun);
-    assert_eq!(pulse.running, 0);
+    assert_eq!(report.running, 0);
 }
 
 /// Operators raise and then lower the slots. What waits starts at once on a higher number; a lower
--- a/crates/oatpier-bench/src/cost/fleet.rs
+++ b/crates/oatpier-bench/src/cost/fleet.rs
@@ -115,12 +115,12 @@
         ready: ready.collect(),
         ready_sequence: 1,
         generation: Generation(1),
-        queue: pulse(index, 1),
+        queue: queue_report(index, 1),
     }
 }
 
 /// An agent's word on its queue.
-pub(super) fn pulse(index: usize, sequence: u64) -> QueueReport {
+pub(super) fn queue_report(index: usize, sequence: u64) -> QueueReport {
     QueueReport {
         boot: BootId(index as u128 + 1),
         sequence,
--- a/crates/oatpier-bench/src/cost/requests.rs
+++ b/crates/oatpier-bench/src/cost/requests.rs
@@ -101,7 +101,7 @@
         number += 1;
         now = now + BETWEEN;
         let attempt = AttemptId(number);
-        let ticket = AdmissionTicket::of(&policy.pulse(now));
+        let ticket = AdmissionTicket::of(&policy.queue_report(now));
         let goal = RequestGoal::Model {
             model: model.clone(),
             adapter: None,
--- a/crates/oatpier-bench/src/cost/state.rs
+++ b/crates/oatpier-bench/src/cost/state.rs
@@ -22,7 +22,7 @@
 use oatpier_types::status::EndpointStatus;
 
 use super::CostMeter;
-use super::fleet::{CostFleet, pool, pulse, zone};
+use super::fleet::{CostFleet, pool, queue_report, zone};
 use crate::load::deployment::{ENGINE_MEMORY_MIB, MODEL_MEMORY_MIB, model_name, name};
 use crate::units::size_f64;
 
@@ -88,8 +88,8 @@
         sequence += 1;
         now = now + Duration::from_millis(1);
         let beat = &mut beats[turn];
-        if let HeartbeatBody::Pulse { pulse, .. } = &mut beat.body {
-            pulse.sequence = sequence;
+        if let HeartbeatBody::QueueReport { report, .. } = &mut beat.body {
+            report.sequence = sequence;
         }
         black_box(registrar.hear(beat, &mut table, now));
     });
@@ -222,9 +222,9 @@
         phase: MemberPhase::Serving,
         generation: Generation(1),
         entries_digest: 0,
-        body: HeartbeatBody::Pulse {
+        body: HeartbeatBody::QueueReport {
             ready_sequence: status.ready_sequence,
-            pulse: pulse(index, 1),
+            report: queue_report(index, 1),
         },
     }
 }
--- a/crates/oatpier-bench/src/fleet/agent.rs
+++ b/crates/oatpier-bench/src/fleet/agent.rs
@@ -17,8 +17,8 @@
     fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions;
     /// When the next timer is due.
     fn next_timer(&self) -> ClockTime;
-    /// A fresh pulse.
-    fn pulse(&mut self, now: ClockTime) -> QueueReport;
+    /// A fresh queue report.
+    fn queue_report(&mut self, now: ClockTime) -> QueueReport;
 }
 
 impl AgentBrain for AgentPolicy {
@@ -30,8 +30,8 @@
         Self::next_timer(self)
     }
 
-    fn pulse(&mut self, now: ClockTime) -> QueueReport {
-        Self::pulse(self, now)
+    fn queue_report(&mut self, now: ClockTime) -> QueueReport {
+        Self::queue_report(self, now)
     }
 }
 
@@ -109,7 +109,7 @@
         ClockTime::NEVER
     }
 
-    fn pulse(&mut self, _now: ClockTime) -> QueueReport {
+    fn queue_report(&mut self, _now: ClockTime) -> QueueReport {
         self.sequence += 1;
         QueueReport {
             boot: self.boot,
--- a/crates/oatpier-bench/src/fleet/attempts.rs
+++ b/crates/oatpier-bench/src/fleet/attempts.rs
@@ -254,8 +254,8 @@
                 self.flush(route);
                 self.nodes[node].attempts.0.swap_remove(&attempt);
                 self.agent_event(node, AgentEvent::EndpointEnded { attempt });
-                let pulse = Some(self.nodes[node].brain.pulse(self.now));
-                self.tell(route, EntryEvent::Ended { attempt, pulse });
+                let report = Some(self.nodes[node].brain.queue_report(self.now));
+                self.tell(route, EntryEvent::Ended { attempt, report });
             }
             OutputKind::Cut => {
                 self.flush(route);
@@ -270,8 +270,8 @@
     fn first_token(&mut self, route: AnswerRoute) {
         let AnswerRoute { node, attempt, .. } = route;
         self.agent_event(node, AgentEvent::EndpointFirstToken { attempt });
-        let pulse = Some(self.nodes[node].brain.pulse(self.now));
-        self.tell(route, EntryEvent::FirstFrame { attempt, pulse });
+        let report = Some(self.nodes[node].brain.queue_report(self.now));
+        self.tell(route, EntryEvent::FirstFrame { attempt, report });
         self.tell(route, EntryEvent::Piece { attempt, tokens: 1 });
     }
 
@@ -307,11 +307,11 @@
         attempt: AttemptId,
         refusal: Refusal,
     ) {
-        let pulse = Some(self.nodes[node].brain.pulse(self.now));
+        let report = Some(self.nodes[node].brain.queue_report(self.now));
         let event = EntryEvent::Refused {
             attempt,
             refusal,
-            pulse,
+            report,
         };
         self.tell_entry(node, entry, request, event);
     }
--- a/crates/oatpier-bench/src/fleet/moves.rs
+++ b/crates/oatpier-bench/src/fleet/moves.rs
@@ -250,7 +250,7 @@
     }
 
     fn view(&mut self, node: usize) -> EndpointView {
-        let pulse = self.nodes[node].brain.pulse(self.now);
+        let report = self.nodes[node].brain.queue_report(self.now);
         let state = &self.nodes[node];
         let engine = state.state();
         EndpointView {
@@ -261,8 +261,8 @@
             leaving: false,
             held: engine.held,
             role: engine.role,
-            prompt_token_ns: pulse.prompt_token_ns,
-            step_us: pulse.step_us,
+            prompt_token_ns: report.prompt_token_ns,
+            step_us: report.step_us,
         }
     }
 }
--- a/crates/oatpier-bench/src/fleet/node.rs
+++ b/crates/oatpier-bench/src/fleet/node.rs
@@ -172,7 +172,7 @@
             ready: self.ready.clone(),
             ready_sequence: self.ready_sequence,
             generation: oatpier_types::ids::Generation(1),
-            queue: self.brain.pulse(now),
+            queue: self.brain.queue_report(now),
         }
     }
 
--- a/crates/oatpier-bench/src/fleet/requests.rs
+++ b/crates/oatpier-bench/src/fleet/requests.rs
@@ -65,8 +65,8 @@
             EntryEvent::Piece { tokens, .. } => *tokens,
             _ => 0,
         };
-        if let (Some(pulse), Some(attempt)) = (event.pulse(), event.attempt()) {
-            self.note_pulse(entry, attempt, *pulse);
+        if let (Some(report), Some(attempt)) = (event.queue_report(), event.attempt()) {
+            self.note_queue_report(entry, attempt, *report);
         }
         let actions = self.entries[entry].brain.handle(request, event, self.now);
         self.entry_actions(entry, request, tokens, actions);
@@ -147,7 +147,7 @@
             return;
         };
         let from = &mut self.entries[entry];
-        let ticket = from.pulses.get(endpoint).map(AdmissionTicket::of);
+        let ticket = from.reports.get(endpoint).map(AdmissionTicket::of);
         from.tickets.insert(spec.attempt, ticket);
         let at = self.now + self.latency(entry, node);
         self.queue.push(
@@ -201,17 +201,17 @@
             .map(|class| class.target)
     }
 
-    fn note_pulse(
+    fn note_queue_report(
         &mut self,
         entry: usize,
         attempt: oatpier_types::ids::AttemptId,
-        pulse: QueueReport,
+        report: QueueReport,
     ) {
-        let Some(endpoint) = self.endpoint_of(pulse.boot) else {
+        let Some(endpoint) = self.endpoint_of(report.boot) else {
             return;
         };
-        debug_assert!(self.entries[entry].tickets.contains_key(&attempt) || pulse.sequence > 0);
-        self.keep_pulse(entry, &endpoint, pulse);
+        debug_assert!(self.entries[entry].tickets.contains_key(&attempt) || report.sequence > 0);
+        self.keep_queue_report(entry, &endpoint, report);
     }
 
     fn endpoint_of(&self, boot: oatpier_types::ids::BootId) -> Option<EndpointName> {
@@ -221,18 +221,18 @@
             .map(|node| node.place.endpoint.clone())
     }
 
-    fn keep_pulse(&mut self, entry: usize, endpoint: &EndpointName, pulse: QueueReport) {
-        let pulses = &mut self.entries[entry].pulses;
-        let newer = pulses
+    fn keep_queue_report(&mut self, entry: usize, endpoint: &EndpointName, report: QueueReport) {
+        let reports = &mut self.entries[entry].reports;
+        let newer = reports
             .get(endpoint)
-            .is_none_or(|kept| kept.boot != pulse.boot || kept.sequence < pulse.sequence);
+            .is_none_or(|kept| kept.boot != report.boot || kept.sequence < report.sequence);
         if newer {
-            pulses.insert(endpoint.clone(), pulse);
+            reports.insert(endpoint.clone(), report);
         }
     }
 
     pub(super) fn status_at(&mut self, entry: usize, status: &EndpointStatus) {
-        self.keep_pulse(entry, &status.endpoint, status.queue);
+        self.keep_queue_report(entry, &status.endpoint, status.queue);
         self.entries[entry].brain.on_status(status, self.now);
     }
 
--- a/crates/oatpier-bench/src/fleet/setup.rs
+++ b/crates/oatpier-bench/src/fleet/setup.rs
@@ -31,7 +31,7 @@
                 zone: zones[index % zones.len()].clone(),
                 armed: ClockTime::NEVER,
                 demand: DemandLedger::new(),
-                pulses: IndexMap::new(),
+                reports: IndexMap::new(),
                 tickets: IndexMap::new(),
             })
             .collect();
--- a/crates/oatpier-bench/src/fleet/world.rs
+++ b/crates/oatpier-bench/src/fleet/world.rs
@@ -59,7 +59,7 @@
     pub(super) zone: ZoneName,
     pub(super) armed: ClockTime,
     pub(super) demand: DemandLedger,
-    pub(super) pulses: IndexMap<EndpointName, QueueReport>,
+    pub(super) reports: IndexMap<EndpointName, QueueReport>,
     pub(super) tickets: IndexMap<AttemptId, Option<AdmissionTicket>>,
 }
 
--- a/crates/oatpier-bench/src/state/spread.rs
+++ b/crates/oatpier-bench/src/state/spread.rs
@@ -12,7 +12,7 @@
 
 use super::support::fleet::{Fleet, Shape};
 use super::support::payload::TestConfig;
-use super::support::pulse;
+use super::support::queue_report;
 
 const SEED: u64 = 11;
 const LOSS: f64 = 0.1;
@@ -107,7 +107,10 @@
         *sequence += 1;
         for index in fleet.entries..fleet.processes.len() {
             let boot = BootId(index as u128 + 1);
-            fleet.agent_event(index, AgentEvent::Pulse(pulse(boot, *sequence)));
+            fleet.agent_event(
+                index,
+                AgentEvent::QueueReport(queue_report(boot, *sequence)),
+            );
         }
         fleet.run_for(Duration::from_secs(1));
     }
--- a/crates/oatpier-bench/src/state/support/mod.rs
+++ b/crates/oatpier-bench/src/state/support/mod.rs
@@ -41,7 +41,7 @@
     }
 }
 
-pub fn pulse(boot: BootId, sequence: u64) -> QueueReport {
+pub fn queue_report(boot: BootId, sequence: u64) -> QueueReport {
     QueueReport {
         boot,
         sequence,
@@ -68,6 +68,6 @@
         ready: ready.collect(),
         ready_sequence: 1,
         generation: Generation(0),
-        queue: pulse(boot, 1),
+        queue: queue_report(boot, 1),
     }
 }
--- a/crates/oatpier-entry/src/attempt.rs
+++ b/crates/oatpier-entry/src/attempt.rs
@@ -83,14 +83,14 @@
                 AttemptFrame::Started {
                     status,
                     headers,
-                    pulse,
+                    report,
                 } => {
                     let answer_head = AnswerHead {
                         status: StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY),
                         headers: to_headers(&headers),
                     };
                     held = (!answer_head.is_stream()).then(BytesMut::new);
-                    self.signal_head(answer_head, pulse).await;
+                    self.signal_head(answer_head, report).await;
                 }
                 AttemptFrame::Piece { bytes, tokens } => match &mut held {
                     None => self.signal_piece(bytes, tokens).await,
@@ -108,17 +108,17 @@
     async fn end(&self, last: AttemptFrame, held: Option<BytesMut>) -> EntryEvent {
         let attempt = self.head.spec.attempt;
         match last {
-            AttemptFrame::Ended { pulse } => {
+            AttemptFrame::Ended { report } => {
                 if let Some(held) = held.filter(|held| !held.is_empty()) {
                     self.signal_piece(held.freeze(), 0).await;
                 }
-                let pulse = Some(pulse);
-                EntryEvent::Ended { attempt, pulse }
+                let report = Some(report);
+                EntryEvent::Ended { attempt, report }
             }
-            AttemptFrame::Refused { refusal, pulse } => EntryEvent::Refused {
+            AttemptFrame::Refused { refusal, report } => EntryEvent::Refused {
                 attempt,
                 refusal,
-                pulse: Some(pulse),
+                report: Some(report),
             },
             AttemptFrame::Failed { verdict, .. } => failed(attempt, verdict),
             AttemptFrame::Started { .. } | AttemptFrame::Piece { .. } => {
@@ -127,12 +127,12 @@
         }
     }
 
-    async fn signal_head(&self, head: AnswerHead, pulse: QueueReport) {
+    async fn signal_head(&self, head: AnswerHead, report: QueueReport) {
         let signal = AttemptSignal {
             endpoint: self.endpoint.clone(),
             event: EntryEvent::FirstFrame {
                 attempt: self.head.spec.attempt,
-                pulse: Some(pulse),
+                report: Some(report),
             },
             head: Some(head),
             bytes: Bytes::new(),
--- a/crates/oatpier-entry/src/core.rs
+++ b/crates/oatpier-entry/src/core.rs
@@ -41,7 +41,7 @@
     pub daemon: DaemonName,
     /// Where it listens.
     pub address: SocketAddr,
-    /// The newest pulse seen, which an attempt carries.
+    /// The newest queue report seen, which an attempt carries.
     pub ticket: AdmissionTicket,
     /// How many weights are ready there.
     pub replicas: usize,
@@ -223,9 +223,9 @@
                 state.take_contact(&status.endpoint, contact);
                 state.policy.on_status(&status, now);
             }
-            DirectoryNews::Pulse { endpoint, pulse } => {
-                state.renew_ticket(&endpoint, &pulse);
-                state.policy.on_pulse(&endpoint, &pulse, now);
+            DirectoryNews::QueueReport { endpoint, report } => {
+                state.renew_ticket(&endpoint, &report);
+                state.policy.on_queue_report(&endpoint, &report, now);
             }
             DirectoryNews::Leaving(endpoint) => state.policy.mark_leaving(&endpoint, now),
             DirectoryNews::Staying(endpoint) => state.policy.clear_leaving(&endpoint),
@@ -267,8 +267,8 @@
     ) -> EntryActions {
         let now = self.clock.now();
         let mut state = self.lock();
-        if let (Some(endpoint), Some(pulse)) = (endpoint, event.pulse()) {
-            state.renew_ticket(endpoint, pulse);
+        if let (Some(endpoint), Some(report)) = (endpoint, event.queue_report()) {
+            state.renew_ticket(endpoint, report);
         }
         let news = endpoint.and_then(|endpoint| state.path_news(endpoint, event, now));
         let actions = state.policy.handle(request, event, now);
@@ -342,16 +342,16 @@
         self.agents.insert(endpoint.clone(), contact);
     }
 
-    fn renew_ticket(&mut self, endpoint: &EndpointName, pulse: &QueueReport) {
+    fn renew_ticket(&mut self, endpoint: &EndpointName, report: &QueueReport) {
         let Some(contact) = self.agents.get_mut(endpoint) else {
             return;
         };
-        let fresh = AdmissionTicket::of(pulse);
+        let fresh = AdmissionTicket::of(report);
         let is_newer =
             fresh.boot != contact.ticket.boot || fresh.sequence > contact.ticket.sequence;
         if is_newer {
             contact.ticket = fresh;
-            contact.accepting = pulse.accepting;
+            contact.accepting = report.accepting;
         }
     }
 
@@ -387,7 +387,7 @@
         Some(PathNews {
             daemon: contact.daemon.clone(),
             evidence,
-            pulse: event.pulse().copied(),
+            report: event.queue_report().copied(),
         })
     }
 }
--- a/crates/oatpier-entry/src/decisions.rs
+++ b/crates/oatpier-entry/src/decisions.rs
@@ -19,7 +19,7 @@
     /// An agent's whole word on its endpoint came.
     fn on_status(&mut self, status: &EndpointStatus, now: ClockTime);
     /// An agent's word on its queue came.
-    fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &QueueReport, now: ClockTime);
+    fn on_queue_report(&mut self, endpoint: &EndpointName, report: &QueueReport, now: ClockTime);
     /// The endpoint is said to leave.
     fn mark_leaving(&mut self, endpoint: &EndpointName, now: ClockTime);
     /// The endpoint does not leave after all.
@@ -51,8 +51,8 @@
         Self::on_status(self, status, now);
     }
 
-    fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &QueueReport, now: ClockTime) {
-        Self::on_pulse(self, endpoint, pulse, now);
+    fn on_queue_report(&mut self, endpoint: &EndpointName, report: &QueueReport, now: ClockTime) {
+        Self::on_queue_report(self, endpoint, report, now);
     }
 
     fn mark_leaving(&mut self, endpoint: &EndpointName, now: ClockTime) {
--- a/crates/oatpier-entry/src/news.rs
+++ b/crates/oatpier-entry/src/news.rs
@@ -39,11 +39,11 @@
         status: Box<EndpointStatus>,
     },
     /// An agent's word on its queue.
-    Pulse {
+    QueueReport {
         /// The endpoint.
         endpoint: EndpointName,
         /// The word.
-        pulse: QueueReport,
+        report: QueueReport,
     },
     /// An endpoint leaves.
     Leaving(EndpointName),
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -53,9 +53,10 @@
     }
     if count < ROUND_MEMBERS {
         // A queue's word counts only once its endpoint's status was told.
-        let pulses = state.pulses.drain(..);
-        let pulses = pulses.map(|(endpoint, pulse)| DirectoryNews::Pulse { endpoint, pulse });
-        news.extend(pulses.map(EntryNews::Directory).map(Outgoing::News));
+        let reports = state.reports.drain(..);
+        let reports =
+            reports.map(|(endpoint, report)| DirectoryNews::QueueReport { endpoint, report });
+        news.extend(reports.map(EntryNews::Directory).map(Outgoing::News));
     }
     news
 }
@@ -170,7 +171,7 @@
     view: Option<MemberView<'_>>,
 ) -> EndpointView {
     let status: Option<&EndpointStatus> = view.and_then(|view| view.facts.status());
-    let pulse = view.and_then(|view| view.pulse.copied());
+    let report = view.and_then(|view| view.report.copied());
     let held = status.map(|status| {
         let ready = status.ready.iter().cloned();
         ready.map(|weights| HeldWeights {
@@ -186,8 +187,8 @@
         leaving: view.is_some_and(|view| is_leaving(state, &view)),
         held: held.map(Iterator::collect).unwrap_or_default(),
         role: EngineRole::default(),
-        prompt_token_ns: pulse.map_or(0, |pulse| pulse.prompt_token_ns),
-        step_us: pulse.map_or(0, |pulse| pulse.step_us),
+        prompt_token_ns: report.map_or(0, |report| report.prompt_token_ns),
+        step_us: report.map_or(0, |report| report.step_us),
     }
 }
 
--- a/crates/oatpier-entry/src/peers/driver.rs
+++ b/crates/oatpier-entry/src/peers/driver.rs
@@ -46,7 +46,7 @@
     /// Members of which the callers duty is to be told anew. Bounded by the table.
     pub(super) dirty: IndexSet<DaemonName>,
     /// Queues that the callers duty is to be told; a later word replaces an earlier one.
-    pub(super) pulses: IndexMap<EndpointName, QueueReport>,
+    pub(super) reports: IndexMap<EndpointName, QueueReport>,
     /// The call to the store that the machine wants; it wants one at a time.
     pub(super) order: Option<StoreOrder>,
     /// The generation that the callers duty was told.
@@ -89,7 +89,7 @@
             stops: StopGate::default(),
             heard: HashMap::new(),
             dirty: IndexSet::new(),
-            pulses: IndexMap::new(),
+            reports: IndexMap::new(),
             order: None,
             told: Generation(0),
             unknown_agents: None,
@@ -127,7 +127,7 @@
         let mut state = self.lock();
         if let PeerCall::Heartbeat(heartbeat) = &call {
             state.heard.insert(heartbeat.daemon.clone(), now);
-            state.note_pulse(&heartbeat.daemon, &heartbeat.body);
+            state.note_queue_report(&heartbeat.daemon, &heartbeat.body);
         }
         let (answer, actions) = state.member.answer(call, now);
         self.carry_out(&mut state, actions, now);
@@ -283,16 +283,16 @@
 
 impl DriverState {
     /// A full word may change nothing of the row but the queue, so its queue is told as well.
-    fn note_pulse(&mut self, daemon: &DaemonName, body: &HeartbeatBody) {
+    fn note_queue_report(&mut self, daemon: &DaemonName, body: &HeartbeatBody) {
         match body {
             HeartbeatBody::Full(status) => {
-                self.pulses.insert(status.endpoint.clone(), status.queue);
+                self.reports.insert(status.endpoint.clone(), status.queue);
             }
-            HeartbeatBody::Pulse { pulse, .. } => {
+            HeartbeatBody::QueueReport { report, .. } => {
                 let view = self.member.table().get(daemon);
                 let status = view.and_then(|view| view.facts.status());
                 if let Some(endpoint) = status.map(|status| status.endpoint.clone()) {
-                    self.pulses.insert(endpoint, *pulse);
+                    self.reports.insert(endpoint, *report);
                 }
             }
         }
--- a/crates/oatpier-entry/src/peers/mod.rs
+++ b/crates/oatpier-entry/src/peers/mod.rs
@@ -48,7 +48,7 @@
     /// Whether it is there.
     pub evidence: PathEvidence,
     /// Its queue, if it said.
-    pub pulse: Option<QueueReport>,
+    pub report: Option<QueueReport>,
 }
 
 /// What an event of an attempt tells of whether its agent is there.
@@ -166,11 +166,11 @@
         let PathNews {
             daemon,
             evidence,
-            pulse,
+            report,
         } = news;
-        if let Some(pulse) = pulse {
+        if let Some(report) = report {
             let daemon = daemon.clone();
-            driver.hear(EntryEvent::Pulse { daemon, pulse });
+            driver.hear(EntryEvent::QueueReport { daemon, report });
         }
         driver.hear(EntryEvent::Path { daemon, evidence });
     }
--- a/crates/oatpier-entry/src/peers/operator/explain.rs
+++ b/crates/oatpier-entry/src/peers/operator/explain.rs
@@ -81,14 +81,14 @@
     if ready.is_none() && !planned {
         return None;
     }
-    let pulse = view.pulse.copied().unwrap_or(status.queue);
+    let report = view.report.copied().unwrap_or(status.queue);
     Some(ReplicaRow {
         endpoint: status.endpoint.clone(),
         zone: status.zone.clone(),
         ready: ready.map(|ready| ready.version.clone()),
         planned,
-        queued: pulse.queued,
-        running: pulse.running,
+        queued: report.queued,
+        running: report.running,
         reason: reason(view, ready.is_some(), planned).to_owned(),
     })
 }
--- a/crates/oatpier-entry/tests/testsuite/late.rs
+++ b/crates/oatpier-entry/tests/testsuite/late.rs
@@ -48,7 +48,7 @@
 impl EntryDecisions for OpenSeal {
     fn apply_config(&mut self, _: &FleetConfig) {}
     fn on_status(&mut self, _: &EndpointStatus, _: ClockTime) {}
-    fn on_pulse(&mut self, _: &EndpointName, _: &QueueReport, _: ClockTime) {}
+    fn on_queue_report(&mut self, _: &EndpointName, _: &QueueReport, _: ClockTime) {}
     fn mark_leaving(&mut self, _: &EndpointName, _: ClockTime) {}
     fn clear_leaving(&mut self, _: &EndpointName) {}
     fn forget(&mut self, _: &EndpointName, _: ClockTime) {}
--- a/crates/oatpier-entry/tests/testsuite/stops.rs
+++ b/crates/oatpier-entry/tests/testsuite/stops.rs
@@ -65,7 +65,7 @@
     /// An agent says that it has these models ready.
     fn beat(&mut self, number: u16, models: &[&str]) {
         self.beats += 1;
-        let pulse = QueueReport {
+        let report = QueueReport {
             boot: BootId(number.into()),
             sequence: self.beats,
             queued: 0,
@@ -86,7 +86,7 @@
                 .collect::<SmallVec<_>>(),
             ready_sequence: self.beats,
             generation: Generation(1),
-            queue: pulse,
+            queue: report,
         };
         let heartbeat = AgentHeartbeat {
             daemon: agent(number),
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -79,7 +79,7 @@
             return;
         }
         let now = self.now;
-        let pulse = self.agents[agent - FIRST_AGENT].policy.pulse(now);
+        let report = self.agents[agent - FIRST_AGENT].policy.queue_report(now);
         let engine = fleet::is_engine(agent);
         let status = EndpointStatus {
             endpoint: fleet::endpoint(agent),
@@ -88,7 +88,7 @@
             ready: engine.then(fleet::weights).into_iter().collect(),
             ready_sequence: 1,
             generation: Generation(1),
-            queue: pulse,
+            queue: report,
         };
         for entry in 0..ENTRIES {
             if self.nodes[entry].up {
@@ -210,15 +210,17 @@
         let Some(content) = request else {
             return;
         };
-        let pulse = self.agents[agent - FIRST_AGENT].policy.pulse(self.now);
+        let report = self.agents[agent - FIRST_AGENT]
+            .policy
+            .queue_report(self.now);
         match word {
             CallWord::Piece(place) => {
                 if first {
-                    self.frame(agent, attempt, AnswerFrame::Head(pulse));
+                    self.frame(agent, attempt, AnswerFrame::Head(report));
                 }
                 self.frame(agent, attempt, AnswerFrame::Piece { place, content });
             }
-            CallWord::End => self.frame(agent, attempt, AnswerFrame::End(pulse)),
+            CallWord::End => self.frame(agent, attempt, AnswerFrame::End(report)),
             CallWord::Failed(verdict) => self.frame(agent, attempt, AnswerFrame::Failed(verdict)),
             CallWord::Up(_) => {}
         }
@@ -264,17 +266,19 @@
             if !self.nodes[agent].up {
                 return;
             }
-            let pulse = self.agents[agent - FIRST_AGENT].policy.pulse(self.now);
+            let report = self.agents[agent - FIRST_AGENT]
+                .policy
+                .queue_report(self.now);
             match action {
                 AgentAction::Start { attempt, .. } => self.start_call(agent, attempt),
                 AgentAction::Refuse { attempt, refusal } => {
                     if refusal.cause == RefusalCause::Leaving {
                         self.pass(StepName::StopRefuse, 0, agent);
                     }
-                    self.frame(agent, attempt, AnswerFrame::Refused(refusal, pulse));
+                    self.frame(agent, attempt, AnswerFrame::Refused(refusal, report));
                 }
                 AgentAction::AnswerCopy { attempt, .. } => {
-                    self.answer_copy(agent, attempt, AnswerFrame::Refused(copy_refusal(), pulse));
+                    self.answer_copy(agent, attempt, AnswerFrame::Refused(copy_refusal(), report));
                 }
                 AgentAction::CancelAtEndpoint { attempt } => self.stop_call(agent, attempt),
                 // A drained process exits once its last answer is on its way: see `watch_stop`.
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    fn note_pulse(&mut self, agent: NodeId, pulse: &QueueReport) {
-        let ticket = AdmissionTicket::of(pulse);
+    fn note_queue_report(&mut self, agent: NodeId, report: &QueueReport) {
+        let ticket = AdmissionTicket::of(report);
         let known = self.tickets.entry(agent).or_insert(ticket);
         let newer = known.boot != ticket.boot || known.sequence < ticket.sequence;
         if newer && known.boot <= ticket.boot {
@@ -81,7 +81,7 @@
                 let node = &mut self.entries[entry];
                 let agent = fleet::agent_of(&status.endpoint);
                 node.policy.on_status(&status, self.now);
-                node.note_pulse(agent, &status.queue);
+                node.note_queue_report(agent, &status.queue);
             }
             Message::Leave => self.take_leave(entry),
             other => self.claims_take(entry, from, other),
@@ -139,8 +139,8 @@
             _ => None,
         };
         let event = event_of(attempt, frame);
-        if let Some(pulse) = event.pulse() {
-            self.entries[entry].note_pulse(from, pulse);
+        if let Some(report) = event.queue_report() {
+            self.entries[entry].note_queue_report(from, report);
         }
         self.tell_request(entry, request, &event, piece);
     }
@@ -266,23 +266,23 @@
 
 fn event_of(attempt: AttemptId, frame: AnswerFrame) -> EntryEvent {
     match frame {
-        AnswerFrame::Head(pulse) => EntryEvent::FirstFrame {
+        AnswerFrame::Head(report) => EntryEvent::FirstFrame {
             attempt,
-            pulse: Some(pulse),
+            report: Some(report),
         },
         AnswerFrame::Piece { place, .. } => EntryEvent::Piece {
             attempt,
             // Services answer in bytes, not tokens; theirs have one piece.
             tokens: u32::from(place < fleet::STREAM_PIECES),
         },
-        AnswerFrame::End(pulse) => EntryEvent::Ended {
+        AnswerFrame::End(report) => EntryEvent::Ended {
             attempt,
-            pulse: Some(pulse),
+            report: Some(report),
         },
-        AnswerFrame::Refused(refusal, pulse) => EntryEvent::Refused {
+        AnswerFrame::Refused(refusal, report) => EntryEvent::Refused {
             attempt,
             refusal,
-            pulse: Some(pulse),
+            report: Some(report),
         },
         AnswerFrame::Failed(verdict) => EntryEvent::Failed { attempt, verdict },
         AnswerFrame::Cut => EntryEvent::Cut { attempt },
--- a/crates/oatpier-membership/examples/spread_cost.rs
+++ b/crates/oatpier-membership/examples/spread_cost.rs
@@ -22,7 +22,7 @@
 use oatpier_types::ids::{BootId, Generation};
 use support::fleet::{Fleet, Shape};
 use support::payload::TestConfig;
-use support::{pulse, weights};
+use support::{queue_report, weights};
 
 /// 11,000 changes a day are one in about eight seconds.
 const CHANGE_EVERY: Duration = Duration::from_secs(8);
@@ -131,7 +131,7 @@
         *sequence += 1;
         fleet.agent_event(
             index,
-            AgentEvent::Pulse(pulse(BootId(index as u128 + 1), *sequence)),
+            AgentEvent::QueueReport(queue_report(BootId(index as u128 + 1), *sequence)),
         );
     }
     let first = (change as usize * 8 + usize::try_from(second).expect("small")) * 37;
--- a/crates/oatpier-membership/src/agent.rs
+++ b/crates/oatpier-membership/src/agent.rs
@@ -41,7 +41,7 @@
     /// The endpoint's whole status.
     Status(Box<EndpointStatus>),
     /// The agent's queue.
-    Pulse(QueueReport),
+    QueueReport(QueueReport),
     /// The agent's own phase.
     Phase(MemberPhase),
 }
@@ -153,7 +153,7 @@
             }
             AgentEvent::Hints(contacts) => self.heartbeats.add_entries(contacts, now),
             AgentEvent::Status(status) => self.heartbeats.set_status(*status, now),
-            AgentEvent::Pulse(pulse) => self.heartbeats.set_pulse(pulse),
+            AgentEvent::QueueReport(report) => self.heartbeats.set_queue_report(report),
             AgentEvent::Phase(phase) => self.heartbeats.set_phase(phase, now),
         }
         self.finish(before, now, &mut actions);
--- a/crates/oatpier-membership/src/entry/member.rs
+++ b/crates/oatpier-membership/src/entry/member.rs
@@ -161,7 +161,9 @@
                 self.table.note_path(&daemon, evidence, now);
                 self.refresh(now, &mut actions);
             }
-            EntryEvent::Pulse { daemon, pulse } => self.table.note_pulse(&daemon, &pulse),
+            EntryEvent::QueueReport { daemon, report } => {
+                self.table.note_queue_report(&daemon, &report);
+            }
             EntryEvent::Phase(phase) => self.set_phase(phase, now, &mut actions),
             EntryEvent::Scope(scope) => self.exchange.set_scope(scope),
         }
--- a/crates/oatpier-membership/src/entry/mod.rs
+++ b/crates/oatpier-membership/src/entry/mod.rs
@@ -54,11 +54,11 @@
         evidence: PathEvidence,
     },
     /// An answer on the data path brought an agent's queue.
-    Pulse {
+    QueueReport {
         /// The agent.
         daemon: DaemonName,
         /// Its queue.
-        pulse: QueueReport,
+        report: QueueReport,
     },
     /// This entry's own phase.
     Phase(MemberPhase),
--- a/crates/oatpier-membership/src/members/table.rs
+++ b/crates/oatpier-membership/src/members/table.rs
@@ -100,7 +100,7 @@
     /// What it says of itself.
     pub facts: &'a MemberFacts,
     /// Its latest queue, for an agent.
-    pub pulse: Option<&'a QueueReport>,
+    pub report: Option<&'a QueueReport>,
     /// Where it stands.
     pub state: MemberState,
     /// Whether the list of VMs says that it will be stopped.
@@ -130,7 +130,7 @@
     fn view(&self) -> MemberView<'_> {
         MemberView {
             facts: &self.row.facts,
-            pulse: self.row.facts.status().map(|status| &status.queue),
+            report: self.row.facts.status().map(|status| &status.queue),
             state: self.state,
             hinted_leaving: self.hinted_leaving,
         }
@@ -191,15 +191,15 @@
     }
 
     /// Remembers an agent's queue, if it is later than the one known. Nobody is told of it.
-    pub fn note_pulse(&mut self, daemon: &DaemonName, pulse: &QueueReport) {
+    pub fn note_queue_report(&mut self, daemon: &DaemonName, report: &QueueReport) {
         let Some(record) = self.records.get_mut(daemon) else {
             return;
         };
         let MemberKind::Agent(status) = &mut record.row.facts.kind else {
             return;
         };
-        if status.queue.boot == pulse.boot && status.queue.sequence < pulse.sequence {
-            status.queue = *pulse;
+        if status.queue.boot == report.boot && status.queue.sequence < report.sequence {
+            status.queue = *report;
         }
     }
 
--- a/crates/oatpier-membership/src/messages.rs
+++ b/crates/oatpier-membership/src/messages.rs
@@ -60,11 +60,13 @@
     /// All. Sent after a change, and when the registrar asks for it.
     Full(Box<EndpointStatus>),
     /// The queue alone: the rest is as in the last full one.
-    Pulse {
+    #[serde(rename = "Pulse")]
+    QueueReport {
         /// The number of the last full status.
         ready_sequence: u64,
         /// The queue.
-        pulse: QueueReport,
+        #[serde(rename = "pulse")]
+        report: QueueReport,
     },
 }
 
--- a/crates/oatpier-membership/src/registrar/keeper.rs
+++ b/crates/oatpier-membership/src/registrar/keeper.rs
@@ -151,8 +151,8 @@
     }
 
     /// Sets the queue, which goes with the next heartbeat.
-    pub fn set_pulse(&mut self, pulse: QueueReport) {
-        self.status.queue = pulse;
+    pub fn set_queue_report(&mut self, report: QueueReport) {
+        self.status.queue = report;
     }
 
     /// Sets the whole status; a change of what is ready is told at once.
@@ -272,9 +272,9 @@
         let slot = &mut self.slots[index];
         slot.sent = Some((now, order));
         let body = if slot.acked == Some(order) {
-            HeartbeatBody::Pulse {
+            HeartbeatBody::QueueReport {
                 ready_sequence: self.status.ready_sequence,
-                pulse: self.status.queue,
+                report: self.status.queue,
             }
         } else {
             HeartbeatBody::Full(Box::new(EndpointStatus {
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -279,12 +279,12 @@
                 words: SmallVec::new(),
             };
             members.merge(&row, now);
-            members.note_pulse(&heartbeat.daemon, &status.queue);
+            members.note_queue_report(&heartbeat.daemon, &status.queue);
             true
         }
-        HeartbeatBody::Pulse {
+        HeartbeatBody::QueueReport {
             ready_sequence,
-            pulse,
+            report,
         } => {
             let known = members.row(&heartbeat.daemon).map(|row| &row.facts);
             let order = (
@@ -294,7 +294,7 @@
                 heartbeat.boot,
             );
             let same = known.is_some_and(|known| known.order() == order);
-            members.note_pulse(&heartbeat.daemon, pulse);
+            members.note_queue_report(&heartbeat.daemon, report);
             same
         }
     }
--- a/crates/oatpier-membership/src/summary.rs
+++ b/crates/oatpier-membership/src/summary.rs
@@ -94,10 +94,10 @@
 pub fn summarize(table: &MemberTable) -> IndexMap<SummaryKey, ModelSummary> {
     let mut rows: IndexMap<SummaryKey, ModelSummary> = IndexMap::new();
     for agent in table.usable_agents() {
-        let (Some(status), Some(pulse)) = (agent.facts.status(), agent.pulse) else {
+        let (Some(status), Some(report)) = (agent.facts.status(), agent.report) else {
             continue;
         };
-        let spare = pulse.slots.saturating_sub(pulse.running + pulse.queued);
+        let spare = report.slots.saturating_sub(report.running + report.queued);
         for weights in &status.ready {
             let key = SummaryKey {
                 model: weights.model.clone(),
--- a/crates/oatpier-membership/tests/testsuite/bytes.rs
+++ b/crates/oatpier-membership/tests/testsuite/bytes.rs
@@ -9,7 +9,7 @@
 
 use crate::support::fleet::{Fleet, HEADER_BYTES, Shape};
 use crate::support::payload::TestConfig;
-use crate::support::{contact, daemon, pulse, seconds, status, zone};
+use crate::support::{contact, daemon, queue_report, seconds, status, zone};
 
 const BUDGET: u64 = 23_000;
 
@@ -27,9 +27,9 @@
         phase: MemberPhase::Serving,
         generation: Generation(400_000),
         entries_digest: u64::MAX,
-        body: HeartbeatBody::Pulse {
+        body: HeartbeatBody::QueueReport {
             ready_sequence: 100_000,
-            pulse: pulse(BootId(u128::MAX), 1_000_000),
+            report: queue_report(BootId(u128::MAX), 1_000_000),
         },
     }))
 }
--- a/crates/oatpier-membership/tests/testsuite/members.rs
+++ b/crates/oatpier-membership/tests/testsuite/members.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use smallvec::SmallVec;
 
-use crate::support::{contact, daemon, fixed_cases, pulse, seconds, status, zone};
+use crate::support::{contact, daemon, fixed_cases, queue_report, seconds, status, zone};
 
 fn row(name: &str, incarnation: u64, words: &[(&str, u64, bool)]) -> MemberRow {
     let boot = BootId(1);
@@ -160,14 +160,14 @@
     assert_eq!(table.deltas_since(0), None);
     let deltas = table.deltas_since(1).expect("within the log");
     assert_eq!((deltas.mark, deltas.rows.len()), (3, 2));
-    let mut late = pulse(BootId(1), 1);
+    let mut late = queue_report(BootId(1), 1);
     late.queued = 9;
-    table.note_pulse(&daemon("agent-1"), &late);
+    table.note_queue_report(&daemon("agent-1"), &late);
     assert_eq!(
         table
             .get(&daemon("agent-1"))
-            .and_then(|view| view.pulse)
-            .map(|pulse| pulse.queued),
+            .and_then(|view| view.report)
+            .map(|report| report.queued),
         Some(0)
     );
 }
--- a/crates/oatpier-membership/tests/testsuite/support/mod.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/mod.rs
@@ -66,7 +66,7 @@
     }
 }
 
-pub fn pulse(boot: BootId, sequence: u64) -> QueueReport {
+pub fn queue_report(boot: BootId, sequence: u64) -> QueueReport {
     QueueReport {
         boot,
         sequence,
@@ -88,6 +88,6 @@
         ready: models.iter().map(|model| weights(model)).collect(),
         ready_sequence: 1,
         generation: Generation(0),
-        queue: pulse(boot, 1),
+        queue: queue_report(boot, 1),
     }
 }
--- a/crates/oatpier-policy/src/entry/mod.rs
+++ b/crates/oatpier-policy/src/entry/mod.rs
@@ -108,11 +108,16 @@
         self.core.reinstate_retained(now);
     }
 
-    /// Applies an agent's pulse that was received outside a request's event. A pulse of an unknown
+    /// Applies an agent's queue report that was received outside a request's event. A report of an unknown
     /// endpoint is ignored.
-    pub fn on_pulse(&mut self, endpoint: &EndpointName, pulse: &QueueReport, now: ClockTime) {
+    pub fn on_queue_report(
+        &mut self,
+        endpoint: &EndpointName,
+        report: &QueueReport,
+        now: ClockTime,
+    ) {
         if let Some(index) = self.core.table.find(endpoint) {
-            self.core.table.on_pulse(index, pulse, now);
+            self.core.table.on_queue_report(index, report, now);
         }
     }
 
@@ -193,8 +198,8 @@
         let Some(open) = self.requests.get_mut(&request) else {
             return self.handle_late(request, event);
         };
-        if let Some((endpoint, pulse)) = live_pulse(&open.machine, event) {
-            self.core.table.on_pulse(endpoint, pulse, now);
+        if let Some((endpoint, report)) = live_queue_report(&open.machine, event) {
+            self.core.table.on_queue_report(endpoint, report, now);
         }
         let actions = open.machine.handle(event, &mut self.core, now);
         if open.machine.is_done() || open.machine.timer() < open.timer_at {
@@ -397,12 +402,12 @@
     }
 }
 
-/// Returns the pulse that an event of the live attempt carries, with the attempt's endpoint.
-fn live_pulse<'a>(
+/// Returns the queue report that an event of the live attempt carries, with the attempt's endpoint.
+fn live_queue_report<'a>(
     machine: &RequestMachine,
     event: &'a EntryEvent,
 ) -> Option<(EndpointIndex, &'a QueueReport)> {
     let is_live = machine.attempt().is_some() && machine.attempt() == event.attempt();
     let endpoint = machine.endpoint().filter(|_| is_live)?;
-    event.pulse().map(|pulse| (endpoint, pulse))
+    event.queue_report().map(|report| (endpoint, report))
 }
--- a/crates/oatpier-policy/src/event.rs
+++ b/crates/oatpier-policy/src/event.rs
@@ -49,7 +49,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// The agent's report on its queue, if it sent one.
-        pulse: Option<QueueReport>,
+        report: Option<QueueReport>,
     },
     /// A piece of an attempt's answer arrived.
     Piece {
@@ -63,7 +63,7 @@
         /// The attempt.
         attempt: AttemptId,
         /// The agent's report on its queue, if it sent one.
-        pulse: Option<QueueReport>,
+        report: Option<QueueReport>,
     },
     /// The agent refused an attempt, which did not run there.
     Refused {
@@ -72,7 +72,7 @@
         /// The cause and the suggested retry delay.
         refusal: Refusal,
         /// The agent's report on its queue, if it sent one.
-        pulse: Option<QueueReport>,
+        report: Option<QueueReport>,
     },
     /// The agent reported that an attempt failed.
     Failed {
@@ -111,11 +111,11 @@
 impl EntryEvent {
     /// Returns the agent's queue report that the event carries.
     #[must_use]
-    pub fn pulse(&self) -> Option<&QueueReport> {
+    pub fn queue_report(&self) -> Option<&QueueReport> {
         match self {
-            Self::FirstFrame { pulse, .. }
-            | Self::Ended { pulse, .. }
-            | Self::Refused { pulse, .. } => pulse.as_ref(),
+            Self::FirstFrame { report, .. }
+            | Self::Ended { report, .. }
+            | Self::Refused { report, .. } => report.as_ref(),
             _ => None,
         }
     }
--- a/crates/oatpier-policy/src/router.rs
+++ b/crates/oatpier-policy/src/router.rs
@@ -1,7 +1,7 @@
 //! Selection of an endpoint from a small random sample.
 //!
 //! The cost of a scan of all candidates grows with the fleet, and it makes all entries pick the
-//! same best endpoint until its next pulse. A few random candidates are nearly as good, cost the
+//! same best endpoint until its next queue report. A few random candidates are nearly as good, cost the
 //! same at any fleet size, and spread the load of the entries.
 
 use std::time::Duration;
--- a/crates/oatpier-policy/src/table/mod.rs
+++ b/crates/oatpier-policy/src/table/mod.rs
@@ -34,9 +34,9 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct TableSettings {
-    /// Age at which the predicted wait is an equal mix of the last pulse and the prior.
-    #[serde(with = "humantime_serde")]
-    pub pulse_half_life: Duration,
+    /// Age at which the predicted wait is an equal mix of the last queue report and the prior.
+    #[serde(rename = "pulse-half-life", with = "humantime_serde")]
+    pub report_half_life: Duration,
     /// Round-trip time within the availability zone.
     #[serde(with = "humantime_serde")]
     pub zone_trip: Duration,
@@ -53,7 +53,7 @@
 impl Default for TableSettings {
     fn default() -> Self {
         Self {
-            pulse_half_life: Duration::from_millis(250),
+            report_half_life: Duration::from_millis(250),
             zone_trip: Duration::from_millis(1),
             region_trip: Duration::from_millis(3),
             far_trip: Duration::from_millis(60),
@@ -154,18 +154,18 @@
                 row.ready_sequence = Some(status.ready_sequence);
             });
         }
-        self.apply_pulse(index, &status.queue, now);
+        self.apply_queue_report(index, &status.queue, now);
         if self.unknown_leaving.swap_remove(&status.endpoint) {
             self.mark_leaving(index);
         }
         index
     }
 
-    /// Applies a pulse of a known endpoint. A stale one is ignored and counted.
-    pub fn on_pulse(&mut self, index: EndpointIndex, pulse: &QueueReport, now: ClockTime) {
-        match self.check_boot(index, pulse.boot, now) {
+    /// Applies a queue report of a known endpoint. A stale one is ignored and counted.
+    pub fn on_queue_report(&mut self, index: EndpointIndex, report: &QueueReport, now: ClockTime) {
+        match self.check_boot(index, report.boot, now) {
             BootCheck::Previous => self.stale_dropped += 1,
-            BootCheck::Current | BootCheck::New => self.apply_pulse(index, pulse, now),
+            BootCheck::Current | BootCheck::New => self.apply_queue_report(index, report, now),
         }
     }
 
@@ -201,7 +201,7 @@
         self.unknown_leaving.swap_remove(name);
     }
 
-    /// Records that an agent accepts no new work, until a newer pulse says otherwise.
+    /// Records that an agent accepts no new work, until a newer queue report says otherwise.
     pub fn close(&mut self, index: EndpointIndex) {
         self.update_row(index, EndpointRow::close);
     }
@@ -304,7 +304,7 @@
         self.rows.len()
     }
 
-    /// Returns the number of stale statuses and pulses that were ignored.
+    /// Returns the number of stale statuses and queue reports that were ignored.
     #[must_use]
     pub fn stale_dropped(&self) -> u64 {
         self.stale_dropped
@@ -318,18 +318,20 @@
         check
     }
 
-    fn apply_pulse(&mut self, index: EndpointIndex, pulse: &QueueReport, now: ClockTime) {
+    fn apply_queue_report(&mut self, index: EndpointIndex, report: &QueueReport, now: ClockTime) {
         let row = &mut self.rows[index.place()];
-        if !row.is_newer(pulse) {
+        if !row.is_newer(report) {
             self.stale_dropped += 1;
             return;
         }
         let round_trip_us = self.zones[row.zone.place()];
-        let known = row.pulse().map(|known| known.accepting);
-        if known == Some(pulse.accepting) {
-            row.apply_pulse(pulse, round_trip_us, now);
+        let known = row.queue_report().map(|known| known.accepting);
+        if known == Some(report.accepting) {
+            row.apply_queue_report(report, round_trip_us, now);
         } else {
-            self.update_row(index, |row| row.apply_pulse(pulse, round_trip_us, now));
+            self.update_row(index, |row| {
+                row.apply_queue_report(report, round_trip_us, now);
+            });
         }
     }
 
--- a/crates/oatpier-policy/src/table/row.rs
+++ b/crates/oatpier-policy/src/table/row.rs
@@ -14,10 +14,10 @@
 use crate::index::{GoalIndex, ZoneIndex};
 use crate::units::{micros, scale};
 
-/// Upper bound on this entry's attempts that are remembered as not yet reflected in a pulse.
+/// Upper bound on this entry's attempts that are remembered as not yet reflected in a queue report.
 const MAX_UNREPORTED_ATTEMPTS: usize = 64;
 
-/// Number of previous incarnations of an agent that are remembered, so that their late pulses are
+/// Number of previous incarnations of an agent that are remembered, so that their late reports are
 /// ignored.
 const MAX_PREVIOUS_BOOTS: usize = 4;
 
@@ -55,8 +55,8 @@
     pub(super) is_gone: bool,
     boot: Option<BootId>,
     previous_boots: SmallVec<[PreviousBoot; MAX_PREVIOUS_BOOTS]>,
-    pulse: Option<QueueReport>,
-    pulse_at: ClockTime,
+    report: Option<QueueReport>,
+    reported_at: ClockTime,
     wait_us: u64,
     prior_wait_us: u64,
     mean_run_us: u64,
@@ -78,8 +78,8 @@
             is_gone: false,
             boot: None,
             previous_boots: SmallVec::new(),
-            pulse: None,
-            pulse_at: ClockTime::ZERO,
+            report: None,
+            reported_at: ClockTime::ZERO,
             wait_us: 0,
             prior_wait_us: 0,
             mean_run_us: 0,
@@ -107,14 +107,14 @@
         self.in_flight
     }
 
-    /// Returns the last pulse.
+    /// Returns the last queue report.
     #[must_use]
-    pub fn pulse(&self) -> Option<&QueueReport> {
-        self.pulse.as_ref()
+    pub fn queue_report(&self) -> Option<&QueueReport> {
+        self.report.as_ref()
     }
 
     pub(super) fn listing(&self) -> ListingState {
-        let accepting = self.pulse.is_some_and(|pulse| pulse.accepting);
+        let accepting = self.report.is_some_and(|report| report.accepting);
         match (self.is_leaving || self.is_gone, self.is_faulty, accepting) {
             (true, _, _) => ListingState::Absent,
             (false, true, accepting) => ListingState::Faulty { accepting },
@@ -157,28 +157,33 @@
                 },
             );
         }
-        self.pulse = None;
+        self.report = None;
         self.ready_sequence = None;
         self.is_leaving = false;
     }
 
-    /// Returns whether a pulse is newer than the last one.
-    pub(super) fn is_newer(&self, pulse: &QueueReport) -> bool {
-        self.pulse
-            .is_none_or(|known| known.sequence < pulse.sequence)
+    /// Returns whether a queue report is newer than the last one.
+    pub(super) fn is_newer(&self, report: &QueueReport) -> bool {
+        self.report
+            .is_none_or(|known| known.sequence < report.sequence)
     }
 
-    pub(super) fn apply_pulse(&mut self, pulse: &QueueReport, round_trip_us: u64, now: ClockTime) {
-        self.wait_us = micros(pulse.wait);
+    pub(super) fn apply_queue_report(
+        &mut self,
+        report: &QueueReport,
+        round_trip_us: u64,
+        now: ClockTime,
+    ) {
+        self.wait_us = micros(report.wait);
         self.prior_wait_us = moving_mean(self.prior_wait_us, self.wait_us);
-        self.pulse = Some(*pulse);
-        self.pulse_at = now;
+        self.report = Some(*report);
+        self.reported_at = now;
         self.drop_reported(round_trip_us, now);
     }
 
     pub(super) fn close(&mut self) {
-        if let Some(pulse) = &mut self.pulse {
-            pulse.accepting = false;
+        if let Some(report) = &mut self.report {
+            report.accepting = false;
         }
     }
 
@@ -223,13 +228,13 @@
             .aged_wait_us(settings, now)
             .saturating_add(self.slot_wait_us(unreported.saturating_sub(self.free_slots())))
             .saturating_add(prefill_us(self.unreported_tokens));
-        let step_us = self.pulse.map_or(0, |pulse| u64::from(pulse.step_us));
+        let step_us = self.report.map_or(0, |report| u64::from(report.step_us));
         let run_us = if size.is_whole_answer {
             self.mean_run_us
         } else {
             step_us
         };
-        let has_prefill_speed = self.pulse.is_some_and(|pulse| pulse.prompt_token_ns > 0);
+        let has_prefill_speed = self.report.is_some_and(|report| report.prompt_token_ns > 0);
         let is_speed_known = if size.is_whole_answer {
             self.mean_run_us > 0
         } else {
@@ -247,8 +252,8 @@
 
     /// Returns the agent's predicted wait. The older it is, the more weight the prior gets.
     fn aged_wait_us(&self, settings: &TableSettings, now: ClockTime) -> u64 {
-        let half_life = micros(settings.pulse_half_life).max(1);
-        let age = micros(now.since(self.pulse_at));
+        let half_life = micros(settings.report_half_life).max(1);
+        let age = micros(now.since(self.reported_at));
         let all = half_life.saturating_add(age);
         let fresh = scale(self.wait_us, half_life, all);
         let prior = scale(self.prior_wait_us, all - half_life, all);
@@ -256,25 +261,27 @@
     }
 
     fn free_slots(&self) -> u64 {
-        self.pulse.map_or(0, |pulse| {
-            let taken = pulse.running.saturating_add(pulse.queued);
-            u64::from(pulse.slots.saturating_sub(taken))
+        self.report.map_or(0, |report| {
+            let taken = report.running.saturating_add(report.queued);
+            u64::from(report.slots.saturating_sub(taken))
         })
     }
 
     /// Returns the time until `queued` attempts ahead have got a slot.
     fn slot_wait_us(&self, queued: u64) -> u64 {
-        let slots = self.pulse.map_or(1, |pulse| u64::from(pulse.slots.max(1)));
+        let slots = self
+            .report
+            .map_or(1, |report| u64::from(report.slots.max(1)));
         queued.saturating_mul(self.mean_run_us) / slots
     }
 
     fn prompt_token_ns_or(&self, fallback: u32) -> u64 {
-        let known = self.pulse.map_or(0, |pulse| pulse.prompt_token_ns);
+        let known = self.report.map_or(0, |report| report.prompt_token_ns);
         u64::from(if known == 0 { fallback } else { known })
     }
 
-    /// Drops the attempts that the pulse just received reflects, which were sent at least a round
-    /// trip ago. Younger ones may have crossed the pulse in transit, and dropping them would leave
+    /// Drops the attempts that the queue report just received reflects, which were sent at least a round
+    /// trip ago. Younger ones may have crossed the report in transit, and dropping them would leave
     /// them uncounted just as they arrive.
     fn drop_reported(&mut self, round_trip_us: u64, now: ClockTime) {
         self.unreported
--- a/crates/oatpier-policy/tests/testsuite/health.rs
+++ b/crates/oatpier-policy/tests/testsuite/health.rs
@@ -163,14 +163,14 @@
         let actions = policy.start(stream_request(number), at(0));
         let attempt = sent(&actions).expect("an attempt").1.attempt;
         policy.handle(RequestId(number), &first_frame(attempt), at(5));
-        let pulse = Some(crate::support::pulse(
+        let report = Some(crate::support::queue_report(
             1,
             2 + u64::try_from(number).expect("small"),
             0,
         ));
         policy.handle(
             RequestId(number),
-            &EntryEvent::Ended { attempt, pulse },
+            &EntryEvent::Ended { attempt, report },
             at(5),
         );
     }
@@ -241,7 +241,11 @@
     let now = at(number * 400);
     for engine_number in 0..3 {
         let engine = name(&format!("engine-{engine_number}"));
-        policy.on_pulse(&engine, &crate::support::pulse(1, 2 + number, 0), now);
+        policy.on_queue_report(
+            &engine,
+            &crate::support::queue_report(1, 2 + number, 0),
+            now,
+        );
     }
     now
 }
--- a/crates/oatpier-policy/tests/testsuite/routing.rs
+++ b/crates/oatpier-policy/tests/testsuite/routing.rs
@@ -11,7 +11,7 @@
 use oatpier_types::request::PrefixChain;
 
 use crate::support::{
-    answer, at, config, first_frame, name, policy, pulse, sent, start_and_send, status,
+    answer, at, config, first_frame, name, policy, queue_report, sent, start_and_send, status,
     stream_request, weights,
 };
 
@@ -33,7 +33,11 @@
 fn another_zone_is_used_when_the_own_zone_would_be_late() {
     let mut policy = policy(30, 0, 3);
     for number in (0..30).step_by(3) {
-        policy.on_pulse(&name(&format!("engine-{number}")), &pulse(1, 2, 300), at(0));
+        policy.on_queue_report(
+            &name(&format!("engine-{number}")),
+            &queue_report(1, 2, 300),
+            at(0),
+        );
     }
     let (_, endpoint) = start_and_send(&mut policy, stream_request(1));
     assert_ne!(zone_number(endpoint.as_str()), 0);
@@ -55,7 +59,11 @@
 fn a_request_that_cannot_meet_its_deadline_is_refused_at_once() {
     let mut policy = policy(3, 0, 3);
     for number in 0..3 {
-        policy.on_pulse(&name(&format!("engine-{number}")), &pulse(1, 2, 900), at(0));
+        policy.on_queue_report(
+            &name(&format!("engine-{number}")),
+            &queue_report(1, 2, 900),
+            at(0),
+        );
     }
     let answer = answer(&policy.start(stream_request(1), at(0))).expect("a refusal");
     assert_eq!(answer.cause, FinalCause::Refused(RefusalCause::TooLate));
@@ -82,7 +90,7 @@
         RequestId(1),
         &EntryEvent::Ended {
             attempt,
-            pulse: Some(pulse(1, 2, 0)),
+            report: Some(queue_report(1, 2, 0)),
         },
         at(60),
     );
@@ -91,16 +99,20 @@
         let (endpoint, spec) = sent(&actions).expect("an attempt");
         assert_eq!(endpoint, holder);
         let attempt = spec.attempt;
-        let pulse = Some(pulse(1, 1 + u64::try_from(number).expect("small"), 0));
+        let report = Some(queue_report(
+            1,
+            1 + u64::try_from(number).expect("small"),
+            0,
+        ));
         policy.handle(
             RequestId(number),
-            &EntryEvent::Ended { attempt, pulse },
+            &EntryEvent::Ended { attempt, report },
             at(105),
         );
     }
 }
 
-/// An endpoint is marked as leaving while its pulses still report that it accepts work. It must get
+/// An endpoint is marked as leaving while its queue reports still state that it accepts work. It must get
 /// no new work, whatever the random sample.
 #[test]
 fn a_leaving_endpoint_is_never_chosen() {
--- a/crates/oatpier-policy/tests/testsuite/support.rs
+++ b/crates/oatpier-policy/tests/testsuite/support.rs
@@ -57,7 +57,7 @@
     }
 }
 
-pub(crate) fn pulse(boot: u128, sequence: u64, wait_ms: u64) -> QueueReport {
+pub(crate) fn queue_report(boot: u128, sequence: u64, wait_ms: u64) -> QueueReport {
     QueueReport {
         boot: BootId(boot),
         sequence,
@@ -84,7 +84,7 @@
         ready: ready.iter().cloned().collect(),
         ready_sequence: 1,
         generation: oatpier_types::ids::Generation(1),
-        queue: pulse(1, 1, 0),
+        queue: queue_report(1, 1, 0),
     }
 }
 
@@ -239,21 +239,21 @@
             cause,
             retry_after: Some(Duration::from_millis(700)),
         },
-        pulse: None,
+        report: None,
     }
 }
 
 pub(crate) fn first_frame(attempt: AttemptId) -> EntryEvent {
     EntryEvent::FirstFrame {
         attempt,
-        pulse: None,
+        report: None,
     }
 }
 
 pub(crate) fn ended(attempt: AttemptId) -> EntryEvent {
     EntryEvent::Ended {
         attempt,
-        pulse: None,
+        report: None,
     }
 }
 
--- a/crates/oatpier-policy/tests/testsuite/table.rs
+++ b/crates/oatpier-policy/tests/testsuite/table.rs
@@ -7,7 +7,7 @@
 use oatpier_types::engine::LoadReport;
 use oatpier_types::request::RequestGoal;
 
-use crate::support::{ZONES, at, model_goal, name, policy, pulse, status, weights};
+use crate::support::{ZONES, at, model_goal, name, policy, queue_report, status, weights};
 
 const SIZE: AttemptSize = AttemptSize {
     uncached_tokens: 0,
@@ -56,33 +56,33 @@
     assert_eq!(open_count(&table, &model_goal("hall")), 0);
 }
 
-/// An agent reports that it accepts no more work, and an earlier pulse arrives after that. If the
-/// earlier pulse counted, a leaving endpoint would get new work again.
+/// An agent reports that it accepts no more work, and an earlier queue report arrives after that. If the
+/// earlier one counted, a leaving endpoint would get new work again.
 #[test]
-fn a_late_pulse_does_not_open_a_closed_endpoint() {
+fn a_late_queue_report_does_not_open_a_closed_endpoint() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
-    let mut closing = pulse(1, 7, 0);
+    let mut closing = queue_report(1, 7, 0);
     closing.accepting = false;
-    table.on_pulse(index, &closing, at(1));
-    table.on_pulse(index, &pulse(1, 6, 0), at(2));
+    table.on_queue_report(index, &closing, at(1));
+    table.on_queue_report(index, &queue_report(1, 6, 0), at(2));
     assert_eq!(open_count(&table, &model_goal("seat")), 0);
     assert_eq!(table.stale_dropped(), 1);
-    table.on_pulse(index, &pulse(1, 8, 0), at(3));
+    table.on_queue_report(index, &queue_report(1, 8, 0), at(3));
     assert_eq!(open_count(&table, &model_goal("seat")), 1);
 }
 
-/// A restarted agent numbers its pulses from 1 again, while late pulses of its previous incarnation
+/// A restarted agent numbers its queue reports from 1 again, while late reports of its previous incarnation
 /// are still in transit. Compared by sequence number alone, these would suppress the new ones.
 #[test]
-fn late_pulses_of_a_previous_incarnation_are_ignored() {
+fn late_queue_reports_of_a_previous_incarnation_are_ignored() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
-    table.on_pulse(index, &pulse(1, 900, 40), at(1));
-    table.on_pulse(index, &pulse(2, 1, 0), at(2));
-    table.on_pulse(index, &pulse(1, 901, 40), at(3));
+    table.on_queue_report(index, &queue_report(1, 900, 40), at(1));
+    table.on_queue_report(index, &queue_report(2, 1, 0), at(2));
+    table.on_queue_report(index, &queue_report(1, 901, 40), at(3));
     assert_eq!(
-        table.row(index).pulse().map(|known| known.sequence),
+        table.row(index).queue_report().map(|known| known.sequence),
         Some(1)
     );
 }
@@ -94,12 +94,18 @@
 fn an_incarnation_taken_for_previous_by_mistake_is_accepted_again() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
-    table.on_pulse(index, &pulse(2, 1, 0), at(1));
-    table.on_pulse(index, &pulse(3, 1, 0), at(2));
-    table.on_pulse(index, &pulse(2, 2, 0), at(3));
-    assert_eq!(table.row(index).pulse().map(|known| known.boot.0), Some(3));
-    table.on_pulse(index, &pulse(2, 3, 0), at(6_000));
-    assert_eq!(table.row(index).pulse().map(|known| known.boot.0), Some(2));
+    table.on_queue_report(index, &queue_report(2, 1, 0), at(1));
+    table.on_queue_report(index, &queue_report(3, 1, 0), at(2));
+    table.on_queue_report(index, &queue_report(2, 2, 0), at(3));
+    assert_eq!(
+        table.row(index).queue_report().map(|known| known.boot.0),
+        Some(3)
+    );
+    table.on_queue_report(index, &queue_report(2, 3, 0), at(6_000));
+    assert_eq!(
+        table.row(index).queue_report().map(|known| known.boot.0),
+        Some(2)
+    );
 }
 
 #[test]
@@ -107,7 +113,7 @@
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
     table.mark_leaving(index);
-    table.on_pulse(index, &pulse(1, 2, 0), at(1));
+    table.on_queue_report(index, &queue_report(1, 2, 0), at(1));
     assert_eq!(open_count(&table, &model_goal("seat")), 0);
     table.clear_leaving(index);
     assert_eq!(open_count(&table, &model_goal("seat")), 1);
@@ -124,7 +130,7 @@
 fn the_predicted_wait_decays_to_the_load_report() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
-    table.on_pulse(index, &pulse(1, 2, 200), at(0));
+    table.on_queue_report(index, &queue_report(1, 2, 200), at(0));
     table.on_report(index, &LoadReport::default());
     let fresh = predicted(&table, at(0));
     let aged = predicted(&table, at(250));
@@ -134,21 +140,21 @@
     assert!(old < Duration::from_millis(7));
 }
 
-/// Several requests arrive between two pulses. If the entry did not count the attempts that it sent
-/// itself, all would go to the endpoint that was idle at the last pulse.
+/// Several requests arrive between two queue reports. If the entry did not count the attempts that it sent
+/// itself, all would go to the endpoint that was idle at the last queue report.
 #[test]
-fn own_attempts_count_until_a_pulse_reflects_them() {
+fn own_attempts_count_until_a_queue_report_reflects_them() {
     let mut table = table();
     let index = table.on_status(&status("a", "p", ZONES[0], &[weights("seat", None)]), at(0));
     let idle = predicted(&table, at(1));
     table.record_sent(index, 5_000, at(1));
     assert_eq!(predicted(&table, at(1)), idle + Duration::from_millis(100));
-    table.on_pulse(index, &pulse(1, 2, 0), at(1));
+    table.on_queue_report(index, &queue_report(1, 2, 0), at(1));
     assert!(
         predicted(&table, at(1)) > idle,
-        "the attempt was in transit when the pulse was sent"
+        "the attempt was in transit when the queue report was sent"
     );
-    table.on_pulse(index, &pulse(1, 3, 0), at(50));
+    table.on_queue_report(index, &queue_report(1, 3, 0), at(50));
     assert_eq!(predicted(&table, at(50)), idle);
 }
 
--- a/crates/oatpier-types/src/status.rs
+++ b/crates/oatpier-types/src/status.rs
@@ -13,9 +13,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct QueueReport {
-    /// Identifies the start of the agent process; a pulse from a previous start is ignored.
+    /// Identifies the start of the agent process; a report from a previous start is ignored.
     pub boot: BootId,
-    /// Increases by one with each pulse; an older pulse that arrives late is ignored.
+    /// Increases by one with each queue report; an older report that arrives late is ignored.
     pub sequence: u64,
     /// Attempts queued at the agent.
     pub queued: u32,
@@ -54,26 +54,26 @@
     pub queue: QueueReport,
 }
 
-/// Identifies the latest pulse of the agent that an entry had received when it created an attempt.
+/// Identifies the latest queue report of the agent that an entry had received when it created an attempt.
 ///
 /// Sent with the attempt and with its cancellation. It orders the attempt relative to the agent's
-/// own pulses, which clocks of different processes cannot do.
+/// own queue reports, which clocks of different processes cannot do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct AdmissionTicket {
     /// The start of the agent process that the attempt is intended for.
     pub boot: BootId,
-    /// The sequence number of the pulse.
+    /// The sequence number of the queue report.
     pub sequence: u64,
 }
 
 impl AdmissionTicket {
-    /// Creates the ticket for a pulse.
+    /// Creates the ticket for a queue report.
     #[must_use]
-    pub fn of(pulse: &QueueReport) -> Self {
+    pub fn of(report: &QueueReport) -> Self {
         Self {
-            boot: pulse.boot,
-            sequence: pulse.sequence,
+            boot: report.boot,
+            sequence: report.sequence,
         }
     }
 }
--- a/crates/oatpier-wire/src/attempt.rs
+++ b/crates/oatpier-wire/src/attempt.rs
@@ -88,7 +88,7 @@
 pub struct AttemptHead {
     /// What is to be run.
     pub spec: AttemptSpec,
-    /// The newest pulse of the agent that the entry had seen.
+    /// The newest queue report of the agent that the entry had seen.
     pub ticket: AdmissionTicket,
     /// The HTTP method towards the endpoint.
     pub method: String,
@@ -111,7 +111,8 @@
         /// Why.
         refusal: Refusal,
         /// The agent's queue now.
-        pulse: QueueReport,
+        #[serde(rename = "pulse")]
+        report: QueueReport,
     },
     /// The endpoint's answer has begun.
     Started {
@@ -120,7 +121,8 @@
         /// Its headers that pass through.
         headers: Vec<HeaderPair>,
         /// The agent's queue now.
-        pulse: QueueReport,
+        #[serde(rename = "pulse")]
+        report: QueueReport,
     },
     /// Bytes of the endpoint's answer.
     Piece {
@@ -132,7 +134,8 @@
     /// The endpoint's answer came to its terminator. The last frame.
     Ended {
         /// The agent's queue now.
-        pulse: QueueReport,
+        #[serde(rename = "pulse")]
+        report: QueueReport,
     },
     /// The attempt failed. The last frame.
     Failed {
@@ -141,7 +144,8 @@
         /// What happened.
         cause: String,
         /// The agent's queue now.
-        pulse: QueueReport,
+        #[serde(rename = "pulse")]
+        report: QueueReport,
     },
 }
 
@@ -157,12 +161,12 @@
 
     /// The agent's queue, where the frame tells it.
     #[must_use]
-    pub fn pulse(&self) -> Option<&QueueReport> {
+    pub fn queue_report(&self) -> Option<&QueueReport> {
         match self {
-            Self::Refused { pulse, .. }
-            | Self::Started { pulse, .. }
-            | Self::Ended { pulse }
-            | Self::Failed { pulse, .. } => Some(pulse),
+            Self::Refused { report, .. }
+            | Self::Started { report, .. }
+            | Self::Ended { report }
+            | Self::Failed { report, .. } => Some(report),
             Self::Piece { .. } => None,
         }
     }
--- a/crates/oatpier-wire/tests/testsuite/attempt_answers.rs
+++ b/crates/oatpier-wire/tests/testsuite/attempt_answers.rs
@@ -21,7 +21,7 @@
 use oatpier_wire::reply::{self, Reply};
 use oatpier_wire::server::{RequestHandler, ServerLimits};
 
-use crate::support::{TestServer, closed_address, head, pulse, until};
+use crate::support::{TestServer, closed_address, head, queue_report, until};
 
 /// An agent that answers each attempt with the same frames.
 struct ScriptedAgent {
@@ -49,7 +49,7 @@
     AttemptFrame::Started {
         status: 200,
         headers: Vec::new(),
-        pulse: pulse(1),
+        report: queue_report(1),
     }
 }
 
@@ -61,7 +61,9 @@
 }
 
 fn ended() -> AttemptFrame {
-    AttemptFrame::Ended { pulse: pulse(2) }
+    AttemptFrame::Ended {
+        report: queue_report(2),
+    }
 }
 
 fn peer() -> PeerClient {
@@ -135,7 +137,7 @@
             cause: RefusalCause::Leaving,
             retry_after: None,
         },
-        pulse: pulse(3),
+        report: queue_report(3),
     };
     let mut answer = open(&peer(), vec![(9, refused.clone())]).await;
     assert_eq!(answer.next().await, Ok(refused));
--- a/crates/oatpier-wire/tests/testsuite/attempt_codec.rs
+++ b/crates/oatpier-wire/tests/testsuite/attempt_codec.rs
@@ -12,7 +12,7 @@
 use oatpier_wire::frame::{FrameError, FrameReader, encode_frame};
 use proptest::prelude::*;
 
-use crate::support::{head, pulse};
+use crate::support::{head, queue_report};
 
 fn any_frame() -> impl Strategy<Value = AttemptFrame> {
     let piece =
@@ -27,24 +27,26 @@
             cause: RefusalCause::QueueFull,
             retry_after: millis.map(|millis| Duration::from_millis(millis.into())),
         },
-        pulse: pulse(1),
+        report: queue_report(1),
     });
     let failed = ".*".prop_map(|cause| AttemptFrame::Failed {
         verdict: RunVerdict::MayHaveRun,
         cause,
-        pulse: pulse(2),
+        report: queue_report(2),
     });
     let started = any::<u16>().prop_map(|status| AttemptFrame::Started {
         status,
         headers: head(1).headers,
-        pulse: pulse(3),
+        report: queue_report(3),
     });
     prop_oneof![
         piece,
         refused,
         failed,
         started,
-        Just(AttemptFrame::Ended { pulse: pulse(4) })
+        Just(AttemptFrame::Ended {
+            report: queue_report(4)
+        })
     ]
 }
 
@@ -90,7 +92,7 @@
     #[test]
     fn a_damaged_frame_never_panics(at in 4_usize..80, to in any::<u8>()) {
         let mut bytes = BytesMut::new();
-        let frame = AttemptFrame::Started { status: 200, headers: head(1).headers, pulse: pulse(1) };
+        let frame = AttemptFrame::Started { status: 200, headers: head(1).headers, report: queue_report(1) };
         encode_frame(&TaggedFrame { attempt: AttemptId(1), frame }, &mut bytes).unwrap();
         let at = at.min(bytes.len() - 1);
         bytes[at] = to;
--- a/crates/oatpier-wire/tests/testsuite/support.rs
+++ b/crates/oatpier-wire/tests/testsuite/support.rs
@@ -95,7 +95,7 @@
     waited.expect("what is waited for never comes");
 }
 
-pub fn pulse(sequence: u64) -> QueueReport {
+pub fn queue_report(sequence: u64) -> QueueReport {
     QueueReport {
         boot: BootId(7),
         sequence,
