--- a/crates/oatpier-bench/src/fleet/entry.rs
+++ b/crates/oatpier-bench/src/fleet/entry.rs
@@ -225,7 +225,7 @@
             }
             EntryEvent::Ended { .. } => {
                 self.release(request);
-                answer(FinalAnswer::whole(true, true))
+                answer(FinalAnswer::complete(true, true))
             }
             EntryEvent::FirstFrame { .. } => EntryActions::new(),
             _ => self.retry(request),
--- a/crates/oatpier-bench/src/fleet/requests.rs
+++ b/crates/oatpier-bench/src/fleet/requests.rs
@@ -164,7 +164,7 @@
     fn answer(&mut self, request: RequestId, answer: &FinalAnswer) {
         self.prefixes.swap_remove(&request);
         let seen = AnswerSeen {
-            whole: answer.cause == FinalCause::Whole,
+            whole: answer.cause == FinalCause::Complete,
             verdict: answer.verdict,
             cause: answer.cause.as_str(),
         };
--- a/crates/oatpier-entry/src/decisions.rs
+++ b/crates/oatpier-entry/src/decisions.rs
@@ -94,12 +94,12 @@
     fn standing(&self, config: &FleetConfig, now: ClockTime) -> CallersStanding {
         let attainment = config.classes.iter().map(|(name, spec)| {
             let class = self.class_index(name);
-            let share = class.and_then(|class| self.ledger().share_ppm(class, now));
+            let share = class.and_then(|class| self.attainment().share_ppm(class, now));
             AttainmentRow {
                 class: name.clone(),
                 target: spec.attain,
                 attained: share.map(share_of_ppm),
-                requests: class.map_or(0, |class| self.ledger().totals(class).ended),
+                requests: class.map_or(0, |class| self.attainment().totals(class).ended),
             }
         });
         let ejected = self.health().ejected().iter();
--- a/crates/oatpier-entry/src/errors.rs
+++ b/crates/oatpier-entry/src/errors.rs
@@ -149,7 +149,7 @@
 
 fn message_of(cause: FinalCause, verdict: RunVerdict) -> String {
     let what = match cause {
-        FinalCause::Whole => "the answer is whole",
+        FinalCause::Complete => "the answer is whole",
         FinalCause::Refused(_) => "the request was refused",
         FinalCause::DeadlinePassed => "the request's time passed without an answer",
         FinalCause::Incomplete => "the answer ended before it was whole",
--- a/crates/oatpier-entry/src/run.rs
+++ b/crates/oatpier-entry/src/run.rs
@@ -294,7 +294,7 @@
     }
 
     async fn finish(mut self, answer: &FinalAnswer) -> Option<LateWords> {
-        if answer.cause == FinalCause::Whole {
+        if answer.cause == FinalCause::Complete {
             self.sink.finish(self.head.take());
         } else {
             self.sink.fail(&CallerError::of_answer(answer)).await;
--- a/crates/oatpier-entry/src/run/report.rs
+++ b/crates/oatpier-entry/src/run/report.rs
@@ -39,7 +39,7 @@
 
     pub(super) fn count(&self, answer: &FinalAnswer) {
         let end = match answer.cause {
-            FinalCause::Whole => "whole",
+            FinalCause::Complete => "whole",
             FinalCause::Refused(cause) => {
                 self.core.metrics.refused(cause);
                 "refused"
@@ -63,7 +63,7 @@
         let verdict = answer.verdict.as_str();
         let took = self.core.clock.now().since(self.started);
         let took_ms = millis(took);
-        if answer.cause == FinalCause::Whole {
+        if answer.cause == FinalCause::Complete {
             spdlog::debug!("answered", kv: { request_id, trace_id, cause, verdict, took_ms });
         } else {
             spdlog::warn!("not answered", kv: { request_id, trace_id, cause, verdict, took_ms });
--- a/crates/oatpier-entry/tests/testsuite/late.rs
+++ b/crates/oatpier-entry/tests/testsuite/late.rs
@@ -59,7 +59,7 @@
             cause: FinalCause::DeadlinePassed,
             verdict: RunVerdict::MayHaveRun,
             retry_after: None,
-            begun: false,
+            has_begun: false,
             in_time: false,
         };
         EntryActions::from_iter([
--- a/crates/oatpier-faults/src/request/caller.rs
+++ b/crates/oatpier-faults/src/request/caller.rs
@@ -199,14 +199,14 @@
         let job = self.jobs[submission.job];
         let complete = !submission.broken && submission.relayed == job.kind.pieces();
         let end = match answer.cause {
-            FinalCause::Whole if complete => AnswerEnd::Whole,
-            FinalCause::Whole => AnswerEnd::Cut,
+            FinalCause::Complete if complete => AnswerEnd::Whole,
+            FinalCause::Complete => AnswerEnd::Cut,
             FinalCause::CallerGone => AnswerEnd::CallerGone,
             _ => AnswerEnd::Error,
         };
         let told = matches!(
             answer.cause,
-            FinalCause::Whole | FinalCause::Refused(RefusalCause::KeyUsed)
+            FinalCause::Complete | FinalCause::Refused(RefusalCause::KeyUsed)
         );
         self.answered(request, end, answer.verdict, told);
     }
--- a/crates/oatpier-policy/src/attainment.rs
+++ b/crates/oatpier-policy/src/attainment.rs
@@ -62,16 +62,16 @@
             totals: ClassTotals::default(),
             buckets: [WindowBucket::default(); BUCKET_COUNT],
         };
-        if self.classes.len() <= class.place() {
-            self.classes.resize(class.place() + 1, fresh);
+        if self.classes.len() <= class.as_usize() {
+            self.classes.resize(class.as_usize() + 1, fresh);
         }
-        self.classes[class.place()].target_ppm = target_ppm;
+        self.classes[class.as_usize()].target_ppm = target_ppm;
     }
 
     /// Records the end of a request.
     pub fn record(&mut self, class: ClassIndex, in_time: bool, now: ClockTime) {
         let number = self.bucket_number(now);
-        let Some(window) = self.classes.get_mut(class.place()) else {
+        let Some(window) = self.classes.get_mut(class.as_usize()) else {
             return;
         };
         let bucket = &mut window.buckets[bucket_index(number)];
@@ -90,7 +90,7 @@
     #[must_use]
     pub fn share_ppm(&self, class: ClassIndex, now: ClockTime) -> Option<u64> {
         let number = self.bucket_number(now);
-        let window = self.classes.get(class.place())?;
+        let window = self.classes.get(class.as_usize())?;
         let (ended, in_time) = window
             .buckets
             .iter()
@@ -106,7 +106,7 @@
     pub fn is_below_target(&self, class: ClassIndex, now: ClockTime) -> bool {
         let target_ppm = self
             .classes
-            .get(class.place())
+            .get(class.as_usize())
             .map(|window| window.target_ppm);
         match (self.share_ppm(class, now), target_ppm) {
             (Some(share), Some(target_ppm)) => share < target_ppm,
@@ -125,7 +125,7 @@
     #[must_use]
     pub fn totals(&self, class: ClassIndex) -> ClassTotals {
         self.classes
-            .get(class.place())
+            .get(class.as_usize())
             .map(|window| window.totals)
             .unwrap_or_default()
     }
--- a/crates/oatpier-policy/src/entry/core.rs
+++ b/crates/oatpier-policy/src/entry/core.rs
@@ -100,7 +100,7 @@
         let endpoint = choice.endpoint;
         self.table
             .record_sent(endpoint, choice.uncached_tokens, now);
-        self.prefix.learn(endpoint, prefixes, now);
+        self.prefix.record_prompt(endpoint, prefixes, now);
         if choice.is_probe {
             self.health.start_probe(endpoint, now);
         }
@@ -116,7 +116,7 @@
         evidence: AttemptEvidence,
         now: ClockTime,
     ) {
-        if let Some(change) = self.health.note(endpoint, evidence, now) {
+        if let Some(change) = self.health.record_evidence(endpoint, evidence, now) {
             self.apply_change(endpoint, change, now);
         }
     }
--- a/crates/oatpier-policy/src/entry/mod.rs
+++ b/crates/oatpier-policy/src/entry/mod.rs
@@ -284,7 +284,7 @@
 
     /// Returns the attained shares of the classes.
     #[must_use]
-    pub fn ledger(&self) -> &AttainmentTracker {
+    pub fn attainment(&self) -> &AttainmentTracker {
         &self.attainment
     }
 
@@ -388,7 +388,7 @@
         self.counts.attempts += u64::from(machine.attempts());
         self.counts.dropped += u64::from(machine.dropped());
         self.core.retry.record_ended(machine.class());
-        if answer.cause == FinalCause::Whole {
+        if answer.cause == FinalCause::Complete {
             self.core.retry.record_success(machine.class());
         }
         self.record_answer(Some(machine.class()), answer, now);
--- a/crates/oatpier-policy/src/health.rs
+++ b/crates/oatpier-policy/src/health.rs
@@ -79,7 +79,7 @@
         since: ClockTime,
     },
     /// The answer was interrupted, or the attempt failed after it began to run.
-    Cut,
+    Interrupted,
     /// The answer was complete.
     Ended,
 }
@@ -172,7 +172,7 @@
     }
 
     /// Records an observation and returns the change that follows from it.
-    pub fn note(
+    pub fn record_evidence(
         &mut self,
         endpoint: EndpointIndex,
         evidence: AttemptEvidence,
@@ -191,7 +191,7 @@
                 let fault = self.record_silence(endpoint, since);
                 self.apply_failure(endpoint, fault, now)
             }
-            AttemptEvidence::Cut => {
+            AttemptEvidence::Interrupted => {
                 let fault = self.record_cut(endpoint);
                 self.apply_failure(endpoint, fault, now)
             }
@@ -252,7 +252,7 @@
     #[must_use]
     pub fn probe_due(&self, endpoint: EndpointIndex, now: ClockTime) -> bool {
         self.rows
-            .get(endpoint.place())
+            .get(endpoint.as_usize())
             .and_then(|row| row.ejection)
             .is_some_and(|ejection| ejection.probe_at <= now)
     }
@@ -276,7 +276,7 @@
     /// Returns the failure for which an endpoint is ejected.
     #[must_use]
     pub fn fault(&self, endpoint: EndpointIndex) -> Option<EndpointFault> {
-        let row = self.rows.get(endpoint.place())?;
+        let row = self.rows.get(endpoint.as_usize())?;
         row.ejection.map(|ejection| ejection.fault)
     }
 
@@ -380,9 +380,10 @@
     }
 
     fn row(&mut self, endpoint: EndpointIndex) -> &mut HealthRow {
-        if self.rows.len() <= endpoint.place() {
-            self.rows.resize(endpoint.place() + 1, HealthRow::default());
+        if self.rows.len() <= endpoint.as_usize() {
+            self.rows
+                .resize(endpoint.as_usize() + 1, HealthRow::default());
         }
-        &mut self.rows[endpoint.place()]
+        &mut self.rows[endpoint.as_usize()]
     }
 }
--- a/crates/oatpier-policy/src/index.rs
+++ b/crates/oatpier-policy/src/index.rs
@@ -11,7 +11,7 @@
         impl $name {
             /// Returns the position in a vector.
             #[must_use]
-            pub fn place(self) -> usize {
+            pub fn as_usize(self) -> usize {
                 self.0 as usize
             }
 
--- a/crates/oatpier-policy/src/machine/finish.rs
+++ b/crates/oatpier-policy/src/machine/finish.rs
@@ -38,7 +38,7 @@
         let retry_after = is_useful.then_some(self.settings.retry_after);
         let begun = self.has_begun();
         let answer = FinalAnswer {
-            begun,
+            has_begun: begun,
             ..FinalAnswer::failed(cause, verdict, retry_after)
         };
         self.finish(answer, turn);
@@ -46,7 +46,7 @@
 
     pub(super) fn finish_whole(&mut self, turn: &mut EventTurn<'_>) {
         let in_time = self.is_in_time(turn.now);
-        let answer = FinalAnswer::whole(self.has_begun(), in_time);
+        let answer = FinalAnswer::complete(self.has_begun(), in_time);
         self.finish(answer, turn);
     }
 
--- a/crates/oatpier-policy/src/machine/handlers.rs
+++ b/crates/oatpier-policy/src/machine/handlers.rs
@@ -154,7 +154,7 @@
         let verdict = verdict.and(least);
         let evidence = match verdict {
             RunVerdict::NotRun => AttemptEvidence::Refused(RefusalCause::EndpointDown),
-            RunVerdict::MayHaveRun | RunVerdict::Ran => AttemptEvidence::Cut,
+            RunVerdict::MayHaveRun | RunVerdict::Ran => AttemptEvidence::Interrupted,
         };
         self.release_live(live, turn);
         turn.context
--- a/crates/oatpier-policy/src/outcome.rs
+++ b/crates/oatpier-policy/src/outcome.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FinalCause {
     /// The answer was relayed completely, including its terminator.
-    Whole,
+    Complete,
     /// The request was refused.
     Refused(RefusalCause),
     /// The deadline passed without a complete answer.
@@ -25,7 +25,7 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::Refused(cause) => cause.as_str(),
             Self::DeadlinePassed => "deadline-passed",
             Self::Incomplete => "incomplete",
@@ -48,7 +48,7 @@
     pub retry_after: Option<Duration>,
     /// Whether a piece of the answer was already relayed. The end is then an explicit error within
     /// the stream, never a silent end of the stream.
-    pub begun: bool,
+    pub has_begun: bool,
     /// Whether the answer was complete and within the class's target.
     pub in_time: bool,
 }
@@ -73,20 +73,20 @@
             cause,
             verdict,
             retry_after,
-            begun: false,
+            has_begun: false,
             in_time: false,
         }
     }
 
     /// Creates the final answer of a request whose answer was relayed completely.
     #[must_use]
-    pub fn whole(begun: bool, in_time: bool) -> Self {
+    pub fn complete(begun: bool, in_time: bool) -> Self {
         Self {
             status: 200,
-            cause: FinalCause::Whole,
+            cause: FinalCause::Complete,
             verdict: RunVerdict::Ran,
             retry_after: None,
-            begun,
+            has_begun: begun,
             in_time,
         }
     }
@@ -99,7 +99,7 @@
 #[must_use]
 pub fn status_of(cause: FinalCause, verdict: RunVerdict) -> u16 {
     match cause {
-        FinalCause::Whole => 200,
+        FinalCause::Complete => 200,
         FinalCause::CallerGone => 499,
         FinalCause::Refused(RefusalCause::KeyUsed) => 409,
         FinalCause::Refused(RefusalCause::Unknown) => 404,
--- a/crates/oatpier-policy/src/prefix.rs
+++ b/crates/oatpier-policy/src/prefix.rs
@@ -116,7 +116,7 @@
     }
 
     /// Records that a prompt was sent to an endpoint, which then has its prefixes cached.
-    pub fn learn(&mut self, endpoint: EndpointIndex, prefixes: &[u64], now: ClockTime) {
+    pub fn record_prompt(&mut self, endpoint: EndpointIndex, prefixes: &[u64], now: ClockTime) {
         for block in prefixes.iter().take(MAX_RECORDED_BLOCKS) {
             self.insert(*block, endpoint, now);
         }
@@ -197,7 +197,7 @@
         let half_life = micros(self.settings.half_life).max(1);
         let age = micros(now.since(slot.recorded_at));
         let fresh = scale(FULL_CONFIDENCE, half_life, half_life.saturating_add(age));
-        let cursor = self.cursors.get(slot.endpoint.place());
+        let cursor = self.cursors.get(slot.endpoint.as_usize());
         match cursor {
             Some(cursor) if slot.recorded_at < cursor.discounted_at => {
                 scale(fresh, cursor.prior_confidence, FULL_CONFIDENCE)
@@ -244,11 +244,11 @@
     }
 
     fn cursor(&mut self, endpoint: EndpointIndex) -> &mut EventCursor {
-        if self.cursors.len() <= endpoint.place() {
+        if self.cursors.len() <= endpoint.as_usize() {
             self.cursors
-                .resize(endpoint.place() + 1, EventCursor::default());
+                .resize(endpoint.as_usize() + 1, EventCursor::default());
         }
-        &mut self.cursors[endpoint.place()]
+        &mut self.cursors[endpoint.as_usize()]
     }
 
     fn set_of(&self, block: u64) -> usize {
--- a/crates/oatpier-policy/src/retry.rs
+++ b/crates/oatpier-policy/src/retry.rs
@@ -107,11 +107,11 @@
     }
 
     fn bucket(&mut self, class: ClassIndex) -> &mut ClassBucket {
-        if self.buckets.len() <= class.place() {
+        if self.buckets.len() <= class.as_usize() {
             self.buckets
-                .resize(class.place() + 1, ClassBucket::default());
+                .resize(class.as_usize() + 1, ClassBucket::default());
         }
-        &mut self.buckets[class.place()]
+        &mut self.buckets[class.as_usize()]
     }
 }
 
--- a/crates/oatpier-policy/src/table/candidates.rs
+++ b/crates/oatpier-policy/src/table/candidates.rs
@@ -57,7 +57,7 @@
     /// Returns the endpoints of an availability zone that accept work, in no particular order.
     #[must_use]
     pub fn open_in(&self, zone: ZoneIndex) -> &[EndpointIndex] {
-        self.zones.get(zone.place()).map_or(&[], Vec::as_slice)
+        self.zones.get(zone.as_usize()).map_or(&[], Vec::as_slice)
     }
 
     /// Returns the number of endpoints that accept work.
@@ -163,15 +163,15 @@
     }
 
     fn add_open(&mut self, index: EndpointIndex, zone: ZoneIndex) {
-        if self.zones.len() <= zone.place() {
-            self.zones.resize_with(zone.place() + 1, Vec::new);
+        if self.zones.len() <= zone.as_usize() {
+            self.zones.resize_with(zone.as_usize() + 1, Vec::new);
         }
-        self.zones[zone.place()].push(index);
+        self.zones[zone.as_usize()].push(index);
         self.open_count += 1;
     }
 
     fn remove_open(&mut self, index: EndpointIndex, zone: ZoneIndex) {
-        let list = &mut self.zones[zone.place()];
+        let list = &mut self.zones[zone.as_usize()];
         if let Some(position) = list.iter().position(|other| *other == index) {
             list.swap_remove(position);
             self.open_count -= 1;
--- a/crates/oatpier-policy/src/table/mod.rs
+++ b/crates/oatpier-policy/src/table/mod.rs
@@ -140,10 +140,10 @@
             self.stale_dropped += 1;
             return index;
         }
-        if self.rows[index.place()].is_gone {
+        if self.rows[index.as_usize()].is_gone {
             self.update_row(index, |row| row.is_gone = false);
         }
-        let row = &self.rows[index.place()];
+        let row = &self.rows[index.as_usize()];
         let is_newer = row
             .ready_sequence
             .is_none_or(|known| known < status.ready_sequence);
@@ -172,7 +172,7 @@
     /// Applies a load report, which lags behind the actual load, as the prior of the predicted
     /// wait.
     pub fn on_report(&mut self, index: EndpointIndex, report: &LoadReport) {
-        self.rows[index.place()].apply_report(report);
+        self.rows[index.as_usize()].apply_report(report);
     }
 
     /// Marks an endpoint as leaving. It gets no new work until its agent restarts or
@@ -238,13 +238,13 @@
 
     /// Records that an attempt with `tokens` uncached prompt tokens was sent to the endpoint.
     pub fn record_sent(&mut self, index: EndpointIndex, tokens: u32, now: ClockTime) {
-        self.rows[index.place()].record_sent(tokens, now);
+        self.rows[index.as_usize()].record_sent(tokens, now);
     }
 
     /// Records that an attempt at the endpoint is over. `run_time` is set if its answer was
     /// complete.
     pub fn record_finished(&mut self, index: EndpointIndex, run_time: Option<Duration>) {
-        self.rows[index.place()].record_finished(run_time.map(micros));
+        self.rows[index.as_usize()].record_finished(run_time.map(micros));
     }
 
     /// Returns the predicted times of an attempt sent now, including the network.
@@ -255,9 +255,9 @@
         size: AttemptSize,
         now: ClockTime,
     ) -> AttemptPrediction {
-        let row = &self.rows[index.place()];
+        let row = &self.rows[index.as_usize()];
         let mut prediction = row.predict(size, &self.settings, now);
-        let round_trip_us = self.zones[row.zone.place()];
+        let round_trip_us = self.zones[row.zone.as_usize()];
         prediction.total_us = prediction.total_us.saturating_add(round_trip_us);
         prediction
     }
@@ -277,13 +277,13 @@
     /// Returns the row of an endpoint.
     #[must_use]
     pub fn row(&self, index: EndpointIndex) -> &EndpointRow {
-        &self.rows[index.place()]
+        &self.rows[index.as_usize()]
     }
 
     /// Returns the replicas of a goal.
     #[must_use]
     pub fn candidates(&self, goal: GoalIndex) -> &CandidateList {
-        &self.lists[goal.place()]
+        &self.lists[goal.as_usize()]
     }
 
     /// Returns the entry's own availability zone.
@@ -311,7 +311,7 @@
     }
 
     fn check_boot(&mut self, index: EndpointIndex, boot: BootId, now: ClockTime) -> BootCheck {
-        let check = self.rows[index.place()].check_boot(boot, now);
+        let check = self.rows[index.as_usize()].check_boot(boot, now);
         if check == BootCheck::New {
             self.update_row(index, |row| row.adopt_boot(boot, now));
         }
@@ -319,12 +319,12 @@
     }
 
     fn apply_queue_report(&mut self, index: EndpointIndex, report: &QueueReport, now: ClockTime) {
-        let row = &mut self.rows[index.place()];
+        let row = &mut self.rows[index.as_usize()];
         if !row.is_newer(report) {
             self.stale_dropped += 1;
             return;
         }
-        let round_trip_us = self.zones[row.zone.place()];
+        let round_trip_us = self.zones[row.zone.as_usize()];
         let known = row.queue_report().map(|known| known.accepting);
         if known == Some(report.accepting) {
             row.apply_queue_report(report, round_trip_us, now);
@@ -387,14 +387,14 @@
         change: impl FnOnce(&mut EndpointRow) -> T,
     ) -> T {
         self.for_each_list(index, CandidateList::remove);
-        let value = change(&mut self.rows[index.place()]);
+        let value = change(&mut self.rows[index.as_usize()]);
         self.for_each_list(index, CandidateList::add);
         value
     }
 
     fn lists_of(&self, index: EndpointIndex) -> impl Iterator<Item = &CandidateList> {
-        let goals = self.rows[index.place()].goals.iter();
-        goals.map(|goal| &self.lists[goal.place()])
+        let goals = self.rows[index.as_usize()].goals.iter();
+        goals.map(|goal| &self.lists[goal.as_usize()])
     }
 
     fn for_each_list(
@@ -402,10 +402,10 @@
         index: EndpointIndex,
         step: fn(&mut CandidateList, EndpointIndex, ZoneIndex, ListingState),
     ) {
-        let row = &self.rows[index.place()];
+        let row = &self.rows[index.as_usize()];
         let listing = row.listing();
         for goal in &row.goals {
-            step(&mut self.lists[goal.place()], index, row.zone, listing);
+            step(&mut self.lists[goal.as_usize()], index, row.zone, listing);
         }
     }
 }
--- a/crates/oatpier-policy/tests/testsuite/attainment.rs
+++ b/crates/oatpier-policy/tests/testsuite/attainment.rs
@@ -55,7 +55,7 @@
         policy.handle(RequestId(1), &event, at(millis));
     }
     let class = policy.class_index(&name("draft")).expect("configured");
-    policy.ledger().share_ppm(class, at(10_000))
+    policy.attainment().share_ppm(class, at(10_000))
 }
 
 /// A stream is in time only if its first token is, and the following tokens keep the target rate on
--- a/crates/oatpier-policy/tests/testsuite/prefix.rs
+++ b/crates/oatpier-policy/tests/testsuite/prefix.rs
@@ -35,8 +35,8 @@
 #[test]
 fn the_longest_shared_prefix_counts() {
     let mut index = index();
-    index.learn(HOLDER, &[1, 2, 3, 4], at(0));
-    index.learn(OTHER, &[1, 2], at(0));
+    index.record_prompt(HOLDER, &[1, 2, 3, 4], at(0));
+    index.record_prompt(OTHER, &[1, 2], at(0));
     assert_eq!(expected(&index, &[1, 2, 3, 9], HOLDER, 0), 300);
     assert_eq!(expected(&index, &[1, 2, 3, 9], OTHER, 0), 200);
     assert_eq!(expected(&index, &[8, 9], HOLDER, 0), 0);
@@ -45,7 +45,7 @@
 #[test]
 fn expectations_decay_with_age() {
     let mut index = index();
-    index.learn(HOLDER, &[1], at(0));
+    index.record_prompt(HOLDER, &[1], at(0));
     assert_eq!(expected(&index, &[1], HOLDER, 120_000), 50);
 }
 
@@ -54,7 +54,7 @@
 #[test]
 fn a_late_removal_keeps_recently_recorded_blocks() {
     let mut index = index();
-    index.learn(HOLDER, &[1], at(0));
+    index.record_prompt(HOLDER, &[1], at(0));
     index.on_event(HOLDER, &event(1, 1, false), at(500));
     assert!(expected(&index, &[1], HOLDER, 500) > 0);
     index.on_event(HOLDER, &event(2, 1, false), at(2_500));
@@ -67,11 +67,11 @@
 fn a_gap_halves_the_confidence_in_earlier_blocks() {
     let mut index = index();
     index.on_event(HOLDER, &event(1, 70, true), at(0));
-    index.learn(HOLDER, &[1], at(0));
+    index.record_prompt(HOLDER, &[1], at(0));
     index.on_event(HOLDER, &event(5, 71, true), at(10));
     assert_eq!(index.gaps(), 1);
     assert!(expected(&index, &[1], HOLDER, 10) <= 50);
-    index.learn(HOLDER, &[2], at(11));
+    index.record_prompt(HOLDER, &[2], at(11));
     assert_eq!(expected(&index, &[2], HOLDER, 11), 100);
     index.on_event(HOLDER, &event(9, 72, true), at(12));
     assert!(expected(&index, &[1], HOLDER, 12) <= 25);
@@ -91,7 +91,7 @@
 #[test]
 fn a_restarted_engine_has_nothing_cached() {
     let mut index = index();
-    index.learn(HOLDER, &[1], at(0));
+    index.record_prompt(HOLDER, &[1], at(0));
     index.on_event(HOLDER, &event(500, 70, true), at(0));
     index.on_event(HOLDER, &event(1, 71, true), at(100));
     assert_eq!(expected(&index, &[1], HOLDER, 100), 0);
@@ -106,7 +106,7 @@
         ..PrefixSettings::default()
     });
     for block in 0..100 {
-        index.learn(HOLDER, &[block], at(block));
+        index.record_prompt(HOLDER, &[block], at(block));
     }
     let kept = (0..100).filter(|block| expected(&index, &[*block], HOLDER, 100) > 0);
     assert_eq!(kept.collect::<Vec<u64>>(), (92..100).collect::<Vec<u64>>());
--- a/crates/oatpier-policy/tests/testsuite/requests.rs
+++ b/crates/oatpier-policy/tests/testsuite/requests.rs
@@ -69,7 +69,7 @@
     policy.handle(REQUEST, &piece(attempt, 0), at(50));
     let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(60));
     let answer = answer(&actions).expect("an explicit end");
-    assert_eq!((answer.status, answer.begun), (502, true));
+    assert_eq!((answer.status, answer.has_begun), (502, true));
     assert_eq!(answer.cause, FinalCause::Incomplete);
 }
 
@@ -261,6 +261,9 @@
     assert_eq!((refused.status, refused.verdict), (503, RunVerdict::NotRun));
     policy.handle(REQUEST, &piece(attempt, 1), at(50));
     let actions = policy.handle(REQUEST, &ended(attempt), at(60));
-    assert_eq!(answer(&actions).expect("an end").cause, FinalCause::Whole);
+    assert_eq!(
+        answer(&actions).expect("an end").cause,
+        FinalCause::Complete
+    );
     assert_eq!(policy.in_flight(), 0);
 }
--- a/crates/oatpier-serving/src/directory/requests.rs
+++ b/crates/oatpier-serving/src/directory/requests.rs
@@ -130,7 +130,7 @@
     /// Records that the endpoint will cache the parts of the prompt.
     pub fn note_prompt(&mut self, name: &EndpointName, chain: &[u64], now: ClockTime) {
         if let Some(row) = self.rows.get(name) {
-            self.prefixes.learn(row.index, chain, now);
+            self.prefixes.record_prompt(row.index, chain, now);
         }
     }
 
@@ -213,7 +213,7 @@
             }
             EndpointOutcome::Broken => {
                 row.failures.note(1.0, now);
-                self.apply_evidence(index, AttemptEvidence::Cut, now);
+                self.apply_evidence(index, AttemptEvidence::Interrupted, now);
             }
             EndpointOutcome::Abandoned => {}
         }
@@ -221,7 +221,7 @@
     }
 
     fn apply_evidence(&mut self, index: EndpointIndex, evidence: AttemptEvidence, now: ClockTime) {
-        match self.health.note(index, evidence, now) {
+        match self.health.record_evidence(index, evidence, now) {
             Some(HealthChange::Eject(fault)) => self.health.eject(index, fault, now),
             Some(HealthChange::Reinstate) => self.health.reinstate(index, now),
             None => {}
