--- a/crates/oatpier-bench/src/cost/requests.rs
+++ b/crates/oatpier-bench/src/cost/requests.rs
@@ -56,7 +56,7 @@
             goal: goals[turn],
             tokens: TOKENS,
             prefixes: &prefixes,
-            whole: false,
+            is_whole_answer: false,
             remaining: Duration::from_millis(320),
             excluded: &[],
             may_probe: true,
--- a/crates/oatpier-bench/src/fleet/faults.rs
+++ b/crates/oatpier-bench/src/fleet/faults.rs
@@ -85,7 +85,7 @@
         };
         self.callers.log(self.now, event);
         for (attempt, held) in attempts.0 {
-            let event = EntryEvent::Cut { attempt };
+            let event = EntryEvent::ConnectionLost { attempt };
             self.tell_entry(node, held.entry, held.spec.request, event);
         }
         let models: Vec<_> = gone
--- a/crates/oatpier-entry/src/attempt.rs
+++ b/crates/oatpier-entry/src/attempt.rs
@@ -77,7 +77,7 @@
         let mut held = None;
         loop {
             let Ok(frame) = stream.next().await else {
-                return EntryEvent::Cut { attempt };
+                return EntryEvent::ConnectionLost { attempt };
             };
             match frame {
                 AttemptFrame::Started {
@@ -122,7 +122,7 @@
             },
             AttemptFrame::Failed { verdict, .. } => failed(attempt, verdict),
             AttemptFrame::Started { .. } | AttemptFrame::Piece { .. } => {
-                EntryEvent::Cut { attempt }
+                EntryEvent::ConnectionLost { attempt }
             }
         }
     }
@@ -171,7 +171,7 @@
     match (error.stage, error.verdict) {
         (SendStage::Connect | SendStage::Queue, _) => EntryEvent::ConnectFailed { attempt },
         (SendStage::Answer, RunVerdict::NotRun) => failed(attempt, RunVerdict::NotRun),
-        (SendStage::Answer, _) => EntryEvent::Cut { attempt },
+        (SendStage::Answer, _) => EntryEvent::ConnectionLost { attempt },
     }
 }
 
--- a/crates/oatpier-entry/src/peers/mod.rs
+++ b/crates/oatpier-entry/src/peers/mod.rs
@@ -57,7 +57,9 @@
         RequestEvent::FirstFrame { .. }
         | RequestEvent::Refused { .. }
         | RequestEvent::Ended { .. } => Some(PathEvidence::Answered),
-        RequestEvent::Cut { .. } | RequestEvent::ConnectFailed { .. } => Some(PathEvidence::Failed),
+        RequestEvent::ConnectionLost { .. } | RequestEvent::ConnectFailed { .. } => {
+            Some(PathEvidence::Failed)
+        }
         _ => None,
     }
 }
--- a/crates/oatpier-entry/src/run/report.rs
+++ b/crates/oatpier-entry/src/run/report.rs
@@ -77,7 +77,7 @@
         EntryEvent::Ended { .. } => "came to its end".to_owned(),
         EntryEvent::Refused { refusal, .. } => format!("refused: {}", refusal.cause.as_str()),
         EntryEvent::Failed { verdict, .. } => format!("failed: {}", verdict.as_str()),
-        EntryEvent::Cut { .. } => "was cut: may have run".to_owned(),
+        EntryEvent::ConnectionLost { .. } => "was cut: may have run".to_owned(),
         EntryEvent::ConnectFailed { .. } => "no connection: did not run".to_owned(),
         _ => "over".to_owned(),
     }
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -285,7 +285,7 @@
             report: Some(report),
         },
         AnswerFrame::Failed(verdict) => EntryEvent::Failed { attempt, verdict },
-        AnswerFrame::Cut => EntryEvent::Cut { attempt },
+        AnswerFrame::Cut => EntryEvent::ConnectionLost { attempt },
         AnswerFrame::NotConnected => EntryEvent::ConnectFailed { attempt },
     }
 }
--- a/crates/oatpier-policy/src/attainment.rs
+++ b/crates/oatpier-policy/src/attainment.rs
@@ -118,7 +118,7 @@
     #[must_use]
     pub fn is_any_below_target(&self, now: ClockTime) -> bool {
         (0..self.classes.len())
-            .any(|place| self.is_below_target(ClassIndex::from_usize(place), now))
+            .any(|index| self.is_below_target(ClassIndex::from_usize(index), now))
     }
 
     /// Returns the counts since the entry started.
--- a/crates/oatpier-policy/src/event.rs
+++ b/crates/oatpier-policy/src/event.rs
@@ -82,7 +82,7 @@
         verdict: RunVerdict,
     },
     /// The connection broke after the attempt was sent, so the attempt may have run.
-    Cut {
+    ConnectionLost {
         /// The attempt.
         attempt: AttemptId,
     },
@@ -129,7 +129,7 @@
             | Self::Ended { attempt, .. }
             | Self::Refused { attempt, .. }
             | Self::Failed { attempt, .. }
-            | Self::Cut { attempt }
+            | Self::ConnectionLost { attempt }
             | Self::ConnectFailed { attempt }
             | Self::CancelAnswered { attempt, .. } => Some(*attempt),
             _ => None,
--- a/crates/oatpier-policy/src/machine/dispatch.rs
+++ b/crates/oatpier-policy/src/machine/dispatch.rs
@@ -86,7 +86,7 @@
             goal: self.lookup.goal,
             tokens: self.intake.tokens,
             prefixes: &self.intake.prefixes,
-            whole: self.targets_whole_answer(),
+            is_whole_answer: self.targets_whole_answer(),
             remaining: self.remaining(turn.now),
             excluded,
             may_probe: is_first_idempotent,
--- a/crates/oatpier-policy/src/machine/finish.rs
+++ b/crates/oatpier-policy/src/machine/finish.rs
@@ -36,15 +36,15 @@
         }
         let is_useful = cause != FinalCause::CallerGone && self.may_resubmit(verdict);
         let retry_after = is_useful.then_some(self.settings.retry_after);
-        let begun = self.has_begun();
+        let has_begun = self.has_begun();
         let answer = FinalAnswer {
-            has_begun: begun,
+            has_begun,
             ..FinalAnswer::failed(cause, verdict, retry_after)
         };
         self.finish(answer, turn);
     }
 
-    pub(super) fn finish_whole(&mut self, turn: &mut EventTurn<'_>) {
+    pub(super) fn finish_complete(&mut self, turn: &mut EventTurn<'_>) {
         let in_time = self.is_in_time(turn.now);
         let answer = FinalAnswer::complete(self.has_begun(), in_time);
         self.finish(answer, turn);
--- a/crates/oatpier-policy/src/machine/handlers.rs
+++ b/crates/oatpier-policy/src/machine/handlers.rs
@@ -89,7 +89,7 @@
         turn.context.record_finished(live.endpoint, Some(run_time));
         self.live = None;
         self.known_verdict = RunVerdict::Ran;
-        self.finish_whole(turn);
+        self.finish_complete(turn);
     }
 
     pub(super) fn on_refused(
--- a/crates/oatpier-policy/src/machine/mod.rs
+++ b/crates/oatpier-policy/src/machine/mod.rs
@@ -273,7 +273,7 @@
             EntryEvent::Ended { .. } => self.on_ended(live, turn),
             EntryEvent::Refused { refusal, .. } => self.on_refused(live, *refusal, turn),
             EntryEvent::Failed { verdict, .. } => self.on_failed(live, *verdict, turn),
-            EntryEvent::Cut { .. } => self.on_failed(live, RunVerdict::MayHaveRun, turn),
+            EntryEvent::ConnectionLost { .. } => self.on_failed(live, RunVerdict::MayHaveRun, turn),
             EntryEvent::ConnectFailed { .. } => self.on_connect_failed(live, turn),
             _ => self.dropped += 1,
         }
--- a/crates/oatpier-policy/src/outcome.rs
+++ b/crates/oatpier-policy/src/outcome.rs
@@ -80,13 +80,13 @@
 
     /// Creates the final answer of a request whose answer was relayed completely.
     #[must_use]
-    pub fn complete(begun: bool, in_time: bool) -> Self {
+    pub fn complete(has_begun: bool, in_time: bool) -> Self {
         Self {
             status: 200,
             cause: FinalCause::Complete,
             verdict: RunVerdict::Ran,
             retry_after: None,
-            has_begun: begun,
+            has_begun,
             in_time,
         }
     }
--- a/crates/oatpier-policy/src/prefix.rs
+++ b/crates/oatpier-policy/src/prefix.rs
@@ -159,8 +159,8 @@
     pub fn holders(&self, prefixes: &[u64], now: ClockTime) -> PrefixHolders {
         let mut holders = PrefixHolders::new();
         let stride = prefixes.len().div_ceil(MAX_LOOKUP_BLOCKS).max(1);
-        for (place, block) in prefixes.iter().enumerate().rev().step_by(stride) {
-            let depth = u64::try_from(place + 1).unwrap_or(u64::MAX);
+        for (index, block) in prefixes.iter().enumerate().rev().step_by(stride) {
+            let depth = u64::try_from(index + 1).unwrap_or(u64::MAX);
             self.collect_holders(*block, depth, now, &mut holders);
             if holders.len() == WAYS {
                 break;
@@ -219,8 +219,8 @@
     }
 
     fn insert(&mut self, block: u64, endpoint: EndpointIndex, now: ClockTime) {
-        let place = self.set_of(block);
-        let set = &mut self.sets[place];
+        let set_index = self.set_of(block);
+        let set = &mut self.sets[set_index];
         let existing = set
             .iter()
             .position(|slot| holds_block(slot, block) && slot.endpoint == endpoint);
@@ -234,8 +234,8 @@
 
     fn remove(&mut self, block: u64, endpoint: EndpointIndex, now: ClockTime) {
         let lag = self.settings.event_lag;
-        let place = self.set_of(block);
-        for slot in &mut self.sets[place] {
+        let set_index = self.set_of(block);
+        for slot in &mut self.sets[set_index] {
             let is_same = holds_block(slot, block) && slot.endpoint == endpoint;
             if is_same && now.since(slot.recorded_at) >= lag {
                 *slot = EMPTY_SLOT;
--- a/crates/oatpier-policy/src/router.rs
+++ b/crates/oatpier-policy/src/router.rs
@@ -80,7 +80,7 @@
     /// Hashes of the growing prefixes of the prompt, the shortest first.
     pub prefixes: &'a [u64],
     /// Whether the target applies to the whole answer instead of its first token.
-    pub whole: bool,
+    pub is_whole_answer: bool,
     /// Time remaining for the attempt.
     pub remaining: Duration,
     /// Endpoints that must not be chosen because they already had an attempt.
@@ -305,7 +305,7 @@
     let uncached_tokens = query.tokens.prompt.saturating_sub(cached);
     let size = AttemptSize {
         uncached_tokens,
-        is_whole_answer: query.whole,
+        is_whole_answer: query.is_whole_answer,
     };
     let prediction = view.table.predict(endpoint, size, now);
     RouteChoice {
--- a/crates/oatpier-policy/tests/testsuite/fault_grid.rs
+++ b/crates/oatpier-policy/tests/testsuite/fault_grid.rs
@@ -78,7 +78,7 @@
         ("failed not-run", failed(RunVerdict::NotRun)),
         ("failed may-have-run", failed(RunVerdict::MayHaveRun)),
         ("failed ran", failed(RunVerdict::Ran)),
-        ("cut", EntryEvent::Cut { attempt }),
+        ("cut", EntryEvent::ConnectionLost { attempt }),
         ("connect failed", EntryEvent::ConnectFailed { attempt }),
         ("cancel not-run", cancel(RunVerdict::NotRun)),
         ("cancel may-have-run", cancel(RunVerdict::MayHaveRun)),
--- a/crates/oatpier-policy/tests/testsuite/limits.rs
+++ b/crates/oatpier-policy/tests/testsuite/limits.rs
@@ -124,7 +124,11 @@
         while let Some((_, spec)) = sent(&actions) {
             attempts += 1;
             let attempt = spec.attempt;
-            actions = policy.handle(RequestId(number), &EntryEvent::Cut { attempt }, at(0));
+            actions = policy.handle(
+                RequestId(number),
+                &EntryEvent::ConnectionLost { attempt },
+                at(0),
+            );
         }
     }
     assert!(attempts <= 500 + 20, "{attempts}");
@@ -150,7 +154,7 @@
     assert!(cut.len() > 20, "{}", cut.len());
     for (request, attempt, _) in cut {
         let attempt = *attempt;
-        let actions = policy.handle(*request, &EntryEvent::Cut { attempt }, at(30));
+        let actions = policy.handle(*request, &EntryEvent::ConnectionLost { attempt }, at(30));
         assert!(sent(&actions).is_some(), "{:?}", answer(&actions));
     }
 }
@@ -168,7 +172,7 @@
     }
     let mut repeats = 0_u32;
     while let Some((request, attempt)) = live.pop() {
-        let actions = policy.handle(request, &EntryEvent::Cut { attempt }, at(1));
+        let actions = policy.handle(request, &EntryEvent::ConnectionLost { attempt }, at(1));
         if let Some((_, spec)) = sent(&actions) {
             repeats += 1;
             live.push((request, spec.attempt));
--- a/crates/oatpier-policy/tests/testsuite/properties.rs
+++ b/crates/oatpier-policy/tests/testsuite/properties.rs
@@ -61,7 +61,7 @@
         9 => refused(attempt, RefusalCause::WeightsMissing),
         10 => refused(attempt, RefusalCause::Duplicate),
         11 => EntryEvent::Failed { attempt, verdict },
-        12 => EntryEvent::Cut { attempt },
+        12 => EntryEvent::ConnectionLost { attempt },
         13 => EntryEvent::ConnectFailed { attempt },
         14 | 15 => EntryEvent::CancelAnswered { attempt, verdict },
         16 => EntryEvent::CallerBlocked,
--- a/crates/oatpier-policy/tests/testsuite/requests.rs
+++ b/crates/oatpier-policy/tests/testsuite/requests.rs
@@ -42,7 +42,7 @@
     let mut policy = policy(3, 0, 1);
     let (attempt, endpoint) = start_and_send(&mut policy, stream_request(1));
     policy.handle(REQUEST, &piece(attempt, 4), at(50));
-    let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(60));
+    let actions = policy.handle(REQUEST, &EntryEvent::ConnectionLost { attempt }, at(60));
     let (next, spec) = sent(&actions).expect("a resumed attempt");
     assert!(matches!(actions.last(), Some(EntryAction::Resume { .. })));
     assert_ne!(next, endpoint);
@@ -56,7 +56,7 @@
     let mut policy = policy(1, 0, 1);
     let (attempt, endpoint) = start_and_send(&mut policy, stream_request(1));
     policy.handle(REQUEST, &piece(attempt, 4), at(50));
-    let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(60));
+    let actions = policy.handle(REQUEST, &EntryEvent::ConnectionLost { attempt }, at(60));
     assert_eq!(sent(&actions).map(|(next, _)| next), Some(endpoint));
 }
 
@@ -67,7 +67,7 @@
     let mut policy = policy(0, 3, 1);
     let (attempt, _) = start_and_send(&mut policy, idempotent_call(1));
     policy.handle(REQUEST, &piece(attempt, 0), at(50));
-    let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(60));
+    let actions = policy.handle(REQUEST, &EntryEvent::ConnectionLost { attempt }, at(60));
     let answer = answer(&actions).expect("an explicit end");
     assert_eq!((answer.status, answer.has_begun), (502, true));
     assert_eq!(answer.cause, FinalCause::Incomplete);
@@ -169,7 +169,7 @@
         ..at_most_once_call(1)
     };
     let (attempt, _) = start_and_send(&mut policy, intake);
-    let actions = policy.handle(REQUEST, &EntryEvent::Cut { attempt }, at(5));
+    let actions = policy.handle(REQUEST, &EntryEvent::ConnectionLost { attempt }, at(5));
     let answer = answer(&actions).expect("an end");
     assert_eq!(
         (answer.status, answer.verdict),
