--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounts.rs
@@ -57,7 +57,7 @@
         let chain = choice::prefix_chain(&context.request);
         let mut state = self.lock();
         let weights = context.request.weights.as_ref();
-        state.crashes.begin(context.fingerprint);
+        state.crashes.begin_run(context.fingerprint);
         state.directory.note_sent(endpoint, weights);
         state.directory.note_try(endpoint, now);
         let Some(weights) = weights else {
--- a/crates/oatpier-gateway/src/gateway/configuration.rs
+++ b/crates/oatpier-gateway/src/gateway/configuration.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oatpier_serving::message::ConfigStanding;
+use oatpier_serving::message::ConfigStatus;
 use oatpier_serving::site::SiteConfig;
 use oatpier_serving::workspace::WorkspaceTable;
 use oatpier_serving::workspace::quota::QuotaRule;
@@ -60,10 +60,10 @@
     }
 
     /// Returns the version and age of the configuration, as reports to peers state them.
-    pub(super) fn config_status(&self, now: ClockTime) -> ConfigStanding {
+    pub(super) fn config_status(&self, now: ClockTime) -> ConfigStatus {
         let state = self.lock();
         let age = now.since(state.config_known_at.unwrap_or_default());
-        ConfigStanding {
+        ConfigStatus {
             version: state.config.as_ref().map_or(0, |config| config.version),
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
         }
@@ -71,7 +71,7 @@
 
     /// Handles another gateway's report of its configuration. An equal version counts as confirmed by the store as
     /// recently as that gateway confirmed it. A newer version is fetched if the store does not answer here.
-    pub fn take_config_standing(&self, from: SocketAddr, reported: ConfigStanding) {
+    pub fn take_config_standing(&self, from: SocketAddr, reported: ConfigStatus) {
         let now = self.clock.now();
         let mut state = self.lock();
         let known = state.config.as_ref().map_or(0, |config| config.version);
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -9,18 +9,18 @@
 use oatpier_duty::duty::{RingSender, RuntimeClock};
 use oatpier_serving::admission::AdmissionJudge;
 use oatpier_serving::budget::RetryAllowance;
-use oatpier_serving::crashes::book::CrashBook;
+use oatpier_serving::crashes::book::SuspectTable;
 use oatpier_serving::crashes::changes::CrashChange;
-use oatpier_serving::crashes::cuts::CutWatch;
+use oatpier_serving::crashes::cuts::AttemptWatch;
 use oatpier_serving::demand::DemandBook;
 use oatpier_serving::directory::{EndpointDirectory, EndpointRecord};
 use oatpier_serving::greetings::GreetingPaces;
-use oatpier_serving::message::{EnginePulse, EngineWord, InnerMessage};
+use oatpier_serving::message::{EnginePulse, EngineUpdate, InnerMessage};
 use oatpier_serving::peers::PeerBook;
 use oatpier_serving::planner::LoadPlanner;
-use oatpier_serving::quota::grants::GrantBook;
+use oatpier_serving::quota::grants::GrantCache;
 use oatpier_serving::quota::holder::{PartAnswer, PartHolder};
-use oatpier_serving::quota::tenure::{PartTenure, StoreEra, TenureIdentity};
+use oatpier_serving::quota::tenure::{HolderIdentity, PartLeases, StoreEra};
 use oatpier_serving::quota::turns::TurnAnswer;
 use oatpier_serving::reads::StoreWord;
 use oatpier_serving::relays::RelayQueue;
@@ -80,20 +80,20 @@
     pub(super) demand: DemandBook,
     pub(super) allowance: RetryAllowance,
     /// Requests that were running at endpoints when these ended.
-    pub(super) crashes: CrashBook,
+    pub(super) crashes: SuspectTable,
     /// Attempts that were cut off, kept until it is known whether their endpoint ended.
-    pub(super) cuts: CutWatch,
+    pub(super) cuts: AttemptWatch,
     pub(super) peers: PeerBook,
     /// Intervals between greetings to sidecars without a current pulse.
     pub(super) greeting_schedule: GreetingPaces,
     /// Quota rules of the workspaces that have limits.
     pub(super) limits: HashMap<WorkspaceName, QuotaRule>,
     /// Which gateway holds which part of the limits.
-    pub(super) tenure: PartTenure,
+    pub(super) tenure: PartLeases,
     /// Units of the limit parts that this gateway holds.
     pub(super) holder: PartHolder,
     /// Units that were granted to this gateway.
-    pub(super) grants: GrantBook,
+    pub(super) grants: GrantCache,
     /// Engine updates from sidecars, to pass on as a relay of this availability zone.
     pub(super) relayed: RelayQueue,
     pub(super) planner: LoadPlanner,
@@ -163,19 +163,19 @@
                 bounds.retry_slack,
                 bounds.retry_window,
             ),
-            crashes: CrashBook::default(),
-            cuts: CutWatch::default(),
+            crashes: SuspectTable::default(),
+            cuts: AttemptWatch::default(),
             peers: PeerBook::new(settings.inner_address(), settings.processor),
             greeting_schedule: GreetingPaces::default(),
             limits: HashMap::new(),
-            tenure: PartTenure::new(TenureIdentity {
+            tenure: PartLeases::new(HolderIdentity {
                 address: settings.inner_address(),
                 boot: rand::random(),
                 started_at: ClockTime::ZERO,
-                first_start: settings.first_start,
+                is_first_start: settings.first_start,
             }),
             holder: PartHolder::default(),
-            grants: GrantBook::default(),
+            grants: GrantCache::default(),
             config_known_at: None,
             config_requested_at: None,
             store_era: None,
@@ -332,32 +332,32 @@
 
     /// Applies a sidecar's pulse.
     pub fn take_pulse(&self, pulse: EnginePulse) {
-        self.apply_engine_update(EngineWord::Pulse(Box::new(pulse)));
+        self.apply_engine_update(EngineUpdate::Pulse(Box::new(pulse)));
     }
 
     /// Applies an engine update from a sidecar, and queues it for the other gateways of the availability zone.
-    pub fn take_spread(&self, update: EngineWord) {
+    pub fn take_spread(&self, update: EngineUpdate) {
         self.lock().relayed.take(update.clone());
         self.apply_engine_update(update);
     }
 
     /// Applies engine updates that a relay passed on.
-    pub fn take_relayed(&self, updates: Vec<EngineWord>) {
+    pub fn take_relayed(&self, updates: Vec<EngineUpdate>) {
         for update in updates {
             self.lock().relayed.note_passed_on(&update);
             self.apply_engine_update(update);
         }
     }
 
-    fn apply_engine_update(&self, update: EngineWord) {
+    fn apply_engine_update(&self, update: EngineUpdate) {
         let now = self.clock.now();
         let mut state = self.lock();
         let changed = match update {
-            EngineWord::Pulse(pulse) => {
+            EngineUpdate::Pulse(pulse) => {
                 state.peers.note_named(&pulse.gateways, now);
                 state.directory.take_pulse(*pulse, now)
             }
-            EngineWord::Load(load) => {
+            EngineUpdate::Load(load) => {
                 state.directory.take_load_pulse(&load, now);
                 false
             }
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -7,9 +7,9 @@
 
 use std::net::SocketAddr;
 
-use oatpier_serving::crashes::book::{CrashBook, SuspectStanding, SuspectVerdict};
+use oatpier_serving::crashes::book::{SuspectStatus, SuspectTable, SuspectVerdict};
 use oatpier_serving::crashes::changes::CrashChange;
-use oatpier_serving::crashes::cuts::CutAttempt;
+use oatpier_serving::crashes::cuts::BrokenAttempt;
 use oatpier_serving::crashes::{CrashRecord, RequestOrigin};
 use oatpier_serving::directory::EndpointOutcome;
 use oatpier_serving::fingerprint::RequestFingerprint;
@@ -30,8 +30,8 @@
     pub(super) fn suspect_verdict(&self, context: &RequestContext) -> SuspectVerdict {
         let now = self.clock.now();
         let state = self.lock();
-        let open = state.cuts.open(&context.fingerprint);
-        state.crashes.judge(&context.fingerprint, open, now)
+        let open = state.cuts.count_unresolved(&context.fingerprint);
+        state.crashes.evaluate(&context.fingerprint, open, now)
     }
 
     /// Records what the end of an attempt reveals about its request, and about others that were cut off at the same
@@ -45,7 +45,7 @@
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.crashes.end(&context.fingerprint);
+        state.crashes.end_run(&context.fingerprint);
         match outcome {
             EndpointOutcome::Broken => {
                 record_broken_attempt(&mut state, context, endpoint, sent, now);
@@ -69,7 +69,7 @@
         let CoreState {
             cuts, directory, ..
         } = &mut *state;
-        let found = cuts.settle(now, |cut| {
+        let found = cuts.resolve(now, |cut| {
             directory.fate(&cut.site.endpoint, cut.index, cut.at, now)
         });
         if found.is_empty() {
@@ -111,12 +111,12 @@
         let mut state = self.lock();
         let barred_before = state.crashes.barred(now);
         if has_returned {
-            let lost = state.crashes.take_returned(records, now);
+            let lost = state.crashes.apply_restored(records, now);
             for record in lost {
                 self.queue_store_change(CrashChange::Put(record));
             }
         } else {
-            state.crashes.take_stored(records, now);
+            state.crashes.apply_stored(records, now);
         }
         let barred = state.crashes.barred(now);
         if barred != barred_before {
@@ -143,7 +143,7 @@
     pub(super) fn expire_suspects(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let evicted = state.crashes.take_pushed_out();
+        let evicted = state.crashes.take_evicted();
         if !evicted.is_empty() {
             let line = DecisionLine::new(LineWeight::Notable, "suspects pushed out")
                 .with("crashes", evicted.len());
@@ -181,7 +181,7 @@
         self.send_to_peers(&peers, &InnerMessage::CrashesCleared(vec![*fingerprint]));
     }
 
-    fn log_suspect(&self, record: &CrashRecord, standing: &SuspectStanding, source: &'static str) {
+    fn log_suspect(&self, record: &CrashRecord, standing: &SuspectStatus, source: &'static str) {
         let decision = if standing.is_barred {
             "request barred"
         } else {
@@ -201,7 +201,7 @@
         self.log.write(line);
     }
 
-    fn update_suspect_metrics(&self, book: &CrashBook, now: ClockTime) {
+    fn update_suspect_metrics(&self, book: &SuspectTable, now: ClockTime) {
         self.metrics
             .note_suspects(book.suspects(), book.barred(now));
     }
@@ -230,7 +230,7 @@
     let Some((site, index)) = state.directory.staying_start(endpoint, sent.start, now) else {
         return;
     };
-    state.cuts.note(CutAttempt {
+    state.cuts.add(BrokenAttempt {
         fingerprint: context.fingerprint,
         origin: RequestOrigin {
             host: context.route.host.clone(),
--- a/crates/oatpier-gateway/src/gateway/identity.rs
+++ b/crates/oatpier-gateway/src/gateway/identity.rs
@@ -75,9 +75,9 @@
             return Ok(anonymous);
         };
         match (headers::caller_key(request_headers), route.is_public) {
-            (CallerKey::Given(key), _) if table.holder(&key).is_some() => Ok(CallerIdentity {
+            (CallerKey::Given(key), _) if table.find_by_key(&key).is_some() => Ok(CallerIdentity {
                 key: Some(key),
-                workspace: table.holder(&key).cloned(),
+                workspace: table.find_by_key(&key).cloned(),
                 ..anonymous
             }),
             (_, true) => Ok(anonymous),
@@ -107,7 +107,9 @@
             return true;
         }
         let holds = |table: &WorkspaceTable| {
-            let holder = identity.key.and_then(|key| table.holder(&key).cloned());
+            let holder = identity
+                .key
+                .and_then(|key| table.find_by_key(&key).cloned());
             holder.is_some_and(|holder| Some(&holder.name) == identity.workspace_name())
         };
         config.workspaces.as_ref().is_none_or(holds)
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use oatpier_serving::directory::HeardNotice;
-use oatpier_serving::message::{InnerMessage, LeavingWord};
+use oatpier_serving::message::{InnerMessage, LeavingReport};
 use oatpier_serving::notice::NoticeChange;
 use oatpier_types::names::EndpointName;
 
@@ -33,7 +33,7 @@
         self.broadcast_limit(endpoint, &changes, heard.sent_at);
         if changes.contains(&NoticeChange::Leaving) {
             self.changed.notify_waiters();
-            self.broadcast(&InnerMessage::LeavingSeen(LeavingWord {
+            self.broadcast(&InnerMessage::LeavingSeen(LeavingReport {
                 endpoint: endpoint.clone(),
                 start,
             }));
@@ -41,7 +41,7 @@
     }
 
     /// Handles a report of another gateway that an endpoint is leaving.
-    pub fn apply_leaving_report(&self, report: &LeavingWord) {
+    pub fn apply_leaving_report(&self, report: &LeavingReport) {
         let mut state = self.lock();
         let change = state.directory.take_leaving_word(report);
         if let Some(change) = change {
--- a/crates/oatpier-gateway/src/gateway/placement.rs
+++ b/crates/oatpier-gateway/src/gateway/placement.rs
@@ -9,7 +9,7 @@
 use oatpier_serving::call::CallerRequest;
 use oatpier_serving::choice::{EndpointChoice, HeldService};
 use oatpier_serving::fingerprint::RequestFingerprint;
-use oatpier_serving::quota::turns::{HeldTurn, MOST_AHEAD};
+use oatpier_serving::quota::turns::{HeldTurn, MAX_TURN_ADVANCE};
 use oatpier_serving::site::{RouteKind, RouteRule};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::PoolName;
@@ -82,7 +82,7 @@
 
     /// Returns how much longer the request can wait for a turn at a rate-limited endpoint.
     pub(super) fn max_turn_wait(&self, now: ClockTime) -> Duration {
-        self.remaining_wait(now).min(MOST_AHEAD)
+        self.remaining_wait(now).min(MAX_TURN_ADVANCE)
     }
 
     /// Returns how much longer the request may wait for an endpoint.
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -6,7 +6,7 @@
 use oatpier_serving::admission::{AdmissionQuery, AdmissionVerdict};
 use oatpier_serving::call::WeightsKey;
 use oatpier_serving::choice::{self, ChoiceQuery, ChoiceVerdict, EndpointChoice, HeldService};
-use oatpier_serving::message::{AdapterWish, InnerMessage};
+use oatpier_serving::message::{AdapterRequest, InnerMessage};
 use oatpier_serving::site::{EngineRule, SiteConfig};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
@@ -195,7 +195,7 @@
 
     fn request_adapter(&self, weights: Option<&WeightsKey>, sidecar: SocketAddr, slots: usize) {
         if let Some(key) = weights.and_then(WeightsKey::adapter_key) {
-            let request = AdapterWish {
+            let request = AdapterRequest {
                 key,
                 slots: u32::try_from(slots).unwrap_or(u32::MAX),
             };
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -10,9 +10,9 @@
 
 use oatpier_serving::message::{InnerMessage, QuotaAnswer, QuotaAsk};
 use oatpier_serving::quota::PartIndex;
-use oatpier_serving::quota::grants::{AskedParts, GrantStep, PartAsk, UnitsLot};
+use oatpier_serving::quota::grants::{GrantStep, QueriedParts, UnitsGrant, UnitsQuery};
 use oatpier_serving::quota::holder::{PartAnswer, UnitsWanted};
-use oatpier_serving::quota::tenure::{ClaimStanding, PartEntry, StoreEra, TenureChange};
+use oatpier_serving::quota::tenure::{ClaimPriority, LeaseChange, PartEntry, StoreEra};
 use oatpier_serving::site::RouteRule;
 use oatpier_serving::workspace::WorkspaceRule;
 use oatpier_types::clock::ClockTime;
@@ -51,7 +51,7 @@
 pub struct UnitsCharge {
     core: Arc<GatewayCore>,
     workspace: Arc<WorkspaceRule>,
-    lot: UnitsLot,
+    lot: UnitsGrant,
     is_spent: bool,
 }
 
@@ -60,7 +60,9 @@
         if !self.is_spent {
             let now = self.core.clock.now();
             let mut state = self.core.lock();
-            state.grants.put_back(&self.workspace.name, self.lot, now);
+            state
+                .grants
+                .return_units(&self.workspace.name, self.lot, now);
         }
     }
 }
@@ -98,7 +100,7 @@
     fn expired(&self, now: ClockTime) -> Option<(Arc<WorkspaceRule>, u64)> {
         let charge = self.lock();
         let charge = charge.as_ref()?;
-        let is_expired = !charge.is_spent && charge.lot.until <= now;
+        let is_expired = !charge.is_spent && charge.lot.expires_at <= now;
         is_expired.then(|| (Arc::clone(&charge.workspace), charge.lot.units))
     }
 
@@ -122,7 +124,7 @@
     units: u64,
     max_wait: Duration,
 ) -> Result<UnitsCharge, OwnAnswer> {
-    let mut asked = AskedParts::default();
+    let mut asked = QueriedParts::default();
     let until = core.clock.now() + max_wait;
     loop {
         let now = core.clock.now();
@@ -136,20 +138,20 @@
                     is_spent: false,
                 });
             }
-            GrantStep::Ask(ask) => {
+            GrantStep::Query(ask) => {
                 asked.add(ask.part);
                 ask_holder(core, &workspace.name, &ask).await;
             }
-            GrantStep::Spent(after) if now + after < until => {
+            GrantStep::Exhausted(after) if now + after < until => {
                 sleep(after.max(RETRY_INTERVAL)).await;
-                asked = AskedParts::default();
+                asked = QueriedParts::default();
             }
-            GrantStep::Spent(after) => return Err(core.over_limit(after)),
-            GrantStep::Nobody if now + RETRY_INTERVAL < until => {
+            GrantStep::Exhausted(after) => return Err(core.over_limit(after)),
+            GrantStep::NoHolder if now + RETRY_INTERVAL < until => {
                 sleep(RETRY_INTERVAL).await;
-                asked = AskedParts::default();
+                asked = QueriedParts::default();
             }
-            GrantStep::Nobody => return Err(core.limit_unknown()),
+            GrantStep::NoHolder => return Err(core.limit_unknown()),
         }
     }
 }
@@ -167,7 +169,7 @@
     Ok(())
 }
 
-async fn ask_holder(core: &Arc<GatewayCore>, workspace: &WorkspaceName, ask: &PartAsk) {
+async fn ask_holder(core: &Arc<GatewayCore>, workspace: &WorkspaceName, ask: &UnitsQuery) {
     let asked_at = core.clock.now();
     let answer = if ask.holder == core.settings.borrow().inner_address() {
         Some(core.grant_units(ask.part, workspace, ask.wanted))
@@ -175,21 +177,21 @@
         ask_remote_holder(core, workspace, ask).await
     };
     let now = core.clock.now();
-    let lifetime = core.settings.borrow().bounds.quota.grant_life();
+    let lifetime = core.settings.borrow().bounds.quota.grant_lifetime();
     let mut state = core.lock();
     match answer {
         Some(answer) => {
             let grants = &mut state.grants;
-            grants.take_answer(workspace, ask, answer, asked_at, lifetime, now);
+            grants.apply_answer(workspace, ask, answer, asked_at, lifetime, now);
         }
-        None => state.grants.holders_mut().note_silence(ask.part, now),
+        None => state.grants.holders_mut().note_timeout(ask.part, now),
     }
 }
 
 async fn ask_remote_holder(
     core: &GatewayCore,
     workspace: &WorkspaceName,
-    ask: &PartAsk,
+    ask: &UnitsQuery,
 ) -> Option<PartAnswer> {
     let send = |id| {
         let message = InnerMessage::QuotaAsk(QuotaAsk {
@@ -239,15 +241,17 @@
         if !state.tenure.holds(part, now) {
             return PartAnswer::NotHeld;
         }
-        let terms = bounds.part(&rule);
-        state.holder.hand_out(part, workspace, &terms, wanted, now)
+        let terms = bounds.bucket_params(&rule);
+        state
+            .holder
+            .grant_units(part, workspace, &terms, wanted, now)
     }
 
     /// Applies the holders of the limit parts as read from the store.
     pub fn take_parts(&self, parts: &[PartEntry], era: StoreEra) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let changes = state.tenure.take_read(parts, era, now);
+        let changes = state.tenure.apply_read(parts, era, now);
         self.apply_lease_changes(&mut state, changes);
     }
 
@@ -258,23 +262,23 @@
         let ClaimResult { due, outcome } = result;
         let change = state
             .tenure
-            .take_outcome(&due.claim, outcome, due.sent_at, now);
+            .apply_outcome(&due.claim, outcome, due.sent_at, now);
         self.apply_lease_changes(&mut state, change);
     }
 
     fn apply_lease_changes(
         &self,
         state: &mut CoreState,
-        changes: impl IntoIterator<Item = TenureChange>,
+        changes: impl IntoIterator<Item = LeaseChange>,
     ) {
         for change in changes {
             match change {
-                TenureChange::Begun(begin) => {
+                LeaseChange::Begun(begin) => {
                     state
                         .holder
                         .begin(begin.part, begin.start, begin.free_since);
                 }
-                TenureChange::Ended(part) => state.holder.end(part),
+                LeaseChange::Ended(part) => state.holder.end(part),
             }
             let line = DecisionLine::new(LineWeight::Notable, "limit part");
             self.log.write(line.with("change", format!("{change:?}")));
@@ -286,7 +290,7 @@
     /// Counts and logs the units that workspaces requested from the parts held here. Writes one line for each
     /// workspace that was refused units.
     pub(super) fn count_limit_use(&self) {
-        let uses = self.lock().holder.count_use();
+        let uses = self.lock().holder.take_use_counts();
         for used in uses {
             let workspace = &used.workspace;
             let units = used.units;
@@ -312,9 +316,9 @@
     pub(super) fn tend_parts(&self, is_leaving: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let priority = ClaimStanding {
+        let priority = ClaimPriority {
             rank: state.peers.rank(now),
-            is_wanted: !is_leaving,
+            is_eligible: !is_leaving,
         };
         let released = if is_leaving {
             state.tenure.release(now)
@@ -325,7 +329,7 @@
             state.holder.end(claim.record.part);
         }
         let mut claims = released;
-        while let Some(claim) = state.tenure.due(priority, now) {
+        while let Some(claim) = state.tenure.next_claim(priority, now) {
             claims.push(claim);
         }
         drop(state);
--- a/crates/oatpier-gateway/src/gateway/reports.rs
+++ b/crates/oatpier-gateway/src/gateway/reports.rs
@@ -107,7 +107,7 @@
         state
             .allowance
             .set_bounds(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
-        state.allowance.share_among(count);
+        state.allowance.set_gateways(count);
         let store_age = now.since(state.store_read_at.unwrap_or_default());
         let store_age = i64::try_from(store_age.as_millis()).unwrap_or(i64::MAX);
         self.core.metrics.store_age_ms.set(store_age);
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -191,8 +191,8 @@
     /// and while the request waits, because another gateway may report the verdict meanwhile.
     fn check_suspect(&self) -> Result<(), OwnAnswer> {
         let response = match self.core.suspect_verdict(&self.context) {
-            SuspectVerdict::Clear => return Ok(()),
-            SuspectVerdict::Held => OwnAnswer::Held,
+            SuspectVerdict::Allowed => return Ok(()),
+            SuspectVerdict::Deferred => OwnAnswer::Held,
             SuspectVerdict::Barred => OwnAnswer::Barred,
         };
         Err(self.unless_run(response))
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use oatpier_serving::directory::EndpointRow;
-use oatpier_serving::message::{InnerMessage, LimitWord, TurnAsk, TurnReply};
+use oatpier_serving::message::{InnerMessage, LimitReport, TurnAsk, TurnReply};
 use oatpier_serving::notice::NoticeChange;
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::turns::{HeldTurn, TurnAnswer, TurnQuery, TurnStep};
@@ -84,14 +84,14 @@
     async fn request_turn(&self, endpoint: &EndpointName, query: &TurnQuery) -> Option<HeldTurn> {
         let limit = self.limit_report(endpoint, None)?;
         let answer = if query.holder == self.settings.borrow().inner_address() {
-            Some(self.grant_turn(query.part, &limit, query.most_wait))
+            Some(self.grant_turn(query.part, &limit, query.max_wait))
         } else {
             self.request_remote_turn(query, limit).await
         };
         let now = self.clock.now();
         let mut state = self.lock();
         let Some(answer) = answer else {
-            state.grants.holders_mut().note_silence(query.part, now);
+            state.grants.holders_mut().note_timeout(query.part, now);
             return None;
         };
         let CoreState {
@@ -100,12 +100,16 @@
         directory.take_turn_answer(endpoint, grants.holders_mut(), query.part, answer, now)
     }
 
-    async fn request_remote_turn(&self, query: &TurnQuery, limit: LimitWord) -> Option<TurnAnswer> {
+    async fn request_remote_turn(
+        &self,
+        query: &TurnQuery,
+        limit: LimitReport,
+    ) -> Option<TurnAnswer> {
         let send = |id| {
             let ask = TurnAsk {
                 id,
                 part: query.part,
-                most_wait_ms: u32::try_from(query.most_wait.as_millis()).unwrap_or(u32::MAX),
+                most_wait_ms: u32::try_from(query.max_wait.as_millis()).unwrap_or(u32::MAX),
                 limit,
             };
             self.outlet.send(query.holder, &InnerMessage::TurnAsk(ask));
@@ -127,7 +131,7 @@
     }
 
     /// Grants a turn according to the newest report of the limit, which may come with the request.
-    fn grant_turn(&self, part: PartIndex, limit: &LimitWord, max_wait: Duration) -> TurnAnswer {
+    fn grant_turn(&self, part: PartIndex, limit: &LimitReport, max_wait: Duration) -> TurnAnswer {
         let now = self.clock.now();
         self.apply_limit_report(limit);
         let mut state = self.lock();
@@ -141,20 +145,20 @@
         }
         state
             .holder
-            .give_turn(part, &limit.endpoint, rate, max_wait, now)
+            .grant_turn(part, &limit.endpoint, rate, max_wait, now)
     }
 
     fn limit_report(
         &self,
         endpoint: &EndpointName,
         sent_at: Option<ClockTime>,
-    ) -> Option<LimitWord> {
+    ) -> Option<LimitReport> {
         let now = self.clock.now();
         self.lock().directory.limit_word(endpoint, sent_at, now)
     }
 
     /// Handles the report of another gateway about the rate limit of an endpoint.
-    pub fn apply_limit_report(&self, report: &LimitWord) {
+    pub fn apply_limit_report(&self, report: &LimitReport) {
         let now = self.clock.now();
         let mut state = self.lock();
         if let Some(change) = state.directory.take_limit_word(report, now) {
--- a/crates/oatpier-gateway/src/sidecar/pulses.rs
+++ b/crates/oatpier-gateway/src/sidecar/pulses.rs
@@ -12,7 +12,7 @@
 
 use oatpier_serving::engine::{AdapterKey, EndpointLoad, EngineReport};
 use oatpier_serving::message::{
-    EnginePulse, EngineWord, GatewayGreeting, InnerMessage, LoadPulse, MessageNumber,
+    EnginePulse, EngineUpdate, GatewayGreeting, InnerMessage, LoadPulse, MessageNumber,
 };
 use oatpier_serving::permits::PermitDesk;
 use oatpier_serving::relays::{self, RelayCandidate};
@@ -197,7 +197,7 @@
         pulse.gateways = self.next_gateways();
         self.full_sent_at = now;
         self.load_sent_at = now;
-        self.send_to_relays(outlet, EngineWord::Pulse(Box::new(pulse)));
+        self.send_to_relays(outlet, EngineUpdate::Pulse(Box::new(pulse)));
     }
 
     fn send_load(&mut self, outlet: &dyn MessageOutlet, pulse: &EnginePulse, now: ClockTime) {
@@ -220,10 +220,10 @@
             permits_waiting: pulse.permits_waiting,
             failing_percent: pulse.failing_percent,
         };
-        self.send_to_relays(outlet, EngineWord::Load(load));
+        self.send_to_relays(outlet, EngineUpdate::Load(load));
     }
 
-    fn send_to_relays(&self, outlet: &dyn MessageOutlet, update: EngineWord) {
+    fn send_to_relays(&self, outlet: &dyn MessageOutlet, update: EngineUpdate) {
         let candidates = self
             .gateways
             .iter()
--- a/crates/oatpier-gateway/tests/testsuite/keys.rs
+++ b/crates/oatpier-gateway/tests/testsuite/keys.rs
@@ -8,7 +8,7 @@
 use oatpier_duty::duty::{RingRule, StopSignal, ring};
 use oatpier_gateway::config_share::{ConfigShareInputs, share_config};
 use oatpier_gateway::metrics::ServingMetrics;
-use oatpier_serving::message::ConfigStanding;
+use oatpier_serving::message::ConfigStatus;
 use oatpier_serving::site::{RouteKind, RouteRule, SiteConfig};
 use oatpier_serving::workspace::keys::KeyDigest;
 use oatpier_serving::workspace::{DeclaredWorkspace, WorkspaceRule, WorkspaceTable};
@@ -238,7 +238,7 @@
         .take_records(Some(Arc::new(config)), Vec::new());
     let peer = SocketAddr::from(([10, 0, 0, 9], 7380));
     let report = |gateway: &TestGateway, version| {
-        let standing = ConfigStanding { version, age_ms: 0 };
+        let standing = ConfigStatus { version, age_ms: 0 };
         gateway.core.take_config_standing(peer, standing);
     };
     report(&gateway, 4);
--- a/crates/oatpier-gateway/tests/testsuite/leaving.rs
+++ b/crates/oatpier-gateway/tests/testsuite/leaving.rs
@@ -1,7 +1,7 @@
 //! Tests of endpoints that announce in their responses that they are leaving.
 
 use http::StatusCode;
-use oatpier_serving::message::{InnerMessage, LeavingWord};
+use oatpier_serving::message::{InnerMessage, LeavingReport};
 use oatpier_serving::site::RouteKind;
 use oatpier_types::names::EndpointName;
 
@@ -39,8 +39,8 @@
     assert_eq!(staying.requests().len(), 4);
 }
 
-fn leaving_report() -> LeavingWord {
-    LeavingWord {
+fn leaving_report() -> LeavingReport {
+    LeavingReport {
         endpoint: EndpointName::try_from("i-1").unwrap(),
         start: None,
     }
--- a/crates/oatpier-gateway/tests/testsuite/pulses.rs
+++ b/crates/oatpier-gateway/tests/testsuite/pulses.rs
@@ -6,7 +6,7 @@
 
 use oatpier_gateway::sidecar::pulses::PulseSender;
 use oatpier_serving::engine::{EngineReport, HeldModel};
-use oatpier_serving::message::{EnginePulse, EngineWord, GatewayGreeting, InnerMessage};
+use oatpier_serving::message::{EnginePulse, EngineUpdate, GatewayGreeting, InnerMessage};
 use oatpier_serving::residency::{EngineResidency, LoadPace};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{AdapterName, ModelName, ZoneName};
@@ -66,7 +66,7 @@
 /// Returns the full pulses that were sent, with their receivers.
 fn sent_full_pulses(outlet: &KeptOutlet) -> Vec<(SocketAddr, EnginePulse)> {
     let pulse = |(to, message): (SocketAddr, InnerMessage)| match message {
-        InnerMessage::Pulse(pulse) | InnerMessage::Spread(EngineWord::Pulse(pulse)) => {
+        InnerMessage::Pulse(pulse) | InnerMessage::Spread(EngineUpdate::Pulse(pulse)) => {
             Some((to, *pulse))
         }
         _ => None,
@@ -91,7 +91,7 @@
     }
     let mut listed: Vec<SocketAddr> = Vec::new();
     for (_, message) in outlet.sent() {
-        if let InnerMessage::Spread(EngineWord::Pulse(pulse)) = message {
+        if let InnerMessage::Spread(EngineUpdate::Pulse(pulse)) = message {
             assert!(pulse.gateways.len() <= 16);
             listed.extend(pulse.gateways);
         }
--- a/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures::future::join_all;
 use http::{Request, StatusCode};
-use oatpier_serving::message::{InnerMessage, LimitWord};
+use oatpier_serving::message::{InnerMessage, LimitReport};
 use oatpier_serving::notice::RequestRate;
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::turns::TurnAnswer;
@@ -69,8 +69,8 @@
     gateway
 }
 
-fn limit_report() -> LimitWord {
-    LimitWord {
+fn limit_report() -> LimitReport {
+    LimitReport {
         endpoint: EndpointName::try_from("i-1").unwrap(),
         start: None,
         rate: Some(RequestRate::try_from(RATE).unwrap()),
--- a/crates/oatpier-gateway/tests/testsuite/relayed.rs
+++ b/crates/oatpier-gateway/tests/testsuite/relayed.rs
@@ -4,7 +4,7 @@
 
 use http::StatusCode;
 use oatpier_serving::engine::{EndpointLoad, HeldModel};
-use oatpier_serving::message::{EngineWord, InnerMessage, LoadPulse, MessageNumber, PermitGrant};
+use oatpier_serving::message::{EngineUpdate, InnerMessage, LoadPulse, MessageNumber, PermitGrant};
 use oatpier_serving::site::RouteKind;
 use oatpier_types::names::ModelName;
 use tokio::time::sleep;
@@ -18,16 +18,16 @@
     pause: Duration::from_millis(300),
 };
 
-fn full_update(engine: &ScriptedEndpoint, number: u64, model: &str) -> EngineWord {
+fn full_update(engine: &ScriptedEndpoint, number: u64, model: &str) -> EngineUpdate {
     let held = HeldModel {
         model: ModelName::try_from(model).unwrap(),
         adapters: Vec::new(),
     };
-    EngineWord::Pulse(Box::new(pulse(number, engine.address, vec![held])))
+    EngineUpdate::Pulse(Box::new(pulse(number, engine.address, vec![held])))
 }
 
-fn load_update(engine: &ScriptedEndpoint, number: u64, running: u32) -> EngineWord {
-    EngineWord::Load(LoadPulse {
+fn load_update(engine: &ScriptedEndpoint, number: u64, running: u32) -> EngineUpdate {
+    EngineUpdate::Load(LoadPulse {
         number: MessageNumber { boot: 1, number },
         engine: engine.address,
         load: EndpointLoad {
--- a/crates/oatpier-serving/examples/limit_costs.rs
+++ b/crates/oatpier-serving/examples/limit_costs.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use oatpier_serving::quota::bounds::QuotaBounds;
-use oatpier_serving::quota::grants::{AskedParts, GrantBook, GrantStep, PartAsk};
+use oatpier_serving::quota::grants::{GrantCache, GrantStep, QueriedParts, UnitsQuery};
 use oatpier_serving::quota::holder::{PartHolder, PartStart, UnitsWanted};
 use oatpier_serving::quota::{PARTS, PartIndex};
 use oatpier_serving::workspace::keys::KeyDigest;
@@ -68,29 +68,29 @@
         slack: 7_500.0,
     };
     let part = PartIndex(0);
-    let terms = bounds.part(&RULE);
+    let terms = bounds.bucket_params(&RULE);
     let mut holder = PartHolder::default();
     holder.begin(part, PartStart::Full, ClockTime::ZERO);
-    let mut grants = GrantBook::default();
+    let mut grants = GrantCache::default();
     let own = "10.0.0.1:7380".parse().expect("an address");
     grants.holders_mut().set([Some(own); PARTS as usize]);
     let now = ClockTime::from_millis(10);
     let started = std::time::Instant::now();
     for key in &keys {
         let digest = KeyDigest::of(black_box(key.as_bytes()));
-        let rule = table.holder(&digest).expect("it is known");
+        let rule = table.find_by_key(&digest).expect("it is known");
         let wanted = UnitsWanted {
             need: 900,
             ahead: 0,
         };
-        let answer = holder.hand_out(part, &rule.name, &terms, wanted, now);
-        let ask = PartAsk {
+        let answer = holder.grant_units(part, &rule.name, &terms, wanted, now);
+        let ask = UnitsQuery {
             part,
             holder: own,
             wanted,
         };
-        grants.take_answer(&rule.name, &ask, answer, now, bounds.grant_life(), now);
-        let step = grants.step(&rule.name, 900, &AskedParts::default(), now);
+        grants.apply_answer(&rule.name, &ask, answer, now, bounds.grant_lifetime(), now);
+        let step = grants.step(&rule.name, 900, &QueriedParts::default(), now);
         assert!(matches!(black_box(step), GrantStep::Taken(_)));
     }
     let time_per_round = started.elapsed() / u32::try_from(ROUNDS).expect("some hundred thousand");
--- a/crates/oatpier-serving/src/budget.rs
+++ b/crates/oatpier-serving/src/budget.rs
@@ -52,7 +52,7 @@
     }
 
     /// Sets the number of gateways that share the fixed number.
-    pub fn share_among(&mut self, gateways: usize) {
+    pub fn set_gateways(&mut self, gateways: usize) {
         self.gateways = f64::from(u32::try_from(gateways.max(1)).unwrap_or(u32::MAX));
     }
 
--- a/crates/oatpier-serving/src/crashes/book.rs
+++ b/crates/oatpier-serving/src/crashes/book.rs
@@ -12,15 +12,15 @@
 /// Number of crashes, with no complete answer in between, that bar a request. Two may be coincidence: an endpoint that
 /// crashes for another reason interrupts dozens of requests, and their callers may send all of them again at once. From
 /// the third crash on, each retry costs an endpoint and all requests that it runs.
-pub const MOST_CRASHES: usize = 3;
+pub const CRASHES_TO_BAR: usize = 3;
 
 /// How long a request that is not barred remains a suspect after its last crash. Callers retry within seconds to
 /// minutes. A request that is sent every quarter of an hour must not count as new each time.
-pub const SUSPECT_LIFE: Duration = Duration::from_hours(1);
+pub const SUSPECT_TTL: Duration = Duration::from_hours(1);
 
 /// How long a request is barred before it may run once more. If it was barred wrongly, the first complete answer clears
 /// it. Otherwise the run costs one more endpoint, and the request stays barred until an operator clears it.
-pub const BAR_LIFE: Duration = Duration::from_mins(10);
+pub const BAR_DURATION: Duration = Duration::from_mins(10);
 
 /// Maximum number of crashes that are kept for one request. A barred request gets at most one or two more than those
 /// that barred it.
@@ -28,16 +28,16 @@
 
 /// Maximum number of suspects. A crash of one of the largest engines creates 64. At 200 bytes each, the table takes 0.2
 /// MB. Above the limit, the workspace with the most suspects loses its least certain one.
-pub const MOST_SUSPECTS: usize = 1_024;
+pub const MAX_SUSPECTS: usize = 1_024;
 
 /// Decision whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SuspectVerdict {
     /// The request may be sent.
-    Clear,
+    Allowed,
     /// The request must wait until the outcome of its active runs and broken attempts is known. Together with them, it
     /// might crash more endpoints than allowed.
-    Held,
+    Deferred,
     /// The request is not sent any more.
     Barred,
 }
@@ -76,8 +76,8 @@
     /// Returns the number of crashes at which the request is barred. Once the bar has lasted for [`BAR_LIFE`], one more
     /// run is allowed, and the next crash bars the request again.
     fn crashes_allowed(&self, now: ClockTime) -> usize {
-        let is_due = |at: ClockTime| now.since(at) >= BAR_LIFE;
-        MOST_CRASHES + usize::from(self.barred_at.is_some_and(is_due))
+        let is_due = |at: ClockTime| now.since(at) >= BAR_DURATION;
+        CRASHES_TO_BAR + usize::from(self.barred_at.is_some_and(is_due))
     }
 
     fn is_barred(&self, now: ClockTime) -> bool {
@@ -93,7 +93,7 @@
 
 /// Status of a suspect, for log lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SuspectStanding {
+pub struct SuspectStatus {
     /// Number of crashes at which the request was running.
     pub crashes: usize,
     /// Whether the request is not sent any more.
@@ -102,7 +102,7 @@
 
 /// Suspects, which are requests that were running at endpoints when those crashed.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct SuspectTable {
     suspects: HashMap<RequestFingerprint, Suspect>,
     /// Number of active runs of each request at this gateway.
     running: HashMap<RequestFingerprint, usize>,
@@ -110,13 +110,13 @@
     evicted: Vec<CrashRecord>,
 }
 
-impl CrashBook {
+impl SuspectTable {
     /// Decides whether a request may be sent that has `open` broken attempts with an unknown outcome.
     ///
     /// Active runs of a suspect count as crashes. Otherwise the same request, sent several times at once, could crash
     /// one endpoint for each time.
     #[must_use]
-    pub fn judge(
+    pub fn evaluate(
         &self,
         fingerprint: &RequestFingerprint,
         open: usize,
@@ -128,24 +128,24 @@
         }
         let crashes = suspect.map_or(0, |suspect| suspect.crashes.len());
         if crashes + open == 0 {
-            return SuspectVerdict::Clear;
+            return SuspectVerdict::Allowed;
         }
-        let allowed = suspect.map_or(MOST_CRASHES, |suspect| suspect.crashes_allowed(now));
+        let allowed = suspect.map_or(CRASHES_TO_BAR, |suspect| suspect.crashes_allowed(now));
         let running = self.running.get(fingerprint).copied().unwrap_or(0);
         if crashes + open + running >= allowed {
-            SuspectVerdict::Held
+            SuspectVerdict::Deferred
         } else {
-            SuspectVerdict::Clear
+            SuspectVerdict::Allowed
         }
     }
 
     /// Records the start of a run.
-    pub fn begin(&mut self, fingerprint: RequestFingerprint) {
+    pub fn begin_run(&mut self, fingerprint: RequestFingerprint) {
         *self.running.entry(fingerprint).or_default() += 1;
     }
 
     /// Records the end of a run.
-    pub fn end(&mut self, fingerprint: &RequestFingerprint) {
+    pub fn end_run(&mut self, fingerprint: &RequestFingerprint) {
         let Some(running) = self.running.get_mut(fingerprint) else {
             return;
         };
@@ -156,7 +156,7 @@
     }
 
     /// Records that a request was running at an endpoint when that crashed. Returns `None` if the crash was known.
-    pub fn note_crash(&mut self, record: &CrashRecord, now: ClockTime) -> Option<SuspectStanding> {
+    pub fn note_crash(&mut self, record: &CrashRecord, now: ClockTime) -> Option<SuspectStatus> {
         self.insert(record, false, now)
     }
 
@@ -165,7 +165,7 @@
         record: &CrashRecord,
         is_stored: bool,
         now: ClockTime,
-    ) -> Option<SuspectStanding> {
+    ) -> Option<SuspectStatus> {
         let suspect = self
             .suspects
             .entry(record.fingerprint)
@@ -192,10 +192,10 @@
             is_stored,
         });
         suspect.seen_at = now;
-        if suspect.crashes.len() == MOST_CRASHES {
+        if suspect.crashes.len() == CRASHES_TO_BAR {
             suspect.barred_at = Some(now);
         }
-        let standing = SuspectStanding {
+        let standing = SuspectStatus {
             crashes: suspect.crashes.len(),
             is_barred: suspect.is_barred(now),
         };
@@ -204,7 +204,7 @@
     }
 
     /// Applies the list of crashes in the store. Crashes that were listed before and are missing now have been cleared.
-    pub fn take_stored(&mut self, listed: &[CrashRecord], now: ClockTime) {
+    pub fn apply_stored(&mut self, listed: &[CrashRecord], now: ClockTime) {
         for record in listed {
             self.insert(record, true, now);
         }
@@ -227,7 +227,7 @@
     /// If they were treated as cleared, all gateways would stop barring the requests at once, and the requests could
     /// crash endpoints again. A request that an operator cleared just before is barred again until it is cleared once
     /// more.
-    pub fn take_returned(&mut self, listed: &[CrashRecord], now: ClockTime) -> Vec<CrashRecord> {
+    pub fn apply_restored(&mut self, listed: &[CrashRecord], now: ClockTime) -> Vec<CrashRecord> {
         let mut lost = Vec::new();
         for (fingerprint, suspect) in &mut self.suspects {
             let is_lost = |crash: &&mut KnownCrash| {
@@ -246,7 +246,7 @@
                 });
             }
         }
-        self.take_stored(listed, now);
+        self.apply_stored(listed, now);
         lost
     }
 
@@ -259,7 +259,7 @@
     /// Removes suspects that are too old, and returns their crashes. Barred requests stay.
     pub fn expire(&mut self, now: ClockTime) -> Vec<CrashRecord> {
         let is_old = |suspect: &Suspect| {
-            suspect.crashes.len() < MOST_CRASHES && now.since(suspect.seen_at) >= SUSPECT_LIFE
+            suspect.crashes.len() < CRASHES_TO_BAR && now.since(suspect.seen_at) >= SUSPECT_TTL
         };
         let old: Vec<RequestFingerprint> = self
             .suspects
@@ -275,7 +275,7 @@
     /// Evicts the least certain suspect of the workspace with the most suspects if the table is too large. Many
     /// requests of one workspace therefore evict only suspects of the same workspace.
     fn evict_excess(&mut self, newest: &RequestFingerprint) {
-        if self.suspects.len() <= MOST_SUSPECTS {
+        if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
         let mut counts: HashMap<&str, usize> = HashMap::new();
@@ -316,7 +316,7 @@
     }
 
     /// Returns and removes the crashes of suspects that were evicted since the last call.
-    pub fn take_pushed_out(&mut self) -> Vec<CrashRecord> {
+    pub fn take_evicted(&mut self) -> Vec<CrashRecord> {
         std::mem::take(&mut self.evicted)
     }
 }
--- a/crates/oatpier-serving/src/crashes/cuts.rs
+++ b/crates/oatpier-serving/src/crashes/cuts.rs
@@ -22,7 +22,7 @@
 
 /// State of an endpoint after the connection to it broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointFate {
+pub enum EndpointOutcome {
     /// The process ended, or another one has its address.
     Ended,
     /// The same process is still running.
@@ -33,7 +33,7 @@
 
 /// Attempt whose connection broke.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct CutAttempt {
+pub struct BrokenAttempt {
     /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Owner of the request.
@@ -50,13 +50,13 @@
 
 /// Broken attempts whose endpoint state is not known yet.
 #[derive(Debug, Default)]
-pub struct CutWatch {
-    attempts: Vec<CutAttempt>,
+pub struct AttemptWatch {
+    attempts: Vec<BrokenAttempt>,
 }
 
-impl CutWatch {
+impl AttemptWatch {
     /// Adds a broken attempt.
-    pub fn note(&mut self, attempt: CutAttempt) {
+    pub fn add(&mut self, attempt: BrokenAttempt) {
         if self.attempts.len() >= MAX_BROKEN_ATTEMPTS {
             self.attempts.remove(0);
         }
@@ -71,7 +71,7 @@
 
     /// Returns the number of broken attempts of a request that may still count as crashes.
     #[must_use]
-    pub fn open(&self, fingerprint: &RequestFingerprint) -> usize {
+    pub fn count_unresolved(&self, fingerprint: &RequestFingerprint) -> usize {
         let attempts = self.attempts.iter();
         attempts
             .filter(|attempt| attempt.fingerprint == *fingerprint)
@@ -79,25 +79,25 @@
     }
 
     /// Checks the endpoint of each broken attempt with `fate`. Returns the crashes that are now certain.
-    pub fn settle(
+    pub fn resolve(
         &mut self,
         now: ClockTime,
-        fate: impl Fn(&CutAttempt) -> EndpointFate,
+        fate: impl Fn(&BrokenAttempt) -> EndpointOutcome,
     ) -> Vec<CrashRecord> {
         let mut crashes = Vec::new();
         self.attempts.retain(|attempt| match fate(attempt) {
-            EndpointFate::Ended => {
+            EndpointOutcome::Ended => {
                 crashes.push(attempt.to_crash_record());
                 false
             }
-            EndpointFate::Alive => false,
-            EndpointFate::Unknown => now.since(attempt.at) < BROKEN_ATTEMPT_TTL,
+            EndpointOutcome::Alive => false,
+            EndpointOutcome::Unknown => now.since(attempt.at) < BROKEN_ATTEMPT_TTL,
         });
         crashes
     }
 }
 
-impl CutAttempt {
+impl BrokenAttempt {
     fn to_crash_record(&self) -> CrashRecord {
         CrashRecord {
             fingerprint: self.fingerprint,
--- a/crates/oatpier-serving/src/directory/liveness.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -8,7 +8,7 @@
 
 use super::{EndpointDirectory, EndpointRow};
 use crate::crashes::CrashSite;
-use crate::crashes::cuts::EndpointFate;
+use crate::crashes::cuts::EndpointOutcome;
 
 /// Maximum age on arrival of a sidecar's report that its engine responds.
 ///
@@ -46,19 +46,19 @@
         index: EndpointIndex,
         since: ClockTime,
         now: ClockTime,
-    ) -> EndpointFate {
+    ) -> EndpointOutcome {
         let Some(row) = self.row(name) else {
-            return EndpointFate::Ended;
+            return EndpointOutcome::Ended;
         };
         let is_refused = row.refused_at.is_some_and(|at| at >= since);
         if row.index != index || row.is_gone || is_refused || row.is_unresponsive(now) {
-            return EndpointFate::Ended;
+            return EndpointOutcome::Ended;
         }
         let has_served = row.served_at.is_some_and(|at| at > since);
         if has_served || row.has_responded_to_sidecar(since + MAX_UPDATE_AGE, now) {
-            return EndpointFate::Alive;
+            return EndpointOutcome::Alive;
         }
-        EndpointFate::Unknown
+        EndpointOutcome::Unknown
     }
 }
 
--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -9,10 +9,10 @@
 use super::rest::RestState;
 use super::row::ReportedLimit;
 use super::{EndpointDirectory, EndpointRow};
-use crate::message::{LeavingWord, LimitWord};
+use crate::message::{LeavingReport, LimitReport};
 use crate::notice::{EndpointNotice, NoticeChange, NoticeValue, RequestRate, RestSpan};
 use crate::quota::PartIndex;
-use crate::quota::holders::HolderBook;
+use crate::quota::holders::HolderTable;
 use crate::quota::turns::{HeldTurn, TurnAnswer, TurnEstimates, TurnStep};
 use crate::reading::SentPrompt;
 
@@ -57,7 +57,11 @@
     }
 
     /// Applies a rate limit that another gateway has received from the endpoint.
-    pub fn take_limit_word(&mut self, report: &LimitWord, now: ClockTime) -> Option<NoticeChange> {
+    pub fn take_limit_word(
+        &mut self,
+        report: &LimitReport,
+        now: ClockTime,
+    ) -> Option<NoticeChange> {
         let row = self.rows.get_mut(&report.endpoint)?;
         if row.is_other_incarnation(report.start) {
             return None;
@@ -67,7 +71,7 @@
     }
 
     /// Applies a report by another gateway that an endpoint is leaving.
-    pub fn take_leaving_word(&mut self, report: &LeavingWord) -> Option<NoticeChange> {
+    pub fn take_leaving_word(&mut self, report: &LeavingReport) -> Option<NoticeChange> {
         let row = self.rows.get_mut(&report.endpoint)?;
         if row.is_other_incarnation(report.start) {
             return None;
@@ -83,10 +87,10 @@
         name: &EndpointName,
         sent_at: Option<ClockTime>,
         now: ClockTime,
-    ) -> Option<LimitWord> {
+    ) -> Option<LimitReport> {
         let row = self.row(name)?;
         let sent_at = sent_at.or(row.limit.map(|limit| limit.sent_at))?;
-        Some(LimitWord {
+        Some(LimitReport {
             endpoint: name.clone(),
             start: row.record.start,
             rate: row.limit.map(|limit| limit.rate),
@@ -99,7 +103,7 @@
     pub fn turn_step(
         &mut self,
         name: &EndpointName,
-        holders: &HolderBook,
+        holders: &HolderTable,
         most_wait: Duration,
         now: ClockTime,
     ) -> Option<TurnStep> {
@@ -111,7 +115,7 @@
     pub fn take_turn_answer(
         &mut self,
         name: &EndpointName,
-        holders: &mut HolderBook,
+        holders: &mut HolderTable,
         part: PartIndex,
         answer: TurnAnswer,
         now: ClockTime,
@@ -180,7 +184,7 @@
     fn apply_rest(&mut self, rest: NoticeValue<RestSpan>, now: ClockTime) -> Option<NoticeChange> {
         let span = match rest {
             NoticeValue::Given(span) => span,
-            NoticeValue::Unusable => RestSpan::UNREADABLE,
+            NoticeValue::Unusable => RestSpan::FALLBACK,
             NoticeValue::Absent => return None,
         };
         let is_longer = span.duration() > self.rest_left(now);
--- a/crates/oatpier-serving/src/message/limits.rs
+++ b/crates/oatpier-serving/src/message/limits.rs
@@ -47,7 +47,7 @@
     /// Maximum time by which the turn may be in the future, in milliseconds.
     pub most_wait_ms: u32,
     /// Endpoint and its limit as known to the sender.
-    pub limit: LimitWord,
+    pub limit: LimitReport,
 }
 
 /// Answer of a holder to a [`TurnAsk`].
@@ -63,7 +63,7 @@
 /// Report that an endpoint is leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct LeavingWord {
+pub struct LeavingReport {
     /// Endpoint that is leaving.
     pub endpoint: EndpointName,
     /// Start time of its process, if it reports one.
@@ -73,7 +73,7 @@
 /// Limit that an endpoint stated in a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// Endpoint that sent the response.
     pub endpoint: EndpointName,
     /// Start time of its process, if it reports one.
@@ -84,7 +84,7 @@
     pub sent_ago_ms: u32,
 }
 
-impl LimitWord {
+impl LimitReport {
     /// Returns the time since the request was sent.
     #[must_use]
     pub fn sent_ago(&self) -> Duration {
--- a/crates/oatpier-serving/src/message/mod.rs
+++ b/crates/oatpier-serving/src/message/mod.rs
@@ -19,7 +19,7 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::reads::StoreWord;
 
-pub use limits::{LeavingWord, LimitWord, QuotaAnswer, QuotaAsk, TurnAsk, TurnReply};
+pub use limits::{LeavingReport, LimitReport, QuotaAnswer, QuotaAsk, TurnAsk, TurnReply};
 
 /// Content of one datagram.
 #[derive(Debug, Clone, PartialEq)]
@@ -29,13 +29,13 @@
     Pulse(Box<EnginePulse>),
     /// Sent by a sidecar to a relay, for the relay and the other gateways of its availability zone: the state of its
     /// engine.
-    Spread(EngineWord),
+    Spread(EngineUpdate),
     /// Sent by a relay to the other gateways of its availability zone: states of engines.
-    Relayed(Vec<EngineWord>),
+    Relayed(Vec<EngineUpdate>),
     /// Sent by a gateway to a sidecar: requests pulses and reports the gateway's use of the engine.
     Greeting(GatewayGreeting),
     /// Sent by a gateway to a sidecar: requests an adapter at its engine.
-    AdapterWanted(AdapterWish),
+    AdapterWanted(AdapterRequest),
     /// Sent by a gateway to its peers: the gateway's state and demand.
     Peer(Box<PeerReport>),
     /// Sent by a gateway that has read the store to the others of its availability zone: what it read.
@@ -70,9 +70,9 @@
     /// Sent by a holder to a gateway: answers a query for a turn.
     TurnAnswer(TurnReply),
     /// Sent by a gateway to all others: the limit that an endpoint stated in a response.
-    LimitSeen(LimitWord),
+    LimitSeen(LimitReport),
     /// Sent by a gateway to all others: an endpoint that is leaving according to its response.
-    LeavingSeen(LeavingWord),
+    LeavingSeen(LeavingReport),
 }
 
 impl InnerMessage {
@@ -81,8 +81,8 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Pulse(_) => "pulse",
-            Self::Spread(EngineWord::Pulse(_)) => "spread-pulse",
-            Self::Spread(EngineWord::Load(_)) => "spread-load",
+            Self::Spread(EngineUpdate::Pulse(_)) => "spread-pulse",
+            Self::Spread(EngineUpdate::Load(_)) => "spread-load",
             Self::Relayed(_) => "relayed",
             Self::Greeting(_) => "greeting",
             Self::AdapterWanted(_) => "adapter-wanted",
@@ -110,14 +110,14 @@
 /// State of an engine as reported by its sidecar.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub enum EngineWord {
+pub enum EngineUpdate {
     /// Complete state.
     Pulse(Box<EnginePulse>),
     /// Load of the engine only, sent when nothing else has changed.
     Load(LoadPulse),
 }
 
-impl EngineWord {
+impl EngineUpdate {
     /// Returns the address of the engine.
     #[must_use]
     pub fn engine(&self) -> SocketAddr {
@@ -311,7 +311,7 @@
 /// Request of a gateway for an adapter that its callers wait for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct AdapterWish {
+pub struct AdapterRequest {
     /// Adapter to load.
     pub key: AdapterKey,
     /// Number of adapters that an engine has room for.
@@ -339,7 +339,7 @@
     /// Number of engines whose sidecars it receives reports from.
     pub engines_heard: u32,
     /// Version of its configuration.
-    pub config: ConfigStanding,
+    pub config: ConfigStatus,
     /// Whether `demand` contains only the models with requests that could not be served since the last report. The
     /// demand of other models, and `uses`, then stay as last reported.
     pub is_partial: bool,
@@ -352,7 +352,7 @@
 /// Configuration version of a gateway, and the time since it was confirmed to be the latest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct ConfigStanding {
+pub struct ConfigStatus {
     /// Version number; 0 for none.
     pub version: u64,
     /// Time since the version was known to be the one in the store, in milliseconds.
--- a/crates/oatpier-serving/src/notice.rs
+++ b/crates/oatpier-serving/src/notice.rs
@@ -86,7 +86,7 @@
 
 impl RestSpan {
     /// Length of a rest whose header cannot be parsed.
-    pub const UNREADABLE: Self = Self(Duration::from_secs(1));
+    pub const FALLBACK: Self = Self(Duration::from_secs(1));
 
     /// Returns the length as a duration.
     #[must_use]
--- a/crates/oatpier-serving/src/quota/bounds.rs
+++ b/crates/oatpier-serving/src/quota/bounds.rs
@@ -33,30 +33,30 @@
     /// Units that arrive in a window were granted within the window or up to one lifetime before it. Their sum is at
     /// most `rate x (window + lifetime) + burst`, and the overage covers `rate x lifetime`.
     #[must_use]
-    pub fn grant_life(&self) -> Duration {
+    pub fn grant_lifetime(&self) -> Duration {
         let lifetime = self.window.mul_f64(self.overage.clamp(0.0, 1.0));
         lifetime.clamp(MIN_GRANT_LIFETIME, MAX_GRANT_LIFETIME)
     }
 
     /// Returns the token bucket parameters of one part of a limit.
     #[must_use]
-    pub fn part(&self, rule: &QuotaRule) -> PartTerms {
+    pub fn bucket_params(&self, rule: &QuotaRule) -> BucketParams {
         let parts = f64::from(PARTS);
-        PartTerms {
+        BucketParams {
             rate: rule.rate / parts,
             capacity: rule.burst / parts,
-            debt: self.slack * DEBT_FRACTION / parts,
+            max_debt: self.slack * DEBT_FRACTION / parts,
         }
     }
 }
 
 /// Token bucket parameters of one part of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PartTerms {
+pub struct BucketParams {
     /// Units added per second.
     pub rate: f64,
     /// Maximum number of units that the bucket holds.
     pub capacity: f64,
     /// Maximum number of units that are granted before they have accrued.
-    pub debt: f64,
+    pub max_debt: f64,
 }
--- a/crates/oatpier-serving/src/quota/grants.rs
+++ b/crates/oatpier-serving/src/quota/grants.rs
@@ -9,7 +9,7 @@
 use smallvec::SmallVec;
 
 use super::holder::{PartAnswer, UnitsWanted};
-use super::holders::HolderBook;
+use super::holders::HolderTable;
 use super::{PARTS, PartIndex};
 
 /// Span of future requests for which units are requested in advance. The amount is what was used in an equally long
@@ -25,11 +25,11 @@
 
 /// Granted units, which are valid until they expire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UnitsLot {
+pub struct UnitsGrant {
     /// Number of units.
     pub units: u64,
     /// When the units expire.
-    pub until: ClockTime,
+    pub expires_at: ClockTime,
 }
 
 /// Records that a part had too few units.
@@ -43,7 +43,7 @@
 /// Granted units of one workspace and the state of its parts.
 #[derive(Debug, Default)]
 struct WorkspaceUnits {
-    grants: SmallVec<[UnitsLot; 2]>,
+    grants: SmallVec<[UnitsGrant; 2]>,
     used: f64,
     used_at: ClockTime,
     /// Part that is queried next. Round-robin use drains all parts alike, so that the units saved in each of them are
@@ -55,7 +55,7 @@
 impl WorkspaceUnits {
     fn remove_expired(&mut self, now: ClockTime) {
         self.grants
-            .retain(|grant| grant.until > now && grant.units > 0);
+            .retain(|grant| grant.expires_at > now && grant.units > 0);
     }
 
     fn available(&self) -> u64 {
@@ -63,19 +63,22 @@
     }
 
     /// Takes units, those that expire first before the others. The result expires with the first of them.
-    fn take(&mut self, units: u64) -> Option<UnitsLot> {
+    fn take(&mut self, units: u64) -> Option<UnitsGrant> {
         if self.available() < units {
             return None;
         }
-        self.grants.sort_by_key(|grant| grant.until);
-        let until = self.grants.first()?.until;
+        self.grants.sort_by_key(|grant| grant.expires_at);
+        let until = self.grants.first()?.expires_at;
         let mut missing = units;
         for grant in &mut self.grants {
             let taken = grant.units.min(missing);
             grant.units -= taken;
             missing -= taken;
         }
-        Some(UnitsLot { units, until })
+        Some(UnitsGrant {
+            units,
+            expires_at: until,
+        })
     }
 
     fn record_use(&mut self, units: u64, now: ClockTime) {
@@ -112,7 +115,7 @@
 
 /// Query for units and the holder that receives it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PartAsk {
+pub struct UnitsQuery {
     /// Part to query.
     pub part: PartIndex,
     /// Address of the holder of the part.
@@ -125,20 +128,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GrantStep {
     /// The request has its units.
-    Taken(UnitsLot),
+    Taken(UnitsGrant),
     /// A holder must be queried.
-    Ask(PartAsk),
+    Query(UnitsQuery),
     /// No part has enough units left. They may be available after this time.
-    Spent(Duration),
+    Exhausted(Duration),
     /// No known holder is left that has not been queried without success.
-    Nobody,
+    NoHolder,
 }
 
 /// Parts that were queried for one request.
 #[derive(Debug, Clone, Default)]
-pub struct AskedParts(SmallVec<[PartIndex; PARTS as usize]>);
+pub struct QueriedParts(SmallVec<[PartIndex; PARTS as usize]>);
 
-impl AskedParts {
+impl QueriedParts {
     /// Records that a part is being queried.
     pub fn add(&mut self, part: PartIndex) {
         self.0.push(part);
@@ -147,20 +150,20 @@
 
 /// Units that this gateway was granted, by workspace.
 #[derive(Debug, Default)]
-pub struct GrantBook {
+pub struct GrantCache {
     workspaces: HashMap<WorkspaceName, WorkspaceUnits>,
-    holders: HolderBook,
+    holders: HolderTable,
 }
 
-impl GrantBook {
+impl GrantCache {
     /// Returns the known holders of the parts.
     #[must_use]
-    pub fn holders(&self) -> &HolderBook {
+    pub fn holders(&self) -> &HolderTable {
         &self.holders
     }
 
     /// Returns the known holders of the parts for updates, such as a new holder or an answer.
-    pub fn holders_mut(&mut self) -> &mut HolderBook {
+    pub fn holders_mut(&mut self) -> &mut HolderTable {
         &mut self.holders
     }
 
@@ -174,7 +177,7 @@
         &mut self,
         workspace: &WorkspaceName,
         units: u64,
-        asked: &AskedParts,
+        asked: &QueriedParts,
         now: ClockTime,
     ) -> GrantStep {
         let state = self.workspaces.entry(workspace.clone()).or_default();
@@ -190,7 +193,7 @@
         let with_holder = candidates.filter_map(|part| Some((part, holders.holder(part)?)));
         let next_part = state.next_part;
         let best = with_holder.min_by_key(|(part, _)| {
-            let is_silent = holders.is_silent(*part, now);
+            let is_silent = holders.is_unresponsive(*part, now);
             (is_silent, (part.0 + PARTS - next_part) % PARTS)
         });
         if let Some((part, holder)) = best {
@@ -199,23 +202,23 @@
                 need,
                 ahead: state.prefetch_units(now),
             };
-            return GrantStep::Ask(PartAsk {
+            return GrantStep::Query(UnitsQuery {
                 part,
                 holder,
                 wanted,
             });
         }
         match state.available_at(now) {
-            Some(at) => GrantStep::Spent(at.since(now)),
-            None => GrantStep::Nobody,
+            Some(at) => GrantStep::Exhausted(at.since(now)),
+            None => GrantStep::NoHolder,
         }
     }
 
     /// Applies a holder's answer to a query sent at `asked_at`. The granted units expire `lifetime` after that.
-    pub fn take_answer(
+    pub fn apply_answer(
         &mut self,
         workspace: &WorkspaceName,
-        ask: &PartAsk,
+        ask: &UnitsQuery,
         answer: PartAnswer,
         asked_at: ClockTime,
         lifetime: Duration,
@@ -227,9 +230,9 @@
         match answer {
             PartAnswer::Granted(units) => {
                 state.empty[index] = None;
-                state.grants.push(UnitsLot {
+                state.grants.push(UnitsGrant {
                     units,
-                    until: asked_at + lifetime,
+                    expires_at: asked_at + lifetime,
                 });
             }
             PartAnswer::Later(millis) => {
@@ -245,9 +248,9 @@
     }
 
     /// Returns units that were taken for a request that was not sent.
-    pub fn put_back(&mut self, workspace: &WorkspaceName, grant: UnitsLot, now: ClockTime) {
+    pub fn return_units(&mut self, workspace: &WorkspaceName, grant: UnitsGrant, now: ClockTime) {
         if let Some(state) = self.workspaces.get_mut(workspace)
-            && grant.until > now
+            && grant.expires_at > now
         {
             state.grants.push(grant);
         }
--- a/crates/oatpier-serving/src/quota/holder.rs
+++ b/crates/oatpier-serving/src/quota/holder.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::PartIndex;
-use super::bounds::PartTerms;
+use super::bounds::BucketParams;
 use super::turns::{TurnAnswer, TurnQueue};
 use crate::notice::RequestRate;
 
@@ -81,19 +81,19 @@
 }
 
 impl PartBucket {
-    fn refill(&mut self, terms: &PartTerms, now: ClockTime) {
+    fn refill(&mut self, terms: &BucketParams, now: ClockTime) {
         let gained = now.since(self.at).as_secs_f64() * terms.rate;
         self.level = (self.level + gained).min(terms.capacity);
         self.at = now;
     }
 
-    fn grant(&mut self, terms: &PartTerms, wanted: UnitsWanted, now: ClockTime) -> PartAnswer {
+    fn grant(&mut self, terms: &BucketParams, wanted: UnitsWanted, now: ClockTime) -> PartAnswer {
         self.refill(terms, now);
         let need = to_float(wanted.need);
         // A request larger than the capacity and the debt is granted once the bucket is full. Otherwise it would never
         // be granted.
-        let required = need.min(terms.capacity + terms.debt);
-        if self.level + terms.debt < required {
+        let required = need.min(terms.capacity + terms.max_debt);
+        if self.level + terms.max_debt < required {
             self.recent_usage.refused += wanted.need;
             return PartAnswer::Later(self.return_delay(terms, required, now));
         }
@@ -107,8 +107,8 @@
 
     /// Returns the delay for a refused caller, in milliseconds. The delays are staggered at the part's rate, so that
     /// callers return one after the other.
-    fn return_delay(&mut self, terms: &PartTerms, required: f64, now: ClockTime) -> u32 {
-        let missing = required - self.level - terms.debt;
+    fn return_delay(&mut self, terms: &BucketParams, required: f64, now: ClockTime) -> u32 {
+        let missing = required - self.level - terms.max_debt;
         let available_at = now + bounded_delay(missing / terms.rate);
         let return_at = available_at.max(self.returns_until);
         let latest = now + MAX_RETURN_DELAY;
@@ -157,11 +157,11 @@
     }
 
     /// Grants units of a workspace's limit.
-    pub fn hand_out(
+    pub fn grant_units(
         &mut self,
         part: PartIndex,
         workspace: &WorkspaceName,
-        terms: &PartTerms,
+        terms: &BucketParams,
         wanted: UnitsWanted,
         now: ClockTime,
     ) -> PartAnswer {
@@ -182,7 +182,7 @@
     }
 
     /// Grants a turn at an endpoint that accepts `rate` requests per second from all gateways together.
-    pub fn give_turn(
+    pub fn grant_turn(
         &mut self,
         part: PartIndex,
         endpoint: &EndpointName,
@@ -206,7 +206,7 @@
     }
 
     /// Returns the units granted and refused by workspace since the last call, and resets the counts.
-    pub fn count_use(&mut self) -> Vec<WorkspaceUse> {
+    pub fn take_use_counts(&mut self) -> Vec<WorkspaceUse> {
         let mut uses: HashMap<WorkspaceName, (UnitsUse, f64)> = HashMap::new();
         let buckets = self.parts.values_mut();
         for (workspace, bucket) in buckets.flat_map(|held| &mut held.buckets) {
--- a/crates/oatpier-serving/src/quota/holders.rs
+++ b/crates/oatpier-serving/src/quota/holders.rs
@@ -29,11 +29,11 @@
 
 /// Holders of all parts, as known to a gateway that queries them.
 #[derive(Debug, Default)]
-pub struct HolderBook {
+pub struct HolderTable {
     states: [HolderState; PARTS as usize],
 }
 
-impl HolderBook {
+impl HolderTable {
     /// Replaces the holders of all parts. The response state of a part is reset if its holder changed.
     pub fn set(&mut self, holders: PartHolders) {
         for (state, holder) in self.states.iter_mut().zip(holders) {
@@ -52,7 +52,7 @@
 
     /// Returns whether a part's holder recently failed to respond or answered that it does not hold the part.
     #[must_use]
-    pub fn is_silent(&self, part: PartIndex, now: ClockTime) -> bool {
+    pub fn is_unresponsive(&self, part: PartIndex, now: ClockTime) -> bool {
         now < self.states[part.place()].backoff_until
     }
 
@@ -64,12 +64,12 @@
     }
 
     /// Records that the holder of a part answered that it does not hold it.
-    pub fn note_unheld(&mut self, part: PartIndex, now: ClockTime) {
+    pub fn note_not_held(&mut self, part: PartIndex, now: ClockTime) {
         self.states[part.place()].backoff_until = now + NOT_HELD_BACKOFF;
     }
 
     /// Records that the holder of a part did not respond in time.
-    pub fn note_silence(&mut self, part: PartIndex, now: ClockTime) {
+    pub fn note_timeout(&mut self, part: PartIndex, now: ClockTime) {
         let state = &mut self.states[part.place()];
         let backoff = INITIAL_BACKOFF * 2_u32.saturating_pow(state.timeouts.min(8));
         state.timeouts += 1;
--- a/crates/oatpier-serving/src/quota/tenure.rs
+++ b/crates/oatpier-serving/src/quota/tenure.rs
@@ -25,14 +25,14 @@
 
 /// Duration of a lease after its last renewal. It is longer than usual outages of the store. A gateway that is gone for
 /// good keeps its part unavailable for as long.
-pub const TENURE: Duration = Duration::from_secs(30);
+pub const LEASE_DURATION: Duration = Duration::from_secs(30);
 
 /// Interval between two renewals.
-pub const RENEW_EVERY: Duration = Duration::from_secs(6);
+pub const RENEW_INTERVAL: Duration = Duration::from_secs(6);
 
 /// How long an entry must be seen unchanged before the part is taken over. This is the lease duration plus the drift
 /// between two clocks during that time.
-pub const TAKE_AFTER: Duration = Duration::from_secs(33);
+pub const TAKEOVER_DELAY: Duration = Duration::from_secs(33);
 
 /// Additional delay per rank before a gateway claims a free part. The gateway with the best rank claims first, so that
 /// usually one write to the store is enough.
@@ -105,7 +105,7 @@
 
 /// Change of the parts that this gateway holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TenureChange {
+pub enum LeaseChange {
     /// This gateway holds a part from now on.
     Begun(PartBegin),
     /// This gateway no longer holds a part.
@@ -125,11 +125,11 @@
 
 /// Rank of this gateway for claims of free parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ClaimStanding {
+pub struct ClaimPriority {
     /// Number of gateways with a better rank.
     pub rank: usize,
     /// Whether this gateway may claim and renew parts.
-    pub is_wanted: bool,
+    pub is_eligible: bool,
 }
 
 #[derive(Debug, Clone)]
@@ -172,7 +172,7 @@
 
 /// Identity of this gateway as a holder of parts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TenureIdentity {
+pub struct HolderIdentity {
     /// Address at which it receives messages.
     pub address: SocketAddr,
     /// Boot number, drawn at random at the start of the process.
@@ -180,22 +180,22 @@
     /// Time at which its process started.
     pub started_at: ClockTime,
     /// Whether the whole fleet starts for the first time, so that no gateway can have held a part before.
-    pub first_start: bool,
+    pub is_first_start: bool,
 }
 
 /// Leases on all parts, as known to one gateway.
 #[derive(Debug)]
-pub struct PartTenure {
-    identity: TenureIdentity,
+pub struct PartLeases {
+    identity: HolderIdentity,
     /// `None` before the first read.
     era: Option<StoreEra>,
     states: Vec<PartState>,
 }
 
-impl PartTenure {
+impl PartLeases {
     /// Creates the state before the first read of the store.
     #[must_use]
-    pub fn new(identity: TenureIdentity) -> Self {
+    pub fn new(identity: HolderIdentity) -> Self {
         let state = PartState {
             entry: None,
             seen_since: None,
@@ -228,12 +228,12 @@
     }
 
     /// Applies the entries of a read of the store, and returns which parts were lost.
-    pub fn take_read(
+    pub fn apply_read(
         &mut self,
         entries: &[PartEntry],
         era: StoreEra,
         now: ClockTime,
-    ) -> Vec<TenureChange> {
+    ) -> Vec<LeaseChange> {
         let is_new_era = self.update_era(era);
         let mut changes = Vec::new();
         for part in PartIndex::all() {
@@ -255,12 +255,12 @@
         let is_new = self.era.is_some_and(|known| known != era);
         self.era = Some(era);
         // Claims of other gateways may be lost in a new era. A missing entry then no longer proves that a part is free.
-        self.identity.first_start &= !is_new;
+        self.identity.is_first_start &= !is_new;
         is_new
     }
 
     /// Ends the lease if it has expired or the entry shows that another gateway has taken the part.
-    fn end_if_lost(&mut self, part: PartIndex, now: ClockTime) -> Option<TenureChange> {
+    fn end_if_lost(&mut self, part: PartIndex, now: ClockTime) -> Option<LeaseChange> {
         let era = self.era;
         let own_address = self.identity.address;
         let state = &mut self.states[part.place()];
@@ -270,14 +270,14 @@
             .is_some_and(|record| record.holder != Some(own_address) && Some(record.era) == era);
         if is_taken || !state.holds(now) {
             state.held_until = None;
-            return Some(TenureChange::Ended(part));
+            return Some(LeaseChange::Ended(part));
         }
         None
     }
 
     /// Returns the next entry that this gateway should write, if any.
-    pub fn due(&mut self, standing: ClaimStanding, now: ClockTime) -> Option<PartClaim> {
-        if !standing.is_wanted {
+    pub fn next_claim(&mut self, standing: ClaimPriority, now: ClockTime) -> Option<PartClaim> {
+        if !standing.is_eligible {
             return None;
         }
         let states = self.states.iter();
@@ -316,7 +316,7 @@
             record.holder == Some(self.identity.address) && Some(record.era) == self.era
         });
         if state.holds(now) {
-            return !is_own || now.since(state.renewed_at) >= RENEW_EVERY;
+            return !is_own || now.since(state.renewed_at) >= RENEW_INTERVAL;
         }
         // The part was held by an earlier process of this gateway, which has ended.
         if is_own {
@@ -325,23 +325,23 @@
         let seen = now.since(seen_since);
         let is_free = match record {
             Some(record) => record.holder.is_none() && Some(record.era) == self.era,
-            None => self.identity.first_start && !state.was_ever_seen,
+            None => self.identity.is_first_start && !state.was_ever_seen,
         };
         if is_free {
             seen >= FIRST_CLAIM_DELAY + rank_delay
         } else {
-            seen >= TAKE_AFTER + rank_delay
+            seen >= TAKEOVER_DELAY + rank_delay
         }
     }
 
     /// Applies the result of a claim that was sent at `sent_at`.
-    pub fn take_outcome(
+    pub fn apply_outcome(
         &mut self,
         claim: &PartClaim,
         outcome: ClaimOutcome,
         sent_at: ClockTime,
         now: ClockTime,
-    ) -> Option<TenureChange> {
+    ) -> Option<LeaseChange> {
         let part = claim.record.part;
         let state = &mut self.states[part.place()];
         state.claimed_at = None;
@@ -386,20 +386,20 @@
         begin: PartBegin,
         sent_at: ClockTime,
         now: ClockTime,
-    ) -> Option<TenureChange> {
+    ) -> Option<LeaseChange> {
         let part = claim.record.part;
         let state = &mut self.states[part.place()];
         if claim.record.holder.is_none() {
             let was_held = state.held_until.take().is_some();
-            return was_held.then_some(TenureChange::Ended(part));
+            return was_held.then_some(LeaseChange::Ended(part));
         }
         let was_held = state.held_until.is_some();
-        state.held_until = Some(sent_at + TENURE);
+        state.held_until = Some(sent_at + LEASE_DURATION);
         state.renewed_at = sent_at;
         if was_held || !state.holds(now) {
             return None;
         }
-        Some(TenureChange::Begun(begin))
+        Some(LeaseChange::Begun(begin))
     }
 
     /// Returns how this gateway starts to hold a part whose last entry is `before`. If that entry was written by an
@@ -417,7 +417,7 @@
         });
         PartBegin {
             part,
-            start: if is_first && self.identity.first_start {
+            start: if is_first && self.identity.is_first_start {
                 PartStart::Full
             } else {
                 PartStart::Empty
--- a/crates/oatpier-serving/src/quota/turns.rs
+++ b/crates/oatpier-serving/src/quota/turns.rs
@@ -13,16 +13,16 @@
 use smallvec::SmallVec;
 
 use super::holder::PartStart;
-use super::holders::HolderBook;
+use super::holders::HolderTable;
 use super::{PARTS, PartIndex};
 use crate::notice::RequestRate;
 
 /// Maximum time by which a turn is granted in advance. Turns granted before a limit was lowered are used within it.
-pub const MOST_AHEAD: Duration = Duration::from_secs(2);
+pub const MAX_TURN_ADVANCE: Duration = Duration::from_secs(2);
 
 /// How long a turn stays valid after its time. If unused turns were valid for longer, many of them could be used at
 /// once.
-pub const TURN_LIFE: Duration = Duration::from_millis(300);
+pub const TURN_VALIDITY: Duration = Duration::from_millis(300);
 
 /// How far a turn may lie in the past, where nobody asked for it in time. It covers the delay between two queries.
 const MAX_TURN_AGE: Duration = Duration::from_millis(100);
@@ -32,7 +32,7 @@
 
 /// Returns the time between two turns of one part.
 #[must_use]
-pub fn turn_gap(rate: RequestRate) -> Duration {
+pub fn turn_interval(rate: RequestRate) -> Duration {
     Duration::from_secs_f64(f64::from(PARTS) / rate.per_second())
 }
 
@@ -60,7 +60,7 @@
     pub(super) fn new(start: PartStart, at: ClockTime) -> Self {
         let not_before = match start {
             PartStart::Full => at,
-            PartStart::Empty => at + MOST_AHEAD,
+            PartStart::Empty => at + MAX_TURN_ADVANCE,
         };
         Self {
             last_at: None,
@@ -76,11 +76,11 @@
         now: ClockTime,
     ) -> TurnAnswer {
         let free_at = self.last_at.map_or(self.not_before, |last| {
-            (last + turn_gap(rate)).max(self.not_before)
+            (last + turn_interval(rate)).max(self.not_before)
         });
         let at = free_at.max(now - MAX_TURN_AGE);
         let wait = at.since(now);
-        if wait > max_wait.min(MOST_AHEAD) {
+        if wait > max_wait.min(MAX_TURN_ADVANCE) {
             return TurnAnswer::Later(whole_millis(wait));
         }
         self.last_at = Some(at);
@@ -104,7 +104,7 @@
     /// Returns whether a request may be sent with this turn now.
     #[must_use]
     pub fn is_valid(&self, now: ClockTime) -> bool {
-        now >= self.at && now.since(self.at) <= TURN_LIFE
+        now >= self.at && now.since(self.at) <= TURN_VALIDITY
     }
 }
 
@@ -116,7 +116,7 @@
     /// Address of the holder of the part.
     pub holder: SocketAddr,
     /// Maximum time by which the turn may be in the future.
-    pub most_wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// Next step of a request that needs a turn.
@@ -148,11 +148,11 @@
 
     /// Returns the next step of a request that waits at most `max_wait`. The part with the earliest estimate is queried
     /// for a turn no later than the next part's estimate, which reveals parts whose turns other gateways have taken.
-    pub fn step(&mut self, holders: &HolderBook, max_wait: Duration, now: ClockTime) -> TurnStep {
-        let max_wait = max_wait.min(MOST_AHEAD);
+    pub fn step(&mut self, holders: &HolderTable, max_wait: Duration, now: ClockTime) -> TurnStep {
+        let max_wait = max_wait.min(MAX_TURN_ADVANCE);
         let mut candidates: SmallVec<[(ClockTime, PartIndex, SocketAddr); PARTS as usize]> =
             PartIndex::all()
-                .filter(|part| !holders.is_silent(*part, now))
+                .filter(|part| !holders.is_unresponsive(*part, now))
                 .filter_map(|part| {
                     Some((
                         self.free_at[part.place()].max(now),
@@ -177,14 +177,14 @@
         TurnStep::Ask(TurnQuery {
             part,
             holder,
-            most_wait: next_wait.min(max_wait),
+            max_wait: next_wait.min(max_wait),
         })
     }
 
     /// Applies an answer, and returns the turn if one was granted.
     pub fn take_answer(
         &mut self,
-        holders: &mut HolderBook,
+        holders: &mut HolderTable,
         part: PartIndex,
         answer: TurnAnswer,
         rate: RequestRate,
@@ -196,7 +196,7 @@
         match answer {
             TurnAnswer::In(millis) => {
                 let at = now + duration(millis);
-                *free_at = at + turn_gap(rate);
+                *free_at = at + turn_interval(rate);
                 Some(HeldTurn { at })
             }
             TurnAnswer::Later(millis) => {
@@ -204,7 +204,7 @@
                 None
             }
             TurnAnswer::NotHeld => {
-                holders.note_unheld(part, now);
+                holders.note_not_held(part, now);
                 None
             }
         }
--- a/crates/oatpier-serving/src/relays.rs
+++ b/crates/oatpier-serving/src/relays.rs
@@ -21,7 +21,7 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::message::{EngineWord, MessageNumber};
+use crate::message::{EngineUpdate, MessageNumber};
 
 /// Number of relays of a sidecar in each zone. A relay that was killed sends no more greetings and is
 /// dropped after some seconds. Until then the updates arrive through the other one.
@@ -98,28 +98,28 @@
 /// engine.
 #[derive(Debug, Default)]
 pub struct RelayQueue {
-    pulses: HashMap<SocketAddr, EngineWord>,
-    loads: HashMap<SocketAddr, EngineWord>,
+    pulses: HashMap<SocketAddr, EngineUpdate>,
+    loads: HashMap<SocketAddr, EngineUpdate>,
 }
 
 impl RelayQueue {
     /// Queues an update, unless a newer one is queued.
-    pub fn take(&mut self, update: EngineWord) {
+    pub fn take(&mut self, update: EngineUpdate) {
         let queue = match &update {
-            EngineWord::Pulse(_) => &mut self.pulses,
-            EngineWord::Load(_) => &mut self.loads,
+            EngineUpdate::Pulse(_) => &mut self.pulses,
+            EngineUpdate::Load(_) => &mut self.loads,
         };
-        let queued = queue.get(&update.engine()).map(EngineWord::number);
+        let queued = queue.get(&update.engine()).map(EngineUpdate::number);
         if queued.is_none_or(|queued| update.number().supersedes(queued)) {
             queue.insert(update.engine(), update);
         }
     }
 
     /// Drops an update that another relay of the zone has already forwarded.
-    pub fn note_passed_on(&mut self, update: &EngineWord) {
+    pub fn note_passed_on(&mut self, update: &EngineUpdate) {
         let queue = match update {
-            EngineWord::Pulse(_) => &mut self.pulses,
-            EngineWord::Load(_) => &mut self.loads,
+            EngineUpdate::Pulse(_) => &mut self.pulses,
+            EngineUpdate::Load(_) => &mut self.loads,
         };
         let engine = update.engine();
         if queue
@@ -131,14 +131,14 @@
     }
 
     /// Removes all queued updates and returns them grouped by datagram.
-    pub fn drain(&mut self) -> Vec<Vec<EngineWord>> {
+    pub fn drain(&mut self) -> Vec<Vec<EngineUpdate>> {
         let mut datagrams = Vec::new();
         for (queue, max_updates) in [
             (&mut self.pulses, PULSES_PER_DATAGRAM),
             (&mut self.loads, LOADS_PER_DATAGRAM),
         ] {
-            let updates: Vec<EngineWord> = queue.drain().map(|(_, update)| update).collect();
-            datagrams.extend(updates.chunks(max_updates).map(<[EngineWord]>::to_vec));
+            let updates: Vec<EngineUpdate> = queue.drain().map(|(_, update)| update).collect();
+            datagrams.extend(updates.chunks(max_updates).map(<[EngineUpdate]>::to_vec));
         }
         datagrams
     }
--- a/crates/oatpier-serving/src/residency/mod.rs
+++ b/crates/oatpier-serving/src/residency/mod.rs
@@ -23,7 +23,7 @@
 use smallvec::SmallVec;
 
 use crate::engine::{AdapterKey, EngineOrder, EngineReport, OrderAnswer, StartTime};
-use crate::message::{AdapterWish, GatewayGreeting, LoadAdvice};
+use crate::message::{AdapterRequest, GatewayGreeting, LoadAdvice};
 
 pub use adapters::held_adapters;
 pub use pace::LoadPace;
@@ -243,7 +243,7 @@
     }
 
     /// Records that a gateway waits for an adapter.
-    pub fn take_wish(&mut self, wish: AdapterWish, now: ClockTime) {
+    pub fn take_wish(&mut self, wish: AdapterRequest, now: ClockTime) {
         self.adapter_slots = wish.slots as usize;
         self.last_used.insert(wish.key.clone(), now);
         match self
--- a/crates/oatpier-serving/src/workspace/mod.rs
+++ b/crates/oatpier-serving/src/workspace/mod.rs
@@ -97,7 +97,7 @@
 
     /// Returns the workspace that owns a key.
     #[must_use]
-    pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<WorkspaceRule>> {
+    pub fn find_by_key(&self, key: &KeyDigest) -> Option<&Arc<WorkspaceRule>> {
         self.rules.get(self.keys.index(key)?)
     }
 
--- a/crates/oatpier-serving/tests/testsuite/budget.rs
+++ b/crates/oatpier-serving/tests/testsuite/budget.rs
@@ -14,7 +14,7 @@
 #[test]
 fn without_requests_only_the_own_share_of_the_fixed_number_is_available() {
     let mut allowance = RetryAllowance::new(RATIO, SLACK, Duration::from_millis(WINDOW_MS));
-    allowance.share_among(5);
+    allowance.set_gateways(5);
     let taken = (0..1_000)
         .filter(|_| allowance.take(&service(), at(0)))
         .count();
@@ -37,7 +37,7 @@
             .map(|_| RetryAllowance::new(RATIO, SLACK, window))
             .collect();
         for allowance in &mut allowances {
-            allowance.share_among(gateways);
+            allowance.set_gateways(gateways);
         }
         let mut now = 0;
         let mut requests = Vec::new();
--- a/crates/oatpier-serving/tests/testsuite/crash_fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/crash_fleet.rs
@@ -4,7 +4,7 @@
 //! acknowledge writes, and gateways restart without their state.
 
 use oatpier_serving::crashes::CrashRecord;
-use oatpier_serving::crashes::book::{CrashBook, SuspectVerdict};
+use oatpier_serving::crashes::book::{SuspectTable, SuspectVerdict};
 use oatpier_serving::crashes::changes::{ChangeQueue, CrashChange};
 use proptest::prelude::*;
 
@@ -43,7 +43,7 @@
 
 #[derive(Debug, Default)]
 struct SimGateway {
-    table: CrashBook,
+    table: SuspectTable,
     queue: ChangeQueue,
     /// Crashes that the gateway will detect, with the time of detection.
     pending_crashes: Vec<(u64, CrashRecord)>,
@@ -170,7 +170,7 @@
         }
         gateway.reads_at = now + READ_EVERY_MS;
         if !is_store_down {
-            gateway.table.take_stored(&self.store, at(now));
+            gateway.table.apply_stored(&self.store, at(now));
             gateway.has_read = true;
         }
     }
@@ -178,8 +178,8 @@
     fn retry(&mut self, index: usize, now: u64) {
         let gateway = &mut self.gateways[index];
         let pending = gateway.pending_crashes.len();
-        let verdict = gateway.table.judge(&fingerprint("x"), pending, at(now));
-        if !gateway.has_read || verdict != SuspectVerdict::Clear {
+        let verdict = gateway.table.evaluate(&fingerprint("x"), pending, at(now));
+        if !gateway.has_read || verdict != SuspectVerdict::Allowed {
             return;
         }
         let third = self.crashes.get(2).copied();
--- a/crates/oatpier-serving/tests/testsuite/fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/fleet.rs
@@ -6,10 +6,10 @@
 
 use oatpier_serving::message::{QuotaAnswer, QuotaAsk};
 use oatpier_serving::quota::bounds::QuotaBounds;
-use oatpier_serving::quota::grants::{AskedParts, GrantBook, GrantStep, PartAsk};
+use oatpier_serving::quota::grants::{GrantCache, GrantStep, QueriedParts, UnitsQuery};
 use oatpier_serving::quota::holder::{PartAnswer, PartHolder};
 use oatpier_serving::quota::tenure::{
-    ClaimOutcome, ClaimStanding, PartClaim, PartTenure, TenureChange, TenureIdentity,
+    ClaimOutcome, ClaimPriority, HolderIdentity, LeaseChange, PartClaim, PartLeases,
 };
 use oatpier_serving::workspace::quota::{QuotaRule, QuotaUnit};
 use oatpier_types::names::WorkspaceName;
@@ -53,22 +53,22 @@
 #[derive(Debug, Clone)]
 pub struct PendingRequest {
     pub units: u64,
-    pub queried: AskedParts,
+    pub queried: QueriedParts,
     pub pending: Option<PendingQuery>,
 }
 
 #[derive(Debug, Clone)]
 pub struct PendingQuery {
     pub id: u64,
-    pub query: PartAsk,
+    pub query: UnitsQuery,
     pub sent_ms: u64,
 }
 
 pub struct FleetGateway {
     pub number: u8,
-    pub tenure: PartTenure,
+    pub tenure: PartLeases,
     pub holder: PartHolder,
-    pub grants: GrantBook,
+    pub grants: GrantCache,
     pub bounds: QuotaBounds,
     pub requests: Vec<PendingRequest>,
     pub turns: TurnClient,
@@ -130,14 +130,14 @@
         Self {
             bounds,
             number,
-            tenure: PartTenure::new(TenureIdentity {
+            tenure: PartLeases::new(HolderIdentity {
                 address: address(number),
                 boot,
                 started_at: at(started_ms),
-                first_start,
+                is_first_start: first_start,
             }),
             holder: PartHolder::default(),
-            grants: GrantBook::default(),
+            grants: GrantCache::default(),
             requests: Vec::new(),
             turns: TurnClient::default(),
             inbox: VecDeque::new(),
@@ -149,25 +149,25 @@
         }
     }
 
-    pub fn apply(&mut self, changes: impl IntoIterator<Item = TenureChange>) {
+    pub fn apply(&mut self, changes: impl IntoIterator<Item = LeaseChange>) {
         for change in changes {
             match change {
-                TenureChange::Begun(begin) => {
+                LeaseChange::Begun(begin) => {
                     self.holder.begin(begin.part, begin.start, begin.free_since);
                 }
-                TenureChange::Ended(part) => self.holder.end(part),
+                LeaseChange::Ended(part) => self.holder.end(part),
             }
         }
         self.grants.holders_mut().set(self.tenure.holders());
     }
 
-    pub fn grant(&mut self, query: &PartAsk, now: u64) -> PartAnswer {
+    pub fn grant(&mut self, query: &UnitsQuery, now: u64) -> PartAnswer {
         if !self.tenure.holds(query.part, at(now)) {
             return PartAnswer::NotHeld;
         }
-        let terms = self.bounds.part(&RULE);
+        let terms = self.bounds.bucket_params(&RULE);
         self.holder
-            .hand_out(query.part, &workspace(), &terms, query.wanted, at(now))
+            .grant_units(query.part, &workspace(), &terms, query.wanted, at(now))
     }
 }
 
@@ -260,19 +260,19 @@
             gateway.read_at = now + 1_300;
             let changes = gateway
                 .tenure
-                .take_read(&self.store.entries, self.store.era, at(now));
+                .apply_read(&self.store.entries, self.store.era, at(now));
             gateway.apply(changes);
         }
-        let standing = ClaimStanding {
+        let standing = ClaimPriority {
             rank: index,
-            is_wanted: true,
+            is_eligible: true,
         };
-        if let Some(claim) = gateway.tenure.due(standing, at(now)) {
+        if let Some(claim) = gateway.tenure.next_claim(standing, at(now)) {
             let outcome = self.write(&claim);
             let gateway = &mut self.gateways[index];
             let change = gateway
                 .tenure
-                .take_outcome(&claim, outcome, at(now), at(now));
+                .apply_outcome(&claim, outcome, at(now), at(now));
             gateway.apply(change);
         }
     }
@@ -294,7 +294,7 @@
         match message {
             FleetMessage::Turn(message) => self.receive_turn(index, message, now),
             FleetMessage::Ask(from, query) => {
-                let part_query = PartAsk {
+                let part_query = UnitsQuery {
                     part: query.part,
                     holder: address(number),
                     wanted: query.wanted,
@@ -317,9 +317,9 @@
                 let Some(pending) = waiting.and_then(|request| request.pending.take()) else {
                     return;
                 };
-                let life = gateway.bounds.grant_life();
+                let life = gateway.bounds.grant_lifetime();
                 let asked_at = at(pending.sent_ms);
-                gateway.grants.take_answer(
+                gateway.grants.apply_answer(
                     &workspace(),
                     &pending.query,
                     answer.answer,
@@ -346,7 +346,7 @@
             self.gateways[index]
                 .grants
                 .holders_mut()
-                .note_silence(part, at(now));
+                .note_timeout(part, at(now));
             request.pending = None;
         }
         loop {
@@ -359,20 +359,20 @@
                     self.counts.taken.push((now, request.units));
                     return None;
                 }
-                GrantStep::Spent(_) => {
+                GrantStep::Exhausted(_) => {
                     self.counts.exhausted += 1;
                     return None;
                 }
-                GrantStep::Nobody => {
+                GrantStep::NoHolder => {
                     self.counts.no_holder += 1;
                     return None;
                 }
-                GrantStep::Ask(query) => {
+                GrantStep::Query(query) => {
                     request.queried.add(query.part);
                     if query.holder == address(gateway.number) {
                         let answer = gateway.grant(&query, now);
-                        let life = gateway.bounds.grant_life();
-                        gateway.grants.take_answer(
+                        let life = gateway.bounds.grant_lifetime();
+                        gateway.grants.apply_answer(
                             &workspace(),
                             &query,
                             answer,
@@ -393,7 +393,7 @@
         &mut self,
         index: usize,
         request: &mut PendingRequest,
-        query: PartAsk,
+        query: UnitsQuery,
         now: u64,
     ) {
         let id = self.random.random();
@@ -425,7 +425,7 @@
     pub fn request(&mut self, index: usize, units: u64) {
         self.gateways[index].requests.push(PendingRequest {
             units,
-            queried: AskedParts::default(),
+            queried: QueriedParts::default(),
             pending: None,
         });
     }
--- a/crates/oatpier-serving/tests/testsuite/peers.rs
+++ b/crates/oatpier-serving/tests/testsuite/peers.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use oatpier_serving::message::{ConfigStanding, MessageNumber, ModelDemand, PeerReport};
+use oatpier_serving::message::{ConfigStatus, MessageNumber, ModelDemand, PeerReport};
 use oatpier_serving::peers::PeerBook;
 use oatpier_types::names::DaemonName;
 
@@ -21,7 +21,7 @@
         is_behind: false,
         leaving,
         engines_heard: 8,
-        config: ConfigStanding::default(),
+        config: ConfigStatus::default(),
         is_partial: false,
         demand: vec![ModelDemand {
             model: model("m1"),
--- a/crates/oatpier-serving/tests/testsuite/planner.rs
+++ b/crates/oatpier-serving/tests/testsuite/planner.rs
@@ -8,7 +8,7 @@
 
 use oatpier_serving::directory::EndpointDirectory;
 use oatpier_serving::engine::LocalCopies;
-use oatpier_serving::message::{LimitWord, ModelUse};
+use oatpier_serving::message::{LimitReport, ModelUse};
 use oatpier_serving::notice::RequestRate;
 use oatpier_serving::peers::{FleetUses, TotalDemand};
 use oatpier_serving::planner::{FleetDemand, LoadPlanner, LoadReason, PlanOutcome};
@@ -139,7 +139,7 @@
 fn model_with_a_rate_limited_holder_gets_another_holder() {
     let mut directory = directory(&[(&["hot"], 1), (&["rare"], 0)], at(0));
     let demand = demand(&[("hot", 0.5, 0.5)]);
-    let word = LimitWord {
+    let word = LimitReport {
         endpoint: endpoint("e1"),
         start: None,
         rate: Some(RequestRate::try_from(1.0).unwrap()),
--- a/crates/oatpier-serving/tests/testsuite/quota_holder.rs
+++ b/crates/oatpier-serving/tests/testsuite/quota_holder.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use oatpier_serving::quota::PartIndex;
-use oatpier_serving::quota::bounds::{PartTerms, QuotaBounds};
+use oatpier_serving::quota::bounds::{BucketParams, QuotaBounds};
 use oatpier_serving::quota::holder::{PartAnswer, PartHolder, PartStart, UnitsUse, UnitsWanted};
 use oatpier_serving::workspace::quota::{QuotaRule, QuotaUnit};
 use oatpier_types::names::WorkspaceName;
@@ -12,10 +12,10 @@
 
 const PART: PartIndex = PartIndex(0);
 
-const TERMS: PartTerms = PartTerms {
+const TERMS: BucketParams = BucketParams {
     rate: 1_000.0,
     capacity: 1_000.0,
-    debt: 500.0,
+    max_debt: 500.0,
 };
 
 fn workspace(name: &str) -> WorkspaceName {
@@ -27,7 +27,7 @@
 }
 
 fn request(holder: &mut PartHolder, need: u64, now_ms: u64) -> PartAnswer {
-    holder.hand_out(PART, &workspace("one"), &TERMS, wanted(need), at(now_ms))
+    holder.grant_units(PART, &workspace("one"), &TERMS, wanted(need), at(now_ms))
 }
 
 #[test]
@@ -86,7 +86,7 @@
         need: 200,
         ahead: 5_000,
     };
-    let answer = holder.hand_out(PART, &workspace("one"), &TERMS, ahead, at(0));
+    let answer = holder.grant_units(PART, &workspace("one"), &TERMS, ahead, at(0));
     assert_eq!(answer, PartAnswer::Granted(400));
 }
 
@@ -95,14 +95,14 @@
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Full, at(0));
     request(&mut holder, 100, 0);
-    let lower = PartTerms {
+    let lower = BucketParams {
         rate: 10.0,
         capacity: 10.0,
-        debt: 0.0,
+        max_debt: 0.0,
     };
-    let answer = holder.hand_out(PART, &workspace("one"), &lower, wanted(10), at(10_000));
+    let answer = holder.grant_units(PART, &workspace("one"), &lower, wanted(10), at(10_000));
     assert_eq!(answer, PartAnswer::Granted(10));
-    let answer = holder.hand_out(PART, &workspace("one"), &lower, wanted(10), at(10_000));
+    let answer = holder.grant_units(PART, &workspace("one"), &lower, wanted(10), at(10_000));
     assert_eq!(answer, PartAnswer::Later(1_000));
 }
 
@@ -111,7 +111,7 @@
     let mut holder = PartHolder::default();
     holder.begin(PART, PartStart::Full, at(0));
     request(&mut holder, 1_500, 0);
-    let other = holder.hand_out(PART, &workspace("two"), &TERMS, wanted(900), at(0));
+    let other = holder.grant_units(PART, &workspace("two"), &TERMS, wanted(900), at(0));
     assert_eq!(other, PartAnswer::Granted(900));
 }
 
@@ -122,9 +122,9 @@
         overage,
         slack: 0.0,
     };
-    assert_eq!(bounds(8, 0.1).grant_life(), millis(800));
-    assert_eq!(bounds(4, 0.1).grant_life(), millis(400));
-    assert_eq!(bounds(8, 0.0).grant_life(), millis(50));
+    assert_eq!(bounds(8, 0.1).grant_lifetime(), millis(800));
+    assert_eq!(bounds(4, 0.1).grant_lifetime(), millis(400));
+    assert_eq!(bounds(8, 0.0).grant_lifetime(), millis(50));
 }
 
 #[test]
@@ -139,9 +139,9 @@
         burst: 900.0,
         unit: QuotaUnit::Requests,
     };
-    let part = bounds.part(&rule);
+    let part = bounds.bucket_params(&rule);
     assert_eq!(
-        (part.rate, part.capacity, part.debt),
+        (part.rate, part.capacity, part.max_debt),
         (1_000.0, 300.0, 100.0)
     );
 }
@@ -151,15 +151,15 @@
     let mut holder = PartHolder::default();
     for part in [PART, PartIndex(1)] {
         holder.begin(part, PartStart::Full, at(0));
-        holder.hand_out(part, &workspace("one"), &TERMS, wanted(1_200), at(0));
-        holder.hand_out(part, &workspace("one"), &TERMS, wanted(600), at(0));
+        holder.grant_units(part, &workspace("one"), &TERMS, wanted(1_200), at(0));
+        holder.grant_units(part, &workspace("one"), &TERMS, wanted(600), at(0));
     }
-    let uses = holder.count_use();
+    let uses = holder.take_use_counts();
     assert_eq!(uses.len(), 1);
     let units = UnitsUse {
         granted: 2_400,
         refused: 1_200,
     };
     assert_eq!((uses[0].units, uses[0].saved), (units, -400.0));
-    assert!(holder.count_use().is_empty());
+    assert!(holder.take_use_counts().is_empty());
 }
--- a/crates/oatpier-serving/tests/testsuite/quota_tenure.rs
+++ b/crates/oatpier-serving/tests/testsuite/quota_tenure.rs
@@ -4,7 +4,8 @@
 
 use oatpier_serving::quota::holder::PartStart;
 use oatpier_serving::quota::tenure::{
-    ClaimOutcome, ClaimStanding, PartTenure, TAKE_AFTER, TENURE, TenureChange, TenureIdentity,
+    ClaimOutcome, ClaimPriority, HolderIdentity, LEASE_DURATION, LeaseChange, PartLeases,
+    TAKEOVER_DELAY,
 };
 use oatpier_serving::quota::{PARTS, PartIndex};
 use oatpier_types::clock::ClockTime;
@@ -12,47 +13,47 @@
 use crate::part_store::PartStore;
 use crate::support::{address, at};
 
-const ELIGIBLE: ClaimStanding = ClaimStanding {
+const ELIGIBLE: ClaimPriority = ClaimPriority {
     rank: 0,
-    is_wanted: true,
+    is_eligible: true,
 };
 
 struct Gateway {
-    tenure: PartTenure,
+    tenure: PartLeases,
     begun: Vec<(PartIndex, PartStart)>,
 }
 
 impl Gateway {
     fn start(number: u8, first_start: bool) -> Self {
         Self {
-            tenure: PartTenure::new(TenureIdentity {
+            tenure: PartLeases::new(HolderIdentity {
                 address: address(number),
                 boot: if first_start { 1 } else { 2 },
                 started_at: at(0),
-                first_start,
+                is_first_start: first_start,
             }),
             begun: Vec::new(),
         }
     }
 
-    fn apply(&mut self, changes: impl IntoIterator<Item = TenureChange>) {
+    fn apply(&mut self, changes: impl IntoIterator<Item = LeaseChange>) {
         for change in changes {
             match change {
-                TenureChange::Begun(begin) => self.begun.push((begin.part, begin.start)),
-                TenureChange::Ended(part) => self.begun.retain(|(begun, _)| *begun != part),
+                LeaseChange::Begun(begin) => self.begun.push((begin.part, begin.start)),
+                LeaseChange::Ended(part) => self.begun.retain(|(begun, _)| *begun != part),
             }
         }
     }
 
     fn read(&mut self, store: &PartStore, now: ClockTime) {
-        let changes = self.tenure.take_read(&store.entries, store.era, now);
+        let changes = self.tenure.apply_read(&store.entries, store.era, now);
         self.apply(changes);
     }
 
-    fn write_claims(&mut self, store: &mut PartStore, standing: ClaimStanding, now: ClockTime) {
-        while let Some(claim) = self.tenure.due(standing, now) {
+    fn write_claims(&mut self, store: &mut PartStore, standing: ClaimPriority, now: ClockTime) {
+        while let Some(claim) = self.tenure.next_claim(standing, now) {
             let outcome = store.write(&claim);
-            let change = self.tenure.take_outcome(&claim, outcome, now, now);
+            let change = self.tenure.apply_outcome(&claim, outcome, now, now);
             self.apply(change);
         }
     }
@@ -78,11 +79,11 @@
 }
 
 fn lease_ms() -> u64 {
-    u64::try_from(TENURE.as_millis()).unwrap()
+    u64::try_from(LEASE_DURATION.as_millis()).unwrap()
 }
 
 fn takeover_ms() -> u64 {
-    u64::try_from(TAKE_AFTER.as_millis()).unwrap()
+    u64::try_from(TAKEOVER_DELAY.as_millis()).unwrap()
 }
 
 /// Returns a gateway that holds all parts, and the store with its entries.
@@ -113,12 +114,12 @@
     for now in (0..10_000).step_by(500) {
         for (rank, gateway) in gateways.iter_mut().enumerate() {
             gateway.read(&store, at(now));
-            let standing = ClaimStanding { rank, ..ELIGIBLE };
-            if let Some(claim) = gateway.tenure.due(standing, at(now)) {
+            let standing = ClaimPriority { rank, ..ELIGIBLE };
+            if let Some(claim) = gateway.tenure.next_claim(standing, at(now)) {
                 let outcome = store.write(&claim);
                 let change = gateway
                     .tenure
-                    .take_outcome(&claim, outcome, at(now), at(now));
+                    .apply_outcome(&claim, outcome, at(now), at(now));
                 gateway.apply(change);
             }
         }
@@ -202,7 +203,7 @@
         let outcome = store.write(&claim);
         leaving
             .tenure
-            .take_outcome(&claim, outcome, at(10_000), at(10_000));
+            .apply_outcome(&claim, outcome, at(10_000), at(10_000));
     }
     assert_eq!(leaving.held_parts(10_000), 0);
     let mut other = Gateway::start(2, false);
@@ -250,11 +251,11 @@
     let mut store = PartStore::default();
     let mut gateway = Gateway::start(1, true);
     gateway.read(&store, at(0));
-    let claim = gateway.tenure.due(ELIGIBLE, at(2_000)).unwrap();
+    let claim = gateway.tenure.next_claim(ELIGIBLE, at(2_000)).unwrap();
     store.write(&claim);
     gateway
         .tenure
-        .take_outcome(&claim, ClaimOutcome::Failed, at(2_000), at(2_800));
+        .apply_outcome(&claim, ClaimOutcome::Failed, at(2_000), at(2_800));
     assert_eq!(gateway.held_parts(2_800), 0);
     gateway.run(&mut store, 4_000, 5_000);
     assert!(gateway.held_parts(5_000) > 0);
@@ -264,9 +265,9 @@
 fn an_ineligible_gateway_writes_nothing() {
     let mut gateway = Gateway::start(1, true);
     gateway.read(&PartStore::default(), at(0));
-    let ineligible = ClaimStanding {
-        is_wanted: false,
+    let ineligible = ClaimPriority {
+        is_eligible: false,
         ..ELIGIBLE
     };
-    assert_eq!(gateway.tenure.due(ineligible, at(9_000)), None);
+    assert_eq!(gateway.tenure.next_claim(ineligible, at(9_000)), None);
 }
--- a/crates/oatpier-serving/tests/testsuite/relays.rs
+++ b/crates/oatpier-serving/tests/testsuite/relays.rs
@@ -8,7 +8,7 @@
 
 use oatpier_serving::directory::EndpointDirectory;
 use oatpier_serving::engine::EndpointLoad;
-use oatpier_serving::message::{EngineWord, LoadPulse, MessageNumber};
+use oatpier_serving::message::{EngineUpdate, LoadPulse, MessageNumber};
 use oatpier_serving::relays::{RelayCandidate, RelayQueue, draw};
 use oatpier_types::names::ZoneName;
 use proptest::prelude::*;
@@ -45,18 +45,18 @@
     }
 }
 
-fn whole(number: u64, models: &[&str], running: u32) -> EngineWord {
+fn whole(number: u64, models: &[&str], running: u32) -> EngineUpdate {
     let mut whole = pulse(1, models, running);
     whole.number.number = number;
-    EngineWord::Pulse(Box::new(whole))
+    EngineUpdate::Pulse(Box::new(whole))
 }
 
-fn apply_update(directory: &mut EndpointDirectory, update: &EngineWord, now: u64) {
+fn apply_update(directory: &mut EndpointDirectory, update: &EngineUpdate, now: u64) {
     match update {
-        EngineWord::Pulse(pulse) => {
+        EngineUpdate::Pulse(pulse) => {
             directory.take_pulse((**pulse).clone(), at(now));
         }
-        EngineWord::Load(load) => directory.take_load_pulse(load, at(now)),
+        EngineUpdate::Load(load) => directory.take_load_pulse(load, at(now)),
     }
 }
 
@@ -105,12 +105,12 @@
 #[test]
 fn relay_queue_keeps_the_newest_update_of_each_kind() {
     let mut queue = RelayQueue::default();
-    queue.take(EngineWord::Load(load(3, 5)));
-    queue.take(EngineWord::Load(load(2, 9)));
+    queue.take(EngineUpdate::Load(load(3, 5)));
+    queue.take(EngineUpdate::Load(load(2, 9)));
     queue.take(whole(1, &["m1"], 1));
     let passed = queue.drain();
     assert_eq!(passed.concat().len(), 2);
-    assert!(passed.concat().contains(&EngineWord::Load(load(3, 5))));
+    assert!(passed.concat().contains(&EngineUpdate::Load(load(3, 5))));
     assert!(queue.drain().is_empty());
 }
 
@@ -118,9 +118,9 @@
 #[test]
 fn updates_forwarded_by_another_relay_are_not_forwarded_again() {
     let mut queue = RelayQueue::default();
-    queue.take(EngineWord::Load(load(3, 5)));
+    queue.take(EngineUpdate::Load(load(3, 5)));
     queue.take(whole(4, &["m1"], 1));
-    queue.note_passed_on(&EngineWord::Load(load(3, 5)));
+    queue.note_passed_on(&EngineUpdate::Load(load(3, 5)));
     assert_eq!(queue.drain(), vec![vec![whole(4, &["m1"], 1)]]);
 }
 
@@ -131,7 +131,7 @@
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
     apply_update(&mut directory, &whole(1, &["m1"], 1), 0);
-    apply_update(&mut directory, &EngineWord::Load(load(3, 7)), 10);
+    apply_update(&mut directory, &EngineUpdate::Load(load(3, 7)), 10);
     apply_update(&mut directory, &whole(2, &["m1", "m2"], 2), 20);
     let row = directory.row(&endpoint("e1")).unwrap();
     assert!(row.holds(&model("m2"), at(30)));
@@ -187,7 +187,7 @@
             let relays = draw(address(engine), candidates);
             let mut status = pulse(engine, &[holds], 1);
             status.number.number = number;
-            let update = EngineWord::Pulse(Box::new(status));
+            let update = EngineUpdate::Pulse(Box::new(status));
             for relay in relays.into_iter().map(Self::index) {
                 if !self.dead.contains(&relay) && !loses() {
                     apply_update(&mut self.known[relay], &update, now);
@@ -249,10 +249,10 @@
         load_first in any::<bool>(),
     ) {
         let names = |holds: bool| if holds { ["m1"].as_slice() } else { ["m2"].as_slice() };
-        let mut updates: Vec<EngineWord> = Vec::new();
+        let mut updates: Vec<EngineUpdate> = Vec::new();
         for (number, holds) in (1..).zip(&models) {
             updates.push(whole(2 * number, names(*holds), 1));
-            updates.push(EngineWord::Load(load(2 * number + 1, u32::try_from(number).unwrap())));
+            updates.push(EngineUpdate::Load(load(2 * number + 1, u32::try_from(number).unwrap())));
         }
         let mut directory = EndpointDirectory::default();
         directory.apply_registry(vec![record(1, &["m3"])], at(0));
--- a/crates/oatpier-serving/tests/testsuite/residency.rs
+++ b/crates/oatpier-serving/tests/testsuite/residency.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use oatpier_serving::engine::{EngineOrder, EngineReport, LocalCopies, OrderAnswer, StartTime};
-use oatpier_serving::message::{AdapterUse, AdapterWish, GatewayGreeting, LoadAdvice, ModelSize};
+use oatpier_serving::message::{
+    AdapterRequest, AdapterUse, GatewayGreeting, LoadAdvice, ModelSize,
+};
 use oatpier_serving::residency::{EngineResidency, LoadPace};
 use proptest::prelude::*;
 
@@ -61,8 +63,8 @@
     }
 }
 
-fn adapter_wish(name: &str) -> AdapterWish {
-    AdapterWish {
+fn adapter_wish(name: &str) -> AdapterRequest {
+    AdapterRequest {
         key: adapter("m1", name),
         slots: 2,
     }
--- a/crates/oatpier-serving/tests/testsuite/turn_fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/turn_fleet.rs
@@ -5,7 +5,7 @@
 use oatpier_serving::notice::RequestRate;
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::turns::{
-    HeldTurn, TURN_LIFE, TurnAnswer, TurnEstimates, TurnQuery, TurnStep,
+    HeldTurn, TURN_VALIDITY, TurnAnswer, TurnEstimates, TurnQuery, TurnStep,
 };
 use rand::RngExt;
 
@@ -92,7 +92,7 @@
         let name = endpoint("e1");
         gateway
             .holder
-            .give_turn(query.part, &name, limit, query.most_wait, at(now))
+            .grant_turn(query.part, &name, limit, query.max_wait, at(now))
     }
 
     pub fn receive_turn(&mut self, index: usize, message: TurnMessage, now: u64) {
@@ -108,7 +108,7 @@
                 let query = TurnQuery {
                     part,
                     holder: address(number),
-                    most_wait,
+                    max_wait: most_wait,
                 };
                 let answer = self.grant_turn(index, &query, rate, now);
                 let message = FleetMessage::Turn(TurnMessage::Answer { id, answer });
@@ -175,7 +175,7 @@
             self.gateways[index]
                 .grants
                 .holders_mut()
-                .note_silence(part, at(now));
+                .note_timeout(part, at(now));
             request.pending = None;
         }
         let left = (request.arrived_ms + request.max_wait_ms).saturating_sub(now);
@@ -224,7 +224,7 @@
             from: number,
             id,
             part: query.part,
-            most_wait: query.most_wait,
+            most_wait: query.max_wait,
             rate: limit,
         };
         if let Some(holder) = holder {
@@ -257,7 +257,7 @@
 /// Returns the number of requests that a limit allows in a window: its rate over the window and the validity of a turn,
 /// and one request for each part.
 fn max_requests(value: f64) -> f64 {
-    let window = millis(WINDOW_MS) + TURN_LIFE + millis(100);
+    let window = millis(WINDOW_MS) + TURN_VALIDITY + millis(100);
     value * window.as_secs_f64() + 3.0
 }
 
--- a/crates/oatpier/src/ops/crashes.rs
+++ b/crates/oatpier/src/ops/crashes.rs
@@ -6,7 +6,7 @@
 
 use oatpier_platform::store::{CrashChanges, MOST_CHANGES, StoreClient, StoreSnapshot};
 use oatpier_serving::crashes::CrashRecord;
-use oatpier_serving::crashes::book::MOST_CRASHES;
+use oatpier_serving::crashes::book::CRASHES_TO_BAR;
 use oatpier_serving::fingerprint::RequestFingerprint;
 use serde::Serialize;
 
@@ -69,7 +69,7 @@
                 });
             row.endpoints.push(record.site.to_string());
             row.seen_ms = row.seen_ms.max(record.seen_ms);
-            row.barred = row.endpoints.len() >= MOST_CRASHES;
+            row.barred = row.endpoints.len() >= CRASHES_TO_BAR;
         }
         let mut rows: Vec<SuspectRow> = suspects.into_values().collect();
         rows.sort_by_key(|row| (!row.barred, u64::MAX - row.seen_ms));
