--- a/crates/oatpier-gateway/src/crash_writer.rs
+++ b/crates/oatpier-gateway/src/crash_writer.rs
@@ -104,7 +104,7 @@
                 return false;
             }
         }
-        self.queue.settle(&batch);
+        self.queue.remove_written(&batch);
         self.pause = FIRST_RETRY_PAUSE;
         true
     }
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -7,9 +7,9 @@
 
 use std::net::SocketAddr;
 
-use oatpier_serving::crashes::book::{SuspectStatus, SuspectTable, SuspectVerdict};
+use oatpier_serving::crashes::broken_attempts::BrokenAttempt;
 use oatpier_serving::crashes::changes::CrashChange;
-use oatpier_serving::crashes::cuts::BrokenAttempt;
+use oatpier_serving::crashes::suspects::{SuspectStatus, SuspectTable, SuspectVerdict};
 use oatpier_serving::crashes::{CrashRecord, RequestOrigin};
 use oatpier_serving::directory::EndpointOutcome;
 use oatpier_serving::fingerprint::RequestFingerprint;
@@ -76,8 +76,8 @@
             return;
         }
         for record in &found {
-            if let Some(standing) = state.crashes.note_crash(record, now) {
-                self.log_suspect(record, &standing, "seen");
+            if let Some(status) = state.crashes.note_crash(record, now) {
+                self.log_suspect(record, &status, "seen");
             }
             self.queue_store_change(CrashChange::Put(record.clone()));
         }
@@ -94,11 +94,11 @@
         let now = self.clock.now();
         let mut state = self.lock();
         for record in records {
-            let standing = state.crashes.note_crash(record, now);
+            let status = state.crashes.note_crash(record, now);
             // The gateway that saw the crash has logged the suspicion already; every other gateway would log it
             // again.
-            if let Some(standing) = standing.filter(|standing| standing.is_barred) {
-                self.log_suspect(record, &standing, "told");
+            if let Some(status) = status.filter(|status| status.is_barred) {
+                self.log_suspect(record, &status, "told");
             }
         }
         self.update_suspect_metrics(&state.crashes, now);
@@ -181,8 +181,8 @@
         self.send_to_peers(&peers, &InnerMessage::CrashesCleared(vec![*fingerprint]));
     }
 
-    fn log_suspect(&self, record: &CrashRecord, standing: &SuspectStatus, source: &'static str) {
-        let decision = if standing.is_barred {
+    fn log_suspect(&self, record: &CrashRecord, status: &SuspectStatus, source: &'static str) {
+        let decision = if status.is_barred {
             "request barred"
         } else {
             "request suspected"
@@ -196,14 +196,14 @@
             )
             .with("route", record.origin.route.as_str())
             .with("endpoint", record.site.to_string())
-            .with("crashes", standing.crashes)
+            .with("crashes", status.crashes)
             .with("source", source);
         self.log.write(line);
     }
 
-    fn update_suspect_metrics(&self, book: &SuspectTable, now: ClockTime) {
+    fn update_suspect_metrics(&self, table: &SuspectTable, now: ClockTime) {
         self.metrics
-            .note_suspects(book.suspects(), book.barred(now));
+            .note_suspects(table.suspects(), table.barred(now));
     }
 
     fn queue_store_change(&self, change: CrashChange) {
--- a/crates/oatpier-gateway/src/gateway/exchanges.rs
+++ b/crates/oatpier-gateway/src/gateway/exchanges.rs
@@ -62,8 +62,8 @@
         let (from, message) = socket.receive().await;
         match message {
             InnerMessage::Pulse(pulse) => core.take_pulse(*pulse),
-            InnerMessage::Spread(word) => core.take_spread(word),
-            InnerMessage::Relayed(words) => core.take_relayed(words),
+            InnerMessage::Spread(update) => core.take_spread(update),
+            InnerMessage::Relayed(updates) => core.take_relayed(updates),
             InnerMessage::Peer(report) => {
                 core.take_config_standing(from, report.config);
                 let now = core.clock.now();
@@ -74,8 +74,8 @@
             InnerMessage::QuotaAnswer(answer) => core.take_quota_answer(answer),
             InnerMessage::TurnAsk(ask) => core.answer_turn_ask(from, &ask),
             InnerMessage::TurnAnswer(reply) => core.complete_turn_ask(reply),
-            InnerMessage::LimitSeen(word) => core.apply_limit_report(&word),
-            InnerMessage::LeavingSeen(word) => core.apply_leaving_report(&word),
+            InnerMessage::LimitSeen(report) => core.apply_limit_report(&report),
+            InnerMessage::LeavingSeen(report) => core.apply_leaving_report(&report),
             InnerMessage::StoreSeen(word) => core.take_store_word(*word),
             InnerMessage::CrashesSeen(records) => core.apply_crashes(&records),
             InnerMessage::CrashesCleared(requests) => core.apply_cleared(&requests),
@@ -139,8 +139,8 @@
         let datagrams = state.relayed.drain();
         let peers: Vec<SocketAddr> = state.peers.in_zone(&core.zone, now).collect();
         drop(state);
-        for words in datagrams {
-            let message = InnerMessage::Relayed(words);
+        for updates in datagrams {
+            let message = InnerMessage::Relayed(updates);
             for peer in &peers {
                 core.outlet.send(*peer, &message);
             }
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -12,7 +12,7 @@
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::grants::{GrantStep, QueriedParts, UnitsGrant, UnitsQuery};
 use oatpier_serving::quota::holder::{PartAnswer, UnitsWanted};
-use oatpier_serving::quota::tenure::{ClaimPriority, LeaseChange, PartEntry, StoreEra};
+use oatpier_serving::quota::lease::{ClaimPriority, LeaseChange, PartEntry, StoreEra};
 use oatpier_serving::site::RouteRule;
 use oatpier_serving::workspace::WorkspaceRule;
 use oatpier_types::clock::ClockTime;
@@ -51,7 +51,7 @@
 pub struct UnitsCharge {
     core: Arc<GatewayCore>,
     workspace: Arc<WorkspaceRule>,
-    lot: UnitsGrant,
+    grant: UnitsGrant,
     is_spent: bool,
 }
 
@@ -62,7 +62,7 @@
             let mut state = self.core.lock();
             state
                 .grants
-                .return_units(&self.workspace.name, self.lot, now);
+                .return_units(&self.workspace.name, self.grant, now);
         }
     }
 }
@@ -75,7 +75,7 @@
 
 impl std::fmt::Debug for ChargeCell {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let units = self.lock().as_ref().map(|charge| charge.lot.units);
+        let units = self.lock().as_ref().map(|charge| charge.grant.units);
         formatter.debug_tuple("ChargeCell").field(&units).finish()
     }
 }
@@ -100,8 +100,8 @@
     fn expired(&self, now: ClockTime) -> Option<(Arc<WorkspaceRule>, u64)> {
         let charge = self.lock();
         let charge = charge.as_ref()?;
-        let is_expired = !charge.is_spent && charge.lot.expires_at <= now;
-        is_expired.then(|| (Arc::clone(&charge.workspace), charge.lot.units))
+        let is_expired = !charge.is_spent && charge.grant.expires_at <= now;
+        is_expired.then(|| (Arc::clone(&charge.workspace), charge.grant.units))
     }
 
     fn renew(&self, charge: UnitsCharge) {
@@ -130,11 +130,11 @@
         let now = core.clock.now();
         let step = core.lock().grants.step(&workspace.name, units, &asked, now);
         match step {
-            GrantStep::Taken(lot) => {
+            GrantStep::Taken(grant) => {
                 return Ok(UnitsCharge {
                     core: Arc::clone(core),
                     workspace: Arc::clone(workspace),
-                    lot,
+                    grant,
                     is_spent: false,
                 });
             }
@@ -276,9 +276,9 @@
                 LeaseChange::Begun(begin) => {
                     state
                         .holder
-                        .begin(begin.part, begin.start, begin.free_since);
+                        .add_part(begin.part, begin.start, begin.free_since);
                 }
-                LeaseChange::Ended(part) => state.holder.end(part),
+                LeaseChange::Ended(part) => state.holder.remove_part(part),
             }
             let line = DecisionLine::new(LineWeight::Notable, "limit part");
             self.log.write(line.with("change", format!("{change:?}")));
@@ -326,7 +326,7 @@
             Vec::new()
         };
         for claim in &released {
-            state.holder.end(claim.record.part);
+            state.holder.remove_part(claim.record.part);
         }
         let mut claims = released;
         while let Some(claim) = state.tenure.next_claim(priority, now) {
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -7,7 +7,7 @@
 use http::Response;
 use http_body_util::{BodyExt, Full};
 use oatpier_serving::choice::{EndpointChoice, HeldService};
-use oatpier_serving::crashes::book::SuspectVerdict;
+use oatpier_serving::crashes::suspects::SuspectVerdict;
 use oatpier_serving::site::RouteKind;
 use oatpier_types::names::EndpointName;
 use oatpier_types::refusal::{Refusal, RefusalCause};
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -43,8 +43,8 @@
         let query = match core.turn_step(endpoint, max_wait) {
             None => return TurnVerdict::NotNeeded,
             Some(TurnStep::Later(_)) => return TurnVerdict::TooLate,
-            Some(TurnStep::Nobody) => return TurnVerdict::NoHolder,
-            Some(TurnStep::Ask(query)) => query,
+            Some(TurnStep::NoHolder) => return TurnVerdict::NoHolder,
+            Some(TurnStep::Query(query)) => query,
         };
         if let Some(turn) = core.request_turn(endpoint, &query).await {
             return TurnVerdict::Granted(turn);
--- a/crates/oatpier-gateway/src/parts_writer.rs
+++ b/crates/oatpier-gateway/src/parts_writer.rs
@@ -5,7 +5,7 @@
 
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 use oatpier_platform::store::StoreClient;
-use oatpier_serving::quota::tenure::{ClaimOutcome, PartClaim};
+use oatpier_serving::quota::lease::{ClaimOutcome, PartClaim};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::errors::error_chain;
 
--- a/crates/oatpier-gateway/src/records.rs
+++ b/crates/oatpier-gateway/src/records.rs
@@ -14,7 +14,7 @@
 use oatpier_serving::crashes::CrashRecord;
 use oatpier_serving::directory::EndpointRecord;
 use oatpier_serving::node::NodeSettings;
-use oatpier_serving::quota::tenure::{PartEntry, StoreEra};
+use oatpier_serving::quota::lease::{PartEntry, StoreEra};
 use oatpier_serving::reads::{
     OwnEntries, ReadSchedule, StoreView, StoreWord, WordOutcome, config_mark,
 };
--- a/crates/oatpier-gateway/src/sidecar/mod.rs
+++ b/crates/oatpier-gateway/src/sidecar/mod.rs
@@ -213,9 +213,9 @@
                 self.health_path = Some(Arc::clone(&greeting.health_path));
                 self.residency.take_greeting(from, &greeting, now);
             }
-            InnerMessage::AdapterWanted(wish) => {
+            InnerMessage::AdapterWanted(request) => {
                 self.pulses.note_requester(from, now);
-                self.residency.take_wish(wish, now);
+                self.residency.take_wish(request, now);
             }
             InnerMessage::Advice(advice) => {
                 let line = DecisionLine::new(LineWeight::Notable, "advice heard")
--- a/crates/oatpier-gateway/tests/testsuite/keys.rs
+++ b/crates/oatpier-gateway/tests/testsuite/keys.rs
@@ -238,8 +238,8 @@
         .take_records(Some(Arc::new(config)), Vec::new());
     let peer = SocketAddr::from(([10, 0, 0, 9], 7380));
     let report = |gateway: &TestGateway, version| {
-        let standing = ConfigStatus { version, age_ms: 0 };
-        gateway.core.take_config_standing(peer, standing);
+        let status = ConfigStatus { version, age_ms: 0 };
+        gateway.core.take_config_standing(peer, status);
     };
     report(&gateway, 4);
     assert!(
--- a/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
@@ -198,8 +198,8 @@
     }
     let reports = gateway.outlet.sent().into_iter();
     let reports = reports.filter_map(|(to, message)| match message {
-        InnerMessage::LimitSeen(word) => {
-            Some((to.to_string(), word.rate.map(RequestRate::per_second)))
+        InnerMessage::LimitSeen(report) => {
+            Some((to.to_string(), report.rate.map(RequestRate::per_second)))
         }
         _ => None,
     });
--- a/crates/oatpier-gateway/tests/testsuite/refusals.rs
+++ b/crates/oatpier-gateway/tests/testsuite/refusals.rs
@@ -110,7 +110,7 @@
     let (answer, ()) = tokio::join!(sending, loading);
     assert_eq!(answer.status(), StatusCode::OK);
     let sent = gateway.outlet.sent();
-    assert!(matches!(&sent[0].1, InnerMessage::AdapterWanted(wish) if wish.slots == 4));
+    assert!(matches!(&sent[0].1, InnerMessage::AdapterWanted(request) if request.slots == 4));
 }
 
 /// No engine holds or loads the model. The caller is asked to retry well before its deadline, instead of waiting
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -23,7 +23,7 @@
 use oatpier_serving::node::{NodeBounds, NodeSettings};
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::bounds::QuotaBounds;
-use oatpier_serving::quota::tenure::{PartEntry, PartRecord};
+use oatpier_serving::quota::lease::{PartEntry, PartRecord};
 use oatpier_serving::quota::turns::TurnAnswer;
 use oatpier_serving::site::{
     CallerLimits, EngineRule, ModelRule, RouteKind, RouteRule, ServiceRule, SiteConfig,
--- a/crates/oatpier-serving/examples/limit_costs.rs
+++ b/crates/oatpier-serving/examples/limit_costs.rs
@@ -70,7 +70,7 @@
     let part = PartIndex(0);
     let terms = bounds.bucket_params(&RULE);
     let mut holder = PartHolder::default();
-    holder.begin(part, PartStart::Full, ClockTime::ZERO);
+    holder.add_part(part, PartStart::Full, ClockTime::ZERO);
     let mut grants = GrantCache::default();
     let own = "10.0.0.1:7380".parse().expect("an address");
     grants.holders_mut().set([Some(own); PARTS as usize]);
--- a/crates/oatpier-serving/src/crashes/changes.rs
+++ b/crates/oatpier-serving/src/crashes/changes.rs
@@ -64,7 +64,7 @@
     }
 
     /// Removes changes that the store has written. A change for the same crash that was queued meanwhile remains.
-    pub fn settle(&mut self, written: &[CrashChange]) {
+    pub fn remove_written(&mut self, written: &[CrashChange]) {
         self.queued.retain(|queued| !written.contains(queued));
     }
 }
--- a/crates/oatpier-serving/src/crashes/mod.rs
+++ b/crates/oatpier-serving/src/crashes/mod.rs
@@ -5,16 +5,16 @@
 //! endpoints cannot prevent this, so crashes are also recorded for the requests that were running.
 //!
 //! - [`changes`]: changes that are to be written to the store.
-//! - [`cuts`]: attempts whose connection broke, tracked until it is known whether their endpoint crashed.
-//! - [`book`]: requests that were running at crashed endpoints, and which of them are barred.
+//! - [`broken_attempts`]: attempts whose connection broke, tracked until it is known whether their endpoint crashed.
+//! - [`suspects`]: requests that were running at crashed endpoints, and which of them are barred.
 //!
 //! An endpoint runs dozens of requests, and all of them become suspects when it crashes. A request is barred at its
 //! third crash without a complete answer in between. A complete answer at any gateway clears it. The records are kept
 //! in the platform's store, so that they survive restarts of all gateways.
 
-pub mod book;
+pub mod broken_attempts;
 pub mod changes;
-pub mod cuts;
+pub mod suspects;
 
 use std::fmt;
 use std::sync::Arc;
--- a/crates/oatpier-serving/src/crashes/book.rs
+++ b/crates/oatpier-serving/src/crashes/suspects.rs
@@ -73,7 +73,7 @@
         crashes.collect()
     }
 
-    /// Returns the number of crashes at which the request is barred. Once the bar has lasted for [`BAR_LIFE`], one more
+    /// Returns the number of crashes at which the request is barred. Once the bar has lasted for [`BAR_DURATION`], one more
     /// run is allowed, and the next crash bars the request again.
     fn crashes_allowed(&self, now: ClockTime) -> usize {
         let is_due = |at: ClockTime| now.since(at) >= BAR_DURATION;
@@ -106,7 +106,7 @@
     suspects: HashMap<RequestFingerprint, Suspect>,
     /// Number of active runs of each request at this gateway.
     running: HashMap<RequestFingerprint, usize>,
-    /// Crashes of suspects evicted since the last call of [`Self::take_pushed_out`].
+    /// Crashes of suspects evicted since the last call of [`Self::take_evicted`].
     evicted: Vec<CrashRecord>,
 }
 
@@ -195,12 +195,12 @@
         if suspect.crashes.len() == CRASHES_TO_BAR {
             suspect.barred_at = Some(now);
         }
-        let standing = SuspectStatus {
+        let status = SuspectStatus {
             crashes: suspect.crashes.len(),
             is_barred: suspect.is_barred(now),
         };
         self.evict_excess(&record.fingerprint);
-        Some(standing)
+        Some(status)
     }
 
     /// Applies the list of crashes in the store. Crashes that were listed before and are missing now have been cleared.
--- a/crates/oatpier-serving/src/directory/liveness.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -8,7 +8,7 @@
 
 use super::{EndpointDirectory, EndpointRow};
 use crate::crashes::CrashSite;
-use crate::crashes::cuts::EndpointOutcome;
+use crate::crashes::broken_attempts::EndpointOutcome;
 
 /// Maximum age on arrival of a sidecar's report that its engine responds.
 ///
--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -123,7 +123,7 @@
         let limit = self.rows.get_mut(name)?.limit.as_mut()?;
         limit
             .turns
-            .take_answer(holders, part, answer, limit.rate, now)
+            .apply_answer(holders, part, answer, limit.rate, now)
     }
 
     /// Records that a request is sent to an endpoint, which uses up one probe if the endpoint has asked for
--- a/crates/oatpier-serving/src/notice.rs
+++ b/crates/oatpier-serving/src/notice.rs
@@ -18,7 +18,7 @@
 /// Highest rate, in thousandths of a request per second, above the throughput of any endpoint.
 const MAX_PER_MILLE: u32 = 1_000_000_000;
 
-/// Maximum length of a rest. An endpoint that asks for more has ended by then, or can be tried again.
+/// Maximum length of a rest period. An endpoint that asks for more has ended by then, or can be tried again.
 const MAX_REST: Duration = Duration::from_hours(1);
 
 /// Number in a header that is out of range.
@@ -80,12 +80,12 @@
     }
 }
 
-/// Length of a rest, during which an endpoint accepts no requests from the gateway whose request it rejected.
+/// Length of a rest period, during which an endpoint accepts no requests from the gateway whose request it rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RestSpan(Duration);
 
 impl RestSpan {
-    /// Length of a rest whose header cannot be parsed.
+    /// Length of a rest period whose header cannot be parsed.
     pub const FALLBACK: Self = Self(Duration::from_secs(1));
 
     /// Returns the length as a duration.
@@ -117,7 +117,7 @@
     pub rate: NoticeValue<RequestRate>,
     /// Whether the endpoint is leaving.
     pub leaving: NoticeValue<bool>,
-    /// Rest that the endpoint asks for with a rejected request.
+    /// Rest period that the endpoint asks for with a rejected request.
     pub rest: NoticeValue<RestSpan>,
 }
 
@@ -134,9 +134,9 @@
     Leaving,
     /// The endpoint sent a leaving header that cannot be parsed.
     LeavingUnusable,
-    /// The endpoint asks this gateway for a rest that is longer than the known one.
+    /// The endpoint asks this gateway for a rest period that is longer than the known one.
     Rests(RestSpan),
-    /// The endpoint asks for a rest whose length cannot be parsed.
+    /// The endpoint asks for a rest period whose length cannot be parsed.
     RestUnusable,
 }
 
--- a/crates/oatpier-serving/src/quota/grants.rs
+++ b/crates/oatpier-serving/src/quota/grants.rs
@@ -172,12 +172,12 @@
         self.workspaces.retain(|workspace, _| is_limited(workspace));
     }
 
-    /// Returns the next step of a request that needs `units` and has queried the parts in `asked`.
+    /// Returns the next step of a request that needs `units` and has queried the parts in `queried`.
     pub fn step(
         &mut self,
         workspace: &WorkspaceName,
         units: u64,
-        asked: &QueriedParts,
+        queried: &QueriedParts,
         now: ClockTime,
     ) -> GrantStep {
         let state = self.workspaces.entry(workspace.clone()).or_default();
@@ -187,14 +187,14 @@
             return GrantStep::Taken(grant);
         }
         let need = units - state.available();
-        let unqueried = PartIndex::all().filter(|part| !asked.0.contains(part));
+        let unqueried = PartIndex::all().filter(|part| !queried.0.contains(part));
         let candidates = unqueried.filter(|part| !state.is_empty(*part, need, now));
         let holders = &self.holders;
         let with_holder = candidates.filter_map(|part| Some((part, holders.holder(part)?)));
         let next_part = state.next_part;
         let best = with_holder.min_by_key(|(part, _)| {
-            let is_silent = holders.is_unresponsive(*part, now);
-            (is_silent, (part.0 + PARTS - next_part) % PARTS)
+            let is_unresponsive = holders.is_unresponsive(*part, now);
+            (is_unresponsive, (part.0 + PARTS - next_part) % PARTS)
         });
         if let Some((part, holder)) = best {
             state.next_part = (part.0 + 1) % PARTS;
@@ -218,14 +218,14 @@
     pub fn apply_answer(
         &mut self,
         workspace: &WorkspaceName,
-        ask: &UnitsQuery,
+        query: &UnitsQuery,
         answer: PartAnswer,
         asked_at: ClockTime,
         lifetime: Duration,
         now: ClockTime,
     ) {
-        let index = ask.part.place();
-        self.holders.note_answer(ask.part);
+        let index = query.part.place();
+        self.holders.note_answer(query.part);
         let state = self.workspaces.entry(workspace.clone()).or_default();
         match answer {
             PartAnswer::Granted(units) => {
@@ -238,7 +238,7 @@
             PartAnswer::Later(millis) => {
                 let after = Duration::from_millis(u64::from(millis));
                 state.empty[index] = Some(EmptyPart {
-                    need: ask.wanted.need,
+                    need: query.wanted.need,
                     retry_at: now + after.min(EMPTY_RETRY_DELAY),
                     available_at: now + after,
                 });
--- a/crates/oatpier-serving/src/quota/holder.rs
+++ b/crates/oatpier-serving/src/quota/holder.rs
@@ -134,7 +134,7 @@
 
 impl PartHolder {
     /// Starts to grant from a part that this gateway holds since `now`.
-    pub fn begin(&mut self, part: PartIndex, start: PartStart, now: ClockTime) {
+    pub fn add_part(&mut self, part: PartIndex, start: PartStart, now: ClockTime) {
         let held = HeldPart {
             start,
             at: now,
@@ -145,7 +145,7 @@
     }
 
     /// Stops granting from a part that another gateway holds.
-    pub fn end(&mut self, part: PartIndex) {
+    pub fn remove_part(&mut self, part: PartIndex) {
         self.parts.remove(&part);
     }
 
--- a/crates/oatpier-serving/src/quota/tenure.rs
+++ b/crates/oatpier-serving/src/quota/lease.rs
@@ -1,7 +1,7 @@
 //! Leases that assign the parts of limits to gateways.
 //!
 //! Each part has an entry in the store, which is written only by compare-and-swap on its revision. A holder renews its
-//! entry, and holds the part for [`TENURE`] from the moment at which it sent the last renewal that the store
+//! entry, and holds the part for [`LEASE_DURATION`] from the moment at which it sent the last renewal that the store
 //! acknowledged. Another gateway may take the part over once it has seen the entry unchanged for longer than that. Both
 //! measure the time with their own clocks, which must only run at the same rate. Leases of the store are not used,
 //! since they may expire while the store is unavailable.
@@ -276,15 +276,15 @@
     }
 
     /// Returns the next entry that this gateway should write, if any.
-    pub fn next_claim(&mut self, standing: ClaimPriority, now: ClockTime) -> Option<PartClaim> {
-        if !standing.is_eligible {
+    pub fn next_claim(&mut self, priority: ClaimPriority, now: ClockTime) -> Option<PartClaim> {
+        if !priority.is_eligible {
             return None;
         }
         let states = self.states.iter();
         let held = states
             .filter(|state| state.holds(now) || state.is_claimed(now))
             .count();
-        let rank = standing.rank + held * HELD_PART_RANKS;
+        let rank = priority.rank + held * HELD_PART_RANKS;
         let rank_delay = RANK_DELAY * u32::try_from(rank).unwrap_or(u32::MAX).min(64);
         let part = PartIndex::all().find(|part| self.is_due(*part, rank_delay, now))?;
         self.states[part.place()].claimed_at = Some(now);
--- a/crates/oatpier-serving/src/quota/mod.rs
+++ b/crates/oatpier-serving/src/quota/mod.rs
@@ -6,7 +6,7 @@
 //! any network partition, and all callers of a workspace may connect to the same gateway.
 //!
 //! - [`bounds`]: how far use may exceed a limit.
-//! - [`tenure`]: leases that assign the parts to gateways, kept in the store.
+//! - [`lease`]: leases that assign the parts to gateways, kept in the store.
 //! - [`holder`]: grants from the parts that this gateway holds.
 //! - [`holders`]: which holders respond.
 //! - [`grants`]: units that this gateway was granted, and which holder it queries next.
@@ -20,7 +20,7 @@
 pub mod grants;
 pub mod holder;
 pub mod holders;
-pub mod tenure;
+pub mod lease;
 pub mod turns;
 
 use std::fmt;
--- a/crates/oatpier-serving/src/quota/turns.rs
+++ b/crates/oatpier-serving/src/quota/turns.rs
@@ -123,11 +123,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TurnStep {
     /// A holder must be queried.
-    Ask(TurnQuery),
+    Query(TurnQuery),
     /// The next turn is this far in the future, which is longer than the request waits.
     Later(Duration),
     /// No holder is known that responds.
-    Nobody,
+    NoHolder,
 }
 
 /// Estimated times of the next turn of each part at one endpoint. Other gateways take turns too, so the real times are
@@ -164,7 +164,7 @@
         candidates.sort_by_key(|(free_at, part, _)| (*free_at, *part));
         let Some((free_at, part, holder)) = candidates.first().copied() else {
             self.next_at = now + NO_HOLDER_RETRY_DELAY;
-            return TurnStep::Nobody;
+            return TurnStep::NoHolder;
         };
         self.next_at = free_at;
         let wait = free_at.since(now);
@@ -174,7 +174,7 @@
         let next_wait = candidates
             .get(1)
             .map_or(max_wait, |(at, _, _)| at.since(now));
-        TurnStep::Ask(TurnQuery {
+        TurnStep::Query(TurnQuery {
             part,
             holder,
             max_wait: next_wait.min(max_wait),
@@ -182,7 +182,7 @@
     }
 
     /// Applies an answer, and returns the turn if one was granted.
-    pub fn take_answer(
+    pub fn apply_answer(
         &mut self,
         holders: &mut HolderTable,
         part: PartIndex,
--- a/crates/oatpier-serving/src/reads.rs
+++ b/crates/oatpier-serving/src/reads.rs
@@ -22,7 +22,7 @@
 
 use crate::crashes::CrashRecord;
 use crate::directory::EndpointRecord;
-use crate::quota::tenure::{PartEntry, StoreEra};
+use crate::quota::lease::{PartEntry, StoreEra};
 
 /// Minimum interval between two reads as a share of the period.
 ///
--- a/crates/oatpier-serving/src/residency/mod.rs
+++ b/crates/oatpier-serving/src/residency/mod.rs
@@ -243,17 +243,17 @@
     }
 
     /// Records that a gateway waits for an adapter.
-    pub fn take_wish(&mut self, wish: AdapterRequest, now: ClockTime) {
-        self.adapter_slots = wish.slots as usize;
-        self.last_used.insert(wish.key.clone(), now);
+    pub fn take_wish(&mut self, request: AdapterRequest, now: ClockTime) {
+        self.adapter_slots = request.slots as usize;
+        self.last_used.insert(request.key.clone(), now);
         match self
             .requested
             .iter_mut()
-            .find(|entry| entry.key == wish.key)
+            .find(|entry| entry.key == request.key)
         {
             Some(entry) => entry.at = now,
             None => self.requested.push_back(TimedAdapter {
-                key: wish.key,
+                key: request.key,
                 at: now,
             }),
         }
--- a/crates/oatpier-serving/tests/testsuite/crash_fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/crash_fleet.rs
@@ -4,8 +4,8 @@
 //! acknowledge writes, and gateways restart without their state.
 
 use oatpier_serving::crashes::CrashRecord;
-use oatpier_serving::crashes::book::{SuspectTable, SuspectVerdict};
 use oatpier_serving::crashes::changes::{ChangeQueue, CrashChange};
+use oatpier_serving::crashes::suspects::{SuspectTable, SuspectVerdict};
 use proptest::prelude::*;
 
 use crate::crashes::{crash, fingerprint};
@@ -158,7 +158,7 @@
         }
         let draw = self.draw();
         if !self.script.unanswered[draw % self.script.unanswered.len()] {
-            self.gateways[index].queue.settle(&batch);
+            self.gateways[index].queue.remove_written(&batch);
         }
     }
 
--- a/crates/oatpier-serving/tests/testsuite/crashes.rs
+++ b/crates/oatpier-serving/tests/testsuite/crashes.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use oatpier_policy::index::EndpointIndex;
-use oatpier_serving::crashes::book::{BAR_DURATION, MAX_SUSPECTS, SUSPECT_TTL, SuspectTable};
-use oatpier_serving::crashes::book::{CRASHES_TO_BAR, SuspectVerdict};
+use oatpier_serving::crashes::broken_attempts::{AttemptWatch, BrokenAttempt, EndpointOutcome};
 use oatpier_serving::crashes::changes::{ChangeQueue, CrashChange};
-use oatpier_serving::crashes::cuts::{AttemptWatch, BrokenAttempt, EndpointOutcome};
+use oatpier_serving::crashes::suspects::{BAR_DURATION, MAX_SUSPECTS, SUSPECT_TTL, SuspectTable};
+use oatpier_serving::crashes::suspects::{CRASHES_TO_BAR, SuspectVerdict};
 use oatpier_serving::crashes::{CrashRecord, CrashSite, RequestOrigin};
 use oatpier_serving::fingerprint::{RequestContent, RequestFingerprint};
 use oatpier_types::names::{ClassName, WorkspaceName};
@@ -225,7 +225,7 @@
     queue.push(CrashChange::Put(crash("x", 2)));
     let written = queue.batch(1);
     queue.push(CrashChange::Remove(crash("x", 1)));
-    queue.settle(&written);
+    queue.remove_written(&written);
     let expected = vec![
         CrashChange::Put(crash("x", 2)),
         CrashChange::Remove(crash("x", 1)),
--- a/crates/oatpier-serving/tests/testsuite/fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/fleet.rs
@@ -8,7 +8,7 @@
 use oatpier_serving::quota::bounds::QuotaBounds;
 use oatpier_serving::quota::grants::{GrantCache, GrantStep, QueriedParts, UnitsQuery};
 use oatpier_serving::quota::holder::{PartAnswer, PartHolder};
-use oatpier_serving::quota::tenure::{
+use oatpier_serving::quota::lease::{
     ClaimOutcome, ClaimPriority, HolderIdentity, LeaseChange, PartClaim, PartLeases,
 };
 use oatpier_serving::workspace::quota::{QuotaRule, QuotaUnit};
@@ -66,7 +66,7 @@
 
 pub struct FleetGateway {
     pub number: u8,
-    pub tenure: PartLeases,
+    pub leases: PartLeases,
     pub holder: PartHolder,
     pub grants: GrantCache,
     pub bounds: QuotaBounds,
@@ -130,7 +130,7 @@
         Self {
             bounds,
             number,
-            tenure: PartLeases::new(HolderIdentity {
+            leases: PartLeases::new(HolderIdentity {
                 address: address(number),
                 boot,
                 started_at: at(started_ms),
@@ -153,16 +153,17 @@
         for change in changes {
             match change {
                 LeaseChange::Begun(begin) => {
-                    self.holder.begin(begin.part, begin.start, begin.free_since);
+                    self.holder
+                        .add_part(begin.part, begin.start, begin.free_since);
                 }
-                LeaseChange::Ended(part) => self.holder.end(part),
+                LeaseChange::Ended(part) => self.holder.remove_part(part),
             }
         }
-        self.grants.holders_mut().set(self.tenure.holders());
+        self.grants.holders_mut().set(self.leases.holders());
     }
 
     pub fn grant(&mut self, query: &UnitsQuery, now: u64) -> PartAnswer {
-        if !self.tenure.holds(query.part, at(now)) {
+        if !self.leases.holds(query.part, at(now)) {
             return PartAnswer::NotHeld;
         }
         let terms = self.bounds.bucket_params(&RULE);
@@ -259,19 +260,19 @@
         if now >= gateway.read_at {
             gateway.read_at = now + 1_300;
             let changes = gateway
-                .tenure
+                .leases
                 .apply_read(&self.store.entries, self.store.era, at(now));
             gateway.apply(changes);
         }
-        let standing = ClaimPriority {
+        let priority = ClaimPriority {
             rank: index,
             is_eligible: true,
         };
-        if let Some(claim) = gateway.tenure.next_claim(standing, at(now)) {
+        if let Some(claim) = gateway.leases.next_claim(priority, at(now)) {
             let outcome = self.write(&claim);
             let gateway = &mut self.gateways[index];
             let change = gateway
-                .tenure
+                .leases
                 .apply_outcome(&claim, outcome, at(now), at(now));
             gateway.apply(change);
         }
--- a/crates/oatpier-serving/tests/testsuite/main.rs
+++ b/crates/oatpier-serving/tests/testsuite/main.rs
@@ -21,7 +21,7 @@
 mod planner;
 mod quota_fleet;
 mod quota_holder;
-mod quota_tenure;
+mod quota_lease;
 mod reading;
 mod reads;
 mod relays;
--- a/crates/oatpier-serving/tests/testsuite/part_store.rs
+++ b/crates/oatpier-serving/tests/testsuite/part_store.rs
@@ -1,6 +1,6 @@
 //! Simulated store of the entries of parts.
 
-use oatpier_serving::quota::tenure::{ClaimOutcome, PartClaim, PartEntry};
+use oatpier_serving::quota::lease::{ClaimOutcome, PartClaim, PartEntry};
 
 /// Store of the entries of parts that can be restored from a copy.
 #[derive(Debug, Clone, Default)]
--- a/crates/oatpier-serving/tests/testsuite/planner.rs
+++ b/crates/oatpier-serving/tests/testsuite/planner.rs
@@ -139,13 +139,13 @@
 fn model_with_a_rate_limited_holder_gets_another_holder() {
     let mut directory = directory(&[(&["hot"], 1), (&["rare"], 0)], at(0));
     let demand = demand(&[("hot", 0.5, 0.5)]);
-    let word = LimitReport {
+    let report = LimitReport {
         endpoint: endpoint("e1"),
         start: None,
         rate: Some(RequestRate::try_from(1.0).unwrap()),
         sent_ago_ms: 0,
     };
-    directory.take_limit_word(&word, at(0));
+    directory.take_limit_word(&report, at(0));
     for number in [1, 2] {
         let mut later_pulse = pulse(
             number,
--- a/crates/oatpier-serving/tests/testsuite/quota_holder.rs
+++ b/crates/oatpier-serving/tests/testsuite/quota_holder.rs
@@ -33,7 +33,7 @@
 #[test]
 fn a_full_part_grants_capacity_and_debt_and_then_its_rate() {
     let mut holder = PartHolder::default();
-    holder.begin(PART, PartStart::Full, at(0));
+    holder.add_part(PART, PartStart::Full, at(0));
     assert_eq!(request(&mut holder, 1_500, 0), PartAnswer::Granted(1_500));
     assert_eq!(request(&mut holder, 100, 50), PartAnswer::Later(50));
     assert_eq!(request(&mut holder, 100, 100), PartAnswer::Granted(100));
@@ -42,7 +42,7 @@
 #[test]
 fn an_empty_part_grants_its_rate_from_the_start() {
     let mut holder = PartHolder::default();
-    holder.begin(PART, PartStart::Empty, at(1_000));
+    holder.add_part(PART, PartStart::Empty, at(1_000));
     assert_eq!(request(&mut holder, 700, 1_000), PartAnswer::Later(200));
     assert_eq!(request(&mut holder, 700, 1_200), PartAnswer::Granted(700));
 }
@@ -51,8 +51,8 @@
 fn a_part_that_is_not_held_grants_nothing() {
     let mut holder = PartHolder::default();
     assert_eq!(request(&mut holder, 1, 0), PartAnswer::NotHeld);
-    holder.begin(PART, PartStart::Full, at(0));
-    holder.end(PART);
+    holder.add_part(PART, PartStart::Full, at(0));
+    holder.remove_part(PART);
     assert_eq!(request(&mut holder, 1, 0), PartAnswer::NotHeld);
 }
 
@@ -61,7 +61,7 @@
 #[test]
 fn a_request_larger_than_the_part_is_granted_when_the_part_is_full() {
     let mut holder = PartHolder::default();
-    holder.begin(PART, PartStart::Full, at(0));
+    holder.add_part(PART, PartStart::Full, at(0));
     assert_eq!(request(&mut holder, 5_000, 0), PartAnswer::Granted(5_000));
     assert_eq!(request(&mut holder, 100, 3_000), PartAnswer::Later(600));
 }
@@ -71,7 +71,7 @@
 #[test]
 fn refused_callers_are_told_to_return_one_after_the_other() {
     let mut holder = PartHolder::default();
-    holder.begin(PART, PartStart::Full, at(0));
+    holder.add_part(PART, PartStart::Full, at(0));
     request(&mut holder, 1_500, 0);
     let answers: Vec<PartAnswer> = (0..4).map(|_| request(&mut holder, 200, 0)).collect();
     let expected = [200, 400, 600, 800].map(PartAnswer::Later);
@@ -81,7 +81,7 @@
 #[test]
 fn prefetched_units_are_a_fraction_of_the_saved_units() {
     let mut holder = PartHolder::default();
-    holder.begin(PART, PartStart::Full, at(0));
+    holder.add_part(PART, PartStart::Full, at(0));
     let ahead = UnitsWanted {
         need: 200,
         ahead: 5_000,
@@ -93,7 +93,7 @@
 #[test]
 fn a_lower_limit_applies_at_once() {
     let mut holder = PartHolder::default();
-    holder.begin(PART, PartStart::Full, at(0));
+    holder.add_part(PART, PartStart::Full, at(0));
     request(&mut holder, 100, 0);
     let lower = BucketParams {
         rate: 10.0,
@@ -109,7 +109,7 @@
 #[test]
 fn workspaces_do_not_use_up_each_others_units() {
     let mut holder = PartHolder::default();
-    holder.begin(PART, PartStart::Full, at(0));
+    holder.add_part(PART, PartStart::Full, at(0));
     request(&mut holder, 1_500, 0);
     let other = holder.grant_units(PART, &workspace("two"), &TERMS, wanted(900), at(0));
     assert_eq!(other, PartAnswer::Granted(900));
@@ -150,7 +150,7 @@
 fn granted_and_refused_units_are_counted_once_by_workspace() {
     let mut holder = PartHolder::default();
     for part in [PART, PartIndex(1)] {
-        holder.begin(part, PartStart::Full, at(0));
+        holder.add_part(part, PartStart::Full, at(0));
         holder.grant_units(part, &workspace("one"), &TERMS, wanted(1_200), at(0));
         holder.grant_units(part, &workspace("one"), &TERMS, wanted(600), at(0));
     }
--- a/crates/oatpier-serving/tests/testsuite/quota_tenure.rs
+++ b/crates/oatpier-serving/tests/testsuite/quota_lease.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use oatpier_serving::quota::holder::PartStart;
-use oatpier_serving::quota::tenure::{
+use oatpier_serving::quota::lease::{
     ClaimOutcome, ClaimPriority, HolderIdentity, LEASE_DURATION, LeaseChange, PartLeases,
     TAKEOVER_DELAY,
 };
@@ -19,14 +19,14 @@
 };
 
 struct Gateway {
-    tenure: PartLeases,
+    leases: PartLeases,
     begun: Vec<(PartIndex, PartStart)>,
 }
 
 impl Gateway {
     fn start(number: u8, first_start: bool) -> Self {
         Self {
-            tenure: PartLeases::new(HolderIdentity {
+            leases: PartLeases::new(HolderIdentity {
                 address: address(number),
                 boot: if first_start { 1 } else { 2 },
                 started_at: at(0),
@@ -46,14 +46,14 @@
     }
 
     fn read(&mut self, store: &PartStore, now: ClockTime) {
-        let changes = self.tenure.apply_read(&store.entries, store.era, now);
+        let changes = self.leases.apply_read(&store.entries, store.era, now);
         self.apply(changes);
     }
 
-    fn write_claims(&mut self, store: &mut PartStore, standing: ClaimPriority, now: ClockTime) {
-        while let Some(claim) = self.tenure.next_claim(standing, now) {
+    fn write_claims(&mut self, store: &mut PartStore, priority: ClaimPriority, now: ClockTime) {
+        while let Some(claim) = self.leases.next_claim(priority, now) {
             let outcome = store.write(&claim);
-            let change = self.tenure.apply_outcome(&claim, outcome, now, now);
+            let change = self.leases.apply_outcome(&claim, outcome, now, now);
             self.apply(change);
         }
     }
@@ -69,12 +69,12 @@
     fn held_parts(&self, now_ms: u64) -> usize {
         let parts = PartIndex::all();
         parts
-            .filter(|part| self.tenure.holds(*part, at(now_ms)))
+            .filter(|part| self.leases.holds(*part, at(now_ms)))
             .count()
     }
 
     fn holders(&self) -> Vec<Option<SocketAddr>> {
-        self.tenure.holders().to_vec()
+        self.leases.holders().to_vec()
     }
 }
 
@@ -114,11 +114,11 @@
     for now in (0..10_000).step_by(500) {
         for (rank, gateway) in gateways.iter_mut().enumerate() {
             gateway.read(&store, at(now));
-            let standing = ClaimPriority { rank, ..ELIGIBLE };
-            if let Some(claim) = gateway.tenure.next_claim(standing, at(now)) {
+            let priority = ClaimPriority { rank, ..ELIGIBLE };
+            if let Some(claim) = gateway.leases.next_claim(priority, at(now)) {
                 let outcome = store.write(&claim);
                 let change = gateway
-                    .tenure
+                    .leases
                     .apply_outcome(&claim, outcome, at(now), at(now));
                 gateway.apply(change);
             }
@@ -199,10 +199,10 @@
 #[test]
 fn parts_released_by_a_leaving_gateway_are_claimed_soon() {
     let (mut leaving, mut store) = gateway_with_all_parts();
-    for claim in leaving.tenure.release(at(10_000)) {
+    for claim in leaving.leases.release(at(10_000)) {
         let outcome = store.write(&claim);
         leaving
-            .tenure
+            .leases
             .apply_outcome(&claim, outcome, at(10_000), at(10_000));
     }
     assert_eq!(leaving.held_parts(10_000), 0);
@@ -251,10 +251,10 @@
     let mut store = PartStore::default();
     let mut gateway = Gateway::start(1, true);
     gateway.read(&store, at(0));
-    let claim = gateway.tenure.next_claim(ELIGIBLE, at(2_000)).unwrap();
+    let claim = gateway.leases.next_claim(ELIGIBLE, at(2_000)).unwrap();
     store.write(&claim);
     gateway
-        .tenure
+        .leases
         .apply_outcome(&claim, ClaimOutcome::Failed, at(2_000), at(2_800));
     assert_eq!(gateway.held_parts(2_800), 0);
     gateway.run(&mut store, 4_000, 5_000);
@@ -269,5 +269,5 @@
         is_eligible: false,
         ..ELIGIBLE
     };
-    assert_eq!(gateway.tenure.next_claim(ineligible, at(9_000)), None);
+    assert_eq!(gateway.leases.next_claim(ineligible, at(9_000)), None);
 }
--- a/crates/oatpier-serving/tests/testsuite/turn_fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/turn_fleet.rs
@@ -85,7 +85,7 @@
         now: u64,
     ) -> TurnAnswer {
         let gateway = &mut self.gateways[index];
-        if !gateway.tenure.holds(query.part, at(now)) {
+        if !gateway.leases.holds(query.part, at(now)) {
             return TurnAnswer::NotHeld;
         }
         let limit = gateway.turns.rate.unwrap_or(named);
@@ -130,7 +130,7 @@
                     return;
                 };
                 let holders = gateway.grants.holders_mut();
-                request.turn = gateway.turns.estimates.take_answer(
+                request.turn = gateway.turns.estimates.apply_answer(
                     holders,
                     pending.part,
                     answer,
@@ -184,7 +184,7 @@
             let limit = gateway.turns.rate?;
             let holders = gateway.grants.holders();
             let step = gateway.turns.estimates.step(holders, millis(left), at(now));
-            let TurnStep::Ask(query) = step else {
+            let TurnStep::Query(query) = step else {
                 self.counts.rejected += 1;
                 return None;
             };
@@ -196,7 +196,7 @@
             let gateway = &mut self.gateways[index];
             let holders = gateway.grants.holders_mut();
             let estimates = &mut gateway.turns.estimates;
-            request.turn = estimates.take_answer(holders, query.part, answer, limit, at(now));
+            request.turn = estimates.apply_answer(holders, query.part, answer, limit, at(now));
             if request.turn.is_some() {
                 return Some(request);
             }
@@ -373,7 +373,7 @@
         }
         fleet.step(now);
     }
-    let holds = |part| fleet.gateways[6].tenure.holds(part, at(20_000));
+    let holds = |part| fleet.gateways[6].leases.holds(part, at(20_000));
     assert!(
         !PartIndex::all().any(holds),
         "the gateway that is cut off holds no part"
@@ -415,7 +415,7 @@
 fn turns_granted_before_a_restart_of_the_holder_are_not_granted_again() {
     let fleet = busy_gateway(|fleet, now| {
         for index in 0..7 {
-            let holds = |part| fleet.gateways[index].tenure.holds(part, at(now));
+            let holds = |part| fleet.gateways[index].leases.holds(part, at(now));
             if PartIndex::all().any(holds) {
                 fleet.restart(index, now + 100);
             }
--- a/crates/oatpier/src/ops/crashes.rs
+++ b/crates/oatpier/src/ops/crashes.rs
@@ -6,7 +6,7 @@
 
 use oatpier_platform::store::{CrashChanges, MOST_CHANGES, StoreClient, StoreSnapshot};
 use oatpier_serving::crashes::CrashRecord;
-use oatpier_serving::crashes::book::CRASHES_TO_BAR;
+use oatpier_serving::crashes::suspects::CRASHES_TO_BAR;
 use oatpier_serving::fingerprint::RequestFingerprint;
 use serde::Serialize;
 
--- a/crates/oatpier/tests/testsuite/crash_commands.rs
+++ b/crates/oatpier/tests/testsuite/crash_commands.rs
@@ -9,7 +9,7 @@
 use oatpier_serving::crashes::{CrashRecord, CrashSite, RequestOrigin};
 use oatpier_serving::fingerprint::RequestFingerprint;
 use oatpier_serving::quota::PartIndex;
-use oatpier_serving::quota::tenure::{PartClaim, PartRecord};
+use oatpier_serving::quota::lease::{PartClaim, PartRecord};
 use oatpier_soak::standin::settings;
 use oatpier_soak::standin::store::StoreStandin;
 use oatpier_types::names::{ClassName, EndpointName};
