--- a/crates/oatpier-serving/src/crashes/suspects.rs
+++ b/crates/oatpier-serving/src/crashes/suspects.rs
@@ -73,8 +73,8 @@
         crashes.collect()
     }
 
-    /// Returns the number of crashes at which the request is barred. Once the bar has lasted for [`BAR_DURATION`], one more
-    /// run is allowed, and the next crash bars the request again.
+    /// Returns the number of crashes at which the request is barred. Once the bar has lasted for [`BAR_DURATION`], one
+    /// more run is allowed, and the next crash bars the request again.
     fn crashes_allowed(&self, now: ClockTime) -> usize {
         let is_due = |at: ClockTime| now.since(at) >= BAR_DURATION;
         CRASHES_TO_BAR + usize::from(self.barred_at.is_some_and(is_due))
