--- a/crates/oatpier-serving/tests/testsuite/peers.rs
+++ b/crates/oatpier-serving/tests/testsuite/peers.rs
@@ -106,7 +106,7 @@
 }
 
 /// All processes were restarted, and the gateway with the lowest address started last. It receives updates
-/// from two of eight engines and would take the others for busy while their models are in demand. It plans
+/// from two of eight engines and would regard the others as busy while their models are in demand. It plans
 /// only when it receives updates from nearly as many engines as the others.
 #[test]
 fn gateway_with_updates_from_few_engines_does_not_plan() {
