--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oatpier_serving::choice;
-use oatpier_serving::directory::EndpointOutcome;
+use oatpier_serving::directory::RequestOutcome;
 use oatpier_serving::engine::EndpointLoad;
 use oatpier_serving::failures::EngineFailure;
 use oatpier_serving::message::InnerMessage;
@@ -59,19 +59,19 @@
         let weights = context.request.weights.as_ref();
         state.crashes.begin_run(context.fingerprint);
         state.directory.note_sent(endpoint, weights);
-        state.directory.note_try(endpoint, now);
+        state.directory.note_rest_probe(endpoint, now);
         let Some(weights) = weights else {
             return state.directory.sent_without_prompt(endpoint);
         };
         let unread = choice::unread_at(&state.directory, endpoint, &context.request, now);
-        state.directory.note_prompt(endpoint, &chain, now);
+        state.directory.note_cached_prompt(endpoint, &chain, now);
         state.demand.note_sent(&weights.model, now);
-        state.directory.note_reading(endpoint, weights, unread)
+        state.directory.note_prefill(endpoint, weights, unread)
     }
 
     /// Records that an endpoint has finished the prefill of a request's prompt, or will not start it.
     pub fn record_prefill_end(&self, endpoint: &EndpointName, prompt: &SentPrompt) {
-        self.lock().directory.note_read(endpoint, prompt);
+        self.lock().directory.note_prefill_end(endpoint, prompt);
     }
 
     /// Records the end of a request at an endpoint.
@@ -80,7 +80,7 @@
         context: &RequestContext,
         endpoint: &EndpointName,
         sent: &SentPrompt,
-        outcome: EndpointOutcome,
+        outcome: RequestOutcome,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -107,11 +107,11 @@
         state: &CoreState,
         context: &RequestContext,
         endpoint: &EndpointName,
-        outcome: EndpointOutcome,
+        outcome: RequestOutcome,
     ) {
         let failure = match outcome {
-            EndpointOutcome::Broken => EngineFailure::Broken,
-            EndpointOutcome::ServerError => EngineFailure::ServerError,
+            RequestOutcome::Broken => EngineFailure::Broken,
+            RequestOutcome::ServerError => EngineFailure::ServerError,
             _ => return,
         };
         let row = state.directory.row(endpoint);
@@ -136,12 +136,12 @@
         let mut state = self.lock();
         state
             .directory
-            .note_first(endpoint, weights, prompt, took, now);
+            .note_first_chunk(endpoint, weights, prompt, took, now);
     }
 
     /// Records the load that an endpoint reported in a response.
     pub fn record_load(&self, endpoint: &EndpointName, load: EndpointLoad) {
-        self.lock().directory.take_load(endpoint, load);
+        self.lock().directory.apply_load(endpoint, load);
     }
 
     /// Records that nothing arrived from an endpoint since `since`.
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use oatpier_platform::headers::{self, AnswerHead, AnswerKind, SendTerms};
-use oatpier_serving::directory::{EndpointOutcome, HeardNotice};
+use oatpier_serving::directory::{ReceivedNotice, RequestOutcome};
 use oatpier_serving::notice::EndpointNotice;
 use oatpier_serving::reading::SentPrompt;
 use oatpier_types::clock::ClockTime;
@@ -133,7 +133,7 @@
     /// Whether the prefill of the prompt has not finished yet.
     is_prefill_pending: bool,
     permit: Option<HeldPermit>,
-    outcome: EndpointOutcome,
+    outcome: RequestOutcome,
 }
 
 impl AttemptGuard {
@@ -154,7 +154,7 @@
             sent,
             is_prefill_pending: context.request.weights.is_some(),
             permit,
-            outcome: EndpointOutcome::Abandoned,
+            outcome: RequestOutcome::Abandoned,
         }
     }
 
@@ -166,9 +166,9 @@
 
     /// Records what the response head reports about the endpoint.
     fn record_notice(&self, notice: EndpointNotice, was_taken: bool) {
-        let heard = HeardNotice {
+        let heard = ReceivedNotice {
             notice,
-            was_taken,
+            was_accepted: was_taken,
             sent: &self.sent,
             sent_at: self.sent_at,
         };
@@ -199,11 +199,11 @@
     /// Ends the attempt with a complete response.
     pub fn finish_whole(mut self) {
         let held = self.core.clock.now().since(self.sent_at);
-        self.outcome = EndpointOutcome::Whole { held };
+        self.outcome = RequestOutcome::Whole { held };
     }
 
     /// Ends the attempt with another outcome.
-    pub fn finish(mut self, outcome: EndpointOutcome) {
+    pub fn finish(mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
 }
@@ -264,14 +264,14 @@
 fn finish_failed_send(error: &SendError, guard: AttemptGuard) -> AttemptFailure {
     let (failure, outcome) = match error.stage {
         SendStage::Connect if error.timed_out => {
-            (AttemptFailure::Unreachable, EndpointOutcome::Unreachable)
+            (AttemptFailure::Unreachable, RequestOutcome::Unreachable)
         }
         SendStage::Connect => (
             AttemptFailure::Unreachable,
-            EndpointOutcome::ConnectionRefused,
+            RequestOutcome::ConnectionRefused,
         ),
-        SendStage::Queue => (AttemptFailure::Unsent, EndpointOutcome::Abandoned),
-        SendStage::Answer => (AttemptFailure::Cut, EndpointOutcome::Broken),
+        SendStage::Queue => (AttemptFailure::Unsent, RequestOutcome::Abandoned),
+        SendStage::Answer => (AttemptFailure::Cut, RequestOutcome::Broken),
     };
     guard.finish(outcome);
     failure
@@ -295,7 +295,7 @@
     match head.kind {
         AnswerKind::NotRun => Err(finish_refused(core, parts.status, &head, guard)),
         AnswerKind::Spoilt => {
-            guard.finish(EndpointOutcome::Broken);
+            guard.finish(RequestOutcome::Broken);
             Err(AttemptFailure::Spoilt)
         }
         AnswerKind::Own => Ok(OpenResponse {
@@ -321,7 +321,7 @@
     guard: AttemptGuard,
 ) -> AttemptFailure {
     if status != StatusCode::MISDIRECTED_REQUEST {
-        guard.finish(EndpointOutcome::Refused);
+        guard.finish(RequestOutcome::Refused);
         return AttemptFailure::Refused;
     }
     let is_other = head
@@ -330,10 +330,10 @@
         .is_some_and(|name| *name != guard.endpoint);
     if is_other {
         core.record_replaced(&guard.endpoint, head.instance.as_ref());
-        guard.finish(EndpointOutcome::Abandoned);
+        guard.finish(RequestOutcome::Abandoned);
         return AttemptFailure::Replaced;
     }
-    guard.finish(EndpointOutcome::Abandoned);
+    guard.finish(RequestOutcome::Abandoned);
     AttemptFailure::WeightsMissing
 }
 
@@ -354,11 +354,11 @@
         .collect()
         .await
     else {
-        guard.finish(EndpointOutcome::Broken);
+        guard.finish(RequestOutcome::Broken);
         return Err(AttemptFailure::Cut);
     };
     if status.is_server_error() {
-        guard.finish(EndpointOutcome::ServerError);
+        guard.finish(RequestOutcome::ServerError);
     } else {
         guard.finish_whole();
     }
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -14,15 +14,15 @@
 use oatpier_serving::crashes::suspects::SuspectTable;
 use oatpier_serving::demand::DemandBook;
 use oatpier_serving::directory::{EndpointDirectory, EndpointRecord};
-use oatpier_serving::greetings::GreetingPaces;
+use oatpier_serving::greetings::SubscriptionSchedule;
 use oatpier_serving::message::{EnginePulse, EngineUpdate, InnerMessage};
-use oatpier_serving::peers::PeerBook;
+use oatpier_serving::peers::PeerTable;
 use oatpier_serving::planner::LoadPlanner;
 use oatpier_serving::quota::grants::GrantCache;
 use oatpier_serving::quota::holder::{PartAnswer, PartHolder};
 use oatpier_serving::quota::lease::{HolderIdentity, PartLeases, StoreEra};
 use oatpier_serving::quota::turns::TurnAnswer;
-use oatpier_serving::reads::StoreWord;
+use oatpier_serving::reads::StoreDelta;
 use oatpier_serving::relays::RelayQueue;
 use oatpier_serving::site::{RouteRule, SiteConfig};
 use oatpier_serving::workspace::quota::QuotaRule;
@@ -61,7 +61,7 @@
     /// Readiness flag: whether the process can serve.
     pub able: Arc<AtomicBool>,
     /// Queue of store deltas from other gateways, read by the thread that reads the store.
-    pub words: RingSender<StoreWord>,
+    pub words: RingSender<StoreDelta>,
     /// Queue of crash records to write, read by the thread that writes crashes.
     pub crash_changes: RingSender<CrashChange>,
     /// Publishes the configuration in force.
@@ -83,9 +83,9 @@
     pub(super) crashes: SuspectTable,
     /// Attempts that were cut off, kept until it is known whether their endpoint ended.
     pub(super) cuts: AttemptWatch,
-    pub(super) peers: PeerBook,
+    pub(super) peers: PeerTable,
     /// Intervals between greetings to sidecars without a current pulse.
-    pub(super) greeting_schedule: GreetingPaces,
+    pub(super) greeting_schedule: SubscriptionSchedule,
     /// Quota rules of the workspaces that have limits.
     pub(super) limits: HashMap<WorkspaceName, QuotaRule>,
     /// Which gateway holds which part of the limits.
@@ -142,7 +142,7 @@
     /// HTTP client for endpoints.
     pub client: HttpClient,
     able: Arc<AtomicBool>,
-    words: RingSender<StoreWord>,
+    words: RingSender<StoreDelta>,
     pub(super) crash_changes: RingSender<CrashChange>,
     closed: AtomicBool,
     behind: AtomicBool,
@@ -165,14 +165,14 @@
             ),
             crashes: SuspectTable::default(),
             cuts: AttemptWatch::default(),
-            peers: PeerBook::new(settings.inner_address(), settings.processor),
-            greeting_schedule: GreetingPaces::default(),
+            peers: PeerTable::new(settings.inner_address(), settings.processor),
+            greeting_schedule: SubscriptionSchedule::default(),
             limits: HashMap::new(),
             tenure: PartLeases::new(HolderIdentity {
                 address: settings.inner_address(),
                 boot: rand::random(),
                 started_at: ClockTime::ZERO,
-                is_first_start: settings.first_start,
+                is_first_start: settings.is_first_start,
             }),
             holder: PartHolder::default(),
             grants: GrantCache::default(),
@@ -292,7 +292,7 @@
         let known = state.store_era.replace(era);
         let is_restored = known.is_some_and(|known| known != era);
         if is_restored {
-            state.directory.note_store_return(now);
+            state.directory.note_store_restored(now);
             let line = DecisionLine::new(LineWeight::Notable, "store came back from an older copy");
             self.log.write(line.with("era", era));
         }
@@ -301,7 +301,7 @@
 
     /// Sends the changes found in the store to the other gateways of the availability zone, so that they need not
     /// read it.
-    pub fn tell_word(&self, delta: StoreWord) {
+    pub fn tell_word(&self, delta: StoreDelta) {
         let now = self.clock.now();
         let peers: Vec<SocketAddr> = self.lock().peers.in_zone(&self.zone, now).collect();
         let message = InnerMessage::StoreSeen(Box::new(delta));
@@ -311,7 +311,7 @@
     }
 
     /// Queues a store delta from another gateway of the availability zone.
-    pub fn take_store_word(&self, delta: StoreWord) {
+    pub fn take_store_word(&self, delta: StoreDelta) {
         // A full ring counts what it drops. The store is then read at the usual time, as without the delta.
         let _ = self.words.offer(delta);
     }
@@ -337,14 +337,14 @@
 
     /// Applies an engine update from a sidecar, and queues it for the other gateways of the availability zone.
     pub fn take_spread(&self, update: EngineUpdate) {
-        self.lock().relayed.take(update.clone());
+        self.lock().relayed.push(update.clone());
         self.apply_engine_update(update);
     }
 
     /// Applies engine updates that a relay passed on.
     pub fn take_relayed(&self, updates: Vec<EngineUpdate>) {
         for update in updates {
-            self.lock().relayed.note_passed_on(&update);
+            self.lock().relayed.note_forwarded(&update);
             self.apply_engine_update(update);
         }
     }
@@ -355,10 +355,10 @@
         let changed = match update {
             EngineUpdate::Pulse(pulse) => {
                 state.peers.note_named(&pulse.gateways, now);
-                state.directory.take_pulse(*pulse, now)
+                state.directory.apply_status(*pulse, now)
             }
             EngineUpdate::Load(load) => {
-                state.directory.take_load_pulse(&load, now);
+                state.directory.apply_load_status(&load, now);
                 false
             }
         };
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -11,7 +11,7 @@
 use oatpier_serving::crashes::changes::CrashChange;
 use oatpier_serving::crashes::suspects::{SuspectStatus, SuspectTable, SuspectVerdict};
 use oatpier_serving::crashes::{CrashRecord, RequestOrigin};
-use oatpier_serving::directory::EndpointOutcome;
+use oatpier_serving::directory::RequestOutcome;
 use oatpier_serving::fingerprint::RequestFingerprint;
 use oatpier_serving::message::InnerMessage;
 use oatpier_serving::reading::SentPrompt;
@@ -26,7 +26,7 @@
 const CRASHES_PER_MESSAGE: usize = 8;
 
 impl GatewayCore {
-    /// Decides whether a request may be sent, based on the fate of the endpoints that ran it before.
+    /// Decides whether a request may be sent, based on the liveness of the endpoints that ran it before.
     pub(super) fn suspect_verdict(&self, context: &RequestContext) -> SuspectVerdict {
         let now = self.clock.now();
         let state = self.lock();
@@ -41,16 +41,16 @@
         context: &RequestContext,
         endpoint: &EndpointName,
         sent: &SentPrompt,
-        outcome: EndpointOutcome,
+        outcome: RequestOutcome,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.crashes.end_run(&context.fingerprint);
         match outcome {
-            EndpointOutcome::Broken => {
+            RequestOutcome::Broken => {
                 record_broken_attempt(&mut state, context, endpoint, sent, now);
             }
-            EndpointOutcome::Whole { .. } => {
+            RequestOutcome::Whole { .. } => {
                 self.clear_suspect(&mut state, &context.fingerprint, now);
             }
             _ => {}
@@ -70,7 +70,7 @@
             cuts, directory, ..
         } = &mut *state;
         let found = cuts.resolve(now, |cut| {
-            directory.fate(&cut.site.endpoint, cut.index, cut.at, now)
+            directory.liveness(&cut.site.endpoint, cut.index, cut.at, now)
         });
         if found.is_empty() {
             return;
@@ -227,7 +227,10 @@
     sent: &SentPrompt,
     now: ClockTime,
 ) {
-    let Some((site, index)) = state.directory.staying_start(endpoint, sent.start, now) else {
+    let Some((site, index)) = state
+        .directory
+        .staying_incarnation(endpoint, sent.start, now)
+    else {
         return;
     };
     state.cuts.add(BrokenAttempt {
--- a/crates/oatpier-gateway/src/gateway/exchanges.rs
+++ b/crates/oatpier-gateway/src/gateway/exchanges.rs
@@ -67,7 +67,7 @@
             InnerMessage::Peer(report) => {
                 core.take_config_standing(from, report.config);
                 let now = core.clock.now();
-                core.lock().peers.take_report(from, *report, now);
+                core.lock().peers.apply_report(from, *report, now);
             }
             InnerMessage::Permit(grant) => core.take_permit(grant),
             InnerMessage::QuotaAsk(ask) => core.take_quota_ask(from, &ask),
--- a/crates/oatpier-gateway/src/gateway/greetings.rs
+++ b/crates/oatpier-gateway/src/gateway/greetings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oatpier_serving::directory::EndpointRow;
-use oatpier_serving::greetings::GreetingPaces;
+use oatpier_serving::greetings::SubscriptionSchedule;
 use oatpier_serving::message::{GatewayGreeting, InnerMessage};
 use oatpier_serving::node::NodeBounds;
 use oatpier_serving::site::{EngineRule, SiteConfig};
@@ -69,7 +69,12 @@
         }
     }
 
-    fn includes(self, row: &EndpointRow, schedule: &mut GreetingPaces, now: ClockTime) -> bool {
+    fn includes(
+        self,
+        row: &EndpointRow,
+        schedule: &mut SubscriptionSchedule,
+        now: ClockTime,
+    ) -> bool {
         if row.pulse(now).is_none() {
             return schedule.is_due(&row.record.name, now);
         }
@@ -149,7 +154,7 @@
             zone: self.zone.clone(),
             processor: settings.processor,
             is_heard,
-            used: state.directory.take_used(endpoint),
+            used: state.directory.take_used_adapters(endpoint),
             engines,
             place,
             loads_per_window: loads_per_window(&settings.bounds, rule),
--- a/crates/oatpier-gateway/src/gateway/handler.rs
+++ b/crates/oatpier-gateway/src/gateway/handler.rs
@@ -181,7 +181,7 @@
 ) -> Result<RequestContext, HeaderError> {
     let request = headers::decode_request(&message.head.headers)?;
     let service = core.pick_service(&route);
-    let timeout = request.patience.unwrap_or(route.timeout);
+    let timeout = request.caller_timeout.unwrap_or(route.timeout);
     Ok(RequestContext {
         deadline: arrived + timeout.min(route.timeout),
         route,
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use oatpier_serving::directory::HeardNotice;
+use oatpier_serving::directory::ReceivedNotice;
 use oatpier_serving::message::{InnerMessage, LeavingReport};
 use oatpier_serving::notice::NoticeChange;
 use oatpier_types::names::EndpointName;
@@ -16,12 +16,12 @@
     pub(super) fn record_notice(
         &self,
         endpoint: &EndpointName,
-        heard: &HeardNotice<'_>,
+        heard: &ReceivedNotice<'_>,
         request: &str,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let changes = state.directory.take_notice(endpoint, heard, now);
+        let changes = state.directory.apply_notice(endpoint, heard, now);
         for change in &changes {
             self.log_notice(&state, endpoint, *change, Some(request));
         }
@@ -43,7 +43,7 @@
     /// Handles a report of another gateway that an endpoint is leaving.
     pub fn apply_leaving_report(&self, report: &LeavingReport) {
         let mut state = self.lock();
-        let change = state.directory.take_leaving_word(report);
+        let change = state.directory.apply_leaving_report(report);
         if let Some(change) = change {
             self.log_notice(&state, &report.endpoint, change, None);
             self.changed.notify_waiters();
@@ -78,9 +78,9 @@
         let now = self.clock.now();
         let directory = &state.directory;
         self.metrics.notices.note_counts(NoticeCounts {
-            limited: directory.limited(),
-            leaving: directory.said_leaving(),
-            resting: directory.resting(now),
+            limited: directory.limited_count(),
+            leaving: directory.leaving_count(),
+            resting: directory.resting_count(now),
         });
     }
 }
--- a/crates/oatpier-gateway/src/gateway/pauses.rs
+++ b/crates/oatpier-gateway/src/gateway/pauses.rs
@@ -26,9 +26,9 @@
 impl EngineSnapshot {
     fn of(row: &EndpointRow) -> Self {
         Self {
-            requests: row.present(),
+            requests: row.request_count(),
             waiting: row.waiting(),
-            prefill_ms: row.reading.ms(),
+            prefill_ms: row.prefill.ms(),
         }
     }
 }
--- a/crates/oatpier-gateway/src/gateway/permits.rs
+++ b/crates/oatpier-gateway/src/gateway/permits.rs
@@ -60,7 +60,9 @@
     fn begin(core: &Arc<GatewayCore>, placed: &PlacedSend, ask: PermitAsk) -> Self {
         let endpoint = placed.choice.endpoint.clone();
         let sidecar = SocketAddr::new(placed.address.ip(), core.inner_port);
-        core.lock().directory.note_asked(&endpoint, ask.reading());
+        core.lock()
+            .directory
+            .note_permit_wait(&endpoint, ask.reading());
         Self {
             core: Arc::clone(core),
             endpoint,
@@ -91,7 +93,7 @@
         let mut state = self.core.lock();
         state
             .directory
-            .note_permitted(&self.endpoint, self.ask.reading());
+            .note_permit_wait_end(&self.endpoint, self.ask.reading());
     }
 }
 
@@ -173,6 +175,6 @@
         };
         let weights = context.request.weights.as_ref();
         let holds = weights.is_none_or(|weights| row.holds(&weights.model, now));
-        holds && row.is_open(now) && row.is_rested(now) && !row.is_overdue(now)
+        holds && row.is_open(now) && row.allows_request(now) && !row.is_overdue(now)
     }
 }
--- a/crates/oatpier-gateway/src/gateway/planning.rs
+++ b/crates/oatpier-gateway/src/gateway/planning.rs
@@ -81,8 +81,8 @@
         return PlannedRound::default();
     };
     let own = state.demand.summary(now);
-    let models = state.peers.total(&own, now);
-    let uses = state.peers.uses(&state.directory.model_uses(), now);
+    let models = state.peers.total_demand(&own, now);
+    let uses = state.peers.fleet_uses(&state.directory.model_uses(), now);
     let demand = FleetDemand {
         models: &models,
         uses: &uses,
@@ -151,10 +151,10 @@
     });
     DecisionLine::new(LineWeight::Notable, "engine seen")
         .with("endpoint", row.record.name.as_str())
-        .with("requests", row.present())
+        .with("requests", row.request_count())
         .with("waiting", row.waiting())
-        .with("hold_ms", row.hold.mean_ms().round())
-        .with("first_ms", row.first.mean_ms().round())
+        .with("hold_ms", row.slot_time.mean_ms().round())
+        .with("first_ms", row.first_chunk.mean_ms().round())
         .with("memory", (row.memory_share(0, now) * 100.0).round())
         .with("failures", (row.failure_share(now) * 100.0).round())
         .with("limit", row.limit().map(|limit| limit.rate.per_second()))
--- a/crates/oatpier-gateway/src/gateway/relay.rs
+++ b/crates/oatpier-gateway/src/gateway/relay.rs
@@ -13,7 +13,7 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 use oatpier_platform::headers;
-use oatpier_serving::directory::EndpointOutcome;
+use oatpier_serving::directory::RequestOutcome;
 use oatpier_serving::site::RouteKind;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
@@ -265,7 +265,7 @@
 
     fn finish_broken(&mut self) {
         if let Some(guard) = self.guard.take() {
-            guard.finish(EndpointOutcome::Broken);
+            guard.finish(RequestOutcome::Broken);
         }
     }
 
@@ -302,7 +302,7 @@
             .await
             .map_err(|_| AttemptFailure::Silent)??;
         if !response.status.is_success() {
-            response.guard.finish(EndpointOutcome::ServerError);
+            response.guard.finish(RequestOutcome::ServerError);
             return Err(AttemptFailure::ServerError);
         }
         self.body = response.body;
--- a/crates/oatpier-gateway/src/gateway/reports.rs
+++ b/crates/oatpier-gateway/src/gateway/reports.rs
@@ -5,7 +5,7 @@
 
 use oatpier_duty::duty::{StopPhase, StopSignal};
 use oatpier_serving::message::{InnerMessage, MessageNumber, PeerReport};
-use oatpier_serving::peers::PeerStanding;
+use oatpier_serving::peers::PlannerCandidate;
 use oatpier_types::clock::ClockTime;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
@@ -56,7 +56,7 @@
         state.urgent = false;
         let uses = state.directory.model_uses();
         let peers = state.peers.addresses(&self.core.zone, now);
-        let receives_demand = state.peers.is_reader(now);
+        let receives_demand = state.peers.receives_demand(now);
         self.update_own(&mut state, now);
         let own = state.peers.own();
         drop(state);
@@ -100,8 +100,8 @@
 
     /// Updates this gateway's fitness to plan and its share of the retry budget.
     fn update_own(&self, state: &mut CoreState, now: ClockTime) {
-        let engines_heard = state.directory.engines_heard(now);
-        state.peers.note_own(engines_heard, self.core.is_behind());
+        let engines_heard = state.directory.reporting_engines(now);
+        state.peers.set_own(engines_heard, self.core.is_behind());
         let count = state.peers.count(now);
         let bounds = self.core.settings.borrow().bounds;
         state
@@ -117,7 +117,7 @@
     }
 
     /// Builds a report without demand, for receivers that get one every `ticks` ticks.
-    fn report(&mut self, own: PeerStanding, ticks: u32) -> PeerReport {
+    fn report(&mut self, own: PlannerCandidate, ticks: u32) -> PeerReport {
         self.number.number += 1;
         let every_ms = REPORT_INTERVAL.as_millis();
         PeerReport {
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -78,7 +78,7 @@
         let CoreState {
             directory, grants, ..
         } = &mut *state;
-        directory.turn_step(endpoint, grants.holders(), max_wait, now)
+        directory.next_turn_step(endpoint, grants.holders(), max_wait, now)
     }
 
     async fn request_turn(&self, endpoint: &EndpointName, query: &TurnQuery) -> Option<HeldTurn> {
@@ -97,7 +97,7 @@
         let CoreState {
             directory, grants, ..
         } = &mut *state;
-        directory.take_turn_answer(endpoint, grants.holders_mut(), query.part, answer, now)
+        directory.apply_turn_answer(endpoint, grants.holders_mut(), query.part, answer, now)
     }
 
     async fn request_remote_turn(
@@ -154,14 +154,14 @@
         sent_at: Option<ClockTime>,
     ) -> Option<LimitReport> {
         let now = self.clock.now();
-        self.lock().directory.limit_word(endpoint, sent_at, now)
+        self.lock().directory.limit_report(endpoint, sent_at, now)
     }
 
     /// Handles the report of another gateway about the rate limit of an endpoint.
     pub fn apply_limit_report(&self, report: &LimitReport) {
         let now = self.clock.now();
         let mut state = self.lock();
-        if let Some(change) = state.directory.take_limit_word(report, now) {
+        if let Some(change) = state.directory.apply_limit_report(report, now) {
             self.log_notice(&state, &report.endpoint, change, None);
         }
     }
@@ -199,7 +199,7 @@
         let now = self.clock.now();
         let state = self.lock();
         let row = state.directory.row(endpoint);
-        row.is_some_and(|row| row.is_open(now) && row.is_rested(now))
+        row.is_some_and(|row| row.is_open(now) && row.allows_request(now))
     }
 
     /// Returns whether a request with this turn may be sent to an endpoint now, as far as is known.
--- a/crates/oatpier-gateway/src/records.rs
+++ b/crates/oatpier-gateway/src/records.rs
@@ -16,7 +16,7 @@
 use oatpier_serving::node::NodeSettings;
 use oatpier_serving::quota::lease::{PartEntry, StoreEra};
 use oatpier_serving::reads::{
-    OwnEntries, ReadSchedule, StoreView, StoreWord, WordOutcome, config_mark,
+    DeltaOutcome, InternalEntries, ReadSchedule, StoreDelta, StoreView, config_digest,
 };
 use oatpier_serving::site::SiteConfig;
 use oatpier_types::errors::error_chain;
@@ -64,7 +64,7 @@
         /// Era of the store: which copy of it was read.
         era: StoreEra,
         /// The delta to send to other gateways.
-        word: StoreWord,
+        word: StoreDelta,
     },
     /// Another gateway of the availability zone has read the store, and nothing has changed.
     Same,
@@ -84,7 +84,7 @@
     /// Receives the results of reads.
     pub news: RingSender<StoreNews>,
     /// Store deltas from other gateways.
-    pub words: RingReceiver<StoreWord>,
+    pub words: RingReceiver<StoreDelta>,
     /// Counts reads.
     pub metrics: ServingMetrics,
     /// Stop signal of the process.
@@ -126,7 +126,7 @@
             continue;
         };
         if matches!(news, StoreNews::Same | StoreNews::Told { .. }) {
-            schedule.note_told(period, clock.now());
+            schedule.note_peer_read(period, clock.now());
         }
         inputs.news.send(news).await;
     }
@@ -236,14 +236,14 @@
             let (key, reason) = (entry.key.as_str(), entry.reason.as_str());
             spdlog::warn!("ignoring an invalid entry of the store", kv: { key:, reason: });
         }
-        let own = OwnEntries {
+        let own = InternalEntries {
             crashes: &snapshot.crashes,
             parts: &snapshot.parts,
             era: snapshot.era,
         };
-        let mark = snapshot.config.as_deref().map_or(0, config_mark);
-        let view = StoreView::new(mark, snapshot.endpoints).with_own(&own);
-        let word = view.word_since(self.view.as_ref());
+        let mark = snapshot.config.as_deref().map_or(0, config_digest);
+        let view = StoreView::new(mark, snapshot.endpoints).with_internal(&own);
+        let word = view.delta_since(self.view.as_ref());
         let endpoints = view.endpoints().to_vec();
         self.view = Some(view);
         StoreNews::Read {
@@ -257,14 +257,14 @@
     }
 
     /// Applies another gateway's delta. Returns `None` if the delta does not fit the state known here.
-    fn apply_delta(&mut self, word: &StoreWord) -> Option<StoreNews> {
+    fn apply_delta(&mut self, word: &StoreDelta) -> Option<StoreNews> {
         let view = self.view.as_mut()?;
-        match view.take_word(word) {
-            WordOutcome::Same => Some(StoreNews::Same),
-            WordOutcome::Patched => Some(StoreNews::Told {
+        match view.apply_delta(word) {
+            DeltaOutcome::Same => Some(StoreNews::Same),
+            DeltaOutcome::Patched => Some(StoreNews::Told {
                 endpoints: view.endpoints().to_vec(),
             }),
-            WordOutcome::Unknown => None,
+            DeltaOutcome::Unknown => None,
         }
     }
 
--- a/crates/oatpier-gateway/src/sidecar/mod.rs
+++ b/crates/oatpier-gateway/src/sidecar/mod.rs
@@ -122,7 +122,7 @@
         ..DEFAULT_PACE
     };
     let mut sidecar = EngineSidecar {
-        residency: EngineResidency::new(pace, settings.first_start, clock.now()),
+        residency: EngineResidency::new(pace, settings.is_first_start, clock.now()),
         permits: PermitDesk::default(),
         failures: FailureCount::default(),
         link: EngineLink::new(address, settings.name.clone()),
--- a/crates/oatpier-gateway/src/sidecar/pulses.rs
+++ b/crates/oatpier-gateway/src/sidecar/pulses.rs
@@ -233,7 +233,7 @@
                 processor: gateway.processor,
             });
         let message = InnerMessage::Spread(update);
-        for relay in relays::draw(self.engine, candidates) {
+        for relay in relays::select_relays(self.engine, candidates) {
             outlet.send(relay, &message);
         }
     }
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -508,7 +508,7 @@
         readiness: None,
         engine: None,
         service: None,
-        first_start: true,
+        is_first_start: true,
         store: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         bounds: NodeBounds {
             config: Duration::from_secs(2),
--- a/crates/oatpier-serving/src/call.rs
+++ b/crates/oatpier-serving/src/call.rs
@@ -14,7 +14,7 @@
     /// The identifier that the caller assigned to this attempt.
     pub id: String,
     /// The maximum time that the caller waits; `None` if not specified.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The model and adapter, for an engine.
     pub weights: Option<WeightsKey>,
     /// Number of tokens of the prompt.
--- a/crates/oatpier-serving/src/choice.rs
+++ b/crates/oatpier-serving/src/choice.rs
@@ -12,7 +12,7 @@
 use smallvec::SmallVec;
 
 use crate::call::{CallerRequest, PromptPart, WeightsKey};
-use crate::directory::{AdapterState, EndpointDirectory, EndpointRow, PART_UNITS};
+use crate::directory::{AdapterState, EndpointDirectory, EndpointRow, UNITS_PER_PART};
 use crate::site::EngineRule;
 
 /// Cost of sending a request to another availability zone, in milliseconds of waiting. Covers the round
@@ -167,7 +167,7 @@
             skipped.note_model_missing(row, query, now);
             continue;
         }
-        if !row.is_rested(now) {
+        if !row.allows_request(now) {
             skipped.note_throttled(
                 row,
                 ThrottleCause::Backoff,
@@ -175,7 +175,7 @@
             );
             continue;
         }
-        let turn_wait = row.turn_wait(now);
+        let turn_wait = row.min_turn_wait(now);
         if turn_wait > query.turn_patience {
             skipped.note_throttled(row, ThrottleCause::RateLimit, turn_wait);
             continue;
@@ -247,14 +247,14 @@
     now: ClockTime,
 ) -> (f64, EndpointChoice) {
     let slots = f64::from(row.record.slots.max(1));
-    let in_use = f64::from(row.present());
+    let in_use = f64::from(row.request_count());
     let batch_share = (in_use / slots).min(1.0);
-    let turn_ms = row.turn_wait(now).as_secs_f64() * 1e3;
+    let turn_ms = row.min_turn_wait(now).as_secs_f64() * 1e3;
     let queue_ms = queue_ms(row, query.request, now);
     let uncached = uncached_tokens(row, query.request, holders);
     let own_ms = prefill_ms(directory, query.request, uncached);
-    let ahead_ms = row.reading_ahead_ms(now);
-    let first_ms = row.first.mean_ms() + ahead_ms + own_ms;
+    let ahead_ms = row.pending_prefill_ms(now);
+    let first_ms = row.first_chunk.mean_ms() + ahead_ms + own_ms;
     let adapter = adapter_ms(row, query, now);
     let mut cost = turn_ms.max(queue_ms) + first_ms + adapter + batch_share * FULL_BATCH_MS;
     cost += row.failure_share(now).powi(2) * ALL_FAILED_MS;
@@ -286,10 +286,10 @@
 /// slot, and the ends are assumed to be spread evenly over the time that requests occupy a slot.
 fn queue_ms(row: &EndpointRow, request: &CallerRequest, now: ClockTime) -> f64 {
     let slots = f64::from(row.record.slots.max(1));
-    let excess_requests = f64::from(row.present()) + 1.0 - slots;
+    let excess_requests = f64::from(row.request_count()) + 1.0 - slots;
     let excess_memory = row.memory_share(request.memory_tokens(), now) - MAX_MEMORY_SHARE;
     let wanted_slots = excess_requests.max(excess_memory * slots).max(0.0);
-    wanted_slots * row.hold.mean_ms() / slots
+    wanted_slots * row.slot_time.mean_ms() / slots
 }
 
 fn adapter_ms(row: &EndpointRow, query: &ChoiceQuery<'_>, now: ClockTime) -> f64 {
@@ -313,7 +313,9 @@
 fn prefill_ms(directory: &EndpointDirectory, request: &CallerRequest, tokens: f64) -> f64 {
     let weights = request.weights.as_ref();
     weights.map_or(0.0, |weights| {
-        directory.paces().reading_ms(&weights.model, tokens)
+        directory
+            .prefill_estimator()
+            .reading_ms(&weights.model, tokens)
     })
 }
 
@@ -343,7 +345,7 @@
     let Some(holder) = holder else {
         return 0.0;
     };
-    let depth = (holder.tokens + PART_UNITS / 2) / PART_UNITS;
+    let depth = (holder.tokens + UNITS_PER_PART / 2) / UNITS_PER_PART;
     let cached = parts.iter().take(depth as usize);
     f64::from(cached.map(|part| part.tokens).sum::<u32>())
 }
--- a/crates/oatpier-serving/src/directory/liveness.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -22,7 +22,7 @@
     /// Endpoints that leave terminate by themselves, and so may those that the registry no longer lists, so
     /// their termination is not attributed to a request.
     #[must_use]
-    pub fn staying_start(
+    pub fn staying_incarnation(
         &self,
         name: &EndpointName,
         index: Option<EndpointIndex>,
@@ -40,7 +40,7 @@
     /// Returns whether an incarnation of an endpoint has terminated since it broke off a request at
     /// `since`.
     #[must_use]
-    pub fn fate(
+    pub fn liveness(
         &self,
         name: &EndpointName,
         index: EndpointIndex,
--- a/crates/oatpier-serving/src/directory/mod.rs
+++ b/crates/oatpier-serving/src/directory/mod.rs
@@ -27,8 +27,8 @@
 use crate::reading::ReadingPaces;
 
 use departures::DepartedEndpoints;
-pub use notices::HeardNotice;
-pub use requests::EndpointOutcome;
+pub use notices::ReceivedNotice;
+pub use requests::RequestOutcome;
 pub use row::{AdapterState, EndpointRecord, EndpointRow, PULSE_EXPIRY, ReportedLimit};
 
 /// Time after the store's recovery within which an endpoint may still rewrite an entry that is missing from
@@ -37,7 +37,7 @@
 
 /// Units per block in the prefix index. A block stands for one part of a prompt, and parts differ in
 /// length. A large unit keeps the rounding error small.
-pub(crate) const PART_UNITS: u32 = 1_000;
+pub(crate) const UNITS_PER_PART: u32 = 1_000;
 
 /// Capacity of the prefix index in prompt parts. At about four parts per prompt this covers about 16,000
 /// prompts and takes 1.5 MB.
@@ -97,7 +97,7 @@
             }),
             prefixes: PrefixIndex::new(PrefixSettings {
                 blocks: PREFIX_INDEX_BLOCKS,
-                block_tokens: PART_UNITS,
+                block_tokens: UNITS_PER_PART,
                 ..PrefixSettings::default()
             }),
             paces: ReadingPaces::default(),
@@ -118,7 +118,7 @@
     ///
     /// Entries written since the copy was made are missing until their endpoints rewrite them, and entries
     /// removed since then have reappeared.
-    pub fn note_store_return(&mut self, now: ClockTime) {
+    pub fn note_store_restored(&mut self, now: ClockTime) {
         self.store_failed_at = Some(now);
         self.departures.note_store_return(now);
     }
@@ -244,7 +244,7 @@
     }
 
     /// Applies a sidecar's status update and returns whether it changed what the engine holds.
-    pub fn take_pulse(&mut self, pulse: EnginePulse, now: ClockTime) -> bool {
+    pub fn apply_status(&mut self, pulse: EnginePulse, now: ClockTime) -> bool {
         let known = self.by_address.get(&pulse.engine);
         let replaced = pulse.instance.clone().zip(known.cloned());
         let changed = self.store_pulse(pulse, now);
@@ -290,7 +290,7 @@
 
     /// Applies a sidecar's update of its engine's load. It is ignored unless a full status update of the
     /// same sidecar incarnation has been received before.
-    pub fn take_load_pulse(&mut self, load: &LoadPulse, now: ClockTime) {
+    pub fn apply_load_status(&mut self, load: &LoadPulse, now: ClockTime) {
         let row = self
             .by_address
             .get(&load.engine)
@@ -308,7 +308,7 @@
     }
 
     /// Applies the load that a response reported.
-    pub fn take_load(&mut self, name: &EndpointName, load: EndpointLoad) {
+    pub fn apply_load(&mut self, name: &EndpointName, load: EndpointLoad) {
         if let Some(row) = self.rows.get_mut(name) {
             row.load.reset(load);
         }
@@ -388,7 +388,7 @@
 
     /// Returns the number of engines with a recent status update.
     #[must_use]
-    pub fn engines_heard(&self, now: ClockTime) -> u32 {
+    pub fn reporting_engines(&self, now: ClockTime) -> u32 {
         let heard = self.rows.values().filter(|row| row.pulse(now).is_some());
         u32::try_from(heard.count()).unwrap_or(u32::MAX)
     }
@@ -420,7 +420,7 @@
     }
 
     /// Returns the adapters that this gateway uses at an endpoint or has used since the previous call.
-    pub fn take_used(&mut self, name: &EndpointName) -> Vec<AdapterUse> {
+    pub fn take_used_adapters(&mut self, name: &EndpointName) -> Vec<AdapterUse> {
         let Some(row) = self.rows.get_mut(name) else {
             return Vec::new();
         };
--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -18,7 +18,7 @@
 
 /// A notice and the request whose response carried it.
 #[derive(Debug, Clone, Copy)]
-pub struct HeardNotice<'a> {
+pub struct ReceivedNotice<'a> {
     /// The notice in the response.
     pub notice: EndpointNotice,
     /// The request that was answered.
@@ -26,19 +26,19 @@
     /// When the request was sent.
     pub sent_at: ClockTime,
     /// Whether the endpoint accepted the request rather than refusing it.
-    pub was_taken: bool,
+    pub was_accepted: bool,
 }
 
 impl EndpointDirectory {
     /// Applies the notice in a response and returns the changes that it caused. A response from an earlier
     /// incarnation of the endpoint is ignored.
-    pub fn take_notice(
+    pub fn apply_notice(
         &mut self,
         name: &EndpointName,
-        received: &HeardNotice<'_>,
+        received: &ReceivedNotice<'_>,
         now: ClockTime,
     ) -> SmallVec<[NoticeChange; 2]> {
-        if !self.is_present_start(name, received.sent) {
+        if !self.is_current_incarnation(name, received.sent) {
             return SmallVec::new();
         }
         let Some(row) = self.rows.get_mut(name) else {
@@ -50,14 +50,14 @@
             row.apply_leaving(notice.leaving),
             row.apply_rest(notice.rest, now),
         ];
-        if received.was_taken {
+        if received.was_accepted {
             row.note_accepted(received.sent_at);
         }
         changes.into_iter().flatten().collect()
     }
 
     /// Applies a rate limit that another gateway has received from the endpoint.
-    pub fn take_limit_word(
+    pub fn apply_limit_report(
         &mut self,
         report: &LimitReport,
         now: ClockTime,
@@ -71,7 +71,7 @@
     }
 
     /// Applies a report by another gateway that an endpoint is leaving.
-    pub fn take_leaving_word(&mut self, report: &LeavingReport) -> Option<NoticeChange> {
+    pub fn apply_leaving_report(&mut self, report: &LeavingReport) -> Option<NoticeChange> {
         let row = self.rows.get_mut(&report.endpoint)?;
         if row.is_other_incarnation(report.start) {
             return None;
@@ -82,7 +82,7 @@
     /// Returns the message that tells other gateways this gateway's view of an endpoint's rate limit, dated
     /// by the request sent at `sent_at`, or else by the last request whose response carried a limit.
     #[must_use]
-    pub fn limit_word(
+    pub fn limit_report(
         &self,
         name: &EndpointName,
         sent_at: Option<ClockTime>,
@@ -100,7 +100,7 @@
 
     /// Returns the next step of a request that needs a turn at an endpoint, or `None` if the endpoint
     /// reports no rate limit.
-    pub fn turn_step(
+    pub fn next_turn_step(
         &mut self,
         name: &EndpointName,
         holders: &HolderTable,
@@ -112,7 +112,7 @@
     }
 
     /// Applies a holder's response to a turn request and returns the turn if one was granted.
-    pub fn take_turn_answer(
+    pub fn apply_turn_answer(
         &mut self,
         name: &EndpointName,
         holders: &mut HolderTable,
@@ -128,7 +128,7 @@
 
     /// Records that a request is sent to an endpoint, which uses up one probe if the endpoint has asked for
     /// rest.
-    pub fn note_try(&mut self, name: &EndpointName, now: ClockTime) {
+    pub fn note_rest_probe(&mut self, name: &EndpointName, now: ClockTime) {
         let row = self.rows.get_mut(name);
         if let Some(rest) = row.and_then(|row| row.rest.as_mut()) {
             rest.note_sent(now);
@@ -140,26 +140,26 @@
     pub fn may_send(&self, name: &EndpointName, turn: Option<HeldTurn>, now: ClockTime) -> bool {
         self.row(name).is_some_and(|row| {
             let has_turn = turn.is_some_and(|turn| turn.is_valid(now));
-            row.is_open(now) && row.is_rested(now) && (row.limit.is_none() || has_turn)
+            row.is_open(now) && row.allows_request(now) && (row.limit.is_none() || has_turn)
         })
     }
 
     /// Returns the number of endpoints that have reported that they are leaving.
     #[must_use]
-    pub fn said_leaving(&self) -> usize {
+    pub fn leaving_count(&self) -> usize {
         self.rows.values().filter(|row| row.is_leaving).count()
     }
 
     /// Returns the number of endpoints that have currently asked this gateway to send no requests.
     #[must_use]
-    pub fn resting(&self, now: ClockTime) -> usize {
+    pub fn resting_count(&self, now: ClockTime) -> usize {
         let rows = self.rows.values();
         rows.filter(|row| !row.rest_left(now).is_zero()).count()
     }
 
     /// Returns the number of endpoints that report a rate limit.
     #[must_use]
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.rows.values().filter(|row| row.limit.is_some()).count()
     }
 }
--- a/crates/oatpier-serving/src/directory/requests.rs
+++ b/crates/oatpier-serving/src/directory/requests.rs
@@ -13,7 +13,7 @@
 
 /// How a request ended at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum EndpointOutcome {
+pub enum RequestOutcome {
     /// A complete response.
     Whole {
         /// Time from sending the request to the end of the response.
@@ -45,7 +45,7 @@
         let Some(row) = self.rows.get_mut(name) else {
             return;
         };
-        row.own += 1;
+        row.own_requests += 1;
         row.load.sent_since += 1;
         if let Some(weights) = weights {
             *row.models.entry(weights.model.clone()).or_default() += 1;
@@ -60,7 +60,7 @@
     /// The outcome of a request to an earlier incarnation is ignored. Otherwise, an engine that has just
     /// restarted would be avoided because of the streams that its previous incarnation broke off.
     #[must_use]
-    pub fn is_present_start(&self, name: &EndpointName, sent: &SentPrompt) -> bool {
+    pub fn is_current_incarnation(&self, name: &EndpointName, sent: &SentPrompt) -> bool {
         let row = self.rows.get(name);
         row.is_some_and(|row| sent.start.is_none_or(|start| start == row.index))
     }
@@ -75,7 +75,7 @@
     }
 
     /// Records that an engine starts the prefill of a prompt, `tokens` of which are not in its cache.
-    pub fn note_reading(
+    pub fn note_prefill(
         &mut self,
         name: &EndpointName,
         weights: &WeightsKey,
@@ -88,54 +88,54 @@
         let sent = SentPrompt {
             tokens,
             own_ms,
-            ahead_ms: row.reading.ms(),
-            alone: row.reading.is_idle(),
+            ahead_ms: row.prefill.ms(),
+            alone: row.prefill.is_idle(),
             start: Some(row.index),
         };
-        row.reading.add(own_ms);
+        row.prefill.add(own_ms);
         sent
     }
 
     /// Records that a request waits for a permit to send an engine its prompt, whose prefill takes
     /// `reading`.
-    pub fn note_asked(&mut self, name: &EndpointName, reading: Duration) {
+    pub fn note_permit_wait(&mut self, name: &EndpointName, reading: Duration) {
         if let Some(row) = self.rows.get_mut(name) {
-            row.reading.add(reading.as_secs_f64() * 1e3);
+            row.prefill.add(reading.as_secs_f64() * 1e3);
         }
     }
 
     /// Records that a request no longer waits for a permit.
-    pub fn note_permitted(&mut self, name: &EndpointName, reading: Duration) {
+    pub fn note_permit_wait_end(&mut self, name: &EndpointName, reading: Duration) {
         if let Some(row) = self.rows.get_mut(name) {
-            row.reading.remove(reading.as_secs_f64() * 1e3);
+            row.prefill.remove(reading.as_secs_f64() * 1e3);
         }
     }
 
     /// Records that the prefill of a prompt has finished or will not happen.
-    pub fn note_read(&mut self, name: &EndpointName, prompt: &SentPrompt) {
-        if !self.is_present_start(name, prompt) {
+    pub fn note_prefill_end(&mut self, name: &EndpointName, prompt: &SentPrompt) {
+        if !self.is_current_incarnation(name, prompt) {
             return;
         }
         if let Some(row) = self.rows.get_mut(name) {
-            row.reading.remove(prompt.own_ms);
+            row.prefill.remove(prompt.own_ms);
         }
     }
 
     /// Returns the estimates of how long engines take for the prefill of prompts.
     #[must_use]
-    pub fn paces(&self) -> &ReadingPaces {
+    pub fn prefill_estimator(&self) -> &ReadingPaces {
         &self.paces
     }
 
     /// Records that the endpoint will cache the parts of the prompt.
-    pub fn note_prompt(&mut self, name: &EndpointName, chain: &[u64], now: ClockTime) {
+    pub fn note_cached_prompt(&mut self, name: &EndpointName, chain: &[u64], now: ClockTime) {
         if let Some(row) = self.rows.get(name) {
             self.prefixes.learn(row.index, chain, now);
         }
     }
 
     /// Records that the first chunk of a response has arrived, which follows the prefill.
-    pub fn note_first(
+    pub fn note_first_chunk(
         &mut self,
         name: &EndpointName,
         weights: Option<&WeightsKey>,
@@ -143,7 +143,7 @@
         took: Duration,
         now: ClockTime,
     ) {
-        if !self.is_present_start(name, prompt) {
+        if !self.is_current_incarnation(name, prompt) {
             return;
         }
         let reading = Duration::from_secs_f64((prompt.ahead_ms + prompt.own_ms) / 1e3);
@@ -153,8 +153,8 @@
         let Some(row) = self.rows.get_mut(name) else {
             return;
         };
-        let predicted = Duration::from_secs_f64(row.first.mean_ms() / 1e3) + reading;
-        row.first.note(took.saturating_sub(reading));
+        let predicted = Duration::from_secs_f64(row.first_chunk.mean_ms() / 1e3) + reading;
+        row.first_chunk.note(took.saturating_sub(reading));
         let index = row.index;
         self.apply_evidence(index, AttemptEvidence::FirstFrame { took, predicted }, now);
     }
@@ -173,16 +173,16 @@
         name: &EndpointName,
         weights: Option<&WeightsKey>,
         sent: &SentPrompt,
-        outcome: EndpointOutcome,
+        outcome: RequestOutcome,
         now: ClockTime,
     ) -> bool {
-        if !self.is_present_start(name, sent) {
+        if !self.is_current_incarnation(name, sent) {
             return false;
         }
         let Some(row) = self.rows.get_mut(name) else {
             return false;
         };
-        row.own = row.own.saturating_sub(1);
+        row.own_requests = row.own_requests.saturating_sub(1);
         row.load.ended_since += 1;
         if let Some(weights) = weights {
             row.release_model(&weights.model);
@@ -196,26 +196,26 @@
         let makes_room = freed && row.adapter_room(now) == 0;
         let index = row.index;
         match outcome {
-            EndpointOutcome::Whole { held } => {
+            RequestOutcome::Whole { held } => {
                 row.served_at = row.served_at.max(Some(now - held));
-                row.hold.note(held);
+                row.slot_time.note(held);
                 row.failures.note(0.0, now);
                 self.apply_evidence(index, AttemptEvidence::Ended, now);
             }
-            EndpointOutcome::ServerError => row.failures.note(SERVER_ERROR_WEIGHT, now),
-            EndpointOutcome::Refused => row.failures.note(REFUSAL_WEIGHT, now),
-            EndpointOutcome::Unreachable | EndpointOutcome::ConnectionRefused => {
-                if outcome == EndpointOutcome::ConnectionRefused {
+            RequestOutcome::ServerError => row.failures.note(SERVER_ERROR_WEIGHT, now),
+            RequestOutcome::Refused => row.failures.note(REFUSAL_WEIGHT, now),
+            RequestOutcome::Unreachable | RequestOutcome::ConnectionRefused => {
+                if outcome == RequestOutcome::ConnectionRefused {
                     row.refused_at = Some(now);
                 }
                 row.failures.note(1.0, now);
                 self.apply_evidence(index, AttemptEvidence::ConnectFailed, now);
             }
-            EndpointOutcome::Broken => {
+            RequestOutcome::Broken => {
                 row.failures.note(1.0, now);
                 self.apply_evidence(index, AttemptEvidence::Cut, now);
             }
-            EndpointOutcome::Abandoned => {}
+            RequestOutcome::Abandoned => {}
         }
         makes_room
     }
--- a/crates/oatpier-serving/src/directory/row.rs
+++ b/crates/oatpier-serving/src/directory/row.rs
@@ -110,13 +110,13 @@
     /// Its index in the health and prefix tables.
     pub index: EndpointIndex,
     /// Number of this gateway's requests in progress at the endpoint.
-    pub own: u32,
+    pub own_requests: u32,
     /// Time to the first chunk after the prefill.
-    pub first: DurationEstimate,
+    pub first_chunk: DurationEstimate,
     /// Prefill of this gateway's prompts at the endpoint.
-    pub reading: ReadingLoad,
+    pub prefill: ReadingLoad,
     /// Time for which a request holds a slot.
-    pub hold: DurationEstimate,
+    pub slot_time: DurationEstimate,
     pub(super) load: LoadEstimate,
     pub(super) pulse: Option<LatestPulse>,
     pub(super) failures: FailureShare,
@@ -153,10 +153,10 @@
         Self {
             record,
             index,
-            own: 0,
-            first: DurationEstimate::starting_at(INITIAL_FIRST_CHUNK_MS),
-            reading: ReadingLoad::default(),
-            hold: DurationEstimate::starting_at(hold),
+            own_requests: 0,
+            first_chunk: DurationEstimate::starting_at(INITIAL_FIRST_CHUNK_MS),
+            prefill: ReadingLoad::default(),
+            slot_time: DurationEstimate::starting_at(hold),
             load: LoadEstimate::default(),
             pulse: None,
             failures: FailureShare::default(),
@@ -187,7 +187,7 @@
 
     /// Returns whether its rest period and the ramp-up afterwards allow this gateway to send a request.
     #[must_use]
-    pub fn is_rested(&self, now: ClockTime) -> bool {
+    pub fn allows_request(&self, now: ClockTime) -> bool {
         self.rest.is_none_or(|rest| rest.allows_request(now))
     }
 
@@ -199,7 +199,7 @@
 
     /// Returns the minimum wait until its rate limit allows a request.
     #[must_use]
-    pub fn turn_wait(&self, now: ClockTime) -> Duration {
+    pub fn min_turn_wait(&self, now: ClockTime) -> Duration {
         self.limit
             .map_or(Duration::ZERO, |limit| limit.turns.wait(now))
     }
@@ -207,9 +207,9 @@
     /// Returns whether its rate limit or rest period has restricted it so much and for so long that its
     /// models need other holders.
     #[must_use]
-    pub fn is_squeezed(&self, now: ClockTime) -> bool {
+    pub fn is_throttled(&self, now: ClockTime) -> bool {
         let is_limited = self.limit.is_some_and(|limit| {
-            let running = limit.rate.per_second() * self.hold.mean_ms() / 1e3;
+            let running = limit.rate.per_second() * self.slot_time.mean_ms() / 1e3;
             let is_small = running < f64::from(self.record.slots) * THROTTLED_SHARE;
             is_small && now.since(limit.since) >= THROTTLED_AFTER
         });
@@ -263,9 +263,9 @@
     /// Returns the prefill time, in milliseconds, of the prompts known to be at the endpoint or to wait for
     /// a permit.
     #[must_use]
-    pub fn reading_ahead_ms(&self, now: ClockTime) -> f64 {
+    pub fn pending_prefill_ms(&self, now: ClockTime) -> f64 {
         let queued_ms = self.pulse(now).map_or(0, |pulse| pulse.permit_wait_ms);
-        self.reading.ms().max(f64::from(queued_ms))
+        self.prefill.ms().max(f64::from(queued_ms))
     }
 
     /// Returns whether its sidecar has sent updates before but is overdue with the next one.
@@ -410,10 +410,10 @@
 
     /// Returns the number of requests known to be at the endpoint or queued at its sidecar.
     #[must_use]
-    pub fn present(&self) -> u32 {
+    pub fn request_count(&self) -> u32 {
         let kept = self.pulse.as_ref();
         let asking = kept.map_or(0, |kept| kept.pulse.permits_waiting);
-        self.load.present().max(self.own) + asking
+        self.load.present().max(self.own_requests) + asking
     }
 
     /// Returns the number of requests queued at the endpoint according to its latest report.
--- a/crates/oatpier-serving/src/greetings.rs
+++ b/crates/oatpier-serving/src/greetings.rs
@@ -43,11 +43,11 @@
 
 /// The sidecars that this gateway receives no updates from, by engine.
 #[derive(Debug, Default)]
-pub struct GreetingPaces {
+pub struct SubscriptionSchedule {
     silent: HashMap<EndpointName, SilentSidecar>,
 }
 
-impl GreetingPaces {
+impl SubscriptionSchedule {
     /// Returns whether a greeting to a sidecar without updates is due, and records that it is sent.
     pub fn is_due(&mut self, engine: &EndpointName, now: ClockTime) -> bool {
         let Some(known) = self.silent.get_mut(engine) else {
--- a/crates/oatpier-serving/src/message/mod.rs
+++ b/crates/oatpier-serving/src/message/mod.rs
@@ -17,7 +17,7 @@
 use crate::engine::{AdapterKey, EndpointLoad, HeldModel, LocalCopies, StartTime};
 use crate::failures::EngineFailure;
 use crate::fingerprint::RequestFingerprint;
-use crate::reads::StoreWord;
+use crate::reads::StoreDelta;
 
 pub use limits::{LeavingReport, LimitReport, QuotaAnswer, QuotaAsk, TurnAsk, TurnReply};
 
@@ -39,7 +39,7 @@
     /// Sent by a gateway to its peers: the gateway's state and demand.
     Peer(Box<PeerReport>),
     /// Sent by a gateway that has read the store to the others of its availability zone: what it read.
-    StoreSeen(Box<StoreWord>),
+    StoreSeen(Box<StoreDelta>),
     /// Sent by a gateway to all others: requests that were running at endpoints when those crashed. The store
     /// distributes the same records.
     CrashesSeen(Vec<CrashRecord>),
--- a/crates/oatpier-serving/src/node.rs
+++ b/crates/oatpier-serving/src/node.rs
@@ -33,7 +33,7 @@
     /// The service of that engine.
     pub service: Option<PoolName>,
     /// Whether the whole fleet is starting for the first time.
-    pub first_start: bool,
+    pub is_first_start: bool,
     /// The limits set by the platform.
     pub bounds: NodeBounds,
 }
--- a/crates/oatpier-serving/src/peers.rs
+++ b/crates/oatpier-serving/src/peers.rs
@@ -71,8 +71,8 @@
 
 /// The other gateways as known to this one.
 #[derive(Debug)]
-pub struct PeerBook {
-    own: PeerStanding,
+pub struct PeerTable {
+    own: PlannerCandidate,
     named_at: HashMap<SocketAddr, ClockTime>,
     reports: HashMap<SocketAddr, LatestReport>,
     /// When each model was last requested at any gateway that reported it.
@@ -81,7 +81,7 @@
 
 /// The properties by which gateways are ranked for planning.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerStanding {
+pub struct PlannerCandidate {
     /// The address that it listens on for gateways and sidecars.
     pub address: SocketAddr,
     /// Its CPU allotment in thousandths of a core.
@@ -92,7 +92,7 @@
     pub engines_heard: u32,
 }
 
-impl PeerStanding {
+impl PlannerCandidate {
     fn of(address: SocketAddr, report: &PeerReport) -> Self {
         Self {
             address,
@@ -183,12 +183,12 @@
     }
 }
 
-impl PeerBook {
+impl PeerTable {
     /// Creates a table without peers.
     #[must_use]
     pub fn new(own: SocketAddr, processor: u32) -> Self {
         Self {
-            own: PeerStanding {
+            own: PlannerCandidate {
                 address: own,
                 processor,
                 is_behind: false,
@@ -201,14 +201,14 @@
     }
 
     /// Updates the properties of this gateway.
-    pub fn note_own(&mut self, engines_heard: u32, is_behind: bool) {
+    pub fn set_own(&mut self, engines_heard: u32, is_behind: bool) {
         self.own.engines_heard = engines_heard;
         self.own.is_behind = is_behind;
     }
 
     /// Returns the properties of this gateway as last updated.
     #[must_use]
-    pub fn own(&self) -> PeerStanding {
+    pub fn own(&self) -> PlannerCandidate {
         self.own
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Applies a report of a peer, unless a newer one has been applied.
-    pub fn take_report(&mut self, from: SocketAddr, report: PeerReport, now: ClockTime) {
+    pub fn apply_report(&mut self, from: SocketAddr, report: PeerReport, now: ClockTime) {
         let kept = self.reports.get(&from).map(|kept| kept.report.number);
         if !kept.is_none_or(|kept| report.number.supersedes(kept)) {
             return;
@@ -277,12 +277,12 @@
 
     /// Returns the other gateways that receive the full demand.
     fn readers(&self, now: ClockTime) -> Vec<SocketAddr> {
-        let mut candidates: Vec<PeerStanding> = self
+        let mut candidates: Vec<PlannerCandidate> = self
             .live(now)
             .filter(|(_, kept)| !kept.report.leaving)
-            .map(|(address, kept)| PeerStanding::of(*address, &kept.report))
+            .map(|(address, kept)| PlannerCandidate::of(*address, &kept.report))
             .collect();
-        candidates.sort_by_key(PeerStanding::sort_key);
+        candidates.sort_by_key(PlannerCandidate::sort_key);
         let addresses = candidates.iter().map(|standing| standing.address);
         addresses.take(DEMAND_READERS).collect()
     }
@@ -290,9 +290,9 @@
     /// Returns whether this gateway is the planner or its successor, in which case the others must detect
     /// its failure quickly.
     #[must_use]
-    pub fn is_reader(&self, now: ClockTime) -> bool {
+    pub fn receives_demand(&self, now: ClockTime) -> bool {
         let before = self.live(now).filter(|(address, kept)| {
-            let peer = PeerStanding::of(**address, &kept.report);
+            let peer = PlannerCandidate::of(**address, &kept.report);
             !kept.report.leaving && peer.sort_key() < self.own.sort_key()
         });
         before.count() < DEMAND_READERS
@@ -302,7 +302,7 @@
     #[must_use]
     pub fn rank(&self, now: ClockTime) -> usize {
         let live = self.live(now).filter(|(_, kept)| !kept.report.leaving);
-        let peers = live.map(|(address, kept)| PeerStanding::of(*address, &kept.report));
+        let peers = live.map(|(address, kept)| PlannerCandidate::of(*address, &kept.report));
         peers
             .filter(|peer| peer.sort_key() < self.own.sort_key())
             .count()
@@ -337,8 +337,8 @@
     #[must_use]
     pub fn planner(&self, now: ClockTime) -> SocketAddr {
         let peers = self.live(now).filter(|(_, kept)| !kept.report.leaving);
-        let peers = peers.map(|(address, kept)| PeerStanding::of(*address, &kept.report));
-        let all: Vec<PeerStanding> = peers.chain([self.own]).collect();
+        let peers = peers.map(|(address, kept)| PlannerCandidate::of(*address, &kept.report));
+        let all: Vec<PlannerCandidate> = peers.chain([self.own]).collect();
         let counts = all.iter().map(|standing| standing.engines_heard);
         let most = counts.max().unwrap_or(0);
         let least = most - most / MISSED_ENGINES_DIVISOR;
@@ -355,7 +355,11 @@
 
     /// Returns the demand of all gateways, including this one, by model.
     #[must_use]
-    pub fn total(&self, own: &[ModelDemand], now: ClockTime) -> HashMap<ModelName, TotalDemand> {
+    pub fn total_demand(
+        &self,
+        own: &[ModelDemand],
+        now: ClockTime,
+    ) -> HashMap<ModelName, TotalDemand> {
         let mut total: HashMap<ModelName, TotalDemand> = HashMap::new();
         let reported = self.live(now).flat_map(|(_, kept)| &kept.report.demand);
         for demand in own.iter().chain(reported) {
@@ -371,7 +375,7 @@
 
     /// Returns the requests of all gateways, including this one, at each engine.
     #[must_use]
-    pub fn uses(&self, own: &[ModelUse], now: ClockTime) -> FleetUses {
+    pub fn fleet_uses(&self, own: &[ModelUse], now: ClockTime) -> FleetUses {
         let mut uses = FleetUses::default();
         let reported = self.live(now).flat_map(|(_, kept)| &kept.report.uses);
         own.iter().chain(reported).for_each(|used| uses.add(used));
--- a/crates/oatpier-serving/src/planner/mod.rs
+++ b/crates/oatpier-serving/src/planner/mod.rs
@@ -222,7 +222,7 @@
         now: ClockTime,
     ) -> PlanRound<'a> {
         let engines: Vec<EngineView<'a>> = rows
-            .filter(|row| row.is_open(now) && !row.is_squeezed(now))
+            .filter(|row| row.is_open(now) && !row.is_throttled(now))
             .map(|row| self.engine_view(row, now))
             .collect();
         let slots = engines.first().map_or(1, |view| view.row.record.slots);
--- a/crates/oatpier-serving/src/reads.rs
+++ b/crates/oatpier-serving/src/reads.rs
@@ -42,7 +42,7 @@
 pub struct StoreDigest(pub u64);
 
 impl StoreDigest {
-    /// Returns the digest of a configuration, given by its [`config_mark`], and of the registry.
+    /// Returns the digest of a configuration, given by its [`config_digest`], and of the registry.
     #[must_use]
     pub fn of(config_mark: u64, endpoints: &[EndpointRecord]) -> Self {
         let mut sorted: Vec<&EndpointRecord> = endpoints.iter().collect();
@@ -67,14 +67,14 @@
 /// The store's revision does not identify it: a store restored from an older copy assigns revisions again,
 /// and a gateway with the old configuration would seem up to date.
 #[must_use]
-pub fn config_mark(value: &[u8]) -> u64 {
+pub fn config_digest(value: &[u8]) -> u64 {
     xxh3_64(value)
 }
 
 /// The entries in the store that gateways and sidecars wrote, and the copy of the store they were read
 /// from.
 #[derive(Debug, Clone, Copy)]
-pub struct OwnEntries<'a> {
+pub struct InternalEntries<'a> {
     /// Requests that were running at endpoints when those terminated.
     pub crashes: &'a [CrashRecord],
     /// The holders of the parts of rate limits.
@@ -83,7 +83,7 @@
     pub era: StoreEra,
 }
 
-/// A digest of [`OwnEntries`], 0 if there are none.
+/// A digest of [`InternalEntries`], 0 if there are none.
 ///
 /// Messages between gateways do not carry the entries. A gateway with a different digest reads the store
 /// itself, which costs each gateway one or two reads after an endpoint has terminated.
@@ -91,7 +91,7 @@
 struct InternalDigest(u64);
 
 impl InternalDigest {
-    fn of(own: &OwnEntries<'_>) -> Self {
+    fn of(own: &InternalEntries<'_>) -> Self {
         let crashes = own.crashes.iter().map(digest_crash);
         let parts = own.parts.iter().map(digest_part);
         let era = (own.era != 0).then(|| xxh3_64(&own.era.to_le_bytes()));
@@ -131,7 +131,7 @@
 /// The changes to the store that a gateway has seen between two reads.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct StoreWord {
+pub struct StoreDelta {
     /// Digest of the contents before the changes.
     pub before: StoreDigest,
     /// Digest of the contents after the changes.
@@ -153,7 +153,7 @@
 
 /// The result of applying another gateway's changes.
 #[derive(Debug, Clone, PartialEq)]
-pub enum WordOutcome {
+pub enum DeltaOutcome {
     /// The view was already up to date.
     Same,
     /// The changes were applied to the view.
@@ -176,7 +176,7 @@
 
     /// Returns the view with the entries that gateways and sidecars wrote.
     #[must_use]
-    pub fn with_own(self, own: &OwnEntries<'_>) -> Self {
+    pub fn with_internal(self, own: &InternalEntries<'_>) -> Self {
         self.with_internal_digest(InternalDigest::of(own))
     }
 
@@ -198,7 +198,7 @@
     /// Returns the changes to send to other gateways after a read, where `before` is the result of the
     /// previous one.
     #[must_use]
-    pub fn word_since(&self, before: Option<&Self>) -> StoreWord {
+    pub fn delta_since(&self, before: Option<&Self>) -> StoreDelta {
         let known = by_name(before.map_or(&[], Self::endpoints));
         let present = by_name(&self.endpoints);
         let is_new = |row: &&EndpointRecord| {
@@ -209,7 +209,7 @@
         let gone = known.keys().filter(|name| !present.contains_key(*name));
         let removed = gone.map(|name| (*name).clone()).collect();
         let fits = changed.len() <= MAX_CHANGES;
-        StoreWord {
+        StoreDelta {
             before: before.map_or(self.digest, |view| view.digest),
             now: self.digest,
             changed: if fits { changed } else { Vec::new() },
@@ -219,12 +219,12 @@
 
     /// Applies another gateway's changes. The result is checked against the digest, so changes that are
     /// incomplete, for example because the configuration has changed, are rejected.
-    pub fn take_word(&mut self, delta: &StoreWord) -> WordOutcome {
+    pub fn apply_delta(&mut self, delta: &StoreDelta) -> DeltaOutcome {
         if delta.now == self.digest {
-            return WordOutcome::Same;
+            return DeltaOutcome::Same;
         }
         if delta.before != self.digest {
-            return WordOutcome::Unknown;
+            return DeltaOutcome::Unknown;
         }
         let is_replaced = |row: &EndpointRecord| {
             delta.removed.contains(&row.name)
@@ -234,10 +234,10 @@
         let endpoints = kept.chain(&delta.changed).cloned().collect();
         let patched = Self::new(self.config_mark, endpoints).with_internal_digest(self.internal);
         if patched.digest != delta.now {
-            return WordOutcome::Unknown;
+            return DeltaOutcome::Unknown;
         }
         *self = patched;
-        WordOutcome::Patched
+        DeltaOutcome::Patched
     }
 }
 
@@ -282,7 +282,7 @@
     }
 
     /// Records that another gateway has read the store and that its result is known here.
-    pub fn note_told(&mut self, period: Duration, now: ClockTime) {
+    pub fn note_peer_read(&mut self, period: Duration, now: ClockTime) {
         if self.skipped_reads < MAX_SKIPPED_READS {
             self.skipped_reads += 1;
             self.next_at = now + self.interval(period);
--- a/crates/oatpier-serving/src/relays.rs
+++ b/crates/oatpier-serving/src/relays.rs
@@ -50,7 +50,7 @@
 
 /// Selects the relays of a sidecar in all zones.
 #[must_use]
-pub fn draw<'a>(
+pub fn select_relays<'a>(
     sidecar: SocketAddr,
     candidates: impl Iterator<Item = RelayCandidate<'a>>,
 ) -> Vec<SocketAddr> {
@@ -104,7 +104,7 @@
 
 impl RelayQueue {
     /// Queues an update, unless a newer one is queued.
-    pub fn take(&mut self, update: EngineUpdate) {
+    pub fn push(&mut self, update: EngineUpdate) {
         let queue = match &update {
             EngineUpdate::Pulse(_) => &mut self.pulses,
             EngineUpdate::Load(_) => &mut self.loads,
@@ -116,7 +116,7 @@
     }
 
     /// Drops an update that another relay of the zone has already forwarded.
-    pub fn note_passed_on(&mut self, update: &EngineUpdate) {
+    pub fn note_forwarded(&mut self, update: &EngineUpdate) {
         let queue = match update {
             EngineUpdate::Pulse(_) => &mut self.pulses,
             EngineUpdate::Load(_) => &mut self.loads,
--- a/crates/oatpier-serving/tests/testsuite/choice.rs
+++ b/crates/oatpier-serving/tests/testsuite/choice.rs
@@ -1,7 +1,7 @@
 //! Which endpoint gets a request.
 
 use oatpier_serving::choice::{self, ChoiceQuery, ChoiceVerdict};
-use oatpier_serving::directory::{EndpointDirectory, EndpointOutcome};
+use oatpier_serving::directory::{EndpointDirectory, RequestOutcome};
 use oatpier_serving::reading::SentPrompt;
 use oatpier_types::names::EndpointName;
 
@@ -63,7 +63,7 @@
     let mut loading = pulse(1, &["m2"], 0);
     loading.number.number = 2;
     loading.loading = Some(crate::support::model("m1"));
-    directory.take_pulse(loading, at(10));
+    directory.apply_status(loading, at(10));
     assert_eq!(
         choose(&directory, "m1", &[]),
         ChoiceVerdict::NoModel {
@@ -82,7 +82,7 @@
     draining.number.number = 2;
     draining.loading = Some(crate::support::model("m1"));
     draining.retiring = vec![crate::support::model("m2")];
-    directory.take_pulse(draining, at(10));
+    directory.apply_status(draining, at(10));
     let ChoiceVerdict::NoModel {
         ready_in: Some(ready_in),
         ..
@@ -98,10 +98,10 @@
 #[test]
 fn engine_with_less_prefill_work_is_preferred() {
     let mut directory = directory(&[(&["m1"], 3), (&["m1"], 3)], at(0));
-    directory.note_asked(&endpoint("e1"), millis(300));
+    directory.note_permit_wait(&endpoint("e1"), millis(300));
     assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
-    directory.note_permitted(&endpoint("e1"), millis(300));
-    directory.note_asked(&endpoint("e2"), millis(300));
+    directory.note_permit_wait_end(&endpoint("e1"), millis(300));
+    directory.note_permit_wait(&endpoint("e2"), millis(300));
     assert_eq!(chosen_endpoint(&directory, "m1"), "e1");
 }
 
@@ -113,7 +113,7 @@
     let mut retiring = pulse(1, &["m1"], 0);
     retiring.number.number = 2;
     retiring.retiring = vec![crate::support::model("m1")];
-    directory.take_pulse(retiring, at(10));
+    directory.apply_status(retiring, at(10));
     assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
 }
 
@@ -132,7 +132,7 @@
     let mut ready = pulse(2, &[], 2);
     ready.number.number = 2;
     ready.models = vec![held("m1", &["a1"])];
-    directory.take_pulse(ready, at(10));
+    directory.apply_status(ready, at(10));
     assert_eq!(chosen_endpoint(&directory, "m1/a1"), "e2");
 }
 
@@ -144,7 +144,7 @@
     let mut full = pulse(1, &["m1"], 1);
     full.number.number = 2;
     full.adapter_room = 0;
-    directory.take_pulse(full, at(10));
+    directory.apply_status(full, at(10));
     assert_eq!(chosen_endpoint(&directory, "m1/a1"), "e2");
 }
 
@@ -154,12 +154,12 @@
     far.zone = zone("far");
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"]), far], at(0));
-    directory.take_pulse(pulse(1, &["m1"], 1), at(0));
-    directory.take_pulse(pulse(2, &["m1"], 0), at(0));
+    directory.apply_status(pulse(1, &["m1"], 1), at(0));
+    directory.apply_status(pulse(2, &["m1"], 0), at(0));
     assert_eq!(chosen_endpoint(&directory, "m1"), "e1");
     let mut busy = pulse(1, &["m1"], SLOTS);
     busy.number.number = 2;
-    directory.take_pulse(busy, at(10));
+    directory.apply_status(busy, at(10));
     assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
 }
 
@@ -168,7 +168,7 @@
     let mut directory = directory(&[(&["m1"], 2), (&["m1"], 2)], at(0));
     learn_prefill(&mut directory, "e1");
     let chain = choice::prefix_chain(&request("m1"));
-    directory.note_prompt(&endpoint("e2"), &chain, at(50));
+    directory.note_cached_prompt(&endpoint("e2"), &chain, at(50));
     assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
 }
 
@@ -176,9 +176,9 @@
 fn learn_prefill(directory: &mut EndpointDirectory, name: &str) {
     let weights = request("m1").weights.unwrap();
     for _ in 0..20 {
-        let prompt = directory.note_reading(&endpoint(name), &weights, 400.0);
-        directory.note_first(&endpoint(name), Some(&weights), &prompt, millis(20), at(10));
-        directory.note_read(&endpoint(name), &prompt);
+        let prompt = directory.note_prefill(&endpoint(name), &weights, 400.0);
+        directory.note_first_chunk(&endpoint(name), Some(&weights), &prompt, millis(20), at(10));
+        directory.note_prefill_end(&endpoint(name), &prompt);
     }
 }
 
@@ -190,9 +190,9 @@
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 4)], at(0));
     for number in 0..12_u64 {
         let outcome = if number % 2 == 0 {
-            EndpointOutcome::Broken
+            RequestOutcome::Broken
         } else {
-            EndpointOutcome::Whole {
+            RequestOutcome::Whole {
                 held: crate::support::millis(300),
             }
         };
@@ -217,7 +217,7 @@
     let weights = request("m1/a1").weights.unwrap();
     let name = endpoint("e1");
     directory.note_sent(&name, Some(&weights));
-    let used = directory.take_used(&name);
+    let used = directory.take_used_adapters(&name);
     assert_eq!(used.len(), 1);
     assert_eq!(
         (used[0].key.clone(), used[0].requests),
@@ -227,11 +227,11 @@
         &name,
         Some(&weights),
         &SentPrompt::default(),
-        EndpointOutcome::Abandoned,
+        RequestOutcome::Abandoned,
         at(10),
     );
-    assert_eq!(directory.take_used(&name)[0].requests, 0);
-    assert!(directory.take_used(&name).is_empty());
+    assert_eq!(directory.take_used_adapters(&name)[0].requests, 0);
+    assert!(directory.take_used_adapters(&name).is_empty());
 }
 
 /// A VM freezes with its engine and its sidecar. Requests that are sent there are lost, and the last known
@@ -242,7 +242,7 @@
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 6)], at(0));
     let mut later_pulse = pulse(2, &["m1"], 6);
     later_pulse.number.number = 2;
-    directory.take_pulse(later_pulse, at(1_100));
+    directory.apply_status(later_pulse, at(1_100));
     let query = ChoiceQuery {
         service: &service(),
         request: &request("m1"),
@@ -266,7 +266,7 @@
     let mut changing = pulse(1, &["m1"], 0);
     changing.number.number = 2;
     changing.loading = Some(crate::support::model("m2"));
-    directory.take_pulse(changing, at(10));
+    directory.apply_status(changing, at(10));
     assert_eq!(chosen_endpoint(&directory, "m1/a1"), "e2");
     assert_eq!(chosen_endpoint(&directory, "m1"), "e1");
 }
@@ -279,7 +279,7 @@
     let mut restarted = pulse(2, &[], 0);
     restarted.number.number = 2;
     restarted.copies.on_disk = vec![crate::support::model("m1")];
-    directory.take_pulse(restarted, at(10));
+    directory.apply_status(restarted, at(10));
     assert_eq!(
         choose(&directory, "m1", &[]),
         ChoiceVerdict::NoModel {
--- a/crates/oatpier-serving/tests/testsuite/crashing_loads.rs
+++ b/crates/oatpier-serving/tests/testsuite/crashing_loads.rs
@@ -137,7 +137,7 @@
                 loading: engine.loading.clone(),
                 ..pulse(number(index), &held, 0)
             };
-            self.directory.take_pulse(state, at(now));
+            self.directory.apply_status(state, at(now));
         }
     }
 
--- a/crates/oatpier-serving/tests/testsuite/directory.rs
+++ b/crates/oatpier-serving/tests/testsuite/directory.rs
@@ -37,7 +37,7 @@
     let mut status = pulse(2, &["m1"], 0);
     status.number.number = 2;
     status.draining = true;
-    directory.take_pulse(status, at(20));
+    directory.apply_status(status, at(20));
     assert!(!directory.row(&endpoint("e1")).unwrap().is_open(at(30)));
     assert!(!directory.row(&endpoint("e2")).unwrap().is_open(at(30)));
 }
@@ -46,7 +46,7 @@
 fn expired_status_update_is_ignored() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
-    directory.take_pulse(pulse(1, &["m2"], 0), at(0));
+    directory.apply_status(pulse(1, &["m2"], 0), at(0));
     let row = directory.row(&endpoint("e1")).unwrap();
     assert!(row.holds(&model("m2"), at(100)));
     assert!(row.holds(&model("m1"), at(5_000)));
@@ -55,9 +55,9 @@
 #[test]
 fn duplicate_or_reordered_status_update_is_ignored() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    assert!(!directory.take_pulse(pulse(1, &["m2"], 9), at(10)));
+    assert!(!directory.apply_status(pulse(1, &["m2"], 9), at(10)));
     let row = directory.row(&endpoint("e1")).unwrap();
-    assert_eq!(row.present(), 0);
+    assert_eq!(row.request_count(), 0);
 }
 
 /// Guards against refusals after a restart of engines. The registry lists the old name for one more
@@ -92,13 +92,13 @@
     let name = endpoint("e1");
     directory.note_sent(&name, None);
     directory.note_sent(&name, None);
-    assert_eq!(directory.row(&name).unwrap().present(), 4);
+    assert_eq!(directory.row(&name).unwrap().request_count(), 4);
     let load = EndpointLoad {
         running: 3,
         waiting: 0,
     };
-    directory.take_load(&name, load);
-    assert_eq!(directory.row(&name).unwrap().present(), 3);
+    directory.apply_load(&name, load);
+    assert_eq!(directory.row(&name).unwrap().request_count(), 3);
 }
 
 /// All engines and gateways were restarted, and the registry still lists the old engines. Without the
@@ -110,7 +110,7 @@
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
     let mut status = pulse(1, &["m1"], 0);
     status.instance = Some(endpoint("e1b"));
-    assert!(directory.take_pulse(status, at(10)));
+    assert!(directory.apply_status(status, at(10)));
     assert!(directory.row(&endpoint("e1")).is_none());
     assert!(
         directory
@@ -131,7 +131,7 @@
     directory.apply_registry(vec![record(1, &["m1"]), later], at(10));
     let mut status = pulse(1, &["m2"], 0);
     status.number.number = 2;
-    directory.take_pulse(status, at(20));
+    directory.apply_status(status, at(20));
     let row = directory.row(&endpoint("a-later-name")).unwrap();
     assert!(row.holds(&model("m2"), at(30)));
 }
@@ -146,7 +146,7 @@
     directory.apply_registry(vec![record(1, &[]), old], at(5));
     let mut status = pulse(1, &["m2"], 0);
     status.instance = Some(endpoint("e1"));
-    directory.take_pulse(status, at(10));
+    directory.apply_status(status, at(10));
     assert!(!directory.row(&endpoint("z-old")).unwrap().is_open(at(20)));
     assert!(
         directory
@@ -170,11 +170,11 @@
 fn engine_restarted_under_its_name_has_no_models_or_cached_prompts() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     let name = endpoint("e1");
-    directory.take_pulse(pulse_of_start(1_000, 2, &["m1"]), at(10));
+    directory.apply_status(pulse_of_start(1_000, 2, &["m1"]), at(10));
     let chain = choice::prefix_chain(&request("m1"));
-    directory.note_prompt(&name, &chain, at(20));
+    directory.note_cached_prompt(&name, &chain, at(20));
     assert_eq!(directory.prefixes().holders(&chain, at(30)).len(), 1);
-    assert!(directory.take_pulse(pulse_of_start(2_000, 3, &[]), at(100)));
+    assert!(directory.apply_status(pulse_of_start(2_000, 3, &[]), at(100)));
     let row = directory.row(&name).unwrap();
     assert!(!row.holds(&model("m1"), at(110)));
     let holders = directory.prefixes().holders(&chain, at(110));
@@ -186,7 +186,7 @@
 #[test]
 fn old_entry_does_not_restore_an_earlier_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.take_pulse(pulse_of_start(2_000, 2, &[]), at(10));
+    directory.apply_status(pulse_of_start(2_000, 2, &[]), at(10));
     let mut old = record(1, &["m1"]);
     old.start = Some(StartTime(1_000));
     old.draining = true;
@@ -201,8 +201,8 @@
 #[test]
 fn later_incarnation_may_have_an_earlier_start_time() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.take_pulse(pulse_of_start(2_000, 2, &["m1"]), at(10));
-    directory.take_pulse(pulse_of_start(1_500, 3, &[]), at(100));
+    directory.apply_status(pulse_of_start(2_000, 2, &["m1"]), at(10));
+    directory.apply_status(pulse_of_start(1_500, 3, &[]), at(100));
     assert!(
         !directory
             .row(&endpoint("e1"))
@@ -210,7 +210,7 @@
             .holds(&model("m1"), at(110))
     );
     // A delayed update of the previous incarnation has a lower message number and is ignored.
-    directory.take_pulse(pulse_of_start(2_000, 2, &["m1"]), at(120));
+    directory.apply_status(pulse_of_start(2_000, 2, &["m1"]), at(120));
     assert!(
         !directory
             .row(&endpoint("e1"))
@@ -229,13 +229,13 @@
     directory.apply_registry(vec![first.clone()], at(0));
     let name = endpoint("e1");
     for _ in 0..50 {
-        directory.note_first(&name, None, &SentPrompt::default(), millis(900), at(10));
+        directory.note_first_chunk(&name, None, &SentPrompt::default(), millis(900), at(10));
     }
     let mut next = first;
     next.start = Some(StartTime(9_000));
     let changes = directory.apply_registry(vec![next], at(900));
     assert_eq!(changes, vec![DirectoryChange::Restarted(name.clone())]);
-    assert!(directory.row(&name).unwrap().first.mean_ms() < 100.0);
+    assert!(directory.row(&name).unwrap().first_chunk.mean_ms() < 100.0);
 }
 
 /// The streams of an engine break off when it crashes, and it restarts under the same name before the
@@ -244,17 +244,17 @@
 fn broken_streams_do_not_count_against_the_next_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     let name = endpoint("e1");
-    directory.take_pulse(pulse_of_start(1_000, 2, &["m1"]), at(10));
+    directory.apply_status(pulse_of_start(1_000, 2, &["m1"]), at(10));
     let weights = request("m1").weights.unwrap();
-    let sent = directory.note_reading(&name, &weights, 400.0);
-    assert!(directory.is_present_start(&name, &sent));
-    directory.take_pulse(pulse_of_start(2_000, 3, &["m1"]), at(100));
-    assert!(!directory.is_present_start(&name, &sent));
-    let next = directory.note_reading(&name, &weights, 400.0);
-    directory.note_read(&name, &sent);
-    assert!(!directory.row(&name).unwrap().reading.is_idle());
-    directory.note_read(&name, &next);
-    assert!(directory.row(&name).unwrap().reading.is_idle());
+    let sent = directory.note_prefill(&name, &weights, 400.0);
+    assert!(directory.is_current_incarnation(&name, &sent));
+    directory.apply_status(pulse_of_start(2_000, 3, &["m1"]), at(100));
+    assert!(!directory.is_current_incarnation(&name, &sent));
+    let next = directory.note_prefill(&name, &weights, 400.0);
+    directory.note_prefill_end(&name, &sent);
+    assert!(!directory.row(&name).unwrap().prefill.is_idle());
+    directory.note_prefill_end(&name, &next);
+    assert!(directory.row(&name).unwrap().prefill.is_idle());
 }
 
 /// A response shows that another instance has the address before the sidecar names it, and the instance
@@ -264,9 +264,9 @@
 #[test]
 fn successor_is_kept_when_its_sidecar_reports_its_start_time() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.take_pulse(pulse_of_start(1_000, 2, &["m1"]), at(10));
+    directory.apply_status(pulse_of_start(1_000, 2, &["m1"]), at(10));
     directory.note_replaced(&endpoint("e1"), Some(&endpoint("e9")), at(100));
-    directory.take_pulse(pulse_of_start(2_000, 3, &["m1"]), at(150));
+    directory.apply_status(pulse_of_start(2_000, 3, &["m1"]), at(150));
     directory.apply_registry(vec![record(1, &["m1"])], at(200));
     let row = directory.row(&endpoint("e9")).expect("it is still there");
     assert!(row.holds(&model("m1"), at(210)));
@@ -297,7 +297,7 @@
     directory.apply_registry(vec![started(1, 7)], at(0));
     assert!(is_open(&directory, "e1", 0));
     directory.apply_registry(vec![draining], at(1_000));
-    directory.note_store_return(at(2_000));
+    directory.note_store_restored(at(2_000));
     directory.apply_registry(vec![started(1, 7)], at(2_000));
     assert!(!is_open(&directory, "e1", 2_000));
     directory.apply_registry(vec![started(1, 8)], at(3_000));
@@ -316,7 +316,7 @@
     };
     directory.apply_registry(vec![drained, started(2, 7)], at(0));
     directory.apply_registry(Vec::new(), at(1_000));
-    directory.note_store_return(at(3_000));
+    directory.note_store_restored(at(3_000));
     let copy = || vec![started(1, 7), started(2, 7), started(3, 7)];
     directory.apply_registry(copy(), at(3_000));
     assert!(directory.row(&endpoint("e1")).is_none());
@@ -344,7 +344,7 @@
 fn engine_missing_from_a_restored_store_is_kept_until_it_rewrites_its_entry() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![started(1, 7)], at(0));
-    directory.note_store_return(at(1_000));
+    directory.note_store_restored(at(1_000));
     directory.apply_registry(Vec::new(), at(1_000));
     assert!(is_open(&directory, "e1", 1_000));
     directory.apply_registry(Vec::new(), at(4_000));
--- a/crates/oatpier-serving/tests/testsuite/failures.rs
+++ b/crates/oatpier-serving/tests/testsuite/failures.rs
@@ -47,7 +47,7 @@
             failing_percent: losing_percent,
             ..pulse(1, &["m1"], 2)
         };
-        directory.take_pulse(word, at(10));
+        directory.apply_status(word, at(10));
         let verdict = choice::choose(
             &directory,
             &ChoiceQuery {
--- a/crates/oatpier-serving/tests/testsuite/forecast.rs
+++ b/crates/oatpier-serving/tests/testsuite/forecast.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use oatpier_serving::demand::DemandBook;
-use oatpier_serving::peers::{PeerBook, TotalDemand};
+use oatpier_serving::peers::{PeerTable, TotalDemand};
 use oatpier_serving::planner::forecast::{SlotTimes, slots_wanted};
 use oatpier_types::names::ModelName;
 
@@ -24,7 +24,7 @@
         }
     }
     let now = at(seconds * 1_000);
-    PeerBook::new(address(1), 100).total(&tracker.summary(now), now)
+    PeerTable::new(address(1), 100).total_demand(&tracker.summary(now), now)
 }
 
 fn slots_after(total: &HashMap<ModelName, TotalDemand>, lead_s: u64) -> f64 {
@@ -54,7 +54,7 @@
         tracker.note_asked(&weights, at(number * 10));
     }
     let now = at(12_000);
-    let total = PeerBook::new(address(1), 100).total(&tracker.summary(now), now);
+    let total = PeerTable::new(address(1), 100).total_demand(&tracker.summary(now), now);
     let slots = slots_after(&total, 3);
     assert!((80.0..110.0).contains(&slots), "{slots}");
 }
--- a/crates/oatpier-serving/tests/testsuite/greetings.rs
+++ b/crates/oatpier-serving/tests/testsuite/greetings.rs
@@ -1,38 +1,38 @@
 //! Tests of the intervals between greetings to sidecars that send no updates.
 
-use oatpier_serving::greetings::GreetingPaces;
+use oatpier_serving::greetings::SubscriptionSchedule;
 
 use crate::support::{at, endpoint};
 
-fn greeting_times(from_ms: u64, to_ms: u64, paces: &mut GreetingPaces) -> Vec<u64> {
+fn greeting_times(from_ms: u64, to_ms: u64, schedule: &mut SubscriptionSchedule) -> Vec<u64> {
     let ticks = (from_ms..to_ms).step_by(125);
     ticks
-        .filter(|now| paces.is_due(&endpoint("e1"), at(*now)))
+        .filter(|now| schedule.is_due(&endpoint("e1"), at(*now)))
         .collect()
 }
 
 /// All processes start together, and a sidecar is ready one or two seconds after the gateways.
 #[test]
 fn sidecar_that_starts_late_is_greeted_eight_times_a_second() {
-    let mut paces = GreetingPaces::default();
-    assert_eq!(greeting_times(0, 4_000, &mut paces).len(), 32);
+    let mut schedule = SubscriptionSchedule::default();
+    assert_eq!(greeting_times(0, 4_000, &mut schedule).len(), 32);
 }
 
 /// An engine has no sidecar. Greetings at the initial rate would be as much traffic to its VM as all other
 /// messages together.
 #[test]
 fn sidecar_that_never_answers_is_greeted_rarely() {
-    let mut paces = GreetingPaces::default();
-    greeting_times(0, 30_000, &mut paces);
-    let later = greeting_times(30_000, 90_000, &mut paces);
+    let mut schedule = SubscriptionSchedule::default();
+    greeting_times(0, 30_000, &mut schedule);
+    let later = greeting_times(30_000, 90_000, &mut schedule);
     assert!(later.len() <= 13, "{later:?}");
     assert!(later.windows(2).all(|pair| pair[1] - pair[0] <= 5_125));
 }
 
 #[test]
 fn recovered_sidecar_is_greeted_at_the_initial_rate_when_it_falls_silent() {
-    let mut paces = GreetingPaces::default();
-    greeting_times(0, 60_000, &mut paces);
-    paces.retain(|_| false);
-    assert_eq!(greeting_times(60_000, 61_000, &mut paces).len(), 8);
+    let mut schedule = SubscriptionSchedule::default();
+    greeting_times(0, 60_000, &mut schedule);
+    schedule.retain(|_| false);
+    assert_eq!(greeting_times(60_000, 61_000, &mut schedule).len(), 8);
 }
--- a/crates/oatpier-serving/tests/testsuite/notices.rs
+++ b/crates/oatpier-serving/tests/testsuite/notices.rs
@@ -1,6 +1,6 @@
 //! Tests of the state that endpoints report in their responses.
 
-use oatpier_serving::directory::{EndpointDirectory, HeardNotice};
+use oatpier_serving::directory::{EndpointDirectory, ReceivedNotice};
 use oatpier_serving::engine::StartTime;
 use oatpier_serving::notice::{EndpointNotice, NoticeChange, NoticeValue, RequestRate, RestSpan};
 use oatpier_serving::reading::SentPrompt;
@@ -29,16 +29,16 @@
     answer: &LimitAnswer,
 ) -> Vec<NoticeChange> {
     let limit = answer.limit.map(rate);
-    let received = HeardNotice {
+    let received = ReceivedNotice {
         notice: EndpointNotice {
             rate: limit.map_or(NoticeValue::Absent, NoticeValue::Given),
             ..EndpointNotice::default()
         },
         sent,
         sent_at: at(answer.sent_ms),
-        was_taken: true,
+        was_accepted: true,
     };
-    let changes = directory.take_notice(&endpoint("e1"), &received, at(answer.received_ms));
+    let changes = directory.apply_notice(&endpoint("e1"), &received, at(answer.received_ms));
     changes.into_vec()
 }
 
@@ -86,16 +86,16 @@
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     apply_answer(&mut directory, &answer(0, 10, Some(2.5)));
     let sent = directory.sent_without_prompt(&endpoint("e1"));
-    let received = HeardNotice {
+    let received = ReceivedNotice {
         notice: EndpointNotice {
             rate: NoticeValue::Unusable,
             ..EndpointNotice::default()
         },
         sent: &sent,
         sent_at: at(20),
-        was_taken: true,
+        was_accepted: true,
     };
-    let changes = directory.take_notice(&endpoint("e1"), &received, at(30));
+    let changes = directory.apply_notice(&endpoint("e1"), &received, at(30));
     assert_eq!(changes.as_slice(), [NoticeChange::RateUnusable]);
     assert_eq!(limit(&directory), Some(2.5));
 }
@@ -127,13 +127,13 @@
     received_ms: u64,
 ) -> Vec<NoticeChange> {
     let sent = directory.sent_without_prompt(&endpoint("e1"));
-    let received = HeardNotice {
+    let received = ReceivedNotice {
         notice,
         sent: &sent,
         sent_at: at(received_ms),
-        was_taken: false,
+        was_accepted: false,
     };
-    let changes = directory.take_notice(&endpoint("e1"), &received, at(received_ms));
+    let changes = directory.apply_notice(&endpoint("e1"), &received, at(received_ms));
     changes.into_vec()
 }
 
@@ -222,10 +222,10 @@
     directory.apply_registry(vec![record(1, &["m1"])], at(1_000));
     let mut status = pulse(1, &["m1"], 0);
     status.number.number = 2;
-    directory.take_pulse(status, at(1_100));
+    directory.apply_status(status, at(1_100));
     assert!(!is_open(&directory, "e1", 1_200));
     directory.apply_registry(Vec::new(), at(5_000));
-    directory.note_store_return(at(6_000));
+    directory.note_store_restored(at(6_000));
     directory.apply_registry(vec![record(1, &["m1"])], at(6_100));
     assert!(!is_open(&directory, "e1", 6_200));
 }
@@ -251,7 +251,7 @@
     let mut status = pulse(1, &["m1"], 0);
     status.number.number = 2;
     status.instance = Some(endpoint("e9"));
-    directory.take_pulse(status, at(1_100));
+    directory.apply_status(status, at(1_100));
     assert!(is_open(&directory, "e9", 1_200));
     let row = directory.row(&endpoint("e9")).unwrap();
     assert_eq!(row.rest_left(at(1_200)), millis(0));
@@ -260,13 +260,13 @@
 /// Records that a request sent at the given time was accepted.
 fn accept(directory: &mut EndpointDirectory, sent_ms: u64) {
     let sent = directory.sent_without_prompt(&endpoint("e1"));
-    let received = HeardNotice {
+    let received = ReceivedNotice {
         notice: EndpointNotice::default(),
         sent: &sent,
         sent_at: at(sent_ms),
-        was_taken: true,
+        was_accepted: true,
     };
-    directory.take_notice(&endpoint("e1"), &received, at(sent_ms + 5));
+    directory.apply_notice(&endpoint("e1"), &received, at(sent_ms + 5));
 }
 
 /// Sends as many requests as are allowed at the given time and returns their number.
@@ -275,7 +275,7 @@
     let sends = (0..100).take_while(|_| {
         let may_send = directory.may_send(&name, None, at(now_ms));
         if may_send {
-            directory.note_try(&name, at(now_ms));
+            directory.note_rest_probe(&name, at(now_ms));
         }
         may_send
     });
--- a/crates/oatpier-serving/tests/testsuite/planner.rs
+++ b/crates/oatpier-serving/tests/testsuite/planner.rs
@@ -145,7 +145,7 @@
         rate: Some(RequestRate::try_from(1.0).unwrap()),
         sent_ago_ms: 0,
     };
-    directory.take_limit_word(&report, at(0));
+    directory.apply_limit_report(&report, at(0));
     for number in [1, 2] {
         let mut later_pulse = pulse(
             number,
@@ -153,7 +153,7 @@
             0,
         );
         later_pulse.number.number = 2;
-        directory.take_pulse(later_pulse, at(2_500));
+        directory.apply_status(later_pulse, at(2_500));
     }
     let rule = engine_rule(&["hot", "rare"]);
     let mut planner = LoadPlanner::default();
@@ -196,7 +196,7 @@
             in_memory: Vec::new(),
             on_disk,
         };
-        directory.take_pulse(empty, at(900));
+        directory.apply_status(empty, at(900));
     }
     let rule = engine_rule(&["popular", "rare"]);
     let mut planner = LoadPlanner::default();
@@ -228,7 +228,7 @@
     let mut paced = pulse(1, &["m1"], 0);
     paced.number.number = 2;
     paced.load_wait_ms = 2_000;
-    directory.take_pulse(paced, at(950));
+    directory.apply_status(paced, at(950));
     let outcome = plan(&directory, &["m1", "m2"], &demand(&[("m2", 0.0, 3.0)]));
     assert!(outcome.planned.is_empty());
     assert_eq!(outcome.blocked[0].paced, 1);
@@ -363,7 +363,7 @@
     let mut fresh = pulse(2, &[], 0);
     fresh.number.number = 2;
     fresh.load_wait_ms = u32::MAX;
-    directory.take_pulse(fresh, at(900));
+    directory.apply_status(fresh, at(900));
     let outcome = plan(&directory, &["m1"], &demand(&[("m1", 12.0, 8.0)]));
     assert_eq!(outcome.planned.len(), 1);
     assert_eq!(outcome.planned[0].endpoint, crate::support::endpoint("e2"));
@@ -382,7 +382,7 @@
         in_memory: Vec::new(),
         on_disk: vec![model("m1")],
     };
-    directory.take_pulse(with_copy, at(900));
+    directory.apply_status(with_copy, at(900));
     let mut rule = engine_rule(&["m1", "m2", "m3"]);
     for model in &mut rule.models {
         model.load = Duration::from_secs(6);
--- a/crates/oatpier-serving/tests/testsuite/reads.rs
+++ b/crates/oatpier-serving/tests/testsuite/reads.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oatpier_serving::reads::{
-    OwnEntries, ReadSchedule, StoreDigest, StoreView, WordOutcome, config_mark,
+    DeltaOutcome, InternalEntries, ReadSchedule, StoreDigest, StoreView, config_digest,
 };
 
 use crate::support::{at, millis, record};
@@ -53,7 +53,7 @@
         self.note_news(reader, now);
         for other in 0..self.schedules.len() {
             if other != reader && receives(reader, other) {
-                self.schedules[other].note_told(PERIOD, at(now + 20));
+                self.schedules[other].note_peer_read(PERIOD, at(now + 20));
                 self.note_news(other, now + 20);
             }
         }
@@ -94,14 +94,14 @@
     let mut draining = record(1, &["m1"]);
     draining.draining = true;
     let second = StoreView::new(7, vec![draining, record(3, &["m1"])]);
-    let word = second.word_since(Some(&first));
+    let word = second.delta_since(Some(&first));
     let mut other = first.clone();
-    assert_eq!(other.take_word(&word), WordOutcome::Patched);
+    assert_eq!(other.apply_delta(&word), DeltaOutcome::Patched);
     let draining: Vec<bool> = other.endpoints().iter().map(|row| row.draining).collect();
     assert_eq!(draining, vec![true, false]);
-    assert_eq!(other.take_word(&word), WordOutcome::Same);
+    assert_eq!(other.apply_delta(&word), DeltaOutcome::Same);
     let mut behind = StoreView::new(7, vec![record(1, &["m1"])]);
-    assert_eq!(behind.take_word(&word), WordOutcome::Unknown);
+    assert_eq!(behind.apply_delta(&word), DeltaOutcome::Unknown);
     assert_eq!(behind.endpoints().len(), 1);
 }
 
@@ -111,8 +111,8 @@
     let first = StoreView::new(7, vec![record(1, &["m1"])]);
     let second = StoreView::new(8, vec![record(1, &["m1"]), record(2, &["m1"])]);
     let mut other = first.clone();
-    let word = second.word_since(Some(&first));
-    assert_eq!(other.take_word(&word), WordOutcome::Unknown);
+    let word = second.delta_since(Some(&first));
+    assert_eq!(other.apply_delta(&word), DeltaOutcome::Unknown);
     assert_eq!(other, first);
 }
 
@@ -122,9 +122,9 @@
 fn too_many_changes_are_left_out_of_the_message() {
     let first = StoreView::new(7, Vec::new());
     let second = StoreView::new(7, (1..100).map(|number| record(number, &["m1"])).collect());
-    let word = second.word_since(Some(&first));
+    let word = second.delta_since(Some(&first));
     assert!(word.changed.is_empty());
-    assert_eq!(first.clone().take_word(&word), WordOutcome::Unknown);
+    assert_eq!(first.clone().apply_delta(&word), DeltaOutcome::Unknown);
 }
 
 /// The digest leaves out what engines hold, so messages must not replace a gateway's reads indefinitely.
@@ -134,7 +134,7 @@
     schedule.note_read(at(0), PERIOD);
     let spared = (1..=40).take_while(|number| {
         let now = at(number * 1_000);
-        schedule.note_told(PERIOD, now);
+        schedule.note_peer_read(PERIOD, now);
         schedule.next_at() > now
     });
     assert!(spared.count() < 30);
@@ -165,17 +165,17 @@
 #[test]
 fn configurations_are_distinguished_by_contents() {
     assert_ne!(
-        config_mark(b"{\"version\":7}"),
-        config_mark(b"{\"version\":8}")
+        config_digest(b"{\"version\":7}"),
+        config_digest(b"{\"version\":8}")
     );
     let view = |era| {
-        StoreView::new(7, vec![record(1, &["m1"])]).with_own(&OwnEntries {
+        StoreView::new(7, vec![record(1, &["m1"])]).with_internal(&InternalEntries {
             crashes: &[],
             parts: &[],
             era,
         })
     };
-    let word = view(2).word_since(Some(&view(2)));
-    assert_eq!(view(2).take_word(&word), WordOutcome::Same);
-    assert_eq!(view(1).take_word(&word), WordOutcome::Unknown);
+    let word = view(2).delta_since(Some(&view(2)));
+    assert_eq!(view(2).apply_delta(&word), DeltaOutcome::Same);
+    assert_eq!(view(1).apply_delta(&word), DeltaOutcome::Unknown);
 }
--- a/crates/oatpier-serving/tests/testsuite/relays.rs
+++ b/crates/oatpier-serving/tests/testsuite/relays.rs
@@ -9,7 +9,7 @@
 use oatpier_serving::directory::EndpointDirectory;
 use oatpier_serving::engine::EndpointLoad;
 use oatpier_serving::message::{EngineUpdate, LoadPulse, MessageNumber};
-use oatpier_serving::relays::{RelayCandidate, RelayQueue, draw};
+use oatpier_serving::relays::{RelayCandidate, RelayQueue, select_relays};
 use oatpier_types::names::ZoneName;
 use proptest::prelude::*;
 
@@ -26,7 +26,7 @@
         address: gateway(*number),
         processor: *processor,
     });
-    draw(address(sidecar), candidates)
+    select_relays(address(sidecar), candidates)
 }
 
 fn load(number: u64, running: u32) -> LoadPulse {
@@ -54,9 +54,9 @@
 fn apply_update(directory: &mut EndpointDirectory, update: &EngineUpdate, now: u64) {
     match update {
         EngineUpdate::Pulse(pulse) => {
-            directory.take_pulse((**pulse).clone(), at(now));
+            directory.apply_status((**pulse).clone(), at(now));
         }
-        EngineUpdate::Load(load) => directory.take_load_pulse(load, at(now)),
+        EngineUpdate::Load(load) => directory.apply_load_status(load, at(now)),
     }
 }
 
@@ -105,9 +105,9 @@
 #[test]
 fn relay_queue_keeps_the_newest_update_of_each_kind() {
     let mut queue = RelayQueue::default();
-    queue.take(EngineUpdate::Load(load(3, 5)));
-    queue.take(EngineUpdate::Load(load(2, 9)));
-    queue.take(whole(1, &["m1"], 1));
+    queue.push(EngineUpdate::Load(load(3, 5)));
+    queue.push(EngineUpdate::Load(load(2, 9)));
+    queue.push(whole(1, &["m1"], 1));
     let passed = queue.drain();
     assert_eq!(passed.concat().len(), 2);
     assert!(passed.concat().contains(&EngineUpdate::Load(load(3, 5))));
@@ -118,9 +118,9 @@
 #[test]
 fn updates_forwarded_by_another_relay_are_not_forwarded_again() {
     let mut queue = RelayQueue::default();
-    queue.take(EngineUpdate::Load(load(3, 5)));
-    queue.take(whole(4, &["m1"], 1));
-    queue.note_passed_on(&EngineUpdate::Load(load(3, 5)));
+    queue.push(EngineUpdate::Load(load(3, 5)));
+    queue.push(whole(4, &["m1"], 1));
+    queue.note_forwarded(&EngineUpdate::Load(load(3, 5)));
     assert_eq!(queue.drain(), vec![vec![whole(4, &["m1"], 1)]]);
 }
 
@@ -135,7 +135,7 @@
     apply_update(&mut directory, &whole(2, &["m1", "m2"], 2), 20);
     let row = directory.row(&endpoint("e1")).unwrap();
     assert!(row.holds(&model("m2"), at(30)));
-    assert_eq!(row.present(), 7);
+    assert_eq!(row.request_count(), 7);
 }
 
 /// Three zones of four gateways and some engines, with the directory of each gateway.
@@ -184,14 +184,14 @@
                 address: gateway(u8::try_from(index).unwrap()),
                 processor: 100,
             });
-            let relays = draw(address(engine), candidates);
+            let relays = select_relays(address(engine), candidates);
             let mut status = pulse(engine, &[holds], 1);
             status.number.number = number;
             let update = EngineUpdate::Pulse(Box::new(status));
             for relay in relays.into_iter().map(Self::index) {
                 if !self.dead.contains(&relay) && !loses() {
                     apply_update(&mut self.known[relay], &update, now);
-                    self.queues[relay].take(update.clone());
+                    self.queues[relay].push(update.clone());
                 }
             }
         }
@@ -202,7 +202,7 @@
                         continue;
                     }
                     for update in &updates {
-                        self.queues[other].note_passed_on(update);
+                        self.queues[other].note_forwarded(update);
                         apply_update(&mut self.known[other], update, now + 40);
                     }
                 }
@@ -267,6 +267,6 @@
         let row = directory.row(&endpoint("e1")).unwrap();
         let held = names(models[39])[0];
         prop_assert!(row.holds(&model(held), at(210)));
-        prop_assert_eq!(row.present(), 40);
+        prop_assert_eq!(row.request_count(), 40);
     }
 }
--- a/crates/oatpier-serving/tests/testsuite/support.rs
+++ b/crates/oatpier-serving/tests/testsuite/support.rs
@@ -113,7 +113,7 @@
     let records = numbered().map(|(number, (models, _))| record(number, models));
     directory.apply_registry(records.collect(), now);
     for (number, (models, running)) in numbered() {
-        directory.take_pulse(pulse(number, models, *running), now);
+        directory.apply_status(pulse(number, models, *running), now);
     }
     directory
 }
@@ -123,7 +123,7 @@
     let adapter = AdapterName::try_from(adapter_name).ok();
     CallerRequest {
         id: "r1".to_owned(),
-        patience: Some(Duration::from_secs(10)),
+        caller_timeout: Some(Duration::from_secs(10)),
         weights: Some(WeightsKey {
             model: model(name),
             adapter,
