--- a/crates/oatpier-gateway/src/exchange.rs
+++ b/crates/oatpier-gateway/src/exchange.rs
@@ -10,8 +10,8 @@
 
 use crate::metrics::ServingMetrics;
 
-/// Maximum size of a received datagram. It is far above the pulse of an engine with many adapters, and above a report
-/// of demand for five hundred models.
+/// Maximum size of a received datagram. It is far above the status update of an engine with many adapters, and above a
+/// report of demand for five hundred models.
 const MAX_DATAGRAM_BYTES: usize = 32 << 10;
 
 /// Directions of messages, as values of metric labels.
--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounts.rs
@@ -92,9 +92,10 @@
             state.demand.note_ended(&weights.model, now);
         }
         self.report_failure(&state, context, endpoint, outcome);
-        let greeting = makes_room.then(|| self.greeting(&mut state, &context.service, endpoint));
+        let subscription =
+            makes_room.then(|| self.subscription(&mut state, &context.service, endpoint));
         drop(state);
-        if let Some(due) = greeting.flatten() {
+        if let Some(due) = subscription.flatten() {
             due.send(self);
         }
         self.record_suspect_end(context, endpoint, sent, outcome);
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -166,14 +166,14 @@
 
     /// Records what the response head reports about the endpoint.
     fn record_notice(&self, notice: EndpointNotice, was_taken: bool) {
-        let heard = ReceivedNotice {
+        let received = ReceivedNotice {
             notice,
             was_accepted: was_taken,
             sent: &self.sent,
             sent_at: self.sent_at,
         };
         let request = &self.context.request.id;
-        self.core.record_notice(&self.endpoint, &heard, request);
+        self.core.record_notice(&self.endpoint, &received, request);
     }
 
     /// Records that the first chunk of the response was received.
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -14,8 +14,7 @@
 use oatpier_serving::crashes::suspects::SuspectTable;
 use oatpier_serving::demand::DemandBook;
 use oatpier_serving::directory::{EndpointDirectory, EndpointRecord};
-use oatpier_serving::greetings::SubscriptionSchedule;
-use oatpier_serving::message::{EnginePulse, EngineUpdate, InnerMessage};
+use oatpier_serving::message::{EngineStatus, EngineUpdate, InnerMessage};
 use oatpier_serving::peers::PeerTable;
 use oatpier_serving::planner::LoadPlanner;
 use oatpier_serving::quota::grants::GrantCache;
@@ -25,6 +24,7 @@
 use oatpier_serving::reads::StoreDelta;
 use oatpier_serving::relays::RelayQueue;
 use oatpier_serving::site::{RouteRule, SiteConfig};
+use oatpier_serving::subscriptions::SubscriptionSchedule;
 use oatpier_serving::workspace::quota::QuotaRule;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{DaemonName, PoolName, WorkspaceName, ZoneName};
@@ -84,8 +84,8 @@
     /// Attempts that were cut off, kept until it is known whether their endpoint ended.
     pub(super) cuts: AttemptWatch,
     pub(super) peers: PeerTable,
-    /// Intervals between greetings to sidecars without a current pulse.
-    pub(super) greeting_schedule: SubscriptionSchedule,
+    /// Intervals between subscriptions to sidecars without a current status update.
+    pub(super) subscription_schedule: SubscriptionSchedule,
     /// Quota rules of the workspaces that have limits.
     pub(super) limits: HashMap<WorkspaceName, QuotaRule>,
     /// Which gateway holds which part of the limits.
@@ -114,7 +114,7 @@
     state: Mutex<CoreState>,
     /// Wakes waiting requests after a change of weights or endpoints.
     pub(super) changed: Notify,
-    /// Wakes the greeting loop after endpoints have appeared.
+    /// Wakes the subscription loop after endpoints have appeared.
     pub(super) endpoints_appeared: Notify,
     /// Wakes the reporting loop when demand can't be served.
     pub(super) pressed: Notify,
@@ -166,7 +166,7 @@
             crashes: SuspectTable::default(),
             cuts: AttemptWatch::default(),
             peers: PeerTable::new(settings.inner_address(), settings.processor),
-            greeting_schedule: SubscriptionSchedule::default(),
+            subscription_schedule: SubscriptionSchedule::default(),
             limits: HashMap::new(),
             tenure: PartLeases::new(HolderIdentity {
                 address: settings.inner_address(),
@@ -330,9 +330,9 @@
         self.lock().directory.note_store_failure(now);
     }
 
-    /// Applies a sidecar's pulse.
-    pub fn take_pulse(&self, pulse: EnginePulse) {
-        self.apply_engine_update(EngineUpdate::Pulse(Box::new(pulse)));
+    /// Applies a sidecar's status update.
+    pub fn apply_status(&self, status: EngineStatus) {
+        self.apply_engine_update(EngineUpdate::Status(Box::new(status)));
     }
 
     /// Applies an engine update from a sidecar, and queues it for the other gateways of the availability zone.
@@ -353,9 +353,9 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let changed = match update {
-            EngineUpdate::Pulse(pulse) => {
-                state.peers.note_named(&pulse.gateways, now);
-                state.directory.apply_status(*pulse, now)
+            EngineUpdate::Status(status) => {
+                state.peers.note_named(&status.gateways, now);
+                state.directory.apply_status(*status, now)
             }
             EngineUpdate::Load(load) => {
                 state.directory.apply_load_status(&load, now);
--- a/crates/oatpier-gateway/src/gateway/exchanges.rs
+++ b/crates/oatpier-gateway/src/gateway/exchanges.rs
@@ -10,9 +10,9 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::core::GatewayCore;
-use super::greetings::greet;
 use super::planning::plan;
 use super::reports::{PeerReporter, report};
+use super::subscriptions::subscribe;
 use crate::exchange::InnerSocket;
 use crate::parts_writer::ClaimResult;
 use crate::records::StoreNews;
@@ -49,7 +49,7 @@
         receive_messages(&core, socket),
         apply_store_news(&core, &inputs.news, stop),
         apply_fetched_configs(&core, &inputs.fetched),
-        greet(&core),
+        subscribe(&core),
         relay_reports(&core),
         report(reporter),
         plan(&core, stop),
@@ -61,7 +61,7 @@
     loop {
         let (from, message) = socket.receive().await;
         match message {
-            InnerMessage::Pulse(pulse) => core.take_pulse(*pulse),
+            InnerMessage::Status(status) => core.apply_status(*status),
             InnerMessage::Spread(update) => core.take_spread(update),
             InnerMessage::Relayed(updates) => core.take_relayed(updates),
             InnerMessage::Peer(report) => {
@@ -80,7 +80,7 @@
             InnerMessage::CrashesSeen(records) => core.apply_crashes(&records),
             InnerMessage::CrashesCleared(requests) => core.apply_cleared(&requests),
             // Messages to sidecars.
-            InnerMessage::Greeting(_)
+            InnerMessage::Subscription(_)
             | InnerMessage::AdapterWanted(_)
             | InnerMessage::Advice(_)
             | InnerMessage::PermitAsk(_)
--- a/crates/oatpier-gateway/src/gateway/mod.rs
+++ b/crates/oatpier-gateway/src/gateway/mod.rs
@@ -18,7 +18,7 @@
 //! - `notices`: what endpoints report about themselves in answer headers.
 //! - [`identity`]: authentication of requests, and the workspace they belong to.
 //! - [`quota`]: units of workspaces' limits.
-//! - `greetings`: greetings to sidecars, which make them send pulses.
+//! - `subscriptions`: subscriptions to sidecars' status updates.
 //! - [`exchanges`]: messages between gateways and sidecars.
 //! - `turns`: turns at endpoints that limit the requests of all gateways together.
 //! - `reports`: reports between gateways.
@@ -31,7 +31,6 @@
 pub mod core;
 mod crashes;
 pub mod exchanges;
-mod greetings;
 pub mod handler;
 pub mod identity;
 mod notices;
@@ -46,6 +45,7 @@
 mod reports;
 mod run;
 mod run_log;
+mod subscriptions;
 mod turns;
 
 use std::net::{TcpListener, UdpSocket};
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -16,12 +16,12 @@
     pub(super) fn record_notice(
         &self,
         endpoint: &EndpointName,
-        heard: &ReceivedNotice<'_>,
+        received: &ReceivedNotice<'_>,
         request: &str,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let changes = state.directory.apply_notice(endpoint, heard, now);
+        let changes = state.directory.apply_notice(endpoint, received, now);
         for change in &changes {
             self.log_notice(&state, endpoint, *change, Some(request));
         }
@@ -30,7 +30,7 @@
             .row(endpoint)
             .and_then(|row| row.record.start);
         drop(state);
-        self.broadcast_limit(endpoint, &changes, heard.sent_at);
+        self.broadcast_limit(endpoint, &changes, received.sent_at);
         if changes.contains(&NoticeChange::Leaving) {
             self.changed.notify_waiters();
             self.broadcast(&InnerMessage::LeavingSeen(LeavingReport {
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -165,7 +165,7 @@
         };
         let address = row.record.address;
         let slots = row.record.slots;
-        let load_age = row.pulse_age(now);
+        let load_age = row.status_age(now);
         if choice.needs_adapter {
             if now.since(context.arrived) > context.max_adapter_wait() {
                 self.record_unserved(state, context, now);
@@ -223,7 +223,7 @@
     now: ClockTime,
 ) -> bool {
     let row = state.directory.row(&choice.endpoint);
-    let is_reporting = row.is_some_and(|row| row.pulse(now).is_some());
+    let is_reporting = row.is_some_and(|row| row.status(now).is_some());
     context.route.kind.is_stream() && choice.batches && !choice.memory_full && is_reporting
 }
 
--- a/crates/oatpier-gateway/src/gateway/planning.rs
+++ b/crates/oatpier-gateway/src/gateway/planning.rs
@@ -11,7 +11,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use super::core::GatewayCore;
-use super::greetings::engine_services;
+use super::subscriptions::engine_services;
 use crate::decisions::{DecisionLine, LineWeight};
 
 /// Interval between planning rounds while nothing changes.
--- a/crates/oatpier-gateway/src/lib.rs
+++ b/crates/oatpier-gateway/src/lib.rs
@@ -2,12 +2,12 @@
 //!
 //! | process | thread | module | purpose |
 //! | --- | --- | --- | --- |
-//! | gateway | callers | [`gateway`] | accepts requests, sends them to endpoints and answers; receives pulses and reports, plans loads |
+//! | gateway | callers | [`gateway`] | accepts requests, sends them to endpoints and answers; receives status updates and reports, plans loads |
 //! | gateway | records | [`records`] | reads configuration and registry from the store |
 //! | gateway | crashes | [`crash_writer`] | writes to the store which requests were running at endpoints when these ended |
 //! | gateway | config | [`config_share`] | shares the configuration with gateways that can't read the store |
 //! | gateway | parts | [`parts_writer`] | claims and renews parts of workspaces' limits in the store |
-//! | sidecar | engine | [`sidecar`] | reads its engine's report, sends it orders, sends pulses |
+//! | sidecar | engine | [`sidecar`] | reads its engine's report, sends it orders, sends status updates |
 //! | both | reload | [`reload`] | reloads the settings file |
 //! | both | logs | [`decisions`] | writes decision lines without blocking the other threads |
 //! | both | observe | [`observe`] | serves metrics and readiness |
--- a/crates/oatpier-gateway/src/sidecar/mod.rs
+++ b/crates/oatpier-gateway/src/sidecar/mod.rs
@@ -1,13 +1,13 @@
 //! A sidecar: the only process that sends orders to its engine.
 //!
 //! - [`engine_link`]: calls to the engine.
-//! - [`pulses`]: status messages to gateways, and when they are sent.
+//! - [`statuses`]: status updates to gateways, and when they are sent.
 //!
 //! One loop reads the engine's report, receives messages from gateways, sends the orders that
-//! [`oatpier_serving::residency`] decides on, and sends pulses.
+//! [`oatpier_serving::residency`] decides on, and sends status updates.
 
 pub mod engine_link;
-pub mod pulses;
+pub mod statuses;
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 use crate::reload::{SettingsFeed, SettingsSource};
 
 use self::engine_link::EngineLink;
-use self::pulses::PulseSender;
+use self::statuses::StatusSender;
 
 /// Interval between reads of the engine's report. Reading it on the same VM costs next to nothing. Gateways place
 /// requests by it, so it should be fresher than the time to a first token.
@@ -126,7 +126,7 @@
         permits: PermitDesk::default(),
         failures: FailureCount::default(),
         link: EngineLink::new(address, settings.name.clone()),
-        pulses: PulseSender::new(address, settings.service.clone()),
+        status_sender: StatusSender::new(address, settings.service.clone()),
         socket,
         clock,
         metrics: inputs.metrics,
@@ -150,7 +150,7 @@
     /// Counts of the engine's requests and of those that failed.
     failures: FailureCount,
     link: EngineLink,
-    pulses: PulseSender,
+    status_sender: StatusSender,
     socket: InnerSocket,
     clock: RuntimeClock,
     metrics: ServingMetrics,
@@ -178,10 +178,11 @@
             }
             self.send_orders().await;
             let now = self.clock.now();
-            self.pulses.set_waiting(&self.permits);
+            self.status_sender.set_waiting(&self.permits);
             let failing = self.failures.share_percent(self.clock.now());
-            self.pulses.set_failing(failing);
-            self.pulses.send_due(&self.socket, &self.residency, now);
+            self.status_sender.set_failing(failing);
+            self.status_sender
+                .send_due(&self.socket, &self.residency, now);
         }
     }
 
@@ -208,13 +209,14 @@
     fn handle_message(&mut self, from: SocketAddr, message: InnerMessage) {
         let now = self.clock.now();
         match message {
-            InnerMessage::Greeting(greeting) => {
-                self.pulses.take_greeting(from, &greeting, now);
-                self.health_path = Some(Arc::clone(&greeting.health_path));
-                self.residency.take_greeting(from, &greeting, now);
+            InnerMessage::Subscription(subscription) => {
+                self.status_sender
+                    .apply_subscription(from, &subscription, now);
+                self.health_path = Some(Arc::clone(&subscription.health_path));
+                self.residency.apply_subscription(from, &subscription, now);
             }
             InnerMessage::AdapterWanted(request) => {
-                self.pulses.note_requester(from, now);
+                self.status_sender.note_requester(from, now);
                 self.residency.take_wish(request, now);
             }
             InnerMessage::Advice(advice) => {
@@ -245,7 +247,7 @@
             }
             InnerMessage::AttemptFailed(failure) => self.failures.note_failure(failure, now),
             // Addressed to gateways.
-            InnerMessage::Pulse(_)
+            InnerMessage::Status(_)
             | InnerMessage::Spread(_)
             | InnerMessage::Relayed(_)
             | InnerMessage::Peer(_)
@@ -272,7 +274,7 @@
                     self.log_engine("engine restarted");
                     self.forget_engine();
                 }
-                if !self.pulses.set_answering(true) {
+                if !self.status_sender.set_answering(true) {
                     self.log_engine("engine answers");
                 }
                 self.permits.note_load(report.load, self.clock.now());
@@ -281,7 +283,7 @@
                 self.identify().await;
             }
             Err(cause) => {
-                if self.pulses.set_answering(false) {
+                if self.status_sender.set_answering(false) {
                     let line = DecisionLine::new(LineWeight::Notable, "engine lost");
                     self.log.write(line.with("cause", cause));
                 }
@@ -295,7 +297,7 @@
         self.permits.forget_load();
         self.residency.forget_engine(self.clock.now());
         self.link.forget_instance();
-        self.pulses.set_instance(None);
+        self.status_sender.set_instance(None);
     }
 
     /// Asks the engine for its instance, unless it is known. Without it, each gateway would send the engine one request
@@ -309,7 +311,7 @@
         match self.link.identify(&path).await {
             Ok(()) => {
                 self.log_engine("engine named");
-                self.pulses.set_instance(self.link.instance());
+                self.status_sender.set_instance(self.link.instance());
             }
             Err(cause) => {
                 let line = DecisionLine::new(LineWeight::Notable, "engine not named");
--- a/crates/oatpier-gateway/src/sidecar/pulses.rs
+++ b/crates/oatpier-gateway/src/sidecar/statuses.rs
@@ -1,10 +1,10 @@
-//! Pulses: a sidecar's status messages about its engine, and when gateways get them.
+//! Status updates: a sidecar's messages about its engine, and when gateways get them.
 //!
-//! Pulses go to two relays in each availability zone, which forward them; see [`oatpier_serving::relays`]. Changes
-//! that make gateways place requests elsewhere are sent at once, changes of load after a short interval. A change
-//! that only improves a placement, such as an additional adapter, is sent at once to the gateways that have just
-//! requested an adapter, since their requests wait for it; the others get it with the next full pulse. Unchanged
-//! state is repeated at intervals to make up for lost pulses.
+//! Status updates go to two relays in each availability zone, which forward them; see [`oatpier_serving::relays`].
+//! Changes that make gateways place requests elsewhere are sent at once, changes of load after a short interval. A
+//! change that only improves a placement, such as an additional adapter, is sent at once to the gateways that have
+//! just requested an adapter, since their requests wait for it; the others get it with the next full status update.
+//! Unchanged state is repeated at intervals to make up for lost status updates.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use oatpier_serving::engine::{AdapterKey, EndpointLoad, EngineReport};
 use oatpier_serving::message::{
-    EnginePulse, EngineUpdate, GatewayGreeting, InnerMessage, LoadPulse, MessageNumber,
+    EngineStatus, EngineUpdate, GatewaySubscription, InnerMessage, LoadStatus, MessageNumber,
 };
 use oatpier_serving::permits::PermitDesk;
 use oatpier_serving::relays::{self, RelayCandidate};
@@ -22,34 +22,35 @@
 
 use crate::exchange::MessageOutlet;
 
-/// Time after its last greeting at which a gateway is no longer used as a relay or listed in pulses: two and a half
-/// greeting intervals.
+/// Time after its last subscription at which a gateway is no longer used as a relay or listed in status updates: two
+/// and a half subscription intervals.
 const GATEWAY_EXPIRY: Duration = Duration::from_secs(5);
 
-/// How long a gateway is sent changes directly after it requested an adapter, or sent a greeting that says it gets no
-/// pulses of this engine. It repeats both several times within this period.
+/// How long a gateway is sent changes directly after it requested an adapter, or sent a subscription that says it gets
+/// no status updates of this engine. It repeats both several times within this period.
 const REQUESTER_EXPIRY: Duration = Duration::from_millis(400);
 
-/// Minimum time between two pulses while only the load changes.
+/// Minimum time between two status updates while only the load changes.
 const LOAD_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval between full pulses while nothing changes.
+/// Interval between full status updates while nothing changes.
 const FULL_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Number of gateways listed in one full pulse, in rotation. Listing all of them made the traffic grow with the
-/// square of their number: 610 KB a second at each of 130 gateways. A gateway gets the pulses of all sidecars, each
-/// at a different position of its rotation, so it still learns of all others within one or two pulses.
-const GATEWAYS_PER_PULSE: usize = 16;
+/// Number of gateways listed in one full status update, in rotation. Listing all of them made the traffic grow with
+/// the square of their number: 610 KB a second at each of 130 gateways. A gateway gets the status updates of all
+/// sidecars, each at a different position of its rotation, so it still learns of all others within one or two status
+/// updates.
+const GATEWAYS_PER_STATUS: usize = 16;
 
-/// The kind of pulse that is due.
+/// The kind of status update that is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PulseDue {
+enum StatusDue {
     Nothing,
     Load,
     Full,
 }
 
-/// A gateway that sends greetings.
+/// A gateway that sends subscriptions.
 #[derive(Debug)]
 struct KnownGateway {
     zone: ZoneName,
@@ -57,9 +58,9 @@
     at: ClockTime,
 }
 
-/// Decides when pulses are due, and sends them.
+/// Decides when status updates are due, and sends them.
 #[derive(Debug)]
-pub struct PulseSender {
+pub struct StatusSender {
     engine: SocketAddr,
     service: Option<PoolName>,
     instance: Option<EndpointName>,
@@ -71,16 +72,16 @@
     gateways: HashMap<SocketAddr, KnownGateway>,
     /// Gateways that wait for a change here, with the time of their last request.
     requesters: HashMap<SocketAddr, ClockTime>,
-    /// The last pulse that was sent to the requesters.
-    last_to_requesters: Option<EnginePulse>,
-    /// Position in the sorted gateways at which the next full pulse continues.
+    /// The last status update that was sent to the requesters.
+    last_to_requesters: Option<EngineStatus>,
+    /// Position in the sorted gateways at which the next full status update continues.
     next_listed: usize,
-    last_sent: Option<EnginePulse>,
+    last_sent: Option<EngineStatus>,
     full_sent_at: ClockTime,
     load_sent_at: ClockTime,
 }
 
-impl PulseSender {
+impl StatusSender {
     /// Creates a sender for the engine at an address, and its service.
     #[must_use]
     pub fn new(engine: SocketAddr, service: Option<PoolName>) -> Self {
@@ -99,7 +100,7 @@
             gateways: HashMap::new(),
             requesters: HashMap::new(),
             last_to_requesters: None,
-            next_listed: rand::random_range(0..GATEWAYS_PER_PULSE * GATEWAYS_PER_PULSE),
+            next_listed: rand::random_range(0..GATEWAYS_PER_STATUS * GATEWAYS_PER_STATUS),
             last_sent: None,
             full_sent_at: ClockTime::ZERO,
             load_sent_at: ClockTime::ZERO,
@@ -122,15 +123,21 @@
         self.failing_percent = percent;
     }
 
-    /// Records a greeting. A gateway that gets no pulses of this engine is sent them directly until relays reach it.
-    pub fn take_greeting(&mut self, from: SocketAddr, greeting: &GatewayGreeting, now: ClockTime) {
+    /// Records a subscription. A gateway that gets no status updates of this engine is sent them directly until relays
+    /// reach it.
+    pub fn apply_subscription(
+        &mut self,
+        from: SocketAddr,
+        subscription: &GatewaySubscription,
+        now: ClockTime,
+    ) {
         let gateway = KnownGateway {
-            zone: greeting.zone.clone(),
-            processor: greeting.processor,
+            zone: subscription.zone.clone(),
+            processor: subscription.processor,
             at: now,
         };
         self.gateways.insert(from, gateway);
-        if !greeting.is_heard {
+        if !subscription.is_heard {
             self.note_requester(from, now);
         }
     }
@@ -147,7 +154,7 @@
         self.instance = instance.cloned();
     }
 
-    /// Sends the pulses that are due.
+    /// Sends the status updates that are due.
     pub fn send_due(
         &mut self,
         outlet: &dyn MessageOutlet,
@@ -155,7 +162,7 @@
         now: ClockTime,
     ) {
         self.gateways
-            .retain(|_, greeted| now.since(greeted.at) < GATEWAY_EXPIRY);
+            .retain(|_, gateway| now.since(gateway.at) < GATEWAY_EXPIRY);
         self.requesters
             .retain(|_, requested_at| now.since(*requested_at) < REQUESTER_EXPIRY);
         // Without a report, the only change worth sending is the loss of the engine.
@@ -163,62 +170,62 @@
         if report.is_none() && self.is_answering {
             return;
         }
-        let pulse = self.pulse(&report.unwrap_or_default(), residency, now);
-        self.send_to_requesters(outlet, &pulse);
-        match self.due(&pulse, now) {
-            PulseDue::Nothing => {}
-            PulseDue::Load => self.send_load(outlet, &pulse, now),
-            PulseDue::Full => self.send_full(outlet, pulse, now),
+        let status = self.status(&report.unwrap_or_default(), residency, now);
+        self.send_to_requesters(outlet, &status);
+        match self.due(&status, now) {
+            StatusDue::Nothing => {}
+            StatusDue::Load => self.send_load(outlet, &status, now),
+            StatusDue::Full => self.send_full(outlet, status, now),
         }
     }
 
-    fn send_to_requesters(&mut self, outlet: &dyn MessageOutlet, pulse: &EnginePulse) {
+    fn send_to_requesters(&mut self, outlet: &dyn MessageOutlet, status: &EngineStatus) {
         if self.requesters.is_empty() {
             return;
         }
         let known = self.last_to_requesters.as_ref();
-        if known.is_some_and(|known| with_load_of(pulse, known) == *known) {
+        if known.is_some_and(|known| with_load_of(status, known) == *known) {
             return;
         }
-        let pulse = EnginePulse {
+        let status = EngineStatus {
             number: self.next_number(),
-            ..pulse.clone()
+            ..status.clone()
         };
-        self.last_to_requesters = Some(pulse.clone());
-        let message = InnerMessage::Pulse(Box::new(pulse));
+        self.last_to_requesters = Some(status.clone());
+        let message = InnerMessage::Status(Box::new(status));
         for requester in self.requesters.keys() {
             outlet.send(*requester, &message);
         }
     }
 
-    fn send_full(&mut self, outlet: &dyn MessageOutlet, mut pulse: EnginePulse, now: ClockTime) {
-        pulse.number = self.next_number();
-        self.last_sent = Some(pulse.clone());
-        pulse.gateways = self.next_gateways();
+    fn send_full(&mut self, outlet: &dyn MessageOutlet, mut status: EngineStatus, now: ClockTime) {
+        status.number = self.next_number();
+        self.last_sent = Some(status.clone());
+        status.gateways = self.next_gateways();
         self.full_sent_at = now;
         self.load_sent_at = now;
-        self.send_to_relays(outlet, EngineUpdate::Pulse(Box::new(pulse)));
+        self.send_to_relays(outlet, EngineUpdate::Status(Box::new(status)));
     }
 
-    fn send_load(&mut self, outlet: &dyn MessageOutlet, pulse: &EnginePulse, now: ClockTime) {
+    fn send_load(&mut self, outlet: &dyn MessageOutlet, status: &EngineStatus, now: ClockTime) {
         let number = self.next_number();
         self.load_sent_at = now;
         if let Some(last_sent) = &mut self.last_sent {
-            last_sent.load = pulse.load;
-            last_sent.memory_used = pulse.memory_used;
-            last_sent.permit_wait_ms = pulse.permit_wait_ms;
-            last_sent.permits_waiting = pulse.permits_waiting;
-            last_sent.failing_percent = pulse.failing_percent;
+            last_sent.load = status.load;
+            last_sent.memory_used = status.memory_used;
+            last_sent.permit_wait_ms = status.permit_wait_ms;
+            last_sent.permits_waiting = status.permits_waiting;
+            last_sent.failing_percent = status.failing_percent;
         }
-        let load = LoadPulse {
+        let load = LoadStatus {
             number,
             engine: self.engine,
-            load: pulse.load,
-            memory_used: pulse.memory_used,
-            load_wait_ms: pulse.load_wait_ms,
-            permit_wait_ms: pulse.permit_wait_ms,
-            permits_waiting: pulse.permits_waiting,
-            failing_percent: pulse.failing_percent,
+            load: status.load,
+            memory_used: status.memory_used,
+            load_wait_ms: status.load_wait_ms,
+            permit_wait_ms: status.permit_wait_ms,
+            permits_waiting: status.permits_waiting,
+            failing_percent: status.failing_percent,
         };
         self.send_to_relays(outlet, EngineUpdate::Load(load));
     }
@@ -243,33 +250,33 @@
         self.number
     }
 
-    fn due(&self, pulse: &EnginePulse, now: ClockTime) -> PulseDue {
+    fn due(&self, status: &EngineStatus, now: ClockTime) -> StatusDue {
         let Some(last_sent) = &self.last_sent else {
-            return PulseDue::Full;
+            return StatusDue::Full;
         };
-        if is_urgent(last_sent, pulse) || now.since(self.full_sent_at) >= FULL_INTERVAL {
-            return PulseDue::Full;
+        if is_urgent(last_sent, status) || now.since(self.full_sent_at) >= FULL_INTERVAL {
+            return StatusDue::Full;
         }
-        let load_changed = last_sent.load != pulse.load
-            || last_sent.memory_used != pulse.memory_used
-            || last_sent.permit_wait_ms != pulse.permit_wait_ms
-            || last_sent.permits_waiting != pulse.permits_waiting
-            || last_sent.failing_percent != pulse.failing_percent;
+        let load_changed = last_sent.load != status.load
+            || last_sent.memory_used != status.memory_used
+            || last_sent.permit_wait_ms != status.permit_wait_ms
+            || last_sent.permits_waiting != status.permits_waiting
+            || last_sent.failing_percent != status.failing_percent;
         if load_changed && now.since(self.load_sent_at) >= LOAD_INTERVAL {
-            PulseDue::Load
+            StatusDue::Load
         } else {
-            PulseDue::Nothing
+            StatusDue::Nothing
         }
     }
 
-    fn pulse(
+    fn status(
         &self,
         report: &EngineReport,
         residency: &EngineResidency,
         now: ClockTime,
-    ) -> EnginePulse {
+    ) -> EngineStatus {
         let wait_ms = residency.store_load_wait(now).as_millis();
-        EnginePulse {
+        EngineStatus {
             number: self.number,
             engine: self.engine,
             service: self.service.clone(),
@@ -297,21 +304,21 @@
         }
     }
 
-    /// Returns the gateways to list in the next full pulse.
+    /// Returns the gateways to list in the next full status update.
     fn next_gateways(&mut self) -> Vec<SocketAddr> {
         let mut all: Vec<SocketAddr> = self.gateways.keys().copied().collect();
         all.sort_unstable();
         let first = self.next_listed.checked_rem(all.len()).unwrap_or(0);
-        self.next_listed = first + GATEWAYS_PER_PULSE;
+        self.next_listed = first + GATEWAYS_PER_STATUS;
         all.rotate_left(first);
-        all.truncate(GATEWAYS_PER_PULSE);
+        all.truncate(GATEWAYS_PER_STATUS);
         all
     }
 }
 
-/// Returns a pulse with the load of another one, to compare everything else.
-fn with_load_of(pulse: &EnginePulse, other: &EnginePulse) -> EnginePulse {
-    EnginePulse {
+/// Returns a status update with the load of another one, to compare everything else.
+fn with_load_of(status: &EngineStatus, other: &EngineStatus) -> EngineStatus {
+    EngineStatus {
         number: other.number,
         load: other.load,
         memory_used: other.memory_used,
@@ -319,35 +326,37 @@
         permit_wait_ms: other.permit_wait_ms,
         permits_waiting: other.permits_waiting,
         failing_percent: other.failing_percent,
-        ..pulse.clone()
+        ..status.clone()
     }
 }
 
 /// Returns whether a change must reach all gateways at once, because otherwise they would send requests that the
 /// engine can no longer serve, or refuse requests that it can. An additional adapter is neither; a missing one is the
 /// former.
-fn is_urgent(last_sent: &EnginePulse, pulse: &EnginePulse) -> bool {
-    let changed = EnginePulse {
+fn is_urgent(last_sent: &EngineStatus, status: &EngineStatus) -> bool {
+    let changed = EngineStatus {
         models: last_sent.models.clone(),
         coming: last_sent.coming.clone(),
         adapter_room: last_sent.adapter_room,
         copies: last_sent.copies.clone(),
-        ..with_load_of(pulse, last_sent)
+        ..with_load_of(status, last_sent)
     };
-    changed != *last_sent || holds_other_models(last_sent, pulse) || lacks_adapter(last_sent, pulse)
+    changed != *last_sent
+        || holds_other_models(last_sent, status)
+        || lacks_adapter(last_sent, status)
 }
 
-fn holds_other_models(last_sent: &EnginePulse, pulse: &EnginePulse) -> bool {
-    let models = |pulse: &EnginePulse| -> Vec<ModelName> {
-        let held = pulse.models.iter();
+fn holds_other_models(last_sent: &EngineStatus, status: &EngineStatus) -> bool {
+    let models = |status: &EngineStatus| -> Vec<ModelName> {
+        let held = status.models.iter();
         held.map(|held| held.model.clone()).collect()
     };
-    models(last_sent) != models(pulse)
+    models(last_sent) != models(status)
 }
 
-fn lacks_adapter(last_sent: &EnginePulse, pulse: &EnginePulse) -> bool {
+fn lacks_adapter(last_sent: &EngineStatus, status: &EngineStatus) -> bool {
     let has = |key: &AdapterKey| {
-        let held = pulse.models.iter().find(|held| held.model == key.model);
+        let held = status.models.iter().find(|held| held.model == key.model);
         held.is_some_and(|held| held.adapters.contains(&key.adapter))
     };
     !held_adapters(&last_sent.models).all(|key| has(&key))
--- a/crates/oatpier-gateway/tests/testsuite/crashes.rs
+++ b/crates/oatpier-gateway/tests/testsuite/crashes.rs
@@ -10,13 +10,13 @@
 use oatpier_serving::crashes::changes::CrashChange;
 use oatpier_serving::directory::EndpointRecord;
 use oatpier_serving::fingerprint::{RequestContent, RequestFingerprint};
-use oatpier_serving::message::EnginePulse;
+use oatpier_serving::message::EngineStatus;
 use oatpier_serving::site::RouteKind;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, own_answer, pulse, read_request, record, request,
+    EndpointStep, ScriptedEndpoint, TestGateway, own_answer, read_request, record, request, status,
 };
 
 /// The body that crashes an endpoint.
@@ -243,12 +243,12 @@
     let fleet = FragileFleet::start().await;
     let core = &fleet.gateway.core;
     let engine = fleet.endpoint.address;
-    core.take_pulse(pulse(1, engine, Vec::new()));
+    core.apply_status(status(1, engine, Vec::new()));
     fleet.gateway.send(crashing_request("a1")).await;
     assert!(queued_crashes(&fleet.gateway).is_empty());
-    core.take_pulse(EnginePulse {
+    core.apply_status(EngineStatus {
         answers: false,
-        ..pulse(2, engine, Vec::new())
+        ..status(2, engine, Vec::new())
     });
     assert_eq!(queued_crashes(&fleet.gateway).len(), 1);
 }
--- a/crates/oatpier-gateway/tests/testsuite/failures.rs
+++ b/crates/oatpier-gateway/tests/testsuite/failures.rs
@@ -4,8 +4,8 @@
 use oatpier_serving::site::RouteKind;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, not_executed_response, own_answer, pulse, record,
-    request,
+    EndpointStep, ScriptedEndpoint, TestGateway, not_executed_response, own_answer, record,
+    request, status,
 };
 
 async fn endpoint(step: EndpointStep) -> ScriptedEndpoint {
@@ -131,7 +131,7 @@
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway
         .core
-        .take_pulse(pulse(1, endpoint.address, Vec::new()));
+        .apply_status(status(1, endpoint.address, Vec::new()));
     assert_eq!(gateway.send(request(&[])).await.status(), StatusCode::OK);
     assert!(endpoint.requests()[1].contains("x-oatpier-expect-instance: i-new"));
 }
--- a/crates/oatpier-gateway/tests/testsuite/leaving.rs
+++ b/crates/oatpier-gateway/tests/testsuite/leaving.rs
@@ -6,8 +6,8 @@
 use oatpier_types::names::EndpointName;
 
 use crate::support::{
-    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, own_answer, prompt, pulse,
-    record, request, stream_start, with_headers,
+    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, own_answer, prompt, record,
+    request, status, stream_start, with_headers,
 };
 
 /// Returns responses that announce that their endpoint is leaving.
@@ -52,9 +52,9 @@
 async fn other_gateways_are_informed_that_an_endpoint_is_leaving() {
     let leaving = ScriptedEndpoint::start(leaving_answers(1)).await;
     let reporter = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
-    let mut named = pulse(1, leaving.address, Vec::new());
+    let mut named = status(1, leaving.address, Vec::new());
     named.gateways = vec!["10.0.0.9:7380".parse().unwrap()];
-    reporter.core.take_pulse(named);
+    reporter.core.apply_status(named);
     reporter.send(request(&[])).await;
     let reports = reporter.outlet.sent().into_iter();
     let reports = reports.filter(|(_, message)| matches!(message, InnerMessage::LeavingSeen(_)));
--- a/crates/oatpier-gateway/tests/testsuite/permits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/permits.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::support::{
-    EndpointStep, STREAM_END, ScriptedEndpoint, TestGateway, pulse, request, stream_start,
+    EndpointStep, STREAM_END, ScriptedEndpoint, TestGateway, request, status, stream_start,
 };
 
 const STREAM: RouteKind = RouteKind::Stream {
@@ -62,7 +62,7 @@
     };
     gateway
         .core
-        .take_pulse(pulse(number, engine.address, vec![held]));
+        .apply_status(status(number, engine.address, vec![held]));
 }
 
 fn permit_requests(gateway: &TestGateway) -> Vec<PermitAsk> {
--- a/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
@@ -14,8 +14,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::support::{
-    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, own_answer, prompt, pulse,
-    request, stream_start, with_headers,
+    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, own_answer, prompt, request,
+    status, stream_start, with_headers,
 };
 
 /// The rate that the endpoint accepts, in requests per second.
@@ -189,9 +189,9 @@
     let endpoint = ScriptedEndpoint::start(steps).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.hold_parts_elsewhere();
-    let mut named = pulse(1, endpoint.address, Vec::new());
+    let mut named = status(1, endpoint.address, Vec::new());
     named.gateways = vec!["10.0.0.9:7380".parse().unwrap()];
-    gateway.core.take_pulse(named);
+    gateway.core.apply_status(named);
     for _ in 0..3 {
         let sending = gateway.send(request_with_short_deadline());
         gateway.with_turns(sending, |_| TurnAnswer::In(0)).await;
--- a/crates/oatpier-gateway/tests/testsuite/refusals.rs
+++ b/crates/oatpier-gateway/tests/testsuite/refusals.rs
@@ -10,7 +10,7 @@
 use oatpier_types::names::ModelName;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, config, own_answer, pulse, request, route,
+    EndpointStep, ScriptedEndpoint, TestGateway, config, own_answer, request, route, status,
 };
 
 #[tokio::test]
@@ -93,7 +93,7 @@
     };
     gateway
         .core
-        .take_pulse(pulse(1, engine.address, vec![held(&[])]));
+        .apply_status(status(1, engine.address, vec![held(&[])]));
     let sending = gateway.send(request(&[("x-oatpier-model", "m1/a1")]));
     let loading = async {
         while gateway.outlet.sent().is_empty() {
@@ -105,7 +105,7 @@
         );
         gateway
             .core
-            .take_pulse(pulse(2, engine.address, vec![held(&["a1"])]));
+            .apply_status(status(2, engine.address, vec![held(&["a1"])]));
     };
     let (answer, ()) = tokio::join!(sending, loading);
     assert_eq!(answer.status(), StatusCode::OK);
--- a/crates/oatpier-gateway/tests/testsuite/relayed.rs
+++ b/crates/oatpier-gateway/tests/testsuite/relayed.rs
@@ -4,13 +4,15 @@
 
 use http::StatusCode;
 use oatpier_serving::engine::{EndpointLoad, HeldModel};
-use oatpier_serving::message::{EngineUpdate, InnerMessage, LoadPulse, MessageNumber, PermitGrant};
+use oatpier_serving::message::{
+    EngineUpdate, InnerMessage, LoadStatus, MessageNumber, PermitGrant,
+};
 use oatpier_serving::site::RouteKind;
 use oatpier_types::names::ModelName;
 use tokio::time::sleep;
 
 use crate::support::{
-    EndpointStep, STREAM_END, ScriptedEndpoint, TestGateway, pulse, request, stream_start,
+    EndpointStep, STREAM_END, ScriptedEndpoint, TestGateway, request, status, stream_start,
 };
 
 const STREAM: RouteKind = RouteKind::Stream {
@@ -23,11 +25,11 @@
         model: ModelName::try_from(model).unwrap(),
         adapters: Vec::new(),
     };
-    EngineUpdate::Pulse(Box::new(pulse(number, engine.address, vec![held])))
+    EngineUpdate::Status(Box::new(status(number, engine.address, vec![held])))
 }
 
 fn load_update(engine: &ScriptedEndpoint, number: u64, running: u32) -> EngineUpdate {
-    EngineUpdate::Load(LoadPulse {
+    EngineUpdate::Load(LoadStatus {
         number: MessageNumber { boot: 1, number },
         engine: engine.address,
         load: EndpointLoad {
--- a/crates/oatpier-gateway/tests/testsuite/pulses.rs
+++ b/crates/oatpier-gateway/tests/testsuite/statuses.rs
@@ -1,12 +1,12 @@
-//! Pulses that sidecars send to gateways.
+//! Status updates that sidecars send to gateways.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use oatpier_gateway::sidecar::pulses::PulseSender;
+use oatpier_gateway::sidecar::statuses::StatusSender;
 use oatpier_serving::engine::{EngineReport, HeldModel};
-use oatpier_serving::message::{EnginePulse, EngineUpdate, GatewayGreeting, InnerMessage};
+use oatpier_serving::message::{EngineStatus, EngineUpdate, GatewaySubscription, InnerMessage};
 use oatpier_serving::residency::{EngineResidency, LoadPace};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{AdapterName, ModelName, ZoneName};
@@ -29,8 +29,8 @@
     residency
 }
 
-fn greeting(zone: &str, is_heard: bool) -> GatewayGreeting {
-    GatewayGreeting {
+fn subscription(zone: &str, is_heard: bool) -> GatewaySubscription {
+    GatewaySubscription {
         zone: ZoneName::try_from(zone).unwrap(),
         processor: 100,
         is_heard,
@@ -63,37 +63,38 @@
     AdapterName::try_from(name).unwrap()
 }
 
-/// Returns the full pulses that were sent, with their receivers.
-fn sent_full_pulses(outlet: &KeptOutlet) -> Vec<(SocketAddr, EnginePulse)> {
-    let pulse = |(to, message): (SocketAddr, InnerMessage)| match message {
-        InnerMessage::Pulse(pulse) | InnerMessage::Spread(EngineUpdate::Pulse(pulse)) => {
-            Some((to, *pulse))
+/// Returns the full status updates that were sent, with their receivers.
+fn sent_full_statuses(outlet: &KeptOutlet) -> Vec<(SocketAddr, EngineStatus)> {
+    let status = |(to, message): (SocketAddr, InnerMessage)| match message {
+        InnerMessage::Status(status) | InnerMessage::Spread(EngineUpdate::Status(status)) => {
+            Some((to, *status))
         }
         _ => None,
     };
-    outlet.sent().into_iter().filter_map(pulse).collect()
+    outlet.sent().into_iter().filter_map(status).collect()
 }
 
-/// Many gateways send greetings to a sidecar. If each pulse listed all of them, the traffic at each gateway would
-/// grow with the square of their number. Each pulse lists a few, and all gateways are listed within some pulses.
+/// Many gateways send subscriptions to a sidecar. If each status update listed all of them, the traffic at each
+/// gateway would grow with the square of their number. Each status update lists a few, and all gateways are listed
+/// within some status updates.
 #[test]
-fn pulses_list_gateways_in_rotation() {
+fn status_updates_list_gateways_in_rotation() {
     let outlet = KeptOutlet::default();
-    let mut sender = PulseSender::new(address(200), None);
+    let mut sender = StatusSender::new(address(200), None);
     sender.set_answering(true);
     let residency = residency();
     for second in 1..=5 {
         let now = ClockTime::from_millis(second * 1_000);
         for number in 0..60 {
-            sender.take_greeting(address(number), &greeting("near", true), now);
+            sender.apply_subscription(address(number), &subscription("near", true), now);
         }
         sender.send_due(&outlet, &residency, now);
     }
     let mut listed: Vec<SocketAddr> = Vec::new();
     for (_, message) in outlet.sent() {
-        if let InnerMessage::Spread(EngineUpdate::Pulse(pulse)) = message {
-            assert!(pulse.gateways.len() <= 16);
-            listed.extend(pulse.gateways);
+        if let InnerMessage::Spread(EngineUpdate::Status(status)) = message {
+            assert!(status.gateways.len() <= 16);
+            listed.extend(status.gateways);
         }
     }
     listed.sort_unstable();
@@ -101,19 +102,19 @@
     assert_eq!(listed.len(), 60);
 }
 
-/// 60 gateways in three availability zones send greetings to a sidecar. It sends its pulse to two in each zone,
-/// whatever their number.
+/// 60 gateways in three availability zones send subscriptions to a sidecar. It sends its status update to two in each
+/// zone, whatever their number.
 #[test]
-fn a_pulse_goes_to_two_gateways_of_each_zone() {
+fn status_update_goes_to_two_gateways_of_each_zone() {
     let outlet = KeptOutlet::default();
-    let mut sender = PulseSender::new(address(200), None);
+    let mut sender = StatusSender::new(address(200), None);
     sender.set_answering(true);
     for number in 0..60 {
         let zone = ["a", "b", "c"][usize::from(number % 3)];
-        sender.take_greeting(address(number), &greeting(zone, true), at(1_000));
+        sender.apply_subscription(address(number), &subscription(zone, true), at(1_000));
     }
     sender.send_due(&outlet, &residency(), at(1_000));
-    let sent = sent_full_pulses(&outlet);
+    let sent = sent_full_statuses(&outlet);
     assert_eq!(sent.len(), 6);
     let mut zones: Vec<u8> = sent
         .iter()
@@ -126,38 +127,38 @@
     assert_eq!(zones, vec![0, 0, 1, 1, 2, 2]);
 }
 
-/// A gateway that has just started, or whose relays are gone, gets no pulses of an engine and would assume that the
-/// engine has no sidecar. Its greeting says so, and the sidecar sends it pulses directly.
+/// A gateway that has just started, or whose relays are gone, gets no status updates of an engine and would assume
+/// that the engine has no sidecar. Its subscription says so, and the sidecar sends it status updates directly.
 #[test]
-fn a_gateway_without_pulses_is_sent_them_directly() {
+fn gateway_without_status_updates_is_sent_them_directly() {
     let outlet = KeptOutlet::default();
-    let mut sender = PulseSender::new(address(200), None);
+    let mut sender = StatusSender::new(address(200), None);
     sender.set_answering(true);
     for number in 0..9 {
-        sender.take_greeting(address(number), &greeting("near", true), at(1_000));
+        sender.apply_subscription(address(number), &subscription("near", true), at(1_000));
     }
     let residency = residency();
     sender.send_due(&outlet, &residency, at(1_000));
     for number in 0..9 {
-        sender.take_greeting(address(number), &greeting("near", false), at(1_100));
+        sender.apply_subscription(address(number), &subscription("near", false), at(1_100));
     }
     sender.send_due(&outlet, &residency, at(1_100));
     let sent = outlet
         .sent()
         .into_iter()
-        .filter(|(_, message)| matches!(message, InnerMessage::Pulse(_)));
+        .filter(|(_, message)| matches!(message, InnerMessage::Status(_)));
     assert_eq!(sent.count(), 9);
 }
 
-/// An adapter is loaded for a request of one gateway, which waits for it. That gateway is notified at once, the
-/// others with the next full pulse. The loss of an adapter is sent to all at once; otherwise they would send requests
+/// An adapter is loaded for a request of one gateway, which waits for it. That gateway is notified at once, the others
+/// with the next full status update. The loss of an adapter is sent to all at once; otherwise they would send requests
 /// that the engine rejects.
 #[test]
 fn a_new_adapter_is_sent_at_once_to_its_requester_and_a_lost_one_to_all() {
     let outlet = KeptOutlet::default();
-    let mut sender = PulseSender::new(address(200), None);
+    let mut sender = StatusSender::new(address(200), None);
     sender.set_answering(true);
-    sender.take_greeting(address(1), &greeting("near", true), at(1_000));
+    sender.apply_subscription(address(1), &subscription("near", true), at(1_000));
     let mut residency = residency();
     report_adapters(&mut residency, &["a1"]);
     sender.send_due(&outlet, &residency, at(1_000));
@@ -166,7 +167,7 @@
     sender.send_due(&outlet, &residency, at(1_020));
     report_adapters(&mut residency, &["a2"]);
     sender.send_due(&outlet, &residency, at(1_040));
-    let sent = sent_full_pulses(&outlet);
+    let sent = sent_full_statuses(&outlet);
     let adapters = |to: SocketAddr| -> Vec<Vec<AdapterName>> {
         let received = sent.iter().filter(|row| row.0 == to);
         received
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -18,7 +18,7 @@
 use oatpier_serving::directory::EndpointRecord;
 use oatpier_serving::engine::{EndpointLoad, HeldModel, LocalCopies};
 use oatpier_serving::message::{
-    EnginePulse, InnerMessage, MessageNumber, PermitGrant, TurnAsk, TurnReply,
+    EngineStatus, InnerMessage, MessageNumber, PermitGrant, TurnAsk, TurnReply,
 };
 use oatpier_serving::node::{NodeBounds, NodeSettings};
 use oatpier_serving::quota::PartIndex;
@@ -281,9 +281,9 @@
             model: ModelName::try_from("m1").unwrap(),
             adapters: Vec::new(),
         };
-        let mut heard = pulse(1, engine.address, vec![held]);
-        heard.load.running = running;
-        self.core.take_pulse(heard);
+        let mut update = status(1, engine.address, vec![held]);
+        update.load.running = running;
+        self.core.apply_status(update);
     }
 
     /// Returns the ids of the permit requests sent by the gateway, without repetitions, in order.
@@ -470,8 +470,8 @@
     }
 }
 
-pub fn pulse(number: u64, engine: SocketAddr, models: Vec<HeldModel>) -> EnginePulse {
-    EnginePulse {
+pub fn status(number: u64, engine: SocketAddr, models: Vec<HeldModel>) -> EngineStatus {
+    EngineStatus {
         number: MessageNumber { boot: 1, number },
         engine,
         service: Some(service()),
--- a/crates/oatpier-serving/src/directory/liveness.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -65,12 +65,12 @@
 impl EndpointRow {
     /// Returns whether the engine's sidecar, on the same VM, gets no answer from it.
     fn is_unresponsive(&self, now: ClockTime) -> bool {
-        self.pulse(now).is_some_and(|pulse| !pulse.answers)
+        self.status(now).is_some_and(|status| !status.answers)
     }
 
     fn has_responded_to_sidecar(&self, after: ClockTime, now: ClockTime) -> bool {
-        let kept = self.pulse.as_ref();
+        let kept = self.status.as_ref();
         let is_later = kept.is_some_and(|kept| kept.whole_at >= after);
-        is_later && self.pulse(now).is_some_and(|pulse| pulse.answers)
+        is_later && self.status(now).is_some_and(|status| status.answers)
     }
 }
--- a/crates/oatpier-serving/src/directory/mod.rs
+++ b/crates/oatpier-serving/src/directory/mod.rs
@@ -1,16 +1,16 @@
 //! The endpoints that a gateway knows, from the registry, sidecars' status updates and its own requests.
 //!
 //! The registry lists the endpoints with a delay of seconds. The status update of a sidecar
-//! ([`EnginePulse`]) reports what its engine holds and does, with a delay of a fraction of a second.
+//! ([`EngineStatus`]) reports what its engine holds and does, with a delay of a fraction of a second.
 //! Responses report the load of an endpoint a moment ago. For each fact the newest source applies.
 
 mod departures;
 mod liveness;
 mod notices;
-mod pulse;
 mod requests;
 mod rest;
 mod row;
+mod status;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,13 +23,13 @@
 
 use crate::engine::EndpointLoad;
 use crate::health::{HealthSettings, HealthTracker};
-use crate::message::{AdapterUse, EnginePulse, LoadPulse, ModelUse};
+use crate::message::{AdapterUse, EngineStatus, LoadStatus, ModelUse};
 use crate::reading::ReadingPaces;
 
 use departures::DepartedEndpoints;
 pub use notices::ReceivedNotice;
 pub use requests::RequestOutcome;
-pub use row::{AdapterState, EndpointRecord, EndpointRow, PULSE_EXPIRY, ReportedLimit};
+pub use row::{AdapterState, EndpointRecord, EndpointRow, ReportedLimit, STATUS_EXPIRY};
 
 /// Time after the store's recovery within which an endpoint may still rewrite an entry that is missing from
 /// the registry. The platform guarantees about two seconds.
@@ -181,7 +181,7 @@
         if row.is_other_incarnation(record.start) {
             // The sidecar reads its engine's report on the same VM several times a second, while the
             // registry lists an incarnation until the next heartbeat of its endpoint.
-            if row.pulse(now).is_some_and(|pulse| pulse.start.is_some()) {
+            if row.status(now).is_some_and(|status| status.start.is_some()) {
                 return;
             }
             let index = self.indices.allocate();
@@ -244,10 +244,10 @@
     }
 
     /// Applies a sidecar's status update and returns whether it changed what the engine holds.
-    pub fn apply_status(&mut self, pulse: EnginePulse, now: ClockTime) -> bool {
-        let known = self.by_address.get(&pulse.engine);
-        let replaced = pulse.instance.clone().zip(known.cloned());
-        let changed = self.store_pulse(pulse, now);
+    pub fn apply_status(&mut self, status: EngineStatus, now: ClockTime) -> bool {
+        let known = self.by_address.get(&status.engine);
+        let replaced = status.instance.clone().zip(known.cloned());
+        let changed = self.store_status(status, now);
         if let Some((instance, known)) = replaced
             && instance != known
         {
@@ -257,40 +257,40 @@
         changed
     }
 
-    fn store_pulse(&mut self, pulse: EnginePulse, now: ClockTime) -> bool {
+    fn store_status(&mut self, status: EngineStatus, now: ClockTime) -> bool {
         let Some(row) = self
             .by_address
-            .get(&pulse.engine)
+            .get(&status.engine)
             .and_then(|name| self.rows.get_mut(name))
         else {
             return false;
         };
-        let kept = row.pulse.as_ref();
-        if kept.is_some_and(|kept| !pulse.number.supersedes(kept.pulse.number)) {
+        let kept = row.status.as_ref();
+        if kept.is_some_and(|kept| !status.number.supersedes(kept.status.number)) {
             return false;
         }
-        if row.is_other_incarnation(pulse.start) {
+        if row.is_other_incarnation(status.start) {
             let record = EndpointRecord {
-                start: pulse.start,
+                start: status.start,
                 draining: false,
                 ..row.record.clone()
             };
             row.restart(record, self.indices.allocate());
         }
-        row.record.start = pulse.start.or(row.record.start);
-        let kept = row.pulse.as_ref();
+        row.record.start = status.start.or(row.record.start);
+        let kept = row.status.as_ref();
         let changed = kept.is_none_or(|kept| {
-            kept.pulse.models != pulse.models
-                || kept.pulse.retiring != pulse.retiring
-                || kept.pulse.draining != pulse.draining
+            kept.status.models != status.models
+                || kept.status.retiring != status.retiring
+                || kept.status.draining != status.draining
         });
-        row.store_pulse(pulse, now);
+        row.store_status(status, now);
         changed
     }
 
     /// Applies a sidecar's update of its engine's load. It is ignored unless a full status update of the
     /// same sidecar incarnation has been received before.
-    pub fn apply_load_status(&mut self, load: &LoadPulse, now: ClockTime) {
+    pub fn apply_load_status(&mut self, load: &LoadStatus, now: ClockTime) {
         let row = self
             .by_address
             .get(&load.engine)
@@ -298,7 +298,7 @@
         let Some(row) = row else {
             return;
         };
-        let Some(kept) = &mut row.pulse else {
+        let Some(kept) = &mut row.status else {
             return;
         };
         if kept.take_load(load) {
@@ -329,14 +329,14 @@
             return;
         };
         row.is_gone = true;
-        let is_same_service = row.pulse(now).is_some_and(|pulse| {
-            pulse.answers && pulse.service.as_ref() == Some(&row.record.service)
+        let is_same_service = row.status(now).is_some_and(|status| {
+            status.answers && status.service.as_ref() == Some(&row.record.service)
         });
         let Some(successor) = successor.filter(|_| is_same_service) else {
             return;
         };
         if self.rows.contains_key(successor) {
-            self.move_pulse(name, successor);
+            self.move_status(name, successor);
             return;
         }
         if let Some(old) = self.rows.remove(name) {
@@ -347,11 +347,11 @@
     }
 
     /// Moves the status update received under the engine's previous name to its current name.
-    fn move_pulse(&mut self, name: &EndpointName, successor: &EndpointName) {
-        let pulse = self.rows.get_mut(name).and_then(|row| row.pulse.take());
+    fn move_status(&mut self, name: &EndpointName, successor: &EndpointName) {
+        let status = self.rows.get_mut(name).and_then(|row| row.status.take());
         if let Some(row) = self.rows.get_mut(successor) {
             row.is_gone = false;
-            row.pulse = pulse.or(row.pulse.take());
+            row.status = status.or(row.status.take());
         }
         self.rebuild();
     }
@@ -368,7 +368,7 @@
             ..old.record
         };
         EndpointRow {
-            pulse: old.pulse,
+            status: old.status,
             adopted_at: Some(now),
             ..EndpointRow::new(record, index)
         }
@@ -389,8 +389,8 @@
     /// Returns the number of engines with a recent status update.
     #[must_use]
     pub fn reporting_engines(&self, now: ClockTime) -> u32 {
-        let heard = self.rows.values().filter(|row| row.pulse(now).is_some());
-        u32::try_from(heard.count()).unwrap_or(u32::MAX)
+        let reporting = self.rows.values().filter(|row| row.status(now).is_some());
+        u32::try_from(reporting.count()).unwrap_or(u32::MAX)
     }
 
     /// Returns all endpoints.
--- a/crates/oatpier-serving/src/directory/row.rs
+++ b/crates/oatpier-serving/src/directory/row.rs
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 
 use super::REGISTRY_GRACE;
-use super::pulse::{LatestPulse, LoadEstimate};
 use super::rest::RestState;
+use super::status::{LatestStatus, LoadEstimate};
 use crate::engine::{AdapterKey, HeldModel, LocalCopies, StartTime};
 use crate::health::{DurationEstimate, FailureShare};
-use crate::message::EnginePulse;
+use crate::message::EngineStatus;
 use crate::notice::RequestRate;
 use crate::quota::turns::TurnEstimates;
 use crate::reading::ReadingLoad;
@@ -22,11 +22,11 @@
 
 /// Age after which a status update no longer counts and the registry entry applies instead. Six periods of
 /// an idle sidecar.
-pub const PULSE_EXPIRY: Duration = Duration::from_millis(1_500);
+pub const STATUS_EXPIRY: Duration = Duration::from_millis(1_500);
 
 /// Time without an update after which a sidecar is overdue. Sidecars send an update at least every 0.8 s,
 /// and every 100 ms while the engine is working.
-const PULSE_OVERDUE_AFTER: Duration = Duration::from_secs(1);
+const STATUS_OVERDUE_AFTER: Duration = Duration::from_secs(1);
 
 /// Minimum remaining time assumed for a load in progress. It applies to a load that exceeds its expected
 /// duration, because engines report no progress.
@@ -118,10 +118,10 @@
     /// Time for which a request holds a slot.
     pub slot_time: DurationEstimate,
     pub(super) load: LoadEstimate,
-    pub(super) pulse: Option<LatestPulse>,
+    pub(super) status: Option<LatestStatus>,
     pub(super) failures: FailureShare,
     /// This gateway's requests in progress by adapter; 0 for an adapter that was used since the last
-    /// greeting.
+    /// subscription.
     pub(super) adapters: HashMap<AdapterKey, u32>,
     /// This gateway's requests in progress by model.
     pub(super) models: HashMap<ModelName, u32>,
@@ -158,7 +158,7 @@
             prefill: ReadingLoad::default(),
             slot_time: DurationEstimate::starting_at(hold),
             load: LoadEstimate::default(),
-            pulse: None,
+            status: None,
             failures: FailureShare::default(),
             adapters: HashMap::new(),
             models: HashMap::new(),
@@ -217,7 +217,7 @@
         is_limited || self.rest.is_some_and(rests)
     }
 
-    /// Returns whether this gateway's requests use its adapters or have used them since the last greeting.
+    /// Returns whether this gateway's requests use its adapters or have used them since the last subscription.
     #[must_use]
     pub fn uses_adapters(&self) -> bool {
         !self.adapters.is_empty()
@@ -248,32 +248,32 @@
 
     /// Returns the latest status update, unless it has expired.
     #[must_use]
-    pub fn pulse(&self, now: ClockTime) -> Option<&EnginePulse> {
-        let kept = self.pulse.as_ref()?;
-        (now.since(kept.at) <= PULSE_EXPIRY).then_some(&kept.pulse)
+    pub fn status(&self, now: ClockTime) -> Option<&EngineStatus> {
+        let kept = self.status.as_ref()?;
+        (now.since(kept.at) <= STATUS_EXPIRY).then_some(&kept.status)
     }
 
     /// Returns the age of the latest status update, unless it has expired.
     #[must_use]
-    pub fn pulse_age(&self, now: ClockTime) -> Option<Duration> {
-        let age = now.since(self.pulse.as_ref()?.at);
-        (age <= PULSE_EXPIRY).then_some(age)
+    pub fn status_age(&self, now: ClockTime) -> Option<Duration> {
+        let age = now.since(self.status.as_ref()?.at);
+        (age <= STATUS_EXPIRY).then_some(age)
     }
 
     /// Returns the prefill time, in milliseconds, of the prompts known to be at the endpoint or to wait for
     /// a permit.
     #[must_use]
     pub fn pending_prefill_ms(&self, now: ClockTime) -> f64 {
-        let queued_ms = self.pulse(now).map_or(0, |pulse| pulse.permit_wait_ms);
+        let queued_ms = self.status(now).map_or(0, |status| status.permit_wait_ms);
         self.prefill.ms().max(f64::from(queued_ms))
     }
 
     /// Returns whether its sidecar has sent updates before but is overdue with the next one.
     #[must_use]
     pub fn is_overdue(&self, now: ClockTime) -> bool {
-        self.pulse
+        self.status
             .as_ref()
-            .is_some_and(|kept| now.since(kept.at) > PULSE_OVERDUE_AFTER)
+            .is_some_and(|kept| now.since(kept.at) > STATUS_OVERDUE_AFTER)
     }
 
     /// Returns whether it replaced its predecessor so recently that the registry may not list it yet.
@@ -286,14 +286,14 @@
     #[must_use]
     pub fn is_open(&self, now: ClockTime) -> bool {
         let leaving = self.record.draining || self.is_gone;
-        !leaving && !self.pulse(now).is_some_and(|pulse| pulse.draining)
+        !leaving && !self.status(now).is_some_and(|status| status.draining)
     }
 
     /// Returns the models that it holds according to the newest source.
     #[must_use]
     pub fn models(&self, now: ClockTime) -> &[HeldModel] {
-        match self.pulse(now) {
-            Some(pulse) => &pulse.models,
+        match self.status(now) {
+            Some(status) => &status.models,
             None => &self.record.models,
         }
     }
@@ -302,8 +302,8 @@
     #[must_use]
     pub fn holds(&self, model: &ModelName, now: ClockTime) -> bool {
         let retiring = self
-            .pulse(now)
-            .is_some_and(|pulse| pulse.retiring.contains(model));
+            .status(now)
+            .is_some_and(|status| status.retiring.contains(model));
         !retiring && self.models(now).iter().any(|held| held.model == *model)
     }
 
@@ -315,8 +315,8 @@
         rule: &EngineRule,
         now: ClockTime,
     ) -> Option<Duration> {
-        let pulse = self.pulse(now)?;
-        Some(rule.model(model)?.load_with(&pulse.copies))
+        let status = self.status(now)?;
+        Some(rule.model(model)?.load_with(&status.copies))
     }
 
     /// Returns the time until a model is ready, if it is being loaded or about to be loaded.
@@ -327,13 +327,13 @@
         rule: &EngineRule,
         now: ClockTime,
     ) -> Option<Duration> {
-        let pulse = self.pulse(now)?;
+        let status = self.status(now)?;
         let loading = self.loading.as_ref()?;
         if loading.model != *model {
             return None;
         }
         let load = self.load_time(model, rule, now)?;
-        if pulse.retiring.is_empty() {
+        if status.retiring.is_empty() {
             Some(
                 load.saturating_sub(now.since(loading.since))
                     .max(MIN_REMAINING_LOAD),
@@ -345,27 +345,27 @@
 
     /// Stores a status update. Status updates and load updates arrive through different relays, so a newer
     /// load update may already have been applied.
-    pub(super) fn store_pulse(&mut self, pulse: EnginePulse, now: ClockTime) {
-        let newer = self.pulse.as_ref().map(LatestPulse::load);
-        let mut kept = LatestPulse {
-            load_number: pulse.number,
-            pulse,
+    pub(super) fn store_status(&mut self, status: EngineStatus, now: ClockTime) {
+        let newer = self.status.as_ref().map(LatestStatus::load);
+        let mut kept = LatestStatus {
+            load_number: status.number,
+            status,
             at: now,
             whole_at: now,
         };
         if !newer.is_some_and(|load| kept.take_load(&load)) {
-            self.load.reset(kept.pulse.load);
+            self.load.reset(kept.status.load);
         }
-        self.pulse = Some(kept);
+        self.status = Some(kept);
         self.update_loading(now);
     }
 
     /// Updates which model is being loaded from the latest status update.
     pub(super) fn update_loading(&mut self, now: ClockTime) {
-        let loading = self.pulse(now).and_then(|pulse| pulse.loading.clone());
+        let loading = self.status(now).and_then(|status| status.loading.clone());
         let draining = self
-            .pulse(now)
-            .is_some_and(|pulse| !pulse.retiring.is_empty());
+            .status(now)
+            .is_some_and(|status| !status.retiring.is_empty());
         let known = self.loading.take();
         let known = known.filter(|known| !draining && loading.as_ref() == Some(&known.model));
         let fresh = || loading.map(|model| LoadingModel { model, since: now });
@@ -376,7 +376,8 @@
     /// first.
     #[must_use]
     pub fn is_changing(&self, now: ClockTime) -> bool {
-        self.pulse(now).is_some_and(|pulse| pulse.loading.is_some())
+        self.status(now)
+            .is_some_and(|status| status.loading.is_some())
     }
 
     /// Returns the state of an adapter.
@@ -391,9 +392,9 @@
         if held.is_some_and(|held| held.adapters.contains(adapter)) {
             return AdapterState::Ready;
         }
-        let coming = self.pulse(now).is_some_and(|pulse| {
+        let coming = self.status(now).is_some_and(|status| {
             let is_it = |key: &AdapterKey| key.model == *model && key.adapter == *adapter;
-            pulse.coming.iter().any(is_it)
+            status.coming.iter().any(is_it)
         });
         if coming {
             AdapterState::Coming
@@ -405,14 +406,14 @@
     /// Returns the number of adapters that can be loaded without waiting for requests that use others.
     #[must_use]
     pub fn adapter_room(&self, now: ClockTime) -> u32 {
-        self.pulse(now).map_or(0, |pulse| pulse.adapter_room)
+        self.status(now).map_or(0, |status| status.adapter_room)
     }
 
     /// Returns the number of requests known to be at the endpoint or queued at its sidecar.
     #[must_use]
     pub fn request_count(&self) -> u32 {
-        let kept = self.pulse.as_ref();
-        let asking = kept.map_or(0, |kept| kept.pulse.permits_waiting);
+        let kept = self.status.as_ref();
+        let asking = kept.map_or(0, |kept| kept.status.permits_waiting);
         self.load.present().max(self.own_requests) + asking
     }
 
@@ -426,14 +427,14 @@
     /// unknown.
     #[must_use]
     pub fn memory_share(&self, more: u64, now: ClockTime) -> f64 {
-        let Some(pulse) = self.pulse(now).filter(|pulse| pulse.memory_total > 0) else {
+        let Some(status) = self.status(now).filter(|status| status.memory_total > 0) else {
             return 0.0;
         };
         #[expect(
             clippy::cast_precision_loss,
             reason = "token counts are far below 2^52"
         )]
-        let share = (pulse.memory_used + more) as f64 / pulse.memory_total as f64;
+        let share = (status.memory_used + more) as f64 / status.memory_total as f64;
         share
     }
 
@@ -441,7 +442,7 @@
     /// sidecar.
     #[must_use]
     pub fn fleet_failure_share(&self, now: ClockTime) -> f64 {
-        let percent = self.pulse(now).map_or(0, |pulse| pulse.failing_percent);
+        let percent = self.status(now).map_or(0, |status| status.failing_percent);
         f64::from(percent) / 100.0
     }
 
--- a/crates/oatpier-serving/src/directory/pulse.rs
+++ b/crates/oatpier-serving/src/directory/status.rs
@@ -3,7 +3,7 @@
 use oatpier_types::clock::ClockTime;
 
 use crate::engine::EndpointLoad;
-use crate::message::{EnginePulse, LoadPulse, MessageNumber};
+use crate::message::{EngineStatus, LoadStatus, MessageNumber};
 
 /// The load of an endpoint: the latest report and the changes since then that this gateway caused.
 #[derive(Debug, Clone, Copy, Default)]
@@ -34,43 +34,43 @@
 
 /// The latest status update of a sidecar.
 #[derive(Debug, Clone)]
-pub(super) struct LatestPulse {
-    pub(super) pulse: EnginePulse,
-    /// Number of the message that the load in `pulse` comes from.
+pub(super) struct LatestStatus {
+    pub(super) status: EngineStatus,
+    /// Number of the message that the load in `status` comes from.
     pub(super) load_number: MessageNumber,
     pub(super) at: ClockTime,
     /// When the latest full status update arrived. Load updates do not say whether the engine responds.
     pub(super) whole_at: ClockTime,
 }
 
-impl LatestPulse {
+impl LatestStatus {
     /// Applies a load update, unless a newer one has been applied. Returns whether it was applied.
-    pub(super) fn take_load(&mut self, load: &LoadPulse) -> bool {
+    pub(super) fn take_load(&mut self, load: &LoadStatus) -> bool {
         let known = self.load_number;
         if known.boot != load.number.boot || !load.number.supersedes(known) {
             return false;
         }
         self.load_number = load.number;
-        self.pulse.load = load.load;
-        self.pulse.memory_used = load.memory_used;
-        self.pulse.load_wait_ms = load.load_wait_ms;
-        self.pulse.permit_wait_ms = load.permit_wait_ms;
-        self.pulse.permits_waiting = load.permits_waiting;
-        self.pulse.failing_percent = load.failing_percent;
+        self.status.load = load.load;
+        self.status.memory_used = load.memory_used;
+        self.status.load_wait_ms = load.load_wait_ms;
+        self.status.permit_wait_ms = load.permit_wait_ms;
+        self.status.permits_waiting = load.permits_waiting;
+        self.status.failing_percent = load.failing_percent;
         true
     }
 
     /// Returns the load part as a load update.
-    pub(super) fn load(&self) -> LoadPulse {
-        LoadPulse {
+    pub(super) fn load(&self) -> LoadStatus {
+        LoadStatus {
             number: self.load_number,
-            engine: self.pulse.engine,
-            load: self.pulse.load,
-            memory_used: self.pulse.memory_used,
-            load_wait_ms: self.pulse.load_wait_ms,
-            permit_wait_ms: self.pulse.permit_wait_ms,
-            permits_waiting: self.pulse.permits_waiting,
-            failing_percent: self.pulse.failing_percent,
+            engine: self.status.engine,
+            load: self.status.load,
+            memory_used: self.status.memory_used,
+            load_wait_ms: self.status.load_wait_ms,
+            permit_wait_ms: self.status.permit_wait_ms,
+            permits_waiting: self.status.permits_waiting,
+            failing_percent: self.status.failing_percent,
         }
     }
 }
--- a/crates/oatpier-serving/src/lib.rs
+++ b/crates/oatpier-serving/src/lib.rs
@@ -29,7 +29,7 @@
 //! - [`demand`]: the demand for each model.
 //! - [`quota`]: the use of workspaces within their limits, over all gateways.
 //! - [`planner`]: which engine should load which model next.
-//! - [`greetings`]: how often greetings are sent to sidecars whose updates do not arrive.
+//! - [`subscriptions`]: how often a gateway subscribes to sidecars whose updates do not arrive.
 //! - [`peers`]: which gateways are live, and which of them plans.
 //!
 //! Decisions of a sidecar:
@@ -48,7 +48,6 @@
 pub mod engine;
 pub mod failures;
 pub mod fingerprint;
-pub mod greetings;
 pub mod health;
 pub mod message;
 pub mod node;
@@ -62,4 +61,5 @@
 pub mod relays;
 pub mod residency;
 pub mod site;
+pub mod subscriptions;
 pub mod workspace;
--- a/crates/oatpier-serving/src/message/mod.rs
+++ b/crates/oatpier-serving/src/message/mod.rs
@@ -1,8 +1,7 @@
 //! Datagrams between gateways and sidecars.
 //!
-//! Status messages are self-contained and sent repeatedly, so that lost, duplicated and delayed datagrams do no harm.
-//! Receivers keep the message with the highest number of its sender's incarnation. A pulse is the status message that a
-//! sidecar sends at short intervals.
+//! Status updates are self-contained and sent at short intervals, so that lost, duplicated and delayed datagrams do no
+//! harm. Receivers keep the message with the highest number of its sender's incarnation.
 
 mod limits;
 
@@ -26,14 +25,16 @@
 #[derive(Serialize, Deserialize)]
 pub enum InnerMessage {
     /// Sent by a sidecar to a gateway that waits for an adapter at its engine: the state of the engine.
-    Pulse(Box<EnginePulse>),
+    #[serde(rename = "Pulse")]
+    Status(Box<EngineStatus>),
     /// Sent by a sidecar to a relay, for the relay and the other gateways of its availability zone: the state of its
     /// engine.
     Spread(EngineUpdate),
     /// Sent by a relay to the other gateways of its availability zone: states of engines.
     Relayed(Vec<EngineUpdate>),
-    /// Sent by a gateway to a sidecar: requests pulses and reports the gateway's use of the engine.
-    Greeting(GatewayGreeting),
+    /// Sent by a gateway to a sidecar: requests status updates and reports the gateway's use of the engine.
+    #[serde(rename = "Greeting")]
+    Subscription(GatewaySubscription),
     /// Sent by a gateway to a sidecar: requests an adapter at its engine.
     AdapterWanted(AdapterRequest),
     /// Sent by a gateway to its peers: the gateway's state and demand.
@@ -80,11 +81,11 @@
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
-            Self::Pulse(_) => "pulse",
-            Self::Spread(EngineUpdate::Pulse(_)) => "spread-pulse",
+            Self::Status(_) => "pulse",
+            Self::Spread(EngineUpdate::Status(_)) => "spread-pulse",
             Self::Spread(EngineUpdate::Load(_)) => "spread-load",
             Self::Relayed(_) => "relayed",
-            Self::Greeting(_) => "greeting",
+            Self::Subscription(_) => "greeting",
             Self::AdapterWanted(_) => "adapter-wanted",
             Self::Peer(_) => "peer",
             Self::StoreSeen(_) => "store-seen",
@@ -112,9 +113,10 @@
 #[derive(Serialize, Deserialize)]
 pub enum EngineUpdate {
     /// Complete state.
-    Pulse(Box<EnginePulse>),
+    #[serde(rename = "Pulse")]
+    Status(Box<EngineStatus>),
     /// Load of the engine only, sent when nothing else has changed.
-    Load(LoadPulse),
+    Load(LoadStatus),
 }
 
 impl EngineUpdate {
@@ -122,7 +124,7 @@
     #[must_use]
     pub fn engine(&self) -> SocketAddr {
         match self {
-            Self::Pulse(pulse) => pulse.engine,
+            Self::Status(status) => status.engine,
             Self::Load(load) => load.engine,
         }
     }
@@ -131,7 +133,7 @@
     #[must_use]
     pub fn number(&self) -> MessageNumber {
         match self {
-            Self::Pulse(pulse) => pulse.number,
+            Self::Status(status) => status.number,
             Self::Load(load) => load.number,
         }
     }
@@ -158,8 +160,8 @@
 /// Complete state of an engine as reported by its sidecar.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct EnginePulse {
-    /// Sequence number among the sidecar's pulses.
+pub struct EngineStatus {
+    /// Sequence number among the sidecar's status updates.
     pub number: MessageNumber,
     /// Address of the engine.
     pub engine: SocketAddr,
@@ -199,16 +201,17 @@
     pub permits_waiting: u32,
     /// Percentage of its requests that fail, over all gateways.
     pub failing_percent: u8,
-    /// Addresses of some of the gateways that greet this sidecar. Each pulse carries a different selection.
+    /// Addresses of some of the gateways that subscribe to this sidecar. Each status update carries a different
+    /// selection.
     pub gateways: Vec<SocketAddr>,
 }
 
-/// Load of an engine as reported by its sidecar. It is a tenth of the size of a complete pulse. With many gateways and
-/// many engines, complete pulses at this rate take a fifth of the processor of a small gateway.
+/// Load of an engine as reported by its sidecar. It is a tenth of the size of a complete status update. With many
+/// gateways and many engines, complete status updates at this rate take a fifth of the processor of a small gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct LoadPulse {
-    /// Sequence number among the sidecar's pulses of both kinds.
+pub struct LoadStatus {
+    /// Sequence number among the sidecar's status updates of both kinds.
     pub number: MessageNumber,
     /// Address of the engine.
     pub engine: SocketAddr,
@@ -226,17 +229,17 @@
     pub failing_percent: u8,
 }
 
-/// Subscription of a gateway to the pulses of a sidecar.
+/// Subscription of a gateway to the status updates of a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct GatewayGreeting {
+pub struct GatewaySubscription {
     /// Availability zone of the gateway.
     pub zone: ZoneName,
     /// Processor capacity of the gateway, in thousandths of a core.
     pub processor: u32,
     /// Whether the gateway receives the state of the engine, from the sidecar or from a relay.
     pub is_heard: bool,
-    /// Adapters that this gateway's requests use at the engine, or have used since the last greeting.
+    /// Adapters that this gateway's requests use at the engine, or have used since the last subscription.
     pub used: Vec<AdapterUse>,
     /// Number of engines in the registry, by which the shared load rate is divided.
     pub engines: u32,
--- a/crates/oatpier-serving/src/peers.rs
+++ b/crates/oatpier-serving/src/peers.rs
@@ -212,7 +212,7 @@
         self.own
     }
 
-    /// Records the gateways that a sidecar has received greetings from.
+    /// Records the gateways that a sidecar has received subscriptions from.
     pub fn note_named(&mut self, gateways: &[SocketAddr], now: ClockTime) {
         let own = self.own.address;
         for address in gateways.iter().filter(|address| **address != own) {
--- a/crates/oatpier-serving/src/planner/crash_tracker.rs
+++ b/crates/oatpier-serving/src/planner/crash_tracker.rs
@@ -68,7 +68,7 @@
             }
         }
         for row in rows.iter().filter(|row| row.is_open(now)) {
-            let loading = row.pulse(now).and_then(|pulse| pulse.loading.clone());
+            let loading = row.status(now).and_then(|status| status.loading.clone());
             if let Some(model) = loading {
                 let load = ActiveLoad {
                     model,
@@ -81,13 +81,13 @@
     }
 
     fn check_load(&mut self, row: &EndpointRow, load: ActiveLoad, now: ClockTime) {
-        let Some(pulse) = row.pulse(now) else {
+        let Some(status) = row.status(now) else {
             // No status is received from the sidecar. The result of the load is known once the sidecar
             // reports again or the registry changes.
             self.active.insert(row.record.name.clone(), load);
             return;
         };
-        if !pulse.answers {
+        if !status.answers {
             self.note_crash(load.model, now);
         } else if row.holds(&load.model, now) {
             self.streaks.remove(&load.model);
--- a/crates/oatpier-serving/src/planner/gain.rs
+++ b/crates/oatpier-serving/src/planner/gain.rs
@@ -91,16 +91,16 @@
         if !view.is_free || view.held.contains(&model) {
             return None;
         }
-        let pulse = view.row.pulse(self.now)?;
-        let from_store = !pulse.copies.has(model);
-        let needs_right = from_store && pulse.load_wait_ms > 0;
+        let status = view.row.status(self.now)?;
+        let from_store = !status.copies.has(model);
+        let needs_right = from_store && status.load_wait_ms > 0;
         if needs_right && self.lenders.is_empty() {
             return None;
         }
         let victims = self.victims(view, model)?;
         let rule = self.rule.model(model)?;
         let extra_time = rule
-            .load_with(&pulse.copies)
+            .load_with(&status.copies)
             .saturating_sub(rule.load_from_memory);
         let cost = match (from_store, reason) {
             (false, _) => 0.0,
@@ -230,8 +230,8 @@
         let Some(rule) = self.rule.model(model) else {
             return Duration::ZERO;
         };
-        let own = view.row.pulse(self.now);
-        let own_copies = u32::from(own.is_some_and(|pulse| pulse.copies.has(model)));
+        let own = view.row.status(self.now);
+        let own_copies = u32::from(own.is_some_and(|status| status.copies.has(model)));
         let copies = self.models.get(model).map_or(0, |known| known.copies);
         let others = copies.saturating_sub(own_copies);
         let others = i32::try_from(others).unwrap_or(i32::MAX);
--- a/crates/oatpier-serving/src/planner/mod.rs
+++ b/crates/oatpier-serving/src/planner/mod.rs
@@ -244,8 +244,8 @@
     /// Returns the engines that can lend their right to load from the weight store.
     fn available_lenders(&self, engines: &[EngineView<'_>], now: ClockTime) -> Vec<usize> {
         let has_right = |view: &EngineView<'_>| {
-            let pulse = view.row.pulse(now);
-            pulse.is_some_and(|pulse| pulse.answers && pulse.load_wait_ms == 0)
+            let status = view.row.status(now);
+            status.is_some_and(|status| status.answers && status.load_wait_ms == 0)
         };
         let indexed = engines.iter().enumerate();
         let eligible = indexed.filter(|(_, view)| {
@@ -257,11 +257,11 @@
     fn engine_view<'a>(&self, row: &'a EndpointRow, now: ClockTime) -> EngineView<'a> {
         let held = row.models(now).iter().map(|held| &held.model);
         let held = held.filter(|model| row.holds(model, now)).collect();
-        let takes_load = |pulse: &crate::message::EnginePulse| {
-            pulse.answers && pulse.loading.is_none() && pulse.retiring.is_empty()
+        let takes_load = |status: &crate::message::EngineStatus| {
+            status.answers && status.loading.is_none() && status.retiring.is_empty()
         };
-        let is_idle = row.pulse(now).is_some_and(takes_load);
-        let loading = row.pulse(now).and_then(|pulse| pulse.loading.clone());
+        let is_idle = row.status(now).is_some_and(takes_load);
+        let loading = row.status(now).and_then(|status| status.loading.clone());
         let advised = self.advised.get(&row.record.name);
         EngineView {
             row,
--- a/crates/oatpier-serving/src/planner/round.rs
+++ b/crates/oatpier-serving/src/planner/round.rs
@@ -216,7 +216,7 @@
     /// current holders. A model that had many replicas was in high demand.
     pub(super) fn best_model_for(&self, engine: usize) -> Option<ModelName> {
         let view = &self.engines[engine];
-        let copies = &view.row.pulse(self.now)?.copies;
+        let copies = &view.row.status(self.now)?.copies;
         let local = copies.in_memory.iter().chain(&copies.on_disk);
         let local = local.filter(|model| !view.held.contains(model));
         let value = |model: &ModelName| {
@@ -233,11 +233,11 @@
     }
 
     fn count_copies(&self, model: &ModelName) -> u32 {
-        let pulses = self
+        let statuses = self
             .engines
             .iter()
-            .filter_map(|view| view.row.pulse(self.now));
-        let copies = pulses.filter(|pulse| pulse.copies.has(model)).count();
+            .filter_map(|view| view.row.status(self.now));
+        let copies = statuses.filter(|status| status.copies.has(model)).count();
         u32::try_from(copies).unwrap_or(u32::MAX)
     }
 
@@ -261,9 +261,10 @@
             .iter()
             .filter(|view| !view.held.contains(&model));
         for view in others {
-            let pulse = view.row.pulse(self.now);
+            let status = view.row.status(self.now);
             let paced = self.lenders.is_empty()
-                && pulse.is_some_and(|pulse| pulse.load_wait_ms > 0 && !pulse.copies.has(model));
+                && status
+                    .is_some_and(|status| status.load_wait_ms > 0 && !status.copies.has(model));
             if !view.is_free {
                 blocked.busy += 1;
             } else if paced {
--- a/crates/oatpier-serving/src/relays.rs
+++ b/crates/oatpier-serving/src/relays.rs
@@ -8,7 +8,7 @@
 //! zone, with many updates in one datagram. The traffic of a sidecar grows with the number of zones instead
 //! of gateways, and its load can be sent as soon as it changes.
 //!
-//! There is no election: each sidecar selects its relays from the gateways that greet it, by a hash of its
+//! There is no election: each sidecar selects its relays from the gateways that subscribe to it, by a hash of its
 //! address and theirs. If a relay fails, only the sidecars that had selected it select another one. The
 //! probability of selection grows with the square of a gateway's CPU allotment. One gateway that receives
 //! from many sidecars forwards as much in a datagram as ten that receive from few do in ten datagrams, and
@@ -23,13 +23,13 @@
 
 use crate::message::{EngineUpdate, MessageNumber};
 
-/// Number of relays of a sidecar in each zone. A relay that was killed sends no more greetings and is
+/// Number of relays of a sidecar in each zone. A relay that was killed sends no more subscriptions and is
 /// dropped after some seconds. Until then the updates arrive through the other one.
 const RELAYS_PER_ZONE: usize = 2;
 
 /// Maximum number of full status updates per datagram. Each takes about 400 bytes, and a datagram of
 /// several packets is lost if any one of them is lost.
-const PULSES_PER_DATAGRAM: usize = 3;
+const STATUSES_PER_DATAGRAM: usize = 3;
 
 /// Maximum number of load updates, of about 45 bytes each, per datagram.
 const LOADS_PER_DATAGRAM: usize = 24;
@@ -98,7 +98,7 @@
 /// engine.
 #[derive(Debug, Default)]
 pub struct RelayQueue {
-    pulses: HashMap<SocketAddr, EngineUpdate>,
+    statuses: HashMap<SocketAddr, EngineUpdate>,
     loads: HashMap<SocketAddr, EngineUpdate>,
 }
 
@@ -106,7 +106,7 @@
     /// Queues an update, unless a newer one is queued.
     pub fn push(&mut self, update: EngineUpdate) {
         let queue = match &update {
-            EngineUpdate::Pulse(_) => &mut self.pulses,
+            EngineUpdate::Status(_) => &mut self.statuses,
             EngineUpdate::Load(_) => &mut self.loads,
         };
         let queued = queue.get(&update.engine()).map(EngineUpdate::number);
@@ -118,7 +118,7 @@
     /// Drops an update that another relay of the zone has already forwarded.
     pub fn note_forwarded(&mut self, update: &EngineUpdate) {
         let queue = match update {
-            EngineUpdate::Pulse(_) => &mut self.pulses,
+            EngineUpdate::Status(_) => &mut self.statuses,
             EngineUpdate::Load(_) => &mut self.loads,
         };
         let engine = update.engine();
@@ -134,7 +134,7 @@
     pub fn drain(&mut self) -> Vec<Vec<EngineUpdate>> {
         let mut datagrams = Vec::new();
         for (queue, max_updates) in [
-            (&mut self.pulses, PULSES_PER_DATAGRAM),
+            (&mut self.statuses, STATUSES_PER_DATAGRAM),
             (&mut self.loads, LOADS_PER_DATAGRAM),
         ] {
             let updates: Vec<EngineUpdate> = queue.drain().map(|(_, update)| update).collect();
--- a/crates/oatpier-serving/src/residency/mod.rs
+++ b/crates/oatpier-serving/src/residency/mod.rs
@@ -23,7 +23,7 @@
 use smallvec::SmallVec;
 
 use crate::engine::{AdapterKey, EngineOrder, EngineReport, OrderAnswer, StartTime};
-use crate::message::{AdapterRequest, GatewayGreeting, LoadAdvice};
+use crate::message::{AdapterRequest, GatewaySubscription, LoadAdvice};
 
 pub use adapters::held_adapters;
 pub use pace::LoadPace;
@@ -31,7 +31,7 @@
 pub use rights::RightRequest;
 
 /// Delay between telling gateways that a model is about to be unloaded and the order that unloads it.
-/// Pulses reach the gateways within a few milliseconds, and requests that were sent earlier have arrived at
+/// Status updates reach the gateways within a few milliseconds, and requests that were sent earlier have arrived at
 /// the engine by then.
 const RETIRE_DELAY: Duration = Duration::from_millis(30);
 
@@ -39,7 +39,7 @@
 /// Unloading waits for the engine's requests, up to their deadlines.
 const ADVICE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Time for which a gateway's report of the adapters in use is valid: three greeting intervals. A gateway
+/// Time for which a gateway's report of the adapters in use is valid: three subscription intervals. A gateway
 /// that is gone uses none.
 const USE_TTL: Duration = Duration::from_millis(1_600);
 
@@ -221,18 +221,23 @@
         self.report.as_ref()
     }
 
-    /// Applies a greeting from a gateway.
-    pub fn take_greeting(&mut self, from: SocketAddr, greeting: &GatewayGreeting, now: ClockTime) {
-        if greeting.engines > 0 {
-            self.pace.engines = greeting.engines;
-            self.pace.loads = greeting.loads_per_window;
-            self.pace.place = greeting.place;
+    /// Applies a subscription from a gateway.
+    pub fn apply_subscription(
+        &mut self,
+        from: SocketAddr,
+        subscription: &GatewaySubscription,
+        now: ClockTime,
+    ) {
+        if subscription.engines > 0 {
+            self.pace.engines = subscription.engines;
+            self.pace.loads = subscription.loads_per_window;
+            self.pace.place = subscription.place;
         }
-        self.adapter_slots = greeting.adapter_slots as usize;
-        for used in &greeting.used {
+        self.adapter_slots = subscription.adapter_slots as usize;
+        for used in &subscription.used {
             self.last_used.insert(used.key.clone(), now);
         }
-        let busy = greeting.used.iter().filter(|used| used.requests > 0);
+        let busy = subscription.used.iter().filter(|used| used.requests > 0);
         let gateway = GatewayAdapters {
             keys: busy.map(|used| used.key.clone()).collect(),
             at: now,
--- a/crates/oatpier-serving/src/greetings.rs
+++ b/crates/oatpier-serving/src/subscriptions.rs
@@ -1,10 +1,10 @@
-//! How often a gateway sends greetings to sidecars that it receives no updates from.
+//! How often a gateway sends subscriptions to sidecars that it receives no updates from.
 //!
-//! A greeting asks a sidecar for its status updates. After a start of all processes, the updates of every
-//! sidecar must arrive promptly, so a sidecar without updates is greeted eight times a second. In a fleet
-//! with ten engines for each of our VMs, most engines have no sidecar at all, and unanswered greetings were
-//! most of the traffic between gateways and engine VMs. Therefore, the interval grows for as long as a
-//! sidecar sends no updates.
+//! A subscription is a message that asks a sidecar for its status updates. After a start of all processes, the updates
+//! of every sidecar must arrive promptly, so a sidecar without updates is sent a subscription eight times a second. In
+//! a fleet with ten engines for each of our VMs, most engines have no sidecar at all, and unanswered subscriptions
+//! were most of the traffic between gateways and engine VMs. Therefore, the interval grows for as long as a sidecar
+//! sends no updates.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 
-/// Interval between greetings during [`INITIAL_PERIOD`].
+/// Interval between subscriptions during [`INITIAL_PERIOD`].
 const INITIAL_INTERVAL: Duration = Duration::from_millis(125);
 
 /// Time that a process takes to start.
 const INITIAL_PERIOD: Duration = Duration::from_secs(4);
 
-/// After [`INITIAL_PERIOD`], each greeting is sent when the time without updates is this many times what it
-/// was at the previous greeting.
+/// After [`INITIAL_PERIOD`], each subscription is sent when the time without updates is this many times what it
+/// was at the previous subscription.
 const BACKOFF_FACTOR: f64 = 1.25;
 
-/// Maximum interval between greetings. A sidecar whose VM was partitioned is found again within this time.
+/// Maximum interval between subscriptions. A sidecar whose VM was partitioned is found again within this time.
 const MAX_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Debug, Clone, Copy)]
 struct SilentSidecar {
     since: ClockTime,
-    greeted_at: ClockTime,
+    subscribed_at: ClockTime,
 }
 
 impl SilentSidecar {
     fn interval(&self) -> Duration {
-        let silent_for = self.greeted_at.since(self.since);
+        let silent_for = self.subscribed_at.since(self.since);
         if silent_for < INITIAL_PERIOD {
             return INITIAL_INTERVAL;
         }
@@ -48,19 +48,19 @@
 }
 
 impl SubscriptionSchedule {
-    /// Returns whether a greeting to a sidecar without updates is due, and records that it is sent.
+    /// Returns whether a subscription to a sidecar without updates is due, and records that it is sent.
     pub fn is_due(&mut self, engine: &EndpointName, now: ClockTime) -> bool {
         let Some(known) = self.silent.get_mut(engine) else {
             let sidecar = SilentSidecar {
                 since: now,
-                greeted_at: now,
+                subscribed_at: now,
             };
             self.silent.insert(engine.clone(), sidecar);
             return true;
         };
-        let is_due = now.since(known.greeted_at) >= known.interval();
+        let is_due = now.since(known.subscribed_at) >= known.interval();
         if is_due {
-            known.greeted_at = now;
+            known.subscribed_at = now;
         }
         is_due
     }
--- a/crates/oatpier-serving/tests/testsuite/choice.rs
+++ b/crates/oatpier-serving/tests/testsuite/choice.rs
@@ -6,8 +6,8 @@
 use oatpier_types::names::EndpointName;
 
 use crate::support::{
-    SLOTS, adapter, at, directory, endpoint, engine_rule, held, millis, pulse, record, request,
-    service, zone,
+    SLOTS, adapter, at, directory, endpoint, engine_rule, held, millis, record, request, service,
+    status, zone,
 };
 
 fn choose(
@@ -60,7 +60,7 @@
 #[test]
 fn model_being_loaded_is_reported_with_its_remaining_time() {
     let mut directory = directory(&[(&["m2"], 0)], at(0));
-    let mut loading = pulse(1, &["m2"], 0);
+    let mut loading = status(1, &["m2"], 0);
     loading.number.number = 2;
     loading.loading = Some(crate::support::model("m1"));
     directory.apply_status(loading, at(10));
@@ -78,7 +78,7 @@
 #[test]
 fn load_that_waits_for_streams_takes_longer_than_its_load_time() {
     let mut directory = directory(&[(&["m2"], 3)], at(0));
-    let mut draining = pulse(1, &["m2"], 3);
+    let mut draining = status(1, &["m2"], 3);
     draining.number.number = 2;
     draining.loading = Some(crate::support::model("m1"));
     draining.retiring = vec![crate::support::model("m2")];
@@ -110,7 +110,7 @@
 #[test]
 fn retiring_model_gets_no_new_requests() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 5)], at(0));
-    let mut retiring = pulse(1, &["m1"], 0);
+    let mut retiring = status(1, &["m1"], 0);
     retiring.number.number = 2;
     retiring.retiring = vec![crate::support::model("m1")];
     directory.apply_status(retiring, at(10));
@@ -129,7 +129,7 @@
 #[test]
 fn ready_adapter_is_preferred_to_a_free_slot() {
     let mut directory = directory(&[(&["m1"], 1), (&["m1"], 2)], at(0));
-    let mut ready = pulse(2, &[], 2);
+    let mut ready = status(2, &[], 2);
     ready.number.number = 2;
     ready.models = vec![held("m1", &["a1"])];
     directory.apply_status(ready, at(10));
@@ -141,7 +141,7 @@
 #[test]
 fn engine_with_a_free_adapter_slot_is_preferred() {
     let mut directory = directory(&[(&["m1"], 1), (&["m1"], 6)], at(0));
-    let mut full = pulse(1, &["m1"], 1);
+    let mut full = status(1, &["m1"], 1);
     full.number.number = 2;
     full.adapter_room = 0;
     directory.apply_status(full, at(10));
@@ -154,10 +154,10 @@
     far.zone = zone("far");
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"]), far], at(0));
-    directory.apply_status(pulse(1, &["m1"], 1), at(0));
-    directory.apply_status(pulse(2, &["m1"], 0), at(0));
+    directory.apply_status(status(1, &["m1"], 1), at(0));
+    directory.apply_status(status(2, &["m1"], 0), at(0));
     assert_eq!(chosen_endpoint(&directory, "m1"), "e1");
-    let mut busy = pulse(1, &["m1"], SLOTS);
+    let mut busy = status(1, &["m1"], SLOTS);
     busy.number.number = 2;
     directory.apply_status(busy, at(10));
     assert_eq!(chosen_endpoint(&directory, "m1"), "e2");
@@ -240,9 +240,9 @@
 #[test]
 fn engine_with_an_overdue_sidecar_is_avoided() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 6)], at(0));
-    let mut later_pulse = pulse(2, &["m1"], 6);
-    later_pulse.number.number = 2;
-    directory.apply_status(later_pulse, at(1_100));
+    let mut later_status = status(2, &["m1"], 6);
+    later_status.number.number = 2;
+    directory.apply_status(later_status, at(1_100));
     let query = ChoiceQuery {
         service: &service(),
         request: &request("m1"),
@@ -263,7 +263,7 @@
 #[test]
 fn adapter_request_avoids_an_engine_that_changes_models() {
     let mut directory = directory(&[(&["m1"], 0), (&["m1"], 5)], at(0));
-    let mut changing = pulse(1, &["m1"], 0);
+    let mut changing = status(1, &["m1"], 0);
     changing.number.number = 2;
     changing.loading = Some(crate::support::model("m2"));
     directory.apply_status(changing, at(10));
@@ -276,7 +276,7 @@
 #[test]
 fn load_time_is_that_of_the_engine_with_the_fastest_copy() {
     let mut directory = directory(&[(&[], 0), (&[], 0)], at(0));
-    let mut restarted = pulse(2, &[], 0);
+    let mut restarted = status(2, &[], 0);
     restarted.number.number = 2;
     restarted.copies.on_disk = vec![crate::support::model("m1")];
     directory.apply_status(restarted, at(10));
--- a/crates/oatpier-serving/tests/testsuite/crashing_loads.rs
+++ b/crates/oatpier-serving/tests/testsuite/crashing_loads.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use oatpier_serving::directory::{EndpointDirectory, EndpointRecord};
-use oatpier_serving::message::{EnginePulse, MessageNumber};
+use oatpier_serving::message::{EngineStatus, MessageNumber};
 use oatpier_serving::peers::{FleetUses, TotalDemand};
 use oatpier_serving::planner::{FleetDemand, LoadPlanner};
 use oatpier_types::names::ModelName;
 
-use crate::support::{at, endpoint, engine_rule, model, pulse, record, service};
+use crate::support::{at, endpoint, engine_rule, model, record, service, status};
 
 /// Number of engines in the fleet.
 const ENGINES: u8 = 6;
@@ -129,13 +129,13 @@
             self.messages_sent += 1;
             let engine = &self.engines[index];
             let held: Vec<&str> = engine.held.iter().map(ModelName::as_str).collect();
-            let state = EnginePulse {
+            let state = EngineStatus {
                 number: MessageNumber {
                     boot: 1,
                     number: self.messages_sent,
                 },
                 loading: engine.loading.clone(),
-                ..pulse(number(index), &held, 0)
+                ..status(number(index), &held, 0)
             };
             self.directory.apply_status(state, at(now));
         }
--- a/crates/oatpier-serving/tests/testsuite/directory.rs
+++ b/crates/oatpier-serving/tests/testsuite/directory.rs
@@ -3,10 +3,10 @@
 use oatpier_serving::choice;
 use oatpier_serving::directory::{DirectoryChange, EndpointDirectory, EndpointRecord};
 use oatpier_serving::engine::{EndpointLoad, StartTime};
-use oatpier_serving::message::EnginePulse;
+use oatpier_serving::message::EngineStatus;
 use oatpier_serving::reading::SentPrompt;
 
-use crate::support::{at, directory, endpoint, millis, model, pulse, record, request};
+use crate::support::{at, directory, endpoint, millis, model, record, request, status};
 
 #[test]
 fn missing_entry_removes_the_endpoint_while_the_store_is_up() {
@@ -34,7 +34,7 @@
     let mut leaving = record(1, &["m1"]);
     leaving.draining = true;
     directory.apply_registry(vec![leaving, record(2, &["m1"])], at(10));
-    let mut status = pulse(2, &["m1"], 0);
+    let mut status = status(2, &["m1"], 0);
     status.number.number = 2;
     status.draining = true;
     directory.apply_status(status, at(20));
@@ -46,7 +46,7 @@
 fn expired_status_update_is_ignored() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
-    directory.apply_status(pulse(1, &["m2"], 0), at(0));
+    directory.apply_status(status(1, &["m2"], 0), at(0));
     let row = directory.row(&endpoint("e1")).unwrap();
     assert!(row.holds(&model("m2"), at(100)));
     assert!(row.holds(&model("m1"), at(5_000)));
@@ -55,7 +55,7 @@
 #[test]
 fn duplicate_or_reordered_status_update_is_ignored() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    assert!(!directory.apply_status(pulse(1, &["m2"], 9), at(10)));
+    assert!(!directory.apply_status(status(1, &["m2"], 9), at(10)));
     let row = directory.row(&endpoint("e1")).unwrap();
     assert_eq!(row.request_count(), 0);
 }
@@ -108,7 +108,7 @@
 fn status_update_with_a_new_instance_replaces_the_engine() {
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
-    let mut status = pulse(1, &["m1"], 0);
+    let mut status = status(1, &["m1"], 0);
     status.instance = Some(endpoint("e1b"));
     assert!(directory.apply_status(status, at(10)));
     assert!(directory.row(&endpoint("e1")).is_none());
@@ -129,7 +129,7 @@
     later.name = endpoint("a-later-name");
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     directory.apply_registry(vec![record(1, &["m1"]), later], at(10));
-    let mut status = pulse(1, &["m2"], 0);
+    let mut status = status(1, &["m2"], 0);
     status.number.number = 2;
     directory.apply_status(status, at(20));
     let row = directory.row(&endpoint("a-later-name")).unwrap();
@@ -144,7 +144,7 @@
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &[])], at(0));
     directory.apply_registry(vec![record(1, &[]), old], at(5));
-    let mut status = pulse(1, &["m2"], 0);
+    let mut status = status(1, &["m2"], 0);
     status.instance = Some(endpoint("e1"));
     directory.apply_status(status, at(10));
     assert!(!directory.row(&endpoint("z-old")).unwrap().is_open(at(20)));
@@ -157,8 +157,8 @@
 }
 
 /// Returns a status update with the start time of the engine and the message number of its sidecar.
-fn pulse_of_start(start: u64, number: u64, models: &[&str]) -> EnginePulse {
-    let mut status = pulse(1, models, 0);
+fn status_of_start(start: u64, number: u64, models: &[&str]) -> EngineStatus {
+    let mut status = status(1, models, 0);
     status.number.number = number;
     status.start = Some(StartTime(start));
     status
@@ -170,11 +170,11 @@
 fn engine_restarted_under_its_name_has_no_models_or_cached_prompts() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     let name = endpoint("e1");
-    directory.apply_status(pulse_of_start(1_000, 2, &["m1"]), at(10));
+    directory.apply_status(status_of_start(1_000, 2, &["m1"]), at(10));
     let chain = choice::prefix_chain(&request("m1"));
     directory.note_cached_prompt(&name, &chain, at(20));
     assert_eq!(directory.prefixes().holders(&chain, at(30)).len(), 1);
-    assert!(directory.apply_status(pulse_of_start(2_000, 3, &[]), at(100)));
+    assert!(directory.apply_status(status_of_start(2_000, 3, &[]), at(100)));
     let row = directory.row(&name).unwrap();
     assert!(!row.holds(&model("m1"), at(110)));
     let holders = directory.prefixes().holders(&chain, at(110));
@@ -186,7 +186,7 @@
 #[test]
 fn old_entry_does_not_restore_an_earlier_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.apply_status(pulse_of_start(2_000, 2, &[]), at(10));
+    directory.apply_status(status_of_start(2_000, 2, &[]), at(10));
     let mut old = record(1, &["m1"]);
     old.start = Some(StartTime(1_000));
     old.draining = true;
@@ -201,8 +201,8 @@
 #[test]
 fn later_incarnation_may_have_an_earlier_start_time() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.apply_status(pulse_of_start(2_000, 2, &["m1"]), at(10));
-    directory.apply_status(pulse_of_start(1_500, 3, &[]), at(100));
+    directory.apply_status(status_of_start(2_000, 2, &["m1"]), at(10));
+    directory.apply_status(status_of_start(1_500, 3, &[]), at(100));
     assert!(
         !directory
             .row(&endpoint("e1"))
@@ -210,7 +210,7 @@
             .holds(&model("m1"), at(110))
     );
     // A delayed update of the previous incarnation has a lower message number and is ignored.
-    directory.apply_status(pulse_of_start(2_000, 2, &["m1"]), at(120));
+    directory.apply_status(status_of_start(2_000, 2, &["m1"]), at(120));
     assert!(
         !directory
             .row(&endpoint("e1"))
@@ -244,11 +244,11 @@
 fn broken_streams_do_not_count_against_the_next_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     let name = endpoint("e1");
-    directory.apply_status(pulse_of_start(1_000, 2, &["m1"]), at(10));
+    directory.apply_status(status_of_start(1_000, 2, &["m1"]), at(10));
     let weights = request("m1").weights.unwrap();
     let sent = directory.note_prefill(&name, &weights, 400.0);
     assert!(directory.is_current_incarnation(&name, &sent));
-    directory.apply_status(pulse_of_start(2_000, 3, &["m1"]), at(100));
+    directory.apply_status(status_of_start(2_000, 3, &["m1"]), at(100));
     assert!(!directory.is_current_incarnation(&name, &sent));
     let next = directory.note_prefill(&name, &weights, 400.0);
     directory.note_prefill_end(&name, &sent);
@@ -264,9 +264,9 @@
 #[test]
 fn successor_is_kept_when_its_sidecar_reports_its_start_time() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
-    directory.apply_status(pulse_of_start(1_000, 2, &["m1"]), at(10));
+    directory.apply_status(status_of_start(1_000, 2, &["m1"]), at(10));
     directory.note_replaced(&endpoint("e1"), Some(&endpoint("e9")), at(100));
-    directory.apply_status(pulse_of_start(2_000, 3, &["m1"]), at(150));
+    directory.apply_status(status_of_start(2_000, 3, &["m1"]), at(150));
     directory.apply_registry(vec![record(1, &["m1"])], at(200));
     let row = directory.row(&endpoint("e9")).expect("it is still there");
     assert!(row.holds(&model("m1"), at(210)));
--- a/crates/oatpier-serving/tests/testsuite/failures.rs
+++ b/crates/oatpier-serving/tests/testsuite/failures.rs
@@ -2,9 +2,9 @@
 
 use oatpier_serving::choice::{self, ChoiceQuery, ChoiceVerdict};
 use oatpier_serving::failures::{EngineFailure, FailureCount};
-use oatpier_serving::message::{EnginePulse, MessageNumber};
+use oatpier_serving::message::{EngineStatus, MessageNumber};
 
-use crate::support::{at, directory, engine_rule, pulse, request, service, zone};
+use crate::support::{at, directory, engine_rule, request, service, status, zone};
 
 /// An engine receives twenty requests per second and loses a fifth of its responses from second 2 to second
 /// 6.
@@ -42,12 +42,12 @@
 fn engine_that_fails_requests_of_other_gateways_is_avoided() {
     let chosen = |losing_percent: u8, other_running: u32| {
         let mut directory = directory(&[(&["m1"], 2), (&["m1"], other_running)], at(0));
-        let word = EnginePulse {
+        let update = EngineStatus {
             number: MessageNumber { boot: 1, number: 2 },
             failing_percent: losing_percent,
-            ..pulse(1, &["m1"], 2)
+            ..status(1, &["m1"], 2)
         };
-        directory.apply_status(word, at(10));
+        directory.apply_status(update, at(10));
         let verdict = choice::choose(
             &directory,
             &ChoiceQuery {
--- a/crates/oatpier-serving/tests/testsuite/messages.rs
+++ b/crates/oatpier-serving/tests/testsuite/messages.rs
@@ -2,11 +2,11 @@
 
 use oatpier_serving::message::{InnerMessage, MessageNumber};
 
-use crate::support::pulse;
+use crate::support::status;
 
 #[test]
-fn a_pulse_round_trips_and_fits_one_packet() {
-    let message = InnerMessage::Pulse(Box::new(pulse(1, &["m1", "m2"], 3)));
+fn status_round_trips_and_fits_one_packet() {
+    let message = InnerMessage::Status(Box::new(status(1, &["m1", "m2"], 3)));
     let bytes = rmp_serde::to_vec(&message).unwrap();
     assert_eq!(
         rmp_serde::from_slice::<InnerMessage>(&bytes).unwrap(),
--- a/crates/oatpier-serving/tests/testsuite/notices.rs
+++ b/crates/oatpier-serving/tests/testsuite/notices.rs
@@ -5,7 +5,7 @@
 use oatpier_serving::notice::{EndpointNotice, NoticeChange, NoticeValue, RequestRate, RestSpan};
 use oatpier_serving::reading::SentPrompt;
 
-use crate::support::{at, directory, endpoint, millis, pulse, record};
+use crate::support::{at, directory, endpoint, millis, record, status};
 
 fn rate(value: f64) -> RequestRate {
     RequestRate::try_from(value).unwrap()
@@ -220,7 +220,7 @@
     apply_notice(&mut directory, leaving(true), 10);
     assert!(!is_open(&directory, "e1", 20));
     directory.apply_registry(vec![record(1, &["m1"])], at(1_000));
-    let mut status = pulse(1, &["m1"], 0);
+    let mut status = status(1, &["m1"], 0);
     status.number.number = 2;
     directory.apply_status(status, at(1_100));
     assert!(!is_open(&directory, "e1", 1_200));
@@ -248,7 +248,7 @@
     let mut directory = directory(&[(&["m1"], 0)], at(0));
     apply_notice(&mut directory, leaving(true), 10);
     apply_notice(&mut directory, rest(30.0), 20);
-    let mut status = pulse(1, &["m1"], 0);
+    let mut status = status(1, &["m1"], 0);
     status.number.number = 2;
     status.instance = Some(endpoint("e9"));
     directory.apply_status(status, at(1_100));
--- a/crates/oatpier-serving/tests/testsuite/planner.rs
+++ b/crates/oatpier-serving/tests/testsuite/planner.rs
@@ -15,7 +15,7 @@
 use oatpier_types::names::ModelName;
 
 use crate::support::{
-    address, at, directory, endpoint, engine_rule, model, pulse, record, service,
+    address, at, directory, endpoint, engine_rule, model, record, service, status,
 };
 
 /// Two engines that are full with a model in high demand, and one with models that are rarely requested.
@@ -147,13 +147,13 @@
     };
     directory.apply_limit_report(&report, at(0));
     for number in [1, 2] {
-        let mut later_pulse = pulse(
+        let mut later_status = status(
             number,
             [&["hot"][..], &["rare"]][usize::from(number) - 1],
             0,
         );
-        later_pulse.number.number = 2;
-        directory.apply_status(later_pulse, at(2_500));
+        later_status.number.number = 2;
+        directory.apply_status(later_status, at(2_500));
     }
     let rule = engine_rule(&["hot", "rare"]);
     let mut planner = LoadPlanner::default();
@@ -187,7 +187,7 @@
     let mut directory = EndpointDirectory::default();
     directory.apply_registry((1..=3).map(|number| record(number, &[])).collect(), at(900));
     for number in 1..=3 {
-        let mut empty = pulse(number, &[], 0);
+        let mut empty = status(number, &[], 0);
         let mut on_disk = vec![model("popular")];
         if number == 3 {
             on_disk.push(model("rare"));
@@ -225,7 +225,7 @@
 #[test]
 fn no_advice_for_an_engine_that_waits_for_its_rate_share() {
     let mut directory = directory(&[(&["m1"], 0)], at(900));
-    let mut paced = pulse(1, &["m1"], 0);
+    let mut paced = status(1, &["m1"], 0);
     paced.number.number = 2;
     paced.load_wait_ms = 2_000;
     directory.apply_status(paced, at(950));
@@ -360,7 +360,7 @@
 #[test]
 fn engine_without_a_rate_share_is_told_its_lenders() {
     let mut directory = directory(&[(&["m1"], 10), (&[], 0)], at(900));
-    let mut fresh = pulse(2, &[], 0);
+    let mut fresh = status(2, &[], 0);
     fresh.number.number = 2;
     fresh.load_wait_ms = u32::MAX;
     directory.apply_status(fresh, at(900));
@@ -376,7 +376,7 @@
 #[test]
 fn replica_is_loaded_where_a_local_copy_shortens_the_load() {
     let mut directory = directory(&[(&["m1"], 10), (&["m2"], 2), (&["m3"], 0)], at(900));
-    let mut with_copy = pulse(2, &["m2"], 2);
+    let mut with_copy = status(2, &["m2"], 2);
     with_copy.number.number = 2;
     with_copy.copies = LocalCopies {
         in_memory: Vec::new(),
--- a/crates/oatpier-serving/tests/testsuite/relays.rs
+++ b/crates/oatpier-serving/tests/testsuite/relays.rs
@@ -8,12 +8,12 @@
 
 use oatpier_serving::directory::EndpointDirectory;
 use oatpier_serving::engine::EndpointLoad;
-use oatpier_serving::message::{EngineUpdate, LoadPulse, MessageNumber};
+use oatpier_serving::message::{EngineUpdate, LoadStatus, MessageNumber};
 use oatpier_serving::relays::{RelayCandidate, RelayQueue, select_relays};
 use oatpier_types::names::ZoneName;
 use proptest::prelude::*;
 
-use crate::support::{address, at, endpoint, fixed_cases, model, pulse, record, zone};
+use crate::support::{address, at, endpoint, fixed_cases, model, record, status, zone};
 
 fn gateway(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, number], 7_380))
@@ -29,8 +29,8 @@
     select_relays(address(sidecar), candidates)
 }
 
-fn load(number: u64, running: u32) -> LoadPulse {
-    LoadPulse {
+fn load(number: u64, running: u32) -> LoadStatus {
+    LoadStatus {
         number: MessageNumber { boot: 1, number },
         engine: address(1),
         load: EndpointLoad {
@@ -46,15 +46,15 @@
 }
 
 fn whole(number: u64, models: &[&str], running: u32) -> EngineUpdate {
-    let mut whole = pulse(1, models, running);
+    let mut whole = status(1, models, running);
     whole.number.number = number;
-    EngineUpdate::Pulse(Box::new(whole))
+    EngineUpdate::Status(Box::new(whole))
 }
 
 fn apply_update(directory: &mut EndpointDirectory, update: &EngineUpdate, now: u64) {
     match update {
-        EngineUpdate::Pulse(pulse) => {
-            directory.apply_status((**pulse).clone(), at(now));
+        EngineUpdate::Status(status) => {
+            directory.apply_status((**status).clone(), at(now));
         }
         EngineUpdate::Load(load) => directory.apply_load_status(load, at(now)),
     }
@@ -185,9 +185,9 @@
                 processor: 100,
             });
             let relays = select_relays(address(engine), candidates);
-            let mut status = pulse(engine, &[holds], 1);
+            let mut status = status(engine, &[holds], 1);
             status.number.number = number;
-            let update = EngineUpdate::Pulse(Box::new(status));
+            let update = EngineUpdate::Status(Box::new(status));
             for relay in relays.into_iter().map(Self::index) {
                 if !self.dead.contains(&relay) && !loses() {
                     apply_update(&mut self.known[relay], &update, now);
--- a/crates/oatpier-serving/tests/testsuite/residency.rs
+++ b/crates/oatpier-serving/tests/testsuite/residency.rs
@@ -5,7 +5,7 @@
 
 use oatpier_serving::engine::{EngineOrder, EngineReport, LocalCopies, OrderAnswer, StartTime};
 use oatpier_serving::message::{
-    AdapterRequest, AdapterUse, GatewayGreeting, LoadAdvice, ModelSize,
+    AdapterRequest, AdapterUse, GatewaySubscription, LoadAdvice, ModelSize,
 };
 use oatpier_serving::residency::{EngineResidency, LoadPace};
 use proptest::prelude::*;
@@ -45,12 +45,12 @@
     }
 }
 
-fn greeting(used: &[(&str, u32)]) -> GatewayGreeting {
+fn subscription(used: &[(&str, u32)]) -> GatewaySubscription {
     let used = used.iter().map(|(name, requests)| AdapterUse {
         key: adapter("m1", name),
         requests: *requests,
     });
-    GatewayGreeting {
+    GatewaySubscription {
         zone: zone("near"),
         processor: 100,
         is_heard: true,
@@ -165,7 +165,7 @@
     let mut full = report(1, &[]);
     full.models = vec![held("m1", &["a1", "a2"])];
     residency.take_report(full);
-    residency.take_greeting(gateway(), &greeting(&[("a1", 1), ("a2", 0)]), at(0));
+    residency.apply_subscription(gateway(), &subscription(&[("a1", 1), ("a2", 0)]), at(0));
     residency.take_wish(adapter_wish("a3"), at(100));
     let order = residency.next_order(at(100)).unwrap();
     assert_eq!(order.order, EngineOrder::UnloadAdapter(adapter("m1", "a2")));
@@ -180,11 +180,11 @@
     let mut full = report(1, &[]);
     full.models = vec![held("m1", &["a1", "a2"])];
     residency.take_report(full);
-    residency.take_greeting(gateway(), &greeting(&[("a1", 1), ("a2", 3)]), at(0));
+    residency.apply_subscription(gateway(), &subscription(&[("a1", 1), ("a2", 3)]), at(0));
     residency.take_wish(adapter_wish("a3"), at(100));
     assert_eq!(residency.next_order(at(100)), None);
     assert_eq!(residency.offered()[0].adapters.len(), 1);
-    residency.take_greeting(gateway(), &greeting(&[("a2", 3)]), at(150));
+    residency.apply_subscription(gateway(), &subscription(&[("a2", 3)]), at(150));
     residency.take_wish(adapter_wish("a3"), at(200));
     let order = residency.next_order(at(200)).unwrap();
     assert_eq!(order.order, EngineOrder::UnloadAdapter(adapter("m1", "a1")));
@@ -204,7 +204,7 @@
 fn adapter_request_that_is_not_repeated_expires() {
     let mut residency = residency();
     residency.take_report(report(1, &["m1"]));
-    residency.take_greeting(gateway(), &greeting(&[]), at(0));
+    residency.apply_subscription(gateway(), &subscription(&[]), at(0));
     residency.take_wish(adapter_wish("a1"), at(0));
     assert_eq!(residency.next_order(at(1_000)), None);
 }
--- a/crates/oatpier-serving/tests/testsuite/support.rs
+++ b/crates/oatpier-serving/tests/testsuite/support.rs
@@ -7,7 +7,7 @@
 use oatpier_serving::call::{CallerRequest, PromptPart, WeightsKey};
 use oatpier_serving::directory::{EndpointDirectory, EndpointRecord};
 use oatpier_serving::engine::{AdapterKey, EndpointLoad, HeldModel, LocalCopies};
-use oatpier_serving::message::{EnginePulse, MessageNumber};
+use oatpier_serving::message::{EngineStatus, MessageNumber};
 use oatpier_serving::site::{EngineRule, ModelRule, RouteKind, RouteRule, WeightedService};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{AdapterName, ClassName, EndpointName, ModelName, PoolName, ZoneName};
@@ -76,8 +76,8 @@
     }
 }
 
-pub fn pulse(number: u8, models: &[&str], running: u32) -> EnginePulse {
-    EnginePulse {
+pub fn status(number: u8, models: &[&str], running: u32) -> EngineStatus {
+    EngineStatus {
         number: MessageNumber { boot: 1, number: 1 },
         engine: address(number),
         service: Some(service()),
@@ -113,7 +113,7 @@
     let records = numbered().map(|(number, (models, _))| record(number, models));
     directory.apply_registry(records.collect(), now);
     for (number, (models, running)) in numbered() {
-        directory.apply_status(pulse(number, models, *running), now);
+        directory.apply_status(status(number, models, *running), now);
     }
     directory
 }
