--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -54,7 +54,7 @@
     /// The endpoint reported that it did not run the request.
     Refused,
     /// After the request was placed, the endpoint reported that it does not accept it now: it is leaving, in a
-    /// back-off period, or has a rate limit.
+    /// rest period, or has a rate limit.
     HeldBack,
     /// Another endpoint now uses the address and did not run the request.
     Replaced,
--- a/crates/oatpier-gateway/src/gateway/placement.rs
+++ b/crates/oatpier-gateway/src/gateway/placement.rs
@@ -123,7 +123,7 @@
     pub refusal: Refusal,
     /// The best endpoint, if there is one; it is overloaded.
     pub best: Option<EndpointChoice>,
-    /// Why no endpoint can be used, if all are throttled: they asked for a back-off or are over their rate limit.
+    /// Why no endpoint can be used, if all are throttled: they asked for a rest period or are over their rate limit.
     pub throttled: Option<HeldService>,
 }
 
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -34,15 +34,15 @@
 /// The interval at which a request that waits for a model is placed again if no change is reported.
 const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After a back-off, waiting requests retry the endpoint in the order of their remaining wait time: each is delayed
+/// After a rest period, waiting requests retry the endpoint in the order of their remaining wait time: each is delayed
 /// by its remaining time divided by this number.
-const BACKOFF_SPREAD_DIVISOR: u32 = 100;
+const REST_SPREAD_DIVISOR: u32 = 100;
 
 /// The longest time for which a waiting request does not check whether its gateway is being stopped.
 pub(super) const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest delay of a request after a back-off ends.
-const MAX_BACKOFF_SPREAD: Duration = Duration::from_millis(30);
+/// The longest delay of a request after a rest period ends.
+const MAX_REST_SPREAD: Duration = Duration::from_millis(30);
 
 impl GatewayCore {
     /// Decides what to do with a request now.
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns the refusal of a request whose possible endpoints are all throttled: they asked for a back-off or
+    /// Returns the refusal of a request whose possible endpoints are all throttled: they asked for a rest period or
     /// are over their rate limit.
     pub(super) fn refusal_if_throttled(
         &self,
@@ -227,7 +227,7 @@
     context.route.kind.is_stream() && choice.batches && !choice.memory_full && is_reporting
 }
 
-/// Places a request whose endpoints are all throttled: they asked for a back-off or are over their rate limit. It
+/// Places a request whose endpoints are all throttled: they asked for a rest period or are over their rate limit. It
 /// waits if one of them accepts requests again in time; otherwise it is refused at once with a `Retry-After`.
 /// Requests whose callers time out first retry first.
 fn place_throttled(
@@ -241,7 +241,7 @@
         let refusal = state.judge.held(&throttled);
         return PlacementRefusal::throttled(refusal, throttled);
     }
-    let delay = throttled.left + (spare_wait / BACKOFF_SPREAD_DIVISOR).min(MAX_BACKOFF_SPREAD);
+    let delay = throttled.left + (spare_wait / REST_SPREAD_DIVISOR).min(MAX_REST_SPREAD);
     Placement::Sleep(delay.min(STOP_CHECK_INTERVAL))
 }
 
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -62,7 +62,7 @@
     /// The best endpoint when the request was refused because that endpoint could not take it.
     pub(super) best_choice: Option<EndpointChoice>,
     /// Why no endpoint could be used when the request was refused because all of them are throttled: they asked for
-    /// a back-off or are over their rate limit.
+    /// a rest period or are over their rate limit.
     pub(super) throttled: Option<HeldService>,
 }
 
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -194,7 +194,7 @@
         row.is_some_and(|row| row.limit().is_some())
     }
 
-    /// Returns whether an endpoint is neither leaving nor in a back-off period.
+    /// Returns whether an endpoint is neither leaving nor in a rest period.
     fn is_accepting(&self, endpoint: &EndpointName) -> bool {
         let now = self.clock.now();
         let state = self.lock();
--- a/crates/oatpier-gateway/tests/testsuite/rests.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rests.rs
@@ -1,4 +1,4 @@
-//! Tests of endpoints that refuse requests and ask for a back-off with `Retry-After`.
+//! Tests of endpoints that refuse requests and ask for a rest period with `Retry-After`.
 
 use std::time::Duration;
 
@@ -14,17 +14,17 @@
     own_answer, prompt, request, stream_start, with_headers,
 };
 
-/// Returns responses that refuse a request and ask for a back-off of this many seconds.
+/// Returns responses that refuse a request and ask for a rest period of this many seconds.
 fn refusals(count: usize, seconds: &str) -> Vec<EndpointStep> {
     let answer = not_executed_response("503 Service Unavailable");
     let answer = with_headers(&answer, &[("retry-after", seconds)]);
     vec![EndpointStep::Answer(answer); count]
 }
 
-/// Guards against requests that overload an endpoint during its back-off. Each caller's request would go to the
+/// Guards against requests that overload an endpoint during its rest period. Each caller's request would go to the
 /// endpoint that has just refused one, because it is idle.
 #[tokio::test]
-async fn an_endpoint_gets_no_requests_during_its_back_off() {
+async fn an_endpoint_gets_no_requests_during_its_rest_period() {
     let endpoint = ScriptedEndpoint::start(refusals(20, "30")).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     for _ in 0..20 {
@@ -47,11 +47,11 @@
         .unwrap()
 }
 
-/// Guards against useless retries. The back-off of the only endpoint is longer than the caller waits. If the caller
+/// Guards against useless retries. The rest period of the only endpoint is longer than the caller waits. If the caller
 /// were asked to retry after the usual 80 ms, it would retry again and again in vain, and be asked each time to
 /// retry at once.
 #[tokio::test]
-async fn a_caller_gets_the_back_off_of_its_only_endpoint_as_retry_after() {
+async fn a_caller_gets_the_rest_period_of_its_only_endpoint_as_retry_after() {
     let endpoint = ScriptedEndpoint::start(refusals(1, "30")).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     for _ in 0..2 {
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn another_endpoint_serves_during_a_back_off() {
+async fn another_endpoint_serves_during_a_rest_period() {
     let refusing = ScriptedEndpoint::start(refusals(1, "30")).await;
     let other = ScriptedEndpoint::start(answers(4)).await;
     let gateway = TestGateway::before(RouteKind::Safe, 2, &[&refusing, &other]);
@@ -82,9 +82,9 @@
     assert!(refusing.requests().len() <= 1);
 }
 
-/// A request that can wait is sent when the back-off ends, and not earlier.
+/// A request that can wait is sent when the rest period ends, and not earlier.
 #[tokio::test]
-async fn a_request_waits_for_a_short_back_off_to_end() {
+async fn a_request_waits_for_a_short_rest_period_to_end() {
     let steps = [refusals(1, "0.2"), answers(1)].concat();
     let endpoint = ScriptedEndpoint::start(steps).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
@@ -103,11 +103,11 @@
     answers.iter().map(Response::status).collect()
 }
 
-/// Guards against an overload at the end of a back-off. Twenty requests wait for that moment and would all be sent
+/// Guards against an overload at the end of a rest period. Twenty requests wait for that moment and would all be sent
 /// in its first millisecond. Here the endpoint refuses the first one again, and the others must not have been sent
 /// together with it.
 #[tokio::test]
-async fn after_a_back_off_one_request_is_sent_before_the_others() {
+async fn after_a_rest_period_one_request_is_sent_before_the_others() {
     let steps = [refusals(1, "0.1"), refusals(19, "30")].concat();
     let endpoint = ScriptedEndpoint::start(steps).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
@@ -116,9 +116,9 @@
     assert_eq!(endpoint.requests().len(), 2);
 }
 
-/// Once the endpoint serves a request after its back-off, the other requests follow soon.
+/// Once the endpoint serves a request after its rest period, the other requests follow soon.
 #[tokio::test]
-async fn after_a_successful_back_off_all_requests_are_served() {
+async fn after_a_successful_rest_period_all_requests_are_served() {
     let steps = [refusals(1, "0.05"), answers(20)].concat();
     let endpoint = ScriptedEndpoint::start(steps).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
@@ -126,10 +126,10 @@
     assert_eq!(statuses, [StatusCode::OK; 20]);
 }
 
-/// Guards against prompts that are sent to an endpoint during its back-off. The prompt already has a permit when
-/// the response to another one asks for the back-off; the permit is not used.
+/// Guards against prompts that are sent to an endpoint during its rest period. The prompt already has a permit when
+/// the response to another one asks for the rest period; the permit is not used.
 #[tokio::test]
-async fn a_request_with_a_permit_is_not_sent_when_its_endpoint_asks_for_a_back_off() {
+async fn a_request_with_a_permit_is_not_sent_when_its_endpoint_asks_for_a_rest_period() {
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let steps = [refusals(1, "30"), vec![EndpointStep::Answer(stream)]].concat();
     let engine = ScriptedEndpoint::start(steps).await;
@@ -157,10 +157,10 @@
 }
 
 /// Guards against connections that are closed without a response. The gateway is stopped while a request waits for
-/// the end of a back-off. If the request were kept until the process is killed, its caller would see a closed
+/// the end of a rest period. If the request were kept until the process is killed, its caller would see a closed
 /// connection.
 #[tokio::test]
-async fn a_request_that_waits_for_a_back_off_is_refused_when_its_gateway_stops() {
+async fn a_request_that_waits_for_a_rest_period_is_refused_when_its_gateway_stops() {
     let endpoint = ScriptedEndpoint::start(refusals(1, "8")).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.send(request(&[])).await;
--- a/crates/oatpier-serving/src/admission.rs
+++ b/crates/oatpier-serving/src/admission.rs
@@ -165,7 +165,7 @@
     pub fn held(&mut self, throttled: &HeldService) -> Refusal {
         let cause = match throttled.cause {
             ThrottleCause::RateLimit => RefusalCause::RateLimited,
-            ThrottleCause::Backoff => RefusalCause::EndpointRests,
+            ThrottleCause::RestPeriod => RefusalCause::EndpointRests,
         };
         let jitter = throttled
             .left
--- a/crates/oatpier-serving/src/choice.rs
+++ b/crates/oatpier-serving/src/choice.rs
@@ -56,7 +56,7 @@
 /// Share of an engine's memory above which new requests would evict running ones.
 const MAX_MEMORY_SHARE: f64 = 0.93;
 
-/// Time until a request is offered again to an endpoint that was backed off and has just been sent a first
+/// Time until a request is offered again to an endpoint that was in a rest period and has just been sent a first
 /// request.
 const PROBE_INTERVAL: Duration = Duration::from_millis(25);
 
@@ -110,7 +110,7 @@
         /// Duration of the shortest possible load on any engine whose state is known.
         load: Option<Duration>,
     },
-    /// All endpoints that could serve the request are rate limited or backed off.
+    /// All endpoints that could serve the request are rate limited or in a rest period.
     Held(HeldService),
     /// The service has no endpoint, or all of them were already sent the request.
     NoEndpoint,
@@ -132,8 +132,8 @@
 pub enum ThrottleCause {
     /// The endpoint's rate limit over all gateways.
     RateLimit,
-    /// The backoff that the endpoint requested from this gateway.
-    Backoff,
+    /// The rest period that the endpoint requested from this gateway.
+    RestPeriod,
 }
 
 impl ThrottleCause {
@@ -142,7 +142,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::RateLimit => "limit",
-            Self::Backoff => "rest",
+            Self::RestPeriod => "rest",
         }
     }
 }
@@ -170,7 +170,7 @@
         if !row.allows_request(now) {
             skipped.note_throttled(
                 row,
-                ThrottleCause::Backoff,
+                ThrottleCause::RestPeriod,
                 row.rest_left(now).max(PROBE_INTERVAL),
             );
             continue;
--- a/crates/oatpier-serving/tests/testsuite/reads.rs
+++ b/crates/oatpier-serving/tests/testsuite/reads.rs
@@ -94,14 +94,14 @@
     let mut draining = record(1, &["m1"]);
     draining.draining = true;
     let second = StoreView::new(7, vec![draining, record(3, &["m1"])]);
-    let word = second.delta_since(Some(&first));
+    let delta = second.delta_since(Some(&first));
     let mut other = first.clone();
-    assert_eq!(other.apply_delta(&word), DeltaOutcome::Patched);
+    assert_eq!(other.apply_delta(&delta), DeltaOutcome::Patched);
     let draining: Vec<bool> = other.endpoints().iter().map(|row| row.draining).collect();
     assert_eq!(draining, vec![true, false]);
-    assert_eq!(other.apply_delta(&word), DeltaOutcome::Same);
+    assert_eq!(other.apply_delta(&delta), DeltaOutcome::Same);
     let mut behind = StoreView::new(7, vec![record(1, &["m1"])]);
-    assert_eq!(behind.apply_delta(&word), DeltaOutcome::Unknown);
+    assert_eq!(behind.apply_delta(&delta), DeltaOutcome::Unknown);
     assert_eq!(behind.endpoints().len(), 1);
 }
 
@@ -111,8 +111,8 @@
     let first = StoreView::new(7, vec![record(1, &["m1"])]);
     let second = StoreView::new(8, vec![record(1, &["m1"]), record(2, &["m1"])]);
     let mut other = first.clone();
-    let word = second.delta_since(Some(&first));
-    assert_eq!(other.apply_delta(&word), DeltaOutcome::Unknown);
+    let delta = second.delta_since(Some(&first));
+    assert_eq!(other.apply_delta(&delta), DeltaOutcome::Unknown);
     assert_eq!(other, first);
 }
 
@@ -122,9 +122,9 @@
 fn too_many_changes_are_left_out_of_the_message() {
     let first = StoreView::new(7, Vec::new());
     let second = StoreView::new(7, (1..100).map(|number| record(number, &["m1"])).collect());
-    let word = second.delta_since(Some(&first));
-    assert!(word.changed.is_empty());
-    assert_eq!(first.clone().apply_delta(&word), DeltaOutcome::Unknown);
+    let delta = second.delta_since(Some(&first));
+    assert!(delta.changed.is_empty());
+    assert_eq!(first.clone().apply_delta(&delta), DeltaOutcome::Unknown);
 }
 
 /// The digest leaves out what engines hold, so messages must not replace a gateway's reads indefinitely.
@@ -175,7 +175,7 @@
             era,
         })
     };
-    let word = view(2).delta_since(Some(&view(2)));
-    assert_eq!(view(2).apply_delta(&word), DeltaOutcome::Same);
-    assert_eq!(view(1).apply_delta(&word), DeltaOutcome::Unknown);
+    let delta = view(2).delta_since(Some(&view(2)));
+    assert_eq!(view(2).apply_delta(&delta), DeltaOutcome::Same);
+    assert_eq!(view(1).apply_delta(&delta), DeltaOutcome::Unknown);
 }
