--- a/crates/oatpier-serving/src/peers.rs
+++ b/crates/oatpier-serving/src/peers.rs
@@ -283,7 +283,7 @@
             .map(|(address, kept)| PlannerCandidate::of(*address, &kept.report))
             .collect();
         candidates.sort_by_key(PlannerCandidate::sort_key);
-        let addresses = candidates.iter().map(|standing| standing.address);
+        let addresses = candidates.iter().map(|candidate| candidate.address);
         addresses.take(DEMAND_READERS).collect()
     }
 
@@ -339,12 +339,12 @@
         let peers = self.live(now).filter(|(_, kept)| !kept.report.leaving);
         let peers = peers.map(|(address, kept)| PlannerCandidate::of(*address, &kept.report));
         let all: Vec<PlannerCandidate> = peers.chain([self.own]).collect();
-        let counts = all.iter().map(|standing| standing.engines_heard);
+        let counts = all.iter().map(|candidate| candidate.engines_heard);
         let most = counts.max().unwrap_or(0);
         let least = most - most / MISSED_ENGINES_DIVISOR;
         let eligible = all.iter().filter(|peer| peer.engines_heard >= least);
-        let best = eligible.min_by_key(|standing| standing.sort_key());
-        best.map_or(self.own.address, |standing| standing.address)
+        let best = eligible.min_by_key(|candidate| candidate.sort_key());
+        best.map_or(self.own.address, |candidate| candidate.address)
     }
 
     /// Returns whether this gateway plans.
