--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -9,22 +9,22 @@
 use oatpier_duty::duty::{RingSender, RuntimeClock};
 use oatpier_serving::admission::AdmissionJudge;
 use oatpier_serving::budget::RetryAllowance;
-use oatpier_serving::crashes::book::CrashBook;
+use oatpier_serving::crashes::broken_attempts::AttemptWatch;
 use oatpier_serving::crashes::changes::CrashChange;
-use oatpier_serving::crashes::cuts::CutWatch;
+use oatpier_serving::crashes::suspects::SuspectTable;
 use oatpier_serving::demand::DemandBook;
 use oatpier_serving::directory::{EndpointDirectory, EndpointRecord};
-use oatpier_serving::greetings::GreetingPaces;
-use oatpier_serving::message::{EnginePulse, EngineWord, InnerMessage};
-use oatpier_serving::peers::PeerBook;
+use oatpier_serving::message::{EngineStatus, EngineUpdate, InnerMessage};
+use oatpier_serving::peers::PeerTable;
 use oatpier_serving::planner::LoadPlanner;
-use oatpier_serving::quota::grants::GrantBook;
+use oatpier_serving::quota::grants::GrantCache;
 use oatpier_serving::quota::holder::{PartAnswer, PartHolder};
-use oatpier_serving::quota::tenure::{PartTenure, StoreEra, TenureIdentity};
+use oatpier_serving::quota::lease::{HolderIdentity, PartLeases, StoreEra};
 use oatpier_serving::quota::turns::TurnAnswer;
-use oatpier_serving::reads::StoreWord;
+use oatpier_serving::reads::StoreDelta;
 use oatpier_serving::relays::RelayQueue;
 use oatpier_serving::site::{RouteRule, SiteConfig};
+use oatpier_serving::subscriptions::SubscriptionSchedule;
 use oatpier_serving::workspace::quota::QuotaRule;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{DaemonName, PoolName, WorkspaceName, ZoneName};
@@ -61,7 +61,7 @@
     /// Readiness flag: whether the process can serve.
     pub able: Arc<AtomicBool>,
     /// Queue of store deltas from other gateways, read by the thread that reads the store.
-    pub words: RingSender<StoreWord>,
+    pub words: RingSender<StoreDelta>,
     /// Queue of crash records to write, read by the thread that writes crashes.
     pub crash_changes: RingSender<CrashChange>,
     /// Publishes the configuration in force.
@@ -80,20 +80,20 @@
     pub(super) demand: DemandBook,
     pub(super) allowance: RetryAllowance,
     /// Requests that were running at endpoints when these ended.
-    pub(super) crashes: CrashBook,
+    pub(super) crashes: SuspectTable,
     /// Attempts that were cut off, kept until it is known whether their endpoint ended.
-    pub(super) cuts: CutWatch,
-    pub(super) peers: PeerBook,
-    /// Intervals between greetings to sidecars without a current pulse.
-    pub(super) greeting_schedule: GreetingPaces,
+    pub(super) cuts: AttemptWatch,
+    pub(super) peers: PeerTable,
+    /// Intervals between subscriptions to sidecars without a current status update.
+    pub(super) subscription_schedule: SubscriptionSchedule,
     /// Quota rules of the workspaces that have limits.
     pub(super) limits: HashMap<WorkspaceName, QuotaRule>,
     /// Which gateway holds which part of the limits.
-    pub(super) tenure: PartTenure,
+    pub(super) tenure: PartLeases,
     /// Units of the limit parts that this gateway holds.
     pub(super) holder: PartHolder,
     /// Units that were granted to this gateway.
-    pub(super) grants: GrantBook,
+    pub(super) grants: GrantCache,
     /// Engine updates from sidecars, to pass on as a relay of this availability zone.
     pub(super) relayed: RelayQueue,
     pub(super) planner: LoadPlanner,
@@ -114,7 +114,7 @@
     state: Mutex<CoreState>,
     /// Wakes waiting requests after a change of weights or endpoints.
     pub(super) changed: Notify,
-    /// Wakes the greeting loop after endpoints have appeared.
+    /// Wakes the subscription loop after endpoints have appeared.
     pub(super) endpoints_appeared: Notify,
     /// Wakes the reporting loop when demand can't be served.
     pub(super) pressed: Notify,
@@ -142,7 +142,7 @@
     /// HTTP client for endpoints.
     pub client: HttpClient,
     able: Arc<AtomicBool>,
-    words: RingSender<StoreWord>,
+    words: RingSender<StoreDelta>,
     pub(super) crash_changes: RingSender<CrashChange>,
     closed: AtomicBool,
     behind: AtomicBool,
@@ -163,19 +163,19 @@
                 bounds.retry_slack,
                 bounds.retry_window,
             ),
-            crashes: CrashBook::default(),
-            cuts: CutWatch::default(),
-            peers: PeerBook::new(settings.inner_address(), settings.processor),
-            greeting_schedule: GreetingPaces::default(),
+            crashes: SuspectTable::default(),
+            cuts: AttemptWatch::default(),
+            peers: PeerTable::new(settings.inner_address(), settings.processor),
+            subscription_schedule: SubscriptionSchedule::default(),
             limits: HashMap::new(),
-            tenure: PartTenure::new(TenureIdentity {
+            tenure: PartLeases::new(HolderIdentity {
                 address: settings.inner_address(),
                 boot: rand::random(),
                 started_at: ClockTime::ZERO,
-                first_start: settings.first_start,
+                is_first_start: settings.is_first_start,
             }),
             holder: PartHolder::default(),
-            grants: GrantBook::default(),
+            grants: GrantCache::default(),
             config_known_at: None,
             config_requested_at: None,
             store_era: None,
@@ -292,7 +292,7 @@
         let known = state.store_era.replace(era);
         let is_restored = known.is_some_and(|known| known != era);
         if is_restored {
-            state.directory.note_store_return(now);
+            state.directory.note_store_restored(now);
             let line = DecisionLine::new(LineWeight::Notable, "store came back from an older copy");
             self.log.write(line.with("era", era));
         }
@@ -301,7 +301,7 @@
 
     /// Sends the changes found in the store to the other gateways of the availability zone, so that they need not
     /// read it.
-    pub fn tell_word(&self, delta: StoreWord) {
+    pub fn tell_word(&self, delta: StoreDelta) {
         let now = self.clock.now();
         let peers: Vec<SocketAddr> = self.lock().peers.in_zone(&self.zone, now).collect();
         let message = InnerMessage::StoreSeen(Box::new(delta));
@@ -311,7 +311,7 @@
     }
 
     /// Queues a store delta from another gateway of the availability zone.
-    pub fn take_store_word(&self, delta: StoreWord) {
+    pub fn take_store_word(&self, delta: StoreDelta) {
         // A full ring counts what it drops. The store is then read at the usual time, as without the delta.
         let _ = self.words.offer(delta);
     }
@@ -330,35 +330,35 @@
         self.lock().directory.note_store_failure(now);
     }
 
-    /// Applies a sidecar's pulse.
-    pub fn take_pulse(&self, pulse: EnginePulse) {
-        self.apply_engine_update(EngineWord::Pulse(Box::new(pulse)));
+    /// Applies a sidecar's status update.
+    pub fn apply_status(&self, status: EngineStatus) {
+        self.apply_engine_update(EngineUpdate::Status(Box::new(status)));
     }
 
     /// Applies an engine update from a sidecar, and queues it for the other gateways of the availability zone.
-    pub fn take_spread(&self, update: EngineWord) {
-        self.lock().relayed.take(update.clone());
+    pub fn take_spread(&self, update: EngineUpdate) {
+        self.lock().relayed.push(update.clone());
         self.apply_engine_update(update);
     }
 
     /// Applies engine updates that a relay passed on.
-    pub fn take_relayed(&self, updates: Vec<EngineWord>) {
+    pub fn take_relayed(&self, updates: Vec<EngineUpdate>) {
         for update in updates {
-            self.lock().relayed.note_passed_on(&update);
+            self.lock().relayed.note_forwarded(&update);
             self.apply_engine_update(update);
         }
     }
 
-    fn apply_engine_update(&self, update: EngineWord) {
+    fn apply_engine_update(&self, update: EngineUpdate) {
         let now = self.clock.now();
         let mut state = self.lock();
         let changed = match update {
-            EngineWord::Pulse(pulse) => {
-                state.peers.note_named(&pulse.gateways, now);
-                state.directory.take_pulse(*pulse, now)
+            EngineUpdate::Status(status) => {
+                state.peers.note_named(&status.gateways, now);
+                state.directory.apply_status(*status, now)
             }
-            EngineWord::Load(load) => {
-                state.directory.take_load_pulse(&load, now);
+            EngineUpdate::Load(load) => {
+                state.directory.apply_load_status(&load, now);
                 false
             }
         };
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -7,11 +7,11 @@
 
 use std::net::SocketAddr;
 
-use oatpier_serving::crashes::book::{CrashBook, SuspectStanding, SuspectVerdict};
+use oatpier_serving::crashes::broken_attempts::BrokenAttempt;
 use oatpier_serving::crashes::changes::CrashChange;
-use oatpier_serving::crashes::cuts::CutAttempt;
+use oatpier_serving::crashes::suspects::{SuspectStatus, SuspectTable, SuspectVerdict};
 use oatpier_serving::crashes::{CrashRecord, RequestOrigin};
-use oatpier_serving::directory::EndpointOutcome;
+use oatpier_serving::directory::RequestOutcome;
 use oatpier_serving::fingerprint::RequestFingerprint;
 use oatpier_serving::message::InnerMessage;
 use oatpier_serving::reading::SentPrompt;
@@ -26,12 +26,12 @@
 const CRASHES_PER_MESSAGE: usize = 8;
 
 impl GatewayCore {
-    /// Decides whether a request may be sent, based on the fate of the endpoints that ran it before.
+    /// Decides whether a request may be sent, based on the liveness of the endpoints that ran it before.
     pub(super) fn suspect_verdict(&self, context: &RequestContext) -> SuspectVerdict {
         let now = self.clock.now();
         let state = self.lock();
-        let open = state.cuts.open(&context.fingerprint);
-        state.crashes.judge(&context.fingerprint, open, now)
+        let open = state.cuts.count_unresolved(&context.fingerprint);
+        state.crashes.evaluate(&context.fingerprint, open, now)
     }
 
     /// Records what the end of an attempt reveals about its request, and about others that were cut off at the same
@@ -41,16 +41,16 @@
         context: &RequestContext,
         endpoint: &EndpointName,
         sent: &SentPrompt,
-        outcome: EndpointOutcome,
+        outcome: RequestOutcome,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.crashes.end(&context.fingerprint);
+        state.crashes.end_run(&context.fingerprint);
         match outcome {
-            EndpointOutcome::Broken => {
+            RequestOutcome::Broken => {
                 record_broken_attempt(&mut state, context, endpoint, sent, now);
             }
-            EndpointOutcome::Whole { .. } => {
+            RequestOutcome::Whole { .. } => {
                 self.clear_suspect(&mut state, &context.fingerprint, now);
             }
             _ => {}
@@ -69,15 +69,15 @@
         let CoreState {
             cuts, directory, ..
         } = &mut *state;
-        let found = cuts.settle(now, |cut| {
-            directory.fate(&cut.site.endpoint, cut.index, cut.at, now)
+        let found = cuts.resolve(now, |cut| {
+            directory.liveness(&cut.site.endpoint, cut.index, cut.at, now)
         });
         if found.is_empty() {
             return;
         }
         for record in &found {
-            if let Some(standing) = state.crashes.note_crash(record, now) {
-                self.log_suspect(record, &standing, "seen");
+            if let Some(status) = state.crashes.note_crash(record, now) {
+                self.log_suspect(record, &status, "seen");
             }
             self.queue_store_change(CrashChange::Put(record.clone()));
         }
@@ -94,11 +94,11 @@
         let now = self.clock.now();
         let mut state = self.lock();
         for record in records {
-            let standing = state.crashes.note_crash(record, now);
+            let status = state.crashes.note_crash(record, now);
             // The gateway that saw the crash has logged the suspicion already; every other gateway would log it
             // again.
-            if let Some(standing) = standing.filter(|standing| standing.is_barred) {
-                self.log_suspect(record, &standing, "told");
+            if let Some(status) = status.filter(|status| status.is_barred) {
+                self.log_suspect(record, &status, "told");
             }
         }
         self.update_suspect_metrics(&state.crashes, now);
@@ -111,12 +111,12 @@
         let mut state = self.lock();
         let barred_before = state.crashes.barred(now);
         if has_returned {
-            let lost = state.crashes.take_returned(records, now);
+            let lost = state.crashes.apply_restored(records, now);
             for record in lost {
                 self.queue_store_change(CrashChange::Put(record));
             }
         } else {
-            state.crashes.take_stored(records, now);
+            state.crashes.apply_stored(records, now);
         }
         let barred = state.crashes.barred(now);
         if barred != barred_before {
@@ -143,7 +143,7 @@
     pub(super) fn expire_suspects(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let evicted = state.crashes.take_pushed_out();
+        let evicted = state.crashes.take_evicted();
         if !evicted.is_empty() {
             let line = DecisionLine::new(LineWeight::Notable, "suspects pushed out")
                 .with("crashes", evicted.len());
@@ -181,8 +181,8 @@
         self.send_to_peers(&peers, &InnerMessage::CrashesCleared(vec![*fingerprint]));
     }
 
-    fn log_suspect(&self, record: &CrashRecord, standing: &SuspectStanding, source: &'static str) {
-        let decision = if standing.is_barred {
+    fn log_suspect(&self, record: &CrashRecord, status: &SuspectStatus, source: &'static str) {
+        let decision = if status.is_barred {
             "request barred"
         } else {
             "request suspected"
@@ -196,14 +196,14 @@
             )
             .with("route", record.origin.route.as_str())
             .with("endpoint", record.site.to_string())
-            .with("crashes", standing.crashes)
+            .with("crashes", status.crashes)
             .with("source", source);
         self.log.write(line);
     }
 
-    fn update_suspect_metrics(&self, book: &CrashBook, now: ClockTime) {
+    fn update_suspect_metrics(&self, table: &SuspectTable, now: ClockTime) {
         self.metrics
-            .note_suspects(book.suspects(), book.barred(now));
+            .note_suspects(table.suspects(), table.barred(now));
     }
 
     fn queue_store_change(&self, change: CrashChange) {
@@ -227,10 +227,13 @@
     sent: &SentPrompt,
     now: ClockTime,
 ) {
-    let Some((site, index)) = state.directory.staying_start(endpoint, sent.start, now) else {
+    let Some((site, index)) = state
+        .directory
+        .staying_incarnation(endpoint, sent.start, now)
+    else {
         return;
     };
-    state.cuts.note(CutAttempt {
+    state.cuts.add(BrokenAttempt {
         fingerprint: context.fingerprint,
         origin: RequestOrigin {
             host: context.route.host.clone(),
--- a/crates/oatpier-gateway/src/gateway/exchanges.rs
+++ b/crates/oatpier-gateway/src/gateway/exchanges.rs
@@ -10,9 +10,9 @@
 use tokio::time::{MissedTickBehavior, interval};
 
 use super::core::GatewayCore;
-use super::greetings::greet;
 use super::planning::plan;
 use super::reports::{PeerReporter, report};
+use super::subscriptions::subscribe;
 use crate::exchange::InnerSocket;
 use crate::parts_writer::ClaimResult;
 use crate::records::StoreNews;
@@ -49,7 +49,7 @@
         receive_messages(&core, socket),
         apply_store_news(&core, &inputs.news, stop),
         apply_fetched_configs(&core, &inputs.fetched),
-        greet(&core),
+        subscribe(&core),
         relay_reports(&core),
         report(reporter),
         plan(&core, stop),
@@ -61,26 +61,26 @@
     loop {
         let (from, message) = socket.receive().await;
         match message {
-            InnerMessage::Pulse(pulse) => core.take_pulse(*pulse),
-            InnerMessage::Spread(word) => core.take_spread(word),
-            InnerMessage::Relayed(words) => core.take_relayed(words),
+            InnerMessage::Status(status) => core.apply_status(*status),
+            InnerMessage::Spread(update) => core.take_spread(update),
+            InnerMessage::Relayed(updates) => core.take_relayed(updates),
             InnerMessage::Peer(report) => {
                 core.take_config_standing(from, report.config);
                 let now = core.clock.now();
-                core.lock().peers.take_report(from, *report, now);
+                core.lock().peers.apply_report(from, *report, now);
             }
             InnerMessage::Permit(grant) => core.take_permit(grant),
             InnerMessage::QuotaAsk(ask) => core.take_quota_ask(from, &ask),
             InnerMessage::QuotaAnswer(answer) => core.take_quota_answer(answer),
             InnerMessage::TurnAsk(ask) => core.answer_turn_ask(from, &ask),
             InnerMessage::TurnAnswer(reply) => core.complete_turn_ask(reply),
-            InnerMessage::LimitSeen(word) => core.apply_limit_report(&word),
-            InnerMessage::LeavingSeen(word) => core.apply_leaving_report(&word),
+            InnerMessage::LimitSeen(report) => core.apply_limit_report(&report),
+            InnerMessage::LeavingSeen(report) => core.apply_leaving_report(&report),
             InnerMessage::StoreSeen(word) => core.take_store_word(*word),
             InnerMessage::CrashesSeen(records) => core.apply_crashes(&records),
             InnerMessage::CrashesCleared(requests) => core.apply_cleared(&requests),
             // Messages to sidecars.
-            InnerMessage::Greeting(_)
+            InnerMessage::Subscription(_)
             | InnerMessage::AdapterWanted(_)
             | InnerMessage::Advice(_)
             | InnerMessage::PermitAsk(_)
@@ -139,8 +139,8 @@
         let datagrams = state.relayed.drain();
         let peers: Vec<SocketAddr> = state.peers.in_zone(&core.zone, now).collect();
         drop(state);
-        for words in datagrams {
-            let message = InnerMessage::Relayed(words);
+        for updates in datagrams {
+            let message = InnerMessage::Relayed(updates);
             for peer in &peers {
                 core.outlet.send(*peer, &message);
             }
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use oatpier_serving::directory::HeardNotice;
-use oatpier_serving::message::{InnerMessage, LeavingWord};
+use oatpier_serving::directory::ReceivedNotice;
+use oatpier_serving::message::{InnerMessage, LeavingReport};
 use oatpier_serving::notice::NoticeChange;
 use oatpier_types::names::EndpointName;
 
@@ -16,12 +16,12 @@
     pub(super) fn record_notice(
         &self,
         endpoint: &EndpointName,
-        heard: &HeardNotice<'_>,
+        received: &ReceivedNotice<'_>,
         request: &str,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let changes = state.directory.take_notice(endpoint, heard, now);
+        let changes = state.directory.apply_notice(endpoint, received, now);
         for change in &changes {
             self.log_notice(&state, endpoint, *change, Some(request));
         }
@@ -30,10 +30,10 @@
             .row(endpoint)
             .and_then(|row| row.record.start);
         drop(state);
-        self.broadcast_limit(endpoint, &changes, heard.sent_at);
+        self.broadcast_limit(endpoint, &changes, received.sent_at);
         if changes.contains(&NoticeChange::Leaving) {
             self.changed.notify_waiters();
-            self.broadcast(&InnerMessage::LeavingSeen(LeavingWord {
+            self.broadcast(&InnerMessage::LeavingSeen(LeavingReport {
                 endpoint: endpoint.clone(),
                 start,
             }));
@@ -41,9 +41,9 @@
     }
 
     /// Handles a report of another gateway that an endpoint is leaving.
-    pub fn apply_leaving_report(&self, report: &LeavingWord) {
+    pub fn apply_leaving_report(&self, report: &LeavingReport) {
         let mut state = self.lock();
-        let change = state.directory.take_leaving_word(report);
+        let change = state.directory.apply_leaving_report(report);
         if let Some(change) = change {
             self.log_notice(&state, &report.endpoint, change, None);
             self.changed.notify_waiters();
@@ -78,9 +78,9 @@
         let now = self.clock.now();
         let directory = &state.directory;
         self.metrics.notices.note_counts(NoticeCounts {
-            limited: directory.limited(),
-            leaving: directory.said_leaving(),
-            resting: directory.resting(now),
+            limited: directory.limited_count(),
+            leaving: directory.leaving_count(),
+            resting: directory.resting_count(now),
         });
     }
 }
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -7,7 +7,7 @@
 use http::Response;
 use http_body_util::{BodyExt, Full};
 use oatpier_serving::choice::{EndpointChoice, HeldService};
-use oatpier_serving::crashes::book::SuspectVerdict;
+use oatpier_serving::crashes::suspects::SuspectVerdict;
 use oatpier_serving::site::RouteKind;
 use oatpier_types::names::EndpointName;
 use oatpier_types::refusal::{Refusal, RefusalCause};
@@ -62,7 +62,7 @@
     /// The best endpoint when the request was refused because that endpoint could not take it.
     pub(super) best_choice: Option<EndpointChoice>,
     /// Why no endpoint could be used when the request was refused because all of them are throttled: they asked for
-    /// a back-off or are over their rate limit.
+    /// a rest period or are over their rate limit.
     pub(super) throttled: Option<HeldService>,
 }
 
@@ -191,8 +191,8 @@
     /// and while the request waits, because another gateway may report the verdict meanwhile.
     fn check_suspect(&self) -> Result<(), OwnAnswer> {
         let response = match self.core.suspect_verdict(&self.context) {
-            SuspectVerdict::Clear => return Ok(()),
-            SuspectVerdict::Held => OwnAnswer::Held,
+            SuspectVerdict::Allowed => return Ok(()),
+            SuspectVerdict::Deferred => OwnAnswer::Held,
             SuspectVerdict::Barred => OwnAnswer::Barred,
         };
         Err(self.unless_run(response))
--- a/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures::future::join_all;
 use http::{Request, StatusCode};
-use oatpier_serving::message::{InnerMessage, LimitWord};
+use oatpier_serving::message::{InnerMessage, LimitReport};
 use oatpier_serving::notice::RequestRate;
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::turns::TurnAnswer;
@@ -14,8 +14,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::support::{
-    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, own_answer, prompt, pulse,
-    request, stream_start, with_headers,
+    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, own_answer, prompt, request,
+    status, stream_start, with_headers,
 };
 
 /// The rate that the endpoint accepts, in requests per second.
@@ -69,8 +69,8 @@
     gateway
 }
 
-fn limit_report() -> LimitWord {
-    LimitWord {
+fn limit_report() -> LimitReport {
+    LimitReport {
         endpoint: EndpointName::try_from("i-1").unwrap(),
         start: None,
         rate: Some(RequestRate::try_from(RATE).unwrap()),
@@ -189,17 +189,17 @@
     let endpoint = ScriptedEndpoint::start(steps).await;
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.hold_parts_elsewhere();
-    let mut named = pulse(1, endpoint.address, Vec::new());
+    let mut named = status(1, endpoint.address, Vec::new());
     named.gateways = vec!["10.0.0.9:7380".parse().unwrap()];
-    gateway.core.take_pulse(named);
+    gateway.core.apply_status(named);
     for _ in 0..3 {
         let sending = gateway.send(request_with_short_deadline());
         gateway.with_turns(sending, |_| TurnAnswer::In(0)).await;
     }
     let reports = gateway.outlet.sent().into_iter();
     let reports = reports.filter_map(|(to, message)| match message {
-        InnerMessage::LimitSeen(word) => {
-            Some((to.to_string(), word.rate.map(RequestRate::per_second)))
+        InnerMessage::LimitSeen(report) => {
+            Some((to.to_string(), report.rate.map(RequestRate::per_second)))
         }
         _ => None,
     });
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -18,12 +18,12 @@
 use oatpier_serving::directory::EndpointRecord;
 use oatpier_serving::engine::{EndpointLoad, HeldModel, LocalCopies};
 use oatpier_serving::message::{
-    EnginePulse, InnerMessage, MessageNumber, PermitGrant, TurnAsk, TurnReply,
+    EngineStatus, InnerMessage, MessageNumber, PermitGrant, TurnAsk, TurnReply,
 };
 use oatpier_serving::node::{NodeBounds, NodeSettings};
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::bounds::QuotaBounds;
-use oatpier_serving::quota::tenure::{PartEntry, PartRecord};
+use oatpier_serving::quota::lease::{PartEntry, PartRecord};
 use oatpier_serving::quota::turns::TurnAnswer;
 use oatpier_serving::site::{
     CallerLimits, EngineRule, ModelRule, RouteKind, RouteRule, ServiceRule, SiteConfig,
@@ -281,9 +281,9 @@
             model: ModelName::try_from("m1").unwrap(),
             adapters: Vec::new(),
         };
-        let mut heard = pulse(1, engine.address, vec![held]);
-        heard.load.running = running;
-        self.core.take_pulse(heard);
+        let mut update = status(1, engine.address, vec![held]);
+        update.load.running = running;
+        self.core.apply_status(update);
     }
 
     /// Returns the ids of the permit requests sent by the gateway, without repetitions, in order.
@@ -470,8 +470,8 @@
     }
 }
 
-pub fn pulse(number: u64, engine: SocketAddr, models: Vec<HeldModel>) -> EnginePulse {
-    EnginePulse {
+pub fn status(number: u64, engine: SocketAddr, models: Vec<HeldModel>) -> EngineStatus {
+    EngineStatus {
         number: MessageNumber { boot: 1, number },
         engine,
         service: Some(service()),
@@ -508,7 +508,7 @@
         readiness: None,
         engine: None,
         service: None,
-        first_start: true,
+        is_first_start: true,
         store: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         bounds: NodeBounds {
             config: Duration::from_secs(2),
--- a/crates/oatpier-serving/tests/testsuite/relays.rs
+++ b/crates/oatpier-serving/tests/testsuite/relays.rs
@@ -8,12 +8,12 @@
 
 use oatpier_serving::directory::EndpointDirectory;
 use oatpier_serving::engine::EndpointLoad;
-use oatpier_serving::message::{EngineWord, LoadPulse, MessageNumber};
-use oatpier_serving::relays::{RelayCandidate, RelayQueue, draw};
+use oatpier_serving::message::{EngineUpdate, LoadStatus, MessageNumber};
+use oatpier_serving::relays::{RelayCandidate, RelayQueue, select_relays};
 use oatpier_types::names::ZoneName;
 use proptest::prelude::*;
 
-use crate::support::{address, at, endpoint, fixed_cases, model, pulse, record, zone};
+use crate::support::{address, at, endpoint, fixed_cases, model, record, status, zone};
 
 fn gateway(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 1, 0, number], 7_380))
@@ -26,11 +26,11 @@
         address: gateway(*number),
         processor: *processor,
     });
-    draw(address(sidecar), candidates)
+    select_relays(address(sidecar), candidates)
 }
 
-fn load(number: u64, running: u32) -> LoadPulse {
-    LoadPulse {
+fn load(number: u64, running: u32) -> LoadStatus {
+    LoadStatus {
         number: MessageNumber { boot: 1, number },
         engine: address(1),
         load: EndpointLoad {
@@ -45,18 +45,18 @@
     }
 }
 
-fn whole(number: u64, models: &[&str], running: u32) -> EngineWord {
-    let mut whole = pulse(1, models, running);
+fn whole(number: u64, models: &[&str], running: u32) -> EngineUpdate {
+    let mut whole = status(1, models, running);
     whole.number.number = number;
-    EngineWord::Pulse(Box::new(whole))
+    EngineUpdate::Status(Box::new(whole))
 }
 
-fn apply_update(directory: &mut EndpointDirectory, update: &EngineWord, now: u64) {
+fn apply_update(directory: &mut EndpointDirectory, update: &EngineUpdate, now: u64) {
     match update {
-        EngineWord::Pulse(pulse) => {
-            directory.take_pulse((**pulse).clone(), at(now));
+        EngineUpdate::Status(status) => {
+            directory.apply_status((**status).clone(), at(now));
         }
-        EngineWord::Load(load) => directory.take_load_pulse(load, at(now)),
+        EngineUpdate::Load(load) => directory.apply_load_status(load, at(now)),
     }
 }
 
@@ -105,12 +105,12 @@
 #[test]
 fn relay_queue_keeps_the_newest_update_of_each_kind() {
     let mut queue = RelayQueue::default();
-    queue.take(EngineWord::Load(load(3, 5)));
-    queue.take(EngineWord::Load(load(2, 9)));
-    queue.take(whole(1, &["m1"], 1));
+    queue.push(EngineUpdate::Load(load(3, 5)));
+    queue.push(EngineUpdate::Load(load(2, 9)));
+    queue.push(whole(1, &["m1"], 1));
     let passed = queue.drain();
     assert_eq!(passed.concat().len(), 2);
-    assert!(passed.concat().contains(&EngineWord::Load(load(3, 5))));
+    assert!(passed.concat().contains(&EngineUpdate::Load(load(3, 5))));
     assert!(queue.drain().is_empty());
 }
 
@@ -118,9 +118,9 @@
 #[test]
 fn updates_forwarded_by_another_relay_are_not_forwarded_again() {
     let mut queue = RelayQueue::default();
-    queue.take(EngineWord::Load(load(3, 5)));
-    queue.take(whole(4, &["m1"], 1));
-    queue.note_passed_on(&EngineWord::Load(load(3, 5)));
+    queue.push(EngineUpdate::Load(load(3, 5)));
+    queue.push(whole(4, &["m1"], 1));
+    queue.note_forwarded(&EngineUpdate::Load(load(3, 5)));
     assert_eq!(queue.drain(), vec![vec![whole(4, &["m1"], 1)]]);
 }
 
@@ -131,11 +131,11 @@
     let mut directory = EndpointDirectory::default();
     directory.apply_registry(vec![record(1, &["m1"])], at(0));
     apply_update(&mut directory, &whole(1, &["m1"], 1), 0);
-    apply_update(&mut directory, &EngineWord::Load(load(3, 7)), 10);
+    apply_update(&mut directory, &EngineUpdate::Load(load(3, 7)), 10);
     apply_update(&mut directory, &whole(2, &["m1", "m2"], 2), 20);
     let row = directory.row(&endpoint("e1")).unwrap();
     assert!(row.holds(&model("m2"), at(30)));
-    assert_eq!(row.present(), 7);
+    assert_eq!(row.request_count(), 7);
 }
 
 /// Three zones of four gateways and some engines, with the directory of each gateway.
@@ -184,14 +184,14 @@
                 address: gateway(u8::try_from(index).unwrap()),
                 processor: 100,
             });
-            let relays = draw(address(engine), candidates);
-            let mut status = pulse(engine, &[holds], 1);
+            let relays = select_relays(address(engine), candidates);
+            let mut status = status(engine, &[holds], 1);
             status.number.number = number;
-            let update = EngineWord::Pulse(Box::new(status));
+            let update = EngineUpdate::Status(Box::new(status));
             for relay in relays.into_iter().map(Self::index) {
                 if !self.dead.contains(&relay) && !loses() {
                     apply_update(&mut self.known[relay], &update, now);
-                    self.queues[relay].take(update.clone());
+                    self.queues[relay].push(update.clone());
                 }
             }
         }
@@ -202,7 +202,7 @@
                         continue;
                     }
                     for update in &updates {
-                        self.queues[other].note_passed_on(update);
+                        self.queues[other].note_forwarded(update);
                         apply_update(&mut self.known[other], update, now + 40);
                     }
                 }
@@ -249,10 +249,10 @@
         load_first in any::<bool>(),
     ) {
         let names = |holds: bool| if holds { ["m1"].as_slice() } else { ["m2"].as_slice() };
-        let mut updates: Vec<EngineWord> = Vec::new();
+        let mut updates: Vec<EngineUpdate> = Vec::new();
         for (number, holds) in (1..).zip(&models) {
             updates.push(whole(2 * number, names(*holds), 1));
-            updates.push(EngineWord::Load(load(2 * number + 1, u32::try_from(number).unwrap())));
+            updates.push(EngineUpdate::Load(load(2 * number + 1, u32::try_from(number).unwrap())));
         }
         let mut directory = EndpointDirectory::default();
         directory.apply_registry(vec![record(1, &["m3"])], at(0));
@@ -267,6 +267,6 @@
         let row = directory.row(&endpoint("e1")).unwrap();
         let held = names(models[39])[0];
         prop_assert!(row.holds(&model(held), at(210)));
-        prop_assert_eq!(row.present(), 40);
+        prop_assert_eq!(row.request_count(), 40);
     }
 }
--- a/crates/oatpier-serving/tests/testsuite/turn_fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/turn_fleet.rs
@@ -5,7 +5,7 @@
 use oatpier_serving::notice::RequestRate;
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::turns::{
-    HeldTurn, TURN_LIFE, TurnAnswer, TurnEstimates, TurnQuery, TurnStep,
+    HeldTurn, TURN_VALIDITY, TurnAnswer, TurnEstimates, TurnQuery, TurnStep,
 };
 use rand::RngExt;
 
@@ -85,14 +85,14 @@
         now: u64,
     ) -> TurnAnswer {
         let gateway = &mut self.gateways[index];
-        if !gateway.tenure.holds(query.part, at(now)) {
+        if !gateway.leases.holds(query.part, at(now)) {
             return TurnAnswer::NotHeld;
         }
         let limit = gateway.turns.rate.unwrap_or(named);
         let name = endpoint("e1");
         gateway
             .holder
-            .give_turn(query.part, &name, limit, query.most_wait, at(now))
+            .grant_turn(query.part, &name, limit, query.max_wait, at(now))
     }
 
     pub fn receive_turn(&mut self, index: usize, message: TurnMessage, now: u64) {
@@ -108,7 +108,7 @@
                 let query = TurnQuery {
                     part,
                     holder: address(number),
-                    most_wait,
+                    max_wait: most_wait,
                 };
                 let answer = self.grant_turn(index, &query, rate, now);
                 let message = FleetMessage::Turn(TurnMessage::Answer { id, answer });
@@ -130,7 +130,7 @@
                     return;
                 };
                 let holders = gateway.grants.holders_mut();
-                request.turn = gateway.turns.estimates.take_answer(
+                request.turn = gateway.turns.estimates.apply_answer(
                     holders,
                     pending.part,
                     answer,
@@ -175,7 +175,7 @@
             self.gateways[index]
                 .grants
                 .holders_mut()
-                .note_silence(part, at(now));
+                .note_timeout(part, at(now));
             request.pending = None;
         }
         let left = (request.arrived_ms + request.max_wait_ms).saturating_sub(now);
@@ -184,7 +184,7 @@
             let limit = gateway.turns.rate?;
             let holders = gateway.grants.holders();
             let step = gateway.turns.estimates.step(holders, millis(left), at(now));
-            let TurnStep::Ask(query) = step else {
+            let TurnStep::Query(query) = step else {
                 self.counts.rejected += 1;
                 return None;
             };
@@ -196,7 +196,7 @@
             let gateway = &mut self.gateways[index];
             let holders = gateway.grants.holders_mut();
             let estimates = &mut gateway.turns.estimates;
-            request.turn = estimates.take_answer(holders, query.part, answer, limit, at(now));
+            request.turn = estimates.apply_answer(holders, query.part, answer, limit, at(now));
             if request.turn.is_some() {
                 return Some(request);
             }
@@ -224,7 +224,7 @@
             from: number,
             id,
             part: query.part,
-            most_wait: query.most_wait,
+            most_wait: query.max_wait,
             rate: limit,
         };
         if let Some(holder) = holder {
@@ -257,7 +257,7 @@
 /// Returns the number of requests that a limit allows in a window: its rate over the window and the validity of a turn,
 /// and one request for each part.
 fn max_requests(value: f64) -> f64 {
-    let window = millis(WINDOW_MS) + TURN_LIFE + millis(100);
+    let window = millis(WINDOW_MS) + TURN_VALIDITY + millis(100);
     value * window.as_secs_f64() + 3.0
 }
 
@@ -373,7 +373,7 @@
         }
         fleet.step(now);
     }
-    let holds = |part| fleet.gateways[6].tenure.holds(part, at(20_000));
+    let holds = |part| fleet.gateways[6].leases.holds(part, at(20_000));
     assert!(
         !PartIndex::all().any(holds),
         "the gateway that is cut off holds no part"
@@ -415,7 +415,7 @@
 fn turns_granted_before_a_restart_of_the_holder_are_not_granted_again() {
     let fleet = busy_gateway(|fleet, now| {
         for index in 0..7 {
-            let holds = |part| fleet.gateways[index].tenure.holds(part, at(now));
+            let holds = |part| fleet.gateways[index].leases.holds(part, at(now));
             if PartIndex::all().any(holds) {
                 fleet.restart(index, now + 100);
             }
