--- a/crates/oatpier-wire/src/attempt.rs
+++ b/crates/oatpier-wire/src/attempt.rs
@@ -1,10 +1,9 @@
-//! The messages by which an entry has an agent run an attempt.
+//! The messages with which an entry runs an attempt on an agent.
 //!
-//! `POST /agent/attempt` carries one frame with an [`AttemptHead`], then the caller's body. The
-//! answer is a stream of frames: either one [`AttemptFrame::Refused`], or
-//! [`AttemptFrame::Started`], pieces, and [`AttemptFrame::Ended`], or at any point
-//! [`AttemptFrame::Failed`]. A stream that stops before one of the three last frames was cut.
-//! `POST /agent/cancel` carries a [`CancelAttempt`] and is answered by a [`CancelAnswer`].
+//! `POST /agent/attempt` carries one frame with an [`AttemptHead`], then the caller's body. The response is a stream
+//! of frames: either a single [`AttemptFrame::Refused`], or [`AttemptFrame::Started`], pieces and
+//! [`AttemptFrame::Ended`], or [`AttemptFrame::Failed`] at any point. A stream that stops before one of the three
+//! final frames was truncated. `POST /agent/cancel` carries a [`CancelAttempt`]; its response is a [`CancelAnswer`].
 
 use bytes::{Bytes, BytesMut};
 use futures::{Stream, StreamExt};
@@ -24,26 +23,25 @@
 
 pub use stream::{AttemptError, AttemptFault, AttemptStream};
 
-/// Where an agent takes attempts.
+/// The path at which an agent accepts attempts.
 pub const ATTEMPT_PATH: &str = "/agent/attempt";
 
-/// Where an agent takes cancels.
+/// The path at which an agent accepts cancellations.
 pub const CANCEL_PATH: &str = "/agent/cancel";
 
-/// The longest head of an attempt, in bytes.
-pub const HEAD_LIMIT: usize = 64 << 10;
+/// The maximum size of an attempt's head in bytes.
+pub const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// The longest frame of an attempt's answer, in bytes. Longer pieces are split by
-/// [`answer`].
-pub const FRAME_LIMIT: usize = 1 << 20;
+/// The maximum size of a frame of an attempt's response in bytes. [`answer`] splits longer pieces.
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// The most bytes of the endpoint's answer in one frame: the frame's other fields fit beside it.
-pub const PIECE_LIMIT: usize = FRAME_LIMIT / 2;
+/// The maximum number of response bytes in one frame, which leaves room for the frame's other fields.
+pub const MAX_PIECE_BYTES: usize = MAX_FRAME_BYTES / 2;
 
-/// The media type of an attempt's answer.
-const FRAMES_TYPE: &str = "application/x-oatpier-frames";
+/// The media type of an attempt's response.
+const FRAMES_MEDIA_TYPE: &str = "application/x-oatpier-frames";
 
-/// A header that passes through.
+/// A header that is forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HeaderPair {
@@ -53,7 +51,7 @@
     pub value: Bytes,
 }
 
-/// The pairs of those headers whose names are in `allowed`.
+/// Returns the headers whose names are in `allowed`, as pairs.
 #[must_use]
 pub fn pick_headers(headers: &HeaderMap, allowed: &[HeaderName]) -> Vec<HeaderPair> {
     headers
@@ -66,7 +64,7 @@
         .collect()
 }
 
-/// The headers of the pairs; a pair that is no valid header is left out.
+/// Converts pairs to headers. Pairs that are not valid headers are skipped.
 #[must_use]
 pub fn to_headers(pairs: &[HeaderPair]) -> HeaderMap {
     pairs
@@ -82,71 +80,71 @@
         })
 }
 
-/// What an agent gets to know of an attempt before its body.
+/// The metadata of an attempt, sent to the agent before the body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct AttemptHead {
-    /// What is to be run.
+    /// The specification of the attempt.
     pub spec: AttemptSpec,
-    /// The newest pulse of the agent that the entry had seen.
+    /// Identifies the agent's latest pulse that the entry had received.
     pub ticket: AdmissionTicket,
-    /// The HTTP method towards the endpoint.
+    /// The HTTP method of the request to the endpoint.
     pub method: String,
-    /// The path and query towards the endpoint.
+    /// The path and query of the request to the endpoint.
     pub path: String,
-    /// The caller's headers that pass through.
+    /// The caller's headers that are forwarded.
     pub headers: Vec<HeaderPair>,
-    /// The caller's idempotency key, hashed.
+    /// The hash of the caller's idempotency key.
     pub key: Option<u128>,
     /// The W3C trace context of the entry's span.
     pub traceparent: Option<String>,
 }
 
-/// One message of an attempt's answer.
+/// One message of an attempt's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum AttemptFrame {
-    /// The attempt did not run and never will. The last frame.
+    /// The attempt was not executed and never will be. A final frame.
     Refused {
-        /// Why.
+        /// The reason of the refusal.
         refusal: Refusal,
-        /// The agent's queue now.
+        /// The agent's current queue state.
         pulse: AgentPulse,
     },
-    /// The endpoint's answer has begun.
+    /// The endpoint's response has begun.
     Started {
-        /// Its HTTP status.
+        /// The HTTP status of the response.
         status: u16,
-        /// Its headers that pass through.
+        /// The headers of the response that are forwarded.
         headers: Vec<HeaderPair>,
-        /// The agent's queue now.
+        /// The agent's current queue state.
         pulse: AgentPulse,
     },
-    /// Bytes of the endpoint's answer.
+    /// Bytes of the endpoint's response body.
     Piece {
         /// The bytes.
         bytes: Bytes,
-        /// Tokens that end in these bytes.
+        /// The number of tokens that end in these bytes.
         tokens: u32,
     },
-    /// The endpoint's answer came to its terminator. The last frame.
+    /// The endpoint's response is complete. A final frame.
     Ended {
-        /// The agent's queue now.
+        /// The agent's current queue state.
         pulse: AgentPulse,
     },
-    /// The attempt failed. The last frame.
+    /// The attempt failed. A final frame.
     Failed {
-        /// Whether it may have run.
+        /// Whether the attempt may have been executed.
         verdict: RunVerdict,
-        /// What happened.
+        /// The cause of the failure.
         cause: String,
-        /// The agent's queue now.
+        /// The agent's current queue state.
         pulse: AgentPulse,
     },
 }
 
 impl AttemptFrame {
-    /// Whether no frame may follow.
+    /// Returns whether no frame may follow this one.
     #[must_use]
     pub fn is_last(&self) -> bool {
         match self {
@@ -155,7 +153,7 @@
         }
     }
 
-    /// The agent's queue, where the frame tells it.
+    /// Returns the agent's queue state, if the frame contains it.
     #[must_use]
     pub fn pulse(&self) -> Option<&AgentPulse> {
         match self {
@@ -168,77 +166,78 @@
     }
 }
 
-/// A frame with the attempt that it belongs to, by which a crossed answer is told.
+/// A frame with the attempt that it belongs to, so that misrouted frames are detected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TaggedFrame {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Its frame.
+    /// The frame itself.
     pub frame: AttemptFrame,
 }
 
-/// Asks an agent to give up an attempt, and to refuse it should it come later.
+/// A request to an agent to cancel an attempt, and to refuse the attempt if it arrives later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CancelAttempt {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Its request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The ticket that the attempt was sent with.
     pub ticket: AdmissionTicket,
-    /// How far the cancel goes.
+    /// The scope of the cancellation.
     pub reach: CancelReach,
 }
 
-/// How far a cancel goes.
+/// The scope of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum CancelReach {
-    /// An attempt that has not reached the endpoint never will; one that has is left running.
+    /// Cancels the attempt unless it has reached the endpoint; otherwise it keeps running.
     SealOnly,
-    /// An attempt that has reached the endpoint is cancelled there.
+    /// Cancels the attempt even if it has reached the endpoint.
     Abort,
 }
 
-/// What became of a cancelled attempt.
+/// The outcome of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CancelAnswer {
-    /// Whether the attempt may have run.
+    /// Whether the attempt may have been executed.
     pub verdict: RunVerdict,
 }
 
-/// The body of an attempt's request.
+/// Encodes the body of an attempt's request.
 ///
 /// # Errors
 ///
-/// The head can't be encoded or is over [`HEAD_LIMIT`].
+/// Returns an error if the head can't be encoded or exceeds [`MAX_HEAD_BYTES`].
 pub fn encode_request(head: &AttemptHead, body: &[u8]) -> Result<Bytes, FrameError> {
     let mut output = BytesMut::with_capacity(body.len() + 1024);
     encode_frame(head, &mut output)?;
-    if output.len() > HEAD_LIMIT {
+    if output.len() > MAX_HEAD_BYTES {
         return Err(FrameError::TooLong {
             bytes: output.len(),
-            limit: HEAD_LIMIT,
+            limit: MAX_HEAD_BYTES,
         });
     }
     output.extend_from_slice(body);
     Ok(output.freeze())
 }
 
-/// The head and the caller's body out of the body of an attempt's request.
+/// Splits the body of an attempt's request into the head and the caller's body.
 ///
 /// # Errors
 ///
-/// The head is cut, too long or garbled.
+/// Returns an error if the head is truncated, too long or malformed.
 pub fn decode_request(mut input: Bytes) -> Result<(AttemptHead, Bytes), FrameError> {
-    let head = split_frame(&mut input, HEAD_LIMIT)?;
+    let head = split_frame(&mut input, MAX_HEAD_BYTES)?;
     Ok((head, input))
 }
 
-/// The answer to an attempt: the frames, each tagged. Pieces over [`PIECE_LIMIT`] are split.
+/// Builds the response to an attempt from its frames, each tagged with the attempt. Pieces over [`MAX_PIECE_BYTES`] are
+/// split.
 #[must_use]
 pub fn answer<S>(attempt: AttemptId, frames: S) -> Reply
 where
@@ -251,15 +250,15 @@
             .try_for_each(|frame| encode_frame(&TaggedFrame { attempt, frame }, &mut output))?;
         Ok(output.freeze())
     });
-    reply::streamed(StatusCode::OK, FRAMES_TYPE, encoded)
+    reply::streamed(StatusCode::OK, FRAMES_MEDIA_TYPE, encoded)
 }
 
 fn split_piece(frame: AttemptFrame) -> smallvec::SmallVec<[AttemptFrame; 1]> {
     match frame {
-        AttemptFrame::Piece { mut bytes, tokens } if bytes.len() > PIECE_LIMIT => {
+        AttemptFrame::Piece { mut bytes, tokens } if bytes.len() > MAX_PIECE_BYTES => {
             let mut pieces = smallvec::SmallVec::new();
-            while bytes.len() > PIECE_LIMIT {
-                let bytes = bytes.split_to(PIECE_LIMIT);
+            while bytes.len() > MAX_PIECE_BYTES {
+                let bytes = bytes.split_to(MAX_PIECE_BYTES);
                 pieces.push(AttemptFrame::Piece { bytes, tokens: 0 });
             }
             pieces.push(AttemptFrame::Piece { bytes, tokens });
--- a/crates/oatpier-wire/src/attempt/stream.rs
+++ b/crates/oatpier-wire/src/attempt/stream.rs
@@ -1,4 +1,4 @@
-//! The entry's side of an attempt's answer.
+//! Reads an attempt's response on the entry.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,121 +10,120 @@
 use oatpier_types::verdict::RunVerdict;
 use thiserror::Error;
 
-use super::{AttemptFrame, FRAME_LIMIT, TaggedFrame};
+use super::{AttemptFrame, MAX_FRAME_BYTES, TaggedFrame};
 use crate::client::AnswerBody;
 use crate::frame::FrameReader;
 
-/// How long the end of a finished answer is waited for before its connection is given up.
-const END_WAIT: Duration = Duration::from_secs(1);
+/// How long to wait for the end of the HTTP body after the final frame before the connection is closed.
+const END_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is wrong with an attempt's answer.
+/// The kind of fault in an attempt's response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFault {
-    /// The answer stopped before its last frame.
-    Cut,
-    /// The bytes are no frames.
-    Garbled,
-    /// The frames come in an order that no agent sends.
-    Disordered,
+    /// The response stopped before its final frame.
+    Truncated,
+    /// The bytes are not valid frames.
+    Malformed,
+    /// The frames are in an invalid order.
+    OutOfOrder,
 }
 
 impl fmt::Display for AttemptFault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            Self::Cut => "cut",
-            Self::Garbled => "garbled",
-            Self::Disordered => "out of order",
+            Self::Truncated => "cut",
+            Self::Malformed => "garbled",
+            Self::OutOfOrder => "out of order",
         })
     }
 }
 
-/// An attempt's answer can't be read on.
+/// An error while reading an attempt's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
-#[error("the agent's answer is {fault} ({verdict}): {cause}")]
+#[error("the agent's response is {fault} ({verdict}): {cause}")]
 pub struct AttemptError {
-    /// Whether the attempt may have run.
+    /// Whether the attempt may have been executed.
     pub verdict: RunVerdict,
-    /// What is wrong.
+    /// The kind of fault.
     pub fault: AttemptFault,
-    /// What happened.
+    /// The cause of the fault.
     pub cause: String,
 }
 
-/// The answer to an attempt, frame by frame. Dropping it before its last frame closes the
-/// connection, by which the agent learns that nobody waits for the attempt.
+/// The response to an attempt as a stream of frames. Dropping it before the final frame closes the connection, which
+/// signals the agent that the response is no longer needed.
 pub struct AttemptStream {
     attempt: AttemptId,
     body: Option<AnswerBody>,
     reader: FrameReader,
     started: bool,
     ended: bool,
-    crossed: Arc<AtomicU64>,
+    misrouted: Arc<AtomicU64>,
 }
 
 impl AttemptStream {
-    pub(crate) fn new(attempt: AttemptId, body: AnswerBody, crossed: Arc<AtomicU64>) -> Self {
+    pub(crate) fn new(attempt: AttemptId, body: AnswerBody, misrouted: Arc<AtomicU64>) -> Self {
         Self {
             attempt,
             body: Some(body),
-            reader: FrameReader::new(FRAME_LIMIT),
+            reader: FrameReader::new(MAX_FRAME_BYTES),
             started: false,
             ended: false,
-            crossed,
+            misrouted,
         }
     }
 
-    /// The attempt whose answer this is.
+    /// Returns the attempt that the response belongs to.
     #[must_use]
     pub fn attempt(&self) -> AttemptId {
         self.attempt
     }
 
-    /// The next frame. Not to be called after the last one: it then reports a cut.
+    /// Waits for the next frame. After the final frame it returns [`AttemptFault::Truncated`].
     ///
-    /// Safe to drop and call again, as in `tokio::select!`.
+    /// Cancel safe: the future may be dropped and the method called again, as in `tokio::select!`.
     ///
     /// # Errors
     ///
-    /// The answer was cut, or is not an agent's. The verdict is "may have run" in all these
-    /// cases: a refusal that did not come whole is no refusal.
+    /// Returns an error if the response is truncated or not valid. The verdict is always
+    /// [`RunVerdict::MayHaveRun`], because an incomplete refusal does not count as a refusal.
     pub async fn next(&mut self) -> Result<AttemptFrame, AttemptError> {
         loop {
             let frame = self
                 .reader
                 .next_frame::<TaggedFrame>()
-                .map_err(|error| fail(AttemptFault::Garbled, error))?;
+                .map_err(|error| stream_error(AttemptFault::Malformed, error))?;
             match frame {
-                Some(tagged) if tagged.attempt == self.attempt => return self.take(tagged.frame),
-                // A frame of another attempt: an answer that was crossed. Relaying it would give
-                // a caller someone else's answer.
+                Some(tagged) if tagged.attempt == self.attempt => return self.accept(tagged.frame),
+                // A misrouted frame of another attempt. Relaying it would give a caller the response to another caller.
                 Some(_) => {
-                    self.crossed.fetch_add(1, Ordering::Relaxed);
+                    self.misrouted.fetch_add(1, Ordering::Relaxed);
                 }
                 None => self.read_more().await?,
             }
         }
     }
 
-    fn take(&mut self, frame: AttemptFrame) -> Result<AttemptFrame, AttemptError> {
-        let starts = matches!(frame, AttemptFrame::Started { .. });
+    fn accept(&mut self, frame: AttemptFrame) -> Result<AttemptFrame, AttemptError> {
+        let is_start = matches!(frame, AttemptFrame::Started { .. });
         let needs_start = matches!(
             frame,
             AttemptFrame::Piece { .. } | AttemptFrame::Ended { .. }
         );
-        let refuses = matches!(frame, AttemptFrame::Refused { .. });
+        let is_refusal = matches!(frame, AttemptFrame::Refused { .. });
         let is_ordered = if self.started {
-            !starts && !refuses
+            !is_start && !is_refusal
         } else {
             !needs_start
         };
         if self.ended || !is_ordered {
-            return Err(fail(
-                AttemptFault::Disordered,
-                "a frame came where it can't be",
+            return Err(stream_error(
+                AttemptFault::OutOfOrder,
+                "a frame is not allowed at its position",
             ));
         }
-        self.started |= starts;
+        self.started |= is_start;
         if frame.is_last() {
             self.ended = true;
             self.finish();
@@ -134,7 +133,10 @@
 
     async fn read_more(&mut self) -> Result<(), AttemptError> {
         let Some(body) = self.body.as_mut() else {
-            return Err(fail(AttemptFault::Cut, "the answer is over"));
+            return Err(stream_error(
+                AttemptFault::Truncated,
+                "the response has already ended",
+            ));
         };
         match body.frame().await {
             Some(Ok(piece)) => {
@@ -145,16 +147,19 @@
             }
             Some(Err(error)) => {
                 self.body = None;
-                Err(fail(AttemptFault::Cut, error))
+                Err(stream_error(AttemptFault::Truncated, error))
             }
             None => {
                 self.body = None;
-                Err(fail(AttemptFault::Cut, "it ended without its last frame"))
+                Err(stream_error(
+                    AttemptFault::Truncated,
+                    "the response ended without its final frame",
+                ))
             }
         }
     }
 
-    /// Reads the rest of the HTTP body, which is empty, so that the connection can be reused.
+    /// Reads the HTTP body to its end, which carries no more data, so that the connection can be reused.
     fn finish(&mut self) {
         let Some(mut body) = self.body.take() else {
             return;
@@ -162,13 +167,13 @@
         if hyper::body::Body::is_end_stream(&body) {
             return;
         }
-        tokio::spawn(tokio::time::timeout(END_WAIT, async move {
+        tokio::spawn(tokio::time::timeout(END_TIMEOUT, async move {
             while let Some(Ok(_)) = body.frame().await {}
         }));
     }
 }
 
-fn fail(fault: AttemptFault, cause: impl fmt::Display) -> AttemptError {
+fn stream_error(fault: AttemptFault, cause: impl fmt::Display) -> AttemptError {
     AttemptError {
         verdict: RunVerdict::MayHaveRun,
         fault,
--- a/crates/oatpier-wire/src/client.rs
+++ b/crates/oatpier-wire/src/client.rs
@@ -1,11 +1,10 @@
-//! An HTTP client whose errors say whether the request may have run.
+//! An HTTP client whose errors tell whether the request may have been executed.
 //!
-//! A pooling client of a library hides when it retries on a new connection and whether a message
-//! was written before the connection broke; a "not run" built on it would be a guess. This client
-//! stays one step lower: it sends through `SendRequest::try_send_request`, which hands the message
-//! back exactly when `hyper` never took it from its queue. A message that was handed back was not
-//! written and is sent anew or reported as not run; one that was taken may have run, even where
-//! the connection had been idle and the peer had closed it long before.
+//! The pooling clients of libraries hide whether they retried on a new connection, and whether a message was written
+//! before the connection broke, so [`RunVerdict::NotRun`] could not be reported reliably. This client uses the
+//! lower-level `SendRequest::try_send_request`, which returns the message exactly if `hyper` never took it from its
+//! queue. A returned message was not written; it is sent again or reported as not run. A message that was taken may
+//! have been executed, even if the peer had closed the idle connection long before.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -32,21 +31,20 @@
 pub use body::AnswerBody;
 use pool::{ConnectionPool, PooledSender};
 
-/// How a client treats its connections.
+/// The connection settings of a client.
 #[derive(Debug, Clone)]
 pub struct ClientLimits {
-    /// The longest wait for a connection.
+    /// The maximum time to establish a connection.
     pub connect: Duration,
-    /// How long an unused connection is kept. Shorter than the server's idle limit, so that the
-    /// client is the one who closes: a server that closes first races with the next request, and
-    /// that request's verdict is then "may have run".
+    /// How long an idle connection is kept. It must be shorter than the server's idle timeout, so that the client closes
+    /// first: a server that closes first races with the next request, whose verdict is then
+    /// [`RunVerdict::MayHaveRun`].
     pub idle: Duration,
-    /// The most unused connections kept for an address.
+    /// The maximum number of idle connections per address.
     pub idle_per_address: usize,
-    /// Whether closing a connection discards what the peer has not received yet. A request that was
-    /// given up may still be on its way to a peer that is frozen or cut off; after an orderly close it
-    /// would arrive seconds later, when nobody waits for it any more. Connections that are closed
-    /// unused have nothing on their way.
+    /// Whether closing a connection discards data that the peer has not received yet. An abandoned request may still be
+    /// in transit to a peer that is frozen or unreachable; after an orderly close it would arrive seconds later, although
+    /// its response is no longer needed. Connections that are closed while idle have no data in transit.
     pub discard_on_close: bool,
 }
 
@@ -61,14 +59,14 @@
     }
 }
 
-/// Where a call failed.
+/// The stage at which a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendStage {
-    /// No connection was made.
+    /// No connection was established.
     Connect,
-    /// A connection was made, and the request was handed back unwritten.
+    /// A connection was established, but the request was not written.
     Queue,
-    /// The request was written, or may have been.
+    /// The request was written, or may have been written.
     Answer,
 }
 
@@ -77,25 +75,25 @@
         formatter.write_str(match self {
             Self::Connect => "connecting",
             Self::Queue => "sending",
-            Self::Answer => "waiting for the answer",
+            Self::Answer => "waiting for the response",
         })
     }
 }
 
-/// A call failed.
+/// An error of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 #[error("the call to {address} failed while {stage} ({verdict}): {cause}")]
 pub struct SendError {
-    /// Whom the call was for.
+    /// The address that was called.
     pub address: SocketAddr,
-    /// Whether the request may have run.
+    /// Whether the request may have been executed.
     pub verdict: RunVerdict,
-    /// Where it failed.
+    /// The stage at which the call failed.
     pub stage: SendStage,
-    /// Whether it failed because time ran out.
+    /// Whether the call timed out.
     pub timed_out: bool,
-    /// What happened.
+    /// The cause of the failure.
     pub cause: String,
 }
 
@@ -117,15 +115,15 @@
     fn timeout(address: SocketAddr, stage: SendStage) -> Self {
         Self {
             timed_out: true,
-            ..Self::new(address, stage, "no time is left")
+            ..Self::new(address, stage, "the call timed out")
         }
     }
 }
 
-/// An HTTP/1 client with a pool of connections for each address.
+/// An HTTP/1 client with a connection pool for each address.
 ///
-/// Cloning shares the pool. Its connections run on the runtime that opened them, so a client
-/// belongs to one duty's runtime.
+/// Clones share the pool. Connections run on the runtime that opened them, so a client belongs to the runtime of one
+/// duty.
 #[derive(Clone)]
 pub struct HttpClient {
     limits: Arc<ClientLimits>,
@@ -134,7 +132,7 @@
 }
 
 impl HttpClient {
-    /// A client without connections yet.
+    /// Creates a client without open connections.
     #[must_use]
     pub fn new(limits: ClientLimits) -> Self {
         Self {
@@ -144,17 +142,18 @@
         }
     }
 
-    /// Counts all bytes of this client's connections.
+    /// Returns the byte counters of this client's connections.
     #[must_use]
     pub fn traffic(&self) -> &Arc<TrafficCounter> {
         &self.traffic
     }
 
-    /// Sends a request whose URI is a path, and waits for the answer's head as long as it takes.
+    /// Sends a request whose URI is a path, and waits for the response's head without a timeout.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have run. Dropping the future leaves that unknown.
+    /// Returns an error if the call fails; its verdict tells whether the request may have been executed. If the future
+    /// is dropped, that is unknown.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -163,11 +162,11 @@
         self.send_until(address, request, None).await
     }
 
-    /// As [`HttpClient::send`], for at most `timeout` until the answer's head is here.
+    /// Same as [`HttpClient::send`], with a timeout for the response's head.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have run.
+    /// Returns an error if the call fails or times out; its verdict tells whether the request may have been executed.
     pub async fn send_within(
         &self,
         address: SocketAddr,
@@ -178,11 +177,12 @@
         self.send_until(address, request, Some(deadline)).await
     }
 
-    /// Sends a request and reads the whole answer, of at most `limit` bytes, within `timeout`.
+    /// Sends a request and reads the whole response, of at most `limit` bytes, within `timeout`.
     ///
     /// # Errors
     ///
-    /// Says whether the request may have run. An answer that is cut or too long is an error.
+    /// Returns an error if the call fails or times out, or the response is truncated or too long. The error's verdict
+    /// tells whether the request may have been executed.
     pub async fn fetch(
         &self,
         address: SocketAddr,
@@ -217,11 +217,11 @@
                 None => sending.await,
             };
             let mut failure = match sent {
-                Ok(response) => return Ok(response.map(|body| self.answer(body, sender))),
+                Ok(response) => return Ok(response.map(|body| self.response_body(body, sender))),
                 Err(failure) => failure,
             };
-            // A peer may close a connection while it waits in the pool. Only a request that
-            // hyper hands back is known to be unwritten, and only that one is sent anew.
+            // A peer may close a connection while it is idle in the pool. Only a request that
+            // hyper returns is known to be unwritten, so only such a request is sent again.
             request = match failure.take_message() {
                 Some(unsent) if sender.reused => unsent,
                 Some(_) => {
@@ -234,7 +234,7 @@
         }
     }
 
-    fn answer(&self, body: hyper::body::Incoming, sender: PooledSender) -> AnswerBody {
+    fn response_body(&self, body: hyper::body::Incoming, sender: PooledSender) -> AnswerBody {
         AnswerBody::new(body, sender, Arc::clone(&self.pool))
     }
 
@@ -260,19 +260,24 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<PooledSender, SendError> {
-        let refused = |error: &dyn fmt::Display| SendError::new(address, SendStage::Connect, error);
+        let connect_error =
+            |error: &dyn fmt::Display| SendError::new(address, SendStage::Connect, error);
         let stream = TcpStream::connect(address)
             .await
-            .map_err(|error| refused(&error))?;
-        // Small messages must not wait for the acknowledgement of earlier ones.
-        stream.set_nodelay(true).map_err(|error| refused(&error))?;
+            .map_err(|error| connect_error(&error))?;
+        // Without TCP_NODELAY, small messages wait for the acknowledgement of earlier ones.
+        stream
+            .set_nodelay(true)
+            .map_err(|error| connect_error(&error))?;
         if self.limits.discard_on_close {
-            stream.set_zero_linger().map_err(|error| refused(&error))?;
+            stream
+                .set_zero_linger()
+                .map_err(|error| connect_error(&error))?;
         }
         let stream = MeteredStream::new(stream, Arc::clone(&self.traffic));
         let (connection, driver) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|error| refused(&error))?;
+            .map_err(|error| connect_error(&error))?;
         tokio::spawn(driver);
         Ok(PooledSender {
             address,
--- a/crates/oatpier-wire/src/client/body.rs
+++ b/crates/oatpier-wire/src/client/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, which gives its connection back once it was read to its end.
+//! The body of a response, which returns its connection to the pool once it has been read to its end.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 
 use super::pool::{ConnectionPool, PooledSender};
 
-/// The body of an answer as it comes.
+/// The body of a response, read as a stream.
 ///
-/// Its end is the end that the framing gave (last chunk or content length); a cut is an error.
-/// Dropping it before its end closes the connection, which tells the peer that nobody reads on.
+/// The body ends where the HTTP framing says so (last chunk or content length); a truncated body is an error.
+/// Dropping it before its end closes the connection, which signals the peer that the response is no longer needed.
 pub struct AnswerBody {
     inner: Incoming,
     sender: Option<PooledSender>,
@@ -26,17 +26,17 @@
             sender: Some(sender),
             pool,
         };
-        body.give_back_at_end();
+        body.return_connection_at_end();
         body
     }
 
-    fn give_back_at_end(&mut self) {
+    fn return_connection_at_end(&mut self) {
         if self.inner.is_end_stream() {
-            self.give_back();
+            self.return_connection();
         }
     }
 
-    fn give_back(&mut self) {
+    fn return_connection(&mut self) {
         if let Some(sender) = self.sender.take() {
             self.pool.put(sender);
         }
@@ -53,8 +53,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let polled = Pin::new(&mut self.inner).poll_frame(context);
         match &polled {
-            Poll::Ready(None) => self.give_back(),
-            Poll::Ready(Some(Ok(_))) => self.give_back_at_end(),
+            Poll::Ready(None) => self.return_connection(),
+            Poll::Ready(Some(Ok(_))) => self.return_connection_at_end(),
             Poll::Ready(Some(Err(_))) => self.sender = None,
             Poll::Pending => {}
         }
--- a/crates/oatpier-wire/src/client/pool.rs
+++ b/crates/oatpier-wire/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! Unused connections, kept for the next request to the same address.
+//! A pool of idle connections, kept for the next request to the same address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 pub(crate) struct PooledSender {
     pub(crate) address: SocketAddr,
     pub(crate) connection: SendRequest<Full<Bytes>>,
-    /// Whether an earlier request went over it.
+    /// Whether an earlier request used the connection.
     pub(crate) reused: bool,
 }
 
@@ -25,10 +25,10 @@
 
 struct IdleTable {
     senders: HashMap<SocketAddr, Vec<IdleSender>>,
-    swept: Instant,
+    last_sweep: Instant,
 }
 
-/// All unused connections of a client.
+/// All idle connections of a client.
 pub(crate) struct ConnectionPool {
     table: Mutex<IdleTable>,
     idle: Duration,
@@ -39,7 +39,7 @@
     pub(crate) fn new(idle: Duration, per_address: usize) -> Self {
         let table = IdleTable {
             senders: HashMap::new(),
-            swept: Instant::now(),
+            last_sweep: Instant::now(),
         };
         Self {
             table: Mutex::new(table),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Takes the connection to `address` that was used last.
+    /// Removes and returns the most recently used connection to `address`.
     pub(crate) fn take(&self, address: SocketAddr) -> Option<PooledSender> {
         let now = Instant::now();
         let mut table = self.lock();
@@ -62,7 +62,7 @@
         found
     }
 
-    /// Keeps a connection whose answer has been read to its end.
+    /// Adds a connection whose response has been read to its end.
     pub(crate) fn put(&self, mut sender: PooledSender) {
         if sender.connection.is_closed() {
             return;
@@ -78,12 +78,12 @@
         senders.push(IdleSender { sender, since: now });
     }
 
-    /// Drops what has been unused for long, also of addresses that nobody calls any more.
+    /// Drops connections that have been idle for too long, including those to addresses that are no longer called.
     fn sweep(&self, table: &mut IdleTable, now: Instant) {
-        if now.saturating_duration_since(table.swept) < self.idle {
+        if now.saturating_duration_since(table.last_sweep) < self.idle {
             return;
         }
-        table.swept = now;
+        table.last_sweep = now;
         table.senders.retain(|_, senders| {
             senders.retain(|idle| self.is_fresh(idle, now));
             !senders.is_empty()
@@ -91,8 +91,8 @@
     }
 
     fn is_fresh(&self, idle: &IdleSender, now: Instant) -> bool {
-        let unused = now.saturating_duration_since(idle.since);
-        unused < self.idle && !idle.sender.connection.is_closed()
+        let idle_time = now.saturating_duration_since(idle.since);
+        idle_time < self.idle && !idle.sender.connection.is_closed()
     }
 
     fn lock(&self) -> MutexGuard<'_, IdleTable> {
--- a/crates/oatpier-wire/src/frame.rs
+++ b/crates/oatpier-wire/src/frame.rs
@@ -1,35 +1,35 @@
 //! Length-prefixed messages on a byte stream.
 //!
-//! A frame is a length of four bytes, big end first, and so many bytes of `rmp-serde`. The length
-//! is checked before anything is kept, so that a peer can't make us hold more than a frame.
+//! A frame is a four-byte big-endian length, followed by that many bytes of MessagePack. The length is checked before
+//! the payload is buffered, so that a peer can't make the reader buffer more than the frame limit.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Bytes of the length.
+/// The size of the length prefix.
 const PREFIX_BYTES: usize = 4;
 
-/// A frame can't be read or written.
+/// An error while reading or writing a frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 pub enum FrameError {
-    /// The frame is longer than the reader takes.
-    #[error("a frame of {bytes} bytes is over the limit of {limit}")]
+    /// The frame exceeds the limit.
+    #[error("a frame of {bytes} bytes exceeds the limit of {limit}")]
     TooLong {
-        /// Its length.
+        /// The length of the frame.
         bytes: usize,
         /// The limit.
         limit: usize,
     },
     /// The bytes end inside a frame.
     #[error("the bytes end inside a frame")]
-    Cut,
-    /// The bytes are not the message that was expected.
-    #[error("a frame does not hold the expected message: {cause}")]
-    Garbled {
-        /// What is wrong.
+    Truncated,
+    /// The payload is not the expected message.
+    #[error("a frame does not contain the expected message: {cause}")]
+    Malformed {
+        /// The decoding or encoding error.
         cause: String,
     },
 }
@@ -38,14 +38,14 @@
 ///
 /// # Errors
 ///
-/// The message can't be encoded, or is 4 GiB long.
+/// Returns an error if the message can't be encoded, or its encoding is 4 GiB or longer.
 pub fn encode_frame<M: Serialize>(message: &M, output: &mut BytesMut) -> Result<(), FrameError> {
     let start = output.len();
     output.put_u32(0);
     let written = rmp_serde::encode::write(&mut output.writer(), message);
     if let Err(error) = written {
         output.truncate(start);
-        return Err(garbled(&error));
+        return Err(malformed(&error));
     }
     let bytes = output.len() - start - PREFIX_BYTES;
     let Ok(length) = u32::try_from(bytes) else {
@@ -59,22 +59,22 @@
     Ok(())
 }
 
-/// Takes the first frame off `input`, and leaves what follows it.
+/// Removes the first frame from `input` and decodes it.
 ///
 /// # Errors
 ///
-/// The frame is cut, too long or not an `M`.
+/// Returns an error if the frame is truncated, too long or not an `M`.
 pub fn split_frame<M: DeserializeOwned>(input: &mut Bytes, limit: usize) -> Result<M, FrameError> {
-    let length = frame_length(input, limit)?.ok_or(FrameError::Cut)?;
+    let length = frame_length(input, limit)?.ok_or(FrameError::Truncated)?;
     if input.len() < PREFIX_BYTES + length {
-        return Err(FrameError::Cut);
+        return Err(FrameError::Truncated);
     }
     input.advance(PREFIX_BYTES);
     let frame = input.split_to(length);
     decode(&frame)
 }
 
-/// Cuts a stream of pieces into frames.
+/// Splits a byte stream into frames.
 #[derive(Debug)]
 pub struct FrameReader {
     pending: BytesMut,
@@ -82,7 +82,7 @@
 }
 
 impl FrameReader {
-    /// A reader of frames of at most `limit` bytes.
+    /// Creates a reader of frames of at most `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -91,16 +91,16 @@
         }
     }
 
-    /// Takes the stream's next piece.
+    /// Appends the next piece of the stream.
     pub fn push(&mut self, piece: &[u8]) {
         self.pending.extend_from_slice(piece);
     }
 
-    /// The next whole frame, if it is here.
+    /// Returns the next frame, if it is complete.
     ///
     /// # Errors
     ///
-    /// The frame is too long or not an `M`. The stream is of no use after that.
+    /// Returns an error if the frame is too long or not an `M`. The stream can't be used after an error.
     pub fn next_frame<M: DeserializeOwned>(&mut self) -> Result<Option<M>, FrameError> {
         let Some(length) = frame_length(&self.pending, self.limit)? else {
             return Ok(None);
@@ -113,7 +113,7 @@
         decode(&frame).map(Some)
     }
 
-    /// Whether part of a frame is waiting for its rest.
+    /// Returns whether an incomplete frame is buffered.
     #[must_use]
     pub fn is_inside_frame(&self) -> bool {
         !self.pending.is_empty()
@@ -132,11 +132,11 @@
 }
 
 fn decode<M: DeserializeOwned>(frame: &[u8]) -> Result<M, FrameError> {
-    rmp_serde::from_slice(frame).map_err(|error| garbled(&error))
+    rmp_serde::from_slice(frame).map_err(|error| malformed(&error))
 }
 
-fn garbled(error: &dyn std::error::Error) -> FrameError {
-    FrameError::Garbled {
+fn malformed(error: &dyn std::error::Error) -> FrameError {
+    FrameError::Malformed {
         cause: error.to_string(),
     }
 }
--- a/crates/oatpier-wire/src/lib.rs
+++ b/crates/oatpier-wire/src/lib.rs
@@ -1,21 +1,20 @@
-//! HTTP between oatpier's processes, and towards callers and endpoints.
+//! HTTP between oatpier processes, and to callers and endpoints.
 //!
-//! This package exists so that every hop tells the truth about one question: may the request have
-//! run? Libraries do the protocol (`hyper` on both sides, `rmp-serde` for the messages of our own
-//! processes); what is here decides which failure means which
-//! [`RunVerdict`](oatpier_types::verdict::RunVerdict), bounds everything that is read from
-//! outside, and counts the bytes that control costs.
+//! The package ensures that every hop reports correctly whether a failed request may have been executed. Libraries
+//! implement the protocol: `hyper` on both sides, and `rmp-serde` for messages between oatpier processes. This
+//! package maps each failure to a [`RunVerdict`](oatpier_types::verdict::RunVerdict), limits everything that is read
+//! from the network, and counts the bytes of control traffic.
 //!
 //! - [`client`]: an HTTP client whose errors carry a verdict.
 //! - [`peer`]: calls between oatpier processes.
-//! - [`attempt`]: the messages by which an entry has an agent run an attempt.
+//! - [`attempt`]: the messages with which an entry runs an attempt on an agent.
 //! - [`frame`]: length-prefixed messages on a byte stream.
 //! - [`server`]: an HTTP server with limits and a graceful shutdown.
-//! - [`reply`]: answers of a server's handlers.
-//! - [`sse`]: whole server-sent events out of a byte stream.
-//! - [`traffic`]: bytes sent and received.
+//! - [`reply`]: responses of request handlers.
+//! - [`sse`]: a parser that splits a byte stream into server-sent events.
+//! - [`traffic`]: counters of bytes sent and received.
 //!
-//! The payloads of heartbeats, gossip and plans belong to other packages and are generic here.
+//! Other packages define the payloads of heartbeats, gossip and plans; they are generic types here.
 
 pub mod attempt;
 pub mod client;
--- a/crates/oatpier-wire/src/peer.rs
+++ b/crates/oatpier-wire/src/peer.rs
@@ -19,42 +19,42 @@
 };
 use crate::client::{ClientLimits, HttpClient, SendError, SendStage};
 use crate::frame::FrameError;
-use crate::reply::MESSAGE_TYPE;
+use crate::reply::MESSAGE_MEDIA_TYPE;
 use crate::traffic::TrafficCounter;
 
-/// The longest answer of a peer that is read, in bytes: a whole configuration or plan fits.
-pub const PEER_ANSWER_LIMIT: usize = 4 << 20;
+/// The maximum size of a peer's response in bytes; large enough for a complete configuration or plan.
+pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Bytes of a peer's error text that are kept.
-const ERROR_TEXT_BYTES: usize = 256;
+/// The maximum number of bytes of a peer's error text that are kept.
+const MAX_ERROR_TEXT_BYTES: usize = 256;
 
-/// A call to a peer failed.
+/// An error of a call to a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 pub enum PeerError {
-    /// The call failed on its way.
+    /// The call could not be sent, or no response was received.
     #[error(transparent)]
     Send(#[from] SendError),
-    /// The peer answered with an error.
-    #[error("the peer answered {status}: {cause}")]
+    /// The peer responded with an error status.
+    #[error("the peer responded with status {status}: {cause}")]
     Status {
         /// The HTTP status.
         status: StatusCode,
-        /// What it said.
+        /// The text of the response.
         cause: String,
     },
-    /// The question can't be encoded, or the answer can't be decoded.
-    #[error("a message between peers can't be coded ({verdict}): {cause}")]
+    /// The request can't be encoded, or the response can't be decoded.
+    #[error("a message between peers can't be encoded or decoded ({verdict}): {cause}")]
     Coding {
-        /// Whether the call may have run.
+        /// Whether the call may have been executed.
         verdict: RunVerdict,
-        /// What is wrong.
+        /// The encoding or decoding error.
         cause: String,
     },
 }
 
 impl PeerError {
-    /// Whether the call may have run.
+    /// Returns whether the call may have been executed.
     #[must_use]
     pub fn verdict(&self) -> RunVerdict {
         match self {
@@ -65,11 +65,11 @@
     }
 }
 
-/// What an error status of an oatpier process says of the call.
+/// Returns whether a call may have been executed, given the error status of an oatpier process.
 ///
-/// Our servers give these statuses before a handler has acted: over a limit, unknown path,
-/// malformed message, too many connections. Any other status may come from a handler that had
-/// begun.
+/// Servers of oatpier respond with a client error or 503 before a handler acts: if a limit is exceeded, the path is
+/// unknown, the message is malformed, or there are too many connections. Any other status may come from a handler
+/// that has already started.
 #[must_use]
 pub fn verdict_of(status: StatusCode) -> RunVerdict {
     if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
@@ -79,80 +79,81 @@
     }
 }
 
-/// Calls other oatpier processes. Cloning shares its connections.
+/// A client for calls to other oatpier processes. Clones share their connections.
 ///
-/// Control and attempts use connections of their own, so that the bytes that control costs are
-/// counted apart, and a burst of attempts does not take the connections of control.
+/// Control calls and attempts use separate connections, so that the bytes of control traffic are counted separately
+/// and a burst of attempts does not use up the connections for control.
 #[derive(Clone)]
 pub struct PeerClient {
     control: HttpClient,
     attempts: HttpClient,
-    crossed: Arc<AtomicU64>,
+    misrouted: Arc<AtomicU64>,
 }
 
 impl PeerClient {
-    /// A client without connections yet.
+    /// Creates a client without open connections.
     #[must_use]
     pub fn new(limits: ClientLimits) -> Self {
         Self {
             control: HttpClient::new(limits.clone()),
             attempts: HttpClient::new(limits),
-            crossed: Arc::default(),
+            misrouted: Arc::default(),
         }
     }
 
-    /// Counts the bytes of all calls but attempts.
+    /// Returns the byte counters of all calls except attempts.
     #[must_use]
     pub fn control_traffic(&self) -> &Arc<TrafficCounter> {
         self.control.traffic()
     }
 
-    /// Counts the bytes of attempts.
+    /// Returns the byte counters of attempts.
     #[must_use]
     pub fn attempt_traffic(&self) -> &Arc<TrafficCounter> {
         self.attempts.traffic()
     }
 
-    /// Frames of other attempts that were dropped so far.
+    /// Returns the number of frames dropped because they belonged to another attempt.
     #[must_use]
-    pub fn crossed_frames(&self) -> u64 {
-        self.crossed.load(Ordering::Relaxed)
+    pub fn misrouted_frames(&self) -> u64 {
+        self.misrouted.load(Ordering::Relaxed)
     }
 
-    /// Sends a message by `POST` and waits for the answer, at most `timeout` in all.
+    /// Sends a message by `POST` and waits for the response; `timeout` limits the whole call.
     ///
     /// # Errors
     ///
-    /// [`PeerError::verdict`] says whether the call may have run.
+    /// Returns an error if the call fails; [`PeerError::verdict`] tells whether it may have been executed.
     pub async fn call<Q, A>(
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Q,
+        message: &Q,
         timeout: Duration,
     ) -> Result<A, PeerError>
     where
         Q: Serialize + ?Sized,
         A: DeserializeOwned,
     {
-        let body = rmp_serde::to_vec(question).map_err(|error| PeerError::Coding {
+        let body = rmp_serde::to_vec(message).map_err(|error| PeerError::Coding {
             verdict: RunVerdict::NotRun,
             cause: error.to_string(),
         })?;
         let request = post(path, Bytes::from(body))?;
-        let answer = self
+        let response = self
             .control
-            .fetch(address, request, timeout, PEER_ANSWER_LIMIT)
+            .fetch(address, request, timeout, MAX_RESPONSE_BYTES)
             .await?;
-        decode_answer(&answer)
+        decode_response(&response)
     }
 
-    /// Has an agent run an attempt. The answer's first frame may take as long as the attempt
-    /// waits at the agent.
+    /// Sends an attempt to an agent. The first frame of the response may be delayed for as long as the attempt is queued
+    /// at the agent.
     ///
     /// # Errors
     ///
-    /// Says whether the attempt may have run.
+    /// Returns an error if the attempt can't be sent or the agent rejects it; the error's verdict tells whether the
+    /// attempt may have been executed.
     pub async fn open_attempt(
         &self,
         address: SocketAddr,
@@ -162,12 +163,12 @@
         let request = encode_request(head, body)
             .map_err(|error| error.to_string())
             .and_then(|bytes| post(ATTEMPT_PATH, bytes).map_err(|error| error.to_string()))
-            .map_err(|cause| failed(address, RunVerdict::NotRun, SendStage::Queue, cause))?;
+            .map_err(|cause| send_error(address, RunVerdict::NotRun, SendStage::Queue, cause))?;
         let response = self.attempts.send(address, request).await?;
         let status = response.status();
         if status != StatusCode::OK {
-            let cause = format!("the agent answered {status}");
-            return Err(failed(
+            let cause = format!("the agent responded with status {status}");
+            return Err(send_error(
                 address,
                 verdict_of(status),
                 SendStage::Answer,
@@ -177,16 +178,16 @@
         Ok(AttemptStream::new(
             head.spec.attempt,
             response.into_body(),
-            Arc::clone(&self.crossed),
+            Arc::clone(&self.misrouted),
         ))
     }
 
-    /// Asks an agent to cancel an attempt, whether or not the attempt has come there.
+    /// Asks an agent to cancel an attempt, whether or not the attempt has arrived there.
     ///
     /// # Errors
     ///
-    /// [`PeerError::verdict`] speaks of the cancel, not of the attempt: after an error nothing
-    /// new is known of the attempt.
+    /// Returns an error if the call fails. [`PeerError::verdict`] refers to the cancellation, not to the attempt: an
+    /// error reveals nothing new about the attempt.
     pub async fn cancel_attempt(
         &self,
         address: SocketAddr,
@@ -197,19 +198,19 @@
     }
 }
 
-/// Decodes a message that a peer sent as a whole body.
+/// Decodes a message that a peer sent as a complete body.
 ///
 /// # Errors
 ///
-/// The bytes are not an `M`.
+/// Returns an error if the bytes are not an `M`.
 pub fn decode_message<M: DeserializeOwned>(body: &[u8]) -> Result<M, FrameError> {
-    rmp_serde::from_slice(body).map_err(|error| FrameError::Garbled {
+    rmp_serde::from_slice(body).map_err(|error| FrameError::Malformed {
         cause: error.to_string(),
     })
 }
 
 fn post(path: &str, body: Bytes) -> Result<Request<Bytes>, PeerError> {
-    let media_type = HeaderValue::from_static(MESSAGE_TYPE);
+    let media_type = HeaderValue::from_static(MESSAGE_MEDIA_TYPE);
     Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -221,21 +222,26 @@
         })
 }
 
-fn decode_answer<A: DeserializeOwned>(answer: &Response<Bytes>) -> Result<A, PeerError> {
-    let status = answer.status();
+fn decode_response<A: DeserializeOwned>(response: &Response<Bytes>) -> Result<A, PeerError> {
+    let status = response.status();
     if status != StatusCode::OK {
-        let body = answer.body();
-        let kept = &body[..body.len().min(ERROR_TEXT_BYTES)];
+        let body = response.body();
+        let kept = &body[..body.len().min(MAX_ERROR_TEXT_BYTES)];
         let cause = String::from_utf8_lossy(kept).into_owned();
         return Err(PeerError::Status { status, cause });
     }
-    decode_message(answer.body()).map_err(|error| PeerError::Coding {
+    decode_message(response.body()).map_err(|error| PeerError::Coding {
         verdict: RunVerdict::MayHaveRun,
         cause: error.to_string(),
     })
 }
 
-fn failed(address: SocketAddr, verdict: RunVerdict, stage: SendStage, cause: String) -> SendError {
+fn send_error(
+    address: SocketAddr,
+    verdict: RunVerdict,
+    stage: SendStage,
+    cause: String,
+) -> SendError {
     SendError {
         address,
         verdict,
--- a/crates/oatpier-wire/src/reply.rs
+++ b/crates/oatpier-wire/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of a server's handlers.
+//! Responses of request handlers.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use hyper::body::Frame;
 use serde::Serialize;
 
-/// Any error of a body's source.
+/// An error of the source of a body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of a reply, whole or streamed.
+/// The body of a reply, either complete or streamed.
 pub type ReplyBody = UnsyncBoxBody<Bytes, BoxError>;
 
-/// What a handler answers.
+/// The response of a request handler.
 pub type Reply = Response<ReplyBody>;
 
 /// The media type of messages between oatpier processes.
-pub const MESSAGE_TYPE: &str = "application/msgpack";
+pub const MESSAGE_MEDIA_TYPE: &str = "application/msgpack";
 
-/// A reply with a whole body.
+/// Builds a reply with a complete body.
 #[must_use]
 pub fn whole(status: StatusCode, media_type: &'static str, body: impl Into<Bytes>) -> Reply {
     let body = Full::new(body.into()).map_err(|never: Infallible| match never {});
@@ -35,23 +35,23 @@
     reply
 }
 
-/// A reply of plain text.
+/// Builds a plain text reply.
 #[must_use]
 pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Reply {
     whole(status, "text/plain; charset=utf-8", body)
 }
 
-/// A reply with an encoded message of our own processes.
+/// Builds a reply with an encoded message between oatpier processes.
 #[must_use]
 pub fn message<M: Serialize>(message: &M) -> Reply {
     match rmp_serde::to_vec(message) {
-        Ok(bytes) => whole(StatusCode::OK, MESSAGE_TYPE, bytes),
+        Ok(bytes) => whole(StatusCode::OK, MESSAGE_MEDIA_TYPE, bytes),
         Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
 }
 
-/// A reply whose body comes in pieces. An `Err` piece cuts the connection, so that the reader
-/// sees that the body is not whole.
+/// Builds a reply with a streamed body. An `Err` piece closes the connection, so that the reader detects the
+/// incomplete body.
 #[must_use]
 pub fn streamed<S>(status: StatusCode, media_type: &'static str, pieces: S) -> Reply
 where
@@ -65,7 +65,7 @@
     reply
 }
 
-/// Adds when to come back, in whole seconds, rounded up.
+/// Sets `Retry-After`, in whole seconds, rounded up.
 #[must_use]
 pub fn with_retry_after(mut reply: Reply, after: Duration) -> Reply {
     let seconds = after.as_secs() + u64::from(after.subsec_nanos() > 0);
--- a/crates/oatpier-wire/src/server.rs
+++ b/crates/oatpier-wire/src/server.rs
@@ -1,8 +1,8 @@
 //! An HTTP server with limits on everything that is read, and a graceful shutdown.
 //!
-//! A handler gets requests whose bodies were read whole, within the limits; what is over a limit
-//! is answered here, so it never ran. A caller that reads or writes too slowly loses its
-//! connection and holds up no other.
+//! Handlers receive requests with complete bodies within the limits. The server itself responds to requests that
+//! exceed a limit, so they are never executed. The connection of a caller that reads or writes too slowly is closed,
+//! without affecting other callers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -28,16 +28,15 @@
 
 use connection::ConnectionContext;
 
-/// How long to wait before accepting again after the system refused to (out of descriptors).
+/// How long to wait before accepting again after `accept` failed, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Connections over the limit that are told so with a 503; those beyond are closed at once.
-const TOLD_OVER_LIMIT: usize = 64;
+/// The number of connections over the limit that receive a 503 response; further ones are closed at once.
+const MAX_REJECTED_CONNECTIONS: usize = 64;
 
-/// Answers requests.
+/// A handler of HTTP requests.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Answers a request. The future is dropped when the caller goes away, and so is the body of
-    /// the reply.
+    /// Handles a request. If the caller disconnects, the future and the body of the reply are dropped.
     fn handle(&self, request: Request<Bytes>, caller: SocketAddr) -> BoxFuture<'_, Reply>;
 }
 
@@ -54,24 +53,24 @@
 /// The limits of a server.
 #[derive(Debug, Clone)]
 pub struct ServerLimits {
-    /// The most connections; further ones are answered 503.
+    /// The maximum number of connections; further ones receive a 503 response.
     pub connections: usize,
-    /// The largest request head, in bytes; 431 over it.
+    /// The maximum size of a request head in bytes; larger ones receive a 431 response.
     pub head_bytes: usize,
-    /// The largest request body, in bytes; 413 over it.
+    /// The maximum size of a request body in bytes; larger ones receive a 413 response.
     pub body_bytes: usize,
-    /// The longest time from a head's first byte to its last.
+    /// The maximum time from the first to the last byte of a head.
     pub head_wait: Duration,
-    /// The longest time for a body to come; 408 after it.
+    /// The maximum time to receive a body; slower ones receive a 408 response.
     pub body_wait: Duration,
-    /// How long a connection is kept between requests.
+    /// How long an idle connection is kept between requests.
     pub idle: Duration,
-    /// How long a caller may take no byte of an answer that waits for it.
+    /// The maximum time without progress in writing a response to the caller.
     pub write_wait: Duration,
-    /// After a shutdown was asked for, how long requests that were on their way are still
-    /// answered, each with `Connection: close`, before unused connections are closed.
+    /// How long the server still responds to requests in transit after a shutdown is requested, each with
+    /// `Connection: close`, before it closes idle connections.
     pub linger: Duration,
-    /// When to come back, told with each 503 for too many connections.
+    /// The `Retry-After` of each 503 response for too many connections.
     pub retry_after: Duration,
 }
 
@@ -91,50 +90,50 @@
     }
 }
 
-/// What a server counts.
+/// The counters of a server.
 #[derive(Debug, Default)]
 pub struct ServerCounters {
     pub(crate) accepted: AtomicU64,
     pub(crate) over_limit: AtomicU64,
     pub(crate) refused_requests: AtomicU64,
     pub(crate) stalled: AtomicU64,
-    /// Bytes of all connections.
+    /// The byte counters of all connections.
     pub traffic: Arc<TrafficCounter>,
 }
 
 impl ServerCounters {
-    /// Connections taken.
+    /// Returns the number of accepted connections.
     #[must_use]
     pub fn accepted(&self) -> u64 {
         self.accepted.load(Ordering::Relaxed)
     }
 
-    /// Connections over the limit.
+    /// Returns the number of connections over the limit.
     #[must_use]
     pub fn over_limit(&self) -> u64 {
         self.over_limit.load(Ordering::Relaxed)
     }
 
-    /// Requests answered 413 or 408 without the handler.
+    /// Returns the number of requests whose bodies were rejected, for example with 413 or 408, without calling the handler.
     #[must_use]
     pub fn refused_requests(&self) -> u64 {
         self.refused_requests.load(Ordering::Relaxed)
     }
 
-    /// Connections closed because the other side was too slow, or silent for too long.
+    /// Returns the number of connections closed because the caller was too slow or idle for too long.
     #[must_use]
     pub fn stalled(&self) -> u64 {
         self.stalled.load(Ordering::Relaxed)
     }
 }
 
-/// Serves until `shutdown` is done and every request in flight has been answered.
+/// Serves until `shutdown` completes and every request in flight has been processed.
 ///
-/// A closed listener and connections closed between requests race with requests on their way,
-/// which their senders could only call "may have run". So for [`ServerLimits::linger`] after
-/// `shutdown` everything that comes is still answered, with `Connection: close`; the handler
-/// refuses it truly if it must. Then the listener and unused connections are closed, and requests
-/// in flight go on to their end. Dropping the future cuts off all connections.
+/// Closing the listener and idle connections races with requests in transit, which their senders would have to
+/// report as possibly executed. For [`ServerLimits::linger`] after `shutdown`, the server therefore still passes all
+/// requests to the handler, which may refuse them explicitly, and adds `Connection: close` to the responses. It then
+/// closes the listener and idle connections, and completes the requests in flight. Dropping the future aborts all
+/// connections.
 pub async fn serve(
     listener: TcpListener,
     handler: Arc<dyn RequestHandler>,
@@ -156,20 +155,20 @@
     closing.send_replace(ServerPhase::Closing);
     let linger = sleep(acceptor.context.limits.linger);
     acceptor.accept_until(&listener, linger).await;
-    acceptor.accept_waiting(&listener).await;
+    acceptor.accept_backlog(&listener).await;
     drop(listener);
     closing.send_replace(ServerPhase::Closed);
     while acceptor.connections.join_next().await.is_some() {}
 }
 
-/// How far a server's shutdown is.
+/// The phase of a server's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ServerPhase {
-    /// It serves.
+    /// The server serves normally.
     Open,
-    /// Each answer closes its connection.
+    /// Each response closes its connection.
     Closing,
-    /// Unused connections are closed.
+    /// Idle connections are closed.
     Closed,
 }
 
@@ -193,9 +192,9 @@
         }
     }
 
-    /// Takes the connections that wait in the listener's backlog: closing the listener would
-    /// reset them after their callers had sent a request.
-    async fn accept_waiting(&mut self, listener: &TcpListener) {
+    /// Accepts the connections in the listener's backlog. Closing the listener would reset them after their callers may
+    /// have sent a request.
+    async fn accept_backlog(&mut self, listener: &TcpListener) {
         while let Ok(Ok((stream, caller))) = timeout(Duration::ZERO, listener.accept()).await {
             self.start(stream, caller);
         }
@@ -213,9 +212,8 @@
             return;
         }
         context.counters.over_limit.fetch_add(1, Ordering::Relaxed);
-        if open < limit + TOLD_OVER_LIMIT {
-            self.connections
-                .spawn(connection::turn_away(context, stream));
+        if open < limit + MAX_REJECTED_CONNECTIONS {
+            self.connections.spawn(connection::reject(context, stream));
         }
     }
 }
--- a/crates/oatpier-wire/src/server/connection.rs
+++ b/crates/oatpier-wire/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a server.
+//! Serves one connection.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 /// The smallest buffer that `hyper` takes, in bytes.
 const MIN_BUFFER_BYTES: usize = 8192;
 
-/// What all connections of a server share.
+/// The state shared by all connections of a server.
 pub(crate) struct ConnectionContext {
     pub(crate) handler: Arc<dyn RequestHandler>,
     pub(crate) limits: ServerLimits,
@@ -38,17 +38,17 @@
     let service = service_fn(|request| {
         let context = Arc::clone(&context);
         let activity = Arc::clone(&activity);
-        // Not inside the future: the stream is read once more before that is polled, and would
-        // still wait for a head.
+        // Not inside the future: `hyper` reads the stream once more before it polls the future,
+        // and the stream would still apply the head timeout.
         activity.begin();
-        async move { Ok::<_, Infallible>(answer(&context, activity, request, caller).await) }
+        async move { Ok::<_, Infallible>(respond(&context, activity, request, caller).await) }
     });
-    let guarded = guard(&context, stream, Arc::clone(&activity));
+    let guarded = guard_stream(&context, stream, Arc::clone(&activity));
     let connection = http1_builder(&context.limits).serve_connection(guarded, service);
     let mut connection = pin!(connection);
     let mut phase = context.phase.clone();
     let closed = async move {
-        // An error says that the server is gone, which closes as well.
+        // An error means that the server was dropped, which closes the connection too.
         let _ = phase.wait_for(|phase| *phase == ServerPhase::Closed).await;
     };
     let finished = tokio::select! {
@@ -57,13 +57,13 @@
     };
     if finished.is_none() {
         connection.as_mut().graceful_shutdown();
-        // The caller's side of a broken connection; there is nobody to tell.
+        // The connection is closed either way, so an error is ignored.
         let _ = connection.await;
     }
 }
 
-/// Answers one request on a connection over the limit.
-pub(crate) async fn turn_away(context: Arc<ConnectionContext>, stream: TcpStream) {
+/// Responds to one request on a connection over the limit.
+pub(crate) async fn reject(context: Arc<ConnectionContext>, stream: TcpStream) {
     let activity = Arc::new(ConnectionActivity::default());
     let service = service_fn(|_request: Request<Incoming>| {
         let text = "too many connections; come back later\n";
@@ -71,16 +71,16 @@
         let reply = reply::with_retry_after(reply, context.limits.retry_after);
         async move { Ok::<_, Infallible>(with_close(reply)) }
     });
-    let guarded = guard(&context, stream, activity);
+    let guarded = guard_stream(&context, stream, activity);
     let connection = http1_builder(&context.limits).serve_connection(guarded, service);
-    let longest = context.limits.head_wait + context.limits.write_wait;
-    // Whether it was told or not, the connection is closed.
-    let _ = tokio::time::timeout(longest, connection).await;
+    let max_time = context.limits.head_wait + context.limits.write_wait;
+    // The connection is closed whether or not the response was sent.
+    let _ = tokio::time::timeout(max_time, connection).await;
 }
 
 fn http1_builder(limits: &ServerLimits) -> http1::Builder {
     let mut builder = http1::Builder::new();
-    // The guard has separate limits for a slow head and for an idle connection.
+    // `GuardedStream` has separate timeouts for a slow head and for an idle connection.
     builder
         .header_read_timeout(None)
         .max_header_size(limits.head_bytes)
@@ -88,12 +88,12 @@
     builder
 }
 
-fn guard(
+fn guard_stream(
     context: &ConnectionContext,
     stream: TcpStream,
     activity: Arc<ConnectionActivity>,
 ) -> TokioIo<GuardedStream> {
-    // A failure only delays small answers.
+    // A failure only delays small responses.
     let _ = stream.set_nodelay(true);
     let metered = MeteredStream::new(stream, Arc::clone(&context.counters.traffic));
     let counters = Arc::clone(&context.counters);
@@ -105,7 +105,7 @@
     ))
 }
 
-async fn answer(
+async fn respond(
     context: &ConnectionContext,
     activity: Arc<ConnectionActivity>,
     request: Request<Incoming>,
--- a/crates/oatpier-wire/src/server/guard.rs
+++ b/crates/oatpier-wire/src/server/guard.rs
@@ -1,4 +1,4 @@
-//! A server's stream that gives up on callers who are too slow.
+//! A server's stream that enforces timeouts on slow callers.
 
 use std::io;
 use std::pin::Pin;
@@ -17,20 +17,20 @@
 use crate::reply::{BoxError, ReplyBody};
 use crate::stream::MeteredStream;
 
-/// What a connection is doing, told by its service and read by its stream.
+/// The current activity of a connection, set by its service and read by its stream.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionActivity {
-    /// A request is being read or answered.
+    /// Whether a request is being processed.
     serving: AtomicBool,
-    /// Bytes of a head have come since the last request.
+    /// Whether bytes of a head have been received since the last request.
     head_begun: AtomicBool,
-    /// Wakes the connection when a request is over. `hyper` does not read again by itself after
-    /// an answer, so no limit would be started and an idle connection would be kept for ever.
-    over: AtomicWaker,
+    /// Wakes the connection when a request has been processed. `hyper` does not read again by itself after a response, so
+    /// without the wake-up no timer would start and an idle connection would be kept forever.
+    finished: AtomicWaker,
 }
 
 impl ConnectionActivity {
-    /// A request's head is here.
+    /// Records that a request's head was received.
     pub(crate) fn begin(&self) {
         self.serving.store(true, Ordering::Relaxed);
         self.head_begun.store(false, Ordering::Relaxed);
@@ -38,11 +38,11 @@
 
     fn end(&self) {
         self.serving.store(false, Ordering::Relaxed);
-        self.over.wake();
+        self.finished.wake();
     }
 }
 
-/// A reply's body that tells when it is over.
+/// A reply's body that records the end of the request when it is dropped.
 pub(crate) struct TrackedBody {
     inner: ReplyBody,
     activity: Arc<ConnectionActivity>,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Runs while one side is waited for.
+/// A timer for waiting on one side of a connection.
 #[derive(Default)]
 struct WaitTimer {
     sleep: Option<Pin<Box<Sleep>>>,
@@ -88,7 +88,7 @@
 }
 
 impl WaitTimer {
-    /// Starts, unless it runs, and is ready when `limit` has passed since its start.
+    /// Starts the timer unless it is running. Ready when `limit` has passed since the start.
     fn poll(&mut self, context: &mut Context<'_>, limit: Duration) -> Poll<()> {
         let sleep = self.sleep.get_or_insert_with(|| Box::pin(sleep(limit)));
         if !self.running {
@@ -103,18 +103,18 @@
     }
 }
 
-/// What the reading side waits for.
+/// What the reading side is waiting for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReadWait {
     /// The first byte of a head.
     Idle,
     /// The rest of a head.
     Head,
-    /// A request is being served: its body has its own limit, and its answer takes its time.
+    /// The end of a request. Its body has a separate timeout, and the time to respond is not limited.
     Unbounded,
 }
 
-/// A stream that fails when its caller sends no head or takes no byte for too long.
+/// A stream that fails if the caller sends no complete head, or reads no byte, for too long.
 pub(crate) struct GuardedStream {
     inner: MeteredStream,
     activity: Arc<ConnectionActivity>,
@@ -147,7 +147,8 @@
         }
     }
 
-    /// A head that comes byte by byte keeps one timer, so that trickling does not extend it.
+    /// Checks the timeout of the current wait. All bytes of a head share one timer, so that sending a head byte by byte
+    /// does not extend the timeout.
     fn poll_read_wait(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let wait = self.current_wait();
         if wait != self.read_wait {
@@ -158,17 +159,17 @@
             ReadWait::Idle => self.idle,
             ReadWait::Head => self.head_wait,
             ReadWait::Unbounded => {
-                self.activity.over.register(context.waker());
+                self.activity.finished.register(context.waker());
                 return Poll::Pending;
             }
         };
         ready!(self.reading.poll(context, limit));
         if self.writing.running {
-            // The last answer is still on its way out, and has a limit of its own.
+            // The last response is still being written, which has a separate timeout.
             self.reading.stop();
             ready!(self.reading.poll(context, limit));
         }
-        Poll::Ready(Err(self.stalled()))
+        Poll::Ready(Err(self.record_stall()))
     }
 
     fn current_wait(&self) -> ReadWait {
@@ -191,10 +192,10 @@
             return polled;
         }
         ready!(self.writing.poll(context, self.write_wait));
-        Poll::Ready(Err(self.stalled()))
+        Poll::Ready(Err(self.record_stall()))
     }
 
-    fn stalled(&self) -> io::Error {
+    fn record_stall(&self) -> io::Error {
         self.counters.stalled.fetch_add(1, Ordering::Relaxed);
         io::Error::from(io::ErrorKind::TimedOut)
     }
--- a/crates/oatpier-wire/src/server/intake.rs
+++ b/crates/oatpier-wire/src/server/intake.rs
@@ -1,4 +1,4 @@
-//! Reading a request's body within the limits.
+//! Reads a request's body within the limits.
 
 use std::time::Duration;
 
@@ -12,12 +12,13 @@
 use super::ServerLimits;
 use crate::reply::{self, BoxError, Reply};
 
-/// The longest time, and most bytes, that the rest of a body is read and thrown away for, so
-/// that the caller reads the answer before it sees the connection close.
-const DISCARD_WAIT: Duration = Duration::from_secs(1);
-const DISCARD_BYTES: usize = 16 << 20;
+/// The maximum time for reading and discarding the rest of a rejected body, so that the caller can read the response
+/// before the connection is closed.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(1);
+/// The maximum number of bytes that are discarded.
+const MAX_DISCARD_BYTES: usize = 16 << 20;
 
-/// A body was not taken.
+/// An error while reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum IntakeError {
     TooLarge { limit: usize },
@@ -44,7 +45,7 @@
     }
 }
 
-/// Reads the whole body.
+/// Reads the whole body of a request.
 pub(crate) async fn read_body(
     request: Request<Incoming>,
     limits: &ServerLimits,
@@ -80,7 +81,7 @@
 
 async fn discard(body: &mut Incoming) {
     let reading = async {
-        let mut left = DISCARD_BYTES;
+        let mut left = MAX_DISCARD_BYTES;
         while let Some(Ok(frame)) = body.frame().await {
             let bytes = frame.data_ref().map_or(0, Bytes::len);
             left = left.saturating_sub(bytes);
@@ -89,6 +90,6 @@
             }
         }
     };
-    // Out of time: the connection is closed with the rest unread.
-    let _ = timeout(DISCARD_WAIT, reading).await;
+    // After the timeout the connection is closed with the rest unread.
+    let _ = timeout(DISCARD_TIMEOUT, reading).await;
 }
--- a/crates/oatpier-wire/src/sse.rs
+++ b/crates/oatpier-wire/src/sse.rs
@@ -1,74 +1,74 @@
-//! Whole server-sent events out of a byte stream.
+//! Splits a byte stream into server-sent events.
 //!
-//! An engine's stream is whole only if its `data: [DONE]` came: an HTTP body may end cleanly
-//! after an engine that gave up half-way. Events are handed on whole, so that the tokens that
-//! were relayed can be counted and a cut stream resumed after exactly that many.
+//! An engine's stream is complete only if it contains `data: [DONE]`: an HTTP body may also end cleanly after an
+//! engine failed midway. Only complete events are returned, so that relayed tokens can be counted and an interrupted
+//! stream can be resumed after exactly that many.
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// The longest event, in bytes.
-pub const EVENT_LIMIT: usize = 1 << 20;
+/// The maximum size of an event in bytes.
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// What the last event of a stream carries.
+/// The data of the last event of a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// An event is longer than [`EVENT_LIMIT`].
+/// The error for an event longer than [`MAX_EVENT_BYTES`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
-#[error("a server-sent event is over the limit of {EVENT_LIMIT} bytes")]
+#[error("a server-sent event exceeds the limit of {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// What an event is.
+/// The kind of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
-    /// It carries one token.
+    /// Carries one token.
     Token,
-    /// It ends the stream: the answer is whole.
+    /// Ends the stream: the response is complete.
     Done,
-    /// It carries no data, such as a comment.
+    /// Carries no data, such as a comment.
     Other,
 }
 
-/// One event, as it came.
+/// A server-sent event as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SseEvent {
-    /// All its bytes, with the empty line that ends it.
+    /// All bytes of the event, including the empty line that ends it.
     pub bytes: Bytes,
-    /// What it is.
+    /// The kind of the event.
     pub kind: EventKind,
 }
 
-/// Cuts a byte stream into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
-    /// Bytes of `pending` that are known to hold no end.
+    /// The number of bytes of `pending` known not to contain the end of an event.
     searched: usize,
     tokens: u32,
     done: bool,
 }
 
 impl EventSplitter {
-    /// A splitter at the start of a stream.
+    /// Creates a splitter for the start of a stream.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the stream's next piece.
+    /// Appends the next piece of the stream.
     pub fn push(&mut self, piece: &[u8]) {
         self.pending.extend_from_slice(piece);
     }
 
-    /// The next whole event, if it is here.
+    /// Returns the next event, if it is complete.
     ///
     /// # Errors
     ///
-    /// The event is longer than [`EVENT_LIMIT`]; the stream is of no use after that.
+    /// Returns an error if the event is longer than [`MAX_EVENT_BYTES`]. The stream can't be used after an error.
     pub fn next_event(&mut self) -> Result<Option<SseEvent>, EventTooLong> {
         let Some(end) = find_end(&self.pending, self.searched) else {
-            // An end may begin in the last three bytes.
+            // The end of an event may begin in the last three bytes.
             self.searched = self.pending.len().saturating_sub(3);
             return check_length(self.pending.len()).map(|()| None);
         };
@@ -81,19 +81,19 @@
         Ok(Some(SseEvent { bytes, kind }))
     }
 
-    /// Tokens in the events handed out so far.
+    /// Returns the number of tokens in the events returned so far.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Whether the event that ends the stream was handed out.
+    /// Returns whether the event that ends the stream was returned.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Bytes of an event whose end has not come.
+    /// Returns the bytes of an incomplete event.
     #[must_use]
     pub fn rest(&self) -> &[u8] {
         self.pending.chunk()
@@ -101,14 +101,14 @@
 }
 
 fn check_length(length: usize) -> Result<(), EventTooLong> {
-    if length > EVENT_LIMIT {
+    if length > MAX_EVENT_BYTES {
         Err(EventTooLong)
     } else {
         Ok(())
     }
 }
 
-/// The index after the first empty line at or after `from`.
+/// Returns the index after the first empty line at or after `from`.
 fn find_end(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).find_map(|at| {
         let rest = &bytes[at..];
--- a/crates/oatpier-wire/src/stream.rs
+++ b/crates/oatpier-wire/src/stream.rs
@@ -10,7 +10,7 @@
 
 use crate::traffic::TrafficCounter;
 
-/// A TCP stream whose bytes are added to a counter.
+/// A TCP stream that adds its bytes to a counter.
 #[derive(Debug)]
 pub(crate) struct MeteredStream {
     inner: TcpStream,
--- a/crates/oatpier-wire/src/traffic.rs
+++ b/crates/oatpier-wire/src/traffic.rs
@@ -1,8 +1,8 @@
-//! Bytes sent and received, as the sockets saw them.
+//! Counters of bytes sent and received on sockets.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts the bytes of one kind of traffic, such as control. Shared by all its connections.
+/// Byte counters for one kind of traffic, such as control, shared by all its connections.
 #[derive(Debug, Default)]
 pub struct TrafficCounter {
     sent: AtomicU64,
@@ -10,13 +10,13 @@
 }
 
 impl TrafficCounter {
-    /// Bytes written to sockets so far, HTTP heads included.
+    /// Returns the number of bytes written to sockets, including HTTP heads.
     #[must_use]
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Bytes read from sockets so far, HTTP heads included.
+    /// Returns the number of bytes read from sockets, including HTTP heads.
     #[must_use]
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
--- a/crates/oatpier-wire/tests/testsuite/attempt_codec.rs
+++ b/crates/oatpier-wire/tests/testsuite/attempt_codec.rs
@@ -1,4 +1,5 @@
-//! Frames survive any split of the stream, and no input makes the reader panic or hold too much.
+//! Tests that frames are decoded however the stream is split, and that no input makes the reader panic or buffer too
+//! much.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::attempt::{
-    AttemptFrame, FRAME_LIMIT, TaggedFrame, decode_request, encode_request,
+    AttemptFrame, MAX_FRAME_BYTES, TaggedFrame, decode_request, encode_request,
 };
 use oatpier_wire::frame::{FrameError, FrameReader, encode_frame};
 use proptest::prelude::*;
@@ -22,7 +23,7 @@
                 tokens,
             }
         });
-    let refused = any::<Option<u32>>().prop_map(|millis| AttemptFrame::Refused {
+    let rejected = any::<Option<u32>>().prop_map(|millis| AttemptFrame::Refused {
         refusal: Refusal {
             cause: RefusalCause::QueueFull,
             retry_after: millis.map(|millis| Duration::from_millis(millis.into())),
@@ -41,7 +42,7 @@
     });
     prop_oneof![
         piece,
-        refused,
+        rejected,
         failed,
         started,
         Just(AttemptFrame::Ended { pulse: pulse(4) })
@@ -54,7 +55,7 @@
 
 proptest! {
     #[test]
-    fn frames_survive_any_split(
+    fn frames_do_not_depend_on_how_the_stream_is_split(
         frames in prop::collection::vec((any::<u128>(), any_frame()), 0..8),
         cuts in prop::collection::vec(1_usize..64, 1..64),
     ) {
@@ -66,7 +67,7 @@
         for frame in &sent {
             encode_frame(frame, &mut bytes).unwrap();
         }
-        let mut reader = FrameReader::new(FRAME_LIMIT);
+        let mut reader = FrameReader::new(MAX_FRAME_BYTES);
         let mut received = Vec::new();
         let mut cuts = cuts.iter().cycle();
         while !bytes.is_empty() {
@@ -80,28 +81,28 @@
     }
 
     #[test]
-    fn garbage_never_panics(garbage in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut reader = FrameReader::new(128);
-        reader.push(&garbage);
+        reader.push(&bytes);
         let _ = read_all(&mut reader);
-        let _ = decode_request(Bytes::from(garbage));
+        let _ = decode_request(Bytes::from(bytes));
     }
 
     #[test]
-    fn a_damaged_frame_never_panics(at in 4_usize..80, to in any::<u8>()) {
+    fn corrupt_frame_never_panics(index in 4_usize..80, byte in any::<u8>()) {
         let mut bytes = BytesMut::new();
         let frame = AttemptFrame::Started { status: 200, headers: head(1).headers, pulse: pulse(1) };
         encode_frame(&TaggedFrame { attempt: AttemptId(1), frame }, &mut bytes).unwrap();
-        let at = at.min(bytes.len() - 1);
-        bytes[at] = to;
-        let mut reader = FrameReader::new(FRAME_LIMIT);
+        let index = index.min(bytes.len() - 1);
+        bytes[index] = byte;
+        let mut reader = FrameReader::new(MAX_FRAME_BYTES);
         reader.push(&bytes);
         let _ = read_all(&mut reader);
     }
 }
 
 #[test]
-fn a_request_comes_back_whole() {
+fn request_round_trips() {
     let body = Bytes::from_static(b"{\"seat\":12}");
     let encoded = encode_request(&head(5), &body).unwrap();
     let (decoded, rest) = decode_request(encoded).unwrap();
@@ -109,31 +110,31 @@
     assert_eq!(rest, body);
 }
 
-/// A length of four gigabytes is refused from its prefix alone: a peer that announces one must
-/// not make us gather it.
+/// A length of 4 GiB must be rejected on the length prefix alone, so that a peer can't make the reader buffer the
+/// frame.
 #[test]
-fn a_long_frame_is_refused_before_it_comes() {
-    let mut reader = FrameReader::new(FRAME_LIMIT);
+fn rejects_a_long_frame_on_its_length_prefix() {
+    let mut reader = FrameReader::new(MAX_FRAME_BYTES);
     reader.push(&[0xff, 0xff, 0xff, 0xff]);
-    let refused = reader.next_frame::<TaggedFrame>();
-    assert!(matches!(refused, Err(FrameError::TooLong { .. })));
+    let rejected = reader.next_frame::<TaggedFrame>();
+    assert!(matches!(rejected, Err(FrameError::TooLong { .. })));
 }
 
 #[test]
-fn a_long_head_is_refused_by_both_sides() {
+fn both_sides_reject_a_long_head() {
     let mut long = head(5);
     long.path = "x".repeat(70_000);
-    let refused = encode_request(&long, b"");
-    assert!(matches!(refused, Err(FrameError::TooLong { .. })));
+    let rejected = encode_request(&long, b"");
+    assert!(matches!(rejected, Err(FrameError::TooLong { .. })));
     let mut bytes = BytesMut::new();
     encode_frame(&long, &mut bytes).unwrap();
-    let refused = decode_request(bytes.freeze());
-    assert!(matches!(refused, Err(FrameError::TooLong { .. })));
+    let rejected = decode_request(bytes.freeze());
+    assert!(matches!(rejected, Err(FrameError::TooLong { .. })));
 }
 
 #[test]
-fn a_cut_head_is_refused() {
+fn rejects_a_truncated_head() {
     let encoded = encode_request(&head(5), b"").unwrap();
     let cut = encoded.slice(..encoded.len() - 1);
-    assert_eq!(decode_request(cut), Err(FrameError::Cut));
+    assert_eq!(decode_request(cut), Err(FrameError::Truncated));
 }
--- a/crates/oatpier-wire/tests/testsuite/attempt_answers.rs
+++ b/crates/oatpier-wire/tests/testsuite/attempt_responses.rs
@@ -1,4 +1,4 @@
-//! An attempt's answer reaches the entry whole and its own, or the entry knows that it is not.
+//! Tests that the entry detects truncated, malformed and misrouted responses to attempts.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,7 +12,7 @@
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::attempt::{
-    ATTEMPT_PATH, AttemptFault, AttemptFrame, AttemptStream, PIECE_LIMIT, TaggedFrame, answer,
+    ATTEMPT_PATH, AttemptFault, AttemptFrame, AttemptStream, MAX_PIECE_BYTES, TaggedFrame, answer,
     decode_request,
 };
 use oatpier_wire::client::ClientLimits;
@@ -21,9 +21,9 @@
 use oatpier_wire::reply::{self, Reply};
 use oatpier_wire::server::{RequestHandler, ServerLimits};
 
-use crate::support::{TestServer, closed_address, head, pulse, until};
+use crate::support::{TestServer, closed_address, head, pulse, wait_until};
 
-/// An agent that answers each attempt with the same frames.
+/// An agent that responds to each attempt with the same frames.
 struct ScriptedAgent {
     frames: Vec<TaggedFrame>,
 }
@@ -83,10 +83,10 @@
         .unwrap()
 }
 
-async fn fault_of(mut answer: AttemptStream) -> AttemptFault {
+async fn read_to_fault(mut response: AttemptStream) -> AttemptFault {
     loop {
-        match answer.next().await {
-            Ok(frame) => assert!(!frame.is_last(), "the answer passed for whole"),
+        match response.next().await {
+            Ok(frame) => assert!(!frame.is_last(), "the response was reported as complete"),
             Err(error) => {
                 assert_eq!(error.verdict, RunVerdict::MayHaveRun);
                 return error.fault;
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_comes_and_its_connection_is_reused() {
+async fn complete_response_is_received_and_its_connection_reused() {
     let handler = |request: Request<Bytes>, _| async move {
         let (head, body) = decode_request(request.into_body()).unwrap();
         let piece = AttemptFrame::Piece {
@@ -107,29 +107,29 @@
     };
     let server = TestServer::start(ServerLimits::default(), handler).await;
     let peer = peer();
-    let body = Bytes::from(vec![7; PIECE_LIMIT * 2 + 1]);
+    let body = Bytes::from(vec![7; MAX_PIECE_BYTES * 2 + 1]);
     for attempt in 0..3 {
-        let mut answer = peer
+        let mut response = peer
             .open_attempt(server.address, &head(attempt), &body)
             .await
             .unwrap();
-        assert_eq!(answer.next().await, Ok(started()));
+        assert_eq!(response.next().await, Ok(started()));
         let mut received = BytesMut::new();
         let mut counted = 0;
-        while let AttemptFrame::Piece { bytes, tokens } = answer.next().await.unwrap() {
+        while let AttemptFrame::Piece { bytes, tokens } = response.next().await.unwrap() {
             received.extend_from_slice(&bytes);
             counted += tokens;
         }
         assert_eq!(received, body);
         assert_eq!(counted, 3);
-        // The connection goes back to the pool when its last chunk has been read.
+        // The connection is returned to the pool when its last chunk has been read.
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(server.counters.accepted(), 1);
 }
 
 #[tokio::test]
-async fn a_refusal_is_an_answer() {
+async fn refusal_is_a_valid_response() {
     let refused = AttemptFrame::Refused {
         refusal: Refusal {
             cause: RefusalCause::Leaving,
@@ -137,20 +137,20 @@
         },
         pulse: pulse(3),
     };
-    let mut answer = open(&peer(), vec![(9, refused.clone())]).await;
-    assert_eq!(answer.next().await, Ok(refused));
+    let mut response = open(&peer(), vec![(9, refused.clone())]).await;
+    assert_eq!(response.next().await, Ok(refused));
 }
 
-/// The agent dies behind a clean end of the HTTP body, after the first token. Without a last
-/// frame the entry must not take the answer for whole.
+/// The agent crashes after the first token, but the HTTP body ends cleanly. Without a final frame the entry must not
+/// treat the response as complete.
 #[tokio::test]
-async fn an_answer_without_its_last_frame_is_cut() {
-    let answer = open(&peer(), vec![(9, started()), (9, piece(b"a"))]).await;
-    assert_eq!(fault_of(answer).await, AttemptFault::Cut);
+async fn response_without_a_final_frame_is_truncated() {
+    let response = open(&peer(), vec![(9, started()), (9, piece(b"a"))]).await;
+    assert_eq!(read_to_fault(response).await, AttemptFault::Truncated);
 }
 
-/// A frame of another caller's attempt turns up in this one's stream, and would be shown to the
-/// wrong caller. It is dropped and counted, and the own frames go on.
+/// A stream contains frames of another caller's attempt, which would be relayed to the wrong caller. They must be
+/// dropped and counted, and the attempt's own frames must still be returned.
 #[tokio::test]
 async fn frames_of_another_attempt_are_dropped_and_counted() {
     let peer = peer();
@@ -161,46 +161,46 @@
         (8, ended()),
         (9, ended()),
     ];
-    let mut answer = open(&peer, frames).await;
-    assert_eq!(answer.next().await, Ok(started()));
-    assert_eq!(answer.next().await, Ok(piece(b"own")));
-    assert_eq!(answer.next().await, Ok(ended()));
-    assert_eq!(peer.crossed_frames(), 2);
+    let mut response = open(&peer, frames).await;
+    assert_eq!(response.next().await, Ok(started()));
+    assert_eq!(response.next().await, Ok(piece(b"own")));
+    assert_eq!(response.next().await, Ok(ended()));
+    assert_eq!(peer.misrouted_frames(), 2);
 }
 
-/// A wholly crossed answer carries the end of another attempt. The entry must neither relay it
-/// nor believe that its own attempt ended.
+/// A response consists of frames of another attempt only. The entry must neither relay it nor treat its own attempt
+/// as ended.
 #[tokio::test]
-async fn a_crossed_answer_ends_as_cut() {
+async fn misrouted_response_is_truncated() {
     let peer = peer();
-    let answer = open(&peer, vec![(8, started()), (8, ended())]).await;
-    assert_eq!(fault_of(answer).await, AttemptFault::Cut);
-    assert_eq!(peer.crossed_frames(), 2);
+    let response = open(&peer, vec![(8, started()), (8, ended())]).await;
+    assert_eq!(read_to_fault(response).await, AttemptFault::Truncated);
+    assert_eq!(peer.misrouted_frames(), 2);
 }
 
 #[tokio::test]
-async fn frames_out_of_order_are_refused() {
+async fn rejects_frames_out_of_order() {
     let scripts = [
         vec![(9, piece(b"a"))],
         vec![(9, ended())],
         vec![(9, started()), (9, started())],
     ];
     for script in scripts {
-        let answer = open(&peer(), script).await;
-        assert_eq!(fault_of(answer).await, AttemptFault::Disordered);
+        let response = open(&peer(), script).await;
+        assert_eq!(read_to_fault(response).await, AttemptFault::OutOfOrder);
     }
 }
 
 #[tokio::test]
-async fn an_agent_that_is_gone_did_not_run_it() {
+async fn attempt_on_an_unreachable_agent_is_not_run() {
     let address = closed_address().await;
     let opened = peer().open_attempt(address, &head(9), &Bytes::new()).await;
     assert_eq!(opened.err().unwrap().verdict, RunVerdict::NotRun);
 }
 
-/// A process restarts as something else and its address is reused: it knows no such path.
+/// The agent's address is reused by a process that is not an agent and does not know the path.
 #[tokio::test]
-async fn a_process_that_is_no_agent_did_not_run_it() {
+async fn attempt_on_a_process_that_is_not_an_agent_is_not_run() {
     let handler = |_, _| async { reply::text(StatusCode::NOT_FOUND, "no such path") };
     let server = TestServer::start(ServerLimits::default(), handler).await;
     let opened = peer()
@@ -217,10 +217,10 @@
     }
 }
 
-/// The caller goes away in the middle of a stream, so the entry drops the answer. The agent's
-/// source of frames is dropped, which cancels the work: nobody pays for an answer unread.
+/// The caller disconnects in the middle of a stream, so the entry drops the response. The agent's source of frames
+/// must be dropped too, which cancels work on a response that is no longer needed.
 #[tokio::test]
-async fn dropping_an_answer_reaches_the_agent() {
+async fn dropping_a_response_cancels_it_on_the_agent() {
     let dropped = Arc::new(AtomicBool::new(false));
     let flag = Arc::clone(&dropped);
     let handler = move |request: Request<Bytes>, _| {
@@ -236,12 +236,12 @@
     };
     let server = TestServer::start(ServerLimits::default(), handler).await;
     let peer = peer();
-    let mut answer = peer
+    let mut response = peer
         .open_attempt(server.address, &head(9), &Bytes::new())
         .await
         .unwrap();
-    assert_eq!(answer.next().await, Ok(started()));
+    assert_eq!(response.next().await, Ok(started()));
     assert!(!dropped.load(Ordering::SeqCst));
-    drop(answer);
-    until(|| dropped.load(Ordering::SeqCst)).await;
+    drop(response);
+    wait_until(|| dropped.load(Ordering::SeqCst)).await;
 }
--- a/crates/oatpier-wire/tests/testsuite/client_verdicts.rs
+++ b/crates/oatpier-wire/tests/testsuite/client_verdicts.rs
@@ -1,4 +1,4 @@
-//! What the client says of a failed call is true: "not run" only where no byte was written.
+//! Tests of the verdicts of failed calls: "not run" only if no byte was written.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 
 use crate::support::{closed_address, get, listen, read_head};
 
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 fn client() -> HttpClient {
     HttpClient::new(ClientLimits::default())
 }
 
-/// Starts a task that treats each connection by `treat`.
-async fn each_connection<F, R>(treat: F) -> SocketAddr
+/// Starts a server that runs `handle` for each connection, and returns its address.
+async fn serve_connections<F, R>(handle: F) -> SocketAddr
 where
     F: Fn(TcpStream) -> R + Send + 'static,
     R: Future<Output = ()> + Send + 'static,
@@ -29,24 +29,24 @@
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(treat(stream));
+            tokio::spawn(handle(stream));
         }
     });
     address
 }
 
 #[tokio::test]
-async fn a_refused_connection_did_not_run() {
+async fn refused_connection_is_not_run() {
     let address = closed_address().await;
     let error = client().send(address, get("/")).await.err().unwrap();
     assert_eq!(error.verdict, RunVerdict::NotRun);
     assert_eq!(error.stage, SendStage::Connect);
 }
 
-/// The peer's VM is gone and nothing answers the connection attempt. No byte of the request was
-/// written, so the caller may go elsewhere at once.
+/// The peer's VM is gone and does not respond to the connection attempt. No byte of the request was written, so the
+/// caller may retry elsewhere at once.
 #[tokio::test]
-async fn a_connection_that_never_comes_did_not_run() {
+async fn connect_timeout_is_not_run() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener: TcpListener = socket.listen(1).unwrap();
@@ -55,7 +55,7 @@
         connect: Duration::from_millis(30),
         ..ClientLimits::default()
     };
-    // Connections that nobody accepts fill the backlog; after that the system drops attempts.
+    // Connections that are not accepted fill the backlog; after that the system drops connection attempts.
     let mut filling = Vec::new();
     loop {
         let connecting = TcpStream::connect(address);
@@ -70,11 +70,11 @@
     assert!(error.timed_out);
 }
 
-/// The peer reads the request and its process is killed before it answers. It may have acted on
-/// the request, so a repetition could run it twice.
+/// The peer reads the request and is killed before it responds. It may have executed the request, so a retry could
+/// execute it twice.
 #[tokio::test]
-async fn a_close_after_the_request_may_have_run() {
-    let address = each_connection(|mut stream| async move {
+async fn close_after_the_request_may_have_run() {
+    let address = serve_connections(|mut stream| async move {
         read_head(&mut stream).await;
     })
     .await;
@@ -83,87 +83,86 @@
     assert_eq!(error.stage, SendStage::Answer);
 }
 
-/// The peer is frozen: it takes the request and says nothing. When time runs out, it may still
-/// wake up and run it.
+/// The peer is frozen: it receives the request and does not respond. After the timeout it may still resume and
+/// execute the request.
 #[tokio::test]
-async fn a_silent_peer_may_have_run() {
-    let address = each_connection(|mut stream| async move {
+async fn response_timeout_may_have_run() {
+    let address = serve_connections(|mut stream| async move {
         read_head(&mut stream).await;
         std::future::pending::<()>().await;
     })
     .await;
-    let wait = Duration::from_millis(300);
-    let error = client().send_within(address, get("/"), wait).await;
+    let timeout = Duration::from_millis(300);
+    let error = client().send_within(address, get("/"), timeout).await;
     let error = error.err().unwrap();
     assert_eq!(error.verdict, RunVerdict::MayHaveRun);
     assert!(error.timed_out);
 }
 
-/// The answer begins and its connection breaks before the promised length has come. The short
-/// body must not pass for the whole one.
+/// The connection breaks before the whole content length was received. The truncated body must not count as
+/// complete.
 #[tokio::test]
-async fn a_cut_answer_is_an_error() {
-    let address = each_connection(|mut stream| async move {
+async fn truncated_response_is_an_error() {
+    let address = serve_connections(|mut stream| async move {
         read_head(&mut stream).await;
         let cut = b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf";
         stream.write_all(cut).await.unwrap();
     })
     .await;
-    let wait = Duration::from_secs(10);
-    // Over the reader's own limit, or short of the promised length.
+    let timeout = Duration::from_secs(10);
+    // Over the reader's limit, or shorter than the content length.
     for limit in [1, 100] {
-        let fetched = client().fetch(address, get("/"), wait, limit).await;
+        let fetched = client().fetch(address, get("/"), timeout, limit).await;
         assert_eq!(fetched.err().unwrap().verdict, RunVerdict::MayHaveRun);
     }
     let response = client().send(address, get("/")).await.unwrap();
     assert!(response.into_body().collect().await.is_err());
 }
 
-/// The peer closes each connection right after its first answer, without having said so, while
-/// the client reuses connections: each second request races with the close. Whatever wins, a
-/// request called "not run" was never seen by the peer, an answered one was seen once, and one
-/// that may have run at most once.
+/// The peer closes each connection right after its first response, without announcing it, while the client reuses
+/// connections: each second request races with the close. In every outcome the peer must not have seen a request
+/// reported as "not run", must have seen a successful one once, and one that "may have run" at most once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_close_of_an_idle_connection_is_told_truly() {
+async fn close_of_an_idle_connection_gives_a_correct_verdict() {
     const ROUNDS: u32 = 2_000;
     let seen = Arc::new(AtomicU32::new(0));
     let seen_by_peer = Arc::clone(&seen);
-    let address = each_connection(move |mut stream| {
+    let address = serve_connections(move |mut stream| {
         let seen = Arc::clone(&seen_by_peer);
         async move {
             if read_head(&mut stream).await {
                 seen.fetch_add(1, Ordering::SeqCst);
-                stream.write_all(ANSWER).await.unwrap();
+                stream.write_all(RESPONSE).await.unwrap();
             }
         }
     })
     .await;
     let client = client();
     let mut answered = 0;
-    let mut unclear = 0;
+    let mut unknown = 0;
     for _ in 0..ROUNDS {
         match client.send(address, get("/")).await {
             Ok(response) => {
                 answered += 1;
                 let _ = response.into_body().collect().await;
             }
-            Err(error) if error.verdict == RunVerdict::MayHaveRun => unclear += 1,
+            Err(error) if error.verdict == RunVerdict::MayHaveRun => unknown += 1,
             Err(error) => panic!("the peer was there all the time: {error}"),
         }
     }
     let seen = seen.load(Ordering::SeqCst);
-    assert!(answered <= seen && seen <= answered + unclear);
+    assert!(answered <= seen && seen <= answered + unknown);
 }
 
 #[tokio::test]
-async fn a_connection_is_reused_after_its_answer() {
+async fn connection_is_reused_after_its_response() {
     let connections = Arc::new(AtomicU32::new(0));
     let counted = Arc::clone(&connections);
-    let address = each_connection(move |mut stream| {
+    let address = serve_connections(move |mut stream| {
         counted.fetch_add(1, Ordering::SeqCst);
         async move {
             while read_head(&mut stream).await {
-                stream.write_all(ANSWER).await.unwrap();
+                stream.write_all(RESPONSE).await.unwrap();
             }
         }
     })
@@ -175,16 +174,16 @@
         assert_eq!(body.to_bytes(), "ok");
     }
     assert_eq!(connections.load(Ordering::SeqCst), 1);
-    assert_eq!(client.traffic().received(), 5 * ANSWER.len() as u64);
+    assert_eq!(client.traffic().received(), 5 * RESPONSE.len() as u64);
 }
 
-/// A caller leaves while its request is on the way to a peer that is frozen. The peer must not find the
-/// request when it wakes up: closing the connection in order would still deliver it, seconds late. The
-/// peer's connection is reset, which discards what it has not received.
+/// A caller disconnects while its request is in transit to a frozen peer. The peer must not receive the request when
+/// it resumes: an orderly close would still deliver it, seconds late. The connection must be reset, which discards
+/// data that was not received.
 #[tokio::test]
-async fn a_request_that_is_given_up_is_discarded() {
+async fn abandoned_request_is_discarded() {
     let (seen, mut resets) = tokio::sync::mpsc::unbounded_channel();
-    let address = each_connection(move |mut stream| {
+    let address = serve_connections(move |mut stream| {
         let seen = seen.clone();
         async move {
             read_head(&mut stream).await;
@@ -202,8 +201,8 @@
         discard_on_close: true,
         ..ClientLimits::default()
     });
-    let given_up = client.send_within(address, get("/"), Duration::from_millis(100));
-    assert!(given_up.await.is_err());
+    let abandoned = client.send_within(address, get("/"), Duration::from_millis(100));
+    assert!(abandoned.await.is_err());
     let reset = tokio::time::timeout(Duration::from_secs(20), resets.recv()).await;
     assert!(reset.expect("the connection is reset").is_some());
 }
--- a/crates/oatpier-wire/tests/testsuite/event_splitter.rs
+++ b/crates/oatpier-wire/tests/testsuite/event_splitter.rs
@@ -1,6 +1,6 @@
-//! Server-sent events come out whole, and only `[DONE]` makes a stream whole.
+//! Tests that only complete server-sent events are returned, and that only `[DONE]` completes a stream.
 
-use oatpier_wire::sse::{EVENT_LIMIT, EventKind, EventSplitter, EventTooLong, SseEvent};
+use oatpier_wire::sse::{EventKind, EventSplitter, EventTooLong, MAX_EVENT_BYTES, SseEvent};
 use proptest::prelude::*;
 
 const STREAM: &[u8] = b": hello\n\ndata: {\"a\":1}\n\ndata: {\"b\":2}\r\n\r\ndata: [DONE]\n\n";
@@ -13,7 +13,7 @@
 
 proptest! {
     #[test]
-    fn any_split_gives_the_same_events(cuts in prop::collection::vec(1_usize..9, 1..20)) {
+    fn events_do_not_depend_on_how_the_stream_is_split(cuts in prop::collection::vec(1_usize..9, 1..20)) {
         let mut splitter = EventSplitter::new();
         let mut found = Vec::new();
         let mut left = STREAM;
@@ -36,11 +36,11 @@
     }
 }
 
-/// The engine dies after half an event, and its HTTP body still ends cleanly. A caller who got
-/// the bytes as they came would take the short answer for the whole one; the splitter says that
-/// the end did not come, and hands out no part of an event.
+/// The engine crashes in the middle of an event, and its HTTP body still ends cleanly. If the bytes were relayed
+/// unchecked, a caller would treat the truncated response as complete. The splitter must report that the end is
+/// missing, and must not return a partial event.
 #[test]
-fn a_stream_without_its_end_is_not_whole() {
+fn stream_without_its_end_is_incomplete() {
     let mut splitter = EventSplitter::new();
     splitter.push(b"data: 1\n\ndata: [DO");
     assert_eq!(events(&mut splitter).len(), 1);
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn rejects_an_event_over_the_limit() {
     let mut splitter = EventSplitter::new();
-    splitter.push(&vec![b'x'; EVENT_LIMIT + 1]);
+    splitter.push(&vec![b'x'; MAX_EVENT_BYTES + 1]);
     assert_eq!(splitter.next_event(), Err(EventTooLong));
 }
--- a/crates/oatpier-wire/tests/testsuite/main.rs
+++ b/crates/oatpier-wire/tests/testsuite/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the HTTP glue, over loopback sockets.
+//! Tests of the HTTP client, the server and the messages, over loopback sockets.
 
-mod attempt_answers;
 mod attempt_codec;
+mod attempt_responses;
 mod client_verdicts;
 mod event_splitter;
 mod peer_calls;
--- a/crates/oatpier-wire/tests/testsuite/peer_calls.rs
+++ b/crates/oatpier-wire/tests/testsuite/peer_calls.rs
@@ -1,4 +1,4 @@
-//! Calls between processes: messages, their errors and what they cost.
+//! Tests of calls between processes: messages, errors and traffic counters.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 
 use crate::support::{TestServer, closed_address, head};
 
-const WAIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-fn answer(request: &Request<Bytes>) -> Reply {
+fn respond(request: &Request<Bytes>) -> Reply {
     match request.uri().path() {
         "/agent/cancel" => match decode_message::<CancelAttempt>(request.body()) {
             Ok(_) => reply::message(&CancelAnswer {
@@ -31,12 +31,12 @@
 }
 
 async fn server() -> TestServer {
-    let handler = |request: Request<Bytes>, _| async move { answer(&request) };
+    let handler = |request: Request<Bytes>, _| async move { respond(&request) };
     TestServer::start(ServerLimits::default(), handler).await
 }
 
 #[tokio::test]
-async fn a_cancel_is_answered_and_its_bytes_are_counted() {
+async fn cancellation_succeeds_and_its_bytes_are_counted() {
     let server = server().await;
     let peer = PeerClient::new(ClientLimits::default());
     let cancel = CancelAttempt {
@@ -45,8 +45,8 @@
         ticket: head(1).ticket,
         reach: CancelReach::SealOnly,
     };
-    let answer = peer.cancel_attempt(server.address, &cancel, WAIT).await;
-    assert_eq!(answer.unwrap().verdict, RunVerdict::NotRun);
+    let response = peer.cancel_attempt(server.address, &cancel, TIMEOUT).await;
+    assert_eq!(response.unwrap().verdict, RunVerdict::NotRun);
     let traffic = peer.control_traffic();
     assert_eq!(traffic.sent(), server.counters.traffic.received());
     assert_eq!(traffic.received(), server.counters.traffic.sent());
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn each_error_says_whether_the_call_may_have_run() {
+async fn errors_tell_whether_the_call_may_have_been_executed() {
     let server = server().await;
     let peer = PeerClient::new(ClientLimits::default());
     let closed = closed_address().await;
@@ -69,7 +69,7 @@
     ];
     for (address, path, verdict) in cases {
         let error = peer
-            .call::<_, CancelAnswer>(address, path, "no such message", WAIT)
+            .call::<_, CancelAnswer>(address, path, "no such message", TIMEOUT)
             .await
             .unwrap_err();
         assert_eq!(error.verdict(), verdict, "{path}: {error}");
--- a/crates/oatpier-wire/tests/testsuite/server_limits.rs
+++ b/crates/oatpier-wire/tests/testsuite/server_limits.rs
@@ -1,4 +1,4 @@
-//! Everything that a caller sends is bounded, and a slow caller holds up no other.
+//! Tests that everything a caller sends is limited, and that a slow caller does not delay others.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-use crate::support::{TestServer, exchange, get, read_to_close, until};
+use crate::support::{TestServer, exchange, get, read_to_close, wait_until};
 
-const SHORT: Duration = Duration::from_millis(200);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn limits() -> ServerLimits {
     ServerLimits {
@@ -23,8 +23,7 @@
     }
 }
 
-/// A server whose handler answers with the length of the body, or an endless stream at
-/// `/endless`.
+/// Starts a server whose handler responds with the length of the body, or with an endless stream at `/endless`.
 async fn server(limits: ServerLimits) -> TestServer {
     let handler = |request: Request<Bytes>, _| async move {
         if request.uri().path() == "/endless" {
@@ -36,67 +35,67 @@
     TestServer::start(limits, handler).await
 }
 
-fn status(answer: &str) -> &str {
-    answer.split(' ').nth(1).unwrap_or("closed")
+fn status(response: &str) -> &str {
+    response.split(' ').nth(1).unwrap_or("closed")
 }
 
 #[tokio::test]
-async fn a_request_within_the_limits_is_handled() {
+async fn handles_requests_within_the_limits() {
     let server = server(limits()).await;
     let request = b"POST / HTTP/1.1\r\nconnection: close\r\ncontent-length: 4\r\n\r\nfour";
-    let answer = exchange(server.address, request).await;
-    assert_eq!(status(&answer), "200");
-    assert!(answer.ends_with("4 bytes"));
+    let response = exchange(server.address, request).await;
+    assert_eq!(status(&response), "200");
+    assert!(response.ends_with("4 bytes"));
 }
 
 #[tokio::test]
-async fn a_large_head_is_answered_431() {
+async fn rejects_a_large_head_with_431() {
     let server = server(limits()).await;
     let request = format!("GET / HTTP/1.1\r\nx-long: {}\r\n\r\n", "x".repeat(9 << 10));
-    let answer = exchange(server.address, request.as_bytes()).await;
-    assert_eq!(status(&answer), "431");
+    let response = exchange(server.address, request.as_bytes()).await;
+    assert_eq!(status(&response), "431");
 }
 
 #[tokio::test]
-async fn a_large_body_is_answered_413() {
+async fn rejects_a_large_body_with_413() {
     let server = server(limits()).await;
     let body = "x".repeat(101);
     let sized = format!("POST / HTTP/1.1\r\ncontent-length: 101\r\n\r\n{body}");
     let chunked =
         format!("POST / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n65\r\n{body}\r\n0\r\n\r\n");
     for request in [sized, chunked] {
-        let answer = exchange(server.address, request.as_bytes()).await;
-        assert_eq!(status(&answer), "413");
-        assert!(answer.ends_with("the body is over the limit of 100 bytes; send less\n"));
+        let response = exchange(server.address, request.as_bytes()).await;
+        assert_eq!(status(&response), "413");
+        assert!(response.ends_with("the body is over the limit of 100 bytes; send less\n"));
     }
     assert_eq!(server.counters.refused_requests(), 2);
 }
 
-/// A caller announces a body and stops sending. It is told so, and its connection is freed.
+/// A caller announces a body and stops sending. It must receive a response, and its connection must be closed.
 #[tokio::test]
-async fn a_slow_body_is_answered_408() {
+async fn rejects_a_slow_body_with_408() {
     let slow = ServerLimits {
-        body_wait: SHORT,
+        body_wait: SHORT_TIMEOUT,
         ..limits()
     };
     let server = server(slow).await;
     let request = b"POST / HTTP/1.1\r\ncontent-length: 10\r\n\r\nhalf";
-    let answer = exchange(server.address, request).await;
-    assert_eq!(status(&answer), "408");
+    let response = exchange(server.address, request).await;
+    assert_eq!(status(&response), "408");
 }
 
-/// Callers that never finish a head, or never send a byte, would hold all connections of the
-/// server. Each is closed by its own limit.
+/// Callers that never complete a head, or never send a byte, could use up all connections of the server. Separate
+/// timeouts must close both.
 #[tokio::test]
-async fn a_slow_head_and_an_idle_connection_are_closed() {
+async fn closes_connections_with_a_slow_head_and_idle_ones() {
     let slow_head = ServerLimits {
-        head_wait: SHORT,
+        head_wait: SHORT_TIMEOUT,
         idle: Duration::from_hours(1),
         ..limits()
     };
     let idle = ServerLimits {
         head_wait: Duration::from_hours(1),
-        idle: SHORT,
+        idle: SHORT_TIMEOUT,
         ..limits()
     };
     let answered = "GET / HTTP/1.1\r\n\r\n";
@@ -107,18 +106,18 @@
     ];
     for (limits, request, expected) in cases {
         let server = server(limits).await;
-        let answer = exchange(server.address, request.as_bytes()).await;
-        assert_eq!(status(&answer), expected);
+        let response = exchange(server.address, request.as_bytes()).await;
+        assert_eq!(status(&response), expected);
         assert_eq!(server.counters.stalled(), 1);
     }
 }
 
-/// A caller asks for a long answer and reads none of it. Its own connection is dropped; another
-/// caller's request is answered all the while.
+/// A caller requests a long response and does not read it. Its connection must be closed, and requests of another
+/// caller must be processed meanwhile.
 #[tokio::test]
-async fn a_caller_that_does_not_read_is_dropped() {
+async fn closes_the_connection_of_a_caller_that_does_not_read() {
     let stalling = ServerLimits {
-        write_wait: SHORT,
+        write_wait: SHORT_TIMEOUT,
         ..limits()
     };
     let server = server(stalling).await;
@@ -126,37 +125,37 @@
     let request = b"GET /endless HTTP/1.1\r\n\r\n";
     stalled.write_all(request).await.unwrap();
     let client = HttpClient::new(ClientLimits::default());
-    until(|| server.counters.traffic.sent() > 1 << 16).await;
-    let wait = Duration::from_secs(30);
-    let other = client.fetch(server.address, get("/"), wait, 100).await;
+    wait_until(|| server.counters.traffic.sent() > 1 << 16).await;
+    let timeout = Duration::from_secs(30);
+    let other = client.fetch(server.address, get("/"), timeout, 100).await;
     assert_eq!(other.unwrap().into_body(), "0 bytes");
-    until(|| server.counters.stalled() == 1).await;
+    wait_until(|| server.counters.stalled() == 1).await;
     drop(stalled);
 }
 
-/// More callers connect than the server has room for. The last is told when to come back,
-/// instead of waiting for an answer that never comes.
+/// More callers connect than the server allows. The last must receive a `Retry-After` instead of waiting forever for
+/// a response.
 #[tokio::test]
-async fn too_many_connections_are_answered_503() {
+async fn rejects_excess_connections_with_503() {
     let narrow = ServerLimits {
         connections: 1,
         ..limits()
     };
     let server = server(narrow).await;
     let mut first = TcpStream::connect(server.address).await.unwrap();
-    until(|| server.counters.accepted() == 1).await;
-    let answer = exchange(server.address, b"GET / HTTP/1.1\r\n\r\n").await;
-    assert_eq!(status(&answer), "503");
-    assert!(answer.contains("retry-after: 1\r\n"));
+    wait_until(|| server.counters.accepted() == 1).await;
+    let response = exchange(server.address, b"GET / HTTP/1.1\r\n\r\n").await;
+    assert_eq!(status(&response), "503");
+    assert!(response.contains("retry-after: 1\r\n"));
     assert_eq!(server.counters.over_limit(), 1);
     let request = b"GET / HTTP/1.1\r\nconnection: close\r\n\r\n";
     first.write_all(request).await.unwrap();
     assert_eq!(status(&read_to_close(&mut first).await), "200");
 }
 
-/// A handler's stream fails half-way. The caller sees a broken body, never a clean short one.
+/// A handler's stream fails midway. The caller must get an error, not a short body that looks complete.
 #[tokio::test]
-async fn a_failed_stream_is_cut_visibly() {
+async fn failed_stream_is_an_error_for_the_caller() {
     let handler = |_, _| async {
         let first = stream::iter([Ok(Bytes::from_static(b"half"))]);
         let pieces = first.chain(stream::iter([Err("the source is gone".into())]));
@@ -164,7 +163,7 @@
     };
     let server = TestServer::start(limits(), handler).await;
     let client = HttpClient::new(ClientLimits::default());
-    let wait = Duration::from_secs(30);
-    let cut = client.fetch(server.address, get("/"), wait, 100).await;
+    let timeout = Duration::from_secs(30);
+    let cut = client.fetch(server.address, get("/"), timeout, 100).await;
     assert!(cut.is_err());
 }
--- a/crates/oatpier-wire/tests/testsuite/server_shutdown.rs
+++ b/crates/oatpier-wire/tests/testsuite/server_shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request, and ends by itself.
+//! Tests that a graceful shutdown aborts no request and completes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::JoinHandle;
 
-use crate::support::{HANG, listen, read_to_close, until};
+use crate::support::{HANG_TIMEOUT, listen, read_to_close, wait_until};
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
 const HELD_REQUEST: &[u8] = b"GET /held HTTP/1.1\r\n\r\n";
 
-/// A server whose handler holds `/held` until it is released.
+/// A server whose handler delays requests to `/held` until `release` is notified.
 struct StoppableServer {
     address: SocketAddr,
     counters: Arc<ServerCounters>,
@@ -36,7 +36,7 @@
         let (stop, stopped) = oneshot::channel();
         let limits = ServerLimits {
             linger,
-            // Only the stop closes a connection here.
+            // Long enough that only the shutdown closes connections.
             idle: Duration::from_hours(1),
             ..ServerLimits::default()
         };
@@ -67,7 +67,7 @@
     async fn connect(&self) -> TcpStream {
         let before = self.counters.accepted();
         let stream = TcpStream::connect(self.address).await.unwrap();
-        until(|| self.counters.accepted() > before).await;
+        wait_until(|| self.counters.accepted() > before).await;
         stream
     }
 
@@ -75,66 +75,66 @@
         self.stop.take().unwrap().send(()).unwrap();
     }
 
-    async fn ended(self) {
-        let ended = tokio::time::timeout(HANG, self.serving).await;
+    async fn wait_for_end(self) {
+        let ended = tokio::time::timeout(HANG_TIMEOUT, self.serving).await;
         ended.expect("the server never ends").unwrap();
     }
 }
 
-async fn is_refused(address: SocketAddr) {
+async fn wait_until_refused(address: SocketAddr) {
     while TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-fn assert_whole_and_closing(answer: &str) {
-    assert!(answer.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
-    assert!(answer.contains("connection: close\r\n"), "{answer}");
-    assert!(answer.ends_with("whole"), "{answer}");
+fn assert_complete_with_close(response: &str) {
+    assert!(response.starts_with("HTTP/1.1 200 OK\r\n"), "{response}");
+    assert!(response.contains("connection: close\r\n"), "{response}");
+    assert!(response.ends_with("whole"), "{response}");
 }
 
-/// A stop is asked for while a request runs. The caller still gets its whole answer, and the
-/// server ends only then, though its listener has long been closed.
+/// A shutdown is requested during a request. The caller must still receive the whole response, and the server must
+/// end only after that, although its listener is already closed.
 #[tokio::test]
-async fn a_request_in_flight_is_finished() {
+async fn request_in_flight_is_completed() {
     let mut server = StoppableServer::start(Duration::ZERO).await;
     let mut stream = server.connect().await;
     stream.write_all(HELD_REQUEST).await.unwrap();
-    until(|| server.counters.traffic.received() == HELD_REQUEST.len() as u64).await;
+    wait_until(|| server.counters.traffic.received() == HELD_REQUEST.len() as u64).await;
     server.stop();
-    is_refused(server.address).await;
+    wait_until_refused(server.address).await;
     assert!(!server.serving.is_finished());
     server.release.notify_one();
-    assert_whole_and_closing(&read_to_close(&mut stream).await);
-    server.ended().await;
+    assert_complete_with_close(&read_to_close(&mut stream).await);
+    server.wait_for_end().await;
 }
 
-/// Connections that carry nothing, fresh or kept alive, must not hold up the end of a stop.
+/// Idle connections, new or kept alive, must not delay the shutdown.
 #[tokio::test]
-async fn unused_connections_do_not_hold_up_the_stop() {
+async fn idle_connections_do_not_delay_the_shutdown() {
     let mut server = StoppableServer::start(Duration::ZERO).await;
     let _fresh = server.connect().await;
     let mut kept = server.connect().await;
     kept.write_all(REQUEST).await.unwrap();
-    until(|| server.counters.traffic.sent() > 0).await;
+    wait_until(|| server.counters.traffic.sent() > 0).await;
     server.stop();
-    server.ended().await;
+    server.wait_for_end().await;
 }
 
-/// A request is on its way, over a kept connection or a new one, at the moment of the stop.
-/// Closing at once would reset it, and its sender could only say "may have run". During the
-/// linger both are answered whole, and told to close.
+/// Requests are in transit at the moment of the shutdown, one on a kept-alive connection and one on a new one.
+/// Closing at once would reset them, and their sender could only report "may have run". During the linger time both
+/// must receive a whole response with `Connection: close`.
 #[tokio::test]
-async fn requests_on_their_way_are_answered_during_the_linger() {
+async fn requests_in_transit_are_processed_during_linger() {
     let mut server = StoppableServer::start(Duration::from_secs(1)).await;
     let mut kept = server.connect().await;
     server.stop();
-    // The server has taken notice of the stop, and its linger is far from over.
+    // Long enough for the server to process the stop, and much shorter than its linger time.
     tokio::time::sleep(Duration::from_millis(50)).await;
     let mut late = TcpStream::connect(server.address).await.unwrap();
     for stream in [&mut kept, &mut late] {
         stream.write_all(REQUEST).await.unwrap();
-        assert_whole_and_closing(&read_to_close(stream).await);
+        assert_complete_with_close(&read_to_close(stream).await);
     }
-    server.ended().await;
+    server.wait_for_end().await;
 }
--- a/crates/oatpier-wire/tests/testsuite/support.rs
+++ b/crates/oatpier-wire/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! A running server, raw sockets and sample messages.
+//! Test support: a running server, raw sockets and sample messages.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// After so long a test that waits is taken for hanging.
-pub const HANG: Duration = Duration::from_mins(1);
+/// The time after which a waiting test is considered hung.
+pub const HANG_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// A server that runs until the test ends.
 pub struct TestServer {
@@ -47,7 +47,7 @@
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// An address that refuses connections.
+/// Returns an address that refuses connections.
 pub async fn closed_address() -> SocketAddr {
     listen().await.local_addr().unwrap()
 }
@@ -66,13 +66,13 @@
 /// Reads until the peer closes or resets.
 pub async fn read_to_close(stream: &mut TcpStream) -> String {
     let mut text = Vec::new();
-    let reading = tokio::time::timeout(HANG, stream.read_to_end(&mut text));
-    // A reset after the last byte is a close as well.
+    let reading = tokio::time::timeout(HANG_TIMEOUT, stream.read_to_end(&mut text));
+    // A reset after the last byte counts as a close.
     let _ = reading.await.expect("the connection is never closed");
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// Reads a request's head off a raw connection; false if the peer closed first.
+/// Reads a request's head from a raw connection; returns false if the peer closed it first.
 pub async fn read_head(stream: &mut TcpStream) -> bool {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -84,15 +84,15 @@
     true
 }
 
-/// Waits until `is_so`.
-pub async fn until(mut is_so: impl FnMut() -> bool) {
+/// Waits until `condition` is true.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
     let waiting = async {
-        while !is_so() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     };
-    let waited = tokio::time::timeout(HANG, waiting).await;
-    waited.expect("what is waited for never comes");
+    let waited = tokio::time::timeout(HANG_TIMEOUT, waiting).await;
+    waited.expect("the condition never becomes true");
 }
 
 pub fn pulse(sequence: u64) -> AgentPulse {
