--- a/crates/oatpier-duty/src/duty/clock.rs
+++ b/crates/oatpier-duty/src/duty/clock.rs
@@ -1,18 +1,18 @@
-//! The runtime's clock as decisions see it.
+//! The runtime's clock, for use by the decision packages.
 
 use oatpier_types::clock::ClockTime;
 use tokio::time::Instant;
 
-/// Makes a [`ClockTime`] of the runtime's clock, counted from the process's start.
+/// Reads the runtime's clock as a [`ClockTime`] since the process's start.
 ///
-/// All duties of a process share one, so that their points can be compared.
+/// All duties of a process share one clock, so that their times can be compared.
 #[derive(Debug, Clone, Copy)]
 pub struct RuntimeClock {
     start: Instant,
 }
 
 impl RuntimeClock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -20,13 +20,13 @@
         }
     }
 
-    /// The present point.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> ClockTime {
         ClockTime::from_start(self.start.elapsed())
     }
 
-    /// The runtime's instant of a point; what lies too far ahead is a year off.
+    /// Returns the runtime's instant of a time. Times later than one year after the start are clamped to it.
     #[must_use]
     pub fn instant(&self, at: ClockTime) -> Instant {
         const YEAR: std::time::Duration = std::time::Duration::from_hours(365 * 24);
--- a/crates/oatpier-duty/src/duty/mod.rs
+++ b/crates/oatpier-duty/src/duty/mod.rs
@@ -1,4 +1,4 @@
-//! Duties: a thread each, stopped together, joined by bounded rings.
+//! Duties: long-running tasks on separate threads, connected by bounded rings and stopped together.
 
 mod clock;
 mod process;
--- a/crates/oatpier-duty/src/duty/process.rs
+++ b/crates/oatpier-duty/src/duty/process.rs
@@ -1,4 +1,4 @@
-//! Starts the duties of a process, each on its own thread.
+//! Starts the duties of a process, each on a separate thread.
 
 use std::future::Future;
 use std::net::{SocketAddr, TcpListener};
@@ -9,33 +9,33 @@
 
 use super::{StopPhase, StopSignal};
 
-/// Why a process could not start.
+/// An error while starting a process.
 #[derive(Debug)]
 #[derive(Diagnostic, Error)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// A listening socket can't be opened.
     #[error("can't listen on {address} for {purpose}: {cause}")]
     #[diagnostic(help("check the `[listen]` table, and that no other process uses the address"))]
     Listen {
-        /// The address.
+        /// The address of the socket.
         address: SocketAddr,
-        /// What it is for.
+        /// The purpose of the socket.
         purpose: &'static str,
-        /// What the system said.
+        /// The operating system's error.
         cause: std::io::Error,
     },
 }
 
-/// Binds a listening socket, before any duty starts, so that a wrong address is told at once.
+/// Binds a listening socket. Called before any duty starts, so that an invalid address is reported at once.
 ///
 /// # Errors
 ///
-/// [`StartError::Listen`].
+/// Returns [`StartError::Listen`] if the socket can't be opened.
 pub fn bind(address: SocketAddr, purpose: &'static str) -> Result<TcpListener, StartError> {
     let bound = TcpListener::bind(address).and_then(|listener| {
         listener.set_nonblocking(true)?;
         let bound = listener.local_addr()?;
-        // Port 0 in the settings takes a free one; the log is where it can be read.
+        // Port 0 in the settings selects a free port, which only the log shows.
         spdlog::info!("listening", kv: { purpose, address: = bound });
         Ok(listener)
     });
@@ -49,20 +49,19 @@
 /// The running duties of one process.
 #[derive(Debug, Default)]
 pub struct DutyProcess {
-    /// Tells them to stop.
+    /// The signal that stops the duties.
     pub stop: StopSignal,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl DutyProcess {
-    /// Starts a duty on its own thread with a current-thread runtime.
+    /// Starts a duty on a separate thread with a current-thread runtime.
     ///
-    /// A duty that panics ends the process's work: the others drain, so that a half-dead process
-    /// never looks alive.
+    /// If a duty panics, the other duties are ended too, so that a partly failed process does not appear healthy.
     ///
     /// # Panics
     ///
-    /// Panics if the system gives no thread.
+    /// Panics if the operating system can't create a thread.
     pub fn spawn<D, F>(&mut self, name: &str, duty: D)
     where
         D: FnOnce() -> F + Send + 'static,
@@ -71,7 +70,7 @@
         let guard = PanicGuard(self.stop.clone());
         let body = move || {
             let _guard = guard;
-            run_alone(async move { duty().await });
+            block_on_thread(async move { duty().await });
         };
         let thread = std::thread::Builder::new().name(name.to_owned());
         let handle = thread.spawn(body).expect("a thread can be started");
@@ -82,13 +81,12 @@
     ///
     /// # Errors
     ///
-    /// [`DutyPanic`] if one of them panicked: a process that lost a duty must not look like one
-    /// that was stopped by plan.
+    /// Returns [`DutyPanic`] if a duty panicked, so that the failure can be distinguished from a planned shutdown.
     pub fn join(self) -> Result<(), DutyPanic> {
-        // The panic itself was logged where it happened, and the others were told to end.
-        let ends: Vec<_> = self.threads.into_iter().map(JoinHandle::join).collect();
+        // The panic was logged where it occurred, and the other duties were already signalled to end.
+        let results: Vec<_> = self.threads.into_iter().map(JoinHandle::join).collect();
         spdlog::default_logger().flush();
-        if ends.iter().all(Result::is_ok) {
+        if results.iter().all(Result::is_ok) {
             Ok(())
         } else {
             Err(DutyPanic)
@@ -96,27 +94,27 @@
     }
 }
 
-/// A duty panicked.
+/// The error for a duty that panicked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Error, Diagnostic)]
-#[error("a duty panicked, and the process ended")]
-#[diagnostic(help("the log has the panic; the process can be started again"))]
+#[error("a duty panicked, so the process exited")]
+#[diagnostic(help("see the log for the panic; the process can be restarted"))]
 pub struct DutyPanic;
 
-/// Ends the whole process if its thread panics.
+/// Signals all duties to end if the thread that owns it panics.
 struct PanicGuard(StopSignal);
 
 impl Drop for PanicGuard {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            spdlog::critical!("a duty panicked; the process ends");
+            spdlog::critical!("a duty panicked; the process exits");
             self.0.advance(StopPhase::Ended);
         }
     }
 }
 
-/// Runs a future on this thread to its end.
-pub(super) fn run_alone(body: impl Future<Output = ()>) {
+/// Runs a future to completion on this thread, in a new current-thread runtime.
+pub(super) fn block_on_thread(body: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/oatpier-duty/src/duty/ring.rs
+++ b/crates/oatpier-duty/src/duty/ring.rs
@@ -1,19 +1,19 @@
-//! Bounded rings between duties.
+//! Rings: bounded channels between duties.
 
 use prometheus_client::metrics::counter::Counter;
 use thingbuf::mpsc;
 use thingbuf::recycling::Recycle;
 
-/// What a ring does when it is full.
+/// What a send does if the ring is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RingRule {
-    /// The sender waits: for what must not be lost.
+    /// The sender waits. For messages that must not be lost.
     Wait,
-    /// The message is dropped and counted: for what a later one makes good.
+    /// The message is dropped and counted. For messages that a later one supersedes.
     Drop,
 }
 
-/// Leaves nothing in a slot that was read, so that a ring holds no memory of old messages.
+/// Clears a slot after it is read, so that a ring does not keep the memory of old messages.
 #[derive(Debug, Clone)]
 struct EmptySlot;
 
@@ -39,7 +39,7 @@
     receiver: mpsc::Receiver<Option<T>, EmptySlot>,
 }
 
-/// Makes a ring of `capacity` messages; `full` counts each time that it was full.
+/// Creates a ring of `capacity` messages; `full` counts the sends to a full ring.
 #[must_use]
 pub fn ring<T>(capacity: usize, rule: RingRule, full: Counter) -> (RingSender<T>, RingReceiver<T>) {
     let (sender, receiver) = mpsc::with_recycle(capacity, EmptySlot);
@@ -58,7 +58,7 @@
 }
 
 impl<T> RingSender<T> {
-    /// Sends a message by the ring's rule. A message to a duty that has ended is dropped.
+    /// Sends a message according to the ring's rule. Messages to a duty that has ended are dropped.
     pub async fn send(&self, message: T) {
         let Err(message) = self.offer(message) else {
             return;
@@ -68,30 +68,30 @@
         }
     }
 
-    /// Sends a message without waiting; gives it back if the ring is full, and counts that.
+    /// Sends a message without waiting. If the ring is full, this is counted and the message returned.
     ///
     /// # Errors
     ///
-    /// The message, if the ring is full.
+    /// Returns the message if the ring is full.
     pub fn offer(&self, message: T) -> Result<(), T> {
         match self.sender.try_send(Some(message)) {
             Err(mpsc::errors::TrySendError::Full(message)) => {
                 self.full.inc();
                 message.map_or(Ok(()), Err)
             }
-            // Sent, or the other duty has ended.
+            // The message was sent, or the receiving duty has ended.
             Ok(()) | Err(_) => Ok(()),
         }
     }
 }
 
 impl<T> RingReceiver<T> {
-    /// The next message; `None` when all senders are gone.
+    /// Waits for the next message; returns `None` once all senders are dropped.
     pub async fn receive(&self) -> Option<T> {
         self.receiver.recv().await.flatten()
     }
 
-    /// The next message, if one is there.
+    /// Returns the next message, if there is one.
     #[must_use]
     pub fn poll(&self) -> Option<T> {
         self.receiver.try_recv().ok().flatten()
--- a/crates/oatpier-duty/src/duty/stop.rs
+++ b/crates/oatpier-duty/src/duty/stop.rs
@@ -1,18 +1,18 @@
-//! How a process is told to stop, and how its duties learn of it.
+//! The stop signal of a process and its duties.
 
 use std::sync::Arc;
 
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-/// How far the process is on its way out.
+/// The phase of a process's shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// It serves.
+    /// The process serves normally.
     Serving,
-    /// It takes no new work and finishes what is in flight.
+    /// The process accepts no new work and completes the requests in flight.
     Draining,
-    /// The last request is done: the other duties end.
+    /// All requests are complete; the remaining duties end.
     Ended,
 }
 
@@ -31,39 +31,39 @@
 }
 
 impl StopSignal {
-    /// The present phase.
+    /// Returns the current phase.
     #[must_use]
     pub fn phase(&self) -> StopPhase {
         *self.phase.borrow()
     }
 
-    /// Moves on to a phase; a phase that has passed already stays.
+    /// Advances to a phase. Has no effect if the process has already reached it.
     pub fn advance(&self, phase: StopPhase) {
         self.phase.send_if_modified(|current| {
-            let later = phase > *current;
+            let is_later = phase > *current;
             *current = phase.max(*current);
-            later
+            is_later
         });
     }
 
     /// Waits until the process has reached a phase.
     pub async fn reached(&self, phase: StopPhase) {
         let mut receiver = self.phase.subscribe();
-        // The sender lives in `self`, so that the wait can't fail.
+        // The wait can't fail, because `self` owns the sender.
         let _ = receiver.wait_for(|current| *current >= phase).await;
     }
 }
 
-/// Starts draining at SIGTERM or SIGINT, from a thread of its own.
+/// Starts a thread that starts draining on SIGTERM or SIGINT.
 ///
 /// # Panics
 ///
-/// Panics if the system takes no signal handler.
+/// Panics if the thread can't be started. The new thread panics if the signal handlers can't be installed.
 pub fn stop_on_signal(stop: &StopSignal) {
     let stop = stop.clone();
     std::thread::Builder::new()
         .name("signals".to_owned())
-        .spawn(move || super::process::run_alone(wait_for_signal(stop)))
+        .spawn(move || super::process::block_on_thread(wait_for_signal(stop)))
         .expect("a thread can be started");
 }
 
@@ -75,7 +75,7 @@
         _ = interrupt.recv() => {}
         () = stop.reached(StopPhase::Draining) => {}
     }
-    spdlog::info!("a stop was asked for");
+    spdlog::info!("stop requested");
     stop.advance(StopPhase::Draining);
     stop.reached(StopPhase::Ended).await;
 }
--- a/crates/oatpier-duty/src/lib.rs
+++ b/crates/oatpier-duty/src/lib.rs
@@ -1,15 +1,15 @@
-//! What the duties of entries and agents share.
+//! Code shared by the duties of entries and agents.
 //!
-//! A duty is an async function over its inputs. The binary gives each duty its own thread with a
-//! current-thread runtime, and bounded rings join them; a test runs several duties in one paused
-//! runtime. The duties hold no decisions of their own: they turn what arrives into events of the
-//! decision packages and carry out the actions that come back.
+//! A duty is a long-running task, written as an async function over its inputs. The binary runs each duty on a
+//! separate thread with a current-thread runtime, and connects duties by bounded rings; a test runs several duties in
+//! one paused runtime. Duties make no decisions themselves: they convert inputs to events of the decision packages
+//! and execute the resulting actions.
 //!
-//! - [`duty`]: threads, stopping and bounded rings.
-//! - [`settings`]: what a process is told at its start.
-//! - [`observe`]: logs, metrics, traces, and the duty that shows them.
-//! - [`placement`]: what an agent asks entries of the plan and of other holders.
-//! - [`messages`]: the messages between daemons that more than one package needs to know.
+//! - [`duty`]: threads, shutdown and bounded rings.
+//! - [`settings`]: the settings that a process reads at startup.
+//! - [`observe`]: logs, metrics, traces, and the duty that exports them.
+//! - [`placement`]: queries from agents to entries about the plan and other holders of weights.
+//! - [`messages`]: the messages between daemons that more than one package uses.
 
 pub mod duty;
 pub mod messages;
--- a/crates/oatpier-duty/src/messages.rs
+++ b/crates/oatpier-duty/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between daemons that more than one package needs to know.
+//! The messages between daemons that more than one package uses.
 
 use bytes::Bytes;
 use oatpier_membership::messages::{PeerAnswer, PeerCall};
@@ -6,45 +6,45 @@
 use oatpier_types::names::ZoneName;
 use oatpier_types::plan::PlacementPlan;
 
-/// Where an agent says what its endpoint is and holds.
+/// The path at which an agent reports the status of its endpoint and the weights that it holds.
 pub const STATUS_PATH: &str = "/agent/status";
 
-/// Where entries and agents take a [`FleetCall`]: heartbeats, gossip, summaries, pulls and pushes
-/// of the configuration.
+/// The path at which entries and agents accept a [`FleetCall`]: heartbeats, gossip, summaries, pulls and pushes of the
+/// configuration.
 pub const PEER_PATH: &str = "/peer/call";
 
 /// A call between daemons about membership and configuration.
 pub type FleetCall = PeerCall<FleetConfig>;
 
-/// The answer to a [`FleetCall`].
+/// The response to a [`FleetCall`].
 pub type FleetAnswer = PeerAnswer<FleetConfig>;
 
-/// The prefix of the keys of plans in the store.
+/// The prefix of the store keys of plans.
 pub const PLAN_PREFIX: &str = "plan/";
 
-/// The key of an availability zone's plan: the rows of its engine endpoints.
+/// Returns the store key of an availability zone's plan, which has a row for each engine endpoint.
 ///
-/// A value for each availability zone, since the plan of thousands of endpoints in one value
-/// would be over the store's megabyte, and each agent would read all of it for one row.
+/// Each availability zone has a separate value, because a plan of thousands of endpoints would exceed the store's
+/// limit of one megabyte per value, and each agent would read all of it for one row.
 #[must_use]
 pub fn plan_key(zone: &ZoneName) -> String {
     format!("{PLAN_PREFIX}{zone}")
 }
 
-/// A plan as the store keeps it: JSON, which operators can read.
+/// Encodes a plan for the store, as JSON that operators can read.
 ///
 /// # Errors
 ///
-/// Never in practice: a plan always has a form in JSON.
+/// Never returned in practice: every plan can be encoded as JSON.
 pub fn encode_plan(plan: &PlacementPlan) -> Result<Bytes, serde_json::Error> {
     serde_json::to_vec(plan).map(Bytes::from)
 }
 
-/// The plan that the store keeps.
+/// Decodes a plan from the store.
 ///
 /// # Errors
 ///
-/// The bytes are not a plan.
+/// Returns an error if the bytes are not a plan.
 pub fn decode_plan(bytes: &[u8]) -> Result<PlacementPlan, serde_json::Error> {
     serde_json::from_slice(bytes)
 }
--- a/crates/oatpier-duty/src/observe/duty.rs
+++ b/crates/oatpier-duty/src/observe/duty.rs
@@ -16,35 +16,35 @@
 use super::trace::SpanLine;
 use crate::duty::{RingReceiver, StopPhase, StopSignal};
 
-/// The content type of the Prometheus text form.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Connections to the observe address at once.
-const OBSERVE_CONNECTIONS: usize = 64;
+/// The content type of the `OpenMetrics` text format.
+const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// The maximum number of concurrent connections to the observe address.
+const MAX_CONNECTIONS: usize = 64;
 
-/// Where spans are written, a JSON line each.
+/// The output to which spans are written, one JSON line each.
 pub type SpanOutput = Box<dyn Write + Send>;
 
-/// What the observe duty works on.
+/// The inputs of the observe duty.
 pub struct ObserveInputs {
-    /// Where `/metrics`, `/live` and `/ready` are.
+    /// The listener for `/metrics`, `/live` and `/ready`.
     pub listener: std::net::TcpListener,
-    /// The metrics to show.
+    /// The metrics to export.
     pub metrics: MetricSet,
-    /// Whether the process can serve, as far as it knows itself.
+    /// Whether the process can serve requests, according to its own state.
     pub able: Arc<AtomicBool>,
-    /// Spans to be written.
+    /// The spans to write.
     pub spans: RingReceiver<SpanLine>,
-    /// Where to write them.
+    /// The output of the spans.
     pub output: SpanOutput,
-    /// Tells to stop.
+    /// The signal that stops the duty.
     pub stop: StopSignal,
 }
 
-/// Shows metrics and health, and writes spans, until the process ends.
+/// Serves metrics and health checks, and writes spans, until the process ends.
 ///
 /// # Panics
 ///
-/// Panics if it runs on no runtime, or the runtime does not take the socket.
+/// Panics if called outside a runtime, or if the runtime can't register the socket.
 pub async fn observe(inputs: ObserveInputs) {
     let ObserveInputs {
         listener,
@@ -62,7 +62,7 @@
         stop: stop.clone(),
     });
     let limits = ServerLimits {
-        connections: OBSERVE_CONNECTIONS,
+        connections: MAX_CONNECTIONS,
         ..ServerLimits::default()
     };
     let serving = server::serve(
@@ -77,28 +77,28 @@
         () = write_spans(&spans, &mut output) => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
-    write_rest(&spans, &mut output);
+    write_remaining(&spans, &mut output);
 }
 
-/// Writes spans as they come. Writing blocks this duty alone; the ring drops and counts what
-/// does not fit meanwhile.
+/// Writes spans as they arrive. Writing blocks only this duty; meanwhile the ring drops and counts spans that exceed
+/// its capacity.
 async fn write_spans(spans: &RingReceiver<SpanLine>, output: &mut SpanOutput) {
     while let Some(line) = spans.receive().await {
         let written = write_line(output, &line).and_then(|()| output.flush());
         if written.is_err() {
-            // Nobody reads the output any more. Spans are then dropped, not the process.
+            // The output is closed. Further spans are dropped, but the process continues.
             break;
         }
     }
     std::future::pending::<()>().await;
 }
 
-fn write_rest(spans: &RingReceiver<SpanLine>, output: &mut SpanOutput) {
+fn write_remaining(spans: &RingReceiver<SpanLine>, output: &mut SpanOutput) {
     let written = std::iter::from_fn(|| spans.poll())
         .try_for_each(|line| write_line(output, &line))
         .and_then(|()| output.flush());
     if let Err(error) = written {
-        spdlog::warn!("the last spans were not written: {error}");
+        spdlog::warn!("the last spans could not be written: {error}");
     }
 }
 
@@ -107,9 +107,9 @@
     output.write_all(b"\n")
 }
 
-/// Metrics as text.
+/// A source of metrics in text format.
 pub trait MetricsText: Send + Sync {
-    /// The Prometheus text form.
+    /// Encodes the metrics in the Prometheus text format.
     fn encode(&self) -> String;
 }
 
@@ -119,29 +119,29 @@
     }
 }
 
-/// Answers `/metrics`, `/live` and `/ready`.
+/// The request handler of `/metrics`, `/live` and `/ready`.
 pub struct ObserveHandler {
-    /// The metrics to show.
+    /// The metrics to export.
     pub metrics: Box<dyn MetricsText>,
-    /// Whether the process can serve, as far as it knows itself.
+    /// Whether the process can serve requests, according to its own state.
     pub able: Arc<AtomicBool>,
-    /// Whether the process is on its way out.
+    /// The stop signal, which tells whether the process is shutting down.
     pub stop: StopSignal,
 }
 
 impl RequestHandler for ObserveHandler {
     fn handle(&self, request: Request<Bytes>, _: SocketAddr) -> BoxFuture<'_, Reply> {
-        std::future::ready(self.answer(&request)).boxed()
+        std::future::ready(self.respond(&request)).boxed()
     }
 }
 
 impl ObserveHandler {
-    fn answer(&self, request: &Request<Bytes>) -> Reply {
+    fn respond(&self, request: &Request<Bytes>) -> Reply {
         if request.method() != Method::GET {
             return reply::text(StatusCode::METHOD_NOT_ALLOWED, "use GET\n");
         }
         match request.uri().path() {
-            "/metrics" => reply::whole(StatusCode::OK, METRICS_TYPE, self.metrics.encode()),
+            "/metrics" => reply::whole(StatusCode::OK, METRICS_MEDIA_TYPE, self.metrics.encode()),
             "/live" => reply::text(StatusCode::OK, "live\n"),
             "/ready" => self.ready(),
             _ => reply::text(StatusCode::NOT_FOUND, "use /metrics, /live or /ready\n"),
--- a/crates/oatpier-duty/src/observe/logs.rs
+++ b/crates/oatpier-duty/src/observe/logs.rs
@@ -1,8 +1,7 @@
-//! JSON-line logs on one of the standard streams.
+//! JSON Lines logs on one of the standard streams.
 //!
-//! Entries and agents export spans on the standard output, so their log lines go to the standard
-//! error, and a reader splits the two without parsing. Gateways and sidecars write all their lines to
-//! the standard output.
+//! Entries and agents export spans to standard output. Their logs go to standard error, so that the two can be
+//! separated without parsing. Gateways and sidecars write all lines to standard output.
 
 use std::sync::Arc;
 
@@ -11,20 +10,20 @@
 use spdlog::formatter::JsonFormatter;
 use spdlog::sink::{StdStream, StdStreamSink};
 
-/// Makes JSON lines on the standard error the form of all logs of this process, under its name.
+/// Configures all logging of this process as JSON Lines on standard error, under the given name.
 ///
 /// # Panics
 ///
-/// Panics if the stream can't be used.
+/// Panics if the logger can't be built.
 pub fn install(name: &DaemonName) {
     install_on(StdStream::Stderr, name);
 }
 
-/// As [`install`], on the standard output.
+/// Same as [`install`], on standard output.
 ///
 /// # Panics
 ///
-/// Panics if the stream can't be used.
+/// Panics if the logger can't be built.
 pub fn install_on_output(name: &DaemonName) {
     install_on(StdStream::Stdout, name);
 }
--- a/crates/oatpier-duty/src/observe/metrics.rs
+++ b/crates/oatpier-duty/src/observe/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a process, in the Prometheus text form.
+//! The metrics of a process, in the Prometheus text format.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,85 +12,85 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// Labels of an answered request.
+/// The labels of a completed request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct AnswerLabels {
-    /// The class.
+    /// The request class.
     pub class: String,
-    /// How it ended: `whole`, `error`, `refused` or `caller-gone`.
+    /// The outcome: `whole`, `error`, `refused` or `caller-gone`.
     pub end: &'static str,
-    /// The verdict.
+    /// Whether the request may have been executed.
     pub verdict: &'static str,
-    /// Whether it was within the class's target: `yes` or `no`.
+    /// Whether the response was within the class's latency target: `yes` or `no`.
     pub in_time: &'static str,
 }
 
-/// Labels of a refusal.
+/// The labels of a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct RefusalLabels {
-    /// Why.
+    /// The cause of the refusal.
     pub cause: &'static str,
 }
 
-/// Labels of an attempt.
+/// The labels of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct AttemptLabels {
-    /// The verdict that it ended with.
+    /// The verdict at the end of the attempt.
     pub verdict: &'static str,
 }
 
-/// Labels of a class.
+/// The labels of a request class.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct ClassLabels {
-    /// The class.
+    /// The request class.
     pub class: String,
 }
 
-/// Labels of a ring between two duties.
+/// The labels of a ring between two duties.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct RingLabels {
-    /// The ring: sender and receiver.
+    /// The name of the ring, made of sender and receiver.
     pub ring: &'static str,
 }
 
-/// Labels of a move.
+/// The labels of a move, which is a change of an endpoint's weights or role.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct MoveLabels {
     /// `load`, `unload` or `role`.
     pub kind: &'static str,
-    /// What asked for it: `plan`, `repair` or `settle`.
+    /// The reason for the move: `plan`, `repair` or `settle`.
     pub cause: &'static str,
 }
 
-/// Labels of a call to the platform's key-value service.
+/// The labels of a call to the platform's key-value service.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct StoreCallLabels {
-    /// What it is for.
+    /// The purpose of the call.
     pub kind: &'static str,
-    /// `answered`, `failed`, or `held-back` if the process's share of calls was used up.
+    /// The outcome: `answered`, `failed`, or `held-back` if the process has used up its share of calls.
     pub end: &'static str,
 }
 
-/// Labels of a claim on an idempotency key.
+/// The labels of a claim on an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct ClaimLabels {
-    /// `granted`, `denied`, `unavailable`, or `settlement-dropped`.
+    /// The outcome: `granted`, `denied`, `unavailable`, or `settlement-dropped`.
     pub end: &'static str,
 }
 
-/// The counters that the duties share. Cloning shares them.
+/// The metrics shared by the duties of a process. Clones share the same metrics.
 #[derive(Debug, Clone)]
 pub struct MetricSet {
     registry: Arc<Registry>,
-    /// Answered requests.
+    /// Completed requests.
     pub answers: Family<AnswerLabels, Counter>,
     /// Refusals by cause.
     pub refusals: Family<RefusalLabels, Counter>,
@@ -98,29 +98,29 @@
     pub attempts: Family<AttemptLabels, Counter>,
     /// Requests in flight.
     pub in_flight: Gauge,
-    /// Time until the first thing that is due, in seconds.
+    /// Time to the first token, or to the complete response of a service, in seconds.
     pub first_due: Family<ClassLabels, Histogram>,
-    /// Each time that a ring was full.
+    /// Sends to a ring that was full.
     pub ring_full: Family<RingLabels, Counter>,
-    /// Late or crossed answers that were dropped.
+    /// Late or misrouted responses that were dropped.
     pub crossed: Counter,
-    /// The configuration's generation that is in force.
+    /// The generation of the configuration in force.
     pub generation: Gauge,
     /// Moves by kind and cause.
     pub moves: Family<MoveLabels, Counter>,
-    /// Spans that were dropped since the exporter was behind.
+    /// Spans dropped because the exporter was too slow.
     pub spans_dropped: Counter,
-    /// Endpoints in an entry's directory that take work.
+    /// Endpoints in an entry's directory that accept requests.
     pub endpoints_known: Gauge,
-    /// Weights that are ready at them, each endpoint's counted.
+    /// Ready weights at these endpoints, counted once per endpoint.
     pub replicas_known: Gauge,
-    /// Memory that the endpoint's weights are charged with, in MiB.
+    /// Memory accounted for the endpoint's weights, in MiB.
     pub charged_mib: Gauge,
     /// Calls to the key-value service.
     pub store_calls: Family<StoreCallLabels, Counter>,
     /// Claims on idempotency keys.
     pub claims: Family<ClaimLabels, Counter>,
-    /// Statuses asked of agents that no registrar knows.
+    /// Status queries to agents that are not known to any registrar.
     pub agents_asked: Counter,
 }
 
@@ -132,7 +132,7 @@
             refusals: Family::default(),
             attempts: Family::default(),
             in_flight: Gauge::default(),
-            first_due: Family::new_with_constructor(due_histogram),
+            first_due: Family::new_with_constructor(first_due_histogram),
             ring_full: Family::default(),
             crossed: Counter::default(),
             generation: Gauge::default(),
@@ -150,13 +150,13 @@
     }
 }
 
-/// From a millisecond to about a minute.
-fn due_histogram() -> Histogram {
+/// Creates a histogram with buckets from one millisecond to about one minute.
+fn first_due_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 17))
 }
 
 impl MetricSet {
-    /// The text that `/metrics` serves.
+    /// Encodes the metrics as the text that `/metrics` serves.
     #[must_use]
     pub fn encode(&self) -> String {
         let mut text = String::new();
@@ -165,7 +165,7 @@
         text
     }
 
-    /// The counter of a ring.
+    /// Returns the counter of sends to a full ring.
     #[must_use]
     pub fn ring(&self, ring: &'static str) -> Counter {
         self.ring_full.get_or_create(&RingLabels { ring }).clone()
@@ -187,7 +187,7 @@
         self.attempts.get_or_create(&labels).inc();
     }
 
-    /// Notes how long a request waited for the first thing that is due.
+    /// Records the time to the first token of a request, or to its complete response for a service.
     pub fn first_due_after(&self, class: &str, span: Duration) {
         let labels = ClassLabels {
             class: class.to_owned(),
--- a/crates/oatpier-duty/src/observe/mod.rs
+++ b/crates/oatpier-duty/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! Logs, metrics and traces, and the duty that shows them.
+//! Logs, metrics and traces, and the duty that exports them.
 
 pub mod logs;
 pub mod metrics;
--- a/crates/oatpier-duty/src/observe/trace.rs
+++ b/crates/oatpier-duty/src/observe/trace.rs
@@ -1,8 +1,8 @@
-//! A span for each hop of a request, exported as JSON lines.
+//! A span for each hop of a request, exported as JSON Lines.
 //!
-//! Spans are made by the OpenTelemetry SDK. Its processor here only puts an ended span into a
-//! ring; the observe duty writes it out, so that a slow reader of the output never holds up a
-//! request. When the ring is full, the span is dropped and counted.
+//! The OpenTelemetry SDK creates the spans. The span processor in this module only puts ended spans into a ring. The
+//! observe duty writes them out, so that a slow reader of the output never delays a request. If the ring is full, the
+//! span is dropped and counted.
 
 use std::fmt;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -22,10 +22,10 @@
 
 use crate::duty::RingSender;
 
-/// The W3C header that carries a trace from hop to hop.
+/// The W3C header that propagates the trace context from hop to hop.
 pub const TRACEPARENT: &str = "traceparent";
 
-/// Makes the spans of a process.
+/// Creates the spans of a process.
 #[derive(Debug, Clone)]
 pub struct HopTracer {
     tracer: SdkTracer,
@@ -34,7 +34,7 @@
 }
 
 impl HopTracer {
-    /// A tracer whose ended spans go into `ring`.
+    /// Creates a tracer that puts ended spans into `ring`.
     #[must_use]
     pub fn new(name: &DaemonName, ring: RingSender<SpanLine>) -> Self {
         let processor = RingProcessor {
@@ -65,33 +65,33 @@
     }
 }
 
-/// The span of one hop. It ends when dropped.
+/// The span of one hop, which ends when it is dropped.
 #[derive(Debug)]
 pub struct HopSpan {
     context: Context,
 }
 
 impl HopSpan {
-    /// The context under which later hops start.
+    /// Returns the context under which later hops start their spans.
     #[must_use]
     pub fn context(&self) -> &Context {
         &self.context
     }
 
-    /// Notes an attribute.
+    /// Sets an attribute.
     pub fn set(&self, key: &'static str, value: impl Into<Value>) {
         self.context.span().set_attribute(KeyValue::new(key, value));
     }
 
-    /// The trace's number.
+    /// Returns the trace id.
     #[must_use]
     pub fn trace_id(&self) -> u128 {
         u128::from_be_bytes(self.context.span().span_context().trace_id().to_bytes())
     }
 
-    /// Writes the `traceparent` header of the next hop.
+    /// Sets the `traceparent` header of the request to the next hop.
     pub fn inject(&self, headers: &mut HeaderMap) {
-        if let Some(value) = traceparent_of(&self.context) {
+        if let Some(value) = traceparent_value(&self.context) {
             headers.insert(TRACEPARENT, value);
         }
     }
@@ -103,21 +103,21 @@
     }
 }
 
-fn traceparent_of(context: &Context) -> Option<HeaderValue> {
+fn traceparent_value(context: &Context) -> Option<HeaderValue> {
     let span = context.span();
-    let identity = span.span_context();
+    let span_context = span.span_context();
     let text = format!(
         "00-{}-{}-{:02x}",
-        identity.trace_id(),
-        identity.span_id(),
-        identity.trace_flags()
+        span_context.trace_id(),
+        span_context.span_id(),
+        span_context.trace_flags()
     );
     HeaderValue::from_str(&text)
         .ok()
-        .filter(|_| identity.is_valid())
+        .filter(|_| span_context.is_valid())
 }
 
-/// The parent that an incoming request names; an empty context if it names none or wrongly.
+/// Extracts the parent context of an incoming request; returns an empty context if it is missing or invalid.
 #[must_use]
 pub fn parent_of(headers: &HeaderMap) -> Context {
     let parent = headers
@@ -136,7 +136,7 @@
     let trace = TraceId::from_hex(parts.next()?).ok()?;
     let span = SpanId::from_hex(parts.next()?).ok()?;
     let flags = u8::from_str_radix(parts.next()?, 16).ok()?;
-    let known =
+    let is_known =
         version.len() == 2 && version != "ff" && (version != "00" || parts.next().is_none());
     let context = SpanContext::new(
         trace,
@@ -145,28 +145,28 @@
         true,
         TraceState::default(),
     );
-    Some(context).filter(|context| known && context.is_valid())
+    Some(context).filter(|context| is_known && context.is_valid())
 }
 
-/// An ended span, as one JSON line.
+/// An ended span, exported as one JSON line.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
 pub struct SpanLine {
     /// The name of the hop.
     pub span: String,
-    /// The process.
+    /// The process that created the span.
     pub daemon: DaemonName,
-    /// The trace, 32 hex digits.
+    /// The trace id, 32 hex digits.
     pub trace_id: String,
-    /// The span, 16 hex digits.
+    /// The span id, 16 hex digits.
     pub span_id: String,
-    /// The span above it; zeros for the first.
+    /// The id of the parent span; zeros for a root span.
     pub parent_id: String,
-    /// When it started, in microseconds since 1970.
+    /// The start time, in microseconds since the Unix epoch.
     pub start_us: u64,
-    /// How long it took, in microseconds.
+    /// The duration, in microseconds.
     pub duration_us: u64,
-    /// What was noted.
+    /// The attributes of the span.
     pub attributes: Map<String, serde_json::Value>,
 }
 
@@ -185,8 +185,8 @@
     fn on_start(&self, _: &mut Span, _: &Context) {}
 
     fn on_end(&self, span: SpanData) {
-        let line = line_of(&self.daemon, span);
-        // The ring counts what it drops.
+        let line = span_line(&self.daemon, span);
+        // The ring counts dropped spans.
         let _ = self.ring.offer(line);
     }
 
@@ -199,12 +199,12 @@
     }
 }
 
-fn line_of(daemon: &DaemonName, span: SpanData) -> SpanLine {
+fn span_line(daemon: &DaemonName, span: SpanData) -> SpanLine {
     let duration = span.end_time.duration_since(span.start_time);
     let attributes = span
         .attributes
         .into_iter()
-        .map(|pair| (pair.key.to_string(), json_of(&pair.value)))
+        .map(|pair| (pair.key.to_string(), json_value(&pair.value)))
         .collect();
     SpanLine {
         span: span.name.into_owned(),
@@ -218,7 +218,7 @@
     }
 }
 
-fn json_of(value: &Value) -> serde_json::Value {
+fn json_value(value: &Value) -> serde_json::Value {
     match value {
         Value::Bool(flag) => (*flag).into(),
         Value::I64(number) => (*number).into(),
--- a/crates/oatpier-duty/src/placement.rs
+++ b/crates/oatpier-duty/src/placement.rs
@@ -1,7 +1,7 @@
-//! What an agent asks entries of the plan, and of who else holds its weights.
+//! Queries from agents to entries about the plan and about other holders of their weights.
 //!
-//! Agents don't read the plan from the store: thousands of them would use up its rate. Entries
-//! follow it and answer with the one row that concerns an endpoint.
+//! Agents don't read the plan from the store, because thousands of them would exceed the store's request rate.
+//! Entries follow the plan and respond with the single row for an endpoint.
 
 use std::net::SocketAddr;
 
@@ -12,16 +12,16 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// Where an entry answers a [`PlacementAsk`] with a [`PlacementView`].
+/// The path at which an entry responds to a [`PlacementAsk`] with a [`PlacementView`].
 pub const PLACEMENT_PATH: &str = "/peer/placement";
 
-/// Which plan a row is of. A later one has the higher stamp.
+/// Identifies the plan of a row. Later plans have higher stamps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct PlanStamp {
-    /// The planner lease that it was made under.
+    /// The term of the planner lease under which the plan was made.
     pub term: Term,
-    /// Its place among all plans.
+    /// The sequence number of the plan among all plans.
     pub sequence: u64,
 }
 
@@ -29,26 +29,26 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PlanRow {
-    /// Which plan.
+    /// The plan that contains the row.
     pub stamp: PlanStamp,
     /// The row.
     pub row: EndpointPlan,
 }
 
-/// An agent asks an entry what concerns its endpoint's weights.
+/// A query from an agent to an entry about its endpoint's weights.
 ///
-/// The question names the weights that it is about, so that the answer is as small as the
-/// endpoint's memory and does not grow with the fleet.
+/// The query lists the weights in question, so that the size of the response depends on the endpoint's memory and
+/// not on the size of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PlacementAsk {
-    /// The agent.
+    /// The agent that asks.
     pub daemon: DaemonName,
-    /// Its endpoint.
+    /// The agent's endpoint.
     pub endpoint: EndpointName,
     /// The endpoint's pool.
     pub pool: PoolName,
-    /// The weights that it holds or is to hold.
+    /// The weights that the endpoint holds or is planned to hold.
     pub weights: Vec<WeightsKey>,
 }
 
@@ -56,9 +56,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct HolderContact {
-    /// Its endpoint.
+    /// The agent's endpoint.
     pub endpoint: EndpointName,
-    /// Where it listens.
+    /// The address at which the agent listens.
     pub address: SocketAddr,
 }
 
@@ -66,22 +66,22 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WeightsHolders {
-    /// Which weights.
+    /// The weights.
     pub weights: WeightsKey,
-    /// A few holders, the best to ask first; never the endpoint that asked.
+    /// A few holders, the preferred one first. The querying endpoint is never included.
     pub holders: SmallVec<[HolderContact; 4]>,
 }
 
-/// What an entry knows that concerns one endpoint's weights.
+/// An entry's view of the plan and of the holders of one endpoint's weights.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct PlacementView {
     /// The endpoint's row of the plan, if the entry knows a plan with such a row.
     pub plan: Option<PlanRow>,
-    /// Holders of the weights that were asked for, and of other versions of the same.
+    /// Holders of the queried weights and of other versions of the same weights.
     pub holders: Vec<WeightsHolders>,
-    /// Configured weights of the pool of which no version is ready at any live endpoint.
+    /// Configured weights of the pool for which no version is ready at any live endpoint.
     pub unserved: Vec<WeightsKey>,
-    /// The pool's live endpoints, the one that asked included; empty if nothing is unserved.
+    /// The pool's live endpoints, including the querying one; empty if nothing is unserved.
     pub live: Vec<EndpointName>,
 }
--- a/crates/oatpier-duty/src/settings/agent.rs
+++ b/crates/oatpier-duty/src/settings/agent.rs
@@ -8,30 +8,30 @@
 use super::reader::TableReader;
 use super::{IntakeLimits, SettingsErrors, SettingsText};
 
-/// The checked settings of an agent.
+/// The validated settings of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// The process's name, unique in the fleet.
+    /// The name of the process, unique in the fleet.
     pub name: DaemonName,
-    /// The VM that it runs on.
+    /// The VM that the process runs on.
     pub vm: VmName,
     /// The VM's availability zone.
     pub zone: ZoneName,
-    /// The endpoint beside it.
+    /// The endpoint that the agent manages.
     pub endpoint: EndpointName,
     /// The endpoint's pool.
     pub pool: PoolName,
-    /// Where the endpoint listens; only this agent goes there.
+    /// The address at which the endpoint listens. Only this agent connects to it.
     pub endpoint_address: SocketAddr,
-    /// Where entries connect.
+    /// The address at which the agent accepts entries.
     pub peer_listen: SocketAddr,
-    /// Where `/metrics`, `/live` and `/ready` are.
+    /// The address of `/metrics`, `/live` and `/ready`.
     pub observe_listen: SocketAddr,
-    /// The platform's key-value service.
+    /// The address of the platform's key-value service.
     pub store: SocketAddr,
-    /// The platform's list of VMs.
+    /// The address of the platform's list of VMs.
     pub vm_list: SocketAddr,
-    /// Limits on what entries send.
+    /// Limits on requests from entries.
     pub limits: IntakeLimits,
 }
 
--- a/crates/oatpier-duty/src/settings/entry.rs
+++ b/crates/oatpier-duty/src/settings/entry.rs
@@ -9,40 +9,40 @@
 use super::reader::TableReader;
 use super::{IntakeLimits, SettingsErrors, SettingsText};
 
-/// How long a balancer usually takes to see that an entry is not ready. With it a stopping entry
-/// takes no new work two seconds after it was told.
+/// The time that a load balancer usually takes to detect that an entry is not ready. With this default, a stopping
+/// entry accepts no new work two seconds after the stop request.
 const DEFAULT_NOTICE: Duration = Duration::from_millis(1500);
-/// What a healthy VM's scheduling and network may cost without being a sign of anything.
+/// The delay that scheduling and the network may cause on a healthy VM, without indicating a fault.
 const DEFAULT_SILENCE_FLOOR: Duration = Duration::from_millis(60);
 
-/// The checked settings of an entry.
+/// The validated settings of an entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// The process's name, unique in the fleet.
+    /// The name of the process, unique in the fleet.
     pub name: DaemonName,
-    /// The VM that it runs on.
+    /// The VM that the process runs on.
     pub vm: VmName,
     /// The VM's availability zone.
     pub zone: ZoneName,
     /// The availability zone's region.
     pub region: RegionName,
-    /// Where callers connect (through the platform's balancer).
+    /// The address at which the entry accepts callers, through the platform's load balancer.
     pub caller_listen: SocketAddr,
-    /// Where agents, other entries and operators connect.
+    /// The address at which the entry accepts agents, other entries and operators.
     pub peer_listen: SocketAddr,
-    /// Where `/metrics`, `/live` and `/ready` are.
+    /// The address of `/metrics`, `/live` and `/ready`.
     pub observe_listen: SocketAddr,
-    /// The platform's key-value service.
+    /// The address of the platform's key-value service.
     pub store: SocketAddr,
-    /// The platform's list of VMs.
+    /// The address of the platform's list of VMs.
     pub vm_list: SocketAddr,
-    /// How long a stopping entry says that it is not ready before it takes no more requests:
-    /// at least as long as the balancer takes to see it.
+    /// How long a stopping entry reports that it is not ready before it stops accepting requests. Must be at least as
+    /// long as the load balancer takes to detect it.
     pub notice: Duration,
-    /// An endpoint's silence is never called late before this. To be longer where VMs are known
-    /// to be held up: else endpoints are taken for frozen that are not.
+    /// The minimum silence of an endpoint before it counts as late. Must be longer where VMs are known to stall;
+    /// otherwise healthy endpoints are treated as frozen.
     pub silence_floor: Duration,
-    /// Limits on callers.
+    /// Limits on requests from callers.
     pub limits: IntakeLimits,
 }
 
--- a/crates/oatpier-duty/src/settings/limits.rs
+++ b/crates/oatpier-duty/src/settings/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on everything that a process reads from outside.
+//! Limits on everything that a process reads from the network.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use super::reader::TableReader;
 
-/// Limits on what callers may send and how slowly.
+/// Limits on the size and duration of requests.
 ///
-/// Without them one caller with an endless header, a body of gigabytes or a socket that it never
-/// reads would take memory and connections from all others.
+/// Without them, a single caller with an endless header, a body of gigabytes or a socket that it never reads could
+/// use up the memory and connections that others need.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IntakeLimits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Connections at once.
+    /// The maximum number of concurrent connections.
     pub connections: usize,
-    /// Until the whole head of a request is there.
+    /// The maximum time to receive the head of a request.
     pub header_time: Duration,
-    /// Until the whole body of a request is there.
+    /// The maximum time to receive the body of a request.
     pub body_time: Duration,
-    /// How long a write to a caller may make no progress.
+    /// The maximum time without progress in writing to a caller.
     pub write_time: Duration,
-    /// How long a connection may lie idle between two requests.
+    /// The maximum idle time of a connection between two requests.
     pub idle_time: Duration,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl IntakeLimits {
-    /// The same as the server takes them.
+    /// Converts the limits to those of the HTTP server.
     #[must_use]
     pub fn server_limits(&self) -> ServerLimits {
         ServerLimits {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads the table `[limits]`; what is not given keeps its default.
+    /// Reads the table `[limits]`. Missing keys keep their defaults.
     pub(super) fn read(reader: &mut TableReader<'_>) -> Self {
         let default = Self::default();
         let mut table = reader.table("limits");
--- a/crates/oatpier-duty/src/settings/platform.rs
+++ b/crates/oatpier-duty/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! Where the platform is: the same table in the settings of entries and agents.
+//! The addresses of the platform, in the same table in the settings of entries and agents.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 }
 
 impl PlatformAddresses {
-    /// Reads the table; all of its errors are kept by the reader.
+    /// Reads the table. The reader collects the errors.
     pub(super) fn read(reader: &mut TableReader<'_>) -> Option<Self> {
         let mut table = reader.table("platform");
         let store = table.required("store");
--- a/crates/oatpier-duty/src/settings/reader.rs
+++ b/crates/oatpier-duty/src/settings/reader.rs
@@ -1,8 +1,7 @@
-//! Reads a settings text into a table whose errors are all gathered.
+//! Reads values from a settings text and collects all errors.
 //!
-//! A deserializer stops at its first error; an operator who mends a file wants all of them at
-//! once. The reader therefore walks the parsed table, remembers which keys were asked for and
-//! keeps each error with its place.
+//! A deserializer stops at its first error, but an operator who corrects a file needs all of them at once. The reader
+//! therefore traverses the parsed table, tracks which keys were read and keeps each error with its position.
 
 use std::net::{IpAddr, SocketAddr};
 use std::ops::Range;
@@ -12,27 +11,27 @@
 use thiserror::Error;
 use toml::de::{DeTable, DeValue};
 
-/// One thing that is wrong in a settings text.
+/// An error in a settings text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Diagnostic, Error)]
 #[error("{message}")]
 pub struct SettingsError {
-    /// What is wrong, with the offending value.
+    /// The error message, including the offending value.
     pub message: String,
-    /// Where.
+    /// The position of the error.
     #[label("here")]
     pub place: SourceSpan,
-    /// How to mend it.
+    /// How to correct the error.
     #[help]
     pub mend: String,
 }
 
-/// All that is wrong in a settings text.
+/// All errors in a settings text.
 #[derive(Debug)]
 #[derive(Diagnostic, Error)]
 #[error("the settings have {} error(s)", errors.len())]
 pub struct SettingsErrors {
-    /// The text.
+    /// The settings text.
     #[source_code]
     pub text: NamedSource<String>,
     /// The errors, in the order of the text.
@@ -42,12 +41,12 @@
 
 /// A value that can be read from a TOML string.
 pub(crate) trait TextValue: Sized {
-    /// What the value is, for an error.
+    /// A description of the type, for error messages.
     const KIND: &'static str;
-    /// An example, for an error.
+    /// An example value, for error messages.
     const EXAMPLE: &'static str;
 
-    /// Reads it; the error says why it can't be.
+    /// Parses a value; the error is the reason why it is invalid.
     fn read(raw: &str) -> Result<Self, String>;
 }
 
@@ -101,17 +100,17 @@
     PoolName, "seat-llm";
 }
 
-/// One table of a settings text, with the keys that were asked for.
+/// A reader of one table of a settings text, which tracks the keys that were read.
 pub(crate) struct TableReader<'t> {
     name: &'static str,
     table: Option<&'t DeTable<'t>>,
     place: Range<usize>,
-    asked: Vec<&'static str>,
+    known_keys: Vec<&'static str>,
     errors: Vec<SettingsError>,
 }
 
 impl<'t> TableReader<'t> {
-    /// A reader of a table; `name` is empty for the outermost one.
+    /// Creates a reader of a table; `name` is empty for the root table.
     pub(crate) fn new(
         name: &'static str,
         table: Option<&'t DeTable<'t>>,
@@ -121,12 +120,12 @@
             name,
             table,
             place,
-            asked: Vec::new(),
+            known_keys: Vec::new(),
             errors: Vec::new(),
         }
     }
 
-    /// A value that must be there.
+    /// Reads a required value.
     pub(crate) fn required<T: TextValue>(&mut self, key: &'static str) -> Option<T> {
         let found = self.find(key);
         if found.is_none() {
@@ -137,14 +136,14 @@
         found.and_then(|(place, value)| self.text(key, place, value))
     }
 
-    /// A value with a default.
+    /// Reads an optional value; a missing or invalid one becomes `default`.
     pub(crate) fn optional<T: TextValue>(&mut self, key: &'static str, default: T) -> T {
         self.find(key)
             .and_then(|(place, value)| self.text(key, place, value))
             .unwrap_or(default)
     }
 
-    /// A whole number with a default, within bounds.
+    /// Reads an optional integer within bounds; a missing or invalid one becomes `default`.
     pub(crate) fn number(
         &mut self,
         key: &'static str,
@@ -160,7 +159,7 @@
         match number {
             Some(number) if bounds.contains(&number) => number,
             _ => {
-                let message = format!("`{key}` is {}, which it can't be", shown(value));
+                let message = format!("`{key}` is {}, which it can't be", display_value(value));
                 let mend = format!(
                     "use a whole number from {} to {}",
                     bounds.start(),
@@ -172,43 +171,43 @@
         }
     }
 
-    /// A table inside this one; a missing one reads as empty.
+    /// Returns a reader of a nested table; a missing one reads as empty.
     pub(crate) fn table(&mut self, key: &'static str) -> TableReader<'t> {
         let Some((place, value)) = self.find(key) else {
             return TableReader::new(key, None, self.place.clone());
         };
         if !value.is_table() {
-            let message = format!("`{key}` is {}, not a table", shown(value));
+            let message = format!("`{key}` is {}, not a table", display_value(value));
             let mend = format!("begin the table with a line `[{key}]`");
             self.fail(place.clone(), message, mend);
         }
         TableReader::new(key, value.as_table(), place)
     }
 
-    /// Takes over the errors of an inner table.
+    /// Adds the errors of a nested table.
     pub(crate) fn absorb(&mut self, inner: TableReader<'t>) {
         self.errors.extend(inner.finish());
     }
 
-    /// All errors, those of unknown keys included.
+    /// Returns all errors, including those for unknown keys.
     pub(crate) fn finish(mut self) -> Vec<SettingsError> {
         let unknown: Vec<_> = self
             .table
             .into_iter()
             .flat_map(|table| table.keys())
-            .filter(|key| !self.asked.contains(&key.get_ref().as_ref()))
+            .filter(|key| !self.known_keys.contains(&key.get_ref().as_ref()))
             .map(|key| (key.span(), key.get_ref().to_string()))
             .collect();
         for (place, key) in unknown {
             let message = format!("`{key}` is not a setting{}", self.in_table());
-            let mend = format!("remove it, or use one of: {}", self.asked.join(", "));
+            let mend = format!("remove it, or use one of: {}", self.known_keys.join(", "));
             self.fail(place, message, mend);
         }
         self.errors
     }
 
     fn find(&mut self, key: &'static str) -> Option<(Range<usize>, &'t DeValue<'t>)> {
-        self.asked.push(key);
+        self.known_keys.push(key);
         self.table?
             .iter()
             .find(|(found, _)| found.get_ref() == key)
@@ -228,7 +227,7 @@
         match read {
             Ok(read) => Some(read),
             Err(cause) => {
-                let message = format!("`{key}` is {}, not {}", shown(value), T::KIND);
+                let message = format!("`{key}` is {}, not {}", display_value(value), T::KIND);
                 let mend = format!("{cause}; for example \"{}\"", T::EXAMPLE);
                 self.fail(place, message, mend);
                 None
@@ -253,8 +252,8 @@
     }
 }
 
-/// A value as an error shows it.
-fn shown(value: &DeValue<'_>) -> String {
+/// Formats a value for error messages.
+fn display_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("\"{text}\""),
         DeValue::Integer(number) => number.as_str().to_owned(),
--- a/crates/oatpier-duty/tests/testsuite/main.rs
+++ b/crates/oatpier-duty/tests/testsuite/main.rs
@@ -1,3 +1,3 @@
-//! Tests of what the duties share.
+//! Tests of the code shared by the duties.
 
 mod process;
--- a/crates/oatpier-wire/src/client.rs
+++ b/crates/oatpier-wire/src/client.rs
@@ -36,15 +36,15 @@
 pub struct ClientLimits {
     /// The maximum time to establish a connection.
     pub connect: Duration,
-    /// How long an idle connection is kept. It must be shorter than the server's idle timeout, so that the client closes
-    /// first: a server that closes first races with the next request, whose verdict is then
+    /// How long an idle connection is kept. It must be shorter than the server's idle timeout, so that the client
+    /// closes first: a server that closes first races with the next request, whose verdict is then
     /// [`RunVerdict::MayHaveRun`].
     pub idle: Duration,
     /// The maximum number of idle connections per address.
     pub idle_per_address: usize,
-    /// Whether closing a connection discards data that the peer has not received yet. An abandoned request may still be
-    /// in transit to a peer that is frozen or unreachable; after an orderly close it would arrive seconds later, although
-    /// its response is no longer needed. Connections that are closed while idle have no data in transit.
+    /// Whether closing a connection discards data that the peer has not received yet. An abandoned request may still
+    /// be in transit to a peer that is frozen or unreachable. After an orderly close it would arrive seconds later,
+    /// although its response is no longer needed. Connections that are closed while idle have no data in transit.
     pub discard_on_close: bool,
 }
 
--- a/crates/oatpier-wire/src/frame.rs
+++ b/crates/oatpier-wire/src/frame.rs
@@ -1,6 +1,6 @@
 //! Length-prefixed messages on a byte stream.
 //!
-//! A frame is a four-byte big-endian length, followed by that many bytes of MessagePack. The length is checked before
+//! A frame is a four-byte big-endian length, followed by that many bytes of `MessagePack`. The length is checked before
 //! the payload is buffered, so that a peer can't make the reader buffer more than the frame limit.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
--- a/crates/oatpier-wire/src/peer.rs
+++ b/crates/oatpier-wire/src/peer.rs
@@ -147,8 +147,8 @@
         decode_response(&response)
     }
 
-    /// Sends an attempt to an agent. The first frame of the response may be delayed for as long as the attempt is queued
-    /// at the agent.
+    /// Sends an attempt to an agent. The first frame of the response may be delayed for as long as the attempt is
+    /// queued at the agent.
     ///
     /// # Errors
     ///
--- a/crates/oatpier-wire/src/server.rs
+++ b/crates/oatpier-wire/src/server.rs
@@ -114,7 +114,8 @@
         self.over_limit.load(Ordering::Relaxed)
     }
 
-    /// Returns the number of requests whose bodies were rejected, for example with 413 or 408, without calling the handler.
+    /// Returns the number of requests whose bodies were rejected, for example with 413 or 408, without calling the
+    /// handler.
     #[must_use]
     pub fn refused_requests(&self) -> u64 {
         self.refused_requests.load(Ordering::Relaxed)
--- a/crates/oatpier-wire/src/server/guard.rs
+++ b/crates/oatpier-wire/src/server/guard.rs
@@ -24,8 +24,8 @@
     serving: AtomicBool,
     /// Whether bytes of a head have been received since the last request.
     head_begun: AtomicBool,
-    /// Wakes the connection when a request has been processed. `hyper` does not read again by itself after a response, so
-    /// without the wake-up no timer would start and an idle connection would be kept forever.
+    /// Wakes the connection when a request has been processed. `hyper` does not read again by itself after a response,
+    /// so without the wake-up no timer would start and an idle connection would be kept forever.
     finished: AtomicWaker,
 }
 
