--- a/crates/oatpier-wire/src/server.rs
+++ b/crates/oatpier-wire/src/server.rs
@@ -24,7 +24,7 @@
 
 mod connection;
 mod guard;
-mod intake;
+mod request_body;
 
 use connection::ConnectionContext;
 
--- a/crates/oatpier-wire/src/server/connection.rs
+++ b/crates/oatpier-wire/src/server/connection.rs
@@ -16,7 +16,7 @@
 use tokio::sync::watch;
 
 use super::guard::{ConnectionActivity, GuardedStream, TrackedBody};
-use super::intake::read_body;
+use super::request_body::read_body;
 use super::{RequestHandler, ServerCounters, ServerLimits, ServerPhase};
 use crate::reply::{self, Reply};
 use crate::stream::MeteredStream;
--- a/crates/oatpier-wire/src/server/intake.rs
+++ b/crates/oatpier-wire/src/server/request_body.rs
@@ -20,13 +20,13 @@
 
 /// An error while reading a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum IntakeError {
+pub(crate) enum BodyError {
     TooLarge { limit: usize },
     TooSlow { wait: Duration },
     Broken,
 }
 
-impl IntakeError {
+impl BodyError {
     pub(crate) fn reply(self) -> Reply {
         match self {
             Self::TooLarge { limit } => reply::text(
@@ -49,29 +49,29 @@
 pub(crate) async fn read_body(
     request: Request<Incoming>,
     limits: &ServerLimits,
-) -> Result<Request<Bytes>, IntakeError> {
+) -> Result<Request<Bytes>, BodyError> {
     let limit = limits.body_bytes;
     let (parts, mut body) = request.into_parts();
     if body.size_hint().lower() > limit as u64 {
         if !parts.headers.contains_key(EXPECT) {
             discard(&mut body).await;
         }
-        return Err(IntakeError::TooLarge { limit });
+        return Err(BodyError::TooLarge { limit });
     }
     let collecting = Limited::new(&mut body, limit).collect();
     let collected =
         timeout(limits.body_wait, collecting)
             .await
-            .map_err(|_| IntakeError::TooSlow {
+            .map_err(|_| BodyError::TooSlow {
                 wait: limits.body_wait,
             })?;
     match collected {
         Ok(collected) => Ok(Request::from_parts(parts, collected.to_bytes())),
         Err(error) if is_over_limit(&error) => {
             discard(&mut body).await;
-            Err(IntakeError::TooLarge { limit })
+            Err(BodyError::TooLarge { limit })
         }
-        Err(_) => Err(IntakeError::Broken),
+        Err(_) => Err(BodyError::Broken),
     }
 }
 
