--- a/crates/oatpier-wire/src/attempt.rs
+++ b/crates/oatpier-wire/src/attempt.rs
@@ -194,7 +194,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum CancelReach {
-    /// Cancels the attempt unless it has reached the endpoint; otherwise it keeps running.
+    /// Prevents the attempt from reaching the endpoint. An attempt that has already reached it keeps running.
     SealOnly,
     /// Cancels the attempt even if it has reached the endpoint.
     Abort,
--- a/crates/oatpier-wire/src/attempt/stream.rs
+++ b/crates/oatpier-wire/src/attempt/stream.rs
@@ -80,7 +80,8 @@
         self.attempt
     }
 
-    /// Waits for the next frame. After the final frame it returns [`AttemptFault::Truncated`].
+    /// Waits for the next frame. Must not be called after the final frame, where it reports
+    /// [`AttemptFault::Truncated`].
     ///
     /// Cancel safe: the future may be dropped and the method called again, as in `tokio::select!`.
     ///
--- a/crates/oatpier-wire/src/client.rs
+++ b/crates/oatpier-wire/src/client.rs
@@ -64,7 +64,7 @@
 pub enum SendStage {
     /// No connection was established.
     Connect,
-    /// A connection was established, but the request was not written.
+    /// A connection was established, but the request was returned unwritten.
     Queue,
     /// The request was written, or may have been written.
     Answer,
