--- a/crates/oatpier-wire/tests/testsuite/attempt_responses.rs
+++ b/crates/oatpier-wire/tests/testsuite/attempt_responses.rs
@@ -21,11 +21,7 @@
 use oatpier_wire::reply::{self, Reply};
 use oatpier_wire::server::{RequestHandler, ServerLimits};
 
-<<<<<<< HEAD:crates/oatpier-wire/tests/testsuite/attempt_answers.rs
-use crate::support::{TestServer, closed_address, head, queue_report, until};
-=======
 use crate::support::{TestServer, closed_address, head, queue_report, wait_until};
->>>>>>> w-platform:crates/oatpier-wire/tests/testsuite/attempt_responses.rs
 
 /// An agent that responds to each attempt with the same frames.
 struct ScriptedAgent {
