--- a/crates/oatpier-agent/src/attempt.rs
+++ b/crates/oatpier-agent/src/attempt.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 
 use crate::core::{AgentCore, AttemptOrder, OrderReceiver};
-use oatpier_duty::observe::trace::{HopSpan, parent_of};
+use oatpier_duty::observe::trace::{HopSpan, extract_parent};
 
 /// How long the rest of a finished stream is read, so that its connection can be used again.
 const REST_WAIT: Duration = Duration::from_secs(1);
@@ -64,12 +64,12 @@
 
     /// Works on the attempt to its end.
     pub async fn run(mut self) {
-        let parent = parent_of(&self.trace_headers());
+        let parent = extract_parent(&self.trace_headers());
         let queue = self
             .core
             .tracer
             .start("agent.queue", SpanKind::Server, &parent);
-        queue.set("endpoint", self.core.identity.endpoint.to_string());
+        queue.set_attribute("endpoint", self.core.identity.endpoint.to_string());
         let order = self.wait_for_turn().await;
         drop(queue);
         match order {
@@ -131,7 +131,7 @@
         match ended {
             Ok(()) => {
                 self.core.step(AgentEvent::EndpointEnded { attempt });
-                self.core.metrics.attempted(RunVerdict::Ran);
+                self.core.metrics.count_attempt(RunVerdict::Ran);
                 if let Some(report) = self.core.queue_report() {
                     self.tell_last(AttemptFrame::Ended { report }).await;
                 }
@@ -140,8 +140,8 @@
                 let verdict = error.verdict;
                 self.core
                     .step(AgentEvent::EndpointFailed { attempt, verdict });
-                self.core.metrics.attempted(verdict);
-                span.set("failed", error.cause.clone());
+                self.core.metrics.count_attempt(verdict);
+                span.set_attribute("failed", error.cause.clone());
                 self.tell_failed(verdict, error.cause).await;
             }
         }
--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -328,7 +328,7 @@
                     (attempt, AttemptOrder::Start { priority })
                 }
                 AgentAction::Refuse { attempt, refusal } => {
-                    self.metrics.refused(refusal.cause);
+                    self.metrics.count_refusal(refusal.cause);
                     (attempt, AttemptOrder::Refuse { refusal })
                 }
                 AgentAction::CancelAtEndpoint { attempt } => (attempt, AttemptOrder::Cancel),
--- a/crates/oatpier-agent/src/lib.rs
+++ b/crates/oatpier-agent/src/lib.rs
@@ -70,7 +70,7 @@
     let observe_inputs = ObserveInputs {
         listener: observe_listener,
         metrics: metrics.clone(),
-        able: Arc::new(AtomicBool::new(true)),
+        can_serve: Arc::new(AtomicBool::new(true)),
         spans,
         output: Box::new(std::io::stdout()),
         stop: process.stop.clone(),
--- a/crates/oatpier-agent/src/membership/machine.rs
+++ b/crates/oatpier-agent/src/membership/machine.rs
@@ -27,7 +27,7 @@
 use crate::peers::PeerFuture;
 use oatpier_duty::duty::StopPhase;
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
-use oatpier_duty::placement::{PlacementAsk, PlacementView};
+use oatpier_duty::placement::{PlacementQuery, PlacementView};
 
 /// The longest time between two reads of the list of VMs. A planned stop is to be known within
 /// two seconds of the list's own word.
@@ -209,7 +209,7 @@
             return;
         };
         self.turn += 1;
-        let ask = PlacementAsk {
+        let ask = PlacementQuery {
             daemon: self.daemon.clone(),
             endpoint: inputs.identity.endpoint.clone(),
             pool: inputs.identity.pool.clone(),
--- a/crates/oatpier-agent/src/orders/mod.rs
+++ b/crates/oatpier-agent/src/orders/mod.rs
@@ -138,7 +138,7 @@
         let weights = self.state.weights_in_question();
         if weights != self.asked {
             let news = StatusNews::Weights(weights.clone());
-            if self.inputs.status.offer(news).is_ok() {
+            if self.inputs.status.try_send(news).is_ok() {
                 self.asked = weights;
             }
         }
--- a/crates/oatpier-agent/src/orders/spans.rs
+++ b/crates/oatpier-agent/src/orders/spans.rs
@@ -54,10 +54,10 @@
         self.metrics.moves.get_or_create(&labels).inc();
         let parent = Context::new();
         let span = self.tracer.start("agent.move", SpanKind::Internal, &parent);
-        span.set("kind", kind);
-        span.set("cause", cause.as_str());
+        span.set_attribute("kind", kind);
+        span.set_attribute("cause", cause.as_str());
         if let Some(weights) = weights_of(action) {
-            span.set("weights", text_of(weights));
+            span.set_attribute("weights", text_of(weights));
         }
         spdlog::info!("a move began", kv: { kind, cause = cause.as_str() });
         self.open.push((action.clone(), span));
--- a/crates/oatpier-agent/src/peers.rs
+++ b/crates/oatpier-agent/src/peers.rs
@@ -11,7 +11,7 @@
 use oatpier_wire::peer::PeerClient;
 
 use crate::messages::RELEASE_PATH;
-use oatpier_duty::placement::{PLACEMENT_PATH, PlacementAsk, PlacementView};
+use oatpier_duty::placement::{PLACEMENT_PATH, PlacementQuery, PlacementView};
 
 /// How long an entry may take to answer. Shorter than the time after which a heartbeat counts as
 /// lost.
@@ -32,7 +32,7 @@
     fn ask_placement(
         &self,
         entry: SocketAddr,
-        ask: PlacementAsk,
+        ask: PlacementQuery,
     ) -> PeerFuture<Option<PlacementView>>;
 
     /// Asks another agent for a release.
@@ -66,7 +66,7 @@
     fn ask_placement(
         &self,
         entry: SocketAddr,
-        ask: PlacementAsk,
+        ask: PlacementQuery,
     ) -> PeerFuture<Option<PlacementView>> {
         let client = self.client.clone();
         async move {
--- a/crates/oatpier-agent/src/work.rs
+++ b/crates/oatpier-agent/src/work.rs
@@ -12,7 +12,7 @@
 use oatpier_types::request::RequestGoal;
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::attempt::{
-    self, ATTEMPT_PATH, AttemptFrame, CANCEL_PATH, CancelAnswer, CancelAttempt, CancelReach,
+    self, ATTEMPT_PATH, AttemptFrame, CANCEL_PATH, CancelAttempt, CancelResponse, CancelScope,
     decode_request,
 };
 use oatpier_wire::frame::FrameError;
@@ -145,14 +145,14 @@
     fn offer_status(&self) {
         if let Some(status) = self.core.status() {
             // Dropped when full: the next one says the same and more.
-            let _ = self.status.offer(StatusNews::Status(Box::new(status)));
+            let _ = self.status.try_send(StatusNews::Status(Box::new(status)));
         }
     }
 
     fn offer_drains(&self) {
         if let Some(drains) = self.core.drains() {
             // Dropped when full: told again until the drain is over.
-            let _ = self.asks.offer(drains);
+            let _ = self.asks.try_send(drains);
         }
     }
 }
@@ -234,7 +234,7 @@
     message: T,
     answer: oneshot::Receiver<A>,
 ) -> Reply {
-    if ring.offer(message).is_ok()
+    if ring.try_send(message).is_ok()
         && let Ok(Ok(answer)) = tokio::time::timeout(PASSED_WAIT, answer).await
     {
         return reply::message(&answer);
@@ -272,7 +272,7 @@
         let frame = receiver.recv().await?;
         Some((frame, receiver))
     });
-    attempt::answer(attempt, frames)
+    attempt::build_response(attempt, frames)
 }
 
 /// The answer while there is no configuration. It says "not run" to an entry.
@@ -299,11 +299,11 @@
         Ok(call) => call,
         Err(error) => return reply::text(StatusCode::BAD_REQUEST, error.to_string()),
     };
-    let verdict = match call.reach {
-        CancelReach::SealOnly => core.seal(call.attempt, call.ticket),
-        CancelReach::Abort => core.cancel(call.attempt, call.ticket),
+    let verdict = match call.scope {
+        CancelScope::SealOnly => core.seal(call.attempt, call.ticket),
+        CancelScope::Abort => core.cancel(call.attempt, call.ticket),
     };
-    reply::message(&CancelAnswer { verdict })
+    reply::message(&CancelResponse { verdict })
 }
 
 fn status(core: &AgentCore) -> Reply {
--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -19,7 +19,7 @@
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 use oatpier_duty::placement::{
-    HolderContact, PlacementAsk, PlacementView, PlanRow, PlanStamp, WeightsHolders,
+    HolderContact, PlacementQuery, PlacementView, PlanRow, PlanStamp, WeightsHolders,
 };
 use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
 use oatpier_standin::clock::StandinClock;
@@ -52,7 +52,7 @@
         std::future::ready(None).boxed()
     }
 
-    fn ask_placement(&self, _: SocketAddr, _: PlacementAsk) -> PeerFuture<Option<PlacementView>> {
+    fn ask_placement(&self, _: SocketAddr, _: PlacementQuery) -> PeerFuture<Option<PlacementView>> {
         std::future::ready(None).boxed()
     }
 
@@ -60,7 +60,7 @@
         let asks = self.asks.lock().unwrap().get(&agent).cloned();
         async move {
             let (reply, answer) = oneshot::channel();
-            asks?.offer(AsksNews::Release { ask, reply }).ok()?;
+            asks?.try_send(AsksNews::Release { ask, reply }).ok()?;
             answer.await.ok()
         }
         .boxed()
@@ -169,7 +169,7 @@
             generation,
             config: news_config,
         });
-        assert!(plan_sender.offer(PlanNews::Config(config)).is_ok());
+        assert!(plan_sender.try_send(PlanNews::Config(config)).is_ok());
         let mut peers = self.peers.asks.lock().unwrap();
         peers.insert(address(number), asks_sender.clone());
         let orders_inputs = OrdersInputs {
@@ -283,7 +283,7 @@
         for (agent, row) in self.agents.iter().zip(&self.rows) {
             if let (Some(agent), Some(row)) = (agent, row) {
                 let row = Box::new(self.plan_row(row.clone()));
-                let _ = agent.plan.offer(PlanNews::Row(row));
+                let _ = agent.plan.try_send(PlanNews::Row(row));
             }
         }
     }
@@ -305,7 +305,7 @@
         for number in 1..=self.shape.engines {
             let view = self.view(number, &ready);
             if let Some(agent) = &self.agents[usize::from(number) - 1] {
-                let _ = agent.plan.offer(PlanNews::View(Box::new(view)));
+                let _ = agent.plan.try_send(PlanNews::View(Box::new(view)));
             }
         }
     }
--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -13,7 +13,7 @@
     RingReceiver, RingRule, RingSender, RuntimeClock, StopPhase, StopSignal, ring,
 };
 use oatpier_duty::messages::{FleetAnswer, FleetCall, encode_plan, plan_key};
-use oatpier_duty::placement::{PlacementAsk, PlacementView, PlanRow, PlanStamp};
+use oatpier_duty::placement::{PlacementQuery, PlacementView, PlanRow, PlanStamp};
 use oatpier_membership::generation::ConfigContent;
 use oatpier_membership::members::MemberPhase;
 use oatpier_membership::messages::{ConfigAnswer, HeartbeatAnswer, PeerAnswer, PeerCall};
@@ -107,7 +107,7 @@
     fn ask_placement(
         &self,
         entry: SocketAddr,
-        _: PlacementAsk,
+        _: PlacementQuery,
     ) -> PeerFuture<Option<PlacementView>> {
         let view = self.with(entry.port(), |entry| {
             let plan = entry.plan.clone();
@@ -197,7 +197,7 @@
     }
 
     fn generations(&self) -> Vec<u64> {
-        let news = std::iter::from_fn(|| self.news.poll());
+        let news = std::iter::from_fn(|| self.news.try_receive());
         news.filter_map(|news| match news {
             AgentNews::Config { generation, .. } => Some(generation.0),
             _ => None,
@@ -206,7 +206,7 @@
     }
 
     fn stamps(&self) -> Vec<(u64, u64)> {
-        let news = std::iter::from_fn(|| self.plan.poll());
+        let news = std::iter::from_fn(|| self.plan.try_receive());
         let rows = news.filter_map(|news| match news {
             PlanNews::View(view) => view.plan,
             PlanNews::Row(row) => Some(*row),
@@ -217,7 +217,7 @@
     }
 
     fn is_silent(&self) -> bool {
-        let news = std::iter::from_fn(|| self.plan.poll());
+        let news = std::iter::from_fn(|| self.plan.try_receive());
         news.last()
             .is_some_and(|news| matches!(news, PlanNews::Silent))
     }
--- a/crates/oatpier-duty/src/duty/ring.rs
+++ b/crates/oatpier-duty/src/duty/ring.rs
@@ -60,7 +60,7 @@
 impl<T> RingSender<T> {
     /// Sends a message according to the ring's rule. Messages to a duty that has ended are dropped.
     pub async fn send(&self, message: T) {
-        let Err(message) = self.offer(message) else {
+        let Err(message) = self.try_send(message) else {
             return;
         };
         if self.rule == RingRule::Wait {
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// Returns the message if the ring is full.
-    pub fn offer(&self, message: T) -> Result<(), T> {
+    pub fn try_send(&self, message: T) -> Result<(), T> {
         match self.sender.try_send(Some(message)) {
             Err(mpsc::errors::TrySendError::Full(message)) => {
                 self.full.inc();
@@ -93,7 +93,7 @@
 
     /// Returns the next message, if there is one.
     #[must_use]
-    pub fn poll(&self) -> Option<T> {
+    pub fn try_receive(&self) -> Option<T> {
         self.receiver.try_recv().ok().flatten()
     }
 }
--- a/crates/oatpier-duty/src/observe/duty.rs
+++ b/crates/oatpier-duty/src/observe/duty.rs
@@ -31,7 +31,7 @@
     /// The metrics to export.
     pub metrics: MetricSet,
     /// Whether the process can serve requests, according to its own state.
-    pub able: Arc<AtomicBool>,
+    pub can_serve: Arc<AtomicBool>,
     /// The spans to write.
     pub spans: RingReceiver<SpanLine>,
     /// The output of the spans.
@@ -49,7 +49,7 @@
     let ObserveInputs {
         listener,
         metrics,
-        able,
+        can_serve: able,
         spans,
         mut output,
         stop,
@@ -94,7 +94,7 @@
 }
 
 fn write_remaining(spans: &RingReceiver<SpanLine>, output: &mut SpanOutput) {
-    let written = std::iter::from_fn(|| spans.poll())
+    let written = std::iter::from_fn(|| spans.try_receive())
         .try_for_each(|line| write_line(output, &line))
         .and_then(|()| output.flush());
     if let Err(error) = written {
--- a/crates/oatpier-duty/src/observe/logs.rs
+++ b/crates/oatpier-duty/src/observe/logs.rs
@@ -15,7 +15,7 @@
 /// # Panics
 ///
 /// Panics if the logger can't be built.
-pub fn install(name: &DaemonName) {
+pub fn install_on_stderr(name: &DaemonName) {
     install_on(StdStream::Stderr, name);
 }
 
@@ -24,7 +24,7 @@
 /// # Panics
 ///
 /// Panics if the logger can't be built.
-pub fn install_on_output(name: &DaemonName) {
+pub fn install_on_stdout(name: &DaemonName) {
     install_on(StdStream::Stdout, name);
 }
 
--- a/crates/oatpier-duty/src/observe/metrics.rs
+++ b/crates/oatpier-duty/src/observe/metrics.rs
@@ -172,7 +172,7 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, cause: RefusalCause) {
+    pub fn count_refusal(&self, cause: RefusalCause) {
         let labels = RefusalLabels {
             cause: cause.as_str(),
         };
@@ -180,7 +180,7 @@
     }
 
     /// Counts an attempt that ended.
-    pub fn attempted(&self, verdict: RunVerdict) {
+    pub fn count_attempt(&self, verdict: RunVerdict) {
         let labels = AttemptLabels {
             verdict: verdict.as_str(),
         };
@@ -188,7 +188,7 @@
     }
 
     /// Records the time to the first token of a request, or to its complete response for a service.
-    pub fn first_due_after(&self, class: &str, span: Duration) {
+    pub fn observe_first_due(&self, class: &str, span: Duration) {
         let labels = ClassLabels {
             class: class.to_owned(),
         };
@@ -198,13 +198,13 @@
     }
 
     /// Counts a call to the key-value service.
-    pub fn store_called(&self, kind: &'static str, end: &'static str) {
+    pub fn count_store_call(&self, kind: &'static str, end: &'static str) {
         let labels = StoreCallLabels { kind, end };
         self.store_calls.get_or_create(&labels).inc();
     }
 
     /// Counts a claim.
-    pub fn claimed(&self, end: &'static str) {
+    pub fn count_claim(&self, end: &'static str) {
         self.claims.get_or_create(&ClaimLabels { end }).inc();
     }
 
--- a/crates/oatpier-duty/src/observe/trace.rs
+++ b/crates/oatpier-duty/src/observe/trace.rs
@@ -79,7 +79,7 @@
     }
 
     /// Sets an attribute.
-    pub fn set(&self, key: &'static str, value: impl Into<Value>) {
+    pub fn set_attribute(&self, key: &'static str, value: impl Into<Value>) {
         self.context.span().set_attribute(KeyValue::new(key, value));
     }
 
@@ -119,7 +119,7 @@
 
 /// Extracts the parent context of an incoming request; returns an empty context if it is missing or invalid.
 #[must_use]
-pub fn parent_of(headers: &HeaderMap) -> Context {
+pub fn extract_parent(headers: &HeaderMap) -> Context {
     let parent = headers
         .get(TRACEPARENT)
         .and_then(|value| value.to_str().ok())
@@ -187,7 +187,7 @@
     fn on_end(&self, span: SpanData) {
         let line = span_line(&self.daemon, span);
         // The ring counts dropped spans.
-        let _ = self.ring.offer(line);
+        let _ = self.ring.try_send(line);
     }
 
     fn force_flush(&self) -> OTelSdkResult {
--- a/crates/oatpier-duty/src/placement.rs
+++ b/crates/oatpier-duty/src/placement.rs
@@ -41,7 +41,7 @@
 /// not on the size of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct PlacementAsk {
+pub struct PlacementQuery {
     /// The agent that asks.
     pub daemon: DaemonName,
     /// The agent's endpoint.
--- a/crates/oatpier-duty/src/settings/agent.rs
+++ b/crates/oatpier-duty/src/settings/agent.rs
@@ -6,7 +6,7 @@
 
 use super::platform::PlatformAddresses;
 use super::reader::TableReader;
-use super::{IntakeLimits, SettingsErrors, SettingsText};
+use super::{RequestLimits, SettingsErrors, SettingsText};
 
 /// The validated settings of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// The address of the platform's list of VMs.
     pub vm_list: SocketAddr,
     /// Limits on requests from entries.
-    pub limits: IntakeLimits,
+    pub limits: RequestLimits,
 }
 
 impl TryFrom<&SettingsText> for AgentSettings {
@@ -57,7 +57,7 @@
     let observe_listen = listen.required("observe");
     reader.absorb(listen);
     let platform = PlatformAddresses::read(reader);
-    let limits = IntakeLimits::read(reader);
+    let limits = RequestLimits::read(reader);
     let platform = platform?;
     Some(AgentSettings {
         name: name?,
--- a/crates/oatpier-duty/src/settings/entry.rs
+++ b/crates/oatpier-duty/src/settings/entry.rs
@@ -7,7 +7,7 @@
 
 use super::platform::PlatformAddresses;
 use super::reader::TableReader;
-use super::{IntakeLimits, SettingsErrors, SettingsText};
+use super::{RequestLimits, SettingsErrors, SettingsText};
 
 /// The time that a load balancer usually takes to detect that an entry is not ready. With this default, a stopping
 /// entry accepts no new work two seconds after the stop request.
@@ -38,12 +38,12 @@
     pub vm_list: SocketAddr,
     /// How long a stopping entry reports that it is not ready before it stops accepting requests. Must be at least as
     /// long as the load balancer takes to detect it.
-    pub notice: Duration,
+    pub stop_notice: Duration,
     /// The minimum silence of an endpoint before it counts as late. Must be longer where VMs are known to stall;
     /// otherwise healthy endpoints are treated as frozen.
     pub silence_floor: Duration,
     /// Limits on requests from callers.
-    pub limits: IntakeLimits,
+    pub limits: RequestLimits,
 }
 
 impl TryFrom<&SettingsText> for EntrySettings {
@@ -67,7 +67,7 @@
     let platform = PlatformAddresses::read(reader);
     let notice = reader.optional("stop_notice", DEFAULT_NOTICE);
     let silence_floor = reader.optional("silence_floor", DEFAULT_SILENCE_FLOOR);
-    let limits = IntakeLimits::read(reader);
+    let limits = RequestLimits::read(reader);
     let platform = platform?;
     Some(EntrySettings {
         name: name?,
@@ -79,7 +79,7 @@
         observe_listen: observe_listen?,
         store: platform.store,
         vm_list: platform.vm_list,
-        notice,
+        stop_notice: notice,
         silence_floor,
         limits,
     })
--- a/crates/oatpier-duty/src/settings/limits.rs
+++ b/crates/oatpier-duty/src/settings/limits.rs
@@ -11,7 +11,7 @@
 /// Without them, a single caller with an endless header, a body of gigabytes or a socket that it never reads could
 /// use up the memory and connections that others need.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct IntakeLimits {
+pub struct RequestLimits {
     /// The maximum size of a request head, in bytes.
     pub header_bytes: usize,
     /// The maximum size of a request body, in bytes.
@@ -28,7 +28,7 @@
     pub idle_time: Duration,
 }
 
-impl Default for IntakeLimits {
+impl Default for RequestLimits {
     fn default() -> Self {
         Self {
             header_bytes: 32 * 1024,
@@ -42,7 +42,7 @@
     }
 }
 
-impl IntakeLimits {
+impl RequestLimits {
     /// Converts the limits to those of the HTTP server.
     #[must_use]
     pub fn server_limits(&self) -> ServerLimits {
@@ -50,10 +50,10 @@
             connections: self.connections,
             head_bytes: self.header_bytes,
             body_bytes: self.body_bytes,
-            head_wait: self.header_time,
-            body_wait: self.body_time,
+            head_timeout: self.header_time,
+            body_timeout: self.body_time,
             idle: self.idle_time,
-            write_wait: self.write_time,
+            write_timeout: self.write_time,
             ..ServerLimits::default()
         }
     }
--- a/crates/oatpier-duty/src/settings/mod.rs
+++ b/crates/oatpier-duty/src/settings/mod.rs
@@ -18,7 +18,7 @@
 
 pub use agent::AgentSettings;
 pub use entry::EntrySettings;
-pub use limits::IntakeLimits;
+pub use limits::RequestLimits;
 use reader::TableReader;
 pub use reader::{SettingsError, SettingsErrors};
 
@@ -74,7 +74,7 @@
         let mut reader = TableReader::new("", Some(table.get_ref()), 0..0);
         let settings = read(&mut reader);
         let mut errors = reader.finish();
-        errors.sort_by_key(|error| error.place.offset());
+        errors.sort_by_key(|error| error.span.offset());
         match settings {
             Some(settings) if errors.is_empty() => Ok(settings),
             _ => Err(self.source_errors(errors)),
@@ -85,8 +85,8 @@
         let place = error.span().unwrap_or(0..0);
         self.source_errors(vec![SettingsError {
             message: format!("this is not TOML: {}", error.message()),
-            place: place.into(),
-            mend: "see the commented examples of settings".to_owned(),
+            span: place.into(),
+            help: "see the commented examples of settings".to_owned(),
         }])
     }
 
--- a/crates/oatpier-duty/src/settings/reader.rs
+++ b/crates/oatpier-duty/src/settings/reader.rs
@@ -20,10 +20,10 @@
     pub message: String,
     /// The position of the error.
     #[label("here")]
-    pub place: SourceSpan,
+    pub span: SourceSpan,
     /// How to correct the error.
     #[help]
-    pub mend: String,
+    pub help: String,
 }
 
 /// All errors in a settings text.
@@ -246,8 +246,8 @@
     fn fail(&mut self, place: Range<usize>, message: String, mend: String) {
         self.errors.push(SettingsError {
             message,
-            place: place.into(),
-            mend,
+            span: place.into(),
+            help: mend,
         });
     }
 }
--- a/crates/oatpier-entry/src/attempt.rs
+++ b/crates/oatpier-entry/src/attempt.rs
@@ -12,7 +12,7 @@
 use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::attempt::{
-    AttemptFrame, AttemptHead, AttemptStream, CancelAttempt, CancelReach, to_headers,
+    AttemptFrame, AttemptHead, AttemptStream, CancelAttempt, CancelScope, to_headers,
 };
 use oatpier_wire::client::{SendError, SendStage};
 use oatpier_wire::peer::PeerClient;
@@ -170,8 +170,8 @@
 fn event_of(attempt: AttemptId, error: &SendError) -> EntryEvent {
     match (error.stage, error.verdict) {
         (SendStage::Connect | SendStage::Queue, _) => EntryEvent::ConnectFailed { attempt },
-        (SendStage::Answer, RunVerdict::NotRun) => failed(attempt, RunVerdict::NotRun),
-        (SendStage::Answer, _) => EntryEvent::Cut { attempt },
+        (SendStage::Response, RunVerdict::NotRun) => failed(attempt, RunVerdict::NotRun),
+        (SendStage::Response, _) => EntryEvent::Cut { attempt },
     }
 }
 
@@ -191,9 +191,9 @@
         attempt,
         request,
         ticket: contact.ticket,
-        reach: match mode {
-            CancelMode::SealOnly => CancelReach::SealOnly,
-            CancelMode::Abort => CancelReach::Abort,
+        scope: match mode {
+            CancelMode::SealOnly => CancelScope::SealOnly,
+            CancelMode::Abort => CancelScope::Abort,
         },
     };
     let answer = peers.cancel_attempt(contact.address, &cancel, CANCEL_WAIT);
--- a/crates/oatpier-entry/src/callers.rs
+++ b/crates/oatpier-entry/src/callers.rs
@@ -25,7 +25,7 @@
 use crate::run::RequestRun;
 use crate::sink::CallerSink;
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
-use oatpier_duty::observe::trace::parent_of;
+use oatpier_duty::observe::trace::extract_parent;
 
 /// How often the planner duty is told the demand.
 const DEMAND_PERIOD: Duration = Duration::from_secs(2);
@@ -114,7 +114,7 @@
     loop {
         tokio::time::sleep(DEMAND_PERIOD).await;
         // Counted by the ring if it is full; the next word says it all.
-        let _ = planner.offer(PlannerNews::Own(core.demand()));
+        let _ = planner.try_send(PlannerNews::Own(core.demand()));
     }
 }
 
@@ -137,7 +137,7 @@
 }
 
 async fn answer(core: Arc<EntryCore>, request: Request<Bytes>, caller: SocketAddr) -> Reply {
-    let parent = parent_of(request.headers());
+    let parent = extract_parent(request.headers());
     let span = core
         .tracer
         .start("entry.request", SpanKind::Server, &parent);
@@ -149,7 +149,7 @@
         request: RequestId(id),
         trace,
     };
-    span.set("request", identity.request.to_string());
+    span.set_attribute("request", identity.request.to_string());
     let admit = core
         .tracer
         .start("entry.admit", SpanKind::Internal, span.context());
--- a/crates/oatpier-entry/src/claims/mod.rs
+++ b/crates/oatpier-entry/src/claims/mod.rs
@@ -196,7 +196,7 @@
                     verdict,
                 };
                 if !self.outbox.push(settlement, self.clock.now()) {
-                    self.metrics.claimed("settlement-dropped");
+                    self.metrics.count_claim("settlement-dropped");
                 }
                 self.settle_due();
             }
@@ -250,7 +250,7 @@
     }
 
     fn finish(&self, open: OpenAsk, answer: ClaimAnswer) {
-        self.metrics.claimed(match &answer {
+        self.metrics.count_claim(match &answer {
             ClaimAnswer::Granted => "granted",
             ClaimAnswer::Denied(_) => "denied",
             ClaimAnswer::Unavailable { .. } | ClaimAnswer::Moved { .. } => "unavailable",
--- a/crates/oatpier-entry/src/core.rs
+++ b/crates/oatpier-entry/src/core.rs
@@ -275,7 +275,7 @@
         drop(state);
         if let Some(news) = news {
             // Counted by the ring if it is full.
-            let _ = self.rings.paths.offer(news);
+            let _ = self.rings.paths.try_send(news);
         }
         self.timer_changed.notify_one();
         actions
--- a/crates/oatpier-entry/src/lib.rs
+++ b/crates/oatpier-entry/src/lib.rs
@@ -115,7 +115,7 @@
         news: rings.news.1,
         planner: rings.planner.0.clone(),
         stop: process.stop.clone(),
-        notice: settings.notice,
+        notice: settings.stop_notice,
     };
     process.spawn("callers", || callers::callers(callers_inputs));
     let peers_rings = PeersRings {
@@ -171,7 +171,7 @@
     let inputs = ObserveInputs {
         listener,
         metrics: parts.metrics.clone(),
-        able: Arc::clone(&parts.able),
+        can_serve: Arc::clone(&parts.able),
         spans,
         output: Box::new(std::io::stdout()),
         stop: process.stop.clone(),
--- a/crates/oatpier-entry/src/peers/handler.rs
+++ b/crates/oatpier-entry/src/peers/handler.rs
@@ -65,7 +65,7 @@
 
     /// The planner hears of demand again before long: a word that does not fit is dropped.
     fn take_demand(&self, word: DemandWord) {
-        let _ = self.planner.offer(PlannerNews::Demand(word));
+        let _ = self.planner.try_send(PlannerNews::Demand(word));
     }
 
     async fn claim(&self, body: &[u8]) -> Reply {
@@ -79,7 +79,7 @@
             call,
             reply: sender,
         };
-        if self.claims.offer(command).is_err() {
+        if self.claims.try_send(command).is_err() {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "too many claims\n");
         }
         let within = if is_ask { CLAIM_WAIT } else { SETTLE_WAIT };
--- a/crates/oatpier-entry/src/peers/mod.rs
+++ b/crates/oatpier-entry/src/peers/mod.rs
@@ -185,7 +185,7 @@
         let (entries, agents) = driver.counts();
         gate.set_fleet(entries, agents);
         if let Some(picture) = driver.settled_picture() {
-            let _ = planner.offer(PlannerNews::Fleet(Box::new(picture)));
+            let _ = planner.try_send(PlannerNews::Fleet(Box::new(picture)));
         }
     }
 }
--- a/crates/oatpier-entry/src/peers/operator.rs
+++ b/crates/oatpier-entry/src/peers/operator.rs
@@ -70,7 +70,7 @@
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
     let question = EntryNews::Question(question(reply));
-    handler.news.offer(question).ok()?;
+    handler.news.try_send(question).ok()?;
     tokio::time::timeout(ANSWER_WAIT, answer).await.ok()?.ok()
 }
 
--- a/crates/oatpier-entry/src/peers/placement.rs
+++ b/crates/oatpier-entry/src/peers/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use indexmap::IndexMap;
-use oatpier_duty::placement::{HolderContact, PlacementAsk, PlacementView, WeightsHolders};
+use oatpier_duty::placement::{HolderContact, PlacementQuery, PlacementView, WeightsHolders};
 use oatpier_membership::members::{MemberTable, MemberView};
 use oatpier_membership::rendezvous;
 use oatpier_membership::summary::SummaryKey;
@@ -22,7 +22,7 @@
 pub(super) fn view(
     driver: &MemberDriver,
     board: &PlannerBoard,
-    ask: &PlacementAsk,
+    ask: &PlacementQuery,
 ) -> PlacementView {
     let settled = driver.is_settled();
     let state = driver.lock();
@@ -58,7 +58,7 @@
         .flat_map(|status| &status.ready)
 }
 
-fn holders(table: &MemberTable, ask: &PlacementAsk) -> Vec<WeightsHolders> {
+fn holders(table: &MemberTable, ask: &PlacementQuery) -> Vec<WeightsHolders> {
     let mut found: IndexMap<WeightsKey, Vec<HolderContact>> = IndexMap::new();
     for view in table.usable_agents() {
         let Some(status) = view.facts.status() else {
--- a/crates/oatpier-entry/src/run.rs
+++ b/crates/oatpier-entry/src/run.rs
@@ -111,7 +111,7 @@
         let actions = {
             let choose = self.hop("entry.choose");
             let actions = self.core.start(self.intake(), timers);
-            choose.set("actions", i64::try_from(actions.len()).unwrap_or(i64::MAX));
+            choose.set_attribute("actions", i64::try_from(actions.len()).unwrap_or(i64::MAX));
             actions
         };
         let mut answer = self.act(actions, &Bytes::new());
@@ -222,8 +222,8 @@
             return;
         };
         let span = self.hop("entry.attempt");
-        span.set("endpoint", endpoint.to_string());
-        span.set("attempt", attempt.to_string());
+        span.set_attribute("endpoint", endpoint.to_string());
+        span.set_attribute("attempt", attempt.to_string());
         self.note("attempt", Some(&endpoint), format!("attempt {attempt}"));
         let run = AttemptRun {
             address: contact.address,
@@ -283,7 +283,7 @@
             self.relay_span = Some(self.hop("entry.relay"));
             let waited = self.core.clock.now().since(self.started);
             let class = self.call.class.as_str();
-            self.core.metrics.first_due_after(class, waited);
+            self.core.metrics.observe_first_due(class, waited);
         }
         if self.sink.relay(self.head.take(), piece) == SinkState::Blocked {
             let request = self.identity.request;
@@ -304,8 +304,8 @@
         self.remember(answer);
         self.count(answer);
         self.log(answer);
-        self.span.set("cause", answer.cause.as_str());
-        self.span.set("verdict", answer.verdict.as_str());
+        self.span.set_attribute("cause", answer.cause.as_str());
+        self.span.set_attribute("verdict", answer.verdict.as_str());
         Some(LateWords {
             core: Arc::clone(&self.core),
             request: self.identity.request,
--- a/crates/oatpier-entry/src/run/claiming.rs
+++ b/crates/oatpier-entry/src/run/claiming.rs
@@ -31,7 +31,7 @@
         let events = self.events.clone();
         tokio::spawn(async move {
             let event = ask_claim(&core, ask).await;
-            span.set("granted", event == EntryEvent::ClaimGranted);
+            span.set_attribute("granted", event == EntryEvent::ClaimGranted);
             // A request that is over has settled its claim.
             let _ = events.send(event);
         });
@@ -54,7 +54,7 @@
         request,
         verdict,
     };
-    if let Err(command) = core.claims().offer(command) {
+    if let Err(command) = core.claims().try_send(command) {
         let core = Arc::clone(core);
         tokio::spawn(async move { core.claims().send(command).await });
     }
@@ -72,7 +72,7 @@
 async fn ask_claim(core: &EntryCore, ask: ClaimAsk) -> EntryEvent {
     let (reply, answer) = oneshot::channel();
     let command = ClaimCommand::Ask { ask, reply };
-    if core.claims().offer(command).is_err() {
+    if core.claims().try_send(command).is_err() {
         return EntryEvent::ClaimUnavailable;
     }
     match answer.await {
--- a/crates/oatpier-entry/src/run/report.rs
+++ b/crates/oatpier-entry/src/run/report.rs
@@ -41,7 +41,7 @@
         let end = match answer.cause {
             FinalCause::Whole => "whole",
             FinalCause::Refused(cause) => {
-                self.core.metrics.refused(cause);
+                self.core.metrics.count_refusal(cause);
                 "refused"
             }
             FinalCause::CallerGone => "caller-gone",
--- a/crates/oatpier-entry/src/store.rs
+++ b/crates/oatpier-entry/src/store.rs
@@ -152,7 +152,7 @@
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
         if !self.admit(kind, mode).await {
-            self.metrics.store_called(kind_word(kind), "held-back");
+            self.metrics.count_store_call(kind_word(kind), "held-back");
             let cause = "this process's share of calls is used up".to_owned();
             return Err(StoreError::Unavailable { cause });
         }
@@ -193,7 +193,7 @@
         }
         drop(state);
         let end = if failed { "failed" } else { "answered" };
-        self.metrics.store_called(kind_word(kind), end);
+        self.metrics.count_store_call(kind_word(kind), end);
     }
 }
 
--- a/crates/oatpier-entry/tests/testsuite/late.rs
+++ b/crates/oatpier-entry/tests/testsuite/late.rs
@@ -7,7 +7,7 @@
 use oatpier_claims::message::KeyHash;
 use oatpier_duty::duty::{RingReceiver, RingRule, RuntimeClock, ring};
 use oatpier_duty::observe::metrics::MetricSet;
-use oatpier_duty::observe::trace::{HopTracer, parent_of};
+use oatpier_duty::observe::trace::{HopTracer, extract_parent};
 use oatpier_entry::claims::ClaimCommand;
 use oatpier_entry::core::{CoreRings, EntryCore};
 use oatpier_entry::decisions::EntryDecisions;
@@ -155,7 +155,7 @@
         trace: 1,
     };
     let (sink, reply) = CallerSink::new(identity);
-    let parent = parent_of(&HeaderMap::new());
+    let parent = extract_parent(&HeaderMap::new());
     let kind = opentelemetry::trace::SpanKind::Server;
     let span = core.tracer.start("entry.request", kind, &parent);
     let run = RequestRun::new(Arc::clone(&core), identity, keyed_change(), sink, span);
--- a/crates/oatpier-entry/tests/testsuite/support.rs
+++ b/crates/oatpier-entry/tests/testsuite/support.rs
@@ -64,7 +64,9 @@
         let claimer = self.claimers.lock().unwrap().get(&to).cloned();
         async move {
             let (reply, answer) = oneshot::channel();
-            claimer?.offer(ClaimCommand::Remote { call, reply }).ok()?;
+            claimer?
+                .try_send(ClaimCommand::Remote { call, reply })
+                .ok()?;
             tokio::time::timeout(CALL_WAIT, answer).await.ok()?.ok()
         }
         .boxed()
--- a/crates/oatpier-gateway/src/crash_writer.rs
+++ b/crates/oatpier-gateway/src/crash_writer.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use oatpier_duty::duty::{RingReceiver, StopPhase, StopSignal};
-use oatpier_platform::store::{CrashChanges, MOST_CHANGES, StoreClient, WriteError};
+use oatpier_platform::store::{CrashChanges, MAX_CHANGES, StoreClient, WriteError};
 use oatpier_serving::crashes::changes::{ChangeQueue, CrashChange};
 use oatpier_types::errors::error_chain;
 use tokio::time::sleep;
@@ -61,7 +61,7 @@
             };
             writer.push(change);
         }
-        while let Some(change) = inputs.changes.poll() {
+        while let Some(change) = inputs.changes.try_receive() {
             writer.push(change);
         }
         let current = Arc::clone(&inputs.settings.borrow());
@@ -91,7 +91,7 @@
 
     /// Writes the next changes. Returns false if the store did not accept them and the write must be repeated.
     async fn write(&mut self, client: &StoreClient) -> bool {
-        let batch = self.queue.batch(MOST_CHANGES);
+        let batch = self.queue.batch(MAX_CHANGES);
         match client.change(&group_changes(&batch), WRITE_TIMEOUT).await {
             Ok(()) => self.metrics.count_store_write("answered"),
             Err(error) if error.is_final() => {
--- a/crates/oatpier-gateway/src/decisions.rs
+++ b/crates/oatpier-gateway/src/decisions.rs
@@ -150,7 +150,7 @@
         fields.insert("time_ms".to_owned(), Value::from(wall_clock_ms()));
         fields.insert("process".to_owned(), Value::from(&*self.process));
         // A full ring counts the line as left out.
-        let _ = self.lines.offer(Value::Object(fields).to_string());
+        let _ = self.lines.try_send(Value::Object(fields).to_string());
     }
 }
 
@@ -179,7 +179,7 @@
         () = writing => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
-    if let Some(first) = lines.poll() {
+    if let Some(first) = lines.try_receive() {
         print_lines(first, &lines);
     }
 }
@@ -189,7 +189,7 @@
 fn print_lines(first: String, lines: &RingReceiver<String>) {
     let mut text = first;
     text.push('\n');
-    while let Some(line) = lines.poll() {
+    while let Some(line) = lines.try_receive() {
         text.push_str(&line);
         text.push('\n');
     }
--- a/crates/oatpier-gateway/src/gateway/answers.rs
+++ b/crates/oatpier-gateway/src/gateway/answers.rs
@@ -134,7 +134,7 @@
     pub fn reply_with_text(self, id: &str, text: &str) -> Reply {
         let mut reply = reply::text(self.status(), format!("{text}\n"));
         let headers = reply.headers_mut();
-        headers::mark_answer(headers, id);
+        headers::set_request_id(headers, id);
         if self.status() == StatusCode::UNAUTHORIZED {
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
         }
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -6,14 +6,14 @@
 use http::request::Parts;
 use http::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
-use oatpier_platform::headers::{self, AnswerHead, AnswerKind, SendTerms};
+use oatpier_platform::headers::{self, ForwardOptions, ResponseHead, ResponseKind};
 use oatpier_serving::directory::{EndpointOutcome, HeardNotice};
 use oatpier_serving::notice::EndpointNotice;
 use oatpier_serving::reading::SentPrompt;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 use oatpier_types::verdict::RunVerdict;
-use oatpier_wire::client::{AnswerBody, SendError, SendStage};
+use oatpier_wire::client::{ResponseBody, SendError, SendStage};
 
 use super::core::GatewayCore;
 use super::permits::HeldPermit;
@@ -39,7 +39,7 @@
     /// The response headers for the caller.
     pub headers: HeaderMap,
     /// The body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
     /// Records the end of the attempt.
     pub guard: AttemptGuard,
 }
@@ -233,12 +233,12 @@
         return Err(AttemptFailure::HeldBack);
     }
     let left = context.deadline.since(core.clock.now());
-    let terms = SendTerms {
+    let terms = ForwardOptions {
         instance: &endpoint,
-        left,
-        after_event,
+        remaining: left,
+        last_event_id: after_event,
         workspace: context.identity.workspace_name(),
-        keeps_key: context.identity.keeps_key(),
+        removes_key: context.identity.keeps_key(),
     };
     let request = build_request(message, terms);
     let guard = AttemptGuard::begin(core, context, &endpoint, placed.permit.take());
@@ -248,7 +248,7 @@
     }
 }
 
-fn build_request(message: &CallerMessage, terms: SendTerms<'_>) -> Request<Bytes> {
+fn build_request(message: &CallerMessage, terms: ForwardOptions<'_>) -> Request<Bytes> {
     let mut request = Request::new(message.body.clone());
     *request.method_mut() = message.head.method.clone();
     *request.uri_mut() = message
@@ -257,7 +257,7 @@
         .path_and_query()
         .and_then(|path| path.as_str().parse().ok())
         .unwrap_or_default();
-    *request.headers_mut() = headers::outgoing(&message.head.headers, terms);
+    *request.headers_mut() = headers::build_request_headers(&message.head.headers, terms);
     request
 }
 
@@ -271,7 +271,7 @@
             EndpointOutcome::ConnectionRefused,
         ),
         SendStage::Queue => (AttemptFailure::Unsent, EndpointOutcome::Abandoned),
-        SendStage::Answer => (AttemptFailure::Cut, EndpointOutcome::Broken),
+        SendStage::Response => (AttemptFailure::Cut, EndpointOutcome::Broken),
     };
     guard.finish(outcome);
     failure
@@ -281,26 +281,26 @@
 fn check_head(
     core: &Arc<GatewayCore>,
     context: &RequestContext,
-    response: Response<AnswerBody>,
+    response: Response<ResponseBody>,
     guard: AttemptGuard,
 ) -> Result<OpenResponse, AttemptFailure> {
     let (parts, body) = response.into_parts();
-    let head = headers::decode_answer(parts.status.as_u16(), &parts.headers, &context.request.id);
+    let head = headers::decode_response(parts.status.as_u16(), &parts.headers, &context.request.id);
     if let Some(load) = head.load {
         core.record_load(&guard.endpoint, load);
     }
     if is_from_endpoint(&head, &guard.endpoint) {
-        guard.record_notice(head.notice, head.kind == AnswerKind::Own);
+        guard.record_notice(head.notice, head.kind == ResponseKind::Matching);
     }
     match head.kind {
-        AnswerKind::NotRun => Err(finish_refused(core, parts.status, &head, guard)),
-        AnswerKind::Spoilt => {
+        ResponseKind::NotRun => Err(finish_refused(core, parts.status, &head, guard)),
+        ResponseKind::Untrusted => {
             guard.finish(EndpointOutcome::Broken);
             Err(AttemptFailure::Spoilt)
         }
-        AnswerKind::Own => Ok(OpenResponse {
+        ResponseKind::Matching => Ok(OpenResponse {
             status: parts.status,
-            headers: headers::returned(&parts.headers),
+            headers: headers::build_response_headers(&parts.headers),
             body,
             guard,
         }),
@@ -309,15 +309,15 @@
 
 /// Returns whether a response comes from the endpoint itself, so that its statements about the endpoint can be
 /// trusted.
-fn is_from_endpoint(head: &AnswerHead, endpoint: &EndpointName) -> bool {
+fn is_from_endpoint(head: &ResponseHead, endpoint: &EndpointName) -> bool {
     let is_other = head.instance.as_ref().is_some_and(|name| name != endpoint);
-    head.kind != AnswerKind::Spoilt && !is_other
+    head.kind != ResponseKind::Untrusted && !is_other
 }
 
 fn finish_refused(
     core: &GatewayCore,
     status: StatusCode,
-    head: &AnswerHead,
+    head: &ResponseHead,
     guard: AttemptGuard,
 ) -> AttemptFailure {
     if status != StatusCode::MISDIRECTED_REQUEST {
--- a/crates/oatpier-gateway/src/gateway/configuration.rs
+++ b/crates/oatpier-gateway/src/gateway/configuration.rs
@@ -86,7 +86,7 @@
         if reported.version > known && is_read_late && may_fetch {
             state.config_requested_at = Some(now);
             // A full ring counts what it drops; the next report requests the fetch again.
-            let _ = self.config_wanted.offer(from);
+            let _ = self.config_wanted.try_send(from);
         }
     }
 
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -205,9 +205,9 @@
             shared_config: inputs.shared_config,
             config_wanted: inputs.config_wanted,
             client: HttpClient::new(ClientLimits {
-                connect: CONNECT_TIMEOUT,
-                idle: IDLE_TIMEOUT,
-                idle_per_address: MAX_IDLE_PER_ENDPOINT,
+                connect_timeout: CONNECT_TIMEOUT,
+                idle_timeout: IDLE_TIMEOUT,
+                max_idle_per_address: MAX_IDLE_PER_ENDPOINT,
                 discard_on_close: true,
             }),
             able: inputs.able,
@@ -313,7 +313,7 @@
     /// Queues a store delta from another gateway of the availability zone.
     pub fn take_store_word(&self, delta: StoreWord) {
         // A full ring counts what it drops. The store is then read at the usual time, as without the delta.
-        let _ = self.words.offer(delta);
+        let _ = self.words.try_send(delta);
     }
 
     /// Records that the store still holds what is known here.
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -209,7 +209,7 @@
     fn queue_store_change(&self, change: CrashChange) {
         // A full ring counts what it drops. Running gateways were informed already; only gateways that start later
         // will not know of the change.
-        let _ = self.crash_changes.offer(change);
+        let _ = self.crash_changes.try_send(change);
     }
 
     fn send_to_peers(&self, peers: &[SocketAddr], message: &InnerMessage) {
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -331,7 +331,7 @@
         drop(state);
         for claim in claims {
             // A full ring counts what it drops, and the claim is due again a moment later.
-            let _ = self.claims.offer(DueClaim {
+            let _ = self.claims.try_send(DueClaim {
                 claim,
                 sent_at: now,
             });
--- a/crates/oatpier-gateway/src/gateway/relay.rs
+++ b/crates/oatpier-gateway/src/gateway/relay.rs
@@ -17,7 +17,7 @@
 use oatpier_serving::site::RouteKind;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
-use oatpier_wire::client::AnswerBody;
+use oatpier_wire::client::ResponseBody;
 use oatpier_wire::reply::{BoxError, Reply};
 use oatpier_wire::sse::EventSplitter;
 use tokio::time::timeout_at;
@@ -39,7 +39,7 @@
 /// A stream that is being relayed.
 struct StreamRelay {
     run: RequestRun,
-    body: AnswerBody,
+    body: ResponseBody,
     guard: Option<AttemptGuard>,
     /// Splits a resumable stream into events.
     splitter: Option<EventSplitter>,
--- a/crates/oatpier-gateway/src/sidecar/engine_link.rs
+++ b/crates/oatpier-gateway/src/sidecar/engine_link.rs
@@ -37,8 +37,8 @@
     #[must_use]
     pub fn new(address: SocketAddr, holder: DaemonName) -> Self {
         let limits = ClientLimits {
-            connect: REPORT_TIMEOUT,
-            idle_per_address: 1,
+            connect_timeout: REPORT_TIMEOUT,
+            max_idle_per_address: 1,
             ..ClientLimits::default()
         };
         Self {
@@ -72,7 +72,7 @@
         }
         let report = engine::decode_report(answer.body()).map_err(|error| error.to_string())?;
         Ok(EngineReport {
-            draining: report.draining || headers::says_leaving(answer.headers()),
+            draining: report.draining || headers::announces_shutdown(answer.headers()),
             ..report
         })
     }
@@ -90,7 +90,7 @@
             .fetch(self.address, request, REPORT_TIMEOUT, MAX_ANSWER_BYTES)
             .await
             .map_err(|error| error.to_string())?;
-        let instance = engine::instance_of(&answer);
+        let instance = engine::response_instance(&answer);
         self.instance = Some(
             instance.ok_or_else(|| format!("the {} answer names no instance", answer.status()))?,
         );
--- a/crates/oatpier-gateway/tests/testsuite/crashes.rs
+++ b/crates/oatpier-gateway/tests/testsuite/crashes.rs
@@ -135,7 +135,7 @@
 }
 
 fn queued_crashes(gateway: &TestGateway) -> Vec<CrashRecord> {
-    std::iter::from_fn(|| gateway.written.poll())
+    std::iter::from_fn(|| gateway.written.try_receive())
         .filter_map(|change| match change {
             CrashChange::Put(record) => Some(record),
             CrashChange::Remove(_) => None,
@@ -213,7 +213,8 @@
     }
     fleet.gateway.core.apply_stored_crashes(&crashes, false);
     assert_eq!(fleet.send(request(&[])).await.status(), StatusCode::OK);
-    let removed: Vec<CrashChange> = std::iter::from_fn(|| fleet.gateway.written.poll()).collect();
+    let removed: Vec<CrashChange> =
+        std::iter::from_fn(|| fleet.gateway.written.try_receive()).collect();
     let expected: Vec<CrashChange> = crashes.into_iter().map(CrashChange::Remove).collect();
     assert_eq!(removed, expected);
 }
--- a/crates/oatpier-gateway/tests/testsuite/keys.rs
+++ b/crates/oatpier-gateway/tests/testsuite/keys.rs
@@ -214,7 +214,7 @@
         fetched: fetched_sender,
         stop: StopSignal::default(),
     }));
-    assert!(wanted_sender.offer(neighbour).is_ok());
+    assert!(wanted_sender.try_send(neighbour).is_ok());
     let config = fetched.receive().await.unwrap();
     gateway.core.take_passed_config(config);
     let refused = gateway
@@ -243,19 +243,19 @@
     };
     report(&gateway, 4);
     assert!(
-        gateway.config_wanted.poll().is_none(),
+        gateway.config_wanted.try_receive().is_none(),
         "its own read is recent"
     );
     tokio::time::advance(Duration::from_secs(2)).await;
     report(&gateway, 2);
     assert!(
-        gateway.config_wanted.poll().is_none(),
+        gateway.config_wanted.try_receive().is_none(),
         "the reported version is older"
     );
     report(&gateway, 4);
     report(&gateway, 4);
-    assert_eq!(gateway.config_wanted.poll(), Some(peer));
-    assert!(gateway.config_wanted.poll().is_none());
+    assert_eq!(gateway.config_wanted.try_receive(), Some(peer));
+    assert!(gateway.config_wanted.try_receive().is_none());
     // A peer that confirms the same version against the store is as good as an own read.
     tokio::time::advance(Duration::from_secs(2)).await;
     assert!(!gateway.core.is_current());
--- a/crates/oatpier-gateway/tests/testsuite/observing.rs
+++ b/crates/oatpier-gateway/tests/testsuite/observing.rs
@@ -19,7 +19,7 @@
         log.write(DecisionLine::new(LineWeight::Calm, "answer"));
     }
     log.write(DecisionLine::new(LineWeight::Notable, "answer").with("request", "r1"));
-    let written: Vec<String> = std::iter::from_fn(|| lines.poll()).collect();
+    let written: Vec<String> = std::iter::from_fn(|| lines.try_receive()).collect();
     assert_eq!(written.len(), 41);
     assert!(written[40].contains("\"request\":\"r1\""));
     assert_eq!(metrics.lines_left_out.get(), 20);
@@ -34,7 +34,7 @@
     }
     tokio::time::advance(std::time::Duration::from_secs(1)).await;
     log.write(DecisionLine::new(LineWeight::Calm, "answer"));
-    let written: Vec<String> = std::iter::from_fn(|| lines.poll()).collect();
+    let written: Vec<String> = std::iter::from_fn(|| lines.try_receive()).collect();
     let omitted = written.iter().find(|line| line.contains("lines left out"));
     assert!(omitted.unwrap().contains("\"lines\":5"));
 }
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -351,7 +351,7 @@
     /// Returns the lines logged so far for a decision.
     pub fn logged(&self, decision: &str) -> Vec<String> {
         let is_on_it = |line: &String| line.contains(&format!("\"decision\":\"{decision}\""));
-        std::iter::from_fn(|| self.lines.poll())
+        std::iter::from_fn(|| self.lines.try_receive())
             .filter(is_on_it)
             .collect()
     }
--- a/crates/oatpier-ports/src/http/work.rs
+++ b/crates/oatpier-ports/src/http/work.rs
@@ -16,7 +16,7 @@
 use hyper::body::Body;
 use oatpier_types::ids::AttemptId;
 use oatpier_types::verdict::RunVerdict;
-use oatpier_wire::client::{AnswerBody, ClientLimits, HttpClient};
+use oatpier_wire::client::{ClientLimits, HttpClient, ResponseBody};
 
 use super::OutsideService;
 use crate::work::{CallError, EndpointAnswer, EndpointCall, EndpointWork};
@@ -67,7 +67,7 @@
     #[must_use]
     pub fn new(address: SocketAddr, kind: EndpointKind, timeout: Duration) -> Self {
         let limits = ClientLimits {
-            connect: timeout,
+            connect_timeout: timeout,
             ..ClientLimits::default()
         };
         Self {
@@ -150,7 +150,7 @@
     }
 }
 
-fn answer(response: Response<AnswerBody>, method: &Method) -> EndpointAnswer {
+fn answer(response: Response<ResponseBody>, method: &Method) -> EndpointAnswer {
     let shows_end = shows_its_end(&response, method);
     let (parts, body) = response.into_parts();
     let mut headers = parts.headers;
@@ -176,7 +176,7 @@
 ///
 /// A body that ends with its connection may have been cut anywhere, and a short answer would
 /// pass for a whole one. Events are exempt, since their reader looks for their last one.
-fn shows_its_end(response: &Response<AnswerBody>, method: &Method) -> bool {
+fn shows_its_end(response: &Response<ResponseBody>, method: &Method) -> bool {
     let headers = response.headers();
     let is_events = headers
         .get(CONTENT_TYPE)
--- a/crates/oatpier-soak/src/standin/caller.rs
+++ b/crates/oatpier-soak/src/standin/caller.rs
@@ -173,9 +173,9 @@
 #[must_use]
 pub fn new_client() -> HttpClient {
     HttpClient::new(ClientLimits {
-        connect: Duration::from_secs(1),
-        idle: Duration::from_secs(10),
-        idle_per_address: 2,
+        connect_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(10),
+        max_idle_per_address: 2,
         discard_on_close: false,
     })
 }
--- a/crates/oatpier-wire/src/attempt.rs
+++ b/crates/oatpier-wire/src/attempt.rs
@@ -191,13 +191,13 @@
     /// The ticket that the attempt was sent with.
     pub ticket: AdmissionTicket,
     /// The scope of the cancellation.
-    pub reach: CancelReach,
+    pub scope: CancelScope,
 }
 
 /// The scope of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub enum CancelReach {
+pub enum CancelScope {
     /// Prevents the attempt from reaching the endpoint. An attempt that has already reached it keeps running.
     SealOnly,
     /// Cancels the attempt even if it has reached the endpoint.
@@ -207,7 +207,7 @@
 /// The outcome of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct CancelAnswer {
+pub struct CancelResponse {
     /// Whether the attempt may have been executed.
     pub verdict: RunVerdict,
 }
@@ -243,7 +243,7 @@
 /// Builds the response to an attempt from its frames, each tagged with the attempt. Pieces over [`MAX_PIECE_BYTES`] are
 /// split.
 #[must_use]
-pub fn answer<S>(attempt: AttemptId, frames: S) -> Reply
+pub fn build_response<S>(attempt: AttemptId, frames: S) -> Reply
 where
     S: Stream<Item = AttemptFrame> + Send + 'static,
 {
--- a/crates/oatpier-wire/src/attempt/stream.rs
+++ b/crates/oatpier-wire/src/attempt/stream.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 
 use super::{AttemptFrame, MAX_FRAME_BYTES, TaggedFrame};
-use crate::client::AnswerBody;
+use crate::client::ResponseBody;
 use crate::frame::FrameReader;
 
 /// How long to wait for the end of the HTTP body after the final frame before the connection is closed.
@@ -55,7 +55,7 @@
 /// signals the agent that the response is no longer needed.
 pub struct AttemptStream {
     attempt: AttemptId,
-    body: Option<AnswerBody>,
+    body: Option<ResponseBody>,
     reader: FrameReader,
     started: bool,
     ended: bool,
@@ -63,7 +63,7 @@
 }
 
 impl AttemptStream {
-    pub(crate) fn new(attempt: AttemptId, body: AnswerBody, misrouted: Arc<AtomicU64>) -> Self {
+    pub(crate) fn new(attempt: AttemptId, body: ResponseBody, misrouted: Arc<AtomicU64>) -> Self {
         Self {
             attempt,
             body: Some(body),
--- a/crates/oatpier-wire/src/client.rs
+++ b/crates/oatpier-wire/src/client.rs
@@ -28,20 +28,20 @@
 mod body;
 mod pool;
 
-pub use body::AnswerBody;
+pub use body::ResponseBody;
 use pool::{ConnectionPool, PooledSender};
 
 /// The connection settings of a client.
 #[derive(Debug, Clone)]
 pub struct ClientLimits {
     /// The maximum time to establish a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// How long an idle connection is kept. It must be shorter than the server's idle timeout, so that the client
     /// closes first: a server that closes first races with the next request, whose verdict is then
     /// [`RunVerdict::MayHaveRun`].
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The maximum number of idle connections per address.
-    pub idle_per_address: usize,
+    pub max_idle_per_address: usize,
     /// Whether closing a connection discards data that the peer has not received yet. An abandoned request may still
     /// be in transit to a peer that is frozen or unreachable. After an orderly close it would arrive seconds later,
     /// although its response is no longer needed. Connections that are closed while idle have no data in transit.
@@ -51,9 +51,9 @@
 impl Default for ClientLimits {
     fn default() -> Self {
         Self {
-            connect: Duration::from_millis(500),
-            idle: Duration::from_secs(20),
-            idle_per_address: 32,
+            connect_timeout: Duration::from_millis(500),
+            idle_timeout: Duration::from_secs(20),
+            max_idle_per_address: 32,
             discard_on_close: false,
         }
     }
@@ -67,7 +67,7 @@
     /// A connection was established, but the request was returned unwritten.
     Queue,
     /// The request was written, or may have been written.
-    Answer,
+    Response,
 }
 
 impl fmt::Display for SendStage {
@@ -75,7 +75,7 @@
         formatter.write_str(match self {
             Self::Connect => "connecting",
             Self::Queue => "sending",
-            Self::Answer => "waiting for the response",
+            Self::Response => "waiting for the response",
         })
     }
 }
@@ -101,7 +101,7 @@
     fn new(address: SocketAddr, stage: SendStage, cause: impl fmt::Display) -> Self {
         let verdict = match stage {
             SendStage::Connect | SendStage::Queue => RunVerdict::NotRun,
-            SendStage::Answer => RunVerdict::MayHaveRun,
+            SendStage::Response => RunVerdict::MayHaveRun,
         };
         Self {
             address,
@@ -136,7 +136,10 @@
     #[must_use]
     pub fn new(limits: ClientLimits) -> Self {
         Self {
-            pool: Arc::new(ConnectionPool::new(limits.idle, limits.idle_per_address)),
+            pool: Arc::new(ConnectionPool::new(
+                limits.idle_timeout,
+                limits.max_idle_per_address,
+            )),
             limits: Arc::new(limits),
             traffic: Arc::default(),
         }
@@ -158,7 +161,7 @@
         &self,
         address: SocketAddr,
         request: Request<Bytes>,
-    ) -> Result<Response<AnswerBody>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         self.send_until(address, request, None).await
     }
 
@@ -172,7 +175,7 @@
         address: SocketAddr,
         request: Request<Bytes>,
         timeout: Duration,
-    ) -> Result<Response<AnswerBody>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let deadline = Instant::now() + timeout;
         self.send_until(address, request, Some(deadline)).await
     }
@@ -195,8 +198,8 @@
         let (parts, body) = response.into_parts();
         let collected = timeout_at(deadline, Limited::new(body, limit).collect())
             .await
-            .map_err(|_| SendError::timeout(address, SendStage::Answer))?
-            .map_err(|error| SendError::new(address, SendStage::Answer, error))?;
+            .map_err(|_| SendError::timeout(address, SendStage::Response))?
+            .map_err(|error| SendError::new(address, SendStage::Response, error))?;
         Ok(Response::from_parts(parts, collected.to_bytes()))
     }
 
@@ -205,7 +208,7 @@
         address: SocketAddr,
         request: Request<Bytes>,
         deadline: Option<Instant>,
-    ) -> Result<Response<AnswerBody>, SendError> {
+    ) -> Result<Response<ResponseBody>, SendError> {
         let mut request = with_host(address, request).map(Full::new);
         loop {
             let mut sender = self.checkout(address, deadline).await?;
@@ -213,7 +216,7 @@
             let sent = match deadline {
                 Some(deadline) => timeout_at(deadline, sending)
                     .await
-                    .map_err(|_| SendError::timeout(address, SendStage::Answer))?,
+                    .map_err(|_| SendError::timeout(address, SendStage::Response))?,
                 None => sending.await,
             };
             let mut failure = match sent {
@@ -228,14 +231,18 @@
                     return Err(SendError::new(address, SendStage::Queue, failure.error()));
                 }
                 None => {
-                    return Err(SendError::new(address, SendStage::Answer, failure.error()));
+                    return Err(SendError::new(
+                        address,
+                        SendStage::Response,
+                        failure.error(),
+                    ));
                 }
             };
         }
     }
 
-    fn response_body(&self, body: hyper::body::Incoming, sender: PooledSender) -> AnswerBody {
-        AnswerBody::new(body, sender, Arc::clone(&self.pool))
+    fn response_body(&self, body: hyper::body::Incoming, sender: PooledSender) -> ResponseBody {
+        ResponseBody::new(body, sender, Arc::clone(&self.pool))
     }
 
     async fn checkout(
@@ -243,7 +250,7 @@
         address: SocketAddr,
         deadline: Option<Instant>,
     ) -> Result<PooledSender, SendError> {
-        let connect_by = Instant::now() + self.limits.connect;
+        let connect_by = Instant::now() + self.limits.connect_timeout;
         let connect_by = deadline.map_or(connect_by, |deadline| deadline.min(connect_by));
         timeout_at(connect_by, self.reuse_or_connect(address))
             .await
--- a/crates/oatpier-wire/src/client/body.rs
+++ b/crates/oatpier-wire/src/client/body.rs
@@ -13,13 +13,13 @@
 ///
 /// The body ends where the HTTP framing says so (last chunk or content length); a truncated body is an error.
 /// Dropping it before its end closes the connection, which signals the peer that the response is no longer needed.
-pub struct AnswerBody {
+pub struct ResponseBody {
     inner: Incoming,
     sender: Option<PooledSender>,
     pool: Arc<ConnectionPool>,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(super) fn new(inner: Incoming, sender: PooledSender, pool: Arc<ConnectionPool>) -> Self {
         let mut body = Self {
             inner,
@@ -43,7 +43,7 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
--- a/crates/oatpier-wire/src/peer.rs
+++ b/crates/oatpier-wire/src/peer.rs
@@ -14,7 +14,7 @@
 use thiserror::Error;
 
 use crate::attempt::{
-    ATTEMPT_PATH, AttemptHead, AttemptStream, CANCEL_PATH, CancelAnswer, CancelAttempt,
+    ATTEMPT_PATH, AttemptHead, AttemptStream, CANCEL_PATH, CancelAttempt, CancelResponse,
     encode_request,
 };
 use crate::client::{ClientLimits, HttpClient, SendError, SendStage};
@@ -59,7 +59,7 @@
     pub fn verdict(&self) -> RunVerdict {
         match self {
             Self::Send(error) => error.verdict,
-            Self::Status { status, .. } => verdict_of(*status),
+            Self::Status { status, .. } => status_verdict(*status),
             Self::Coding { verdict, .. } => *verdict,
         }
     }
@@ -71,7 +71,7 @@
 /// unknown, the message is malformed, or there are too many connections. Any other status may come from a handler
 /// that has already started.
 #[must_use]
-pub fn verdict_of(status: StatusCode) -> RunVerdict {
+pub fn status_verdict(status: StatusCode) -> RunVerdict {
     if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
         RunVerdict::NotRun
     } else {
@@ -170,8 +170,8 @@
             let cause = format!("the agent responded with status {status}");
             return Err(send_error(
                 address,
-                verdict_of(status),
-                SendStage::Answer,
+                status_verdict(status),
+                SendStage::Response,
                 cause,
             ));
         }
@@ -193,7 +193,7 @@
         address: SocketAddr,
         cancel: &CancelAttempt,
         timeout: Duration,
-    ) -> Result<CancelAnswer, PeerError> {
+    ) -> Result<CancelResponse, PeerError> {
         self.call(address, CANCEL_PATH, cancel, timeout).await
     }
 }
--- a/crates/oatpier-wire/src/server.rs
+++ b/crates/oatpier-wire/src/server.rs
@@ -60,13 +60,13 @@
     /// The maximum size of a request body in bytes; larger ones receive a 413 response.
     pub body_bytes: usize,
     /// The maximum time from the first to the last byte of a head.
-    pub head_wait: Duration,
+    pub head_timeout: Duration,
     /// The maximum time to receive a body; slower ones receive a 408 response.
-    pub body_wait: Duration,
+    pub body_timeout: Duration,
     /// How long an idle connection is kept between requests.
     pub idle: Duration,
     /// The maximum time without progress in writing a response to the caller.
-    pub write_wait: Duration,
+    pub write_timeout: Duration,
     /// How long the server still responds to requests in transit after a shutdown is requested, each with
     /// `Connection: close`, before it closes idle connections.
     pub linger: Duration,
@@ -80,10 +80,10 @@
             connections: 4096,
             head_bytes: 32 << 10,
             body_bytes: 4 << 20,
-            head_wait: Duration::from_secs(5),
-            body_wait: Duration::from_secs(10),
+            head_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(10),
             idle: Duration::from_mins(1),
-            write_wait: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(10),
             linger: Duration::from_millis(500),
             retry_after: Duration::from_secs(1),
         }
--- a/crates/oatpier-wire/src/server/connection.rs
+++ b/crates/oatpier-wire/src/server/connection.rs
@@ -73,7 +73,7 @@
     });
     let guarded = guard_stream(&context, stream, activity);
     let connection = http1_builder(&context.limits).serve_connection(guarded, service);
-    let max_time = context.limits.head_wait + context.limits.write_wait;
+    let max_time = context.limits.head_timeout + context.limits.write_timeout;
     // The connection is closed whether or not the response was sent.
     let _ = tokio::time::timeout(max_time, connection).await;
 }
--- a/crates/oatpier-wire/src/server/request_body.rs
+++ b/crates/oatpier-wire/src/server/request_body.rs
@@ -59,12 +59,11 @@
         return Err(BodyError::TooLarge { limit });
     }
     let collecting = Limited::new(&mut body, limit).collect();
-    let collected =
-        timeout(limits.body_wait, collecting)
-            .await
-            .map_err(|_| BodyError::TooSlow {
-                wait: limits.body_wait,
-            })?;
+    let collected = timeout(limits.body_timeout, collecting)
+        .await
+        .map_err(|_| BodyError::TooSlow {
+            wait: limits.body_timeout,
+        })?;
     match collected {
         Ok(collected) => Ok(Request::from_parts(parts, collected.to_bytes())),
         Err(error) if is_over_limit(&error) => {
--- a/crates/oatpier-wire/tests/testsuite/attempt_responses.rs
+++ b/crates/oatpier-wire/tests/testsuite/attempt_responses.rs
@@ -12,8 +12,8 @@
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::attempt::{
-    ATTEMPT_PATH, AttemptFault, AttemptFrame, AttemptStream, MAX_PIECE_BYTES, TaggedFrame, answer,
-    decode_request,
+    ATTEMPT_PATH, AttemptFault, AttemptFrame, AttemptStream, MAX_PIECE_BYTES, TaggedFrame,
+    build_response, decode_request,
 };
 use oatpier_wire::client::ClientLimits;
 use oatpier_wire::frame::encode_frame;
@@ -105,7 +105,7 @@
             bytes: body,
             tokens: 3,
         };
-        answer(head.spec.attempt, stream::iter([started(), piece, ended()]))
+        build_response(head.spec.attempt, stream::iter([started(), piece, ended()]))
     };
     let server = TestServer::start(ServerLimits::default(), handler).await;
     let peer = peer();
@@ -233,7 +233,7 @@
             let frames = frames.inspect(move |_| {
                 let _held = &guard;
             });
-            answer(head.spec.attempt, frames)
+            build_response(head.spec.attempt, frames)
         }
     };
     let server = TestServer::start(ServerLimits::default(), handler).await;
--- a/crates/oatpier-wire/tests/testsuite/client_verdicts.rs
+++ b/crates/oatpier-wire/tests/testsuite/client_verdicts.rs
@@ -52,7 +52,7 @@
     let listener: TcpListener = socket.listen(1).unwrap();
     let address = listener.local_addr().unwrap();
     let short = ClientLimits {
-        connect: Duration::from_millis(30),
+        connect_timeout: Duration::from_millis(30),
         ..ClientLimits::default()
     };
     // Connections that are not accepted fill the backlog; after that the system drops connection attempts.
@@ -80,7 +80,7 @@
     .await;
     let error = client().send(address, get("/")).await.err().unwrap();
     assert_eq!(error.verdict, RunVerdict::MayHaveRun);
-    assert_eq!(error.stage, SendStage::Answer);
+    assert_eq!(error.stage, SendStage::Response);
 }
 
 /// The peer is frozen: it receives the request and does not respond. After the timeout it may still resume and
--- a/crates/oatpier-wire/tests/testsuite/peer_calls.rs
+++ b/crates/oatpier-wire/tests/testsuite/peer_calls.rs
@@ -6,7 +6,7 @@
 use http::{Request, StatusCode};
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::verdict::RunVerdict;
-use oatpier_wire::attempt::{CancelAnswer, CancelAttempt, CancelReach};
+use oatpier_wire::attempt::{CancelAttempt, CancelResponse, CancelScope};
 use oatpier_wire::client::ClientLimits;
 use oatpier_wire::peer::{PeerClient, decode_message};
 use oatpier_wire::reply::{self, Reply};
@@ -19,7 +19,7 @@
 fn respond(request: &Request<Bytes>) -> Reply {
     match request.uri().path() {
         "/agent/cancel" => match decode_message::<CancelAttempt>(request.body()) {
-            Ok(_) => reply::message(&CancelAnswer {
+            Ok(_) => reply::message(&CancelResponse {
                 verdict: RunVerdict::NotRun,
             }),
             Err(error) => reply::text(StatusCode::BAD_REQUEST, error.to_string()),
@@ -43,7 +43,7 @@
         attempt: AttemptId(1),
         request: RequestId(2),
         ticket: head(1).ticket,
-        reach: CancelReach::SealOnly,
+        scope: CancelScope::SealOnly,
     };
     let response = peer.cancel_attempt(server.address, &cancel, TIMEOUT).await;
     assert_eq!(response.unwrap().verdict, RunVerdict::NotRun);
@@ -69,7 +69,7 @@
     ];
     for (address, path, verdict) in cases {
         let error = peer
-            .call::<_, CancelAnswer>(address, path, "no such message", TIMEOUT)
+            .call::<_, CancelResponse>(address, path, "no such message", TIMEOUT)
             .await
             .unwrap_err();
         assert_eq!(error.verdict(), verdict, "{path}: {error}");
--- a/crates/oatpier-wire/tests/testsuite/server_limits.rs
+++ b/crates/oatpier-wire/tests/testsuite/server_limits.rs
@@ -75,7 +75,7 @@
 #[tokio::test]
 async fn rejects_a_slow_body_with_408() {
     let slow = ServerLimits {
-        body_wait: SHORT_TIMEOUT,
+        body_timeout: SHORT_TIMEOUT,
         ..limits()
     };
     let server = server(slow).await;
@@ -89,12 +89,12 @@
 #[tokio::test]
 async fn closes_connections_with_a_slow_head_and_idle_ones() {
     let slow_head = ServerLimits {
-        head_wait: SHORT_TIMEOUT,
+        head_timeout: SHORT_TIMEOUT,
         idle: Duration::from_hours(1),
         ..limits()
     };
     let idle = ServerLimits {
-        head_wait: Duration::from_hours(1),
+        head_timeout: Duration::from_hours(1),
         idle: SHORT_TIMEOUT,
         ..limits()
     };
@@ -117,7 +117,7 @@
 #[tokio::test]
 async fn closes_the_connection_of_a_caller_that_does_not_read() {
     let stalling = ServerLimits {
-        write_wait: SHORT_TIMEOUT,
+        write_timeout: SHORT_TIMEOUT,
         ..limits()
     };
     let server = server(stalling).await;
--- a/crates/oatpier/src/ops/crashes.rs
+++ b/crates/oatpier/src/ops/crashes.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use oatpier_platform::store::{CrashChanges, MOST_CHANGES, StoreClient, StoreSnapshot};
+use oatpier_platform::store::{CrashChanges, MAX_CHANGES, StoreClient, StoreSnapshot};
 use oatpier_serving::crashes::CrashRecord;
 use oatpier_serving::crashes::book::MOST_CRASHES;
 use oatpier_serving::fingerprint::RequestFingerprint;
@@ -93,7 +93,7 @@
                 nearest: None,
             });
         }
-        for remove in own.chunks(MOST_CHANGES) {
+        for remove in own.chunks(MAX_CHANGES) {
             let changes = CrashChanges {
                 put: Vec::new(),
                 remove: remove.to_vec(),
--- a/crates/oatpierd/src/commands/agent.rs
+++ b/crates/oatpierd/src/commands/agent.rs
@@ -39,7 +39,7 @@
         println!("the settings of {} are good", settings.name);
         return Ok(());
     }
-    logs::install(&settings.name);
+    logs::install_on_stderr(&settings.name);
     let process = oatpier_agent::start(&settings).map_err(start_failure)?;
     stop_on_signal(&process.stop);
     process.join().map_err(duty_failure)
--- a/crates/oatpierd/src/commands/node.rs
+++ b/crates/oatpierd/src/commands/node.rs
@@ -43,7 +43,7 @@
         println!("the settings of {} are good", settings.name);
         return Ok(());
     }
-    logs::install_on_output(&settings.name);
+    logs::install_on_stdout(&settings.name);
     let source = move || settings::read(path.as_deref()).map_err(|failure| error_chain(&failure));
     let process = start(&settings, Box::new(source)).map_err(start_failure)?;
     spdlog::info!("started", kv: { zone: = settings.zone.as_str() });
--- a/crates/oatpierd/tests/testsuite/settings.rs
+++ b/crates/oatpierd/tests/testsuite/settings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oatpierd::settings::{AgentSettings, EntrySettings, IntakeLimits, SettingsText};
+use oatpierd::settings::{AgentSettings, EntrySettings, RequestLimits, SettingsText};
 
 fn text(text: &str) -> SettingsText {
     SettingsText {
@@ -15,8 +15,8 @@
 fn the_example_of_an_entry_gives_the_defaults() {
     let example = text(include_str!("../../examples-settings/entry.toml"));
     let settings = EntrySettings::try_from(&example).unwrap();
-    assert_eq!(settings.limits, IntakeLimits::default());
-    assert_eq!(settings.notice, Duration::from_millis(1500));
+    assert_eq!(settings.limits, RequestLimits::default());
+    assert_eq!(settings.stop_notice, Duration::from_millis(1500));
     assert_eq!(settings.silence_floor, Duration::from_millis(60));
     assert_eq!(settings.zone.as_str(), "ikeja");
 }
@@ -41,9 +41,9 @@
         .errors
         .iter()
         .map(|error| {
-            let start = error.place.offset();
-            let place = &wrong.text[start..start + error.place.len()];
-            format!("{} | at {place:?} | {}", error.message, error.mend)
+            let start = error.span.offset();
+            let place = &wrong.text[start..start + error.span.len()];
+            format!("{} | at {place:?} | {}", error.message, error.help)
         })
         .collect();
     insta::assert_snapshot!(told.join("\n"), @r#"
