--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounts.rs
@@ -9,7 +9,7 @@
 use oatpier_serving::engine::EndpointLoad;
 use oatpier_serving::failures::EngineFailure;
 use oatpier_serving::message::InnerMessage;
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 
@@ -27,7 +27,7 @@
             .allowance
             .note_request(&context.service, context.arrived);
         if let Some(weights) = &context.request.weights {
-            state.demand.note_asked(weights, context.arrived);
+            state.demand.note_arrival(weights, context.arrived);
         }
     }
 
@@ -63,10 +63,11 @@
         let Some(weights) = weights else {
             return state.directory.sent_without_prompt(endpoint);
         };
-        let unread = choice::unread_at(&state.directory, endpoint, &context.request, now);
+        let uncached =
+            choice::uncached_tokens_at(&state.directory, endpoint, &context.request, now);
         state.directory.note_cached_prompt(endpoint, &chain, now);
         state.demand.note_sent(&weights.model, now);
-        state.directory.note_prefill(endpoint, weights, unread)
+        state.directory.note_prefill(endpoint, weights, uncached)
     }
 
     /// Records that an endpoint has finished the prefill of a request's prompt, or will not start it.
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -9,7 +9,7 @@
 use oatpier_platform::headers::{self, AnswerHead, AnswerKind, SendTerms};
 use oatpier_serving::directory::{ReceivedNotice, RequestOutcome};
 use oatpier_serving::notice::EndpointNotice;
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 use oatpier_types::verdict::RunVerdict;
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use oatpier_duty::duty::{RingSender, RuntimeClock};
-use oatpier_serving::admission::AdmissionJudge;
+use oatpier_serving::admission::AdmissionController;
 use oatpier_serving::budget::RetryAllowance;
 use oatpier_serving::crashes::broken_attempts::AttemptWatch;
 use oatpier_serving::crashes::changes::CrashChange;
 use oatpier_serving::crashes::suspects::SuspectTable;
-use oatpier_serving::demand::DemandBook;
+use oatpier_serving::demand::DemandTracker;
 use oatpier_serving::directory::{EndpointDirectory, EndpointRecord};
 use oatpier_serving::message::{EngineStatus, EngineUpdate, InnerMessage};
 use oatpier_serving::peers::PeerTable;
@@ -77,7 +77,7 @@
 pub(super) struct CoreState {
     pub(super) config: Option<Arc<SiteConfig>>,
     pub(super) directory: EndpointDirectory,
-    pub(super) demand: DemandBook,
+    pub(super) demand: DemandTracker,
     pub(super) allowance: RetryAllowance,
     /// Requests that were running at endpoints when these ended.
     pub(super) crashes: SuspectTable,
@@ -97,7 +97,7 @@
     /// Engine updates from sidecars, to pass on as a relay of this availability zone.
     pub(super) relayed: RelayQueue,
     pub(super) planner: LoadPlanner,
-    pub(super) judge: AdmissionJudge,
+    pub(super) judge: AdmissionController,
     pub(super) store_read_at: Option<ClockTime>,
     /// When the configuration was last known to match the store, from an own read or from another gateway.
     pub(super) config_known_at: Option<ClockTime>,
@@ -157,7 +157,7 @@
         let state = CoreState {
             config: None,
             directory: EndpointDirectory::default(),
-            demand: DemandBook::default(),
+            demand: DemandTracker::default(),
             allowance: RetryAllowance::new(
                 bounds.retry_ratio,
                 bounds.retry_slack,
@@ -181,7 +181,7 @@
             store_era: None,
             relayed: RelayQueue::default(),
             planner: LoadPlanner::default(),
-            judge: AdmissionJudge::new(rand::random()),
+            judge: AdmissionController::new(rand::random()),
             store_read_at: None,
             urgent: false,
         };
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -14,7 +14,7 @@
 use oatpier_serving::directory::RequestOutcome;
 use oatpier_serving::fingerprint::RequestFingerprint;
 use oatpier_serving::message::InnerMessage;
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{EndpointName, WorkspaceName};
 
--- a/crates/oatpier-gateway/src/gateway/pauses.rs
+++ b/crates/oatpier-gateway/src/gateway/pauses.rs
@@ -28,7 +28,7 @@
         Self {
             requests: row.request_count(),
             waiting: row.waiting(),
-            prefill_ms: row.prefill.ms(),
+            prefill_ms: row.prefill.total_ms(),
         }
     }
 }
--- a/crates/oatpier-gateway/src/gateway/permits.rs
+++ b/crates/oatpier-gateway/src/gateway/permits.rs
@@ -100,7 +100,7 @@
 /// Returns how long a request may still wait to be in time, in milliseconds.
 fn due_in_ms(core: &GatewayCore, context: &RequestContext) -> u32 {
     let waited = core.clock.now().since(context.arrived);
-    let left = admission::latest_wait(&context.route).saturating_sub(waited);
+    let left = admission::max_timely_wait(&context.route).saturating_sub(waited);
     u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
 }
 
@@ -121,7 +121,7 @@
     if placed.load_age.is_none() {
         return PermitVerdict::NotNeeded;
     }
-    let prefill = match placed.choice.own_reading {
+    let prefill = match placed.choice.own_prefill {
         Duration::ZERO => pause,
         known => known,
     };
--- a/crates/oatpier-gateway/src/gateway/placement.rs
+++ b/crates/oatpier-gateway/src/gateway/placement.rs
@@ -7,7 +7,7 @@
 
 use oatpier_serving::admission;
 use oatpier_serving::call::CallerRequest;
-use oatpier_serving::choice::{EndpointChoice, HeldService};
+use oatpier_serving::choice::{EndpointChoice, ThrottledService};
 use oatpier_serving::fingerprint::RequestFingerprint;
 use oatpier_serving::quota::turns::{HeldTurn, MAX_TURN_ADVANCE};
 use oatpier_serving::site::{RouteKind, RouteRule};
@@ -76,7 +76,7 @@
 
     /// Returns whether the request has waited for an endpoint for the maximum time.
     pub(super) fn has_exceeded_wait(&self, now: ClockTime) -> bool {
-        let max_wait = admission::longest_wait(&self.route, self.first_chunk_timeout());
+        let max_wait = admission::max_wait(&self.route, self.first_chunk_timeout());
         now.since(self.arrived) > max_wait
     }
 
@@ -87,7 +87,7 @@
 
     /// Returns how much longer the request may wait for an endpoint.
     pub(super) fn remaining_wait(&self, now: ClockTime) -> Duration {
-        let max_wait = admission::longest_wait(&self.route, self.first_chunk_timeout());
+        let max_wait = admission::max_wait(&self.route, self.first_chunk_timeout());
         max_wait.saturating_sub(now.since(self.arrived))
     }
 
@@ -124,7 +124,7 @@
     /// The best endpoint, if there is one; it is overloaded.
     pub best: Option<EndpointChoice>,
     /// Why no endpoint can be used, if all are throttled: they asked for a rest period or are over their rate limit.
-    pub throttled: Option<HeldService>,
+    pub throttled: Option<ThrottledService>,
 }
 
 impl PlacementRefusal {
@@ -136,7 +136,7 @@
         })
     }
 
-    pub(super) fn throttled(refusal: Refusal, throttled: HeldService) -> Placement {
+    pub(super) fn throttled(refusal: Refusal, throttled: ThrottledService) -> Placement {
         Placement::Refuse(Self {
             refusal,
             best: None,
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use oatpier_serving::admission::{AdmissionQuery, AdmissionVerdict};
+use oatpier_serving::admission::{AdmissionDecision, AdmissionQuery};
 use oatpier_serving::call::WeightsKey;
-use oatpier_serving::choice::{self, ChoiceQuery, ChoiceVerdict, EndpointChoice, HeldService};
+use oatpier_serving::choice::{self, ChoiceOutcome, ChoiceQuery, EndpointChoice, ThrottledService};
 use oatpier_serving::message::{AdapterRequest, InnerMessage};
 use oatpier_serving::site::{EngineRule, SiteConfig};
 use oatpier_types::clock::ClockTime;
@@ -52,43 +52,43 @@
         let config = state.config.clone();
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, excluded, engine, now) {
-            ChoiceVerdict::Endpoint(choice) => {
-                let verdict = state.judge.judge(&AdmissionQuery {
+            ChoiceOutcome::Endpoint(choice) => {
+                let decision = state.judge.decide(&AdmissionQuery {
                     choice: &choice,
                     route: &context.route,
                     priority: context.priority(),
                     waited: now.since(context.arrived),
-                    patience: context.first_chunk_timeout(),
+                    first_chunk_timeout: context.first_chunk_timeout(),
                 });
-                if verdict != AdmissionVerdict::Send {
+                if decision != AdmissionDecision::Send {
                     self.record_unserved(&mut state, context, now);
                 }
                 let waits_at_sidecar = waits_at_sidecar(&state, context, &choice, now);
-                match verdict {
-                    AdmissionVerdict::Refuse(refusal) => Placement::Refuse(PlacementRefusal {
+                match decision {
+                    AdmissionDecision::Refuse(refusal) => Placement::Refuse(PlacementRefusal {
                         refusal,
                         best: Some(choice),
                         throttled: None,
                     }),
-                    AdmissionVerdict::Wait(max_wait) if !waits_at_sidecar => {
+                    AdmissionDecision::Wait(max_wait) if !waits_at_sidecar => {
                         Placement::Sleep(max_wait)
                     }
-                    AdmissionVerdict::Send | AdmissionVerdict::Wait(_) => {
+                    AdmissionDecision::Send | AdmissionDecision::Wait(_) => {
                         let slots = engine.map_or(0, |rule| rule.adapter_slots);
                         self.place_at(&mut state, context, choice, slots, now)
                     }
                 }
             }
-            ChoiceVerdict::NoModel { ready_in, load } => {
+            ChoiceOutcome::NoModel { ready_in, load } => {
                 self.record_unserved(&mut state, context, now);
                 let pending = PendingModel { ready_in, load };
                 place_without_model(&mut state, context, pending, now)
             }
-            ChoiceVerdict::Held(throttled) => {
+            ChoiceOutcome::Throttled(throttled) => {
                 self.record_unserved(&mut state, context, now);
                 place_throttled(&mut state, context, throttled, now)
             }
-            ChoiceVerdict::NoEndpoint => {
+            ChoiceOutcome::NoEndpoint => {
                 let refusal = state
                     .judge
                     .refusal(RefusalCause::NoEndpoint, NO_ENDPOINT_RETRY_AFTER);
@@ -103,10 +103,10 @@
         let config = state.config.clone();
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, &[], engine, self.clock.now()) {
-            ChoiceVerdict::Endpoint(choice) => Some(choice),
-            ChoiceVerdict::NoModel { .. } | ChoiceVerdict::Held(_) | ChoiceVerdict::NoEndpoint => {
-                None
-            }
+            ChoiceOutcome::Endpoint(choice) => Some(choice),
+            ChoiceOutcome::NoModel { .. }
+            | ChoiceOutcome::Throttled(_)
+            | ChoiceOutcome::NoEndpoint => None,
         }
     }
 
@@ -115,15 +115,17 @@
     pub(super) fn refusal_if_throttled(
         &self,
         context: &RequestContext,
-    ) -> Option<(Refusal, HeldService)> {
+    ) -> Option<(Refusal, ThrottledService)> {
         let mut state = self.lock();
         let config = state.config.clone();
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, &[], engine, self.clock.now()) {
-            ChoiceVerdict::Held(throttled) => Some((state.judge.held(&throttled), throttled)),
-            ChoiceVerdict::Endpoint(_)
-            | ChoiceVerdict::NoModel { .. }
-            | ChoiceVerdict::NoEndpoint => None,
+            ChoiceOutcome::Throttled(throttled) => {
+                Some((state.judge.refuse_throttled(&throttled), throttled))
+            }
+            ChoiceOutcome::Endpoint(_)
+            | ChoiceOutcome::NoModel { .. }
+            | ChoiceOutcome::NoEndpoint => None,
         }
     }
 
@@ -134,14 +136,14 @@
         excluded: &[EndpointName],
         engine: Option<&EngineRule>,
         now: ClockTime,
-    ) -> ChoiceVerdict {
+    ) -> ChoiceOutcome {
         let query = ChoiceQuery {
             service: &context.service,
             request: &context.request,
             zone: &self.zone,
             excluded,
             engine,
-            turn_patience: context.max_turn_wait(now),
+            max_turn_wait: context.max_turn_wait(now),
         };
         choice::choose(&state.directory, &query, now)
     }
@@ -149,7 +151,7 @@
     /// Returns the refusal of a request that has waited for the maximum time.
     pub(super) fn refusal_if_wait_exceeded(&self, context: &RequestContext) -> Option<Refusal> {
         let has_exceeded_wait = context.has_exceeded_wait(self.clock.now());
-        has_exceeded_wait.then(|| self.lock().judge.too_late(Duration::ZERO))
+        has_exceeded_wait.then(|| self.lock().judge.refuse_late(Duration::ZERO))
     }
 
     fn place_at(
@@ -224,7 +226,7 @@
 ) -> bool {
     let row = state.directory.row(&choice.endpoint);
     let is_reporting = row.is_some_and(|row| row.status(now).is_some());
-    context.route.kind.is_stream() && choice.batches && !choice.memory_full && is_reporting
+    context.route.kind.is_stream() && choice.is_batched && !choice.is_memory_full && is_reporting
 }
 
 /// Places a request whose endpoints are all throttled: they asked for a rest period or are over their rate limit. It
@@ -233,15 +235,17 @@
 fn place_throttled(
     state: &mut CoreState,
     context: &RequestContext,
-    throttled: HeldService,
+    throttled: ThrottledService,
     now: ClockTime,
 ) -> Placement {
-    let spare_wait = context.remaining_wait(now).saturating_sub(throttled.left);
+    let spare_wait = context
+        .remaining_wait(now)
+        .saturating_sub(throttled.remaining);
     if spare_wait.is_zero() {
-        let refusal = state.judge.held(&throttled);
+        let refusal = state.judge.refuse_throttled(&throttled);
         return PlacementRefusal::throttled(refusal, throttled);
     }
-    let delay = throttled.left + (spare_wait / REST_SPREAD_DIVISOR).min(MAX_REST_SPREAD);
+    let delay = throttled.remaining + (spare_wait / REST_SPREAD_DIVISOR).min(MAX_REST_SPREAD);
     Placement::Sleep(delay.min(STOP_CHECK_INTERVAL))
 }
 
--- a/crates/oatpier-gateway/src/gateway/planning.rs
+++ b/crates/oatpier-gateway/src/gateway/planning.rs
@@ -117,7 +117,7 @@
             .with("want", (load.want * 100.0).round() / 100.0)
             .with("holders", load.holders)
             .with("rate_spent", load.rate_spent)
-            .with("rests", load.rests)
+            .with("rests", load.is_backed_off)
             .with("busy", load.busy)
             .with("paced", load.paced)
             .with("full", load.full)
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -207,11 +207,11 @@
 
 impl GatewayCore {
     fn over_limit(&self, after: Duration) -> OwnAnswer {
-        OwnAnswer::OverLimit(self.lock().judge.spread(after))
+        OwnAnswer::OverLimit(self.lock().judge.jitter(after))
     }
 
     fn limit_unknown(&self) -> OwnAnswer {
-        OwnAnswer::LimitUnknown(self.lock().judge.spread(UNREACHABLE_RETRY))
+        OwnAnswer::LimitUnknown(self.lock().judge.jitter(UNREACHABLE_RETRY))
     }
 
     /// Answers another gateway's request for units of a part that this gateway holds.
--- a/crates/oatpier-gateway/src/gateway/reports.rs
+++ b/crates/oatpier-gateway/src/gateway/reports.rs
@@ -86,7 +86,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.lock();
         state.urgent = false;
-        let demand = state.demand.pressed_summary(now);
+        let demand = state.demand.unserved_summary(now);
         let peers = state.peers.addresses(&self.core.zone, now);
         let own = state.peers.own();
         drop(state);
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http::Response;
 use http_body_util::{BodyExt, Full};
-use oatpier_serving::choice::{EndpointChoice, HeldService};
+use oatpier_serving::choice::{EndpointChoice, ThrottledService};
 use oatpier_serving::crashes::suspects::SuspectVerdict;
 use oatpier_serving::site::RouteKind;
 use oatpier_types::names::EndpointName;
@@ -63,7 +63,7 @@
     pub(super) best_choice: Option<EndpointChoice>,
     /// Why no endpoint could be used when the request was refused because all of them are throttled: they asked for
     /// a rest period or are over their rate limit.
-    pub(super) throttled: Option<HeldService>,
+    pub(super) throttled: Option<ThrottledService>,
 }
 
 /// The final outcome of a request.
--- a/crates/oatpier-gateway/src/gateway/run_log.rs
+++ b/crates/oatpier-gateway/src/gateway/run_log.rs
@@ -119,7 +119,10 @@
                 "held_for",
                 throttled.map(|throttled| throttled.cause.as_str()),
             )
-            .with("held_ms", throttled.map(|throttled| millis(throttled.left)))
+            .with(
+                "held_ms",
+                throttled.map(|throttled| millis(throttled.remaining)),
+            )
             .with("return_ms", response.retry_after().map(millis))
             .with("status", response.status().as_u16())
             .with("verdict", self.verdict().as_str())
--- a/crates/oatpier-gateway/src/sidecar/engine_link.rs
+++ b/crates/oatpier-gateway/src/sidecar/engine_link.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use oatpier_platform::{engine, headers};
 use oatpier_serving::engine::{EngineReport, OrderAnswer};
-use oatpier_serving::residency::NumberedOrder;
+use oatpier_serving::residency::SequencedOrder;
 use oatpier_types::names::{DaemonName, EndpointName};
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::client::{ClientLimits, HttpClient};
@@ -103,7 +103,7 @@
     }
 
     /// Sends an order.
-    pub async fn order(&mut self, order: &NumberedOrder) -> OrderAnswer {
+    pub async fn order(&mut self, order: &SequencedOrder) -> OrderAnswer {
         let request = engine::order_request(order, &self.holder, self.instance.as_ref());
         let answer = self
             .client
--- a/crates/oatpier-gateway/src/sidecar/mod.rs
+++ b/crates/oatpier-gateway/src/sidecar/mod.rs
@@ -19,8 +19,8 @@
 use oatpier_serving::failures::FailureCount;
 use oatpier_serving::message::InnerMessage;
 use oatpier_serving::node::NodeSettings;
-use oatpier_serving::permits::PermitDesk;
-use oatpier_serving::residency::{EngineResidency, LoadPace, NumberedOrder};
+use oatpier_serving::permits::PermitIssuer;
+use oatpier_serving::residency::{EngineResidency, LoadPace, SequencedOrder};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
 use crate::decisions::{DecisionLine, DecisionLog, LineWeight};
@@ -55,7 +55,7 @@
 const DEFAULT_PACE: LoadPace = LoadPace {
     loads: 1,
     engines: 64,
-    place: u32::MAX,
+    index: u32::MAX,
     window: Duration::from_secs(5),
 };
 
@@ -123,7 +123,7 @@
     };
     let mut sidecar = EngineSidecar {
         residency: EngineResidency::new(pace, settings.is_first_start, clock.now()),
-        permits: PermitDesk::default(),
+        permits: PermitIssuer::default(),
         failures: FailureCount::default(),
         link: EngineLink::new(address, settings.name.clone()),
         status_sender: StatusSender::new(address, settings.service.clone()),
@@ -146,7 +146,7 @@
 /// State of the loop that manages one engine.
 struct EngineSidecar {
     residency: EngineResidency,
-    permits: PermitDesk,
+    permits: PermitIssuer,
     /// Counts of the engine's requests and of those that failed.
     failures: FailureCount,
     link: EngineLink,
@@ -188,7 +188,7 @@
 
     /// Returns a future that completes when a waiting permit can be granted.
     fn next_permit(&self) -> impl Future<Output = ()> + use<> {
-        let at = self.permits.next_at();
+        let at = self.permits.next_expiry();
         let at = at.map(|at| self.clock.instant(at));
         async move {
             match at {
@@ -199,7 +199,7 @@
     }
 
     fn send_permits(&mut self) {
-        for due in self.permits.due(self.clock.now()) {
+        for due in self.permits.issue_due(self.clock.now()) {
             self.failures.note_request(self.clock.now());
             let message = InnerMessage::Permit(due.grant);
             MessageOutlet::send(&self.socket, due.to, &message);
@@ -217,17 +217,17 @@
             }
             InnerMessage::AdapterWanted(request) => {
                 self.status_sender.note_requester(from, now);
-                self.residency.take_wish(request, now);
+                self.residency.request_adapter(request, now);
             }
             InnerMessage::Advice(advice) => {
                 let line = DecisionLine::new(LineWeight::Notable, "advice heard")
                     .with("model", advice.load.as_str())
                     .with("from", from.to_string());
                 self.log.write(line);
-                self.residency.take_advice(advice, now);
+                self.residency.accept_advice(advice, now);
             }
             InnerMessage::RightAsk(right) => {
-                let is_lent = self.residency.lend(now);
+                let is_lent = self.residency.lend_right(now);
                 let line = DecisionLine::new(LineWeight::Notable, "right asked")
                     .with("from", from.to_string())
                     .with("outcome", if is_lent { "lent" } else { "kept" });
@@ -236,13 +236,13 @@
                     MessageOutlet::send(&self.socket, from, &InnerMessage::Right(right));
                 }
             }
-            InnerMessage::Right(right) => self.residency.take_right(right),
+            InnerMessage::Right(right) => self.residency.accept_right(right),
             InnerMessage::PermitAsk(ask) => {
-                self.permits.take_ask(from, ask, now);
+                self.permits.add_request(from, ask, now);
                 self.send_permits();
             }
             InnerMessage::PermitDone(permit) => {
-                self.permits.take_back(permit.id);
+                self.permits.release(permit.id);
                 self.send_permits();
             }
             InnerMessage::AttemptFailed(failure) => self.failures.note_failure(failure, now),
@@ -278,7 +278,7 @@
                     self.log_engine("engine answers");
                 }
                 self.permits.note_load(report.load, self.clock.now());
-                self.residency.take_report(report);
+                self.residency.apply_report(report);
                 self.send_permits();
                 self.identify().await;
             }
@@ -346,14 +346,14 @@
     fn request_load_right(&mut self) {
         let ask = self
             .residency
-            .ask_for_right(rand::random(), self.clock.now());
+            .request_right(rand::random(), self.clock.now());
         if let Some(ask) = ask {
             let message = InnerMessage::RightAsk(ask.right);
             MessageOutlet::send(&self.socket, ask.lender, &message);
         }
     }
 
-    async fn send_order(&mut self, order: &NumberedOrder) {
+    async fn send_order(&mut self, order: &SequencedOrder) {
         let answer = self.link.order(order).await;
         match answer {
             OrderAnswer::Unknown => self.paused_until = Instant::now() + UNANSWERED_PAUSE,
@@ -369,7 +369,7 @@
         self.log_order(order, answer);
     }
 
-    fn log_order(&self, order: &NumberedOrder, answer: OrderAnswer) {
+    fn log_order(&self, order: &SequencedOrder, answer: OrderAnswer) {
         let (operation, weights) = match &order.order {
             EngineOrder::LoadModel(model) => ("load model", model.to_string()),
             EngineOrder::UnloadModel(model) => ("unload model", model.to_string()),
--- a/crates/oatpier-gateway/src/sidecar/statuses.rs
+++ b/crates/oatpier-gateway/src/sidecar/statuses.rs
@@ -14,7 +14,7 @@
 use oatpier_serving::message::{
     EngineStatus, EngineUpdate, GatewaySubscription, InnerMessage, LoadStatus, MessageNumber,
 };
-use oatpier_serving::permits::PermitDesk;
+use oatpier_serving::permits::PermitIssuer;
 use oatpier_serving::relays::{self, RelayCandidate};
 use oatpier_serving::residency::{EngineResidency, held_adapters};
 use oatpier_types::clock::ClockTime;
@@ -113,9 +113,10 @@
     }
 
     /// Sets the number of requests that wait for permits, and the time to read their prompts.
-    pub fn set_waiting(&mut self, desk: &PermitDesk) {
-        self.permit_wait_ms = u32::try_from(desk.waiting().as_millis()).unwrap_or(u32::MAX);
-        self.permits_waiting = desk.waiting_requests();
+    pub fn set_waiting(&mut self, issuer: &PermitIssuer) {
+        self.permit_wait_ms =
+            u32::try_from(issuer.pending_prefill().as_millis()).unwrap_or(u32::MAX);
+        self.permits_waiting = issuer.pending_requests();
     }
 
     /// Sets the share of the engine's requests that fail.
@@ -289,7 +290,7 @@
             },
             memory_used: report.memory_used,
             memory_total: report.memory_total,
-            models: residency.offered(),
+            models: residency.offered_models(),
             retiring: residency.retiring().to_vec(),
             loading: residency.loading().cloned(),
             coming: report.coming.clone(),
--- a/crates/oatpier-gateway/tests/testsuite/statuses.rs
+++ b/crates/oatpier-gateway/tests/testsuite/statuses.rs
@@ -21,11 +21,11 @@
     let pace = LoadPace {
         loads: 4,
         engines: 4,
-        place: 0,
+        index: 0,
         window: Duration::from_secs(5),
     };
     let mut residency = EngineResidency::new(pace, true, ClockTime::ZERO);
-    residency.take_report(EngineReport::default());
+    residency.apply_report(EngineReport::default());
     residency
 }
 
@@ -50,7 +50,7 @@
 /// Reports an engine that holds a model with these adapters.
 fn report_adapters(residency: &mut EngineResidency, adapters: &[&str]) {
     let adapters = adapters.iter().map(|name| adapter_name(name));
-    residency.take_report(EngineReport {
+    residency.apply_report(EngineReport {
         models: vec![HeldModel {
             model: ModelName::try_from("m1").unwrap(),
             adapters: adapters.collect(),
--- a/crates/oatpier-serving/src/admission.rs
+++ b/crates/oatpier-serving/src/admission.rs
@@ -13,7 +13,7 @@
 
 use oatpier_types::refusal::{Refusal, RefusalCause};
 
-use crate::choice::{EndpointChoice, HeldService, ThrottleCause};
+use crate::choice::{EndpointChoice, ThrottleCause, ThrottledService};
 use crate::site::RouteRule;
 
 /// Share of a class's latency target that may be spent waiting for a slot. The rest covers the transfer to
@@ -65,15 +65,15 @@
 
 /// Returns how long a request of a route may wait at the gateway and still be in time.
 #[must_use]
-pub fn latest_wait(route: &RouteRule) -> Duration {
+pub fn max_timely_wait(route: &RouteRule) -> Duration {
     route.target.mul_f64(WAIT_SHARE)
 }
 
 /// Returns how long a request may wait at the gateway at all, given its caller's timeout for the first
 /// chunk.
 #[must_use]
-pub fn longest_wait(route: &RouteRule, patience: Duration) -> Duration {
-    latest_wait(route).max(patience.mul_f64(LATE_WAIT_SHARE))
+pub fn max_wait(route: &RouteRule, patience: Duration) -> Duration {
+    max_timely_wait(route).max(patience.mul_f64(LATE_WAIT_SHARE))
 }
 
 /// A request that needs a slot.
@@ -88,13 +88,13 @@
     /// Time since it arrived at the gateway.
     pub waited: Duration,
     /// Time that its caller waits for the first chunk of the response, measured from its arrival.
-    pub patience: Duration,
+    pub first_chunk_timeout: Duration,
 }
 
 impl AdmissionQuery<'_> {
     /// Returns how long the request may wait and still be in time.
     fn timely_wait(&self) -> Duration {
-        latest_wait(self.route)
+        max_timely_wait(self.route)
     }
 
     /// Returns whether the first chunk can only be late.
@@ -105,7 +105,7 @@
 
 /// Decision on a request for which an endpoint was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AdmissionVerdict {
+pub enum AdmissionDecision {
     /// Send it to the endpoint.
     Send,
     /// Let it wait at the gateway and check again after this time.
@@ -116,12 +116,12 @@
 
 /// Admission control of a gateway, with the random generator for the jitter of retry times.
 #[derive(Debug)]
-pub struct AdmissionJudge {
+pub struct AdmissionController {
     generator: ChaCha8Rng,
     refused_share: f64,
 }
 
-impl AdmissionJudge {
+impl AdmissionController {
     /// Creates a controller whose jitter is derived from `seed`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
@@ -132,21 +132,21 @@
     }
 
     /// Decides whether a request is sent, waits or is refused.
-    pub fn judge(&mut self, query: &AdmissionQuery<'_>) -> AdmissionVerdict {
+    pub fn decide(&mut self, query: &AdmissionQuery<'_>) -> AdmissionDecision {
         let choice = query.choice;
         if has_slot(query) {
             self.refused_share -= self.refused_share * REFUSED_SHARE_WEIGHT;
-            return AdmissionVerdict::Send;
+            return AdmissionDecision::Send;
         }
-        let max_wait = longest_wait(query.route, query.patience);
+        let max_wait = max_wait(query.route, query.first_chunk_timeout);
         if query.waited + choice.queue / 2 < max_wait {
-            return AdmissionVerdict::Wait(RECHECK_INTERVAL);
+            return AdmissionDecision::Wait(RECHECK_INTERVAL);
         }
-        AdmissionVerdict::Refuse(self.too_late(choice.queue))
+        AdmissionDecision::Refuse(self.refuse_late(choice.queue))
     }
 
     /// Returns a refusal for lack of capacity, given the remaining queueing time.
-    pub fn too_late(&mut self, queue: Duration) -> Refusal {
+    pub fn refuse_late(&mut self, queue: Duration) -> Refusal {
         self.refused_share += (1.0 - self.refused_share) * REFUSED_SHARE_WEIGHT;
         let after = queue + OVERLOAD_RETRY_AFTER.mul_f64(self.refused_share);
         self.refusal(RefusalCause::TooLate, after)
@@ -156,23 +156,23 @@
     pub fn refusal(&mut self, cause: RefusalCause, after: Duration) -> Refusal {
         Refusal {
             cause,
-            retry_after: Some(self.spread(after)),
+            retry_after: Some(self.jitter(after)),
         }
     }
 
     /// Returns a refusal for a request that no endpoint accepts for a known time. That time is not
     /// shortened, and its jitter is bounded so that the capacity is used once it is available.
-    pub fn held(&mut self, throttled: &HeldService) -> Refusal {
+    pub fn refuse_throttled(&mut self, throttled: &ThrottledService) -> Refusal {
         let cause = match throttled.cause {
             ThrottleCause::RateLimit => RefusalCause::RateLimited,
             ThrottleCause::RestPeriod => RefusalCause::EndpointRests,
         };
         let jitter = throttled
-            .left
+            .remaining
             .mul_f64(RETRY_JITTER)
             .min(MAX_THROTTLE_JITTER);
-        let after =
-            throttled.left.max(MIN_RETRY_AFTER) + jitter.mul_f64(self.generator.random::<f64>());
+        let after = throttled.remaining.max(MIN_RETRY_AFTER)
+            + jitter.mul_f64(self.generator.random::<f64>());
         Refusal {
             cause,
             retry_after: Some(after),
@@ -180,7 +180,7 @@
     }
 
     /// Returns a retry time with jitter.
-    pub fn spread(&mut self, after: Duration) -> Duration {
+    pub fn jitter(&mut self, after: Duration) -> Duration {
         let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         let jitter = 1.0 + RETRY_JITTER * self.generator.random::<f64>();
         after.mul_f64(jitter)
@@ -190,10 +190,10 @@
 /// Returns whether a request may take one more slot at the selected endpoint.
 fn has_slot(query: &AdmissionQuery<'_>) -> bool {
     let (choice, route) = (query.choice, query.route);
-    if !choice.batches {
+    if !choice.is_batched {
         return is_sent_now(query);
     }
-    if choice.memory_full {
+    if choice.is_memory_full {
         return false;
     }
     choice.occupancy < max_slot_share(query.is_late(), is_urgent(route, query.priority))
--- a/crates/oatpier-serving/src/choice.rs
+++ b/crates/oatpier-serving/src/choice.rs
@@ -74,7 +74,7 @@
     /// Configuration of the service's engines; `None` for a plain service.
     pub engine: Option<&'a EngineRule>,
     /// Longest time that the request can wait for its turn at a rate-limited endpoint.
-    pub turn_patience: Duration,
+    pub max_turn_wait: Duration,
 }
 
 /// The endpoint selected for a request.
@@ -91,16 +91,16 @@
     /// Share of slots that are taken. Above 1 if requests wait.
     pub occupancy: f64,
     /// Whether the endpoint has no memory for the request.
-    pub memory_full: bool,
+    pub is_memory_full: bool,
     /// Whether the endpoint is an engine, which serves all its requests in one batch.
-    pub batches: bool,
+    pub is_batched: bool,
     /// Time to prefill the prompt of the request.
-    pub own_reading: Duration,
+    pub own_prefill: Duration,
 }
 
 /// Result of a selection.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ChoiceVerdict {
+pub enum ChoiceOutcome {
     /// The request can go to this endpoint.
     Endpoint(EndpointChoice),
     /// No endpoint holds the model: it is being loaded or has to be loaded.
@@ -111,20 +111,20 @@
         load: Option<Duration>,
     },
     /// All endpoints that could serve the request are rate limited or in a rest period.
-    Held(HeldService),
+    Throttled(ThrottledService),
     /// The service has no endpoint, or all of them were already sent the request.
     NoEndpoint,
 }
 
 /// Reason and duration for which no endpoint accepts a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldService {
+pub struct ThrottledService {
     /// The endpoint that accepts requests again first.
     pub endpoint: EndpointName,
     /// Reason at that endpoint.
     pub cause: ThrottleCause,
     /// Time until it accepts requests again.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// Reason not to send a request to an endpoint.
@@ -153,7 +153,7 @@
     directory: &EndpointDirectory,
     query: &ChoiceQuery<'_>,
     now: ClockTime,
-) -> ChoiceVerdict {
+) -> ChoiceOutcome {
     let chain = prefix_chain(query.request);
     let holders = directory.prefixes().holders(&chain, now);
     let mut best: Option<(f64, EndpointChoice)> = None;
@@ -176,7 +176,7 @@
             continue;
         }
         let turn_wait = row.min_turn_wait(now);
-        if turn_wait > query.turn_patience {
+        if turn_wait > query.max_turn_wait {
             skipped.note_throttled(row, ThrottleCause::RateLimit, turn_wait);
             continue;
         }
@@ -186,13 +186,13 @@
         }
     }
     match (best, skipped.throttled) {
-        (Some((_, choice)), _) => ChoiceVerdict::Endpoint(choice),
-        (None, Some(throttled)) => ChoiceVerdict::Held(throttled),
-        (None, None) if skipped.has_open => ChoiceVerdict::NoModel {
+        (Some((_, choice)), _) => ChoiceOutcome::Endpoint(choice),
+        (None, Some(throttled)) => ChoiceOutcome::Throttled(throttled),
+        (None, None) if skipped.has_open => ChoiceOutcome::NoModel {
             ready_in: skipped.ready_in,
             load: skipped.load,
         },
-        (None, None) => ChoiceVerdict::NoEndpoint,
+        (None, None) => ChoiceOutcome::NoEndpoint,
     }
 }
 
@@ -202,20 +202,20 @@
     has_open: bool,
     ready_in: Option<Duration>,
     load: Option<Duration>,
-    throttled: Option<HeldService>,
+    throttled: Option<ThrottledService>,
 }
 
 impl SkippedEndpoints {
-    fn note_throttled(&mut self, row: &EndpointRow, cause: ThrottleCause, left: Duration) {
+    fn note_throttled(&mut self, row: &EndpointRow, cause: ThrottleCause, remaining: Duration) {
         if self
             .throttled
             .as_ref()
-            .is_none_or(|earliest| left < earliest.left)
+            .is_none_or(|earliest| remaining < earliest.remaining)
         {
-            self.throttled = Some(HeldService {
+            self.throttled = Some(ThrottledService {
                 endpoint: row.record.name.clone(),
                 cause,
-                left,
+                remaining,
             });
         }
     }
@@ -275,9 +275,9 @@
         queue: Duration::from_secs_f64(queue_ms / 1e3),
         needs_adapter: adapter > 0.0,
         occupancy: in_use / slots,
-        memory_full: row.memory_share(query.request.memory_tokens(), now) > MAX_MEMORY_SHARE,
-        batches: query.request.weights.is_some(),
-        own_reading: Duration::from_secs_f64(own_ms / 1e3),
+        is_memory_full: row.memory_share(query.request.memory_tokens(), now) > MAX_MEMORY_SHARE,
+        is_batched: query.request.weights.is_some(),
+        own_prefill: Duration::from_secs_f64(own_ms / 1e3),
     };
     (cost, choice)
 }
@@ -315,14 +315,14 @@
     weights.map_or(0.0, |weights| {
         directory
             .prefill_estimator()
-            .reading_ms(&weights.model, tokens)
+            .prefill_ms(&weights.model, tokens)
     })
 }
 
 /// Returns the number of prompt tokens that an endpoint has to prefill for a request, as far as its prefix
 /// cache is known.
 #[must_use]
-pub fn unread_at(
+pub fn uncached_tokens_at(
     directory: &EndpointDirectory,
     endpoint: &EndpointName,
     request: &CallerRequest,
--- a/crates/oatpier-serving/src/demand.rs
+++ b/crates/oatpier-serving/src/demand.rs
@@ -103,15 +103,15 @@
 
 /// Demand for all models.
 #[derive(Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     rows: HashMap<ModelName, DemandRow>,
     /// Models with requests that could not be served since the last summary of any kind.
     unserved_models: HashSet<ModelName>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     /// Records the arrival of a request.
-    pub fn note_asked(&mut self, weights: &WeightsKey, now: ClockTime) {
+    pub fn note_arrival(&mut self, weights: &WeightsKey, now: ClockTime) {
         let row = self.row(&weights.model, now);
         row.asked_at = now;
         row.asked_fast.count(FAST_DECAY);
@@ -143,7 +143,7 @@
 
     /// Returns the demand for the models with requests that could not be served since the last summary of
     /// any kind.
-    pub fn pressed_summary(&mut self, now: ClockTime) -> Vec<ModelDemand> {
+    pub fn unserved_summary(&mut self, now: ClockTime) -> Vec<ModelDemand> {
         let unserved_models = std::mem::take(&mut self.unserved_models);
         let rows = unserved_models.into_iter().filter_map(|model| {
             let row = self.rows.get_mut(&model)?;
--- a/crates/oatpier-serving/src/directory/mod.rs
+++ b/crates/oatpier-serving/src/directory/mod.rs
@@ -24,7 +24,7 @@
 use crate::engine::EndpointLoad;
 use crate::health::{HealthSettings, HealthTracker};
 use crate::message::{AdapterUse, EngineStatus, LoadStatus, ModelUse};
-use crate::reading::ReadingPaces;
+use crate::prefill::PrefillEstimator;
 
 use departures::DepartedEndpoints;
 pub use notices::ReceivedNotice;
@@ -79,7 +79,7 @@
     indices: IndexAllocator,
     health: HealthTracker,
     prefixes: PrefixIndex,
-    paces: ReadingPaces,
+    estimator: PrefillEstimator,
     store_failed_at: Option<ClockTime>,
     departures: DepartedEndpoints,
 }
@@ -100,7 +100,7 @@
                 block_tokens: UNITS_PER_PART,
                 ..PrefixSettings::default()
             }),
-            paces: ReadingPaces::default(),
+            estimator: PrefillEstimator::default(),
             store_failed_at: None,
             departures: DepartedEndpoints::default(),
         }
--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -11,10 +11,10 @@
 use super::{EndpointDirectory, EndpointRow};
 use crate::message::{LeavingReport, LimitReport};
 use crate::notice::{EndpointNotice, NoticeChange, NoticeValue, RequestRate, RestSpan};
+use crate::prefill::SentPrompt;
 use crate::quota::PartIndex;
 use crate::quota::holders::HolderTable;
 use crate::quota::turns::{HeldTurn, TurnAnswer, TurnEstimates, TurnStep};
-use crate::reading::SentPrompt;
 
 /// A notice and the request whose response carried it.
 #[derive(Debug, Clone, Copy)]
--- a/crates/oatpier-serving/src/directory/requests.rs
+++ b/crates/oatpier-serving/src/directory/requests.rs
@@ -9,7 +9,7 @@
 use super::{EndpointDirectory, EndpointRow};
 use crate::call::WeightsKey;
 use crate::health::{AttemptEvidence, EndpointFault, HealthChange};
-use crate::reading::{ReadingPaces, SentPrompt};
+use crate::prefill::{PrefillEstimator, SentPrompt};
 
 /// How a request ended at an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -81,15 +81,15 @@
         weights: &WeightsKey,
         tokens: f64,
     ) -> SentPrompt {
-        let own_ms = self.paces.reading_ms(&weights.model, tokens);
+        let own_ms = self.estimator.prefill_ms(&weights.model, tokens);
         let Some(row) = self.rows.get_mut(name) else {
             return SentPrompt::default();
         };
         let sent = SentPrompt {
             tokens,
             own_ms,
-            ahead_ms: row.prefill.ms(),
-            alone: row.prefill.is_idle(),
+            ahead_ms: row.prefill.total_ms(),
+            is_alone: row.prefill.is_idle(),
             start: Some(row.index),
         };
         row.prefill.add(own_ms);
@@ -123,8 +123,8 @@
 
     /// Returns the estimates of how long engines take for the prefill of prompts.
     #[must_use]
-    pub fn prefill_estimator(&self) -> &ReadingPaces {
-        &self.paces
+    pub fn prefill_estimator(&self) -> &PrefillEstimator {
+        &self.estimator
     }
 
     /// Records that the endpoint will cache the parts of the prompt.
@@ -147,8 +147,8 @@
             return;
         }
         let reading = Duration::from_secs_f64((prompt.ahead_ms + prompt.own_ms) / 1e3);
-        if let Some(weights) = weights.filter(|_| prompt.alone) {
-            self.paces.note(&weights.model, prompt.tokens, took);
+        if let Some(weights) = weights.filter(|_| prompt.is_alone) {
+            self.estimator.note(&weights.model, prompt.tokens, took);
         }
         let Some(row) = self.rows.get_mut(name) else {
             return;
--- a/crates/oatpier-serving/src/directory/row.rs
+++ b/crates/oatpier-serving/src/directory/row.rs
@@ -16,8 +16,8 @@
 use crate::health::{DurationEstimate, FailureShare};
 use crate::message::EngineStatus;
 use crate::notice::RequestRate;
+use crate::prefill::PrefillBacklog;
 use crate::quota::turns::TurnEstimates;
-use crate::reading::ReadingLoad;
 use crate::site::EngineRule;
 
 /// Age after which a status update no longer counts and the registry entry applies instead. Six periods of
@@ -114,7 +114,7 @@
     /// Time to the first chunk after the prefill.
     pub first_chunk: DurationEstimate,
     /// Prefill of this gateway's prompts at the endpoint.
-    pub prefill: ReadingLoad,
+    pub prefill: PrefillBacklog,
     /// Time for which a request holds a slot.
     pub slot_time: DurationEstimate,
     pub(super) load: LoadEstimate,
@@ -155,7 +155,7 @@
             index,
             own_requests: 0,
             first_chunk: DurationEstimate::starting_at(INITIAL_FIRST_CHUNK_MS),
-            prefill: ReadingLoad::default(),
+            prefill: PrefillBacklog::default(),
             slot_time: DurationEstimate::starting_at(hold),
             load: LoadEstimate::default(),
             status: None,
@@ -265,7 +265,7 @@
     #[must_use]
     pub fn pending_prefill_ms(&self, now: ClockTime) -> f64 {
         let queued_ms = self.status(now).map_or(0, |status| status.permit_wait_ms);
-        self.prefill.ms().max(f64::from(queued_ms))
+        self.prefill.total_ms().max(f64::from(queued_ms))
     }
 
     /// Returns whether its sidecar has sent updates before but is overdue with the next one.
--- a/crates/oatpier-serving/src/lib.rs
+++ b/crates/oatpier-serving/src/lib.rs
@@ -20,7 +20,7 @@
 //!
 //! Decisions of a gateway:
 //! - [`choice`]: which endpoint receives a request, and whether the response would be in time.
-//! - [`reading`]: how long engines take for the prefill of prompts.
+//! - [`prefill`]: how long engines take for the prefill of prompts.
 //! - [`health`]: which endpoints are avoided because of failures on the data path.
 //! - [`admission`]: when a request that cannot be served in time is refused, and when its caller should
 //!   retry.
@@ -55,8 +55,8 @@
 pub mod peers;
 pub mod permits;
 pub mod planner;
+pub mod prefill;
 pub mod quota;
-pub mod reading;
 pub mod reads;
 pub mod relays;
 pub mod residency;
--- a/crates/oatpier-serving/src/permits.rs
+++ b/crates/oatpier-serving/src/permits.rs
@@ -94,7 +94,7 @@
 
 /// Issuer of permits for one engine.
 #[derive(Debug, Default)]
-pub struct PermitDesk {
+pub struct PermitIssuer {
     pending: Vec<PendingRequest>,
     issued: VecDeque<IssuedPermit>,
     /// Shortest pause limit of the most recent permit requests.
@@ -105,7 +105,7 @@
     unreported: VecDeque<ClockTime>,
 }
 
-impl PermitDesk {
+impl PermitIssuer {
     /// Records the load that the engine reported. Requests whose permits were issued a moment ago are not
     /// in it yet.
     pub fn note_load(&mut self, load: EndpointLoad, now: ClockTime) {
@@ -121,7 +121,7 @@
     }
 
     /// Records a new or repeated permit request of a gateway.
-    pub fn take_ask(&mut self, from: SocketAddr, ask: PermitAsk, now: ClockTime) {
+    pub fn add_request(&mut self, from: SocketAddr, ask: PermitAsk, now: ClockTime) {
         self.max_pause = Some(
             self.max_pause
                 .map_or(ask.pause(), |known| known.min(ask.pause())),
@@ -144,7 +144,7 @@
     }
 
     /// Issues the permits that are possible now.
-    pub fn due(&mut self, now: ClockTime) -> Vec<AddressedGrant> {
+    pub fn issue_due(&mut self, now: ClockTime) -> Vec<AddressedGrant> {
         self.expire(now);
         let mut due = Vec::new();
         while let Some(index) = self.next_issuable(now) {
@@ -159,14 +159,14 @@
     }
 
     /// Releases a permit, or withdraws a permit request.
-    pub fn take_back(&mut self, id: u64) {
+    pub fn release(&mut self, id: u64) {
         self.issued.retain(|permit| permit.id != id);
         self.pending.retain(|request| request.ask.id != id);
     }
 
     /// Returns the next time at which a permit expires while requests wait.
     #[must_use]
-    pub fn next_at(&self) -> Option<ClockTime> {
+    pub fn next_expiry(&self) -> Option<ClockTime> {
         if self.pending.is_empty() {
             return None;
         }
@@ -175,13 +175,13 @@
 
     /// Returns the number of requests that wait.
     #[must_use]
-    pub fn waiting_requests(&self) -> u32 {
+    pub fn pending_requests(&self) -> u32 {
         u32::try_from(self.pending.len()).unwrap_or(u32::MAX)
     }
 
     /// Returns the time to prefill all waiting prompts.
     #[must_use]
-    pub fn waiting(&self) -> Duration {
+    pub fn pending_prefill(&self) -> Duration {
         self.pending
             .iter()
             .map(|request| request.ask.reading())
--- a/crates/oatpier-serving/src/planner/mod.rs
+++ b/crates/oatpier-serving/src/planner/mod.rs
@@ -100,7 +100,7 @@
     /// Whether the load rate of the weight store is used up for now.
     pub rate_spent: bool,
     /// Whether loads of the model are backed off because they crashed the engines that carried them out.
-    pub rests: bool,
+    pub is_backed_off: bool,
     /// Number of engines that are busy with another load, or from which no status is received.
     pub busy: u32,
     /// Number of engines that must wait for their share of the weight store's rate.
@@ -165,7 +165,7 @@
         for wanted in round.wanted_loads(&self.missing) {
             if self.crashes.is_backed_off(&wanted.model, now) {
                 let mut blocked = round.describe_blocked(&wanted.model, wanted.reason);
-                blocked.rests = true;
+                blocked.is_backed_off = true;
                 outcome.blocked.push(blocked);
                 continue;
             }
--- a/crates/oatpier-serving/src/planner/round.rs
+++ b/crates/oatpier-serving/src/planner/round.rs
@@ -250,7 +250,7 @@
             want: view.map_or(0.0, |view| view.demand.dominant_share()),
             holders: view.map_or(0.0, ModelView::holders),
             rate_spent: false,
-            rests: false,
+            is_backed_off: false,
             busy: 0,
             paced: 0,
             full: 0,
--- a/crates/oatpier-serving/src/reading.rs
+++ b/crates/oatpier-serving/src/prefill.rs
@@ -65,7 +65,7 @@
 
 /// Estimated prefill times of all models.
 #[derive(Debug, Default)]
-pub struct ReadingPaces {
+pub struct PrefillEstimator {
     /// Prefill time of one token for each model.
     per_model: HashMap<ModelName, QuantileEstimate>,
     /// Prefill time of one token over all models. A gateway with many engines receives requests for each of
@@ -78,7 +78,7 @@
     overhead: Option<QuantileEstimate>,
 }
 
-impl ReadingPaces {
+impl PrefillEstimator {
     /// Records that the first chunk of a response arrived after `took`. The engine had `tokens` to prefill
     /// for it, and no other known prefill work.
     pub fn note(&mut self, model: &ModelName, tokens: f64, took: Duration) {
@@ -101,7 +101,7 @@
     /// assumed to be as slow as the slowest known one, or as the common estimate until one is known.
     /// Returns zero before there are any estimates.
     #[must_use]
-    pub fn reading_ms(&self, model: &ModelName, tokens: f64) -> f64 {
+    pub fn prefill_ms(&self, model: &ModelName, tokens: f64) -> f64 {
         let known = self
             .per_model
             .get(model)
@@ -119,12 +119,12 @@
 
 /// Prefill work that one gateway has sent to an engine.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ReadingLoad {
+pub struct PrefillBacklog {
     prompts: u32,
     ms: f64,
 }
 
-impl ReadingLoad {
+impl PrefillBacklog {
     /// Returns whether there is no prefill work.
     #[must_use]
     pub fn is_idle(&self) -> bool {
@@ -133,7 +133,7 @@
 
     /// Returns the time to complete the prefill work, in milliseconds.
     #[must_use]
-    pub fn ms(&self) -> f64 {
+    pub fn total_ms(&self) -> f64 {
         self.ms
     }
 
@@ -162,7 +162,7 @@
     /// Prefill time of the prompts that were sent there before, in milliseconds.
     pub ahead_ms: f64,
     /// Whether no other prompt of this gateway was being prefilled there.
-    pub alone: bool,
+    pub is_alone: bool,
     /// Start of the endpoint that the prompt was sent to, as identified by its index in the tables.
     pub start: Option<EndpointIndex>,
 }
--- a/crates/oatpier-serving/src/residency/adapters.rs
+++ b/crates/oatpier-serving/src/residency/adapters.rs
@@ -70,7 +70,7 @@
 
     /// Returns the models and adapters that gateways may send requests for.
     #[must_use]
-    pub fn offered(&self) -> Vec<HeldModel> {
+    pub fn offered_models(&self) -> Vec<HeldModel> {
         let mut models = match &self.report {
             Some(report) => report.models.clone(),
             None => Vec::new(),
--- a/crates/oatpier-serving/src/residency/mod.rs
+++ b/crates/oatpier-serving/src/residency/mod.rs
@@ -49,7 +49,7 @@
 
 /// An order and the sequence number that the engine must be at.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NumberedOrder {
+pub struct SequencedOrder {
     /// The order.
     pub order: EngineOrder,
     /// Number of orders that the engine must have accepted before.
@@ -116,7 +116,7 @@
     /// Index of the advised lender that is asked next.
     next_lender: usize,
     /// A load from the weight store whose answer was lost. It is repeated before any other order.
-    unconfirmed: Option<NumberedOrder>,
+    unconfirmed: Option<SequencedOrder>,
     /// A load that an earlier start of the engine was ordered to carry out, and that the current start may
     /// still carry out.
     orphan: Option<OrphanedLoad>,
@@ -173,7 +173,7 @@
     }
 
     /// Applies a report of the engine.
-    pub fn take_report(&mut self, report: EngineReport) {
+    pub fn apply_report(&mut self, report: EngineReport) {
         self.sequence = report.sequence;
         self.engine_start = report.start.or(self.engine_start);
         let is_confirmed = self
@@ -231,7 +231,7 @@
         if subscription.engines > 0 {
             self.pace.engines = subscription.engines;
             self.pace.loads = subscription.loads_per_window;
-            self.pace.place = subscription.place;
+            self.pace.index = subscription.place;
         }
         self.adapter_slots = subscription.adapter_slots as usize;
         for used in &subscription.used {
@@ -248,7 +248,7 @@
     }
 
     /// Records that a gateway waits for an adapter.
-    pub fn take_wish(&mut self, request: AdapterRequest, now: ClockTime) {
+    pub fn request_adapter(&mut self, request: AdapterRequest, now: ClockTime) {
         self.adapter_slots = request.slots as usize;
         self.last_used.insert(request.key.clone(), now);
         match self
@@ -265,7 +265,7 @@
     }
 
     /// Accepts advice from the planner, unless earlier advice is still being carried out.
-    pub fn take_advice(&mut self, advice: LoadAdvice, now: ClockTime) {
+    pub fn accept_advice(&mut self, advice: LoadAdvice, now: ClockTime) {
         if self.advice.is_none() && self.loading.is_none() {
             self.retiring_since = now;
             self.retiring = advice.unload.iter().cloned().collect();
@@ -296,7 +296,7 @@
     }
 
     /// Returns the next order, if there is one.
-    pub fn next_order(&mut self, now: ClockTime) -> Option<NumberedOrder> {
+    pub fn next_order(&mut self, now: ClockTime) -> Option<SequencedOrder> {
         let report = self.report.as_ref()?;
         // The engine accepts no other order while it carries one out.
         if report.busy {
@@ -307,11 +307,11 @@
             return Some(unconfirmed.clone());
         }
         let order = self.adapter_order(now).or_else(|| self.model_order(now))?;
-        Some(NumberedOrder { order, expect })
+        Some(SequencedOrder { order, expect })
     }
 
     /// Records the answer to an order, or its loss.
-    pub fn note_answer(&mut self, numbered: &NumberedOrder, answer: OrderAnswer, now: ClockTime) {
+    pub fn note_answer(&mut self, numbered: &SequencedOrder, answer: OrderAnswer, now: ClockTime) {
         match &numbered.order {
             EngineOrder::LoadModel(model) => self.note_load(model.clone(), numbered, answer, now),
             // The engine would reject the order again, so the advice cannot be carried out.
@@ -328,7 +328,7 @@
     fn note_load(
         &mut self,
         model: ModelName,
-        numbered: &NumberedOrder,
+        numbered: &SequencedOrder,
         answer: OrderAnswer,
         now: ClockTime,
     ) {
@@ -351,7 +351,7 @@
     }
 
     /// Returns the load to reserve memory for if the engine ended before it answered `order`.
-    fn orphaned_load(&self, order: NumberedOrder, now: ClockTime) -> Option<OrphanedLoad> {
+    fn orphaned_load(&self, order: SequencedOrder, now: ClockTime) -> Option<OrphanedLoad> {
         let EngineOrder::LoadModel(model) = order.order else {
             return None;
         };
--- a/crates/oatpier-serving/src/residency/pace.rs
+++ b/crates/oatpier-serving/src/residency/pace.rs
@@ -12,7 +12,7 @@
     /// Index of this engine among them, starting at 0. If there are fewer loads than engines, only the
     /// first engines may load from the weight store, because any other division would need a synchronized
     /// clock.
-    pub place: u32,
+    pub index: u32,
     /// Length of the window.
     pub window: Duration,
 }
@@ -26,7 +26,7 @@
         if each >= 1 {
             Some(self.window / each)
         } else {
-            (self.place < self.loads).then_some(self.window)
+            (self.index < self.loads).then_some(self.window)
         }
     }
 
--- a/crates/oatpier-serving/src/residency/rights.rs
+++ b/crates/oatpier-serving/src/residency/rights.rs
@@ -51,7 +51,7 @@
 impl EngineResidency {
     /// Returns the request to send now if only a right is missing to begin the advised load. `id`
     /// distinguishes it from other requests.
-    pub fn ask_for_right(&mut self, id: u64, now: ClockTime) -> Option<RightRequest> {
+    pub fn request_right(&mut self, id: u64, now: ClockTime) -> Option<RightRequest> {
         if !self.lacks_right(now) {
             return None;
         }
@@ -90,7 +90,7 @@
 
     /// Handles a request from another engine's sidecar for this engine's right. Refuses if this engine
     /// needs the right itself.
-    pub fn lend(&mut self, now: ClockTime) -> bool {
+    pub fn lend_right(&mut self, now: ClockTime) -> bool {
         let Some(spacing) = self.pace.spacing() else {
             return false;
         };
@@ -106,7 +106,7 @@
     }
 
     /// Records that a lender granted the requested right.
-    pub fn take_right(&mut self, right: LoadRight) {
+    pub fn accept_right(&mut self, right: LoadRight) {
         if let Some(requested) = self
             .requested_right
             .as_mut()
--- a/crates/oatpier-serving/tests/testsuite/choice.rs
+++ b/crates/oatpier-serving/tests/testsuite/choice.rs
@@ -1,8 +1,8 @@
 //! Which endpoint gets a request.
 
-use oatpier_serving::choice::{self, ChoiceQuery, ChoiceVerdict};
+use oatpier_serving::choice::{self, ChoiceOutcome, ChoiceQuery};
 use oatpier_serving::directory::{EndpointDirectory, RequestOutcome};
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 use oatpier_types::names::EndpointName;
 
 use crate::support::{
@@ -14,21 +14,21 @@
     directory: &EndpointDirectory,
     weights: &str,
     excluded: &[EndpointName],
-) -> ChoiceVerdict {
+) -> ChoiceOutcome {
     let query = ChoiceQuery {
         service: &service(),
         request: &request(weights),
         zone: &zone("near"),
         excluded,
         engine: Some(&engine_rule(&["m1", "m2"])),
-        turn_patience: millis(0),
+        max_turn_wait: millis(0),
     };
     choice::choose(directory, &query, at(100))
 }
 
 fn chosen_endpoint(directory: &EndpointDirectory, weights: &str) -> String {
     match choose(directory, weights, &[]) {
-        ChoiceVerdict::Endpoint(choice) => choice.endpoint.to_string(),
+        ChoiceOutcome::Endpoint(choice) => choice.endpoint.to_string(),
         other => panic!("no endpoint was chosen: {other:?}"),
     }
 }
@@ -44,14 +44,14 @@
     let directory = directory(&[(&["m2"], 0)], at(0));
     assert_eq!(
         choose(&directory, "m1", &[]),
-        ChoiceVerdict::NoModel {
+        ChoiceOutcome::NoModel {
             ready_in: None,
             load: Some(millis(2_000)),
         }
     );
     assert_eq!(
         choose(&EndpointDirectory::default(), "m1", &[]),
-        ChoiceVerdict::NoEndpoint
+        ChoiceOutcome::NoEndpoint
     );
 }
 
@@ -66,7 +66,7 @@
     directory.apply_status(loading, at(10));
     assert_eq!(
         choose(&directory, "m1", &[]),
-        ChoiceVerdict::NoModel {
+        ChoiceOutcome::NoModel {
             ready_in: Some(millis(1_910)),
             load: Some(millis(2_000)),
         }
@@ -83,7 +83,7 @@
     draining.loading = Some(crate::support::model("m1"));
     draining.retiring = vec![crate::support::model("m2")];
     directory.apply_status(draining, at(10));
-    let ChoiceVerdict::NoModel {
+    let ChoiceOutcome::NoModel {
         ready_in: Some(ready_in),
         ..
     } = choose(&directory, "m1", &[])
@@ -122,7 +122,7 @@
     let directory = directory(&[(&["m1"], 0), (&["m1"], 5)], at(0));
     let verdict = choose(&directory, "m1", &[endpoint("e1")]);
     assert!(
-        matches!(verdict, ChoiceVerdict::Endpoint(choice) if choice.endpoint == endpoint("e2"))
+        matches!(verdict, ChoiceOutcome::Endpoint(choice) if choice.endpoint == endpoint("e2"))
     );
 }
 
@@ -249,9 +249,9 @@
         zone: &zone("near"),
         excluded: &[],
         engine: None,
-        turn_patience: millis(0),
+        max_turn_wait: millis(0),
     };
-    let ChoiceVerdict::Endpoint(choice) = choice::choose(&directory, &query, at(1_200)) else {
+    let ChoiceOutcome::Endpoint(choice) = choice::choose(&directory, &query, at(1_200)) else {
         panic!("an endpoint is there");
     };
     assert_eq!(choice.endpoint, endpoint("e2"));
@@ -282,7 +282,7 @@
     directory.apply_status(restarted, at(10));
     assert_eq!(
         choose(&directory, "m1", &[]),
-        ChoiceVerdict::NoModel {
+        ChoiceOutcome::NoModel {
             ready_in: None,
             load: Some(millis(500)),
         }
--- a/crates/oatpier-serving/tests/testsuite/directory.rs
+++ b/crates/oatpier-serving/tests/testsuite/directory.rs
@@ -4,7 +4,7 @@
 use oatpier_serving::directory::{DirectoryChange, EndpointDirectory, EndpointRecord};
 use oatpier_serving::engine::{EndpointLoad, StartTime};
 use oatpier_serving::message::EngineStatus;
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 
 use crate::support::{at, directory, endpoint, millis, model, record, request, status};
 
--- a/crates/oatpier-serving/tests/testsuite/failures.rs
+++ b/crates/oatpier-serving/tests/testsuite/failures.rs
@@ -1,6 +1,6 @@
 //! Tests of the failure share of engines that lose a part of their requests.
 
-use oatpier_serving::choice::{self, ChoiceQuery, ChoiceVerdict};
+use oatpier_serving::choice::{self, ChoiceOutcome, ChoiceQuery};
 use oatpier_serving::failures::{EngineFailure, FailureCount};
 use oatpier_serving::message::{EngineStatus, MessageNumber};
 
@@ -56,12 +56,12 @@
                 zone: &zone("near"),
                 excluded: &[],
                 engine: Some(&engine_rule(&["m1"])),
-                turn_patience: std::time::Duration::ZERO,
+                max_turn_wait: std::time::Duration::ZERO,
             },
             at(100),
         );
         match verdict {
-            ChoiceVerdict::Endpoint(choice) => choice.endpoint.to_string(),
+            ChoiceOutcome::Endpoint(choice) => choice.endpoint.to_string(),
             other => panic!("no endpoint was chosen: {other:?}"),
         }
     };
--- a/crates/oatpier-serving/tests/testsuite/forecast.rs
+++ b/crates/oatpier-serving/tests/testsuite/forecast.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use oatpier_serving::demand::DemandBook;
+use oatpier_serving::demand::DemandTracker;
 use oatpier_serving::peers::{PeerTable, TotalDemand};
 use oatpier_serving::planner::forecast::{SlotTimes, slots_wanted};
 use oatpier_types::names::ModelName;
@@ -15,12 +15,12 @@
 
 /// Demand after requests whose rate rises by `per_s2` per second each second.
 fn demand_after_rise(per_s2: u64, seconds: u64) -> HashMap<ModelName, TotalDemand> {
-    let mut tracker = DemandBook::default();
+    let mut tracker = DemandTracker::default();
     let weights = request("m1").weights.unwrap();
     for second in 0..seconds {
         let rate = per_s2 * (second + 1);
         for number in 0..rate {
-            tracker.note_asked(&weights, at(second * 1_000 + number * 1_000 / rate));
+            tracker.note_arrival(&weights, at(second * 1_000 + number * 1_000 / rate));
         }
     }
     let now = at(seconds * 1_000);
@@ -48,10 +48,10 @@
 
 #[test]
 fn steady_demand_is_not_extrapolated() {
-    let mut tracker = DemandBook::default();
+    let mut tracker = DemandTracker::default();
     let weights = request("m1").weights.unwrap();
     for number in 0..1_200 {
-        tracker.note_asked(&weights, at(number * 10));
+        tracker.note_arrival(&weights, at(number * 10));
     }
     let now = at(12_000);
     let total = PeerTable::new(address(1), 100).total_demand(&tracker.summary(now), now);
--- a/crates/oatpier-serving/tests/testsuite/notices.rs
+++ b/crates/oatpier-serving/tests/testsuite/notices.rs
@@ -3,7 +3,7 @@
 use oatpier_serving::directory::{EndpointDirectory, ReceivedNotice};
 use oatpier_serving::engine::StartTime;
 use oatpier_serving::notice::{EndpointNotice, NoticeChange, NoticeValue, RequestRate, RestSpan};
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 
 use crate::support::{at, directory, endpoint, millis, record, status};
 
--- a/crates/oatpier-serving/tests/testsuite/reading.rs
+++ b/crates/oatpier-serving/tests/testsuite/prefill.rs
@@ -6,13 +6,13 @@
 
 use std::time::Duration;
 
-use oatpier_serving::reading::ReadingPaces;
+use oatpier_serving::prefill::PrefillEstimator;
 use proptest::prelude::*;
 
 use crate::support::{fixed_cases, millis, model};
 
 /// Records `times` prompts of 1,000 tokens whose first chunk took `took`.
-fn note(estimator: &mut ReadingPaces, times: u32, took: Duration) {
+fn note(estimator: &mut PrefillEstimator, times: u32, took: Duration) {
     for _ in 0..times {
         estimator.note(&model("m1"), 1_000.0, took);
     }
@@ -20,17 +20,17 @@
 
 #[test]
 fn prefill_time_is_zero_before_enough_samples() {
-    let mut estimator = ReadingPaces::default();
-    assert!(estimator.reading_ms(&model("m1"), 1_000.0).abs() < 1e-9);
+    let mut estimator = PrefillEstimator::default();
+    assert!(estimator.prefill_ms(&model("m1"), 1_000.0).abs() < 1e-9);
     note(&mut estimator, 2, millis(50));
-    assert!(estimator.reading_ms(&model("m1"), 1_000.0).abs() < 1e-9);
+    assert!(estimator.prefill_ms(&model("m1"), 1_000.0).abs() < 1e-9);
 }
 
 #[test]
 fn model_with_few_samples_is_assumed_as_slow_as_the_slowest() {
-    let mut estimator = ReadingPaces::default();
+    let mut estimator = PrefillEstimator::default();
     note(&mut estimator, 10, millis(50));
-    let other = estimator.reading_ms(&model("m2"), 1_000.0);
+    let other = estimator.prefill_ms(&model("m2"), 1_000.0);
     assert!((45.0..55.0).contains(&other), "{other}");
 }
 
@@ -38,13 +38,13 @@
 /// seconds, and recovers again.
 #[test]
 fn estimate_follows_an_engine_that_slows_down_and_recovers() {
-    let mut estimator = ReadingPaces::default();
+    let mut estimator = PrefillEstimator::default();
     note(&mut estimator, 20, millis(50));
     note(&mut estimator, 60, millis(150));
-    let slow = estimator.reading_ms(&model("m1"), 1_000.0);
+    let slow = estimator.prefill_ms(&model("m1"), 1_000.0);
     assert!((130.0..170.0).contains(&slow), "{slow}");
     note(&mut estimator, 40, millis(50));
-    let recovered = estimator.reading_ms(&model("m1"), 1_000.0);
+    let recovered = estimator.prefill_ms(&model("m1"), 1_000.0);
     assert!((45.0..60.0).contains(&recovered), "{recovered}");
 }
 
@@ -52,12 +52,12 @@
 /// prompts of five models are enough for an estimate, so that prompts need not be sent one at a time.
 #[test]
 fn prompts_of_different_models_share_an_estimate() {
-    let mut estimator = ReadingPaces::default();
+    let mut estimator = PrefillEstimator::default();
     for name in ["m1", "m2", "m3", "m4", "m5"] {
-        assert!(estimator.reading_ms(&model("m6"), 1_000.0).abs() < 1e-9);
+        assert!(estimator.prefill_ms(&model("m6"), 1_000.0).abs() < 1e-9);
         estimator.note(&model(name), 1_000.0, millis(50));
     }
-    let learned = estimator.reading_ms(&model("m6"), 1_000.0);
+    let learned = estimator.prefill_ms(&model("m6"), 1_000.0);
     assert!((45.0..55.0).contains(&learned), "{learned}");
 }
 
@@ -66,12 +66,12 @@
 /// four prompts in it.
 #[test]
 fn time_of_short_prompts_counts_as_overhead() {
-    let mut estimator = ReadingPaces::default();
+    let mut estimator = PrefillEstimator::default();
     for _ in 0..20 {
         estimator.note(&model("m1"), 50.0, millis(30));
     }
     note(&mut estimator, 20, millis(50));
-    let learned = estimator.reading_ms(&model("m1"), 1_000.0);
+    let learned = estimator.prefill_ms(&model("m1"), 1_000.0);
     assert!((18.0..24.0).contains(&learned), "{learned}");
 }
 
@@ -86,14 +86,14 @@
         noise in prop::collection::vec(0.0_f64..1.0, 30),
         token_us in 10_u32..200,
     ) {
-        let mut estimator = ReadingPaces::default();
+        let mut estimator = PrefillEstimator::default();
         let true_ms = f64::from(token_us);
         for draw in noise {
             let delay = (draw - 0.45).max(0.0) * 7.0;
             let took_ms = true_ms * (1.0 + delay) + 2.0;
             estimator.note(&model("m1"), 1_000.0, Duration::from_secs_f64(took_ms / 1e3));
         }
-        let learned = estimator.reading_ms(&model("m1"), 1_000.0);
+        let learned = estimator.prefill_ms(&model("m1"), 1_000.0);
         prop_assert!(learned > true_ms * 0.75, "{learned} of {true_ms}");
         prop_assert!(learned < true_ms * 1.6 + 2.0, "{learned} of {true_ms}");
     }
--- a/crates/oatpier-serving/tests/testsuite/residency.rs
+++ b/crates/oatpier-serving/tests/testsuite/residency.rs
@@ -15,7 +15,7 @@
 const PACE: LoadPace = LoadPace {
     loads: 4,
     engines: 4,
-    place: 0,
+    index: 0,
     window: Duration::from_secs(5),
 };
 
@@ -63,7 +63,7 @@
     }
 }
 
-fn adapter_wish(name: &str) -> AdapterRequest {
+fn adapter_request(name: &str) -> AdapterRequest {
     AdapterRequest {
         key: adapter("m1", name),
         slots: 2,
@@ -77,8 +77,8 @@
 #[test]
 fn load_that_fits_is_ordered_under_the_current_sequence() {
     let mut residency = residency();
-    residency.take_report(report(7, &["m1"]));
-    residency.take_advice(advice("m2", &[], &["m1"]), at(0));
+    residency.apply_report(report(7, &["m1"]));
+    residency.accept_advice(advice("m2", &[], &["m1"]), at(0));
     let order = residency.next_order(at(0)).unwrap();
     assert_eq!(order.order, EngineOrder::LoadModel(model("m2")));
     assert_eq!(order.expect, 7);
@@ -89,16 +89,16 @@
 #[test]
 fn load_that_exceeds_memory_is_not_ordered() {
     let mut residency = residency();
-    residency.take_report(report(1, &["m1", "m2"]));
-    residency.take_advice(advice("m3", &[], &["m1", "m2"]), at(0));
+    residency.apply_report(report(1, &["m1", "m2"]));
+    residency.accept_advice(advice("m3", &[], &["m1", "m2"]), at(0));
     assert_eq!(residency.next_order(at(0)), None);
 }
 
 #[test]
 fn held_model_of_unknown_size_blocks_loads() {
     let mut residency = residency();
-    residency.take_report(report(1, &["stranger"]));
-    residency.take_advice(advice("m2", &[], &[]), at(0));
+    residency.apply_report(report(1, &["stranger"]));
+    residency.accept_advice(advice("m2", &[], &[]), at(0));
     assert_eq!(residency.next_order(at(0)), None);
 }
 
@@ -107,8 +107,8 @@
 #[test]
 fn gateways_are_told_before_a_model_is_unloaded() {
     let mut residency = residency();
-    residency.take_report(report(1, &["m1", "m2"]));
-    residency.take_advice(advice("m3", &["m1"], &["m1", "m2"]), at(0));
+    residency.apply_report(report(1, &["m1", "m2"]));
+    residency.accept_advice(advice("m3", &["m1"], &["m1", "m2"]), at(0));
     assert_eq!(residency.retiring(), [model("m1")]);
     assert_eq!(residency.next_order(at(0)), None);
     let order = residency.next_order(at(50)).unwrap();
@@ -121,14 +121,14 @@
 #[test]
 fn unanswered_load_is_repeated_before_other_orders() {
     let mut residency = residency();
-    residency.take_report(report(1, &["m1"]));
-    residency.take_advice(advice("m2", &[], &["m1"]), at(0));
+    residency.apply_report(report(1, &["m1"]));
+    residency.accept_advice(advice("m2", &[], &["m1"]), at(0));
     let order = residency.next_order(at(0)).unwrap();
     residency.note_answer(&order, OrderAnswer::Unknown, at(10));
-    residency.take_report(report(1, &["m1"]));
-    residency.take_wish(adapter_wish("a1"), at(20));
+    residency.apply_report(report(1, &["m1"]));
+    residency.request_adapter(adapter_request("a1"), at(20));
     assert_eq!(residency.next_order(at(20)), Some(order));
-    residency.take_report(report(2, &["m1"]));
+    residency.apply_report(report(2, &["m1"]));
     assert!(matches!(
         residency.next_order(at(30)).unwrap().order,
         EngineOrder::LoadAdapter(_)
@@ -138,8 +138,8 @@
 #[test]
 fn restarted_sidecar_waits_a_whole_spacing_before_a_store_load() {
     let mut residency = EngineResidency::new(PACE, false, at(0));
-    residency.take_report(report(1, &[]));
-    residency.take_advice(advice("m1", &[], &[]), at(0));
+    residency.apply_report(report(1, &[]));
+    residency.accept_advice(advice("m1", &[], &[]), at(0));
     assert_eq!(residency.next_order(at(4_000)), None);
     // A right that the previous process may have lent has been used by then.
     assert_eq!(residency.next_order(at(5_000)), None);
@@ -154,8 +154,8 @@
         in_memory: Vec::new(),
         on_disk: vec![model("m1")],
     };
-    residency.take_report(own);
-    residency.take_advice(advice("m1", &[], &[]), at(0));
+    residency.apply_report(own);
+    residency.accept_advice(advice("m1", &[], &[]), at(0));
     assert!(residency.next_order(at(0)).is_some());
 }
 
@@ -164,9 +164,9 @@
     let mut residency = residency();
     let mut full = report(1, &[]);
     full.models = vec![held("m1", &["a1", "a2"])];
-    residency.take_report(full);
+    residency.apply_report(full);
     residency.apply_subscription(gateway(), &subscription(&[("a1", 1), ("a2", 0)]), at(0));
-    residency.take_wish(adapter_wish("a3"), at(100));
+    residency.request_adapter(adapter_request("a3"), at(100));
     let order = residency.next_order(at(100)).unwrap();
     assert_eq!(order.order, EngineOrder::UnloadAdapter(adapter("m1", "a2")));
 }
@@ -179,13 +179,13 @@
     let mut residency = residency();
     let mut full = report(1, &[]);
     full.models = vec![held("m1", &["a1", "a2"])];
-    residency.take_report(full);
+    residency.apply_report(full);
     residency.apply_subscription(gateway(), &subscription(&[("a1", 1), ("a2", 3)]), at(0));
-    residency.take_wish(adapter_wish("a3"), at(100));
+    residency.request_adapter(adapter_request("a3"), at(100));
     assert_eq!(residency.next_order(at(100)), None);
-    assert_eq!(residency.offered()[0].adapters.len(), 1);
+    assert_eq!(residency.offered_models()[0].adapters.len(), 1);
     residency.apply_subscription(gateway(), &subscription(&[("a2", 3)]), at(150));
-    residency.take_wish(adapter_wish("a3"), at(200));
+    residency.request_adapter(adapter_request("a3"), at(200));
     let order = residency.next_order(at(200)).unwrap();
     assert_eq!(order.order, EngineOrder::UnloadAdapter(adapter("m1", "a1")));
 }
@@ -195,17 +195,17 @@
     let mut residency = residency();
     let mut busy = report(1, &["m1"]);
     busy.busy = true;
-    residency.take_report(busy);
-    residency.take_advice(advice("m2", &[], &["m1"]), at(0));
+    residency.apply_report(busy);
+    residency.accept_advice(advice("m2", &[], &["m1"]), at(0));
     assert_eq!(residency.next_order(at(0)), None);
 }
 
 #[test]
 fn adapter_request_that_is_not_repeated_expires() {
     let mut residency = residency();
-    residency.take_report(report(1, &["m1"]));
+    residency.apply_report(report(1, &["m1"]));
     residency.apply_subscription(gateway(), &subscription(&[]), at(0));
-    residency.take_wish(adapter_wish("a1"), at(0));
+    residency.request_adapter(adapter_request("a1"), at(0));
     assert_eq!(residency.next_order(at(1_000)), None);
 }
 
@@ -221,7 +221,7 @@
         loads in 1_u32..40,
         restarts in prop::collection::vec((0_u64..20_000, 0_usize..40), 0..20),
     ) {
-        let pace_of = |place| LoadPace { loads, engines, place, window: Duration::from_secs(5) };
+        let pace_of = |place| LoadPace { loads, engines, index: place, window: Duration::from_secs(5) };
         let count = engines as usize;
         let mut sidecars: Vec<EngineResidency> =
             (0..engines).map(|place| EngineResidency::new(pace_of(place), true, at(0))).collect();
@@ -234,12 +234,12 @@
                 }
             }
             for sidecar in &mut sidecars {
-                sidecar.take_report(report(now, &[]));
-                sidecar.take_advice(advice("m1", &[], &[]), at(now));
+                sidecar.apply_report(report(now, &[]));
+                sidecar.accept_advice(advice("m1", &[], &[]), at(now));
                 if let Some(order) = sidecar.next_order(at(now)) {
                     begun.push(now);
                     sidecar.note_answer(&order, OrderAnswer::Taken, at(now));
-                    sidecar.take_report(report(now + 1, &["m1"]));
+                    sidecar.apply_report(report(now + 1, &["m1"]));
                 }
             }
         }
@@ -255,15 +255,15 @@
         steps in prop::collection::vec((0_usize..6, 0_usize..6, any::<bool>()), 1..60),
     ) {
         let names = ["m0", "m1", "m2", "m3", "m4", "m5"];
-        let pace = LoadPace { loads: 1_000, engines: 1, place: 0, window: Duration::from_millis(1) };
+        let pace = LoadPace { loads: 1_000, engines: 1, index: 0, window: Duration::from_millis(1) };
         let mut residency = EngineResidency::new(pace, true, at(0));
         let mut held_models: Vec<&str> = Vec::new();
         let mut now = 0;
         for (sequence, (load, unload, stale)) in (0_u64..).zip(steps) {
             now += 100;
             let known: Vec<&str> = if stale { Vec::new() } else { held_models.clone() };
-            residency.take_report(report(sequence, &held_models));
-            residency.take_advice(advice(names[load], &[names[unload]], &known), at(now));
+            residency.apply_report(report(sequence, &held_models));
+            residency.accept_advice(advice(names[load], &[names[unload]], &known), at(now));
             now += 100;
             let Some(order) = residency.next_order(at(now)) else { continue };
             match &order.order {
@@ -286,7 +286,7 @@
     let pace = LoadPace {
         loads: 18,
         engines: 18,
-        place: 17,
+        index: 17,
         window: Duration::from_secs(5),
     };
     assert_eq!(pace.spacing(), Some(Duration::from_secs(5)));
@@ -297,7 +297,7 @@
         ..pace
     };
     assert_eq!(many.spacing(), Some(Duration::from_secs(5)));
-    let last = LoadPace { place: 18, ..many };
+    let last = LoadPace { index: 18, ..many };
     assert_eq!(last.spacing(), None);
 }
 
@@ -309,12 +309,12 @@
         let pace = LoadPace {
             loads: 1,
             engines: 4,
-            place: *place,
+            index: *place,
             window: Duration::from_secs(5),
         };
         let mut sidecar = EngineResidency::new(pace, true, at(0));
-        sidecar.take_report(report(0, &[]));
-        sidecar.take_advice(advice("m1", &[], &[]), at(0));
+        sidecar.apply_report(report(0, &[]));
+        sidecar.accept_advice(advice("m1", &[], &[]), at(0));
         sidecar.next_order(at(0)).is_some()
     });
     assert_eq!(begun.count(), 1);
@@ -326,11 +326,11 @@
 #[test]
 fn advice_is_dropped_when_its_unload_is_rejected() {
     let mut residency = residency();
-    residency.take_report(report(1, &["m1", "m2"]));
-    residency.take_advice(advice("m3", &["m1"], &["m1", "m2"]), at(0));
+    residency.apply_report(report(1, &["m1", "m2"]));
+    residency.accept_advice(advice("m3", &["m1"], &["m1", "m2"]), at(0));
     let order = residency.next_order(at(50)).unwrap();
     residency.note_answer(&order, OrderAnswer::Rejected, at(50));
-    residency.take_report(report(1, &["m1", "m2"]));
+    residency.apply_report(report(1, &["m1", "m2"]));
     assert_eq!(residency.next_order(at(120)), None);
     assert!(residency.retiring().is_empty());
 }
@@ -338,7 +338,7 @@
 #[test]
 fn report_with_fewer_orders_reveals_a_restart() {
     let mut residency = residency();
-    residency.take_report(report(5, &["m1"]));
+    residency.apply_report(report(5, &["m1"]));
     assert!(residency.is_restarted(&report(0, &[])));
     assert!(!residency.is_restarted(&report(6, &["m1"])));
     residency.forget_engine(at(0));
@@ -351,8 +351,8 @@
 fn changed_window_applies_to_the_next_load() {
     let mut residency = residency();
     residency.set_load_window(Duration::from_secs(20));
-    residency.take_report(report(1, &["m1"]));
-    residency.take_advice(advice("m2", &[], &["m1"]), at(0));
+    residency.apply_report(report(1, &["m1"]));
+    residency.accept_advice(advice("m2", &[], &["m1"]), at(0));
     let order = residency.next_order(at(0)).unwrap();
     residency.note_answer(&order, OrderAnswer::Taken, at(0));
     assert_eq!(residency.store_load_wait(at(0)), Duration::from_secs(20));
@@ -370,7 +370,7 @@
 #[test]
 fn report_with_another_start_time_reveals_a_restart() {
     let mut residency = residency();
-    residency.take_report(report_from_start(1_000, 2, &["m1"]));
+    residency.apply_report(report_from_start(1_000, 2, &["m1"]));
     assert!(residency.is_restarted(&report_from_start(2_000, 2, &[])));
     assert!(residency.is_restarted(&report_from_start(500, 4, &[])));
     assert!(!residency.is_restarted(&report_from_start(1_000, 3, &["m1"])));
@@ -384,18 +384,18 @@
 #[test]
 fn memory_is_reserved_for_an_orphaned_load() {
     let mut residency = residency();
-    residency.take_report(report(1, &["m1"]));
-    residency.take_advice(advice("m2", &[], &["m1"]), at(0));
+    residency.apply_report(report(1, &["m1"]));
+    residency.accept_advice(advice("m2", &[], &["m1"]), at(0));
     let lost = residency.next_order(at(0)).unwrap();
     residency.note_answer(&lost, OrderAnswer::Unknown, at(0));
     residency.forget_engine(at(100));
-    residency.take_report(report(0, &[]));
-    residency.take_advice(advice("m3", &[], &[]), at(5_100));
+    residency.apply_report(report(0, &[]));
+    residency.accept_advice(advice("m3", &[], &[]), at(5_100));
     let first = residency.next_order(at(5_100)).unwrap();
     residency.note_answer(&first, OrderAnswer::Taken, at(5_100));
-    residency.take_report(report(1, &["m3"]));
-    residency.take_advice(advice("m4", &[], &["m3"]), at(10_200));
+    residency.apply_report(report(1, &["m3"]));
+    residency.accept_advice(advice("m4", &[], &["m3"]), at(10_200));
     assert_eq!(residency.next_order(at(10_200)), None);
-    residency.take_advice(advice("m4", &[], &["m3"]), at(14_000));
+    residency.accept_advice(advice("m4", &[], &["m3"]), at(14_000));
     assert!(residency.next_order(at(14_000)).is_some());
 }
--- a/crates/oatpier-serving/tests/testsuite/rights.rs
+++ b/crates/oatpier-serving/tests/testsuite/rights.rs
@@ -18,30 +18,30 @@
     let pace = |place| LoadPace {
         loads: 1,
         engines: 2,
-        place,
+        index: place,
         window: Duration::from_secs(5),
     };
     let mut lender = EngineResidency::new(pace(0), true, at(0));
     let mut borrower = EngineResidency::new(pace(1), true, at(0));
-    lender.take_report(report(0, &[]));
-    borrower.take_report(report(0, &[]));
+    lender.apply_report(report(0, &[]));
+    borrower.apply_report(report(0, &[]));
     let mut advised = advice("m1", &[], &[]);
     advised.lenders = vec![address(1)];
-    borrower.take_advice(advised, at(0));
+    borrower.accept_advice(advised, at(0));
     assert_eq!(borrower.next_order(at(0)), None);
-    let request = borrower.ask_for_right(7, at(0)).unwrap();
+    let request = borrower.request_right(7, at(0)).unwrap();
     assert_eq!(request.lender, address(1));
-    assert!(lender.lend(at(2)));
-    assert!(!lender.lend(at(3)), "a right is lent once");
+    assert!(lender.lend_right(at(2)));
+    assert!(!lender.lend_right(at(3)), "a right is lent once");
     assert!(!lender.store_load_wait(at(5_000)).is_zero());
-    borrower.take_right(request.right);
+    borrower.accept_right(request.right);
     let order = borrower.next_order(at(4)).unwrap();
     assert_eq!(order.order, EngineOrder::LoadModel(model("m1")));
     borrower.note_answer(&order, OrderAnswer::Taken, at(4));
-    borrower.take_report(report(1, &["m1"]));
+    borrower.apply_report(report(1, &["m1"]));
     let mut advised = advice("m2", &[], &["m1"]);
     advised.lenders = vec![address(1)];
-    borrower.take_advice(advised, at(10));
+    borrower.accept_advice(advised, at(10));
     assert_eq!(
         borrower.next_order(at(10)),
         None,
@@ -56,16 +56,16 @@
     let pace = LoadPace {
         loads: 1,
         engines: 2,
-        place: 1,
+        index: 1,
         window: Duration::from_secs(5),
     };
     let mut borrower = EngineResidency::new(pace, true, at(0));
-    borrower.take_report(report(0, &[]));
+    borrower.apply_report(report(0, &[]));
     let mut advised = advice("m1", &[], &[]);
     advised.lenders = vec![address(1)];
-    borrower.take_advice(advised, at(0));
-    let request = borrower.ask_for_right(7, at(0)).unwrap();
-    borrower.take_right(request.right);
+    borrower.accept_advice(advised, at(0));
+    let request = borrower.request_right(7, at(0)).unwrap();
+    borrower.accept_right(request.right);
     assert_eq!(borrower.next_order(at(400)), None);
 }
 
@@ -81,7 +81,7 @@
         restarts in prop::collection::vec((0_u64..20_000, 0_usize..30), 0..20),
         deliveries in prop::collection::vec((any::<bool>(), 0_u64..500, 0_usize..30), 40),
     ) {
-        let pace_of = |place| LoadPace { loads, engines, place, window: Duration::from_secs(5) };
+        let pace_of = |place| LoadPace { loads, engines, index: place, window: Duration::from_secs(5) };
         let count = engines as usize;
         let mut sidecars: Vec<EngineResidency> =
             (0..engines).map(|place| EngineResidency::new(pace_of(place), true, at(0))).collect();
@@ -96,24 +96,24 @@
                 }
             }
             for (_, to, right) in answers.extract_if(.., |(due, _, _)| *due <= now) {
-                sidecars[to].take_right(right);
+                sidecars[to].accept_right(right);
             }
             for place in 0..count {
                 let wants = (now / 1_000 + place as u64).is_multiple_of(3);
-                sidecars[place].take_report(report(now, &[]));
+                sidecars[place].apply_report(report(now, &[]));
                 if wants {
                     let mut advised = advice("m1", &[], &[]);
                     advised.lenders = vec![address(1)];
-                    sidecars[place].take_advice(advised, at(now));
+                    sidecars[place].accept_advice(advised, at(now));
                 }
                 if let Some(order) = sidecars[place].next_order(at(now)) {
                     begun.push(now);
                     sidecars[place].note_answer(&order, OrderAnswer::Taken, at(now));
-                    sidecars[place].take_report(report(now + 1, &["m1"]));
-                } else if let Some(request) = sidecars[place].ask_for_right(now, at(now)) {
+                    sidecars[place].apply_report(report(now + 1, &["m1"]));
+                } else if let Some(request) = sidecars[place].request_right(now, at(now)) {
                     delivery_index += 1;
                     let (is_lost, delay, lender) = deliveries[delivery_index % deliveries.len()];
-                    if !is_lost && sidecars[lender % count].lend(at(now)) {
+                    if !is_lost && sidecars[lender % count].lend_right(at(now)) {
                         answers.push((now + delay, place, request.right));
                     }
                 }
