--- a/crates/oatpier-serving/tests/testsuite/residency.rs
+++ b/crates/oatpier-serving/tests/testsuite/residency.rs
@@ -221,7 +221,7 @@
         loads in 1_u32..40,
         restarts in prop::collection::vec((0_u64..20_000, 0_usize..40), 0..20),
     ) {
-        let pace_of = |place| LoadPace { loads, engines, index: place, window: Duration::from_secs(5) };
+        let pace_of = |index| LoadPace { loads, engines, index, window: Duration::from_secs(5) };
         let count = engines as usize;
         let mut sidecars: Vec<EngineResidency> =
             (0..engines).map(|place| EngineResidency::new(pace_of(place), true, at(0))).collect();
--- a/crates/oatpier-serving/tests/testsuite/rights.rs
+++ b/crates/oatpier-serving/tests/testsuite/rights.rs
@@ -15,10 +15,10 @@
 /// lender waits as long as if it had loaded itself.
 #[test]
 fn engine_without_a_rate_share_borrows_a_right() {
-    let pace = |place| LoadPace {
+    let pace = |index| LoadPace {
         loads: 1,
         engines: 2,
-        index: place,
+        index,
         window: Duration::from_secs(5),
     };
     let mut lender = EngineResidency::new(pace(0), true, at(0));
@@ -81,7 +81,7 @@
         restarts in prop::collection::vec((0_u64..20_000, 0_usize..30), 0..20),
         deliveries in prop::collection::vec((any::<bool>(), 0_u64..500, 0_usize..30), 40),
     ) {
-        let pace_of = |place| LoadPace { loads, engines, index: place, window: Duration::from_secs(5) };
+        let pace_of = |index| LoadPace { loads, engines, index, window: Duration::from_secs(5) };
         let count = engines as usize;
         let mut sidecars: Vec<EngineResidency> =
             (0..engines).map(|place| EngineResidency::new(pace_of(place), true, at(0))).collect();
