--- a/crates/oatpier-duty/src/observe/duty.rs
+++ b/crates/oatpier-duty/src/observe/duty.rs
@@ -49,7 +49,7 @@
     let ObserveInputs {
         listener,
         metrics,
-        can_serve: able,
+        can_serve,
         spans,
         mut output,
         stop,
@@ -58,7 +58,7 @@
         tokio::net::TcpListener::from_std(listener).expect("the runtime takes the socket");
     let handler = Arc::new(ObserveHandler {
         metrics: Box::new(metrics),
-        able,
+        can_serve,
         stop: stop.clone(),
     });
     let limits = ServerLimits {
@@ -124,7 +124,7 @@
     /// The metrics to export.
     pub metrics: Box<dyn MetricsText>,
     /// Whether the process can serve requests, according to its own state.
-    pub able: Arc<AtomicBool>,
+    pub can_serve: Arc<AtomicBool>,
     /// The stop signal, which tells whether the process is shutting down.
     pub stop: StopSignal,
 }
@@ -152,7 +152,7 @@
         if self.stop.phase() != StopPhase::Serving {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "draining\n");
         }
-        if !self.able.load(Ordering::Relaxed) {
+        if !self.can_serve.load(Ordering::Relaxed) {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "no configuration yet\n");
         }
         reply::text(StatusCode::OK, "ready\n")
--- a/crates/oatpier-duty/src/observe/logs.rs
+++ b/crates/oatpier-duty/src/observe/logs.rs
@@ -19,7 +19,7 @@
     install_on(StdStream::Stderr, name);
 }
 
-/// Same as [`install`], on standard output.
+/// Same as [`install_on_stderr`], on standard output.
 ///
 /// # Panics
 ///
--- a/crates/oatpier-duty/src/placement.rs
+++ b/crates/oatpier-duty/src/placement.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// The path at which an entry responds to a [`PlacementAsk`] with a [`PlacementView`].
+/// The path at which an entry responds to a [`PlacementQuery`] with a [`PlacementView`].
 pub const PLACEMENT_PATH: &str = "/peer/placement";
 
 /// Identifies the plan of a row. Later plans have higher stamps.
--- a/crates/oatpier-duty/src/settings/entry.rs
+++ b/crates/oatpier-duty/src/settings/entry.rs
@@ -65,7 +65,7 @@
     let observe_listen = listen.required("observe");
     reader.absorb(listen);
     let platform = PlatformAddresses::read(reader);
-    let notice = reader.optional("stop_notice", DEFAULT_NOTICE);
+    let stop_notice = reader.optional("stop_notice", DEFAULT_NOTICE);
     let silence_floor = reader.optional("silence_floor", DEFAULT_SILENCE_FLOOR);
     let limits = RequestLimits::read(reader);
     let platform = platform?;
@@ -79,7 +79,7 @@
         observe_listen: observe_listen?,
         store: platform.store,
         vm_list: platform.vm_list,
-        stop_notice: notice,
+        stop_notice,
         silence_floor,
         limits,
     })
--- a/crates/oatpier-duty/src/settings/limits.rs
+++ b/crates/oatpier-duty/src/settings/limits.rs
@@ -52,7 +52,7 @@
             body_bytes: self.body_bytes,
             head_timeout: self.header_time,
             body_timeout: self.body_time,
-            idle: self.idle_time,
+            idle_timeout: self.idle_time,
             write_timeout: self.write_time,
             ..ServerLimits::default()
         }
--- a/crates/oatpier-duty/src/settings/mod.rs
+++ b/crates/oatpier-duty/src/settings/mod.rs
@@ -47,7 +47,7 @@
     /// The text has errors.
     #[error(transparent)]
     #[diagnostic(transparent)]
-    Wrong(#[from] SettingsErrors),
+    Invalid(#[from] SettingsErrors),
 }
 
 impl SettingsText {
@@ -82,10 +82,10 @@
     }
 
     fn syntax_error(&self, error: &toml::de::Error) -> SettingsErrors {
-        let place = error.span().unwrap_or(0..0);
+        let span = error.span().unwrap_or(0..0);
         self.source_errors(vec![SettingsError {
             message: format!("this is not TOML: {}", error.message()),
-            span: place.into(),
+            span: span.into(),
             help: "see the commented examples of settings".to_owned(),
         }])
     }
--- a/crates/oatpier-duty/src/settings/reader.rs
+++ b/crates/oatpier-duty/src/settings/reader.rs
@@ -104,7 +104,7 @@
 pub(crate) struct TableReader<'t> {
     name: &'static str,
     table: Option<&'t DeTable<'t>>,
-    place: Range<usize>,
+    span: Range<usize>,
     known_keys: Vec<&'static str>,
     errors: Vec<SettingsError>,
 }
@@ -114,12 +114,12 @@
     pub(crate) fn new(
         name: &'static str,
         table: Option<&'t DeTable<'t>>,
-        place: Range<usize>,
+        span: Range<usize>,
     ) -> Self {
         Self {
             name,
             table,
-            place,
+            span,
             known_keys: Vec::new(),
             errors: Vec::new(),
         }
@@ -130,16 +130,16 @@
         let found = self.find(key);
         if found.is_none() {
             let message = format!("`{key}` is missing{}", self.in_table());
-            let mend = format!("add a line such as `{key} = \"{}\"`", T::EXAMPLE);
-            self.fail(self.place.clone(), message, mend);
+            let help = format!("add a line such as `{key} = \"{}\"`", T::EXAMPLE);
+            self.fail(self.span.clone(), message, help);
         }
-        found.and_then(|(place, value)| self.text(key, place, value))
+        found.and_then(|(span, value)| self.text(key, span, value))
     }
 
     /// Reads an optional value; a missing or invalid one becomes `default`.
     pub(crate) fn optional<T: TextValue>(&mut self, key: &'static str, default: T) -> T {
         self.find(key)
-            .and_then(|(place, value)| self.text(key, place, value))
+            .and_then(|(span, value)| self.text(key, span, value))
             .unwrap_or(default)
     }
 
@@ -150,7 +150,7 @@
         default: usize,
         bounds: std::ops::RangeInclusive<usize>,
     ) -> usize {
-        let Some((place, value)) = self.find(key) else {
+        let Some((span, value)) = self.find(key) else {
             return default;
         };
         let number = value
@@ -160,12 +160,12 @@
             Some(number) if bounds.contains(&number) => number,
             _ => {
                 let message = format!("`{key}` is {}, which it can't be", display_value(value));
-                let mend = format!(
+                let help = format!(
                     "use a whole number from {} to {}",
                     bounds.start(),
                     bounds.end()
                 );
-                self.fail(place, message, mend);
+                self.fail(span, message, help);
                 default
             }
         }
@@ -173,15 +173,15 @@
 
     /// Returns a reader of a nested table; a missing one reads as empty.
     pub(crate) fn table(&mut self, key: &'static str) -> TableReader<'t> {
-        let Some((place, value)) = self.find(key) else {
-            return TableReader::new(key, None, self.place.clone());
+        let Some((span, value)) = self.find(key) else {
+            return TableReader::new(key, None, self.span.clone());
         };
         if !value.is_table() {
             let message = format!("`{key}` is {}, not a table", display_value(value));
-            let mend = format!("begin the table with a line `[{key}]`");
-            self.fail(place.clone(), message, mend);
+            let help = format!("begin the table with a line `[{key}]`");
+            self.fail(span.clone(), message, help);
         }
-        TableReader::new(key, value.as_table(), place)
+        TableReader::new(key, value.as_table(), span)
     }
 
     /// Adds the errors of a nested table.
@@ -198,10 +198,10 @@
             .filter(|key| !self.known_keys.contains(&key.get_ref().as_ref()))
             .map(|key| (key.span(), key.get_ref().to_string()))
             .collect();
-        for (place, key) in unknown {
+        for (span, key) in unknown {
             let message = format!("`{key}` is not a setting{}", self.in_table());
-            let mend = format!("remove it, or use one of: {}", self.known_keys.join(", "));
-            self.fail(place, message, mend);
+            let help = format!("remove it, or use one of: {}", self.known_keys.join(", "));
+            self.fail(span, message, help);
         }
         self.errors
     }
@@ -217,7 +217,7 @@
     fn text<T: TextValue>(
         &mut self,
         key: &'static str,
-        place: Range<usize>,
+        span: Range<usize>,
         value: &DeValue<'t>,
     ) -> Option<T> {
         let read = match value.as_str() {
@@ -228,8 +228,8 @@
             Ok(read) => Some(read),
             Err(cause) => {
                 let message = format!("`{key}` is {}, not {}", display_value(value), T::KIND);
-                let mend = format!("{cause}; for example \"{}\"", T::EXAMPLE);
-                self.fail(place, message, mend);
+                let help = format!("{cause}; for example \"{}\"", T::EXAMPLE);
+                self.fail(span, message, help);
                 None
             }
         }
@@ -243,11 +243,11 @@
         }
     }
 
-    fn fail(&mut self, place: Range<usize>, message: String, mend: String) {
+    fn fail(&mut self, span: Range<usize>, message: String, help: String) {
         self.errors.push(SettingsError {
             message,
-            span: place.into(),
-            help: mend,
+            span: span.into(),
+            help,
         });
     }
 }
--- a/crates/oatpier-gateway/src/observe.rs
+++ b/crates/oatpier-gateway/src/observe.rs
@@ -30,7 +30,7 @@
 pub async fn observe(inputs: ObserveInputs) {
     let handler = Arc::new(ObserveHandler {
         metrics: Box::new(inputs.metrics),
-        able: inputs.can_serve,
+        can_serve: inputs.can_serve,
         stop: inputs.stop.clone(),
     });
     let metrics = serve(Some(inputs.metrics_listener), Arc::clone(&handler));
--- a/crates/oatpier-wire/src/attempt.rs
+++ b/crates/oatpier-wire/src/attempt.rs
@@ -3,7 +3,7 @@
 //! `POST /agent/attempt` carries one frame with an [`AttemptHead`], then the caller's body. The response is a stream
 //! of frames: either a single [`AttemptFrame::Refused`], or [`AttemptFrame::Started`], pieces and
 //! [`AttemptFrame::Ended`], or [`AttemptFrame::Failed`] at any point. A stream that stops before one of the three
-//! final frames was truncated. `POST /agent/cancel` carries a [`CancelAttempt`]; its response is a [`CancelAnswer`].
+//! final frames was truncated. `POST /agent/cancel` carries a [`CancelAttempt`]; its response is a [`CancelResponse`].
 
 use bytes::{Bytes, BytesMut};
 use futures::{Stream, StreamExt};
@@ -32,7 +32,7 @@
 /// The maximum size of an attempt's head in bytes.
 pub const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// The maximum size of a frame of an attempt's response in bytes. [`answer`] splits longer pieces.
+/// The maximum size of a frame of an attempt's response in bytes. [`build_response`] splits longer pieces.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
 
 /// The maximum number of response bytes in one frame, which leaves room for the frame's other fields.
--- a/crates/oatpier-wire/src/server.rs
+++ b/crates/oatpier-wire/src/server.rs
@@ -64,7 +64,7 @@
     /// The maximum time to receive a body; slower ones receive a 408 response.
     pub body_timeout: Duration,
     /// How long an idle connection is kept between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// The maximum time without progress in writing a response to the caller.
     pub write_timeout: Duration,
     /// How long the server still responds to requests in transit after a shutdown is requested, each with
@@ -82,7 +82,7 @@
             body_bytes: 4 << 20,
             head_timeout: Duration::from_secs(5),
             body_timeout: Duration::from_secs(10),
-            idle: Duration::from_mins(1),
+            idle_timeout: Duration::from_mins(1),
             write_timeout: Duration::from_secs(10),
             linger: Duration::from_millis(500),
             retry_after: Duration::from_secs(1),
--- a/crates/oatpier-wire/src/server/guard.rs
+++ b/crates/oatpier-wire/src/server/guard.rs
@@ -119,9 +119,9 @@
     inner: MeteredStream,
     activity: Arc<ConnectionActivity>,
     counters: Arc<ServerCounters>,
-    idle: Duration,
-    head_wait: Duration,
-    write_wait: Duration,
+    idle_timeout: Duration,
+    head_timeout: Duration,
+    write_timeout: Duration,
     reading: WaitTimer,
     read_wait: ReadWait,
     writing: WaitTimer,
@@ -138,9 +138,9 @@
             inner,
             activity,
             counters,
-            idle: limits.idle,
-            head_wait: limits.head_timeout,
-            write_wait: limits.write_timeout,
+            idle_timeout: limits.idle_timeout,
+            head_timeout: limits.head_timeout,
+            write_timeout: limits.write_timeout,
             reading: WaitTimer::default(),
             read_wait: ReadWait::Idle,
             writing: WaitTimer::default(),
@@ -156,8 +156,8 @@
             self.read_wait = wait;
         }
         let limit = match wait {
-            ReadWait::Idle => self.idle,
-            ReadWait::Head => self.head_wait,
+            ReadWait::Idle => self.idle_timeout,
+            ReadWait::Head => self.head_timeout,
             ReadWait::Unbounded => {
                 self.activity.finished.register(context.waker());
                 return Poll::Pending;
@@ -191,7 +191,7 @@
             self.writing.stop();
             return polled;
         }
-        ready!(self.writing.poll(context, self.write_wait));
+        ready!(self.writing.poll(context, self.write_timeout));
         Poll::Ready(Err(self.record_stall()))
     }
 
--- a/crates/oatpier-wire/tests/testsuite/server_limits.rs
+++ b/crates/oatpier-wire/tests/testsuite/server_limits.rs
@@ -90,12 +90,12 @@
 async fn closes_connections_with_a_slow_head_and_idle_ones() {
     let slow_head = ServerLimits {
         head_timeout: SHORT_TIMEOUT,
-        idle: Duration::from_hours(1),
+        idle_timeout: Duration::from_hours(1),
         ..limits()
     };
     let idle = ServerLimits {
         head_timeout: Duration::from_hours(1),
-        idle: SHORT_TIMEOUT,
+        idle_timeout: SHORT_TIMEOUT,
         ..limits()
     };
     let answered = "GET / HTTP/1.1\r\n\r\n";
--- a/crates/oatpier-wire/tests/testsuite/server_shutdown.rs
+++ b/crates/oatpier-wire/tests/testsuite/server_shutdown.rs
@@ -37,7 +37,7 @@
         let limits = ServerLimits {
             linger,
             // Long enough that only the shutdown closes connections.
-            idle: Duration::from_hours(1),
+            idle_timeout: Duration::from_hours(1),
             ..ServerLimits::default()
         };
         let held = Arc::clone(&release);
--- a/crates/oatpierd/src/commands/mod.rs
+++ b/crates/oatpierd/src/commands/mod.rs
@@ -24,7 +24,7 @@
         .get_one::<PathBuf>("settings")
         .expect("clap requires it");
     SettingsText::read(path)
-        .and_then(|text| T::try_from(&text).map_err(SettingsFailure::Wrong))
+        .and_then(|text| T::try_from(&text).map_err(SettingsFailure::Invalid))
         .map_err(|failure| CommandFailure {
             code: EXIT_SETTINGS,
             report: Report::new(failure),
