--- a/crates/oatpier-membership/examples/spread_cost.rs
+++ b/crates/oatpier-membership/examples/spread_cost.rs
@@ -1,11 +1,12 @@
-//! What spread and membership cost, and how long a change takes to be in force everywhere.
+//! Measures the cost of configuration spread and membership, and the time until a change is in
+//! force everywhere.
 //!
 //! `cargo run --release -p oatpier-membership --example spread_cost` runs 3, 34 and 340 entries
-//! with their agents, with no message and with a tenth of all messages lost. Bytes are those of
-//! the `MessagePack` bodies and an allowance for HTTP headers, sent and received together.
+//! with their agents, without loss and with a tenth of all messages lost. Byte counts are those of
+//! the `MessagePack` bodies plus an allowance for HTTP headers, sent and received together.
 //!
-//! The runs come one after another, as 340 entries in one process take about 2 GB. With arguments
-//! (`-- ENTRIES LOSS CHANGES`) just one run is made, over so many changes.
+//! The runs are sequential, as 340 entries in one process take about 2 GB. With arguments
+//! (`-- ENTRIES LOSS CHANGES`) only the run that matches is made, over that many changes.
 
 #[path = "../tests/testsuite/support/mod.rs"]
 mod support;
@@ -27,10 +28,10 @@
 /// 11,000 changes a day are one in about eight seconds.
 const CHANGE_EVERY: Duration = Duration::from_secs(8);
 const CHANGES: u32 = 6;
-/// Until tables are full and agents have settled on their registrars.
+/// Time until tables are complete and agents keep their registrars.
 const WARM_UP: Duration = Duration::from_secs(75);
 
-/// Changes of what an endpoint has ready, over the whole fleet, in a second: as many loads and
+/// Changes per second, over the whole fleet, of what an endpoint has ready: as many loads and
 /// unloads as the weight stores of the two deployments allow.
 const READY_CHANGES: usize = 6;
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// What the arguments leave over; without them, everything.
+/// The runs selected by the arguments; without arguments, all.
 struct WantedRun {
     entries: Option<usize>,
     loss: Option<f64>,
@@ -124,7 +125,7 @@
     report(&fleet, entries, agents, loss, changes, times)
 }
 
-/// Every queue moves, and a few endpoints load or unload.
+/// Changes every queue, and loads or unloads a model on a few endpoints.
 fn work(fleet: &mut Fleet, entries: usize, change: u32, second: u64, sequence: &mut u64) {
     let total = fleet.processes.len();
     for index in entries..total {
--- a/crates/oatpier-membership/src/agent.rs
+++ b/crates/oatpier-membership/src/agent.rs
@@ -1,7 +1,8 @@
-//! Everything that an agent decides about configuration and membership, put together.
+//! The combined state machine of an agent for configuration and membership.
 //!
-//! An agent never calls the store for its configuration: 3,500 of them would. It learns it from
-//! its registrars, which push a change and answer each heartbeat with their generation.
+//! An agent never reads its configuration from the store, as 3,500 agents would make too many
+//! calls. It gets the configuration from its registrars, which push changes and include their
+//! generation in the answer to each heartbeat.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -21,54 +22,54 @@
 use crate::registrar::{HeartbeatAction, HeartbeatKeeper, RegistrarLost};
 use crate::stops::StopWord;
 
-/// Time after which a lost pull is made again.
+/// Delay before a lost pull is repeated.
 const PULL_AGAIN: Duration = Duration::from_millis(200);
 
-/// What an agent hears.
+/// An input of an [`AgentMember`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentEvent<P: ConfigPayload> {
     /// Time has passed.
     Tick,
-    /// A call of this agent ended; none: lost.
+    /// A call of this agent ended.
     CallEnded {
-        /// Which.
+        /// The number of the call.
         call: CallNumber,
-        /// The answer.
+        /// The answer; `None`: the call was lost.
         answer: Option<Box<PeerAnswer<P>>>,
     },
-    /// Entries that the list of VMs names.
+    /// The entries in the platform's list of VMs.
     Hints(Vec<EntryContact>),
-    /// The endpoint's whole status.
+    /// The full status of the endpoint.
     Status(Box<EndpointStatus>),
-    /// The agent's queue.
+    /// The state of the agent's queue.
     QueueReport(QueueReport),
-    /// The agent's own phase.
+    /// The phase of this agent.
     Phase(MemberPhase),
 }
 
-/// What an agent does.
+/// An action that an [`AgentMember`] requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentAction<P: ConfigPayload> {
     /// Call an entry.
     Call {
-        /// The number to report its end by.
+        /// The number under which to report the end of the call.
         call: CallNumber,
-        /// Whom.
+        /// The process to call.
         to: EntryContact,
-        /// The call.
+        /// The message to send.
         body: PeerCall<P>,
     },
-    /// This configuration is in force from now on.
+    /// This configuration is now in force.
     InForce(HeldConfig<P>),
-    /// A planned stop of this agent was asked for or withdrawn.
+    /// A planned stop of this agent was requested or withdrawn.
     Stop(StopWord),
-    /// A registrar did not answer and was replaced. Nothing else changes.
+    /// A registrar did not answer and was replaced. Informational only.
     RegistrarLost(RegistrarLost),
 }
 
 type Actions<P> = Vec<AgentAction<P>>;
 
-/// An agent's part in configuration and membership.
+/// The state of an agent in configuration and membership.
 #[derive(Debug, Clone)]
 pub struct AgentMember<P: ConfigPayload> {
     own: EntryContact,
@@ -85,7 +86,7 @@
 }
 
 impl<P: ConfigPayload> AgentMember<P> {
-    /// An agent that starts at `now`. `seeds` are entries that its settings name.
+    /// Creates an agent that starts at `now`. `seeds` are the entries named in its settings.
     #[must_use]
     pub fn new(
         own: EntryContact,
@@ -113,25 +114,25 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn in_force(&self) -> Option<&HeldConfig<P>> {
         self.keeper.in_force()
     }
 
-    /// Its generation; 0: none yet.
+    /// Returns the generation in force, or 0 if there is none yet.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.keeper.generation()
     }
 
-    /// Its heartbeats.
+    /// Returns the state of the agent's heartbeats.
     #[must_use]
     pub fn heartbeats(&self) -> &HeartbeatKeeper {
         &self.heartbeats
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         let wake = self.heartbeats.next_wake().min(self.keeper.settles_at());
@@ -141,7 +142,7 @@
         wake
     }
 
-    /// Hears an event.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, event: AgentEvent<P>, now: ClockTime) -> Actions<P> {
         let mut actions = Vec::new();
         let before = self.generation();
@@ -160,7 +161,7 @@
         actions
     }
 
-    /// Answers a call of another process.
+    /// Handles a call of another process and returns the answer.
     pub fn answer(&mut self, call: PeerCall<P>, now: ClockTime) -> (PeerAnswer<P>, Actions<P>) {
         let mut actions = Vec::new();
         let before = self.generation();
@@ -209,7 +210,7 @@
                 HeartbeatAction::Lost(lost) => actions.push(AgentAction::RegistrarLost(lost)),
                 HeartbeatAction::Former(former) => self.keeper.raise_floor(former.generation),
                 HeartbeatAction::Stop(word) => {
-                    // Every answer repeats it.
+                    // Every heartbeat answer repeats the request.
                     if self.stop.replace(word) != Some(word) {
                         actions.push(AgentAction::Stop(word));
                     }
@@ -224,7 +225,7 @@
         self.pull(now, actions);
     }
 
-    /// Asks the registrar that is ahead.
+    /// Sends a pull to the registrar that is ahead, if there is one.
     fn pull(&mut self, now: ClockTime, actions: &mut Actions<P>) {
         let have = self.keeper.have();
         self.seen.take_if(|(_, generation)| *generation <= have);
@@ -266,7 +267,8 @@
         self.act(beats, now, actions);
     }
 
-    /// A lost pull goes to whichever registrar answers next, as its answer shows the generation.
+    /// Handles the end of a pull. A lost pull is repeated at the next registrar whose answer shows
+    /// a later generation.
     fn end_pull(&mut self, answer: Option<PeerAnswer<P>>, now: ClockTime) {
         self.pulling = false;
         self.next_pull = now + jittered(PULL_AGAIN, &mut self.generator);
--- a/crates/oatpier-membership/src/backoff.rs
+++ b/crates/oatpier-membership/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Retries that don't come all at once.
+//! Retry delays with jitter, so that processes don't retry at the same time.
 
 use std::time::Duration;
 
@@ -6,12 +6,12 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// A random time between half of `span` and the whole of it.
+/// Returns a random duration between half of `span` and all of it.
 pub fn jittered(span: Duration, generator: &mut ChaCha8Rng) -> Duration {
     span.mul_f64(generator.random_range(0.5..=1.0))
 }
 
-/// Doubles the wait with each failure, with jitter, up to a longest one.
+/// Exponential backoff with jitter and an upper bound.
 #[derive(Debug, Clone)]
 pub struct RetryBackoff {
     first: Duration,
@@ -20,7 +20,8 @@
 }
 
 impl RetryBackoff {
-    /// Waits about `first` after the first failure and never more than `longest`.
+    /// Creates a backoff that waits about `first` after the first failure and never more than
+    /// `longest`.
     #[must_use]
     pub fn new(first: Duration, longest: Duration) -> Self {
         Self {
@@ -30,19 +31,19 @@
         }
     }
 
-    /// Counts a failure; returns when to try again.
+    /// Counts a failure and returns when to try again.
     pub fn failed(&mut self, now: ClockTime, generator: &mut ChaCha8Rng) -> ClockTime {
         let doubled = self.first.saturating_mul(1 << self.failures.min(16));
         self.failures += 1;
         now + jittered(doubled.min(self.longest), generator)
     }
 
-    /// Forgets the failures.
+    /// Resets the count of failures.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures since the last success.
+    /// Returns the number of failures since the last success.
     #[must_use]
     pub fn failures(&self) -> u32 {
         self.failures
--- a/crates/oatpier-membership/src/budget.rs
+++ b/crates/oatpier-membership/src/budget.rs
@@ -1,9 +1,9 @@
-//! How many calls to the store a process makes.
+//! The per-process budget of calls to the store.
 //!
-//! The store takes a few hundred writes and about two thousand reads a second from the whole
-//! fleet, and that grows more slowly than the fleet. Each process has its share, worked out from
-//! the count of processes, without a word between them. When calls get scarce, kinds of calls
-//! give way in the order of [`CallKind`]: a kind further down needs more tokens left.
+//! The store handles a few hundred writes and about two thousand reads per second for the whole
+//! fleet, and that capacity grows more slowly than the fleet. Each process derives its share from
+//! the number of processes, without coordination. When calls get scarce, kinds of calls are limited
+//! in the order of [`CallKind`]: a kind further down the list needs more tokens left in the bucket.
 
 use std::time::Duration;
 
@@ -11,26 +11,26 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// Why a call is made, the most needed first.
+/// The purpose of a call, in order of priority, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CallKind {
-    /// Reading or watching the configuration and planned stops. Without it nothing changes.
+    /// Reads or watches the configuration and planned stops. Without it no change takes effect.
     ConfigWatch,
-    /// Taking or renewing the planner's lease; writing the plan.
+    /// Takes or renews the planner's lease, or writes the plan.
     PlannerLease,
-    /// Reading the plan.
+    /// Reads the plan.
     PlanRead,
-    /// An agent's epoch and its intents. Without them engines that ignore order numbers make no
-    /// moves.
+    /// Writes an agent's epoch and its intents. Without them, engines that ignore order numbers
+    /// make no moves.
     EpochIntent,
-    /// A claim on an idempotency key.
+    /// Claims an idempotency key.
     KeyClaim,
-    /// What operators look at: statuses and history.
+    /// Reads or writes what operators look at: statuses and history.
     StatusHistory,
 }
 
 impl CallKind {
-    /// All kinds, the most needed first.
+    /// All kinds in order of priority, highest first.
     pub const ALL: [Self; 6] = [
         Self::ConfigWatch,
         Self::PlannerLease,
@@ -40,7 +40,7 @@
         Self::StatusHistory,
     ];
 
-    /// The part of a full bucket that must be left over for kinds before this one.
+    /// Returns the fraction of a full bucket that stays reserved for kinds of higher priority.
     #[must_use]
     pub fn reserve(self) -> f64 {
         match self {
@@ -63,27 +63,27 @@
     Write,
 }
 
-/// Calls that one process may make in a second, on average.
+/// The average number of calls that one process may make per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallRates {
-    /// Reads a second.
+    /// Reads per second.
     pub reads: f64,
-    /// Writes a second.
+    /// Writes per second.
     pub writes: f64,
 }
 
-/// What the store takes and how it is shared out.
+/// The capacity of the store and its division among processes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoreShare {
-    /// What the store takes from all.
+    /// The total capacity of the store.
     pub store: CallRates,
-    /// The part of it that the system may use.
+    /// The fraction of that capacity that the system may use.
     pub used: f64,
-    /// The part of that which entries get; agents get the rest.
+    /// The fraction of the usable capacity that goes to entries; agents get the rest.
     pub entries_part: f64,
-    /// Entries, as far as is known.
+    /// The number of known entries.
     pub entries: u32,
-    /// Agents, as far as is known.
+    /// The number of known agents.
     pub agents: u32,
 }
 
@@ -103,13 +103,13 @@
 }
 
 impl StoreShare {
-    /// What one entry may use.
+    /// Returns the rates for one entry.
     #[must_use]
     pub fn entry(&self) -> CallRates {
         self.of_one(self.entries_part, self.entries)
     }
 
-    /// What one agent may use.
+    /// Returns the rates for one agent.
     #[must_use]
     pub fn agent(&self) -> CallRates {
         self.of_one(1.0 - self.entries_part, self.agents)
@@ -124,11 +124,12 @@
     }
 }
 
-/// Calls a process can make at once after it was quiet.
+/// The number of calls that an idle process may make at once (bucket size).
 const BURST_CALLS: f64 = 10.0;
 
-/// The first calls after an outage are spread over the time in which each process's share comes
-/// to one call, so that all first calls together stay within the budget; within these bounds.
+/// Bounds of the time over which the first calls after an outage are spread. Within them it is the
+/// time in which each process's share comes to one call, so that all first calls together stay
+/// within the budget.
 const SPREAD_LEAST: Duration = Duration::from_secs(2);
 const SPREAD_MOST: Duration = Duration::from_mins(1);
 
@@ -163,7 +164,7 @@
         self.closed_until = now + spread.mul_f64(generator.random_range(0.0..1.0));
     }
 
-    /// When `wanted` tokens will be there.
+    /// Returns when `wanted` tokens will be available.
     fn filled_at(&self, wanted: f64) -> ClockTime {
         let seconds = (wanted - self.tokens) / self.rate.max(f64::MIN_POSITIVE);
         let wait = Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX);
@@ -171,16 +172,16 @@
     }
 }
 
-/// Counts of calls of one kind.
+/// Counters of calls of one kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct CallCount {
-    /// Calls that were let through.
+    /// Calls that were allowed.
     pub made: u64,
-    /// Calls that had to wait or were given up.
+    /// Calls that were delayed or dropped.
     pub held_back: u64,
 }
 
-/// The budget of one process.
+/// The store call budget of one process.
 #[derive(Debug, Clone)]
 pub struct StoreBudget {
     reads: TokenBucket,
@@ -191,7 +192,7 @@
 }
 
 impl StoreBudget {
-    /// A budget at `rates`.
+    /// Creates a budget with `rates`.
     #[must_use]
     pub fn new(rates: CallRates, generator: ChaCha8Rng, now: ClockTime) -> Self {
         Self {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Sets other rates, when more or fewer processes are known.
+    /// Changes the rates, for example when the number of known processes changes.
     pub fn set_rates(&mut self, rates: CallRates, now: ClockTime) {
         self.reads.refill(now);
         self.writes.refill(now);
@@ -215,7 +216,7 @@
     ///
     /// # Errors
     ///
-    /// When to ask again, if the call must not be made now.
+    /// Returns the time at which to ask again, if the call is not allowed now.
     pub fn take(
         &mut self,
         kind: CallKind,
@@ -239,14 +240,16 @@
         Ok(())
     }
 
-    /// A call failed because the store is not there.
+    /// Records that a call failed because the store is unavailable.
     pub fn store_failed(&mut self) {
         self.down = true;
     }
 
-    /// A call was answered. After an outage every process has something to write, which all at
-    /// once would take the store down again. Each waits a random time; the configuration and the
-    /// planner's lease, which only a few processes call for, don't.
+    /// Records that the store answered a call.
+    ///
+    /// After an outage every process has something to write, and all these writes at once would
+    /// overload the store again. Each process therefore waits a random time. Calls for the
+    /// configuration and for the planner's lease are exempt, as only a few processes make them.
     pub fn store_answered(&mut self, now: ClockTime) {
         if !self.down {
             return;
@@ -256,7 +259,7 @@
         self.writes.close_for_a_while(&mut self.generator, now);
     }
 
-    /// How many calls of a kind were made and held back.
+    /// Returns how many calls of a kind were allowed and held back.
     #[must_use]
     pub fn count(&self, kind: CallKind) -> CallCount {
         self.counts[kind as usize]
--- a/crates/oatpier-membership/src/entry/calls.rs
+++ b/crates/oatpier-membership/src/entry/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of an entry: their numbers, and what their ends mean.
+//! The calls of an entry: their numbers and the handling of their results.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::Generation;
@@ -155,7 +155,7 @@
         self.see(peer.clone(), answer.generation, now, actions);
     }
 
-    /// Words under a former incarnation are void: each is said anew under the present one.
+    /// Sends all votes again under the current incarnation, as those under an earlier one are void.
     fn renew_words(&mut self, now: ClockTime) {
         let own = self.exchange.own_row(self.spreader.generation());
         self.table.merge(&own, now);
--- a/crates/oatpier-membership/src/entry/member.rs
+++ b/crates/oatpier-membership/src/entry/member.rs
@@ -1,4 +1,4 @@
-//! The machine itself.
+//! The state machine of an entry.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -20,13 +20,13 @@
 use crate::stops::{StopBoard, StopWord};
 use crate::summary::SummaryBook;
 
-/// Time between two looks at who went silent.
+/// The interval between two checks for silent agents.
 const CHECK_EVERY: Duration = Duration::from_millis(500);
 
-/// A gap between two looks that shows that this process stood still.
+/// A gap between two checks that shows that this process was paused.
 const PAUSED_AFTER: Duration = Duration::from_secs(3);
 
-/// An entry's part in configuration and membership.
+/// The state of an entry in configuration and membership.
 #[derive(Debug, Clone)]
 pub struct EntryMember<P: ConfigPayload> {
     own: EntryContact,
@@ -55,7 +55,7 @@
 pub(super) type Actions<P> = Vec<EntryAction<P>>;
 
 impl<P: ConfigPayload> EntryMember<P> {
-    /// An entry that starts at `now`. `seeds` are entries that its settings name.
+    /// Creates an entry that starts at `now`. `seeds` are the entries named in its settings.
     #[must_use]
     pub fn new(
         own: EntryContact,
@@ -85,49 +85,50 @@
         }
     }
 
-    /// The table of members.
+    /// Returns the table of members.
     #[must_use]
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// What other availability zones have.
+    /// Returns the summaries of other availability zones.
     #[must_use]
     pub fn book(&self) -> &SummaryBook {
         &self.book
     }
 
-    /// Planned stops.
+    /// Returns the planned stops.
     #[must_use]
     pub fn stops(&self) -> &StopBoard {
         &self.stops
     }
 
-    /// The agents that are registered here.
+    /// Returns the agents registered with this entry.
     #[must_use]
     pub fn registrar(&self) -> &RegistrarTable {
         &self.registrar
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn in_force(&self) -> Option<&HeldConfig<P>> {
         self.spreader.in_force()
     }
 
-    /// Its generation; 0: none yet.
+    /// Returns the generation in force, or 0 if there is none yet.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.spreader.generation()
     }
 
-    /// Whether this entry watches the store; it then also watches the planned stops.
+    /// Whether this entry watches the configuration in the store. If so, it must also watch the
+    /// planned stops.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         self.spreader.is_watcher()
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         let check = self.checked + CHECK_EVERY;
@@ -137,7 +138,7 @@
             .min(self.spreader.next_wake())
     }
 
-    /// Hears an event.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, event: EntryEvent<P>, now: ClockTime) -> Actions<P> {
         let mut actions = Vec::new();
         match event {
@@ -171,7 +172,7 @@
         actions
     }
 
-    /// Answers a call of another process.
+    /// Handles a call of another process and returns the answer.
     pub fn answer(&mut self, call: PeerCall<P>, now: ClockTime) -> (PeerAnswer<P>, Actions<P>) {
         let mut actions = Vec::new();
         let answer = match call {
@@ -219,13 +220,14 @@
         self.spread(SpreadEvent::Tick, now, actions);
     }
 
-    /// Whether this entry hears so few that it is to blame itself.
+    /// Whether this entry receives so little that the cause is its own isolation.
     pub(super) fn check_isolation(&mut self, now: ClockTime) -> bool {
         let agents = self.registrar.heard_share(now);
         self.exchange.check_isolation(agents, &self.table, now)
     }
 
-    /// After every event: the own row, states after changes, and the own stop.
+    /// Runs after every event: merges the own row, recomputes states after changes, and reports a
+    /// new stop of this entry.
     fn finish(&mut self, now: ClockTime, actions: &mut Actions<P>) {
         let own = self.exchange.own_row(self.spreader.generation());
         self.table.merge(&own, now);
@@ -283,7 +285,7 @@
             zone: heartbeat.zone.clone(),
             address: heartbeat.address,
         };
-        // One that is behind pulls after this answer; one that is ahead is asked.
+        // An agent that is behind pulls after this answer; one that is ahead is pulled from.
         if heartbeat.generation > self.generation() {
             let seen = SpreadEvent::Seen {
                 from: contact,
@@ -312,7 +314,7 @@
         for summary in &gossip.summaries {
             self.summaries.take(summary, &mut self.book, now);
         }
-        // A table with nothing in it: the sender has just started.
+        // An empty table (apart from the sender's own row) means that the sender has just started.
         let blank = |parts: &Vec<u32>| parts.iter().filter(|part| **part != 0).count() <= 1;
         if gossip
             .digest
--- a/crates/oatpier-membership/src/entry/mod.rs
+++ b/crates/oatpier-membership/src/entry/mod.rs
@@ -1,8 +1,8 @@
-//! Everything that an entry decides about configuration and membership, put together.
+//! The combined state machine of an entry for configuration and membership.
 //!
-//! The owner sends the calls, brings back their ends (none after
-//! [`crate::spread::CALL_WITHIN`]), hands in the calls of others, and wakes the machine at
-//! [`EntryMember::next_wake`].
+//! The caller sends the calls and reports their ends (without an answer after
+//! [`crate::spread::CALL_WITHIN`]). It also passes in the calls of other processes, and sends a
+//! tick at [`EntryMember::next_wake`].
 
 mod calls;
 mod member;
@@ -22,76 +22,76 @@
 
 pub use member::EntryMember;
 
-/// The number of a call that this process makes.
+/// The number of a call made by this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallNumber(pub u64);
 
-/// What an entry hears.
+/// An input of an [`EntryMember`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryEvent<P: ConfigPayload> {
     /// Time has passed.
     Tick,
-    /// A call of this process ended; none: lost.
+    /// A call of this process ended.
     CallEnded {
-        /// Which.
+        /// The number of the call.
         call: CallNumber,
-        /// The answer.
+        /// The answer; `None`: the call was lost.
         answer: Option<Box<PeerAnswer<P>>>,
     },
-    /// The read or the watch of the configuration ended.
+    /// A read or a watch of the configuration ended.
     StoreEnded(StoreReply<P>),
-    /// The whole list of planned stops was read from the store.
+    /// The complete list of planned stops was read from the store.
     StopsListed(Vec<NamedStop>),
-    /// A planned stop was asked for or withdrawn, as the store's watch saw it.
+    /// The watch in the store reported that a planned stop was requested or withdrawn.
     StopChanged(NamedStop),
-    /// The list of VMs was read.
+    /// The platform's list of VMs was read.
     Hints(Vec<VmHint>),
-    /// An attempt on the data path told whether an agent is there.
+    /// An attempt on the data path showed whether an agent is reachable.
     Path {
         /// The agent.
         daemon: DaemonName,
-        /// What it told.
+        /// What the attempt showed.
         evidence: PathEvidence,
     },
-    /// An answer on the data path brought an agent's queue.
+    /// An answer on the data path contained an agent's queue report.
     QueueReport {
         /// The agent.
         daemon: DaemonName,
-        /// Its queue.
+        /// The queue report.
         report: QueueReport,
     },
-    /// This entry's own phase.
+    /// The phase of this entry.
     Phase(MemberPhase),
-    /// Which entries are a group.
+    /// Which entries form a group.
     Scope(ExchangeScope),
 }
 
-/// What an entry does.
+/// An action that an [`EntryMember`] requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EntryAction<P: ConfigPayload> {
     /// Call another process.
     Call {
-        /// The number to report its end by.
+        /// The number under which to report the end of the call.
         call: CallNumber,
-        /// Whom.
+        /// The process to call.
         to: EntryContact,
-        /// The call.
+        /// The message to send.
         body: PeerCall<P>,
     },
-    /// Read the configuration from the store. This and the next take the place of a call that is
-    /// still open, whose end must not be reported any more.
+    /// Read the configuration from the store. This action and [`Self::WatchConfig`] replace a store
+    /// call that is still open, whose end must no longer be reported.
     ReadConfig,
-    /// Wait for a change of it.
+    /// Wait for a change of the configuration in the store.
     WatchConfig {
-        /// The revision that is known.
+        /// The last known revision.
         after: Revision,
         /// How long to wait.
         wait: Duration,
     },
-    /// This configuration is in force from now on.
+    /// This configuration is now in force.
     InForce(HeldConfig<P>),
     /// A member's state changed.
     Changed(MemberChange),
-    /// A planned stop of this entry was asked for or withdrawn.
+    /// A planned stop of this entry was requested or withdrawn.
     Stop(StopWord),
 }
--- a/crates/oatpier-membership/src/exchange/group.rs
+++ b/crates/oatpier-membership/src/exchange/group.rs
@@ -21,17 +21,17 @@
 use crate::registrar::RegistrarWord;
 use crate::stops::StopBoard;
 
-/// Parts of the table that one answer brings at most.
+/// The maximum number of parts of the table that one answer contains.
 const ANSWER_PARTS: usize = 8;
 
-/// News in one answer that make the next round compare again.
+/// If an answer changes at least this many rows, the next round compares tables again.
 const MANY_NEWS: usize = 8;
 
-/// Every so many rounds, an entry that is gone or only hinted is tried: after a cut, the two
-/// sides think each other gone, and nobody else would bring them together.
+/// Interval, in rounds, at which one entry that is gone or only hinted is contacted. After a cut,
+/// each side counts the other as gone, and nothing else would reconnect them.
 const OUTSIDER_ROUNDS: u64 = 5;
 
-/// What an entry tells and hears in its group.
+/// The gossip state of one entry in its group.
 #[derive(Debug, Clone)]
 pub struct EntryExchange {
     own: OwnEntry,
@@ -49,7 +49,7 @@
 }
 
 impl EntryExchange {
-    /// The exchange of a starting entry that knows `seeds` from its settings.
+    /// Creates the exchange of a starting entry that knows `seeds` from its settings.
     #[must_use]
     pub fn new(
         own: EntryContact,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Sets which entries are the group.
+    /// Sets which entries form the group.
     pub fn set_scope(&mut self, scope: ExchangeScope) {
         self.scope = scope;
     }
@@ -85,26 +85,27 @@
         self.scope == ExchangeScope::Fleet || contact.zone == self.own.contact.zone
     }
 
-    /// Which entries are the group.
+    /// Returns which entries form the group.
     #[must_use]
     pub fn scope(&self) -> ExchangeScope {
         self.scope
     }
 
-    /// The own incarnation.
+    /// Returns this entry's incarnation.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.own.incarnation
     }
 
-    /// Sets the own phase. Going back needs a new incarnation.
+    /// Sets this entry's phase. Returning to an earlier phase needs a new incarnation.
     pub fn set_phase(&mut self, phase: MemberPhase, now: ClockTime) -> Vec<ExchangeAction> {
         self.next_round = now;
         self.own.set_phase(phase)
     }
 
-    /// Whether this entry hears so few that its silences say nothing of others. `agents` tells
-    /// how many of its registered agents it hears. To be called before silences are counted.
+    /// Whether this entry receives so little that silent peers say nothing about those peers.
+    /// `agents` is the share of its registered agents that it can reach. Must be called before
+    /// silent peers are counted.
     pub fn check_isolation(
         &mut self,
         agents: HeardShare,
@@ -119,29 +120,29 @@
         isolated
     }
 
-    /// What this entry says of itself.
+    /// Returns what this entry states about itself.
     #[must_use]
     pub fn own_row(&self, generation: Generation) -> MemberRow {
         self.own.row(generation)
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         self.next_round.min(self.probes.next_wake())
     }
 
-    /// Marks a row to be told.
+    /// Queues a row to be gossiped.
     pub fn tell_row(&mut self, daemon: &DaemonName) {
         self.rumors.insert(daemon.clone(), ROW_SENDS);
     }
 
-    /// Marks a stop to be told.
+    /// Queues a planned stop to be gossiped.
     pub fn tell_stop(&mut self, daemon: &DaemonName) {
         self.stop_rumors.insert(daemon.clone(), ROW_SENDS);
     }
 
-    /// Takes a registrar's or the exchange's own word into the table and tells it.
+    /// Merges this entry's own vote into the table and queues it to be gossiped.
     pub fn say(&mut self, word: &RegistrarWord, table: &mut MemberTable) {
         self.words += 1;
         let word_on = WitnessWord {
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Sends a round of gossip if it is due, and asks again who left a call unanswered.
+    /// Sends a round of gossip if it is due, and contacts again the peers that left a call
+    /// unanswered.
     pub fn tick(
         &mut self,
         table: &mut MemberTable,
@@ -188,7 +190,7 @@
         actions
     }
 
-    /// Takes gossip of another entry in. Its summaries are not looked at here.
+    /// Handles gossip of another entry, except for its summaries.
     pub fn hear(
         &mut self,
         gossip: &EntryGossip,
@@ -219,7 +221,7 @@
         (answer, actions)
     }
 
-    /// An entry answered gossip.
+    /// Handles an entry's answer to gossip.
     pub fn answered(
         &mut self,
         from: &DaemonName,
@@ -246,7 +248,7 @@
         actions
     }
 
-    /// A call to an entry got no answer.
+    /// Handles a call to an entry that got no answer.
     pub fn lost(
         &mut self,
         to: &DaemonName,
@@ -262,7 +264,7 @@
         actions
     }
 
-    /// Says all complaints anew, after the own incarnation rose.
+    /// Votes again that unreachable peers are silent, after this entry's incarnation rose.
     pub fn say_complaints_anew(&mut self, table: &mut MemberTable) {
         let complaints: Vec<DaemonName> = self.probes.complaints().cloned().collect();
         for daemon in complaints {
@@ -316,7 +318,7 @@
         picked
     }
 
-    /// Entries of the group that are gone, or that only settings or the list of VMs know.
+    /// Returns entries of the group that are gone, or known only from settings or the list of VMs.
     fn outsiders(&self, table: &MemberTable) -> Vec<EntryContact> {
         let gone = table.members().filter(|view| {
             view.facts.is_entry()
@@ -358,7 +360,8 @@
         }
     }
 
-    /// Takes rows in; news that came as gossip are told on. Returns how many were news.
+    /// Merges rows. With `tell`, rows that changed the table are queued to be gossiped. Returns how
+    /// many changed it.
     fn take_rows<'a>(
         &mut self,
         rows: impl Iterator<Item = &'a MemberRow>,
@@ -382,7 +385,7 @@
     }
 }
 
-/// A former start of the sender that the table holds for the present one.
+/// Returns an earlier boot of the sender that the table still takes for the current one.
 fn former_of(gossip: &EntryGossip, table: &MemberTable) -> Option<FormerBoot> {
     let known = &table.row(&gossip.from.daemon)?.facts;
     let own = gossip
--- a/crates/oatpier-membership/src/exchange/mod.rs
+++ b/crates/oatpier-membership/src/exchange/mod.rs
@@ -1,15 +1,15 @@
-//! What entries tell each other: changed rows within a group, summaries between groups.
+//! Gossip and summaries between entries: changed rows within a group, summaries between groups.
 //!
-//! The entries of an availability zone are a group; a small fleet is one group as a whole, as an
-//! availability zone with one entry would have nobody to tell. A changed row is told to a few
-//! random others by each entry that learns it, a fixed number of times; now and then two entries
-//! compare hashes of their tables, which finds what that missed.
+//! The entries of an availability zone form a group. A small fleet is a single group, as an
+//! availability zone with one entry would have no peer to gossip with. Each entry that learns of a
+//! changed row sends it to a few random peers, a fixed number of times. Periodically, two entries
+//! compare hashes of their tables, which finds rows that gossip missed.
 //!
-//! A peer that leaves several calls in a row unanswered is complained of. One complaint removes
-//! nobody (see [`crate::members`]); an entry that learns of a complaint about itself answers it
-//! with a higher incarnation, more and more slowly, so that a link cut in one direction does not
-//! make it come and go. An entry that hears the minor part of the others complains of nobody for
-//! a while.
+//! An entry votes a peer silent when the peer leaves several calls in a row unanswered. One such
+//! vote removes no member (see [`crate::members`]). An entry that learns of silent votes about
+//! itself refutes them with a higher incarnation, with increasing delay, so that a link cut in one
+//! direction does not make it flap. An entry that receives answers from only a minority of the
+//! others suspends its silent votes for a while.
 
 mod group;
 mod own;
@@ -31,38 +31,38 @@
 pub use reach::HeardShare;
 pub use summaries::{SUMMARY_BURST, SUMMARY_EVERY, SUMMARY_ROWS_PER_SECOND, SummaryExchange};
 
-/// Time between two rounds of gossip.
+/// The interval between two rounds of gossip.
 pub const GOSSIP_EVERY: Duration = Duration::from_secs(1);
 
-/// Peers that get gossip in one round.
+/// The number of peers contacted in one round.
 pub const GOSSIP_FANOUT: usize = 2;
 
-/// How often one entry tells a changed row.
+/// How often one entry sends a changed row.
 pub const ROW_SENDS: u8 = 4;
 
-/// How often one entry passes on a row of another availability zone's summary. It will be made
-/// anew before long.
+/// How often one entry forwards a row of another availability zone's summary. Fewer than for
+/// members' rows, as the row is renewed periodically.
 pub const SUMMARY_SENDS: u8 = 2;
 
-/// Rounds between two comparisons of whole tables.
+/// The number of rounds between two comparisons of whole tables.
 pub const DIGEST_ROUNDS: u64 = 10;
 
-/// Which entries are a group.
+/// Which entries form a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub enum ExchangeScope {
-    /// Those of one availability zone.
+    /// The entries of one availability zone.
     #[default]
     Zone,
-    /// All.
+    /// All entries.
     Fleet,
 }
 
-/// A fleet of at most this many endpoints is one group.
+/// The number of endpoints up to which a fleet is a single group.
 pub const SMALL_FLEET: usize = 128;
 
 impl ExchangeScope {
-    /// The scope for a fleet with so many endpoints.
+    /// Returns the scope for a fleet with this many endpoints.
     #[must_use]
     pub fn for_fleet(endpoints: usize) -> Self {
         if endpoints <= SMALL_FLEET {
@@ -73,35 +73,35 @@
     }
 }
 
-/// A message to send.
+/// A message to send, or a change to handle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ExchangeAction {
-    /// Gossip to an entry of the group.
+    /// Send gossip to an entry of the group.
     Gossip {
-        /// To whom.
+        /// The entry.
         to: EntryContact,
-        /// What.
+        /// The message.
         gossip: Box<EntryGossip>,
     },
-    /// A summary to an entry of another availability zone.
+    /// Send a summary to an entry of another availability zone.
     Summary {
-        /// To whom.
+        /// The entry.
         to: EntryContact,
-        /// What.
+        /// The message.
         call: Box<SummaryCall>,
     },
-    /// This entry's incarnation rose: its words must be said anew.
+    /// This entry's incarnation rose: its votes must be sent again.
     Renewed,
-    /// A former start of this entry had this configuration in force.
+    /// Another entry knows an earlier boot of this entry.
     Former {
-        /// The former start's word.
+        /// What is known of that boot.
         former: crate::messages::FormerBoot,
     },
-    /// An entry was lost or found again by this entry's own calls.
+    /// This entry's own calls showed that a peer became unreachable, or reachable again.
     Complaint {
-        /// About whom.
+        /// The peer.
         daemon: DaemonName,
-        /// Whether it answers.
+        /// Whether the peer answers.
         answers: bool,
     },
 }
--- a/crates/oatpier-membership/src/exchange/own.rs
+++ b/crates/oatpier-membership/src/exchange/own.rs
@@ -1,4 +1,4 @@
-//! What an entry says of itself, and how it answers what others hold of it.
+//! What an entry states about itself, and how it refutes votes against it.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::members::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, NEEDED_WORDS};
 use crate::messages::{EntryContact, FormerBoot};
 
-/// Waits between two answers to complaints. The longest does no harm: whoever complained asks again
-/// every two seconds, and withdraws its word as soon as it is answered.
+/// Bounds of the delay between two refutations. The upper bound is harmless: the entry that voted
+/// calls again every two seconds, and withdraws its vote as soon as it gets an answer.
 const REFUTE_FIRST: Duration = Duration::from_secs(1);
 const REFUTE_LONGEST: Duration = Duration::from_mins(5);
 
-/// The entry itself, as others are to know it.
+/// This entry, as stated to others.
 #[derive(Debug, Clone)]
 pub(super) struct OwnEntry {
     pub(super) contact: EntryContact,
@@ -67,10 +67,10 @@
         }
     }
 
-    /// What others hold of this entry: a former start, or complaints enough to remove it, call
-    /// for a higher incarnation. Complaints are answered more and more slowly. A single one is
-    /// left to the complaining entry, which asks again: each rise makes all words of this entry
-    /// travel anew.
+    /// Checks the row that others have of this entry. An earlier boot, or enough silent votes to
+    /// remove this entry, need a higher incarnation. Silent votes are refuted with increasing
+    /// delay. A single one is left to the entry that voted, which calls again: each higher
+    /// incarnation makes all votes of this entry be sent again.
     pub(super) fn look_at(&mut self, row: &MemberRow, now: ClockTime) -> Vec<ExchangeAction> {
         let facts = &row.facts;
         if facts.boot != self.boot && facts.incarnation >= self.incarnation {
--- a/crates/oatpier-membership/src/exchange/probe.rs
+++ b/crates/oatpier-membership/src/exchange/probe.rs
@@ -1,4 +1,4 @@
-//! Which peers leave calls unanswered.
+//! Tracks peers that leave calls unanswered.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 
 use crate::backoff::jittered;
 
-/// Calls lost in a row before a peer is complained of. With a tenth of messages lost, a call is
-/// lost one time in five, and fewer would be reached by chance.
+/// The number of calls lost in a row after which a peer counts as unreachable. With a tenth of
+/// messages lost, one call in five is lost, and a lower limit would be reached by chance.
 pub const LOST_IN_ROW: u32 = 6;
 
-/// A peer that left a call unanswered is asked again after this long.
+/// Delay before a peer that left a call unanswered is called again.
 const AGAIN_AFTER: Duration = Duration::from_millis(200);
 
-/// A peer that is complained of is asked again at this pace.
+/// The interval at which an unreachable peer is called again.
 const RECHECK_EVERY: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone, Copy)]
@@ -33,7 +33,7 @@
 }
 
 impl ProbeBook {
-    /// A call to the peer is under way.
+    /// Records that a call to the peer is in flight.
     pub(super) fn opened(&mut self, peer: &DaemonName) {
         self.open.insert(peer.clone());
     }
@@ -42,17 +42,18 @@
         self.open.contains(peer)
     }
 
-    /// The peer answered; tells whether it was complained of.
+    /// Records that the peer answered. Returns whether it counted as unreachable.
     pub(super) fn answered(&mut self, peer: &DaemonName) -> bool {
         self.open.swap_remove(peer);
         let lost = self.lost.swap_remove(peer);
         lost.is_some_and(|lost| lost.count >= LOST_IN_ROW)
     }
 
-    /// A call was lost; tells whether to complain of the peer: after so many lost calls, and again
-    /// after as many more, as it may have answered the complaint and still be out of reach.
+    /// Records a lost call. Returns whether to vote the peer silent: after [`LOST_IN_ROW`] lost
+    /// calls, and again after each further [`LOST_IN_ROW`], as the peer may have refuted the vote
+    /// and still be out of reach.
     ///
-    /// While this entry is `isolated`, the call that would be complained of is not counted.
+    /// While this entry is `isolated`, the call that would cause the vote is not counted.
     pub(super) fn lost(
         &mut self,
         peer: &DaemonName,
@@ -78,7 +79,7 @@
         enough && !isolated
     }
 
-    /// Peers that are to be asked again now.
+    /// Returns the peers to call again now.
     pub(super) fn due(&self, now: ClockTime) -> Vec<DaemonName> {
         let due = self
             .lost
@@ -87,20 +88,20 @@
         due.map(|(peer, _)| peer.clone()).collect()
     }
 
-    /// Forgets lost calls that led to no complaint: this entry was isolated, and a call that was
-    /// under way when that ended must not be the one that completes the row.
+    /// Drops counts that are below the limit, when this entry was isolated. Otherwise a call that
+    /// was in flight when the isolation ended could be the one that reaches the limit.
     pub(super) fn forget_lost(&mut self) {
         self.lost.retain(|_, lost| lost.count >= LOST_IN_ROW);
     }
 
-    /// Peers that are complained of.
+    /// Returns the peers that count as unreachable.
     pub(super) fn complaints(&self) -> impl Iterator<Item = &DaemonName> {
         let lost = self.lost.iter();
         lost.filter(|(_, lost)| lost.count >= LOST_IN_ROW)
             .map(|(peer, _)| peer)
     }
 
-    /// Forgets peers that are no longer known.
+    /// Drops peers that are no longer known.
     pub(super) fn retain(&mut self, known: impl Fn(&DaemonName) -> bool) {
         self.lost.retain(|peer, _| known(peer));
     }
--- a/crates/oatpier-membership/src/exchange/reach.rs
+++ b/crates/oatpier-membership/src/exchange/reach.rs
@@ -1,7 +1,8 @@
-//! Whether this entry hears the others at all.
+//! Detects whether this entry itself is isolated.
 //!
-//! An entry that hears nobody explains the silence of all others by itself: its words about them
-//! say nothing. Two such entries would be two witnesses, and remove agents that serve.
+//! An entry that receives nothing from anyone is itself the likely cause, so its votes on the
+//! others are meaningless. Two such entries would be two witnesses, and would remove agents that
+//! serve.
 
 use std::time::Duration;
 
@@ -9,20 +10,20 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::DaemonName;
 
-/// Calls and heartbeats count for this long. An agent's heartbeats come at most 2.6 s apart, and
-/// the first complaint of a peer takes 3.5 s of lost calls.
+/// How long calls and heartbeats count as recent. An agent's heartbeats are at most 2.6 s apart,
+/// and the first silent vote on a peer takes 3.5 s of lost calls.
 pub(crate) const HEARD_WITHIN: Duration = Duration::from_millis(2_700);
 
-/// After this long an entry that hears nobody says what it sees: if it is cut off, the others
-/// have counted it out long since; if not, the others are dead.
+/// How long an entry that receives nothing withholds its votes. If it is cut off, the others have
+/// removed it by then; if not, the others are dead.
 const ISOLATED_MOST: Duration = Duration::from_secs(10);
 
-/// How many of those that an entry should hear it does hear.
+/// How many of the expected members an entry can reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct HeardShare {
-    /// Heard lately.
+    /// The number that were reached recently.
     pub heard: usize,
-    /// Not heard lately.
+    /// The number that were not.
     pub missed: usize,
 }
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// The latest call to or from each entry, and since when this entry hears too few.
+/// The latest call to or from each entry, and since when this entry has reached too few.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReachBook {
     latest: IndexMap<DaemonName, (bool, ClockTime)>,
@@ -45,23 +46,24 @@
 }
 
 impl ReachBook {
-    /// A peer called, answered, or left a call unanswered.
+    /// Records whether a peer called or answered (`heard`), or left a call unanswered.
     pub(super) fn note(&mut self, peer: &DaemonName, heard: bool, now: ClockTime) {
         self.latest.insert(peer.clone(), (heard, now));
     }
 
-    /// Whether this entry is isolated, as last checked.
+    /// Whether this entry was isolated at the last check.
     pub(super) fn is_isolated(&self) -> bool {
         self.isolated
     }
 
-    /// Whether this entry heard enough when last checked.
+    /// Whether this entry reached enough at the last check.
     pub(super) fn hears(&self) -> bool {
         self.since.is_none()
     }
 
-    /// Works out whether this entry is isolated: it hears the minor part of the entries that
-    /// `live` names and of its agents. Either by itself has another cause, such as a lost rack.
+    /// Checks whether this entry is isolated: it reaches only a minority of the entries for which
+    /// `live` holds, and only a minority of its agents. One of the two alone has another cause,
+    /// such as the loss of a rack.
     pub(super) fn check(
         &mut self,
         agents: HeardShare,
--- a/crates/oatpier-membership/src/exchange/summaries.rs
+++ b/crates/oatpier-membership/src/exchange/summaries.rs
@@ -1,4 +1,4 @@
-//! Summaries between availability zones, at a bounded rate.
+//! Rate-limited exchange of summaries between availability zones.
 
 use std::time::Duration;
 
@@ -19,19 +19,20 @@
     ModelSummary, SummaryBook, SummaryCursor, SummaryKey, ZoneSummary, aged, made_at, summarize,
 };
 
-/// Time between two summaries to one availability zone.
+/// The interval between two summaries to one availability zone.
 pub const SUMMARY_EVERY: Duration = Duration::from_secs(2);
 
-/// Rows that one availability zone sends each other one in a second, on average at most.
+/// The maximum average number of rows per second that one availability zone sends to each other
+/// one.
 pub const SUMMARY_ROWS_PER_SECOND: u64 = 2;
 
-/// Rows that one message has at most, after a quiet time.
+/// The maximum number of rows in one message, after an idle period.
 pub const SUMMARY_BURST: u64 = 120;
 
-/// Entries of another availability zone that are kept as contacts.
+/// The number of contacts kept per other availability zone.
 const KEPT_CONTACTS: usize = 6;
 
-/// Own entries that a summary names as contacts.
+/// The number of own entries that a summary names as contacts.
 const GIVEN_CONTACTS: usize = 3;
 
 #[derive(Debug, Clone, Default)]
@@ -49,8 +50,8 @@
     sends: u8,
 }
 
-/// Sends summaries of the own availability zone, if this entry is the one to do it, and passes
-/// on those that came.
+/// Sends the summaries of this availability zone, if this entry is the one chosen to do so, and
+/// forwards those that arrive.
 #[derive(Debug, Clone)]
 pub struct SummaryExchange {
     own: EntryContact,
@@ -58,13 +59,13 @@
     passed: Vec<PassedRow>,
     next: ClockTime,
     last: ClockTime,
-    /// Thousandths of a row.
+    /// The number of rows that may be sent, in thousandths.
     allowance: u64,
     generator: ChaCha8Rng,
 }
 
 impl SummaryExchange {
-    /// The exchange of an entry that starts at `now`.
+    /// Creates the exchange of an entry that starts at `now`.
     #[must_use]
     pub fn new(own: EntryContact, mut generator: ChaCha8Rng, now: ClockTime) -> Self {
         Self {
@@ -78,18 +79,18 @@
         }
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         self.next
     }
 
-    /// Entries of other availability zones.
+    /// Returns the known entries of other availability zones.
     pub fn contacts(&self) -> impl Iterator<Item = &EntryContact> {
         self.zones.values().flat_map(|zone| &zone.contacts)
     }
 
-    /// Remembers entries of other availability zones, the latest first.
+    /// Adds entries of other availability zones, the latest first.
     pub fn add_contacts<'a>(&mut self, contacts: impl IntoIterator<Item = &'a EntryContact>) {
         let others = contacts.into_iter();
         for contact in others.filter(|contact| contact.zone != self.own.zone) {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// A few entries of the own availability zone.
+    /// Returns a few random entries of this availability zone.
     #[must_use]
     pub fn own_contacts(&mut self, table: &MemberTable) -> SmallVec<[EntryContact; 4]> {
         let near = table
@@ -112,7 +113,8 @@
             .collect()
     }
 
-    /// Sends what is due, if rendezvous hashing picks this entry to speak for its zone.
+    /// Sends the summaries that are due, if rendezvous hashing chooses this entry for its
+    /// availability zone.
     pub fn tick(
         &mut self,
         table: &MemberTable,
@@ -157,7 +159,7 @@
         actions
     }
 
-    /// A summary call ended.
+    /// Handles the end of a summary call.
     pub fn ended(&mut self, to: &EntryContact, answered: bool) {
         let Some(far) = self.zones.get_mut(&to.zone) else {
             return;
@@ -167,14 +169,15 @@
         };
         if !answered {
             far.cursor.lost(&keys);
-            // The last contact is kept, however silent: it may be the only way back.
+            // The last contact is kept even if it does not answer: it may be the only way to
+            // reconnect.
             if far.contacts.len() > 1 {
                 far.contacts.retain(|contact| contact.daemon != to.daemon);
             }
         }
     }
 
-    /// Takes a summary in, to be passed on within the group.
+    /// Takes in a summary and queues its new rows to be forwarded within the group.
     pub fn take(&mut self, summary: &ZoneSummary, book: &mut SummaryBook, now: ClockTime) {
         if summary.zone == self.own.zone {
             return;
@@ -190,7 +193,7 @@
         }
     }
 
-    /// The rows that go with the next gossip.
+    /// Returns the rows to send with the next gossip.
     pub fn pass_on(&mut self, now: ClockTime) -> Vec<ZoneSummary> {
         let mut zones: IndexMap<ZoneName, Vec<ModelSummary>> = IndexMap::new();
         for passed in &mut self.passed {
--- a/crates/oatpier-membership/src/generation.rs
+++ b/crates/oatpier-membership/src/generation.rs
@@ -1,6 +1,6 @@
-//! The configuration in force in one process. Its generation only rises.
+//! The configuration in force in one process, whose generation never decreases.
 //!
-//! A process keeps nothing over a restart, so the rule must also hold for the first
+//! A process persists nothing across a restart, so the rule must also hold for the first
 //! configuration after a start: see [`GenerationKeeper::offer`].
 
 use std::collections::VecDeque;
@@ -13,43 +13,45 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// How long a started process compares what several peers have before it acts on the latest.
+/// How long a starting process collects configurations from several peers before it applies the
+/// latest.
 pub const START_SETTLE: Duration = Duration::from_secs(1);
 
-/// Edits that are kept for processes which are behind. More: they get the whole value.
+/// The number of edits kept for processes that are behind. Those that are further behind get the
+/// whole value.
 pub const KEPT_STEPS: usize = 64;
 
-/// A configuration as this package moves it about.
+/// A configuration that this package distributes.
 pub trait ConfigPayload: Clone + Debug + PartialEq + Serialize + DeserializeOwned {
-    /// What changes one into another.
+    /// The difference between two configurations.
     type Edit: Clone + Debug + PartialEq + Serialize + DeserializeOwned;
 
-    /// The edit that changes this one into `next`.
+    /// Returns the edit that changes this configuration into `next`.
     fn edit_to(&self, next: &Self) -> Self::Edit;
 
-    /// Carries an edit out; none if it doesn't fit.
+    /// Applies an edit; returns `None` if it conflicts with this configuration.
     fn apply(&self, edit: &Self::Edit) -> Option<Self>;
 
-    /// A hash of the content, the same in every process.
+    /// Returns a hash of the content that is the same in every process.
     fn digest(&self) -> u64;
 }
 
-/// An edit between two generations.
+/// An edit that leads from one generation to another.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct ConfigStep<P: ConfigPayload> {
-    /// What it applies to.
+    /// The generation to which the edit applies.
     pub from: Generation,
-    /// What it makes.
+    /// The generation that results from it.
     pub to: Generation,
-    /// The hash of what it makes.
+    /// The hash of the resulting content.
     pub digest: u64,
     /// The edit.
     pub edit: P::Edit,
 }
 
-/// A configuration on its way: whole, or as edits.
+/// A configuration in a message: the whole value, or edits.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(bound = "")]
@@ -61,12 +63,12 @@
         /// The value.
         value: Arc<P>,
     },
-    /// Edits, each from where the last one ended.
+    /// Consecutive edits: each starts at the generation at which the one before ends.
     Steps(Vec<ConfigStep<P>>),
 }
 
 impl<P: ConfigPayload> ConfigContent<P> {
-    /// The generation that it leads to.
+    /// Returns the generation that this content leads to.
     #[must_use]
     pub fn generation(&self) -> Generation {
         match self {
@@ -85,7 +87,7 @@
     pub value: Arc<P>,
 }
 
-/// Who offers a configuration.
+/// The source of an offered configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConfigSource {
     /// The store itself: nothing later was accepted before the read.
@@ -94,22 +96,23 @@
     Peer,
 }
 
-/// What became of an offer.
+/// The result of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOutcome {
     /// It is in force now.
     InForce,
-    /// It is kept until the start has settled.
+    /// It is kept until the start-up period has ended.
     Waiting,
-    /// What is there is as late or later.
+    /// The configuration held here is the same or a later one.
     Older,
-    /// The edits begin after what is here, or before there is anything: ask for the rest.
+    /// The edits start after the generation held here, or no configuration is held yet: pull the
+    /// missing ones.
     Behind,
-    /// The edits don't fit what is there: ask for the whole value.
+    /// The edits don't apply to the content held here: pull the whole value.
     NeedFull,
 }
 
-/// Keeps the configuration in force.
+/// Holds the configuration in force.
 #[derive(Debug, Clone)]
 pub struct GenerationKeeper<P: ConfigPayload> {
     in_force: Option<HeldConfig<P>>,
@@ -136,13 +139,13 @@
 }
 
 impl<P: ConfigPayload> GenerationKeeper<P> {
-    /// What is in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn in_force(&self) -> Option<&HeldConfig<P>> {
         self.in_force.as_ref()
     }
 
-    /// The generation in force; 0: none yet.
+    /// Returns the generation in force, or 0 if there is none yet.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.in_force
@@ -151,7 +154,7 @@
             .unwrap_or_default()
     }
 
-    /// The latest generation that is here, in force or waiting for the start to settle.
+    /// Returns the latest generation held, in force or waiting for the start-up period to end.
     #[must_use]
     pub fn latest(&self) -> Generation {
         self.newest()
@@ -159,7 +162,8 @@
             .unwrap_or_default()
     }
 
-    /// What to say in a pull: 0 after edits that did not fit, so that the whole value comes.
+    /// Returns the generation to send in a pull. It is 0 after edits that did not apply, so that
+    /// the answer is the whole value.
     #[must_use]
     pub fn have(&self) -> Generation {
         if self.needs_full {
@@ -168,24 +172,26 @@
         self.latest()
     }
 
-    /// When [`Self::settle`] has something to do.
+    /// Returns when [`Self::settle`] has something to do.
     #[must_use]
     pub fn settles_at(&self) -> ClockTime {
         self.settles_at
     }
 
-    /// A former start of this process had this generation in force: nothing below it will be.
+    /// Sets a lower bound: an earlier boot of this process had `generation` in force, and nothing
+    /// older may follow.
     pub fn raise_floor(&mut self, generation: Generation) {
         self.floor = self.floor.max(generation);
     }
 
-    /// Takes a configuration in.
+    /// Takes in a configuration.
     ///
-    /// Once one is in force, a later one is at once, and an older one never. Before that, a
-    /// peer's waits for [`START_SETTLE`], while more peers are asked: the first peer to answer
-    /// may be behind what this process's former start had in force, and callers would see a
-    /// change undone. What peers remember of the former start is a floor besides. The store's
-    /// word needs no wait, as nothing later can have been in force.
+    /// Once a configuration is in force, a later one replaces it at once and an older one never
+    /// does. Before that, a configuration from a peer waits for [`START_SETTLE`] while more peers
+    /// are asked. The first peer to answer may be behind what the earlier boot of this process had
+    /// in force, and callers would see a change undone. In addition, the generations that peers
+    /// remember of the earlier boot are a lower bound. A configuration from the store needs no
+    /// wait, as nothing later can have been in force.
     pub fn offer(
         &mut self,
         content: &ConfigContent<P>,
@@ -215,7 +221,7 @@
         OfferOutcome::Waiting
     }
 
-    /// Puts the latest configuration of the start in force once enough peers had time to answer.
+    /// Puts the latest candidate in force once the start-up period is over. Returns whether it did.
     pub fn settle(&mut self, now: ClockTime) -> bool {
         if now < self.settles_at {
             return false;
@@ -225,7 +231,8 @@
         self.promote()
     }
 
-    /// What brings a process that has `have` up to what is in force here.
+    /// Returns the content that brings a process at generation `have` up to the configuration in
+    /// force here.
     #[must_use]
     pub fn content_since(&self, have: Generation) -> Option<ConfigContent<P>> {
         let held = self.in_force.as_ref()?;
@@ -242,7 +249,8 @@
         })
     }
 
-    /// The edit that made what is in force: what nearly every other process lacks.
+    /// Returns the edit that produced the configuration in force, which is what nearly every other
+    /// process lacks.
     #[must_use]
     pub fn last_step(&self) -> Option<ConfigContent<P>> {
         let step = self.steps.back()?.clone();
@@ -279,8 +287,8 @@
         }
     }
 
-    /// Carries out the edits that are still to come; each result is checked by its hash, as an
-    /// edit on the wrong base would give this process a content that no other has.
+    /// Applies the edits that are still missing. Each result is checked against its hash, as an
+    /// edit on the wrong base would give this process a content that no other process has.
     fn walk(&self, steps: &[ConfigStep<P>]) -> Result<HeldConfig<P>, OfferOutcome> {
         let mut held = self.newest().ok_or(OfferOutcome::Behind)?.clone();
         for step in steps.iter().filter(|step| step.to > self.latest()) {
--- a/crates/oatpier-membership/src/lease/keeper.rs
+++ b/crates/oatpier-membership/src/lease/keeper.rs
@@ -1,4 +1,4 @@
-//! The machine that takes, renews and gives up the lease.
+//! The state machine that acquires, renews and releases the lease.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, Revision, Term};
@@ -17,7 +17,7 @@
     Write { sent: ClockTime },
 }
 
-/// What is known of the key.
+/// What is known of the lease's key in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum SeenLease {
     Unknown,
@@ -25,7 +25,7 @@
     There(StoredLease),
 }
 
-/// Keeps the planner's lease of one availability zone, or waits for it.
+/// Holds the planner's lease of one availability zone, or waits for it.
 #[derive(Debug, Clone)]
 pub struct LeaseKeeper {
     own: DaemonName,
@@ -44,7 +44,7 @@
 }
 
 impl LeaseKeeper {
-    /// A keeper that looks for the lease from `now` on, after a random short time.
+    /// Creates a keeper that first reads the lease a short random time after `now`.
     #[must_use]
     pub fn new(own: DaemonName, boot: BootId, mut generator: ChaCha8Rng, now: ClockTime) -> Self {
         Self {
@@ -64,14 +64,14 @@
         }
     }
 
-    /// The term under which this process may plan at `now`. To be asked right before each act:
-    /// a process that was paused past its lease gets none, whatever it believed before.
+    /// Returns the term under which this process may plan at `now`. Must be called right before
+    /// each act: a process that was paused past the end of its lease gets `None`.
     #[must_use]
     pub fn may_act(&self, now: ClockTime) -> Option<Term> {
         self.held.filter(|_| now < self.valid_until)
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         let next = match self.open {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Hears an event.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, event: LeaseEvent, now: ClockTime) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
         if now >= self.valid_until {
@@ -135,7 +135,8 @@
         self.plan_next(now);
     }
 
-    /// After a lost answer: whether the lease that was read is the one that this process wrote.
+    /// After a lost answer, checks whether the lease that was read is the one that this process
+    /// wrote.
     fn settle_unsure(
         &mut self,
         found: Option<&StoredLease>,
@@ -181,8 +182,8 @@
         }
     }
 
-    /// The lease counts from when the write was sent, as the store may have taken it just then.
-    /// An answer that comes after the lease is over gains nothing.
+    /// Starts the lease at the time when the write was sent, as the store may have applied it right
+    /// then. An answer that arrives after the end of the lease has no effect.
     fn written(&mut self, sent: ClockTime, now: ClockTime, actions: &mut Vec<LeaseAction>) {
         let until = sent + LEASE_VALID;
         let Some(lease) = self.wanted.as_ref().filter(|lease| !lease.released) else {
@@ -220,13 +221,15 @@
         lease.holder == self.own && lease.boot == self.boot
     }
 
-    /// A write at the revision that was seen proves that there was no renewal since.
+    /// Whether this process may take the lease. A write at the revision that was read proves that
+    /// there was no renewal since.
     fn is_free(&self, seen: &StoredLease, now: ClockTime) -> bool {
         let own = self.is_own(&seen.lease);
         own || seen.lease.released || now.since(self.seen_at) >= LEASE_TTL
     }
 
-    /// Reads when it doesn't know what is there, else writes if the lease is its own or free.
+    /// Reads the key if its value is unknown; otherwise writes it if the lease is free or held by
+    /// this process.
     fn step(&mut self, now: ClockTime, actions: &mut Vec<LeaseAction>) {
         if self.unsure_since.is_some() {
             return self.read(actions);
--- a/crates/oatpier-membership/src/lease/mod.rs
+++ b/crates/oatpier-membership/src/lease/mod.rs
@@ -1,12 +1,13 @@
-//! The planner's lease: at most one process plans for an availability zone.
+//! The planner's lease, which ensures that at most one process plans for an availability zone.
 //!
 //! The lease is one value in the store, which its holder renews by compare-and-swap. Another
-//! process takes it after it saw no renewal for the whole time to live on its own clock, under a
-//! term that is higher by one. No clock is compared with another.
+//! process takes it over after it has seen no renewal for the whole time to live on its own clock,
+//! with a term that is higher by one. Clocks of different processes are never compared.
 //!
-//! A holder that was paused finds on its own clock that the lease is over, before it acts. Were
-//! it paused between that check and its write, the plan's compare-and-swap refuses the write:
-//! the next holder's first act is to write the plan under its own term, see [`may_write`].
+//! A holder that was paused finds on its own clock that the lease has expired, before it acts. If
+//! it is paused between that check and its write, the compare-and-swap on the plan rejects the
+//! write: the first act of the next holder is to write the plan under its own term, see
+//! [`may_write`].
 
 use std::time::Duration;
 
@@ -21,44 +22,46 @@
 /// How long a lease lasts after its last renewal.
 pub const LEASE_TTL: Duration = Duration::from_secs(6);
 
-/// How often a holder renews.
+/// How often the holder renews the lease.
 pub const RENEW_EVERY: Duration = Duration::from_secs(2);
 
-/// How long a holder acts on it: it stops a while before, for clocks that don't run alike.
+/// How long a holder acts on its lease. Shorter than [`LEASE_TTL`] to allow for clocks that run at
+/// different rates.
 pub const LEASE_VALID: Duration = Duration::from_secs(5);
 
-/// How many entries of an availability zone wait for the lease: more would only read.
+/// How many entries of an availability zone wait for the lease. More would only add reads.
 pub const LEASE_CANDIDATES: usize = 3;
 
-/// How long a failed call to the store is not made again.
+/// Delay before a failed call to the store is repeated.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(800);
 
-/// The key of an availability zone's planner lease.
+/// Returns the key of an availability zone's planner lease.
 #[must_use]
 pub fn lease_key(zone: &ZoneName) -> String {
     format!("lease/planner/{zone}")
 }
 
-/// Whether a planner of `own` term may write over a plan that was made under `found`. The write
-/// itself must be a compare-and-swap on the revision that was read with `found`.
+/// Whether a planner with the term `own` may overwrite a plan that was written under the term
+/// `found`. The write must be a compare-and-swap on the revision that was read together with
+/// `found`.
 #[must_use]
 pub fn may_write(own: Term, found: Term) -> bool {
     found <= own
 }
 
-/// The value in the store.
+/// The lease as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PlannerLease {
     /// The holder.
     pub holder: DaemonName,
-    /// The holder's start: a restarted process does not hold its former lease.
+    /// The holder's boot: a restarted process does not hold the lease of its earlier boot.
     pub boot: BootId,
-    /// Rises by one with each new holder.
+    /// The term, which rises by one with each new holder.
     pub term: Term,
-    /// Counts renewals, so that a holder knows its own write again.
+    /// The number of renewals, by which a holder recognizes its own write.
     pub renewals: u64,
-    /// Whether the holder gave it up: the next may take it at once.
+    /// Whether the holder released the lease, so that another process may take it at once.
     pub released: bool,
 }
 
@@ -71,20 +74,20 @@
     pub lease: PlannerLease,
 }
 
-/// How a write of the lease ended.
+/// The result of a write of the lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseWrite {
-    /// It is there, at this revision.
+    /// It was written at this revision.
     Written(Revision),
-    /// Another value is there.
+    /// The key has another value.
     Conflict,
-    /// It had no effect.
+    /// It failed and had no effect.
     Failed,
-    /// It may have had an effect.
+    /// The answer was lost; the write may have taken effect.
     AnswerLost,
 }
 
-/// What a keeper hears.
+/// An input of a [`LeaseKeeper`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
     /// Time has passed.
@@ -94,27 +97,27 @@
     /// A write ended.
     Wrote(LeaseWrite),
     /// Whether this process is among the few of its availability zone that wait for the lease
-    /// (rendezvous hashing picks [`LEASE_CANDIDATES`]). All are until told otherwise. A holder
-    /// stays one.
+    /// (rendezvous hashing picks [`LEASE_CANDIDATES`]). Every process is a candidate until this
+    /// event says otherwise. A holder keeps its lease either way.
     Candidate(bool),
     /// The process leaves, or should no longer plan.
     Release,
 }
 
-/// What a keeper wants done.
+/// An action that a [`LeaseKeeper`] requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Read the lease.
     Read,
-    /// Write the lease, if the key is at `expected` (none: if it is absent).
+    /// Write the lease if the key is at `expected` (`None`: if the key is absent).
     Write {
         /// The value.
         lease: PlannerLease,
-        /// What must be there.
+        /// The expected revision.
         expected: Option<Revision>,
     },
-    /// This process plans now, under the term. Its first act is to write the plan anew.
+    /// This process now plans under this term. Its first act is to write the plan again.
     Gained(Term),
-    /// This process plans no longer.
+    /// This process no longer plans.
     Lost(Term),
 }
--- a/crates/oatpier-membership/src/lib.rs
+++ b/crates/oatpier-membership/src/lib.rs
@@ -1,26 +1,26 @@
 //! Decisions about configuration, membership and leases, as plain state machines.
 //!
-//! Every machine takes `(event, now)` and returns actions. Nothing here does I/O, reads a clock
-//! or waits; randomness comes from a seeded generator that the owner hands in. The daemon, the
-//! benches and the fault tests drive the same machines.
+//! Every state machine takes `(event, now)` and returns actions. Nothing here does I/O, reads a
+//! clock or waits; randomness comes from a seeded generator that the caller passes in. The daemon,
+//! the benchmarks and the fault tests drive the same state machines.
 //!
-//! Nothing here is needed for safety: an agent refuses what it can't run however old an entry's
-//! table is. What these machines decide serves reachability and speed.
+//! Safety does not depend on this package: an agent refuses what it can't run, however stale an
+//! entry's table is. The decisions made here serve availability and latency.
 //!
-//! - [`entry`]: everything below put together for an entry.
-//! - [`agent`]: the same for an agent.
-//! - [`messages`]: what processes say to each other.
-//! - [`generation`]: the configuration in force in one process; its generation only rises.
-//! - [`spread`]: how an entry learns a configuration and passes it on.
+//! - [`entry`]: the combined state machine of an entry.
+//! - [`agent`]: the combined state machine of an agent.
+//! - [`messages`]: messages between processes.
+//! - [`generation`]: the configuration in force in one process, whose generation never decreases.
+//! - [`spread`]: how an entry obtains a configuration and distributes it.
 //! - [`members`]: the table of entries and agents.
-//! - [`registrar`]: heartbeats, on the agent's side and on the entry's.
-//! - [`exchange`]: deltas within a group of entries, summaries between availability zones.
+//! - [`registrar`]: heartbeats, on the agent's side and on the entry's side.
+//! - [`exchange`]: gossip within a group of entries, summaries between availability zones.
 //! - [`summary`]: the rows of these summaries.
 //! - [`lease`]: the planner's lease.
-//! - [`budget`]: how many calls to the store a process makes.
+//! - [`budget`]: the per-process budget of calls to the store.
 //! - [`stops`]: planned stops.
-//! - [`rendezvous`]: which few of many names have a duty.
-//! - [`backoff`]: retries that don't come all at once.
+//! - [`rendezvous`]: rendezvous hashing, which assigns duties to names.
+//! - [`backoff`]: retry delays with jitter.
 
 pub mod agent;
 pub mod backoff;
--- a/crates/oatpier-membership/src/members/evidence.rs
+++ b/crates/oatpier-membership/src/members/evidence.rs
@@ -1,4 +1,5 @@
-//! What this process itself saw on the data path. It goes before every word of others.
+//! Evidence from this process's own data path, which takes precedence over votes of other
+//! processes.
 
 use std::time::Duration;
 
@@ -6,16 +7,16 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::DaemonName;
 
-/// How an attempt of this process ended, as far as it tells whether the peer is there.
+/// The outcome of an attempt of this process, as evidence of whether the peer is reachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PathEvidence {
-    /// It answered, if only with a refusal.
+    /// The peer answered, possibly with a refusal.
     Answered,
-    /// It could not be reached or gave no answer in time.
+    /// The peer could not be reached or did not answer in time.
     Failed,
 }
 
-/// The latest evidence on each peer, for a short while.
+/// The latest evidence on each peer, kept for a limited time.
 #[derive(Debug, Clone)]
 pub struct PathMemory {
     lasts: Duration,
@@ -23,7 +24,7 @@
 }
 
 impl PathMemory {
-    /// Evidence counts for `lasts`.
+    /// Creates an empty store of evidence that expires after `lasts`.
     #[must_use]
     pub fn new(lasts: Duration) -> Self {
         Self {
@@ -32,19 +33,19 @@
         }
     }
 
-    /// Remembers evidence.
+    /// Records evidence.
     pub fn note(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
         self.latest.insert(daemon.clone(), (evidence, now));
     }
 
-    /// The evidence on a peer, unless it is too old.
+    /// Returns the evidence on a peer, unless it has expired.
     #[must_use]
     pub fn on(&self, daemon: &DaemonName, now: ClockTime) -> Option<PathEvidence> {
         let (evidence, at) = self.latest.get(daemon)?;
         (now.since(*at) < self.lasts).then_some(*evidence)
     }
 
-    /// Drops what is too old.
+    /// Drops expired evidence.
     pub fn prune(&mut self, now: ClockTime) {
         let lasts = self.lasts;
         self.latest.retain(|_, (_, at)| now.since(*at) < lasts);
--- a/crates/oatpier-membership/src/members/mod.rs
+++ b/crates/oatpier-membership/src/members/mod.rs
@@ -1,10 +1,10 @@
 //! The table of entries and agents.
 //!
-//! A row joins what a process says of itself (its facts, ordered by incarnation) with what
-//! entries say about hearing it (witness words). The state follows from both, so that tables
-//! which got the same rows in any order are alike. One witness alone never removes anybody: with
-//! a link cut in one direction it would be wrong. Two registrars, or one and this process's own
-//! failed attempts, are needed.
+//! A row combines what a process states about itself (its facts, ordered by incarnation) with the
+//! votes of entries on whether they receive messages from it. The state follows from both, so that
+//! tables that got the same rows in any order are equal. One vote alone never removes a member:
+//! with a link cut in one direction it would be wrong. Removal needs two registrars, or one
+//! registrar and this process's own failed attempts.
 
 mod evidence;
 mod row;
--- a/crates/oatpier-membership/src/members/row.rs
+++ b/crates/oatpier-membership/src/members/row.rs
@@ -1,4 +1,4 @@
-//! One row of the table, as it travels.
+//! One row of the table, as sent between entries.
 
 use std::net::SocketAddr;
 
@@ -11,20 +11,20 @@
 
 use crate::messages::EntryContact;
 
-/// Whether a process serves. Only goes forward within an incarnation.
+/// Whether a process serves. The phase only advances within an incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 #[derive(Serialize, Deserialize)]
 pub enum MemberPhase {
-    /// It takes new work.
+    /// It accepts new work.
     #[default]
     Serving,
-    /// It takes no new work and finishes what it has.
+    /// It accepts no new work and finishes the work in flight.
     Leaving,
-    /// It has ended by itself.
+    /// It exited on its own.
     Left,
 }
 
-/// What a process is.
+/// The kind of a process.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum MemberKind {
@@ -34,7 +34,7 @@
     Agent(Box<EndpointStatus>),
 }
 
-/// What a process says of itself.
+/// What a process states about itself.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberFacts {
@@ -42,22 +42,22 @@
     pub daemon: DaemonName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens for other processes.
+    /// The address on which it listens for other processes.
     pub address: SocketAddr,
-    /// Its start.
+    /// Its boot.
     pub boot: BootId,
-    /// Orders its starts, and its answers to a wrong word about it.
+    /// Orders its boots, and its refutations of wrong votes about it.
     pub incarnation: u64,
     /// Whether it serves.
     pub phase: MemberPhase,
-    /// The configuration in force at it when it said this.
+    /// The generation that was in force at it when it stated this.
     pub generation: Generation,
-    /// What it is.
+    /// Its kind.
     pub kind: MemberKind,
 }
 
 impl MemberFacts {
-    /// Later facts have a higher order.
+    /// Returns a key that orders facts: later facts have a higher one.
     #[must_use]
     pub fn order(&self) -> (u64, MemberPhase, u64, BootId) {
         (
@@ -68,7 +68,7 @@
         )
     }
 
-    /// The endpoint's status, for an agent.
+    /// Returns the endpoint's status, for an agent.
     #[must_use]
     pub fn status(&self) -> Option<&EndpointStatus> {
         match &self.kind {
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Whether it is an entry.
+    /// Whether the process is an entry.
     #[must_use]
     pub fn is_entry(&self) -> bool {
         matches!(self.kind, MemberKind::Entry)
     }
 
-    /// How to reach it, for an entry or an agent alike.
+    /// Returns how to reach the process, for entries and agents alike.
     #[must_use]
     pub fn contact(&self) -> EntryContact {
         EntryContact {
@@ -98,51 +98,53 @@
     }
 }
 
-/// One entry's word on whether it hears a process. Changes only when the word does.
+/// One entry's vote on whether it receives messages from a process. Sent again only when the vote
+/// changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct WitnessWord {
-    /// The entry.
+    /// The entry that votes.
     pub witness: DaemonName,
-    /// The incarnation of the process that the word is about.
+    /// The incarnation of the process that the vote is about.
     pub about: u64,
-    /// The witness's incarnation, then its count of words: a later word has a higher order.
+    /// The witness's incarnation, then its vote counter: a later vote has a higher order.
     pub order: (u64, u64),
-    /// What the entry says.
+    /// Whether the witness receives messages from the process.
     pub hearing: Hearing,
 }
 
-/// Whether an entry hears a process.
+/// Whether an entry receives messages from a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Hearing {
-    /// It hears it.
+    /// It does.
     Heard,
-    /// It should hear it and does not.
+    /// It expects messages and receives none.
     Silent,
-    /// It no longer expects to: others are its registrars now. Says nothing about the process.
+    /// It no longer expects messages, as the agent has other registrars now. Says nothing about the
+    /// process.
     Released,
 }
 
-/// What entries tell each other about one process.
+/// What entries exchange about one process.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct MemberRow {
-    /// What the process says.
+    /// What the process states about itself.
     pub facts: MemberFacts,
-    /// What entries say.
+    /// The votes of entries.
     pub words: SmallVec<[WitnessWord; 2]>,
 }
 
 impl MemberRow {
-    /// Takes in what is later in `other`; tells whether anything was.
+    /// Takes in what is later in `other`. Returns whether anything changed.
     pub fn merge(&mut self, other: &Self) -> bool {
         let mut changed = false;
         if other.facts.order() > self.facts.order() {
             self.facts = other.facts.clone();
             changed = true;
         } else if other.facts.boot == self.facts.boot {
-            // Nobody is told of it alone: it is the floor of the process's next start.
+            // This alone is not gossiped. It is the lower bound for the next boot of the process.
             self.facts.generation = self.facts.generation.max(other.facts.generation);
         }
         for word in &other.words {
@@ -151,7 +153,8 @@
         changed | self.forget_old_words()
     }
 
-    /// Takes in one word if it is later than what that witness said before.
+    /// Takes in a vote if it is later than the earlier one of the same witness. Returns whether it
+    /// was.
     pub fn merge_word(&mut self, word: &WitnessWord) -> bool {
         let known = self
             .words
@@ -173,8 +176,8 @@
         }
     }
 
-    /// A hash of all that must be alike in every table. The queue is left out: it changes with
-    /// every request and travels on answers.
+    /// Returns a hash of everything that must be equal in all tables. The queue is left out: it
+    /// changes with every request and is carried by answers.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
--- a/crates/oatpier-membership/src/members/state.rs
+++ b/crates/oatpier-membership/src/members/state.rs
@@ -1,4 +1,5 @@
-//! How a member's state follows from its row, its witnesses and this process's own evidence.
+//! Derives a member's state from its row, the votes of its witnesses and this process's own
+//! evidence.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 use crate::registrar::REGISTRARS;
 use crate::rendezvous;
 
-/// What speaks for and against a member.
+/// The evidence for and against a member.
 struct WordCount {
     heard: usize,
     silent: usize,
@@ -25,8 +26,8 @@
 }
 
 impl MemberTable {
-    /// Works the states out anew; returns what changed. Entries come first, as the agents'
-    /// witnesses are among them.
+    /// Recomputes all states and returns what changed. Entries come first, as the agents' witnesses
+    /// are among them.
     pub fn refresh(&mut self, now: ClockTime) -> Vec<MemberChange> {
         let mut changes = self.refresh_kind(true, now);
         if self.limits.lost_registrar == LostRegistrar::Drop {
@@ -100,13 +101,13 @@
         }
     }
 
-    /// Registrars that are there and hear a member.
+    /// Counts live registrars that can reach a member.
     fn heard_count(&self, row: &MemberRow) -> usize {
         let words = self.live_words(row);
         words.filter(|word| word.hearing == Hearing::Heard).count()
     }
 
-    /// Whether an entry other than this process hears a member.
+    /// Whether an entry other than this process can reach a member.
     #[must_use]
     pub fn is_heard_elsewhere(&self, daemon: &DaemonName) -> bool {
         let Some(row) = self.row(daemon) else {
@@ -120,8 +121,8 @@
         self.heard_count(row) > 0
     }
 
-    /// Words of witnesses that are there. A witness that died or started anew no longer speaks:
-    /// its last word says nothing of now.
+    /// Returns the votes of live witnesses. The last vote of a witness that died or restarted is
+    /// ignored, as it says nothing about the present.
     fn live_words<'a>(&'a self, row: &'a MemberRow) -> impl Iterator<Item = &'a WitnessWord> {
         let about = row.facts.incarnation;
         row.words.iter().filter(move |word| {
@@ -143,7 +144,7 @@
             let row = &self.records[index].row;
             let primary = primary_registrar(row);
             let lost = primary.is_some_and(|primary| lost.contains(&primary));
-            // One that has found its next registrar already is registered again.
+            // An agent that already has its next registrar is registered again.
             if lost && self.heard_count(row) < REGISTRARS {
                 self.records[index].dropped = Some(row.words.clone());
             }
@@ -151,7 +152,7 @@
     }
 }
 
-/// The registrar that an agent counts as its first.
+/// Returns the registrar that ranks first for an agent among those that can reach it.
 fn primary_registrar(row: &MemberRow) -> Option<&DaemonName> {
     row.facts.status()?;
     let witnesses = row
@@ -188,7 +189,8 @@
     }
 }
 
-/// Entries are only complained about: a call that went unanswered several times.
+/// Derives the state of an entry. Entries get silent votes only after several calls in a row went
+/// unanswered.
 fn entry_state(facts: &MemberFacts, count: &WordCount) -> MemberState {
     if count.silent >= count.needed {
         return MemberState::Gone;
@@ -199,10 +201,13 @@
     serving_state(facts)
 }
 
-/// An agent that any registrar hears is there, however many others don't: a link cut in one
-/// direction, or a registrar that it no longer uses, must not remove it. One that nobody hears
-/// is gone on the word of two, or of one after a time in which it would have found another
-/// registrar. One that nobody speaks of (its registrars died) stays, as it will register anew.
+/// Derives the state of an agent.
+///
+/// An agent that any registrar can reach is present, however many others cannot: a link cut in
+/// one direction, or a registrar that the agent no longer uses, must not remove it. An agent that
+/// no registrar can reach is gone with two silent votes, or with one after a time in which it would
+/// have found another registrar. An agent without any votes (its registrars died) stays, as it will
+/// register again.
 fn agent_state(facts: &MemberFacts, count: &WordCount) -> MemberState {
     let serving = serving_state(facts);
     if count.heard > 0 {
--- a/crates/oatpier-membership/src/members/table.rs
+++ b/crates/oatpier-membership/src/members/table.rs
@@ -1,4 +1,4 @@
-//! The table itself: rows, the states that follow from them, and a bounded log of changes.
+//! The member table: rows, the states derived from them, and a bounded log of changes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,52 +14,52 @@
 use crate::messages::EntryContact;
 use crate::summary::TableDigest;
 
-/// How long this process's own evidence counts.
+/// How long this process's own evidence is valid.
 pub const EVIDENCE_LASTS: Duration = Duration::from_secs(5);
 
-/// An agent that no live registrar speaks for becomes suspect after this long.
+/// How long an agent that no live registrar can reach stays alive before it becomes suspect.
 pub const UNWITNESSED_SUSPECT: Duration = Duration::from_secs(30);
 
-/// How long a gone row is kept, so that late news about it is known to be old.
+/// How long the row of a gone member is kept, so that late messages about it are recognized as old.
 pub const GONE_KEPT: Duration = Duration::from_mins(10);
 
-/// An entry that is counted out still counts among the witnesses there should be for this long.
-/// Whatever removed it may have struck others too, whose words are not in yet: each removal would
-/// lower the words that the next one needs, down to one.
+/// How long an entry that was removed still counts among the expected witnesses. The cause of its
+/// removal may have hit other entries too, whose votes have not arrived yet. Otherwise each removal
+/// would lower the number of votes that the next one needs, down to one.
 pub const WITNESS_MISSED: Duration = Duration::from_secs(15);
 
-/// Words of different witnesses that remove a member.
+/// The number of silent votes of different witnesses that remove a member.
 pub const NEEDED_WORDS: usize = 2;
 
-/// Where a member stands, as this process sees it.
+/// The state of a member, as this process sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MemberState {
     /// It serves.
     Alive,
-    /// Something speaks against it, but not enough to count it out.
+    /// There is evidence against it, but not enough to remove it.
     Suspect,
-    /// It finishes what it has.
+    /// It finishes the work in flight.
     Leaving,
-    /// It isn't there.
+    /// It is not present.
     Gone,
 }
 
-/// What happens to agents when the entry that they are registered with dies.
+/// The treatment of agents whose registrar dies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum LostRegistrar {
     /// Their rows stay; they register with the successor.
     #[default]
     Keep,
-    /// They count as gone until they have registered again. For comparison in benches.
+    /// They count as gone until they have registered again. For comparison in benchmarks.
     Drop,
 }
 
-/// Sizes of the table.
+/// Limits and policies of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TableLimits {
-    /// Changes that the log keeps.
+    /// The number of changes kept in the log.
     pub kept_changes: usize,
-    /// What happens when a registrar dies.
+    /// What happens to agents when their registrar dies.
     pub lost_registrar: LostRegistrar,
 }
 
@@ -72,14 +72,14 @@
     }
 }
 
-/// A row of the platform's list of VMs: a hint, never a proof.
+/// A row of the platform's list of VMs. It is only a hint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VmHint {
     /// The process on the VM.
     pub contact: EntryContact,
-    /// Whether that is an entry.
+    /// Whether that process is an entry.
     pub entry: bool,
-    /// Whether the platform means to stop the VM.
+    /// Whether the platform is going to stop the VM.
     pub leaving: bool,
 }
 
@@ -88,7 +88,7 @@
 pub struct MemberChange {
     /// The member.
     pub daemon: DaemonName,
-    /// Its state before; a new member was gone.
+    /// Its state before; `Gone` for a new member.
     pub before: MemberState,
     /// Its state now.
     pub state: MemberState,
@@ -97,20 +97,20 @@
 /// A member as this process sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct MemberView<'a> {
-    /// What it says of itself.
+    /// What it states about itself.
     pub facts: &'a MemberFacts,
-    /// Its latest queue, for an agent.
+    /// Its latest queue report, for an agent.
     pub report: Option<&'a QueueReport>,
-    /// Where it stands.
+    /// Its state.
     pub state: MemberState,
-    /// Whether the list of VMs says that it will be stopped.
+    /// Whether the list of VMs says that its VM will be stopped.
     pub hinted_leaving: bool,
 }
 
-/// What changed since a mark.
+/// The rows that changed since a mark.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableDeltas {
-    /// The mark for the next question.
+    /// The mark to pass to the next query.
     pub mark: u64,
     /// Rows that changed, each once.
     pub rows: Vec<MemberRow>,
@@ -150,7 +150,7 @@
 }
 
 impl MemberTable {
-    /// An empty table of the process `own`.
+    /// Creates the empty table of the process `own`.
     #[must_use]
     pub fn new(own: DaemonName, limits: TableLimits) -> Self {
         Self {
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Takes a row in; tells whether it had news. An unknown row that nobody hears is no news:
-    /// it would come back from table to table for ever.
+    /// Takes in a row. Returns whether it changed the table. An unknown row of a member that is not
+    /// reachable is ignored: otherwise it would pass from table to table forever.
     pub fn merge(&mut self, row: &MemberRow, now: ClockTime) -> bool {
         let daemon = &row.facts.daemon;
         let Some(record) = self.records.get_mut(daemon) else {
@@ -178,7 +178,7 @@
         true
     }
 
-    /// Takes in one entry's word on a member.
+    /// Takes in one entry's vote on a member.
     pub fn merge_word(&mut self, daemon: &DaemonName, word: &WitnessWord) -> bool {
         let Some(record) = self.records.get_mut(daemon) else {
             return false;
@@ -190,7 +190,7 @@
         changed
     }
 
-    /// Remembers an agent's queue, if it is later than the one known. Nobody is told of it.
+    /// Records an agent's queue if it is later than the known one. This change is not gossiped.
     pub fn note_queue_report(&mut self, daemon: &DaemonName, report: &QueueReport) {
         let Some(record) = self.records.get_mut(daemon) else {
             return;
@@ -203,12 +203,13 @@
         }
     }
 
-    /// Remembers what this process saw of a member on the data path.
+    /// Records evidence on a member from this process's data path.
     pub fn note_path(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
         self.evidence.note(daemon, evidence, now);
     }
 
-    /// Takes the list of VMs as a hint: whom to ask when nobody is known, and who may leave.
+    /// Takes in the list of VMs as hints: which entries to contact when none is known, and which
+    /// processes may leave.
     pub fn note_hints(&mut self, hints: impl IntoIterator<Item = VmHint>) {
         self.hints = hints
             .into_iter()
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Entries that only the list of VMs knows.
+    /// Returns entries that are known only from the list of VMs.
     pub fn hinted_entries(&self) -> impl Iterator<Item = &EntryContact> {
         self.hints
             .values()
@@ -227,24 +228,24 @@
             .map(|hint| &hint.contact)
     }
 
-    /// One member.
+    /// Returns one member.
     #[must_use]
     pub fn get(&self, daemon: &DaemonName) -> Option<MemberView<'_>> {
         self.records.get(daemon).map(TableRecord::view)
     }
 
-    /// One row, as it travels.
+    /// Returns one row, as sent to other entries.
     #[must_use]
     pub fn row(&self, daemon: &DaemonName) -> Option<&MemberRow> {
         self.records.get(daemon).map(|record| &record.row)
     }
 
-    /// All members.
+    /// Returns all members.
     pub fn members(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.records.values().map(TableRecord::view)
     }
 
-    /// Entries that aren't gone and haven't begun to leave.
+    /// Returns the entries that are neither gone nor leaving.
     pub fn live_entries(&self) -> impl Iterator<Item = &MemberFacts> {
         self.members()
             .filter(|view| view.facts.is_entry())
@@ -252,8 +253,8 @@
             .map(|view| view.facts)
     }
 
-    /// Entries that should be able to speak: live ones, and those that went without leaving a
-    /// short while ago.
+    /// Counts the entries expected to vote: live ones, and those that went away recently without
+    /// leaving.
     pub(super) fn expected_witnesses(&self, now: ClockTime) -> usize {
         let entries = self.records.values().filter(|record| {
             record.row.facts.is_entry() && record.row.facts.phase == MemberPhase::Serving
@@ -264,26 +265,27 @@
         expected.count()
     }
 
-    /// Whether a member is there and hasn't begun to leave.
+    /// Whether a member is present and not leaving.
     #[must_use]
     pub fn is_live(&self, daemon: &DaemonName) -> bool {
         let view = self.get(daemon);
         view.is_some_and(|view| matches!(view.state, MemberState::Alive | MemberState::Suspect))
     }
 
-    /// Agents that may get new work.
+    /// Returns the agents that may get new work.
     pub fn usable_agents(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.members()
             .filter(|view| !view.facts.is_entry() && view.state == MemberState::Alive)
     }
 
-    /// The mark of the latest change.
+    /// Returns the mark of the latest change.
     #[must_use]
     pub fn mark(&self) -> u64 {
         self.mark
     }
 
-    /// Rows that changed since `mark`; none if the log does not reach back so far.
+    /// Returns the rows that changed since `mark`, or `None` if the log does not reach back that
+    /// far.
     #[must_use]
     pub fn deltas_since(&self, mark: u64) -> Option<TableDeltas> {
         let reaches = self.mark - self.log.len() as u64;
@@ -305,7 +307,7 @@
         })
     }
 
-    /// Hashes of all rows that aren't gone.
+    /// Returns hashes of all rows that aren't gone.
     #[must_use]
     pub fn digest(&self) -> TableDigest {
         let mut digest = TableDigest::default();
@@ -317,7 +319,7 @@
         digest
     }
 
-    /// Rows, gone ones too, in the parts where the two hashes differ.
+    /// Returns the rows, including gone ones, in the parts whose hashes differ.
     #[must_use]
     pub fn rows_apart(&self, other: &TableDigest, most_parts: usize) -> Vec<MemberRow> {
         let parts = self.digest().differing(other, most_parts);
--- a/crates/oatpier-membership/src/messages.rs
+++ b/crates/oatpier-membership/src/messages.rs
@@ -1,7 +1,7 @@
-//! What processes say to each other.
+//! Messages between processes.
 //!
-//! Each message is a call with an answer. Every one carries the generation of its sender's
-//! configuration, so that any exchange at all shows who is behind.
+//! Each message is a call with an answer. Every message carries the generation of its sender's
+//! configuration, so that any exchange shows which side is behind.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::stops::StopWord;
 use crate::summary::{TableDigest, ZoneSummary};
 
-/// An entry, as peers and agents reach it.
+/// The identity and address of an entry, as used by peers and agents.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct EntryContact {
@@ -25,11 +25,11 @@
     pub daemon: DaemonName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens for other processes of the system.
+    /// The address on which it listens for other processes of the system.
     pub address: SocketAddr,
 }
 
-/// What an agent says to one of its registrars.
+/// A heartbeat from an agent to one of its registrars.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct AgentHeartbeat {
@@ -37,34 +37,35 @@
     pub daemon: DaemonName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it listens for entries.
+    /// The address on which it listens for entries.
     pub address: SocketAddr,
-    /// Its start.
+    /// The agent's boot.
     pub boot: BootId,
-    /// Orders the starts of one agent; see [`HeartbeatAnswer::former`].
+    /// Orders the boots of one agent; see [`HeartbeatAnswer::former`].
     pub incarnation: u64,
-    /// Whether it serves or leaves.
+    /// Whether the agent serves or leaves.
     pub phase: MemberPhase,
-    /// The configuration in force at it.
+    /// The generation in force at the agent.
     pub generation: Generation,
-    /// A hash of the entries that it knows; the registrar sends its list if another.
+    /// A hash of the entries that the agent knows. If it differs from the registrar's, the answer
+    /// contains the list.
     pub entries_digest: u64,
-    /// The rest: all, or only what changes with every request.
+    /// The full status, or only the queue, which changes with every request.
     pub body: HeartbeatBody,
 }
 
-/// How much a heartbeat says.
+/// The amount of detail in a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum HeartbeatBody {
-    /// All. Sent after a change, and when the registrar asks for it.
+    /// The full status. Sent after a change, and when the registrar asks for it.
     Full(Box<EndpointStatus>),
-    /// The queue alone: the rest is as in the last full one.
+    /// Only the queue; everything else is unchanged since the last full status.
     #[serde(rename = "Pulse")]
     QueueReport {
-        /// The number of the last full status.
+        /// The sequence number of the last full status.
         ready_sequence: u64,
-        /// The queue.
+        /// The state of the queue.
         #[serde(rename = "pulse")]
         report: QueueReport,
     },
@@ -74,85 +75,85 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct HeartbeatAnswer {
-    /// The configuration in force at the registrar.
+    /// The generation in force at the registrar.
     pub generation: Generation,
-    /// Whether the next heartbeat must be a full one.
+    /// Whether the next heartbeat must contain the full status.
     pub need_full: bool,
-    /// Another start of the agent which the registrar holds for the present one.
+    /// Another boot of the agent that the registrar still takes for the current one.
     pub former: Option<FormerBoot>,
-    /// All live entries of the group, if the agent's list is another.
+    /// All live entries of the group, if the agent's list differs.
     pub entries: Option<Vec<EntryContact>>,
-    /// The registrar's word on a planned stop of the agent, if there is one.
+    /// The planned stop of the agent known to the registrar, if any.
     pub stop: Option<StopWord>,
 }
 
-/// What is known of a former start of a process.
+/// What is known of an earlier boot of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct FormerBoot {
-    /// Its incarnation: the present one must take a higher one.
+    /// The incarnation of that boot; the current boot must use a higher one.
     pub incarnation: u64,
-    /// The configuration that was in force at it: the present one must not go below.
+    /// The generation that was in force at that boot; the current boot must not go below it.
     pub generation: Generation,
 }
 
-/// One entry's gossip to another of its group.
+/// A gossip message from one entry to another of its group.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct EntryGossip {
     /// The sender.
     pub from: EntryContact,
-    /// The sender's start.
+    /// The sender's boot.
     pub boot: BootId,
-    /// The configuration in force at the sender.
+    /// The generation in force at the sender.
     pub generation: Generation,
-    /// Rows that changed of late, the sender's own among them.
+    /// Rows that changed recently, including the sender's own.
     pub rows: Vec<MemberRow>,
-    /// Summaries of other availability zones that came of late.
+    /// Summaries of other availability zones that arrived recently.
     pub summaries: Vec<ZoneSummary>,
-    /// Planned stops that changed of late.
+    /// Planned stops that changed recently.
     pub stops: Vec<NamedStop>,
-    /// Hashes of the sender's whole table, now and then, to find what gossip missed.
+    /// Hashes of the sender's whole table, sent periodically to find rows that gossip missed.
     pub digest: Option<TableDigest>,
 }
 
-/// A planned stop of one process.
+/// A planned stop together with the process that it concerns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct NamedStop {
     /// The process.
     pub daemon: DaemonName,
-    /// What is asked of it.
+    /// The stop request.
     pub word: StopWord,
 }
 
-/// The answer to gossip.
+/// The answer to a gossip message.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct GossipAnswer {
-    /// The configuration in force at the answering entry.
+    /// The generation in force at the answering entry.
     pub generation: Generation,
-    /// A former start of the sender that the answering entry knows.
+    /// An earlier boot of the sender that the answering entry still takes for the current one.
     pub former: Option<FormerBoot>,
-    /// The answering entry's rows where the hashes differ.
+    /// The answering entry's rows in the parts whose hashes differ.
     pub rows: Vec<MemberRow>,
-    /// All its summaries and stops, for a sender whose table is empty.
+    /// All summaries of the answering entry, if the sender's table is empty.
     pub summaries: Vec<ZoneSummary>,
-    /// Planned stops, where the hashes differ.
+    /// All planned stops of the answering entry, if the message contained hashes.
     pub stops: Vec<NamedStop>,
 }
 
-/// One availability zone's summary to an entry of another.
+/// A summary of one availability zone, sent to an entry of another.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct SummaryCall {
     /// The sender.
     pub from: EntryContact,
-    /// The configuration in force at the sender.
+    /// The generation in force at the sender.
     pub generation: Generation,
-    /// What changed.
+    /// The rows that changed.
     pub summary: ZoneSummary,
-    /// A few entries of the sender's availability zone, to answer to.
+    /// A few entries of the sender's availability zone, to which summaries can be sent.
     pub contacts: SmallVec<[EntryContact; 4]>,
 }
 
@@ -160,21 +161,21 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SummaryAnswer {
-    /// The configuration in force at the answering entry.
+    /// The generation in force at the answering entry.
     pub generation: Generation,
     /// A few entries of its availability zone.
     pub contacts: SmallVec<[EntryContact; 4]>,
 }
 
-/// Asks for a configuration later than the one that the sender has.
+/// A request for a configuration later than the one that the sender has.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigPull {
-    /// Who asks.
+    /// The process that asks.
     pub daemon: DaemonName,
-    /// The sender's start.
+    /// The sender's boot.
     pub boot: BootId,
-    /// What the sender has.
+    /// The generation that the sender has.
     pub have: Generation,
 }
 
@@ -183,22 +184,22 @@
 #[derive(Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct ConfigAnswer<P: ConfigPayload> {
-    /// What the answering process has in force.
+    /// The generation in force at the answering process.
     pub generation: Generation,
-    /// What is known of a former start of the asking process.
+    /// What is known of an earlier boot of the asking process.
     pub former: Option<FormerBoot>,
-    /// What brings the sender up to it, if it is behind.
+    /// The content that brings the asking process up to that generation, if it is behind.
     pub content: Option<ConfigContent<P>>,
 }
 
-/// Brings a later configuration to a process unasked.
+/// An unsolicited delivery of a later configuration.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(bound = "")]
 pub struct ConfigPush<P: ConfigPayload> {
-    /// Who brings it.
+    /// The sending process.
     pub daemon: DaemonName,
-    /// What the sender has in force.
+    /// The generation in force at the sender.
     pub generation: Generation,
     /// The content.
     pub content: ConfigContent<P>,
@@ -208,42 +209,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ConfigAck {
-    /// What the answering process has, in force or about to be.
+    /// The latest generation held by the answering process, in force or waiting.
     pub generation: Generation,
 }
 
-/// Any call between processes that this package decides about.
+/// A call between processes that this package handles.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(bound = "")]
 pub enum PeerCall<P: ConfigPayload> {
-    /// Agent to registrar.
+    /// From an agent to a registrar.
     Heartbeat(Box<AgentHeartbeat>),
-    /// Entry to entry of its group.
+    /// From an entry to another entry of its group.
     Gossip(Box<EntryGossip>),
-    /// Entry to entry of another availability zone.
+    /// From an entry to an entry of another availability zone.
     Summary(Box<SummaryCall>),
-    /// Anyone to an entry.
+    /// From any process to an entry.
     Pull(ConfigPull),
-    /// An entry to an entry or to an agent that is registered with it.
+    /// From an entry to another entry, or to an agent that is registered with it.
     Push(Arc<ConfigPush<P>>),
 }
 
-/// The answer to a [`PeerCall`], of the same kind.
+/// The answer to a [`PeerCall`] of the same kind.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(bound = "")]
 pub enum PeerAnswer<P: ConfigPayload> {
-    /// To a heartbeat.
+    /// Answers a heartbeat.
     Heartbeat(Box<HeartbeatAnswer>),
-    /// To gossip.
+    /// Answers gossip.
     Gossip(Box<GossipAnswer>),
-    /// To a summary.
+    /// Answers a summary.
     Summary(Box<SummaryAnswer>),
-    /// To a pull.
+    /// Answers a pull.
     Pull(Box<ConfigAnswer<P>>),
-    /// To a push.
+    /// Answers a push.
     Push(ConfigAck),
-    /// The process does not take such a call.
+    /// The process does not handle this kind of call.
     Unexpected,
 }
--- a/crates/oatpier-membership/src/payload.rs
+++ b/crates/oatpier-membership/src/payload.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as it is spread.
+//! [`ConfigPayload`] for the operators' configuration, [`FleetConfig`].
 
 use oatpier_types::config::FleetConfig;
 use oatpier_types::config::diff::{ConfigEdit, EditStatus, apply, diff};
--- a/crates/oatpier-membership/src/registrar/choose.rs
+++ b/crates/oatpier-membership/src/registrar/choose.rs
@@ -1,4 +1,4 @@
-//! Which entries are an agent's registrars.
+//! The choice of an agent's registrars.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use crate::messages::EntryContact;
 use crate::rendezvous;
 
-/// Registrars of one agent.
+/// The number of registrars of one agent.
 pub const REGISTRARS: usize = 2;
 
-/// A lost registrar is not asked again for this long, doubled each time.
+/// How long a lost registrar is not used again. Doubles each time.
 const AVOID_FIRST: Duration = Duration::from_secs(10);
 
-/// The longest such time.
+/// The upper bound of that time.
 const AVOID_LONGEST: Duration = Duration::from_mins(2);
 
 #[derive(Debug, Clone, Copy)]
@@ -28,7 +28,7 @@
     times: u32,
 }
 
-/// Entries that did not answer and are not asked for a while.
+/// Entries that did not answer and are not used for a while.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AvoidBook {
     entries: IndexMap<DaemonName, AvoidedEntry>,
@@ -60,8 +60,8 @@
     }
 }
 
-/// The registrars of an agent among the entries it may use: of its own availability zone if
-/// there are enough, else of others too.
+/// Chooses an agent's registrars among the usable entries: those of its own availability zone if
+/// there are enough, otherwise those of other availability zones too.
 #[must_use]
 pub fn choose_registrars<'a>(
     agent: &DaemonName,
@@ -80,7 +80,7 @@
     contact.daemon.as_str()
 }
 
-/// A hash of a set of entries, the same in any order.
+/// Returns a hash of a set of entries that does not depend on their order.
 #[must_use]
 pub fn entries_digest<'a>(entries: impl Iterator<Item = &'a EntryContact>) -> u64 {
     entries
--- a/crates/oatpier-membership/src/registrar/keeper.rs
+++ b/crates/oatpier-membership/src/registrar/keeper.rs
@@ -1,4 +1,4 @@
-//! The agent's side: to whom it sends heartbeats, when, and what is in them.
+//! The agent's side of heartbeats: their targets, times and contents.
 
 use std::time::Duration;
 
@@ -16,49 +16,49 @@
 use crate::messages::{AgentHeartbeat, EntryContact, FormerBoot, HeartbeatAnswer, HeartbeatBody};
 use crate::stops::StopWord;
 
-/// The longest time between two heartbeats; on average it is a second. The registrars get them
-/// in turn.
+/// The longest interval between two heartbeats; the average is one second. Heartbeats go to the
+/// registrars in turn.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(1_300);
 
-/// Time after which a lost heartbeat is sent again.
+/// Delay before a lost heartbeat is sent again.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A heartbeat without an answer counts as lost after this long.
+/// How long to wait for an answer before a heartbeat counts as lost.
 const ANSWER_WITHIN: Duration = Duration::from_millis(800);
 
-/// Heartbeats lost in a row before another entry takes the registrar's place. At a tenth of
-/// messages lost, fewer would change registrars all the time.
+/// The number of heartbeats lost in a row after which another entry replaces the registrar. With a
+/// tenth of messages lost, a lower limit would replace registrars all the time.
 const LOST_IN_ROW: u32 = 6;
 
-/// An entry that this agent stopped using as a registrar, as it did not answer.
+/// An entry that this agent no longer uses as a registrar, as it did not answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegistrarLost {
     /// The entry.
     pub daemon: DaemonName,
 }
 
-/// What the agent is to do.
+/// An action that a [`HeartbeatKeeper`] requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatAction {
     /// Send a heartbeat.
     Beat {
-        /// To whom.
+        /// The registrar.
         to: EntryContact,
         /// The heartbeat.
         heartbeat: Box<AgentHeartbeat>,
     },
     /// A registrar did not answer and was replaced.
     Lost(RegistrarLost),
-    /// A registrar knows a former start of this agent.
+    /// A registrar knows an earlier boot of this agent.
     Former(FormerBoot),
-    /// A registrar has this configuration.
+    /// A registrar reported the generation that is in force at it.
     Seen {
         /// The registrar.
         from: EntryContact,
         /// Its generation.
         generation: Generation,
     },
-    /// A planned stop of this agent was asked for or withdrawn.
+    /// A planned stop of this agent was requested or withdrawn.
     Stop(StopWord),
 }
 
@@ -90,8 +90,8 @@
 }
 
 impl HeartbeatKeeper {
-    /// The keeper of a started agent that knows a few entries: from its settings, from the list
-    /// of VMs, or both.
+    /// Creates the keeper of a starting agent. The entries that the agent knows, from its settings,
+    /// from the list of VMs, or both, are added with [`Self::add_entries`].
     #[must_use]
     pub fn new(
         own: EntryContact,
@@ -116,29 +116,29 @@
         }
     }
 
-    /// Its incarnation.
+    /// Returns the agent's incarnation.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Its registrars, the first one first.
+    /// Returns the agent's registrars in order of rank.
     pub fn registrars(&self) -> impl Iterator<Item = &EntryContact> {
         self.slots.iter().map(|slot| &slot.contact)
     }
 
-    /// All entries that it knows.
+    /// Returns all entries that the agent knows.
     pub fn entries(&self) -> impl Iterator<Item = &EntryContact> {
         self.entries.values()
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         self.next
     }
 
-    /// Adds entries that it may turn to.
+    /// Adds entries that may be used as registrars.
     pub fn add_entries(
         &mut self,
         contacts: impl IntoIterator<Item = EntryContact>,
@@ -150,12 +150,12 @@
         self.choose(now);
     }
 
-    /// Sets the queue, which goes with the next heartbeat.
+    /// Sets the state of the queue, which is sent with the next heartbeat.
     pub fn set_queue_report(&mut self, report: QueueReport) {
         self.status.queue = report;
     }
 
-    /// Sets the whole status; a change of what is ready is told at once.
+    /// Sets the full status. A change of what is ready is sent at once.
     pub fn set_status(&mut self, status: EndpointStatus, now: ClockTime) {
         if status.ready_sequence != self.status.ready_sequence {
             self.next = now;
@@ -163,8 +163,8 @@
         self.status = status;
     }
 
-    /// Sets the phase and tells it at once. Going back needs a new incarnation, as a phase only
-    /// goes forward within one.
+    /// Sets the phase and sends it at once. Returning to an earlier phase needs a new incarnation,
+    /// as the phase only advances within one.
     pub fn set_phase(&mut self, phase: MemberPhase, now: ClockTime) {
         if phase < self.phase {
             self.incarnation += 1;
@@ -173,14 +173,14 @@
         self.next = now;
     }
 
-    /// Whether every registrar knows the present phase and status.
+    /// Whether every registrar has acknowledged the current phase and status.
     #[must_use]
     pub fn is_known(&self) -> bool {
         let order = self.order();
         !self.slots.is_empty() && self.slots.iter().all(|slot| slot.acked == Some(order))
     }
 
-    /// Sends what is due.
+    /// Sends the heartbeats that are due.
     pub fn tick(&mut self, generation: Generation, now: ClockTime) -> Vec<HeartbeatAction> {
         let mut actions = Vec::new();
         self.check_lost(now, &mut actions);
@@ -204,7 +204,7 @@
         actions
     }
 
-    /// A registrar answered.
+    /// Handles a registrar's answer.
     pub fn answered(
         &mut self,
         from: &DaemonName,
@@ -224,7 +224,7 @@
         actions
     }
 
-    /// A heartbeat got no answer.
+    /// Handles a heartbeat that got no answer.
     pub fn lost(&mut self, to: &DaemonName, now: ClockTime) -> Vec<HeartbeatAction> {
         let slots = &mut self.slots;
         let Some(slot) = slots.iter_mut().find(|slot| slot.contact.daemon == *to) else {
@@ -298,7 +298,8 @@
         }
     }
 
-    /// A former start is held for this one: take a higher incarnation, and say all anew.
+    /// Handles an answer that names another boot: takes a higher incarnation and sends the full
+    /// status again.
     fn take_former(&mut self, former: FormerBoot, now: ClockTime) {
         self.incarnation = self.incarnation.max(former.incarnation + 1);
         self.next = now;
@@ -328,7 +329,7 @@
         self.avoided.forget(from);
     }
 
-    /// The registrar's list takes the place of what was known. The registrar itself is in it.
+    /// Replaces the known entries by the registrar's list, which includes the registrar itself.
     fn take_entries(&mut self, entries: &[EntryContact], now: ClockTime) {
         if entries.is_empty() {
             return;
@@ -345,7 +346,7 @@
         let usable = self.entries.values();
         let usable = usable.filter(|contact| !self.avoided.avoids(&contact.daemon, now));
         let usable: Vec<&EntryContact> = usable.collect();
-        // With every entry avoided, any is better than none.
+        // If every entry is avoided, use any rather than none.
         let all: Vec<&EntryContact> = self.entries.values().collect();
         let from = if usable.is_empty() { all } else { usable };
         let chosen = choose_registrars(&self.own.daemon, &self.own.zone, from);
--- a/crates/oatpier-membership/src/registrar/mod.rs
+++ b/crates/oatpier-membership/src/registrar/mod.rs
@@ -1,8 +1,8 @@
-//! Heartbeats: agents tell two entries, their registrars, that they are there.
+//! Heartbeats, which agents send to two entries, their registrars.
 //!
-//! An agent picks its registrars by rendezvous hashing among the entries that it knows, and
-//! speaks to them in turn. When one dies, the next in rank takes its place; nobody decides it
-//! and nothing is torn down meanwhile.
+//! An agent chooses its registrars by rendezvous hashing among the entries that it knows, and sends
+//! heartbeats to them in turn. When a registrar dies, the next entry in rank replaces it. This
+//! needs no coordination, and the agent stays registered meanwhile.
 
 mod choose;
 mod keeper;
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -1,4 +1,5 @@
-//! The registrar's side: who is heard, and the word about it that other entries get.
+//! The registrar's side of heartbeats: which agents are reachable, and the votes on them that are
+//! sent to other entries.
 
 use std::time::Duration;
 
@@ -13,33 +14,35 @@
 use crate::messages::{AgentHeartbeat, EntryContact, FormerBoot, HeartbeatAnswer, HeartbeatBody};
 use crate::stops::StopWord;
 
-/// An agent that was not heard for this long is said to be silent: three heartbeats in a row,
-/// and a little for delays.
+/// An agent counts as silent after this long without a heartbeat: three missed heartbeats, plus a
+/// margin for delays.
 pub const SILENT_AFTER: Duration = Duration::from_millis(6_500);
 
-/// An agent that was not heard for this long, but by others, has other registrars.
+/// An agent that sent this entry no heartbeat for this long, but is reachable for others, has other
+/// registrars.
 const RELEASE_AFTER: Duration = Duration::from_secs(15);
 
-/// After the first return an agent must be heard for this long before the word changes back.
+/// How long an agent must be reachable again after its first silence before the vote on it changes
+/// back.
 pub const HOLD_FIRST: Duration = Duration::from_secs(3);
 
-/// The longest such time.
+/// The upper bound of that time.
 pub const HOLD_LONGEST: Duration = Duration::from_mins(1);
 
-/// An agent that was heard steadily for this long has no past.
+/// After this long of being reachable without a break, an agent's earlier silences are forgotten.
 const FLAPS_FORGOTTEN: Duration = Duration::from_mins(5);
 
-/// An agent that was silent for this long is forgotten by its registrar.
+/// An agent that was silent for this long is dropped by its registrar.
 const SILENT_KEPT: Duration = Duration::from_mins(10);
 
-/// A registrar's word on an agent, to be told to the other entries.
+/// A registrar's vote on an agent, to be sent to the other entries.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegistrarWord {
     /// The agent.
     pub daemon: DaemonName,
-    /// The incarnation that the word is about.
+    /// The incarnation that the vote is about.
     pub about: u64,
-    /// Whether it is heard.
+    /// Whether the agent is reachable.
     pub hearing: Hearing,
 }
 
@@ -50,7 +53,7 @@
     generation: Generation,
     contact: EntryContact,
     last_heard: ClockTime,
-    /// As `last_heard`, but never moved by this entry's own isolation.
+    /// As `last_heard`, but never advanced because this entry itself was isolated.
     last_beat: ClockTime,
     heard_since: ClockTime,
     heard: bool,
@@ -67,16 +70,16 @@
     }
 }
 
-/// The agents that are registered with one entry.
+/// The agents registered with one entry.
 #[derive(Debug, Clone, Default)]
 pub struct RegistrarTable {
     agents: IndexMap<DaemonName, Registration>,
 }
 
 impl RegistrarTable {
-    /// Hears a heartbeat. Takes what it says into `members`; the answer lacks the list of
-    /// entries, the stop and the generation, which the entry fills in. The word, if it changed,
-    /// goes to the other entries.
+    /// Handles a heartbeat and merges its content into `members`. The answer lacks the list of
+    /// entries, the stop request and the generation, which the caller fills in. If the vote on the
+    /// agent changed, it is returned, to be sent to the other entries.
     pub fn hear(
         &mut self,
         heartbeat: &AgentHeartbeat,
@@ -103,10 +106,11 @@
         (answer, word)
     }
 
-    /// Looks for agents that went silent; returns changed words. To be called every second.
+    /// Checks for agents that went silent and returns the votes that changed. Must be called every
+    /// second.
     ///
-    /// `deaf` tells that this entry itself stood still or is cut off: it heard nobody, which says
-    /// nothing about them.
+    /// `deaf` means that this entry itself was paused or is cut off. It then received nothing from
+    /// anyone, which says nothing about the agents.
     pub fn check(
         &mut self,
         deaf: bool,
@@ -128,9 +132,9 @@
         words
     }
 
-    /// Forgets agents that were silent for long, and those that others have heard while this
-    /// entry did not: they have other registrars now. Were this entry's word left at silent, two
-    /// such words would remove the agent as soon as its present registrars die.
+    /// Drops agents that were silent for long, and those that sent heartbeats to other entries but
+    /// not to this one, as these have other registrars now. If this entry's vote stayed at silent,
+    /// two such votes would remove the agent as soon as its current registrars die.
     fn release(&mut self, members: &MemberTable, now: ClockTime, words: &mut Vec<RegistrarWord>) {
         self.agents.retain(|daemon, agent| {
             let silent_for = now.since(agent.last_heard);
@@ -145,7 +149,8 @@
         });
     }
 
-    /// All words anew, for when the entry's own incarnation rose and its old ones are void.
+    /// Returns all votes, to be sent again when the entry's incarnation rose and its earlier votes
+    /// are void.
     #[must_use]
     pub fn words(&self) -> Vec<RegistrarWord> {
         let agents = self.agents.iter();
@@ -154,20 +159,20 @@
             .collect()
     }
 
-    /// Agents that are heard, with the generation that is in force at each.
+    /// Returns the agents that are reachable, with the generation in force at each.
     pub fn heard(&self) -> impl Iterator<Item = (&EntryContact, Generation)> {
         let agents = self.agents.values().filter(|agent| agent.heard);
         agents.map(|agent| (&agent.contact, agent.generation))
     }
 
-    /// An agent said which configuration it has.
+    /// Records the generation that an agent reported.
     pub fn note_generation(&mut self, daemon: &DaemonName, generation: Generation) {
         if let Some(agent) = self.agents.get_mut(daemon) {
             agent.generation = agent.generation.max(generation);
         }
     }
 
-    /// How many of the registered agents were heard very lately.
+    /// Returns how many of the registered agents sent a heartbeat within [`HEARD_WITHIN`].
     #[must_use]
     pub fn heard_share(&self, now: ClockTime) -> HeardShare {
         let agents = self.agents.values().filter(|agent| agent.heard);
@@ -179,13 +184,13 @@
         }
     }
 
-    /// Agents that are registered and heard.
+    /// Returns the number of agents that are registered and reachable.
     #[must_use]
     pub fn heard_count(&self) -> usize {
         self.agents.values().filter(|agent| agent.heard).count()
     }
 
-    /// Registered agents with the generation that is in force at each.
+    /// Returns the registered agents with the generation in force at each.
     pub fn generations(&self) -> impl Iterator<Item = (&DaemonName, Generation)> {
         let agents = self.agents.iter();
         agents.map(|(daemon, agent)| (daemon, agent.generation))
@@ -213,8 +218,8 @@
         if steady >= FLAPS_FORGOTTEN {
             agent.flaps = 0;
         }
-        // An agent that comes and goes would make every table change with it. It must be heard
-        // steadily for longer each time before the word changes back.
+        // An agent that fails and recovers repeatedly would change every table each time. It must
+        // be reachable for longer each time before the vote changes back.
         let returned = !agent.heard && steady >= agent.hold();
         agent.heard |= returned;
         (returned || renewed).then(|| word_on(daemon, agent))
@@ -251,8 +256,9 @@
     }
 }
 
-/// Another start of the agent that is held for the present one: the agent must take a higher
-/// incarnation. A late heartbeat of a former start gets this too, and changes nothing.
+/// Returns another boot of the agent that is still taken for the current one, so that the agent
+/// takes a higher incarnation. A late heartbeat of an earlier boot gets this answer too, and
+/// changes nothing.
 fn former_boot(known: &MemberFacts, heartbeat: &AgentHeartbeat) -> Option<FormerBoot> {
     let other = known.boot != heartbeat.boot && known.incarnation >= heartbeat.incarnation;
     other.then_some(FormerBoot {
@@ -261,7 +267,7 @@
     })
 }
 
-/// Takes in what the heartbeat says; false if it needs a full one for that.
+/// Merges the body of a heartbeat. Returns false if a full heartbeat is needed for that.
 fn take_body(heartbeat: &AgentHeartbeat, members: &mut MemberTable, now: ClockTime) -> bool {
     match &heartbeat.body {
         HeartbeatBody::Full(status) => {
--- a/crates/oatpier-membership/src/rendezvous.rs
+++ b/crates/oatpier-membership/src/rendezvous.rs
@@ -1,7 +1,8 @@
-//! Rendezvous hashing: which few of many names have a duty.
+//! Rendezvous hashing, which assigns a duty to a few of many names.
 //!
 //! Each process ranks the names by a hash of the duty's key and the name. Processes that see the
-//! same names agree without a word; one name more or less moves only the duties of that name.
+//! same names agree without communication, and adding or removing a name moves only the duties of
+//! that name.
 
 use std::cmp::Reverse;
 
@@ -9,14 +10,15 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The weight of a name for a key; the highest has the duty.
+/// Returns the weight of a name for a key. The name with the highest weight has the duty.
 #[must_use]
 pub fn weight(key: &str, name: &str) -> u64 {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
     xxh3_64_with_seed(name.as_bytes(), seed)
 }
 
-/// The `count` names with the highest weights, highest first. Equal weights: the lesser name.
+/// Returns the `count` names with the highest weights, highest first. Ties go to the
+/// lexicographically smaller name.
 pub fn choose<'a, T>(
     key: &str,
     names: impl IntoIterator<Item = &'a T>,
@@ -35,7 +37,8 @@
     ranked.into_iter().take(count).map(|row| row.1).collect()
 }
 
-/// The place of `own` among the names for a key, from 0; none if it isn't among them.
+/// Returns the rank of `own` among the names for a key, starting at 0, or `None` if `own` is not
+/// among them.
 pub fn rank_of<'a>(
     key: &str,
     names: impl IntoIterator<Item = &'a str>,
@@ -57,7 +60,7 @@
     own_seen.then_some(before)
 }
 
-/// The key under which an agent's registrars are chosen.
+/// Returns the key under which an agent's registrars are chosen.
 #[must_use]
 pub fn registrar_key(agent: &DaemonName) -> String {
     format!("registrar/{agent}")
--- a/crates/oatpier-membership/src/spread/mod.rs
+++ b/crates/oatpier-membership/src/spread/mod.rs
@@ -1,10 +1,10 @@
-//! How an entry learns a configuration and passes it on.
+//! How an entry obtains a configuration and distributes it.
 //!
-//! A watch costs the store a call for as long as it waits, so only a few entries of each
-//! availability zone watch: those that rendezvous hashing picks among the live ones. An entry
-//! that learns a configuration, from wherever, pushes it to a few others and to the agents that
-//! are registered with it. Every message carries a generation, and whoever sees a later one
-//! pulls, so that a push that was lost costs a second at most.
+//! A watch occupies the store for as long as it waits, so only a few entries of each availability
+//! zone watch, chosen by rendezvous hashing among the live ones. An entry that gets a new
+//! configuration, from any source, pushes it to a few other entries and to the agents registered
+//! with it. Every message carries a generation, and a process that sees a later one pulls, so that
+//! a lost push delays a change by a second at most.
 
 mod push;
 mod spreader;
@@ -22,10 +22,11 @@
 pub use spreader::ConfigSpreader;
 pub use watch::{WATCH_WAIT, WATCHERS};
 
-/// A call to another process counts as lost after this long. The owner reports it then.
+/// How long to wait for an answer before a call to another process counts as lost. The caller then
+/// reports its end.
 pub const CALL_WITHIN: Duration = Duration::from_millis(500);
 
-/// The configuration as it is in the store.
+/// The configuration as stored.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredConfig<P> {
     /// The revision of the key.
@@ -36,85 +37,85 @@
     pub value: Arc<P>,
 }
 
-/// How a read or a watch of the store ended.
+/// The result of a read or a watch of the store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreReply<P> {
     /// The configuration.
     Value(StoredConfig<P>),
-    /// There is none yet, or the watch saw no change.
+    /// There is no configuration yet, or the watch saw no change.
     Unchanged,
-    /// The store did not answer, or the process's budget of calls is used up.
+    /// The store did not answer, or the process's call budget is exhausted.
     Failed,
 }
 
-/// What an entry hears about the configuration.
+/// An input of a [`ConfigSpreader`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum SpreadEvent<P: ConfigPayload> {
     /// Time has passed.
     Tick,
     /// A message of a peer or of an agent carried a generation.
     Seen {
-        /// Who sent it.
+        /// The sender.
         from: EntryContact,
         /// The generation.
         generation: Generation,
     },
-    /// A push came.
+    /// A push arrived.
     Pushed(Arc<ConfigPush<P>>),
-    /// A pull ended; none: lost.
+    /// A pull of this entry ended.
     PullEnded {
-        /// Who was asked.
+        /// The process that was asked.
         from: EntryContact,
-        /// The answer.
+        /// The answer; `None`: the call was lost.
         answer: Option<Box<ConfigAnswer<P>>>,
     },
-    /// A push of this entry ended; none: lost.
+    /// A push of this entry ended.
     PushEnded {
-        /// To whom it went.
+        /// The process that was sent the push.
         to: EntryContact,
-        /// The answer.
+        /// The answer; `None`: the call was lost.
         ack: Option<ConfigAck>,
     },
-    /// The read or the watch of the store ended.
+    /// A read or a watch of the store ended.
     StoreEnded(StoreReply<P>),
 }
 
-/// What an entry does about the configuration.
+/// An action that a [`ConfigSpreader`] requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SpreadAction<P: ConfigPayload> {
     /// Read the configuration from the store.
     ReadStore,
-    /// Wait for a change of it.
+    /// Wait for a change of the configuration in the store.
     WatchStore {
-        /// The revision that is known.
+        /// The last known revision.
         after: Revision,
         /// How long to wait.
         wait: Duration,
     },
-    /// Ask a peer for what it has.
+    /// Ask a peer for a later configuration.
     Pull {
-        /// Whom.
+        /// The peer.
         to: EntryContact,
-        /// The question.
+        /// The message.
         pull: ConfigPull,
     },
-    /// Bring a peer or an agent what is in force.
+    /// Send the configuration in force to a peer or an agent.
     Push {
-        /// To whom.
+        /// The process to send it to.
         to: EntryContact,
-        /// The push.
+        /// The message.
         push: Arc<ConfigPush<P>>,
     },
-    /// This configuration is in force in this process from now on.
+    /// This configuration is now in force in this process.
     InForce(HeldConfig<P>),
 }
 
-/// Whom an entry can turn to, as its table has it now.
+/// The processes that an entry can contact, according to its current table.
 #[derive(Debug, Clone, Default)]
 pub struct SpreadPeers {
-    /// Live entries of the group, without the own.
+    /// Live entries of the group, except this one.
     pub group: Vec<EntryContact>,
-    /// Registered agents that are heard, with the generation that is in force at each.
+    /// Registered agents that are reachable, with the generation in force at each.
     pub agents: Vec<(EntryContact, Generation)>,
     /// A few entries of other availability zones.
     pub far: Vec<EntryContact>,
--- a/crates/oatpier-membership/src/spread/push.rs
+++ b/crates/oatpier-membership/src/spread/push.rs
@@ -1,4 +1,4 @@
-//! Which peers and agents are still to be brought the configuration.
+//! Pushes of the configuration that are still to be sent or answered.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 
 use crate::messages::EntryContact;
 
-/// Entries that an entry brings a new configuration, unasked.
+/// The number of entries to which an entry pushes a new configuration.
 pub const PUSH_FANOUT: usize = 4;
 
-/// How often one push is tried. Then the peer finds out by itself.
+/// How often one push is tried. After that, the peer learns of the generation from other messages.
 pub const PUSH_TRIES: u32 = 3;
 
-/// Time between two tries.
+/// Delay between two tries.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
 }
 
 impl PushQueue {
-    /// A new configuration is in force: picks who is brought it.
+    /// Starts the pushes of a new configuration: to random entries of the group and to `agents`.
     pub(super) fn start<'a>(
         &mut self,
         group: &'a [EntryContact],
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A peer that is behind, with what it has if that is known.
+    /// Adds a peer that is behind, with the generation it has if that is known.
     pub(super) fn add(&mut self, to: &EntryContact, have: Option<Generation>, now: ClockTime) {
         let push = self.open.entry(to.daemon.clone()).or_insert(OpenPush {
             to: to.clone(),
@@ -62,7 +62,7 @@
         push.tries = 0;
     }
 
-    /// Whom to send to now.
+    /// Returns the pushes to send now.
     pub(super) fn due(&mut self, now: ClockTime) -> Vec<(EntryContact, Option<Generation>)> {
         let due = self.open.values_mut();
         due.filter(|push| !push.sent && push.next <= now)
@@ -74,7 +74,8 @@
             .collect()
     }
 
-    /// A push ended; `reached` is what the peer has now. Done if that is what is in force.
+    /// Handles the end of a push. `reached` is the generation that the peer has now. The push is
+    /// complete if that is at least the one in force.
     pub(super) fn ended(
         &mut self,
         to: &DaemonName,
--- a/crates/oatpier-membership/src/spread/spreader.rs
+++ b/crates/oatpier-membership/src/spread/spreader.rs
@@ -1,4 +1,4 @@
-//! The machine itself.
+//! The state machine that obtains and distributes configurations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::messages::{ConfigAck, ConfigAnswer, ConfigPull, ConfigPush, EntryContact, FormerBoot};
 use crate::rendezvous;
 
-/// Peers that are known to be ahead, at most.
+/// The maximum number of peers remembered as ahead.
 const KEPT_AHEAD: usize = 8;
 
-/// Time between two questions of a started entry that has no configuration yet.
+/// The interval between two pulls of a starting entry that has no configuration yet.
 const ASK_EVERY: Duration = Duration::from_millis(300);
 
-/// Learns a configuration and passes it on, in one entry.
+/// Obtains configurations and distributes them, for one entry.
 #[derive(Debug, Clone)]
 pub struct ConfigSpreader<P: ConfigPayload> {
     own: EntryContact,
@@ -42,7 +42,7 @@
 }
 
 impl<P: ConfigPayload> ConfigSpreader<P> {
-    /// The spreader of an entry that starts at `now`.
+    /// Creates the spreader of an entry that starts at `now`.
     #[must_use]
     pub fn new(own: EntryContact, boot: BootId, mut generator: ChaCha8Rng, now: ClockTime) -> Self {
         Self {
@@ -59,30 +59,30 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn in_force(&self) -> Option<&HeldConfig<P>> {
         self.keeper.in_force()
     }
 
-    /// Its generation; 0: none yet.
+    /// Returns the generation in force, or 0 if there is none yet.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.keeper.generation()
     }
 
-    /// Whether this entry watches the store, as far as it knows.
+    /// Whether this entry watches the store, according to its current peers.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         self.watcher
     }
 
-    /// A former start of this entry had this generation in force.
+    /// Sets a lower bound: an earlier boot of this entry had this generation in force.
     pub fn raise_floor(&mut self, generation: Generation) {
         self.keeper.raise_floor(generation);
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         let mut wake = self.watch.next_wake().min(self.pushes.next_wake());
@@ -93,7 +93,7 @@
         wake
     }
 
-    /// Answers a pull.
+    /// Returns the answer to a pull.
     #[must_use]
     pub fn answer_pull(&self, pull: &ConfigPull, former: Option<FormerBoot>) -> ConfigAnswer<P> {
         ConfigAnswer {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Answers a push, after it was handled.
+    /// Returns the answer to a push that was handled.
     #[must_use]
     pub fn ack(&self) -> ConfigAck {
         ConfigAck {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Hears an event.
+    /// Handles an event and returns the actions to take.
     pub fn handle(
         &mut self,
         event: SpreadEvent<P>,
@@ -132,8 +132,9 @@
         actions
     }
 
-    /// A process that has just started brings nobody anything: others had it before, and those
-    /// that start too ask by themselves. The whole value would go out from each of them.
+    /// Starts the pushes of a new configuration. The first configuration of a started process is
+    /// not pushed: other processes had it before, and those that also start pull it themselves.
+    /// Each starting process would push the whole value.
     fn start_pushes(&mut self, before: Generation, peers: &SpreadPeers, now: ClockTime) {
         if before == Generation(0) {
             return;
@@ -168,7 +169,8 @@
         }
     }
 
-    /// A mismatch in either direction is mended: ahead, it is asked; behind, it is told.
+    /// Resolves a difference in generations in either direction: a peer that is ahead is pulled
+    /// from, one that is behind is pushed to.
     fn see(&mut self, from: &EntryContact, generation: Generation, now: ClockTime) {
         if generation > self.keeper.have() && self.ahead.len() < KEPT_AHEAD {
             let row = (from.clone(), generation);
@@ -241,8 +243,8 @@
         outcome
     }
 
-    /// Entries of the own availability zone go first: they are many and close. With none there,
-    /// any of the group.
+    /// Returns the entries of this availability zone, which are preferred as they are many and
+    /// close. If there are none, returns the whole group.
     fn near_group(&self, peers: &SpreadPeers) -> Vec<EntryContact> {
         let near = peers.group.iter().filter(|peer| peer.zone == self.own.zone);
         let near: Vec<EntryContact> = near.cloned().collect();
@@ -264,8 +266,9 @@
         }
     }
 
-    /// What a peer lacks that has `have`; if that isn't known, the last edit, which is what
-    /// nearly all lack. Who lacks more says so, and gets it.
+    /// Returns the push for a peer that has generation `have`. If that is not known, it contains
+    /// the last edit, which is what nearly all peers lack. A peer that lacks more reports it in its
+    /// answer and gets the rest.
     fn push_for(&self, have: Option<Generation>) -> Option<Arc<ConfigPush<P>>> {
         let content = match have {
             Some(have) => self.keeper.content_since(have),
@@ -278,7 +281,7 @@
         }))
     }
 
-    /// Asks a peer that is ahead; a started entry asks any.
+    /// Pulls from a peer that is ahead; a starting entry pulls from any peer.
     fn ask(&mut self, peers: &SpreadPeers, actions: &mut Vec<SpreadAction<P>>, now: ClockTime) {
         if self.pulling.is_some() {
             return;
--- a/crates/oatpier-membership/src/spread/watch.rs
+++ b/crates/oatpier-membership/src/spread/watch.rs
@@ -1,4 +1,4 @@
-//! When an entry reads or watches the store.
+//! Decides when an entry reads or watches the store.
 
 use std::time::Duration;
 
@@ -8,29 +8,29 @@
 
 use crate::backoff::{RetryBackoff, jittered};
 
-/// Entries of an availability zone that watch the store.
+/// The number of entries of an availability zone that watch the store.
 pub const WATCHERS: usize = 3;
 
-/// How long one watch waits. A silent one is found out only after its end, and a change that it
-/// missed must be in force everywhere within 5 s. One that ends costs the store another call:
-/// at three watchers in each of 8 availability zones, 12 calls a second.
+/// How long one watch waits. A broken watch is detected only after that time, and a change that it
+/// missed must be in force everywhere within 5 s. On the other hand, each watch that ends costs the
+/// store another call: with three watchers in each of 8 availability zones, 12 calls per second.
 pub const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// A watch that gave no sign for this long after its end is given up.
+/// How long after its end a watch without an answer is abandoned.
 const WATCH_GRACE: Duration = Duration::from_secs(1);
 
-/// A watch that saw no change may end so much before its time.
+/// How much before its time a watch that saw no change may end.
 const EARLY_END: Duration = Duration::from_millis(200);
 
-/// A read that gave no sign for this long is given up. Longer, as a slow store may take seconds;
-/// what it says later is still taken.
+/// How long to wait for the answer to a read before it is abandoned. Longer than for a watch, as a
+/// slow store may take seconds; a late answer is still used.
 const READ_WITHIN: Duration = Duration::from_secs(5);
 
 /// The first reads after a start are spread over this time.
 const START_SPREAD: Duration = Duration::from_millis(500);
 
-/// Waits after failed calls. Only watchers and starting entries call, so that even in an outage
-/// the store gets no more than a few calls a second.
+/// Bounds of the delay after failed calls. Only watchers and starting entries call the store, so
+/// that even in an outage it gets no more than a few calls per second.
 const RETRY_FIRST: Duration = Duration::from_millis(250);
 const RETRY_LONGEST: Duration = Duration::from_secs(2);
 
@@ -41,7 +41,7 @@
     Watching { since: ClockTime },
 }
 
-/// A call to make.
+/// A call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchCall {
     Read,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// The call that is due, if this entry is to make one: a watcher always, another only until
-    /// it has a configuration.
+    /// Returns the call that is due. A watcher always makes calls, another entry only until it has
+    /// a configuration.
     pub(super) fn due(
         &mut self,
         watcher: bool,
@@ -89,7 +89,8 @@
             return None;
         }
         if !watcher && !starting {
-            // What it knows of the store grows old: it reads first if it is to watch again.
+            // The known revision becomes outdated, so this entry reads first if it is to watch
+            // again.
             self.after = None;
             self.next = now + RETRY_LONGEST;
             return None;
@@ -106,10 +107,11 @@
         }
     }
 
-    /// A call was answered; `revision` is what it saw, if there was a value.
+    /// Handles the answer to a call; `revision` is the revision it saw, if there was a value.
     ///
-    /// The answer to a call that was given up may come while another is open. It starts no call:
-    /// otherwise each such answer would leave one more watch open, after a slow store for ever.
+    /// The answer to an abandoned call may arrive while another call is open. It must not start a
+    /// call: otherwise each such answer would leave one more watch open, forever once the store has
+    /// been slow.
     pub(super) fn answered(&mut self, revision: Option<Revision>, now: ClockTime) {
         if self.is_late(revision, now) {
             return;
@@ -128,8 +130,9 @@
         self.next = self.backoff.failed(now, generator);
     }
 
-    /// Whether an answer can't be that of the open call: none is open, a watch would have had to
-    /// wait longer for no change, or the value is no later than what the watch was to wait for.
+    /// Whether an answer can't belong to the open call: no call is open, a watch would have had to
+    /// wait longer to report no change, or the value is not later than the one that the watch waits
+    /// to see replaced.
     fn is_late(&self, revision: Option<Revision>, now: ClockTime) -> bool {
         match (self.state, revision) {
             (WatchState::Idle, _) => true,
@@ -141,8 +144,9 @@
         }
     }
 
-    /// A watch whose connection broke without a word would leave this entry without news for
-    /// ever. The next call is a read: what breaks one watch may break the next.
+    /// Abandons a call that is overdue. A watch whose connection broke silently would otherwise
+    /// leave this entry without changes forever. The next call is a read, as the cause may break
+    /// the next watch too.
     fn give_up_late(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
         if self.state != WatchState::Idle && now >= self.next_wake() {
             self.failed(generator, now);
--- a/crates/oatpier-membership/src/stops.rs
+++ b/crates/oatpier-membership/src/stops.rs
@@ -1,8 +1,8 @@
-//! Planned stops: who is told to leave, and how a process leaves.
+//! Planned stops: how a process learns that it should leave, and the steps in which it leaves.
 //!
-//! An operator writes `stop/NAME` to the store. The entries that watch the store learn it, tell
-//! the other entries, and registrars tell their agents. A process that was told leaves in steps,
-//! so that no request is cut off.
+//! An operator writes `stop/NAME` to the store. The entries that watch the store learn of it and
+//! pass it on to the other entries, and registrars pass it on to their agents. A process that is to
+//! stop leaves in steps, so that no request is cut off.
 
 use std::time::Duration;
 
@@ -14,30 +14,31 @@
 
 use crate::messages::NamedStop;
 
-/// The prefix of the keys of planned stops in the store.
+/// The key prefix of planned stops in the store.
 pub const STOP_PREFIX: &str = "stop/";
 
-/// A withdrawn stop is remembered for this many later words at most.
+/// The maximum number of withdrawn stops that are remembered.
 const KEPT_WITHDRAWN: usize = 1_024;
 
-/// What is asked of a process. A later revision goes before; at one revision, the withdrawal.
+/// A stop request or its withdrawal. The later revision takes precedence; at the same revision, the
+/// withdrawal does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct StopWord {
-    /// The revision of the store at which it was asked or withdrawn.
+    /// The store revision at which the stop was requested or withdrawn.
     pub revision: Revision,
-    /// Whether it was withdrawn.
+    /// Whether the stop was withdrawn.
     pub withdrawn: bool,
 }
 
-/// All planned stops that a process knows.
+/// All planned stops known to a process.
 #[derive(Debug, Clone, Default)]
 pub struct StopBoard {
     words: IndexMap<DaemonName, StopWord>,
 }
 
 impl StopBoard {
-    /// Takes a word in; tells whether it is later than what was known.
+    /// Takes in a stop request. Returns whether it is later than the known one.
     pub fn merge(&mut self, stop: &NamedStop) -> bool {
         let known = self.words.get(&stop.daemon);
         if known.is_some_and(|known| *known >= stop.word) {
@@ -48,7 +49,8 @@
         true
     }
 
-    /// Takes the whole list of the store in: what it lacks was withdrawn. Returns what is news.
+    /// Takes in the complete list from the store; stops missing from it were withdrawn. Returns the
+    /// changes.
     pub fn replace(&mut self, listed: &[NamedStop]) -> Vec<NamedStop> {
         let missing = self.words.iter().filter(|(daemon, word)| {
             !word.withdrawn && !listed.iter().any(|stop| stop.daemon == **daemon)
@@ -66,19 +68,19 @@
         news
     }
 
-    /// The word on a process.
+    /// Returns the stop request for a process.
     #[must_use]
     pub fn word(&self, daemon: &DaemonName) -> Option<StopWord> {
         self.words.get(daemon).copied()
     }
 
-    /// Processes that are to stop.
+    /// Returns the processes that should stop.
     pub fn asked(&self) -> impl Iterator<Item = &DaemonName> {
         let words = self.words.iter();
         words.filter(|(_, word)| !word.withdrawn).map(|row| row.0)
     }
 
-    /// All words.
+    /// Returns all stop requests, including withdrawn ones.
     #[must_use]
     pub fn all(&self) -> Vec<NamedStop> {
         let words = self.words.iter();
@@ -100,50 +102,51 @@
     }
 }
 
-/// How far a leaving process is.
+/// The progress of a process towards its stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopPhase {
-    /// Nobody asked it to leave.
+    /// No stop is requested.
     Serving,
-    /// It says that it isn't ready, and still takes what comes, until the balancer or its
-    /// registrars have sent everybody elsewhere.
+    /// It reports itself as not ready but still accepts work, until the load balancer or its
+    /// registrars have redirected all clients.
     Announcing,
-    /// It refuses new work and finishes what it has.
+    /// It refuses new work and finishes the work in flight.
     Draining,
-    /// It has nothing left: it may end.
+    /// No work is left: the process may exit.
     Drained,
 }
 
-/// What a process does about its stop.
+/// A step that the process must take for its stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopAction {
-    /// Say `not ready`, and tell registrars or peers that it leaves.
+    /// Report `not ready`, and tell registrars or peers that this process leaves.
     Announce,
     /// Refuse new work.
     RefuseNew,
-    /// Take new work again: the stop was withdrawn in time.
+    /// Accept new work again: the stop was withdrawn in time.
     ServeAgain,
-    /// End.
+    /// Exit.
     End,
 }
 
-/// What a keeper hears.
+/// An input of a [`StopKeeper`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopEvent {
-    /// A word on the planned stop of this process.
+    /// A stop request for this process, or its withdrawal.
     Told(StopWord),
-    /// The process was told directly, by a signal. Can't be withdrawn.
+    /// The process got a termination signal, which can't be withdrawn.
     Signalled,
-    /// Requests that are in flight now. To be said anew after each [`StopAction::RefuseNew`].
+    /// The current number of requests in flight. Must be sent again after each
+    /// [`StopAction::RefuseNew`].
     Work {
-        /// In flight.
+        /// The number of requests in flight.
         in_flight: u32,
     },
     /// Time has passed.
     Tick,
 }
 
-/// Takes one process from serving to its end.
+/// Leads one process from serving to its exit.
 #[derive(Debug, Clone)]
 pub struct StopKeeper {
     phase: StopPhase,
@@ -155,8 +158,9 @@
 }
 
 impl StopKeeper {
-    /// A serving process. It goes on taking work for `announce_for` after it was told: for an
-    /// entry the time in which the balancer notices, for an agent none, as it refuses truly.
+    /// Creates the keeper of a serving process, which accepts work for `announce_for` after the
+    /// stop request. For an entry this is the time in which the load balancer notices; for an agent
+    /// it is zero, as entries handle its refusal.
     #[must_use]
     pub fn new(announce_for: Duration) -> Self {
         Self {
@@ -169,13 +173,13 @@
         }
     }
 
-    /// How far it is.
+    /// Returns the current phase.
     #[must_use]
     pub fn phase(&self) -> StopPhase {
         self.phase
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         match self.phase {
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Hears an event.
+    /// Handles an event and returns the steps to take.
     pub fn handle(&mut self, event: StopEvent, now: ClockTime) -> Vec<StopAction> {
         match event {
             StopEvent::Told(word) if self.word.is_none_or(|known| known < word) => {
@@ -215,8 +219,9 @@
                 (StopPhase::Serving, StopAction::ServeAgain)
             }
             StopPhase::Announcing if now.since(self.announced) >= self.announce_for => {
-                // A count from before the refusal misses what was admitted since: ending on it
-                // would cut that off. Only a count from after it counts.
+                // A count from before the refusal misses requests that were admitted since then,
+                // and exiting on it would cut them off. Only a count taken after the refusal is
+                // valid.
                 self.in_flight = None;
                 (StopPhase::Draining, StopAction::RefuseNew)
             }
--- a/crates/oatpier-membership/src/summary.rs
+++ b/crates/oatpier-membership/src/summary.rs
@@ -1,9 +1,9 @@
-//! What availability zones tell each other, and hashes of whole tables.
+//! Summaries exchanged between availability zones, and hashes of whole tables.
 //!
-//! A summary has one row for each model or adapter: how many endpoints have it ready, how much
-//! room they have, and a few of them with their addresses, so that an entry of another
-//! availability zone can send a request there. A row carries its age, not a number: any entry
-//! may make it, and the youngest counts.
+//! A summary has one row for each model or adapter: how many endpoints have it ready, their spare
+//! capacity, and the addresses of a few of them, so that an entry of another availability zone can
+//! send a request there. A row carries its age instead of a sequence number, as any entry may
+//! create it; the youngest row takes precedence.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,59 +17,59 @@
 
 use crate::members::MemberTable;
 
-/// Endpoints that a row names.
+/// The number of endpoints that a row names.
 pub const SAMPLES: usize = 2;
 
-/// Parts of a table that are hashed apart.
+/// The number of parts of a table that are hashed separately.
 pub const DIGEST_PARTS: usize = 64;
 
-/// What the way from one process to another adds to a row's age, at least as long as it takes.
+/// Added to a row's age for each hop between processes. It is at least as long as the hop takes.
 pub const HOP_AGE: Duration = Duration::from_millis(250);
 
-/// A row that wasn't made anew for this long is forgotten.
+/// How long a row is kept without being renewed.
 pub const ROW_KEPT: Duration = Duration::from_mins(15);
 
-/// A row is sent anew after this long even if nothing changed.
+/// A row is sent again after this long even if nothing changed.
 pub const ROW_RENEWED: Duration = Duration::from_mins(5);
 
-/// What a row is about.
+/// The subject of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct SummaryKey {
     /// The model.
     pub model: ModelName,
-    /// An adapter on it; none for the model itself.
+    /// An adapter of the model, or `None` for the model itself.
     pub adapter: Option<AdapterName>,
 }
 
-/// One endpoint that has the model ready.
+/// An endpoint that has the model ready.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SampleEndpoint {
     /// The endpoint.
     pub endpoint: EndpointName,
-    /// Where its agent listens.
+    /// The address on which its agent listens.
     pub address: SocketAddr,
 }
 
-/// One model in one availability zone.
+/// The summary of one model in one availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ModelSummary {
-    /// The model.
+    /// The model or adapter.
     pub key: SummaryKey,
-    /// Endpoints that have it ready.
+    /// The number of endpoints that have it ready.
     pub ready: u32,
-    /// Attempts that these could begin at once.
+    /// The number of attempts that these endpoints could start at once.
     pub spare: u32,
-    /// A few of them.
+    /// A few of these endpoints.
     pub samples: SmallVec<[SampleEndpoint; SAMPLES]>,
-    /// Milliseconds since the row was made.
+    /// The age of the row in milliseconds.
     pub age_ms: u32,
 }
 
 impl ModelSummary {
-    /// Whether another row says the same, but for a small change of room.
+    /// Whether another row has the same content, apart from a small change of spare capacity.
     fn is_like(&self, other: &Self) -> bool {
         let class = |spare: u32| (u32::BITS - spare.leading_zeros()) / 2;
         self.ready == other.ready
@@ -78,18 +78,18 @@
     }
 }
 
-/// Rows of one availability zone.
+/// The rows of one availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ZoneSummary {
     /// The availability zone.
     pub zone: ZoneName,
-    /// Its rows; those that are missing didn't change.
+    /// The rows that changed.
     pub models: Vec<ModelSummary>,
 }
 
-/// Works out the rows of the own group from the table. Agents of an availability zone that has
-/// no entry are registered here too, and are counted in.
+/// Computes the rows of this group from the table. Agents of an availability zone without an entry
+/// are registered in this group, and are included.
 #[must_use]
 pub fn summarize(table: &MemberTable) -> IndexMap<SummaryKey, ModelSummary> {
     let mut rows: IndexMap<SummaryKey, ModelSummary> = IndexMap::new();
@@ -128,15 +128,15 @@
     }
 }
 
-/// What one other availability zone was sent, to send only what changed.
+/// What was sent to another availability zone, so that only changes are sent again.
 #[derive(Debug, Clone, Default)]
 pub struct SummaryCursor {
     sent: IndexMap<SummaryKey, (ModelSummary, ClockTime)>,
 }
 
 impl SummaryCursor {
-    /// The next rows, at most `most`: first models that became reachable or unreachable, then
-    /// other changes, then rows that were not renewed for long.
+    /// Returns the next rows, at most `most`: first models that became reachable or unreachable,
+    /// then other changes, then rows that are due for renewal.
     pub fn next_rows(
         &mut self,
         rows: &IndexMap<SummaryKey, ModelSummary>,
@@ -158,7 +158,7 @@
         next
     }
 
-    /// The rows did not arrive: they are to be sent again.
+    /// Marks rows that did not arrive, so that they are sent again.
     pub fn lost<'a>(&mut self, keys: impl IntoIterator<Item = &'a SummaryKey>) {
         for key in keys {
             if let Some((row, at)) = self.sent.get_mut(key) {
@@ -180,16 +180,16 @@
     }
 }
 
-/// What other availability zones said.
+/// The summaries received from other availability zones.
 #[derive(Debug, Clone, Default)]
 pub struct SummaryBook {
     zones: IndexMap<ZoneName, IndexMap<SummaryKey, (ModelSummary, ClockTime)>>,
 }
 
 impl SummaryBook {
-    /// Takes rows in; returns those to pass on: younger, and another content or not renewed for
-    /// long. Each hop adds [`HOP_AGE`], so that a row never looks younger for having been passed
-    /// on: it would be passed round for ever.
+    /// Takes in rows and returns those to forward: rows that are younger than the known one and
+    /// either have another content or are due for renewal. Each hop adds [`HOP_AGE`], so that a
+    /// forwarded row never looks younger than it is; otherwise it would be forwarded forever.
     pub fn merge(&mut self, summary: &ZoneSummary, now: ClockTime) -> Vec<ModelSummary> {
         let rows = self.zones.entry(summary.zone.clone()).or_default();
         let mut news = Vec::new();
@@ -209,7 +209,7 @@
         news
     }
 
-    /// All availability zones that have a model ready, with their rows.
+    /// Returns all availability zones that have a model ready, with their rows.
     pub fn zones_with(&self, key: &SummaryKey) -> impl Iterator<Item = (&ZoneName, &ModelSummary)> {
         self.zones.iter().filter_map(|(zone, rows)| {
             let (row, _) = rows.get(key)?;
@@ -217,7 +217,7 @@
         })
     }
 
-    /// All rows, with their present ages.
+    /// Returns all rows with their current ages.
     #[must_use]
     pub fn all(&self, now: ClockTime) -> Vec<ZoneSummary> {
         let zones = self.zones.iter();
@@ -232,7 +232,7 @@
             .collect()
     }
 
-    /// Forgets rows that nobody made anew for long.
+    /// Drops rows that were not renewed for [`ROW_KEPT`].
     pub fn prune(&mut self, now: ClockTime) {
         for rows in self.zones.values_mut() {
             rows.retain(|_, (_, made)| now.since(*made) < ROW_KEPT);
@@ -240,12 +240,12 @@
     }
 }
 
-/// When a row that has just come was made.
+/// Returns when a row that has just arrived was created.
 pub(crate) fn made_at(row: &ModelSummary, now: ClockTime) -> ClockTime {
     now - Duration::from_millis(row.age_ms.into()) - HOP_AGE
 }
 
-/// The row with its age at `now`.
+/// Returns the row with its age at `now`.
 pub(crate) fn aged(row: &ModelSummary, made: ClockTime, now: ClockTime) -> ModelSummary {
     let age = now.since(made).as_millis();
     ModelSummary {
@@ -254,7 +254,7 @@
     }
 }
 
-/// Hashes of a table, part by part, to find what differs between two tables.
+/// Hashes of the parts of a table, used to find the parts in which two tables differ.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct TableDigest {
@@ -271,20 +271,20 @@
 }
 
 impl TableDigest {
-    /// The part that a name belongs to.
+    /// Returns the part that a name belongs to.
     #[must_use]
     pub fn part_of(name: &str) -> usize {
         let parts = DIGEST_PARTS as u64;
         usize::try_from(xxh3_64(name.as_bytes()) % parts).unwrap_or(0)
     }
 
-    /// Adds a row's hash to its part, in any order.
+    /// Adds a row's hash to its part. The result does not depend on the order of the calls.
     pub fn add(&mut self, name: &str, hash: u64) {
         let [low @ .., _, _, _, _] = hash.to_le_bytes();
         self.parts[Self::part_of(name)] ^= u32::from_le_bytes(low);
     }
 
-    /// The first `most` parts that differ.
+    /// Returns the first `most` parts that differ.
     #[must_use]
     pub fn differing(&self, other: &Self, most: usize) -> IndexSet<usize> {
         let pairs = self.parts.iter().zip(&other.parts).enumerate();
