--- a/crates/oatpier-membership/tests/testsuite/budget.rs
+++ b/crates/oatpier-membership/tests/testsuite/budget.rs
@@ -1,4 +1,4 @@
-//! Calls to the store.
+//! Tests of the store call budget.
 
 use oatpier_membership::budget::{CallKind, CallMode, CallRates, StoreBudget, StoreShare};
 use oatpier_types::clock::ClockTime;
@@ -52,8 +52,8 @@
     assert_eq!(budget.count(CallKind::KeyClaim).held_back, 2);
 }
 
-/// The store comes back after ten minutes. All agents have an epoch to take, and their buckets
-/// are full; together they would take it down again. Their first calls are spread out.
+/// The store recovers after ten minutes. All agents have an epoch to write and full buckets, and
+/// would overload the store again if they all wrote at once. Their first calls must be spread out.
 #[test]
 fn the_return_of_the_store_is_no_stampede() {
     let back = ClockTime::ZERO + seconds(600);
--- a/crates/oatpier-membership/tests/testsuite/bytes.rs
+++ b/crates/oatpier-membership/tests/testsuite/bytes.rs
@@ -1,4 +1,4 @@
-//! Sizes of messages at the size that is designed for: 340 entries, 3,500 agents, 490 models.
+//! Message sizes at the design size: 340 entries, 3,500 agents, 490 models.
 
 use oatpier_membership::members::{
     Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, WitnessWord,
@@ -67,7 +67,8 @@
     }
 }
 
-/// Heartbeats are most of what an entry carries; with long names they take under half of it.
+/// Heartbeats are most of an entry's traffic; with long names they must take under half of its byte
+/// budget.
 #[test]
 fn heartbeats_leave_room() {
     let answer = HeartbeatAnswer {
@@ -88,8 +89,8 @@
     );
 }
 
-/// A group as dense as at the full size, without faults: the measured bytes of every process stay
-/// in the budget. `examples/spread_cost.rs` measures the full size.
+/// A group with the same density as at the design size, without faults: the bytes of every process
+/// stay in the budget. `examples/spread_cost.rs` runs the design size.
 #[test]
 fn every_process_stays_within_its_bytes() {
     let shape = Shape {
--- a/crates/oatpier-membership/tests/testsuite/faults.rs
+++ b/crates/oatpier-membership/tests/testsuite/faults.rs
@@ -1,4 +1,4 @@
-//! Random faults, alone and together.
+//! Property tests with random faults, alone and combined.
 
 use oatpier_membership::members::MemberState;
 use oatpier_types::ids::Generation;
@@ -85,8 +85,9 @@
 proptest! {
     #![proptest_config(fixed_cases(24))]
 
-    /// In every process the generation only rises, restarts included, and one generation has one
-    /// content. After the faults every live process has the last one and every table is right.
+    /// In every process the generation never decreases, not even across restarts, and each
+    /// generation has one content. After the faults, every live process has the last generation and
+    /// every table is correct.
     #[test]
     fn everything_converges(seed in 0_u64..1_000, zoned in any::<bool>(), steps in faults()) {
         let shape = if zoned { Shape { agents: 8, ..Shape::zoned() } } else { Shape::small() };
--- a/crates/oatpier-membership/tests/testsuite/generation.rs
+++ b/crates/oatpier-membership/tests/testsuite/generation.rs
@@ -1,4 +1,4 @@
-//! The configuration in force in one process.
+//! Tests of the configuration in force in one process.
 
 use std::sync::Arc;
 
@@ -41,8 +41,8 @@
     keeper
 }
 
-/// A started process hears first from a peer that missed the last change, then from one that
-/// has it. Acting on the first at once would undo the change for its callers.
+/// A starting process first gets an answer from a peer that missed the last change, then from one
+/// that has it. Applying the first one at once would undo the change for its callers.
 #[test]
 fn a_start_waits_for_more_than_one_peer() {
     let mut keeper = GenerationKeeper::default();
@@ -57,8 +57,8 @@
     assert_eq!(keeper.generation(), Generation(2));
 }
 
-/// The peers that are left are all behind what the former start had in force.
-/// The process stays without a configuration, and so not ready, until one comes that isn't.
+/// All remaining peers are behind what the earlier boot had in force. The process stays without a
+/// configuration, and thus not ready, until one arrives that is not behind.
 #[test]
 fn nothing_below_the_former_start_is_put_in_force() {
     let mut keeper = GenerationKeeper::default();
@@ -72,7 +72,8 @@
     );
 }
 
-/// Edits are made for one base. On another they would make a content that no process has.
+/// An edit is made for one base. Applied to another, it would produce a content that no other
+/// process has.
 #[test]
 fn edits_that_do_not_fit_ask_for_the_whole_value() {
     let mut keeper = keeper_at(1);
@@ -106,8 +107,8 @@
 proptest! {
     #![proptest_config(fixed_cases(256))]
 
-    /// Whatever comes, in whatever order, what is in force only rises and is what the operators
-    /// accepted under its generation.
+    /// For any offers in any order, the generation in force never decreases, and its content is the
+    /// one that the operators accepted under that generation.
     #[test]
     fn the_generation_only_rises(
         offers in prop::collection::vec((0_u32..12, 0_u32..12, any::<bool>(), 0_u64..3), 1..60),
--- a/crates/oatpier-membership/tests/testsuite/isolation.rs
+++ b/crates/oatpier-membership/tests/testsuite/isolation.rs
@@ -1,4 +1,4 @@
-//! Entries that hear nobody: their silence says nothing about the others.
+//! Tests of isolated entries, whose silent votes say nothing about the others.
 
 use oatpier_membership::members::MemberState;
 use oatpier_types::clock::ClockTime;
@@ -22,7 +22,8 @@
     });
 }
 
-/// Members that an entry outside `deaf` counted out since `from`, though they serve and hear.
+/// Returns members that an entry outside `deaf` counted as gone after `from`, although they serve
+/// and are connected.
 fn wrongly_gone(fleet: &Fleet, deaf: &[usize], from: ClockTime) -> Vec<String> {
     let entries = (0..fleet.entries).filter(|index| !deaf.contains(index));
     let changes = entries.flat_map(|index| {
@@ -38,10 +39,10 @@
         .collect()
 }
 
-/// All that comes to two entries of an availability zone is lost; what they send arrives.
-/// Both hear nobody, and say of every agent and every entry that it is silent. For an agent that
-/// has just these two as registrars these are two words, and it would get no work for seconds.
-/// Their own isolation explains the silence, so they must not speak.
+/// Every message to two entries of an availability zone is lost, while messages from them arrive.
+/// Both get messages from no one, and would vote every agent and every entry silent. For an agent
+/// that has just these two as registrars these are two votes, and it would get no work for seconds.
+/// The two entries are isolated themselves, so they must not vote.
 #[test]
 fn two_entries_that_hear_nobody_remove_nobody() {
     for seed in 0..3 {
@@ -60,8 +61,9 @@
     }
 }
 
-/// All agents of an availability zone die at once while its entries are well: that a registrar
-/// hears none of its agents is no isolation, as it hears the other entries.
+/// All agents of an availability zone die at once while its entries are up. A registrar that gets
+/// no heartbeats from any of its agents is not isolated, as it still gets messages from the other
+/// entries.
 #[test]
 fn many_agents_that_die_at_once_are_gone_as_fast_as_one() {
     let mut fleet = settled(Shape::zoned(), 4);
@@ -81,8 +83,8 @@
     assert!(fleet.run_until(seconds(15), all_gone).is_some());
 }
 
-/// One of two entries and all agents die at once. To the other this looks as if it were
-/// cut off itself. It waits with its words, but not for ever.
+/// One of two entries and all agents die at once. The other entry can't tell this from being cut
+/// off itself. It withholds its votes, but not forever.
 #[test]
 fn an_entry_that_hears_nobody_speaks_after_a_while() {
     let shape = Shape {
--- a/crates/oatpier-membership/tests/testsuite/lease.rs
+++ b/crates/oatpier-membership/tests/testsuite/lease.rs
@@ -1,4 +1,4 @@
-//! The planner's lease.
+//! Tests of the planner's lease.
 
 use oatpier_membership::lease::{
     LEASE_TTL, LEASE_VALID, LeaseAction, LeaseEvent, LeaseKeeper, LeaseWrite, StoredLease,
@@ -10,7 +10,7 @@
 
 use crate::support::{daemon, fixed_cases, generator, millis, seconds};
 
-/// How the store treats a call.
+/// How the store handles a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Treatment {
     Answers,
@@ -19,7 +19,7 @@
     LosesAnswer,
 }
 
-/// Keepers against one key; calls end at once or, if held back, when they are let go.
+/// Keepers that share one key. Calls end at once.
 struct LeaseBench {
     keepers: Vec<LeaseKeeper>,
     stored: Option<StoredLease>,
@@ -106,10 +106,10 @@
     assert_eq!(bench.terms, [Term(1)]);
 }
 
-/// The planner's VM stands still for half a minute, in the middle of making a plan.
-/// Another planner takes over and writes its own plan. When the first one goes on, it still
-/// believes that it holds the lease; writing now would bring an old plan back.
-/// Its own clock tells it otherwise, and were it to write all the same, its term is too low.
+/// The planner's VM is paused for half a minute while it makes a plan. Another planner takes over
+/// and writes its own plan. After the pause, the first planner still has a plan to write, which
+/// would bring back an old state. Its own clock shows that its lease has expired; and if it wrote
+/// anyway, its term would be too low.
 #[test]
 fn a_paused_planner_that_wakes_may_do_nothing() {
     let mut bench = LeaseBench::new(2);
@@ -126,8 +126,9 @@
     assert_eq!(bench.holders(), [1]);
 }
 
-/// The lease is written and the answer is lost. Taken for a failure, the planner would wait for
-/// its own lease to lapse; taken for a success, two might plan. It reads, and finds its own write.
+/// The lease is written and the answer is lost. Treated as a failure, the planner would wait for
+/// its own lease to expire; treated as a success, two planners might act. It reads the key and
+/// finds its own write.
 #[test]
 fn a_lost_answer_is_resolved_by_reading() {
     let mut bench = LeaseBench::new(1);
@@ -164,8 +165,8 @@
 proptest! {
     #![proptest_config(fixed_cases(256))]
 
-    /// Outages, lost answers and pauses in any order: never do two planners act at one moment,
-    /// and each new holder has a higher term.
+    /// Outages, lost answers and pauses in any order: two planners never act at the same time, and
+    /// each new holder has a higher term.
     #[test]
     fn never_two_planners(
         steps in prop::collection::vec((0_u8..8, 0_u8..3, 1_u64..90), 1..40),
--- a/crates/oatpier-membership/tests/testsuite/members.rs
+++ b/crates/oatpier-membership/tests/testsuite/members.rs
@@ -1,4 +1,4 @@
-//! The table by itself.
+//! Tests of the member table alone.
 
 use oatpier_membership::members::{
     Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, MemberState, MemberTable,
@@ -83,8 +83,8 @@
     assert_eq!(state_with(&one_hears), Some(MemberState::Alive));
 }
 
-/// A registrar that is itself gone said, before it went, that it hears the agent.
-/// Its word stands in every table; it must not keep an agent that two others miss.
+/// A registrar voted that it can reach the agent, and is gone now. Its vote remains in every table;
+/// it must not keep an agent that two other entries vote silent.
 #[test]
 fn a_dead_witness_does_not_count() {
     let mut rows = entries();
@@ -105,9 +105,9 @@
     assert_eq!(state("agent-1"), Some(MemberState::Gone));
 }
 
-/// One of three entries dies, which the two others agree on. At the same time the link between
-/// these two fails in one direction. Were the dead entry no longer counted, one word would be all
-/// that is left to ask for, and the word of a single entry would remove its peer and every agent.
+/// One of three entries dies, and the two others vote it silent. At the same time the link between
+/// these two fails in one direction. If the dead entry no longer counted as a witness, one vote
+/// would be enough, and a single entry would remove its peer and every agent.
 #[test]
 fn a_death_does_not_lower_the_words_needed_at_once() {
     let complaint = |witness| [(witness, 1, false)];
@@ -175,7 +175,7 @@
 proptest! {
     #![proptest_config(fixed_cases(256))]
 
-    /// Tables that get the same rows, in any order and any number of times, are alike.
+    /// Tables that get the same rows, in any order and any number of times, are equal.
     #[test]
     fn tables_converge(
         news in prop::collection::vec((0_u64..3, 0_usize..4, 1_u64..6, any::<bool>()), 1..20),
@@ -184,7 +184,7 @@
         let rows: Vec<MemberRow> = news
             .iter()
             .map(|(incarnation, witness, count, _)| {
-                // A witness says one thing at one count.
+                // A witness has one vote for each count.
                 let heard = (count + incarnation) % 2 == 0;
                 row("agent-1", *incarnation, &[(&format!("entry-{witness}"), *count, heard)])
             })
--- a/crates/oatpier-membership/tests/testsuite/registrar.rs
+++ b/crates/oatpier-membership/tests/testsuite/registrar.rs
@@ -1,4 +1,5 @@
-//! Registrars that die, links that are cut in one direction, agents that come and go.
+//! Tests of failing registrars, links cut in one direction, and agents that fail and recover
+//! repeatedly.
 
 use oatpier_membership::agent::AgentEvent;
 use oatpier_membership::entry::EntryEvent;
@@ -36,7 +37,7 @@
     fleet
 }
 
-/// How often any entry saw an agent gone since `from`.
+/// Counts how often any entry saw an agent gone after `from`.
 fn agents_gone(fleet: &Fleet, from: oatpier_types::clock::ClockTime) -> usize {
     let entries = &fleet.processes[..fleet.entries];
     let changes = entries.iter().flat_map(|entry| &entry.changes);
@@ -49,10 +50,10 @@
         .count()
 }
 
-/// An entry dies, and with it the rows of the agents that were registered with it.
-/// The agents serve on; only the directory entry is lost. They register with the next in rank,
-/// and no entry counts one of them out meanwhile. With their rows dropped, endpoints that are
-/// well would get no work until they had registered anew.
+/// An entry dies, with the registrations of its agents. The agents keep serving; only the directory
+/// entry is lost. They register with the next entry in rank, and no entry counts any of them as
+/// gone meanwhile. If their rows were dropped, healthy endpoints would get no work until they had
+/// registered again.
 #[test]
 fn nothing_is_torn_down_when_a_registrar_dies() {
     for (policy, torn_down) in [(LostRegistrar::Keep, false), (LostRegistrar::Drop, true)] {
@@ -77,8 +78,8 @@
     }
 }
 
-/// Both registrars of an agent die at the same moment. Nobody speaks for it until it has found
-/// two others, and it serves all the while.
+/// Both registrars of an agent die at the same moment. No live entry votes on it until it has found
+/// two others, and it serves the whole time.
 #[test]
 fn an_agent_outlives_both_its_registrars() {
     let mut fleet = settled(TableLimits::default());
@@ -111,9 +112,9 @@
     assert!(took.is_some());
 }
 
-/// An agent's messages to one registrar are lost, those to the other arrive.
-/// The first says that it is silent. Taken by itself, that word would remove an endpoint that
-/// every caller reaches; the second registrar's word keeps it, and nobody even doubts it.
+/// An agent's messages to one registrar are lost, those to the other arrive. The first registrar
+/// votes it silent. That vote alone would remove an endpoint that every caller reaches; the vote of
+/// the second registrar keeps it, and it does not even become suspect.
 #[test]
 fn one_registrar_that_hears_nothing_removes_nobody() {
     let mut fleet = settled(TableLimits::default());
@@ -133,10 +134,9 @@
     assert_eq!(changes.count(), 0);
 }
 
-/// Two entries can't reach a third, for ten minutes; all others can.
-/// The two complain, which counts it out everywhere; it answers that it is there, and counts
-/// again, until they complain anew. Every table would change every few seconds. It answers more
-/// and more slowly.
+/// Two entries can't reach a third for ten minutes; all others can. The two vote it silent, which
+/// removes it everywhere. It refutes the votes and is present again, until they vote anew. Every
+/// table would change every few seconds, so it refutes with increasing delay.
 #[test]
 fn an_entry_that_two_others_cannot_reach_does_not_flap() {
     let mut fleet = settled(TableLimits::default());
@@ -160,9 +160,9 @@
     );
 }
 
-/// An agent's VM stands still for ten seconds out of every fifteen.
-/// Each time its registrars miss it, and each time it comes back. Every entry would move work to
-/// it and away again. It must be heard steadily for longer and longer before it counts again.
+/// An agent's VM is paused for ten seconds out of every fifteen. Each time its registrars count it
+/// as silent, and each time it recovers. Every entry would move work to it and away again. It must
+/// be reachable for longer each time before it counts as present.
 #[test]
 fn an_agent_that_comes_and_goes_does_not_flap() {
     let mut fleet = settled(TableLimits::default());
@@ -183,8 +183,8 @@
     assert!(states_are(&fleet, agent, MemberState::Alive));
 }
 
-/// An endpoint is about to stop. Its agent tells both registrars at once, and no entry may send
-/// it new work a few seconds later, with a fifth of the messages lost on the way.
+/// An endpoint is about to stop. Its agent reports this to both registrars at once, and within a
+/// few seconds no entry may send it new work, although a fifth of the round trips are lost.
 #[test]
 fn a_leaving_agent_is_known_within_seconds() {
     let mut fleet = settled(TableLimits::default());
@@ -202,8 +202,9 @@
     assert!(took.is_some());
 }
 
-/// Evidence of the data path goes before every word: an entry whose own attempts fail doubts the
-/// agent at once, and one whose attempts are answered uses it whatever the registrars say.
+/// Evidence from the data path takes precedence over votes. An entry whose own attempts fail
+/// suspects the agent at once, and one whose attempts are answered uses the agent regardless of the
+/// registrars' votes.
 #[test]
 fn own_evidence_goes_before_words() {
     let mut fleet = settled(TableLimits::default());
@@ -223,8 +224,8 @@
     assert_eq!(fleet.state(0, agent), Some(MemberState::Alive));
 }
 
-/// An agent restarts; a heartbeat of its former start was still on its way and comes last.
-/// Taken for news it would bring back weights that are no longer loaded.
+/// An agent restarts, and a heartbeat of its earlier boot arrives last. If it were accepted, it
+/// would bring back weights that are no longer loaded.
 #[test]
 fn a_restarted_agent_takes_the_place_of_its_former_start() {
     let mut fleet = settled(TableLimits::default());
--- a/crates/oatpier-membership/tests/testsuite/rendezvous.rs
+++ b/crates/oatpier-membership/tests/testsuite/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing.
+//! Tests of rendezvous hashing.
 
 use oatpier_membership::rendezvous::{choose, rank_of};
 
--- a/crates/oatpier-membership/tests/testsuite/spread.rs
+++ b/crates/oatpier-membership/tests/testsuite/spread.rs
@@ -1,4 +1,4 @@
-//! How a configuration gets everywhere, through losses, cuts and outages.
+//! Tests of the distribution of configurations under losses, cuts and outages.
 
 use oatpier_types::ids::Generation;
 
@@ -36,9 +36,9 @@
     }
 }
 
-/// A tenth of all messages is lost, pushes and answers alike.
-/// Those whose push was lost learn from a second pusher, a retry, or the generation that rides on
-/// the next heartbeat or gossip. The operator still sees the change everywhere within seconds.
+/// A tenth of all messages is lost, pushes and answers alike. Processes whose push was lost learn
+/// of the change from a second pusher, a retry, or the generation in the next heartbeat or gossip.
+/// The change must still be in force everywhere within seconds.
 #[test]
 fn a_change_is_everywhere_with_a_tenth_of_messages_lost() {
     for seed in 0..4 {
@@ -52,9 +52,9 @@
     }
 }
 
-/// Every watcher of an availability zone dies at the same moment.
-/// Until the others notice, nobody there watches the store; a change is accepted meanwhile.
-/// Other entries are chosen as the dead ones are missed, and they read before they watch.
+/// Every watcher of an availability zone dies at the same moment. Until the others detect this, no
+/// entry there watches the store, and a change is accepted meanwhile. Other entries become watchers
+/// once the dead ones are detected, and they read before they watch.
 #[test]
 fn watchers_that_die_are_replaced() {
     let mut fleet = settled(Shape::zoned(), 5);
@@ -76,9 +76,9 @@
     assert_eq!(near.count(), 2, "both entries that are left watch");
 }
 
-/// The connections of all watches break without a word: nobody hears of the next change.
-/// Each watcher gives its silent watch up and reads, soon enough that the change is in force
-/// everywhere within the promised five seconds, at whatever moment of a watch it is accepted.
+/// The connections of all watches break silently, so that no watcher learns of the next change.
+/// Each watcher abandons its watch and reads. This must be soon enough that the change is in force
+/// everywhere within five seconds, at whatever moment of a watch it is accepted.
 #[test]
 fn watches_that_hang_are_given_up() {
     for seed in 0..6 {
@@ -93,9 +93,9 @@
     }
 }
 
-/// A watch ends every two seconds, and each end costs the store another call.
-/// Were every entry to watch, or a silent watch to be made anew without a wait, the calls would
-/// take the place of everybody else's.
+/// A watch ends every two seconds, and each end costs the store another call. If every entry
+/// watched, or a broken watch were repeated without a delay, these calls would crowd out all
+/// others.
 #[test]
 fn watching_costs_few_calls() {
     for hang in [false, true] {
@@ -113,9 +113,9 @@
 }
 
 /// For a minute the store takes four seconds for each answer, longer than a watch is waited for.
-/// Watches are given up and called anew, and the answers to the former ones come late. Were each
-/// late answer taken for that of the present call, each would be followed by another call, and
-/// as many watches as that would be open in every watcher for ever.
+/// Watches are abandoned and repeated, and the answers to the earlier ones arrive late. If each
+/// late answer were taken for that of the current call, each would start another call, and every
+/// watcher would keep that many watches open forever.
 #[test]
 fn a_slow_store_leaves_no_second_watch_open() {
     for seed in 0..3 {
@@ -134,9 +134,10 @@
     }
 }
 
-/// The store is down for twelve minutes. Half of all processes restart meanwhile and keep nothing.
-/// They must come up from their peers with what was in force, and nothing may go back. When the
-/// store returns, only the watchers call it, and the next change gets everywhere.
+/// The store is down for twelve minutes. Half of all processes restart meanwhile and keep no state.
+/// They must get the configuration in force from their peers, and no process may go back to an
+/// older one. When the store recovers, only the watchers call it, and the next change reaches every
+/// process.
 #[test]
 fn processes_that_start_in_an_outage_learn_from_peers() {
     let mut fleet = settled(Shape::zoned(), 7);
@@ -164,8 +165,9 @@
 }
 
 /// An entry restarts while the store is down. Half of its peers are a generation behind, as a cut
-/// kept them from the last change. If the first to answer is one of them, callers would see the
-/// change undone. Peers remember what the former start had, and that is a floor.
+/// kept the last change from them. If one of these answers first, callers would see the change
+/// undone. The generation that peers remember of the earlier boot is a lower bound that prevents
+/// this.
 #[test]
 fn a_restarted_entry_does_not_go_back() {
     for seed in 0..6 {
@@ -187,8 +189,8 @@
     }
 }
 
-/// An availability zone is cut off from everything for a minute, the store included.
-/// Changes are accepted meanwhile. It keeps what it had, and after the cut it catches up.
+/// An availability zone is cut off from everything for a minute, including the store. Changes are
+/// accepted meanwhile. The zone keeps its configuration, and gets the latest after the cut.
 #[test]
 fn a_zone_that_was_cut_off_catches_up() {
     for shape in [Shape::small(), Shape::zoned()] {
--- a/crates/oatpier-membership/tests/testsuite/stops.rs
+++ b/crates/oatpier-membership/tests/testsuite/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops.
+//! Tests of planned stops.
 
 use oatpier_membership::messages::NamedStop;
 use oatpier_membership::stops::{
@@ -38,8 +38,8 @@
     assert_eq!(keeper.phase(), StopPhase::Drained);
 }
 
-/// Nothing was in flight when the process last counted; a request was admitted after that and
-/// before the refusal began. Ending on the old count would cut it off.
+/// No request was in flight at the last count; then one was admitted before the refusal began.
+/// Exiting on the old count would cut that request off.
 #[test]
 fn a_count_from_before_the_refusal_ends_nothing() {
     let mut keeper = StopKeeper::new(seconds(0));
@@ -63,8 +63,9 @@
     );
 }
 
-/// A watcher was away while a stop was withdrawn: the key is missing from the list that it reads.
-/// Without a trace of it, its peers would bring the stop back by gossip for ever.
+/// A watcher was away while a stop was withdrawn, so the key is missing from the list that it
+/// reads. Without a record of the withdrawal, its peers would bring the stop back by gossip
+/// forever.
 #[test]
 fn what_the_list_lacks_was_withdrawn() {
     let named = |name, revision, withdrawn| NamedStop {
--- a/crates/oatpier-membership/tests/testsuite/summary.rs
+++ b/crates/oatpier-membership/tests/testsuite/summary.rs
@@ -1,4 +1,4 @@
-//! Summaries between availability zones.
+//! Tests of summaries between availability zones.
 
 use indexmap::IndexMap;
 use oatpier_membership::summary::{
@@ -42,8 +42,8 @@
     assert_eq!(again.len(), 3);
 }
 
-/// A row goes from entry to entry and comes back to one that had it. Were it taken for younger
-/// because of its way, it would go round for ever.
+/// A row returns to an entry that already had it. If forwarding made it look younger, it would be
+/// forwarded forever.
 #[test]
 fn a_row_that_comes_round_is_no_news() {
     let mut book = SummaryBook::default();
@@ -61,9 +61,9 @@
     assert_eq!(book.zones_with(&key(0)).count(), 0);
 }
 
-/// A row and its successor are made within a moment. The older one goes by another entry and two
-/// slow links, whose delay no age shows. Taken for the younger, it would say that a model is
-/// reachable where it no longer is.
+/// A row and its successor are created within a moment. The older one arrives through another entry
+/// and two slow links, whose delay does not show in its age. If it were taken for the younger one,
+/// it would report a model as reachable where it no longer is.
 #[test]
 fn an_older_row_on_a_slow_way_does_not_win() {
     let at = |millis: u64| ClockTime::from_millis(100_000 + millis);
@@ -94,7 +94,8 @@
     );
 }
 
-/// Entries of one availability zone send a request for a model that only another one has ready.
+/// Every entry learns which models another availability zone has ready, so that it can send
+/// requests there.
 #[test]
 fn every_entry_learns_what_the_other_zone_has() {
     let mut fleet = Fleet::new(Shape::zoned(), 4);
--- a/crates/oatpier-membership/tests/testsuite/support/fleet.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/fleet.rs
@@ -1,4 +1,5 @@
-//! Entries and agents that run the real machines against the network and the store.
+//! A simulated fleet: entries and agents that run the real state machines against the simulated
+//! network and store.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -25,12 +26,12 @@
 pub type Call = PeerCall<TestConfig>;
 pub type Answer = PeerAnswer<TestConfig>;
 
-/// What HTTP adds to one message: request line or status line and headers.
+/// The bytes that HTTP adds to one message: request line or status line, and headers.
 pub const HEADER_BYTES: u64 = 130;
 
 const STORE_DELAY: Duration = Duration::from_millis(2);
 
-/// Watches whose time is over are looked for this often.
+/// The interval at which expired watches are ended.
 const WATCH_ENDS_EVERY: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Two availability zones of five entries each, which tell each other summaries.
+    /// Two availability zones of five entries each, which exchange summaries.
     pub fn zoned() -> Self {
         Self {
             zones_by_region: vec![2],
@@ -138,7 +139,7 @@
     pub store: FakeStore,
     pub processes: Vec<Process>,
     pub measure: bool,
-    /// Messages and bytes by kind, calls and answers together.
+    /// Messages and bytes by kind, separately for calls and answers.
     pub by_kind: BTreeMap<&'static str, (u64, u64)>,
     pub entries: usize,
     pub zones: Vec<ZoneName>,
@@ -222,7 +223,7 @@
         self.processes[index].contact.clone()
     }
 
-    /// Starts a process anew, with nothing kept.
+    /// Starts a process with no state from earlier boots.
     pub fn start(&mut self, index: usize) {
         self.boots += 1;
         let boot = BootId(self.boots);
@@ -252,7 +253,7 @@
         self.schedule_wake(index);
     }
 
-    /// Settings name the first two entries of each availability zone.
+    /// Returns the seeds from the settings: the first two entries of each availability zone.
     fn seeds_for(&self, index: usize) -> Vec<EntryContact> {
         let entries = 0..self.entries.min(2 * self.zones.len());
         entries
@@ -295,13 +296,13 @@
         }
     }
 
-    /// The state of a member, as an entry sees it.
+    /// Returns the state of a member, as an entry sees it.
     pub fn state(&self, entry: usize, member: usize) -> Option<MemberState> {
         let daemon = &self.processes[member].contact.daemon;
         Some(self.entry(entry).table().get(daemon)?.state)
     }
 
-    /// An operator's change is accepted.
+    /// Accepts an operator's change.
     pub fn accept(&mut self, key: u32, text: &str) -> Generation {
         let value = match &self.store.stored {
             Some(stored) => stored.value.with_row(key, text),
@@ -378,7 +379,7 @@
         self.end_watches();
     }
 
-    /// Runs until `done` says so, at most for `span`; the time that it took.
+    /// Runs until `done` holds, for `span` at most; returns the time that it took.
     pub fn run_until(&mut self, span: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now.since(start) < span {
@@ -596,7 +597,8 @@
         self.push(self.now + STORE_DELAY + self.store.slow, index, boot, what);
     }
 
-    /// A cut of a whole availability zone cuts it from the store too.
+    /// Whether a process can reach the store: a cut of a whole availability zone also cuts it from
+    /// the store.
     fn store_reaches(&self, index: usize) -> bool {
         let zone = &self.processes[index].contact.zone;
         let cut = Side::Zone(zone.clone());
--- a/crates/oatpier-membership/tests/testsuite/support/mod.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deterministic message loop: processes, delays, losses, cuts and one store.
+//! A small deterministic simulation: processes, delays, losses, cuts and one store.
 
 #![allow(dead_code)]
 
@@ -27,7 +27,7 @@
     ZoneName::try_from(name).expect("an availability zone name")
 }
 
-/// The same random cases in every run.
+/// Returns a configuration that runs the same random cases every time.
 pub fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
--- a/crates/oatpier-membership/tests/testsuite/support/network.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/network.rs
@@ -1,4 +1,4 @@
-//! Delays, losses and cuts.
+//! The simulated network: delays, losses and cuts.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Messages from one side to the other are lost.
+/// A cut that drops all messages from one side to the other.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OneWayCut {
     pub from: Side,
@@ -80,7 +80,7 @@
         });
     }
 
-    /// How long the message takes; none: lost.
+    /// Returns the delay of a message, or `None` if it is lost.
     pub fn carry(&mut self, from: &End<'_>, to: &End<'_>) -> Option<Duration> {
         let lost = self.loss > 0.0 && self.generator.random_bool(self.loss);
         let cut = self.cuts.iter().any(|cut| {
--- a/crates/oatpier-membership/tests/testsuite/support/store.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/store.rs
@@ -1,4 +1,4 @@
-//! The store: one configuration under compare-and-swap, with watches and outages.
+//! The simulated store: one configuration under compare-and-swap, with watches and outages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
 #[derive(Debug, Default)]
 pub struct FakeStore {
     pub down: bool,
-    /// Watches that began stay open and are never answered.
+    /// Whether open watches are never answered.
     pub watches_hang: bool,
     pub stored: Option<StoredConfig<TestConfig>>,
     pub watches: Vec<WaitingWatch>,
     pub calls: u64,
-    /// How much longer than usual an answer takes.
+    /// Additional delay of each answer.
     pub slow: Duration,
 }
 
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The reply to a watch, if it has one at once.
+    /// Returns the immediate reply to a watch, if there is one.
     pub fn watch(&mut self, watch: WaitingWatch) -> Option<StoreReply<TestConfig>> {
         self.calls += 1;
         if self.down {
@@ -58,7 +58,7 @@
         None
     }
 
-    /// Accepts a change; returns the watches that see it.
+    /// Accepts a change and returns the watches to notify.
     pub fn accept(&mut self, value: TestConfig) -> Vec<WaitingWatch> {
         let (revision, generation) = match &self.stored {
             Some(stored) => (stored.revision, stored.generation),
