--- a/crates/oatpier-membership/src/agent.rs
+++ b/crates/oatpier-membership/src/agent.rs
@@ -23,7 +23,7 @@
 use crate::stops::StopWord;
 
 /// Delay before a lost pull is repeated.
-const PULL_AGAIN: Duration = Duration::from_millis(200);
+const PULL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// An input of an [`AgentMember`].
 #[derive(Debug, Clone, PartialEq)]
@@ -76,8 +76,8 @@
     boot: BootId,
     heartbeats: HeartbeatKeeper,
     keeper: GenerationKeeper<P>,
-    seen: Option<(EntryContact, Generation)>,
-    pulling: bool,
+    ahead: Option<(EntryContact, Generation)>,
+    is_pulling: bool,
     stop: Option<StopWord>,
     next_pull: ClockTime,
     calls: IndexMap<CallNumber, (EntryContact, bool)>,
@@ -104,8 +104,8 @@
             boot,
             heartbeats,
             keeper: GenerationKeeper::default(),
-            seen: None,
-            pulling: false,
+            ahead: None,
+            is_pulling: false,
             stop: None,
             next_pull: now,
             calls: IndexMap::new(),
@@ -136,7 +136,7 @@
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         let wake = self.heartbeats.next_wake().min(self.keeper.settles_at());
-        if self.seen.is_some() && !self.pulling {
+        if self.ahead.is_some() && !self.is_pulling {
             return wake.min(self.next_pull);
         }
         wake
@@ -166,7 +166,7 @@
         let mut actions = Vec::new();
         let before = self.generation();
         let answer = match call {
-            PeerCall::Push(push) => PeerAnswer::Push(self.take_push(&push, now)),
+            PeerCall::Push(push) => PeerAnswer::Push(self.handle_push(&push, now)),
             PeerCall::Pull(pull) => PeerAnswer::Pull(Box::new(ConfigAnswer {
                 generation: self.generation(),
                 former: None,
@@ -184,27 +184,32 @@
         if after > before {
             actions.extend(self.keeper.in_force().cloned().map(AgentAction::InForce));
         }
-        let beats = self.heartbeats.tick(after, now);
-        self.act(beats, now, actions);
+        let heartbeat_actions = self.heartbeats.tick(after, now);
+        self.apply_actions(heartbeat_actions, now, actions);
         self.pull(now, actions);
     }
 
-    fn take_push(&mut self, push: &ConfigPush<P>, now: ClockTime) -> ConfigAck {
+    fn handle_push(&mut self, push: &ConfigPush<P>, now: ClockTime) -> ConfigAck {
         let outcome = self.keeper.offer(&push.content, ConfigSource::Peer, now);
         if matches!(outcome, OfferOutcome::Behind | OfferOutcome::NeedFull) {
             let known = self.heartbeats.entries();
             let from = known.into_iter().find(|entry| entry.daemon == push.daemon);
-            self.seen = from.cloned().map(|from| (from, push.generation));
+            self.ahead = from.cloned().map(|from| (from, push.generation));
         }
         ConfigAck {
             generation: self.keeper.latest(),
         }
     }
 
-    fn act(&mut self, beats: Vec<HeartbeatAction>, now: ClockTime, actions: &mut Actions<P>) {
-        for action in beats {
+    fn apply_actions(
+        &mut self,
+        heartbeat_actions: Vec<HeartbeatAction>,
+        now: ClockTime,
+        actions: &mut Actions<P>,
+    ) {
+        for action in heartbeat_actions {
             match action {
-                HeartbeatAction::Beat { to, heartbeat } => {
+                HeartbeatAction::Send { to, heartbeat } => {
                     self.call(to, false, PeerCall::Heartbeat(heartbeat), actions);
                 }
                 HeartbeatAction::Lost(lost) => actions.push(AgentAction::RegistrarLost(lost)),
@@ -215,9 +220,9 @@
                         actions.push(AgentAction::Stop(word));
                     }
                 }
-                HeartbeatAction::Seen { from, generation } => {
-                    if generation > self.keeper.have() {
-                        self.seen = Some((from, generation));
+                HeartbeatAction::GenerationSeen { from, generation } => {
+                    if generation > self.keeper.pull_generation() {
+                        self.ahead = Some((from, generation));
                     }
                 }
             }
@@ -227,15 +232,15 @@
 
     /// Sends a pull to the registrar that is ahead, if there is one.
     fn pull(&mut self, now: ClockTime, actions: &mut Actions<P>) {
-        let have = self.keeper.have();
-        self.seen.take_if(|(_, generation)| *generation <= have);
-        if self.pulling || now < self.next_pull {
+        let have = self.keeper.pull_generation();
+        self.ahead.take_if(|(_, generation)| *generation <= have);
+        if self.is_pulling || now < self.next_pull {
             return;
         }
-        let Some((to, _)) = self.seen.clone() else {
+        let Some((to, _)) = self.ahead.clone() else {
             return;
         };
-        self.pulling = true;
+        self.is_pulling = true;
         let pull = ConfigPull {
             daemon: self.own.daemon.clone(),
             boot: self.boot,
@@ -258,20 +263,20 @@
             self.end_pull(answer, now);
             return;
         }
-        let beats = match answer {
+        let heartbeat_actions = match answer {
             Some(PeerAnswer::Heartbeat(answer)) => {
-                self.heartbeats.answered(&peer.daemon, &answer, now)
+                self.heartbeats.handle_answer(&peer.daemon, &answer, now)
             }
-            _ => self.heartbeats.lost(&peer.daemon, now),
+            _ => self.heartbeats.handle_loss(&peer.daemon, now),
         };
-        self.act(beats, now, actions);
+        self.apply_actions(heartbeat_actions, now, actions);
     }
 
     /// Handles the end of a pull. A lost pull is repeated at the next registrar whose answer shows
     /// a later generation.
     fn end_pull(&mut self, answer: Option<PeerAnswer<P>>, now: ClockTime) {
-        self.pulling = false;
-        self.next_pull = now + jittered(PULL_AGAIN, &mut self.generator);
+        self.is_pulling = false;
+        self.next_pull = now + jittered(PULL_RETRY_AFTER, &mut self.generator);
         let Some(PeerAnswer::Pull(answer)) = answer else {
             return;
         };
--- a/crates/oatpier-membership/src/budget.rs
+++ b/crates/oatpier-membership/src/budget.rs
@@ -80,7 +80,7 @@
     /// The fraction of that capacity that the system may use.
     pub used: f64,
     /// The fraction of the usable capacity that goes to entries; agents get the rest.
-    pub entries_part: f64,
+    pub entries_fraction: f64,
     /// The number of known entries.
     pub entries: u32,
     /// The number of known agents.
@@ -95,7 +95,7 @@
                 writes: 300.0,
             },
             used: 0.6,
-            entries_part: 0.6,
+            entries_fraction: 0.6,
             entries: 1,
             agents: 1,
         }
@@ -106,17 +106,17 @@
     /// Returns the rates for one entry.
     #[must_use]
     pub fn entry(&self) -> CallRates {
-        self.of_one(self.entries_part, self.entries)
+        self.share_of_one(self.entries_fraction, self.entries)
     }
 
     /// Returns the rates for one agent.
     #[must_use]
     pub fn agent(&self) -> CallRates {
-        self.of_one(1.0 - self.entries_part, self.agents)
+        self.share_of_one(1.0 - self.entries_fraction, self.agents)
     }
 
-    fn of_one(&self, part: f64, count: u32) -> CallRates {
-        let share = self.used * part / f64::from(count.max(1));
+    fn share_of_one(&self, fraction: f64, count: u32) -> CallRates {
+        let share = self.used * fraction / f64::from(count.max(1));
         CallRates {
             reads: self.store.reads * share,
             writes: self.store.writes * share,
@@ -130,15 +130,15 @@
 /// Bounds of the time over which the first calls after an outage are spread. Within them it is the
 /// time in which each process's share comes to one call, so that all first calls together stay
 /// within the budget.
-const SPREAD_LEAST: Duration = Duration::from_secs(2);
-const SPREAD_MOST: Duration = Duration::from_mins(1);
+const RECOVERY_SPREAD_MIN: Duration = Duration::from_secs(2);
+const RECOVERY_SPREAD_MAX: Duration = Duration::from_mins(1);
 
 #[derive(Debug, Clone, Copy)]
 struct TokenBucket {
     tokens: f64,
     rate: f64,
-    at: ClockTime,
-    closed_until: ClockTime,
+    refilled_at: ClockTime,
+    blocked_until: ClockTime,
 }
 
 impl TokenBucket {
@@ -146,29 +146,29 @@
         Self {
             tokens: BURST_CALLS,
             rate,
-            at: now,
-            closed_until: now,
+            refilled_at: now,
+            blocked_until: now,
         }
     }
 
     fn refill(&mut self, now: ClockTime) {
-        let gained = now.since(self.at).as_secs_f64() * self.rate;
+        let gained = now.since(self.refilled_at).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + gained).min(BURST_CALLS);
-        self.at = self.at.max(now);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
-    fn close_for_a_while(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
+    fn block_randomly(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
         let seconds = 1.0 / self.rate.max(f64::MIN_POSITIVE);
-        let spread = Duration::try_from_secs_f64(seconds).unwrap_or(SPREAD_MOST);
-        let spread = spread.clamp(SPREAD_LEAST, SPREAD_MOST);
-        self.closed_until = now + spread.mul_f64(generator.random_range(0.0..1.0));
+        let spread = Duration::try_from_secs_f64(seconds).unwrap_or(RECOVERY_SPREAD_MAX);
+        let spread = spread.clamp(RECOVERY_SPREAD_MIN, RECOVERY_SPREAD_MAX);
+        self.blocked_until = now + spread.mul_f64(generator.random_range(0.0..1.0));
     }
 
-    /// Returns when `wanted` tokens will be available.
-    fn filled_at(&self, wanted: f64) -> ClockTime {
-        let seconds = (wanted - self.tokens) / self.rate.max(f64::MIN_POSITIVE);
+    /// Returns when `needed` tokens will be available.
+    fn refill_time(&self, needed: f64) -> ClockTime {
+        let seconds = (needed - self.tokens) / self.rate.max(f64::MIN_POSITIVE);
         let wait = Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX);
-        self.at + wait + Duration::from_millis(1)
+        self.refilled_at + wait + Duration::from_millis(1)
     }
 }
 
@@ -187,7 +187,7 @@
     reads: TokenBucket,
     writes: TokenBucket,
     counts: [CallCount; CallKind::ALL.len()],
-    down: bool,
+    is_down: bool,
     generator: ChaCha8Rng,
 }
 
@@ -199,7 +199,7 @@
             reads: TokenBucket::new(rates.reads, now),
             writes: TokenBucket::new(rates.writes, now),
             counts: [CallCount::default(); CallKind::ALL.len()],
-            down: false,
+            is_down: false,
             generator,
         }
     }
@@ -228,12 +228,12 @@
             CallMode::Write => &mut self.writes,
         };
         bucket.refill(now);
-        let closed = now < bucket.closed_until && kind > CallKind::PlannerLease;
-        let wanted = 1.0 + kind.reserve() * (BURST_CALLS - 1.0);
+        let is_blocked = now < bucket.blocked_until && kind > CallKind::PlannerLease;
+        let needed = 1.0 + kind.reserve() * (BURST_CALLS - 1.0);
         let count = &mut self.counts[kind as usize];
-        if closed || bucket.tokens < wanted {
+        if is_blocked || bucket.tokens < needed {
             count.held_back += 1;
-            return Err(bucket.filled_at(wanted).max(bucket.closed_until));
+            return Err(bucket.refill_time(needed).max(bucket.blocked_until));
         }
         bucket.tokens -= 1.0;
         count.made += 1;
@@ -242,7 +242,7 @@
 
     /// Records that a call failed because the store is unavailable.
     pub fn store_failed(&mut self) {
-        self.down = true;
+        self.is_down = true;
     }
 
     /// Records that the store answered a call.
@@ -251,12 +251,12 @@
     /// overload the store again. Each process therefore waits a random time. Calls for the
     /// configuration and for the planner's lease are exempt, as only a few processes make them.
     pub fn store_answered(&mut self, now: ClockTime) {
-        if !self.down {
+        if !self.is_down {
             return;
         }
-        self.down = false;
-        self.reads.close_for_a_while(&mut self.generator, now);
-        self.writes.close_for_a_while(&mut self.generator, now);
+        self.is_down = false;
+        self.reads.block_randomly(&mut self.generator, now);
+        self.writes.block_randomly(&mut self.generator, now);
     }
 
     /// Returns how many calls of a kind were allowed and held back.
--- a/crates/oatpier-membership/src/entry/calls.rs
+++ b/crates/oatpier-membership/src/entry/calls.rs
@@ -8,22 +8,22 @@
 use crate::exchange::ExchangeAction;
 use crate::generation::ConfigPayload;
 use crate::messages::{EntryContact, GossipAnswer, PeerAnswer, PeerCall};
-use crate::registrar::RegistrarWord;
+use crate::registrar::RegistrarVote;
 use crate::spread::{SpreadAction, SpreadEvent};
 
 impl<P: ConfigPayload> EntryMember<P> {
-    pub(super) fn see(
+    pub(super) fn observe_generation(
         &mut self,
         from: EntryContact,
         generation: Generation,
         now: ClockTime,
         actions: &mut Actions<P>,
     ) {
-        let seen = SpreadEvent::Seen { from, generation };
-        self.spread(seen, now, actions);
+        let seen = SpreadEvent::GenerationSeen { from, generation };
+        self.run_spreader(seen, now, actions);
     }
 
-    pub(super) fn spread(
+    pub(super) fn run_spreader(
         &mut self,
         event: SpreadEvent<P>,
         now: ClockTime,
@@ -56,18 +56,18 @@
         for action in sent {
             match action {
                 ExchangeAction::Gossip { to, mut gossip } => {
-                    gossip.summaries = self.summaries.pass_on(now);
+                    gossip.summaries = self.summaries.take_forwarded(now);
                     let body = PeerCall::Gossip(gossip);
                     self.call(to, CallPurpose::Gossip, body, actions);
                 }
                 ExchangeAction::Summary { to, call } => {
                     self.call(to, CallPurpose::Summary, PeerCall::Summary(call), actions);
                 }
-                ExchangeAction::Renewed => self.renew_words(now),
+                ExchangeAction::IncarnationRaised => self.renew_votes(now),
                 ExchangeAction::Former { former } => {
                     self.spreader.raise_floor(former.generation);
                 }
-                ExchangeAction::Complaint { .. } => {}
+                ExchangeAction::PeerChanged { .. } => {}
             }
         }
     }
@@ -91,7 +91,7 @@
                     _ => None,
                 };
                 let ended = SpreadEvent::PullEnded { from: peer, answer };
-                self.spread(ended, now, actions);
+                self.run_spreader(ended, now, actions);
             }
             CallPurpose::Push => {
                 let ack = match answer {
@@ -102,7 +102,7 @@
                     self.registrar.note_generation(&peer.daemon, ack.generation);
                 }
                 let ended = SpreadEvent::PushEnded { to: peer, ack };
-                self.spread(ended, now, actions);
+                self.run_spreader(ended, now, actions);
             }
         }
     }
@@ -115,15 +115,16 @@
         actions: &mut Actions<P>,
     ) {
         let sent = if let Some(PeerAnswer::Gossip(answer)) = answer {
-            self.take_gossip_answer(peer, &answer, now, actions)
+            self.handle_gossip_answer(peer, &answer, now, actions)
         } else {
             self.check_isolation(now);
-            self.exchange.lost(&peer.daemon, &mut self.table, now)
+            self.exchange
+                .handle_loss(&peer.daemon, &mut self.table, now)
         };
         self.send(sent, now, actions);
     }
 
-    fn take_gossip_answer(
+    fn handle_gossip_answer(
         &mut self,
         peer: &EntryContact,
         answer: &GossipAnswer,
@@ -133,10 +134,10 @@
         for summary in &answer.summaries {
             self.book.merge(summary, now);
         }
-        self.see(peer.clone(), answer.generation, now, actions);
+        self.observe_generation(peer.clone(), answer.generation, now, actions);
         let (table, stops) = (&mut self.table, &mut self.stops);
         self.exchange
-            .answered(&peer.daemon, answer, table, stops, now)
+            .handle_answer(&peer.daemon, answer, table, stops, now)
     }
 
     fn end_summary(
@@ -147,23 +148,23 @@
         actions: &mut Actions<P>,
     ) {
         let Some(PeerAnswer::Summary(answer)) = answer else {
-            self.summaries.ended(peer, false);
+            self.summaries.handle_end(peer, false);
             return;
         };
-        self.summaries.ended(peer, true);
+        self.summaries.handle_end(peer, true);
         self.summaries.add_contacts(&answer.contacts);
-        self.see(peer.clone(), answer.generation, now, actions);
+        self.observe_generation(peer.clone(), answer.generation, now, actions);
     }
 
     /// Sends all votes again under the current incarnation, as those under an earlier one are void.
-    fn renew_words(&mut self, now: ClockTime) {
+    fn renew_votes(&mut self, now: ClockTime) {
         let own = self.exchange.own_row(self.spreader.generation());
         self.table.merge(&own, now);
-        let words: Vec<RegistrarWord> = self.registrar.words();
-        for word in &words {
-            self.exchange.say(word, &mut self.table);
+        let votes: Vec<RegistrarVote> = self.registrar.words();
+        for vote in &votes {
+            self.exchange.cast_vote(vote, &mut self.table);
         }
-        self.exchange.say_complaints_anew(&mut self.table);
+        self.exchange.renew_silent_votes(&mut self.table);
     }
 
     fn call(
--- a/crates/oatpier-membership/src/entry/member.rs
+++ b/crates/oatpier-membership/src/entry/member.rs
@@ -17,8 +17,8 @@
 };
 use crate::registrar::{RegistrarTable, entries_digest};
 use crate::spread::{ConfigSpreader, SpreadEvent, SpreadPeers};
-use crate::stops::{StopBoard, StopWord};
-use crate::summary::SummaryBook;
+use crate::stops::{StopRegistry, StopWord};
+use crate::summary::SummaryTable;
 
 /// The interval between two checks for silent agents.
 const CHECK_EVERY: Duration = Duration::from_millis(500);
@@ -34,14 +34,14 @@
     pub(super) registrar: RegistrarTable,
     pub(super) exchange: EntryExchange,
     pub(super) summaries: SummaryExchange,
-    pub(super) book: SummaryBook,
-    pub(super) stops: StopBoard,
+    pub(super) book: SummaryTable,
+    pub(super) stops: StopRegistry,
     own_stop: Option<StopWord>,
     pub(super) spreader: ConfigSpreader<P>,
     pub(super) calls: IndexMap<CallNumber, (EntryContact, CallPurpose)>,
     pub(super) next_call: u64,
-    checked: ClockTime,
-    seen_mark: u64,
+    last_check: ClockTime,
+    refreshed_mark: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -73,14 +73,14 @@
             registrar: RegistrarTable::default(),
             exchange: EntryExchange::new(own.clone(), boot, seeds, fork(), now),
             summaries,
-            book: SummaryBook::default(),
-            stops: StopBoard::default(),
+            book: SummaryTable::default(),
+            stops: StopRegistry::default(),
             own_stop: None,
             spreader: ConfigSpreader::new(own.clone(), boot, fork(), now),
             calls: IndexMap::new(),
             next_call: 0,
-            checked: now,
-            seen_mark: 0,
+            last_check: now,
+            refreshed_mark: 0,
             own,
         }
     }
@@ -93,13 +93,13 @@
 
     /// Returns the summaries of other availability zones.
     #[must_use]
-    pub fn book(&self) -> &SummaryBook {
+    pub fn book(&self) -> &SummaryTable {
         &self.book
     }
 
     /// Returns the planned stops.
     #[must_use]
-    pub fn stops(&self) -> &StopBoard {
+    pub fn stops(&self) -> &StopRegistry {
         &self.stops
     }
 
@@ -131,7 +131,7 @@
     /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
-        let check = self.checked + CHECK_EVERY;
+        let check = self.last_check + CHECK_EVERY;
         check
             .min(self.exchange.next_wake())
             .min(self.summaries.next_wake())
@@ -148,18 +148,18 @@
                 self.end_call(call, answer, now, &mut actions);
             }
             EntryEvent::StoreEnded(reply) => {
-                self.spread(SpreadEvent::StoreEnded(reply), now, &mut actions);
+                self.run_spreader(SpreadEvent::StoreEnded(reply), now, &mut actions);
             }
             EntryEvent::StopsListed(listed) => {
                 let news = self.stops.replace(&listed);
                 for stop in &news {
-                    self.exchange.tell_stop(&stop.daemon);
+                    self.exchange.queue_stop(&stop.daemon);
                 }
             }
-            EntryEvent::StopChanged(stop) => self.note_stop(&stop),
-            EntryEvent::Hints(hints) => self.note_hints(hints),
+            EntryEvent::StopChanged(stop) => self.merge_stop(&stop),
+            EntryEvent::Hints(hints) => self.set_hints(hints),
             EntryEvent::Path { daemon, evidence } => {
-                self.table.note_path(&daemon, evidence, now);
+                self.table.record_evidence(&daemon, evidence, now);
                 self.refresh(now, &mut actions);
             }
             EntryEvent::QueueReport { daemon, report } => {
@@ -177,12 +177,12 @@
         let mut actions = Vec::new();
         let answer = match call {
             PeerCall::Heartbeat(heartbeat) => {
-                let answer = self.hear_heartbeat(&heartbeat, now, &mut actions);
+                let answer = self.handle_heartbeat(&heartbeat, now, &mut actions);
                 PeerAnswer::Heartbeat(Box::new(answer))
             }
-            PeerCall::Gossip(gossip) => self.hear_gossip(&gossip, now, &mut actions),
+            PeerCall::Gossip(gossip) => self.handle_gossip(&gossip, now, &mut actions),
             PeerCall::Summary(call) => {
-                let answer = self.hear_summary(&call, now, &mut actions);
+                let answer = self.handle_summary(&call, now, &mut actions);
                 PeerAnswer::Summary(Box::new(answer))
             }
             PeerCall::Pull(pull) => {
@@ -190,7 +190,7 @@
                 PeerAnswer::Pull(Box::new(self.spreader.answer_pull(&pull, former)))
             }
             PeerCall::Push(push) => {
-                self.spread(SpreadEvent::Pushed(push), now, &mut actions);
+                self.run_spreader(SpreadEvent::Pushed(push), now, &mut actions);
                 PeerAnswer::Push(self.spreader.ack())
             }
         };
@@ -199,12 +199,12 @@
     }
 
     fn tick(&mut self, now: ClockTime, actions: &mut Actions<P>) {
-        if now.since(self.checked) >= CHECK_EVERY {
-            let paused = now.since(self.checked) >= PAUSED_AFTER;
-            self.checked = now;
-            let deaf = self.check_isolation(now) || paused;
-            for word in self.registrar.check(deaf, &self.table, now) {
-                self.exchange.say(&word, &mut self.table);
+        if now.since(self.last_check) >= CHECK_EVERY {
+            let was_paused = now.since(self.last_check) >= PAUSED_AFTER;
+            self.last_check = now;
+            let is_isolated = self.check_isolation(now) || was_paused;
+            for vote in self.registrar.check(is_isolated, &self.table, now) {
+                self.exchange.cast_vote(&vote, &mut self.table);
             }
             self.book.prune(now);
             self.refresh(now, actions);
@@ -217,12 +217,12 @@
             let sent = self.summaries.tick(&self.table, generation, now);
             self.send(sent, now, actions);
         }
-        self.spread(SpreadEvent::Tick, now, actions);
+        self.run_spreader(SpreadEvent::Tick, now, actions);
     }
 
     /// Whether this entry receives so little that the cause is its own isolation.
     pub(super) fn check_isolation(&mut self, now: ClockTime) -> bool {
-        let agents = self.registrar.heard_share(now);
+        let agents = self.registrar.reachable_share(now);
         self.exchange.check_isolation(agents, &self.table, now)
     }
 
@@ -231,7 +231,7 @@
     fn finish(&mut self, now: ClockTime, actions: &mut Actions<P>) {
         let own = self.exchange.own_row(self.spreader.generation());
         self.table.merge(&own, now);
-        if self.table.mark() != self.seen_mark {
+        if self.table.mark() != self.refreshed_mark {
             self.refresh(now, actions);
         }
         let word = self.stops.word(&self.own.daemon);
@@ -242,22 +242,22 @@
     }
 
     fn refresh(&mut self, now: ClockTime, actions: &mut Actions<P>) {
-        self.seen_mark = self.table.mark();
+        self.refreshed_mark = self.table.mark();
         let changes = self.table.refresh(now);
         actions.extend(changes.into_iter().map(EntryAction::Changed));
     }
 
-    fn note_stop(&mut self, stop: &NamedStop) {
+    fn merge_stop(&mut self, stop: &NamedStop) {
         if self.stops.merge(stop) {
-            self.exchange.tell_stop(&stop.daemon);
+            self.exchange.queue_stop(&stop.daemon);
         }
     }
 
-    fn note_hints(&mut self, hints: Vec<VmHint>) {
+    fn set_hints(&mut self, hints: Vec<VmHint>) {
         let entries = hints.iter().filter(|hint| hint.entry && !hint.leaving);
         self.summaries
             .add_contacts(entries.map(|hint| &hint.contact));
-        self.table.note_hints(hints);
+        self.table.set_hints(hints);
     }
 
     fn set_phase(&mut self, phase: MemberPhase, now: ClockTime, actions: &mut Actions<P>) {
@@ -265,20 +265,20 @@
         self.send(renewed, now, actions);
     }
 
-    fn hear_heartbeat(
+    fn handle_heartbeat(
         &mut self,
         heartbeat: &AgentHeartbeat,
         now: ClockTime,
         actions: &mut Actions<P>,
     ) -> HeartbeatAnswer {
         let mark = self.table.mark();
-        let heard = self.registrar.hear(heartbeat, &mut self.table, now);
-        let (mut answer, word) = heard;
+        let handled = self.registrar.hear(heartbeat, &mut self.table, now);
+        let (mut answer, vote) = handled;
         if self.table.mark() != mark {
-            self.exchange.tell_row(&heartbeat.daemon);
+            self.exchange.queue_row(&heartbeat.daemon);
         }
-        if let Some(word) = word {
-            self.exchange.say(&word, &mut self.table);
+        if let Some(vote) = vote {
+            self.exchange.cast_vote(&vote, &mut self.table);
         }
         let contact = EntryContact {
             daemon: heartbeat.daemon.clone(),
@@ -287,11 +287,11 @@
         };
         // An agent that is behind pulls after this answer; one that is ahead is pulled from.
         if heartbeat.generation > self.generation() {
-            let seen = SpreadEvent::Seen {
+            let seen = SpreadEvent::GenerationSeen {
                 from: contact,
                 generation: heartbeat.generation,
             };
-            self.spread(seen, now, actions);
+            self.run_spreader(seen, now, actions);
         }
         answer.generation = self.generation();
         answer.stop = self.stops.word(&heartbeat.daemon);
@@ -302,41 +302,43 @@
         answer
     }
 
-    fn hear_gossip(
+    fn handle_gossip(
         &mut self,
         gossip: &EntryGossip,
         now: ClockTime,
         actions: &mut Actions<P>,
     ) -> PeerAnswer<P> {
         let stops = &mut self.stops;
-        let (mut answer, sent) = self.exchange.hear(gossip, &mut self.table, stops, now);
+        let (mut answer, sent) = self
+            .exchange
+            .handle_gossip(gossip, &mut self.table, stops, now);
         self.send(sent, now, actions);
         for summary in &gossip.summaries {
-            self.summaries.take(summary, &mut self.book, now);
+            self.summaries.merge(summary, &mut self.book, now);
         }
         // An empty table (apart from the sender's own row) means that the sender has just started.
-        let blank = |parts: &Vec<u32>| parts.iter().filter(|part| **part != 0).count() <= 1;
+        let is_empty = |parts: &Vec<u32>| parts.iter().filter(|part| **part != 0).count() <= 1;
         if gossip
             .digest
             .as_ref()
-            .is_some_and(|digest| blank(&digest.parts))
+            .is_some_and(|digest| is_empty(&digest.parts))
         {
             answer.summaries = self.book.all(now);
         }
-        self.see(gossip.from.clone(), gossip.generation, now, actions);
+        self.observe_generation(gossip.from.clone(), gossip.generation, now, actions);
         answer.generation = self.generation();
         PeerAnswer::Gossip(Box::new(answer))
     }
 
-    fn hear_summary(
+    fn handle_summary(
         &mut self,
         call: &SummaryCall,
         now: ClockTime,
         actions: &mut Actions<P>,
     ) -> SummaryAnswer {
-        self.summaries.take(&call.summary, &mut self.book, now);
+        self.summaries.merge(&call.summary, &mut self.book, now);
         self.summaries.add_contacts(&call.contacts);
-        self.see(call.from.clone(), call.generation, now, actions);
+        self.observe_generation(call.from.clone(), call.generation, now, actions);
         SummaryAnswer {
             generation: self.generation(),
             contacts: self.summaries.own_contacts(&self.table),
@@ -363,7 +365,7 @@
         SpreadPeers {
             group,
             agents: agents.map(|(contact, at)| (contact.clone(), at)).collect(),
-            far: self.summaries.contacts().cloned().collect(),
+            remote: self.summaries.contacts().cloned().collect(),
         }
     }
 }
--- a/crates/oatpier-membership/src/exchange/group.rs
+++ b/crates/oatpier-membership/src/exchange/group.rs
@@ -8,28 +8,28 @@
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
 
+use super::isolation::{IsolationDetector, ReachableShare};
 use super::own::OwnEntry;
-use super::probe::ProbeBook;
-use super::reach::{HeardShare, ReachBook};
-use super::rumors::take_sends;
+use super::probe::ProbeTracker;
+use super::rumors::take_due;
 use super::{DIGEST_ROUNDS, ExchangeAction, ExchangeScope, GOSSIP_EVERY, GOSSIP_FANOUT, ROW_SENDS};
 use crate::backoff::jittered;
 use crate::members::{
     Hearing, MemberFacts, MemberPhase, MemberRow, MemberState, MemberTable, WitnessWord,
 };
 use crate::messages::{EntryContact, EntryGossip, FormerBoot, GossipAnswer, NamedStop};
-use crate::registrar::RegistrarWord;
-use crate::stops::StopBoard;
+use crate::registrar::RegistrarVote;
+use crate::stops::StopRegistry;
 
 /// The maximum number of parts of the table that one answer contains.
 const ANSWER_PARTS: usize = 8;
 
 /// If an answer changes at least this many rows, the next round compares tables again.
-const MANY_NEWS: usize = 8;
+const CATCH_UP_ROWS: usize = 8;
 
 /// Interval, in rounds, at which one entry that is gone or only hinted is contacted. After a cut,
 /// each side counts the other as gone, and nothing else would reconnect them.
-const OUTSIDER_ROUNDS: u64 = 5;
+const RECONNECT_ROUNDS: u64 = 5;
 
 /// The gossip state of one entry in its group.
 #[derive(Debug, Clone)]
@@ -39,12 +39,12 @@
     seeds: Vec<EntryContact>,
     rumors: IndexMap<DaemonName, u8>,
     stop_rumors: IndexMap<DaemonName, u8>,
-    probes: ProbeBook,
-    reach: ReachBook,
-    words: u64,
+    probes: ProbeTracker,
+    isolation: IsolationDetector,
+    vote_count: u64,
     round: u64,
     next_round: ClockTime,
-    catching_up: bool,
+    is_catching_up: bool,
     generator: ChaCha8Rng,
 }
 
@@ -64,12 +64,12 @@
             seeds,
             rumors: IndexMap::new(),
             stop_rumors: IndexMap::new(),
-            probes: ProbeBook::default(),
-            reach: ReachBook::default(),
-            words: 0,
+            probes: ProbeTracker::default(),
+            isolation: IsolationDetector::default(),
+            vote_count: 0,
             round: 0,
             next_round: now + jittered(GOSSIP_EVERY, &mut generator),
-            catching_up: true,
+            is_catching_up: true,
             generator,
         }
     }
@@ -108,16 +108,18 @@
     /// silent peers are counted.
     pub fn check_isolation(
         &mut self,
-        agents: HeardShare,
+        agents: ReachableShare,
         table: &MemberTable,
         now: ClockTime,
     ) -> bool {
-        let before = self.reach.is_isolated();
-        let isolated = self.reach.check(agents, |peer| table.is_live(peer), now);
-        if before && self.reach.hears() {
-            self.probes.forget_lost();
+        let before = self.isolation.is_isolated();
+        let is_isolated = self
+            .isolation
+            .check(agents, |peer| table.is_live(peer), now);
+        if before && self.isolation.is_connected() {
+            self.probes.reset_counts();
         }
-        isolated
+        is_isolated
     }
 
     /// Returns what this entry states about itself.
@@ -133,26 +135,26 @@
     }
 
     /// Queues a row to be gossiped.
-    pub fn tell_row(&mut self, daemon: &DaemonName) {
+    pub fn queue_row(&mut self, daemon: &DaemonName) {
         self.rumors.insert(daemon.clone(), ROW_SENDS);
     }
 
     /// Queues a planned stop to be gossiped.
-    pub fn tell_stop(&mut self, daemon: &DaemonName) {
+    pub fn queue_stop(&mut self, daemon: &DaemonName) {
         self.stop_rumors.insert(daemon.clone(), ROW_SENDS);
     }
 
     /// Merges this entry's own vote into the table and queues it to be gossiped.
-    pub fn say(&mut self, word: &RegistrarWord, table: &mut MemberTable) {
-        self.words += 1;
-        let word_on = WitnessWord {
+    pub fn cast_vote(&mut self, vote: &RegistrarVote, table: &mut MemberTable) {
+        self.vote_count += 1;
+        let witness_vote = WitnessWord {
             witness: self.own.contact.daemon.clone(),
-            about: word.about,
-            order: (self.own.incarnation, self.words),
-            hearing: word.hearing,
+            about: vote.about,
+            order: (self.own.incarnation, self.vote_count),
+            hearing: vote.hearing,
         };
-        if table.merge_word(&word.daemon, &word_on) {
-            self.tell_row(&word.daemon);
+        if table.merge_vote(&vote.daemon, &witness_vote) {
+            self.queue_row(&vote.daemon);
         }
     }
 
@@ -161,7 +163,7 @@
     pub fn tick(
         &mut self,
         table: &mut MemberTable,
-        stops: &StopBoard,
+        stops: &StopRegistry,
         generation: Generation,
         now: ClockTime,
     ) -> Vec<ExchangeAction> {
@@ -175,15 +177,15 @@
         if round {
             self.round += 1;
             self.next_round = now + jittered(GOSSIP_EVERY, &mut self.generator);
-            targets.extend(self.pick(table));
+            targets.extend(self.pick_targets(table));
         }
-        let digest = round && (self.catching_up || self.round.is_multiple_of(DIGEST_ROUNDS));
+        let digest = round && (self.is_catching_up || self.round.is_multiple_of(DIGEST_ROUNDS));
         let mut actions = Vec::new();
         for to in targets {
-            if self.probes.is_open(&to.daemon) {
+            if self.probes.is_in_flight(&to.daemon) {
                 continue;
             }
-            self.probes.opened(&to.daemon);
+            self.probes.record_call(&to.daemon);
             let gossip = Box::new(self.gossip(table, stops, generation, digest));
             actions.push(ExchangeAction::Gossip { to, gossip });
         }
@@ -191,23 +193,23 @@
     }
 
     /// Handles gossip of another entry, except for its summaries.
-    pub fn hear(
+    pub fn handle_gossip(
         &mut self,
         gossip: &EntryGossip,
         table: &mut MemberTable,
-        stops: &mut StopBoard,
+        stops: &mut StopRegistry,
         now: ClockTime,
     ) -> (GossipAnswer, Vec<ExchangeAction>) {
-        self.reach.note(&gossip.from.daemon, true, now);
+        self.isolation.note(&gossip.from.daemon, true, now);
         let former = former_of(gossip, table);
         let rows = gossip
             .rows
             .iter()
             .filter(|row| former.is_none() || row.facts.daemon != gossip.from.daemon);
-        let (_, actions) = self.take_rows(rows, true, table, now);
+        let (_, actions) = self.merge_rows(rows, true, table, now);
         for stop in &gossip.stops {
             if stops.merge(stop) {
-                self.tell_stop(&stop.daemon);
+                self.queue_stop(&stop.daemon);
             }
         }
         let mut answer = GossipAnswer {
@@ -215,67 +217,70 @@
             ..GossipAnswer::default()
         };
         if let Some(digest) = &gossip.digest {
-            answer.rows = table.rows_apart(digest, ANSWER_PARTS);
+            answer.rows = table.differing_rows(digest, ANSWER_PARTS);
             answer.stops = stops.all();
         }
         (answer, actions)
     }
 
     /// Handles an entry's answer to gossip.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         from: &DaemonName,
         answer: &GossipAnswer,
         table: &mut MemberTable,
-        stops: &mut StopBoard,
+        stops: &mut StopRegistry,
         now: ClockTime,
     ) -> Vec<ExchangeAction> {
-        self.reach.note(from, true, now);
-        let (news, mut actions) = self.take_rows(answer.rows.iter(), false, table, now);
+        self.isolation.note(from, true, now);
+        let (changed, mut actions) = self.merge_rows(answer.rows.iter(), false, table, now);
         if !answer.rows.is_empty() || self.round.is_multiple_of(DIGEST_ROUNDS) {
-            self.catching_up = news >= MANY_NEWS;
+            self.is_catching_up = changed >= CATCH_UP_ROWS;
         }
         for stop in &answer.stops {
             stops.merge(stop);
         }
         if let Some(former) = answer.former {
-            actions.extend(self.own.rise(former.incarnation + 1));
+            actions.extend(self.own.raise_incarnation(former.incarnation + 1));
             actions.push(ExchangeAction::Former { former });
         }
-        if self.probes.answered(from) {
-            self.complain(from, true, table, &mut actions);
+        if self.probes.handle_answer(from) {
+            self.vote_on_peer(from, true, table, &mut actions);
         }
         actions
     }
 
     /// Handles a call to an entry that got no answer.
-    pub fn lost(
+    pub fn handle_loss(
         &mut self,
         to: &DaemonName,
         table: &mut MemberTable,
         now: ClockTime,
     ) -> Vec<ExchangeAction> {
         let mut actions = Vec::new();
-        self.reach.note(to, false, now);
-        let isolated = self.reach.is_isolated();
-        if self.probes.lost(to, isolated, &mut self.generator, now) {
-            self.complain(to, false, table, &mut actions);
+        self.isolation.note(to, false, now);
+        let is_isolated = self.isolation.is_isolated();
+        if self
+            .probes
+            .handle_loss(to, is_isolated, &mut self.generator, now)
+        {
+            self.vote_on_peer(to, false, table, &mut actions);
         }
         actions
     }
 
     /// Votes again that unreachable peers are silent, after this entry's incarnation rose.
-    pub fn say_complaints_anew(&mut self, table: &mut MemberTable) {
-        let complaints: Vec<DaemonName> = self.probes.complaints().cloned().collect();
-        for daemon in complaints {
-            self.complain(&daemon, false, table, &mut Vec::new());
+    pub fn renew_silent_votes(&mut self, table: &mut MemberTable) {
+        let unreachable_peers: Vec<DaemonName> = self.probes.unreachable_peers().cloned().collect();
+        for daemon in unreachable_peers {
+            self.vote_on_peer(&daemon, false, table, &mut Vec::new());
         }
     }
 
-    fn complain(
+    fn vote_on_peer(
         &mut self,
         about: &DaemonName,
-        answers: bool,
+        is_answering: bool,
         table: &mut MemberTable,
         actions: &mut Vec<ExchangeAction>,
     ) {
@@ -284,42 +289,45 @@
         };
         let incarnation = row.facts.incarnation;
         let own = &self.own.contact.daemon;
-        let said = row.words.iter().any(|word| {
-            word.witness == *own && word.about == incarnation && word.hearing == Hearing::Silent
+        let has_voted = row.words.iter().any(|vote| {
+            vote.witness == *own && vote.about == incarnation && vote.hearing == Hearing::Silent
         });
-        if said && !answers {
+        if has_voted && !is_answering {
             return;
         }
-        let word = RegistrarWord {
+        let vote = RegistrarVote {
             daemon: about.clone(),
             about: incarnation,
-            hearing: if answers {
+            hearing: if is_answering {
                 Hearing::Heard
             } else {
                 Hearing::Silent
             },
         };
-        self.say(&word, table);
+        self.cast_vote(&vote, table);
         let daemon = about.clone();
-        actions.push(ExchangeAction::Complaint { daemon, answers });
+        actions.push(ExchangeAction::PeerChanged {
+            daemon,
+            is_answering,
+        });
     }
 
-    fn pick(&mut self, table: &MemberTable) -> Vec<EntryContact> {
+    fn pick_targets(&mut self, table: &MemberTable) -> Vec<EntryContact> {
         let live = table.live_entries().map(MemberFacts::contact);
         let others =
             live.filter(|peer| peer.daemon != self.own.contact.daemon && self.in_group(peer));
         let others: Vec<EntryContact> = others.collect();
         let picked = others.sample(&mut self.generator, GOSSIP_FANOUT);
         let mut picked: Vec<EntryContact> = picked.cloned().collect();
-        if picked.is_empty() || self.round.is_multiple_of(OUTSIDER_ROUNDS) {
-            let outsiders = self.outsiders(table);
-            picked.extend(outsiders.choose(&mut self.generator).cloned());
+        if picked.is_empty() || self.round.is_multiple_of(RECONNECT_ROUNDS) {
+            let reconnect_candidates = self.reconnect_candidates(table);
+            picked.extend(reconnect_candidates.choose(&mut self.generator).cloned());
         }
         picked
     }
 
     /// Returns entries of the group that are gone, or known only from settings or the list of VMs.
-    fn outsiders(&self, table: &MemberTable) -> Vec<EntryContact> {
+    fn reconnect_candidates(&self, table: &MemberTable) -> Vec<EntryContact> {
         let gone = table.members().filter(|view| {
             view.facts.is_entry()
                 && view.state == MemberState::Gone
@@ -328,8 +336,8 @@
         let gone = gone.map(|view| view.facts.contact());
         let hinted = table.hinted_entries().chain(&self.seeds).cloned();
         let unknown = hinted.filter(|contact| table.row(&contact.daemon).is_none());
-        let outsiders = gone.chain(unknown);
-        outsiders
+        let reconnect_candidates = gone.chain(unknown);
+        reconnect_candidates
             .filter(|contact| contact.daemon != self.own.contact.daemon && self.in_group(contact))
             .collect()
     }
@@ -337,15 +345,15 @@
     fn gossip(
         &mut self,
         table: &MemberTable,
-        stops: &StopBoard,
+        stops: &StopRegistry,
         generation: Generation,
         digest: bool,
     ) -> EntryGossip {
         let mut rows = vec![self.own_row(generation)];
-        let told = take_sends(&mut self.rumors);
-        rows.extend(told.iter().filter_map(|name| table.row(name)).cloned());
-        let told = take_sends(&mut self.stop_rumors);
-        let words = told.into_iter().filter_map(|daemon| {
+        let names = take_due(&mut self.rumors);
+        rows.extend(names.iter().filter_map(|name| table.row(name)).cloned());
+        let names = take_due(&mut self.stop_rumors);
+        let words = names.into_iter().filter_map(|daemon| {
             let word = stops.word(&daemon)?;
             Some(NamedStop { daemon, word })
         });
@@ -360,28 +368,28 @@
         }
     }
 
-    /// Merges rows. With `tell`, rows that changed the table are queued to be gossiped. Returns how
+    /// Merges rows. With `forward`, rows that changed the table are queued to be gossiped. Returns how
     /// many changed it.
-    fn take_rows<'a>(
+    fn merge_rows<'a>(
         &mut self,
         rows: impl Iterator<Item = &'a MemberRow>,
-        tell: bool,
+        forward: bool,
         table: &mut MemberTable,
         now: ClockTime,
     ) -> (usize, Vec<ExchangeAction>) {
-        let mut news = 0;
+        let mut changed = 0;
         let mut actions = Vec::new();
         for row in rows {
             if row.facts.daemon == self.own.contact.daemon {
-                actions.extend(self.own.look_at(row, now));
+                actions.extend(self.own.check_row(row, now));
             } else if table.merge(row, now) {
-                news += 1;
-                if tell {
-                    self.tell_row(&row.facts.daemon);
+                changed += 1;
+                if forward {
+                    self.queue_row(&row.facts.daemon);
                 }
             }
         }
-        (news, actions)
+        (changed, actions)
     }
 }
 
--- a/crates/oatpier-membership/src/exchange/reach.rs
+++ b/crates/oatpier-membership/src/exchange/isolation.rs
@@ -12,43 +12,43 @@
 
 /// How long calls and heartbeats count as recent. An agent's heartbeats are at most 2.6 s apart,
 /// and the first silent vote on a peer takes 3.5 s of lost calls.
-pub(crate) const HEARD_WITHIN: Duration = Duration::from_millis(2_700);
+pub(crate) const RECENT_WINDOW: Duration = Duration::from_millis(2_700);
 
 /// How long an entry that receives nothing withholds its votes. If it is cut off, the others have
 /// removed it by then; if not, the others are dead.
-const ISOLATED_MOST: Duration = Duration::from_secs(10);
+const ISOLATION_MAX: Duration = Duration::from_secs(10);
 
 /// How many of the expected members an entry can reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct HeardShare {
+pub struct ReachableShare {
     /// The number that were reached recently.
-    pub heard: usize,
+    pub reachable: usize,
     /// The number that were not.
     pub missed: usize,
 }
 
-impl HeardShare {
-    fn is_minor(self) -> bool {
-        self.missed > self.heard
+impl ReachableShare {
+    fn is_minority(self) -> bool {
+        self.missed > self.reachable
     }
 
     fn is_empty(self) -> bool {
-        self.heard + self.missed == 0
+        self.reachable + self.missed == 0
     }
 }
 
 /// The latest call to or from each entry, and since when this entry has reached too few.
 #[derive(Debug, Clone, Default)]
-pub(super) struct ReachBook {
+pub(super) struct IsolationDetector {
     latest: IndexMap<DaemonName, (bool, ClockTime)>,
     since: Option<ClockTime>,
     isolated: bool,
 }
 
-impl ReachBook {
-    /// Records whether a peer called or answered (`heard`), or left a call unanswered.
-    pub(super) fn note(&mut self, peer: &DaemonName, heard: bool, now: ClockTime) {
-        self.latest.insert(peer.clone(), (heard, now));
+impl IsolationDetector {
+    /// Records whether a peer called or answered (`reachable`), or left a call unanswered.
+    pub(super) fn note(&mut self, peer: &DaemonName, reachable: bool, now: ClockTime) {
+        self.latest.insert(peer.clone(), (reachable, now));
     }
 
     /// Whether this entry was isolated at the last check.
@@ -57,7 +57,7 @@
     }
 
     /// Whether this entry reached enough at the last check.
-    pub(super) fn hears(&self) -> bool {
+    pub(super) fn is_connected(&self) -> bool {
         self.since.is_none()
     }
 
@@ -66,26 +66,30 @@
     /// such as the loss of a rack.
     pub(super) fn check(
         &mut self,
-        agents: HeardShare,
+        agents: ReachableShare,
         live: impl Fn(&DaemonName) -> bool,
         now: ClockTime,
     ) -> bool {
         self.latest
-            .retain(|peer, (_, at)| now.since(*at) < HEARD_WITHIN && live(peer));
-        let heard = self.latest.values().filter(|(heard, _)| *heard).count();
-        let entries = HeardShare {
-            heard,
-            missed: self.latest.len() - heard,
+            .retain(|peer, (_, at)| now.since(*at) < RECENT_WINDOW && live(peer));
+        let reachable = self
+            .latest
+            .values()
+            .filter(|(reachable, _)| *reachable)
+            .count();
+        let entries = ReachableShare {
+            reachable,
+            missed: self.latest.len() - reachable,
         };
-        let few = entries.is_minor() && (agents.is_empty() || agents.is_minor());
-        if !few {
+        let has_minority = entries.is_minority() && (agents.is_empty() || agents.is_minority());
+        if !has_minority {
             self.since = None;
         } else if self.since.is_none() {
             self.since = Some(now);
         }
         self.isolated = self
             .since
-            .is_some_and(|since| now.since(since) < ISOLATED_MOST);
+            .is_some_and(|since| now.since(since) < ISOLATION_MAX);
         self.isolated
     }
 }
--- a/crates/oatpier-membership/src/exchange/mod.rs
+++ b/crates/oatpier-membership/src/exchange/mod.rs
@@ -12,9 +12,9 @@
 //! others suspends its silent votes for a while.
 
 mod group;
+mod isolation;
 mod own;
 mod probe;
-mod reach;
 mod rumors;
 mod summaries;
 
@@ -26,9 +26,9 @@
 use crate::messages::{EntryContact, EntryGossip, SummaryCall};
 
 pub use group::EntryExchange;
+pub(crate) use isolation::RECENT_WINDOW;
+pub use isolation::ReachableShare;
 pub use probe::LOST_IN_ROW;
-pub(crate) use reach::HEARD_WITHIN;
-pub use reach::HeardShare;
 pub use summaries::{SUMMARY_BURST, SUMMARY_EVERY, SUMMARY_ROWS_PER_SECOND, SummaryExchange};
 
 /// The interval between two rounds of gossip.
@@ -91,17 +91,17 @@
         call: Box<SummaryCall>,
     },
     /// This entry's incarnation rose: its votes must be sent again.
-    Renewed,
+    IncarnationRaised,
     /// Another entry knows an earlier boot of this entry.
     Former {
         /// What is known of that boot.
         former: crate::messages::FormerBoot,
     },
     /// This entry's own calls showed that a peer became unreachable, or reachable again.
-    Complaint {
+    PeerChanged {
         /// The peer.
         daemon: DaemonName,
         /// Whether the peer answers.
-        answers: bool,
+        is_answering: bool,
     },
 }
--- a/crates/oatpier-membership/src/exchange/own.rs
+++ b/crates/oatpier-membership/src/exchange/own.rs
@@ -9,7 +9,7 @@
 
 use super::ExchangeAction;
 use crate::backoff::RetryBackoff;
-use crate::members::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, NEEDED_WORDS};
+use crate::members::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, REMOVAL_VOTES};
 use crate::messages::{EntryContact, FormerBoot};
 
 /// Bounds of the delay between two refutations. The upper bound is harmless: the entry that voted
@@ -43,10 +43,10 @@
     }
 
     pub(super) fn set_phase(&mut self, phase: MemberPhase) -> Vec<ExchangeAction> {
-        let back = phase < self.phase;
+        let is_return = phase < self.phase;
         self.phase = phase;
-        if back {
-            return self.rise(self.incarnation + 1);
+        if is_return {
+            return self.raise_incarnation(self.incarnation + 1);
         }
         Vec::new()
     }
@@ -71,10 +71,10 @@
     /// remove this entry, need a higher incarnation. Silent votes are refuted with increasing
     /// delay. A single one is left to the entry that voted, which calls again: each higher
     /// incarnation makes all votes of this entry be sent again.
-    pub(super) fn look_at(&mut self, row: &MemberRow, now: ClockTime) -> Vec<ExchangeAction> {
+    pub(super) fn check_row(&mut self, row: &MemberRow, now: ClockTime) -> Vec<ExchangeAction> {
         let facts = &row.facts;
         if facts.boot != self.boot && facts.incarnation >= self.incarnation {
-            let mut actions = self.rise(facts.incarnation + 1);
+            let mut actions = self.raise_incarnation(facts.incarnation + 1);
             let former = FormerBoot {
                 incarnation: facts.incarnation,
                 generation: facts.generation,
@@ -83,22 +83,22 @@
             return actions;
         }
         let about = self.incarnation;
-        let current = row.words.iter().filter(|word| word.about == about);
-        let complaints = current
-            .filter(|word| word.hearing == Hearing::Silent)
+        let current = row.words.iter().filter(|vote| vote.about == about);
+        let silent_votes = current
+            .filter(|vote| vote.hearing == Hearing::Silent)
             .count();
-        if complaints < NEEDED_WORDS || now < self.refute_at {
+        if silent_votes < REMOVAL_VOTES || now < self.refute_at {
             return Vec::new();
         }
         self.refute_at = self.backoff.failed(now, &mut self.generator);
-        self.rise(self.incarnation + 1)
+        self.raise_incarnation(self.incarnation + 1)
     }
 
-    pub(super) fn rise(&mut self, incarnation: u64) -> Vec<ExchangeAction> {
+    pub(super) fn raise_incarnation(&mut self, incarnation: u64) -> Vec<ExchangeAction> {
         if incarnation <= self.incarnation {
             return Vec::new();
         }
         self.incarnation = incarnation;
-        vec![ExchangeAction::Renewed]
+        vec![ExchangeAction::IncarnationRaised]
     }
 }
--- a/crates/oatpier-membership/src/exchange/rumors.rs
+++ b/crates/oatpier-membership/src/exchange/rumors.rs
@@ -4,11 +4,11 @@
 use oatpier_types::names::DaemonName;
 
 /// Returns the names to send and decrements the count of each.
-pub(super) fn take_sends(rumors: &mut IndexMap<DaemonName, u8>) -> Vec<DaemonName> {
+pub(super) fn take_due(rumors: &mut IndexMap<DaemonName, u8>) -> Vec<DaemonName> {
     let names = rumors.keys().cloned().collect();
-    for left in rumors.values_mut() {
-        *left -= 1;
+    for remaining in rumors.values_mut() {
+        *remaining -= 1;
     }
-    rumors.retain(|_, left| *left > 0);
+    rumors.retain(|_, remaining| *remaining > 0);
     names
 }
--- a/crates/oatpier-membership/src/exchange/summaries.rs
+++ b/crates/oatpier-membership/src/exchange/summaries.rs
@@ -16,7 +16,8 @@
 use crate::messages::{EntryContact, SummaryCall};
 use crate::rendezvous;
 use crate::summary::{
-    ModelSummary, SummaryBook, SummaryCursor, SummaryKey, ZoneSummary, aged, made_at, summarize,
+    ModelSummary, SummaryCursor, SummaryKey, SummaryTable, ZoneSummary, created_at, summarize,
+    with_age,
 };
 
 /// The interval between two summaries to one availability zone.
@@ -33,20 +34,20 @@
 const KEPT_CONTACTS: usize = 6;
 
 /// The number of own entries that a summary names as contacts.
-const GIVEN_CONTACTS: usize = 3;
+const SENT_CONTACTS: usize = 3;
 
 #[derive(Debug, Clone, Default)]
-struct FarZone {
+struct RemoteZone {
     contacts: SmallVec<[EntryContact; KEPT_CONTACTS]>,
     cursor: SummaryCursor,
     open: Option<(DaemonName, Vec<SummaryKey>)>,
 }
 
 #[derive(Debug, Clone)]
-struct PassedRow {
+struct ForwardedRow {
     zone: ZoneName,
     row: ModelSummary,
-    made: ClockTime,
+    created: ClockTime,
     sends: u8,
 }
 
@@ -55,10 +56,10 @@
 #[derive(Debug, Clone)]
 pub struct SummaryExchange {
     own: EntryContact,
-    zones: IndexMap<ZoneName, FarZone>,
-    passed: Vec<PassedRow>,
+    zones: IndexMap<ZoneName, RemoteZone>,
+    forwarded: Vec<ForwardedRow>,
     next: ClockTime,
-    last: ClockTime,
+    refilled_at: ClockTime,
     /// The number of rows that may be sent, in thousandths.
     allowance: u64,
     generator: ChaCha8Rng,
@@ -71,9 +72,9 @@
         Self {
             own,
             zones: IndexMap::new(),
-            passed: Vec::new(),
+            forwarded: Vec::new(),
             next: now + jittered(SUMMARY_EVERY, &mut generator),
-            last: now,
+            refilled_at: now,
             allowance: SUMMARY_BURST * 1_000,
             generator,
         }
@@ -108,7 +109,7 @@
             .live_entries()
             .filter(|entry| entry.zone == self.own.zone);
         let near: Vec<EntryContact> = near.map(crate::members::MemberFacts::contact).collect();
-        near.sample(&mut self.generator, GIVEN_CONTACTS)
+        near.sample(&mut self.generator, SENT_CONTACTS)
             .cloned()
             .collect()
     }
@@ -125,25 +126,25 @@
             return Vec::new();
         }
         self.next = now + jittered(SUMMARY_EVERY, &mut self.generator);
-        if !self.speaks(table) {
+        if !self.is_sender(table) {
             return Vec::new();
         }
         let rows = summarize(table);
-        let most = self.refill(now);
+        let max_rows = self.refill(now);
         let contacts = self.own_contacts(table);
         let mut actions = Vec::new();
         let mut used = 0;
-        for far in self.zones.values_mut() {
-            let Some(to) = far.contacts.choose(&mut self.generator).cloned() else {
+        for remote in self.zones.values_mut() {
+            let Some(to) = remote.contacts.choose(&mut self.generator).cloned() else {
                 continue;
             };
-            if far.open.is_some() {
+            if remote.open.is_some() {
                 continue;
             }
-            let models = far.cursor.next_rows(&rows, most, now);
+            let models = remote.cursor.next_rows(&rows, max_rows, now);
             used = used.max(models.len() as u64);
             let keys = models.iter().map(|row| row.key.clone()).collect();
-            far.open = Some((to.daemon.clone(), keys));
+            remote.open = Some((to.daemon.clone(), keys));
             let call = Box::new(SummaryCall {
                 from: self.own.clone(),
                 generation,
@@ -160,55 +161,57 @@
     }
 
     /// Handles the end of a summary call.
-    pub fn ended(&mut self, to: &EntryContact, answered: bool) {
-        let Some(far) = self.zones.get_mut(&to.zone) else {
+    pub fn handle_end(&mut self, to: &EntryContact, answered: bool) {
+        let Some(remote) = self.zones.get_mut(&to.zone) else {
             return;
         };
-        let Some((_, keys)) = far.open.take_if(|open| open.0 == to.daemon) else {
+        let Some((_, keys)) = remote.open.take_if(|open| open.0 == to.daemon) else {
             return;
         };
         if !answered {
-            far.cursor.lost(&keys);
+            remote.cursor.mark_lost(&keys);
             // The last contact is kept even if it does not answer: it may be the only way to
             // reconnect.
-            if far.contacts.len() > 1 {
-                far.contacts.retain(|contact| contact.daemon != to.daemon);
+            if remote.contacts.len() > 1 {
+                remote
+                    .contacts
+                    .retain(|contact| contact.daemon != to.daemon);
             }
         }
     }
 
     /// Takes in a summary and queues its new rows to be forwarded within the group.
-    pub fn take(&mut self, summary: &ZoneSummary, book: &mut SummaryBook, now: ClockTime) {
+    pub fn merge(&mut self, summary: &ZoneSummary, known: &mut SummaryTable, now: ClockTime) {
         if summary.zone == self.own.zone {
             return;
         }
-        for row in book.merge(summary, now) {
-            let made = made_at(&row, now);
-            self.passed.push(PassedRow {
+        for row in known.merge(summary, now) {
+            let created = created_at(&row, now);
+            self.forwarded.push(ForwardedRow {
                 zone: summary.zone.clone(),
                 row,
-                made,
+                created,
                 sends: SUMMARY_SENDS,
             });
         }
     }
 
     /// Returns the rows to send with the next gossip.
-    pub fn pass_on(&mut self, now: ClockTime) -> Vec<ZoneSummary> {
+    pub fn take_forwarded(&mut self, now: ClockTime) -> Vec<ZoneSummary> {
         let mut zones: IndexMap<ZoneName, Vec<ModelSummary>> = IndexMap::new();
-        for passed in &mut self.passed {
-            passed.sends -= 1;
-            let rows = zones.entry(passed.zone.clone()).or_default();
-            rows.push(aged(&passed.row, passed.made, now));
+        for forwarded in &mut self.forwarded {
+            forwarded.sends -= 1;
+            let rows = zones.entry(forwarded.zone.clone()).or_default();
+            rows.push(with_age(&forwarded.row, forwarded.created, now));
         }
-        self.passed.retain(|passed| passed.sends > 0);
+        self.forwarded.retain(|forwarded| forwarded.sends > 0);
         let zones = zones.into_iter();
         zones
             .map(|(zone, models)| ZoneSummary { zone, models })
             .collect()
     }
 
-    fn speaks(&self, table: &MemberTable) -> bool {
+    fn is_sender(&self, table: &MemberTable) -> bool {
         let near = table
             .live_entries()
             .filter(|entry| entry.zone == self.own.zone);
@@ -220,8 +223,8 @@
     }
 
     fn refill(&mut self, now: ClockTime) -> usize {
-        let elapsed = now.since(self.last).as_millis().min(3_600_000);
-        self.last = now;
+        let elapsed = now.since(self.refilled_at).as_millis().min(3_600_000);
+        self.refilled_at = now;
         let gained = u64::try_from(elapsed).unwrap_or(0) * SUMMARY_ROWS_PER_SECOND;
         self.allowance = (self.allowance + gained).min(SUMMARY_BURST * 1_000);
         usize::try_from(self.allowance / 1_000).unwrap_or(0)
--- a/crates/oatpier-membership/src/generation.rs
+++ b/crates/oatpier-membership/src/generation.rs
@@ -165,7 +165,7 @@
     /// Returns the generation to send in a pull. It is 0 after edits that did not apply, so that
     /// the answer is the whole value.
     #[must_use]
-    pub fn have(&self) -> Generation {
+    pub fn pull_generation(&self) -> Generation {
         if self.needs_full {
             return Generation(0);
         }
@@ -283,13 +283,13 @@
                 generation: *generation,
                 value: Arc::clone(value),
             }),
-            ConfigContent::Steps(steps) => self.walk(steps),
+            ConfigContent::Steps(steps) => self.apply_steps(steps),
         }
     }
 
     /// Applies the edits that are still missing. Each result is checked against its hash, as an
     /// edit on the wrong base would give this process a content that no other process has.
-    fn walk(&self, steps: &[ConfigStep<P>]) -> Result<HeldConfig<P>, OfferOutcome> {
+    fn apply_steps(&self, steps: &[ConfigStep<P>]) -> Result<HeldConfig<P>, OfferOutcome> {
         let mut held = self.newest().ok_or(OfferOutcome::Behind)?.clone();
         for step in steps.iter().filter(|step| step.to > self.latest()) {
             if step.from != held.generation {
--- a/crates/oatpier-membership/src/lease/keeper.rs
+++ b/crates/oatpier-membership/src/lease/keeper.rs
@@ -22,7 +22,7 @@
 enum SeenLease {
     Unknown,
     Absent,
-    There(StoredLease),
+    Present(StoredLease),
 }
 
 /// Holds the planner's lease of one availability zone, or waits for it.
@@ -32,12 +32,12 @@
     boot: BootId,
     seen: SeenLease,
     seen_at: ClockTime,
-    wanted: Option<PlannerLease>,
+    proposed: Option<PlannerLease>,
     valid_until: ClockTime,
-    held: Option<Term>,
-    open: Option<OpenCall>,
-    unsure_since: Option<ClockTime>,
-    candidate: bool,
+    held_term: Option<Term>,
+    open_call: Option<OpenCall>,
+    unconfirmed_since: Option<ClockTime>,
+    is_candidate: bool,
     released: bool,
     next: ClockTime,
     generator: ChaCha8Rng,
@@ -52,12 +52,12 @@
             boot,
             seen: SeenLease::Unknown,
             seen_at: now,
-            wanted: None,
+            proposed: None,
             valid_until: ClockTime::ZERO,
-            held: None,
-            open: None,
-            unsure_since: None,
-            candidate: true,
+            held_term: None,
+            open_call: None,
+            unconfirmed_since: None,
+            is_candidate: true,
             released: false,
             next: now + jittered(RETRY_AFTER, &mut generator),
             generator,
@@ -68,17 +68,17 @@
     /// each act: a process that was paused past the end of its lease gets `None`.
     #[must_use]
     pub fn may_act(&self, now: ClockTime) -> Option<Term> {
-        self.held.filter(|_| now < self.valid_until)
+        self.held_term.filter(|_| now < self.valid_until)
     }
 
     /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
-        let next = match self.open {
+        let next = match self.open_call {
             Some(_) => ClockTime::NEVER,
             None => self.next,
         };
-        match self.held {
+        match self.held_term {
             Some(_) => next.min(self.valid_until),
             None => next,
         }
@@ -88,87 +88,87 @@
     pub fn handle(&mut self, event: LeaseEvent, now: ClockTime) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
         if now >= self.valid_until {
-            self.give_up(&mut actions);
+            self.drop_lease(&mut actions);
         }
         match event {
             LeaseEvent::Tick => {}
-            LeaseEvent::Read(read) => self.take_read(read, now, &mut actions),
-            LeaseEvent::Wrote(write) => self.take_write(write, now, &mut actions),
-            LeaseEvent::Candidate(candidate) => self.set_candidate(candidate, now),
+            LeaseEvent::Read(read) => self.handle_read(read, now, &mut actions),
+            LeaseEvent::Wrote(write) => self.handle_write(write, now, &mut actions),
+            LeaseEvent::Candidate(is_candidate) => self.set_candidate(is_candidate, now),
             LeaseEvent::Release => {
                 self.released = true;
-                self.give_up(&mut actions);
+                self.drop_lease(&mut actions);
                 self.next = now;
             }
         }
-        if self.open.is_none() && now >= self.next {
+        if self.open_call.is_none() && now >= self.next {
             self.step(now, &mut actions);
         }
         actions
     }
 
-    fn set_candidate(&mut self, candidate: bool, now: ClockTime) {
-        if candidate && !self.candidate {
+    fn set_candidate(&mut self, is_candidate: bool, now: ClockTime) {
+        if is_candidate && !self.is_candidate {
             self.next = now + jittered(RETRY_AFTER, &mut self.generator);
             self.seen = SeenLease::Unknown;
         }
-        self.candidate = candidate;
+        self.is_candidate = is_candidate;
     }
 
-    fn take_read(
+    fn handle_read(
         &mut self,
         read: Result<Option<StoredLease>, ()>,
         now: ClockTime,
         actions: &mut Vec<LeaseAction>,
     ) {
-        self.open = None;
+        self.open_call = None;
         self.next = now + jittered(RETRY_AFTER, &mut self.generator);
         let Ok(found) = read else {
             return;
         };
-        self.settle_unsure(found.as_ref(), now, actions);
-        let found = found.map_or(SeenLease::Absent, SeenLease::There);
+        self.resolve_unconfirmed(found.as_ref(), now, actions);
+        let found = found.map_or(SeenLease::Absent, SeenLease::Present);
         if found != self.seen {
             self.seen_at = now;
             self.seen = found;
         }
-        self.plan_next(now);
+        self.schedule_next(now);
     }
 
     /// After a lost answer, checks whether the lease that was read is the one that this process
     /// wrote.
-    fn settle_unsure(
+    fn resolve_unconfirmed(
         &mut self,
         found: Option<&StoredLease>,
         now: ClockTime,
         actions: &mut Vec<LeaseAction>,
     ) {
-        let Some(sent) = self.unsure_since.take() else {
+        let Some(sent) = self.unconfirmed_since.take() else {
             return;
         };
         let found = found.map(|found| &found.lease);
-        if found.is_some() && found == self.wanted.as_ref() {
-            self.written(sent, now, actions);
+        if found.is_some() && found == self.proposed.as_ref() {
+            self.confirm_write(sent, now, actions);
         } else if found.is_none_or(|found| !self.is_own(found)) {
-            self.give_up(actions);
+            self.drop_lease(actions);
         }
     }
 
-    fn take_write(&mut self, write: LeaseWrite, now: ClockTime, actions: &mut Vec<LeaseAction>) {
-        let Some(OpenCall::Write { sent }) = self.open.take() else {
+    fn handle_write(&mut self, write: LeaseWrite, now: ClockTime, actions: &mut Vec<LeaseAction>) {
+        let Some(OpenCall::Write { sent }) = self.open_call.take() else {
             return;
         };
         match write {
             LeaseWrite::Written(revision) => {
-                if let Some(lease) = self.wanted.clone() {
-                    self.seen = SeenLease::There(StoredLease { revision, lease });
+                if let Some(lease) = self.proposed.clone() {
+                    self.seen = SeenLease::Present(StoredLease { revision, lease });
                     self.seen_at = now;
                 }
-                self.written(sent, now, actions);
-                self.plan_next(now);
+                self.confirm_write(sent, now, actions);
+                self.schedule_next(now);
             }
             LeaseWrite::Conflict => {
-                self.give_up(actions);
+                self.drop_lease(actions);
                 self.seen = SeenLease::Unknown;
                 self.next = now;
             }
@@ -176,7 +176,7 @@
                 self.next = now + jittered(RETRY_AFTER, &mut self.generator);
             }
             LeaseWrite::AnswerLost => {
-                self.unsure_since = Some(sent);
+                self.unconfirmed_since = Some(sent);
                 self.next = now;
             }
         }
@@ -184,33 +184,33 @@
 
     /// Starts the lease at the time when the write was sent, as the store may have applied it right
     /// then. An answer that arrives after the end of the lease has no effect.
-    fn written(&mut self, sent: ClockTime, now: ClockTime, actions: &mut Vec<LeaseAction>) {
+    fn confirm_write(&mut self, sent: ClockTime, now: ClockTime, actions: &mut Vec<LeaseAction>) {
         let until = sent + LEASE_VALID;
-        let Some(lease) = self.wanted.as_ref().filter(|lease| !lease.released) else {
+        let Some(lease) = self.proposed.as_ref().filter(|lease| !lease.released) else {
             return;
         };
         if self.released || now >= until {
             return;
         }
         self.valid_until = until;
-        if self.held != Some(lease.term) {
-            self.held = Some(lease.term);
+        if self.held_term != Some(lease.term) {
+            self.held_term = Some(lease.term);
             actions.push(LeaseAction::Gained(lease.term));
         }
     }
 
-    fn give_up(&mut self, actions: &mut Vec<LeaseAction>) {
-        if let Some(term) = self.held.take() {
+    fn drop_lease(&mut self, actions: &mut Vec<LeaseAction>) {
+        if let Some(term) = self.held_term.take() {
             actions.push(LeaseAction::Lost(term));
         }
     }
 
-    fn plan_next(&mut self, now: ClockTime) {
+    fn schedule_next(&mut self, now: ClockTime) {
         let free = match &self.seen {
-            SeenLease::There(seen) => self.is_free(seen, now),
+            SeenLease::Present(seen) => self.is_free(seen, now),
             SeenLease::Absent | SeenLease::Unknown => true,
         };
-        self.next = if self.released || (free && self.held.is_none()) {
+        self.next = if self.released || (free && self.held_term.is_none()) {
             now
         } else {
             now + jittered(RENEW_EVERY, &mut self.generator)
@@ -231,37 +231,37 @@
     /// Reads the key if its value is unknown; otherwise writes it if the lease is free or held by
     /// this process.
     fn step(&mut self, now: ClockTime, actions: &mut Vec<LeaseAction>) {
-        if self.unsure_since.is_some() {
+        if self.unconfirmed_since.is_some() {
             return self.read(actions);
         }
-        let wanted = match (&self.seen, self.held) {
-            (SeenLease::There(seen), _) if self.released => self.release_of(seen),
-            _ if self.released || (!self.candidate && self.held.is_none()) => None,
-            (SeenLease::Absent, _) => Some((self.taken(Term(1)), None)),
-            (SeenLease::There(seen), Some(_)) => Some((renewed(seen), Some(seen.revision))),
-            (SeenLease::There(seen), None) if self.is_free(seen, now) => {
-                Some((self.taken(seen.lease.term.next()), Some(seen.revision)))
+        let proposed = match (&self.seen, self.held_term) {
+            (SeenLease::Present(seen), _) if self.released => self.released_lease(seen),
+            _ if self.released || (!self.is_candidate && self.held_term.is_none()) => None,
+            (SeenLease::Absent, _) => Some((self.new_lease(Term(1)), None)),
+            (SeenLease::Present(seen), Some(_)) => Some((renewed_lease(seen), Some(seen.revision))),
+            (SeenLease::Present(seen), None) if self.is_free(seen, now) => {
+                Some((self.new_lease(seen.lease.term.next()), Some(seen.revision)))
             }
             _ => return self.read(actions),
         };
-        match wanted {
+        match proposed {
             Some((lease, expected)) => self.write(lease, expected, now, actions),
             None => self.next = ClockTime::NEVER,
         }
     }
 
-    fn release_of(&self, seen: &StoredLease) -> Option<(PlannerLease, Option<Revision>)> {
+    fn released_lease(&self, seen: &StoredLease) -> Option<(PlannerLease, Option<Revision>)> {
         if !self.is_own(&seen.lease) || seen.lease.released {
             return None;
         }
         let lease = PlannerLease {
             released: true,
-            ..renewed(seen)
+            ..renewed_lease(seen)
         };
         Some((lease, Some(seen.revision)))
     }
 
-    fn taken(&self, term: Term) -> PlannerLease {
+    fn new_lease(&self, term: Term) -> PlannerLease {
         PlannerLease {
             holder: self.own.clone(),
             boot: self.boot,
@@ -272,7 +272,7 @@
     }
 
     fn read(&mut self, actions: &mut Vec<LeaseAction>) {
-        self.open = Some(OpenCall::Read);
+        self.open_call = Some(OpenCall::Read);
         actions.push(LeaseAction::Read);
     }
 
@@ -283,13 +283,13 @@
         now: ClockTime,
         actions: &mut Vec<LeaseAction>,
     ) {
-        self.open = Some(OpenCall::Write { sent: now });
-        self.wanted = Some(lease.clone());
+        self.open_call = Some(OpenCall::Write { sent: now });
+        self.proposed = Some(lease.clone());
         actions.push(LeaseAction::Write { lease, expected });
     }
 }
 
-fn renewed(seen: &StoredLease) -> PlannerLease {
+fn renewed_lease(seen: &StoredLease) -> PlannerLease {
     PlannerLease {
         renewals: seen.lease.renewals + 1,
         ..seen.lease.clone()
--- a/crates/oatpier-membership/src/members/evidence.rs
+++ b/crates/oatpier-membership/src/members/evidence.rs
@@ -18,36 +18,36 @@
 
 /// The latest evidence on each peer, kept for a limited time.
 #[derive(Debug, Clone)]
-pub struct PathMemory {
-    lasts: Duration,
+pub struct EvidenceCache {
+    ttl: Duration,
     latest: IndexMap<DaemonName, (PathEvidence, ClockTime)>,
 }
 
-impl PathMemory {
-    /// Creates an empty store of evidence that expires after `lasts`.
+impl EvidenceCache {
+    /// Creates an empty store of evidence that expires after `ttl`.
     #[must_use]
-    pub fn new(lasts: Duration) -> Self {
+    pub fn new(ttl: Duration) -> Self {
         Self {
-            lasts,
+            ttl,
             latest: IndexMap::new(),
         }
     }
 
     /// Records evidence.
-    pub fn note(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
+    pub fn record(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
         self.latest.insert(daemon.clone(), (evidence, now));
     }
 
     /// Returns the evidence on a peer, unless it has expired.
     #[must_use]
-    pub fn on(&self, daemon: &DaemonName, now: ClockTime) -> Option<PathEvidence> {
+    pub fn get(&self, daemon: &DaemonName, now: ClockTime) -> Option<PathEvidence> {
         let (evidence, at) = self.latest.get(daemon)?;
-        (now.since(*at) < self.lasts).then_some(*evidence)
+        (now.since(*at) < self.ttl).then_some(*evidence)
     }
 
     /// Drops expired evidence.
     pub fn prune(&mut self, now: ClockTime) {
-        let lasts = self.lasts;
-        self.latest.retain(|_, (_, at)| now.since(*at) < lasts);
+        let ttl = self.ttl;
+        self.latest.retain(|_, (_, at)| now.since(*at) < ttl);
     }
 }
--- a/crates/oatpier-membership/src/members/mod.rs
+++ b/crates/oatpier-membership/src/members/mod.rs
@@ -11,9 +11,9 @@
 mod state;
 mod table;
 
-pub use evidence::{PathEvidence, PathMemory};
+pub use evidence::{EvidenceCache, PathEvidence};
 pub use row::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, WitnessWord};
 pub use table::{
-    EVIDENCE_LASTS, GONE_KEPT, LostRegistrar, MemberChange, MemberState, MemberTable, MemberView,
-    NEEDED_WORDS, TableDeltas, TableLimits, UNWITNESSED_SUSPECT, VmHint,
+    EVIDENCE_TTL, GONE_KEPT, LostRegistrar, MemberChange, MemberState, MemberTable, MemberView,
+    REMOVAL_VOTES, SUSPECT_AFTER, TableDeltas, TableLimits, VmHint,
 };
--- a/crates/oatpier-membership/src/members/row.rs
+++ b/crates/oatpier-membership/src/members/row.rs
@@ -147,28 +147,28 @@
             // This alone is not gossiped. It is the lower bound for the next boot of the process.
             self.facts.generation = self.facts.generation.max(other.facts.generation);
         }
-        for word in &other.words {
-            changed |= self.merge_word(word);
+        for vote in &other.words {
+            changed |= self.merge_vote(vote);
         }
-        changed | self.forget_old_words()
+        changed | self.drop_old_votes()
     }
 
     /// Takes in a vote if it is later than the earlier one of the same witness. Returns whether it
     /// was.
-    pub fn merge_word(&mut self, word: &WitnessWord) -> bool {
+    pub fn merge_vote(&mut self, vote: &WitnessWord) -> bool {
         let known = self
             .words
             .iter_mut()
-            .find(|known| known.witness == word.witness);
+            .find(|known| known.witness == vote.witness);
         match known {
-            Some(known) if known.order >= word.order => false,
+            Some(known) if known.order >= vote.order => false,
             Some(known) => {
-                *known = word.clone();
+                *known = vote.clone();
                 true
             }
-            None if word.about < self.facts.incarnation => false,
+            None if vote.about < self.facts.incarnation => false,
             None => {
-                self.words.push(word.clone());
+                self.words.push(vote.clone());
                 self.words
                     .sort_by(|left, right| left.witness.cmp(&right.witness));
                 true
@@ -187,18 +187,18 @@
         hasher.update(&[phase as u8]);
         hasher.update(&sequence.to_le_bytes());
         hasher.update(&boot.0.to_le_bytes());
-        for word in &self.words {
-            hasher.update(word.witness.as_str().as_bytes());
-            hasher.update(&word.order.0.to_le_bytes());
-            hasher.update(&word.order.1.to_le_bytes());
+        for vote in &self.words {
+            hasher.update(vote.witness.as_str().as_bytes());
+            hasher.update(&vote.order.0.to_le_bytes());
+            hasher.update(&vote.order.1.to_le_bytes());
         }
         hasher.digest()
     }
 
-    fn forget_old_words(&mut self) -> bool {
+    fn drop_old_votes(&mut self) -> bool {
         let before = self.words.len();
         let incarnation = self.facts.incarnation;
-        self.words.retain(|word| word.about >= incarnation);
+        self.words.retain(|vote| vote.about >= incarnation);
         self.words.len() != before
     }
 }
--- a/crates/oatpier-membership/src/members/state.rs
+++ b/crates/oatpier-membership/src/members/state.rs
@@ -10,19 +10,19 @@
 use super::evidence::PathEvidence;
 use super::row::{Hearing, MemberFacts, MemberPhase, MemberRow, WitnessWord};
 use super::table::{
-    GONE_KEPT, LostRegistrar, MemberChange, MemberState, MemberTable, NEEDED_WORDS, TableRecord,
-    UNWITNESSED_SUSPECT,
+    GONE_KEPT, LostRegistrar, MemberChange, MemberState, MemberTable, REMOVAL_VOTES, SUSPECT_AFTER,
+    TableRecord,
 };
 use crate::registrar::REGISTRARS;
 use crate::rendezvous;
 
 /// The evidence for and against a member.
-struct WordCount {
-    heard: usize,
+struct VoteCount {
+    reachable: usize,
     silent: usize,
     failed: bool,
     needed: usize,
-    unheard_for: Duration,
+    unreachable_for: Duration,
 }
 
 impl MemberTable {
@@ -48,31 +48,31 @@
             if self.records[index].row.facts.is_entry() != entries {
                 continue;
             }
-            let heard = self.heard(&self.records[index].row);
-            if heard {
-                self.records[index].witnessed = now;
+            let reachable = self.is_reachable(&self.records[index].row);
+            if reachable {
+                self.records[index].last_reachable = now;
             }
-            let state = self.derive(&self.records[index], expected, now);
+            let state = self.derive_state(&self.records[index], expected, now);
             changes.extend(set_state(&mut self.records[index], state, now));
         }
         changes
     }
 
-    fn derive(&self, record: &TableRecord, expected: usize, now: ClockTime) -> MemberState {
+    fn derive_state(&self, record: &TableRecord, expected: usize, now: ClockTime) -> MemberState {
         let facts = &record.row.facts;
         if facts.phase == MemberPhase::Left {
             return MemberState::Gone;
         }
-        let evidence = self.evidence.on(&facts.daemon, now);
+        let evidence = self.evidence.get(&facts.daemon, now);
         if facts.daemon == self.own || evidence == Some(PathEvidence::Answered) {
             return serving_state(facts);
         }
-        if record.dropped.as_ref() == Some(&record.row.words) {
+        if record.dropped_votes.as_ref() == Some(&record.row.words) {
             return MemberState::Gone;
         }
         let others = expected.saturating_sub(usize::from(facts.is_entry()));
         let failed = evidence == Some(PathEvidence::Failed);
-        let count = self.count(record, others, failed, now);
+        let count = self.count_votes(record, others, failed, now);
         if facts.is_entry() {
             entry_state(facts, &count)
         } else {
@@ -80,57 +80,57 @@
         }
     }
 
-    fn count(
+    fn count_votes(
         &self,
         record: &TableRecord,
         others: usize,
         failed: bool,
         now: ClockTime,
-    ) -> WordCount {
-        let live: SmallVec<[&WitnessWord; 4]> = self.live_words(&record.row).collect();
-        let says = |hearing| live.iter().filter(move |word| word.hearing == hearing);
-        let heard = says(Hearing::Heard).count();
-        let own_silent = says(Hearing::Silent).any(|word| word.witness == self.own);
-        let silent = says(Hearing::Silent).count() + usize::from(failed && !own_silent);
-        WordCount {
-            heard,
+    ) -> VoteCount {
+        let live: SmallVec<[&WitnessWord; 4]> = self.live_votes(&record.row).collect();
+        let votes_for = |hearing| live.iter().filter(move |vote| vote.hearing == hearing);
+        let reachable = votes_for(Hearing::Heard).count();
+        let own_silent = votes_for(Hearing::Silent).any(|vote| vote.witness == self.own);
+        let silent = votes_for(Hearing::Silent).count() + usize::from(failed && !own_silent);
+        VoteCount {
+            reachable,
             silent,
             failed,
-            needed: others.clamp(1, NEEDED_WORDS),
-            unheard_for: now.since(record.witnessed),
+            needed: others.clamp(1, REMOVAL_VOTES),
+            unreachable_for: now.since(record.last_reachable),
         }
     }
 
     /// Counts live registrars that can reach a member.
-    fn heard_count(&self, row: &MemberRow) -> usize {
-        let words = self.live_words(row);
-        words.filter(|word| word.hearing == Hearing::Heard).count()
+    fn reachable_count(&self, row: &MemberRow) -> usize {
+        let words = self.live_votes(row);
+        words.filter(|vote| vote.hearing == Hearing::Heard).count()
     }
 
     /// Whether an entry other than this process can reach a member.
     #[must_use]
-    pub fn is_heard_elsewhere(&self, daemon: &DaemonName) -> bool {
+    pub fn is_reachable_elsewhere(&self, daemon: &DaemonName) -> bool {
         let Some(row) = self.row(daemon) else {
             return false;
         };
-        let mut others = self.live_words(row).filter(|word| word.witness != self.own);
-        others.any(|word| word.hearing == Hearing::Heard)
+        let mut others = self.live_votes(row).filter(|vote| vote.witness != self.own);
+        others.any(|vote| vote.hearing == Hearing::Heard)
     }
 
-    fn heard(&self, row: &MemberRow) -> bool {
-        self.heard_count(row) > 0
+    fn is_reachable(&self, row: &MemberRow) -> bool {
+        self.reachable_count(row) > 0
     }
 
     /// Returns the votes of live witnesses. The last vote of a witness that died or restarted is
     /// ignored, as it says nothing about the present.
-    fn live_words<'a>(&'a self, row: &'a MemberRow) -> impl Iterator<Item = &'a WitnessWord> {
+    fn live_votes<'a>(&'a self, row: &'a MemberRow) -> impl Iterator<Item = &'a WitnessWord> {
         let about = row.facts.incarnation;
-        row.words.iter().filter(move |word| {
-            let witness = self.records.get(&word.witness);
-            word.about == about
+        row.words.iter().filter(move |vote| {
+            let witness = self.records.get(&vote.witness);
+            vote.about == about
                 && witness.is_some_and(|witness| {
                     witness.state != MemberState::Gone
-                        && word.order.0 >= witness.row.facts.incarnation
+                        && vote.order.0 >= witness.row.facts.incarnation
                 })
         })
     }
@@ -145,8 +145,8 @@
             let primary = primary_registrar(row);
             let lost = primary.is_some_and(|primary| lost.contains(&primary));
             // An agent that already has its next registrar is registered again.
-            if lost && self.heard_count(row) < REGISTRARS {
-                self.records[index].dropped = Some(row.words.clone());
+            if lost && self.reachable_count(row) < REGISTRARS {
+                self.records[index].dropped_votes = Some(row.words.clone());
             }
         }
     }
@@ -158,10 +158,10 @@
     let witnesses = row
         .words
         .iter()
-        .filter(|word| word.hearing == Hearing::Heard);
+        .filter(|vote| vote.hearing == Hearing::Heard);
     let key = rendezvous::registrar_key(&row.facts.daemon);
     witnesses
-        .map(|word| &word.witness)
+        .map(|vote| &vote.witness)
         .max_by_key(|witness| rendezvous::weight(&key, witness.as_str()))
 }
 
@@ -191,7 +191,7 @@
 
 /// Derives the state of an entry. Entries get silent votes only after several calls in a row went
 /// unanswered.
-fn entry_state(facts: &MemberFacts, count: &WordCount) -> MemberState {
+fn entry_state(facts: &MemberFacts, count: &VoteCount) -> MemberState {
     if count.silent >= count.needed {
         return MemberState::Gone;
     }
@@ -208,22 +208,22 @@
 /// no registrar can reach is gone with two silent votes, or with one after a time in which it would
 /// have found another registrar. An agent without any votes (its registrars died) stays, as it will
 /// register again.
-fn agent_state(facts: &MemberFacts, count: &WordCount) -> MemberState {
+fn agent_state(facts: &MemberFacts, count: &VoteCount) -> MemberState {
     let serving = serving_state(facts);
-    if count.heard > 0 {
-        let doubted = count.failed && serving == MemberState::Alive;
-        return if doubted {
+    if count.reachable > 0 {
+        let is_suspect = count.failed && serving == MemberState::Alive;
+        return if is_suspect {
             MemberState::Suspect
         } else {
             serving
         };
     }
-    let long = count.unheard_for >= UNWITNESSED_SUSPECT;
-    let given_up = count.unheard_for >= GONE_KEPT;
-    if count.silent >= count.needed || (count.silent > 0 && long) || given_up {
+    let is_overdue = count.unreachable_for >= SUSPECT_AFTER;
+    let is_expired = count.unreachable_for >= GONE_KEPT;
+    if count.silent >= count.needed || (count.silent > 0 && is_overdue) || is_expired {
         return MemberState::Gone;
     }
-    if count.silent > 0 || long {
+    if count.silent > 0 || is_overdue {
         return MemberState::Suspect;
     }
     serving
--- a/crates/oatpier-membership/src/members/table.rs
+++ b/crates/oatpier-membership/src/members/table.rs
@@ -9,16 +9,16 @@
 use oatpier_types::status::QueueReport;
 use smallvec::SmallVec;
 
-use super::evidence::{PathEvidence, PathMemory};
+use super::evidence::{EvidenceCache, PathEvidence};
 use super::row::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, WitnessWord};
 use crate::messages::EntryContact;
 use crate::summary::TableDigest;
 
 /// How long this process's own evidence is valid.
-pub const EVIDENCE_LASTS: Duration = Duration::from_secs(5);
+pub const EVIDENCE_TTL: Duration = Duration::from_secs(5);
 
 /// How long an agent that no live registrar can reach stays alive before it becomes suspect.
-pub const UNWITNESSED_SUSPECT: Duration = Duration::from_secs(30);
+pub const SUSPECT_AFTER: Duration = Duration::from_secs(30);
 
 /// How long the row of a gone member is kept, so that late messages about it are recognized as old.
 pub const GONE_KEPT: Duration = Duration::from_mins(10);
@@ -26,10 +26,10 @@
 /// How long an entry that was removed still counts among the expected witnesses. The cause of its
 /// removal may have hit other entries too, whose votes have not arrived yet. Otherwise each removal
 /// would lower the number of votes that the next one needs, down to one.
-pub const WITNESS_MISSED: Duration = Duration::from_secs(15);
+pub const WITNESS_GRACE: Duration = Duration::from_secs(15);
 
 /// The number of silent votes of different witnesses that remove a member.
-pub const NEEDED_WORDS: usize = 2;
+pub const REMOVAL_VOTES: usize = 2;
 
 /// The state of a member, as this process sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -121,8 +121,8 @@
     pub(super) row: MemberRow,
     pub(super) state: MemberState,
     pub(super) gone_since: ClockTime,
-    pub(super) witnessed: ClockTime,
-    pub(super) dropped: Option<SmallVec<[WitnessWord; 2]>>,
+    pub(super) last_reachable: ClockTime,
+    pub(super) dropped_votes: Option<SmallVec<[WitnessWord; 2]>>,
     hinted_leaving: bool,
 }
 
@@ -144,7 +144,7 @@
     pub(super) limits: TableLimits,
     pub(super) records: IndexMap<DaemonName, TableRecord>,
     hints: IndexMap<DaemonName, VmHint>,
-    pub(super) evidence: PathMemory,
+    pub(super) evidence: EvidenceCache,
     log: VecDeque<(u64, DaemonName)>,
     mark: u64,
 }
@@ -158,7 +158,7 @@
             limits,
             records: IndexMap::new(),
             hints: IndexMap::new(),
-            evidence: PathMemory::new(EVIDENCE_LASTS),
+            evidence: EvidenceCache::new(EVIDENCE_TTL),
             log: VecDeque::new(),
             mark: 0,
         }
@@ -179,11 +179,11 @@
     }
 
     /// Takes in one entry's vote on a member.
-    pub fn merge_word(&mut self, daemon: &DaemonName, word: &WitnessWord) -> bool {
+    pub fn merge_vote(&mut self, daemon: &DaemonName, vote: &WitnessWord) -> bool {
         let Some(record) = self.records.get_mut(daemon) else {
             return false;
         };
-        let changed = record.row.merge_word(word);
+        let changed = record.row.merge_vote(vote);
         if changed {
             self.log_change(daemon.clone());
         }
@@ -204,13 +204,13 @@
     }
 
     /// Records evidence on a member from this process's data path.
-    pub fn note_path(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
-        self.evidence.note(daemon, evidence, now);
+    pub fn record_evidence(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
+        self.evidence.record(daemon, evidence, now);
     }
 
     /// Takes in the list of VMs as hints: which entries to contact when none is known, and which
     /// processes may leave.
-    pub fn note_hints(&mut self, hints: impl IntoIterator<Item = VmHint>) {
+    pub fn set_hints(&mut self, hints: impl IntoIterator<Item = VmHint>) {
         self.hints = hints
             .into_iter()
             .map(|hint| (hint.contact.daemon.clone(), hint))
@@ -260,7 +260,7 @@
             record.row.facts.is_entry() && record.row.facts.phase == MemberPhase::Serving
         });
         let expected = entries.filter(|record| {
-            record.state != MemberState::Gone || now.since(record.gone_since) < WITNESS_MISSED
+            record.state != MemberState::Gone || now.since(record.gone_since) < WITNESS_GRACE
         });
         expected.count()
     }
@@ -288,8 +288,8 @@
     /// far.
     #[must_use]
     pub fn deltas_since(&self, mark: u64) -> Option<TableDeltas> {
-        let reaches = self.mark - self.log.len() as u64;
-        if mark < reaches || mark > self.mark {
+        let oldest_mark = self.mark - self.log.len() as u64;
+        if mark < oldest_mark || mark > self.mark {
             return None;
         }
         let mut names: Vec<&DaemonName> = self
@@ -321,8 +321,8 @@
 
     /// Returns the rows, including gone ones, in the parts whose hashes differ.
     #[must_use]
-    pub fn rows_apart(&self, other: &TableDigest, most_parts: usize) -> Vec<MemberRow> {
-        let parts = self.digest().differing(other, most_parts);
+    pub fn differing_rows(&self, other: &TableDigest, max_parts: usize) -> Vec<MemberRow> {
+        let parts = self.digest().differing(other, max_parts);
         self.records
             .iter()
             .filter(|(daemon, _)| parts.contains(&TableDigest::part_of(daemon.as_str())))
@@ -331,12 +331,12 @@
     }
 
     fn insert(&mut self, row: &MemberRow, now: ClockTime) -> bool {
-        let heard = row.words.iter().any(|word| word.hearing == Hearing::Heard);
+        let reachable = row.words.iter().any(|vote| vote.hearing == Hearing::Heard);
         let silent = row
             .words
             .iter()
-            .filter(|word| word.hearing == Hearing::Silent);
-        let silent = silent.count() >= NEEDED_WORDS && !heard;
+            .filter(|vote| vote.hearing == Hearing::Silent);
+        let silent = silent.count() >= REMOVAL_VOTES && !reachable;
         if silent || row.facts.phase == MemberPhase::Left {
             return false;
         }
@@ -345,8 +345,8 @@
             row: row.clone(),
             state: MemberState::Gone,
             gone_since: now,
-            witnessed: now,
-            dropped: None,
+            last_reachable: now,
+            dropped_votes: None,
             hinted_leaving: self.hints.get(&daemon).is_some_and(|hint| hint.leaving),
         };
         self.records.insert(daemon.clone(), record);
--- a/crates/oatpier-membership/src/registrar/choose.rs
+++ b/crates/oatpier-membership/src/registrar/choose.rs
@@ -30,11 +30,11 @@
 
 /// Entries that did not answer and are not used for a while.
 #[derive(Debug, Clone, Default)]
-pub(super) struct AvoidBook {
+pub(super) struct AvoidList {
     entries: IndexMap<DaemonName, AvoidedEntry>,
 }
 
-impl AvoidBook {
+impl AvoidList {
     pub(super) fn avoid(
         &mut self,
         daemon: &DaemonName,
--- a/crates/oatpier-membership/src/registrar/keeper.rs
+++ b/crates/oatpier-membership/src/registrar/keeper.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
 
-use super::choose::{AvoidBook, REGISTRARS, choose_registrars, entries_digest};
+use super::choose::{AvoidList, REGISTRARS, choose_registrars, entries_digest};
 use crate::backoff::jittered;
 use crate::members::MemberPhase;
 use crate::messages::{AgentHeartbeat, EntryContact, FormerBoot, HeartbeatAnswer, HeartbeatBody};
@@ -24,7 +24,7 @@
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// How long to wait for an answer before a heartbeat counts as lost.
-const ANSWER_WITHIN: Duration = Duration::from_millis(800);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The number of heartbeats lost in a row after which another entry replaces the registrar. With a
 /// tenth of messages lost, a lower limit would replace registrars all the time.
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatAction {
     /// Send a heartbeat.
-    Beat {
+    Send {
         /// The registrar.
         to: EntryContact,
         /// The heartbeat.
@@ -52,7 +52,7 @@
     /// A registrar knows an earlier boot of this agent.
     Former(FormerBoot),
     /// A registrar reported the generation that is in force at it.
-    Seen {
+    GenerationSeen {
         /// The registrar.
         from: EntryContact,
         /// Its generation.
@@ -81,11 +81,11 @@
     phase: MemberPhase,
     status: EndpointStatus,
     entries: IndexMap<DaemonName, EntryContact>,
-    digest: u64,
-    avoided: AvoidBook,
+    known_digest: u64,
+    avoided: AvoidList,
     slots: SmallVec<[RegistrarSlot; REGISTRARS]>,
-    turn: usize,
-    next: ClockTime,
+    next_slot: usize,
+    next_send: ClockTime,
     generator: ChaCha8Rng,
 }
 
@@ -107,11 +107,11 @@
             phase: MemberPhase::Serving,
             status,
             entries: IndexMap::new(),
-            digest: 0,
-            avoided: AvoidBook::default(),
+            known_digest: 0,
+            avoided: AvoidList::default(),
             slots: SmallVec::new(),
-            turn: 0,
-            next: now + jittered(RETRY_AFTER, &mut generator),
+            next_slot: 0,
+            next_send: now + jittered(RETRY_AFTER, &mut generator),
             generator,
         }
     }
@@ -135,7 +135,7 @@
     /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
-        self.next
+        self.next_send
     }
 
     /// Adds entries that may be used as registrars.
@@ -147,7 +147,7 @@
         for contact in contacts {
             self.entries.insert(contact.daemon.clone(), contact);
         }
-        self.choose(now);
+        self.choose_slots(now);
     }
 
     /// Sets the state of the queue, which is sent with the next heartbeat.
@@ -158,7 +158,7 @@
     /// Sets the full status. A change of what is ready is sent at once.
     pub fn set_status(&mut self, status: EndpointStatus, now: ClockTime) {
         if status.ready_sequence != self.status.ready_sequence {
-            self.next = now;
+            self.next_send = now;
         }
         self.status = status;
     }
@@ -170,7 +170,7 @@
             self.incarnation += 1;
         }
         self.phase = phase;
-        self.next = now;
+        self.next_send = now;
     }
 
     /// Whether every registrar has acknowledged the current phase and status.
@@ -184,20 +184,20 @@
     pub fn tick(&mut self, generation: Generation, now: ClockTime) -> Vec<HeartbeatAction> {
         let mut actions = Vec::new();
         self.check_lost(now, &mut actions);
-        if now < self.next {
+        if now < self.next_send {
             return actions;
         }
-        self.choose(now);
-        self.next = now + jittered(HEARTBEAT_EVERY, &mut self.generator);
+        self.choose_slots(now);
+        self.next_send = now + jittered(HEARTBEAT_EVERY, &mut self.generator);
         let order = self.order();
-        let turn = self.turn;
-        self.turn = (turn + 1) % REGISTRARS;
+        let next_slot = self.next_slot;
+        self.next_slot = (next_slot + 1) % REGISTRARS;
         for index in 0..self.slots.len() {
             let slot = &self.slots[index];
-            let urgent = slot.acked != Some(order) || slot.lost > 0;
-            let due = urgent || index == turn || self.slots.len() == 1;
-            if due && slot.sent.is_none() {
-                actions.push(self.beat(index, generation, now));
+            let is_urgent = slot.acked != Some(order) || slot.lost > 0;
+            let is_due = is_urgent || index == next_slot || self.slots.len() == 1;
+            if is_due && slot.sent.is_none() {
+                actions.push(self.build_heartbeat(index, generation, now));
             }
         }
         self.wake_for_answers(now);
@@ -205,7 +205,7 @@
     }
 
     /// Handles a registrar's answer.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         from: &DaemonName,
         answer: &HeartbeatAnswer,
@@ -213,19 +213,19 @@
     ) -> Vec<HeartbeatAction> {
         let mut actions = Vec::new();
         if let Some(former) = answer.former {
-            self.take_former(former, now);
+            self.apply_former(former, now);
             actions.push(HeartbeatAction::Former(former));
         }
         self.acknowledge(from, answer, now, &mut actions);
         if let Some(entries) = &answer.entries {
-            self.take_entries(entries, now);
+            self.replace_entries(entries, now);
         }
         actions.extend(answer.stop.map(HeartbeatAction::Stop));
         actions
     }
 
     /// Handles a heartbeat that got no answer.
-    pub fn lost(&mut self, to: &DaemonName, now: ClockTime) -> Vec<HeartbeatAction> {
+    pub fn handle_loss(&mut self, to: &DaemonName, now: ClockTime) -> Vec<HeartbeatAction> {
         let slots = &mut self.slots;
         let Some(slot) = slots.iter_mut().find(|slot| slot.contact.daemon == *to) else {
             return Vec::new();
@@ -234,14 +234,14 @@
             return Vec::new();
         }
         slot.lost += 1;
-        self.next = self
-            .next
+        self.next_send = self
+            .next_send
             .min(now + jittered(RETRY_AFTER, &mut self.generator));
         if slot.lost < LOST_IN_ROW {
             return Vec::new();
         }
         self.avoided.avoid(to, &mut self.generator, now);
-        self.choose(now);
+        self.choose_slots(now);
         vec![HeartbeatAction::Lost(RegistrarLost { daemon: to.clone() })]
     }
 
@@ -250,24 +250,29 @@
     }
 
     fn check_lost(&mut self, now: ClockTime, actions: &mut Vec<HeartbeatAction>) {
-        let late = self.slots.iter().filter(|slot| {
+        let overdue = self.slots.iter().filter(|slot| {
             slot.sent
-                .is_some_and(|(sent, _)| now.since(sent) >= ANSWER_WITHIN)
+                .is_some_and(|(sent, _)| now.since(sent) >= ANSWER_TIMEOUT)
         });
-        let late: Vec<DaemonName> = late.map(|slot| slot.contact.daemon.clone()).collect();
-        for daemon in late {
-            actions.extend(self.lost(&daemon, now));
+        let overdue: Vec<DaemonName> = overdue.map(|slot| slot.contact.daemon.clone()).collect();
+        for daemon in overdue {
+            actions.extend(self.handle_loss(&daemon, now));
         }
     }
 
     fn wake_for_answers(&mut self, now: ClockTime) {
-        let waits = self.slots.iter().any(|slot| slot.sent.is_some());
-        if waits {
-            self.next = self.next.min(now + ANSWER_WITHIN);
+        let is_waiting = self.slots.iter().any(|slot| slot.sent.is_some());
+        if is_waiting {
+            self.next_send = self.next_send.min(now + ANSWER_TIMEOUT);
         }
     }
 
-    fn beat(&mut self, index: usize, generation: Generation, now: ClockTime) -> HeartbeatAction {
+    fn build_heartbeat(
+        &mut self,
+        index: usize,
+        generation: Generation,
+        now: ClockTime,
+    ) -> HeartbeatAction {
         let order = self.order();
         let slot = &mut self.slots[index];
         slot.sent = Some((now, order));
@@ -282,7 +287,7 @@
                 ..self.status.clone()
             }))
         };
-        HeartbeatAction::Beat {
+        HeartbeatAction::Send {
             to: slot.contact.clone(),
             heartbeat: Box::new(AgentHeartbeat {
                 daemon: self.own.daemon.clone(),
@@ -292,7 +297,7 @@
                 incarnation: self.incarnation,
                 phase: self.phase,
                 generation,
-                entries_digest: self.digest,
+                entries_digest: self.known_digest,
                 body,
             }),
         }
@@ -300,9 +305,9 @@
 
     /// Handles an answer that names another boot: takes a higher incarnation and sends the full
     /// status again.
-    fn take_former(&mut self, former: FormerBoot, now: ClockTime) {
+    fn apply_former(&mut self, former: FormerBoot, now: ClockTime) {
         self.incarnation = self.incarnation.max(former.incarnation + 1);
-        self.next = now;
+        self.next_send = now;
     }
 
     fn acknowledge(
@@ -316,7 +321,7 @@
         let Some(slot) = slots.iter_mut().find(|slot| slot.contact.daemon == *from) else {
             return;
         };
-        actions.push(HeartbeatAction::Seen {
+        actions.push(HeartbeatAction::GenerationSeen {
             from: slot.contact.clone(),
             generation: answer.generation,
         });
@@ -324,13 +329,13 @@
         slot.lost = 0;
         slot.acked = if answer.need_full { None } else { sent };
         if answer.need_full {
-            self.next = now;
+            self.next_send = now;
         }
         self.avoided.forget(from);
     }
 
     /// Replaces the known entries by the registrar's list, which includes the registrar itself.
-    fn take_entries(&mut self, entries: &[EntryContact], now: ClockTime) {
+    fn replace_entries(&mut self, entries: &[EntryContact], now: ClockTime) {
         if entries.is_empty() {
             return;
         }
@@ -338,11 +343,11 @@
             .iter()
             .map(|contact| (contact.daemon.clone(), contact.clone()))
             .collect();
-        self.choose(now);
+        self.choose_slots(now);
     }
 
-    fn choose(&mut self, now: ClockTime) {
-        self.digest = entries_digest(self.entries.values());
+    fn choose_slots(&mut self, now: ClockTime) {
+        self.known_digest = entries_digest(self.entries.values());
         let usable = self.entries.values();
         let usable = usable.filter(|contact| !self.avoided.avoids(&contact.daemon, now));
         let usable: Vec<&EntryContact> = usable.collect();
--- a/crates/oatpier-membership/src/registrar/mod.rs
+++ b/crates/oatpier-membership/src/registrar/mod.rs
@@ -10,4 +10,4 @@
 
 pub use choose::{REGISTRARS, choose_registrars, entries_digest};
 pub use keeper::{HEARTBEAT_EVERY, HeartbeatAction, HeartbeatKeeper, RegistrarLost};
-pub use table::{HOLD_FIRST, HOLD_LONGEST, RegistrarTable, RegistrarWord, SILENT_AFTER};
+pub use table::{HOLD_FIRST, HOLD_LONGEST, RegistrarTable, RegistrarVote, SILENT_AFTER};
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -9,7 +9,7 @@
 use oatpier_types::names::DaemonName;
 use smallvec::SmallVec;
 
-use crate::exchange::{HEARD_WITHIN, HeardShare};
+use crate::exchange::{RECENT_WINDOW, ReachableShare};
 use crate::members::{Hearing, MemberFacts, MemberKind, MemberRow, MemberTable};
 use crate::messages::{AgentHeartbeat, EntryContact, FormerBoot, HeartbeatAnswer, HeartbeatBody};
 use crate::stops::StopWord;
@@ -30,14 +30,14 @@
 pub const HOLD_LONGEST: Duration = Duration::from_mins(1);
 
 /// After this long of being reachable without a break, an agent's earlier silences are forgotten.
-const FLAPS_FORGOTTEN: Duration = Duration::from_mins(5);
+const FLAP_RESET_AFTER: Duration = Duration::from_mins(5);
 
 /// An agent that was silent for this long is dropped by its registrar.
-const SILENT_KEPT: Duration = Duration::from_mins(10);
+const SILENT_DROP_AFTER: Duration = Duration::from_mins(10);
 
 /// A registrar's vote on an agent, to be sent to the other entries.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RegistrarWord {
+pub struct RegistrarVote {
     /// The agent.
     pub daemon: DaemonName,
     /// The incarnation that the vote is about.
@@ -52,16 +52,16 @@
     incarnation: u64,
     generation: Generation,
     contact: EntryContact,
-    last_heard: ClockTime,
-    /// As `last_heard`, but never advanced because this entry itself was isolated.
-    last_beat: ClockTime,
-    heard_since: ClockTime,
-    heard: bool,
+    silent_since: ClockTime,
+    /// As `silent_since`, but never advanced because this entry itself was isolated.
+    last_heartbeat: ClockTime,
+    steady_since: ClockTime,
+    is_reachable: bool,
     flaps: u32,
 }
 
 impl Registration {
-    fn hold(&self) -> Duration {
+    fn hold_time(&self) -> Duration {
         let doubled = HOLD_FIRST.saturating_mul(1 << self.flaps.saturating_sub(1).min(16));
         match self.flaps {
             0 => Duration::ZERO,
@@ -85,14 +85,14 @@
         heartbeat: &AgentHeartbeat,
         members: &mut MemberTable,
         now: ClockTime,
-    ) -> (HeartbeatAnswer, Option<RegistrarWord>) {
+    ) -> (HeartbeatAnswer, Option<RegistrarVote>) {
         let known = members.row(&heartbeat.daemon).map(|row| &row.facts);
         let mut former = known.and_then(|known| former_boot(known, heartbeat));
         if let (Some(former), Some(agent)) = (&mut former, self.agents.get(&heartbeat.daemon)) {
             former.generation = former.generation.max(agent.generation);
         }
-        let need_full = former.is_some() || !take_body(heartbeat, members, now);
-        let word = match former {
+        let need_full = former.is_some() || !merge_body(heartbeat, members, now);
+        let vote = match former {
             Some(_) => None,
             None => self.register(heartbeat, now),
         };
@@ -103,29 +103,29 @@
             entries: None,
             stop: None::<StopWord>,
         };
-        (answer, word)
+        (answer, vote)
     }
 
     /// Checks for agents that went silent and returns the votes that changed. Must be called every
     /// second.
     ///
-    /// `deaf` means that this entry itself was paused or is cut off. It then received nothing from
+    /// `is_isolated` means that this entry itself was paused or is cut off. It then received nothing from
     /// anyone, which says nothing about the agents.
     pub fn check(
         &mut self,
-        deaf: bool,
+        is_isolated: bool,
         members: &MemberTable,
         now: ClockTime,
-    ) -> Vec<RegistrarWord> {
+    ) -> Vec<RegistrarVote> {
         let mut words = Vec::new();
         for (daemon, agent) in &mut self.agents {
-            if deaf {
-                agent.last_heard = now;
+            if is_isolated {
+                agent.silent_since = now;
             }
-            if agent.heard && now.since(agent.last_heard) >= SILENT_AFTER {
-                agent.heard = false;
+            if agent.is_reachable && now.since(agent.silent_since) >= SILENT_AFTER {
+                agent.is_reachable = false;
                 agent.flaps += 1;
-                words.push(word_on(daemon, agent));
+                words.push(vote_on(daemon, agent));
             }
         }
         self.release(members, now, &mut words);
@@ -135,33 +135,33 @@
     /// Drops agents that were silent for long, and those that sent heartbeats to other entries but
     /// not to this one, as these have other registrars now. If this entry's vote stayed at silent,
     /// two such votes would remove the agent as soon as its current registrars die.
-    fn release(&mut self, members: &MemberTable, now: ClockTime, words: &mut Vec<RegistrarWord>) {
+    fn release(&mut self, members: &MemberTable, now: ClockTime, words: &mut Vec<RegistrarVote>) {
         self.agents.retain(|daemon, agent| {
-            let silent_for = now.since(agent.last_heard);
-            if silent_for >= RELEASE_AFTER && members.is_heard_elsewhere(daemon) {
-                words.push(RegistrarWord {
+            let silent_for = now.since(agent.silent_since);
+            if silent_for >= RELEASE_AFTER && members.is_reachable_elsewhere(daemon) {
+                words.push(RegistrarVote {
                     hearing: Hearing::Released,
-                    ..word_on(daemon, agent)
+                    ..vote_on(daemon, agent)
                 });
                 return false;
             }
-            silent_for < SILENT_KEPT
+            silent_for < SILENT_DROP_AFTER
         });
     }
 
     /// Returns all votes, to be sent again when the entry's incarnation rose and its earlier votes
     /// are void.
     #[must_use]
-    pub fn words(&self) -> Vec<RegistrarWord> {
+    pub fn words(&self) -> Vec<RegistrarVote> {
         let agents = self.agents.iter();
         agents
-            .map(|(daemon, agent)| word_on(daemon, agent))
+            .map(|(daemon, agent)| vote_on(daemon, agent))
             .collect()
     }
 
     /// Returns the agents that are reachable, with the generation in force at each.
     pub fn heard(&self) -> impl Iterator<Item = (&EntryContact, Generation)> {
-        let agents = self.agents.values().filter(|agent| agent.heard);
+        let agents = self.agents.values().filter(|agent| agent.is_reachable);
         agents.map(|agent| (&agent.contact, agent.generation))
     }
 
@@ -172,22 +172,25 @@
         }
     }
 
-    /// Returns how many of the registered agents sent a heartbeat within [`HEARD_WITHIN`].
+    /// Returns how many of the registered agents sent a heartbeat within [`RECENT_WINDOW`].
     #[must_use]
-    pub fn heard_share(&self, now: ClockTime) -> HeardShare {
-        let agents = self.agents.values().filter(|agent| agent.heard);
-        let late = |agent: &&Registration| now.since(agent.last_beat) >= HEARD_WITHIN;
-        let (missed, heard): (Vec<_>, Vec<_>) = agents.partition(late);
-        HeardShare {
-            heard: heard.len(),
+    pub fn reachable_share(&self, now: ClockTime) -> ReachableShare {
+        let agents = self.agents.values().filter(|agent| agent.is_reachable);
+        let is_late = |agent: &&Registration| now.since(agent.last_heartbeat) >= RECENT_WINDOW;
+        let (missed, reachable): (Vec<_>, Vec<_>) = agents.partition(is_late);
+        ReachableShare {
+            reachable: reachable.len(),
             missed: missed.len(),
         }
     }
 
     /// Returns the number of agents that are registered and reachable.
     #[must_use]
-    pub fn heard_count(&self) -> usize {
-        self.agents.values().filter(|agent| agent.heard).count()
+    pub fn reachable_count(&self) -> usize {
+        self.agents
+            .values()
+            .filter(|agent| agent.is_reachable)
+            .count()
     }
 
     /// Returns the registered agents with the generation in force at each.
@@ -196,33 +199,33 @@
         agents.map(|(daemon, agent)| (daemon, agent.generation))
     }
 
-    fn register(&mut self, heartbeat: &AgentHeartbeat, now: ClockTime) -> Option<RegistrarWord> {
+    fn register(&mut self, heartbeat: &AgentHeartbeat, now: ClockTime) -> Option<RegistrarVote> {
         let daemon = &heartbeat.daemon;
         let Some(agent) = self.agents.get_mut(daemon) else {
             let agent = new_registration(heartbeat, now);
-            let word = word_on(daemon, &agent);
+            let vote = vote_on(daemon, &agent);
             self.agents.insert(daemon.clone(), agent);
-            return Some(word);
+            return Some(vote);
         };
-        if now.since(agent.last_heard) >= SILENT_AFTER {
-            agent.heard_since = now;
+        if now.since(agent.silent_since) >= SILENT_AFTER {
+            agent.steady_since = now;
         }
-        let renewed = agent.incarnation != heartbeat.incarnation;
+        let is_renewed = agent.incarnation != heartbeat.incarnation;
         agent.boot = heartbeat.boot;
         agent.incarnation = heartbeat.incarnation;
         agent.generation = heartbeat.generation;
         agent.contact.address = heartbeat.address;
-        agent.last_heard = now;
-        agent.last_beat = now;
-        let steady = now.since(agent.heard_since);
-        if steady >= FLAPS_FORGOTTEN {
+        agent.silent_since = now;
+        agent.last_heartbeat = now;
+        let steady = now.since(agent.steady_since);
+        if steady >= FLAP_RESET_AFTER {
             agent.flaps = 0;
         }
         // An agent that fails and recovers repeatedly would change every table each time. It must
         // be reachable for longer each time before the vote changes back.
-        let returned = !agent.heard && steady >= agent.hold();
-        agent.heard |= returned;
-        (returned || renewed).then(|| word_on(daemon, agent))
+        let has_returned = !agent.is_reachable && steady >= agent.hold_time();
+        agent.is_reachable |= has_returned;
+        (has_returned || is_renewed).then(|| vote_on(daemon, agent))
     }
 }
 
@@ -236,19 +239,19 @@
             zone: heartbeat.zone.clone(),
             address: heartbeat.address,
         },
-        last_heard: now,
-        last_beat: now,
-        heard_since: now,
-        heard: true,
+        silent_since: now,
+        last_heartbeat: now,
+        steady_since: now,
+        is_reachable: true,
         flaps: 0,
     }
 }
 
-fn word_on(daemon: &DaemonName, agent: &Registration) -> RegistrarWord {
-    RegistrarWord {
+fn vote_on(daemon: &DaemonName, agent: &Registration) -> RegistrarVote {
+    RegistrarVote {
         daemon: daemon.clone(),
         about: agent.incarnation,
-        hearing: if agent.heard {
+        hearing: if agent.is_reachable {
             Hearing::Heard
         } else {
             Hearing::Silent
@@ -260,15 +263,15 @@
 /// takes a higher incarnation. A late heartbeat of an earlier boot gets this answer too, and
 /// changes nothing.
 fn former_boot(known: &MemberFacts, heartbeat: &AgentHeartbeat) -> Option<FormerBoot> {
-    let other = known.boot != heartbeat.boot && known.incarnation >= heartbeat.incarnation;
-    other.then_some(FormerBoot {
+    let is_other = known.boot != heartbeat.boot && known.incarnation >= heartbeat.incarnation;
+    is_other.then_some(FormerBoot {
         incarnation: known.incarnation,
         generation: known.generation,
     })
 }
 
 /// Merges the body of a heartbeat. Returns false if a full heartbeat is needed for that.
-fn take_body(heartbeat: &AgentHeartbeat, members: &mut MemberTable, now: ClockTime) -> bool {
+fn merge_body(heartbeat: &AgentHeartbeat, members: &mut MemberTable, now: ClockTime) -> bool {
     match &heartbeat.body {
         HeartbeatBody::Full(status) => {
             let row = MemberRow {
--- a/crates/oatpier-membership/src/spread/mod.rs
+++ b/crates/oatpier-membership/src/spread/mod.rs
@@ -54,7 +54,7 @@
     /// Time has passed.
     Tick,
     /// A message of a peer or of an agent carried a generation.
-    Seen {
+    GenerationSeen {
         /// The sender.
         from: EntryContact,
         /// The generation.
@@ -118,5 +118,5 @@
     /// Registered agents that are reachable, with the generation in force at each.
     pub agents: Vec<(EntryContact, Generation)>,
     /// A few entries of other availability zones.
-    pub far: Vec<EntryContact>,
+    pub remote: Vec<EntryContact>,
 }
--- a/crates/oatpier-membership/src/spread/push.rs
+++ b/crates/oatpier-membership/src/spread/push.rs
@@ -76,7 +76,7 @@
 
     /// Handles the end of a push. `reached` is the generation that the peer has now. The push is
     /// complete if that is at least the one in force.
-    pub(super) fn ended(
+    pub(super) fn handle_end(
         &mut self,
         to: &DaemonName,
         reached: Option<Generation>,
@@ -89,8 +89,8 @@
         push.sent = false;
         push.have = reached.or(push.have);
         push.next = now + RETRY_AFTER;
-        let done = reached.is_some_and(|reached| reached >= in_force);
-        if done || push.tries >= PUSH_TRIES {
+        let is_done = reached.is_some_and(|reached| reached >= in_force);
+        if is_done || push.tries >= PUSH_TRIES {
             self.open.swap_remove(to);
         }
     }
--- a/crates/oatpier-membership/src/spread/spreader.rs
+++ b/crates/oatpier-membership/src/spread/spreader.rs
@@ -21,10 +21,10 @@
 use crate::rendezvous;
 
 /// The maximum number of peers remembered as ahead.
-const KEPT_AHEAD: usize = 8;
+const MAX_AHEAD: usize = 8;
 
 /// The interval between two pulls of a starting entry that has no configuration yet.
-const ASK_EVERY: Duration = Duration::from_millis(300);
+const PULL_EVERY: Duration = Duration::from_millis(300);
 
 /// Obtains configurations and distributes them, for one entry.
 #[derive(Debug, Clone)]
@@ -35,9 +35,9 @@
     watch: StoreWatch,
     pushes: PushQueue,
     ahead: IndexMap<DaemonName, (EntryContact, Generation)>,
-    pulling: Option<DaemonName>,
-    next_ask: ClockTime,
-    watcher: bool,
+    pulling_from: Option<DaemonName>,
+    next_pull: ClockTime,
+    is_watcher: bool,
     generator: ChaCha8Rng,
 }
 
@@ -52,9 +52,9 @@
             watch: StoreWatch::new(&mut generator, now),
             pushes: PushQueue::default(),
             ahead: IndexMap::new(),
-            pulling: None,
-            next_ask: now + jittered(ASK_EVERY, &mut generator),
-            watcher: false,
+            pulling_from: None,
+            next_pull: now + jittered(PULL_EVERY, &mut generator),
+            is_watcher: false,
             generator,
         }
     }
@@ -74,7 +74,7 @@
     /// Whether this entry watches the store, according to its current peers.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
-        self.watcher
+        self.is_watcher
     }
 
     /// Sets a lower bound: an earlier boot of this entry had this generation in force.
@@ -87,8 +87,8 @@
     pub fn next_wake(&self) -> ClockTime {
         let mut wake = self.watch.next_wake().min(self.pushes.next_wake());
         wake = wake.min(self.keeper.settles_at());
-        if self.pulling.is_none() && (self.is_starting() || !self.ahead.is_empty()) {
-            wake = wake.min(self.next_ask);
+        if self.pulling_from.is_none() && (self.is_starting() || !self.ahead.is_empty()) {
+            wake = wake.min(self.next_pull);
         }
         wake
     }
@@ -119,7 +119,7 @@
         now: ClockTime,
     ) -> Vec<SpreadAction<P>> {
         let before = self.generation();
-        self.hear(event, peers, now);
+        self.apply_event(event, peers, now);
         self.keeper.settle(now);
         let mut actions = Vec::new();
         if self.generation() > before {
@@ -127,7 +127,7 @@
             self.start_pushes(before, peers, now);
         }
         self.send_pushes(&mut actions, now);
-        self.ask(peers, &mut actions, now);
+        self.send_pull(peers, &mut actions, now);
         self.call_store(peers, &mut actions, now);
         actions
     }
@@ -140,7 +140,7 @@
             return;
         }
         let reached = self.generation();
-        let group = self.near_group(peers);
+        let group = self.local_group(peers);
         let generator = &mut self.generator;
         let agents = peers.agents.iter().filter(|agent| agent.1 < reached);
         let agents = agents.map(|agent| &agent.0);
@@ -151,18 +151,20 @@
         self.keeper.in_force().is_none()
     }
 
-    fn hear(&mut self, event: SpreadEvent<P>, peers: &SpreadPeers, now: ClockTime) {
+    fn apply_event(&mut self, event: SpreadEvent<P>, peers: &SpreadPeers, now: ClockTime) {
         match event {
             SpreadEvent::Tick => {}
-            SpreadEvent::Seen { from, generation } => self.see(&from, generation, now),
-            SpreadEvent::Pushed(push) => self.take_push(&push, peers, now),
+            SpreadEvent::GenerationSeen { from, generation } => {
+                self.compare_generation(&from, generation, now)
+            }
+            SpreadEvent::Pushed(push) => self.handle_push(&push, peers, now),
             SpreadEvent::PullEnded { from, answer } => self.end_pull(&from, answer, now),
             SpreadEvent::PushEnded { to, ack } => {
                 let reached = ack.map(|ack| ack.generation);
                 self.pushes
-                    .ended(&to.daemon, reached, self.generation(), now);
+                    .handle_end(&to.daemon, reached, self.generation(), now);
                 if let Some(reached) = reached.filter(|reached| *reached > self.generation()) {
-                    self.see(&to, reached, now);
+                    self.compare_generation(&to, reached, now);
                 }
             }
             SpreadEvent::StoreEnded(reply) => self.end_store(reply, now),
@@ -171,8 +173,8 @@
 
     /// Resolves a difference in generations in either direction: a peer that is ahead is pulled
     /// from, one that is behind is pushed to.
-    fn see(&mut self, from: &EntryContact, generation: Generation, now: ClockTime) {
-        if generation > self.keeper.have() && self.ahead.len() < KEPT_AHEAD {
+    fn compare_generation(&mut self, from: &EntryContact, generation: Generation, now: ClockTime) {
+        if generation > self.keeper.pull_generation() && self.ahead.len() < MAX_AHEAD {
             let row = (from.clone(), generation);
             self.ahead.insert(from.daemon.clone(), row);
         } else if generation > Generation(0) && generation < self.generation() {
@@ -180,14 +182,14 @@
         }
     }
 
-    fn take_push(&mut self, push: &ConfigPush<P>, peers: &SpreadPeers, now: ClockTime) {
+    fn handle_push(&mut self, push: &ConfigPush<P>, peers: &SpreadPeers, now: ClockTime) {
         let outcome = self.offer(&push.content, ConfigSource::Peer, now);
         if !matches!(outcome, OfferOutcome::NeedFull | OfferOutcome::Behind) {
             return;
         }
-        let known = peers.group.iter().chain(&peers.far);
+        let known = peers.group.iter().chain(&peers.remote);
         if let Some(from) = known.into_iter().find(|peer| peer.daemon == push.daemon) {
-            self.see(from, push.generation, now);
+            self.compare_generation(from, push.generation, now);
         }
     }
 
@@ -197,8 +199,8 @@
         answer: Option<Box<ConfigAnswer<P>>>,
         now: ClockTime,
     ) {
-        self.pulling = None;
-        self.next_ask = now + jittered(ASK_EVERY, &mut self.generator);
+        self.pulling_from = None;
+        self.next_pull = now + jittered(PULL_EVERY, &mut self.generator);
         self.ahead.swap_remove(&from.daemon);
         let Some(answer) = answer else {
             return;
@@ -210,7 +212,7 @@
             return;
         };
         if self.offer(content, ConfigSource::Peer, now) == OfferOutcome::NeedFull {
-            self.next_ask = now;
+            self.next_pull = now;
             let row = (from.clone(), answer.generation);
             self.ahead.insert(from.daemon.clone(), row);
         }
@@ -238,14 +240,14 @@
         now: ClockTime,
     ) -> OfferOutcome {
         let outcome = self.keeper.offer(content, source, now);
-        let latest = self.keeper.have();
+        let latest = self.keeper.pull_generation();
         self.ahead.retain(|_, (_, generation)| *generation > latest);
         outcome
     }
 
     /// Returns the entries of this availability zone, which are preferred as they are many and
     /// close. If there are none, returns the whole group.
-    fn near_group(&self, peers: &SpreadPeers) -> Vec<EntryContact> {
+    fn local_group(&self, peers: &SpreadPeers) -> Vec<EntryContact> {
         let near = peers.group.iter().filter(|peer| peer.zone == self.own.zone);
         let near: Vec<EntryContact> = near.cloned().collect();
         if near.is_empty() {
@@ -259,7 +261,8 @@
         for (to, have) in self.pushes.due(now) {
             let Some(push) = self.push_for(have) else {
                 let reached = self.generation();
-                self.pushes.ended(&to.daemon, Some(reached), reached, now);
+                self.pushes
+                    .handle_end(&to.daemon, Some(reached), reached, now);
                 continue;
             };
             actions.push(SpreadAction::Push { to, push });
@@ -282,29 +285,34 @@
     }
 
     /// Pulls from a peer that is ahead; a starting entry pulls from any peer.
-    fn ask(&mut self, peers: &SpreadPeers, actions: &mut Vec<SpreadAction<P>>, now: ClockTime) {
-        if self.pulling.is_some() {
+    fn send_pull(
+        &mut self,
+        peers: &SpreadPeers,
+        actions: &mut Vec<SpreadAction<P>>,
+        now: ClockTime,
+    ) {
+        if self.pulling_from.is_some() {
             return;
         }
         let ahead: Vec<&EntryContact> = self.ahead.values().map(|row| &row.0).collect();
         let to = match ahead.choose(&mut self.generator) {
             Some(to) => (*to).clone(),
-            None if self.is_starting() && now >= self.next_ask => {
-                let near = peers.group.iter().chain(&peers.far).collect::<Vec<_>>();
+            None if self.is_starting() && now >= self.next_pull => {
+                let near = peers.group.iter().chain(&peers.remote).collect::<Vec<_>>();
                 let asked = near.choose(&mut self.generator);
                 let Some(to) = asked else {
-                    self.next_ask = now + ASK_EVERY;
+                    self.next_pull = now + PULL_EVERY;
                     return;
                 };
                 (*to).clone()
             }
             None => return,
         };
-        self.pulling = Some(to.daemon.clone());
+        self.pulling_from = Some(to.daemon.clone());
         let pull = ConfigPull {
             daemon: self.own.daemon.clone(),
             boot: self.boot,
-            have: self.keeper.have(),
+            have: self.keeper.pull_generation(),
         };
         actions.push(SpreadAction::Pull { to, pull });
     }
@@ -320,10 +328,10 @@
         let names = near.map(|peer| peer.daemon.as_str());
         let own = self.own.daemon.as_str();
         let rank = rendezvous::rank_of("watch/config", names.chain([own]), own);
-        self.watcher = rank.is_some_and(|rank| rank < WATCHERS);
-        let starting = self.is_starting();
+        self.is_watcher = rank.is_some_and(|rank| rank < WATCHERS);
+        let is_starting = self.is_starting();
         let generator = &mut self.generator;
-        let call = self.watch.due(self.watcher, starting, generator, now);
+        let call = self.watch.due(self.is_watcher, is_starting, generator, now);
         actions.extend(call.map(|call| match call {
             WatchCall::Read => SpreadAction::ReadStore,
             WatchCall::Watch(after) => SpreadAction::WatchStore {
--- a/crates/oatpier-membership/src/spread/watch.rs
+++ b/crates/oatpier-membership/src/spread/watch.rs
@@ -24,7 +24,7 @@
 
 /// How long to wait for the answer to a read before it is abandoned. Longer than for a watch, as a
 /// slow store may take seconds; a late answer is still used.
-const READ_WITHIN: Duration = Duration::from_secs(5);
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The first reads after a start are spread over this time.
 const START_SPREAD: Duration = Duration::from_millis(500);
@@ -70,7 +70,7 @@
     pub(super) fn next_wake(&self) -> ClockTime {
         match self.state {
             WatchState::Idle => self.next,
-            WatchState::Reading { since } => since + READ_WITHIN,
+            WatchState::Reading { since } => since + READ_TIMEOUT,
             WatchState::Watching { since } => since + WATCH_WAIT + WATCH_GRACE,
         }
     }
@@ -79,16 +79,16 @@
     /// a configuration.
     pub(super) fn due(
         &mut self,
-        watcher: bool,
-        starting: bool,
+        is_watcher: bool,
+        is_starting: bool,
         generator: &mut ChaCha8Rng,
         now: ClockTime,
     ) -> Option<WatchCall> {
-        self.give_up_late(generator, now);
+        self.abandon_overdue(generator, now);
         if self.state != WatchState::Idle || now < self.next {
             return None;
         }
-        if !watcher && !starting {
+        if !is_watcher && !is_starting {
             // The known revision becomes outdated, so this entry reads first if it is to watch
             // again.
             self.after = None;
@@ -96,7 +96,7 @@
             return None;
         }
         match self.after {
-            Some(after) if watcher => {
+            Some(after) if is_watcher => {
                 self.state = WatchState::Watching { since: now };
                 Some(WatchCall::Watch(after))
             }
@@ -147,7 +147,7 @@
     /// Abandons a call that is overdue. A watch whose connection broke silently would otherwise
     /// leave this entry without changes forever. The next call is a read, as the cause may break
     /// the next watch too.
-    fn give_up_late(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
+    fn abandon_overdue(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
         if self.state != WatchState::Idle && now >= self.next_wake() {
             self.failed(generator, now);
             self.after = None;
--- a/crates/oatpier-membership/src/stops.rs
+++ b/crates/oatpier-membership/src/stops.rs
@@ -18,7 +18,7 @@
 pub const STOP_PREFIX: &str = "stop/";
 
 /// The maximum number of withdrawn stops that are remembered.
-const KEPT_WITHDRAWN: usize = 1_024;
+const MAX_WITHDRAWN: usize = 1_024;
 
 /// A stop request or its withdrawal. The later revision takes precedence; at the same revision, the
 /// withdrawal does.
@@ -33,26 +33,26 @@
 
 /// All planned stops known to a process.
 #[derive(Debug, Clone, Default)]
-pub struct StopBoard {
-    words: IndexMap<DaemonName, StopWord>,
+pub struct StopRegistry {
+    requests: IndexMap<DaemonName, StopWord>,
 }
 
-impl StopBoard {
+impl StopRegistry {
     /// Takes in a stop request. Returns whether it is later than the known one.
     pub fn merge(&mut self, stop: &NamedStop) -> bool {
-        let known = self.words.get(&stop.daemon);
+        let known = self.requests.get(&stop.daemon);
         if known.is_some_and(|known| *known >= stop.word) {
             return false;
         }
-        self.words.insert(stop.daemon.clone(), stop.word);
-        self.forget_withdrawn();
+        self.requests.insert(stop.daemon.clone(), stop.word);
+        self.drop_withdrawn();
         true
     }
 
     /// Takes in the complete list from the store; stops missing from it were withdrawn. Returns the
     /// changes.
     pub fn replace(&mut self, listed: &[NamedStop]) -> Vec<NamedStop> {
-        let missing = self.words.iter().filter(|(daemon, word)| {
+        let missing = self.requests.iter().filter(|(daemon, word)| {
             !word.withdrawn && !listed.iter().any(|stop| stop.daemon == **daemon)
         });
         let withdrawn = missing.map(|(daemon, word)| NamedStop {
@@ -71,20 +71,22 @@
     /// Returns the stop request for a process.
     #[must_use]
     pub fn word(&self, daemon: &DaemonName) -> Option<StopWord> {
-        self.words.get(daemon).copied()
+        self.requests.get(daemon).copied()
     }
 
     /// Returns the processes that should stop.
     pub fn asked(&self) -> impl Iterator<Item = &DaemonName> {
-        let words = self.words.iter();
-        words.filter(|(_, word)| !word.withdrawn).map(|row| row.0)
+        let requests = self.requests.iter();
+        requests
+            .filter(|(_, word)| !word.withdrawn)
+            .map(|row| row.0)
     }
 
     /// Returns all stop requests, including withdrawn ones.
     #[must_use]
     pub fn all(&self) -> Vec<NamedStop> {
-        let words = self.words.iter();
-        words
+        let requests = self.requests.iter();
+        requests
             .map(|(daemon, word)| NamedStop {
                 daemon: daemon.clone(),
                 word: *word,
@@ -92,12 +94,12 @@
             .collect()
     }
 
-    fn forget_withdrawn(&mut self) {
-        let withdrawn = self.words.values().filter(|word| word.withdrawn).count();
-        if withdrawn > KEPT_WITHDRAWN
-            && let Some(first) = self.words.values().position(|word| word.withdrawn)
+    fn drop_withdrawn(&mut self) {
+        let withdrawn = self.requests.values().filter(|word| word.withdrawn).count();
+        if withdrawn > MAX_WITHDRAWN
+            && let Some(first) = self.requests.values().position(|word| word.withdrawn)
         {
-            self.words.shift_remove_index(first);
+            self.requests.shift_remove_index(first);
         }
     }
 }
@@ -133,12 +135,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopEvent {
     /// A stop request for this process, or its withdrawal.
-    Told(StopWord),
+    Requested(StopWord),
     /// The process got a termination signal, which can't be withdrawn.
     Signalled,
     /// The current number of requests in flight. Must be sent again after each
     /// [`StopAction::RefuseNew`].
-    Work {
+    WorkCounted {
         /// The number of requests in flight.
         in_flight: u32,
     },
@@ -151,7 +153,7 @@
 pub struct StopKeeper {
     phase: StopPhase,
     announce_for: Duration,
-    announced: ClockTime,
+    announced_at: ClockTime,
     word: Option<StopWord>,
     signalled: bool,
     in_flight: Option<u32>,
@@ -166,7 +168,7 @@
         Self {
             phase: StopPhase::Serving,
             announce_for,
-            announced: ClockTime::ZERO,
+            announced_at: ClockTime::ZERO,
             word: None,
             signalled: false,
             in_flight: None,
@@ -183,7 +185,7 @@
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         match self.phase {
-            StopPhase::Announcing => self.announced + self.announce_for,
+            StopPhase::Announcing => self.announced_at + self.announce_for,
             _ => ClockTime::NEVER,
         }
     }
@@ -191,12 +193,12 @@
     /// Handles an event and returns the steps to take.
     pub fn handle(&mut self, event: StopEvent, now: ClockTime) -> Vec<StopAction> {
         match event {
-            StopEvent::Told(word) if self.word.is_none_or(|known| known < word) => {
+            StopEvent::Requested(word) if self.word.is_none_or(|known| known < word) => {
                 self.word = Some(word);
             }
             StopEvent::Signalled => self.signalled = true,
-            StopEvent::Work { in_flight } => self.in_flight = Some(in_flight),
-            StopEvent::Told(_) | StopEvent::Tick => {}
+            StopEvent::WorkCounted { in_flight } => self.in_flight = Some(in_flight),
+            StopEvent::Requested(_) | StopEvent::Tick => {}
         }
         let mut actions = Vec::new();
         while let Some(action) = self.step(now) {
@@ -205,20 +207,20 @@
         actions
     }
 
-    fn is_asked(&self) -> bool {
+    fn is_requested(&self) -> bool {
         self.signalled || self.word.is_some_and(|word| !word.withdrawn)
     }
 
     fn step(&mut self, now: ClockTime) -> Option<StopAction> {
         let (phase, action) = match self.phase {
-            StopPhase::Serving if self.is_asked() => {
-                self.announced = now;
+            StopPhase::Serving if self.is_requested() => {
+                self.announced_at = now;
                 (StopPhase::Announcing, StopAction::Announce)
             }
-            StopPhase::Announcing | StopPhase::Draining if !self.is_asked() => {
+            StopPhase::Announcing | StopPhase::Draining if !self.is_requested() => {
                 (StopPhase::Serving, StopAction::ServeAgain)
             }
-            StopPhase::Announcing if now.since(self.announced) >= self.announce_for => {
+            StopPhase::Announcing if now.since(self.announced_at) >= self.announce_for => {
                 // A count from before the refusal misses requests that were admitted since then,
                 // and exiting on it would cut them off. Only a count taken after the refusal is
                 // valid.
--- a/crates/oatpier-membership/src/summary.rs
+++ b/crates/oatpier-membership/src/summary.rs
@@ -70,10 +70,10 @@
 
 impl ModelSummary {
     /// Whether another row has the same content, apart from a small change of spare capacity.
-    fn is_like(&self, other: &Self) -> bool {
-        let class = |spare: u32| (u32::BITS - spare.leading_zeros()) / 2;
+    fn is_similar_to(&self, other: &Self) -> bool {
+        let bucket = |spare: u32| (u32::BITS - spare.leading_zeros()) / 2;
         self.ready == other.ready
-            && class(self.spare) == class(other.spare)
+            && bucket(self.spare) == bucket(other.spare)
             && self.samples == other.samples
     }
 }
@@ -135,12 +135,12 @@
 }
 
 impl SummaryCursor {
-    /// Returns the next rows, at most `most`: first models that became reachable or unreachable,
+    /// Returns the next rows, at most `limit`: first models that became reachable or unreachable,
     /// then other changes, then rows that are due for renewal.
     pub fn next_rows(
         &mut self,
         rows: &IndexMap<SummaryKey, ModelSummary>,
-        most: usize,
+        limit: usize,
         now: ClockTime,
     ) -> Vec<ModelSummary> {
         let lost = self.sent.keys().filter(|key| !rows.contains_key(*key));
@@ -151,7 +151,7 @@
             .filter_map(|row| Some((self.urgency(row, now)?, row.clone())))
             .collect();
         due.sort_by_key(|(urgency, _)| *urgency);
-        let next: Vec<ModelSummary> = due.into_iter().take(most).map(|row| row.1).collect();
+        let next: Vec<ModelSummary> = due.into_iter().take(limit).map(|row| row.1).collect();
         for row in &next {
             self.sent.insert(row.key.clone(), (row.clone(), now));
         }
@@ -159,7 +159,7 @@
     }
 
     /// Marks rows that did not arrive, so that they are sent again.
-    pub fn lost<'a>(&mut self, keys: impl IntoIterator<Item = &'a SummaryKey>) {
+    pub fn mark_lost<'a>(&mut self, keys: impl IntoIterator<Item = &'a SummaryKey>) {
         for key in keys {
             if let Some((row, at)) = self.sent.get_mut(key) {
                 row.ready = u32::MAX;
@@ -173,7 +173,7 @@
             None => Some(0),
             Some((sent, _)) if (sent.ready == 0) != (row.ready == 0) => Some(0),
             Some((sent, _)) if sent.ready == u32::MAX => Some(1),
-            Some((sent, _)) if !sent.is_like(row) => Some(2),
+            Some((sent, _)) if !sent.is_similar_to(row) => Some(2),
             Some((_, at)) if now.since(*at) >= ROW_RENEWED && row.ready > 0 => Some(3),
             Some(_) => None,
         }
@@ -182,31 +182,32 @@
 
 /// The summaries received from other availability zones.
 #[derive(Debug, Clone, Default)]
-pub struct SummaryBook {
+pub struct SummaryTable {
     zones: IndexMap<ZoneName, IndexMap<SummaryKey, (ModelSummary, ClockTime)>>,
 }
 
-impl SummaryBook {
+impl SummaryTable {
     /// Takes in rows and returns those to forward: rows that are younger than the known one and
     /// either have another content or are due for renewal. Each hop adds [`HOP_AGE`], so that a
     /// forwarded row never looks younger than it is; otherwise it would be forwarded forever.
     pub fn merge(&mut self, summary: &ZoneSummary, now: ClockTime) -> Vec<ModelSummary> {
         let rows = self.zones.entry(summary.zone.clone()).or_default();
-        let mut news = Vec::new();
+        let mut forwarded = Vec::new();
         for row in &summary.models {
-            let made = made_at(row, now);
+            let created = created_at(row, now);
             let known = rows.get(&row.key);
-            if known.is_some_and(|(_, known)| *known >= made) {
+            if known.is_some_and(|(_, known)| *known >= created) {
                 continue;
             }
-            let renewal = known
-                .is_some_and(|(known, at)| known.is_like(row) && made.since(*at) < ROW_RENEWED / 2);
-            rows.insert(row.key.clone(), (row.clone(), made));
+            let renewal = known.is_some_and(|(known, at)| {
+                known.is_similar_to(row) && created.since(*at) < ROW_RENEWED / 2
+            });
+            rows.insert(row.key.clone(), (row.clone(), created));
             if !renewal {
-                news.push(row.clone());
+                forwarded.push(row.clone());
             }
         }
-        news
+        forwarded
     }
 
     /// Returns all availability zones that have a model ready, with their rows.
@@ -226,7 +227,7 @@
                 zone: zone.clone(),
                 models: rows
                     .values()
-                    .map(|(row, made)| aged(row, *made, now))
+                    .map(|(row, created)| with_age(row, *created, now))
                     .collect(),
             })
             .collect()
@@ -235,19 +236,19 @@
     /// Drops rows that were not renewed for [`ROW_KEPT`].
     pub fn prune(&mut self, now: ClockTime) {
         for rows in self.zones.values_mut() {
-            rows.retain(|_, (_, made)| now.since(*made) < ROW_KEPT);
+            rows.retain(|_, (_, created)| now.since(*created) < ROW_KEPT);
         }
     }
 }
 
 /// Returns when a row that has just arrived was created.
-pub(crate) fn made_at(row: &ModelSummary, now: ClockTime) -> ClockTime {
+pub(crate) fn created_at(row: &ModelSummary, now: ClockTime) -> ClockTime {
     now - Duration::from_millis(row.age_ms.into()) - HOP_AGE
 }
 
 /// Returns the row with its age at `now`.
-pub(crate) fn aged(row: &ModelSummary, made: ClockTime, now: ClockTime) -> ModelSummary {
-    let age = now.since(made).as_millis();
+pub(crate) fn with_age(row: &ModelSummary, created: ClockTime, now: ClockTime) -> ModelSummary {
+    let age = now.since(created).as_millis();
     ModelSummary {
         age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         ..row.clone()
@@ -284,14 +285,14 @@
         self.parts[Self::part_of(name)] ^= u32::from_le_bytes(low);
     }
 
-    /// Returns the first `most` parts that differ.
+    /// Returns the first `limit` parts that differ.
     #[must_use]
-    pub fn differing(&self, other: &Self, most: usize) -> IndexSet<usize> {
+    pub fn differing(&self, other: &Self, limit: usize) -> IndexSet<usize> {
         let pairs = self.parts.iter().zip(&other.parts).enumerate();
         pairs
             .filter(|(_, (left, right))| left != right)
             .map(|(part, _)| part)
-            .take(most)
+            .take(limit)
             .collect()
     }
 }
--- a/crates/oatpier-membership/tests/testsuite/generation.rs
+++ b/crates/oatpier-membership/tests/testsuite/generation.rs
@@ -78,7 +78,10 @@
 fn edits_that_do_not_fit_ask_for_the_whole_value() {
     let mut keeper = keeper_at(1);
     let gap = keeper.offer(&step(2, 3), ConfigSource::Peer, ClockTime::ZERO);
-    assert_eq!((gap, keeper.have()), (OfferOutcome::Behind, Generation(1)));
+    assert_eq!(
+        (gap, keeper.pull_generation()),
+        (OfferOutcome::Behind, Generation(1))
+    );
     let ConfigContent::Steps(mut steps) = step(1, 2) else {
         unreachable!("made of steps");
     };
@@ -86,7 +89,7 @@
     let wrong = ConfigContent::Steps(steps);
     let outcome = keeper.offer(&wrong, ConfigSource::Peer, ClockTime::ZERO);
     assert_eq!(
-        (outcome, keeper.have()),
+        (outcome, keeper.pull_generation()),
         (OfferOutcome::NeedFull, Generation(0))
     );
     assert_eq!(keeper.generation(), Generation(1));
--- a/crates/oatpier-membership/tests/testsuite/members.rs
+++ b/crates/oatpier-membership/tests/testsuite/members.rs
@@ -139,7 +139,7 @@
         entry: true,
         leaving,
     };
-    table.note_hints([hint("entry-1", true), hint("entry-9", false)]);
+    table.set_hints([hint("entry-1", true), hint("entry-9", false)]);
     table.refresh(ClockTime::ZERO);
     let known = table.get(&daemon("entry-1")).expect("a row");
     assert!(known.hinted_leaving && known.state == MemberState::Alive);
--- a/crates/oatpier-membership/tests/testsuite/stops.rs
+++ b/crates/oatpier-membership/tests/testsuite/stops.rs
@@ -2,7 +2,7 @@
 
 use oatpier_membership::messages::NamedStop;
 use oatpier_membership::stops::{
-    StopAction, StopBoard, StopEvent, StopKeeper, StopPhase, StopWord,
+    StopAction, StopEvent, StopKeeper, StopPhase, StopRegistry, StopWord,
 };
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::Revision;
@@ -20,7 +20,7 @@
 fn an_entry_announces_then_drains_then_ends() {
     let mut keeper = StopKeeper::new(seconds(4));
     let start = ClockTime::from_millis(10);
-    let told = keeper.handle(StopEvent::Told(word(1, false)), start);
+    let told = keeper.handle(StopEvent::Requested(word(1, false)), start);
     assert_eq!(told, [StopAction::Announce]);
     assert_eq!(keeper.next_wake(), start + seconds(4));
     let later = start + seconds(4);
@@ -30,10 +30,10 @@
     );
     assert!(
         keeper
-            .handle(StopEvent::Work { in_flight: 2 }, later)
+            .handle(StopEvent::WorkCounted { in_flight: 2 }, later)
             .is_empty()
     );
-    let ended = keeper.handle(StopEvent::Work { in_flight: 0 }, later + seconds(60));
+    let ended = keeper.handle(StopEvent::WorkCounted { in_flight: 0 }, later + seconds(60));
     assert_eq!(ended, [StopAction::End]);
     assert_eq!(keeper.phase(), StopPhase::Drained);
 }
@@ -43,22 +43,22 @@
 #[test]
 fn a_count_from_before_the_refusal_ends_nothing() {
     let mut keeper = StopKeeper::new(seconds(0));
-    keeper.handle(StopEvent::Work { in_flight: 0 }, ClockTime::ZERO);
+    keeper.handle(StopEvent::WorkCounted { in_flight: 0 }, ClockTime::ZERO);
     let told = keeper.handle(StopEvent::Signalled, ClockTime::ZERO);
     assert_eq!(told, [StopAction::Announce, StopAction::RefuseNew]);
-    let counted = keeper.handle(StopEvent::Work { in_flight: 1 }, ClockTime::ZERO);
+    let counted = keeper.handle(StopEvent::WorkCounted { in_flight: 1 }, ClockTime::ZERO);
     assert!(counted.is_empty());
 }
 
 #[test]
 fn a_withdrawn_stop_is_served_again_and_an_old_word_does_not_return() {
     let mut keeper = StopKeeper::new(seconds(4));
-    keeper.handle(StopEvent::Told(word(1, false)), ClockTime::ZERO);
-    let told = keeper.handle(StopEvent::Told(word(2, true)), ClockTime::ZERO);
+    keeper.handle(StopEvent::Requested(word(1, false)), ClockTime::ZERO);
+    let told = keeper.handle(StopEvent::Requested(word(2, true)), ClockTime::ZERO);
     assert_eq!(told, [StopAction::ServeAgain]);
     assert!(
         keeper
-            .handle(StopEvent::Told(word(1, false)), ClockTime::ZERO)
+            .handle(StopEvent::Requested(word(1, false)), ClockTime::ZERO)
             .is_empty()
     );
 }
@@ -72,7 +72,7 @@
         daemon: daemon(name),
         word: word(revision, withdrawn),
     };
-    let mut board = StopBoard::default();
+    let mut board = StopRegistry::default();
     assert!(board.merge(&named("agent-1", 3, false)));
     let news = board.replace(&[named("agent-2", 7, false)]);
     assert_eq!(
--- a/crates/oatpier-membership/tests/testsuite/summary.rs
+++ b/crates/oatpier-membership/tests/testsuite/summary.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 use oatpier_membership::summary::{
-    ModelSummary, SummaryBook, SummaryCursor, SummaryKey, TableDigest, ZoneSummary,
+    ModelSummary, SummaryCursor, SummaryKey, SummaryTable, TableDigest, ZoneSummary,
 };
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::ModelName;
@@ -37,7 +37,7 @@
     assert!(cursor.next_rows(&rows(&[1, 1, 1]), 9, now).is_empty());
     let next = cursor.next_rows(&rows(&[2, 2, 0]), 1, now);
     assert_eq!((next[0].key.clone(), next[0].ready), (key(2), 0));
-    cursor.lost([&key(2)]);
+    cursor.mark_lost([&key(2)]);
     let again = cursor.next_rows(&rows(&[2, 2, 0]), 9, now);
     assert_eq!(again.len(), 3);
 }
@@ -46,7 +46,7 @@
 /// forwarded forever.
 #[test]
 fn a_row_that_comes_round_is_no_news() {
-    let mut book = SummaryBook::default();
+    let mut book = SummaryTable::default();
     let now = ClockTime::from_millis(100_000);
     let mut summary = ZoneSummary {
         zone: zone("zone-1"),
@@ -71,7 +71,7 @@
         zone: zone("zone-1"),
         models: rows(&[ready]).into_values().collect(),
     };
-    let (mut here, mut other) = (SummaryBook::default(), SummaryBook::default());
+    let (mut here, mut other) = (SummaryTable::default(), SummaryTable::default());
     here.merge(&summary(1), at(0));
     here.merge(&summary(0), at(100));
     other.merge(&summary(1), at(100));
