--- a/crates/oatpier-membership/examples/spread_cost.rs
+++ b/crates/oatpier-membership/examples/spread_cost.rs
@@ -70,7 +70,7 @@
         let mut next = || arguments.next();
         Self {
             entries: next().map(|text| text.parse().expect("a count of entries")),
-            loss: next().map(|text| text.parse().expect("a part from 0 to 1")),
+            loss: next().map(|text| text.parse().expect("a fraction from 0 to 1")),
             changes: next().map_or(CHANGES, |text| text.parse().expect("a count of changes")),
         }
     }
@@ -98,7 +98,8 @@
         limits,
     };
     let mut fleet = Fleet::new(shape, 11);
-    let rows: BTreeMap<u32, String> = (0..u32::try_from(agents + 490).expect("small"))
+    let rows: BTreeMap<u32, String> = (0..u32::try_from(agents + 490)
+        .expect("the value fits the type"))
         .map(|row| {
             (
                 row,
@@ -117,7 +118,7 @@
         let generation = fleet.accept(change, "an endpoint or a model with another setting");
         let at = fleet.now;
         for second in 0..CHANGE_EVERY.as_secs() {
-            work(&mut fleet, entries, change, second, &mut sequence);
+            change_load(&mut fleet, entries, change, second, &mut sequence);
             fleet.run_for(Duration::from_secs(1));
         }
         times.extend(in_force_times(&fleet, generation, at));
@@ -126,7 +127,7 @@
 }
 
 /// Changes every queue, and loads or unloads a model on a few endpoints.
-fn work(fleet: &mut Fleet, entries: usize, change: u32, second: u64, sequence: &mut u64) {
+fn change_load(fleet: &mut Fleet, entries: usize, change: u32, second: u64, sequence: &mut u64) {
     let total = fleet.processes.len();
     for index in entries..total {
         *sequence += 1;
@@ -135,7 +136,8 @@
             AgentEvent::QueueReport(queue_report(BootId(index as u128 + 1), *sequence)),
         );
     }
-    let first = (change as usize * 8 + usize::try_from(second).expect("small")) * 37;
+    let first =
+        (change as usize * 8 + usize::try_from(second).expect("the value fits the type")) * 37;
     for step in 0..READY_CHANGES.min(total / 20) {
         let index = entries + (first + step * 101) % (total - entries);
         let mut status = fleet.processes[index].status.clone().expect("an agent");
@@ -188,7 +190,7 @@
         agent.1,
         fleet.store.calls * 60 / span,
     )
-    .expect("text");
+    .expect("writing to a string succeeds");
     for (kind, (messages, bytes)) in &fleet.by_kind {
         writeln!(
             text,
@@ -196,7 +198,7 @@
             bytes / messages,
             messages / u64::from(changes)
         )
-        .expect("text");
+        .expect("writing to a string succeeds");
     }
     text
 }
--- a/crates/oatpier-membership/src/exchange/group.rs
+++ b/crates/oatpier-membership/src/exchange/group.rs
@@ -368,8 +368,8 @@
         }
     }
 
-    /// Merges rows. With `forward`, rows that changed the table are queued to be gossiped. Returns how
-    /// many changed it.
+    /// Merges rows. With `forward`, rows that changed the table are queued to be gossiped. Returns
+    /// how many changed it.
     fn merge_rows<'a>(
         &mut self,
         rows: impl Iterator<Item = &'a MemberRow>,
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -109,8 +109,8 @@
     /// Checks for agents that went silent and returns the votes that changed. Must be called every
     /// second.
     ///
-    /// `is_isolated` means that this entry itself was paused or is cut off. It then received nothing from
-    /// anyone, which says nothing about the agents.
+    /// `is_isolated` means that this entry itself was paused or is cut off. It then received
+    /// nothing from anyone, which says nothing about the agents.
     pub fn check(
         &mut self,
         is_isolated: bool,
--- a/crates/oatpier-membership/tests/testsuite/budget.rs
+++ b/crates/oatpier-membership/tests/testsuite/budget.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn all_shares_together_stay_below_what_the_store_takes() {
+fn shares_of_all_processes_stay_within_store_capacity() {
     let share = StoreShare {
         entries: 340,
         agents: 3_500,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn kinds_give_way_in_the_written_order() {
+fn lower_priority_kinds_are_limited_first() {
     let mut left = Vec::new();
     for kind in CallKind::ALL {
         let mut budget = budget(1);
@@ -41,13 +41,13 @@
 }
 
 #[test]
-fn a_refused_call_is_told_when_to_come_back() {
+fn refused_call_succeeds_at_the_returned_time() {
     let mut budget = budget(2);
     let mut now = ClockTime::ZERO;
     while budget.take(CallKind::KeyClaim, CallMode::Read, now).is_ok() {}
     now = budget
         .take(CallKind::KeyClaim, CallMode::Read, now)
-        .expect_err("used up");
+        .expect_err("the budget is used up");
     assert!(budget.take(CallKind::KeyClaim, CallMode::Read, now).is_ok());
     assert_eq!(budget.count(CallKind::KeyClaim).held_back, 2);
 }
@@ -55,7 +55,7 @@
 /// The store recovers after ten minutes. All agents have an epoch to write and full buckets, and
 /// would overload the store again if they all wrote at once. Their first calls must be spread out.
 #[test]
-fn the_return_of_the_store_is_no_stampede() {
+fn first_calls_after_an_outage_are_spread_out() {
     let back = ClockTime::ZERO + seconds(600);
     let mut first_calls = [0_u32; 40];
     for seed in 0..1_000 {
@@ -69,10 +69,10 @@
                 .is_ok()
         });
         if let Some(tenth) = taken {
-            first_calls[usize::try_from(tenth).expect("small")] += 1;
+            first_calls[usize::try_from(tenth).expect("the value fits the type")] += 1;
         }
     }
-    let most = first_calls.iter().max().expect("forty tenths");
+    let most = first_calls.iter().max().expect("the counts are not empty");
     assert_eq!(first_calls.iter().sum::<u32>(), 1_000);
     assert!(*most <= 100, "{first_calls:?}");
     let mut watcher = budget(1);
--- a/crates/oatpier-membership/tests/testsuite/bytes.rs
+++ b/crates/oatpier-membership/tests/testsuite/bytes.rs
@@ -70,7 +70,7 @@
 /// Heartbeats are most of an entry's traffic; with long names they must take under half of its byte
 /// budget.
 #[test]
-fn heartbeats_leave_room() {
+fn heartbeats_take_under_half_the_byte_budget() {
     let answer = HeartbeatAnswer {
         generation: Generation(400_000),
         need_full: false,
@@ -92,7 +92,7 @@
 /// A group with the same density as at the design size, without faults: the bytes of every process
 /// stay in the budget. `examples/spread_cost.rs` runs the design size.
 #[test]
-fn every_process_stays_within_its_bytes() {
+fn every_process_stays_within_its_byte_budget() {
     let shape = Shape {
         entries: 16,
         agents: 166,
--- a/crates/oatpier-membership/tests/testsuite/faults.rs
+++ b/crates/oatpier-membership/tests/testsuite/faults.rs
@@ -42,7 +42,7 @@
     prop::collection::vec((fault, 0_u64..12_000), 1..14)
 }
 
-fn inflict(fleet: &mut Fleet, fault: &Fault) {
+fn inject_fault(fleet: &mut Fleet, fault: &Fault) {
     match fault {
         Fault::Accept(key) if !fleet.store.down => {
             fleet.accept(*key, "changed");
@@ -64,7 +64,7 @@
         Fault::CutOneWay(index) => {
             let daemon = fleet.contact(*index).daemon;
             fleet.network.cuts.push(OneWayCut {
-                from: Side::Anyone,
+                from: Side::Any,
                 to: Side::Process(daemon),
             });
         }
@@ -89,13 +89,17 @@
     /// generation has one content. After the faults, every live process has the last generation and
     /// every table is correct.
     #[test]
-    fn everything_converges(seed in 0_u64..1_000, zoned in any::<bool>(), steps in faults()) {
+    fn all_processes_converge_after_random_faults(
+        seed in 0_u64..1_000,
+        zoned in any::<bool>(),
+        steps in faults(),
+    ) {
         let shape = if zoned { Shape { agents: 8, ..Shape::zoned() } } else { Shape::small() };
         let mut fleet = Fleet::new(shape, seed);
         fleet.accept(0, "first");
         fleet.run_for(seconds(10));
         for (fault, wait) in &steps {
-            inflict(&mut fleet, fault);
+            inject_fault(&mut fleet, fault);
             fleet.run_for(millis(*wait));
         }
         let last = end_faults(&mut fleet);
--- a/crates/oatpier-membership/tests/testsuite/generation.rs
+++ b/crates/oatpier-membership/tests/testsuite/generation.rs
@@ -44,7 +44,7 @@
 /// A starting process first gets an answer from a peer that missed the last change, then from one
 /// that has it. Applying the first one at once would undo the change for its callers.
 #[test]
-fn a_start_waits_for_more_than_one_peer() {
+fn starting_process_waits_for_more_than_one_peer() {
     let mut keeper = GenerationKeeper::default();
     let start = ClockTime::ZERO;
     assert_eq!(
@@ -60,7 +60,7 @@
 /// All remaining peers are behind what the earlier boot had in force. The process stays without a
 /// configuration, and thus not ready, until one arrives that is not behind.
 #[test]
-fn nothing_below_the_former_start_is_put_in_force() {
+fn generation_below_an_earlier_boot_is_not_put_in_force() {
     let mut keeper = GenerationKeeper::default();
     keeper.raise_floor(Generation(3));
     let later = ClockTime::ZERO + START_SETTLE;
@@ -75,7 +75,7 @@
 /// An edit is made for one base. Applied to another, it would produce a content that no other
 /// process has.
 #[test]
-fn edits_that_do_not_fit_ask_for_the_whole_value() {
+fn edits_that_do_not_apply_request_the_whole_value() {
     let mut keeper = keeper_at(1);
     let gap = keeper.offer(&step(2, 3), ConfigSource::Peer, ClockTime::ZERO);
     assert_eq!(
@@ -83,7 +83,7 @@
         (OfferOutcome::Behind, Generation(1))
     );
     let ConfigContent::Steps(mut steps) = step(1, 2) else {
-        unreachable!("made of steps");
+        unreachable!("step returns edits");
     };
     steps[0].digest ^= 1;
     let wrong = ConfigContent::Steps(steps);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn who_is_a_little_behind_gets_edits_and_others_the_whole() {
+fn peers_slightly_behind_get_edits_and_others_the_whole_value() {
     let mut keeper = keeper_at(1);
     for to in 2..=5 {
         keeper.offer(&full(to), ConfigSource::Peer, ClockTime::ZERO);
@@ -113,7 +113,7 @@
     /// For any offers in any order, the generation in force never decreases, and its content is the
     /// one that the operators accepted under that generation.
     #[test]
-    fn the_generation_only_rises(
+    fn generation_never_decreases(
         offers in prop::collection::vec((0_u32..12, 0_u32..12, any::<bool>(), 0_u64..3), 1..60),
         floor in 0_u64..6,
     ) {
@@ -122,7 +122,7 @@
         let mut now = ClockTime::ZERO;
         let mut last = Generation(0);
         for (from, to, whole, wait) in offers {
-            now = now + START_SETTLE / 2 * u32::try_from(wait).expect("small");
+            now = now + START_SETTLE / 2 * u32::try_from(wait).expect("the value fits the type");
             let content = if whole { full(to) } else { step(from.min(to), to) };
             keeper.offer(&content, ConfigSource::Peer, now);
             keeper.settle(now);
@@ -130,7 +130,7 @@
             prop_assert!(held >= last);
             prop_assert!(held == Generation(0) || held.0 >= floor);
             if let Some(in_force) = keeper.in_force() {
-                let wanted = value(u32::try_from(held.0).expect("small"));
+                let wanted = value(u32::try_from(held.0).expect("the value fits the type"));
                 prop_assert_eq!(&*in_force.value, &wanted);
             }
             last = held;
--- a/crates/oatpier-membership/tests/testsuite/isolation.rs
+++ b/crates/oatpier-membership/tests/testsuite/isolation.rs
@@ -7,32 +7,32 @@
 use crate::support::network::{OneWayCut, Side};
 use crate::support::{millis, seconds};
 
-fn settled(shape: Shape, seed: u64) -> Fleet {
+fn settled_fleet(shape: Shape, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(shape, seed);
     fleet.accept(1, "first");
     fleet.run_for(seconds(20));
     fleet
 }
 
-fn deafen(fleet: &mut Fleet, entry: usize) {
+fn cut_inbound(fleet: &mut Fleet, entry: usize) {
     let daemon = fleet.contact(entry).daemon;
     fleet.network.cuts.push(OneWayCut {
-        from: Side::Anyone,
+        from: Side::Any,
         to: Side::Process(daemon),
     });
 }
 
-/// Returns members that an entry outside `deaf` counted as gone after `from`, although they serve
-/// and are connected.
-fn wrongly_gone(fleet: &Fleet, deaf: &[usize], from: ClockTime) -> Vec<String> {
-    let entries = (0..fleet.entries).filter(|index| !deaf.contains(index));
+/// Returns members that an entry outside `isolated` counted as gone after `from`, although they
+/// serve and are connected.
+fn wrongly_gone(fleet: &Fleet, isolated: &[usize], from: ClockTime) -> Vec<String> {
+    let entries = (0..fleet.entries).filter(|index| !isolated.contains(index));
     let changes = entries.flat_map(|index| {
         let changes = fleet.processes[index].changes.iter();
         changes.map(move |(at, change)| (index, *at, change))
     });
     let wrong = changes.filter(|(_, at, change)| {
         let member = fleet.index(&change.daemon);
-        *at > from && change.state == MemberState::Gone && !deaf.contains(&member)
+        *at > from && change.state == MemberState::Gone && !isolated.contains(&member)
     });
     wrong
         .map(|(index, at, change)| format!("{} at {index} at {at:?}", change.daemon))
@@ -44,14 +44,14 @@
 /// that has just these two as registrars these are two votes, and it would get no work for seconds.
 /// The two entries are isolated themselves, so they must not vote.
 #[test]
-fn two_entries_that_hear_nobody_remove_nobody() {
+fn two_isolated_entries_remove_no_member() {
     for seed in 0..3 {
         for pair in [[0, 2], [0, 4], [2, 6], [4, 8], [6, 8]] {
-            let mut fleet = settled(Shape::zoned(), seed);
+            let mut fleet = settled_fleet(Shape::zoned(), seed);
             let from = fleet.now;
-            deafen(&mut fleet, pair[0]);
+            cut_inbound(&mut fleet, pair[0]);
             fleet.run_for(millis(900 * seed));
-            deafen(&mut fleet, pair[1]);
+            cut_inbound(&mut fleet, pair[1]);
             fleet.run_for(seconds(9));
             fleet.network.cuts.clear();
             fleet.run_for(seconds(30));
@@ -65,8 +65,8 @@
 /// no heartbeats from any of its agents is not isolated, as it still gets messages from the other
 /// entries.
 #[test]
-fn many_agents_that_die_at_once_are_gone_as_fast_as_one() {
-    let mut fleet = settled(Shape::zoned(), 4);
+fn many_agents_dying_at_once_are_removed_within_seconds() {
+    let mut fleet = settled_fleet(Shape::zoned(), 4);
     let zone = fleet.contact(0).zone;
     let agents: Vec<usize> = (fleet.entries..fleet.processes.len())
         .filter(|agent| fleet.contact(*agent).zone == zone)
@@ -86,13 +86,13 @@
 /// One of two entries and all agents die at once. The other entry can't tell this from being cut
 /// off itself. It withholds its votes, but not forever.
 #[test]
-fn an_entry_that_hears_nobody_speaks_after_a_while() {
+fn isolated_entry_votes_after_a_delay() {
     let shape = Shape {
         entries: 4,
         agents: 8,
         ..Shape::zoned()
     };
-    let mut fleet = settled(shape, 5);
+    let mut fleet = settled_fleet(shape, 5);
     let zone = fleet.contact(0).zone;
     let dead: Vec<usize> = (1..fleet.processes.len())
         .filter(|index| fleet.contact(*index).zone == zone)
--- a/crates/oatpier-membership/tests/testsuite/lease.rs
+++ b/crates/oatpier-membership/tests/testsuite/lease.rs
@@ -12,7 +12,7 @@
 
 /// How the store handles a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Treatment {
+enum StoreBehavior {
     Answers,
     Fails,
     /// A write takes effect and its answer is lost.
@@ -20,14 +20,14 @@
 }
 
 /// Keepers that share one key. Calls end at once.
-struct LeaseBench {
+struct LeaseHarness {
     keepers: Vec<LeaseKeeper>,
     stored: Option<StoredLease>,
     terms: Vec<Term>,
     now: ClockTime,
 }
 
-impl LeaseBench {
+impl LeaseHarness {
     fn new(count: u32) -> Self {
         let keeper = |index: u32| {
             let boot = BootId(u128::from(index));
@@ -42,12 +42,12 @@
         }
     }
 
-    fn tick(&mut self, index: usize, treatment: Treatment) {
+    fn tick(&mut self, index: usize, behavior: StoreBehavior) {
         let mut actions = self.keepers[index].handle(LeaseEvent::Tick, self.now);
         while !actions.is_empty() {
             let mut next = Vec::new();
             for action in actions {
-                if let Some(event) = self.act(action, treatment) {
+                if let Some(event) = self.act(action, behavior) {
                     next.extend(self.keepers[index].handle(event, self.now));
                 }
             }
@@ -55,18 +55,20 @@
         }
     }
 
-    fn act(&mut self, action: LeaseAction, treatment: Treatment) -> Option<LeaseEvent> {
+    fn act(&mut self, action: LeaseAction, behavior: StoreBehavior) -> Option<LeaseEvent> {
         match action {
             LeaseAction::Gained(term) => {
                 self.terms.push(term);
                 None
             }
             LeaseAction::Lost(_) => None,
-            LeaseAction::Read if treatment == Treatment::Fails => Some(LeaseEvent::Read(Err(()))),
+            LeaseAction::Read if behavior == StoreBehavior::Fails => {
+                Some(LeaseEvent::Read(Err(())))
+            }
             LeaseAction::Read => Some(LeaseEvent::Read(Ok(self.stored.clone()))),
             LeaseAction::Write { lease, expected } => {
                 let current = self.stored.as_ref().map(|stored| stored.revision);
-                if treatment == Treatment::Fails {
+                if behavior == StoreBehavior::Fails {
                     return Some(LeaseEvent::Wrote(LeaseWrite::Failed));
                 }
                 if current != expected {
@@ -74,19 +76,19 @@
                 }
                 let revision = current.unwrap_or(Revision(0)).next();
                 self.stored = Some(StoredLease { revision, lease });
-                Some(LeaseEvent::Wrote(match treatment {
-                    Treatment::LosesAnswer => LeaseWrite::AnswerLost,
+                Some(LeaseEvent::Wrote(match behavior {
+                    StoreBehavior::LosesAnswer => LeaseWrite::AnswerLost,
                     _ => LeaseWrite::Written(revision),
                 }))
             }
         }
     }
 
-    fn run(&mut self, indices: &[usize], span_ms: u64, treatment: Treatment) {
+    fn run(&mut self, indices: &[usize], span_ms: u64, behavior: StoreBehavior) {
         for _ in 0..span_ms / 100 {
             self.now = self.now + millis(100);
             for index in indices {
-                self.tick(*index, treatment);
+                self.tick(*index, behavior);
             }
         }
     }
@@ -99,11 +101,11 @@
 }
 
 #[test]
-fn one_of_three_holds_it_and_goes_on_holding_it() {
-    let mut bench = LeaseBench::new(3);
-    bench.run(&[0, 1, 2], 60_000, Treatment::Answers);
-    assert_eq!(bench.holders().len(), 1);
-    assert_eq!(bench.terms, [Term(1)]);
+fn one_of_three_candidates_keeps_the_lease() {
+    let mut harness = LeaseHarness::new(3);
+    harness.run(&[0, 1, 2], 60_000, StoreBehavior::Answers);
+    assert_eq!(harness.holders().len(), 1);
+    assert_eq!(harness.terms, [Term(1)]);
 }
 
 /// The planner's VM is paused for half a minute while it makes a plan. Another planner takes over
@@ -111,54 +113,56 @@
 /// would bring back an old state. Its own clock shows that its lease has expired; and if it wrote
 /// anyway, its term would be too low.
 #[test]
-fn a_paused_planner_that_wakes_may_do_nothing() {
-    let mut bench = LeaseBench::new(2);
-    bench.run(&[0], 3_000, Treatment::Answers);
-    let paused = bench.keepers[0]
-        .may_act(bench.now)
+fn planner_paused_past_its_lease_may_not_act() {
+    let mut harness = LeaseHarness::new(2);
+    harness.run(&[0], 3_000, StoreBehavior::Answers);
+    let paused = harness.keepers[0]
+        .may_act(harness.now)
         .expect("it holds the lease");
-    bench.run(&[1], 30_000, Treatment::Answers);
-    assert_eq!(bench.keepers[0].may_act(bench.now), None);
-    let next = bench.keepers[1].may_act(bench.now).expect("it took over");
+    harness.run(&[1], 30_000, StoreBehavior::Answers);
+    assert_eq!(harness.keepers[0].may_act(harness.now), None);
+    let next = harness.keepers[1]
+        .may_act(harness.now)
+        .expect("it took over");
     assert!(next > paused);
     assert!(!may_write(paused, next) && may_write(next, paused));
-    bench.run(&[0, 1], 10_000, Treatment::Answers);
-    assert_eq!(bench.holders(), [1]);
+    harness.run(&[0, 1], 10_000, StoreBehavior::Answers);
+    assert_eq!(harness.holders(), [1]);
 }
 
 /// The lease is written and the answer is lost. Treated as a failure, the planner would wait for
 /// its own lease to expire; treated as a success, two planners might act. It reads the key and
 /// finds its own write.
 #[test]
-fn a_lost_answer_is_resolved_by_reading() {
-    let mut bench = LeaseBench::new(1);
-    bench.run(&[0], 2_000, Treatment::LosesAnswer);
-    assert_eq!(bench.holders(), [0]);
-    assert_eq!(bench.terms, [Term(1)]);
+fn lost_write_answer_is_resolved_by_reading() {
+    let mut harness = LeaseHarness::new(1);
+    harness.run(&[0], 2_000, StoreBehavior::LosesAnswer);
+    assert_eq!(harness.holders(), [0]);
+    assert_eq!(harness.terms, [Term(1)]);
 }
 
 #[test]
-fn a_lease_that_is_given_up_is_free_at_once() {
-    let mut bench = LeaseBench::new(2);
-    bench.run(&[0, 1], 10_000, Treatment::Answers);
-    let holder = bench.holders()[0];
-    let actions = bench.keepers[holder].handle(LeaseEvent::Release, bench.now);
+fn released_lease_is_free_at_once() {
+    let mut harness = LeaseHarness::new(2);
+    harness.run(&[0, 1], 10_000, StoreBehavior::Answers);
+    let holder = harness.holders()[0];
+    let actions = harness.keepers[holder].handle(LeaseEvent::Release, harness.now);
     for action in actions {
-        if let Some(event) = bench.act(action, Treatment::Answers) {
-            bench.keepers[holder].handle(event, bench.now);
+        if let Some(event) = harness.act(action, StoreBehavior::Answers) {
+            harness.keepers[holder].handle(event, harness.now);
         }
     }
-    assert!(bench.holders().is_empty());
-    bench.run(&[0, 1], 3_000, Treatment::Answers);
-    assert_eq!(bench.holders(), [1 - holder]);
+    assert!(harness.holders().is_empty());
+    harness.run(&[0, 1], 3_000, StoreBehavior::Answers);
+    assert_eq!(harness.holders(), [1 - holder]);
 }
 
 #[test]
-fn only_candidates_wait_for_it() {
-    let mut bench = LeaseBench::new(2);
-    bench.keepers[0].handle(LeaseEvent::Candidate(false), ClockTime::ZERO);
-    bench.run(&[0, 1], 10_000, Treatment::Answers);
-    assert_eq!(bench.holders(), [1]);
+fn only_candidates_take_the_lease() {
+    let mut harness = LeaseHarness::new(2);
+    harness.keepers[0].handle(LeaseEvent::Candidate(false), ClockTime::ZERO);
+    harness.run(&[0, 1], 10_000, StoreBehavior::Answers);
+    assert_eq!(harness.holders(), [1]);
     assert!(LEASE_VALID < LEASE_TTL);
 }
 
@@ -168,29 +172,29 @@
     /// Outages, lost answers and pauses in any order: two planners never act at the same time, and
     /// each new holder has a higher term.
     #[test]
-    fn never_two_planners(
+    fn two_planners_never_act_at_once(
         steps in prop::collection::vec((0_u8..8, 0_u8..3, 1_u64..90), 1..40),
     ) {
-        let mut bench = LeaseBench::new(3);
-        for (awake, treatment, tenths) in steps {
-            let treatment = match treatment {
-                0 => Treatment::Answers,
-                1 => Treatment::Fails,
-                _ => Treatment::LosesAnswer,
+        let mut harness = LeaseHarness::new(3);
+        for (awake, behavior, tenths) in steps {
+            let behavior = match behavior {
+                0 => StoreBehavior::Answers,
+                1 => StoreBehavior::Fails,
+                _ => StoreBehavior::LosesAnswer,
             };
             let awake: Vec<usize> = (0..3).filter(|index| awake & (1 << index) != 0).collect();
             for _ in 0..tenths {
-                bench.now = bench.now + millis(100);
+                harness.now = harness.now + millis(100);
                 for index in &awake {
-                    bench.tick(*index, treatment);
-                    prop_assert!(bench.holders().len() <= 1);
+                    harness.tick(*index, behavior);
+                    prop_assert!(harness.holders().len() <= 1);
                 }
             }
         }
-        prop_assert!(bench.terms.is_sorted_by(|earlier, later| earlier < later));
-        let before = bench.now;
-        bench.run(&[0, 1, 2], 20_000, Treatment::Answers);
-        prop_assert_eq!(bench.holders().len(), 1);
-        prop_assert!(bench.now.since(before) >= seconds(20));
+        prop_assert!(harness.terms.is_sorted_by(|earlier, later| earlier < later));
+        let before = harness.now;
+        harness.run(&[0, 1, 2], 20_000, StoreBehavior::Answers);
+        prop_assert_eq!(harness.holders().len(), 1);
+        prop_assert!(harness.now.since(before) >= seconds(20));
     }
 }
--- a/crates/oatpier-membership/tests/testsuite/members.rs
+++ b/crates/oatpier-membership/tests/testsuite/members.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn it_takes_two_words_to_remove_and_one_to_keep() {
+fn two_silent_votes_remove_and_one_reachable_vote_keeps() {
     assert_eq!(
         state_with(&[("entry-1", 1, false)]),
         Some(MemberState::Suspect)
@@ -86,7 +86,7 @@
 /// A registrar voted that it can reach the agent, and is gone now. Its vote remains in every table;
 /// it must not keep an agent that two other entries vote silent.
 #[test]
-fn a_dead_witness_does_not_count() {
+fn votes_of_gone_witnesses_do_not_count() {
     let mut rows = entries();
     rows.push(row(
         "entry-3",
@@ -109,16 +109,16 @@
 /// these two fails in one direction. If the dead entry no longer counted as a witness, one vote
 /// would be enough, and a single entry would remove its peer and every agent.
 #[test]
-fn a_death_does_not_lower_the_words_needed_at_once() {
-    let complaint = |witness| [(witness, 1, false)];
+fn death_of_a_witness_does_not_lower_the_needed_votes_at_once() {
+    let silent_vote = |witness| [(witness, 1, false)];
     let mut rows = vec![row("entry-0", 0, &[]), row("entry-1", 0, &[])];
     rows.extend([row("entry-2", 0, &[]), row("agent-1", 0, &[])]);
     let mut table = table_with(&rows);
-    table.merge(&row("entry-1", 0, &complaint("entry-0")), ClockTime::ZERO);
-    table.merge(&row("entry-1", 0, &complaint("entry-2")), ClockTime::ZERO);
+    table.merge(&row("entry-1", 0, &silent_vote("entry-0")), ClockTime::ZERO);
+    table.merge(&row("entry-1", 0, &silent_vote("entry-2")), ClockTime::ZERO);
     table.refresh(ClockTime::ZERO);
-    table.merge(&row("entry-2", 0, &complaint("entry-0")), ClockTime::ZERO);
-    table.merge(&row("agent-1", 0, &complaint("entry-0")), ClockTime::ZERO);
+    table.merge(&row("entry-2", 0, &silent_vote("entry-0")), ClockTime::ZERO);
+    table.merge(&row("agent-1", 0, &silent_vote("entry-0")), ClockTime::ZERO);
     for second in 1..10 {
         table.refresh(ClockTime::ZERO + seconds(second));
         let state = |name: &str| table.get(&daemon(name)).map(|view| view.state);
@@ -128,7 +128,11 @@
     }
     table.refresh(ClockTime::ZERO + seconds(20));
     let state = table.get(&daemon("entry-2")).map(|view| view.state);
-    assert_eq!(state, Some(MemberState::Gone), "one of two that are left");
+    assert_eq!(
+        state,
+        Some(MemberState::Gone),
+        "one vote suffices with two remaining entries"
+    );
 }
 
 #[test]
@@ -158,7 +162,9 @@
         table.merge(&row(&format!("agent-{index}"), 0, &[]), ClockTime::ZERO);
     }
     assert_eq!(table.deltas_since(0), None);
-    let deltas = table.deltas_since(1).expect("within the log");
+    let deltas = table
+        .deltas_since(1)
+        .expect("the log reaches back to mark 1");
     assert_eq!((deltas.mark, deltas.rows.len()), (3, 2));
     let mut late = queue_report(BootId(1), 1);
     late.queued = 9;
@@ -177,11 +183,11 @@
 
     /// Tables that get the same rows, in any order and any number of times, are equal.
     #[test]
-    fn tables_converge(
-        news in prop::collection::vec((0_u64..3, 0_usize..4, 1_u64..6, any::<bool>()), 1..20),
+    fn rows_merged_in_any_order_converge(
+        updates in prop::collection::vec((0_u64..3, 0_usize..4, 1_u64..6, any::<bool>()), 1..20),
         order in prop::collection::vec(any::<prop::sample::Index>(), 60),
     ) {
-        let rows: Vec<MemberRow> = news
+        let rows: Vec<MemberRow> = updates
             .iter()
             .map(|(incarnation, witness, count, _)| {
                 // A witness has one vote for each count.
@@ -189,8 +195,8 @@
                 row("agent-1", *incarnation, &[(&format!("entry-{witness}"), *count, heard)])
             })
             .map(|mut row| {
-                for word in &mut row.words {
-                    word.order.1 += 10 * word.about;
+                for vote in &mut row.words {
+                    vote.order.1 += 10 * vote.about;
                 }
                 row
             })
--- a/crates/oatpier-membership/tests/testsuite/registrar.rs
+++ b/crates/oatpier-membership/tests/testsuite/registrar.rs
@@ -23,7 +23,7 @@
         .all(|index| fleet.state(index, agent) == Some(wanted))
 }
 
-fn settled(limits: TableLimits) -> Fleet {
+fn settled_fleet(limits: TableLimits) -> Fleet {
     let mut fleet = Fleet::new(
         Shape {
             limits,
@@ -55,17 +55,17 @@
 /// gone meanwhile. If their rows were dropped, healthy endpoints would get no work until they had
 /// registered again.
 #[test]
-fn nothing_is_torn_down_when_a_registrar_dies() {
-    for (policy, torn_down) in [(LostRegistrar::Keep, false), (LostRegistrar::Drop, true)] {
+fn agents_stay_alive_when_a_registrar_dies() {
+    for (policy, agents_removed) in [(LostRegistrar::Keep, false), (LostRegistrar::Drop, true)] {
         let limits = TableLimits {
             lost_registrar: policy,
             ..TableLimits::default()
         };
-        let mut fleet = settled(limits);
+        let mut fleet = settled_fleet(limits);
         let died = fleet.now;
         fleet.kill(0);
         fleet.run_for(seconds(60));
-        assert_eq!(agents_gone(&fleet, died) > 0, torn_down, "{policy:?}");
+        assert_eq!(agents_gone(&fleet, died) > 0, agents_removed, "{policy:?}");
         assert!(agents(&fleet).all(|agent| states_are(&fleet, agent, MemberState::Alive)));
         for agent in agents(&fleet) {
             let registrars = fleet.agent(agent).heartbeats().registrars();
@@ -81,8 +81,8 @@
 /// Both registrars of an agent die at the same moment. No live entry votes on it until it has found
 /// two others, and it serves the whole time.
 #[test]
-fn an_agent_outlives_both_its_registrars() {
-    let mut fleet = settled(TableLimits::default());
+fn agent_survives_the_death_of_both_registrars() {
+    let mut fleet = settled_fleet(TableLimits::default());
     let agent = fleet.entries;
     let both = fleet.agent(agent).heartbeats().registrars();
     let both: Vec<usize> = both.map(|contact| fleet.index(&contact.daemon)).collect();
@@ -97,8 +97,8 @@
 }
 
 #[test]
-fn an_agent_that_dies_is_gone_everywhere_and_back_after_its_start() {
-    let mut fleet = settled(TableLimits::default());
+fn dead_agent_is_gone_everywhere_until_it_restarts() {
+    let mut fleet = settled_fleet(TableLimits::default());
     let agent = fleet.entries + 1;
     fleet.kill(agent);
     let took = fleet.run_until(seconds(15), |fleet| {
@@ -116,8 +116,8 @@
 /// votes it silent. That vote alone would remove an endpoint that every caller reaches; the vote of
 /// the second registrar keeps it, and it does not even become suspect.
 #[test]
-fn one_registrar_that_hears_nothing_removes_nobody() {
-    let mut fleet = settled(TableLimits::default());
+fn one_registrar_without_heartbeats_removes_no_agent() {
+    let mut fleet = settled_fleet(TableLimits::default());
     let cut_at = fleet.now;
     let agent = fleet.entries;
     let first = fleet.agent(agent).heartbeats().registrars().next();
@@ -138,8 +138,8 @@
 /// removes it everywhere. It refutes the votes and is present again, until they vote anew. Every
 /// table would change every few seconds, so it refutes with increasing delay.
 #[test]
-fn an_entry_that_two_others_cannot_reach_does_not_flap() {
-    let mut fleet = settled(TableLimits::default());
+fn entry_that_two_others_cannot_reach_does_not_flap() {
+    let mut fleet = settled_fleet(TableLimits::default());
     let cut_at = fleet.now;
     let target = fleet.contact(0).daemon;
     for index in [2, 4] {
@@ -164,8 +164,8 @@
 /// as silent, and each time it recovers. Every entry would move work to it and away again. It must
 /// be reachable for longer each time before it counts as present.
 #[test]
-fn an_agent_that_comes_and_goes_does_not_flap() {
-    let mut fleet = settled(TableLimits::default());
+fn repeatedly_paused_agent_does_not_flap() {
+    let mut fleet = settled_fleet(TableLimits::default());
     let start = fleet.now;
     let agent = fleet.entries + 2;
     for _ in 0..20 {
@@ -187,7 +187,7 @@
 /// few seconds no entry may send it new work, although a fifth of the round trips are lost.
 #[test]
 fn a_leaving_agent_is_known_within_seconds() {
-    let mut fleet = settled(TableLimits::default());
+    let mut fleet = settled_fleet(TableLimits::default());
     fleet.network.loss = 0.1;
     let agent = fleet.entries + 3;
     fleet.agent_event(agent, AgentEvent::Phase(MemberPhase::Leaving));
@@ -206,8 +206,8 @@
 /// suspects the agent at once, and one whose attempts are answered uses the agent regardless of the
 /// registrars' votes.
 #[test]
-fn own_evidence_goes_before_words() {
-    let mut fleet = settled(TableLimits::default());
+fn own_evidence_takes_precedence_over_votes() {
+    let mut fleet = settled_fleet(TableLimits::default());
     let agent = fleet.entries;
     let daemon = fleet.contact(agent).daemon;
     let note = |evidence| EntryEvent::Path {
@@ -227,8 +227,8 @@
 /// An agent restarts, and a heartbeat of its earlier boot arrives last. If it were accepted, it
 /// would bring back weights that are no longer loaded.
 #[test]
-fn a_restarted_agent_takes_the_place_of_its_former_start() {
-    let mut fleet = settled(TableLimits::default());
+fn restarted_agent_replaces_its_earlier_boot() {
+    let mut fleet = settled_fleet(TableLimits::default());
     let agent = fleet.entries;
     fleet.kill(agent);
     fleet.start(agent);
--- a/crates/oatpier-membership/tests/testsuite/rendezvous.rs
+++ b/crates/oatpier-membership/tests/testsuite/rendezvous.rs
@@ -3,7 +3,7 @@
 use oatpier_membership::rendezvous::{choose, rank_of};
 
 #[test]
-fn a_name_more_or_less_moves_only_its_own_duties() {
+fn removing_a_name_moves_only_its_own_duties() {
     let names: Vec<String> = (0..40).map(|index| format!("entry-{index}")).collect();
     let fewer: Vec<String> = names[1..].to_vec();
     let first =
--- a/crates/oatpier-membership/tests/testsuite/spread.rs
+++ b/crates/oatpier-membership/tests/testsuite/spread.rs
@@ -11,7 +11,7 @@
         .all(|index| fleet.generation(index) == Some(generation))
 }
 
-fn settled(shape: Shape, seed: u64) -> Fleet {
+fn settled_fleet(shape: Shape, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(shape, seed);
     fleet.accept(1, "first");
     fleet.run_for(seconds(15));
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn a_change_is_everywhere_at_once() {
+fn change_reaches_every_process_quickly() {
     for (shape, seed) in [(Shape::small(), 1), (Shape::zoned(), 2)] {
-        let mut fleet = settled(shape, seed);
+        let mut fleet = settled_fleet(shape, seed);
         let generation = fleet.accept(2, "second");
         let took = fleet.run_until(seconds(5), |fleet| all_at(fleet, generation));
         assert!(took.is_some_and(|took| took < millis(500)), "took {took:?}");
@@ -40,9 +40,9 @@
 /// of the change from a second pusher, a retry, or the generation in the next heartbeat or gossip.
 /// The change must still be in force everywhere within seconds.
 #[test]
-fn a_change_is_everywhere_with_a_tenth_of_messages_lost() {
+fn change_reaches_every_process_with_a_tenth_of_messages_lost() {
     for seed in 0..4 {
-        let mut fleet = settled(Shape::zoned(), seed);
+        let mut fleet = settled_fleet(Shape::zoned(), seed);
         fleet.network.loss = 0.1;
         for change in 0..5 {
             let generation = fleet.accept(change, "under loss");
@@ -56,8 +56,8 @@
 /// entry there watches the store, and a change is accepted meanwhile. Other entries become watchers
 /// once the dead ones are detected, and they read before they watch.
 #[test]
-fn watchers_that_die_are_replaced() {
-    let mut fleet = settled(Shape::zoned(), 5);
+fn dead_watchers_are_replaced() {
+    let mut fleet = settled_fleet(Shape::zoned(), 5);
     let zone = fleet.zones[0].clone();
     let dead: Vec<usize> = watchers(&fleet)
         .into_iter()
@@ -73,16 +73,16 @@
     fleet.run_for(seconds(20));
     let near = watchers(&fleet).into_iter();
     let near = near.filter(|index| fleet.processes[*index].contact.zone == zone);
-    assert_eq!(near.count(), 2, "both entries that are left watch");
+    assert_eq!(near.count(), 2, "both remaining entries watch");
 }
 
 /// The connections of all watches break silently, so that no watcher learns of the next change.
 /// Each watcher abandons its watch and reads. This must be soon enough that the change is in force
 /// everywhere within five seconds, at whatever moment of a watch it is accepted.
 #[test]
-fn watches_that_hang_are_given_up() {
+fn hanging_watches_are_abandoned() {
     for seed in 0..6 {
-        let mut fleet = settled(Shape::small(), seed);
+        let mut fleet = settled_fleet(Shape::small(), seed);
         fleet.store.watches_hang = true;
         for change in 0..4 {
             fleet.run_for(millis(730 * u64::from(change)));
@@ -99,7 +99,7 @@
 #[test]
 fn watching_costs_few_calls() {
     for hang in [false, true] {
-        let mut fleet = settled(Shape::zoned(), 9);
+        let mut fleet = settled_fleet(Shape::zoned(), 9);
         fleet.store.watches_hang = hang;
         let before = fleet.store.calls;
         fleet.run_for(seconds(60));
@@ -117,15 +117,15 @@
 /// late answer were taken for that of the current call, each would start another call, and every
 /// watcher would keep that many watches open forever.
 #[test]
-fn a_slow_store_leaves_no_second_watch_open() {
+fn slow_store_leaves_no_second_watch_open() {
     for seed in 0..3 {
-        let mut fleet = settled(Shape::zoned(), seed);
-        fleet.store.slow = seconds(4);
+        let mut fleet = settled_fleet(Shape::zoned(), seed);
+        fleet.store.extra_delay = seconds(4);
         fleet.run_for(seconds(30));
         let generation = fleet.accept(2, "while it is slow");
         fleet.run_for(seconds(30));
         assert!(all_at(&fleet, generation));
-        fleet.store.slow = seconds(0);
+        fleet.store.extra_delay = seconds(0);
         fleet.run_for(seconds(20));
         let before = fleet.store.calls;
         fleet.run_for(seconds(60));
@@ -139,8 +139,8 @@
 /// older one. When the store recovers, only the watchers call it, and the next change reaches every
 /// process.
 #[test]
-fn processes_that_start_in_an_outage_learn_from_peers() {
-    let mut fleet = settled(Shape::zoned(), 7);
+fn processes_starting_in_an_outage_learn_from_peers() {
+    let mut fleet = settled_fleet(Shape::zoned(), 7);
     let generation = fleet.accept(2, "second");
     fleet.run_for(seconds(5));
     fleet.store_down();
@@ -150,7 +150,7 @@
         fleet.start(index);
     }
     let took = fleet.run_until(seconds(10), |fleet| all_at(fleet, generation));
-    assert!(took.is_some(), "all came up again");
+    assert!(took.is_some(), "all processes have the configuration again");
     fleet.run_for(seconds(60));
     let before = fleet.store.calls;
     fleet.run_for(seconds(600));
@@ -161,7 +161,10 @@
     let generation = fleet.accept(3, "after the outage");
     let took = fleet.run_until(seconds(5), |fleet| all_at(fleet, generation));
     assert!(took.is_some());
-    assert!(fleet.store.calls - before <= 30, "no stampede");
+    assert!(
+        fleet.store.calls - before <= 30,
+        "few calls after the outage"
+    );
 }
 
 /// An entry restarts while the store is down. Half of its peers are a generation behind, as a cut
@@ -169,9 +172,9 @@
 /// undone. The generation that peers remember of the earlier boot is a lower bound that prevents
 /// this.
 #[test]
-fn a_restarted_entry_does_not_go_back() {
+fn restarted_entry_does_not_revert_to_an_older_generation() {
     for seed in 0..6 {
-        let mut fleet = settled(Shape::small(), seed);
+        let mut fleet = settled_fleet(Shape::small(), seed);
         let zone = fleet.zones[1].clone();
         fleet.network.cut_zone(&zone);
         let generation = fleet.accept(2, "second");
@@ -192,9 +195,9 @@
 /// An availability zone is cut off from everything for a minute, including the store. Changes are
 /// accepted meanwhile. The zone keeps its configuration, and gets the latest after the cut.
 #[test]
-fn a_zone_that_was_cut_off_catches_up() {
+fn zone_that_was_cut_off_catches_up() {
     for shape in [Shape::small(), Shape::zoned()] {
-        let mut fleet = settled(shape, 8);
+        let mut fleet = settled_fleet(shape, 8);
         let zone = fleet.zones[1].clone();
         fleet.network.cut_zone(&zone);
         fleet.run_for(seconds(30));
--- a/crates/oatpier-membership/tests/testsuite/stops.rs
+++ b/crates/oatpier-membership/tests/testsuite/stops.rs
@@ -9,7 +9,7 @@
 
 use crate::support::{daemon, seconds};
 
-fn word(revision: u64, withdrawn: bool) -> StopWord {
+fn request(revision: u64, withdrawn: bool) -> StopWord {
     StopWord {
         revision: Revision(revision),
         withdrawn,
@@ -17,11 +17,11 @@
 }
 
 #[test]
-fn an_entry_announces_then_drains_then_ends() {
+fn entry_announces_then_drains_then_ends() {
     let mut keeper = StopKeeper::new(seconds(4));
     let start = ClockTime::from_millis(10);
-    let told = keeper.handle(StopEvent::Requested(word(1, false)), start);
-    assert_eq!(told, [StopAction::Announce]);
+    let actions = keeper.handle(StopEvent::Requested(request(1, false)), start);
+    assert_eq!(actions, [StopAction::Announce]);
     assert_eq!(keeper.next_wake(), start + seconds(4));
     let later = start + seconds(4);
     assert_eq!(
@@ -41,24 +41,24 @@
 /// No request was in flight at the last count; then one was admitted before the refusal began.
 /// Exiting on the old count would cut that request off.
 #[test]
-fn a_count_from_before_the_refusal_ends_nothing() {
+fn count_from_before_the_refusal_does_not_end_the_process() {
     let mut keeper = StopKeeper::new(seconds(0));
     keeper.handle(StopEvent::WorkCounted { in_flight: 0 }, ClockTime::ZERO);
-    let told = keeper.handle(StopEvent::Signalled, ClockTime::ZERO);
-    assert_eq!(told, [StopAction::Announce, StopAction::RefuseNew]);
+    let actions = keeper.handle(StopEvent::Signalled, ClockTime::ZERO);
+    assert_eq!(actions, [StopAction::Announce, StopAction::RefuseNew]);
     let counted = keeper.handle(StopEvent::WorkCounted { in_flight: 1 }, ClockTime::ZERO);
     assert!(counted.is_empty());
 }
 
 #[test]
-fn a_withdrawn_stop_is_served_again_and_an_old_word_does_not_return() {
+fn withdrawn_stop_resumes_service_and_ignores_older_requests() {
     let mut keeper = StopKeeper::new(seconds(4));
-    keeper.handle(StopEvent::Requested(word(1, false)), ClockTime::ZERO);
-    let told = keeper.handle(StopEvent::Requested(word(2, true)), ClockTime::ZERO);
-    assert_eq!(told, [StopAction::ServeAgain]);
+    keeper.handle(StopEvent::Requested(request(1, false)), ClockTime::ZERO);
+    let actions = keeper.handle(StopEvent::Requested(request(2, true)), ClockTime::ZERO);
+    assert_eq!(actions, [StopAction::ServeAgain]);
     assert!(
         keeper
-            .handle(StopEvent::Requested(word(1, false)), ClockTime::ZERO)
+            .handle(StopEvent::Requested(request(1, false)), ClockTime::ZERO)
             .is_empty()
     );
 }
@@ -67,18 +67,18 @@
 /// reads. Without a record of the withdrawal, its peers would bring the stop back by gossip
 /// forever.
 #[test]
-fn what_the_list_lacks_was_withdrawn() {
+fn stops_missing_from_the_list_are_withdrawn() {
     let named = |name, revision, withdrawn| NamedStop {
         daemon: daemon(name),
-        word: word(revision, withdrawn),
+        word: request(revision, withdrawn),
     };
-    let mut board = StopRegistry::default();
-    assert!(board.merge(&named("agent-1", 3, false)));
-    let news = board.replace(&[named("agent-2", 7, false)]);
+    let mut registry = StopRegistry::default();
+    assert!(registry.merge(&named("agent-1", 3, false)));
+    let news = registry.replace(&[named("agent-2", 7, false)]);
     assert_eq!(
         news,
         [named("agent-1", 3, true), named("agent-2", 7, false)]
     );
-    assert!(!board.merge(&named("agent-1", 3, false)));
-    assert_eq!(board.asked().collect::<Vec<_>>(), [&daemon("agent-2")]);
+    assert!(!registry.merge(&named("agent-1", 3, false)));
+    assert_eq!(registry.asked().collect::<Vec<_>>(), [&daemon("agent-2")]);
 }
--- a/crates/oatpier-membership/tests/testsuite/summary.rs
+++ b/crates/oatpier-membership/tests/testsuite/summary.rs
@@ -45,7 +45,7 @@
 /// A row returns to an entry that already had it. If forwarding made it look younger, it would be
 /// forwarded forever.
 #[test]
-fn a_row_that_comes_round_is_no_news() {
+fn forwarded_row_that_returns_is_not_forwarded_again() {
     let mut book = SummaryTable::default();
     let now = ClockTime::from_millis(100_000);
     let mut summary = ZoneSummary {
@@ -65,7 +65,7 @@
 /// and two slow links, whose delay does not show in its age. If it were taken for the younger one,
 /// it would report a model as reachable where it no longer is.
 #[test]
-fn an_older_row_on_a_slow_way_does_not_win() {
+fn older_row_over_slow_links_does_not_replace_a_newer_one() {
     let at = |millis: u64| ClockTime::from_millis(100_000 + millis);
     let summary = |ready: u32| ZoneSummary {
         zone: zone("zone-1"),
@@ -97,7 +97,7 @@
 /// Every entry learns which models another availability zone has ready, so that it can send
 /// requests there.
 #[test]
-fn every_entry_learns_what_the_other_zone_has() {
+fn every_entry_learns_which_models_the_other_zone_has() {
     let mut fleet = Fleet::new(Shape::zoned(), 4);
     fleet.accept(1, "first");
     fleet.run_for(seconds(60));
--- a/crates/oatpier-membership/tests/testsuite/support/fleet.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/fleet.rs
@@ -18,7 +18,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-use super::network::{End, Network, Side};
+use super::network::{LinkEnd, Network, Side};
 use super::payload::TestConfig;
 use super::store::{FakeStore, WaitingWatch};
 use super::{contact, generator, status};
@@ -58,7 +58,7 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum FleetEvent {
     Wake,
     Deliver {
         from: usize,
@@ -66,7 +66,7 @@
         call: CallNumber,
         body: Box<Call>,
     },
-    End {
+    CallEnded {
         call: CallNumber,
         answer: Option<Box<Answer>>,
     },
@@ -74,29 +74,29 @@
 }
 
 #[derive(Debug)]
-struct Queued {
+struct QueuedEvent {
     at: ClockTime,
     order: u64,
     to: usize,
     boot: Option<u128>,
-    what: Happening,
+    event: FleetEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
@@ -145,7 +145,7 @@
     pub zones: Vec<ZoneName>,
     shape: Shape,
     by_name: HashMap<DaemonName, usize>,
-    queue: BinaryHeap<Reverse<Queued>>,
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
     order: u64,
     boots: u128,
     generator: ChaCha8Rng,
@@ -169,14 +169,14 @@
             generator: generator(seed),
             shape,
         };
-        fleet.lay_out();
+        fleet.create_processes();
         for index in 0..fleet.processes.len() {
             fleet.start(index);
         }
         fleet
     }
 
-    fn lay_out(&mut self) {
+    fn create_processes(&mut self) {
         let regions: Vec<usize> = self
             .shape
             .zones_by_region
@@ -313,7 +313,11 @@
 
     pub fn accept_value(&mut self, value: TestConfig) -> Generation {
         let watches = self.store.accept(value);
-        let stored = self.store.stored.clone().expect("just accepted");
+        let stored = self
+            .store
+            .stored
+            .clone()
+            .expect("a value was just accepted");
         let generation = stored.generation;
         for watch in watches {
             self.reply_store(&watch, StoreReply::Value(stored.clone()));
@@ -333,28 +337,28 @@
     }
 
     fn reply_store(&mut self, watch: &WaitingWatch, reply: StoreReply<TestConfig>) {
-        let at = self.now + STORE_DELAY + self.store.slow;
+        let at = self.now + STORE_DELAY + self.store.extra_delay;
         self.push(
             at,
             watch.process,
             Some(watch.boot),
-            Happening::Store(Box::new(reply)),
+            FleetEvent::Store(Box::new(reply)),
         );
     }
 
     pub fn entry_event(&mut self, index: usize, event: EntryEvent<TestConfig>) {
-        let local = self.local(index);
+        let local_time = self.local_time(index);
         if let Some(Node::Entry(entry)) = &mut self.processes[index].node {
-            let actions = entry.handle(event, local);
+            let actions = entry.handle(event, local_time);
             self.act_entry(index, actions);
         }
         self.schedule_wake(index);
     }
 
     pub fn agent_event(&mut self, index: usize, event: AgentEvent<TestConfig>) {
-        let local = self.local(index);
+        let local_time = self.local_time(index);
         if let Some(Node::Agent(agent)) = &mut self.processes[index].node {
-            let actions = agent.handle(event, local);
+            let actions = agent.handle(event, local_time);
             self.act_agent(index, actions);
         }
         self.schedule_wake(index);
@@ -371,9 +375,9 @@
     fn run_slice(&mut self, span: Duration) {
         let until = self.now + span;
         while self.queue.peek().is_some_and(|next| next.0.at <= until) {
-            let Reverse(next) = self.queue.pop().expect("just seen");
+            let Reverse(next) = self.queue.pop().expect("the queue is not empty");
             self.now = next.at;
-            self.happen(next);
+            self.dispatch(next);
         }
         self.now = until;
         self.end_watches();
@@ -404,20 +408,20 @@
         }
     }
 
-    fn local(&self, index: usize) -> ClockTime {
+    fn local_time(&self, index: usize) -> ClockTime {
         let started = self.processes[index].started;
         ClockTime::from_start(self.now.since(started))
     }
 
-    fn push(&mut self, at: ClockTime, to: usize, boot: Option<u128>, what: Happening) {
+    fn push(&mut self, at: ClockTime, to: usize, boot: Option<u128>, event: FleetEvent) {
         self.order += 1;
         let order = self.order;
-        self.queue.push(Reverse(Queued {
+        self.queue.push(Reverse(QueuedEvent {
             at,
             order,
             to,
             boot,
-            what,
+            event,
         }));
     }
 
@@ -436,11 +440,11 @@
         if process.wake_at <= self.now || at < process.wake_at {
             process.wake_at = at;
             let boot = Some(process.boot);
-            self.push(at, index, boot, Happening::Wake);
+            self.push(at, index, boot, FleetEvent::Wake);
         }
     }
 
-    fn happen(&mut self, next: Queued) {
+    fn dispatch(&mut self, next: QueuedEvent) {
         let index = next.to;
         let process = &self.processes[index];
         let other = next.boot.is_some_and(|boot| boot != process.boot);
@@ -448,14 +452,14 @@
             return;
         }
         if process.paused_until > self.now {
-            self.push(process.paused_until, index, next.boot, next.what);
+            self.push(process.paused_until, index, next.boot, next.event);
             return;
         }
-        match next.what {
-            Happening::Wake => self.tick(index),
-            Happening::Store(reply) => self.entry_event(index, EntryEvent::StoreEnded(*reply)),
-            Happening::End { call, answer } => self.end_call(index, call, answer),
-            Happening::Deliver {
+        match next.event {
+            FleetEvent::Wake => self.tick(index),
+            FleetEvent::Store(reply) => self.entry_event(index, EntryEvent::StoreEnded(*reply)),
+            FleetEvent::CallEnded { call, answer } => self.end_call(index, call, answer),
+            FleetEvent::Deliver {
                 from,
                 from_boot,
                 call,
@@ -483,15 +487,15 @@
     }
 
     fn deliver(&mut self, index: usize, from: usize, boot: u128, call: CallNumber, body: Call) {
-        let local = self.local(index);
+        let local_time = self.local_time(index);
         let answer = match &mut self.processes[index].node {
             Some(Node::Entry(entry)) => {
-                let (answer, actions) = entry.answer(body, local);
+                let (answer, actions) = entry.answer(body, local_time);
                 self.act_entry(index, actions);
                 answer
             }
             Some(Node::Agent(agent)) => {
-                let (answer, actions) = agent.answer(body, local);
+                let (answer, actions) = agent.answer(body, local_time);
                 self.act_agent(index, actions);
                 answer
             }
@@ -499,45 +503,45 @@
         };
         self.schedule_wake(index);
         self.count(index, from, answer_kind(&answer), &answer);
-        if let Some(delay) = self.carry(index, from) {
+        if let Some(delay) = self.transmit(index, from) {
             let answer = Some(Box::new(answer));
             self.push(
                 self.now + delay,
                 from,
                 Some(boot),
-                Happening::End { call, answer },
+                FleetEvent::CallEnded { call, answer },
             );
         }
     }
 
-    fn carry(&mut self, from: usize, to: usize) -> Option<Duration> {
+    fn transmit(&mut self, from: usize, to: usize) -> Option<Duration> {
         let end = |process: &'_ Process| (process.contact.clone(), process.region);
         let (from, to) = (end(&self.processes[from]), end(&self.processes[to]));
-        let sides = [&from, &to].map(|(contact, region)| End {
+        let sides = [&from, &to].map(|(contact, region)| LinkEnd {
             process: &contact.daemon,
             zone: &contact.zone,
             region: *region,
         });
-        self.network.carry(&sides[0], &sides[1])
+        self.network.transmit(&sides[0], &sides[1])
     }
 
     fn send(&mut self, from: usize, to: &EntryContact, call: CallNumber, body: Call) {
         let boot = self.processes[from].boot;
-        let end = Happening::End { call, answer: None };
+        let end = FleetEvent::CallEnded { call, answer: None };
         self.push(self.now + CALL_WITHIN, from, Some(boot), end);
         let Some(&target) = self.by_name.get(&to.daemon) else {
             return;
         };
         self.count(from, target, call_kind(&body), &body);
-        if let Some(delay) = self.carry(from, target) {
+        if let Some(delay) = self.transmit(from, target) {
             let body = Box::new(body);
-            let what = Happening::Deliver {
+            let event = FleetEvent::Deliver {
                 from,
                 from_boot: boot,
                 call,
                 body,
             };
-            self.push(self.now + delay, target, None, what);
+            self.push(self.now + delay, target, None, event);
         }
     }
 
@@ -593,8 +597,13 @@
 
     fn end_store(&mut self, index: usize, reply: StoreReply<TestConfig>) {
         let boot = Some(self.processes[index].boot);
-        let what = Happening::Store(Box::new(reply));
-        self.push(self.now + STORE_DELAY + self.store.slow, index, boot, what);
+        let event = FleetEvent::Store(Box::new(reply));
+        self.push(
+            self.now + STORE_DELAY + self.store.extra_delay,
+            index,
+            boot,
+            event,
+        );
     }
 
     /// Whether a process can reach the store: a cut of a whole availability zone also cuts it from
--- a/crates/oatpier-membership/tests/testsuite/support/network.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/network.rs
@@ -9,16 +9,16 @@
 /// One end of a cut.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Side {
-    Anyone,
+    Any,
     Zone(ZoneName),
     OutsideZone(ZoneName),
     Process(DaemonName),
 }
 
 impl Side {
-    fn holds(&self, process: &DaemonName, zone: &ZoneName) -> bool {
+    fn contains(&self, process: &DaemonName, zone: &ZoneName) -> bool {
         match self {
-            Self::Anyone => true,
+            Self::Any => true,
             Self::Zone(name) => name == zone,
             Self::OutsideZone(name) => name != zone,
             Self::Process(name) => name == process,
@@ -48,7 +48,7 @@
     pub generator: ChaCha8Rng,
 }
 
-pub struct End<'a> {
+pub struct LinkEnd<'a> {
     pub process: &'a DaemonName,
     pub zone: &'a ZoneName,
     pub region: usize,
@@ -81,10 +81,10 @@
     }
 
     /// Returns the delay of a message, or `None` if it is lost.
-    pub fn carry(&mut self, from: &End<'_>, to: &End<'_>) -> Option<Duration> {
+    pub fn transmit(&mut self, from: &LinkEnd<'_>, to: &LinkEnd<'_>) -> Option<Duration> {
         let lost = self.loss > 0.0 && self.generator.random_bool(self.loss);
         let cut = self.cuts.iter().any(|cut| {
-            cut.from.holds(from.process, from.zone) && cut.to.holds(to.process, to.zone)
+            cut.from.contains(from.process, from.zone) && cut.to.contains(to.process, to.zone)
         });
         if lost || cut {
             return None;
--- a/crates/oatpier-membership/tests/testsuite/support/store.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/store.rs
@@ -26,7 +26,7 @@
     pub watches: Vec<WaitingWatch>,
     pub calls: u64,
     /// Additional delay of each answer.
-    pub slow: Duration,
+    pub extra_delay: Duration,
 }
 
 impl FakeStore {
