--- a/crates/oatpier-membership/src/entry/member.rs
+++ b/crates/oatpier-membership/src/entry/member.rs
@@ -163,7 +163,7 @@
                 self.refresh(now, &mut actions);
             }
             EntryEvent::QueueReport { daemon, report } => {
-                self.table.note_queue_report(&daemon, &report);
+                self.table.record_queue_report(&daemon, &report);
             }
             EntryEvent::Phase(phase) => self.set_phase(phase, now, &mut actions),
             EntryEvent::Scope(scope) => self.exchange.set_scope(scope),
--- a/crates/oatpier-membership/src/exchange/group.rs
+++ b/crates/oatpier-membership/src/exchange/group.rs
@@ -103,7 +103,7 @@
         self.own.set_phase(phase)
     }
 
-    /// Whether this entry receives so little that silent peers say nothing about those peers.
+    /// Whether this entry receives so little that the silence of peers is no evidence against them.
     /// `agents` is the share of its registered agents that it can reach. Must be called before
     /// silent peers are counted.
     pub fn check_isolation(
--- a/crates/oatpier-membership/src/members/row.rs
+++ b/crates/oatpier-membership/src/members/row.rs
@@ -121,7 +121,7 @@
     Heard,
     /// It expects messages and receives none.
     Silent,
-    /// It no longer expects messages, as the agent has other registrars now. Says nothing about the
+    /// It no longer expects messages, as the agent has other registrars now. No evidence about the
     /// process.
     Released,
 }
--- a/crates/oatpier-membership/src/members/state.rs
+++ b/crates/oatpier-membership/src/members/state.rs
@@ -122,7 +122,7 @@
     }
 
     /// Returns the votes of live witnesses. The last vote of a witness that died or restarted is
-    /// ignored, as it says nothing about the present.
+    /// ignored, as it is no evidence of the present state.
     fn live_votes<'a>(&'a self, row: &'a MemberRow) -> impl Iterator<Item = &'a WitnessWord> {
         let about = row.facts.incarnation;
         row.words.iter().filter(move |vote| {
--- a/crates/oatpier-membership/src/members/table.rs
+++ b/crates/oatpier-membership/src/members/table.rs
@@ -191,7 +191,7 @@
     }
 
     /// Records an agent's queue if it is later than the known one. This change is not gossiped.
-    pub fn note_queue_report(&mut self, daemon: &DaemonName, report: &QueueReport) {
+    pub fn record_queue_report(&mut self, daemon: &DaemonName, report: &QueueReport) {
         let Some(record) = self.records.get_mut(daemon) else {
             return;
         };
--- a/crates/oatpier-membership/src/registrar/keeper.rs
+++ b/crates/oatpier-membership/src/registrar/keeper.rs
@@ -175,7 +175,7 @@
 
     /// Whether every registrar has acknowledged the current phase and status.
     #[must_use]
-    pub fn is_known(&self) -> bool {
+    pub fn is_acknowledged(&self) -> bool {
         let order = self.order();
         !self.slots.is_empty() && self.slots.iter().all(|slot| slot.acked == Some(order))
     }
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -110,7 +110,7 @@
     /// second.
     ///
     /// `is_isolated` means that this entry itself was paused or is cut off. It then received
-    /// nothing from anyone, which says nothing about the agents.
+    /// nothing from anyone, which is no evidence against the agents.
     pub fn check(
         &mut self,
         is_isolated: bool,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Returns how many of the registered agents sent a heartbeat within [`RECENT_WINDOW`].
+    /// Returns how many of the registered agents sent a heartbeat within `RECENT_WINDOW`.
     #[must_use]
     pub fn reachable_share(&self, now: ClockTime) -> ReachableShare {
         let agents = self.agents.values().filter(|agent| agent.is_reachable);
@@ -288,7 +288,7 @@
                 words: SmallVec::new(),
             };
             members.merge(&row, now);
-            members.note_queue_report(&heartbeat.daemon, &status.queue);
+            members.record_queue_report(&heartbeat.daemon, &status.queue);
             true
         }
         HeartbeatBody::QueueReport {
@@ -303,7 +303,7 @@
                 heartbeat.boot,
             );
             let same = known.is_some_and(|known| known.order() == order);
-            members.note_queue_report(&heartbeat.daemon, report);
+            members.record_queue_report(&heartbeat.daemon, report);
             same
         }
     }
--- a/crates/oatpier-membership/src/spread/spreader.rs
+++ b/crates/oatpier-membership/src/spread/spreader.rs
@@ -155,7 +155,7 @@
         match event {
             SpreadEvent::Tick => {}
             SpreadEvent::GenerationSeen { from, generation } => {
-                self.compare_generation(&from, generation, now)
+                self.compare_generation(&from, generation, now);
             }
             SpreadEvent::Pushed(push) => self.handle_push(&push, peers, now),
             SpreadEvent::PullEnded { from, answer } => self.end_pull(&from, answer, now),
--- a/crates/oatpier-membership/src/stops.rs
+++ b/crates/oatpier-membership/src/stops.rs
@@ -75,7 +75,7 @@
     }
 
     /// Returns the processes that should stop.
-    pub fn asked(&self) -> impl Iterator<Item = &DaemonName> {
+    pub fn active(&self) -> impl Iterator<Item = &DaemonName> {
         let requests = self.requests.iter();
         requests
             .filter(|(_, word)| !word.withdrawn)
@@ -121,7 +121,7 @@
 /// A step that the process must take for its stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopAction {
-    /// Report `not ready`, and tell registrars or peers that this process leaves.
+    /// Report `not ready`, and notify registrars or peers that this process leaves.
     Announce,
     /// Refuse new work.
     RefuseNew,
--- a/crates/oatpier-membership/tests/testsuite/isolation.rs
+++ b/crates/oatpier-membership/tests/testsuite/isolation.rs
@@ -1,4 +1,4 @@
-//! Tests of isolated entries, whose silent votes say nothing about the others.
+//! Tests of isolated entries, whose silent votes are no evidence against the others.
 
 use oatpier_membership::members::MemberState;
 use oatpier_types::clock::ClockTime;
--- a/crates/oatpier-membership/tests/testsuite/members.rs
+++ b/crates/oatpier-membership/tests/testsuite/members.rs
@@ -168,7 +168,7 @@
     assert_eq!((deltas.mark, deltas.rows.len()), (3, 2));
     let mut late = queue_report(BootId(1), 1);
     late.queued = 9;
-    table.note_queue_report(&daemon("agent-1"), &late);
+    table.record_queue_report(&daemon("agent-1"), &late);
     assert_eq!(
         table
             .get(&daemon("agent-1"))
--- a/crates/oatpier-membership/tests/testsuite/registrar.rs
+++ b/crates/oatpier-membership/tests/testsuite/registrar.rs
@@ -135,7 +135,7 @@
 }
 
 /// Two entries can't reach a third for ten minutes; all others can. The two vote it silent, which
-/// removes it everywhere. It refutes the votes and is present again, until they vote anew. Every
+/// removes it everywhere. It refutes the votes and is present again, until they vote again. Every
 /// table would change every few seconds, so it refutes with increasing delay.
 #[test]
 fn entry_that_two_others_cannot_reach_does_not_flap() {
--- a/crates/oatpier-membership/tests/testsuite/stops.rs
+++ b/crates/oatpier-membership/tests/testsuite/stops.rs
@@ -80,5 +80,5 @@
         [named("agent-1", 3, true), named("agent-2", 7, false)]
     );
     assert!(!registry.merge(&named("agent-1", 3, false)));
-    assert_eq!(registry.asked().collect::<Vec<_>>(), [&daemon("agent-2")]);
+    assert_eq!(registry.active().collect::<Vec<_>>(), [&daemon("agent-2")]);
 }
