--- a/crates/oatpier-membership/src/entry/calls.rs
+++ b/crates/oatpier-membership/src/entry/calls.rs
@@ -99,7 +99,8 @@
                     _ => None,
                 };
                 if let Some(ack) = ack {
-                    self.registrar.note_generation(&peer.daemon, ack.generation);
+                    self.registrar
+                        .record_generation(&peer.daemon, ack.generation);
                 }
                 let ended = SpreadEvent::PushEnded { to: peer, ack };
                 self.run_spreader(ended, now, actions);
--- a/crates/oatpier-membership/src/exchange/group.rs
+++ b/crates/oatpier-membership/src/exchange/group.rs
@@ -200,7 +200,7 @@
         stops: &mut StopRegistry,
         now: ClockTime,
     ) -> (GossipAnswer, Vec<ExchangeAction>) {
-        self.isolation.note(&gossip.from.daemon, true, now);
+        self.isolation.record(&gossip.from.daemon, true, now);
         let former = former_of(gossip, table);
         let rows = gossip
             .rows
@@ -232,7 +232,7 @@
         stops: &mut StopRegistry,
         now: ClockTime,
     ) -> Vec<ExchangeAction> {
-        self.isolation.note(from, true, now);
+        self.isolation.record(from, true, now);
         let (changed, mut actions) = self.merge_rows(answer.rows.iter(), false, table, now);
         if !answer.rows.is_empty() || self.round.is_multiple_of(DIGEST_ROUNDS) {
             self.is_catching_up = changed >= CATCH_UP_ROWS;
@@ -258,7 +258,7 @@
         now: ClockTime,
     ) -> Vec<ExchangeAction> {
         let mut actions = Vec::new();
-        self.isolation.note(to, false, now);
+        self.isolation.record(to, false, now);
         let is_isolated = self.isolation.is_isolated();
         if self
             .probes
--- a/crates/oatpier-membership/src/exchange/isolation.rs
+++ b/crates/oatpier-membership/src/exchange/isolation.rs
@@ -42,18 +42,18 @@
 pub(super) struct IsolationDetector {
     latest: IndexMap<DaemonName, (bool, ClockTime)>,
     since: Option<ClockTime>,
-    isolated: bool,
+    is_isolated: bool,
 }
 
 impl IsolationDetector {
     /// Records whether a peer called or answered (`reachable`), or left a call unanswered.
-    pub(super) fn note(&mut self, peer: &DaemonName, reachable: bool, now: ClockTime) {
+    pub(super) fn record(&mut self, peer: &DaemonName, reachable: bool, now: ClockTime) {
         self.latest.insert(peer.clone(), (reachable, now));
     }
 
     /// Whether this entry was isolated at the last check.
     pub(super) fn is_isolated(&self) -> bool {
-        self.isolated
+        self.is_isolated
     }
 
     /// Whether this entry reached enough at the last check.
@@ -87,9 +87,9 @@
         } else if self.since.is_none() {
             self.since = Some(now);
         }
-        self.isolated = self
+        self.is_isolated = self
             .since
             .is_some_and(|since| now.since(since) < ISOLATION_MAX);
-        self.isolated
+        self.is_isolated
     }
 }
--- a/crates/oatpier-membership/src/exchange/mod.rs
+++ b/crates/oatpier-membership/src/exchange/mod.rs
@@ -37,10 +37,10 @@
 /// The number of peers contacted in one round.
 pub const GOSSIP_FANOUT: usize = 2;
 
-/// How often one entry sends a changed row.
+/// How many times one entry sends a changed row.
 pub const ROW_SENDS: u8 = 4;
 
-/// How often one entry forwards a row of another availability zone's summary. Fewer than for
+/// How many times one entry forwards a row of another availability zone's summary. Fewer than for
 /// members' rows, as the row is renewed periodically.
 pub const SUMMARY_SENDS: u8 = 2;
 
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -166,7 +166,7 @@
     }
 
     /// Records the generation that an agent reported.
-    pub fn note_generation(&mut self, daemon: &DaemonName, generation: Generation) {
+    pub fn record_generation(&mut self, daemon: &DaemonName, generation: Generation) {
         if let Some(agent) = self.agents.get_mut(daemon) {
             agent.generation = agent.generation.max(generation);
         }
--- a/crates/oatpier-membership/src/spread/push.rs
+++ b/crates/oatpier-membership/src/spread/push.rs
@@ -14,7 +14,8 @@
 /// The number of entries to which an entry pushes a new configuration.
 pub const PUSH_FANOUT: usize = 4;
 
-/// How often one push is tried. After that, the peer learns of the generation from other messages.
+/// The maximum number of tries of one push. After that, the peer learns of the generation from
+/// other messages.
 pub const PUSH_TRIES: u32 = 3;
 
 /// Delay between two tries.
