--- a/crates/oatpier-membership/src/agent.rs
+++ b/crates/oatpier-membership/src/agent.rs
@@ -1,7 +1,8 @@
-//! Everything that an agent decides about configuration and membership, put together.
+//! The combined state machine of an agent for configuration and membership.
 //!
-//! An agent never calls the store for its configuration: 3,500 of them would. It learns it from
-//! its registrars, which push a change and answer each heartbeat with their generation.
+//! An agent never reads its configuration from the store, as 3,500 agents would make too many
+//! calls. It gets the configuration from its registrars, which push changes and include their
+//! generation in the answer to each heartbeat.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -21,62 +22,62 @@
 use crate::registrar::{HeartbeatAction, HeartbeatKeeper, RegistrarLost};
 use crate::stops::StopWord;
 
-/// Time after which a lost pull is made again.
-const PULL_AGAIN: Duration = Duration::from_millis(200);
+/// Delay before a lost pull is repeated.
+const PULL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// What an agent hears.
+/// An input of an [`AgentMember`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentEvent<P: ConfigPayload> {
     /// Time has passed.
     Tick,
-    /// A call of this agent ended; none: lost.
+    /// A call of this agent ended.
     CallEnded {
-        /// Which.
+        /// The number of the call.
         call: CallNumber,
-        /// The answer.
+        /// The answer; `None`: the call was lost.
         answer: Option<Box<PeerAnswer<P>>>,
     },
-    /// Entries that the list of VMs names.
+    /// The entries in the platform's list of VMs.
     Hints(Vec<EntryContact>),
-    /// The endpoint's whole status.
+    /// The full status of the endpoint.
     Status(Box<EndpointStatus>),
-    /// The agent's queue.
+    /// The state of the agent's queue.
     QueueReport(QueueReport),
-    /// The agent's own phase.
+    /// The phase of this agent.
     Phase(MemberPhase),
 }
 
-/// What an agent does.
+/// An action that an [`AgentMember`] requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentAction<P: ConfigPayload> {
     /// Call an entry.
     Call {
-        /// The number to report its end by.
+        /// The number under which to report the end of the call.
         call: CallNumber,
-        /// Whom.
+        /// The process to call.
         to: EntryContact,
-        /// The call.
+        /// The message to send.
         body: PeerCall<P>,
     },
-    /// This configuration is in force from now on.
+    /// This configuration is now in force.
     InForce(HeldConfig<P>),
-    /// A planned stop of this agent was asked for or withdrawn.
+    /// A planned stop of this agent was requested or withdrawn.
     Stop(StopWord),
-    /// A registrar did not answer and was replaced. Nothing else changes.
+    /// A registrar did not answer and was replaced. Informational only.
     RegistrarLost(RegistrarLost),
 }
 
 type Actions<P> = Vec<AgentAction<P>>;
 
-/// An agent's part in configuration and membership.
+/// The state of an agent in configuration and membership.
 #[derive(Debug, Clone)]
 pub struct AgentMember<P: ConfigPayload> {
     own: EntryContact,
     boot: BootId,
     heartbeats: HeartbeatKeeper,
     keeper: GenerationKeeper<P>,
-    seen: Option<(EntryContact, Generation)>,
-    pulling: bool,
+    ahead: Option<(EntryContact, Generation)>,
+    is_pulling: bool,
     stop: Option<StopWord>,
     next_pull: ClockTime,
     calls: IndexMap<CallNumber, (EntryContact, bool)>,
@@ -85,7 +86,7 @@
 }
 
 impl<P: ConfigPayload> AgentMember<P> {
-    /// An agent that starts at `now`. `seeds` are entries that its settings name.
+    /// Creates an agent that starts at `now`. `seeds` are the entries named in its settings.
     #[must_use]
     pub fn new(
         own: EntryContact,
@@ -103,8 +104,8 @@
             boot,
             heartbeats,
             keeper: GenerationKeeper::default(),
-            seen: None,
-            pulling: false,
+            ahead: None,
+            is_pulling: false,
             stop: None,
             next_pull: now,
             calls: IndexMap::new(),
@@ -113,35 +114,35 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn in_force(&self) -> Option<&HeldConfig<P>> {
         self.keeper.in_force()
     }
 
-    /// Its generation; 0: none yet.
+    /// Returns the generation in force, or 0 if there is none yet.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.keeper.generation()
     }
 
-    /// Its heartbeats.
+    /// Returns the state of the agent's heartbeats.
     #[must_use]
     pub fn heartbeats(&self) -> &HeartbeatKeeper {
         &self.heartbeats
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         let wake = self.heartbeats.next_wake().min(self.keeper.settles_at());
-        if self.seen.is_some() && !self.pulling {
+        if self.ahead.is_some() && !self.is_pulling {
             return wake.min(self.next_pull);
         }
         wake
     }
 
-    /// Hears an event.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, event: AgentEvent<P>, now: ClockTime) -> Actions<P> {
         let mut actions = Vec::new();
         let before = self.generation();
@@ -160,12 +161,12 @@
         actions
     }
 
-    /// Answers a call of another process.
+    /// Handles a call of another process and returns the answer.
     pub fn answer(&mut self, call: PeerCall<P>, now: ClockTime) -> (PeerAnswer<P>, Actions<P>) {
         let mut actions = Vec::new();
         let before = self.generation();
         let answer = match call {
-            PeerCall::Push(push) => PeerAnswer::Push(self.take_push(&push, now)),
+            PeerCall::Push(push) => PeerAnswer::Push(self.handle_push(&push, now)),
             PeerCall::Pull(pull) => PeerAnswer::Pull(Box::new(ConfigAnswer {
                 generation: self.generation(),
                 former: None,
@@ -183,40 +184,45 @@
         if after > before {
             actions.extend(self.keeper.in_force().cloned().map(AgentAction::InForce));
         }
-        let beats = self.heartbeats.tick(after, now);
-        self.act(beats, now, actions);
+        let heartbeat_actions = self.heartbeats.tick(after, now);
+        self.apply_actions(heartbeat_actions, now, actions);
         self.pull(now, actions);
     }
 
-    fn take_push(&mut self, push: &ConfigPush<P>, now: ClockTime) -> ConfigAck {
+    fn handle_push(&mut self, push: &ConfigPush<P>, now: ClockTime) -> ConfigAck {
         let outcome = self.keeper.offer(&push.content, ConfigSource::Peer, now);
         if matches!(outcome, OfferOutcome::Behind | OfferOutcome::NeedFull) {
             let known = self.heartbeats.entries();
             let from = known.into_iter().find(|entry| entry.daemon == push.daemon);
-            self.seen = from.cloned().map(|from| (from, push.generation));
+            self.ahead = from.cloned().map(|from| (from, push.generation));
         }
         ConfigAck {
             generation: self.keeper.latest(),
         }
     }
 
-    fn act(&mut self, beats: Vec<HeartbeatAction>, now: ClockTime, actions: &mut Actions<P>) {
-        for action in beats {
+    fn apply_actions(
+        &mut self,
+        heartbeat_actions: Vec<HeartbeatAction>,
+        now: ClockTime,
+        actions: &mut Actions<P>,
+    ) {
+        for action in heartbeat_actions {
             match action {
-                HeartbeatAction::Beat { to, heartbeat } => {
+                HeartbeatAction::Send { to, heartbeat } => {
                     self.call(to, false, PeerCall::Heartbeat(heartbeat), actions);
                 }
                 HeartbeatAction::Lost(lost) => actions.push(AgentAction::RegistrarLost(lost)),
                 HeartbeatAction::Former(former) => self.keeper.raise_floor(former.generation),
                 HeartbeatAction::Stop(word) => {
-                    // Every answer repeats it.
+                    // Every heartbeat answer repeats the request.
                     if self.stop.replace(word) != Some(word) {
                         actions.push(AgentAction::Stop(word));
                     }
                 }
-                HeartbeatAction::Seen { from, generation } => {
-                    if generation > self.keeper.have() {
-                        self.seen = Some((from, generation));
+                HeartbeatAction::GenerationSeen { from, generation } => {
+                    if generation > self.keeper.pull_generation() {
+                        self.ahead = Some((from, generation));
                     }
                 }
             }
@@ -224,17 +230,17 @@
         self.pull(now, actions);
     }
 
-    /// Asks the registrar that is ahead.
+    /// Sends a pull to the registrar that is ahead, if there is one.
     fn pull(&mut self, now: ClockTime, actions: &mut Actions<P>) {
-        let have = self.keeper.have();
-        self.seen.take_if(|(_, generation)| *generation <= have);
-        if self.pulling || now < self.next_pull {
+        let have = self.keeper.pull_generation();
+        self.ahead.take_if(|(_, generation)| *generation <= have);
+        if self.is_pulling || now < self.next_pull {
             return;
         }
-        let Some((to, _)) = self.seen.clone() else {
+        let Some((to, _)) = self.ahead.clone() else {
             return;
         };
-        self.pulling = true;
+        self.is_pulling = true;
         let pull = ConfigPull {
             daemon: self.own.daemon.clone(),
             boot: self.boot,
@@ -257,19 +263,20 @@
             self.end_pull(answer, now);
             return;
         }
-        let beats = match answer {
+        let heartbeat_actions = match answer {
             Some(PeerAnswer::Heartbeat(answer)) => {
-                self.heartbeats.answered(&peer.daemon, &answer, now)
+                self.heartbeats.handle_answer(&peer.daemon, &answer, now)
             }
-            _ => self.heartbeats.lost(&peer.daemon, now),
+            _ => self.heartbeats.handle_loss(&peer.daemon, now),
         };
-        self.act(beats, now, actions);
+        self.apply_actions(heartbeat_actions, now, actions);
     }
 
-    /// A lost pull goes to whichever registrar answers next, as its answer shows the generation.
+    /// Handles the end of a pull. A lost pull is repeated at the next registrar whose answer shows
+    /// a later generation.
     fn end_pull(&mut self, answer: Option<PeerAnswer<P>>, now: ClockTime) {
-        self.pulling = false;
-        self.next_pull = now + jittered(PULL_AGAIN, &mut self.generator);
+        self.is_pulling = false;
+        self.next_pull = now + jittered(PULL_RETRY_AFTER, &mut self.generator);
         let Some(PeerAnswer::Pull(answer)) = answer else {
             return;
         };
--- a/crates/oatpier-membership/src/members/evidence.rs
+++ b/crates/oatpier-membership/src/members/evidence.rs
@@ -1,4 +1,5 @@
-//! What this process itself saw on the data path. It goes before every word of others.
+//! Evidence from this process's own data path, which takes precedence over votes of other
+//! processes.
 
 use std::time::Duration;
 
@@ -6,47 +7,47 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::DaemonName;
 
-/// How an attempt of this process ended, as far as it tells whether the peer is there.
+/// The outcome of an attempt of this process, as evidence of whether the peer is reachable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PathEvidence {
-    /// It answered, if only with a refusal.
+    /// The peer answered, possibly with a refusal.
     Answered,
-    /// It could not be reached or gave no answer in time.
+    /// The peer could not be reached or did not answer in time.
     Failed,
 }
 
-/// The latest evidence on each peer, for a short while.
+/// The latest evidence on each peer, kept for a limited time.
 #[derive(Debug, Clone)]
-pub struct PathMemory {
-    lasts: Duration,
+pub struct EvidenceCache {
+    ttl: Duration,
     latest: IndexMap<DaemonName, (PathEvidence, ClockTime)>,
 }
 
-impl PathMemory {
-    /// Evidence counts for `lasts`.
+impl EvidenceCache {
+    /// Creates an empty store of evidence that expires after `ttl`.
     #[must_use]
-    pub fn new(lasts: Duration) -> Self {
+    pub fn new(ttl: Duration) -> Self {
         Self {
-            lasts,
+            ttl,
             latest: IndexMap::new(),
         }
     }
 
-    /// Remembers evidence.
-    pub fn note(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
+    /// Records evidence.
+    pub fn record(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
         self.latest.insert(daemon.clone(), (evidence, now));
     }
 
-    /// The evidence on a peer, unless it is too old.
+    /// Returns the evidence on a peer, unless it has expired.
     #[must_use]
-    pub fn on(&self, daemon: &DaemonName, now: ClockTime) -> Option<PathEvidence> {
+    pub fn get(&self, daemon: &DaemonName, now: ClockTime) -> Option<PathEvidence> {
         let (evidence, at) = self.latest.get(daemon)?;
-        (now.since(*at) < self.lasts).then_some(*evidence)
+        (now.since(*at) < self.ttl).then_some(*evidence)
     }
 
-    /// Drops what is too old.
+    /// Drops expired evidence.
     pub fn prune(&mut self, now: ClockTime) {
-        let lasts = self.lasts;
-        self.latest.retain(|_, (_, at)| now.since(*at) < lasts);
+        let ttl = self.ttl;
+        self.latest.retain(|_, (_, at)| now.since(*at) < ttl);
     }
 }
--- a/crates/oatpier-membership/src/spread/spreader.rs
+++ b/crates/oatpier-membership/src/spread/spreader.rs
@@ -1,4 +1,4 @@
-//! The machine itself.
+//! The state machine that obtains and distributes configurations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use crate::messages::{ConfigAck, ConfigAnswer, ConfigPull, ConfigPush, EntryContact, FormerBoot};
 use crate::rendezvous;
 
-/// Peers that are known to be ahead, at most.
-const KEPT_AHEAD: usize = 8;
+/// The maximum number of peers remembered as ahead.
+const MAX_AHEAD: usize = 8;
 
-/// Time between two questions of a started entry that has no configuration yet.
-const ASK_EVERY: Duration = Duration::from_millis(300);
+/// The interval between two pulls of a starting entry that has no configuration yet.
+const PULL_EVERY: Duration = Duration::from_millis(300);
 
-/// Learns a configuration and passes it on, in one entry.
+/// Obtains configurations and distributes them, for one entry.
 #[derive(Debug, Clone)]
 pub struct ConfigSpreader<P: ConfigPayload> {
     own: EntryContact,
@@ -35,14 +35,14 @@
     watch: StoreWatch,
     pushes: PushQueue,
     ahead: IndexMap<DaemonName, (EntryContact, Generation)>,
-    pulling: Option<DaemonName>,
-    next_ask: ClockTime,
-    watcher: bool,
+    pulling_from: Option<DaemonName>,
+    next_pull: ClockTime,
+    is_watcher: bool,
     generator: ChaCha8Rng,
 }
 
 impl<P: ConfigPayload> ConfigSpreader<P> {
-    /// The spreader of an entry that starts at `now`.
+    /// Creates the spreader of an entry that starts at `now`.
     #[must_use]
     pub fn new(own: EntryContact, boot: BootId, mut generator: ChaCha8Rng, now: ClockTime) -> Self {
         Self {
@@ -52,48 +52,48 @@
             watch: StoreWatch::new(&mut generator, now),
             pushes: PushQueue::default(),
             ahead: IndexMap::new(),
-            pulling: None,
-            next_ask: now + jittered(ASK_EVERY, &mut generator),
-            watcher: false,
+            pulling_from: None,
+            next_pull: now + jittered(PULL_EVERY, &mut generator),
+            is_watcher: false,
             generator,
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn in_force(&self) -> Option<&HeldConfig<P>> {
         self.keeper.in_force()
     }
 
-    /// Its generation; 0: none yet.
+    /// Returns the generation in force, or 0 if there is none yet.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.keeper.generation()
     }
 
-    /// Whether this entry watches the store, as far as it knows.
+    /// Whether this entry watches the store, according to its current peers.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
-        self.watcher
+        self.is_watcher
     }
 
-    /// A former start of this entry had this generation in force.
+    /// Sets a lower bound: an earlier boot of this entry had this generation in force.
     pub fn raise_floor(&mut self, generation: Generation) {
         self.keeper.raise_floor(generation);
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         let mut wake = self.watch.next_wake().min(self.pushes.next_wake());
         wake = wake.min(self.keeper.settles_at());
-        if self.pulling.is_none() && (self.is_starting() || !self.ahead.is_empty()) {
-            wake = wake.min(self.next_ask);
+        if self.pulling_from.is_none() && (self.is_starting() || !self.ahead.is_empty()) {
+            wake = wake.min(self.next_pull);
         }
         wake
     }
 
-    /// Answers a pull.
+    /// Returns the answer to a pull.
     #[must_use]
     pub fn answer_pull(&self, pull: &ConfigPull, former: Option<FormerBoot>) -> ConfigAnswer<P> {
         ConfigAnswer {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Answers a push, after it was handled.
+    /// Returns the answer to a push that was handled.
     #[must_use]
     pub fn ack(&self) -> ConfigAck {
         ConfigAck {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Hears an event.
+    /// Handles an event and returns the actions to take.
     pub fn handle(
         &mut self,
         event: SpreadEvent<P>,
@@ -119,7 +119,7 @@
         now: ClockTime,
     ) -> Vec<SpreadAction<P>> {
         let before = self.generation();
-        self.hear(event, peers, now);
+        self.apply_event(event, peers, now);
         self.keeper.settle(now);
         let mut actions = Vec::new();
         if self.generation() > before {
@@ -127,19 +127,20 @@
             self.start_pushes(before, peers, now);
         }
         self.send_pushes(&mut actions, now);
-        self.ask(peers, &mut actions, now);
+        self.send_pull(peers, &mut actions, now);
         self.call_store(peers, &mut actions, now);
         actions
     }
 
-    /// A process that has just started brings nobody anything: others had it before, and those
-    /// that start too ask by themselves. The whole value would go out from each of them.
+    /// Starts the pushes of a new configuration. The first configuration of a started process is
+    /// not pushed: other processes had it before, and those that also start pull it themselves.
+    /// Each starting process would push the whole value.
     fn start_pushes(&mut self, before: Generation, peers: &SpreadPeers, now: ClockTime) {
         if before == Generation(0) {
             return;
         }
         let reached = self.generation();
-        let group = self.near_group(peers);
+        let group = self.local_group(peers);
         let generator = &mut self.generator;
         let agents = peers.agents.iter().filter(|agent| agent.1 < reached);
         let agents = agents.map(|agent| &agent.0);
@@ -150,27 +151,30 @@
         self.keeper.in_force().is_none()
     }
 
-    fn hear(&mut self, event: SpreadEvent<P>, peers: &SpreadPeers, now: ClockTime) {
+    fn apply_event(&mut self, event: SpreadEvent<P>, peers: &SpreadPeers, now: ClockTime) {
         match event {
             SpreadEvent::Tick => {}
-            SpreadEvent::Seen { from, generation } => self.see(&from, generation, now),
-            SpreadEvent::Pushed(push) => self.take_push(&push, peers, now),
+            SpreadEvent::GenerationSeen { from, generation } => {
+                self.compare_generation(&from, generation, now);
+            }
+            SpreadEvent::Pushed(push) => self.handle_push(&push, peers, now),
             SpreadEvent::PullEnded { from, answer } => self.end_pull(&from, answer, now),
             SpreadEvent::PushEnded { to, ack } => {
                 let reached = ack.map(|ack| ack.generation);
                 self.pushes
-                    .ended(&to.daemon, reached, self.generation(), now);
+                    .handle_end(&to.daemon, reached, self.generation(), now);
                 if let Some(reached) = reached.filter(|reached| *reached > self.generation()) {
-                    self.see(&to, reached, now);
+                    self.compare_generation(&to, reached, now);
                 }
             }
             SpreadEvent::StoreEnded(reply) => self.end_store(reply, now),
         }
     }
 
-    /// A mismatch in either direction is mended: ahead, it is asked; behind, it is told.
-    fn see(&mut self, from: &EntryContact, generation: Generation, now: ClockTime) {
-        if generation > self.keeper.have() && self.ahead.len() < KEPT_AHEAD {
+    /// Resolves a difference in generations in either direction: a peer that is ahead is pulled
+    /// from, one that is behind is pushed to.
+    fn compare_generation(&mut self, from: &EntryContact, generation: Generation, now: ClockTime) {
+        if generation > self.keeper.pull_generation() && self.ahead.len() < MAX_AHEAD {
             let row = (from.clone(), generation);
             self.ahead.insert(from.daemon.clone(), row);
         } else if generation > Generation(0) && generation < self.generation() {
@@ -178,14 +182,14 @@
         }
     }
 
-    fn take_push(&mut self, push: &ConfigPush<P>, peers: &SpreadPeers, now: ClockTime) {
+    fn handle_push(&mut self, push: &ConfigPush<P>, peers: &SpreadPeers, now: ClockTime) {
         let outcome = self.offer(&push.content, ConfigSource::Peer, now);
         if !matches!(outcome, OfferOutcome::NeedFull | OfferOutcome::Behind) {
             return;
         }
-        let known = peers.group.iter().chain(&peers.far);
+        let known = peers.group.iter().chain(&peers.remote);
         if let Some(from) = known.into_iter().find(|peer| peer.daemon == push.daemon) {
-            self.see(from, push.generation, now);
+            self.compare_generation(from, push.generation, now);
         }
     }
 
@@ -195,8 +199,8 @@
         answer: Option<Box<ConfigAnswer<P>>>,
         now: ClockTime,
     ) {
-        self.pulling = None;
-        self.next_ask = now + jittered(ASK_EVERY, &mut self.generator);
+        self.pulling_from = None;
+        self.next_pull = now + jittered(PULL_EVERY, &mut self.generator);
         self.ahead.swap_remove(&from.daemon);
         let Some(answer) = answer else {
             return;
@@ -208,7 +212,7 @@
             return;
         };
         if self.offer(content, ConfigSource::Peer, now) == OfferOutcome::NeedFull {
-            self.next_ask = now;
+            self.next_pull = now;
             let row = (from.clone(), answer.generation);
             self.ahead.insert(from.daemon.clone(), row);
         }
@@ -236,14 +240,14 @@
         now: ClockTime,
     ) -> OfferOutcome {
         let outcome = self.keeper.offer(content, source, now);
-        let latest = self.keeper.have();
+        let latest = self.keeper.pull_generation();
         self.ahead.retain(|_, (_, generation)| *generation > latest);
         outcome
     }
 
-    /// Entries of the own availability zone go first: they are many and close. With none there,
-    /// any of the group.
-    fn near_group(&self, peers: &SpreadPeers) -> Vec<EntryContact> {
+    /// Returns the entries of this availability zone, which are preferred as they are many and
+    /// close. If there are none, returns the whole group.
+    fn local_group(&self, peers: &SpreadPeers) -> Vec<EntryContact> {
         let near = peers.group.iter().filter(|peer| peer.zone == self.own.zone);
         let near: Vec<EntryContact> = near.cloned().collect();
         if near.is_empty() {
@@ -257,15 +261,17 @@
         for (to, have) in self.pushes.due(now) {
             let Some(push) = self.push_for(have) else {
                 let reached = self.generation();
-                self.pushes.ended(&to.daemon, Some(reached), reached, now);
+                self.pushes
+                    .handle_end(&to.daemon, Some(reached), reached, now);
                 continue;
             };
             actions.push(SpreadAction::Push { to, push });
         }
     }
 
-    /// What a peer lacks that has `have`; if that isn't known, the last edit, which is what
-    /// nearly all lack. Who lacks more says so, and gets it.
+    /// Returns the push for a peer that has generation `have`. If that is not known, it contains
+    /// the last edit, which is what nearly all peers lack. A peer that lacks more reports it in its
+    /// answer and gets the rest.
     fn push_for(&self, have: Option<Generation>) -> Option<Arc<ConfigPush<P>>> {
         let content = match have {
             Some(have) => self.keeper.content_since(have),
@@ -278,30 +284,35 @@
         }))
     }
 
-    /// Asks a peer that is ahead; a started entry asks any.
-    fn ask(&mut self, peers: &SpreadPeers, actions: &mut Vec<SpreadAction<P>>, now: ClockTime) {
-        if self.pulling.is_some() {
+    /// Pulls from a peer that is ahead; a starting entry pulls from any peer.
+    fn send_pull(
+        &mut self,
+        peers: &SpreadPeers,
+        actions: &mut Vec<SpreadAction<P>>,
+        now: ClockTime,
+    ) {
+        if self.pulling_from.is_some() {
             return;
         }
         let ahead: Vec<&EntryContact> = self.ahead.values().map(|row| &row.0).collect();
         let to = match ahead.choose(&mut self.generator) {
             Some(to) => (*to).clone(),
-            None if self.is_starting() && now >= self.next_ask => {
-                let near = peers.group.iter().chain(&peers.far).collect::<Vec<_>>();
+            None if self.is_starting() && now >= self.next_pull => {
+                let near = peers.group.iter().chain(&peers.remote).collect::<Vec<_>>();
                 let asked = near.choose(&mut self.generator);
                 let Some(to) = asked else {
-                    self.next_ask = now + ASK_EVERY;
+                    self.next_pull = now + PULL_EVERY;
                     return;
                 };
                 (*to).clone()
             }
             None => return,
         };
-        self.pulling = Some(to.daemon.clone());
+        self.pulling_from = Some(to.daemon.clone());
         let pull = ConfigPull {
             daemon: self.own.daemon.clone(),
             boot: self.boot,
-            have: self.keeper.have(),
+            have: self.keeper.pull_generation(),
         };
         actions.push(SpreadAction::Pull { to, pull });
     }
@@ -317,10 +328,10 @@
         let names = near.map(|peer| peer.daemon.as_str());
         let own = self.own.daemon.as_str();
         let rank = rendezvous::rank_of("watch/config", names.chain([own]), own);
-        self.watcher = rank.is_some_and(|rank| rank < WATCHERS);
-        let starting = self.is_starting();
+        self.is_watcher = rank.is_some_and(|rank| rank < WATCHERS);
+        let is_starting = self.is_starting();
         let generator = &mut self.generator;
-        let call = self.watch.due(self.watcher, starting, generator, now);
+        let call = self.watch.due(self.is_watcher, is_starting, generator, now);
         actions.extend(call.map(|call| match call {
             WatchCall::Read => SpreadAction::ReadStore,
             WatchCall::Watch(after) => SpreadAction::WatchStore {
--- a/crates/oatpier-membership/tests/testsuite/spread.rs
+++ b/crates/oatpier-membership/tests/testsuite/spread.rs
@@ -1,4 +1,4 @@
-//! How a configuration gets everywhere, through losses, cuts and outages.
+//! Tests of the distribution of configurations under losses, cuts and outages.
 
 use oatpier_types::ids::Generation;
 
@@ -11,7 +11,7 @@
         .all(|index| fleet.generation(index) == Some(generation))
 }
 
-fn settled(shape: Shape, seed: u64) -> Fleet {
+fn settled_fleet(shape: Shape, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(shape, seed);
     fleet.accept(1, "first");
     fleet.run_for(seconds(15));
@@ -27,22 +27,22 @@
 }
 
 #[test]
-fn a_change_is_everywhere_at_once() {
+fn change_reaches_every_process_quickly() {
     for (shape, seed) in [(Shape::small(), 1), (Shape::zoned(), 2)] {
-        let mut fleet = settled(shape, seed);
+        let mut fleet = settled_fleet(shape, seed);
         let generation = fleet.accept(2, "second");
         let took = fleet.run_until(seconds(5), |fleet| all_at(fleet, generation));
         assert!(took.is_some_and(|took| took < millis(500)), "took {took:?}");
     }
 }
 
-/// A tenth of all messages is lost, pushes and answers alike.
-/// Those whose push was lost learn from a second pusher, a retry, or the generation that rides on
-/// the next heartbeat or gossip. The operator still sees the change everywhere within seconds.
+/// A tenth of all messages is lost, pushes and answers alike. Processes whose push was lost learn
+/// of the change from a second pusher, a retry, or the generation in the next heartbeat or gossip.
+/// The change must still be in force everywhere within seconds.
 #[test]
-fn a_change_is_everywhere_with_a_tenth_of_messages_lost() {
+fn change_reaches_every_process_with_a_tenth_of_messages_lost() {
     for seed in 0..4 {
-        let mut fleet = settled(Shape::zoned(), seed);
+        let mut fleet = settled_fleet(Shape::zoned(), seed);
         fleet.network.loss = 0.1;
         for change in 0..5 {
             let generation = fleet.accept(change, "under loss");
@@ -52,12 +52,12 @@
     }
 }
 
-/// Every watcher of an availability zone dies at the same moment.
-/// Until the others notice, nobody there watches the store; a change is accepted meanwhile.
-/// Other entries are chosen as the dead ones are missed, and they read before they watch.
+/// Every watcher of an availability zone dies at the same moment. Until the others detect this, no
+/// entry there watches the store, and a change is accepted meanwhile. Other entries become watchers
+/// once the dead ones are detected, and they read before they watch.
 #[test]
-fn watchers_that_die_are_replaced() {
-    let mut fleet = settled(Shape::zoned(), 5);
+fn dead_watchers_are_replaced() {
+    let mut fleet = settled_fleet(Shape::zoned(), 5);
     let zone = fleet.zones[0].clone();
     let dead: Vec<usize> = watchers(&fleet)
         .into_iter()
@@ -73,16 +73,16 @@
     fleet.run_for(seconds(20));
     let near = watchers(&fleet).into_iter();
     let near = near.filter(|index| fleet.processes[*index].contact.zone == zone);
-    assert_eq!(near.count(), 2, "both entries that are left watch");
+    assert_eq!(near.count(), 2, "both remaining entries watch");
 }
 
-/// The connections of all watches break without a word: nobody hears of the next change.
-/// Each watcher gives its silent watch up and reads, soon enough that the change is in force
-/// everywhere within the promised five seconds, at whatever moment of a watch it is accepted.
+/// The connections of all watches break silently, so that no watcher learns of the next change.
+/// Each watcher abandons its watch and reads. This must be soon enough that the change is in force
+/// everywhere within five seconds, at whatever moment of a watch it is accepted.
 #[test]
-fn watches_that_hang_are_given_up() {
+fn hanging_watches_are_abandoned() {
     for seed in 0..6 {
-        let mut fleet = settled(Shape::small(), seed);
+        let mut fleet = settled_fleet(Shape::small(), seed);
         fleet.store.watches_hang = true;
         for change in 0..4 {
             fleet.run_for(millis(730 * u64::from(change)));
@@ -93,13 +93,13 @@
     }
 }
 
-/// A watch ends every two seconds, and each end costs the store another call.
-/// Were every entry to watch, or a silent watch to be made anew without a wait, the calls would
-/// take the place of everybody else's.
+/// A watch ends every two seconds, and each end costs the store another call. If every entry
+/// watched, or a broken watch were repeated without a delay, these calls would crowd out all
+/// others.
 #[test]
 fn watching_costs_few_calls() {
     for hang in [false, true] {
-        let mut fleet = settled(Shape::zoned(), 9);
+        let mut fleet = settled_fleet(Shape::zoned(), 9);
         fleet.store.watches_hang = hang;
         let before = fleet.store.calls;
         fleet.run_for(seconds(60));
@@ -113,19 +113,19 @@
 }
 
 /// For a minute the store takes four seconds for each answer, longer than a watch is waited for.
-/// Watches are given up and called anew, and the answers to the former ones come late. Were each
-/// late answer taken for that of the present call, each would be followed by another call, and
-/// as many watches as that would be open in every watcher for ever.
+/// Watches are abandoned and repeated, and the answers to the earlier ones arrive late. If each
+/// late answer were taken for that of the current call, each would start another call, and every
+/// watcher would keep that many watches open forever.
 #[test]
-fn a_slow_store_leaves_no_second_watch_open() {
+fn slow_store_leaves_no_second_watch_open() {
     for seed in 0..3 {
-        let mut fleet = settled(Shape::zoned(), seed);
-        fleet.store.slow = seconds(4);
+        let mut fleet = settled_fleet(Shape::zoned(), seed);
+        fleet.store.extra_delay = seconds(4);
         fleet.run_for(seconds(30));
         let generation = fleet.accept(2, "while it is slow");
         fleet.run_for(seconds(30));
         assert!(all_at(&fleet, generation));
-        fleet.store.slow = seconds(0);
+        fleet.store.extra_delay = seconds(0);
         fleet.run_for(seconds(20));
         let before = fleet.store.calls;
         fleet.run_for(seconds(60));
@@ -134,12 +134,13 @@
     }
 }
 
-/// The store is down for twelve minutes. Half of all processes restart meanwhile and keep nothing.
-/// They must come up from their peers with what was in force, and nothing may go back. When the
-/// store returns, only the watchers call it, and the next change gets everywhere.
+/// The store is down for twelve minutes. Half of all processes restart meanwhile and keep no state.
+/// They must get the configuration in force from their peers, and no process may go back to an
+/// older one. When the store recovers, only the watchers call it, and the next change reaches every
+/// process.
 #[test]
-fn processes_that_start_in_an_outage_learn_from_peers() {
-    let mut fleet = settled(Shape::zoned(), 7);
+fn processes_starting_in_an_outage_learn_from_peers() {
+    let mut fleet = settled_fleet(Shape::zoned(), 7);
     let generation = fleet.accept(2, "second");
     fleet.run_for(seconds(5));
     fleet.store_down();
@@ -149,7 +150,7 @@
         fleet.start(index);
     }
     let took = fleet.run_until(seconds(10), |fleet| all_at(fleet, generation));
-    assert!(took.is_some(), "all came up again");
+    assert!(took.is_some(), "all processes have the configuration again");
     fleet.run_for(seconds(60));
     let before = fleet.store.calls;
     fleet.run_for(seconds(600));
@@ -160,16 +161,20 @@
     let generation = fleet.accept(3, "after the outage");
     let took = fleet.run_until(seconds(5), |fleet| all_at(fleet, generation));
     assert!(took.is_some());
-    assert!(fleet.store.calls - before <= 30, "no stampede");
+    assert!(
+        fleet.store.calls - before <= 30,
+        "few calls after the outage"
+    );
 }
 
 /// An entry restarts while the store is down. Half of its peers are a generation behind, as a cut
-/// kept them from the last change. If the first to answer is one of them, callers would see the
-/// change undone. Peers remember what the former start had, and that is a floor.
+/// kept the last change from them. If one of these answers first, callers would see the change
+/// undone. The generation that peers remember of the earlier boot is a lower bound that prevents
+/// this.
 #[test]
-fn a_restarted_entry_does_not_go_back() {
+fn restarted_entry_does_not_revert_to_an_older_generation() {
     for seed in 0..6 {
-        let mut fleet = settled(Shape::small(), seed);
+        let mut fleet = settled_fleet(Shape::small(), seed);
         let zone = fleet.zones[1].clone();
         fleet.network.cut_zone(&zone);
         let generation = fleet.accept(2, "second");
@@ -187,12 +192,12 @@
     }
 }
 
-/// An availability zone is cut off from everything for a minute, the store included.
-/// Changes are accepted meanwhile. It keeps what it had, and after the cut it catches up.
+/// An availability zone is cut off from everything for a minute, including the store. Changes are
+/// accepted meanwhile. The zone keeps its configuration, and gets the latest after the cut.
 #[test]
-fn a_zone_that_was_cut_off_catches_up() {
+fn zone_that_was_cut_off_catches_up() {
     for shape in [Shape::small(), Shape::zoned()] {
-        let mut fleet = settled(shape, 8);
+        let mut fleet = settled_fleet(shape, 8);
         let zone = fleet.zones[1].clone();
         fleet.network.cut_zone(&zone);
         fleet.run_for(seconds(30));
--- a/crates/oatpier-membership/tests/testsuite/summary.rs
+++ b/crates/oatpier-membership/tests/testsuite/summary.rs
@@ -1,8 +1,8 @@
-//! Summaries between availability zones.
+//! Tests of summaries between availability zones.
 
 use indexmap::IndexMap;
 use oatpier_membership::summary::{
-    ModelSummary, SummaryBook, SummaryCursor, SummaryKey, TableDigest, ZoneSummary,
+    ModelSummary, SummaryCursor, SummaryKey, SummaryTable, TableDigest, ZoneSummary,
 };
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::ModelName;
@@ -37,16 +37,16 @@
     assert!(cursor.next_rows(&rows(&[1, 1, 1]), 9, now).is_empty());
     let next = cursor.next_rows(&rows(&[2, 2, 0]), 1, now);
     assert_eq!((next[0].key.clone(), next[0].ready), (key(2), 0));
-    cursor.lost([&key(2)]);
+    cursor.mark_lost([&key(2)]);
     let again = cursor.next_rows(&rows(&[2, 2, 0]), 9, now);
     assert_eq!(again.len(), 3);
 }
 
-/// A row goes from entry to entry and comes back to one that had it. Were it taken for younger
-/// because of its way, it would go round for ever.
+/// A row returns to an entry that already had it. If forwarding made it look younger, it would be
+/// forwarded forever.
 #[test]
-fn a_row_that_comes_round_is_no_news() {
-    let mut book = SummaryBook::default();
+fn forwarded_row_that_returns_is_not_forwarded_again() {
+    let mut book = SummaryTable::default();
     let now = ClockTime::from_millis(100_000);
     let mut summary = ZoneSummary {
         zone: zone("zone-1"),
@@ -61,17 +61,17 @@
     assert_eq!(book.zones_with(&key(0)).count(), 0);
 }
 
-/// A row and its successor are made within a moment. The older one goes by another entry and two
-/// slow links, whose delay no age shows. Taken for the younger, it would say that a model is
-/// reachable where it no longer is.
+/// A row and its successor are created within a moment. The older one arrives through another entry
+/// and two slow links, whose delay does not show in its age. If it were taken for the younger one,
+/// it would report a model as reachable where it no longer is.
 #[test]
-fn an_older_row_on_a_slow_way_does_not_win() {
+fn older_row_over_slow_links_does_not_replace_a_newer_one() {
     let at = |millis: u64| ClockTime::from_millis(100_000 + millis);
     let summary = |ready: u32| ZoneSummary {
         zone: zone("zone-1"),
         models: rows(&[ready]).into_values().collect(),
     };
-    let (mut here, mut other) = (SummaryBook::default(), SummaryBook::default());
+    let (mut here, mut other) = (SummaryTable::default(), SummaryTable::default());
     here.merge(&summary(1), at(0));
     here.merge(&summary(0), at(100));
     other.merge(&summary(1), at(100));
@@ -94,9 +94,10 @@
     );
 }
 
-/// Entries of one availability zone send a request for a model that only another one has ready.
+/// Every entry learns which models another availability zone has ready, so that it can send
+/// requests there.
 #[test]
-fn every_entry_learns_what_the_other_zone_has() {
+fn every_entry_learns_which_models_the_other_zone_has() {
     let mut fleet = Fleet::new(Shape::zoned(), 4);
     fleet.accept(1, "first");
     fleet.run_for(seconds(60));
--- a/crates/oatpier-membership/tests/testsuite/support/fleet.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/fleet.rs
@@ -1,4 +1,5 @@
-//! Entries and agents that run the real machines against the network and the store.
+//! A simulated fleet: entries and agents that run the real state machines against the simulated
+//! network and store.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -17,7 +18,7 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-use super::network::{End, Network, Side};
+use super::network::{LinkEnd, Network, Side};
 use super::payload::TestConfig;
 use super::store::{FakeStore, WaitingWatch};
 use super::{contact, generator, status};
@@ -25,12 +26,12 @@
 pub type Call = PeerCall<TestConfig>;
 pub type Answer = PeerAnswer<TestConfig>;
 
-/// What HTTP adds to one message: request line or status line and headers.
+/// The bytes that HTTP adds to one message: request line or status line, and headers.
 pub const HEADER_BYTES: u64 = 130;
 
 const STORE_DELAY: Duration = Duration::from_millis(2);
 
-/// Watches whose time is over are looked for this often.
+/// The interval at which expired watches are ended.
 const WATCH_ENDS_EVERY: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
@@ -57,7 +58,7 @@
 }
 
 #[derive(Debug)]
-enum Happening {
+enum FleetEvent {
     Wake,
     Deliver {
         from: usize,
@@ -65,7 +66,7 @@
         call: CallNumber,
         body: Box<Call>,
     },
-    End {
+    CallEnded {
         call: CallNumber,
         answer: Option<Box<Answer>>,
     },
@@ -73,29 +74,29 @@
 }
 
 #[derive(Debug)]
-struct Queued {
+struct QueuedEvent {
     at: ClockTime,
     order: u64,
     to: usize,
     boot: Option<u128>,
-    what: Happening,
+    event: FleetEvent,
 }
 
-impl PartialEq for Queued {
+impl PartialEq for QueuedEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Queued {}
+impl Eq for QueuedEvent {}
 
-impl PartialOrd for Queued {
+impl PartialOrd for QueuedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Queued {
+impl Ord for QueuedEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Two availability zones of five entries each, which tell each other summaries.
+    /// Two availability zones of five entries each, which exchange summaries.
     pub fn zoned() -> Self {
         Self {
             zones_by_region: vec![2],
@@ -138,13 +139,13 @@
     pub store: FakeStore,
     pub processes: Vec<Process>,
     pub measure: bool,
-    /// Messages and bytes by kind, calls and answers together.
+    /// Messages and bytes by kind, separately for calls and answers.
     pub by_kind: BTreeMap<&'static str, (u64, u64)>,
     pub entries: usize,
     pub zones: Vec<ZoneName>,
     shape: Shape,
     by_name: HashMap<DaemonName, usize>,
-    queue: BinaryHeap<Reverse<Queued>>,
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
     order: u64,
     boots: u128,
     generator: ChaCha8Rng,
@@ -168,14 +169,14 @@
             generator: generator(seed),
             shape,
         };
-        fleet.lay_out();
+        fleet.create_processes();
         for index in 0..fleet.processes.len() {
             fleet.start(index);
         }
         fleet
     }
 
-    fn lay_out(&mut self) {
+    fn create_processes(&mut self) {
         let regions: Vec<usize> = self
             .shape
             .zones_by_region
@@ -222,7 +223,7 @@
         self.processes[index].contact.clone()
     }
 
-    /// Starts a process anew, with nothing kept.
+    /// Starts a process with no state from earlier boots.
     pub fn start(&mut self, index: usize) {
         self.boots += 1;
         let boot = BootId(self.boots);
@@ -252,7 +253,7 @@
         self.schedule_wake(index);
     }
 
-    /// Settings name the first two entries of each availability zone.
+    /// Returns the seeds from the settings: the first two entries of each availability zone.
     fn seeds_for(&self, index: usize) -> Vec<EntryContact> {
         let entries = 0..self.entries.min(2 * self.zones.len());
         entries
@@ -295,13 +296,13 @@
         }
     }
 
-    /// The state of a member, as an entry sees it.
+    /// Returns the state of a member, as an entry sees it.
     pub fn state(&self, entry: usize, member: usize) -> Option<MemberState> {
         let daemon = &self.processes[member].contact.daemon;
         Some(self.entry(entry).table().get(daemon)?.state)
     }
 
-    /// An operator's change is accepted.
+    /// Accepts an operator's change.
     pub fn accept(&mut self, key: u32, text: &str) -> Generation {
         let value = match &self.store.stored {
             Some(stored) => stored.value.with_row(key, text),
@@ -312,7 +313,11 @@
 
     pub fn accept_value(&mut self, value: TestConfig) -> Generation {
         let watches = self.store.accept(value);
-        let stored = self.store.stored.clone().expect("just accepted");
+        let stored = self
+            .store
+            .stored
+            .clone()
+            .expect("a value was just accepted");
         let generation = stored.generation;
         for watch in watches {
             self.reply_store(&watch, StoreReply::Value(stored.clone()));
@@ -332,28 +337,28 @@
     }
 
     fn reply_store(&mut self, watch: &WaitingWatch, reply: StoreReply<TestConfig>) {
-        let at = self.now + STORE_DELAY + self.store.slow;
+        let at = self.now + STORE_DELAY + self.store.extra_delay;
         self.push(
             at,
             watch.process,
             Some(watch.boot),
-            Happening::Store(Box::new(reply)),
+            FleetEvent::Store(Box::new(reply)),
         );
     }
 
     pub fn entry_event(&mut self, index: usize, event: EntryEvent<TestConfig>) {
-        let local = self.local(index);
+        let local_time = self.local_time(index);
         if let Some(Node::Entry(entry)) = &mut self.processes[index].node {
-            let actions = entry.handle(event, local);
+            let actions = entry.handle(event, local_time);
             self.act_entry(index, actions);
         }
         self.schedule_wake(index);
     }
 
     pub fn agent_event(&mut self, index: usize, event: AgentEvent<TestConfig>) {
-        let local = self.local(index);
+        let local_time = self.local_time(index);
         if let Some(Node::Agent(agent)) = &mut self.processes[index].node {
-            let actions = agent.handle(event, local);
+            let actions = agent.handle(event, local_time);
             self.act_agent(index, actions);
         }
         self.schedule_wake(index);
@@ -370,15 +375,15 @@
     fn run_slice(&mut self, span: Duration) {
         let until = self.now + span;
         while self.queue.peek().is_some_and(|next| next.0.at <= until) {
-            let Reverse(next) = self.queue.pop().expect("just seen");
+            let Reverse(next) = self.queue.pop().expect("the queue is not empty");
             self.now = next.at;
-            self.happen(next);
+            self.dispatch(next);
         }
         self.now = until;
         self.end_watches();
     }
 
-    /// Runs until `done` says so, at most for `span`; the time that it took.
+    /// Runs until `done` holds, for `span` at most; returns the time that it took.
     pub fn run_until(&mut self, span: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now.since(start) < span {
@@ -403,20 +408,20 @@
         }
     }
 
-    fn local(&self, index: usize) -> ClockTime {
+    fn local_time(&self, index: usize) -> ClockTime {
         let started = self.processes[index].started;
         ClockTime::from_start(self.now.since(started))
     }
 
-    fn push(&mut self, at: ClockTime, to: usize, boot: Option<u128>, what: Happening) {
+    fn push(&mut self, at: ClockTime, to: usize, boot: Option<u128>, event: FleetEvent) {
         self.order += 1;
         let order = self.order;
-        self.queue.push(Reverse(Queued {
+        self.queue.push(Reverse(QueuedEvent {
             at,
             order,
             to,
             boot,
-            what,
+            event,
         }));
     }
 
@@ -435,11 +440,11 @@
         if process.wake_at <= self.now || at < process.wake_at {
             process.wake_at = at;
             let boot = Some(process.boot);
-            self.push(at, index, boot, Happening::Wake);
+            self.push(at, index, boot, FleetEvent::Wake);
         }
     }
 
-    fn happen(&mut self, next: Queued) {
+    fn dispatch(&mut self, next: QueuedEvent) {
         let index = next.to;
         let process = &self.processes[index];
         let other = next.boot.is_some_and(|boot| boot != process.boot);
@@ -447,14 +452,14 @@
             return;
         }
         if process.paused_until > self.now {
-            self.push(process.paused_until, index, next.boot, next.what);
+            self.push(process.paused_until, index, next.boot, next.event);
             return;
         }
-        match next.what {
-            Happening::Wake => self.tick(index),
-            Happening::Store(reply) => self.entry_event(index, EntryEvent::StoreEnded(*reply)),
-            Happening::End { call, answer } => self.end_call(index, call, answer),
-            Happening::Deliver {
+        match next.event {
+            FleetEvent::Wake => self.tick(index),
+            FleetEvent::Store(reply) => self.entry_event(index, EntryEvent::StoreEnded(*reply)),
+            FleetEvent::CallEnded { call, answer } => self.end_call(index, call, answer),
+            FleetEvent::Deliver {
                 from,
                 from_boot,
                 call,
@@ -482,15 +487,15 @@
     }
 
     fn deliver(&mut self, index: usize, from: usize, boot: u128, call: CallNumber, body: Call) {
-        let local = self.local(index);
+        let local_time = self.local_time(index);
         let answer = match &mut self.processes[index].node {
             Some(Node::Entry(entry)) => {
-                let (answer, actions) = entry.answer(body, local);
+                let (answer, actions) = entry.answer(body, local_time);
                 self.act_entry(index, actions);
                 answer
             }
             Some(Node::Agent(agent)) => {
-                let (answer, actions) = agent.answer(body, local);
+                let (answer, actions) = agent.answer(body, local_time);
                 self.act_agent(index, actions);
                 answer
             }
@@ -498,45 +503,45 @@
         };
         self.schedule_wake(index);
         self.count(index, from, answer_kind(&answer), &answer);
-        if let Some(delay) = self.carry(index, from) {
+        if let Some(delay) = self.transmit(index, from) {
             let answer = Some(Box::new(answer));
             self.push(
                 self.now + delay,
                 from,
                 Some(boot),
-                Happening::End { call, answer },
+                FleetEvent::CallEnded { call, answer },
             );
         }
     }
 
-    fn carry(&mut self, from: usize, to: usize) -> Option<Duration> {
+    fn transmit(&mut self, from: usize, to: usize) -> Option<Duration> {
         let end = |process: &'_ Process| (process.contact.clone(), process.region);
         let (from, to) = (end(&self.processes[from]), end(&self.processes[to]));
-        let sides = [&from, &to].map(|(contact, region)| End {
+        let sides = [&from, &to].map(|(contact, region)| LinkEnd {
             process: &contact.daemon,
             zone: &contact.zone,
             region: *region,
         });
-        self.network.carry(&sides[0], &sides[1])
+        self.network.transmit(&sides[0], &sides[1])
     }
 
     fn send(&mut self, from: usize, to: &EntryContact, call: CallNumber, body: Call) {
         let boot = self.processes[from].boot;
-        let end = Happening::End { call, answer: None };
+        let end = FleetEvent::CallEnded { call, answer: None };
         self.push(self.now + CALL_WITHIN, from, Some(boot), end);
         let Some(&target) = self.by_name.get(&to.daemon) else {
             return;
         };
         self.count(from, target, call_kind(&body), &body);
-        if let Some(delay) = self.carry(from, target) {
+        if let Some(delay) = self.transmit(from, target) {
             let body = Box::new(body);
-            let what = Happening::Deliver {
+            let event = FleetEvent::Deliver {
                 from,
                 from_boot: boot,
                 call,
                 body,
             };
-            self.push(self.now + delay, target, None, what);
+            self.push(self.now + delay, target, None, event);
         }
     }
 
@@ -592,11 +597,17 @@
 
     fn end_store(&mut self, index: usize, reply: StoreReply<TestConfig>) {
         let boot = Some(self.processes[index].boot);
-        let what = Happening::Store(Box::new(reply));
-        self.push(self.now + STORE_DELAY + self.store.slow, index, boot, what);
+        let event = FleetEvent::Store(Box::new(reply));
+        self.push(
+            self.now + STORE_DELAY + self.store.extra_delay,
+            index,
+            boot,
+            event,
+        );
     }
 
-    /// A cut of a whole availability zone cuts it from the store too.
+    /// Whether a process can reach the store: a cut of a whole availability zone also cuts it from
+    /// the store.
     fn store_reaches(&self, index: usize) -> bool {
         let zone = &self.processes[index].contact.zone;
         let cut = Side::Zone(zone.clone());
