--- a/crates/oatpier-admission/src/drain.rs
+++ b/crates/oatpier-admission/src/drain.rs
@@ -1,35 +1,35 @@
-//! A planned stop of an agent or its endpoint.
+//! Graceful shutdown of an agent or its endpoint.
 //!
-//! From the moment that it is told to leave, the agent refuses all new work itself, whatever the
-//! entries still believe, and goes on with what is at the endpoint until the last of it is over.
+//! Once told to leave, the agent itself refuses all new work, even if entries still route work to
+//! it from outdated state. Work that is already at the endpoint is finished.
 
-/// How far a planned stop is.
+/// The progress of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DrainState {
-    /// No stop is planned.
+    /// No shutdown is in progress.
     #[default]
     Serving,
-    /// New work is refused, work at the endpoint goes on.
+    /// New work is refused; work at the endpoint continues.
     Leaving,
     /// No work is left.
     Drained,
 }
 
 impl DrainState {
-    /// Whether new work is taken.
+    /// Returns whether new work is accepted.
     #[must_use]
     pub fn accepts(self) -> bool {
         self == Self::Serving
     }
 
-    /// Begins the stop; of no effect on one that has begun.
+    /// Starts the shutdown. Has no effect if it has already started.
     pub fn leave(&mut self) {
         if *self == Self::Serving {
             *self = Self::Leaving;
         }
     }
 
-    /// Ends the stop if no work is left. True the one time that it ends.
+    /// Ends the shutdown if no work is left. Returns true only on the call that ends it.
     pub fn settle(&mut self, in_flight: usize) -> bool {
         let ends = *self == Self::Leaving && in_flight == 0;
         if ends {
--- a/crates/oatpier-admission/src/event.rs
+++ b/crates/oatpier-admission/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to an agent, and what its policy asks for.
+//! Events and actions of an agent's policy.
 
 use std::time::Duration;
 
@@ -17,129 +17,129 @@
 /// Weights that an engine is loading.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoadingWeights {
-    /// Which.
+    /// The weights.
     pub weights: WeightsKey,
-    /// How long until they are ready, as far as known.
+    /// Estimated time until they are ready.
     pub ready_in: Duration,
 }
 
-/// Something that happened at or to the agent.
+/// An event at the agent.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentEvent {
-    /// An attempt came from an entry.
+    /// An attempt arrived from an entry.
     Arrive {
-        /// What it asks for.
+        /// The attempt.
         spec: AttemptSpec,
-        /// The queue report that it was made on.
+        /// The newest queue report that the entry had when it made the attempt.
         ticket: AdmissionTicket,
     },
-    /// An entry gives an attempt up, or its caller went away.
+    /// An entry cancels an attempt, or its caller disconnected.
     Cancel {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
         /// The ticket that the attempt was sent with.
         ticket: AdmissionTicket,
     },
-    /// An entry gives an attempt up only if it has not reached the endpoint: sealed, it never
-    /// runs; one that runs goes on, as a half-done change is worse than a done one. Answered as a
-    /// cancel is.
+    /// An entry cancels an attempt only if it has not reached the endpoint. If it has not, it is
+    /// sealed: it never runs. If it has, it continues, since a partly applied change is worse than
+    /// a complete one. Answered like a cancel.
     Seal {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
         /// The ticket that the attempt was sent with.
         ticket: AdmissionTicket,
     },
-    /// The endpoint gave the first token of an answer (a plain service: its first byte).
+    /// The endpoint sent the first token of an answer; for a plain service, the first byte.
     EndpointFirstToken {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// The endpoint gave more of an answer.
+    /// The endpoint sent a further part of an answer.
     EndpointPiece {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// The tokens in it.
+        /// The number of tokens in the part.
         tokens: u32,
     },
-    /// An answer came to its terminator.
+    /// An answer was received completely, including its terminator.
     EndpointEnded {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
     },
     /// A call to the endpoint failed or was cancelled.
     EndpointFailed {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// Whether the endpoint may have acted on it.
+        /// Whether the endpoint may have executed it.
         verdict: RunVerdict,
     },
-    /// The endpoint began or ceased to answer at all.
+    /// The endpoint became reachable or unreachable.
     EndpointUp {
-        /// Whether it does.
+        /// Whether it is reachable.
         up: bool,
     },
-    /// The agent or its endpoint is to leave.
+    /// The agent or its endpoint starts a graceful shutdown.
     Leave,
-    /// The weights in the endpoint changed.
+    /// The weights at the endpoint changed.
     ReadyChanged {
-        /// All that are ready.
+        /// All weights that are ready.
         ready: Vec<WeightsKey>,
-        /// All that are being loaded.
+        /// All weights that are loading.
         loading: Vec<LoadingWeights>,
     },
-    /// The classes of the configuration in force changed.
+    /// The classes of the active configuration changed.
     ClassesChanged {
         /// All classes.
         classes: IndexMap<ClassName, ClassSpec>,
     },
-    /// The configuration in force gives the endpoint another number of slots. What runs beyond a
-    /// lower number goes on to its end.
+    /// The active configuration changed the endpoint's number of slots. Attempts that run beyond a
+    /// lower number are finished.
     SlotsChanged {
-        /// Attempts that the endpoint runs at once; 0 counts as 1.
+        /// Attempts that the endpoint runs concurrently; 0 counts as 1.
         slots: u32,
     },
-    /// The point that `next_timer` gave has come.
+    /// The time returned by `next_timer` was reached.
     Timer,
 }
 
-/// Something that the agent has to do now.
+/// An action that the agent has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentAction {
-    /// Send the attempt to the endpoint. It is on record as started already.
+    /// Send the attempt to the endpoint. The ledger has recorded its start already.
     Start {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// For an engine: lower goes first.
+        /// Priority for the engine; lower values go first.
         priority: u32,
     },
-    /// Answer that the attempt is refused; it did not run and never will.
+    /// Answer that the attempt is refused: it has not run and never will.
     Refuse {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
-        /// Why, and when to come back.
+        /// The cause and the retry delay.
         refusal: Refusal,
     },
-    /// Answer that the attempt is a copy of one that came before (cause "duplicate"), with the
-    /// verdict on that one. Not a refusal: the first copy may run, or have run.
+    /// Answer that the attempt is a copy of an earlier one (cause "duplicate"), with the verdict of
+    /// the earlier one. This is not a refusal: the first copy may be running or may have run.
     AnswerCopy {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
         /// Whether the first copy may have run.
         verdict: RunVerdict,
     },
     /// Answer a cancel or a seal.
     Cancelled {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
         /// Whether it may have run.
         verdict: RunVerdict,
     },
-    /// Cancel the call at the endpoint. Its slot stays taken until the call is over.
+    /// Cancel the call at the endpoint. Its slot stays occupied until the call ends.
     CancelAtEndpoint {
-        /// Which.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// The last attempt is over: a leaving agent may exit.
+    /// The last attempt has ended: an agent that is leaving may exit.
     Drained,
 }
 
@@ -149,31 +149,31 @@
 /// Bounds of an agent's policy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Attempts that the endpoint runs at once.
+    /// Attempts that the endpoint runs concurrently.
     pub slots: u32,
-    /// Attempts that may wait.
+    /// Maximum number of waiting attempts.
     pub queue: usize,
-    /// Attempts on record that are over.
+    /// Maximum number of records of finished attempts.
     pub records: usize,
-    /// How long an attempt that is over stays on record.
-    pub record_life: Duration,
+    /// How long the record of a finished attempt is kept.
+    pub record_ttl: Duration,
 }
 
 impl AdmissionLimits {
-    /// The usual bounds for an endpoint with `slots` slots.
+    /// Returns the default bounds for an endpoint with `slots` slots.
     #[must_use]
     pub fn for_slots(slots: u32) -> Self {
         let slots = slots.max(1);
         Self {
             slots,
-            queue: usual_queue(slots),
+            queue: default_queue_bound(slots),
             records: 8_192,
-            record_life: Duration::from_mins(1),
+            record_ttl: Duration::from_mins(1),
         }
     }
 }
 
-/// The usual bound of the queue before `slots` slots.
-pub(crate) fn usual_queue(slots: u32) -> usize {
+/// Returns the default bound of the queue for `slots` slots.
+pub(crate) fn default_queue_bound(slots: u32) -> usize {
     (slots as usize * 4).clamp(32, 512)
 }
--- a/crates/oatpier-admission/src/lib.rs
+++ b/crates/oatpier-admission/src/lib.rs
@@ -1,19 +1,19 @@
-//! Decisions of an agent about requests, as plain state machines.
+//! Request admission of an agent, as deterministic state machines.
 //!
-//! The agent is the only way to its endpoint, so what it refuses has not run, and what it has
-//! recorded runs once. All safety of requests rests on this package alone; what entries believe
-//! of an endpoint only makes their choices better. Nothing here does I/O, is `async` or reads a
-//! clock: the daemon, the policy bench and the fault tests drive the same
-//! `(event, now) -> actions`.
+//! The agent is the only way to its endpoint, so a request that it refuses has not run, and an
+//! attempt that it has recorded runs at most once. The safety of requests depends on this package
+//! alone; the endpoint state that entries keep only improves their routing. Nothing here does I/O,
+//! is `async` or reads a clock: the daemon, the policy benchmark and the fault tests all drive the
+//! same `(event, now) -> actions` function.
 //!
-//! - [`policy`]: [`policy::AgentPolicy`], the whole, which drives the parts below.
-//! - [`event`]: what happens to it and what it asks for.
-//! - [`queue`]: who goes next.
-//! - [`estimate`]: how long things take, and so what can't be in time.
-//! - [`attempts`]: which attempts came, and what became of them.
-//! - [`need`]: the share of each class that is within its target.
-//! - [`weights`]: which weights are ready or soon will be.
-//! - [`drain`]: a planned stop.
+//! - [`policy`]: [`policy::AgentPolicy`], which combines the parts below.
+//! - [`event`]: events and actions of the policy.
+//! - [`queue`]: the order of waiting attempts.
+//! - [`estimate`]: service time estimates, which tell what can't meet its deadline.
+//! - [`attempts`]: records of the attempts that arrived and their verdicts.
+//! - [`need`]: the share of each class that meets its target.
+//! - [`weights`]: the weights that are ready or loading.
+//! - [`drain`]: graceful shutdown.
 
 pub mod attempts;
 pub mod drain;
--- a/crates/oatpier-admission/src/need.rs
+++ b/crates/oatpier-admission/src/need.rs
@@ -1,7 +1,8 @@
-//! The share of each class that is within its target, as seen at this agent.
+//! The share of each class that meets its target, as observed at this agent.
 //!
-//! A class below its target needs the next slot more than one with slack, whose late request
-//! costs nothing. The share is decayed, so that an old good hour does not hide a bad minute.
+//! A class below its target needs the next slot more than one with slack, which can afford a late
+//! request. The share decays over time, so that an earlier good hour does not hide a current bad
+//! minute.
 
 use std::time::Duration;
 
@@ -10,16 +11,16 @@
 use oatpier_types::config::{ClassSpec, ClassTarget};
 use oatpier_types::names::ClassName;
 
-/// The need of a class that is furthest below its target. 0 is that of a class with slack.
-pub const MOST_NEED: u32 = 4;
+/// Maximum need: that of a class furthest below its target. A class with slack has need 0.
+pub const MAX_NEED: u32 = 4;
 
-/// The shortfall of share that raises the need by one.
+/// Shortfall of the share that raises the need by one.
 const NEED_STEP: f64 = 0.05;
 
-/// After this time an observation counts half.
+/// Time after which the weight of an observation has halved.
 const HALF_LIFE: Duration = Duration::from_mins(1);
 
-/// Weight, in requests, of the assumption that a class is within its target.
+/// Weight, in requests, of the prior assumption that a class is at its target.
 const PRIOR_WEIGHT: f64 = 4.0;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -45,14 +46,14 @@
     }
 }
 
-/// The share of each class that is within its target, as seen at this agent.
+/// The share of each class that meets its target, as observed at this agent.
 #[derive(Debug, Clone, Default)]
 pub struct NeedTracker {
     classes: IndexMap<ClassName, (ClassSpec, ClassShare)>,
 }
 
 impl NeedTracker {
-    /// Takes the classes of a configuration; the shares of those that stay are kept.
+    /// Applies the classes of a configuration. Classes that stay keep their shares.
     pub fn configure(&mut self, classes: IndexMap<ClassName, ClassSpec>) {
         let mut former = std::mem::take(&mut self.classes);
         self.classes = classes
@@ -64,7 +65,7 @@
             .collect();
     }
 
-    /// The target of a class, if it is configured.
+    /// Returns the target of a class, if it is configured.
     #[must_use]
     pub fn target(&self, class: &ClassName) -> Option<ClassTarget> {
         self.classes.get(class).map(|(spec, _)| spec.target)
@@ -79,25 +80,25 @@
         }
     }
 
-    /// Takes back one request that was counted as in time: its later tokens came too slowly.
-    pub fn demote(&mut self, class: &ClassName, now: ClockTime) {
+    /// Reverses one request that was counted as in time: its later tokens came too slowly.
+    pub fn retract_in_time(&mut self, class: &ClassName, now: ClockTime) {
         if let Some((_, share)) = self.classes.get_mut(class) {
             share.decay(now);
             share.good = (share.good - 1.0).max(0.0);
         }
     }
 
-    /// The need of a class, from 0 (it has slack) to [`MOST_NEED`].
+    /// Returns the need of a class, from 0 (it has slack) to [`MAX_NEED`].
     ///
-    /// Steps instead of the bare shortfall: inside a step the earlier deadline decides, so that
-    /// classes in like need don't take turns on noise.
+    /// Uses steps instead of the plain shortfall: within a step the earlier deadline decides, so
+    /// noise does not reorder classes of similar need.
     #[must_use]
     pub fn need(&self, class: &ClassName, now: ClockTime) -> u32 {
         let Some((spec, share)) = self.classes.get(class) else {
             return 0;
         };
         let shortfall = share.shortfall(spec.attain, now);
-        let passed = (1..MOST_NEED).filter(|step| shortfall > NEED_STEP * f64::from(*step));
-        u32::from(shortfall > f64::EPSILON) + u32::try_from(passed.count()).unwrap_or(0)
+        let passed_steps = (1..MAX_NEED).filter(|step| shortfall > NEED_STEP * f64::from(*step));
+        u32::from(shortfall > f64::EPSILON) + u32::try_from(passed_steps.count()).unwrap_or(0)
     }
 }
--- a/crates/oatpier-admission/src/policy.rs
+++ b/crates/oatpier-admission/src/policy.rs
@@ -1,9 +1,9 @@
-//! All decisions of one agent about requests.
+//! The admission policy of one agent.
 //!
-//! An attempt passes these filters in order: the ledger (is it new?), the drain, the endpoint's
-//! health, its weights, the estimate (can it be in time?), the queue's bound. Whatever a filter
-//! refuses is on record as "not run" before the refusal goes out. After every event the waiting
-//! attempts that can no longer be in time are refused, and free slots are filled.
+//! An attempt passes these checks in order: the ledger (is it new?), graceful shutdown, endpoint
+//! health, weights, the estimate (can it meet its deadline?), and the queue's bound. A refused
+//! attempt is on record as "not run" before the refusal is sent. After every event, waiting
+//! attempts that can no longer meet their deadline are refused, and free slots are filled.
 
 mod refusing;
 
@@ -18,44 +18,45 @@
 use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 
-use crate::attempts::{ArrivalJudgement, AttemptLedger, CancelJudgement};
+use crate::attempts::{ArrivalDecision, AttemptLedger, CancelDecision};
 use crate::drain::DrainState;
 use crate::estimate::{EndpointLoad, ServiceEstimator};
 use crate::event::{
-    AdmissionLimits, AdmissionTicket, AgentAction, AgentActions, AgentEvent, usual_queue,
+    AdmissionLimits, AdmissionTicket, AgentAction, AgentActions, AgentEvent, default_queue_bound,
 };
-use crate::need::{MOST_NEED, NeedTracker};
+use crate::need::{MAX_NEED, NeedTracker};
 use crate::queue::{AdmissionQueue, QueuePlacement, WaitingAttempt};
 use crate::running::RunningAttempt;
 use crate::weights::{WeightsOutlook, WeightsTable};
 
-/// Priorities of an engine for one step of need.
+/// Engine priority values per step of need.
 const PRIORITIES_PER_NEED: u32 = 1_000;
 
-/// Slack that raises an engine's priority number by one.
+/// Slack that raises an engine's priority value by one.
 const SLACK_PER_PRIORITY: Duration = Duration::from_millis(10);
 
-/// How far the giving up of an attempt reaches.
+/// The scope of a cancel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CancelReach {
-    /// To what waits: what is at the endpoint goes on.
+enum CancelScope {
+    /// Only waiting attempts; attempts at the endpoint continue.
     Queue,
-    /// To the endpoint.
+    /// Waiting attempts and attempts at the endpoint.
     Endpoint,
 }
 
-/// What the policy met that should not happen often.
+/// Counters of unusual events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AgentCounters {
-    /// Copies of attempts that came before.
+    /// Copies of attempts that had arrived before.
     pub copies: u64,
-    /// Attempts refused as given up before they came, or not to be told from such.
+    /// Attempts refused because they were given up before they arrived, or can't be distinguished
+    /// from such.
     pub given_up: u64,
-    /// Words of the endpoint on attempts that are not there, dropped.
+    /// Endpoint events for attempts that are not running, which are dropped.
     pub stray_answers: u64,
 }
 
-/// All decisions of one agent about requests.
+/// The admission policy of one agent.
 #[derive(Debug)]
 pub struct AgentPolicy {
     boot: BootId,
@@ -69,13 +70,14 @@
     weights: WeightsTable,
     drain: DrainState,
     up: bool,
-    /// Whether the estimates were too old to refuse anything on at the last step.
+    /// Whether the estimates were too old to refuse anything by them at the last step.
     stale: bool,
     counters: AgentCounters,
 }
 
 impl AgentPolicy {
-    /// The policy of an agent that has just started, with its endpoint up and no weights ready.
+    /// Creates the policy of an agent that has just started, with its endpoint up and no weights
+    /// ready.
     #[must_use]
     pub fn new(boot: BootId, limits: AdmissionLimits) -> Self {
         Self {
@@ -95,19 +97,19 @@
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Applies one event and returns the resulting actions.
     pub fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions {
         let mut actions = AgentActions::new();
-        // A further piece frees no slot and changes nothing for what waits. Without this, each
-        // generated token would cost a look at the whole queue.
+        // Further output frees no slot and changes nothing for waiting attempts. Without this
+        // check, each generated token would cost a scan of the whole queue.
         let is_piece = matches!(event, AgentEvent::EndpointPiece { .. });
         self.ledger.expire(now);
-        self.take_event(event, now, &mut actions);
+        self.apply_event(event, now, &mut actions);
         if is_piece {
             return actions;
         }
         self.stale = self.estimator.is_stale(self.running.len(), now);
-        self.refuse_hopeless(now, &mut actions);
+        self.refuse_unservable(now, &mut actions);
         self.fill_slots(now, &mut actions);
         if self.drain.settle(self.in_flight()) {
             actions.push(AgentAction::Drained);
@@ -115,20 +117,20 @@
         actions
     }
 
-    /// When to give the next [`AgentEvent::Timer`]; [`ClockTime::NEVER`] if none is wanted.
+    /// Returns when the next [`AgentEvent::Timer`] is due; [`ClockTime::NEVER`] if none is needed.
     #[must_use]
     pub fn next_timer(&self) -> ClockTime {
-        let hopeless = self
+        let unservable_at = self
             .queue
             .iter()
             .map(|waiting| self.last_start(waiting) + Duration::from_micros(1))
             .min();
         self.ledger
             .next_expiry()
-            .min(hopeless.unwrap_or(ClockTime::NEVER))
+            .min(unservable_at.unwrap_or(ClockTime::NEVER))
     }
 
-    /// A fresh queue report. Each has the next sequence number.
+    /// Creates a queue report. Each report has the next sequence number.
     pub fn queue_report(&mut self, now: ClockTime) -> QueueReport {
         self.reports += 1;
         QueueReport {
@@ -144,40 +146,40 @@
         }
     }
 
-    /// Attempts that wait or run.
+    /// Returns the number of attempts that wait or run.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.queue.len() + self.running.len()
     }
 
-    /// How far a planned stop is.
+    /// Returns the progress of a graceful shutdown.
     #[must_use]
     pub fn drain_state(&self) -> DrainState {
         self.drain
     }
 
-    /// What it met that should not happen often.
+    /// Returns the counters of unusual events.
     #[must_use]
     pub fn counters(&self) -> AgentCounters {
         self.counters
     }
 
-    /// The need of a class as this agent sees it, from 0 to [`MOST_NEED`].
+    /// Returns the need of a class at this agent, from 0 to [`MAX_NEED`].
     #[must_use]
     pub fn need(&self, class: &ClassName, now: ClockTime) -> u32 {
         self.tracker.need(class, now)
     }
 
-    fn take_event(&mut self, event: AgentEvent, now: ClockTime, actions: &mut AgentActions) {
+    fn apply_event(&mut self, event: AgentEvent, now: ClockTime, actions: &mut AgentActions) {
         match event {
             AgentEvent::Arrive { spec, ticket } => self.arrive(spec, ticket, now, actions),
             AgentEvent::Cancel { attempt, ticket } => {
-                let reach = CancelReach::Endpoint;
-                self.cancel((attempt, ticket), reach, now, actions);
+                let scope = CancelScope::Endpoint;
+                self.cancel((attempt, ticket), scope, now, actions);
             }
             AgentEvent::Seal { attempt, ticket } => {
-                let reach = CancelReach::Queue;
-                self.cancel((attempt, ticket), reach, now, actions);
+                let scope = CancelScope::Queue;
+                self.cancel((attempt, ticket), scope, now, actions);
             }
             AgentEvent::EndpointFirstToken { attempt } => self.first_token(attempt, now),
             AgentEvent::EndpointPiece { attempt, tokens } => self.piece(attempt, tokens, now),
@@ -203,8 +205,8 @@
     ) {
         let attempt = spec.attempt;
         match self.ledger.arrive(attempt, ticket, self.reports) {
-            ArrivalJudgement::New => self.admit(spec, now, actions),
-            ArrivalJudgement::GivenUp => {
+            ArrivalDecision::New => self.admit(spec, now, actions),
+            ArrivalDecision::GivenUp => {
                 self.counters.given_up += 1;
                 let refusal = Refusal {
                     cause: RefusalCause::GivenUp,
@@ -212,7 +214,7 @@
                 };
                 actions.push(AgentAction::Refuse { attempt, refusal });
             }
-            ArrivalJudgement::Copy(verdict) => {
+            ArrivalDecision::Copy(verdict) => {
                 self.counters.copies += 1;
                 actions.push(AgentAction::AnswerCopy { attempt, verdict });
             }
@@ -222,7 +224,9 @@
     fn admit(&mut self, spec: AttemptSpec, now: ClockTime, actions: &mut AgentActions) {
         let deadline = now + spec.remaining;
         let waiting = WaitingAttempt { spec, deadline };
-        let unfit = self.closed().or_else(|| self.misses(&waiting, now));
+        let unfit = self
+            .check_open()
+            .or_else(|| self.check_deadline(&waiting, now));
         if let Some(cause) = unfit {
             self.refuse(&waiting, cause, now, actions);
             return;
@@ -242,21 +246,21 @@
     fn cancel(
         &mut self,
         (attempt, ticket): (AttemptId, AdmissionTicket),
-        reach: CancelReach,
+        scope: CancelScope,
         now: ClockTime,
         actions: &mut AgentActions,
     ) {
         let verdict = match self.ledger.cancel(attempt, ticket, self.reports, now) {
-            CancelJudgement::Unqueued => {
+            CancelDecision::WasQueued => {
                 self.queue.remove(attempt);
                 RunVerdict::NotRun
             }
-            CancelJudgement::Started if reach == CancelReach::Queue => RunVerdict::MayHaveRun,
-            CancelJudgement::Started => {
+            CancelDecision::Started if scope == CancelScope::Queue => RunVerdict::MayHaveRun,
+            CancelDecision::Started => {
                 actions.push(AgentAction::CancelAtEndpoint { attempt });
                 RunVerdict::MayHaveRun
             }
-            CancelJudgement::Settled(verdict) => verdict,
+            CancelDecision::Settled(verdict) => verdict,
         };
         actions.push(AgentAction::Cancelled { attempt, verdict });
     }
@@ -264,7 +268,7 @@
     fn change_slots(&mut self, slots: u32) {
         let slots = slots.max(1);
         self.limits.slots = slots;
-        self.limits.queue = usual_queue(slots);
+        self.limits.queue = default_queue_bound(slots);
         self.queue.set_bound(self.limits.queue);
     }
 
@@ -273,7 +277,7 @@
             self.counters.stray_answers += 1;
             return;
         };
-        if !running.note_first(now) {
+        if !running.record_first_token(now) {
             return;
         }
         let spec = &running.spec;
@@ -290,7 +294,7 @@
             self.counters.stray_answers += 1;
             return;
         };
-        let taken = running.note_piece(tokens, now);
+        let taken = running.record_tokens(tokens, now);
         self.estimator.piece(tokens, taken, now);
     }
 
@@ -306,8 +310,8 @@
         if !running.is_stream(target) {
             let in_time = now <= running.deadline;
             self.tracker.observe(class, in_time, now);
-        } else if running.fell_behind(target) {
-            self.tracker.demote(class, now);
+        } else if running.is_too_slow(target) {
+            self.tracker.retract_in_time(class, now);
         }
     }
 
@@ -343,20 +347,20 @@
         actions.push(AgentAction::Start { attempt, priority });
     }
 
-    /// Lower goes first: by need, then by slack.
+    /// Returns the engine priority; lower values go first. Ordered by need, then by slack.
     fn priority(&self, waiting: &WaitingAttempt, now: ClockTime) -> u32 {
         let slack = waiting.deadline.since(now).as_millis() / SLACK_PER_PRIORITY.as_millis();
         let slack = u32::try_from(slack).unwrap_or(u32::MAX);
         let need = self.tracker.need(&waiting.spec.class, now);
-        (MOST_NEED - need) * PRIORITIES_PER_NEED + slack.min(PRIORITIES_PER_NEED - 1)
+        (MAX_NEED - need) * PRIORITIES_PER_NEED + slack.min(PRIORITIES_PER_NEED - 1)
     }
 
-    /// The last point at which a waiting attempt could start and yet be in time.
+    /// Returns the latest time at which a waiting attempt could start and still meet its deadline.
     fn last_start(&self, waiting: &WaitingAttempt) -> ClockTime {
         if self.stale {
             return waiting.deadline;
         }
-        waiting.deadline - self.estimator.least_due(&waiting.spec)
+        waiting.deadline - self.estimator.min_latency(&waiting.spec)
     }
 
     fn load(&self, ahead: usize) -> EndpointLoad {
--- a/crates/oatpier-admission/src/policy/refusing.rs
+++ b/crates/oatpier-admission/src/policy/refusing.rs
@@ -1,4 +1,4 @@
-//! What the policy refuses, and when it asks to come back.
+//! Refusals of the policy and their retry delays.
 
 use std::time::Duration;
 
@@ -12,33 +12,37 @@
 use crate::queue::WaitingAttempt;
 use crate::weights::WeightsOutlook;
 
-/// When to come back to an endpoint that is down.
-const DOWN_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay for an endpoint that is down.
+const ENDPOINT_DOWN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The least time after which a refused caller is asked to come back.
-const LEAST_RETRY: Duration = Duration::from_millis(20);
+/// Minimum retry delay that is sent with a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// The most.
-const MOST_RETRY: Duration = Duration::from_secs(30);
+/// Maximum retry delay that is sent with a refusal.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 impl AgentPolicy {
-    /// Why nothing new is taken, if so.
-    pub(super) fn closed(&self) -> Option<RefusalCause> {
+    /// Returns the reason to refuse all new attempts, if there is one.
+    pub(super) fn check_open(&self) -> Option<RefusalCause> {
         if !self.drain.accepts() {
             return Some(RefusalCause::Leaving);
         }
         (!self.up).then_some(RefusalCause::EndpointDown)
     }
 
-    /// Why this attempt would not be answered in time, if so.
-    pub(super) fn misses(&self, waiting: &WaitingAttempt, now: ClockTime) -> Option<RefusalCause> {
+    /// Returns the reason to refuse an attempt that is predicted to miss its deadline.
+    pub(super) fn check_deadline(
+        &self,
+        waiting: &WaitingAttempt,
+        now: ClockTime,
+    ) -> Option<RefusalCause> {
         let spec = &waiting.spec;
         let earliest = match self.weights.outlook(&spec.goal) {
             WeightsOutlook::Ready => now,
             WeightsOutlook::From(at) => at.max(now),
             WeightsOutlook::Missing => return Some(RefusalCause::WeightsMissing),
         };
-        if earliest + self.estimator.expected_due(spec) > waiting.deadline && earliest > now {
+        if earliest + self.estimator.expected_latency(spec) > waiting.deadline && earliest > now {
             return Some(RefusalCause::WeightsMissing);
         }
         let ahead = self
@@ -48,26 +52,27 @@
         (expected > waiting.deadline || waiting.deadline <= now).then_some(RefusalCause::TooLate)
     }
 
-    /// Refuses what waits but can't be in time any more, has no weights coming, or waits at an
-    /// agent that is leaving or whose endpoint is down: its caller may yet go elsewhere.
-    pub(super) fn refuse_hopeless(&mut self, now: ClockTime, actions: &mut AgentActions) {
+    /// Refuses waiting attempts that can no longer meet their deadline or whose weights are neither
+    /// ready nor loading. If the agent is leaving or its endpoint is down, refuses all waiting
+    /// attempts. Refusing early leaves the caller time to try another endpoint.
+    pub(super) fn refuse_unservable(&mut self, now: ClockTime, actions: &mut AgentActions) {
         if self.queue.is_empty() {
             return;
         }
-        let closed = self.closed();
-        let hopeless: Vec<_> = self
+        let check_open = self.check_open();
+        let unservable: Vec<_> = self
             .queue
             .iter()
             .filter_map(|waiting| {
                 let missing = self.weights.outlook(&waiting.spec.goal) == WeightsOutlook::Missing;
                 let late = now > self.last_start(waiting);
-                let cause = closed
+                let cause = check_open
                     .or(missing.then_some(RefusalCause::WeightsMissing))
                     .or(late.then_some(RefusalCause::TooLate))?;
                 Some((waiting.spec.attempt, cause))
             })
             .collect();
-        for (attempt, cause) in hopeless {
+        for (attempt, cause) in unservable {
             if let Some(waiting) = self.queue.remove(attempt) {
                 self.refuse(&waiting, cause, now, actions);
             }
@@ -104,13 +109,13 @@
             RefusalCause::TooLate | RefusalCause::QueueFull => {
                 self.estimator.wait(self.whole_load(), now)
             }
-            RefusalCause::EndpointDown => DOWN_RETRY,
+            RefusalCause::EndpointDown => ENDPOINT_DOWN_RETRY_AFTER,
             RefusalCause::WeightsMissing => match self.weights.outlook(&spec.goal) {
                 WeightsOutlook::From(at) => at.since(now),
                 WeightsOutlook::Ready | WeightsOutlook::Missing => return None,
             },
             _ => return None,
         };
-        Some(after.clamp(LEAST_RETRY, MOST_RETRY))
+        Some(after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 }
--- a/crates/oatpier-admission/src/queue.rs
+++ b/crates/oatpier-admission/src/queue.rs
@@ -1,9 +1,9 @@
-//! Which waiting attempt goes to the endpoint next.
+//! Order in which waiting attempts are sent to the endpoint.
 //!
-//! Between classes, need decides, and the earlier deadline between classes in like need. Inside a
-//! class, callers share by start-time fair queueing, in rounds: a caller gets [`ROUND_SIZE`]
-//! attempts a round, and inside a round the earliest deadline goes first. So a caller that floods
-//! delays itself, and callers within their share are served by deadline alone.
+//! Classes are ordered by need; classes of equal need are ordered by earliest deadline. Inside a
+//! class, callers share by start-time fair queueing in rounds. A caller gets [`ROUND_SIZE`]
+//! attempts per round, and inside a round the earliest deadline goes first. A caller that sends too
+//! much therefore delays only itself, and callers within their share are ordered by deadline alone.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,30 +13,30 @@
 use oatpier_types::names::{CallerName, ClassName};
 use oatpier_types::request::AttemptSpec;
 
-/// Attempts of one caller in one round.
+/// Attempts per caller and round.
 pub const ROUND_SIZE: u64 = 8;
 
-/// An attempt that waits.
+/// An attempt that waits for a slot at the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaitingAttempt {
-    /// What it asks for.
+    /// The attempt as the entry sent it.
     pub spec: AttemptSpec,
-    /// When its first token or whole answer is due.
+    /// Deadline of the first token or the whole answer, depending on the class.
     pub deadline: ClockTime,
 }
 
-/// What became of an attempt that came to the queue.
+/// Result of adding an attempt to the queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QueuePlacement {
-    /// It waits.
+    /// The attempt was added.
     Placed,
-    /// It waits, in the place of this one.
+    /// The attempt was added and displaced this one.
     Displaced(WaitingAttempt),
-    /// The queue is at its bound, and all in it go before this one.
+    /// The attempt was not added: the queue is full and all its attempts go first.
     Full,
 }
 
-/// The need of each class, as the queue asks for it.
+/// A function that returns the need of a class.
 pub type NeedLookup<'a> = &'a dyn Fn(&ClassName) -> u32;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -47,16 +47,16 @@
 }
 
 #[derive(Debug, Default)]
-struct ClassLane {
+struct ClassQueue {
     waiting: BTreeMap<QueueKey, (WaitingAttempt, u64)>,
-    /// Start tag of the newest attempt that was taken: the lane's virtual time.
+    /// Start tag of the newest attempt that was taken: the virtual time of fair queueing.
     virtual_time: u64,
-    /// Where the next attempt of a caller starts; only for callers ahead of the virtual time.
+    /// Start tag of each caller's next attempt. Holds only callers ahead of the virtual time.
     next_starts: HashMap<CallerName, u64>,
 }
 
-impl ClassLane {
-    fn start_of(&self, caller: &CallerName) -> u64 {
+impl ClassQueue {
+    fn next_start(&self, caller: &CallerName) -> u64 {
         let next = self.next_starts.get(caller).copied();
         next.unwrap_or(0).max(self.virtual_time)
     }
@@ -76,7 +76,7 @@
         Some(waiting)
     }
 
-    /// Removes without service: the caller gets its turn back.
+    /// Removes an attempt that was not served, and returns its share to the caller.
     fn withdraw(&mut self, key: &QueueKey) -> Option<WaitingAttempt> {
         let (waiting, _) = self.waiting.remove(key)?;
         if let Some(next) = self.next_starts.get_mut(&waiting.spec.caller) {
@@ -86,67 +86,67 @@
     }
 }
 
-/// Which waiting attempt goes to the endpoint next.
+/// The waiting attempts, in the order in which they are sent to the endpoint.
 #[derive(Debug)]
 pub struct AdmissionQueue {
-    lanes: IndexMap<ClassName, ClassLane>,
+    class_queues: IndexMap<ClassName, ClassQueue>,
     places: HashMap<AttemptId, (ClassName, QueueKey)>,
     bound: usize,
     sequence: u64,
 }
 
 impl AdmissionQueue {
-    /// An empty queue for at most `bound` attempts.
+    /// Creates an empty queue for at most `bound` attempts.
     #[must_use]
     pub fn new(bound: usize) -> Self {
         Self {
-            lanes: IndexMap::new(),
+            class_queues: IndexMap::new(),
             places: HashMap::new(),
             bound,
             sequence: 0,
         }
     }
 
-    /// Changes the bound. What waits beyond a lower one stays until it is served or displaced.
+    /// Changes the bound. Attempts beyond a lower bound stay until they are served or displaced.
     pub fn set_bound(&mut self, bound: usize) {
         self.bound = bound;
     }
 
-    /// The attempts that wait.
+    /// Returns the number of waiting attempts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no attempt waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// All attempts that wait, in no order of service.
+    /// Returns all waiting attempts, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &WaitingAttempt> {
-        self.lanes
+        self.class_queues
             .values()
-            .flat_map(|lane| lane.waiting.values().map(|(waiting, _)| waiting))
+            .flat_map(|class_queue| class_queue.waiting.values().map(|(waiting, _)| waiting))
     }
 
-    /// How many would go before this attempt if it came now.
+    /// Returns how many attempts would be served before this one if it arrived now.
     #[must_use]
     pub fn ahead_of(&self, waiting: &WaitingAttempt, need: NeedLookup<'_>) -> usize {
         let class = &waiting.spec.class;
         let own_need = need(class);
         let key = self.key_of(waiting).0;
-        self.lanes
+        self.class_queues
             .iter()
-            .map(|(name, lane)| {
-                let lane_need = need(name);
+            .map(|(name, class_queue)| {
+                let class_need = need(name);
                 if name == class {
-                    lane.waiting.range(..key).count()
-                } else if lane_need == own_need {
-                    earlier(lane, waiting.deadline)
-                } else if lane_need > own_need {
-                    lane.waiting.len()
+                    class_queue.waiting.range(..key).count()
+                } else if class_need == own_need {
+                    count_earlier(class_queue, waiting.deadline)
+                } else if class_need > own_need {
+                    class_queue.waiting.len()
                 } else {
                     0
                 }
@@ -154,8 +154,9 @@
             .sum()
     }
 
-    /// Adds an attempt. At the bound, the one that would be served last gives way, if it comes
-    /// after this one: a caller that filled the queue must not keep out the others.
+    /// Adds an attempt. If the queue is full, the attempt that would be served last is displaced,
+    /// provided that it comes after the new one. Otherwise a caller that filled the queue could
+    /// lock out all others.
     pub fn push(&mut self, waiting: WaitingAttempt, need: NeedLookup<'_>) -> QueuePlacement {
         if self.len() < self.bound {
             self.place(waiting);
@@ -172,17 +173,17 @@
         displaced.map_or(QueuePlacement::Placed, QueuePlacement::Displaced)
     }
 
-    /// Takes the attempt that goes next among those that `runnable` allows.
+    /// Removes and returns the next attempt among those for which `runnable` is true.
     pub fn pop(
         &mut self,
         need: NeedLookup<'_>,
         runnable: &dyn Fn(&AttemptSpec) -> bool,
     ) -> Option<WaitingAttempt> {
         let (class, key) = self
-            .lanes
+            .class_queues
             .iter()
-            .filter_map(|(name, lane)| {
-                let (key, _) = lane
+            .filter_map(|(name, class_queue)| {
+                let (key, _) = class_queue
                     .waiting
                     .iter()
                     .find(|(_, (waiting, _))| runnable(&waiting.spec))?;
@@ -190,20 +191,22 @@
             })
             .min_by_key(|(name, key)| (u32::MAX - need(name), key.deadline, key.sequence))
             .map(|(name, key)| (name.clone(), key))?;
-        let waiting = self.lanes.get_mut(&class)?.take(&key)?;
+        let waiting = self.class_queues.get_mut(&class)?.take(&key)?;
         self.places.remove(&waiting.spec.attempt);
         Some(waiting)
     }
 
-    /// Takes out an attempt that is given up.
+    /// Removes an attempt that was cancelled or refused.
     pub fn remove(&mut self, attempt: AttemptId) -> Option<WaitingAttempt> {
         let (class, key) = self.places.get(&attempt).cloned()?;
         self.withdraw_at(&class, &key)
     }
 
     fn key_of(&self, waiting: &WaitingAttempt) -> (QueueKey, u64) {
-        let lane = self.lanes.get(&waiting.spec.class);
-        let start = lane.map_or(0, |lane| lane.start_of(&waiting.spec.caller));
+        let class_queue = self.class_queues.get(&waiting.spec.class);
+        let start = class_queue.map_or(0, |class_queue| {
+            class_queue.next_start(&waiting.spec.caller)
+        });
         let key = QueueKey {
             round: start / ROUND_SIZE,
             deadline: waiting.deadline,
@@ -218,23 +221,25 @@
         let class = waiting.spec.class.clone();
         self.places
             .insert(waiting.spec.attempt, (class.clone(), key));
-        self.lanes
+        self.class_queues
             .entry(class)
             .or_default()
             .put(key, start, waiting);
     }
 
     fn withdraw_at(&mut self, class: &ClassName, key: &QueueKey) -> Option<WaitingAttempt> {
-        let waiting = self.lanes.get_mut(class)?.withdraw(key)?;
+        let waiting = self.class_queues.get_mut(class)?.withdraw(key)?;
         self.places.remove(&waiting.spec.attempt);
         Some(waiting)
     }
 
-    /// The attempt that would be served last: of the least need, then the latest.
+    /// Returns the attempt that would be served last: lowest need, then latest deadline.
     fn last(&self, need: NeedLookup<'_>) -> Option<(ClassName, QueueKey)> {
-        self.lanes
+        self.class_queues
             .iter()
-            .filter_map(|(name, lane)| Some((name, *lane.waiting.last_key_value()?.0)))
+            .filter_map(|(name, class_queue)| {
+                Some((name, *class_queue.waiting.last_key_value()?.0))
+            })
             .max_by_key(|(name, key)| (u32::MAX - need(name), key.deadline, key.sequence))
             .map(|(name, key)| (name.clone(), key))
     }
@@ -255,8 +260,9 @@
     }
 }
 
-fn earlier(lane: &ClassLane, deadline: ClockTime) -> usize {
-    lane.waiting
+fn count_earlier(class_queue: &ClassQueue, deadline: ClockTime) -> usize {
+    class_queue
+        .waiting
         .keys()
         .filter(|key| key.deadline <= deadline)
         .count()
--- a/crates/oatpier-admission/src/running.rs
+++ b/crates/oatpier-admission/src/running.rs
@@ -1,4 +1,4 @@
-//! The attempts that are at the endpoint.
+//! Attempts that are running at the endpoint.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use oatpier_types::config::ClassTarget;
 use oatpier_types::request::{AttemptSpec, RequestGoal};
 
-/// An attempt that is at the endpoint.
+/// An attempt that is running at the endpoint.
 #[derive(Debug, Clone)]
 pub(crate) struct RunningAttempt {
     pub spec: AttemptSpec,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Notes the first token; false if it came before.
-    pub fn note_first(&mut self, now: ClockTime) -> bool {
+    /// Records the arrival of the first token. Returns false if it was recorded before.
+    pub fn record_first_token(&mut self, now: ClockTime) -> bool {
         if self.first_token.is_some() {
             return false;
         }
@@ -39,15 +39,15 @@
         true
     }
 
-    /// Notes more tokens, and gives the time since those before.
-    pub fn note_piece(&mut self, tokens: u32, now: ClockTime) -> Duration {
+    /// Records further tokens and returns the time since the previous ones.
+    pub fn record_tokens(&mut self, tokens: u32, now: ClockTime) -> Duration {
         let taken = now.since(self.last_token);
         self.last_token = now;
         self.tokens = self.tokens.saturating_add(tokens);
         taken
     }
 
-    /// Whether its class judges it by its first token.
+    /// Returns whether the class target applies to the first token instead of the whole answer.
     pub fn is_stream(&self, target: Option<ClassTarget>) -> bool {
         match target {
             Some(ClassTarget::Stream { .. }) => true,
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Whether its first token was in time but the later ones too slow.
-    pub fn fell_behind(&self, target: Option<ClassTarget>) -> bool {
+    /// Returns whether the first token was in time but the later tokens were too slow.
+    pub fn is_too_slow(&self, target: Option<ClassTarget>) -> bool {
         let Some(ClassTarget::Stream { between_tokens, .. }) = target else {
             return false;
         };
--- a/crates/oatpier-admission/src/weights.rs
+++ b/crates/oatpier-admission/src/weights.rs
@@ -1,4 +1,4 @@
-//! Which weights are ready at the endpoint, and which soon will be.
+//! Model weights that are ready or loading at the endpoint.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::WeightsKey;
@@ -7,18 +7,18 @@
 
 use crate::event::LoadingWeights;
 
-/// When the weights for an attempt are there.
+/// Availability of the weights that an attempt needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightsOutlook {
-    /// Now.
+    /// Ready now.
     Ready,
-    /// From about this point.
+    /// Expected to be ready at about this time.
     From(ClockTime),
-    /// Not as far as known.
+    /// Neither ready nor known to be loading.
     Missing,
 }
 
-/// Which weights are ready at the endpoint, and which soon will be.
+/// The model weights that are ready or loading at the endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct WeightsTable {
     ready: Vec<WeightsKey>,
@@ -26,7 +26,7 @@
 }
 
 impl WeightsTable {
-    /// Replaces what is known.
+    /// Replaces both lists.
     pub fn replace(
         &mut self,
         ready: Vec<WeightsKey>,
@@ -40,7 +40,7 @@
             .collect();
     }
 
-    /// When an attempt's weights are there. A plain service needs none.
+    /// Returns when an attempt's weights are available. A plain service needs no weights.
     #[must_use]
     pub fn outlook(&self, goal: &RequestGoal) -> WeightsOutlook {
         let RequestGoal::Model { model, adapter } = goal else {
--- a/crates/oatpier-admission/tests/testsuite/bench.rs
+++ b/crates/oatpier-admission/tests/testsuite/harness.rs
@@ -1,4 +1,4 @@
-//! An agent's policy with a clock, and short ways to give it events.
+//! Test harness: an agent's policy with a clock, and short forms of its events.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 
 pub const BOOT: BootId = BootId(1);
 
-pub struct AgentBench {
+pub struct AgentHarness {
     pub policy: AgentPolicy,
     pub now: ClockTime,
     pub ticket: AdmissionTicket,
@@ -95,7 +95,7 @@
     })
 }
 
-impl AgentBench {
+impl AgentHarness {
     pub fn new(slots: u32) -> Self {
         Self::with_limits(AdmissionLimits::for_slots(slots))
     }
@@ -134,7 +134,7 @@
         self.now = self.now + Duration::from_millis(millis);
     }
 
-    /// The ticket of a queue report that is given out now.
+    /// Returns the ticket of a new queue report.
     pub fn fresh_ticket(&mut self) -> AdmissionTicket {
         AdmissionTicket::of(&self.policy.queue_report(self.now))
     }
@@ -166,8 +166,8 @@
         self.step(AgentEvent::EndpointFailed { attempt, verdict })
     }
 
-    /// Runs one attempt alone, which takes `millis`.
-    pub fn learn(&mut self, attempt: u128, millis: u64) {
+    /// Runs one attempt alone, which takes `millis`, as a sample for the estimates.
+    pub fn run_alone(&mut self, attempt: u128, millis: u64) {
         self.arrive(spec(attempt));
         self.wait(millis);
         self.end(attempt);
--- a/crates/oatpier-admission/tests/testsuite/main.rs
+++ b/crates/oatpier-admission/tests/testsuite/main.rs
@@ -1,8 +1,8 @@
-//! Tests of an agent's decisions about requests.
+//! Tests of an agent's admission policy.
 
 mod arrivals;
-mod bench;
 mod drains;
+mod harness;
 mod order;
 mod random;
 mod seals;
--- a/crates/oatpier-admission/tests/testsuite/random.rs
+++ b/crates/oatpier-admission/tests/testsuite/random.rs
@@ -1,4 +1,4 @@
-//! Random events in random order: what is said of each attempt has to stay true.
+//! Random events in random order: every reported verdict has to stay true.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,10 +7,10 @@
 use oatpier_types::verdict::RunVerdict;
 use proptest::prelude::*;
 
-use crate::bench::{AgentBench, spec};
+use crate::harness::{AgentHarness, spec};
 
 #[derive(Debug, Clone)]
-enum Happening {
+enum TestEvent {
     Arrive { attempt: u128, millis: u64 },
     Cancel { attempt: u128 },
     End { attempt: u128 },
@@ -20,8 +20,8 @@
     Leave,
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
-    use Happening as H;
+fn test_event() -> impl Strategy<Value = TestEvent> {
+    use TestEvent as H;
     let attempt = || 0..40_u128;
     let verdict = prop_oneof![Just(RunVerdict::NotRun), Just(RunVerdict::MayHaveRun)];
     prop_oneof![
@@ -36,31 +36,31 @@
 }
 
 #[derive(Default)]
-struct Witness {
-    /// An entry makes an attempt once; every copy of it has the ticket of that time.
+struct VerdictChecker {
+    /// An entry makes an attempt once; every copy of it carries the ticket of that time.
     tickets: HashMap<u128, AdmissionTicket>,
     started: HashSet<AttemptId>,
-    said_not_run: HashSet<AttemptId>,
+    reported_not_run: HashSet<AttemptId>,
     running: HashSet<AttemptId>,
     drained: u32,
 }
 
-impl Witness {
-    fn judge(&mut self, action: &AgentAction) {
+impl VerdictChecker {
+    fn check(&mut self, action: &AgentAction) {
         match action {
             AgentAction::Start { attempt, .. } => {
                 assert!(self.started.insert(*attempt), "{attempt} ran twice");
                 assert!(
-                    !self.said_not_run.contains(attempt),
-                    "{attempt} ran after all"
+                    !self.reported_not_run.contains(attempt),
+                    "{attempt} ran after it was reported as not run"
                 );
                 self.running.insert(*attempt);
             }
-            AgentAction::Refuse { attempt, .. } => self.not_run(*attempt),
+            AgentAction::Refuse { attempt, .. } => self.record_not_run(*attempt),
             AgentAction::Cancelled { attempt, verdict }
             | AgentAction::AnswerCopy { attempt, verdict } => {
                 if *verdict == RunVerdict::NotRun {
-                    self.not_run(*attempt);
+                    self.record_not_run(*attempt);
                 }
             }
             AgentAction::CancelAtEndpoint { attempt } => assert!(self.running.contains(attempt)),
@@ -68,50 +68,55 @@
         }
     }
 
-    fn not_run(&mut self, attempt: AttemptId) {
-        // What the endpoint itself says has not run, has not, although it was started.
-        assert!(!self.started.contains(&attempt), "{attempt} did run");
-        self.said_not_run.insert(attempt);
+    fn record_not_run(&mut self, attempt: AttemptId) {
+        // Only the agent's own verdicts are checked here. An attempt that the endpoint reports as
+        // not run did not run, although it was started; such attempts are removed from `started`
+        // beforehand.
+        assert!(
+            !self.started.contains(&attempt),
+            "{attempt} was started but is reported as not run"
+        );
+        self.reported_not_run.insert(attempt);
     }
 }
 
-fn happen(bench: &mut AgentBench, witness: &mut Witness, happening: &Happening) {
-    let fresh = bench.fresh_ticket();
-    let mut ticket_of = |attempt: u128| *witness.tickets.entry(attempt).or_insert(fresh);
-    let event = match *happening {
-        Happening::Arrive { attempt, millis } => {
+fn apply_event(harness: &mut AgentHarness, checker: &mut VerdictChecker, test_event: &TestEvent) {
+    let fresh = harness.fresh_ticket();
+    let mut ticket_of = |attempt: u128| *checker.tickets.entry(attempt).or_insert(fresh);
+    let event = match *test_event {
+        TestEvent::Arrive { attempt, millis } => {
             let ticket = ticket_of(attempt);
             let mut spec = spec(attempt);
             spec.remaining = std::time::Duration::from_millis(millis);
             AgentEvent::Arrive { spec, ticket }
         }
-        Happening::Cancel { attempt } => {
+        TestEvent::Cancel { attempt } => {
             let ticket = ticket_of(attempt);
             let attempt = AttemptId(attempt);
             AgentEvent::Cancel { attempt, ticket }
         }
-        Happening::End { attempt } => {
+        TestEvent::End { attempt } => {
             let attempt = AttemptId(attempt);
-            witness.running.remove(&attempt);
+            checker.running.remove(&attempt);
             AgentEvent::EndpointEnded { attempt }
         }
-        Happening::Fail { attempt, verdict } => {
+        TestEvent::Fail { attempt, verdict } => {
             let attempt = AttemptId(attempt);
-            if witness.running.remove(&attempt) && verdict == RunVerdict::NotRun {
-                witness.started.remove(&attempt);
-                witness.said_not_run.insert(attempt);
+            if checker.running.remove(&attempt) && verdict == RunVerdict::NotRun {
+                checker.started.remove(&attempt);
+                checker.reported_not_run.insert(attempt);
             }
             AgentEvent::EndpointFailed { attempt, verdict }
         }
-        Happening::Wait { millis } => {
-            bench.wait(millis);
+        TestEvent::Wait { millis } => {
+            harness.wait(millis);
             AgentEvent::Timer
         }
-        Happening::Up { up } => AgentEvent::EndpointUp { up },
-        Happening::Leave => AgentEvent::Leave,
+        TestEvent::Up { up } => AgentEvent::EndpointUp { up },
+        TestEvent::Leave => AgentEvent::Leave,
     };
-    let actions = bench.step(event);
-    actions.iter().for_each(|action| witness.judge(action));
+    let actions = harness.step(event);
+    actions.iter().for_each(|action| checker.check(action));
 }
 
 proptest! {
@@ -122,18 +127,18 @@
         ..ProptestConfig::default()
     })]
 
-    /// Copies, cancels and late arrivals, with few records kept: nothing runs twice, nothing runs
-    /// that was said not to, nothing that ran is said not to have.
+    /// Copies, cancels and late arrivals with few records kept. No attempt runs twice, none runs
+    /// after it was reported as not run, and none that ran is reported as not run.
     #[test]
-    fn verdicts_stay_true(happenings in prop::collection::vec(happening(), 1..200)) {
+    fn verdicts_hold_under_random_events(test_events in prop::collection::vec(test_event(), 1..200)) {
         let limits = AdmissionLimits { queue: 4, records: 3, ..AdmissionLimits::for_slots(2) };
-        let mut bench = AgentBench::with_limits(limits);
-        let mut witness = Witness::default();
-        for happening in &happenings {
-            happen(&mut bench, &mut witness, happening);
-            prop_assert!(witness.running.len() <= 2);
-            prop_assert!(bench.policy.in_flight() <= 6);
+        let mut harness = AgentHarness::with_limits(limits);
+        let mut checker = VerdictChecker::default();
+        for test_event in &test_events {
+            apply_event(&mut harness, &mut checker, test_event);
+            prop_assert!(checker.running.len() <= 2);
+            prop_assert!(harness.policy.in_flight() <= 6);
         }
-        prop_assert!(witness.drained <= 1);
+        prop_assert!(checker.drained <= 1);
     }
 }
--- a/crates/oatpier-admission/tests/testsuite/seals.rs
+++ b/crates/oatpier-admission/tests/testsuite/seals.rs
@@ -1,41 +1,43 @@
-//! Giving up only what has not reached the endpoint.
+//! Seals: cancels of attempts that have not reached the endpoint.
 
 use oatpier_admission::event::AgentAction;
 use oatpier_types::refusal::RefusalCause;
 use oatpier_types::verdict::RunVerdict;
 
-use crate::bench::{AgentBench, cancelled, refused, spec, started};
+use crate::harness::{AgentHarness, cancelled, refused, spec, started};
 
 #[test]
-fn a_running_change_is_left_to_its_end() {
-    // An entry hears nothing of a change for a while and asks for a seal. The change runs: were it
-    // cancelled at the endpoint, it might stay half done. It goes on, and the entry is told so.
-    let mut bench = AgentBench::new(1);
-    assert_eq!(started(&bench.arrive(spec(1))), [1]);
-    let actions = bench.seal(1);
+fn seal_does_not_cancel_a_running_change() {
+    // An entry has received nothing about a change for a while and sends a seal. The change is
+    // running; if it were cancelled at the endpoint, it might stay half done. It must continue, and
+    // the entry must be answered "may have run".
+    let mut harness = AgentHarness::new(1);
+    assert_eq!(started(&harness.arrive(spec(1))), [1]);
+    let actions = harness.seal(1);
     assert_eq!(cancelled(&actions), Some(RunVerdict::MayHaveRun));
     let stopped = |action: &AgentAction| matches!(action, AgentAction::CancelAtEndpoint { .. });
     assert!(!actions.iter().any(stopped), "{actions:?}");
-    bench.end(1);
-    assert_eq!(cancelled(&bench.seal(1)), Some(RunVerdict::Ran));
+    harness.end(1);
+    assert_eq!(cancelled(&harness.seal(1)), Some(RunVerdict::Ran));
 }
 
 #[test]
-fn a_waiting_change_never_runs_once_sealed() {
-    // A change waits, its entry seals it and sends it elsewhere. When the slot is free, or a copy
-    // comes late, it must not run here as well.
-    let mut bench = AgentBench::new(1);
-    bench.arrive(spec(1));
-    bench.arrive(spec(2));
-    assert_eq!(cancelled(&bench.seal(2)), Some(RunVerdict::NotRun));
-    assert!(started(&bench.end(1)).is_empty());
-    assert!(refused(2, RefusalCause::GivenUp, &bench.arrive(spec(2))));
+fn sealed_waiting_change_never_runs() {
+    // A change waits; its entry seals it and sends it to another agent. It must not run here as
+    // well when a slot is freed or a late copy arrives.
+    let mut harness = AgentHarness::new(1);
+    harness.arrive(spec(1));
+    harness.arrive(spec(2));
+    assert_eq!(cancelled(&harness.seal(2)), Some(RunVerdict::NotRun));
+    assert!(started(&harness.end(1)).is_empty());
+    assert!(refused(2, RefusalCause::GivenUp, &harness.arrive(spec(2))));
 }
 
 #[test]
-fn a_seal_overtakes_its_attempt() {
-    // The seal comes before the attempt: "not run" is true only if the attempt is then refused.
-    let mut bench = AgentBench::new(1);
-    assert_eq!(cancelled(&bench.seal(1)), Some(RunVerdict::NotRun));
-    assert!(refused(1, RefusalCause::GivenUp, &bench.arrive(spec(1))));
+fn attempt_that_arrives_after_its_seal_is_refused() {
+    // The seal arrives before the attempt. Its answer "not run" stays true only if the attempt is
+    // then refused.
+    let mut harness = AgentHarness::new(1);
+    assert_eq!(cancelled(&harness.seal(1)), Some(RunVerdict::NotRun));
+    assert!(refused(1, RefusalCause::GivenUp, &harness.arrive(spec(1))));
 }
