--- a/crates/oatpier-claims/examples/claim_costs.rs
+++ b/crates/oatpier-claims/examples/claim_costs.rs
@@ -1,5 +1,5 @@
-//! Counts what claims cost the store, at several loads of one partition, for over an hour of
-//! simulated time on a model of the store. `cargo run --release -p oatpier-claims --example
+//! Counts the cost of claims to the store at several loads of one partition, over 75 minutes of
+//! simulated time with a model of the store. `cargo run --release -p oatpier-claims --example
 //! claim_costs`.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -19,13 +19,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Simulated time of a run: the retention and a quarter, so that removal goes on.
+/// Simulated time of a run: 1.25 times the retention, so that removal takes place.
 const RUN_TIME: Duration = Duration::from_mins(75);
 
-/// From a call of the store to its answer.
+/// Time from a store call to its answer.
 const STORE_DELAY: Duration = Duration::from_millis(4);
 
-/// From a grant to the word that the request ran.
+/// Time from a grant to the finish of its request.
 const SERVICE_TIME: Duration = Duration::from_millis(400);
 
 struct CostRun {
@@ -41,7 +41,7 @@
 
 impl CostRun {
     fn new() -> Self {
-        let name = DaemonName::try_from("entry-0").expect("a name");
+        let name = DaemonName::try_from("entry-0").expect("valid daemon name");
         let settings = ClaimSettings::default();
         Self {
             log: ClaimLog::new(PartitionId(0), name, BootId(1), settings),
@@ -51,7 +51,7 @@
             answers: VecDeque::new(),
             finishes: VecDeque::new(),
             asked: VecDeque::new(),
-            waits: Histogram::new(3).expect("three digits"),
+            waits: Histogram::new(3).expect("valid precision"),
         }
     }
 
@@ -101,19 +101,19 @@
     fn step(&mut self, event: ClaimEvent) {
         for action in self.log.step(event, self.now) {
             match action {
-                ClaimAction::Answer { key, request, .. } => self.answered(key, request),
+                ClaimAction::Answer { key, request, .. } => self.record_answer(key, request),
                 ClaimAction::Recorded { .. } => {}
                 call => self.call(call),
             }
         }
     }
 
-    fn answered(&mut self, key: KeyHash, request: RequestId) {
-        let place = self.asked.iter().position(|(asked, _)| *asked == request);
-        if let Some((_, since)) = place.and_then(|place| self.asked.remove(place)) {
+    fn record_answer(&mut self, key: KeyHash, request: RequestId) {
+        let index = self.asked.iter().position(|(asked, _)| *asked == request);
+        if let Some((_, since)) = index.and_then(|index| self.asked.remove(index)) {
             let wait = self.now.since(since).as_micros();
             let wait = u64::try_from(wait).unwrap_or(u64::MAX);
-            self.waits.record(wait).expect("a histogram that grows");
+            self.waits.record(wait).expect("auto-resizing histogram");
         }
         let finish = ClaimFinish {
             key,
@@ -179,8 +179,8 @@
         let stored: usize = self.values.values().map(|(value, _)| value.len()).sum();
         let largest = self.values.values().map(|(value, _)| value.len()).max();
         println!(
-            "{asks_per_second:6.1} asks/s: granted {}, writes {}.{:02}/s, reads {} in all, \
-             written {} B/s, {} B a claim; wait p50 {} p99 {} max {} us; \
+            "{asks_per_second:6.1} asks/s: granted {}, writes {}.{:02}/s, reads {} in total, \
+             written {} B/s, {} B per claim; wait p50 {} p99 {} max {} us; \
              store holds {} values, {} B, largest {} B; table {} keys, {} B reserved",
             counters.granted,
             counters.writes / seconds,
--- a/crates/oatpier-claims/src/event.rs
+++ b/crates/oatpier-claims/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a claimer, and what it asks for.
+//! Events and actions of a claimer.
 
 use std::time::Duration;
 
@@ -8,95 +8,96 @@
 
 use crate::message::{ClaimAnswer, ClaimAsk, ClaimFinish, ClaimRelease, KeyHash};
 
-/// The number of one call to the store. An answer to a call that is no longer awaited is ignored.
+/// The number of a call to the store. An answer to a call that is no longer pending is ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub struct CallNumber(pub u64);
 
-/// What a write expects to find under its key.
+/// The precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExpectedSegment {
-    /// Nothing.
+    /// No value exists under the key.
     Absent,
-    /// The value that the write with this revision left.
+    /// The value has this revision.
     At(Revision),
 }
 
-/// A value of the store.
+/// A value in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SegmentValue {
-    /// Where it is kept.
+    /// The key.
     pub key: String,
-    /// Its bytes.
+    /// The content.
     pub value: Vec<u8>,
     /// The revision of its last write.
     pub revision: Revision,
 }
 
-/// The store's answer to a call.
+/// The result of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreAnswer {
     /// The write took effect.
     Written(Revision),
-    /// What was there was not as expected. Nothing was written.
+    /// The precondition failed. Nothing was written.
     Conflict,
-    /// What is under the key.
+    /// The value under the key, if there is one.
     Read(Option<SegmentValue>),
     /// All values under the prefix.
     Listed(Vec<SegmentValue>),
-    /// The key is removed, or was not there.
+    /// The key was removed or did not exist.
     Deleted,
     /// The call had no effect and never will.
     Unavailable,
 }
 
-/// Something that happened to the claimer of a partition.
+/// An event at the claimer of a partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// This entry's view says that it is the claimer. Optional: a first ask does as well.
-    Assumed,
-    /// This entry's view says that another is the claimer, or it is to stop.
-    Resigned,
-    /// An entry asks for a key.
+    /// The membership view of this entry selects it as the claimer. Optional: a first query has the
+    /// same effect.
+    OwnershipAssigned,
+    /// The membership view of this entry selects another claimer, or this entry shuts down.
+    OwnershipRevoked,
+    /// An entry asked for a key.
     Asked(ClaimAsk),
-    /// An entry gives a key back.
+    /// An entry released a key.
     Released(ClaimRelease),
-    /// An entry says how a request under a key ended.
+    /// An entry reported the outcome of a request under a key.
     Finished(ClaimFinish),
     /// The store answered.
     StoreAnswered {
-        /// Which call.
+        /// The call.
         call: CallNumber,
-        /// What.
+        /// The result.
         answer: StoreAnswer,
     },
-    /// No answer came: a write may have taken effect, or may yet.
+    /// No answer arrived: a write may have taken effect, or may still do so.
     StoreLost {
-        /// Which call.
+        /// The call.
         call: CallNumber,
     },
-    /// The point that `next_timer` gave has come.
+    /// The time returned by `next_timer` was reached.
     Timer,
 }
 
-/// Something that the claimer has to do now.
+/// An action that the claimer has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Write a value, if what is there is as expected.
+    /// Write a value if the precondition holds.
     WriteSegment {
         /// The call's number.
         call: CallNumber,
-        /// Where.
+        /// The key.
         key: String,
-        /// What.
+        /// The content.
         value: Vec<u8>,
-        /// What it expects to find.
+        /// The precondition.
         expected: ExpectedSegment,
     },
     /// Read a value.
     ReadSegment {
         /// The call's number.
         call: CallNumber,
-        /// Where.
+        /// The key.
         key: String,
     },
     /// Read all values under a prefix.
@@ -106,14 +107,14 @@
         /// The prefix.
         prefix: String,
     },
-    /// Remove a value that nobody needs any more, whatever is there.
+    /// Remove a value that is no longer needed, at any revision.
     DeleteSegment {
         /// The call's number.
         call: CallNumber,
-        /// Where.
+        /// The key.
         key: String,
     },
-    /// Answer all asks of this request for this key.
+    /// Answer all queries of this request for this key.
     Answer {
         /// The key.
         key: KeyHash,
@@ -122,13 +123,13 @@
         /// The answer.
         answer: ClaimAnswer,
     },
-    /// A release or a finish is in the store: the entry need not send it again.
+    /// A release or a finish is in the store: the entry can stop resending it.
     Recorded {
         /// The key.
         key: KeyHash,
         /// The request.
         request: RequestId,
-        /// Which word on it: [`RunVerdict::NotRun`] is a release, the others are finishes.
+        /// The recorded outcome: [`RunVerdict::NotRun`] is a release, the others are finishes.
         verdict: RunVerdict,
     },
 }
@@ -136,41 +137,41 @@
 /// The actions of one step, in order.
 pub type ClaimActions = SmallVec<[ClaimAction; 4]>;
 
-/// How a claimer paces itself and what it keeps.
+/// Timing and capacity settings of a claimer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// The least time between two writes of claims; the next waits for the last to end as well.
+    /// Minimum time between two writes of claims. A write also waits for the previous one to end.
     pub write_interval: Duration,
-    /// How long a release or a finish may wait for a write of claims to go along with.
-    pub lazy_interval: Duration,
-    /// The size from which the head is copied to a segment, in bytes.
+    /// How long a release or a finish may be deferred so that it shares a write with claims.
+    pub defer_interval: Duration,
+    /// The size at which the records of the head are copied to a segment, in bytes.
     pub head_bytes: usize,
-    /// How long a key is remembered, at least.
+    /// Minimum time for which a key is remembered.
     pub retention: Duration,
-    /// Claims that may wait for a write.
-    pub waiting: usize,
-    /// How long an ask may wait before it is answered "unavailable".
-    pub answer_within: Duration,
-    /// After a call without an answer for this long, the answer is taken as lost.
+    /// Maximum number of claims that wait for a write.
+    pub max_waiting: usize,
+    /// How long a query may wait before it is answered "unavailable".
+    pub answer_timeout: Duration,
+    /// Time after which the answer of a call counts as lost.
     pub call_timeout: Duration,
-    /// The time before the store is tried again after it was away.
+    /// Time before the store is tried again after it was unavailable.
     pub retry_interval: Duration,
-    /// How long a claimer that lost its partition sends askers to the new one.
-    pub yield_interval: Duration,
+    /// How long a claimer that lost its partition redirects queries to the new one.
+    pub redirect_interval: Duration,
 }
 
 impl Default for ClaimSettings {
     fn default() -> Self {
         Self {
             write_interval: Duration::from_millis(80),
-            lazy_interval: Duration::from_secs(1),
+            defer_interval: Duration::from_secs(1),
             head_bytes: 2_048,
             retention: Duration::from_hours(1),
-            waiting: 4_096,
-            answer_within: Duration::from_millis(500),
+            max_waiting: 4_096,
+            answer_timeout: Duration::from_millis(500),
             call_timeout: Duration::from_millis(400),
             retry_interval: Duration::from_millis(500),
-            yield_interval: Duration::from_secs(2),
+            redirect_interval: Duration::from_secs(2),
         }
     }
 }
--- a/crates/oatpier-claims/src/log.rs
+++ b/crates/oatpier-claims/src/log.rs
@@ -1,18 +1,19 @@
-//! The claimer of one partition.
+//! The claimer of a partition.
 //!
-//! It is idle until somebody asks or its entry assumes the partition. Then it takes the partition
-//! over: it reads the head, writes it back under its own name and the next epoch, and only then
-//! lists the closed segments, since from that write on no other claimer can close one. From there
-//! on it owns the partition until a write of its own meets a head that is not its own.
+//! The claimer is idle until an entry asks for a key or the local entry assigns it the partition.
+//! Then it takes over the partition: it reads the head, writes it back with itself as owner and the
+//! next epoch, and only then lists the closed segments, since after that write no other claimer can
+//! close one. It owns the partition until one of its writes finds a head that it did not write.
 //!
-//! What makes a grant safe: the claim's record is in the head, by a compare-and-swap on the
+//! A grant is safe for this reason: the claim's record is in the head, by a compare-and-swap on the
 //! revision of a head whose whole history this claimer has loaded. A second claimer can't have
 //! appended a claim of the same key, since its write would have changed the revision. A write
 //! without an answer grants nothing until a read finds it (see `log/writing.rs`).
 //!
-//! What an entry has to do: ask again, with the same request id, on [`ClaimAnswer::Moved`] or when
-//! no answer comes; send a [`ClaimRelease`] until [`ClaimAction::Recorded`] for each request that
-//! asked and will not run, also after "unavailable", and ignore a grant after that.
+//! Obligations of an entry: it sends its query again, with the same request id, on
+//! [`ClaimAnswer::Moved`] or when no answer arrives. For each request that asked for a key and will
+//! not run, also after "unavailable", it sends a [`ClaimRelease`] until [`ClaimAction::Recorded`],
+//! and ignores a later grant.
 
 mod outcome;
 mod store;
@@ -31,37 +32,37 @@
 use crate::partition::PartitionId;
 use crate::segment::{KnownHead, PartitionHead, SegmentInfo};
 use crate::table::{KeyPhase, KeyTable};
-use store::StoreFlight;
+use store::PendingCall;
 
-/// An ask that is not answered yet.
+/// The key and request of a query that is not answered yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct AskId {
+struct QueryId {
     key: KeyHash,
     request: RequestId,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct WaitingAsk {
-    ask: ClaimAsk,
+struct WaitingQuery {
+    query: ClaimAsk,
     since: ClockTime,
 }
 
-/// Something that is to be appended to the log.
+/// A record that is queued for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LogIntent {
+enum QueuedRecord {
     Claim(ClaimAsk),
     Release { claim: u64, release: ClaimRelease },
     Finish { claim: u64, finish: ClaimFinish },
 }
 
-/// What an entry said of a request's end before the partition was loaded.
+/// The outcome of a request, as reported by its entry.
 #[derive(Debug, Clone, Copy)]
-enum OutcomeNote {
+enum RequestOutcome {
     Release(ClaimRelease),
     Finish(ClaimFinish),
 }
 
-/// How far the claimer is.
+/// The ownership state of a claimer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LogStage {
     Idle,
@@ -69,14 +70,14 @@
     Owning,
 }
 
-/// Who is the claimer after this one, and until when askers are sent there.
+/// The claimer after this one, and until when queries are redirected to it.
 #[derive(Debug, Clone)]
-struct YieldedTo {
+struct SuccessorHint {
     owner: Option<DaemonName>,
     until: ClockTime,
 }
 
-/// Figures of a claimer.
+/// Counters of a claimer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ClaimCounters {
     /// Calls to the store that write or remove.
@@ -91,13 +92,13 @@
     pub denied: u64,
     /// Claims answered "unavailable".
     pub unavailable: u64,
-    /// Take-overs begun.
+    /// Takeovers started.
     pub takeovers: u64,
-    /// Times that the partition was found to be another's.
+    /// Times that another claimer was found to own the partition.
     pub losses: u64,
 }
 
-/// The claimer of one partition.
+/// The claimer of a partition.
 #[derive(Debug)]
 pub struct ClaimLog {
     partition: PartitionId,
@@ -105,30 +106,30 @@
     boot: BootId,
     settings: ClaimSettings,
     stage: LogStage,
-    yielded: Option<YieldedTo>,
+    successor: Option<SuccessorHint>,
     known: KnownHead,
-    /// When the partition's clock showed what the known head says.
+    /// When the partition's clock had the value in the known head.
     clock_anchor: ClockTime,
     table: KeyTable,
     segments: VecDeque<SegmentInfo>,
-    doomed: VecDeque<String>,
-    asks: IndexMap<AskId, WaitingAsk>,
-    notes: Vec<OutcomeNote>,
-    intents: Vec<LogIntent>,
-    /// Since when a release or a finish waits to be written.
-    lazy_since: Option<ClockTime>,
+    expired_segments: VecDeque<String>,
+    waiting_queries: IndexMap<QueryId, WaitingQuery>,
+    early_outcomes: Vec<RequestOutcome>,
+    queued_records: Vec<QueuedRecord>,
+    /// When the oldest deferred release or finish was queued.
+    deferred_since: Option<ClockTime>,
     next_write: ClockTime,
     calls: u64,
-    flight: Option<StoreFlight>,
+    pending_call: Option<PendingCall>,
     removal: Option<(CallNumber, ClockTime)>,
     next_removal: ClockTime,
-    /// Until then the store is taken to be away, and new keys are turned back.
-    away_until: ClockTime,
+    /// Until this time the store counts as unavailable, and new keys are rejected.
+    unavailable_until: ClockTime,
     counters: ClaimCounters,
 }
 
 impl ClaimLog {
-    /// A claimer that does not own its partition yet.
+    /// Creates a claimer that does not own its partition yet.
     #[must_use]
     pub fn new(
         partition: PartitionId,
@@ -143,7 +144,7 @@
             boot,
             settings,
             stage: LogStage::Idle,
-            yielded: None,
+            successor: None,
             known: KnownHead {
                 head,
                 revision: None,
@@ -151,40 +152,41 @@
             clock_anchor: ClockTime::ZERO,
             table: KeyTable::default(),
             segments: VecDeque::new(),
-            doomed: VecDeque::new(),
-            asks: IndexMap::new(),
-            notes: Vec::new(),
-            intents: Vec::new(),
-            lazy_since: None,
+            expired_segments: VecDeque::new(),
+            waiting_queries: IndexMap::new(),
+            early_outcomes: Vec::new(),
+            queued_records: Vec::new(),
+            deferred_since: None,
             next_write: ClockTime::ZERO,
             calls: 0,
-            flight: None,
+            pending_call: None,
             removal: None,
             next_removal: ClockTime::ZERO,
-            away_until: ClockTime::ZERO,
+            unavailable_until: ClockTime::ZERO,
             counters: ClaimCounters::default(),
         }
     }
 
-    /// Takes one event and says what to do.
+    /// Applies one event and returns the resulting actions.
     pub fn step(&mut self, event: ClaimEvent, now: ClockTime) -> ClaimActions {
         let mut actions = ClaimActions::new();
-        // First of all: a claimer that was paused must not grant what its asker gave up long ago.
-        self.time_out(now, &mut actions);
+        // This has to come first: a claimer that was paused must not grant a query that its entry
+        // gave up long ago.
+        self.expire_queries(now, &mut actions);
         match event {
-            ClaimEvent::Assumed => self.take_over(now, &mut actions),
-            ClaimEvent::Resigned => self.lose(None, now, &mut actions),
-            ClaimEvent::Asked(ask) => self.asked(ask, now, &mut actions),
+            ClaimEvent::OwnershipAssigned => self.take_over(now, &mut actions),
+            ClaimEvent::OwnershipRevoked => self.give_up_ownership(None, now, &mut actions),
+            ClaimEvent::Asked(query) => self.handle_query(query, now, &mut actions),
             ClaimEvent::Released(release) => {
-                self.noted(OutcomeNote::Release(release), now, &mut actions);
+                self.handle_outcome(RequestOutcome::Release(release), now, &mut actions);
             }
             ClaimEvent::Finished(finish) => {
-                self.noted(OutcomeNote::Finish(finish), now, &mut actions);
+                self.handle_outcome(RequestOutcome::Finish(finish), now, &mut actions);
             }
             ClaimEvent::StoreAnswered { call, answer } => {
-                self.store_answered(call, answer, now, &mut actions);
+                self.handle_store_answer(call, answer, now, &mut actions);
             }
-            ClaimEvent::StoreLost { call } => self.store_lost(call, now, &mut actions),
+            ClaimEvent::StoreLost { call } => self.handle_lost_answer(call, now, &mut actions),
             ClaimEvent::Timer => {}
         }
         self.write_if_due(now, &mut actions);
@@ -192,123 +194,130 @@
         actions
     }
 
-    /// When to give the next [`ClaimEvent::Timer`]; [`ClockTime::NEVER`] if none is wanted.
+    /// Returns when the next [`ClaimEvent::Timer`] is due; [`ClockTime::NEVER`] if none is needed.
     #[must_use]
     pub fn next_timer(&self) -> ClockTime {
-        let oldest_ask = self.asks.values().map(|waiting| waiting.since).min();
-        let ask_due = oldest_ask.map_or(ClockTime::NEVER, |at| at + self.settings.answer_within);
-        self.flight_due()
-            .min(ask_due)
+        let oldest_query = self
+            .waiting_queries
+            .values()
+            .map(|waiting| waiting.since)
+            .min();
+        let query_due =
+            oldest_query.map_or(ClockTime::NEVER, |at| at + self.settings.answer_timeout);
+        self.pending_call_due()
+            .min(query_due)
             .min(self.write_due())
             .min(self.removal_due())
     }
 
-    /// Whether it owns its partition, as far as it knows.
+    /// Returns whether this claimer owns its partition, according to the last head that it saw.
     #[must_use]
     pub fn owns(&self) -> bool {
         self.stage == LogStage::Owning
     }
 
-    /// Its figures.
+    /// Returns the counters.
     #[must_use]
     pub fn counters(&self) -> ClaimCounters {
         self.counters
     }
 
-    /// What it remembers of each key.
+    /// Returns the claims that it knows.
     #[must_use]
     pub fn table(&self) -> &KeyTable {
         &self.table
     }
 
-    fn asked(&mut self, ask: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
-        let id = AskId {
-            key: ask.key,
-            request: ask.request,
+    fn handle_query(&mut self, query: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
+        let id = QueryId {
+            key: query.key,
+            request: query.request,
         };
-        if let Some(moved) = self.moved(now) {
-            self.answer(id, moved, actions);
+        if let Some(moved_answer) = self.moved_answer(now) {
+            self.answer(id, moved_answer, actions);
             return;
         }
         if self.stage == LogStage::Owning {
-            self.judge(ask, now, actions);
+            self.decide(query, now, actions);
             return;
         }
-        if self.is_away(now) || self.asks.len() >= self.settings.waiting {
+        if self.is_store_unavailable(now) || self.waiting_queries.len() >= self.settings.max_waiting
+        {
             self.answer_unavailable(id, actions);
             return;
         }
-        self.await_answer(ask, now);
+        self.await_answer(query, now);
         self.take_over(now, actions);
     }
 
-    fn moved(&self, now: ClockTime) -> Option<ClaimAnswer> {
-        let yielded = self.yielded.as_ref()?;
-        if self.stage != LogStage::Idle || now >= yielded.until {
+    fn moved_answer(&self, now: ClockTime) -> Option<ClaimAnswer> {
+        let successor = self.successor.as_ref()?;
+        if self.stage != LogStage::Idle || now >= successor.until {
             return None;
         }
-        let owner = yielded.owner.clone();
+        let owner = successor.owner.clone();
         Some(ClaimAnswer::Moved { owner })
     }
 
-    /// Judges an ask by the loaded table.
-    fn judge(&mut self, ask: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
-        let id = AskId {
-            key: ask.key,
-            request: ask.request,
+    /// Decides on a query by the loaded table.
+    fn decide(&mut self, query: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
+        let id = QueryId {
+            key: query.key,
+            request: query.request,
         };
-        let own = self.table.get_own(ask.key, ask.request).copied();
-        let is_own = own.is_some_and(|entry| entry.fingerprint == ask.fingerprint);
-        match self.table.get(ask.key).copied() {
+        let own = self.table.get_own(query.key, query.request).copied();
+        let is_own = own.is_some_and(|entry| entry.fingerprint == query.fingerprint);
+        match self.table.get(query.key).copied() {
             Some(entry) if is_own && entry.phase == KeyPhase::Held => {
                 self.answer(id, ClaimAnswer::Granted, actions);
             }
-            _ if self.table.gave_up(ask.request) => {
+            _ if self.table.is_given_up(query.request) => {
                 self.answer(id, ClaimAnswer::Denied(ClaimDenial::GivenUp), actions);
             }
             Some(entry) if is_own && matches!(entry.phase, KeyPhase::Pending { .. }) => {
-                self.want_again(ask);
-                self.await_answer(ask, now);
+                self.resume_pending(query);
+                self.await_answer(query, now);
             }
             Some(entry) => {
-                let denial = entry.denial(&ask);
+                let denial = entry.denial(&query);
                 self.answer(id, ClaimAnswer::Denied(denial), actions);
             }
-            None => self.claim(ask, now, actions),
+            None => self.claim(query, now, actions),
         }
     }
 
-    fn claim(&mut self, ask: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
-        let id = AskId {
-            key: ask.key,
-            request: ask.request,
+    fn claim(&mut self, query: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
+        let id = QueryId {
+            key: query.key,
+            request: query.request,
         };
-        if self.is_away(now) || self.intents.len() >= self.settings.waiting {
+        if self.is_store_unavailable(now) || self.queued_records.len() >= self.settings.max_waiting
+        {
             self.answer_unavailable(id, actions);
             return;
         }
-        self.table.insert_pending(&ask);
-        self.intents.push(LogIntent::Claim(ask));
-        self.await_answer(ask, now);
+        self.table.insert_pending(&query);
+        self.queued_records.push(QueuedRecord::Claim(query));
+        self.await_answer(query, now);
     }
 
-    fn want_again(&mut self, ask: ClaimAsk) {
-        if let Some(entry) = self.table.get_own(ask.key, ask.request) {
+    fn resume_pending(&mut self, query: ClaimAsk) {
+        if let Some(entry) = self.table.get_own(query.key, query.request) {
             entry.phase = KeyPhase::Pending { abandoned: false };
         }
     }
 
-    fn await_answer(&mut self, ask: ClaimAsk, now: ClockTime) {
-        let id = AskId {
-            key: ask.key,
-            request: ask.request,
+    fn await_answer(&mut self, query: ClaimAsk, now: ClockTime) {
+        let id = QueryId {
+            key: query.key,
+            request: query.request,
         };
-        let waiting = WaitingAsk { ask, since: now };
-        self.asks.entry(id).or_insert(waiting);
+        let waiting = WaitingQuery { query, since: now };
+        self.waiting_queries.entry(id).or_insert(waiting);
     }
 
-    fn answer(&mut self, id: AskId, answer: ClaimAnswer, actions: &mut ClaimActions) {
-        self.asks.shift_remove(&id);
+    fn answer(&mut self, id: QueryId, answer: ClaimAnswer, actions: &mut ClaimActions) {
+        self.waiting_queries.shift_remove(&id);
         match answer {
             ClaimAnswer::Granted => self.counters.granted += 1,
             ClaimAnswer::Denied(_) => self.counters.denied += 1,
@@ -322,41 +331,41 @@
         });
     }
 
-    fn answer_unavailable(&mut self, id: AskId, actions: &mut ClaimActions) {
+    fn answer_unavailable(&mut self, id: QueryId, actions: &mut ClaimActions) {
         let retry_after = self.settings.retry_interval;
         self.answer(id, ClaimAnswer::Unavailable { retry_after }, actions);
     }
 
-    fn is_away(&self, now: ClockTime) -> bool {
-        now < self.away_until
+    fn is_store_unavailable(&self, now: ClockTime) -> bool {
+        now < self.unavailable_until
     }
 
-    /// Turns back asks that waited too long.
-    fn time_out(&mut self, now: ClockTime, actions: &mut ClaimActions) {
-        let within = self.settings.answer_within;
-        let late: Vec<AskId> = self
-            .asks
+    /// Answers queries that waited too long with "unavailable".
+    fn expire_queries(&mut self, now: ClockTime, actions: &mut ClaimActions) {
+        let timeout = self.settings.answer_timeout;
+        let overdue: Vec<QueryId> = self
+            .waiting_queries
             .iter()
-            .filter(|(_, waiting)| waiting.since + within <= now)
+            .filter(|(_, waiting)| waiting.since + timeout <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
+        for id in overdue {
             self.abandon(id.key, id.request);
             self.answer_unavailable(id, actions);
         }
     }
 
-    /// Takes back a pending claim. True if nothing of it can be in the store.
+    /// Abandons a pending claim. Returns true if no record of it can be in the store.
     ///
-    /// Its record may be in a write whose answer is not known. Then the key stays pending, and is
-    /// released in the log once the write is found: forgetting it here would let another request
-    /// claim the key while the record of this one blocks it after the next take-over.
+    /// The record may be in a write whose result is unknown. The key then stays pending, and is
+    /// released in the log once the write is found. If it were dropped here, another request could
+    /// claim the key while the record of this one would block it after the next takeover.
     fn abandon(&mut self, key: KeyHash, request: RequestId) -> bool {
-        let before = self.intents.len();
-        self.intents.retain(|intent| {
-            !matches!(intent, LogIntent::Claim(ask) if ask.key == key && ask.request == request)
+        let before = self.queued_records.len();
+        self.queued_records.retain(|queued| {
+            !matches!(queued, QueuedRecord::Claim(query) if query.key == key && query.request == request)
         });
-        if self.intents.len() < before {
+        if self.queued_records.len() < before {
             self.table.remove(key, request);
             return true;
         }
--- a/crates/oatpier-claims/src/log/store.rs
+++ b/crates/oatpier-claims/src/log/store.rs
@@ -1,64 +1,69 @@
-//! The claimer's calls to the store and what comes of them. One call is on its way at a time,
-//! beside removals, which nothing depends on.
+//! Calls of the claimer to the store and their results. At most one call is in flight at a time,
+//! besides removals, which nothing depends on.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::Revision;
 
-use super::{ClaimLog, LogIntent};
+use super::{ClaimLog, QueuedRecord};
 use crate::event::{CallNumber, ClaimAction, ClaimActions, ExpectedSegment, StoreAnswer};
 use crate::segment::{ClosedSegment, PartitionHead, SegmentInfo, encode, head_key, segment_prefix};
 
-/// Why the head is written.
+/// The purpose of a write of the head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeadPurpose {
     TakeOver,
     Append,
 }
 
-/// A write of the head.
+/// A write of the head, with the records that it appends.
 #[derive(Debug, Clone)]
 pub(super) struct HeadWrite {
     pub purpose: HeadPurpose,
     pub head: PartitionHead,
     pub expected: Option<Revision>,
-    /// What its last records say.
-    pub batch: Vec<LogIntent>,
+    /// The appended records.
+    pub batch: Vec<QueuedRecord>,
     pub made_at: ClockTime,
 }
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Debug, Clone)]
 pub(super) enum CallKind {
-    /// The first step of a take-over.
+    /// Reads the head: the first step of a takeover.
     ReadHead,
-    /// A write of the head.
+    /// Writes the head.
     WriteHead(Box<HeadWrite>),
-    /// A read of the head, after a write of it without a clear answer.
+    /// Reads the head after a write of it without a definite result.
     CheckHead(Box<HeadWrite>),
-    /// The last step of a take-over.
+    /// Lists the closed segments: the last step of a takeover.
     ListSegments,
-    /// A copy of the head's records to a closed segment.
+    /// Copies the records of the head to a closed segment.
     CloseSegment(Box<(SegmentInfo, ClosedSegment)>),
 }
 
-/// The call that is on its way, or that is to be made again.
+/// The call that is in flight or waits for its retry.
 #[derive(Debug, Clone)]
-pub(super) struct StoreFlight {
+pub(super) struct PendingCall {
     pub call: CallNumber,
-    /// When it is given up for lost, or, if `resting`, made again.
+    /// When its answer counts as lost or, if `awaits_retry`, when it is sent again.
     pub due: ClockTime,
-    pub resting: bool,
+    pub awaits_retry: bool,
     pub kind: CallKind,
 }
 
 impl ClaimLog {
-    pub(super) fn issue(&mut self, kind: CallKind, now: ClockTime, actions: &mut ClaimActions) {
+    pub(super) fn issue_call(
+        &mut self,
+        kind: CallKind,
+        now: ClockTime,
+        actions: &mut ClaimActions,
+    ) {
         let call = self.next_call();
         actions.push(self.action_of(call, &kind));
-        self.flight = Some(StoreFlight {
+        self.pending_call = Some(PendingCall {
             call,
             due: now + self.settings.call_timeout,
-            resting: false,
+            awaits_retry: false,
             kind,
         });
     }
@@ -106,7 +111,7 @@
         }
     }
 
-    pub(super) fn store_answered(
+    pub(super) fn handle_store_answer(
         &mut self,
         call: CallNumber,
         answer: StoreAnswer,
@@ -114,124 +119,133 @@
         actions: &mut ClaimActions,
     ) {
         if self.removal.is_some_and(|(removal, _)| removal == call) {
-            self.removal_answered(&answer, now);
+            self.handle_removal_answer(&answer, now);
             return;
         }
-        let Some(kind) = self.take_flight(call) else {
+        let Some(kind) = self.take_pending_call(call) else {
             return;
         };
         if answer == StoreAnswer::Unavailable {
-            self.away_until = now + self.settings.retry_interval;
-            self.call_refused(kind, now, actions);
+            self.unavailable_until = now + self.settings.retry_interval;
+            self.handle_failed_call(kind, now, actions);
             return;
         }
         match (kind, answer) {
             (CallKind::ReadHead, StoreAnswer::Read(found)) => {
-                self.head_read(found.as_ref(), now, actions);
+                self.handle_head_read(found.as_ref(), now, actions);
             }
             (CallKind::WriteHead(write), StoreAnswer::Written(revision)) => {
-                self.head_written(*write, revision, now, actions);
+                self.handle_head_written(*write, revision, now, actions);
             }
             (CallKind::CheckHead(write), StoreAnswer::Read(found)) => {
-                self.head_checked(write, found.as_ref(), now, actions);
+                self.handle_head_checked(write, found.as_ref(), now, actions);
             }
             (CallKind::ListSegments, StoreAnswer::Listed(values)) => {
-                self.segments_listed(&values, now, actions);
+                self.handle_segments_listed(&values, now, actions);
             }
-            // Only this claimer, in this epoch, writes this key: a conflict is with its own
-            // earlier try, of the same content.
+            // Only this claimer writes this key in this epoch. A conflict is therefore with its own
+            // earlier write of the same content.
             (CallKind::CloseSegment(closed), StoreAnswer::Written(_) | StoreAnswer::Conflict) => {
-                self.segment_closed(closed.0, now, actions);
+                self.handle_segment_closed(closed.0, now, actions);
             }
-            // A conflict may be with the claimer's own earlier try, whose answer was lost.
+            // The conflict may be with this claimer's own earlier write, whose answer was lost.
             (CallKind::WriteHead(write), _) => {
-                self.issue(CallKind::CheckHead(write), now, actions);
+                self.issue_call(CallKind::CheckHead(write), now, actions);
             }
-            (kind, _) => self.call_refused(kind, now, actions),
+            (kind, _) => self.handle_failed_call(kind, now, actions),
         }
     }
 
-    /// No answer: a write may have taken effect, or may yet. Only a read tells.
-    pub(super) fn store_lost(
+    /// Handles a lost answer. A write may have taken effect, or may still do so; only a read can
+    /// tell.
+    pub(super) fn handle_lost_answer(
         &mut self,
         call: CallNumber,
         now: ClockTime,
         actions: &mut ClaimActions,
     ) {
         if self.removal.is_some_and(|(removal, _)| removal == call) {
-            self.removal_answered(&StoreAnswer::Unavailable, now);
+            self.handle_removal_answer(&StoreAnswer::Unavailable, now);
             return;
         }
-        let Some(kind) = self.take_flight(call) else {
+        let Some(kind) = self.take_pending_call(call) else {
             return;
         };
-        self.away_until = now + self.settings.retry_interval;
+        self.unavailable_until = now + self.settings.retry_interval;
         match kind {
-            CallKind::WriteHead(write) => self.issue(CallKind::CheckHead(write), now, actions),
-            kind => self.call_refused(kind, now, actions),
+            CallKind::WriteHead(write) => self.issue_call(CallKind::CheckHead(write), now, actions),
+            kind => self.handle_failed_call(kind, now, actions),
         }
     }
 
-    /// A call without effect, or whose effect does not matter.
-    fn call_refused(&mut self, kind: CallKind, now: ClockTime, actions: &mut ClaimActions) {
+    /// Handles a call that had no effect, or whose effect does not matter.
+    fn handle_failed_call(&mut self, kind: CallKind, now: ClockTime, actions: &mut ClaimActions) {
         match kind {
-            CallKind::ReadHead | CallKind::ListSegments => self.stop_takeover(actions),
-            CallKind::CloseSegment(_) => self.turn_back_claims(actions),
+            CallKind::ReadHead | CallKind::ListSegments => self.abort_takeover(actions),
+            CallKind::CloseSegment(_) => self.reject_queued_claims(actions),
             CallKind::CheckHead(write) => {
-                self.rest(CallKind::CheckHead(write), now);
-                self.turn_back_claims(actions);
+                self.schedule_retry(CallKind::CheckHead(write), now);
+                self.reject_queued_claims(actions);
             }
             CallKind::WriteHead(write) => match write.purpose {
-                HeadPurpose::TakeOver => self.stop_takeover(actions),
+                HeadPurpose::TakeOver => self.abort_takeover(actions),
                 HeadPurpose::Append => {
-                    let later = std::mem::take(&mut self.intents);
-                    self.intents = write.batch;
-                    self.intents.extend(later);
-                    self.turn_back_claims(actions);
+                    let later = std::mem::take(&mut self.queued_records);
+                    self.queued_records = write.batch;
+                    self.queued_records.extend(later);
+                    self.reject_queued_claims(actions);
                 }
             },
         }
     }
 
-    /// Makes a call again after a while.
-    fn rest(&mut self, kind: CallKind, now: ClockTime) {
-        self.flight = Some(StoreFlight {
+    /// Schedules a retry of a call after the retry interval.
+    fn schedule_retry(&mut self, kind: CallKind, now: ClockTime) {
+        self.pending_call = Some(PendingCall {
             call: self.next_call(),
             due: now + self.settings.retry_interval,
-            resting: true,
+            awaits_retry: true,
             kind,
         });
     }
 
-    fn take_flight(&mut self, call: CallNumber) -> Option<CallKind> {
-        let flight = self
-            .flight
-            .take_if(|flight| flight.call == call && !flight.resting)?;
-        Some(flight.kind)
+    fn take_pending_call(&mut self, call: CallNumber) -> Option<CallKind> {
+        let pending_call = self
+            .pending_call
+            .take_if(|pending_call| pending_call.call == call && !pending_call.awaits_retry)?;
+        Some(pending_call.kind)
     }
 
-    /// Makes a resting call again, or gives one without an answer up for lost.
-    pub(super) fn chase_flight(&mut self, now: ClockTime, actions: &mut ClaimActions) {
-        let Some(flight) = self.flight.as_ref().filter(|flight| flight.due <= now) else {
+    /// Sends a call again whose retry is due, or treats the answer of an overdue call as lost.
+    pub(super) fn check_pending_call(&mut self, now: ClockTime, actions: &mut ClaimActions) {
+        let Some(pending_call) = self
+            .pending_call
+            .as_ref()
+            .filter(|pending_call| pending_call.due <= now)
+        else {
             return;
         };
-        let (call, resting) = (flight.call, flight.resting);
-        if !resting {
-            self.store_lost(call, now, actions);
-        } else if let Some(flight) = self.flight.take() {
-            self.issue(flight.kind, now, actions);
+        let (call, awaits_retry) = (pending_call.call, pending_call.awaits_retry);
+        if !awaits_retry {
+            self.handle_lost_answer(call, now, actions);
+        } else if let Some(pending_call) = self.pending_call.take() {
+            self.issue_call(pending_call.kind, now, actions);
         }
     }
 
-    pub(super) fn flight_due(&self) -> ClockTime {
-        self.flight
+    pub(super) fn pending_call_due(&self) -> ClockTime {
+        self.pending_call
             .as_ref()
-            .map_or(ClockTime::NEVER, |flight| flight.due)
+            .map_or(ClockTime::NEVER, |pending_call| pending_call.due)
     }
 
-    /// What is in a write whose effect is not known yet.
-    pub(super) fn flying_batch(&self) -> impl Iterator<Item = &LogIntent> {
-        let write = match self.flight.as_ref().map(|flight| &flight.kind) {
+    /// Returns the records of a write whose effect is not known yet.
+    pub(super) fn in_flight_batch(&self) -> impl Iterator<Item = &QueuedRecord> {
+        let write = match self
+            .pending_call
+            .as_ref()
+            .map(|pending_call| &pending_call.kind)
+        {
             Some(CallKind::WriteHead(write) | CallKind::CheckHead(write)) => Some(write),
             _ => None,
         };
@@ -246,17 +260,17 @@
     pub(super) fn removal_due(&self) -> ClockTime {
         match self.removal {
             Some((_, since)) => since + self.settings.call_timeout,
-            None if self.doomed.is_empty() => ClockTime::NEVER,
+            None if self.expired_segments.is_empty() => ClockTime::NEVER,
             None => self.next_removal,
         }
     }
 
-    /// Removes closed segments that the head in the store no longer needs, one at a time.
+    /// Removes closed segments that the head in the store no longer refers to, one at a time.
     pub(super) fn remove_if_due(&mut self, now: ClockTime, actions: &mut ClaimActions) {
         if now < self.removal_due() {
             return;
         }
-        let Some(key) = self.doomed.front().cloned() else {
+        let Some(key) = self.expired_segments.front().cloned() else {
             self.removal = None;
             return;
         };
@@ -266,12 +280,12 @@
         actions.push(ClaimAction::DeleteSegment { call, key });
     }
 
-    fn removal_answered(&mut self, answer: &StoreAnswer, now: ClockTime) {
+    fn handle_removal_answer(&mut self, answer: &StoreAnswer, now: ClockTime) {
         self.removal = None;
         if *answer == StoreAnswer::Unavailable {
             self.next_removal = now + self.settings.retry_interval;
         } else {
-            self.doomed.pop_front();
+            self.expired_segments.pop_front();
             self.next_removal = now;
         }
     }
--- a/crates/oatpier-claims/src/log/takeover.rs
+++ b/crates/oatpier-claims/src/log/takeover.rs
@@ -1,10 +1,10 @@
-//! Becoming the claimer of the partition.
+//! Takeover of a partition by its new claimer.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::DaemonName;
 
 use super::store::{CallKind, HeadPurpose, HeadWrite};
-use super::{AskId, ClaimLog, LogStage, YieldedTo};
+use super::{ClaimLog, LogStage, QueryId, SuccessorHint};
 use crate::event::{ClaimActions, SegmentValue};
 use crate::message::ClaimAnswer;
 use crate::segment::{
@@ -13,27 +13,27 @@
 use crate::table::KeyTable;
 
 impl ClaimLog {
-    /// Begins a take-over, unless one is under way or done.
+    /// Starts a takeover, unless one is in progress or complete.
     pub(super) fn take_over(&mut self, now: ClockTime, actions: &mut ClaimActions) {
         if self.stage != LogStage::Idle {
             return;
         }
         self.counters.takeovers += 1;
         self.stage = LogStage::TakingOver;
-        self.issue(CallKind::ReadHead, now, actions);
+        self.issue_call(CallKind::ReadHead, now, actions);
     }
 
-    /// Writes the head that was found back under this claimer's name. From the moment that this
-    /// takes effect, no write of a former claimer can.
-    pub(super) fn head_read(
+    /// Writes the head that was read back with this claimer as its owner. Once this write takes
+    /// effect, no write of a previous claimer can.
+    pub(super) fn handle_head_read(
         &mut self,
         found: Option<&SegmentValue>,
         now: ClockTime,
         actions: &mut ClaimActions,
     ) {
-        let Ok(head) = self.own_head(found) else {
-            self.away_until = now + self.settings.retry_interval;
-            self.stop_takeover(actions);
+        let Ok(head) = self.build_own_head(found) else {
+            self.unavailable_until = now + self.settings.retry_interval;
+            self.abort_takeover(actions);
             return;
         };
         let write = HeadWrite {
@@ -43,10 +43,10 @@
             batch: Vec::new(),
             made_at: now,
         };
-        self.issue(CallKind::WriteHead(Box::new(write)), now, actions);
+        self.issue_call(CallKind::WriteHead(Box::new(write)), now, actions);
     }
 
-    fn own_head(&self, found: Option<&SegmentValue>) -> Result<PartitionHead, SegmentError> {
+    fn build_own_head(&self, found: Option<&SegmentValue>) -> Result<PartitionHead, SegmentError> {
         let first = PartitionHead::first(self.daemon.clone(), self.boot);
         let Some(value) = found else {
             return Ok(first);
@@ -61,9 +61,10 @@
         })
     }
 
-    /// Lists the closed segments. Not before the head is this claimer's: until then the former
-    /// one may close another, and a list that was read before would miss its claims.
-    pub(super) fn head_taken(
+    /// Lists the closed segments. This must not happen before this claimer owns the head: until
+    /// then the previous claimer may close another segment, and an earlier list would miss its
+    /// claims.
+    pub(super) fn handle_head_acquired(
         &mut self,
         known: KnownHead,
         made_at: ClockTime,
@@ -73,32 +74,36 @@
         self.known = known;
         self.clock_anchor = made_at;
         if self.known.head.base == self.known.head.floor {
-            self.segments_listed(&[], now, actions);
+            self.handle_segments_listed(&[], now, actions);
         } else {
-            self.issue(CallKind::ListSegments, now, actions);
+            self.issue_call(CallKind::ListSegments, now, actions);
         }
     }
 
-    pub(super) fn segments_listed(
+    pub(super) fn handle_segments_listed(
         &mut self,
         values: &[SegmentValue],
         now: ClockTime,
         actions: &mut ClaimActions,
     ) {
         if self.load(values).is_err() {
-            self.away_until = now + self.settings.retry_interval;
-            self.stop_takeover(actions);
+            self.unavailable_until = now + self.settings.retry_interval;
+            self.abort_takeover(actions);
             return;
         }
         self.stage = LogStage::Owning;
-        self.yielded = None;
-        let notes = std::mem::take(&mut self.notes);
-        for note in notes {
-            self.settle(note, now, actions);
+        self.successor = None;
+        let early_outcomes = std::mem::take(&mut self.early_outcomes);
+        for outcome in early_outcomes {
+            self.apply_outcome(outcome, now, actions);
         }
-        let asks: Vec<_> = self.asks.values().map(|waiting| waiting.ask).collect();
-        for ask in asks {
-            self.judge(ask, now, actions);
+        let waiting_queries: Vec<_> = self
+            .waiting_queries
+            .values()
+            .map(|waiting| waiting.query)
+            .collect();
+        for query in waiting_queries {
+            self.decide(query, now, actions);
         }
     }
 
@@ -119,43 +124,43 @@
         infos.sort_by_key(|info| info.end);
         self.table = KeyTable::load(&self.known.head, segments)?;
         self.segments = infos.into();
-        self.doomed.clear();
+        self.expired_segments.clear();
         Ok(())
     }
 
-    /// Gives a take-over up; the next ask begins another.
-    pub(super) fn stop_takeover(&mut self, actions: &mut ClaimActions) {
+    /// Aborts a takeover; the next query starts another.
+    pub(super) fn abort_takeover(&mut self, actions: &mut ClaimActions) {
         self.stage = LogStage::Idle;
-        self.notes.clear();
-        let waiting: Vec<AskId> = self.asks.keys().copied().collect();
+        self.early_outcomes.clear();
+        let waiting: Vec<QueryId> = self.waiting_queries.keys().copied().collect();
         for id in waiting {
             self.answer_unavailable(id, actions);
         }
     }
 
-    /// Stops owning the partition, or trying to. Nothing that waits is in doubt for its asker: it
-    /// asks the new claimer, which has loaded whatever took effect.
-    pub(super) fn lose(
+    /// Gives up ownership of the partition, or the attempt to get it. No waiting query is left in
+    /// doubt: its entry asks the new claimer, which has loaded every write that took effect.
+    pub(super) fn give_up_ownership(
         &mut self,
         owner: Option<&DaemonName>,
         now: ClockTime,
         actions: &mut ClaimActions,
     ) {
         self.stage = LogStage::Idle;
-        self.flight = None;
+        self.pending_call = None;
         self.removal = None;
         self.table = KeyTable::default();
         self.segments.clear();
-        self.doomed.clear();
-        self.intents.clear();
-        self.notes.clear();
-        self.lazy_since = None;
+        self.expired_segments.clear();
+        self.queued_records.clear();
+        self.early_outcomes.clear();
+        self.deferred_since = None;
         self.counters.losses += 1;
-        self.yielded = Some(YieldedTo {
+        self.successor = Some(SuccessorHint {
             owner: owner.cloned(),
-            until: now + self.settings.yield_interval,
+            until: now + self.settings.redirect_interval,
         });
-        let waiting: Vec<AskId> = self.asks.keys().copied().collect();
+        let waiting: Vec<QueryId> = self.waiting_queries.keys().copied().collect();
         for id in waiting {
             let owner = owner.cloned();
             self.answer(id, ClaimAnswer::Moved { owner }, actions);
--- a/crates/oatpier-claims/src/log/writing.rs
+++ b/crates/oatpier-claims/src/log/writing.rs
@@ -1,19 +1,19 @@
-//! Appending to the log.
+//! Appends to the log.
 //!
-//! A write takes along all that came while the one before it was on its way, so the claims of one
-//! write grow with the load and the writes a second do not.
+//! A write includes all records that were queued while the previous write was in flight. The number
+//! of claims per write grows with the load; the number of writes per second does not.
 //!
-//! A write without an answer may have taken effect, or may yet, as long as the head has the
-//! revision that it expects. The claimer reads the head: it finds its own write (then the claims
-//! are granted), another claimer's (then the partition is lost), or the former head. In the last
-//! case it sends the same write again: whichever of the two comes first, the other fails.
+//! A write without an answer may have taken effect, or may still do so as long as the head has the
+//! revision that the write expects. The claimer reads the head. If it finds its own write, the
+//! claims are granted. If it finds another claimer's write, the partition is lost. If it finds the
+//! previous head, it sends the same write again: one of the two takes effect and the other fails.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::Revision;
 use oatpier_types::verdict::RunVerdict;
 
 use super::store::{CallKind, HeadPurpose, HeadWrite};
-use super::{AskId, ClaimLog, LogIntent, LogStage};
+use super::{ClaimLog, LogStage, QueryId, QueuedRecord};
 use crate::event::{ClaimAction, ClaimActions, SegmentValue};
 use crate::message::{ClaimAnswer, ClaimAsk, ClaimRelease};
 use crate::segment::{
@@ -21,24 +21,27 @@
 };
 
 impl ClaimLog {
-    /// When the next write is due; never while a call is on its way.
+    /// Returns when the next write is due; never while a call is in flight.
     pub(super) fn write_due(&self) -> ClockTime {
-        if self.stage != LogStage::Owning || self.flight.is_some() || self.intents.is_empty() {
+        if self.stage != LogStage::Owning
+            || self.pending_call.is_some()
+            || self.queued_records.is_empty()
+        {
             return ClockTime::NEVER;
         }
         let has_claim = self
-            .intents
+            .queued_records
             .iter()
-            .any(|intent| matches!(intent, LogIntent::Claim(_)));
-        let wanted = match self.lazy_since {
-            Some(since) if !has_claim => since + self.settings.lazy_interval,
+            .any(|queued| matches!(queued, QueuedRecord::Claim(_)));
+        let wanted = match self.deferred_since {
+            Some(since) if !has_claim => since + self.settings.defer_interval,
             _ => ClockTime::ZERO,
         };
-        wanted.max(self.next_write).max(self.away_until)
+        wanted.max(self.next_write).max(self.unavailable_until)
     }
 
     pub(super) fn write_if_due(&mut self, now: ClockTime, actions: &mut ClaimActions) {
-        self.chase_flight(now, actions);
+        self.check_pending_call(now, actions);
         if now < self.write_due() {
             return;
         }
@@ -64,11 +67,11 @@
             clock_ms: segment.clock_ms,
         };
         let closed = CallKind::CloseSegment(Box::new((info, segment)));
-        self.issue(closed, now, actions);
+        self.issue_call(closed, now, actions);
     }
 
-    /// The copy is in the store: the next head leaves its records out.
-    pub(super) fn segment_closed(
+    /// Handles the stored copy of the head's records: the next head omits them.
+    pub(super) fn handle_segment_closed(
         &mut self,
         info: SegmentInfo,
         now: ClockTime,
@@ -81,13 +84,13 @@
     }
 
     fn append(&mut self, now: ClockTime, actions: &mut ClaimActions) {
-        let batch = std::mem::take(&mut self.intents);
-        self.lazy_since = None;
+        let batch = std::mem::take(&mut self.queued_records);
+        self.deferred_since = None;
         let mut head = self.known.head.clone();
         head.write += 1;
         head.clock_ms = self.clock_ms(now);
         head.floor = self.expired_floor(head.clock_ms);
-        head.records.extend(batch.iter().map(record_of));
+        head.records.extend(batch.iter().map(to_log_record));
         let write = HeadWrite {
             purpose: HeadPurpose::Append,
             head,
@@ -95,50 +98,52 @@
             batch,
             made_at: now,
         };
-        self.issue(CallKind::WriteHead(Box::new(write)), now, actions);
+        self.issue_call(CallKind::WriteHead(Box::new(write)), now, actions);
     }
 
-    pub(super) fn head_written(
+    pub(super) fn handle_head_written(
         &mut self,
         write: HeadWrite,
         revision: Revision,
         now: ClockTime,
         actions: &mut ClaimActions,
     ) {
-        self.away_until = ClockTime::ZERO;
+        self.unavailable_until = ClockTime::ZERO;
         let known = KnownHead {
             head: write.head,
             revision: Some(revision),
         };
         if write.purpose == HeadPurpose::TakeOver {
-            self.head_taken(known, write.made_at, now, actions);
+            self.handle_head_acquired(known, write.made_at, now, actions);
             return;
         }
         self.known = known;
         self.clock_anchor = write.made_at;
         let first = self.known.head.end() - write.batch.len() as u64;
-        for (position, intent) in (first..).zip(write.batch) {
-            self.intent_written(intent, position, now, actions);
+        for (position, queued) in (first..).zip(write.batch) {
+            self.handle_record_written(queued, position, now, actions);
         }
         self.drop_expired();
     }
 
-    fn intent_written(
+    fn handle_record_written(
         &mut self,
-        intent: LogIntent,
+        queued: QueuedRecord,
         position: u64,
         now: ClockTime,
         actions: &mut ClaimActions,
     ) {
-        let (key, request, verdict) = match intent {
-            LogIntent::Claim(ask) => return self.claim_written(ask, position, now, actions),
-            LogIntent::Release { release, .. } => {
+        let (key, request, verdict) = match queued {
+            QueuedRecord::Claim(query) => {
+                return self.handle_claim_written(query, position, now, actions);
+            }
+            QueuedRecord::Release { release, .. } => {
                 (release.key, release.request, RunVerdict::NotRun)
             }
-            LogIntent::Finish { finish, .. } => (finish.key, finish.request, finish.verdict),
+            QueuedRecord::Finish { finish, .. } => (finish.key, finish.request, finish.verdict),
         };
-        // "May have run" was followed by a release. Its entry says the last word until it is
-        // recorded, so the end of the first one must not be taken for it.
+        // A release followed the "may have run". Its entry resends the later outcome until that is
+        // recorded, so the record of the earlier one must not confirm it.
         if self.is_unwritten(ClaimRelease { key, request }) {
             return;
         }
@@ -149,23 +154,23 @@
         });
     }
 
-    fn claim_written(
+    fn handle_claim_written(
         &mut self,
-        ask: ClaimAsk,
+        query: ClaimAsk,
         position: u64,
         now: ClockTime,
         actions: &mut ClaimActions,
     ) {
-        let ClaimAsk { key, request, .. } = ask;
+        let ClaimAsk { key, request, .. } = query;
         if self.table.hold(key, position) {
-            self.answer(AskId { key, request }, ClaimAnswer::Granted, actions);
+            self.answer(QueryId { key, request }, ClaimAnswer::Granted, actions);
         } else {
-            self.release_taken(ClaimRelease { key, request }, now);
+            self.release_key(ClaimRelease { key, request }, now);
         }
     }
 
-    /// Looks what became of a write without a clear answer.
-    pub(super) fn head_checked(
+    /// Determines the result of a write without a definite answer.
+    pub(super) fn handle_head_checked(
         &mut self,
         write: Box<HeadWrite>,
         found: Option<&SegmentValue>,
@@ -174,47 +179,49 @@
     ) {
         let found_revision = found.map(|value| value.revision);
         if found_revision == write.expected {
-            self.issue(CallKind::WriteHead(write), now, actions);
+            self.issue_call(CallKind::WriteHead(write), now, actions);
             return;
         }
         let is_takeover = write.purpose == HeadPurpose::TakeOver;
         let head = found.and_then(|value| decode_head(value).ok());
         match (head, found_revision) {
             (Some(head), Some(revision)) if head.is_write(&write.head) => {
-                self.head_written(*write, revision, now, actions);
+                self.handle_head_written(*write, revision, now, actions);
             }
-            // An append that this very claimer sent before it gave the partition up came late.
+            // A late append that this same process sent before it lost the partition.
             (Some(head), _) if is_takeover && head.boot == self.boot => {
-                self.issue(CallKind::ReadHead, now, actions);
+                self.issue_call(CallKind::ReadHead, now, actions);
+            }
+            (head, _) => {
+                self.give_up_ownership(head.as_ref().map(|head| &head.owner), now, actions)
             }
-            (head, _) => self.lose(head.as_ref().map(|head| &head.owner), now, actions),
         }
     }
 
-    /// Turns back all claims that are in no write: none of them is in the store, or ever will be.
-    pub(super) fn turn_back_claims(&mut self, actions: &mut ClaimActions) {
-        let (claims, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.intents)
+    /// Rejects all claims that are in no write: none of them is in the store, or ever will be.
+    pub(super) fn reject_queued_claims(&mut self, actions: &mut ClaimActions) {
+        let (claims, others): (Vec<_>, Vec<_>) = std::mem::take(&mut self.queued_records)
             .into_iter()
-            .partition(|intent| matches!(intent, LogIntent::Claim(_)));
-        self.intents = others;
-        for intent in claims {
-            if let LogIntent::Claim(ClaimAsk { key, request, .. }) = intent {
+            .partition(|queued| matches!(queued, QueuedRecord::Claim(_)));
+        self.queued_records = others;
+        for queued in claims {
+            if let QueuedRecord::Claim(ClaimAsk { key, request, .. }) = queued {
                 self.table.remove(key, request);
-                let id = AskId { key, request };
-                if self.asks.contains_key(&id) {
+                let id = QueryId { key, request };
+                if self.waiting_queries.contains_key(&id) {
                     self.answer_unavailable(id, actions);
                 }
             }
         }
     }
 
-    /// The partition's clock now.
+    /// Returns the current time of the partition's clock.
     fn clock_ms(&self, now: ClockTime) -> u64 {
         let passed = now.since(self.clock_anchor).as_millis();
         self.known.head.clock_ms + u64::try_from(passed).unwrap_or(0)
     }
 
-    /// The first position that is still kept at this time of the partition's clock.
+    /// Returns the first position that is retained at this time of the partition's clock.
     fn expired_floor(&self, clock_ms: u64) -> u64 {
         let retention = u64::try_from(self.settings.retention.as_millis()).unwrap_or(u64::MAX);
         self.segments
@@ -224,29 +231,29 @@
             .fold(self.known.head.floor, u64::max)
     }
 
-    /// Forgets what the head in the store no longer keeps. Not before: a successor that finds a
-    /// floor below a removed segment can't load the partition.
+    /// Drops the records that the head in the store no longer retains. This must not happen
+    /// earlier: a successor that finds a floor below a removed segment can't load the partition.
     fn drop_expired(&mut self) {
         let floor = self.known.head.floor;
         self.table.drop_below(floor);
         while let Some(info) = self.segments.front()
             && info.end <= floor
         {
-            self.doomed
+            self.expired_segments
                 .extend(self.segments.pop_front().map(|info| info.key));
         }
     }
 }
 
-fn record_of(intent: &LogIntent) -> LogRecord {
-    match *intent {
-        LogIntent::Claim(ask) => LogRecord::Claim {
-            key: ask.key,
-            fingerprint: ask.fingerprint,
-            request: ask.request,
+fn to_log_record(queued: &QueuedRecord) -> LogRecord {
+    match *queued {
+        QueuedRecord::Claim(query) => LogRecord::Claim {
+            key: query.key,
+            fingerprint: query.fingerprint,
+            request: query.request,
         },
-        LogIntent::Release { claim, .. } => LogRecord::Release { claim },
-        LogIntent::Finish { claim, finish } => LogRecord::Finish {
+        QueuedRecord::Release { claim, .. } => LogRecord::Release { claim },
+        QueuedRecord::Finish { claim, finish } => LogRecord::Finish {
             claim,
             ran: finish.verdict == RunVerdict::Ran,
         },
--- a/crates/oatpier-claims/src/message.rs
+++ b/crates/oatpier-claims/src/message.rs
@@ -1,4 +1,4 @@
-//! What entries and claimers say to each other.
+//! Messages between entries and claimers.
 
 use std::time::Duration;
 
@@ -15,25 +15,25 @@
 pub struct KeyHash(pub u128);
 
 impl KeyHash {
-    /// The hash of a caller's key. The same key of two callers gives two hashes.
+    /// Hashes a caller's key. The same key of two callers gives two hashes.
     #[must_use]
     pub fn of(caller: &CallerName, key: &str) -> Self {
         let mut bytes = Vec::with_capacity(caller.as_str().len() + 1 + key.len());
         bytes.extend_from_slice(caller.as_str().as_bytes());
-        // No caller's name holds a zero byte, so two pairs never give the same bytes.
+        // Caller names contain no zero byte, so two different pairs never give the same bytes.
         bytes.push(0);
         bytes.extend_from_slice(key.as_bytes());
         Self(xxh3_128(&bytes))
     }
 }
 
-/// A hash of what a request asks for: a key may not be used again for something else.
+/// A hash of the content of a request. A key must not be reused for different content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct RequestFingerprint(pub u32);
 
 impl RequestFingerprint {
-    /// The hash of a method, a path with its query, and a body.
+    /// Hashes a method, a path with its query, and a body.
     #[must_use]
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Xxh3::new();
@@ -47,15 +47,16 @@
     }
 }
 
-/// An entry asks for a key before it runs a request. May be sent again: the answer is the same.
+/// A query of an entry that asks for a key before running a request. May be sent again: the answer
+/// is the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimAsk {
     /// The key.
     pub key: KeyHash,
-    /// What the request asks for.
+    /// The fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// The request that wants to run.
+    /// The request that is to run.
     pub request: RequestId,
 }
 
@@ -64,50 +65,50 @@
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimAnswer {
-    /// The key is the request's: it may run.
+    /// The request has the key and may run.
     Granted,
     /// The request may not run.
     Denied(ClaimDenial),
     /// The claim can't be recorded now, and is not: the request has not run.
     Unavailable {
-        /// When to come back.
+        /// The delay before a retry.
         retry_after: Duration,
     },
-    /// Another entry is the claimer now. Ask it, with the same request id.
+    /// Another entry is now the claimer. Send the query to it, with the same request id.
     Moved {
-        /// The claimer, as far as known.
+        /// The new claimer, if known.
         owner: Option<DaemonName>,
     },
 }
 
-/// Why a request may not run under its key.
+/// Reasons why a request may not run under its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimDenial {
-    /// Another request holds the key and is not known to be over.
+    /// Another request holds the key and is not known to have finished.
     Held {
         /// The request that holds it.
         holder: RequestId,
     },
-    /// Another request ran, or may have run, under the key, and is over.
+    /// Another request ran, or may have run, under the key and has finished.
     Finished {
         /// The request that held it.
         holder: RequestId,
         /// Whether it ran.
         verdict: RunVerdict,
     },
-    /// The key was used for a request that asked for something else.
+    /// The key was used for a request with different content.
     Mismatch {
         /// The request that holds it.
         holder: RequestId,
     },
-    /// This very request gave its claim up before.
+    /// The same request released its claim before.
     GivenUp,
 }
 
 impl ClaimDenial {
-    /// What the caller is told of the request that used the key first.
+    /// Returns the verdict, reported to the caller, on the request that used the key first.
     #[must_use]
     pub fn verdict(self) -> RunVerdict {
         match self {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The refusal of the request that asked.
+    /// Returns the refusal of the request that asked for the key.
     #[must_use]
     pub fn refusal(self) -> Refusal {
         let cause = match self {
@@ -132,18 +133,19 @@
     }
 }
 
-/// An entry gives a claim back: the request has not run and never will. May come after the
-/// request's own "may have run", whose answer came late; it frees no other request's claim.
+/// The release of a claim by an entry: the request has not run and never will. May follow a "may
+/// have run" of the same request if the agent's answer was late. It does not free the claim of
+/// another request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimRelease {
     /// The key.
     pub key: KeyHash,
-    /// The request that held or asked for it.
+    /// The request that held the key or asked for it.
     pub request: RequestId,
 }
 
-/// An entry says how the request that holds a key ended.
+/// The outcome, reported by an entry, of the request that holds a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClaimFinish {
--- a/crates/oatpier-claims/src/partition.rs
+++ b/crates/oatpier-claims/src/partition.rs
@@ -1,4 +1,4 @@
-//! Which entry is the claimer of which key.
+//! Assignment of keys to claimers.
 
 use oatpier_types::names::DaemonName;
 use serde::{Deserialize, Serialize};
@@ -7,24 +7,24 @@
 
 use crate::message::KeyHash;
 
-/// The partitions of a fleet. Part of the layout in the store: claims made under another count
-/// are not found again.
+/// Number of partitions. Part of the layout in the store: claims made with another count are not
+/// found.
 pub const PARTITION_COUNT: u16 = 8;
 
-/// One partition of the keys.
+/// A partition of the keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct PartitionId(pub u16);
 
 impl PartitionId {
-    /// The partition of a key.
+    /// Returns the partition of a key.
     #[must_use]
     pub fn of(key: KeyHash) -> Self {
         let partition = key.0 % u128::from(PARTITION_COUNT);
         Self(u16::try_from(partition).unwrap_or_default())
     }
 
-    /// All partitions.
+    /// Returns all partitions.
     pub fn all() -> impl Iterator<Item = Self> {
         (0..PARTITION_COUNT).map(Self)
     }
@@ -36,17 +36,17 @@
     }
 }
 
-/// Chooses the claimer of each partition among the entries that are known, by rendezvous hashing.
+/// The claimer of each partition, selected among the known entries by rendezvous hashing.
 ///
-/// Entries with different views choose differently for a while. That costs take-overs, never a
-/// second grant.
+/// Entries with different membership views temporarily select different claimers. That causes
+/// takeovers, but never a second grant.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PartitionMap {
     owners: Vec<DaemonName>,
 }
 
 impl PartitionMap {
-    /// The map over these entries, in any order.
+    /// Creates the map for these entries, in any order.
     #[must_use]
     pub fn new(entries: &[DaemonName]) -> Self {
         let owners = PartitionId::all()
@@ -55,13 +55,13 @@
         Self { owners }
     }
 
-    /// The claimer of a partition; none if no entry is known.
+    /// Returns the claimer of a partition, or none if no entry is known.
     #[must_use]
     pub fn owner(&self, partition: PartitionId) -> Option<&DaemonName> {
         self.owners.get(usize::from(partition.0))
     }
 
-    /// The claimer of a key.
+    /// Returns the claimer of a key.
     #[must_use]
     pub fn claimer_of(&self, key: KeyHash) -> Option<&DaemonName> {
         self.owner(PartitionId::of(key))
--- a/crates/oatpier-claims/src/segment.rs
+++ b/crates/oatpier-claims/src/segment.rs
@@ -1,14 +1,15 @@
-//! The values of a partition in the store.
+//! Stored values of a partition.
 //!
-//! A partition is a log of records with rising positions. Its newest records are in one value,
-//! the head, and only a compare-and-swap on the head appends. When the head has grown, its records
-//! are first copied to a closed segment under a key of their own, which is never changed, and
-//! then left out of the next head. So every append of every claimer, whether it owns the partition
-//! or still believes so, meets the same key and the same revision: one wins.
+//! A partition is a log of records at increasing positions. Its newest records are in one value,
+//! the head, and records are appended only by a compare-and-swap on the head. When the head has
+//! grown to its size limit, its records are first copied to a closed segment under a key of its
+//! own, which is never changed, and then omitted from the next head. Every append of every claimer,
+//! whether it owns the partition or has outdated state, therefore uses the same key and the same
+//! revision, and only one succeeds.
 //!
-//! The head is never removed. A chain of create-only segments would do without it, but then a
-//! claimer that was paused for longer than the retention could create a segment anew whose first
-//! life was removed, and would grant beside the present owner.
+//! The head is never removed. A chain of create-only segments would not need a head. But a claimer
+//! that was paused for longer than the retention could then create a segment again that had been
+//! removed, and would grant claims concurrently with the current owner.
 
 use oatpier_types::ids::{BootId, RequestId, Revision};
 use oatpier_types::names::DaemonName;
@@ -19,66 +20,66 @@
 use crate::message::{KeyHash, RequestFingerprint};
 use crate::partition::{PARTITION_COUNT, PartitionId};
 
-/// The layout of the values. Another one is not read.
+/// Layout version of the values. Values of other versions are not read.
 pub const LAYOUT: u8 = 1;
 
 /// One record of a partition's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum LogRecord {
-    /// A request has the key.
+    /// A request claimed the key.
     #[serde(rename = "c")]
     Claim {
         /// The key.
         key: KeyHash,
-        /// What the request asks for.
+        /// The fingerprint of the request.
         fingerprint: RequestFingerprint,
         /// The request.
         request: RequestId,
     },
-    /// The claim at this position is given back: its request has not run and never will.
+    /// The claim at this position is released: its request has not run and never will.
     #[serde(rename = "r")]
     Release {
         /// The claim's position.
         claim: u64,
     },
-    /// The request of the claim at this position is over.
+    /// The request of the claim at this position has finished.
     #[serde(rename = "f")]
     Finish {
         /// The claim's position.
         claim: u64,
-        /// Whether it ran to its end; if not, it may have run.
+        /// Whether it ran to completion; if not, it may have run.
         ran: bool,
     },
 }
 
-/// The one value of a partition on which all appends meet.
+/// The value of a partition that every append replaces by compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct PartitionHead {
     /// [`LAYOUT`].
     pub layout: u8,
-    /// Counts up by one with each take-over.
+    /// Increases by one with each takeover.
     pub epoch: u64,
-    /// The claimer.
+    /// The claimer that owns the partition.
     pub owner: DaemonName,
-    /// The claimer's start.
+    /// The boot id of the owner's process.
     pub boot: BootId,
-    /// The number of this write in the epoch; finds the write again after a lost answer.
+    /// The number of this write in the epoch; identifies the write after a lost answer.
     pub write: u64,
-    /// The partition's clock: the time that its owners have seen pass, in milliseconds. It stands
-    /// still between two owners, so it never runs ahead, and nothing expires too soon.
+    /// The partition's clock: the total time for which it had an owner, in milliseconds. It does
+    /// not advance between two owners, so it never runs fast and nothing expires early.
     pub clock_ms: u64,
-    /// The first position that is still kept.
+    /// The first position that is retained.
     pub floor: u64,
-    /// The position of the first of `records`; those before it are in closed segments.
+    /// The position of the first of `records`; earlier records are in closed segments.
     pub base: u64,
     /// The newest records.
     pub records: Vec<LogRecord>,
 }
 
 impl PartitionHead {
-    /// The head of a partition that nobody owned before.
+    /// Creates the head of a partition that had no owner before.
     #[must_use]
     pub fn first(owner: DaemonName, boot: BootId) -> Self {
         Self {
@@ -94,54 +95,54 @@
         }
     }
 
-    /// The position after the last record.
+    /// Returns the position after the last record.
     #[must_use]
     pub fn end(&self) -> u64 {
         self.base + self.records.len() as u64
     }
 
-    /// Whether both are the same write of the same owner.
+    /// Returns whether both are the same write of the same owner.
     #[must_use]
     pub fn is_write(&self, other: &Self) -> bool {
         (self.epoch, self.boot, self.write) == (other.epoch, other.boot, other.write)
     }
 }
 
-/// A closed segment: a copy of a range of the log, never changed.
+/// A closed segment: an immutable copy of a range of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ClosedSegment {
     /// [`LAYOUT`].
     pub layout: u8,
-    /// The position of its first record.
+    /// The position of the first record.
     pub base: u64,
-    /// The partition's clock when it was closed: no record in it is newer.
+    /// The partition's clock when the segment was closed: no record in it is newer.
     pub clock_ms: u64,
     /// The records.
     pub records: Vec<LogRecord>,
 }
 
-/// A closed segment in the store, without its records.
+/// Metadata of a closed segment in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SegmentInfo {
-    /// Its key.
+    /// The key of the segment.
     pub key: String,
-    /// The position after its last record.
+    /// The position after the last record.
     pub end: u64,
-    /// The partition's clock when it was closed.
+    /// The partition's clock when the segment was closed.
     pub clock_ms: u64,
 }
 
-/// Why a partition can't be read from the store.
+/// Reasons why a partition can't be read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 pub enum SegmentError {
-    /// A value is not of this layout.
-    #[error("the value under `{key}` is no claims segment of layout {LAYOUT}: {cause}")]
+    /// A value does not have this layout.
+    #[error("the value under `{key}` is not a claims segment of layout {LAYOUT}: {cause}")]
     Malformed {
-        /// Its key.
+        /// The key of the value.
         key: String,
-        /// What is wrong.
+        /// The cause.
         cause: String,
     },
     /// Records are missing between two segments.
@@ -149,59 +150,60 @@
     Gap {
         /// The first missing position.
         from: u64,
-        /// The first one that is there again.
+        /// The first position that is present again.
         to: u64,
     },
 }
 
-/// All keys of all partitions of this layout start with this.
+/// Returns the prefix of all keys of a partition in this layout.
 fn partition_prefix(partition: PartitionId) -> String {
     format!("claim/{PARTITION_COUNT}/{partition}/")
 }
 
-/// The key of a partition's head.
+/// Returns the key of a partition's head.
 #[must_use]
 pub fn head_key(partition: PartitionId) -> String {
     partition_prefix(partition) + "head"
 }
 
-/// The prefix of a partition's closed segments.
+/// Returns the prefix of a partition's closed segments.
 #[must_use]
 pub fn segment_prefix(partition: PartitionId) -> String {
     partition_prefix(partition) + "segment/"
 }
 
-/// The key of a closed segment. The epoch keeps apart the copies that a former owner and its
-/// successor make from the same base: if their settings differ, the former's may be shorter, and
-/// must not stand in for the longer one.
+/// Returns the key of a closed segment. The epoch distinguishes the copies that a previous owner
+/// and its successor make from the same base. If their settings differ, the copy of the previous
+/// owner may be shorter, and must not replace the longer one.
 #[must_use]
 pub fn segment_key(partition: PartitionId, base: u64, epoch: u64) -> String {
     format!("{}{base:016x}-{epoch:x}", segment_prefix(partition))
 }
 
-/// The bytes of a value.
+/// Encodes a value.
 #[must_use]
 pub fn encode<V: Serialize>(value: &V) -> Vec<u8> {
-    // Writing plain data to memory does not fail; an empty value would be refused on reading.
+    // Serializing plain data to memory does not fail; an empty value would be rejected by the
+    // decoder.
     rmp_serde::to_vec(value).unwrap_or_default()
 }
 
-/// Reads a head.
+/// Decodes a head.
 ///
 /// # Errors
 ///
-/// [`SegmentError::Malformed`].
+/// Returns [`SegmentError::Malformed`] if the value can't be decoded or has another layout.
 pub fn decode_head(value: &SegmentValue) -> Result<PartitionHead, SegmentError> {
     let head: PartitionHead = decode(value)?;
     check_layout(value, head.layout)?;
     Ok(head)
 }
 
-/// Reads a closed segment.
+/// Decodes a closed segment.
 ///
 /// # Errors
 ///
-/// [`SegmentError::Malformed`].
+/// Returns [`SegmentError::Malformed`] if the value can't be decoded or has another layout.
 pub fn decode_segment(value: &SegmentValue) -> Result<ClosedSegment, SegmentError> {
     let segment: ClosedSegment = decode(value)?;
     check_layout(value, segment.layout)?;
@@ -221,14 +223,14 @@
     }
     Err(SegmentError::Malformed {
         key: value.key.clone(),
-        cause: format!("its layout is {layout}"),
+        cause: format!("unsupported layout {layout}"),
     })
 }
 
-/// A head that is known to be in the store, or to have been there last.
+/// The head that was last known to be in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct KnownHead {
     pub head: PartitionHead,
-    /// None: there is no head yet.
+    /// None if there is no head yet.
     pub revision: Option<Revision>,
 }
--- a/crates/oatpier-claims/src/table.rs
+++ b/crates/oatpier-claims/src/table.rs
@@ -1,4 +1,4 @@
-//! What a claimer remembers of each key of its partition.
+//! The claims of a partition, by key.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -8,23 +8,24 @@
 use crate::message::{ClaimAsk, ClaimDenial, KeyHash, RequestFingerprint};
 use crate::segment::{ClosedSegment, LogRecord, PartitionHead, SegmentError};
 
-/// Requests that gave up and are remembered, so that a late ask of one claims nothing. Dropping
-/// the oldest is safe: the key then stays taken by a request that never runs.
-const MOST_GIVEN_UP: usize = 4_096;
+/// Maximum number of released requests that are remembered, so that a late query of one claims
+/// nothing. Dropping the oldest is safe: the key then stays claimed by a request that never runs.
+const MAX_GIVEN_UP: usize = 4_096;
 
-/// Where the claim of a key stands.
+/// The state of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyPhase {
     /// Not known to be in the store yet.
     Pending {
-        /// Its asker was answered "unavailable" or gave up: once in the store, it is released.
+        /// The query was answered "unavailable" or its request was released: once the claim is in
+        /// the store, it is released.
         abandoned: bool,
     },
-    /// In the store; its request may be running.
+    /// In the store; the request may be running.
     Held,
-    /// Its request is over.
+    /// The request has finished.
     Finished {
-        /// Whether it ran to its end; if not, it may have run.
+        /// Whether it ran to completion; if not, it may have run.
         ran: bool,
     },
 }
@@ -32,22 +33,22 @@
 /// The claim of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyEntry {
-    /// The request that has the key.
+    /// The request that holds the key.
     pub request: RequestId,
-    /// What it asks for.
+    /// The fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// The claim's position in the log; 0 while pending.
     pub position: u64,
-    /// Where it stands.
+    /// The state of the claim.
     pub phase: KeyPhase,
 }
 
 impl KeyEntry {
-    /// Why another request may not have the key.
+    /// Returns the reason why another request may not have the key.
     #[must_use]
-    pub fn denial(&self, ask: &ClaimAsk) -> ClaimDenial {
+    pub fn denial(&self, query: &ClaimAsk) -> ClaimDenial {
         let holder = self.request;
-        if self.fingerprint != ask.fingerprint {
+        if self.fingerprint != query.fingerprint {
             return ClaimDenial::Mismatch { holder };
         }
         match self.phase {
@@ -64,11 +65,11 @@
     }
 }
 
-/// What a claimer remembers of each key of its partition.
+/// The claims of a partition, by key.
 #[derive(Debug, Default)]
 pub struct KeyTable {
     entries: HashMap<KeyHash, KeyEntry>,
-    /// Claims in the log by position, which rises.
+    /// Claims in the log by position, in increasing order.
     positions: VecDeque<(u64, KeyHash)>,
     given_up: HashSet<RequestId>,
     given_up_order: VecDeque<RequestId>,
@@ -77,12 +78,12 @@
 impl KeyTable {
     /// Builds the table from a head and the closed segments before it.
     ///
-    /// Segments may overlap: a former owner that was paused can leave a copy of a range that its
-    /// successor copied as well. Both are copies of one log, so a position is applied once.
+    /// Segments may overlap: a previous owner that was paused can leave a copy of a range that its
+    /// successor copied as well. Both are copies of the same log, so each position is applied once.
     ///
     /// # Errors
     ///
-    /// [`SegmentError::Gap`] if records between the floor and the head are missing.
+    /// Returns [`SegmentError::Gap`] if records between the floor and the head are missing.
     pub fn load(
         head: &PartitionHead,
         mut segments: Vec<ClosedSegment>,
@@ -97,32 +98,32 @@
         Ok(table)
     }
 
-    /// The claim of a key.
+    /// Returns the claim of a key.
     #[must_use]
     pub fn get(&self, key: KeyHash) -> Option<&KeyEntry> {
         self.entries.get(&key)
     }
 
-    /// The claim of a key, if this request has it.
+    /// Returns the claim of a key if this request holds it.
     pub fn get_own(&mut self, key: KeyHash, request: RequestId) -> Option<&mut KeyEntry> {
         self.entries
             .get_mut(&key)
             .filter(|entry| entry.request == request)
     }
 
-    /// The keys that are taken.
+    /// Returns the number of claimed keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is taken.
+    /// Returns whether no key is claimed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The memory that the table has reserved for claims, in bytes.
+    /// Returns the memory that the table has reserved for claims, in bytes.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         let entry = size_of::<(KeyHash, KeyEntry)>() + 1;
@@ -130,18 +131,18 @@
         self.entries.capacity() * entry + self.positions.capacity() * position
     }
 
-    /// Notes a claim that is to be written.
-    pub fn insert_pending(&mut self, ask: &ClaimAsk) {
+    /// Inserts a claim that is not written yet.
+    pub fn insert_pending(&mut self, query: &ClaimAsk) {
         let entry = KeyEntry {
-            request: ask.request,
-            fingerprint: ask.fingerprint,
+            request: query.request,
+            fingerprint: query.fingerprint,
             position: 0,
             phase: KeyPhase::Pending { abandoned: false },
         };
-        self.entries.insert(ask.key, entry);
+        self.entries.insert(query.key, entry);
     }
 
-    /// Notes that a pending claim is in the store. True if its asker still wants it.
+    /// Marks a pending claim as stored. Returns true if it was not abandoned.
     pub fn hold(&mut self, key: KeyHash, position: u64) -> bool {
         let Some(entry) = self.entries.get_mut(&key) else {
             return false;
@@ -153,10 +154,10 @@
         wanted
     }
 
-    /// Forgets a claim, if this request has it.
+    /// Removes a claim if this request holds it.
     pub fn remove(&mut self, key: KeyHash, request: RequestId) -> Option<KeyEntry> {
-        let owned = self.get_own(key, request).is_some();
-        if owned {
+        let is_owned = self.get_own(key, request).is_some();
+        if is_owned {
             self.entries.remove(&key)
         } else {
             None
@@ -169,20 +170,20 @@
             return;
         }
         self.given_up_order.push_back(request);
-        if self.given_up_order.len() > MOST_GIVEN_UP
+        if self.given_up_order.len() > MAX_GIVEN_UP
             && let Some(oldest) = self.given_up_order.pop_front()
         {
             self.given_up.remove(&oldest);
         }
     }
 
-    /// Whether a request is known never to run.
+    /// Returns whether a request is known never to run.
     #[must_use]
-    pub fn gave_up(&self, request: RequestId) -> bool {
+    pub fn is_given_up(&self, request: RequestId) -> bool {
         self.given_up.contains(&request)
     }
 
-    /// Forgets the claims before a position.
+    /// Removes the claims before a position.
     pub fn drop_below(&mut self, floor: u64) {
         while let Some((position, key)) = self.positions.front().copied() {
             if position >= floor {
@@ -253,7 +254,7 @@
         }
     }
 
-    /// The key of the claim at a position, if that claim is the key's newest.
+    /// Returns the key of the claim at a position, if that claim is the newest of its key.
     fn key_at(&self, position: u64) -> Option<KeyHash> {
         let index = self
             .positions
--- a/crates/oatpier-claims/tests/testsuite/costs.rs
+++ b/crates/oatpier-claims/tests/testsuite/costs.rs
@@ -1,4 +1,4 @@
-//! What claims cost the store at the size designed for. All figures are counted, none is timed.
+//! Cost of claims to the store at the design load. All figures are counted, none is timed.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 
 use crate::fleet::ClaimFleet;
 
-/// 8,500 requests a second, one in twenty with a key, over 8 partitions: one each 19 ms.
+/// 8,500 requests per second, one in twenty with a key, over 8 partitions: one query per 19 ms.
 const ASK_INTERVAL: Duration = Duration::from_millis(19);
 
-/// Bounds of one claimer, a second.
-const MOST_WRITES: f64 = 16.0;
-const MOST_BYTES: f64 = 23_000.0;
+/// Bounds of one claimer, per second.
+const MAX_WRITES: f64 = 16.0;
+const MAX_BYTES: f64 = 23_000.0;
 
 #[test]
-fn one_claimer_stays_within_its_share() {
-    // The store takes several hundred writes a second, and a process may spend 23 KB a second on
-    // control. Claims that wrote once each would take all of the first.
+fn claimer_stays_within_its_write_limits() {
+    // The store accepts several hundred writes per second, and a process may spend 23 KB per second
+    // on control traffic. Writing each claim separately would use up all of the store's writes.
     let settings = ClaimSettings {
         retention: Duration::from_secs(20),
         ..ClaimSettings::default()
@@ -40,7 +40,7 @@
     let bytes = f64::from(u32::try_from(counters.bytes_written).unwrap()) / seconds;
     println!("{counters:?}: {writes:.1} writes/s, {bytes:.0} bytes/s");
     assert_eq!(counters.granted, 3_000);
-    assert!(writes < MOST_WRITES, "{writes:.1} writes a second");
-    assert!(bytes < MOST_BYTES, "{bytes:.0} bytes a second");
+    assert!(writes < MAX_WRITES, "{writes:.1} writes a second");
+    assert!(bytes < MAX_BYTES, "{bytes:.0} bytes a second");
     assert!(fleet.store.largest_value < 8_192);
 }
--- a/crates/oatpier-claims/tests/testsuite/fleet.rs
+++ b/crates/oatpier-claims/tests/testsuite/fleet.rs
@@ -1,4 +1,5 @@
-//! Several claimers of one partition on a model of the store, one call and answer at a time.
+//! Test harness: several claimers of one partition on a model of the store. Each call and each
+//! answer is delivered separately.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -20,14 +21,14 @@
 pub struct ModelStore {
     pub values: BTreeMap<String, (Vec<u8>, Revision)>,
     pub up: bool,
-    /// Off: writes go through whatever they expect. The safeguard of all grants.
-    pub compares: bool,
+    /// If false, writes ignore their precondition, which every grant relies on.
+    pub checks_preconditions: bool,
     pub largest_value: usize,
     revision: Revision,
 }
 
 impl ModelStore {
-    fn take(&mut self, action: &ClaimAction) -> StoreAnswer {
+    fn execute(&mut self, action: &ClaimAction) -> StoreAnswer {
         if !self.up {
             return StoreAnswer::Unavailable;
         }
@@ -46,7 +47,9 @@
                 self.values.remove(key);
                 StoreAnswer::Deleted
             }
-            ClaimAction::Answer { .. } | ClaimAction::Recorded { .. } => unreachable!("no call"),
+            ClaimAction::Answer { .. } | ClaimAction::Recorded { .. } => {
+                unreachable!("not a store call")
+            }
         }
     }
 
@@ -56,7 +59,7 @@
             ExpectedSegment::Absent => None,
             ExpectedSegment::At(revision) => Some(revision),
         };
-        if self.compares && found != wanted {
+        if self.checks_preconditions && found != wanted {
             return StoreAnswer::Conflict;
         }
         self.revision = self.revision.next();
@@ -79,7 +82,7 @@
     }
 }
 
-/// A call on its way to the store, or its answer on the way back.
+/// A call in flight to the store, or its answer in flight to the claimer.
 struct Call {
     claimer: usize,
     boot: BootId,
@@ -114,7 +117,7 @@
     boots: u128,
 }
 
-/// Short segments, so that closing, listing and removing them happens all the time.
+/// Short segments, so that closing, listing and removing them happens often.
 pub fn short_settings() -> ClaimSettings {
     ClaimSettings {
         head_bytes: 150,
@@ -133,7 +136,7 @@
             store: ModelStore {
                 values: BTreeMap::new(),
                 up: true,
-                compares: true,
+                checks_preconditions: true,
                 largest_value: 0,
                 revision: Revision(0),
             },
@@ -165,7 +168,7 @@
         &self.claimers[claimer].log
     }
 
-    /// Kills a claimer and starts it anew. Its calls may yet take effect.
+    /// Kills and restarts a claimer. Its calls may still take effect.
     pub fn restart(&mut self, claimer: usize) {
         self.claimers[claimer] = self.boot(claimer);
     }
@@ -174,16 +177,16 @@
         let target = &mut self.claimers[claimer];
         let since_start = self.now.since(target.started);
         let actions = target.log.step(event, ClockTime::from_start(since_start));
-        self.take_actions(claimer, actions);
+        self.apply_actions(claimer, actions);
     }
 
-    fn take_actions(&mut self, claimer: usize, actions: ClaimActions) {
+    fn apply_actions(&mut self, claimer: usize, actions: ClaimActions) {
         let boot = self.claimers[claimer].boot;
         for action in actions {
             match action {
                 ClaimAction::Answer {
                     request, answer, ..
-                } => self.answered(request, answer),
+                } => self.record_answer(request, answer),
                 ClaimAction::Recorded { request, .. } => {
                     self.recorded.insert(request);
                 }
@@ -201,8 +204,8 @@
         }
     }
 
-    /// An entry that has a grant runs the request, unless it gave it up before.
-    fn answered(&mut self, request: RequestId, answer: ClaimAnswer) {
+    /// Records an answer. An entry that has a grant runs the request, unless it gave it up before.
+    fn record_answer(&mut self, request: RequestId, answer: ClaimAnswer) {
         let granted = answer == ClaimAnswer::Granted;
         self.answers.insert(request, answer);
         let index = usize::try_from(request.0).unwrap();
@@ -211,22 +214,22 @@
             return;
         }
         self.requests[index].granted_at = Some(self.now);
-        let remembered = self
+        let retained_for = self
             .settings
             .retention
-            .saturating_sub(self.settings.answer_within);
-        let is_beside = |other: &AskedRequest| {
+            .saturating_sub(self.settings.answer_timeout);
+        let is_concurrent_grant = |other: &AskedRequest| {
             other.ask.key == asked.ask.key
                 && !other.released
                 && other.ask.request != request
                 && other
                     .granted_at
-                    .is_some_and(|at| self.now.since(at) < remembered)
+                    .is_some_and(|at| self.now.since(at) < retained_for)
         };
         self.double_grants += self
             .requests
             .iter()
-            .filter(|other| is_beside(other))
+            .filter(|other| is_concurrent_grant(other))
             .count();
     }
 
@@ -255,7 +258,7 @@
         self.requests[usize::try_from(request.0).unwrap()]
     }
 
-    /// The entry knows that the request has not run, and gives it up.
+    /// Releases a request: its entry knows that it has not run, and gives it up.
     pub fn release(&mut self, claimer: usize, request: RequestId) {
         let index = usize::try_from(request.0).unwrap();
         self.requests[index].released = true;
@@ -273,12 +276,12 @@
         self.step(claimer, ClaimEvent::Finished(finish));
     }
 
-    /// The calls of a claimer, or of all, that the store has not seen.
-    pub fn unseen(&self, claimer: Option<usize>) -> Vec<usize> {
+    /// Returns the calls of a claimer, or of all, that the store has not executed.
+    pub fn unexecuted(&self, claimer: Option<usize>) -> Vec<usize> {
         self.calls_where(claimer, |call| call.answer.is_none())
     }
 
-    /// The answers that are on their way to a claimer, or to any.
+    /// Returns the answers that are in flight to a claimer, or to any.
     pub fn undelivered(&self, claimer: Option<usize>) -> Vec<usize> {
         self.calls_where(claimer, |call| call.answer.is_some())
     }
@@ -290,13 +293,13 @@
             .collect()
     }
 
-    /// The store sees a call.
-    pub fn take_effect(&mut self, index: usize) {
-        let answer = self.store.take(&self.calls[index].action);
+    /// Executes a call at the store.
+    pub fn execute_call(&mut self, index: usize) {
+        let answer = self.store.execute(&self.calls[index].action);
         self.calls[index].answer = Some(answer);
     }
 
-    /// An answer comes to its claimer.
+    /// Delivers an answer to its claimer.
     pub fn deliver(&mut self, index: usize) {
         let call = self.calls.remove(index);
         let Some(answer) = call.answer else {
@@ -309,8 +312,8 @@
         self.step_boot(call.claimer, call.boot, event);
     }
 
-    /// The claimer learns that it will get no answer. The call may yet take effect if the store
-    /// has not seen it.
+    /// Reports to a claimer that it will get no answer. The call may still take effect if the store
+    /// has not executed it.
     pub fn lose_answer(&mut self, index: usize) {
         let call = &self.calls[index];
         let (claimer, boot, number) = (call.claimer, call.boot, call.number);
@@ -330,12 +333,12 @@
         self.now = self.now + span;
     }
 
-    /// Gives a claimer all its answers at once, and its timers, for a span of time.
+    /// Delivers all answers of a claimer, and its timers, for a period of time.
     pub fn run(&mut self, claimer: usize, span: Duration) {
         let end = self.now + span;
         loop {
-            while let Some(index) = self.unseen(Some(claimer)).first().copied() {
-                self.take_effect(index);
+            while let Some(index) = self.unexecuted(Some(claimer)).first().copied() {
+                self.execute_call(index);
                 self.deliver(index);
             }
             while let Some(index) = self.undelivered(Some(claimer)).first().copied() {
--- a/crates/oatpier-claims/tests/testsuite/main.rs
+++ b/crates/oatpier-claims/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the claims of idempotency keys.
+//! Tests of claims of idempotency keys.
 
 mod costs;
 mod fleet;
--- a/crates/oatpier-claims/tests/testsuite/partitions.rs
+++ b/crates/oatpier-claims/tests/testsuite/partitions.rs
@@ -1,4 +1,4 @@
-//! Which entry is the claimer of which key.
+//! Assignment of partitions to entries.
 
 use std::collections::HashSet;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn views_in_any_order_agree() {
+fn map_does_not_depend_on_the_order_of_entries() {
     let entries = entries(24);
     let mut reversed = entries.clone();
     reversed.reverse();
--- a/crates/oatpier-claims/tests/testsuite/races.rs
+++ b/crates/oatpier-claims/tests/testsuite/races.rs
@@ -1,4 +1,4 @@
-//! Claimers of one partition beside each other, in random order of all that can happen.
+//! Concurrent claimers of one partition under random sequences of events.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 
 const CLAIMERS: usize = 3;
 
-/// Random runs of each test.
+/// Number of random runs per test.
 const CASES: u32 = 500;
 
 #[derive(Debug, Clone)]
-enum Happening {
+enum TestEvent {
     Ask { claimer: usize, key: u8 },
     AskAgain { claimer: usize, request: usize },
     Release { claimer: usize, request: usize },
@@ -32,8 +32,8 @@
     Store { up: bool },
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
-    use Happening as H;
+fn test_event() -> impl Strategy<Value = TestEvent> {
+    use TestEvent as H;
     let claimer = || 0..CLAIMERS;
     let number = || 0..1_000_usize;
     prop_oneof![
@@ -57,60 +57,60 @@
     (!from.is_empty()).then(|| from[number % from.len()])
 }
 
-fn happen(fleet: &mut ClaimFleet, happening: &Happening) {
+fn apply_event(fleet: &mut ClaimFleet, test_event: &TestEvent) {
     let requests = fleet.requests.len().max(1);
     let id = |request: usize| RequestId((request % requests) as u128);
     let nothing_asked = fleet.requests.is_empty();
-    match *happening {
-        Happening::Ask {
+    match *test_event {
+        TestEvent::Ask {
             claimer,
             key: number,
         } => {
             fleet.ask(claimer, key(number));
         }
-        Happening::AskAgain { claimer, request } if !nothing_asked => {
+        TestEvent::AskAgain { claimer, request } if !nothing_asked => {
             fleet.ask_again(claimer, id(request));
         }
-        Happening::Release { claimer, request } if !nothing_asked => {
+        TestEvent::Release { claimer, request } if !nothing_asked => {
             fleet.release(claimer, id(request));
         }
-        Happening::Finish { claimer, request } if !nothing_asked => {
+        TestEvent::Finish { claimer, request } if !nothing_asked => {
             finish_granted(fleet, claimer, id(request));
         }
-        Happening::AskAgain { .. } | Happening::Release { .. } | Happening::Finish { .. } => {}
-        Happening::Resign { claimer } => fleet.step(claimer, ClaimEvent::Resigned),
-        Happening::TakeEffect { call } => {
-            let call = pick(&fleet.unseen(None), call);
+        TestEvent::AskAgain { .. } | TestEvent::Release { .. } | TestEvent::Finish { .. } => {}
+        TestEvent::Resign { claimer } => fleet.step(claimer, ClaimEvent::OwnershipRevoked),
+        TestEvent::TakeEffect { call } => {
+            let call = pick(&fleet.unexecuted(None), call);
             if let Some(call) = call {
-                fleet.take_effect(call);
+                fleet.execute_call(call);
             }
         }
-        Happening::Deliver { call } => {
+        TestEvent::Deliver { call } => {
             let call = pick(&fleet.undelivered(None), call);
             if let Some(call) = call {
                 fleet.deliver(call);
             }
         }
-        Happening::LoseAnswer { call, seen } => {
+        TestEvent::LoseAnswer { call, seen } => {
             let calls = if seen {
                 fleet.undelivered(None)
             } else {
-                fleet.unseen(None)
+                fleet.unexecuted(None)
             };
             let call = pick(&calls, call);
             if let Some(call) = call {
                 fleet.lose_answer(call);
             }
         }
-        Happening::Run { claimer, millis } => fleet.run(claimer, Duration::from_millis(millis)),
-        Happening::Advance { millis } => fleet.advance(Duration::from_millis(millis)),
-        Happening::Wake { claimer } => fleet.step(claimer, ClaimEvent::Timer),
-        Happening::Restart { claimer } => fleet.restart(claimer),
-        Happening::Store { up } => fleet.store.up = up,
+        TestEvent::Run { claimer, millis } => fleet.run(claimer, Duration::from_millis(millis)),
+        TestEvent::Advance { millis } => fleet.advance(Duration::from_millis(millis)),
+        TestEvent::Wake { claimer } => fleet.step(claimer, ClaimEvent::Timer),
+        TestEvent::Restart { claimer } => fleet.restart(claimer),
+        TestEvent::Store { up } => fleet.store.up = up,
     }
 }
 
-/// Only an entry whose request may run says how it ended.
+/// Reports the end of a request. Only the entry of a granted and unreleased request does so.
 fn finish_granted(fleet: &mut ClaimFleet, claimer: usize, request: RequestId) {
     let asked = fleet.asked(request);
     if asked.granted_at.is_some() && !asked.released {
@@ -118,31 +118,35 @@
     }
 }
 
-fn happenings() -> impl Strategy<Value = Vec<Happening>> {
-    prop::collection::vec(happening(), 20..250)
+fn test_events() -> impl Strategy<Value = Vec<TestEvent>> {
+    prop::collection::vec(test_event(), 20..250)
 }
 
-fn double_grants(settings: ClaimSettings, compares: bool, happenings: &[Happening]) -> usize {
+fn double_grants(
+    settings: ClaimSettings,
+    checks_preconditions: bool,
+    test_events: &[TestEvent],
+) -> usize {
     let mut fleet = ClaimFleet::new(CLAIMERS, settings);
-    fleet.store.compares = compares;
-    for happening in happenings {
-        happen(&mut fleet, happening);
+    fleet.store.checks_preconditions = checks_preconditions;
+    for test_event in test_events {
+        apply_event(&mut fleet, test_event);
     }
     fleet.double_grants
 }
 
-/// A release by an entry is true only if the request never runs. The model's entries may also
-/// release what they were granted: they then knew that it did not run.
+/// A release by an entry is valid only if the request never runs. The modelled entries may also
+/// release requests that were granted: they then know that the request did not run.
 #[test]
-fn two_claimers_never_grant_one_key() {
-    // Two requests with one key come through two entries whose views differ, so each asks another
-    // claimer. Claimers are paused, killed and woken between any two steps, the store's answers
-    // are lost before and after the effect, and the store is away now and then. Both callers
-    // would see their change applied.
+fn concurrent_claimers_never_grant_one_key_twice() {
+    // Two requests with one key arrive through two entries whose membership views differ, so each
+    // asks another claimer. Claimers are paused, killed and resumed between any two steps, answers
+    // of the store are lost before and after the effect, and the store is unavailable at times. If
+    // both requests were granted, the change would be applied twice.
     let mut runner = TestRunner::new_with_rng(Config::with_cases(CASES), fixed_rng());
     runner
-        .run(&happenings(), |happenings| {
-            prop_assert_eq!(double_grants(short_settings(), true, &happenings), 0);
+        .run(&test_events(), |test_events| {
+            prop_assert_eq!(double_grants(short_settings(), true, &test_events), 0);
             Ok(())
         })
         .unwrap();
@@ -150,17 +154,17 @@
 
 #[test]
 fn keys_are_remembered_for_the_retention() {
-    // A key is used again within the retention, after claimers came and went and segments of the
-    // log were removed, some while a former claimer was paused. Forgotten too soon, or recreated
-    // by that claimer, it would be granted again.
+    // A key is used again within the retention, after claimers changed and segments of the log were
+    // removed, some of them while a previous claimer was paused. If the key were dropped too early,
+    // or its segment recreated by that claimer, it would be granted again.
     let settings = ClaimSettings {
         retention: Duration::from_secs(5),
         ..short_settings()
     };
     let mut runner = TestRunner::new_with_rng(Config::with_cases(CASES), fixed_rng());
     runner
-        .run(&happenings(), |happenings| {
-            prop_assert_eq!(double_grants(settings.clone(), true, &happenings), 0);
+        .run(&test_events(), |test_events| {
+            prop_assert_eq!(double_grants(settings.clone(), true, &test_events), 0);
             Ok(())
         })
         .unwrap();
@@ -168,11 +172,11 @@
 
 #[test]
 fn without_compare_and_swap_two_claimers_grant_one_key() {
-    // The same, on a store that writes whatever is expected: shows that the random runs reach the
-    // double grant that compare-and-swap prevents.
+    // The same on a store that ignores the precondition of writes. Shows that the random runs reach
+    // the double grant that compare-and-swap prevents.
     let mut runner = TestRunner::new_with_rng(Config::with_cases(CASES), fixed_rng());
-    let outcome = runner.run(&happenings(), |happenings| {
-        prop_assert_eq!(double_grants(short_settings(), false, &happenings), 0);
+    let outcome = runner.run(&test_events(), |test_events| {
+        prop_assert_eq!(double_grants(short_settings(), false, &test_events), 0);
         Ok(())
     });
     assert!(outcome.is_err(), "no double grant was reached");
