--- a/crates/oatpier-claims/src/log.rs
+++ b/crates/oatpier-claims/src/log.rs
@@ -175,7 +175,7 @@
         self.expire_queries(now, &mut actions);
         match event {
             ClaimEvent::OwnershipAssigned => self.take_over(now, &mut actions),
-            ClaimEvent::OwnershipRevoked => self.give_up_ownership(None, now, &mut actions),
+            ClaimEvent::OwnershipRevoked => self.lose_ownership(None, now, &mut actions),
             ClaimEvent::Asked(query) => self.handle_query(query, now, &mut actions),
             ClaimEvent::Released(release) => {
                 self.handle_outcome(RequestOutcome::Release(release), now, &mut actions);
@@ -233,8 +233,8 @@
             key: query.key,
             request: query.request,
         };
-        if let Some(moved_answer) = self.moved_answer(now) {
-            self.answer(id, moved_answer, actions);
+        if let Some(moved) = self.moved_answer(now) {
+            self.answer(id, moved, actions);
             return;
         }
         if self.stage == LogStage::Owning {
--- a/crates/oatpier-claims/src/log/outcome.rs
+++ b/crates/oatpier-claims/src/log/outcome.rs
@@ -81,12 +81,12 @@
     fn apply_finish(&mut self, finish: ClaimFinish, now: ClockTime, actions: &mut ClaimActions) {
         let ClaimFinish { key, request, .. } = finish;
         let ran = finish.verdict == RunVerdict::Ran;
-        let recorded_outcome = recorded_action(ClaimRelease { key, request }, finish.verdict);
+        let recorded = recorded_action(ClaimRelease { key, request }, finish.verdict);
         let Some(entry) = self.table.get_own(key, request) else {
             // A late copy of "may have run" that arrives after the release must not confirm the
             // release.
             if !self.is_unwritten(ClaimRelease { key, request }) {
-                actions.push(recorded_outcome);
+                actions.push(recorded);
             }
             return;
         };
@@ -94,7 +94,7 @@
             KeyPhase::Pending { .. } => return,
             KeyPhase::Finished { ran: known } if known || !ran => {
                 if !self.is_finish_unwritten(finish) {
-                    actions.push(recorded_outcome);
+                    actions.push(recorded);
                 }
                 return;
             }
--- a/crates/oatpier-claims/src/log/takeover.rs
+++ b/crates/oatpier-claims/src/log/takeover.rs
@@ -140,7 +140,7 @@
 
     /// Gives up ownership of the partition, or the attempt to get it. No waiting query is left in
     /// doubt: its entry asks the new claimer, which has loaded every write that took effect.
-    pub(super) fn give_up_ownership(
+    pub(super) fn lose_ownership(
         &mut self,
         owner: Option<&DaemonName>,
         now: ClockTime,
--- a/crates/oatpier-claims/src/log/writing.rs
+++ b/crates/oatpier-claims/src/log/writing.rs
@@ -192,9 +192,7 @@
             (Some(head), _) if is_takeover && head.boot == self.boot => {
                 self.issue_call(CallKind::ReadHead, now, actions);
             }
-            (head, _) => {
-                self.give_up_ownership(head.as_ref().map(|head| &head.owner), now, actions)
-            }
+            (head, _) => self.lose_ownership(head.as_ref().map(|head| &head.owner), now, actions),
         }
     }
 
--- a/crates/oatpier-ports/src/engine.rs
+++ b/crates/oatpier-ports/src/engine.rs
@@ -1,61 +1,61 @@
-//! Orders to an engine and what it reports.
+//! Control interface of an engine: orders and reports.
 
 use futures::future::BoxFuture;
 use oatpier_types::engine::{CacheEvent, EngineOrder, EngineState, LoadReport};
 use oatpier_types::ids::OrderNumber;
 use thiserror::Error;
 
-/// Why an order was not taken, or whether it may have been.
+/// Reasons why an order failed, or why its result is unknown.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 pub enum OrderError {
-    /// The engine has taken a higher number and refuses this one for good.
-    #[error("the engine has already taken order {highest}")]
+    /// The engine has accepted a higher number and refuses this order permanently.
+    #[error("the engine has already accepted order {highest}")]
     Stale {
-        /// The highest number that it has taken.
+        /// The highest number that it has accepted.
         highest: OrderNumber,
     },
-    /// The engine refused the order; nothing changed.
+    /// The engine refused the order. Nothing changed.
     #[error("the engine refused the order: {cause}")]
     Refused {
-        /// What it said.
+        /// The engine's response.
         cause: String,
     },
-    /// The engine could not be reached; it never saw the order.
+    /// The engine could not be reached and never received the order.
     #[error("the engine could not be reached: {cause}")]
     NotSent {
-        /// What happened.
+        /// The cause.
         cause: String,
     },
-    /// No answer came: the order may be carried out, now or later.
+    /// No answer arrived: the order may be executed, now or later.
     #[error("the engine gave no answer: {cause}")]
     Unknown {
-        /// What happened.
+        /// The cause.
         cause: String,
     },
 }
 
-/// The engine could not be asked.
+/// A report could not be read from the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
-#[error("the engine could not be asked: {cause}")]
+#[error("could not read a report from the engine: {cause}")]
 pub struct ReportError {
-    /// What happened.
+    /// The cause.
     pub cause: String,
 }
 
-/// The control side of one engine. Only the agent beside the engine uses it.
+/// Control interface of one engine. Used only by the agent next to the engine.
 pub trait EngineControl: Send + Sync {
-    /// Gives an order. `Ok` says that the engine took it, not that it is done: see
+    /// Sends an order. `Ok` means that the engine accepted it, not that it is complete: see
     /// [`EngineControl::state`].
     fn order<'a>(&'a self, order: &'a EngineOrder) -> BoxFuture<'a, Result<(), OrderError>>;
 
-    /// Asks what the engine holds now.
+    /// Reads the current state of the engine.
     fn state(&self) -> BoxFuture<'_, Result<EngineState, ReportError>>;
 
-    /// Reads the published load, which lags.
+    /// Reads the published load, which lags behind the actual load.
     fn load(&self) -> BoxFuture<'_, Result<LoadReport, ReportError>>;
 
-    /// Reads the cache events after a sequence number; late, and with gaps.
+    /// Reads the cache events after a sequence number. Events are delayed and may have gaps.
     fn cache_events(&self, after: u64) -> BoxFuture<'_, Result<Vec<CacheEvent>, ReportError>>;
 }
--- a/crates/oatpier-ports/src/http.rs
+++ b/crates/oatpier-ports/src/http.rs
@@ -1,8 +1,8 @@
-//! The adapters that speak HTTP to the outside, as docs/design/platform-interfaces.md lays down.
+//! HTTP implementations of the interfaces, as specified in docs/design/platform-interfaces.md.
 //!
-//! Each turns a failed call into its trait's own error, and never says "nothing happened" of a
-//! call that may have been written: the wire's verdict decides that, and a status that no page
-//! lays down is taken for the worse.
+//! Each implementation converts a failed call to the error type of its trait. A call that may have
+//! been written to the connection is never reported as without effect: the verdict of the HTTP
+//! client decides that, and an unspecified status counts as the worse case.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,20 +21,20 @@
 pub use vms::HttpVmList;
 pub use work::{EndpointKind, HttpWork};
 
-/// The longest JSON answer that is read, in bytes.
-const JSON_LIMIT: usize = 32 << 20;
+/// Maximum size of a JSON response, in bytes.
+const MAX_JSON_BYTES: usize = 32 << 20;
 
-/// The most of an error's text that is kept, in characters.
-const CAUSE_CHARACTERS: usize = 200;
+/// Maximum length of an error text that is kept, in characters.
+const MAX_CAUSE_CHARS: usize = 200;
 
-/// One outside service: where it is, and how long a call to it may take.
-pub(crate) struct OutsideService {
+/// An external service: its address and the timeout of its calls.
+pub(crate) struct ExternalService {
     address: SocketAddr,
     timeout: Duration,
     client: HttpClient,
 }
 
-impl OutsideService {
+impl ExternalService {
     pub(crate) fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
             address,
@@ -43,22 +43,23 @@
         }
     }
 
-    /// Sends a call and reads the whole answer; `longer` is added to the usual timeout.
+    /// Sends a request and reads the whole response. `extra_timeout` is added to the service's
+    /// timeout.
     pub(crate) async fn fetch(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-        longer: Duration,
+        extra_timeout: Duration,
     ) -> Result<Response<Bytes>, FetchError> {
         let request = Request::builder()
             .method(method)
             .uri(path)
             .body(body)
             .map_err(|error| FetchError::Invalid(error.to_string()))?;
-        let timeout = self.timeout + longer;
+        let timeout = self.timeout + extra_timeout;
         self.client
-            .fetch(self.address, request, timeout, JSON_LIMIT)
+            .fetch(self.address, request, timeout, MAX_JSON_BYTES)
             .await
             .map_err(FetchError::Send)
     }
@@ -69,11 +70,11 @@
     }
 }
 
-/// A call got no answer.
+/// A request that got no response.
 pub(crate) enum FetchError {
-    /// The request could not be made.
+    /// The request could not be built.
     Invalid(String),
-    /// The call failed on its way.
+    /// The request could not be sent, or no response arrived.
     Send(SendError),
 }
 
@@ -86,11 +87,11 @@
     }
 }
 
-/// What an answer with an unwanted status said.
+/// Returns an error text for a response with an unexpected status.
 pub(crate) fn status_cause(response: &Response<Bytes>) -> String {
     let status = response.status();
     let text = String::from_utf8_lossy(response.body());
-    let text: String = text.trim().chars().take(CAUSE_CHARACTERS).collect();
+    let text: String = text.trim().chars().take(MAX_CAUSE_CHARS).collect();
     if text.is_empty() {
         format!("it answered {status}")
     } else {
@@ -98,12 +99,13 @@
     }
 }
 
-/// Whether a status says for certain that the call had no effect.
+/// Returns whether a status guarantees that the call had no effect.
 pub(crate) fn had_no_effect(status: StatusCode) -> bool {
     status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE
 }
 
-/// A key as a part of a path: all but unreserved characters, `/` and `:` percent-encoded.
+/// Encodes a key as a part of a path: all but unreserved characters, `/` and `:` are
+/// percent-encoded.
 pub(crate) fn encode_key(key: &str) -> String {
     key.bytes().fold(String::new(), |mut path, byte| {
         if byte.is_ascii_alphanumeric() || b"-._~/:".contains(&byte) {
--- a/crates/oatpier-ports/src/http/engine.rs
+++ b/crates/oatpier-ports/src/http/engine.rs
@@ -1,4 +1,4 @@
-//! An engine's control side over HTTP.
+//! Control interface of an engine over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-use super::{FetchError, OutsideService, had_no_effect, status_cause};
+use super::{ExternalService, FetchError, had_no_effect, status_cause};
 use crate::engine::{EngineControl, OrderError, ReportError};
 
-/// The control side of the engine at an address.
+/// Control interface of the engine at an address.
 pub struct HttpEngine {
-    service: OutsideService,
+    service: ExternalService,
 }
 
 impl HttpEngine {
-    /// The engine at `address`; a call may take `timeout`.
+    /// Creates a client of the engine at `address`; `timeout` bounds each call.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
-            service: OutsideService::new(address, timeout),
+            service: ExternalService::new(address, timeout),
         }
     }
 
-    async fn give_order(&self, order: &EngineOrder) -> Result<(), OrderError> {
+    async fn send_order(&self, order: &EngineOrder) -> Result<(), OrderError> {
         let body = serde_json::to_vec(order).map_err(|error| OrderError::NotSent {
             cause: error.to_string(),
         })?;
@@ -40,7 +40,7 @@
             .map_err(|error| order_error(&error))?;
         match response.status() {
             StatusCode::ACCEPTED => Ok(()),
-            StatusCode::CONFLICT => Err(stale(&response)),
+            StatusCode::CONFLICT => Err(stale_error(&response)),
             status if had_no_effect(status) => Err(OrderError::Refused {
                 cause: status_cause(&response),
             }),
@@ -66,7 +66,7 @@
 
 impl EngineControl for HttpEngine {
     fn order<'a>(&'a self, order: &'a EngineOrder) -> BoxFuture<'a, Result<(), OrderError>> {
-        Box::pin(self.give_order(order))
+        Box::pin(self.send_order(order))
     }
 
     fn state(&self) -> BoxFuture<'_, Result<EngineState, ReportError>> {
@@ -87,7 +87,7 @@
     highest: OrderNumber,
 }
 
-fn stale(response: &Response<Bytes>) -> OrderError {
+fn stale_error(response: &Response<Bytes>) -> OrderError {
     match serde_json::from_slice::<StaleOrder>(response.body()) {
         Ok(stale) => OrderError::Stale {
             highest: stale.highest,
@@ -98,7 +98,8 @@
     }
 }
 
-/// An order that may have been sent may still be carried out: its memory stays charged.
+/// Converts a failed call. An order that may have been sent may still be executed, so its memory
+/// stays reserved.
 fn order_error(error: &FetchError) -> OrderError {
     let cause = error.cause();
     match error {
--- a/crates/oatpier-ports/src/http/store.rs
+++ b/crates/oatpier-ports/src/http/store.rs
@@ -13,30 +13,34 @@
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-use super::{FetchError, OutsideService, encode_key, had_no_effect, status_cause};
+use super::{ExternalService, FetchError, encode_key, had_no_effect, status_cause};
 use crate::store::{ExpectedValue, KeyChange, KeyStore, LeaseId, StoreError, StoredValue};
 
-/// The header with a value's revision.
+/// Header with the revision of a value.
 const REVISION_HEADER: &str = "x-revision";
 
-/// The key-value service at an address.
+/// A client of the key-value service at an address.
 pub struct HttpStore {
-    service: OutsideService,
+    service: ExternalService,
 }
 
 impl HttpStore {
-    /// The service at `address`; a call may take `timeout`, a watch that much longer than it
-    /// waits.
+    /// Creates a client of the service at `address`. `timeout` bounds each call; a watch may take
+    /// the time that it waits in addition.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
-            service: OutsideService::new(address, timeout),
+            service: ExternalService::new(address, timeout),
         }
     }
 
-    async fn read(&self, path: &str, longer: Duration) -> Result<Response<Bytes>, StoreError> {
+    async fn read(
+        &self,
+        path: &str,
+        extra_timeout: Duration,
+    ) -> Result<Response<Bytes>, StoreError> {
         self.service
-            .fetch(Method::GET, path, Bytes::new(), longer)
+            .fetch(Method::GET, path, Bytes::new(), extra_timeout)
             .await
             .map_err(|error| unavailable(error.cause()))
     }
@@ -61,16 +65,22 @@
         lease: Option<LeaseId>,
     ) -> Result<Revision, StoreError> {
         let lease = lease.map_or(String::new(), |lease| format!("&lease={}", lease.0));
-        let path = format!("/kv/{}?{}{lease}", encode_key(key), expect_query(expected));
+        let path = format!(
+            "/kv/{}?{}{lease}",
+            encode_key(key),
+            precondition_query(expected)
+        );
         let bytes = value.len();
         let response = self.write(Method::PUT, &path, value).await?;
         match response.status() {
-            // Without its revision the write has still taken effect.
-            StatusCode::OK => revision_of(&response).ok_or_else(|| lost("no x-revision came")),
-            StatusCode::CONFLICT => Err(conflict(&response)),
+            // The write took effect even if the revision is missing.
+            StatusCode::OK => {
+                revision_of(&response).ok_or_else(|| answer_lost("the response has no x-revision"))
+            }
+            StatusCode::CONFLICT => Err(conflict_error(&response)),
             StatusCode::GONE => Err(StoreError::LeaseLapsed),
             StatusCode::PAYLOAD_TOO_LARGE => Err(StoreError::TooLarge { bytes }),
-            _ => Err(write_status(&response)),
+            _ => Err(write_status_error(&response)),
         }
     }
 
@@ -79,7 +89,7 @@
         match response.status() {
             StatusCode::NO_CONTENT => Ok(()),
             StatusCode::GONE => Err(StoreError::LeaseLapsed),
-            _ => Err(write_status(&response)),
+            _ => Err(write_status_error(&response)),
         }
     }
 }
@@ -101,9 +111,9 @@
         Box::pin(async move {
             let path = format!("/list/{}", encode_key(prefix));
             let response = self.read(&path, Duration::ZERO).await?;
-            rows(&response)?
+            decode_rows(&response)?
                 .into_iter()
-                .map(ListedRow::stored)
+                .map(ListedRow::into_stored)
                 .collect()
         })
     }
@@ -124,12 +134,12 @@
         expected: ExpectedValue,
     ) -> BoxFuture<'a, Result<(), StoreError>> {
         Box::pin(async move {
-            let path = format!("/kv/{}?{}", encode_key(key), expect_query(expected));
+            let path = format!("/kv/{}?{}", encode_key(key), precondition_query(expected));
             let response = self.write(Method::DELETE, &path, Bytes::new()).await?;
             match response.status() {
                 StatusCode::NO_CONTENT => Ok(()),
-                StatusCode::CONFLICT => Err(conflict(&response)),
-                _ => Err(write_status(&response)),
+                StatusCode::CONFLICT => Err(conflict_error(&response)),
+                _ => Err(write_status_error(&response)),
             }
         })
     }
@@ -141,8 +151,8 @@
             match response.status() {
                 StatusCode::OK => serde_json::from_slice::<GrantedLease>(response.body())
                     .map(|granted| granted.lease)
-                    .map_err(|error| lost(&error.to_string())),
-                _ => Err(write_status(&response)),
+                    .map_err(|error| answer_lost(&error.to_string())),
+                _ => Err(write_status_error(&response)),
             }
         })
     }
@@ -168,9 +178,9 @@
             let wait_ms = wait.as_millis();
             let path = format!("/watch/{prefix}?after={after}&wait_ms={wait_ms}");
             let response = self.read(&path, wait).await?;
-            rows(&response)?
+            decode_rows(&response)?
                 .into_iter()
-                .map(ListedRow::change)
+                .map(ListedRow::into_change)
                 .collect()
         })
     }
@@ -189,8 +199,8 @@
 }
 
 impl ListedRow {
-    fn stored(self) -> Result<StoredValue, StoreError> {
-        let change = self.change()?;
+    fn into_stored(self) -> Result<StoredValue, StoreError> {
+        let change = self.into_change()?;
         let value = change
             .value
             .ok_or_else(|| unavailable(format!("`{}` is listed without a value", change.key)))?;
@@ -201,7 +211,7 @@
         })
     }
 
-    fn change(self) -> Result<KeyChange, StoreError> {
+    fn into_change(self) -> Result<KeyChange, StoreError> {
         let value = self
             .value
             .map(|encoded| STANDARD.decode(encoded).map(Bytes::from))
@@ -215,7 +225,7 @@
     }
 }
 
-fn rows(response: &Response<Bytes>) -> Result<Vec<ListedRow>, StoreError> {
+fn decode_rows(response: &Response<Bytes>) -> Result<Vec<ListedRow>, StoreError> {
     if response.status() != StatusCode::OK {
         return Err(unavailable(status_cause(response)));
     }
@@ -227,8 +237,8 @@
 }
 
 fn stored_value(key: &str, response: Response<Bytes>) -> Result<StoredValue, StoreError> {
-    let revision =
-        revision_of(&response).ok_or_else(|| unavailable("no x-revision came".to_owned()))?;
+    let revision = revision_of(&response)
+        .ok_or_else(|| unavailable("the response has no x-revision".to_owned()))?;
     Ok(StoredValue {
         key: key.to_owned(),
         value: response.into_body(),
@@ -241,7 +251,7 @@
     value.to_str().ok()?.parse().ok().map(Revision)
 }
 
-fn expect_query(expected: ExpectedValue) -> String {
+fn precondition_query(expected: ExpectedValue) -> String {
     match expected {
         ExpectedValue::Absent => "expect=absent".to_owned(),
         ExpectedValue::At(revision) => format!("expect={revision}"),
@@ -249,29 +259,32 @@
     }
 }
 
-fn conflict(response: &Response<Bytes>) -> StoreError {
+fn conflict_error(response: &Response<Bytes>) -> StoreError {
     match revision_of(response) {
         Some(current) => StoreError::Conflict { current },
-        // Nothing was written, but a caller must not take an invented revision for the key's.
-        None => unavailable("a conflict came without x-revision".to_owned()),
+        // Nothing was written. A conflict without a revision is reported as unavailable, since a
+        // caller must not use an invented revision as that of the key.
+        None => unavailable("the conflict response has no x-revision".to_owned()),
     }
 }
 
-/// A write that may have been sent may have taken effect: telling it as failed would let its
-/// caller do it twice or report a change as refused that is in force.
+/// Converts a failed write. A write that may have been sent may have taken effect. If it were
+/// reported as failed, the caller could write twice or report a change as refused that is active.
 fn write_error(error: &FetchError) -> StoreError {
     match error {
-        FetchError::Send(sent) if sent.verdict != RunVerdict::NotRun => lost(&sent.to_string()),
+        FetchError::Send(sent) if sent.verdict != RunVerdict::NotRun => {
+            answer_lost(&sent.to_string())
+        }
         _ => unavailable(error.cause()),
     }
 }
 
-fn write_status(response: &Response<Bytes>) -> StoreError {
+fn write_status_error(response: &Response<Bytes>) -> StoreError {
     let cause = status_cause(response);
     if had_no_effect(response.status()) {
         unavailable(cause)
     } else {
-        lost(&cause)
+        answer_lost(&cause)
     }
 }
 
@@ -279,7 +292,7 @@
     StoreError::Unavailable { cause }
 }
 
-fn lost(cause: &str) -> StoreError {
+fn answer_lost(cause: &str) -> StoreError {
     StoreError::AnswerLost {
         cause: cause.to_owned(),
     }
--- a/crates/oatpier-ports/src/http/vms.rs
+++ b/crates/oatpier-ports/src/http/vms.rs
@@ -6,20 +6,20 @@
 use ::http::StatusCode;
 use futures::future::BoxFuture;
 
-use super::{OutsideService, status_cause};
+use super::{ExternalService, status_cause};
 use crate::vms::{VmList, VmListError, VmRow};
 
-/// The list of VMs at an address.
+/// Reads the list of VMs from the service at an address.
 pub struct HttpVmList {
-    service: OutsideService,
+    service: ExternalService,
 }
 
 impl HttpVmList {
-    /// The list at `address`; a call may take `timeout`.
+    /// Creates a client of the list at `address`; `timeout` bounds each call.
     #[must_use]
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self {
-            service: OutsideService::new(address, timeout),
+            service: ExternalService::new(address, timeout),
         }
     }
 
--- a/crates/oatpier-ports/src/http/work.rs
+++ b/crates/oatpier-ports/src/http/work.rs
@@ -1,4 +1,4 @@
-//! Running requests at an endpoint over HTTP.
+//! Calls to an endpoint over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,19 +18,19 @@
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::client::{AnswerBody, ClientLimits, HttpClient};
 
-use super::OutsideService;
+use super::ExternalService;
 use crate::work::{CallError, EndpointAnswer, EndpointCall, EndpointWork};
 
-/// The attempt's id towards the endpoint, as 32 hex digits.
+/// Header with the attempt id, as 32 hex digits.
 const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 
-/// An engine's priority of a call.
+/// Header with an engine's priority of a call.
 const PRIORITY_HEADER: HeaderName = HeaderName::from_static("x-priority");
 
-/// How many tokens of an answer an engine skips.
+/// Header with the number of tokens of an answer that an engine skips.
 const RESUME_HEADER: HeaderName = HeaderName::from_static("x-resume-after");
 
-/// Headers that concern one connection and never pass through.
+/// Headers of a single connection (hop by hop), which are never forwarded.
 const CONNECTION_HEADERS: [HeaderName; 6] = [
     CONNECTION,
     TE,
@@ -41,29 +41,29 @@
 ];
 
 /// The media type of server-sent events, with or without parameters.
-const EVENTS_TYPE: &[u8] = b"text/event-stream";
+const EVENT_STREAM_TYPE: &[u8] = b"text/event-stream";
 
-/// What an endpoint is.
+/// The kind of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointKind {
-    /// A model engine: knows priorities, resuming and cancels.
+    /// A model engine: supports priorities, resuming and cancels.
     Engine,
-    /// A plain service: knows nothing of oatpier.
+    /// A plain service: has no support for oatpier's headers and calls.
     Service,
 }
 
-/// The working side of the endpoint at an address.
+/// Sends calls to the endpoint at an address over HTTP.
 pub struct HttpWork {
     address: SocketAddr,
     kind: EndpointKind,
     client: HttpClient,
-    /// Cancels and probes, on connections of their own: they must not wait behind work.
-    control: OutsideService,
+    /// Cancels and probes. They use separate connections, so that they don't wait behind calls.
+    control: ExternalService,
 }
 
 impl HttpWork {
-    /// The endpoint at `address`. `timeout` bounds connecting, a cancel and a probe; how long an
-    /// answer may take is its caller's business, who drops the call.
+    /// Creates a client of the endpoint at `address`. `timeout` bounds connecting, a cancel and a
+    /// probe. It does not bound an answer: the caller does so by dropping the call.
     #[must_use]
     pub fn new(address: SocketAddr, kind: EndpointKind, timeout: Duration) -> Self {
         let limits = ClientLimits {
@@ -74,7 +74,7 @@
             address,
             kind,
             client: HttpClient::new(limits),
-            control: OutsideService::new(address, timeout),
+            control: ExternalService::new(address, timeout),
         }
     }
 
@@ -89,7 +89,7 @@
                 verdict: error.verdict,
                 cause: error.to_string(),
             })?;
-        Ok(answer(response, &method))
+        Ok(into_answer(response, &method))
     }
 
     fn request(&self, call: EndpointCall) -> Result<Request<Bytes>, CallError> {
@@ -121,7 +121,7 @@
             return;
         }
         let path = format!("/v1/requests/{attempt}");
-        // An engine that does not hear it ends the call when its connection closes.
+        // An engine that does not receive the cancel ends the call when its connection closes.
         let _ = self
             .control
             .fetch(Method::DELETE, &path, Bytes::new(), Duration::ZERO)
@@ -150,18 +150,18 @@
     }
 }
 
-fn answer(response: Response<AnswerBody>, method: &Method) -> EndpointAnswer {
-    let shows_end = shows_its_end(&response, method);
+fn into_answer(response: Response<AnswerBody>, method: &Method) -> EndpointAnswer {
+    let is_end_detectable = is_end_detectable(&response, method);
     let (parts, body) = response.into_parts();
     let mut headers = parts.headers;
     strip_connection_headers(&mut headers);
-    let pieces = body
+    let chunks = body
         .into_data_stream()
-        .map_err(|error| cut(error.to_string()));
-    let body: BoxStream<'static, _> = if shows_end {
-        pieces.boxed()
+        .map_err(|error| truncated(error.to_string()));
+    let body: BoxStream<'static, _> = if is_end_detectable {
+        chunks.boxed()
     } else {
-        pieces
+        chunks
             .chain(stream::once(async { Err(unframed()) }))
             .boxed()
     };
@@ -172,15 +172,16 @@
     }
 }
 
-/// Whether the answer's end can be told from a cut.
+/// Returns whether a complete answer can be distinguished from a truncated one.
 ///
-/// A body that ends with its connection may have been cut anywhere, and a short answer would
-/// pass for a whole one. Events are exempt, since their reader looks for their last one.
-fn shows_its_end(response: &Response<AnswerBody>, method: &Method) -> bool {
+/// A body that ends with its connection may have been truncated anywhere, and a short answer would
+/// be taken for a complete one. Event streams are exempt, since their reader looks for the final
+/// event.
+fn is_end_detectable(response: &Response<AnswerBody>, method: &Method) -> bool {
     let headers = response.headers();
     let is_events = headers
         .get(CONTENT_TYPE)
-        .is_some_and(|value| value.as_bytes().starts_with(EVENTS_TYPE));
+        .is_some_and(|value| value.as_bytes().starts_with(EVENT_STREAM_TYPE));
     is_events
         || *method == Method::HEAD
         || headers.contains_key(TRANSFER_ENCODING)
@@ -193,7 +194,7 @@
     }
 }
 
-fn cut(cause: String) -> CallError {
+fn truncated(cause: String) -> CallError {
     CallError {
         verdict: RunVerdict::MayHaveRun,
         cause,
@@ -201,5 +202,8 @@
 }
 
 fn unframed() -> CallError {
-    cut("the answer has neither a content length nor chunks, so it may have been cut".to_owned())
+    truncated(
+        "the answer has neither a content length nor chunked encoding, so it may be truncated"
+            .to_owned(),
+    )
 }
--- a/crates/oatpier-ports/src/lib.rs
+++ b/crates/oatpier-ports/src/lib.rs
@@ -1,14 +1,15 @@
-//! The outside interfaces as traits, with their HTTP adapters.
+//! Interfaces to external systems as traits, with their HTTP implementations.
 //!
-//! Everything that oatpier meets and does not own stands behind one of these traits: the
-//! platform's key-value service, its list of VMs, model engines and plain services. A bench or a
-//! test meets the decisions by giving its own implementation of a trait; nothing else changes.
+//! Each external system that oatpier depends on is accessed through one of these traits: the
+//! platform's key-value service, its list of VMs, model engines and plain services. A benchmark or
+//! a test replaces a system by its own implementation of the trait; the rest of the code is
+//! unchanged.
 //!
 //! - [`store`]: the key-value service.
 //! - [`vms`]: the lagging list of VMs.
-//! - [`engine`]: orders to an engine and what it reports.
-//! - [`work`]: running a request at an endpoint, engine or plain service.
-//! - [`http`]: the adapters that speak HTTP, as docs/design/platform-interfaces.md lays down.
+//! - [`engine`]: control interface of an engine, with orders and reports.
+//! - [`work`]: calls to an endpoint, which is an engine or a plain service.
+//! - [`http`]: the HTTP implementations, as specified in docs/design/platform-interfaces.md.
 
 pub mod engine;
 pub mod http;
--- a/crates/oatpier-ports/src/store.rs
+++ b/crates/oatpier-ports/src/store.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The number of a lease in the store.
+/// The id of a lease in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct LeaseId(pub u64);
@@ -16,26 +16,26 @@
 /// A value with the revision of its last write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredValue {
-    /// Where it is kept.
+    /// The key.
     pub key: String,
-    /// Its bytes, at most a megabyte.
+    /// The content, at most one megabyte.
     pub value: Bytes,
-    /// The revision that its last write made.
+    /// The revision of the last write.
     pub revision: Revision,
 }
 
-/// What a write expects to find.
+/// The precondition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExpectedValue {
-    /// No value under the key.
+    /// No value exists under the key.
     Absent,
-    /// The value that this write made.
+    /// The value has this revision.
     At(Revision),
-    /// Anything.
+    /// No precondition.
     Any,
 }
 
-/// A change that a watch saw: a value written or a key removed.
+/// A change reported by a watch: a value was written or a key was removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyChange {
     /// The key.
@@ -46,40 +46,41 @@
     pub revision: Revision,
 }
 
-/// Why the store did not do what was asked.
+/// Reasons why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 pub enum StoreError {
-    /// The value was not the expected one. Nothing was written.
+    /// The precondition failed. Nothing was written.
     #[error("another write came first (the key is at revision {current})")]
     Conflict {
         /// The key's revision; 0 if there is no value.
         current: Revision,
     },
-    /// The lease has lapsed or never was. Nothing was written.
-    #[error("the lease has lapsed")]
+    /// The lease has expired or never existed. Nothing was written.
+    #[error("the lease has expired or does not exist")]
     LeaseLapsed,
-    /// The store refused or could not be reached. Nothing was written.
-    #[error("the key-value service did not take the call: {cause}")]
+    /// The store refused the call or could not be reached. Nothing was written.
+    #[error("the key-value service refused the call or could not be reached: {cause}")]
     Unavailable {
-        /// What happened.
+        /// The cause.
         cause: String,
     },
-    /// The call was sent and no answer came: a write may have taken effect.
+    /// The call was sent and no answer arrived: a write may have taken effect.
     #[error("the key-value service gave no answer: {cause}")]
     AnswerLost {
-        /// What happened.
+        /// The cause.
         cause: String,
     },
-    /// The value is larger than the store takes.
+    /// The value exceeds the store's size limit.
     #[error("a value of {bytes} bytes is too large for the key-value service")]
     TooLarge {
-        /// The value's size.
+        /// The size of the value.
         bytes: usize,
     },
 }
 
-/// The platform's key-value service. Every call counts against its rates, a waiting watch as one.
+/// The platform's key-value service. Every call counts against its rate limits; a watch counts as
+/// one call.
 pub trait KeyStore: Send + Sync {
     /// Reads a value.
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<StoredValue>, StoreError>>;
@@ -87,7 +88,8 @@
     /// Reads all values whose keys start with `prefix`, sorted by key.
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Vec<StoredValue>, StoreError>>;
 
-    /// Writes a value if what is there is as expected; bound to a lease, it goes with it.
+    /// Writes a value if the precondition holds. A value that is bound to a lease is removed with
+    /// it.
     fn put<'a>(
         &'a self,
         key: &'a str,
@@ -96,23 +98,24 @@
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Revision, StoreError>>;
 
-    /// Removes a key if what is there is as expected.
+    /// Removes a key if the precondition holds.
     fn delete<'a>(
         &'a self,
         key: &'a str,
         expected: ExpectedValue,
     ) -> BoxFuture<'a, Result<(), StoreError>>;
 
-    /// Makes a lease that lapses `ttl` after its last renewal.
+    /// Grants a lease that expires `ttl` after its last renewal.
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>>;
 
     /// Renews a lease.
     fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
 
-    /// Ends a lease, and the values bound to it.
+    /// Revokes a lease and removes the values bound to it.
     fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
 
-    /// Waits for changes under `prefix` later than `after`; empty if none came for `wait`.
+    /// Waits for changes under `prefix` later than `after`. Returns an empty list if there is none
+    /// within `wait`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
--- a/crates/oatpier-ports/src/vms.rs
+++ b/crates/oatpier-ports/src/vms.rs
@@ -1,4 +1,5 @@
-//! The platform's list of VMs. It lags: a hint of who may exist and who leaves, never a proof.
+//! The platform's list of VMs. The list lags: it indicates which VMs may exist and which are
+//! leaving, but proves neither.
 
 use std::net::SocketAddr;
 
@@ -7,29 +8,29 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Whether the platform means to keep a VM.
+/// The platform's intended state of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It runs, as far as the list knows.
+    /// The VM runs, according to the list.
     Live,
-    /// It is about to be stopped.
+    /// The VM is about to be stopped.
     Leaving,
 }
 
-/// What a VM is for.
+/// The function of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmDuty {
-    /// An entry VM.
+    /// A VM with an entry.
     Entry,
-    /// A VM with an endpoint, and an agent beside it.
+    /// A VM with an endpoint and its agent.
     Endpoint,
 }
 
-/// One row of the list.
+/// A row of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct VmRow {
@@ -39,11 +40,11 @@
     pub daemon: DaemonName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where its oatpier process listens for other oatpier processes.
+    /// The address at which its oatpier process listens for other oatpier processes.
     pub peer_address: SocketAddr,
-    /// What it is for.
+    /// Its function.
     pub duty: VmDuty,
-    /// Whether the platform means to keep it.
+    /// Its intended state.
     pub state: VmState,
 }
 
@@ -52,7 +53,7 @@
 #[derive(Error)]
 #[error("the list of VMs could not be read: {cause}")]
 pub struct VmListError {
-    /// What happened.
+    /// The cause.
     pub cause: String,
 }
 
--- a/crates/oatpier-ports/src/work.rs
+++ b/crates/oatpier-ports/src/work.rs
@@ -1,4 +1,4 @@
-//! Running a request at an endpoint, engine or plain service.
+//! Calls to an endpoint, which is an engine or a plain service.
 
 use bytes::Bytes;
 use futures::future::BoxFuture;
@@ -8,54 +8,54 @@
 use oatpier_types::verdict::RunVerdict;
 use thiserror::Error;
 
-/// A request as the endpoint gets it.
+/// A request to an endpoint.
 #[derive(Debug, Clone)]
 pub struct EndpointCall {
-    /// The attempt, sent along as `x-request-id`; a cancel names it.
+    /// The attempt id, sent as `x-request-id`; a cancel refers to it.
     pub attempt: AttemptId,
     /// The HTTP method.
     pub method: Method,
     /// The path and query.
     pub path: String,
-    /// Headers that pass through.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// An engine's priority: lower goes first.
+    /// Priority at an engine; lower values go first.
     pub priority: u32,
-    /// An engine resumes its stream after so many tokens.
+    /// Number of tokens after which an engine resumes its stream.
     pub resume_after: u32,
 }
 
-/// The start of an endpoint's answer.
+/// The head of an endpoint's response, with its body as a stream.
 pub struct EndpointAnswer {
     /// The HTTP status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
-    /// The body as it comes. An `Err` says that it was cut: what came is not whole.
+    /// The body as it arrives. An `Err` means that the body is incomplete.
     pub body: BoxStream<'static, Result<Bytes, CallError>>,
 }
 
-/// A call failed.
+/// A failed call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
-#[error("the endpoint's call failed ({verdict}): {cause}")]
+#[error("the call to the endpoint failed ({verdict}): {cause}")]
 pub struct CallError {
-    /// Whether the endpoint may have acted on it.
+    /// Whether the endpoint may have executed the call.
     pub verdict: RunVerdict,
-    /// What happened.
+    /// The cause.
     pub cause: String,
 }
 
-/// The working side of one endpoint. Only the agent beside the endpoint uses it.
+/// Sends calls to one endpoint. Used only by the agent next to the endpoint.
 pub trait EndpointWork: Send + Sync {
-    /// Runs a call.
+    /// Sends a call and returns the head of its response.
     fn run(&self, call: EndpointCall) -> BoxFuture<'_, Result<EndpointAnswer, CallError>>;
 
-    /// Cancels a call of an engine; of no effect on a plain service.
+    /// Cancels a call at an engine. Has no effect on a plain service.
     fn cancel(&self, attempt: AttemptId) -> BoxFuture<'_, ()>;
 
-    /// Whether the endpoint answers at all.
+    /// Returns whether the endpoint passes its health check.
     fn probe(&self) -> BoxFuture<'_, bool>;
 }
--- a/crates/oatpier-ports/tests/testsuite/endpoint_work.rs
+++ b/crates/oatpier-ports/tests/testsuite/endpoint_work.rs
@@ -1,4 +1,4 @@
-//! Running calls at an endpoint: what passes through, and which answers count as whole.
+//! Calls to an endpoint: forwarded headers, and detection of incomplete answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use oatpier_types::ids::AttemptId;
 use oatpier_types::verdict::RunVerdict;
 
-use crate::support::{FixedServer, LONG, closed_address, raw_server, silent_server};
+use crate::support::{FixedServer, LONG_TIMEOUT, closed_address, raw_server, silent_server};
 
 const ATTEMPT: AttemptId = AttemptId(0xab);
 const ATTEMPT_HEX: &str = "000000000000000000000000000000ab";
@@ -34,18 +34,18 @@
 }
 
 fn work(address: SocketAddr, kind: EndpointKind) -> HttpWork {
-    HttpWork::new(address, kind, LONG)
+    HttpWork::new(address, kind, LONG_TIMEOUT)
 }
 
-/// Runs a call at a service and reads its whole body.
+/// Sends a call to a service and reads its whole body.
 async fn run_whole(address: SocketAddr, call: EndpointCall) -> Result<Vec<u8>, CallError> {
     let answer = work(address, EndpointKind::Service).run(call).await?;
-    let pieces: Vec<Bytes> = answer.body.try_collect().await?;
-    Ok(pieces.concat())
+    let chunks: Vec<Bytes> = answer.body.try_collect().await?;
+    Ok(chunks.concat())
 }
 
 #[tokio::test]
-async fn an_engine_gets_a_call_and_its_cancel() {
+async fn engine_receives_a_call_and_its_cancel() {
     let server = FixedServer::start(201, &[("x-note", "kept"), ("keep-alive", "9")], "ok").await;
     let answer = work(server.address, EndpointKind::Engine).run(call()).await;
     let answer = answer.unwrap();
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_plain_service_sees_no_engine_headers_and_no_cancel() {
+async fn plain_service_receives_no_engine_headers_and_no_cancel() {
     let server = FixedServer::start(200, &[], "ok").await;
     let work = work(server.address, EndpointKind::Service);
     assert!(work.run(call()).await.is_ok());
@@ -82,23 +82,27 @@
 }
 
 #[tokio::test]
-async fn a_probe_tells_whether_the_endpoint_answers() {
+async fn probe_reports_whether_the_endpoint_is_healthy() {
     let healthy = FixedServer::start(200, &[], "").await;
-    let ill = FixedServer::start(500, &[], "").await;
-    let frozen = silent_server().await;
+    let unhealthy = FixedServer::start(500, &[], "").await;
+    let unresponsive = silent_server().await;
     assert!(work(healthy.address, EndpointKind::Service).probe().await);
-    assert!(!work(ill.address, EndpointKind::Service).probe().await);
+    assert!(!work(unhealthy.address, EndpointKind::Service).probe().await);
     assert!(
         !work(closed_address().await, EndpointKind::Service)
             .probe()
             .await
     );
-    let hasty = HttpWork::new(frozen, EndpointKind::Service, Duration::from_millis(200));
-    assert!(!hasty.probe().await);
+    let short_timeout_work = HttpWork::new(
+        unresponsive,
+        EndpointKind::Service,
+        Duration::from_millis(200),
+    );
+    assert!(!short_timeout_work.probe().await);
 }
 
 #[tokio::test]
-async fn a_call_that_was_not_sent_did_not_run() {
+async fn call_that_was_not_sent_is_not_run() {
     let error = run_whole(closed_address().await, call()).await;
     assert_eq!(error.unwrap_err().verdict, RunVerdict::NotRun);
     let mut unsendable = call();
@@ -109,32 +113,33 @@
     assert_eq!(server.request_count(), 0);
 }
 
-/// The service takes a call that posts a report, and dies before it answers. A repetition could
+/// The service accepts a call that posts a report, and dies before it answers. A repetition could
 /// post the report twice, so the verdict must not be "not run".
 #[tokio::test]
-async fn a_call_without_an_answer_may_have_run() {
+async fn call_without_an_answer_may_have_run() {
     let error = run_whole(raw_server(b"").await, call()).await;
     assert_eq!(error.unwrap_err().verdict, RunVerdict::MayHaveRun);
 }
 
-/// A service dies in the middle of its answer. Whichever way the answer was framed, its short
-/// body is an error: a caller would show half a seating plan as the whole one. A body that ends
-/// with its connection has no framing, so its end can't be told from a cut, and is an error too.
+/// A service dies in the middle of its answer. Whichever framing the answer has, a short body is an
+/// error: otherwise a caller would use half a seating plan as the whole one. A body that ends with
+/// its connection has no framing, so its end can't be distinguished from a truncation, and is an
+/// error too.
 #[tokio::test]
-async fn a_cut_answer_is_an_error() {
-    let cuts: [&[u8]; 3] = [
+async fn truncated_answer_is_an_error() {
+    let truncated_answers: [&[u8]; 3] = [
         b"HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhalf",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n",
         b"HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf",
     ];
-    for cut in cuts {
-        let error = run_whole(raw_server(cut).await, call()).await;
+    for truncated in truncated_answers {
+        let error = run_whole(raw_server(truncated).await, call()).await;
         assert_eq!(error.unwrap_err().verdict, RunVerdict::MayHaveRun);
     }
 }
 
 #[tokio::test]
-async fn answers_that_show_their_end_are_whole() {
+async fn answers_with_a_detectable_end_are_complete() {
     let answers: [(&[u8], &[u8]); 4] = [
         (b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nfour", b"four"),
         (
@@ -142,7 +147,7 @@
             b"four",
         ),
         (b"HTTP/1.1 204 No Content\r\n\r\n", b""),
-        // Their reader looks for the last event.
+        // The reader of an event stream looks for the final event.
         (
             b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\ndata: [DONE]\n\n",
             b"data: [DONE]\n\n",
--- a/crates/oatpier-ports/tests/testsuite/engine_orders.rs
+++ b/crates/oatpier-ports/tests/testsuite/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine and its reports.
+//! Orders to an engine, and its reports.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use oatpier_types::engine::{EngineOrder, EngineRole, OrderAction};
 use oatpier_types::ids::{Epoch, OrderNumber};
 
-use crate::support::{FixedServer, LONG, closed_address, raw_server, silent_server};
+use crate::support::{FixedServer, LONG_TIMEOUT, closed_address, raw_server, silent_server};
 
 fn order() -> EngineOrder {
     EngineOrder {
@@ -22,14 +22,14 @@
     }
 }
 
-async fn give(address: SocketAddr, timeout: Duration) -> Result<(), OrderError> {
+async fn send_order(address: SocketAddr, timeout: Duration) -> Result<(), OrderError> {
     HttpEngine::new(address, timeout).order(&order()).await
 }
 
 #[tokio::test]
-async fn an_order_is_sent_as_json() {
+async fn order_is_sent_as_json() {
     let server = FixedServer::start(202, &[], "").await;
-    assert_eq!(give(server.address, LONG).await, Ok(()));
+    assert_eq!(send_order(server.address, LONG_TIMEOUT).await, Ok(()));
     let request = server.only_request();
     assert_eq!(request.line, "POST /orders");
     assert_eq!(
@@ -38,10 +38,10 @@
     );
 }
 
-/// An agent that was replaced while it was paused wakes up and orders under its old number. The
-/// engine's refusal must reach it as final, with the number that won.
+/// An agent that was replaced while it was paused resumes and sends an order with its old number.
+/// The engine's refusal must be reported as final, with the highest number.
 #[tokio::test]
-async fn an_old_order_is_told_as_stale() {
+async fn outdated_order_is_reported_as_stale() {
     let body = r#"{"highest":{"epoch":4,"sequence":2}}"#;
     let server = FixedServer::start(409, &[], body).await;
     let highest = OrderNumber {
@@ -49,30 +49,31 @@
         sequence: 2,
     };
     let stale = Err(OrderError::Stale { highest });
-    assert_eq!(give(server.address, LONG).await, stale);
+    assert_eq!(send_order(server.address, LONG_TIMEOUT).await, stale);
 }
 
 #[tokio::test]
-async fn refused_orders_changed_nothing() {
+async fn refused_and_unsent_orders_are_distinguished() {
     for status in [409, 422, 429, 503] {
         let server = FixedServer::start(status, &[], "no room").await;
-        let refused = give(server.address, LONG).await;
+        let refused = send_order(server.address, LONG_TIMEOUT).await;
         assert!(matches!(refused, Err(OrderError::Refused { .. })));
     }
-    let unsent = give(closed_address().await, LONG).await;
+    let unsent = send_order(closed_address().await, LONG_TIMEOUT).await;
     assert!(matches!(unsent, Err(OrderError::NotSent { .. })));
 }
 
-/// The engine takes a load order and its answer is lost. The load may go on, so its memory must
-/// stay charged: "refused" here would let the agent fill the same memory twice.
+/// The engine accepts a load order and its answer is lost. The load may continue, so its memory
+/// must stay reserved. If the order were reported as refused, the agent could fill the same memory
+/// twice.
 #[tokio::test]
-async fn an_order_without_an_answer_may_be_carried_out() {
+async fn order_without_an_answer_has_unknown_result() {
     let short = Duration::from_millis(200);
     let broken = FixedServer::start(500, &[], "").await;
     let outcomes = [
-        give(raw_server(b"").await, LONG).await,
-        give(broken.address, LONG).await,
-        give(silent_server().await, short).await,
+        send_order(raw_server(b"").await, LONG_TIMEOUT).await,
+        send_order(broken.address, LONG_TIMEOUT).await,
+        send_order(silent_server().await, short).await,
     ];
     for outcome in outcomes {
         assert!(matches!(outcome, Err(OrderError::Unknown { .. })));
@@ -80,18 +81,24 @@
 }
 
 #[tokio::test]
-async fn reports_are_read() {
+async fn reports_are_decoded() {
     let body = r#"{"held":[],"role":"decode","highest":null,"memory_mib":4096}"#;
     let server = FixedServer::start(200, &[], body).await;
-    let state = HttpEngine::new(server.address, LONG).state().await.unwrap();
+    let state = HttpEngine::new(server.address, LONG_TIMEOUT)
+        .state()
+        .await
+        .unwrap();
     assert_eq!((state.role, state.memory_mib), (EngineRole::Decode, 4096));
     let body = r#"{"running":3,"waiting":2,"waiting_tokens":90,"age_ms":400}"#;
     let server = FixedServer::start(200, &[], body).await;
-    let load = HttpEngine::new(server.address, LONG).load().await.unwrap();
+    let load = HttpEngine::new(server.address, LONG_TIMEOUT)
+        .load()
+        .await
+        .unwrap();
     assert_eq!((load.running, load.age_ms), (3, 400));
     let body = r#"[{"sequence":8,"block":77,"present":true}]"#;
     let server = FixedServer::start(200, &[], body).await;
-    let engine = HttpEngine::new(server.address, LONG);
+    let engine = HttpEngine::new(server.address, LONG_TIMEOUT);
     let events = engine.cache_events(7).await.unwrap();
     assert_eq!(events[0].sequence, 8);
     assert_eq!(server.only_request().line, "GET /cache-events?after=7");
--- a/crates/oatpier-ports/tests/testsuite/main.rs
+++ b/crates/oatpier-ports/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the HTTP adapters, against small servers on loopback sockets.
+//! Tests of the HTTP implementations, against test servers on loopback sockets.
 
 mod endpoint_work;
 mod engine_orders;
--- a/crates/oatpier-ports/tests/testsuite/store_calls.rs
+++ b/crates/oatpier-ports/tests/testsuite/store_calls.rs
@@ -1,4 +1,4 @@
-//! The key-value adapter: its calls as laid down, and truth about writes that failed.
+//! The key-value service over HTTP: the specified calls, and correct reports on failed writes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use oatpier_ports::store::{ExpectedValue, KeyChange, KeyStore, LeaseId, StoreError, StoredValue};
 use oatpier_types::ids::Revision;
 
-use crate::support::{FixedServer, LONG, closed_address, raw_server, silent_server};
+use crate::support::{FixedServer, LONG_TIMEOUT, closed_address, raw_server, silent_server};
 
 fn store(address: SocketAddr) -> HttpStore {
-    HttpStore::new(address, LONG)
+    HttpStore::new(address, LONG_TIMEOUT)
 }
 
 async fn put(store: &HttpStore) -> Result<Revision, StoreError> {
@@ -19,18 +19,18 @@
     store.put("plan", value, ExpectedValue::Any, None).await
 }
 
-/// The outcome of each kind of write.
+/// Returns the outcome of each kind of write.
 async fn writes(store: &HttpStore) -> Vec<Result<(), StoreError>> {
     vec![
         put(store).await.map(drop),
         store.delete("plan", ExpectedValue::Any).await,
-        store.grant_lease(LONG).await.map(drop),
+        store.grant_lease(LONG_TIMEOUT).await.map(drop),
         store.renew_lease(LeaseId(3)).await,
         store.revoke_lease(LeaseId(3)).await,
     ]
 }
 
-/// The outcome of each kind of read.
+/// Returns the outcome of each kind of read.
 async fn reads(store: &HttpStore) -> Vec<Result<(), StoreError>> {
     vec![
         store.get("plan").await.map(drop),
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn a_value_is_read_with_its_revision() {
+async fn value_is_read_with_its_revision() {
     let server = FixedServer::start(200, &[("x-revision", "41")], "content").await;
     let found = store(server.address).get("config/lekki a%").await.unwrap();
     let expected = StoredValue {
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_tells_removals() {
+async fn watch_reports_removals() {
     let rows = r#"[{"key":"e/1","revision":6,"value":null}]"#;
     let server = FixedServer::start(200, &[], rows).await;
     let wait = Duration::from_millis(1500);
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn writes_say_what_they_expect() {
+async fn writes_send_their_precondition_and_lease() {
     let cases = [
         (ExpectedValue::Absent, None, "absent"),
         (ExpectedValue::Any, None, "any"),
@@ -117,7 +117,7 @@
 }
 
 #[tokio::test]
-async fn leases_are_granted_renewed_and_ended() {
+async fn leases_are_granted_renewed_and_revoked() {
     let server = FixedServer::start(200, &[], r#"{"lease":12}"#).await;
     let lease = store(server.address)
         .grant_lease(Duration::from_secs(3))
@@ -133,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn refusals_are_told_apart() {
+async fn refusals_map_to_distinct_errors() {
     let current = Revision(4);
     let server = FixedServer::start(409, &[("x-revision", "4")], "").await;
     let conflict = Err(StoreError::Conflict { current });
@@ -148,10 +148,10 @@
     assert_eq!(put(&store(server.address)).await, large);
 }
 
-/// The service is down, or over its rate and says so. Nothing was written, and a caller may try
-/// again without looking first.
+/// The service is down, or rejects the call because of its rate limit. Nothing was written, and a
+/// caller may retry without reading first.
 #[tokio::test]
-async fn a_call_that_was_not_taken_had_no_effect() {
+async fn rejected_call_is_unavailable() {
     let down = closed_address().await;
     let overloaded = FixedServer::start(503, &[], "").await;
     let limited = FixedServer::start(429, &[], "").await;
@@ -162,23 +162,25 @@
     }
 }
 
-/// The service takes a write, and the connection breaks before its answer, in the middle of it,
-/// or the answer never comes. The write may have taken effect: telling it as failed would let a
-/// caller do it a second time, or report an accepted change as refused. Reads have no effect to
-/// be unsure of.
+/// The service accepts a write, and the connection breaks before or during its answer, or the
+/// answer never arrives. The write may have taken effect. If it were reported as failed, a caller
+/// could write a second time, or report an accepted change as refused. Reads have no effect that
+/// could be uncertain.
 #[tokio::test]
-async fn a_write_without_an_answer_may_have_taken_effect() {
+async fn write_without_an_answer_is_reported_as_lost() {
     let closing = raw_server(b"").await;
-    let cut = raw_server(b"HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\n{").await;
+    let truncated = raw_server(b"HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\n{").await;
     let broken = FixedServer::start(500, &[], "").await;
     let silent = silent_server().await;
-    // "Written", without saying at which revision.
-    let vague = FixedServer::start(200, &[], "").await;
-    let patient = [closing, cut, broken.address].map(store);
-    let hasty = HttpStore::new(silent, Duration::from_millis(200));
-    for store in patient.into_iter().chain([hasty]) {
+    // Success without a revision.
+    let without_revision = FixedServer::start(200, &[], "").await;
+    let long_timeout_stores = [closing, truncated, broken.address].map(store);
+    let short_timeout_store = HttpStore::new(silent, Duration::from_millis(200));
+    for store in long_timeout_stores.into_iter().chain([short_timeout_store]) {
         assert!(writes(&store).await.iter().all(is_lost));
         assert!(reads(&store).await.iter().all(is_unavailable));
     }
-    assert!(is_lost(&put(&store(vague.address)).await.map(drop)));
+    assert!(is_lost(
+        &put(&store(without_revision.address)).await.map(drop)
+    ));
 }
--- a/crates/oatpier-ports/tests/testsuite/support.rs
+++ b/crates/oatpier-ports/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Small servers that an adapter meets.
+//! Test servers for the HTTP implementations.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -12,33 +12,33 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Longer than any call of a test takes.
-pub const LONG: Duration = Duration::from_mins(1);
+/// A timeout that no call of a test reaches.
+pub const LONG_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A request that a server saw.
+/// A request that a server received.
 #[derive(Debug, Clone)]
-pub struct SeenRequest {
+pub struct ReceivedRequest {
     pub line: String,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-/// A server that gives each request the same answer and keeps what it saw.
+/// A server that gives each request the same answer and records the requests.
 pub struct FixedServer {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<SeenRequest>>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl FixedServer {
     pub async fn start(status: u16, headers: &[(&'static str, &'static str)], body: &str) -> Self {
         let listener = listen().await;
         let address = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let kept = Arc::clone(&seen);
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let recorded = Arc::clone(&received);
         let headers = headers.to_vec();
         let body = Bytes::from(body.to_owned());
         let handler = move |request: Request<Bytes>, _| {
-            kept.lock().unwrap().push(seen_request(request));
+            recorded.lock().unwrap().push(to_received_request(request));
             let reply = fixed_reply(status, &headers, body.clone());
             async move { reply }
         };
@@ -51,24 +51,24 @@
             counters,
             pending(),
         ));
-        Self { address, seen }
+        Self { address, received }
     }
 
-    /// The only request that came.
-    pub fn only_request(&self) -> SeenRequest {
-        let seen = self.seen.lock().unwrap();
-        assert_eq!(seen.len(), 1);
-        seen[0].clone()
+    /// Returns the only request that was received.
+    pub fn only_request(&self) -> ReceivedRequest {
+        let received = self.received.lock().unwrap();
+        assert_eq!(received.len(), 1);
+        received[0].clone()
     }
 
     pub fn request_count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
 }
 
-fn seen_request(request: Request<Bytes>) -> SeenRequest {
+fn to_received_request(request: Request<Bytes>) -> ReceivedRequest {
     let (parts, body) = request.into_parts();
-    SeenRequest {
+    ReceivedRequest {
         line: format!("{} {}", parts.method, parts.uri),
         headers: parts.headers,
         body,
@@ -88,12 +88,12 @@
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
-/// An address that refuses connections.
+/// Returns an address that refuses connections.
 pub async fn closed_address() -> SocketAddr {
     listen().await.local_addr().unwrap()
 }
 
-/// A server that reads each request's head, writes `bytes` and closes the connection.
+/// Starts a server that reads each request's head, writes `bytes` and closes the connection.
 pub async fn raw_server(bytes: &'static [u8]) -> SocketAddr {
     let listener = listen().await;
     let address = listener.local_addr().unwrap();
@@ -111,14 +111,14 @@
     let _ = stream.write_all(bytes).await;
 }
 
-/// A server that takes requests and never answers: it may have acted on them.
+/// Starts a server that accepts requests, on which it may have acted, and never answers.
 pub async fn silent_server() -> SocketAddr {
     let listener = listen().await;
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
-        let mut kept = Vec::new();
+        let mut recorded = Vec::new();
         while let Ok((stream, _)) = listener.accept().await {
-            kept.push(stream);
+            recorded.push(stream);
         }
     });
     address
