--- a/crates/oatpier-admission/src/attempts.rs
+++ b/crates/oatpier-admission/src/attempts.rs
@@ -225,7 +225,7 @@
     }
 
     /// Drops the oldest record and raises the floors. Without the floors, a copy that arrives after
-    /// its record was dropped would run although its entry was told "not run", or would run a
+    /// its record was dropped would run although its entry was answered "not run", or would run a
     /// second time. Every copy carries the ticket of the dropped record, so refusing tickets that
     /// are not above it is enough.
     fn drop_oldest(&mut self) {
--- a/crates/oatpier-admission/src/drain.rs
+++ b/crates/oatpier-admission/src/drain.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown of an agent or its endpoint.
 //!
-//! Once told to leave, the agent itself refuses all new work, even if entries still route work to
-//! it from outdated state. Work that is already at the endpoint is finished.
+//! After the event that starts the shutdown, the agent itself refuses all new work, even if entries
+//! still route work to it from outdated state. Work that is already at the endpoint is finished.
 
 /// The progress of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
--- a/crates/oatpier-admission/src/estimate.rs
+++ b/crates/oatpier-admission/src/estimate.rs
@@ -133,7 +133,7 @@
     }
 
     /// Records that `tokens` further tokens came `taken` after the previous ones.
-    pub fn piece(&mut self, tokens: u32, taken: Duration, now: ClockTime) {
+    pub fn chunk(&mut self, tokens: u32, taken: Duration, now: ClockTime) {
         self.last_sample_at = now;
         if tokens > 0 {
             self.step.observe(taken.as_secs_f64() / f64::from(tokens));
@@ -173,8 +173,8 @@
         u32::try_from(nanos).unwrap_or(u32::MAX)
     }
 
-    /// Returns the mean time from an attempt's start to its first token or whole answer, whichever
-    /// its target covers.
+    /// Returns the mean time from an attempt's start to the first token of a model's answer, or to
+    /// the whole answer of a plain service.
     #[must_use]
     pub fn expected_latency(&self, spec: &AttemptSpec) -> Duration {
         self.latency(spec, SmoothedSample::mean)
--- a/crates/oatpier-admission/src/need.rs
+++ b/crates/oatpier-admission/src/need.rs
@@ -55,11 +55,11 @@
 impl NeedTracker {
     /// Applies the classes of a configuration. Classes that stay keep their shares.
     pub fn configure(&mut self, classes: IndexMap<ClassName, ClassSpec>) {
-        let mut former = std::mem::take(&mut self.classes);
+        let mut previous = std::mem::take(&mut self.classes);
         self.classes = classes
             .into_iter()
             .map(|(name, spec)| {
-                let share = former.swap_remove(&name).map(|(_, share)| share);
+                let share = previous.swap_remove(&name).map(|(_, share)| share);
                 (name, (spec, share.unwrap_or_default()))
             })
             .collect();
--- a/crates/oatpier-admission/src/policy.rs
+++ b/crates/oatpier-admission/src/policy.rs
@@ -102,10 +102,10 @@
         let mut actions = AgentActions::new();
         // Further output frees no slot and changes nothing for waiting attempts. Without this
         // check, each generated token would cost a scan of the whole queue.
-        let is_piece = matches!(event, AgentEvent::EndpointPiece { .. });
+        let is_chunk = matches!(event, AgentEvent::EndpointPiece { .. });
         self.ledger.expire(now);
         self.apply_event(event, now, &mut actions);
-        if is_piece {
+        if is_chunk {
             return actions;
         }
         self.stale = self.estimator.is_stale(self.running.len(), now);
@@ -182,7 +182,7 @@
                 self.cancel((attempt, ticket), scope, now, actions);
             }
             AgentEvent::EndpointFirstToken { attempt } => self.first_token(attempt, now),
-            AgentEvent::EndpointPiece { attempt, tokens } => self.piece(attempt, tokens, now),
+            AgentEvent::EndpointPiece { attempt, tokens } => self.chunk(attempt, tokens, now),
             AgentEvent::EndpointEnded { attempt } => self.ended(attempt, now),
             AgentEvent::EndpointFailed { attempt, verdict } => self.failed(attempt, verdict, now),
             AgentEvent::EndpointUp { up } => self.up = up,
@@ -289,13 +289,13 @@
         }
     }
 
-    fn piece(&mut self, attempt: AttemptId, tokens: u32, now: ClockTime) {
+    fn chunk(&mut self, attempt: AttemptId, tokens: u32, now: ClockTime) {
         let Some(running) = self.running.get_mut(&attempt) else {
             self.counters.stray_answers += 1;
             return;
         };
         let taken = running.record_tokens(tokens, now);
-        self.estimator.piece(tokens, taken, now);
+        self.estimator.chunk(tokens, taken, now);
     }
 
     fn ended(&mut self, attempt: AttemptId, now: ClockTime) {
--- a/crates/oatpier-claims/examples/claim_costs.rs
+++ b/crates/oatpier-claims/examples/claim_costs.rs
@@ -55,9 +55,9 @@
         }
     }
 
-    fn run(&mut self, asks_per_second: f64) {
+    fn run(&mut self, queries_per_second: f64) {
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let mut next_ask = ClockTime::ZERO;
+        let mut next_query = ClockTime::ZERO;
         let end = ClockTime::from_start(RUN_TIME);
         while self.now < end {
             let answer = self.answers.front().map_or(ClockTime::NEVER, |(at, _)| *at);
@@ -66,17 +66,17 @@
                 .front()
                 .map_or(ClockTime::NEVER, |(at, _)| *at);
             let timer = self.log.next_timer();
-            self.now = next_ask.min(answer).min(finish).min(timer).max(self.now);
+            self.now = next_query.min(answer).min(finish).min(timer).max(self.now);
             if self.now == answer {
                 let event = self.answers.pop_front().map(|(_, event)| event);
                 if let Some(event) = event {
                     self.step(event);
                 }
-            } else if self.now == next_ask {
+            } else if self.now == next_query {
                 let uniform: f64 = rng.random();
-                let gap = -(1.0 - uniform).ln() / asks_per_second;
-                next_ask = next_ask + Duration::from_secs_f64(gap);
-                self.ask(&mut rng);
+                let gap = -(1.0 - uniform).ln() / queries_per_second;
+                next_query = next_query + Duration::from_secs_f64(gap);
+                self.query(&mut rng);
             } else if self.now == finish {
                 let finish = self.finishes.pop_front().map(|(_, finish)| finish);
                 if let Some(finish) = finish {
@@ -88,14 +88,14 @@
         }
     }
 
-    fn ask(&mut self, rng: &mut ChaCha8Rng) {
-        let ask = ClaimAsk {
+    fn query(&mut self, rng: &mut ChaCha8Rng) {
+        let query = ClaimAsk {
             key: KeyHash(rng.random()),
             fingerprint: RequestFingerprint(rng.random()),
             request: RequestId(rng.random()),
         };
-        self.asked.push_back((ask.request, self.now));
-        self.step(ClaimEvent::Asked(ask));
+        self.asked.push_back((query.request, self.now));
+        self.step(ClaimEvent::Asked(query));
     }
 
     fn step(&mut self, event: ClaimEvent) {
@@ -173,13 +173,13 @@
             .collect()
     }
 
-    fn print(&self, asks_per_second: f64) {
+    fn print(&self, queries_per_second: f64) {
         let seconds = RUN_TIME.as_secs();
         let counters = self.log.counters();
         let stored: usize = self.values.values().map(|(value, _)| value.len()).sum();
         let largest = self.values.values().map(|(value, _)| value.len()).max();
         println!(
-            "{asks_per_second:6.1} asks/s: granted {}, writes {}.{:02}/s, reads {} in total, \
+            "{queries_per_second:6.1} queries/s: granted {}, writes {}.{:02}/s, reads {} in total, \
              written {} B/s, {} B per claim; wait p50 {} p99 {} max {} us; \
              store holds {} values, {} B, largest {} B; table {} keys, {} B reserved",
             counters.granted,
@@ -201,9 +201,9 @@
 }
 
 fn main() {
-    for asks_per_second in [0.2, 5.0, 53.1, 212.5] {
+    for queries_per_second in [0.2, 5.0, 53.1, 212.5] {
         let mut run = CostRun::new();
-        run.run(asks_per_second);
-        run.print(asks_per_second);
+        run.run(queries_per_second);
+        run.print(queries_per_second);
     }
 }
--- a/crates/oatpier-claims/src/lib.rs
+++ b/crates/oatpier-claims/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`partition`]: assignment of keys to claimers.
 //! - [`segment`]: the values in the store.
 //! - [`event`]: events and actions of a claimer.
-//! - [`table`]: the claims that a claimer knows.
+//! - [`table`]: the known claims of a partition.
 //! - [`log`]: [`log::ClaimLog`], the claimer of a partition.
 
 pub mod event;
--- a/crates/oatpier-claims/src/log.rs
+++ b/crates/oatpier-claims/src/log.rs
@@ -222,7 +222,7 @@
         self.counters
     }
 
-    /// Returns the claims that it knows.
+    /// Returns the claims of the partition that were loaded or added.
     #[must_use]
     pub fn table(&self) -> &KeyTable {
         &self.table
--- a/crates/oatpier-claims/src/log/takeover.rs
+++ b/crates/oatpier-claims/src/log/takeover.rs
@@ -51,13 +51,13 @@
         let Some(value) = found else {
             return Ok(first);
         };
-        let former = decode_head(value)?;
+        let previous = decode_head(value)?;
         Ok(PartitionHead {
-            epoch: former.epoch + 1,
+            epoch: previous.epoch + 1,
             owner: first.owner,
             boot: first.boot,
             write: 0,
-            ..former
+            ..previous
         })
     }
 
--- a/crates/oatpier-claims/src/log/writing.rs
+++ b/crates/oatpier-claims/src/log/writing.rs
@@ -134,9 +134,7 @@
         actions: &mut ClaimActions,
     ) {
         let (key, request, verdict) = match queued {
-            QueuedRecord::Claim(query) => {
-                return self.handle_claim_written(query, position, now, actions);
-            }
+            QueuedRecord::Claim(query) => return self.settle_claim(query, position, now, actions),
             QueuedRecord::Release { release, .. } => {
                 (release.key, release.request, RunVerdict::NotRun)
             }
@@ -154,7 +152,7 @@
         });
     }
 
-    fn handle_claim_written(
+    fn settle_claim(
         &mut self,
         query: ClaimAsk,
         position: u64,
--- a/crates/oatpier-ports/src/http.rs
+++ b/crates/oatpier-ports/src/http.rs
@@ -11,15 +11,15 @@
 use bytes::Bytes;
 use oatpier_wire::client::{ClientLimits, HttpClient, SendError};
 
+mod endpoint;
 mod engine;
 mod store;
 mod vms;
-mod work;
 
+pub use endpoint::{EndpointKind, HttpWork};
 pub use engine::HttpEngine;
 pub use store::HttpStore;
 pub use vms::HttpVmList;
-pub use work::{EndpointKind, HttpWork};
 
 /// Maximum size of a JSON response, in bytes.
 const MAX_JSON_BYTES: usize = 32 << 20;
--- a/crates/oatpier-ports/tests/testsuite/main.rs
+++ b/crates/oatpier-ports/tests/testsuite/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the HTTP implementations, against test servers on loopback sockets.
 
-mod endpoint_work;
+mod endpoint_calls;
 mod engine_orders;
 mod store_calls;
 mod support;
