--- a/crates/oatpier-admission/src/attempts.rs
+++ b/crates/oatpier-admission/src/attempts.rs
@@ -19,7 +19,7 @@
 //!
 //! A restarted agent has an empty ledger and a new boot id. It refuses attempts that name another
 //! boot: they were made for the previous process, which may have answered their cancels with "not
-//! run". That refusal may say "not run", since an entry sends an attempt finished one connection, which
+//! run". That refusal may say "not run", since an entry sends an attempt over one connection, which
 //! ends with the process that it was connected to, and never sends it twice.
 //!
 //! A cancel is answered with [`RunVerdict::NotRun`] only if the attempt was never started and the
--- a/crates/oatpier-admission/src/estimate.rs
+++ b/crates/oatpier-admission/src/estimate.rs
@@ -115,14 +115,14 @@
 
 impl ServiceEstimator {
     /// Records that an attempt started while `running` others were running.
-    pub fn started(&mut self, running: usize, now: ClockTime) {
+    pub fn record_start(&mut self, running: usize, now: ClockTime) {
         if running == 0 {
             self.slot_freed_at = now;
         }
     }
 
     /// Records that the first token came `taken` after the attempt's start.
-    pub fn first_token(&mut self, tokens: TokenDemand, taken: Duration, now: ClockTime) {
+    pub fn record_first_token(&mut self, tokens: TokenDemand, taken: Duration, now: ClockTime) {
         self.last_sample_at = now;
         if tokens.prompt == 0 {
             return;
@@ -133,7 +133,7 @@
     }
 
     /// Records that `tokens` further tokens came `taken` after the previous ones.
-    pub fn chunk(&mut self, tokens: u32, taken: Duration, now: ClockTime) {
+    pub fn record_tokens(&mut self, tokens: u32, taken: Duration, now: ClockTime) {
         self.last_sample_at = now;
         if tokens > 0 {
             self.step.observe(taken.as_secs_f64() / f64::from(tokens));
@@ -141,7 +141,7 @@
     }
 
     /// Records that an answer of a class was complete `taken` after its start.
-    pub fn ended(&mut self, class: &ClassName, taken: Duration, now: ClockTime) {
+    pub fn record_end(&mut self, class: &ClassName, taken: Duration, now: ClockTime) {
         self.last_sample_at = now;
         self.slot_freed_at = now;
         let sample = taken.as_secs_f64();
@@ -156,7 +156,7 @@
     }
 
     /// Records that a call failed or was cancelled. Its slot is free; its duration is no sample.
-    pub fn failed(&mut self, now: ClockTime) {
+    pub fn record_failure(&mut self, now: ClockTime) {
         self.slot_freed_at = now;
     }
 
--- a/crates/oatpier-admission/src/policy.rs
+++ b/crates/oatpier-admission/src/policy.rs
@@ -181,10 +181,14 @@
                 let scope = CancelScope::Queue;
                 self.cancel((attempt, ticket), scope, now, actions);
             }
-            AgentEvent::EndpointFirstToken { attempt } => self.first_token(attempt, now),
-            AgentEvent::EndpointPiece { attempt, tokens } => self.chunk(attempt, tokens, now),
-            AgentEvent::EndpointEnded { attempt } => self.ended(attempt, now),
-            AgentEvent::EndpointFailed { attempt, verdict } => self.failed(attempt, verdict, now),
+            AgentEvent::EndpointFirstToken { attempt } => self.handle_first_token(attempt, now),
+            AgentEvent::EndpointPiece { attempt, tokens } => {
+                self.handle_chunk(attempt, tokens, now)
+            }
+            AgentEvent::EndpointEnded { attempt } => self.handle_end(attempt, now),
+            AgentEvent::EndpointFailed { attempt, verdict } => {
+                self.handle_failure(attempt, verdict, now)
+            }
             AgentEvent::EndpointUp { up } => self.up = up,
             AgentEvent::Leave => self.drain.leave(),
             AgentEvent::ReadyChanged { ready, loading } => {
@@ -272,7 +276,7 @@
         self.queue.set_bound(self.limits.queue);
     }
 
-    fn first_token(&mut self, attempt: AttemptId, now: ClockTime) {
+    fn handle_first_token(&mut self, attempt: AttemptId, now: ClockTime) {
         let Some(running) = self.running.get_mut(&attempt) else {
             self.counters.stray_answers += 1;
             return;
@@ -282,30 +286,31 @@
         }
         let spec = &running.spec;
         self.estimator
-            .first_token(spec.tokens, now.since(running.started), now);
+            .record_first_token(spec.tokens, now.since(running.started), now);
         if running.is_stream(self.tracker.target(&spec.class)) {
             let in_time = now <= running.deadline;
             self.tracker.observe(&spec.class, in_time, now);
         }
     }
 
-    fn chunk(&mut self, attempt: AttemptId, tokens: u32, now: ClockTime) {
+    fn handle_chunk(&mut self, attempt: AttemptId, tokens: u32, now: ClockTime) {
         let Some(running) = self.running.get_mut(&attempt) else {
             self.counters.stray_answers += 1;
             return;
         };
         let taken = running.record_tokens(tokens, now);
-        self.estimator.chunk(tokens, taken, now);
+        self.estimator.record_tokens(tokens, taken, now);
     }
 
-    fn ended(&mut self, attempt: AttemptId, now: ClockTime) {
+    fn handle_end(&mut self, attempt: AttemptId, now: ClockTime) {
         let Some(running) = self.running.shift_remove(&attempt) else {
             self.counters.stray_answers += 1;
             return;
         };
         self.ledger.settle(attempt, RunVerdict::Ran, now);
         let class = &running.spec.class;
-        self.estimator.ended(class, now.since(running.started), now);
+        self.estimator
+            .record_end(class, now.since(running.started), now);
         let target = self.tracker.target(class);
         if !running.is_stream(target) {
             let in_time = now <= running.deadline;
@@ -315,13 +320,13 @@
         }
     }
 
-    fn failed(&mut self, attempt: AttemptId, verdict: RunVerdict, now: ClockTime) {
+    fn handle_failure(&mut self, attempt: AttemptId, verdict: RunVerdict, now: ClockTime) {
         if self.running.shift_remove(&attempt).is_none() {
             self.counters.stray_answers += 1;
             return;
         }
         self.ledger.settle(attempt, verdict, now);
-        self.estimator.failed(now);
+        self.estimator.record_failure(now);
     }
 
     fn fill_slots(&mut self, now: ClockTime, actions: &mut AgentActions) {
@@ -341,7 +346,7 @@
         let attempt = waiting.spec.attempt;
         let priority = self.priority(&waiting, now);
         self.ledger.start(attempt);
-        self.estimator.started(self.running.len(), now);
+        self.estimator.record_start(self.running.len(), now);
         let running = RunningAttempt::new(waiting.spec, waiting.deadline, now);
         self.running.insert(attempt, running);
         actions.push(AgentAction::Start { attempt, priority });
--- a/crates/oatpier-admission/src/policy/refusing.rs
+++ b/crates/oatpier-admission/src/policy/refusing.rs
@@ -59,14 +59,14 @@
         if self.queue.is_empty() {
             return;
         }
-        let check_open = self.check_open();
+        let closed = self.check_open();
         let unservable: Vec<_> = self
             .queue
             .iter()
             .filter_map(|waiting| {
                 let missing = self.weights.outlook(&waiting.spec.goal) == WeightsOutlook::Missing;
                 let late = now > self.last_start(waiting);
-                let cause = check_open
+                let cause = closed
                     .or(missing.then_some(RefusalCause::WeightsMissing))
                     .or(late.then_some(RefusalCause::TooLate))?;
                 Some((waiting.spec.attempt, cause))
--- a/crates/oatpier-claims/src/log/writing.rs
+++ b/crates/oatpier-claims/src/log/writing.rs
@@ -70,7 +70,7 @@
         self.issue_call(closed, now, actions);
     }
 
-    /// Handles the stored copy of the head's records: the next head omits them.
+    /// Handles the completed copy of the head's records: the next head omits them.
     pub(super) fn handle_segment_closed(
         &mut self,
         info: SegmentInfo,
