--- a/crates/oatpier-admission/src/policy.rs
+++ b/crates/oatpier-admission/src/policy.rs
@@ -183,11 +183,11 @@
             }
             AgentEvent::EndpointFirstToken { attempt } => self.handle_first_token(attempt, now),
             AgentEvent::EndpointPiece { attempt, tokens } => {
-                self.handle_chunk(attempt, tokens, now)
+                self.handle_chunk(attempt, tokens, now);
             }
             AgentEvent::EndpointEnded { attempt } => self.handle_end(attempt, now),
             AgentEvent::EndpointFailed { attempt, verdict } => {
-                self.handle_failure(attempt, verdict, now)
+                self.handle_failure(attempt, verdict, now);
             }
             AgentEvent::EndpointUp { up } => self.up = up,
             AgentEvent::Leave => self.drain.leave(),
