--- a/crates/oatpier-placement/examples/planner_cost.rs
+++ b/crates/oatpier-placement/examples/planner_cost.rs
@@ -1,7 +1,6 @@
-//! Prints the cost of one step of the planner at several sizes of the fleet.
+//! Prints the run time of one planning step for several fleet sizes.
 //!
-//! It measures processor time on the machine, so it reads the machine's clock; the planner does
-//! not.
+//! The example reads the system clock to measure the run time; the planner does not.
 //!
 //! `cargo run --release -p oatpier-placement --example planner_cost`
 
@@ -119,7 +118,7 @@
     (outcome, start.elapsed())
 }
 
-/// All agents have done what the plan says.
+/// Updates the views as if all agents had applied the plan.
 fn carry_out(views: &mut [EndpointView], plan: &PlacementPlan) {
     for (view, row) in views.iter_mut().zip(&plan.endpoints) {
         view.held = row
@@ -199,7 +198,8 @@
         .collect()
 }
 
-/// A few models are asked for much more than the rest, and others every ten steps.
+/// Returns demand where every tenth model has a much higher rate than the rest. The set of these
+/// models changes every ten steps.
 fn demand(config: &FleetConfig, step: u32) -> DemandSummary {
     let mean = 8_500.0 / 490.0;
     let rows = config.models.keys().enumerate().map(|(index, model)| {
--- a/crates/oatpier-placement/examples/planner_day.rs
+++ b/crates/oatpier-placement/examples/planner_day.rs
@@ -1,11 +1,11 @@
-//! Prints moves, endpoints used and a bound on attainment over a day of bursty demand, for the
-//! planner and the two that it is compared with.
+//! Prints moves, endpoints in use and an upper bound on attainment over a day of bursty demand, for
+//! the placement planner and the two baselines.
 //!
 //! `cargo run --release -p oatpier-placement --example planner_day`
 //!
-//! A request counts as served as far as the endpoints that hold its model have time for it:
-//! queues, deadlines and routing are left out, so the share is an upper bound. Loads take one
-//! step of ten seconds. Demand is seeded; twice the same run gives twice the same figures.
+//! Requests count as served up to the capacity of the endpoints that hold their model. Queues,
+//! deadlines and routing are not simulated, so the served fraction is an upper bound. Loads take
+//! one step of ten seconds. Demand is seeded, so each run gives the same results.
 
 use std::time::Duration;
 
@@ -30,10 +30,10 @@
 const SLOTS: f64 = 16.0;
 const STEP: Duration = Duration::from_secs(10);
 const STEPS: u32 = 8_640;
-/// The parts that the requests of a step are handed out in.
+/// Number of parts in which the requests of a step are distributed.
 const PARTS: u32 = 40;
 const TOKENS: u32 = 150;
-/// The time that one request takes one place for.
+/// Time that one request occupies one request slot, in seconds.
 const REQUEST_S: f64 = 150.0 * 0.005;
 
 fn main() -> Result<(), NameError> {
@@ -104,8 +104,8 @@
         );
     }
 
-    /// Requests of each model in one step. A model bursts to some forty times its usual rate, for
-    /// ten to forty minutes, three times a day on average.
+    /// Returns the requests per model in one step. A model bursts to about forty times its usual rate
+    /// for ten to forty minutes, three times a day on average.
     fn ask(&mut self, now: ClockTime) -> Vec<u32> {
         let mut counts = Vec::new();
         for (index, model) in self.config.models.keys().enumerate() {
@@ -127,7 +127,8 @@
         counts
     }
 
-    /// What the ready replicas have time for, when each request goes to the one with most time.
+    /// Adds the requests that the ready replicas can serve to the totals. Each part of a model's
+    /// requests goes to the holder with the lowest load.
     fn serve(&self, counts: &[u32], totals: &mut DayTotals) {
         let holders: Vec<Vec<usize>> = self
             .config
--- a/crates/oatpier-placement/src/demand.rs
+++ b/crates/oatpier-placement/src/demand.rs
@@ -1,8 +1,9 @@
-//! Rates of demand for each model and adapter, at an entry and over all entries.
+//! Demand rates per model and adapter, for one entry and summed over all entries.
 //!
-//! Two exponential windows: the short one follows a burst within seconds, the long one tells
-//! what is usual. A peak of the short one is remembered for some minutes, so that the pause
-//! between two bursts does not empty the replicas that the next one needs.
+//! Each rate is an exponentially weighted average over two windows. The short window follows a
+//! burst within seconds; the long window gives the typical rate. The peak of the short window
+//! decays over several minutes, so that a pause between two bursts does not unload the replicas
+//! that the next burst needs.
 
 use std::time::Duration;
 
@@ -11,16 +12,16 @@
 use oatpier_types::names::{AdapterName, DaemonName, ModelName};
 use serde::{Deserialize, Serialize};
 
-/// How demand is averaged and how long it is remembered.
+/// Averaging windows and peak retention of demand rates.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DemandSettings {
-    /// The short window: how fast a burst is seen.
+    /// Short averaging window. Determines how fast a burst is detected.
     pub short_window: Duration,
-    /// The long window: what is usual.
+    /// Long averaging window. Gives the typical rate.
     pub long_window: Duration,
-    /// How long a peak is remembered.
+    /// Decay time of a peak.
     pub peak_window: Duration,
-    /// The share of a remembered peak that is planned for.
+    /// Fraction of the decayed peak that the planned rate is at least.
     pub peak_share: f64,
 }
 
@@ -35,30 +36,30 @@
     }
 }
 
-/// An entry's summary that is older than this no longer counts: the entry is gone.
+/// Age at which an entry's summary expires: the entry is then assumed to have stopped.
 const SUMMARY_AGE: Duration = Duration::from_mins(1);
-/// Rows with a lower rate, in requests a second, are left out of a summary.
+/// Minimum rate of a summary row, in requests per second. Rows with a lower rate are omitted.
 const LEAST_RATE: f64 = 1e-4;
 
-/// What is asked for: a base model, or an adapter on one.
+/// A base model, or an adapter on one, that requests name.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct DemandKey {
     /// The base model.
     pub model: ModelName,
-    /// The adapter; none for the base model itself.
+    /// The adapter; `None` for the base model itself.
     pub adapter: Option<AdapterName>,
 }
 
-/// A rate of demand.
+/// Request and token rates.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct DemandRate {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub prompt_tokens: f64,
-    /// Generated tokens a second.
+    /// Generated tokens per second.
     pub output_tokens: f64,
 }
 
@@ -92,13 +93,13 @@
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct DemandRow {
-    /// What is asked for.
+    /// The base model or adapter.
     pub key: DemandKey,
     /// The rate to plan for.
     pub rate: DemandRate,
 }
 
-/// Demand as one entry tells it, or of the whole fleet; sorted by key.
+/// Demand reported by one entry, or of the whole fleet. Rows are sorted by key.
 #[derive(Debug, Clone, PartialEq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct DemandSummary {
@@ -107,7 +108,7 @@
 }
 
 impl DemandSummary {
-    /// The rate for a key; zero if there is no row.
+    /// Returns the rate for a key; zero if there is no row.
     #[must_use]
     pub fn rate_of(&self, key: &DemandKey) -> DemandRate {
         self.rows
@@ -153,7 +154,7 @@
     (-span.as_secs_f64() / window.as_secs_f64()).exp()
 }
 
-/// Counts the demand that one entry sees.
+/// Demand counters of one entry.
 #[derive(Debug, Clone, Default)]
 pub struct DemandLedger {
     settings: DemandSettings,
@@ -161,13 +162,13 @@
 }
 
 impl DemandLedger {
-    /// A ledger without demand.
+    /// Creates a ledger without demand and with the default windows.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A ledger without demand that averages by other windows.
+    /// Creates a ledger without demand that uses the given windows.
     #[must_use]
     pub fn with_settings(settings: DemandSettings) -> Self {
         Self {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Counts one request with its tokens.
+    /// Adds one request and its tokens to the rates of a key.
     pub fn record(&mut self, key: &DemandKey, prompt: u32, output: u32, now: ClockTime) {
         let amount = DemandRate {
             requests: 1.0,
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The rates to plan for. Forgets keys without demand.
+    /// Returns the rates to plan for, and removes the keys whose rate is too low to report.
     #[must_use]
     pub fn summary(&mut self, now: ClockTime) -> DemandSummary {
         for windows in self.windows.values_mut() {
@@ -217,31 +218,31 @@
     }
 }
 
-/// Adds up the summaries of all entries, at the planner.
+/// Latest demand summary of each entry, kept by the planner.
 #[derive(Debug, Clone, Default)]
 pub struct DemandBook {
     entries: IndexMap<DaemonName, (DemandSummary, ClockTime)>,
 }
 
 impl DemandBook {
-    /// A book without entries.
+    /// Creates a book without entries.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes an entry's last summary.
+    /// Replaces an entry's summary with its latest one.
     pub fn absorb(&mut self, entry: DaemonName, summary: DemandSummary, now: ClockTime) {
         self.entries.insert(entry, (summary, now));
     }
 
-    /// The demand of the whole fleet.
+    /// Returns the demand of the whole fleet, and removes entries whose summary has expired.
     #[must_use]
     pub fn total(&mut self, now: ClockTime) -> DemandSummary {
         self.entries
             .retain(|_, (_, heard)| now.since(*heard) < SUMMARY_AGE);
         let mut sums: IndexMap<DemandKey, DemandRate> = IndexMap::new();
-        // In the order of the entries' names: sums of floats depend on their order.
+        // Sorted by entry name, because floating-point sums depend on the order of addition.
         self.entries.sort_keys();
         for (summary, _) in self.entries.values() {
             for row in &summary.rows {
--- a/crates/oatpier-placement/src/ledger.rs
+++ b/crates/oatpier-placement/src/ledger.rs
@@ -1,35 +1,36 @@
-//! What could be in an accelerator's memory.
+//! Upper bound on the use of an accelerator's memory.
 //!
-//! The ledger charges for weights that are loaded, being loaded or being unloaded as the engine
-//! says, and for each load whose end is not known. It never frees on an agent's own belief.
+//! The ledger charges for weights that the engine reports as loaded, loading or unloading, and
+//! for each load order whose outcome is unknown. It frees memory only on evidence from the
+//! engine, never on an assumption of the agent.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::FleetConfig;
 use oatpier_types::engine::{EngineState, WeightsKey, WeightsState};
 
-/// Why weights are charged.
+/// A charge for weights, with the reasons for it.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WeightsCharge {
-    /// Their size in MiB; none if no configuration told it.
+    /// Size of the weights in MiB; `None` if no configuration has specified it.
     pub size_mib: Option<u64>,
-    /// Where they stand, as the engine last said; none if it does not hold them.
+    /// Last state that the engine reported; `None` if it does not hold the weights.
     pub held: Option<WeightsState>,
-    /// Whether a load of them was ordered, or is about to be, and has no known end.
+    /// Whether a load was ordered, or is about to be, and its outcome is unknown.
     pub ordered: bool,
-    /// Until when a copy of a load order could still arrive and be carried out.
+    /// Time until which a delayed copy of a load order could still arrive and be executed.
     pub hold_until: ClockTime,
 }
 
 impl WeightsCharge {
-    /// Whether the weights take memory, or could.
+    /// Returns whether the weights use memory, or could use it.
     #[must_use]
     pub fn counts(&self, now: ClockTime) -> bool {
         self.held.is_some() || self.ordered || now < self.hold_until
     }
 }
 
-/// The memory of one endpoint, charged for everything that could be there.
+/// Memory account of one endpoint, charged for all weights that could be in memory.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryLedger {
     capacity_mib: u64,
@@ -37,7 +38,7 @@
 }
 
 impl MemoryLedger {
-    /// A ledger of an endpoint with this much memory for weights.
+    /// Creates a ledger of an endpoint with the given memory for weights.
     #[must_use]
     pub fn new(capacity_mib: u64) -> Self {
         Self {
@@ -46,9 +47,9 @@
         }
     }
 
-    /// Takes over what the engine says that it holds.
+    /// Updates the charges from a state report of the engine.
     ///
-    /// The lower of the configured and the engine's own memory counts.
+    /// The capacity is the lower of the configured memory and the memory that the engine reports.
     pub fn observe(&mut self, state: &EngineState, config: &FleetConfig, now: ClockTime) {
         if state.memory_mib > 0 {
             self.capacity_mib = self.capacity_mib.min(state.memory_mib);
@@ -63,27 +64,29 @@
         self.charges.retain(|_, charge| charge.counts(now));
     }
 
-    /// Charges for a load that is about to be ordered.
+    /// Charges for a load that is about to be ordered, until [`MemoryLedger::settle_order`].
     pub fn charge_order(&mut self, weights: &WeightsKey, config: &FleetConfig) {
         self.charge_entry(weights, config).ordered = true;
     }
 
-    /// Charges for a copy of a load order that could be carried out until `until`.
+    /// Charges until `until` for a delayed copy of a load order that could still be executed.
     pub fn hold_copy(&mut self, weights: &WeightsKey, until: ClockTime, config: &FleetConfig) {
         let charge = self.charge_entry(weights, config);
         charge.hold_until = charge.hold_until.max(until);
     }
 
-    /// The load has a known end: from now on the engine's word alone is charged.
+    /// Ends the charge for a load order whose outcome is known.
+    ///
+    /// From then on, only what the engine reports is charged.
     pub fn settle_order(&mut self, weights: &WeightsKey) {
         if let Some(charge) = self.charges.get_mut(weights) {
             charge.ordered = false;
         }
     }
 
-    /// Memory that is, or could be, in use, in MiB.
+    /// Returns the memory that is, or could be, in use, in MiB.
     ///
-    /// Weights of unknown size are charged the whole memory: nothing is loaded beside them.
+    /// Weights of unknown size are charged the full capacity, so that nothing is loaded beside them.
     #[must_use]
     pub fn charged_mib(&self, now: ClockTime) -> u64 {
         self.charges
@@ -93,19 +96,19 @@
             .fold(0, u64::saturating_add)
     }
 
-    /// Memory for weights, in MiB.
+    /// Returns the memory for weights, in MiB.
     #[must_use]
     pub fn capacity_mib(&self) -> u64 {
         self.capacity_mib
     }
 
-    /// Memory that is surely free, in MiB.
+    /// Returns the memory that is certainly free, in MiB.
     #[must_use]
     pub fn free_mib(&self, now: ClockTime) -> u64 {
         self.capacity_mib.saturating_sub(self.charged_mib(now))
     }
 
-    /// Whether a load of these weights fits beside all that could be there.
+    /// Returns whether a load of these weights fits beside all charges.
     #[must_use]
     pub fn fits(&self, weights: &WeightsKey, size_mib: u64, now: ClockTime) -> bool {
         let counted = self
@@ -116,18 +119,18 @@
         self.charged_mib(now).saturating_add(extra) <= self.capacity_mib
     }
 
-    /// Where weights stand, as the engine last said.
+    /// Returns the state of weights that the engine last reported.
     #[must_use]
     pub fn state_of(&self, weights: &WeightsKey) -> Option<WeightsState> {
         self.charges.get(weights).and_then(|charge| charge.held)
     }
 
-    /// All weights that are charged, in the order of their first charge.
+    /// Returns all charged weights, in the order of their first charge.
     pub fn charges(&self) -> impl Iterator<Item = (&WeightsKey, &WeightsCharge)> {
         self.charges.iter()
     }
 
-    /// All weights that the engine last said are ready.
+    /// Returns all weights that the engine last reported as ready.
     pub fn ready(&self) -> impl Iterator<Item = &WeightsKey> {
         self.charges
             .iter()
@@ -135,8 +138,10 @@
             .map(|(weights, _)| weights)
     }
 
-    /// A charge never shrinks while it stands: a configuration that makes a model smaller says
-    /// nothing of the copy that was loaded under the former one.
+    /// Returns the charge for weights, and creates it if there is none.
+    ///
+    /// The size of an existing charge never decreases: a configuration that makes a model smaller
+    /// does not change the size of the copy that was loaded under the previous one.
     fn charge_entry(&mut self, weights: &WeightsKey, config: &FleetConfig) -> &mut WeightsCharge {
         let size = config.memory_of(weights);
         let charge = self.charges.entry(weights.clone()).or_default();
--- a/crates/oatpier-placement/src/lib.rs
+++ b/crates/oatpier-placement/src/lib.rs
@@ -1,19 +1,19 @@
-//! Decisions about memory, moves and plans, as plain state machines.
+//! Decisions about memory, loads and unloads, and placement plans, as state machines without I/O.
 //!
-//! Every type here turns `(event, now)` into actions. Nothing does I/O, reads a clock or draws
-//! unseeded randomness, so that the daemon, the benches and the fault tests drive the same code.
+//! Every type turns `(event, now)` into actions. Nothing does I/O, reads a clock or uses unseeded
+//! randomness, so that the daemon, the benchmarks and the fault tests run the same code.
 //!
-//! Beside each endpoint (agent):
-//! - [`ledger`]: what could be in an accelerator's memory, and whether a load fits.
-//! - [`record`]: the endpoint's value in the store: epoch and intents.
-//! - [`orders`]: numbers orders, brings each to a known end, owns the ledger.
-//! - [`release`]: who may unload weights that others rely on.
-//! - [`steps`]: from the plan's row to the next safe step.
-//! - [`repair`]: keeps models reachable without planner and store.
+//! In the agent of each endpoint:
+//! - [`ledger`]: an upper bound on the memory in use, and whether a load fits.
+//! - [`record`]: the endpoint's record in the store, with its epoch and intents.
+//! - [`orders`]: numbers orders, resends each until its outcome is known, and owns the ledger.
+//! - [`release`]: agreement between replicas on which of them may unload.
+//! - [`steps`]: the next safe step from the current state towards the plan.
+//! - [`repair`]: keeps models reachable without the planner and the store.
 //!
 //! In the entry that holds the planner lease:
-//! - [`demand`]: rates per model and adapter.
-//! - [`planner`]: the placement plan, and two simpler planners to compare with.
+//! - [`demand`]: demand rates per model and adapter.
+//! - [`planner`]: the placement planner, and two baseline planners.
 
 pub mod demand;
 pub mod ledger;
--- a/crates/oatpier-placement/src/orders/keeper.rs
+++ b/crates/oatpier-placement/src/orders/keeper.rs
@@ -1,4 +1,4 @@
-//! The keeper: what may begin, what is sent, what is charged.
+//! Keeper of the orders to one engine: starts, sends and charges them.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -12,7 +12,7 @@
 use crate::ledger::MemoryLedger;
 use crate::record::{EpochState, OrderIntent, RecordAnswer, RecordKeeper};
 
-/// Gives orders to one engine. See the module's page.
+/// Issuer of orders to one engine. See the [module documentation](super).
 #[derive(Debug, Clone)]
 pub struct OrderKeeper {
     pub(super) settings: OrderSettings,
@@ -35,7 +35,7 @@
 }
 
 impl OrderKeeper {
-    /// A keeper for one start of an agent.
+    /// Creates a keeper for one start of an agent.
     #[must_use]
     pub fn new(settings: OrderSettings, boot: BootId) -> Self {
         Self {
@@ -59,55 +59,55 @@
         }
     }
 
-    /// What could be in the engine's memory.
+    /// Returns the ledger of the engine's memory.
     #[must_use]
     pub fn ledger(&self) -> &MemoryLedger {
         &self.ledger
     }
 
-    /// Where the agent stands with its epoch.
+    /// Returns the state of the agent's epoch.
     #[must_use]
     pub fn epoch(&self) -> EpochState {
         self.record.state()
     }
 
-    /// The engine's role, as it last said.
+    /// Returns the role that the engine last reported.
     #[must_use]
     pub fn role(&self) -> Option<EngineRole> {
         self.role
     }
 
-    /// Whether an order for these weights has no known end.
+    /// Returns whether an order for these weights has an unknown outcome.
     #[must_use]
     pub fn is_moving(&self, weights: &WeightsKey) -> bool {
         self.tracks
             .contains_key(&OrderSubject::Weights(weights.clone()))
     }
 
-    /// Whether an order for the role has no known end.
+    /// Returns whether an order for the role has an unknown outcome.
     #[must_use]
     pub fn is_role_moving(&self) -> bool {
         self.tracks.contains_key(&OrderSubject::Role)
     }
 
-    /// Orders without a known end.
+    /// Returns the number of orders with an unknown outcome.
     #[must_use]
     pub fn moving(&self) -> usize {
         self.tracks.len()
     }
 
-    /// Whether orders may be begun at all.
+    /// Checks whether any order may be started.
     ///
     /// # Errors
     ///
-    /// Says why not.
+    /// Returns the reason if no order may be started.
     pub fn check_ready(&self) -> Result<(), BeginError> {
         match self.record.state() {
             EpochState::Superseded => return Err(BeginError::Superseded),
             EpochState::Taking => return Err(BeginError::NotReady),
             EpochState::Taken(_) => {}
         }
-        // A state read before former agents were shut out may miss what they did since.
+        // A state read before earlier agents were fenced off may miss their later changes.
         let known = self
             .ready_after
             .is_some_and(|ticket| self.poll_seen > ticket);
@@ -120,10 +120,10 @@
         Ok(())
     }
 
-    /// Whether weights are ready here and no order, not even a late one, could take them away.
+    /// Returns whether weights are ready here and no order, not even a delayed one, could unload them.
     ///
-    /// Does not ask the store: a replica that exists may be relied on through an outage. An agent
-    /// that has not taken its epoch can't say this: a former one may be unloading.
+    /// Does not depend on the store, because an existing replica stays usable during an outage.
+    /// Returns false until the agent has acquired its epoch: an earlier agent may be unloading.
     #[must_use]
     pub fn is_firm(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         let started = !matches!(
@@ -135,12 +135,12 @@
             && (weights.adapter.is_none() || self.has_firm_base(weights, now))
     }
 
-    /// Whether weights are ready and no order could take them away.
+    /// Returns whether weights are ready and no order could unload them.
     fn stays_ready(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         self.ledger.state_of(weights) == Some(WeightsState::Ready) && !self.may_vanish(weights, now)
     }
 
-    /// Whether a version of an adapter's base model stays ready here.
+    /// Returns whether any version of an adapter's base model is ready here and no order could unload it.
     fn has_firm_base(&self, adapter: &WeightsKey, now: ClockTime) -> bool {
         self.ledger.ready().any(|held| {
             let base = held.adapter.is_none() && held.model == adapter.model;
@@ -148,8 +148,8 @@
         })
     }
 
-    /// Asks for a fresh proof that no later agent has the endpoint: see
-    /// [`OrderKeeper::is_confirmed`].
+    /// Requests a new proof that no later agent controls the endpoint, and returns the mark to pass
+    /// to [`OrderKeeper::is_confirmed`].
     pub fn want_proof(&mut self, now: ClockTime) -> ProofMark {
         if self.settings.checks_numbers {
             self.poll_at = now;
@@ -162,8 +162,9 @@
         }
     }
 
-    /// Whether this agent's epoch surely was in force at some point after the mark: the engine
-    /// said so where it checks numbers, the store where it does not.
+    /// Returns whether this agent's epoch was proven to be current at some point after the mark.
+    ///
+    /// The proof comes from the engine where it checks numbers, and from the store otherwise.
     #[must_use]
     pub fn is_confirmed(&self, mark: ProofMark) -> bool {
         if self.settings.checks_numbers {
@@ -173,14 +174,14 @@
         }
     }
 
-    /// Begins a move. The keeper brings it to an end; there is nothing to repeat.
+    /// Starts an order. The keeper resends it until its outcome is known; callers need not retry.
     ///
-    /// An unload may take the place of a load that the engine has not answered for: it is how a
-    /// load that can't end is given up.
+    /// An unload may replace a load that waits to be sent or resent. This cancels a load that cannot
+    /// complete.
     ///
     /// # Errors
     ///
-    /// Says why the move may not begin now. Nothing was ordered.
+    /// Returns the reason if the order may not start now. Nothing was ordered.
     pub fn begin(
         &mut self,
         action: OrderAction,
@@ -210,7 +211,7 @@
         Ok(())
     }
 
-    /// What the agent is to do now. Call after each event and at [`OrderKeeper::next_wake`].
+    /// Returns the commands to execute now. Call after each event and at [`OrderKeeper::next_wake`].
     pub fn commands(
         &mut self,
         config: &FleetConfig,
@@ -237,7 +238,7 @@
         commands
     }
 
-    /// When to ask for commands again if nothing happens before.
+    /// Returns when to call [`OrderKeeper::commands`] again if no event occurs before.
     #[must_use]
     pub fn next_wake(&self, now: ClockTime) -> ClockTime {
         let wait = if self.tracks.is_empty() {
@@ -248,7 +249,7 @@
         now + wait
     }
 
-    /// Takes what happened.
+    /// Processes an event.
     pub fn on_event(&mut self, event: OrderEvent, config: &FleetConfig, now: ClockTime) {
         match event {
             OrderEvent::Record(answer) => self.on_record(answer, config, now),
@@ -263,7 +264,8 @@
         }
     }
 
-    /// Whether an unload of these weights has no known end, or a copy of it could still act.
+    /// Returns whether an order for these weights has an unknown outcome, or a delayed copy of an
+    /// unload could still be executed.
     #[must_use]
     pub fn may_vanish(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         self.is_moving(weights) || self.unload_may_act(weights, now)
@@ -302,7 +304,7 @@
         let needed_mib = config
             .memory_of(weights)
             .ok_or(BeginError::UnknownWeights)?;
-        // A late unload would take the replica away again, when others may rely on it.
+        // A delayed unload would remove the replica again at a time when others may rely on it.
         if self.unload_may_act(weights, now) {
             return Err(BeginError::UnloadMayAct);
         }
@@ -315,8 +317,11 @@
         })
     }
 
-    /// A former agent's order could reach the engine after this agent has read its state. Taking
-    /// one order of the new epoch makes the engine refuse it; repeating the role changes nothing.
+    /// Starts the order that fences off earlier agents, where the engine checks numbers.
+    ///
+    /// An earlier agent's order could reach the engine after this agent has read the engine's state.
+    /// Once the engine has accepted one order of the new epoch, it rejects such orders. The order
+    /// sets the current role again, which changes nothing.
     fn begin_fence(&mut self, now: ClockTime) {
         let wanted = self.settings.checks_numbers && !self.fenced && self.own_epoch().is_some();
         if !wanted || self.tracks.contains_key(&OrderSubject::Role) {
@@ -353,8 +358,10 @@
         Some(order)
     }
 
-    /// Where the engine ignores numbers, a successor must learn of the order from the store, so
-    /// it has to be there first.
+    /// Returns whether an order may be sent now.
+    ///
+    /// Where the engine ignores numbers, a successor learns of the order only from the store, so the
+    /// intent has to be written before the order is sent.
     fn may_send(&self, track: &OrderTrack, now: ClockTime) -> bool {
         self.settings.checks_numbers || self.record.is_written(track.number, now)
     }
--- a/crates/oatpier-placement/src/orders/late.rs
+++ b/crates/oatpier-placement/src/orders/late.rs
@@ -1,4 +1,4 @@
-//! Orders that may still act, where the engine ignores numbers.
+//! Delayed copies of orders that may still be executed, where the engine ignores numbers.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::FleetConfig;
@@ -21,7 +21,7 @@
         self.late_unloads.retain(|(_, until)| now < *until);
     }
 
-    /// Every order that may be on its way or may still act.
+    /// Returns the intents of all orders that may be in flight or may still be executed.
     pub(super) fn wanted_intents(&self) -> Vec<OrderIntent> {
         if self.settings.checks_numbers {
             return Vec::new();
@@ -66,7 +66,8 @@
         late.push((intent, until));
     }
 
-    /// A former agent may have given this order a moment ago: charge it, and finish it.
+    /// Charges an intent of an earlier agent, which may have sent the order just before this agent
+    /// started, and completes the order.
     pub(super) fn inherit(&mut self, intent: OrderIntent, config: &FleetConfig, now: ClockTime) {
         let until = now + self.settings.late_order_hold;
         self.hold_intent(intent.clone(), until, config);
@@ -74,7 +75,7 @@
             self.ledger.charge_order(weights, config);
         }
         let subject = OrderSubject::of(&intent.action);
-        // Of two orders for the same weights the later one is finished; both stay charged.
+        // Of two orders for the same weights only the later one is completed; both stay charged.
         let later = self
             .tracks
             .get(&subject)
--- a/crates/oatpier-placement/src/orders/mod.rs
+++ b/crates/oatpier-placement/src/orders/mod.rs
@@ -1,16 +1,16 @@
-//! Numbers orders to one engine and brings each to a known end.
+//! Numbers the orders to one engine and resends each until its outcome is known.
 //!
-//! At most one order waits for its answer. An order whose outcome is unknown is given again: all
-//! orders are idempotent, and finishing one is the only way to know that it is finished.
+//! At most one order waits for its response. An order whose outcome is unknown is sent again: all
+//! orders are idempotent, and completing an order is the only way to learn its outcome.
 //!
-//! - Engines that check numbers: each try has a new number. Once a try was taken, the engine
-//!   refuses all earlier copies, so nothing old can act. The first order of an epoch repeats the
-//!   present role; once it is taken, no order of a former agent can act.
-//! - Engines that ignore numbers: the intent is written to the store before the first try, and a
-//!   copy counts as able to act until [`OrderSettings::late_order_hold`] after it was sent. Its
-//!   memory is charged until then, even when the weights were unloaded, and weights whose
-//!   unload could still act are not loaded again. A successor charges and finishes every intent
-//!   that it finds.
+//! - Engines that check numbers: each send has a new number. Once the engine has accepted one, it
+//!   rejects all earlier copies, so no old copy can be executed. The first order of an epoch sets
+//!   the current role again; once it is accepted, no order of an earlier agent can be executed.
+//! - Engines that ignore numbers: the intent is written to the store before the order is first
+//!   sent. A copy is assumed to be executable until [`OrderSettings::late_order_hold`] after it
+//!   was sent. Its memory is charged until then, even if the weights have been unloaded. Weights
+//!   whose unload could still be executed are not loaded again. A successor charges and completes
+//!   every intent that it finds.
 
 mod keeper;
 mod late;
@@ -26,26 +26,26 @@
 
 pub use keeper::OrderKeeper;
 
-/// How an agent gives orders.
+/// Settings of how an agent issues orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Whether the engine refuses an order with an old number.
+    /// Whether the engine rejects an order whose number is lower than one it has accepted.
     pub checks_numbers: bool,
-    /// Memory of the endpoint, as configured, in MiB.
+    /// Configured memory of the endpoint, in MiB.
     pub capacity_mib: u64,
-    /// How long after it was sent a copy of an order may still be carried out, where the engine
-    /// ignores numbers.
+    /// How long after it was sent a copy of an order may still be executed, where the engine ignores
+    /// numbers.
     pub late_order_hold: Duration,
-    /// The wait before an order is given again.
+    /// Delay before an order is sent again.
     pub retry_delay: Duration,
-    /// The time between two state polls while nothing moves.
+    /// Interval between state polls while no order is pending.
     pub poll_every: Duration,
-    /// The time between two state polls while something moves.
+    /// Interval between state polls while an order is pending.
     pub poll_moving: Duration,
 }
 
 impl OrderSettings {
-    /// The usual waits, for an engine of this memory.
+    /// Creates settings with the default delays for an engine with the given memory.
     #[must_use]
     pub fn new(checks_numbers: bool, capacity_mib: u64) -> Self {
         Self {
@@ -59,103 +59,105 @@
     }
 }
 
-/// How giving an order ended.
+/// Result of sending an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The engine took it.
+    /// The engine accepted the order.
     Taken,
-    /// The engine has taken a higher number.
+    /// The engine has already accepted a higher number.
     Stale {
-        /// That number.
+        /// The highest number that the engine has accepted.
         highest: OrderNumber,
     },
-    /// The engine refused it; nothing changed.
+    /// The engine rejected the order; nothing changed.
     Refused,
-    /// The engine never saw it.
+    /// The order never reached the engine.
     NotSent,
-    /// No answer came: it may be carried out, now or later.
+    /// No response arrived: the order may be executed, now or later.
     Unknown,
 }
 
-/// The number of a state poll. A poll says nothing of what happened after it was asked.
+/// Number of a state poll. A poll gives no evidence of events after it was issued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct PollTicket(pub u64);
 
-/// A point in an agent's talk with its engine and the store, to ask for proof from there on.
+/// Position in an agent's sequence of engine polls and store calls. A proof of the epoch counts
+/// only if it comes from a later poll or call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProofMark {
     pub(super) polls: PollTicket,
     pub(super) calls: u64,
 }
 
-/// What the agent is to do now.
+/// An action that the agent executes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderCommand {
-    /// Call the store; answer with [`OrderEvent::Record`].
+    /// Call the store; report the result with [`OrderEvent::Record`].
     CallStore(RecordCall),
-    /// Give an order at once, without a wait; answer with [`OrderEvent::Answered`].
+    /// Send an order immediately; report the result with [`OrderEvent::Answered`].
     Send(EngineOrder),
-    /// Ask the engine's state; answer with [`OrderEvent::Polled`] or [`OrderEvent::PollFailed`].
+    /// Poll the engine's state; report the result with [`OrderEvent::Polled`] or
+    /// [`OrderEvent::PollFailed`].
     Poll(PollTicket),
 }
 
-/// What happened.
+/// An event that the agent reports to the keeper.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderEvent {
-    /// The store's call ended.
+    /// A store call ended.
     Record(RecordAnswer),
-    /// An order ended.
+    /// Sending an order ended.
     Answered {
-        /// Its number.
+        /// The number of the order.
         number: OrderNumber,
-        /// How.
+        /// The result.
         outcome: OrderOutcome,
     },
-    /// The engine said its state.
+    /// The engine reported its state.
     Polled {
         /// The poll.
         ticket: PollTicket,
         /// The state.
         state: Box<EngineState>,
     },
-    /// The engine could not be asked.
+    /// The engine could not be polled.
     PollFailed {
         /// The poll.
         ticket: PollTicket,
     },
 }
 
-/// Why an order can't be begun.
+/// Reason why an order cannot be started.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 pub enum BeginError {
-    /// The epoch is not taken, or the engine's state is not known yet.
-    #[error("the agent may not give orders yet")]
+    /// The epoch is not acquired, or the engine's state is not known yet.
+    #[error("the agent may not send orders yet")]
     NotReady,
-    /// A later agent has the endpoint.
-    #[error("a later agent has the endpoint")]
+    /// A later agent controls the endpoint.
+    #[error("a later agent controls the endpoint")]
     Superseded,
-    /// Another order for the same weights has no known end.
-    #[error("an order for the same weights has no known end")]
+    /// Another order for the same weights has an unknown outcome.
+    #[error("another order for the same weights is still pending")]
     InFlight,
-    /// The weights don't fit beside all that could be in memory.
-    #[error("the weights need {needed_mib} MiB and {free_mib} MiB are surely free")]
+    /// The weights do not fit beside everything that could be in memory.
+    #[error("the weights need {needed_mib} MiB, but only {free_mib} MiB are certainly free")]
     NoMemory {
-        /// What they need.
+        /// Memory that the weights need, in MiB.
         needed_mib: u64,
-        /// What is free.
+        /// Memory that is certainly free, in MiB.
         free_mib: u64,
     },
-    /// No configuration tells the size of the weights.
+    /// No configuration specifies the size of the weights.
     #[error("the size of the weights is not configured")]
     UnknownWeights,
-    /// An unload of the weights that was given earlier could still be carried out.
-    #[error("an earlier unload of the weights may still be carried out")]
+    /// An earlier unload order for the weights could still be executed.
+    #[error("an earlier unload order for the weights may still be executed")]
     UnloadMayAct,
-    /// The engine refused an order for the same weights a moment ago.
-    #[error("the engine refused an order for the same weights a moment ago")]
+    /// The engine recently rejected an order for the same weights.
+    #[error("the engine recently rejected an order for the same weights")]
     JustRefused,
-    /// The engine ignores numbers and the store can't be written.
+    /// The engine ignores numbers and the store cannot be written.
     #[error("the store is not reachable and the engine does not check order numbers")]
     StoreDown,
 }
--- a/crates/oatpier-placement/src/orders/track.rs
+++ b/crates/oatpier-placement/src/orders/track.rs
@@ -1,4 +1,4 @@
-//! One order on its way to a known end.
+//! Tracks one order until its outcome is known.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use super::{OrderOutcome, PollTicket};
 use crate::record::OrderIntent;
 
-/// After a refusal, how many retry delays pass before the same is begun again.
+/// Number of retry delays after a rejection before the same order may be started again.
 const REFUSED_DELAYS: u32 = 4;
 
-/// What an order is about: at most one for each has no known end.
+/// The object that an order changes. At most one order per subject has an unknown outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum OrderSubject {
     Weights(WeightsKey),
@@ -38,11 +38,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TrackPhase {
-    /// To be given, or given again.
+    /// To be sent, or sent again.
     Waiting,
-    /// Given; no answer yet.
+    /// Sent; no response yet.
     Sent,
-    /// The engine took it; polls asked from `since` on say what became of it.
+    /// Accepted by the engine. Polls from `since` on show the outcome.
     Taken { since: PollTicket },
 }
 
@@ -52,9 +52,9 @@
     pub(super) number: OrderNumber,
     pub(super) phase: TrackPhase,
     retry_at: ClockTime,
-    /// Whether a copy may be on its way whose answer is not known.
+    /// Whether a copy whose response is unknown may be in flight.
     doubtful: bool,
-    /// Whether the unload takes the place of a load whose end is not known.
+    /// Whether this is an unload that replaces a load with an unknown outcome.
     replaces: bool,
 }
 
@@ -109,7 +109,7 @@
         self.retry_at = at;
     }
 
-    /// What a poll asked at `ticket` says of this order.
+    /// Determines from the poll `ticket` whether this order is completed or has to be sent again.
     fn judge(&self, ticket: PollTicket, state: &EngineState) -> TrackEnd {
         if self.phase == TrackPhase::Sent {
             return TrackEnd::Open;
@@ -122,7 +122,7 @@
                 _ => TrackEnd::Open,
             },
             OrderAction::Unload { weights } => match state_of(state, weights) {
-                // A load that it replaces may not have arrived yet: only a taken unload ends it.
+                // The replaced load may not have arrived yet: only an accepted unload cancels it.
                 None if after_taken || !self.replaces => TrackEnd::Done,
                 Some(WeightsState::Loading | WeightsState::Ready) if after_taken => TrackEnd::Again,
                 _ => TrackEnd::Open,
@@ -134,7 +134,7 @@
     }
 }
 
-/// What is known of an order after a poll.
+/// Result of comparing an order with a polled state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TrackEnd {
     Open,
@@ -157,7 +157,7 @@
         outcome: OrderOutcome,
         now: ClockTime,
     ) {
-        // A late or doubled answer to an order that was answered already says nothing new.
+        // A delayed or duplicate response to an order that has its response already is ignored.
         if self
             .in_flight
             .as_ref()
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The engine refused this copy. If no other copy may be on its way, the order has ended.
+    /// Handles the rejection of one copy. If no other copy may be in flight, the order has ended.
     fn on_refused(&mut self, subject: &OrderSubject, now: ClockTime) {
         let doubtful = self.tracks.get(subject).is_some_and(|track| track.doubtful);
         if doubtful {
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The order has a known end: from here on the engine's word is charged.
+    /// Removes an order whose outcome is known. From then on, only what the engine reports is charged.
     fn finish(&mut self, subject: &OrderSubject) {
         self.tracks.shift_remove(subject);
         if let OrderSubject::Weights(weights) = subject {
@@ -242,7 +242,7 @@
             self.poll_open = None;
             self.poll_at = self.next_wake(now);
         }
-        // An answer that comes after a later poll's is older than what is known.
+        // A response that arrives after that of a later poll is outdated.
         if ticket <= self.poll_seen {
             return;
         }
@@ -253,7 +253,8 @@
         self.judge_tracks(ticket, state, now);
     }
 
-    /// An engine that checks numbers tells by its highest one which agent's orders it takes.
+    /// Derives from the highest accepted number whether this agent's epoch is current, where the
+    /// engine checks numbers.
     fn check_epoch(&mut self, ticket: PollTicket, state: &EngineState) {
         let (Some(own), Some(highest)) = (self.own_epoch(), state.highest) else {
             return;
--- a/crates/oatpier-placement/src/planner/baselines.rs
+++ b/crates/oatpier-placement/src/planner/baselines.rs
@@ -1,4 +1,4 @@
-//! Two simpler planners, to be compared with.
+//! Two baseline planners for comparison with the placement planner.
 
 use oatpier_types::clock::ClockTime;
 
@@ -8,17 +8,17 @@
 use super::versions::finish_plan;
 use super::{FleetPlanner, PlanOutcome, PlannerInput, PlannerSettings};
 
-/// Spreads all weights evenly over all endpoints once and never moves any.
+/// Planner that spreads all weights evenly over all endpoints once and never moves any.
 ///
-/// Whatever memory is left is filled with further replicas. It does not look at demand, at what
-/// lives or at what is held.
+/// Fills the remaining memory with further replicas. Ignores demand, the liveness of endpoints
+/// and the weights that they hold.
 #[derive(Debug, Clone, Default)]
 pub struct StaticPlanner {
     settings: PlannerSettings,
 }
 
 impl StaticPlanner {
-    /// A static planner.
+    /// Creates a static planner.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -49,7 +49,7 @@
     }
 }
 
-/// Adds one replica of each item where it fits; returns whether any did.
+/// Adds one replica of each item that fits. Returns whether any was added.
 fn spread_round(board: &mut FleetBoard) -> bool {
     let wish = SlotWish {
         limit: f64::INFINITY,
@@ -75,16 +75,17 @@
     any
 }
 
-/// Follows demand at once: as many replicas as it asks for now, no more and no fewer.
+/// Planner that follows demand immediately, with exactly as many replicas as the current rates
+/// require.
 ///
-/// No hysteresis, no horizon, no budget of moves.
+/// Has no hysteresis, no horizon and no limit on moves.
 #[derive(Debug, Clone)]
 pub struct GreedyPlanner {
     settings: PlannerSettings,
 }
 
 impl Default for GreedyPlanner {
-    /// Its high load is its own, so that the product's settings don't move what it is compared with.
+    /// Sets its own high load, so that changes to the default settings do not change the baseline.
     fn default() -> Self {
         let settings = PlannerSettings {
             high_load: 0.6,
@@ -95,7 +96,7 @@
 }
 
 impl GreedyPlanner {
-    /// A greedy planner.
+    /// Creates a greedy planner.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
--- a/crates/oatpier-placement/src/planner/board.rs
+++ b/crates/oatpier-placement/src/planner/board.rs
@@ -1,4 +1,4 @@
-//! The planner's working copy of the fleet: weights and endpoints as numbers.
+//! The planner's working copy of the fleet, with weights and endpoints as indices.
 
 use std::collections::HashMap;
 
@@ -12,7 +12,7 @@
 use super::{EndpointView, PlannerInput, PlannerSettings};
 use crate::demand::DemandRate;
 
-/// Weights that the configuration knows, in their present version.
+/// Configured weights in their current version.
 #[derive(Debug, Clone)]
 pub(super) struct BoardItem {
     pub(super) weights: WeightsKey,
@@ -20,13 +20,13 @@
     pub(super) base: Option<usize>,
     pub(super) adapters: Vec<usize>,
     pub(super) size_mib: u64,
-    /// The share of one endpoint's time that it takes in all.
+    /// Total load over all replicas, as a fraction of one endpoint's capacity.
     pub(super) load: f64,
     pub(super) requests: f64,
     pub(super) holders: SmallVec<[usize; 4]>,
 }
 
-/// An endpoint, with what the plan has it hold.
+/// An endpoint with the weights that the plan assigns to it.
 #[derive(Debug, Clone)]
 pub(super) struct BoardSlot {
     pub(super) endpoint: EndpointName,
@@ -37,26 +37,26 @@
     pub(super) used_mib: u64,
     pub(super) load: f64,
     pub(super) items: SmallVec<[usize; 8]>,
-    /// Ready now, in any version.
+    /// Items that are ready on the endpoint, in any version.
     pub(super) ready: SmallVec<[usize; 8]>,
     pub(super) alive: bool,
     pub(super) usable: bool,
 }
 
-/// The fleet while a plan is made.
+/// State of the fleet during a planning step.
 #[derive(Debug, Clone)]
 pub(super) struct FleetBoard {
     pub(super) items: Vec<BoardItem>,
     pub(super) slots: Vec<BoardSlot>,
     pub(super) by_pool: Vec<Vec<usize>>,
-    /// The item of each model and adapter, in the order of the configuration.
+    /// Item index of each model, in the order of the configuration.
     models: Vec<Option<usize>>,
     adapters: Vec<Option<usize>>,
     zones: Vec<ZoneName>,
 }
 
 impl FleetBoard {
-    /// A board where nothing is placed.
+    /// Creates a layout where nothing is placed.
     pub(super) fn new(input: &PlannerInput<'_>, settings: &PlannerSettings) -> Self {
         let pools: HashMap<&PoolName, usize> = input
             .config
@@ -82,7 +82,7 @@
         board
     }
 
-    /// Takes over the plan in force, or what is held where there is none.
+    /// Places the weights of the current plan, or those that are held where there is no plan.
     pub(super) fn start_from(&mut self, input: &PlannerInput<'_>) {
         for (index, view) in input.endpoints.iter().enumerate() {
             if !self.slots[index].alive {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The item of weights in whatever version.
+    /// Returns the item of weights, whatever their version.
     pub(super) fn item_of(&self, config: &FleetConfig, weights: &WeightsKey) -> Option<usize> {
         match &weights.adapter {
             None => self.models[config.models.get_index_of(&weights.model)?],
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Memory that placing an item on a slot takes: with its base model where that is missing.
+    /// Returns the memory needed to place an item on a slot, including its base model if the slot
+    /// lacks it, in MiB.
     pub(super) fn needed_mib(&self, item: usize, slot: usize) -> u64 {
         let base = self.items[item]
             .base
@@ -124,7 +125,7 @@
         self.items[item].size_mib + base
     }
 
-    /// Whether a slot can take an item.
+    /// Returns whether a slot has memory for an item that it does not hold yet.
     pub(super) fn fits(&self, item: usize, slot: usize) -> bool {
         let place = &self.slots[slot];
         place.used_mib + self.items[item].size_mib <= place.memory_mib
@@ -133,7 +134,7 @@
             && place.used_mib + self.needed_mib(item, slot) <= place.memory_mib
     }
 
-    /// Puts an item on a slot, with its base model.
+    /// Places an item on a slot, with its base model.
     pub(super) fn place(&mut self, item: usize, slot: usize) {
         if let Some(base) = self.items[item].base
             && !self.slots[slot].items.contains(&base)
@@ -147,7 +148,7 @@
         self.slots[slot].used_mib += self.items[item].size_mib;
     }
 
-    /// Takes an item off a slot, with the adapters on it.
+    /// Removes an item from a slot, with its adapters there.
     pub(super) fn remove(&mut self, item: usize, slot: usize) {
         for adapter in self.items[item].adapters.clone() {
             if self.slots[slot].items.contains(&adapter) {
@@ -161,8 +162,9 @@
         self.slots[slot].used_mib -= self.items[item].size_mib;
     }
 
-    /// What moving an item costs as a part of moving a model: loads cost by size, and an adapter
-    /// is a small part of its base.
+    /// Returns the cost of moving an item relative to moving a model.
+    ///
+    /// The cost of a load is proportional to the size: an adapter costs its fraction of its base model.
     pub(super) fn move_part(&self, item: usize) -> f64 {
         let base = self.items[item].base.map(|base| self.items[base].size_mib);
         base.map_or(1.0, |base| {
@@ -170,7 +172,7 @@
         })
     }
 
-    /// Whether an endpoint holds an item, in whatever version and state.
+    /// Returns whether an endpoint holds an item, in any version and state.
     pub(super) fn is_held(&self, item: usize, view: &EndpointView) -> bool {
         let wanted = &self.items[item].weights;
         view.held.iter().any(|held| {
@@ -178,7 +180,7 @@
         })
     }
 
-    /// Holders that take new work.
+    /// Returns the holders of an item that accept new requests.
     pub(super) fn usable_holders(&self, item: usize) -> impl Iterator<Item = usize> + '_ {
         self.items[item]
             .holders
@@ -187,7 +189,7 @@
             .filter(|slot| self.slots[*slot].usable)
     }
 
-    /// Whether an item stays ready somewhere else when a slot gives it up, adapters included.
+    /// Returns whether an item and its adapters on a slot are also ready on other usable slots.
     pub(super) fn is_spare(&self, item: usize, slot: usize) -> bool {
         let elsewhere = self
             .usable_holders(item)
@@ -200,9 +202,10 @@
                 .all(|adapter| self.is_spare(*adapter, slot))
     }
 
-    /// Shifts load off a slot to other holders of what it holds, as far as they have time for it:
-    /// requests go to the holder that is first free, not evenly to all. Returns whether the slot
-    /// is at or below `limit` then.
+    /// Shifts load from a slot to the other holders of its items, up to their `limit`. Returns whether
+    /// the slot is then at or below `limit`.
+    ///
+    /// Requests go to the holder that is available first, so the load need not be even.
     pub(super) fn level(&mut self, slot: usize, limit: f64) -> bool {
         for item in self.slots[slot].items.clone() {
             let mut movable = self.share_with(item, 0);
@@ -222,8 +225,9 @@
         self.slots[slot].load <= limit + f64::EPSILON
     }
 
-    /// Whether the other holders of an item have time for what a slot does of it. They need not
-    /// take equal parts: requests go to the holder that is first free.
+    /// Returns whether the other holders of an item can absorb a slot's load for it within `limit`.
+    ///
+    /// They need not absorb equal shares: requests go to the holder that is available first.
     pub(super) fn is_calm_without(&self, item: usize, slot: usize, limit: f64) -> bool {
         let slack: f64 = self
             .usable_holders(item)
@@ -233,7 +237,7 @@
         self.share_with(item, 0).min(self.slots[slot].load) <= slack
     }
 
-    /// The load that one more replica of an item would bring to a slot.
+    /// Returns the load of an item on each of its holders if `more` replicas are added.
     pub(super) fn share_with(&self, item: usize, more: usize) -> f64 {
         let holders = self.usable_holders(item).count() + more;
         self.items[item].load / f64::from(u32::try_from(holders.max(1)).unwrap_or(u32::MAX))
@@ -335,7 +339,8 @@
         })
     }
 
-    /// Slots keep the order of the views; one of an unknown pool is never usable.
+    /// Adds the slot of a view. Slots keep the order of the views; a slot of an unknown pool is never
+    /// usable.
     fn add_slot(
         &mut self,
         input: &PlannerInput<'_>,
@@ -380,7 +385,8 @@
     mib as f64
 }
 
-/// The row of an endpoint in a sorted plan. Mostly it stands where the endpoint's view does.
+/// Returns the row of an endpoint in a sorted plan. `place` is the index of the endpoint's view,
+/// which is usually also the index of its row.
 pub(super) fn row_of<'a>(
     rows: &'a [EndpointPlan],
     endpoint: &EndpointName,
--- a/crates/oatpier-placement/src/planner/emptying.rs
+++ b/crates/oatpier-placement/src/planner/emptying.rs
@@ -1,22 +1,23 @@
-//! Empties quiet endpoints, so that fewer accelerators are used.
+//! Empties endpoints with low load, so that fewer accelerators are used.
 //!
-//! A few at a time: what only one of them holds is loaded on endpoints in use first; what is ready
-//! elsewhere then leaves its row. Nothing is emptied in a pool that is short of memory or time.
+//! A few endpoints are emptied at a time. Weights that only one of them holds are first loaded on
+//! other endpoints in use; weights that are ready elsewhere are then removed from its row. No
+//! endpoint is emptied in a pool that lacks memory or is overloaded.
 
 use std::collections::HashSet;
 
 use super::placement::PlanStep;
 use super::seek::SlotWish;
 
-/// The part of the endpoints in use that is emptied in one round: one in so many.
+/// Number of endpoints in use for each endpoint that is emptied in one round.
 const EMPTY_PART: usize = 16;
-/// The most endpoints that are emptied in one round.
+/// Maximum number of endpoints that are emptied in one round.
 const EMPTY_AT_ONCE: usize = 32;
-/// How many endpoints are tried for each that is to be emptied.
+/// Number of candidates that are tried for each endpoint to be emptied.
 const EMPTY_TRIES: usize = 16;
-/// How many weights are sought a place for in one round: it bounds the time of a step.
+/// Maximum number of slot searches in one round. Bounds the run time of a step.
 const EMPTY_SEEKS: usize = 128;
-/// The part of an endpoint's time that emptying it is worth.
+/// Gain of emptying an endpoint, as a fraction of its capacity.
 const EMPTY_WORTH: f64 = 0.25;
 
 impl PlanStep<'_> {
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Removes what is ready elsewhere. Returns whether something is still to go.
+    /// Removes weights that are ready elsewhere from an endpoint that is being emptied. Returns
+    /// whether to continue in the next step.
     fn go_on_emptying(&mut self, slot: usize) -> bool {
         let place = &self.board.slots[slot];
         if !place.usable || place.load > self.settings().high_load {
@@ -51,7 +53,8 @@
         let coming = left
             .iter()
             .all(|item| self.board.usable_holders(*item).any(|other| other != slot));
-        // Demand may have come meanwhile to what is left: then another endpoint is tried.
+        // If demand for the remaining weights has increased in the meantime, they cannot leave. After
+        // the timeout another endpoint is tried.
         let patient = self.now.since(self.planner.emptied_at) < self.settings().empty_every * 4;
         !left.is_empty() && coming && patient
     }
@@ -61,14 +64,15 @@
         enough && self.board.is_spare(item, slot) && self.leaves_calm(item, slot)
     }
 
-    /// A model in use keeps two replicas.
+    /// Returns how many replicas of an item have to stay: a model in use keeps two.
     fn least_holders(&self, item: usize) -> usize {
         let paired = self.board.items[item].requests >= self.settings().pair_rate;
         if paired { 2 } else { 1 }
     }
 
     fn leaves_calm(&self, item: usize, slot: usize) -> bool {
-        // Between the two, so that noise does not fill an endpoint again that was just emptied.
+        // Midway between the low and the high load, so that noise in the demand does not refill an
+        // endpoint that was just emptied.
         let settings = self.settings();
         let limit = f64::midpoint(settings.low_load, settings.high_load);
         self.board.is_calm_without(item, slot, limit)
@@ -105,7 +109,8 @@
         }
     }
 
-    /// Pools where weights have no place, or an endpoint is overloaded and none is empty.
+    /// Returns the pools where weights have no replica, or where an endpoint is overloaded and none
+    /// is empty.
     fn strained_pools(&self) -> HashSet<usize> {
         let board = &self.board;
         let high = self.settings().high_load;
@@ -125,7 +130,7 @@
         lost.chain(full.map(|(pool, _)| pool)).collect()
     }
 
-    /// Whether all that a slot holds is ready there and has stood for a while.
+    /// Returns whether all weights of a slot are ready there and have passed the dwell time.
     fn is_settled(&self, slot: usize) -> bool {
         let place = &self.board.slots[slot];
         place
@@ -134,7 +139,7 @@
             .all(|item| place.ready.contains(item) && !self.dwells(*item, slot))
     }
 
-    /// What too few other endpoints hold.
+    /// Returns the items of a slot that need another replica before the slot can be emptied.
     fn singles(&self, slot: usize) -> Vec<usize> {
         self.board.slots[slot]
             .items
@@ -144,7 +149,8 @@
             .collect()
     }
 
-    /// Gives all that only this slot holds a place on slots in use; none of it if one has none.
+    /// Places a replica of each item that only this slot holds on other slots in use. If one of them
+    /// fits nowhere, none is placed.
     fn start_emptying(&mut self, slot: usize) -> bool {
         let singles = self.singles(slot);
         let loads = u32::try_from(singles.len()).unwrap_or(u32::MAX);
--- a/crates/oatpier-placement/src/planner/figures.rs
+++ b/crates/oatpier-placement/src/planner/figures.rs
@@ -1,4 +1,4 @@
-//! What demand means in shares of an endpoint's time.
+//! Converts demand rates into load, as a fraction of an endpoint's capacity.
 
 use oatpier_types::config::{PoolKind, PoolSpec};
 use oatpier_types::engine::WeightsKey;
@@ -7,12 +7,12 @@
 use super::PlannerInput;
 use crate::demand::{DemandKey, DemandRate};
 
-/// A generation step where none was measured, in microseconds.
+/// Default time of a generation step if no endpoint reports one, in microseconds.
 const USUAL_STEP_US: f64 = 5_000.0;
-/// The time of a prompt token where none was measured, in nanoseconds.
+/// Default time per prompt token if no endpoint reports one, in nanoseconds.
 const USUAL_PROMPT_NS: f64 = 100_000.0;
 
-/// What a pool's endpoints can do.
+/// Capacity and speed of one endpoint of a pool.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PoolFigures {
     pub(super) memory_mib: u64,
@@ -29,9 +29,11 @@
     input.demand.rate_of(&key)
 }
 
-/// The share of one endpoint's places that is taken on average: the rate times the time that a
-/// request keeps its place, by Little's law. Both times are measured while other requests run, so
-/// what these cost each other is in them already.
+/// Returns the average fraction of one endpoint's request slots in use.
+///
+/// By Little's law, this is the rate multiplied by the time that a request occupies its slot.
+/// Both times come from endpoints that run other requests concurrently, so they already include
+/// the mutual slowdown.
 pub(super) fn load_of(rate: DemandRate, figures: PoolFigures) -> f64 {
     let generating = rate.output_tokens * figures.step_s;
     let reading = rate.prompt_tokens * figures.prompt_s;
@@ -65,8 +67,10 @@
     }
 }
 
-/// The median of the figures that are known: one endpoint that was frozen tells of steps of
-/// seconds, and would have the whole pool taken for overloaded.
+/// Returns the median of the known values; 0 means unknown.
+///
+/// An endpoint that was suspended reports steps of seconds. With a mean, the whole pool would
+/// appear overloaded.
 fn median(figures: impl Iterator<Item = u32>) -> Option<f64> {
     let mut known: Vec<u32> = figures.filter(|figure| *figure > 0).collect();
     known.sort_unstable();
--- a/crates/oatpier-placement/src/planner/forecast.rs
+++ b/crates/oatpier-placement/src/planner/forecast.rs
@@ -1,4 +1,4 @@
-//! What a planned stop or a configuration would mean for reachability, before it happens.
+//! Checks how a planned stop or a configuration would affect reachability, before it is applied.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::{FleetConfig, PoolKind};
@@ -12,28 +12,28 @@
 };
 use crate::demand::DemandSummary;
 
-/// What a planned stop would cost.
+/// Effects of a planned stop.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StopForecast {
-    /// Weights that have to be ready elsewhere before the stop.
+    /// Weights that have to become ready elsewhere before the stop.
     pub replacements: Vec<WeightsKey>,
-    /// Weights that would not be reachable any more, as no memory is left for them.
+    /// Weights that would become unreachable because no endpoint has memory for them.
     pub unreachable: Vec<MemoryShortage>,
 }
 
-/// Weights that no endpoint has memory for.
+/// A memory shortage: weights that no endpoint has memory for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemoryShortage {
-    /// Which.
+    /// The weights.
     pub weights: WeightsKey,
-    /// What they need, with their base model where it is not there, in MiB.
+    /// Memory that the weights need, including their base model if they are an adapter, in MiB.
     pub needed_mib: u64,
-    /// The most that is left on one endpoint of their pool, in MiB.
+    /// Largest free memory of any endpoint in their pool, in MiB.
     pub largest_free_mib: u64,
 }
 
 impl PlacementPlanner {
-    /// What stopping these endpoints would cost. Changes nothing.
+    /// Returns the effects of stopping these endpoints, without changing the planner.
     #[must_use]
     pub fn forecast_stop(
         &self,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Weights that are ready on stopping endpoints alone.
+/// Returns the weights that are ready only on endpoints that stop.
 fn only_at(views: &[EndpointView], stopping: &[EndpointName]) -> Vec<WeightsKey> {
     let ready = |view: &EndpointView| -> Vec<WeightsKey> {
         view.held
@@ -81,11 +81,11 @@
     lost
 }
 
-/// Whether all models and adapters of a configuration find memory on its endpoints at once.
+/// Checks that all models and adapters of a configuration fit on its endpoints at the same time.
 ///
 /// # Errors
 ///
-/// Names what does not fit, and by how much.
+/// Returns the weights that do not fit, with the memory that they need and the largest that is free.
 pub fn check_reachable(config: &FleetConfig) -> Result<(), Vec<MemoryShortage>> {
     let views = empty_views(config);
     let input = PlannerInput {
@@ -123,7 +123,7 @@
         .collect()
 }
 
-/// All engine endpoints of a configuration, alive and empty, sorted by name.
+/// Returns views of all engine endpoints of a configuration, alive and empty, sorted by name.
 pub(super) fn empty_views(config: &FleetConfig) -> Vec<EndpointView> {
     let mut views: Vec<EndpointView> = config
         .pools
--- a/crates/oatpier-placement/src/planner/mod.rs
+++ b/crates/oatpier-placement/src/planner/mod.rs
@@ -1,7 +1,7 @@
-//! Which endpoint is to hold which weights.
+//! Planning of which endpoint holds which weights.
 //!
-//! [`PlacementPlanner`] is the product's planner. [`StaticPlanner`] and [`GreedyPlanner`] stand
-//! beside it to be compared with in benches.
+//! [`PlacementPlanner`] is the planner used in production. [`StaticPlanner`] and
+//! [`GreedyPlanner`] are baselines for benchmarks.
 
 mod baselines;
 mod board;
@@ -28,115 +28,114 @@
 pub use forecast::{MemoryShortage, StopForecast, check_reachable};
 pub use placement::PlacementPlanner;
 
-/// What the planner knows of one engine endpoint.
+/// The planner's view of one engine endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointView {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: EndpointName,
-    /// Its pool.
+    /// Pool of the endpoint.
     pub pool: PoolName,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneName,
-    /// Whether it serves, as far as membership knows.
+    /// Whether membership reports it as serving.
     pub alive: bool,
-    /// Whether it is leaving, or a planned stop names it.
+    /// Whether it is leaving, or a planned stop includes it.
     pub leaving: bool,
-    /// What it holds.
+    /// Weights that it holds.
     pub held: SmallVec<[HeldWeights; 8]>,
-    /// Its role.
+    /// Role of its engine.
     pub role: EngineRole,
-    /// Time to read one prompt token, in nanoseconds; 0: not known.
+    /// Time to process one prompt token, in nanoseconds; 0 if unknown.
     pub prompt_token_ns: u32,
-    /// Time of one generation step, in microseconds; 0: not known.
+    /// Time of one generation step, in microseconds; 0 if unknown.
     pub step_us: u32,
 }
 
-/// All that a plan depends on.
+/// Input of a planning step.
 #[derive(Clone, Copy)]
 pub struct PlannerInput<'a> {
-    /// The configuration in force.
+    /// The current configuration.
     pub config: &'a FleetConfig,
-    /// Its generation.
+    /// Generation of the configuration.
     pub generation: Generation,
-    /// The planner lease.
+    /// Term of the planner lease.
     pub term: Term,
     /// Demand of the whole fleet.
     pub demand: &'a DemandSummary,
-    /// All engine endpoints that are known, sorted by name.
+    /// All known engine endpoints, sorted by name.
     pub endpoints: &'a [EndpointView],
-    /// The plan in force, of whatever term.
+    /// The current plan, of any term.
     pub previous: Option<&'a PlacementPlan>,
 }
 
-/// What the plan could not do, or why it does more than demand asks.
+/// A requirement that the plan does not meet yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlanNote {
     /// No live endpoint has memory for these weights.
     Unplaced {
-        /// Which.
+        /// The weights.
         weights: WeightsKey,
-        /// What they need, with their base model where it is not there, in MiB.
+        /// Memory that the weights need, including their base model if they are an adapter, in MiB.
         needed_mib: u64,
-        /// The most that is free on one endpoint of their pool, in MiB.
+        /// Largest free memory of any endpoint in their pool, in MiB.
         largest_free_mib: u64,
     },
-    /// A change of version waits for another replica.
+    /// A version change waits for another replica.
     VersionWaits(WeightsKey),
-    /// Endpoints that carry more than they should, and no memory was found to relieve them.
+    /// The endpoint is above the high load, and no slot was found for a replica that reduces it.
     Overloaded(EndpointName),
 }
 
-/// A plan, and what is to be said of it.
+/// A plan with its statistics and notes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlanOutcome {
     /// The plan.
     pub plan: PlacementPlan,
-    /// Loads that it asks for beyond the plan in force.
+    /// Number of loads that it adds to the current plan.
     pub loads: u32,
-    /// Unloads that it asks for beyond the plan in force.
+    /// Number of unloads that it adds to the current plan.
     pub unloads: u32,
-    /// Endpoints that are to hold anything.
+    /// Number of endpoints that hold any weights.
     pub endpoints_used: u32,
-    /// Notes.
+    /// Requirements that the plan does not meet.
     pub notes: Vec<PlanNote>,
 }
 
-/// Makes plans.
+/// A placement planner.
 pub trait FleetPlanner {
-    /// The planner's name in reports.
+    /// Returns the planner's name in reports.
     fn name(&self) -> &'static str;
 
-    /// The next plan. Equal inputs in equal order give equal plans.
+    /// Returns the next plan. The same sequence of inputs gives the same sequence of plans.
     fn plan(&mut self, input: &PlannerInput<'_>, now: ClockTime) -> PlanOutcome;
 }
 
-/// How the planner weighs.
+/// Thresholds and costs of the planner.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannerSettings {
-    /// The share of an endpoint's time above which it is relieved.
+    /// Load of an endpoint above which replicas are added elsewhere, as a fraction of its capacity.
     pub high_load: f64,
-    /// The share of an endpoint's time below which all must stay when a replica goes. Well under
-    /// `high_load`, so that nothing is moved to and fro.
+    /// Load below which an endpoint may be emptied, and up to which its weights may be placed on other
+    /// endpoints. Well below `high_load`, so that weights do not move back and forth.
     pub low_load: f64,
-    /// The load that a model without demand is assumed to bring, so that not all quiet models
-    /// are packed on one endpoint.
+    /// Minimum load that is assumed for each model, so that models without demand are not all placed
+    /// on one endpoint.
     pub assumed_load: f64,
-    /// From this rate on, in requests a second, a model gets a second replica in memory that is
-    /// free on endpoints in use.
+    /// Rate in requests per second from which a model gets a second replica, if an endpoint in use
+    /// has free memory for it.
     pub fill_rate: f64,
-    /// From this rate on, in requests a second, a model keeps two replicas when an endpoint is
-    /// emptied.
+    /// Rate in requests per second from which a model keeps two replicas when an endpoint is emptied.
     pub pair_rate: f64,
-    /// Over which time a move has to pay.
+    /// Time within which the gain of a move must exceed its cost.
     pub horizon: Duration,
-    /// What a move costs, in seconds of one request's place at an endpoint.
+    /// Cost of a move, in seconds of one request slot of an endpoint.
     pub move_cost: f64,
-    /// How long a replica stays before it may go again.
+    /// Minimum time that an added replica stays.
     pub dwell: Duration,
-    /// The shortest time between two rounds in which endpoints are emptied.
+    /// Minimum time between two rounds in which endpoints are emptied.
     pub empty_every: Duration,
-    /// Loads that may be open beyond what reachability needs, as a multiple of the loads that
-    /// the weight store runs at full speed.
+    /// Maximum number of pending loads beyond those that reachability needs, as a multiple of the
+    /// loads that the weight store runs concurrently at full speed.
     pub open_loads: u32,
 }
 
--- a/crates/oatpier-placement/src/planner/placement.rs
+++ b/crates/oatpier-placement/src/planner/placement.rs
@@ -1,16 +1,18 @@
-//! The product's planner: reachability first, then attainment per accelerator, with few moves.
+//! The production planner: reachability first, then attainment per accelerator, with few moves.
 //!
-//! Each step starts from the plan in force and changes as little as it can:
+//! Each step starts from the current plan and changes as little as possible:
 //!
-//! 1. weights without a live replica are placed, with spare replicas evicted where needed;
-//! 2. endpoints above the high load are relieved by one more replica of what loads them most,
-//!    where that gains more over the horizon than it costs;
-//! 3. models in use get a second replica, in another availability zone if one has room, where
-//!    memory is free on endpoints in use;
-//! 4. a quiet endpoint is emptied, one at a time: what only it holds is loaded elsewhere first.
+//! 1. Weights without a live replica are placed; redundant replicas are evicted where needed.
+//! 2. Endpoints above the high load get relief: another replica of the weights that load them
+//!    most is added, if its gain over the horizon exceeds its cost.
+//! 3. Models in use get a second replica where endpoints in use have free memory, preferably in
+//!    another availability zone.
+//! 4. Endpoints with low load are emptied, a few per round. Weights that only such an endpoint
+//!    holds are loaded elsewhere first.
 //!
-//! A replica leaves the plan only while another is ready, and only when all that remain stay
-//! under the low load: this gap between high and low keeps weights from moving to and fro.
+//! A replica leaves the plan only while another is ready. An endpoint is emptied only if the
+//! others can absorb its load and stay well below the high load: the gap between the low and the
+//! high load keeps weights from moving back and forth.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -26,10 +28,10 @@
 use super::versions::{finish_plan, help_versions};
 use super::{FleetPlanner, PlanNote, PlanOutcome, PlannerInput, PlannerSettings};
 
-/// The most loads that one step adds beyond reachability: it bounds the time of a step.
+/// Maximum number of loads that one step adds beyond reachability. Bounds the run time of a step.
 const MOST_LOADS: u32 = 64;
 
-/// The product's planner. See the module's page.
+/// The production planner. See the [module documentation](self).
 #[derive(Debug, Clone)]
 pub struct PlacementPlanner {
     settings: PlannerSettings,
@@ -43,7 +45,7 @@
 }
 
 impl PlacementPlanner {
-    /// A planner that has made no plan yet.
+    /// Creates a planner without state from earlier steps.
     #[must_use]
     pub fn new(settings: PlannerSettings) -> Self {
         Self {
@@ -61,9 +63,11 @@
         &self.settings
     }
 
-    /// An endpoint that died comes back empty. What it held was placed elsewhere meanwhile: loading
-    /// it again would be a move without need. One that was only out of sight still holds its
-    /// weights, and its row stays.
+    /// Removes weights that an endpoint lost in a crash and that are ready elsewhere.
+    ///
+    /// A crashed endpoint returns empty, and its weights were placed elsewhere in the meantime:
+    /// loading them again would be an unnecessary move. An endpoint that was only unreachable still
+    /// holds its weights, and its row stays.
     fn keep_moved(&mut self, board: &mut FleetBoard, input: &PlannerInput<'_>) {
         let back = |slot: usize| {
             board.slots[slot].alive && self.away.contains(&input.endpoints[slot].endpoint)
@@ -81,7 +85,7 @@
         self.away = away.map(|view| view.endpoint.clone()).collect();
     }
 
-    /// Loads that may be added in this step, beyond those that reachability needs.
+    /// Returns how many loads this step may add beyond those that reachability needs.
     fn allowance(&mut self, store: WeightStoreSpec, open: u32, now: ClockTime) -> u32 {
         let at_once = store.full_speed_loads.max(1) * self.settings.open_loads.max(1);
         let rate = if store.loads_per_second > 0.0 {
@@ -139,7 +143,7 @@
     }
 }
 
-/// Replicas that are planned on live endpoints and not ready.
+/// Returns the number of replicas that are planned on usable endpoints and not ready.
 fn open_loads(board: &FleetBoard) -> u32 {
     let open: usize = board
         .slots
@@ -168,7 +172,7 @@
     pub(super) planner: &'a mut PlacementPlanner,
     pub(super) board: FleetBoard,
     pub(super) allowance: u32,
-    /// Loads of an endpoint that is emptied, beyond the allowance: later steps wait for them.
+    /// Loads beyond the allowance that emptying an endpoint needs. Deducted from later allowances.
     pub(super) debt: u32,
     pub(super) notes: Vec<PlanNote>,
     pub(super) now: ClockTime,
@@ -186,7 +190,7 @@
         self.planner.added.insert((endpoint, weights), self.now);
     }
 
-    /// Whether a replica was added a short while ago, so that it stays.
+    /// Returns whether a replica was added less than the dwell time ago, and so has to stay.
     pub(super) fn dwells(&self, item: usize, slot: usize) -> bool {
         let key = (
             self.board.slots[slot].endpoint.clone(),
@@ -195,7 +199,8 @@
         self.planner.added.contains_key(&key)
     }
 
-    /// Models first, the largest first: the small ones fit into what they leave.
+    /// Places weights without a usable replica: models before adapters, and the largest first, because
+    /// small ones fit into the remaining memory.
     fn place_unreachable(&mut self) {
         let mut lost: Vec<usize> = (0..self.board.items.len())
             .filter(|item| self.board.usable_holders(*item).next().is_none())
@@ -206,7 +211,7 @@
             order.then(self.board.by_size(*right, *left))
         });
         for item in lost {
-            // An adapter that was placed may have brought this base model along.
+            // Placing an adapter may have placed this base model too.
             if self.board.usable_holders(item).next().is_none() {
                 self.place_one(item);
             }
@@ -222,7 +227,8 @@
             spare_mib: 0,
             except: None,
         };
-        // With room for its adapters, else each of them would bring the base along elsewhere.
+        // Space for its adapters is required too. Otherwise each adapter would need another replica
+        // of the base model elsewhere.
         let roomy = SlotWish {
             spare_mib: self.lost_adapters_mib(item),
             ..wish
@@ -273,7 +279,7 @@
             let (left_load, right_load) = (self.load(*left), self.load(*right));
             right_load.total_cmp(&left_load).then(left.cmp(right))
         });
-        // What found no place once in a step finds none later in it: loads only grow.
+        // An item without a suitable slot cannot get one later in the same step: loads only grow.
         let mut stuck = HashSet::new();
         for slot in hot {
             while !self.board.level(slot, high) && self.allowance > 0 {
@@ -290,7 +296,7 @@
         self.board.slots[slot].load
     }
 
-    /// Adds a replica of the item that brings the most load to a slot, if that pays.
+    /// Adds a replica of the item that causes the most load on a slot, if its gain exceeds its cost.
     fn relieve_one(&mut self, slot: usize, stuck: &mut HashSet<usize>) -> bool {
         let settings = self.settings();
         let heaviest = self.board.slots[slot]
@@ -312,8 +318,8 @@
         if stuck.contains(&item) || !self.pays(excess, slot, 1.0) {
             return false;
         }
-        // What takes more than one endpoint needs several replicas before any is below the high
-        // load: each one still takes a part off the others.
+        // An item that needs more than one endpoint needs several replicas before any of them is
+        // below the high load. Until then, each new one still reduces the load of the others.
         let limit = settings.high_load.max(self.board.share_with(item, 1) * 1.1);
         let wish = SlotWish {
             limit,
@@ -332,15 +338,16 @@
         true
     }
 
-    /// What a share of an endpoint's time gains over the horizon, against the cost of moves.
+    /// Returns whether freeing a share of an endpoint's capacity over the horizon is worth the cost of
+    /// the moves.
     pub(super) fn pays(&self, share: f64, slot: usize, moves: f64) -> bool {
         let settings = self.settings();
         let places = f64::from(self.board.slots[slot].slots);
         share * places * settings.horizon.as_secs_f64() > settings.move_cost * moves
     }
 
-    /// Memory that is free on endpoints in use, then memory of replicas that are no longer needed,
-    /// and only then an endpoint more.
+    /// Finds a slot for a relief replica: in free memory of endpoints in use, then in memory of
+    /// replicas that are no longer needed, and only then on an empty endpoint.
     fn relief_slot(&mut self, item: usize, wish: SlotWish) -> Option<usize> {
         let used = self.board.seek_slot(item, wish);
         let used = used.or_else(|| self.make_room(item, wish.limit));
@@ -351,7 +358,7 @@
         used.or_else(|| self.board.seek_slot(item, empty))
     }
 
-    /// Takes spare replicas away that the others can do without.
+    /// Evicts redundant replicas whose load the other replicas can absorb.
     fn make_room(&mut self, item: usize, limit: f64) -> Option<usize> {
         let high = self.settings().high_load;
         let added = &self.planner.added;
--- a/crates/oatpier-placement/src/planner/seek.rs
+++ b/crates/oatpier-placement/src/planner/seek.rs
@@ -1,46 +1,47 @@
-//! Finds a slot for one more replica, and makes room for it.
+//! Finds a slot for an additional replica, and evicts or relocates other weights to make room.
 
 use std::cmp::Ordering;
 
 use super::board::FleetBoard;
 
-/// Loads that differ by less than this are alike.
+/// Quantization steps per unit of load. Loads within one step compare as equal.
 const LOAD_STEPS: f64 = 20.0;
-/// Replicas in this many availability zones are spread enough.
+/// Number of availability zones beyond which additional zones are not preferred.
 const ENOUGH_ZONES: usize = 3;
-/// How many slots are tried when weights have to be moved aside.
+/// Maximum number of slots that are tried when weights have to be relocated.
 const ASIDE_SLOTS: usize = 16;
 
-/// What a slot has to be.
+/// Conditions on the slot of a new replica.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SlotWish {
-    /// The load above which a slot is only taken if there is no other.
+    /// Load above which a slot is used only if there is no other.
     pub(super) limit: f64,
-    /// Whether a slot above the limit is taken at all.
+    /// Whether a slot above the limit may be used at all.
     pub(super) over_limit: bool,
-    /// Whether a slot that holds nothing is taken.
+    /// Whether a slot without weights may be used.
     pub(super) empty: bool,
-    /// Whether another availability zone than those of the present replicas is a must.
+    /// Whether the availability zone must differ from those of the existing replicas.
     pub(super) new_zone: bool,
-    /// Memory that is to stay free beside the item, in MiB.
+    /// Memory that must stay free beside the item, in MiB.
     pub(super) spare_mib: u64,
-    /// A slot that is not taken.
+    /// A slot that must not be used.
     pub(super) except: Option<usize>,
 }
 
-/// How good a slot is; lower is better.
+/// Score of a slot; lower is better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct SlotScore {
     over: bool,
-    /// The base model is missing, the slot is empty, the zone is taken: in this order. An
-    /// accelerator more costs attainment per accelerator all the time, a zone less only in a loss.
+    /// Whether the base model is missing, the slot is empty, and the zone already has a replica, in
+    /// this order. An additional accelerator lowers attainment per accelerator all the time; a
+    /// missing zone matters only when a zone fails.
     faults: [bool; 3],
     load: u32,
     tie: usize,
 }
 
 impl FleetBoard {
-    /// The best slot for one more replica.
+    /// Returns the best slot for an additional replica.
     pub(super) fn seek_slot(&self, item: usize, wish: SlotWish) -> Option<usize> {
         let share = self.share_with(item, 1);
         let mut zones: Vec<usize> = self
@@ -50,7 +51,7 @@
         if Self::is_spread(&zones) {
             zones.clear();
         }
-        // The cheap tests first: this runs for every slot of the pool.
+        // The cheap conditions come first, because this runs for every slot of the pool.
         self.by_pool[self.items[item].pool]
             .iter()
             .copied()
@@ -69,7 +70,8 @@
         place.usable && calm && used && Some(slot) != wish.except
     }
 
-    /// Whether replicas stand in as many availability zones as are worth an empty endpoint.
+    /// Returns whether replicas cover enough availability zones that another zone does not justify
+    /// using an empty endpoint.
     fn is_spread(zones: &[usize]) -> bool {
         let others = |index: usize| zones[..index].contains(&zones[index]);
         let distinct = (0..zones.len()).filter(|index| !others(*index)).count();
@@ -81,7 +83,7 @@
         place.used_mib + self.needed_mib(item, slot) + spare_mib <= place.memory_mib
     }
 
-    /// The slot with the most free memory.
+    /// Returns the slot that has the most free memory after the item is placed.
     pub(super) fn seek_even(&self, item: usize, wish: SlotWish) -> Option<usize> {
         self.by_pool[self.items[item].pool]
             .iter()
@@ -117,10 +119,10 @@
         }
     }
 
-    /// Removes spare replicas from the slot where the fewest have to go, and returns it.
+    /// Evicts redundant replicas from the slot that needs the fewest evictions, and returns the slot.
     ///
-    /// `may_go` says whether a replica may be removed at all, `limit` the load that the slot may
-    /// have with the item.
+    /// `may_go` returns whether a replica may be evicted. `limit` is the maximum load of the slot
+    /// including the item.
     pub(super) fn evict_for(
         &mut self,
         item: usize,
@@ -148,7 +150,8 @@
         Some(slot)
     }
 
-    /// The spare replicas whose removal makes room for an item, the largest first.
+    /// Returns the redundant replicas whose eviction makes room for an item, largest first; `None` if
+    /// they do not free enough memory.
     fn victims(
         &self,
         item: usize,
@@ -161,7 +164,7 @@
         if free >= needed {
             return Some(Vec::new());
         }
-        // Base models take their adapters along.
+        // Removing a base model also removes its adapters.
         let mut spare: Vec<usize> = place
             .items
             .iter()
@@ -188,9 +191,10 @@
         None
     }
 
-    /// Gives weights that stand in an item's way a second place, and returns whether it did.
+    /// Places a second replica of weights that occupy the memory an item needs. Returns whether it
+    /// found any.
     ///
-    /// Once they are ready there, the replica that stands in the way is spare.
+    /// Once the second replica is ready, the first one is redundant and can be evicted.
     pub(super) fn move_aside_for(&mut self, item: usize, wish: SlotWish) -> bool {
         let mut slots = self.by_pool[self.items[item].pool].clone();
         slots.retain(|slot| self.slots[*slot].usable);
@@ -236,7 +240,7 @@
     }
 }
 
-/// Loads in whole steps, so that nearly equal ones are ordered by what comes next.
+/// Quantizes a load, so that nearly equal loads are ordered by the next criterion.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/oatpier-placement/src/planner/versions.rs
+++ b/crates/oatpier-placement/src/planner/versions.rs
@@ -1,7 +1,8 @@
-//! Turns the board into a plan: which version each endpoint is to hold, and what changed.
+//! Turns the layout into a plan, with the version that each endpoint holds and the changes to the
+//! current plan.
 //!
-//! A change of version goes over the fleet a few replicas at a time. An endpoint that is not yet
-//! its turn keeps the version that it has in the plan.
+//! A version change is rolled out a few replicas at a time. The other endpoints keep their version
+//! in the plan until then.
 
 use std::collections::HashMap;
 
@@ -13,8 +14,8 @@
 use super::seek::SlotWish;
 use super::{EndpointView, PlanNote, PlanOutcome, PlannerInput};
 
-/// Gives weights a second replica where their only one can't hold both versions: the old one
-/// could not go before the new one is ready somewhere.
+/// Places a second replica of weights whose only endpoint lacks memory for both versions: the old
+/// version may not be unloaded before the new one is ready elsewhere.
 pub(super) fn help_versions(
     board: &mut FleetBoard,
     input: &PlannerInput<'_>,
@@ -46,7 +47,7 @@
     }
 }
 
-/// The version that an endpoint has ready, if it is not the present one and that one isn't there.
+/// Returns the outdated version that an endpoint has ready; `None` if it holds the current one.
 fn old_version(board: &FleetBoard, item: usize, view: &EndpointView) -> Option<WeightsKey> {
     let present = &board.items[item].weights;
     let same = |held: &&WeightsKey| held.model == present.model && held.adapter == present.adapter;
@@ -62,7 +63,7 @@
         .cloned()
 }
 
-/// The plan of a board, with the changes against the plan in force.
+/// Returns the plan of a layout, with the changes to the current plan.
 pub(super) fn finish_plan(
     board: &FleetBoard,
     input: &PlannerInput<'_>,
@@ -77,7 +78,7 @@
         if board.slots[index].alive {
             rows.push(row(board, index, view, previous, &mut turns));
         } else if let Some(previous) = previous {
-            // It may only be out of sight: nothing is torn down on its return.
+            // The endpoint may only be unreachable: keeping its row avoids unloads when it returns.
             rows.push(previous.clone());
         }
     }
@@ -85,10 +86,10 @@
     outcome(rows, input, notes)
 }
 
-/// Counts the replicas that change version at once.
+/// Limit on the replicas that change version at the same time.
 struct VersionTurns {
     left: u32,
-    /// Open changes of each weights; a second replica waits for the first.
+    /// Pending changes per weights. At most half of the replicas, and at least one, may change.
     open: HashMap<WeightsKey, u32>,
 }
 
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Whether one more replica may be in change.
+    /// Reserves a version change for one replica. Returns whether the limits allow it.
     fn take(&mut self, weights: &WeightsKey, holders: usize) -> bool {
         let at_once = u32::try_from(holders / 2).unwrap_or(u32::MAX).max(1);
         let open = self.open.entry(weights.clone()).or_default();
@@ -177,8 +178,8 @@
     }
 }
 
-/// Loads and unloads that the rows ask for beyond the plan in force, or beyond what is held
-/// where there is none.
+/// Counts the loads and unloads that the rows add to the current plan, or to the weights that are
+/// held where there is no plan.
 fn changes(rows: &[EndpointPlan], input: &PlannerInput<'_>) -> (u32, u32) {
     let mut loads = 0;
     let mut unloads = 0;
--- a/crates/oatpier-placement/src/rank.rs
+++ b/crates/oatpier-placement/src/rank.rs
@@ -1,17 +1,17 @@
-//! Rendezvous hashing: every process ranks the same endpoints in the same order without a word
-//! between them.
+//! Rendezvous hashing: all processes rank the same endpoints in the same order without
+//! communication.
 
 use oatpier_types::names::EndpointName;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How high an endpoint ranks for a subject; higher goes first.
+/// Returns the weight of an endpoint for a subject. Endpoints rank by descending weight.
 #[must_use]
 pub fn rank_weight(subject: &str, endpoint: &EndpointName) -> u64 {
     let seed = xxh3_64_with_seed(subject.as_bytes(), 0);
     xxh3_64_with_seed(endpoint.as_str().as_bytes(), seed)
 }
 
-/// The place of `endpoint` among `candidates` for a subject, from 0.
+/// Returns the rank of `endpoint` among `candidates` for a subject, starting at 0.
 #[must_use]
 pub fn rank_of<'a>(
     subject: &str,
--- a/crates/oatpier-placement/src/record.rs
+++ b/crates/oatpier-placement/src/record.rs
@@ -1,8 +1,9 @@
-//! The endpoint's value in the store: which agent may give orders, and what it is about to order.
+//! The endpoint's record in the store: which agent may issue orders, and the orders it may have
+//! issued.
 //!
-//! An agent takes the next epoch by compare-and-swap at its start. A lost answer is resolved by
-//! reading the value back: the boot id in it says whose write took effect. A write that comes
-//! late expects a revision that has passed, and has no effect.
+//! An agent acquires the next epoch by compare-and-swap when it starts. After a lost response it
+//! reads the record back: the boot ID in it shows whose write took effect. A delayed write expects
+//! an outdated revision and has no effect.
 
 use std::time::Duration;
 
@@ -13,49 +14,50 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long to wait after the store did not take a call.
+/// Initial delay after a failed store call.
 const STORE_RETRY: Duration = Duration::from_secs(1);
-/// The longest wait between two tries during an outage.
+/// Maximum delay between two store calls during an outage, before jitter.
 const STORE_RETRY_MAX: Duration = Duration::from_secs(16);
 
-/// The parts that the spread of a wait is counted in.
+/// Number of distinct jitter values.
 const SPREAD_PARTS: u64 = 1_000;
 
-/// How long after the store was asked its word on this agent's epoch counts.
+/// How long a store call that finds this agent's epoch current confirms it, counted from when the
+/// call was made.
 ///
-/// An agent that was paused could send an order long after a successor has settled it. With this
-/// bound it reads the record first, and finds the successor's boot id there.
+/// Without this bound, an agent that was suspended could send an order long after a successor has
+/// completed it. With it, the agent first reads the record and finds the successor's boot ID there.
 pub const CONFIRM_SPAN: Duration = Duration::from_secs(10);
 
-/// The key of an endpoint's record in the store.
+/// Returns the key of an endpoint's record in the store.
 #[must_use]
 pub fn record_key(endpoint: &EndpointName) -> String {
     format!("epoch/{endpoint}")
 }
 
-/// An order that may have been given.
+/// An order that may have been sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct OrderIntent {
-    /// Its number.
+    /// The number of the order.
     pub number: OrderNumber,
-    /// What it asks.
+    /// The action of the order.
     pub action: OrderAction,
 }
 
-/// An endpoint's value in the store.
+/// The value of an endpoint in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// The epoch of the agent that may give orders.
+    /// The epoch of the agent that may issue orders.
     pub epoch: Epoch,
-    /// The start of that agent.
+    /// The boot ID of that agent.
     pub boot: BootId,
-    /// Orders that may be on their way, where the engine ignores numbers.
+    /// Orders that may be in flight, where the engine ignores numbers.
     pub intents: Vec<OrderIntent>,
 }
 
-/// A record with the revision that its write made.
+/// A record with its revision in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRecord {
     /// The record.
@@ -64,47 +66,47 @@
     pub revision: Revision,
 }
 
-/// A call to the store that the agent is to make now.
+/// A call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordCall {
     /// Read the record.
     Read,
-    /// Write the record if the key is still at `expected`; none: if it is absent.
+    /// Write the record if the key is at revision `expected`, or is absent if that is `None`.
     Write {
         /// The new record.
         record: EndpointRecord,
-        /// What is to be there.
+        /// The expected revision.
         expected: Option<Revision>,
     },
 }
 
-/// How the call ended.
+/// Result of a store call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordAnswer {
-    /// What a read found.
+    /// The record that a read found.
     Found(Option<StoredRecord>),
     /// The write took effect.
     Written(Revision),
-    /// Another write came first.
+    /// The key was not at the expected revision, because another write took effect first.
     Conflict,
-    /// The store did not take the call.
+    /// The store did not accept the call.
     Unavailable,
-    /// No answer came: the write may have taken effect, or still may.
+    /// No response arrived: the write may have taken effect, or may still do so.
     AnswerLost,
 }
 
-/// Where the agent stands with its epoch.
+/// State of the agent's epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EpochState {
-    /// Not yet taken: no orders.
+    /// Not acquired yet: the agent may not send orders.
     Taking,
-    /// Taken: orders may be given.
+    /// Acquired: the agent may send orders.
     Taken(Epoch),
-    /// A later agent has taken the endpoint: no orders, ever.
+    /// A later agent has acquired the endpoint: the agent may never send orders again.
     Superseded,
 }
 
-/// Takes the epoch, then keeps the intents written.
+/// Keeper of the endpoint's record: acquires the epoch, then writes the intents.
 #[derive(Debug, Clone)]
 pub struct RecordKeeper {
     boot: BootId,
@@ -124,7 +126,7 @@
 }
 
 impl RecordKeeper {
-    /// A keeper for one start of an agent.
+    /// Creates a keeper for one start of an agent.
     #[must_use]
     pub fn new(boot: BootId) -> Self {
         Self {
@@ -145,24 +147,24 @@
         }
     }
 
-    /// Where the agent stands with its epoch.
+    /// Returns the state of the agent's epoch.
     #[must_use]
     pub fn state(&self) -> EpochState {
         self.state
     }
 
-    /// The engine has taken an order of a later epoch: this agent gives no more.
+    /// Stops this agent from sending orders, because the engine has accepted one of a later epoch.
     pub fn supersede(&mut self) {
         self.state = EpochState::Superseded;
     }
 
-    /// Whether the store took the last call.
+    /// Returns whether the store accepted the last call.
     #[must_use]
     pub fn store_up(&self) -> bool {
         self.failures == 0
     }
 
-    /// Whether an intent is surely in the store, and this agent's epoch still was in force
+    /// Returns whether an intent is certainly in the store, and this agent's epoch was confirmed
     /// within the last [`CONFIRM_SPAN`].
     #[must_use]
     pub fn is_written(&self, number: OrderNumber, now: ClockTime) -> bool {
@@ -173,17 +175,17 @@
         self.fresh && present && self.is_confirmed(now)
     }
 
-    /// The intents of former agents; empties the list.
+    /// Removes and returns the intents of earlier agents.
     pub fn take_inherited(&mut self) -> Vec<OrderIntent> {
         std::mem::take(&mut self.inherited)
     }
 
-    /// The call to make now, if any. One at a time: its answer goes to
+    /// Returns the call to make now, if any. Only one call is made at a time; its result goes to
     /// [`RecordKeeper::on_answer`].
     ///
-    /// `wanted` are the intents that are to stand in the record. Intents that no longer need to
-    /// be there go with the next write that is needed anyway. `sending` says that one of them
-    /// waits to be sent, so that an old confirmation is renewed.
+    /// `wanted` are the intents that have to be in the record. Obsolete intents are removed only by
+    /// the next write that is needed for another reason. `sending` means that an order of one of the
+    /// intents is due to be sent, so that an expired confirmation has to be renewed.
     pub fn next_call(
         &mut self,
         wanted: &[OrderIntent],
@@ -197,7 +199,8 @@
         let renew = sending && !self.is_confirmed(now);
         let taken = matches!(self.state, EpochState::Taken(_));
         let write = self.next_record(wanted).filter(|_| self.fresh);
-        // After an outage a read tells that the store is back, also when nothing waits.
+        // After a failure a read detects that the store is available again, even if nothing is
+        // pending.
         let unsure = !self.fresh || self.failures > 0;
         let read = unsure || (taken && (renew || self.confirm_after.is_some()));
         if write.is_none() && !read {
@@ -214,7 +217,7 @@
         Some(RecordCall::Write { record, expected })
     }
 
-    /// Takes the answer of the last call.
+    /// Processes the result of the last call.
     pub fn on_answer(&mut self, answer: RecordAnswer, now: ClockTime) {
         self.reading = false;
         let pending = self.pending.take();
@@ -233,18 +236,19 @@
         }
     }
 
-    /// Calls so far; a later one that finds this agent's epoch in force confirms it.
+    /// Returns the number of calls so far. A later call that finds this agent's epoch current confirms
+    /// it.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.calls
     }
 
-    /// Asks for a call that confirms the epoch.
+    /// Requests a call that confirms the epoch.
     pub fn want_confirmation(&mut self) {
         self.confirm_after = Some(self.calls);
     }
 
-    /// Whether a call asked after the first `calls` ones found this agent's epoch in force.
+    /// Returns whether a call after the first `calls` ones found this agent's epoch current.
     #[must_use]
     pub fn confirmed_after(&self, calls: u64) -> bool {
         matches!(self.state, EpochState::Taken(_)) && self.confirmed_call > calls
@@ -292,7 +296,7 @@
         self.stored = stored;
         match (self.state, own) {
             (EpochState::Taking, Some(epoch)) => self.take(epoch),
-            // Another boot id where ours stood: a successor has the endpoint.
+            // The record has the boot ID of another agent: a successor controls the endpoint.
             (EpochState::Taken(_), None) => self.state = EpochState::Superseded,
             _ => {}
         }
@@ -322,8 +326,10 @@
         self.retry_at = now + wait.min(STORE_RETRY_MAX).mul_f64(self.spread());
     }
 
-    /// Between a half and one and a half, different for each agent and try: a store that returns
-    /// is not met by all at once, even where all started at once.
+    /// Returns a jitter factor between 0.5 and 1.5 that differs for each agent and retry.
+    ///
+    /// It keeps agents from calling a recovered store all at once, even if they started at the same
+    /// time.
     fn spread(&self) -> f64 {
         let hash = xxh3_64_with_seed(&self.boot.0.to_le_bytes(), u64::from(self.failures));
         let parts = u32::try_from(hash % SPREAD_PARTS).unwrap_or_default();
--- a/crates/oatpier-placement/src/release.rs
+++ b/crates/oatpier-placement/src/release.rs
@@ -1,20 +1,22 @@
-//! Who may unload weights that callers rely on.
+//! Agreement between replicas on which of them may unload weights.
 //!
-//! Two agents that each see the other's replica could both unload theirs, and the model would be
-//! gone. So an agent asks another holder before it unloads, and a holder that asks, or unloads,
-//! refuses all that ask it.
+//! Two agents that each see the other's replica could both unload theirs, which would make the
+//! model unavailable. So an agent asks another holder before it unloads. A holder that has itself
+//! asked for a release, or is unloading, denies all requests.
 //!
-//! Why this is enough: take all replicas that are ever unloaded, and of these the one that was
-//! granted last. Its granter was ready and was not asking then. Had the granter been unloaded
-//! later, its own grant would have been later still. So the granter's replica is there. No clock
-//! and no view of who holds what takes part in this: a stale view costs a refusal, never a
-//! replica. An agent that starts anew grants nothing before its engine refuses the former
-//! agent's orders, or the former agent's intents are finished.
+//! Proof of safety: consider all replicas that are ever unloaded, and among them the one whose
+//! release was granted last. Its granter had the weights ready and was not asking for a release at
+//! that time. If the granter's replica had been unloaded later, its own release would have been
+//! granted later still, which is a contradiction. So the granter's replica still exists. The proof
+//! depends on no clock and on no view of which endpoint holds which weights: a stale view can
+//! cause a denial, but never the loss of a replica. A restarted agent grants nothing until its
+//! engine rejects the orders of the earlier agent, or the intents of that agent are completed.
 //!
-//! An agent may have been followed by another without knowing it, and the other may be unloading
-//! what the first still believes to be firm. So an ask is granted only after a proof, asked for
-//! when the ask was there, that the agent's epoch is in force. A later agent asks for releases
-//! only once its own epoch is, and whoever asked the first one refuses the later one.
+//! An agent may have been superseded without having learned it, and its successor may be unloading
+//! weights that the first agent still considers stable. So an ask is granted only after a proof
+//! that the agent's epoch is current, requested after the ask arrived. A successor asks for
+//! releases only once its own epoch is current, and the agent whose ask its predecessor granted
+//! denies the successor's ask.
 
 use std::time::Duration;
 
@@ -29,50 +31,51 @@
 
 use crate::orders::{OrderKeeper, ProofMark};
 
-/// How long an unanswered ask stands.
+/// Timeout of an ask without a response.
 const ASK_TIMEOUT: Duration = Duration::from_secs(2);
-/// The shortest wait after a refusal.
+/// Minimum delay after a denial.
 const RETRY_FLOOR: Duration = Duration::from_millis(200);
-/// The longest wait after a refusal. Drawn at random, so that two holders which refused each
-/// other don't meet again and again.
+/// Maximum delay after a denial. The delay is random, so that two holders that denied each other
+/// do not collide repeatedly.
 const RETRY_CEILING: Duration = Duration::from_secs(2);
 
-/// An agent asks another holder whether it may unload.
+/// Request of an agent to another holder for permission to unload.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ReleaseAsk {
-    /// Who asks.
+    /// Endpoint of the agent that asks.
     pub endpoint: EndpointName,
-    /// The start of the agent that asks.
+    /// Boot ID of the agent that asks.
     pub boot: BootId,
-    /// Counts up by one with each ask of that start.
+    /// Sequence number of the ask; increases by one with each ask of that boot ID.
     pub sequence: u64,
-    /// What it would unload.
+    /// Weights to unload.
     pub weights: WeightsKey,
-    /// What the granter must have ready: these weights, or their present version.
+    /// Weights that the granter must have ready: the same ones, their current version, or another
+    /// version that serves callers meanwhile.
     pub keep: WeightsKey,
 }
 
-/// The answer to an ask.
+/// Response to an ask.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ReleaseAnswer {
-    /// The start of the agent that asked.
+    /// Boot ID of the agent that asked.
     pub boot: BootId,
-    /// The sequence of the ask.
+    /// Sequence number of the ask.
     pub sequence: u64,
-    /// Whether it may unload.
+    /// Whether the agent may unload.
     pub granted: bool,
 }
 
-/// Where an agent stands with weights that it wants to unload.
+/// State of the release of one agent's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseState {
-    /// It does not want to, or waits to ask again.
+    /// Not requested, or waiting before the next ask.
     None,
-    /// It has asked.
+    /// An ask is pending.
     Asking,
-    /// It may.
+    /// The agent may unload the weights.
     Granted,
 }
 
@@ -83,7 +86,7 @@
     until: ClockTime,
 }
 
-/// Asks for releases and answers others' asks, for one agent.
+/// Release protocol of one agent: asks for releases and responds to the asks of other agents.
 #[derive(Debug, Clone)]
 pub struct ReleaseKeeper {
     endpoint: EndpointName,
@@ -94,7 +97,7 @@
     random: ChaCha8Rng,
 }
 
-/// Another agent's ask that waits for the proof.
+/// Another agent's ask that waits for a proof of the epoch.
 #[derive(Debug, Clone)]
 struct PendingAsk {
     ask: ReleaseAsk,
@@ -102,17 +105,17 @@
     until: ClockTime,
 }
 
-/// An answer on its way to the agent that asked.
+/// An answer to send to the agent that asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseReply {
-    /// Whose agent asked.
+    /// Endpoint of the agent that asked.
     pub to: EndpointName,
     /// The answer.
     pub answer: ReleaseAnswer,
 }
 
 impl ReleaseKeeper {
-    /// A keeper for one start of an agent.
+    /// Creates a keeper for one start of an agent.
     #[must_use]
     pub fn new(endpoint: EndpointName, boot: BootId, seed: u64) -> Self {
         Self {
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Where the agent stands with these weights.
+    /// Returns the release state of these weights.
     #[must_use]
     pub fn state(&self, weights: &WeightsKey) -> ReleaseState {
         self.entries
@@ -133,13 +136,14 @@
             .map_or(ReleaseState::None, |entry| entry.state)
     }
 
-    /// Whether it asks for, or has, the release of these weights.
+    /// Returns whether the release of these weights is requested or granted.
     #[must_use]
     pub fn is_releasing(&self, weights: &WeightsKey) -> bool {
         self.state(weights) != ReleaseState::None
     }
 
-    /// Whether an ask may be sent now (the wait after a refusal is over).
+    /// Returns whether an ask may be sent now: the release is not granted, and the timeout of the last
+    /// ask or the delay after a denial has passed.
     #[must_use]
     pub fn may_ask(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         match self.entries.get(weights) {
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Starts to ask. From here on the agent refuses others, until the release ends.
+    /// Creates an ask. The agent denies other agents' asks for these weights until the release ends.
     pub fn ask(&mut self, weights: &WeightsKey, keep: &WeightsKey, now: ClockTime) -> ReleaseAsk {
         self.sequence += 1;
         let entry = ReleaseEntry {
@@ -166,8 +170,8 @@
         }
     }
 
-    /// Grants a release without an ask: other weights on this same endpoint keep the name
-    /// served, or the name is no longer configured.
+    /// Grants a release without an ask: other weights on this endpoint keep the model or adapter
+    /// served, or it is no longer configured.
     pub fn grant_own(&mut self, weights: &WeightsKey) {
         let entry = ReleaseEntry {
             state: ReleaseState::Granted,
@@ -177,7 +181,7 @@
         self.entries.insert(weights.clone(), entry);
     }
 
-    /// Takes an answer. One to an ask that was given up, or to a former agent, is ignored.
+    /// Processes an answer. Ignores answers to expired asks and to asks of an earlier agent.
     pub fn on_answer(&mut self, answer: ReleaseAnswer, now: ClockTime) {
         if answer.boot != self.boot {
             return;
@@ -198,7 +202,7 @@
         }
     }
 
-    /// Gives up asks that got no answer. A grant that comes later is ignored.
+    /// Expires asks without an answer. A grant that arrives later is ignored.
     pub fn expire(&mut self, now: ClockTime) {
         let wait = self.random.random_range(RETRY_FLOOR..RETRY_CEILING);
         for entry in self.entries.values_mut() {
@@ -209,23 +213,23 @@
         }
     }
 
-    /// Ends a release: the weights are gone, or are to stay.
+    /// Ends a release, because the weights are unloaded or have to stay.
     ///
-    /// Only where no unload order for them could still act.
+    /// Must not be called while an unload order for the weights could still be executed.
     pub fn end(&mut self, weights: &WeightsKey) {
         self.entries.shift_remove(weights);
     }
 
-    /// Takes another agent's ask. The reply comes from [`ReleaseKeeper::replies`].
+    /// Processes another agent's ask. [`ReleaseKeeper::replies`] returns the reply.
     pub fn on_ask(&mut self, ask: ReleaseAsk, keeper: &mut OrderKeeper, now: ClockTime) {
         let mark = keeper.want_proof(now);
         let until = now + ASK_TIMEOUT;
         self.asked.push(PendingAsk { ask, mark, until });
     }
 
-    /// The replies that can be given now: refusals at once, grants after the proof.
+    /// Returns the replies that can be sent now: denials immediately, grants after the proof.
     ///
-    /// An ask whose proof does not come in time gets none: whoever asked has given it up.
+    /// An ask whose proof does not arrive in time gets no reply: it has expired at its sender.
     #[must_use]
     pub fn replies(&mut self, keeper: &OrderKeeper, now: ClockTime) -> Vec<ReleaseReply> {
         self.asked.retain(|pending| now < pending.until);
@@ -256,7 +260,7 @@
             && keeper.is_firm(&ask.keep, now)
     }
 
-    /// All weights whose release is asked for or granted.
+    /// Returns all weights whose release is requested or granted.
     pub fn releasing(&self) -> impl Iterator<Item = &WeightsKey> {
         self.entries
             .iter()
@@ -264,7 +268,8 @@
             .map(|(weights, _)| weights)
     }
 
-    /// Which of several holders to ask next: another one after each refusal.
+    /// Returns the index of the holder to ask next. It changes with each ask, so that another holder
+    /// is asked after a denial.
     #[must_use]
     pub fn turn(&self, holders: usize) -> usize {
         let sequence = usize::try_from(self.sequence).unwrap_or_default();
--- a/crates/oatpier-placement/src/repair.rs
+++ b/crates/oatpier-placement/src/repair.rs
@@ -1,8 +1,9 @@
-//! Keeps models reachable without a planner and without the store.
+//! Keeps models reachable without the planner and the store.
 //!
-//! Every agent ranks the endpoints for a model that has no live replica by rendezvous hashing,
-//! and takes its turn after a delay by rank. Whoever could load it does; the others see it ready
-//! and leave it. Two that load it at once cost a move, no promise.
+//! Every agent ranks the endpoints for a model that has no live replica by rendezvous hashing, and
+//! loads the model after a delay that grows with its own rank. Agents that see it ready elsewhere
+//! do not load it. If two agents load it at the same time, this costs an unnecessary move but
+//! violates no guarantee.
 
 use std::time::Duration;
 
@@ -18,13 +19,13 @@
 use crate::rank::rank_of;
 use crate::steps::ReplicaCount;
 
-/// When repair starts.
+/// Delays before repair starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RepairSettings {
-    /// How long a model is without a live replica before the first endpoint takes it. Longer than
-    /// a flap of membership; shorter than a planner's change of hands.
+    /// How long a model has no live replica before the first endpoint loads it. Longer than a flap of
+    /// membership; shorter than a planner failover.
     pub patience: Duration,
-    /// The time that each rank waits longer: about a load.
+    /// Additional delay per rank: about the time of a load.
     pub turn: Duration,
 }
 
@@ -37,11 +38,11 @@
     }
 }
 
-/// What membership knows of the pool.
+/// Membership's view of the pool.
 pub struct RepairInput<'a> {
-    /// The configuration in force.
+    /// The current configuration.
     pub config: &'a FleetConfig,
-    /// Live endpoints of this endpoint's pool, this one included.
+    /// Live endpoints of this endpoint's pool, including this one.
     pub live: &'a [EndpointName],
     /// Other ready replicas.
     pub replicas: &'a dyn ReplicaCount,
@@ -49,7 +50,7 @@
     pub plan: Option<&'a EndpointPlan>,
 }
 
-/// Decides which weights this endpoint takes on to keep them reachable.
+/// Repair state of one endpoint: the weights that it loads to keep them reachable.
 #[derive(Debug, Clone)]
 pub struct RepairKeeper {
     settings: RepairSettings,
@@ -60,7 +61,7 @@
 }
 
 impl RepairKeeper {
-    /// A keeper for one endpoint.
+    /// Creates a keeper for one endpoint.
     #[must_use]
     pub fn new(settings: RepairSettings, endpoint: EndpointName, pool: PoolName) -> Self {
         Self {
@@ -72,15 +73,16 @@
         }
     }
 
-    /// Weights that this endpoint has taken on.
+    /// Returns the weights that this endpoint holds for repair.
     pub fn taken(&self) -> impl Iterator<Item = &WeightsKey> {
         self.taken.keys()
     }
 
-    /// The row to carry out: the plan's, with what repair adds and without what makes room.
+    /// Returns the row to apply: the plan's row with the weights that repair adds, without the
+    /// replicas that are removed to make room.
     ///
-    /// Without a plan, what is held stays. Hand it to [`crate::steps::MoveStepper`], which still
-    /// asks for a release before anything goes.
+    /// Without a plan, weights that are ready stay. The row is input for
+    /// [`crate::steps::MoveStepper`], which still asks for a release before it unloads any weights.
     pub fn repaired_row(
         &mut self,
         input: &RepairInput<'_>,
@@ -119,7 +121,7 @@
         }
     }
 
-    /// What the plan has taken over, or another endpoint serves, need not be kept by repair.
+    /// Ends the repair of weights that the plan includes or another endpoint serves.
     fn end_taken(&mut self, input: &RepairInput<'_>, row: &EndpointPlan) {
         self.taken.retain(|weights, _| {
             let planned = input.plan.is_some() && row.weights.contains(weights);
@@ -143,7 +145,8 @@
     }
 }
 
-/// An adapter is repaired where its base model is: both are ranked by the base model's name.
+/// Returns the rendezvous hashing subject of weights. An adapter is repaired on the same endpoint
+/// as its base model, so both are ranked by the base model's name.
 fn subject_of(weights: &WeightsKey) -> &str {
     weights.model.as_str()
 }
@@ -177,7 +180,8 @@
     models.chain(adapters)
 }
 
-/// Any version that is ready serves callers: a change of version is no loss.
+/// Returns whether any version of the weights is ready. Any version serves callers, so a version
+/// change needs no repair.
 fn is_served(weights: &WeightsKey, input: &RepairInput<'_>, keeper: &OrderKeeper) -> bool {
     let here = keeper
         .ledger()
@@ -187,7 +191,7 @@
         || !input.replicas.other_versions(weights).is_empty()
 }
 
-/// Drops extra replicas from the row, those of the largest first, until the rest fits.
+/// Removes redundant replicas from the row, largest first, until the rest fits.
 fn make_room(
     row: &mut EndpointPlan,
     input: &RepairInput<'_>,
@@ -212,7 +216,8 @@
     }
 }
 
-/// Nothing may go: what repair would add and does not fit is left to the next rank.
+/// Removes repair weights that do not fit when no other weights may be removed. The endpoint of the
+/// next rank loads them.
 fn drop_taken(
     row: &mut EndpointPlan,
     input: &RepairInput<'_>,
--- a/crates/oatpier-placement/src/steps/mod.rs
+++ b/crates/oatpier-placement/src/steps/mod.rs
@@ -1,16 +1,16 @@
-//! From the plan's row to the next safe step.
+//! Finds the next safe step towards the plan's row.
 //!
-//! The stepper looks at what the engine holds and what the plan wants, and gives one step at a
-//! time:
+//! The stepper compares the weights that the engine holds with the plan's row, and returns one
+//! step at a time:
 //!
-//! 1. what is wanted and fits is loaded, a base model before its adapters;
-//! 2. what is not wanted is unloaded, adapters before their base model, and only once whatever
-//!    takes its place is ready, or when memory is short;
-//! 3. before an unload: release (see [`crate::release`]), then drain, then the order.
+//! 1. Planned weights that fit are loaded, a base model before its adapters.
+//! 2. Weights that are not planned are unloaded, adapters before their base model, and only once
+//!    their replacement is ready, or when memory is short.
+//! 3. An unload needs a release first (see [`crate::release`]), then a drain, then the order.
 //!
-//! A change of version thus is: load the new one beside the old one, both charged; drain the old
-//! one; unload it. Where both don't fit, the old one is released by another holder first, and
-//! goes before the new one comes.
+//! A version change therefore loads the new version beside the old one, with both charged, then
+//! drains the old one and unloads it. Where both do not fit, another holder releases the old
+//! version first, and it is unloaded before the new one is loaded.
 
 mod work;
 
@@ -28,102 +28,103 @@
 use crate::release::{ReleaseAsk, ReleaseKeeper};
 use work::{StepWork, is_wanted};
 
-/// How many orders an agent brings to their end at once.
+/// Maximum number of orders with an unknown outcome per agent.
 const MAX_MOVING: usize = 2;
 
-/// How long an idle agent waits before it looks again.
+/// Interval at which an idle agent checks for a next step.
 pub const STEP_EVERY: Duration = Duration::from_millis(200);
 
-/// What membership knows of other replicas.
+/// Membership's view of other replicas.
 pub trait ReplicaCount {
-    /// Other live endpoints that have these weights ready, the best to ask first. May be stale:
-    /// the release decides.
+    /// Returns other live endpoints that have these weights ready, the preferred one to ask first. May
+    /// be stale: the release protocol decides.
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]>;
 
-    /// Other versions of these weights that are ready on other live endpoints. Callers are served
-    /// by any version; without this, replicas that all have different old ones would wait for
-    /// each other where memory does not hold two.
+    /// Returns other versions of these weights that are ready on other live endpoints.
+    ///
+    /// Any version serves callers. Without this, replicas that all have different old versions would
+    /// wait for each other where memory does not hold two versions.
     fn other_versions(&self, _weights: &WeightsKey) -> SmallVec<[WeightsKey; 2]> {
         SmallVec::new()
     }
 }
 
-/// What the agent knows of its attempts.
+/// The agent's count of running attempts.
 pub trait AttemptCount {
-    /// Attempts that run on these weights.
+    /// Returns the number of attempts that run on these weights.
     fn in_flight(&self, weights: &WeightsKey) -> u32;
 }
 
-/// All that a step depends on.
+/// Input for finding a step.
 #[derive(Clone, Copy)]
 pub struct StepInput<'a> {
     /// The plan's row for this endpoint.
     pub plan: &'a EndpointPlan,
-    /// The configuration in force.
+    /// The current configuration.
     pub config: &'a FleetConfig,
     /// Other replicas.
     pub replicas: &'a dyn ReplicaCount,
-    /// Attempts that run here.
+    /// Attempts that run on this endpoint.
     pub attempts: &'a dyn AttemptCount,
 }
 
-/// The next step.
+/// A step towards the plan's row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementStep {
-    /// An order was begun with the keeper: go on with its commands.
+    /// The keeper has started an order: execute the keeper's commands.
     Ordered(OrderAction),
     /// Send the ask to the agent of another endpoint.
     AskRelease {
-        /// Whose agent.
+        /// Endpoint of that agent.
         to: EndpointName,
         /// The ask.
         ask: ReleaseAsk,
     },
-    /// Take no new attempts for these weights; go on with those in flight.
+    /// Accept no new attempts for these weights, and continue those in flight.
     StartDrain(WeightsKey),
-    /// Take new attempts for these weights again.
+    /// Accept new attempts for these weights again.
     ResumeServing(WeightsKey),
 }
 
-/// Why there is no step.
+/// Reason why there is no step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StepWait {
-    /// The endpoint is as planned.
+    /// The endpoint matches the plan.
     Done,
-    /// An order, an ask or a drain has not ended.
+    /// An order, an ask or a drain is pending.
     Busy,
-    /// No order may be given now.
+    /// No order may be sent now.
     NotReady,
-    /// These are the last ready replica that is known; another has to be loaded elsewhere first.
+    /// This is the last known ready replica of the weights; another has to be loaded elsewhere first.
     LastReplica(WeightsKey),
-    /// No memory for these, and nothing here may go.
+    /// There is no memory for these weights, and no weights here may be unloaded.
     NoMemory(WeightsKey),
 }
 
-/// Carries out the plan's row, one safe step at a time.
+/// Stepper that applies the plan's row to one endpoint, one safe step at a time.
 #[derive(Debug, Clone, Default)]
 pub struct MoveStepper {
     draining: IndexMap<WeightsKey, ClockTime>,
 }
 
 impl MoveStepper {
-    /// A stepper of an endpoint where nothing drains.
+    /// Creates a stepper without draining weights.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether these weights take new attempts, as far as moves go.
+    /// Returns whether these weights accept new attempts, that is, they are not draining.
     #[must_use]
     pub fn takes_new(&self, weights: &WeightsKey) -> bool {
         !self.draining.contains_key(weights)
     }
 
-    /// The next step.
+    /// Returns the next step.
     ///
     /// # Errors
     ///
-    /// Says why there is none now.
+    /// Returns the reason if there is no step now.
     pub fn next_step(
         &mut self,
         input: StepInput<'_>,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Weights that are gone need neither drain nor release any more.
+    /// Ends the drains and releases of weights that are unloaded.
     fn forget_gone(&mut self, keeper: &OrderKeeper, releases: &mut ReleaseKeeper, now: ClockTime) {
         let gone = |weights: &WeightsKey| {
             keeper.ledger().state_of(weights).is_none() && !keeper.is_moving(weights)
@@ -171,8 +172,10 @@
         }
     }
 
-    /// The plan wants weights again that were about to go. Their release ends, whether or not the
-    /// drain had begun: else this agent would refuse all that ask it for good.
+    /// Resumes weights that were about to be unloaded and are in the plan again.
+    ///
+    /// Their release ends even if the drain had not started. Otherwise this agent would deny all
+    /// asks for these weights forever.
     fn resume_wanted(
         &mut self,
         input: StepInput<'_>,
--- a/crates/oatpier-placement/src/steps/work.rs
+++ b/crates/oatpier-placement/src/steps/work.rs
@@ -1,4 +1,4 @@
-//! Finds one step: what is wanted, what may go, and in which order.
+//! Search for one step: which weights to load, which may be unloaded, and in which order.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -12,8 +12,10 @@
     held.adapter.is_none() && held.model == weights.model
 }
 
-/// Whether weights are to stay. An adapter that the plan wants has to go nevertheless while its
-/// base model changes version without memory for both: the old base can't go before it.
+/// Returns whether weights have to stay.
+///
+/// A planned adapter has to be unloaded while its base model changes version without memory for
+/// both versions, because the old base model cannot be unloaded before the adapter.
 pub(super) fn is_wanted(
     input: StepInput<'_>,
     keeper: &OrderKeeper,
@@ -76,7 +78,7 @@
         self.order(OrderAction::SetRole { role }, now)
     }
 
-    /// Loads the first wanted weights that are not there, fit, and have their base model ready.
+    /// Loads the first planned weights that are missing, fit, and have their base model ready.
     fn load_step(&mut self, now: ClockTime) -> Option<PlacementStep> {
         let missing: Vec<WeightsKey> = self
             .input
@@ -103,7 +105,10 @@
         None
     }
 
-    /// Only a base model that is to stay counts: the adapter would have to go with another.
+    /// Returns whether weights are a base model, or their base model is ready and in the plan.
+    ///
+    /// With a base model that is not in the plan, the adapter would have to be unloaded together with
+    /// it.
     fn base_is_ready(&self, weights: &WeightsKey) -> bool {
         weights.adapter.is_none()
             || self
@@ -113,7 +118,7 @@
                 .any(|held| is_base_of(held, weights) && self.input.plan.weights.contains(held))
     }
 
-    /// Unloads the first weights that are not wanted and may go: adapters first.
+    /// Unloads the first weights that are not wanted and may be unloaded, adapters first.
     fn unload_step(&mut self, now: ClockTime) -> Option<PlacementStep> {
         let mut extra: Vec<WeightsKey> = self
             .keeper
@@ -136,7 +141,7 @@
             self.note(StepWait::Busy);
             return None;
         }
-        // A load that never came to an end serves nobody: it is given up without a release.
+        // A load that never completed serves no callers: it is canceled without a release.
         if state.is_none() {
             return self.order_unload(weights, now);
         }
@@ -154,7 +159,8 @@
         }
     }
 
-    /// An adapter needs a version of its base model beside it until it is gone itself.
+    /// Returns whether these weights are the only version of a base model that adapters here still
+    /// need.
     fn is_base_in_use(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         if weights.adapter.is_some() {
             return false;
@@ -170,7 +176,7 @@
         adapters && !other_base
     }
 
-    /// The version that takes the place of these weights is being loaded: they serve until then.
+    /// Returns whether another version of these weights is being loaded. They serve until it is ready.
     fn is_successor_coming(&self, weights: &WeightsKey) -> bool {
         self.input.plan.weights.iter().any(|wanted| {
             let sibling = wanted.model == weights.model && wanted.adapter == weights.adapter;
@@ -184,7 +190,7 @@
             self.draining.insert(weights.clone(), now);
             return Some(PlacementStep::StartDrain(weights.clone()));
         }
-        // An unload now would cut off what runs on these weights.
+        // An unload now would abort the attempts that run on these weights.
         if self.input.attempts.in_flight(weights) > 0 {
             self.note(StepWait::Busy);
             return None;
@@ -194,7 +200,7 @@
 
     fn seek_release(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
         let Some(present) = self.present_version(weights) else {
-            // Callers can't name these any more.
+            // The weights are no longer configured, so no request can name them.
             self.releases.grant_own(weights);
             return self.drain_or_unload(weights, now);
         };
@@ -216,15 +222,18 @@
         }
     }
 
-    /// Whether the present version stays ready on this very endpoint.
+    /// Returns whether the current version stays ready on this endpoint.
     fn is_kept_here(&self, weights: &WeightsKey, present: &WeightsKey, now: ClockTime) -> bool {
         weights != present
             && self.keeper.is_firm(present, now)
             && !self.releases.is_releasing(present)
     }
 
-    /// Holders of the present version are asked first; while there is none, during a change of
-    /// version without memory for both, those of the same old version, then of any other.
+    /// Asks another holder for the release of these weights.
+    ///
+    /// Holders of the current version are asked first. If there are none, during a version change
+    /// without memory for both versions, holders of the same old version are asked, then holders of
+    /// any other version.
     fn ask_holder(
         &mut self,
         weights: &WeightsKey,
--- a/crates/oatpier-placement/tests/testsuite/demand.rs
+++ b/crates/oatpier-placement/tests/testsuite/demand.rs
@@ -1,4 +1,4 @@
-//! Rates of demand.
+//! Tests of demand rates.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Ten requests a second for `seconds`, from `start` on.
+/// Records ten requests per second for `seconds` from `start`, and returns the end time.
 fn burst(ledger: &mut DemandLedger, start: ClockTime, seconds: u64) -> ClockTime {
     let mut now = start;
     for _ in 0..seconds * 10 {
--- a/crates/oatpier-placement/tests/testsuite/engine.rs
+++ b/crates/oatpier-placement/tests/testsuite/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine for tests: it does what it is told, and overcommits if it is told to.
+//! Simulated engine for tests. It executes every order, even one that overcommits its memory.
 
 use std::time::Duration;
 
@@ -106,7 +106,7 @@
             .is_some_and(|entry| entry.0 == WeightsState::Ready)
     }
 
-    /// Whether callers get an answer for these weights, in whatever version.
+    /// Returns whether the engine can serve requests for these weights, in any version.
     pub fn serves(&self, weights: &WeightsKey) -> bool {
         let ready = |adapter| {
             self.held.iter().any(|(held, entry)| {
--- a/crates/oatpier-placement/tests/testsuite/fleet.rs
+++ b/crates/oatpier-placement/tests/testsuite/fleet.rs
@@ -1,4 +1,4 @@
-//! Small configurations for tests.
+//! Small fleet configurations for tests.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     ModelName::try_from(name).unwrap()
 }
 
-/// Weights of a base model.
+/// Returns the weights of a base model.
 pub fn base(name: &str, version: &str) -> WeightsKey {
     WeightsKey {
         model: model(name),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Weights of an adapter.
+/// Returns the weights of an adapter.
 pub fn adapter(name: &str, on: &str, version: &str) -> WeightsKey {
     WeightsKey {
         adapter: Some(AdapterName::try_from(name).unwrap()),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Engines `e00`, `e01`… in zones `z0` to `z2`, in one pool.
+/// Returns a configuration with one pool of engines `e0000`, `e0001`, ... in zones `z0` to `z2`.
 pub fn fleet(engines: usize, memory_mib: u64, models: &[(&str, u64)]) -> FleetConfig {
     let pool = PoolName::try_from("llm").unwrap();
     let class = ClassName::try_from("draft").unwrap();
@@ -99,7 +99,7 @@
         .insert(AdapterName::try_from(name).unwrap(), spec);
 }
 
-/// Views of all engines, alive, holding nothing.
+/// Returns views of all engines, alive and without weights.
 pub fn views(config: &FleetConfig) -> Vec<EndpointView> {
     config
         .pools
--- a/crates/oatpier-placement/tests/testsuite/main.rs
+++ b/crates/oatpier-placement/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions about memory, moves and plans.
+//! Tests of decisions about memory, loads and unloads, and placement plans.
 
 mod demand;
 mod engine;
--- a/crates/oatpier-placement/tests/testsuite/moves.rs
+++ b/crates/oatpier-placement/tests/testsuite/moves.rs
@@ -1,4 +1,5 @@
-//! Random plans, versions and faults against the two promises about memory and reachability.
+//! Checks the two guarantees, on memory and on reachability, under random plans, versions and
+//! faults.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use crate::world::{FaultRates, World};
 
 const CAPACITY_MIB: u64 = 100;
-/// Longer than the latest order of the tests and the longest word of the store together.
+/// Longer than the maximum order delay of the tests plus the time that a store confirmation counts.
 const HOLD: Duration = Duration::from_secs(40);
 
 pub fn settings(checks: bool) -> OrderSettings {
@@ -23,7 +24,8 @@
     }
 }
 
-/// Three engines; `a` with adapter `x`, `b` and `c`, each ready on two of them.
+/// Creates three engines with the models `a` (with adapter `x`), `b` and `c`, each ready on two
+/// engines.
 pub fn world(checks: bool, settings: OrderSettings, seed: u64) -> World {
     let mut config = fleet(3, CAPACITY_MIB, &[("a", 30), ("b", 30), ("c", 20)]);
     add_adapter(&mut config, "x", "a", 10);
@@ -53,7 +55,7 @@
     models.chain(adapters).collect()
 }
 
-/// A plan with each of the weights on a random part of the endpoints.
+/// Assigns each of the weights to random endpoints.
 fn shuffle_plan(world: &mut World) {
     for index in 0..world.rows.len() {
         let mut row: Vec<WeightsKey> = Vec::new();
@@ -78,7 +80,7 @@
     }
 }
 
-/// Faults for a while, with the plan and the versions changing all the time.
+/// Runs with a high rate of faults, while the plan and the versions keep changing.
 fn storm(world: &mut World) {
     world.faults = FaultRates::MANY;
     for round in 0..20 {
@@ -103,10 +105,10 @@
 proptest! {
     #![proptest_config(config(48))]
 
-    /// Orders are lost, late and doubled, agents restart or sleep and wake beside their
-    /// successors, the store is down or loses its answers, and the plan keeps changing. Whatever
-    /// the order of all this, no engine holds more than its memory, and no order takes the last
-    /// ready replica of a model or an adapter away.
+    /// Orders are lost, delayed and duplicated. Agents restart, or are suspended and resume
+    /// concurrently with their successors. The store is down or its responses are lost, and the
+    /// plan keeps changing. In any interleaving, no engine holds more than its memory, and no
+    /// order unloads the last ready replica of a model or an adapter.
     #[test]
     fn faults_never_overcommit_nor_unload_the_last(seed in any::<u64>(), checks in any::<bool>()) {
         let mut world = world(checks, settings(checks), seed);
@@ -116,7 +118,7 @@
         prop_assert!(world.orders_taken > 20, "only {} orders", world.orders_taken);
     }
 
-    /// After the faults every endpoint comes to hold what the plan says, in the present version.
+    /// After the faults, every endpoint converges to its planned weights in the current version.
     #[test]
     fn after_faults_the_plan_is_carried_out(seed in any::<u64>(), checks in any::<bool>()) {
         let mut world = world(checks, settings(checks), seed);
@@ -137,7 +139,8 @@
     }
 }
 
-/// Violations over a few seeds with these beliefs of the agents.
+/// Returns the number of violations over several seeds. `engine_checks` is the behavior of the
+/// engines; `settings` is what the agents assume.
 fn violations(engine_checks: bool, settings: OrderSettings) -> usize {
     (0..12)
         .map(|seed| {
@@ -148,9 +151,9 @@
         .sum()
 }
 
-/// The memory of a late copy is charged no longer than until the unload: a doubled load arrives
-/// after its weights went and others took their place, and the engine is overcommitted. This
-/// shows that the storm above would catch it.
+/// The memory of a delayed copy is charged only until the unload. A duplicate load then arrives
+/// after its weights were unloaded and others were loaded, and the engine is overcommitted. Shows
+/// that the fault tests above detect this.
 #[test]
 fn without_the_hold_a_late_copy_overcommits() {
     let hold = Duration::ZERO;
@@ -161,8 +164,8 @@
     assert!(violations(false, settings) > 0);
 }
 
-/// The agents believe that engines check numbers, and they don't: nothing is written before an
-/// order, and a former agent's order is carried out. This shows that the storm would catch it.
+/// The agents assume that engines check numbers, but they do not: no intent is written before an
+/// order, and the order of an earlier agent is executed. Shows that the fault tests detect this.
 #[test]
 fn without_intents_a_former_agent_breaks_a_promise() {
     assert!(violations(false, settings(true)) > 0);
--- a/crates/oatpier-placement/tests/testsuite/network.rs
+++ b/crates/oatpier-placement/tests/testsuite/network.rs
@@ -1,4 +1,4 @@
-//! The messages of the world, and what is done to them.
+//! Message delivery of the simulation, with loss, delay and duplication.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::world::{Agent, Message, TICK, World};
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The latest that an order arrives after it was sent.
+/// Maximum delay of an order.
 const LATEST_ORDER: Duration = Duration::from_secs(20);
 
 impl World {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The agent, if it is awake; else the message waits for it.
+    /// Returns the agent if it is running. Otherwise delivers the message when the agent resumes.
     fn awake_agent(&mut self, boot: BootId, message: Message) -> Option<&mut Agent> {
         let agent = self.agents.iter().position(|agent| agent.boot == boot)?;
         let wake = self.agents[agent].awake_from;
--- a/crates/oatpier-placement/tests/testsuite/orders.rs
+++ b/crates/oatpier-placement/tests/testsuite/orders.rs
@@ -1,4 +1,4 @@
-//! One agent's orders, step by step.
+//! Tests of the orders of one agent, step by step.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::engine::ModelEngine;
 use crate::fleet::{base, fleet};
 
-/// An agent with its engine and store, where the test answers the orders.
+/// An agent with its engine and store. Tests can respond to its orders and polls themselves.
 pub struct Desk {
     pub keeper: OrderKeeper,
     pub config: FleetConfig,
@@ -25,7 +25,7 @@
 }
 
 impl Desk {
-    /// An agent that has taken its epoch and may begin orders.
+    /// Creates an agent that has acquired its epoch and may start orders.
     pub fn ready(checks: bool, config: FleetConfig, memory_mib: u64) -> Self {
         let settings = OrderSettings::new(checks, memory_mib);
         let mut desk = Self {
@@ -41,7 +41,7 @@
         desk
     }
 
-    /// The next agent of the same endpoint.
+    /// Replaces the agent by its successor on the same endpoint.
     pub fn successor(&mut self, checks: bool, boot: u128) {
         let settings = OrderSettings::new(checks, self.engine.memory_mib);
         self.keeper = OrderKeeper::new(settings, BootId(boot));
@@ -60,7 +60,7 @@
         self.tell(OrderEvent::Answered { number, outcome });
     }
 
-    /// Runs until an order is sent, which the test answers.
+    /// Runs until an order is sent, and returns it for the test to respond to.
     pub fn sent(&mut self) -> Option<EngineOrder> {
         for _ in 0..100 {
             let mut sent = None;
@@ -78,7 +78,7 @@
         None
     }
 
-    /// Runs until a poll is asked, which the test answers.
+    /// Runs until a poll is issued, and returns it for the test to respond to.
     fn polled(&mut self) -> PollTicket {
         loop {
             for command in self.keeper.commands(&self.config, self.now) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Runs with all answered as it should be.
+    /// Runs with correct responses to all commands.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -161,9 +161,9 @@
     fleet(1, 100, &[("a", 60), ("b", 60), ("c", 30)])
 }
 
-/// The answer to a load is lost, and the agent does not know whether the engine took it. A second
-/// load that fits only if it did not must wait: both could be in memory. The first is given again
-/// until the engine shows it.
+/// The response to a load is lost, and the agent does not know whether the engine accepted it. A
+/// second load that does not fit beside the first must wait, because both could be in memory. The
+/// first load is sent again until the engine reports it.
 #[test]
 fn a_lost_load_stays_charged_and_is_finished() {
     for checks in [true, false] {
@@ -188,8 +188,8 @@
     }
 }
 
-/// A poll asked before a load was taken is answered after it and does not show the load. It says
-/// nothing of the load: the memory stays charged.
+/// The response to a poll that was issued before a load was accepted arrives afterwards and does
+/// not show the load. It gives no evidence of the load, so the memory stays charged.
 #[test]
 fn an_older_poll_says_nothing_of_a_newer_order() {
     let mut desk = Desk::ready(true, config(), 100);
@@ -204,8 +204,9 @@
     assert_eq!(desk.keeper.moving(), 1);
 }
 
-/// The store is down. An engine that checks numbers refuses a former agent's orders by itself, so
-/// its agent goes on; for one that ignores them no order can be made known to a successor.
+/// The store is down. An engine that checks numbers rejects the orders of earlier agents by itself,
+/// so its agent continues. Where the engine ignores numbers, a successor could not learn of an
+/// order, so none is sent.
 #[test]
 fn a_store_outage_stops_moves_only_where_numbers_are_ignored() {
     for checks in [true, false] {
@@ -223,8 +224,8 @@
     }
 }
 
-/// An agent dies after it has sent a load that the engine gets late. Its successor finds the
-/// intent, charges it, and does not let another load in, though the engine shows nothing.
+/// An agent crashes after it has sent a load that reaches the engine late. Its successor finds the
+/// intent, charges it, and starts no other load, although the engine does not report the first.
 #[test]
 fn a_successor_charges_and_finishes_the_intents_it_finds() {
     let mut desk = Desk::ready(false, config(), 100);
@@ -241,8 +242,8 @@
     assert!(desk.engine.used_mib(&desk.config) <= 100);
 }
 
-/// A load and then an unload went through, and a copy of the load is still on its way. Where the
-/// engine ignores numbers the memory stays charged until no copy can arrive any more.
+/// A load and an unload were executed, and a copy of the load is still in flight. Where the engine
+/// ignores numbers, the memory stays charged until no copy can arrive any more.
 #[test]
 fn memory_of_a_late_copy_stays_charged_after_the_unload() {
     let mut desk = Desk::ready(false, config(), 100);
@@ -261,8 +262,9 @@
     assert_eq!(desk.begin(load(&base("b", "v1"))), Ok(()));
 }
 
-/// A former agent was paused before it sent a load, and wakes beside its successor. The engine
-/// checks numbers: the successor's first order has shut it out, and the former one gives up.
+/// An agent was suspended before it sent a load, and resumes concurrently with its successor. The
+/// engine checks numbers, and the successor's first order has fenced off the earlier agent, which
+/// learns that it is superseded.
 #[test]
 fn a_woken_former_agent_is_refused_and_ends() {
     let mut desk = Desk::ready(true, config(), 100);
@@ -287,8 +289,8 @@
     );
 }
 
-/// The engine refuses a load for good. It ends, its memory is free at once, and the same load is
-/// not begun again in the same moment.
+/// The engine rejects a load. The order ends and its memory is free immediately, but the same load
+/// cannot be started again at once.
 #[test]
 fn a_refused_load_frees_its_memory() {
     let mut desk = Desk::ready(true, config(), 100);
@@ -302,7 +304,8 @@
     assert_eq!(desk.begin(load(&a)), Ok(()));
 }
 
-/// A load was refused after an earlier try of it got no answer: that one may still arrive.
+/// A load was rejected after an earlier copy of it got no response. That copy may still arrive, so
+/// the memory stays charged.
 #[test]
 fn a_refusal_after_a_lost_answer_frees_nothing() {
     let mut desk = Desk::ready(true, config(), 100);
@@ -314,8 +317,8 @@
     assert_eq!(desk.charged(), 60);
 }
 
-/// The engine holds weights that no configuration knows: their size is not known, so nothing is
-/// loaded beside them, and they may be unloaded.
+/// The engine holds weights that are not configured. Their size is unknown, so nothing is loaded
+/// beside them, but they may be unloaded.
 #[test]
 fn weights_of_unknown_size_take_all_memory() {
     let mut desk = Desk::ready(true, config(), 100);
@@ -329,7 +332,7 @@
     assert_eq!(desk.charged(), 0);
 }
 
-/// A configuration makes a model smaller while its old copy is loaded: the old size counts.
+/// A configuration makes a model smaller while its old copy is loaded. The old size stays charged.
 #[test]
 fn a_charge_never_shrinks_while_it_stands() {
     let mut desk = Desk::ready(true, config(), 100);
@@ -340,9 +343,9 @@
     assert_eq!(desk.charged(), 60);
 }
 
-/// A load whose outcome is unknown is given up by an unload, which does not get through at first.
-/// The engine shows nothing, and yet the load may arrive: it stays charged until the engine has
-/// taken the unload, and with it refuses the load.
+/// A load whose outcome is unknown is canceled by an unload, which does not reach the engine at
+/// first. The engine does not report the load, but it may still arrive. It stays charged until the
+/// engine has accepted the unload, after which it rejects the load.
 #[test]
 fn a_load_that_is_given_up_stays_charged_until_the_unload_is_taken() {
     let mut desk = Desk::ready(true, config(), 100);
@@ -361,8 +364,9 @@
     assert!(matches!(outcome, OrderOutcome::Stale { .. }));
 }
 
-/// A poll was asked before a load arrived and its unload was taken, and is answered after both.
-/// It shows nothing, while the engine is still unloading: the memory stays charged.
+/// A poll is issued before a load arrives and its unload is accepted, and its response arrives
+/// after both. It shows no weights although the engine is still unloading, so the memory stays
+/// charged.
 #[test]
 fn a_poll_asked_before_an_unload_was_taken_frees_nothing() {
     let mut desk = Desk::ready(true, config(), 100);
@@ -381,8 +385,8 @@
     assert_eq!(desk.charged(), 60);
 }
 
-/// A poll was given up, a load came to its end, and then the poll's answer arrives, without the
-/// load. What is known from a later poll stands.
+/// A poll failed, a load completed, and then the response to that poll arrives, without the load.
+/// The state from a later poll is kept.
 #[test]
 fn a_poll_answered_after_a_later_one_is_ignored() {
     let mut desk = Desk::ready(true, config(), 100);
--- a/crates/oatpier-placement/tests/testsuite/plan_properties.rs
+++ b/crates/oatpier-placement/tests/testsuite/plan_properties.rs
@@ -1,4 +1,4 @@
-//! What holds for every plan.
+//! Property tests of plans.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::fleet::{add_adapter, fleet};
 use crate::planner::{Fleet, planner};
 
-/// Sizes of models, rates of demand and which endpoints live, at random.
+/// Generates model sizes, demand rates and endpoint crashes.
 fn scenarios() -> impl Strategy<Value = (Vec<u64>, Vec<Vec<f64>>, Vec<usize>)> {
     let sizes = prop::collection::vec(5_u64..40, 1..24);
     let rates = prop::collection::vec(prop::collection::vec(0.0..40.0_f64, 24), 1..12);
@@ -65,9 +65,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// While the live endpoints have twice the memory that all need, everything has a live
-    /// replica in every plan; rows fit; bases stand beside adapters; loads beyond reachability
-    /// stay within the weight store's; and equal inputs give equal plans.
+    /// As long as the live endpoints have twice the memory that all weights need, every plan has
+    /// a live replica of all weights. Rows fit in memory, adapters are on an endpoint with their
+    /// base model, loads beyond reachability stay within the weight store's limit, and equal
+    /// inputs give equal plans.
     #[test]
     fn plans_keep_their_promises((sizes, demand, deaths) in scenarios()) {
         let mut fleet = build(&sizes);
@@ -96,7 +97,7 @@
     }
 }
 
-/// Weights that no live endpoint is planned to hold.
+/// Returns the number of weights that no live endpoint is planned to hold.
 fn unserved(fleet: &Fleet) -> usize {
     let plan = fleet.plan.as_ref().unwrap();
     let models = fleet
--- a/crates/oatpier-placement/tests/testsuite/planner.rs
+++ b/crates/oatpier-placement/tests/testsuite/planner.rs
@@ -1,4 +1,4 @@
-//! Plans: reachability, attainment per accelerator, moves.
+//! Tests of plans: reachability, attainment per accelerator and moves.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 use crate::fleet::{adapter, add_adapter, base, fleet, model, ready, views};
 
-/// A fleet whose agents do at once what the plan says.
+/// A fleet whose agents apply each plan immediately.
 pub struct Fleet {
     pub config: FleetConfig,
     pub views: Vec<EndpointView>,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sets the rates of models, each with 200 generated tokens a request.
+    /// Sets the request rates of models, with 200 generated tokens per request.
     pub fn ask(&mut self, rates: &[(&str, f64)]) {
         let rows = rates.iter().map(|(name, requests)| DemandRow {
             key: DemandKey {
@@ -92,7 +92,7 @@
             .sum()
     }
 
-    /// Where weights are planned, as places in the list of endpoints.
+    /// Returns the indices of the endpoints that are planned to hold the weights.
     pub fn holders(&self, weights: &WeightsKey) -> Vec<usize> {
         let plan = self.plan.as_ref().unwrap();
         let rows = plan.endpoints.iter().enumerate();
@@ -142,7 +142,7 @@
     assert_eq!(zones.len(), 3);
 }
 
-/// Demand falls and stays low: after a while the endpoints that it needed are emptied again.
+/// Demand falls and stays low. The endpoints that it needed are emptied again after a while.
 #[test]
 fn quiet_endpoints_are_emptied() {
     let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40), ("b", 40)]));
@@ -156,8 +156,8 @@
     assert!(busy >= 4 && quiet <= 2, "{busy} then {quiet}");
 }
 
-/// Demand swings to and fro every half minute. A planner that follows it loads and unloads the
-/// same weights all day; this one keeps what the next swing needs.
+/// Demand alternates between two models every half minute. A planner that follows it keeps loading
+/// and unloading the same weights; this planner keeps the replicas that the next change needs.
 #[test]
 fn swings_of_demand_cause_few_moves() {
     let moves = |planner: &mut dyn FleetPlanner| {
@@ -178,7 +178,7 @@
     assert!(own * 2 < greedy, "{own} against {greedy}");
 }
 
-/// An endpoint drops out of sight and comes back: its row stays, and nothing is unloaded.
+/// An endpoint becomes unreachable and returns. Its row stays, and nothing is unloaded.
 #[test]
 fn an_endpoint_out_of_sight_loses_nothing() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60), ("b", 60)]));
@@ -194,8 +194,8 @@
     assert_eq!(fleet.plan.as_ref().unwrap().endpoints[lost], row);
 }
 
-/// An endpoint dies and comes back empty. Its model was loaded elsewhere meanwhile; a row that
-/// still names it would have it loaded twice.
+/// An endpoint crashes and returns empty. Its model was loaded elsewhere in the meantime. If its
+/// row still contained the model, the model would be loaded twice.
 #[test]
 fn an_endpoint_that_comes_back_empty_loads_nothing_again() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60), ("b", 60)]));
@@ -212,7 +212,8 @@
     assert_eq!((outcome.loads, outcome.endpoints_used), (0, 2));
 }
 
-/// One engine of nine froze: its steps took seconds. The others are not overloaded by that.
+/// One of nine engines was suspended and reports steps of seconds. The planner must not treat the
+/// other engines as overloaded.
 #[test]
 fn one_frozen_engine_brings_no_replicas() {
     let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40), ("b", 40)]));
@@ -228,7 +229,8 @@
     assert_eq!(fleet.plan, before);
 }
 
-/// Memory is full and a model has no place, as a lost endpoint had it. An extra replica goes.
+/// Memory is full, and the only endpoint with a model has failed. A redundant replica of another
+/// model is removed to place it.
 #[test]
 fn extra_replicas_make_room_for_reachability() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60), ("b", 60)]));
@@ -245,8 +247,8 @@
     assert!(outcome.notes.is_empty());
 }
 
-/// A model has two replicas in the plan, of which one is still being loaded. To make room for
-/// another model only that one may go: without the ready one callers would lose the model.
+/// A model has two planned replicas, of which one is still loading. Only that one may be removed to
+/// make room for another model: without the ready one, the model would become unavailable.
 #[test]
 fn a_replica_goes_only_while_another_is_ready() {
     let mut fleet = Fleet::new(fleet(2, 100, &[("a", 60), ("b", 60)]));
@@ -259,8 +261,8 @@
     assert_eq!(fleet.holders(&base("b", "v1")), [1]);
 }
 
-/// A model fits on no endpoint as the small ones lie. One of them is given a second place first,
-/// and the model follows when that is ready.
+/// A large model fits on no endpoint because of how small ones are placed. One of them first gets
+/// a second replica; the large model is placed when that is ready.
 #[test]
 fn small_models_are_moved_aside_for_a_large_one() {
     let models = [("a", 40), ("b", 40), ("big", 90)];
@@ -292,8 +294,8 @@
     assert!(holders.len() == 2 && holders.contains(&leaving));
 }
 
-/// A stop of two of three endpoints leaves no memory for one of the models: the forecast says
-/// which, and by how much.
+/// A stop of two of three endpoints leaves too little memory for one of the models. The forecast
+/// reports the model, the memory it needs and the memory that is free.
 #[test]
 fn a_stop_that_costs_reachability_is_told() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60), ("b", 60)]));
@@ -323,7 +325,7 @@
     );
 }
 
-/// A new version goes over the replicas a few at a time, and the rest keep the old one.
+/// A new version is rolled out to a few replicas at a time, and the rest keep the old one.
 #[test]
 fn versions_change_a_few_replicas_at_a_time() {
     let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40)]));
@@ -340,7 +342,7 @@
     assert_eq!(fleet.holders(&base("a", "v1")).len(), 0);
 }
 
-/// The only replica's endpoint has no memory for two versions: the new one is placed elsewhere.
+/// The endpoint of the only replica lacks memory for two versions. The new one is placed elsewhere.
 #[test]
 fn a_version_without_memory_for_both_gets_a_second_place() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60)]));
--- a/crates/oatpier-placement/tests/testsuite/record.rs
+++ b/crates/oatpier-placement/tests/testsuite/record.rs
@@ -1,4 +1,4 @@
-//! Taking the epoch, through lost answers and races.
+//! Tests of acquiring the epoch, with lost responses and races.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A keeper that has read `found` and asks to write.
+/// Returns a keeper that has read `found`, and its write call.
 fn writing(found: Option<StoredRecord>) -> (RecordKeeper, RecordCall) {
     let mut keeper = RecordKeeper::new(BootId(7));
     assert_eq!(keeper.next_call(&[], false, NOW), Some(RecordCall::Read));
@@ -54,8 +54,8 @@
     assert_eq!(keeper.next_call(&[], false, NOW), None);
 }
 
-/// The write took effect and its answer was lost. Read back, the record shows the agent's own
-/// boot id: the epoch is its own, and it does not take another.
+/// A write took effect and its response was lost. The record that is read back has the agent's own
+/// boot ID, so the agent has the epoch and does not acquire another.
 #[test]
 fn a_lost_answer_is_resolved_by_the_boot_id() {
     let (mut keeper, _) = writing(Some(stored(4, 3, 9)));
@@ -66,7 +66,7 @@
     assert_eq!(keeper.state(), EpochState::Taken(Epoch(5)));
 }
 
-/// Two agents start at once. The one whose write came second takes the next epoch.
+/// Two agents start at the same time. The one whose write came second acquires the next epoch.
 #[test]
 fn the_loser_of_a_race_takes_the_next_epoch() {
     let (mut keeper, _) = writing(Some(stored(4, 3, 9)));
@@ -79,8 +79,8 @@
     assert_eq!((record.epoch, expected), (Epoch(6), Some(Revision(10))));
 }
 
-/// A successor took the epoch while this agent was paused. Its next write of an intent fails,
-/// and it learns from the record that it is done.
+/// A successor acquired the epoch while this agent was suspended. The agent's next write of an
+/// intent fails, and the record shows that the agent is superseded.
 #[test]
 fn an_agent_that_was_followed_gives_up() {
     let (mut keeper, _) = writing(None);
@@ -98,8 +98,9 @@
     assert_eq!(keeper.next_call(&wanted, true, LATER), None);
 }
 
-/// An agent wrote an intent and was paused before it sent the order. When it wakes, the word of
-/// the store is old: a successor may have settled the intent, so it reads before it sends.
+/// An agent wrote an intent and was suspended before it sent the order. When it resumes, the
+/// confirmation of its epoch has expired. A successor may have completed the intent, so the agent
+/// reads the record before it sends.
 #[test]
 fn an_old_word_of_the_store_does_not_count() {
     let (mut keeper, _) = writing(None);
@@ -115,8 +116,8 @@
     );
 }
 
-/// The store is down: the waits between tries grow, and differ between agents, so that a store
-/// that returns is not met by all at once.
+/// The store is down. The delays between calls grow and differ between agents, so that a recovered
+/// store is not called by all agents at once.
 #[test]
 fn tries_during_an_outage_become_rare() {
     let tries = |boot: u128| {
@@ -140,7 +141,7 @@
     assert!(counts.values().all(|count| *count < 150), "{counts:?}");
 }
 
-/// Nothing waits to be written when the store comes back: the agent learns it nevertheless.
+/// Nothing is pending when the store becomes available again. The agent still detects it.
 #[test]
 fn the_end_of_an_outage_is_noticed() {
     let (mut keeper, _) = writing(None);
--- a/crates/oatpier-placement/tests/testsuite/release.rs
+++ b/crates/oatpier-placement/tests/testsuite/release.rs
@@ -1,4 +1,4 @@
-//! Two holders of the same weights, of which one must stay.
+//! Tests of releases between two holders of the same weights, of which one must keep them.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::fleet::{base, endpoint, fleet};
 use crate::orders::Desk;
 
-/// An agent that has `a` ready, with its side of releases.
+/// Returns an agent that has `a` ready, and its release keeper.
 fn holder(name: &str, boot: u128) -> (Desk, ReleaseKeeper) {
     let mut desk = Desk::ready(true, fleet(2, 100, &[("a", 60)]), 100);
     desk.engine.put_ready(&base("a", "v1"));
@@ -31,8 +31,9 @@
     assert_eq!(asking.state(&a), ReleaseState::Granted);
 }
 
-/// Each of two agents sees the other's replica and asks at the same time. If both were granted,
-/// both would unload and the model would be gone: a holder that asks refuses.
+/// Each of two agents sees the other's replica and asks at the same time. If both asks were
+/// granted, both agents would unload and the model would be unavailable. A holder with a pending
+/// ask denies others.
 #[test]
 fn of_two_that_ask_each_other_neither_is_granted() {
     let (mut left, mut left_releases) = holder("e1", 1);
@@ -49,8 +50,8 @@
     assert!(!to_right[0].answer.granted && !to_left[0].answer.granted);
 }
 
-/// A grant comes after its ask was given up and the agent has granted its own replica to another.
-/// It must not count: the other relies on this one.
+/// A grant arrives after its ask has expired. It must be ignored: meanwhile the agent may have
+/// granted a release to another holder, which then relies on this replica.
 #[test]
 fn a_late_grant_is_ignored() {
     let (mut granter, mut granting) = holder("e1", 1);
@@ -66,8 +67,8 @@
     assert_eq!(asking.state(&a), ReleaseState::None);
 }
 
-/// An agent has been followed by another and doesn't know it; the other may be unloading. It has
-/// no proof of its epoch, so it answers no ask with a grant.
+/// An agent was superseded and has not learned it, and its successor may be unloading. It has no
+/// proof of its epoch, so it grants no ask.
 #[test]
 fn without_proof_of_the_epoch_nothing_is_granted() {
     let (mut former, mut granting) = holder("e1", 1);
--- a/crates/oatpier-placement/tests/testsuite/repair.rs
+++ b/crates/oatpier-placement/tests/testsuite/repair.rs
@@ -1,4 +1,4 @@
-//! Reachability without a planner and without the store.
+//! Tests of reachability without the planner and the store.
 
 use std::time::Duration;
 
@@ -35,7 +35,8 @@
     RepairKeeper::new(RepairSettings::default(), name.clone(), pool)
 }
 
-/// When each of five endpoints takes on a model that no one has, in seconds.
+/// Returns the rank of each of five endpoints, and after how many seconds it loads a model that
+/// only `replicas` may serve.
 fn turns(desk: &Desk, replicas: &Elsewhere) -> Vec<(usize, Option<u64>)> {
     let live = live(5);
     let ranked = live.iter().map(|name| {
@@ -58,8 +59,8 @@
     ranked
 }
 
-/// The only endpoint with a model dies while planner and store are away. The live endpoints take
-/// it in turn by rank, so that one loads it and not all.
+/// The only endpoint with a model crashes while planner and store are unavailable. The live
+/// endpoints load it after a delay by rank, so that only one of them loads it.
 #[test]
 fn endpoints_take_a_lost_model_in_turn() {
     let desk = Desk::ready(true, fleet(5, 100, &[("a", 60)]), 100);
@@ -75,7 +76,8 @@
     assert!(turns.iter().all(|(_, turn)| turn.is_none()));
 }
 
-/// Memory is full. A replica that another endpoint has too makes room; the last one never does.
+/// Memory is full. A replica that another endpoint also has is removed to make room, but never the
+/// last one.
 #[test]
 fn only_extra_replicas_make_room() {
     for extra in [true, false] {
--- a/crates/oatpier-placement/tests/testsuite/steps.rs
+++ b/crates/oatpier-placement/tests/testsuite/steps.rs
@@ -1,4 +1,4 @@
-//! From the plan to the next step.
+//! Tests of the steps from the current state to the plan.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::fleet::{adapter, add_adapter, base, endpoint, fleet};
 use crate::orders::{Desk, load, unload};
 
-/// What this endpoint's agent sees around it.
+/// Replicas on other endpoints and running attempts, as this endpoint's agent sees them.
 #[derive(Default)]
 struct Surroundings {
     elsewhere: Vec<WeightsKey>,
@@ -80,7 +80,7 @@
             .next_step(input, &mut self.desk.keeper, &mut self.releases, now)
     }
 
-    /// All steps until the endpoint is as planned; the other holder grants every ask.
+    /// Returns all steps until the endpoint matches the plan. The other holder grants every ask.
     fn all_steps(&mut self) -> Vec<PlacementStep> {
         let mut steps = Vec::new();
         for _ in 0..400 {
@@ -130,8 +130,8 @@
     assert_eq!(agent.orders(), [unload(&both[1]), unload(&both[0])]);
 }
 
-/// The plan drops the only replica that is known. Callers would lose the model: it stays, and
-/// the wait says why.
+/// The plan removes the only known replica. The model would become unavailable, so the replica
+/// stays and the result gives the reason.
 #[test]
 fn the_last_ready_replica_stays() {
     let a = base("a", "v1");
@@ -140,8 +140,8 @@
     assert_eq!(agent.step(), Err(StepWait::LastReplica(a)));
 }
 
-/// A new version fits beside the old one: it is ready before the old one goes, without a word to
-/// anyone, as this endpoint goes on serving the model.
+/// A new version fits beside the old one. It is ready before the old one is unloaded. No release
+/// is needed, because this endpoint continues to serve the model.
 #[test]
 fn a_version_is_changed_without_a_gap() {
     let (old, new) = (base("a", "v1"), base("a", "v2"));
@@ -157,9 +157,9 @@
     assert_eq!(steps, wanted);
 }
 
-/// Memory does not hold both versions, and an adapter stands on the old one. While no other
-/// endpoint serves them nothing goes; once one does, the adapter goes, the old base, and both
-/// come back in order.
+/// Memory does not hold both versions, and an adapter depends on the old one. While no other
+/// endpoint serves them, nothing is unloaded. Once one does, the adapter and the old base model
+/// are unloaded, and the new base model and the adapter are loaded in order.
 #[test]
 fn a_version_without_memory_for_both_waits_for_another_replica() {
     let mut config = fleet(1, 100, &[("a", 60)]);
@@ -177,8 +177,8 @@
     );
 }
 
-/// An attempt runs on weights that the plan drops. An unload would cut it off: new attempts are
-/// no longer taken, and the order waits for the end of the last one.
+/// An attempt runs on weights that the plan removes. An unload would abort it, so no new attempts
+/// are accepted and the order waits for the last one to end.
 #[test]
 fn nothing_is_unloaded_under_an_attempt() {
     let a = base("a", "v1");
@@ -193,8 +193,8 @@
     assert_eq!(agent.orders(), [unload(&a)]);
 }
 
-/// The plan wants weights back while they drain: they take new attempts again, and the agent may
-/// again grant releases to others.
+/// The plan includes weights again while they drain. They accept new attempts again, and the agent
+/// may grant releases to others again.
 #[test]
 fn a_drain_is_given_up_when_the_plan_changes_back() {
     let a = base("a", "v1");
--- a/crates/oatpier-placement/tests/testsuite/world.rs
+++ b/crates/oatpier-placement/tests/testsuite/world.rs
@@ -1,4 +1,4 @@
-//! Agents, model engines, a store and the messages between them, with seeded faults.
+//! Simulation of agents, engines, a store and the messages between them, with seeded faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 pub const TICK: Duration = Duration::from_millis(50);
 
-/// How often each fault happens.
+/// Probability of each fault.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultRates {
     pub order_lost: f64,
@@ -129,7 +129,8 @@
 }
 
 impl World {
-    /// `checks` says whether the engines check order numbers; `settings` what agents believe.
+    /// Creates a simulation. `checks` is whether the engines check order numbers; `settings` is what
+    /// the agents assume.
     pub fn new(config: FleetConfig, checks: bool, settings: OrderSettings, seed: u64) -> Self {
         let names: Vec<EndpointName> = config.pools[0].endpoints.keys().cloned().collect();
         let rows = names.iter().map(|name| EndpointPlan {
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Replaces the agent of an endpoint; the former one wakes up after `asleep`.
+    /// Starts a new agent of an endpoint. The earlier one resumes after `asleep`.
     pub fn restart(&mut self, index: usize, asleep: Duration) {
         let boot = self.current[index];
         let wake = self.now + asleep;
@@ -229,8 +230,8 @@
         });
     }
 
-    /// An agent that learns of a later one ends. Where it was the one that peers reach, the VM
-    /// starts it anew.
+    /// Ends agents that have learned of a successor. If peers still address such an agent, the VM
+    /// starts a new one.
     fn end_superseded(&mut self) {
         let ended = |agent: &Agent| agent.keeper.epoch() == EpochState::Superseded;
         for index in 0..self.engines.len() {
