--- a/crates/oatpier-placement/examples/planner_cost.rs
+++ b/crates/oatpier-placement/examples/planner_cost.rs
@@ -77,16 +77,16 @@
         greedy_time += took;
         loads += if step == 0 { 0 } else { outcome.loads };
         used = outcome.endpoints_used;
-        carry_out(&mut views, &outcome.plan);
+        apply_plan(&mut views, &outcome.plan);
         previous = Some(outcome.plan);
     }
-    let later: Duration = times[1..].iter().sum();
+    let total_after_first: Duration = times[1..].iter().sum();
     let max = times[1..].iter().max().copied().unwrap_or_default();
     println!(
         "{endpoints:>9} {models:>6} {:>8} | {:>9.2} {:>9.2} {:>9.2} {:>9.2} | {loads:>6} {used:>6}",
         config.adapters.len(),
         millis(times[0]),
-        millis(later / (STEPS - 1)),
+        millis(total_after_first / (STEPS - 1)),
         millis(max),
         millis(greedy_time / STEPS),
     );
@@ -119,7 +119,7 @@
 }
 
 /// Updates the views as if all agents had applied the plan.
-fn carry_out(views: &mut [EndpointView], plan: &PlacementPlan) {
+fn apply_plan(views: &mut [EndpointView], plan: &PlacementPlan) {
     for (view, row) in views.iter_mut().zip(&plan.endpoints) {
         view.held = row
             .weights
@@ -203,8 +203,8 @@
 fn demand(config: &FleetConfig, step: u32) -> DemandSummary {
     let mean = 8_500.0 / 490.0;
     let rows = config.models.keys().enumerate().map(|(index, model)| {
-        let hot = (index + 37 * (step as usize / 10)).is_multiple_of(10);
-        let requests = mean * if hot { 5.5 } else { 0.5 };
+        let is_popular = (index + 37 * (step as usize / 10)).is_multiple_of(10);
+        let requests = mean * if is_popular { 5.5 } else { 0.5 };
         let rate = DemandRate {
             requests,
             prompt_tokens: requests * 400.0,
--- a/crates/oatpier-placement/examples/planner_day.rs
+++ b/crates/oatpier-placement/examples/planner_day.rs
@@ -48,13 +48,13 @@
             Box::new(PlacementPlanner::new(PlannerSettings::default())),
         ];
         for planner in planners {
-            Day::new(models)?.run(planner, models);
+            DemandDay::new(models)?.run(planner, models);
         }
     }
     Ok(())
 }
 
-struct Day {
+struct DemandDay {
     config: FleetConfig,
     views: Vec<EndpointView>,
     plan: Option<PlacementPlan>,
@@ -68,11 +68,11 @@
     loads: u32,
     unloads: u32,
     endpoints: f64,
-    asked: f64,
+    requested: f64,
     served: f64,
 }
 
-impl Day {
+impl DemandDay {
     fn new(models: usize) -> Result<Self, NameError> {
         let config = fleet(models)?;
         Ok(Self {
@@ -89,12 +89,12 @@
         let mut totals = DayTotals::default();
         for step in 0..STEPS {
             let now = ClockTime::ZERO + STEP * step;
-            let counts = self.ask(now);
+            let counts = self.generate_requests(now);
             self.serve(&counts, &mut totals);
             self.step(planner.as_mut(), now, step > 0, &mut totals);
         }
         let endpoints = totals.endpoints / f64::from(STEPS);
-        let served = totals.served / totals.asked;
+        let served = totals.served / totals.requested;
         println!(
             "{models:>7} {:>9} | {:>7} {:>8} {endpoints:>10.2} {served:>10.4} {:>13.4}",
             planner.name(),
@@ -106,7 +106,7 @@
 
     /// Returns the requests per model in one step. A model bursts to about forty times its usual rate
     /// for ten to forty minutes, three times a day on average.
-    fn ask(&mut self, now: ClockTime) -> Vec<u32> {
+    fn generate_requests(&mut self, now: ClockTime) -> Vec<u32> {
         let mut counts = Vec::new();
         for (index, model) in self.config.models.keys().enumerate() {
             if self.bursts[index] == 0 && self.random.random_bool(3.0 / f64::from(STEPS)) {
@@ -141,18 +141,18 @@
         for _ in 0..PARTS {
             for (count, holders) in counts.iter().zip(&holders) {
                 let part = f64::from(*count) / f64::from(PARTS);
-                let free = holders
+                let least_loaded = holders
                     .iter()
                     .min_by(|a, b| loads[**a].total_cmp(&loads[**b]));
-                let Some(free) = free else {
+                let Some(least_loaded) = least_loaded else {
                     continue;
                 };
-                let room = (1.0 - loads[*free]).max(0.0) * capacity;
-                totals.served += part.min(room);
-                loads[*free] += part / capacity;
+                let remaining = (1.0 - loads[*least_loaded]).max(0.0) * capacity;
+                totals.served += part.min(remaining);
+                loads[*least_loaded] += part / capacity;
             }
         }
-        totals.asked += counts.iter().copied().map(f64::from).sum::<f64>();
+        totals.requested += counts.iter().copied().map(f64::from).sum::<f64>();
         let used = self
             .views
             .iter()
--- a/crates/oatpier-placement/src/demand.rs
+++ b/crates/oatpier-placement/src/demand.rs
@@ -37,9 +37,9 @@
 }
 
 /// Age at which an entry's summary expires: the entry is then assumed to have stopped.
-const SUMMARY_AGE: Duration = Duration::from_mins(1);
+const SUMMARY_EXPIRY: Duration = Duration::from_mins(1);
 /// Minimum rate of a summary row, in requests per second. Rows with a lower rate are omitted.
-const LEAST_RATE: f64 = 1e-4;
+const MIN_RATE: f64 = 1e-4;
 
 /// A base model, or an adapter on one, that requests name.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -128,11 +128,11 @@
 
 impl RateWindows {
     fn advance(&mut self, settings: &DemandSettings, now: ClockTime) {
-        let span = now.since(self.at);
+        let elapsed = now.since(self.at);
         self.at = self.at.max(now);
-        self.short = self.short.scaled(decay(span, settings.short_window));
-        self.long = self.long.scaled(decay(span, settings.long_window));
-        self.peak = self.peak.scaled(decay(span, settings.peak_window));
+        self.short = self.short.scaled(decay(elapsed, settings.short_window));
+        self.long = self.long.scaled(decay(elapsed, settings.long_window));
+        self.peak = self.peak.scaled(decay(elapsed, settings.peak_window));
     }
 
     fn add(&mut self, settings: &DemandSettings, amount: DemandRate) {
@@ -150,8 +150,8 @@
     }
 }
 
-fn decay(span: Duration, window: Duration) -> f64 {
-    (-span.as_secs_f64() / window.as_secs_f64()).exp()
+fn decay(elapsed: Duration, window: Duration) -> f64 {
+    (-elapsed.as_secs_f64() / window.as_secs_f64()).exp()
 }
 
 /// Demand counters of one entry.
@@ -185,11 +185,11 @@
             output_tokens: f64::from(output),
         };
         if !self.windows.contains_key(key) {
-            let fresh = RateWindows {
+            let new_windows = RateWindows {
                 at: now,
                 ..RateWindows::default()
             };
-            self.windows.insert(key.clone(), fresh);
+            self.windows.insert(key.clone(), new_windows);
         }
         if let Some(windows) = self.windows.get_mut(key) {
             windows.advance(&self.settings, now);
@@ -204,7 +204,7 @@
             windows.advance(&self.settings, now);
         }
         self.windows
-            .retain(|_, windows| windows.planned(&self.settings).requests >= LEAST_RATE);
+            .retain(|_, windows| windows.planned(&self.settings).requests >= MIN_RATE);
         let mut rows: Vec<DemandRow> = self
             .windows
             .iter()
@@ -240,7 +240,7 @@
     #[must_use]
     pub fn total(&mut self, now: ClockTime) -> DemandSummary {
         self.entries
-            .retain(|_, (_, heard)| now.since(*heard) < SUMMARY_AGE);
+            .retain(|_, (_, received_at)| now.since(*received_at) < SUMMARY_EXPIRY);
         let mut sums: IndexMap<DemandKey, DemandRate> = IndexMap::new();
         // Sorted by entry name, because floating-point sums depend on the order of addition.
         self.entries.sort_keys();
--- a/crates/oatpier-placement/src/ledger.rs
+++ b/crates/oatpier-placement/src/ledger.rs
@@ -19,14 +19,14 @@
     /// Whether a load was ordered, or is about to be, and its outcome is unknown.
     pub ordered: bool,
     /// Time until which a delayed copy of a load order could still arrive and be executed.
-    pub hold_until: ClockTime,
+    pub late_copy_until: ClockTime,
 }
 
 impl WeightsCharge {
     /// Returns whether the weights use memory, or could use it.
     #[must_use]
-    pub fn counts(&self, now: ClockTime) -> bool {
-        self.held.is_some() || self.ordered || now < self.hold_until
+    pub fn is_counted(&self, now: ClockTime) -> bool {
+        self.held.is_some() || self.ordered || now < self.late_copy_until
     }
 }
 
@@ -61,24 +61,29 @@
             let charge = self.charge_entry(&held.weights, config);
             charge.held = Some(held.state);
         }
-        self.charges.retain(|_, charge| charge.counts(now));
+        self.charges.retain(|_, charge| charge.is_counted(now));
     }
 
-    /// Charges for a load that is about to be ordered, until [`MemoryLedger::settle_order`].
+    /// Charges for a load that is about to be ordered, until [`MemoryLedger::end_order_charge`].
     pub fn charge_order(&mut self, weights: &WeightsKey, config: &FleetConfig) {
         self.charge_entry(weights, config).ordered = true;
     }
 
     /// Charges until `until` for a delayed copy of a load order that could still be executed.
-    pub fn hold_copy(&mut self, weights: &WeightsKey, until: ClockTime, config: &FleetConfig) {
+    pub fn charge_late_copy(
+        &mut self,
+        weights: &WeightsKey,
+        until: ClockTime,
+        config: &FleetConfig,
+    ) {
         let charge = self.charge_entry(weights, config);
-        charge.hold_until = charge.hold_until.max(until);
+        charge.late_copy_until = charge.late_copy_until.max(until);
     }
 
     /// Ends the charge for a load order whose outcome is known.
     ///
     /// From then on, only what the engine reports is charged.
-    pub fn settle_order(&mut self, weights: &WeightsKey) {
+    pub fn end_order_charge(&mut self, weights: &WeightsKey) {
         if let Some(charge) = self.charges.get_mut(weights) {
             charge.ordered = false;
         }
@@ -91,7 +96,7 @@
     pub fn charged_mib(&self, now: ClockTime) -> u64 {
         self.charges
             .values()
-            .filter(|charge| charge.counts(now))
+            .filter(|charge| charge.is_counted(now))
             .map(|charge| charge.size_mib.unwrap_or(self.capacity_mib))
             .fold(0, u64::saturating_add)
     }
@@ -114,7 +119,7 @@
         let counted = self
             .charges
             .get(weights)
-            .is_some_and(|charge| charge.counts(now));
+            .is_some_and(|charge| charge.is_counted(now));
         let extra = if counted { 0 } else { size_mib };
         self.charged_mib(now).saturating_add(extra) <= self.capacity_mib
     }
--- a/crates/oatpier-placement/src/orders/keeper.rs
+++ b/crates/oatpier-placement/src/orders/keeper.rs
@@ -19,19 +19,19 @@
     pub(super) record: RecordKeeper,
     pub(super) ledger: MemoryLedger,
     pub(super) sequence: u64,
-    pub(super) fenced: bool,
+    pub(super) is_fenced: bool,
     pub(super) ready_after: Option<PollTicket>,
     pub(super) tracks: IndexMap<OrderSubject, OrderTrack>,
     pub(super) in_flight: Option<(OrderNumber, OrderSubject)>,
-    pub(super) refused: Vec<(OrderSubject, ClockTime)>,
+    pub(super) recently_rejected: Vec<(OrderSubject, ClockTime)>,
     pub(super) late_loads: Vec<(OrderIntent, ClockTime)>,
     pub(super) late_unloads: Vec<(OrderIntent, ClockTime)>,
     pub(super) role: Option<EngineRole>,
-    pub(super) polls: u64,
-    pub(super) poll_open: Option<PollTicket>,
-    pub(super) poll_seen: PollTicket,
-    pub(super) poll_at: ClockTime,
-    pub(super) in_force: PollTicket,
+    pub(super) poll_count: u64,
+    pub(super) pending_poll: Option<PollTicket>,
+    pub(super) last_poll: PollTicket,
+    pub(super) next_poll_at: ClockTime,
+    pub(super) epoch_seen_at: PollTicket,
 }
 
 impl OrderKeeper {
@@ -43,19 +43,19 @@
             record: RecordKeeper::new(boot),
             ledger: MemoryLedger::new(settings.capacity_mib),
             sequence: 0,
-            fenced: false,
+            is_fenced: false,
             ready_after: None,
             tracks: IndexMap::new(),
             in_flight: None,
-            refused: Vec::new(),
+            recently_rejected: Vec::new(),
             late_loads: Vec::new(),
             late_unloads: Vec::new(),
             role: None,
-            polls: 0,
-            poll_open: None,
-            poll_seen: PollTicket::default(),
-            poll_at: ClockTime::ZERO,
-            in_force: PollTicket::default(),
+            poll_count: 0,
+            pending_poll: None,
+            last_poll: PollTicket::default(),
+            next_poll_at: ClockTime::ZERO,
+            epoch_seen_at: PollTicket::default(),
         }
     }
 
@@ -110,11 +110,11 @@
         // A state read before earlier agents were fenced off may miss their later changes.
         let known = self
             .ready_after
-            .is_some_and(|ticket| self.poll_seen > ticket);
+            .is_some_and(|ticket| self.last_poll > ticket);
         if !known {
             return Err(BeginError::NotReady);
         }
-        if !self.settings.checks_numbers && !self.record.store_up() {
+        if !self.settings.checks_numbers && !self.record.is_store_up() {
             return Err(BeginError::StoreDown);
         }
         Ok(())
@@ -125,14 +125,14 @@
     /// Does not depend on the store, because an existing replica stays usable during an outage.
     /// Returns false until the agent has acquired its epoch: an earlier agent may be unloading.
     #[must_use]
-    pub fn is_firm(&self, weights: &WeightsKey, now: ClockTime) -> bool {
+    pub fn is_stable(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         let started = !matches!(
             self.check_ready(),
             Err(BeginError::NotReady | BeginError::Superseded)
         );
         started
             && self.stays_ready(weights, now)
-            && (weights.adapter.is_none() || self.has_firm_base(weights, now))
+            && (weights.adapter.is_none() || self.has_stable_base(weights, now))
     }
 
     /// Returns whether weights are ready and no order could unload them.
@@ -141,7 +141,7 @@
     }
 
     /// Returns whether any version of an adapter's base model is ready here and no order could unload it.
-    fn has_firm_base(&self, adapter: &WeightsKey, now: ClockTime) -> bool {
+    fn has_stable_base(&self, adapter: &WeightsKey, now: ClockTime) -> bool {
         self.ledger.ready().any(|held| {
             let base = held.adapter.is_none() && held.model == adapter.model;
             base && self.stays_ready(held, now)
@@ -150,14 +150,14 @@
 
     /// Requests a new proof that no later agent controls the endpoint, and returns the mark to pass
     /// to [`OrderKeeper::is_confirmed`].
-    pub fn want_proof(&mut self, now: ClockTime) -> ProofMark {
+    pub fn request_proof(&mut self, now: ClockTime) -> ProofMark {
         if self.settings.checks_numbers {
-            self.poll_at = now;
+            self.next_poll_at = now;
         } else {
-            self.record.want_confirmation();
+            self.record.request_confirmation();
         }
         ProofMark {
-            polls: PollTicket(self.polls),
+            polls: PollTicket(self.poll_count),
             calls: self.record.calls(),
         }
     }
@@ -168,9 +168,9 @@
     #[must_use]
     pub fn is_confirmed(&self, mark: ProofMark) -> bool {
         if self.settings.checks_numbers {
-            self.in_force > mark.polls
+            self.epoch_seen_at > mark.polls
         } else {
-            self.record.confirmed_after(mark.calls)
+            self.record.is_confirmed_after(mark.calls)
         }
     }
 
@@ -190,23 +190,23 @@
     ) -> Result<(), BeginError> {
         self.check_ready()?;
         let subject = OrderSubject::of(&action);
-        let replaces = self.may_replace(&subject, &action);
-        if self.tracks.contains_key(&subject) && !replaces {
+        let is_replacing_load = self.can_replace(&subject, &action);
+        if self.tracks.contains_key(&subject) && !is_replacing_load {
             return Err(BeginError::InFlight);
         }
         if self
-            .refused
+            .recently_rejected
             .iter()
-            .any(|(refused, until)| *refused == subject && now < *until)
+            .any(|(rejected, until)| *rejected == subject && now < *until)
         {
-            return Err(BeginError::JustRefused);
+            return Err(BeginError::RecentlyRejected);
         }
         if let OrderAction::Load { weights } = &action {
             self.check_load(weights, config, now)?;
             self.ledger.charge_order(weights, config);
         }
         let number = self.next_number();
-        let track = OrderTrack::new(action, number, now, replaces);
+        let track = OrderTrack::new(action, number, now, is_replacing_load);
         self.tracks.insert(subject, track);
         Ok(())
     }
@@ -218,21 +218,21 @@
         now: ClockTime,
     ) -> SmallVec<[OrderCommand; 3]> {
         let mut commands = SmallVec::new();
-        self.forget_late(now);
-        let wanted = self.wanted_intents();
+        self.remove_expired(now);
+        let wanted = self.required_intents();
         let sending = self.tracks.values().any(|track| track.is_due(now));
         let renew = sending && !self.settings.checks_numbers;
         if let Some(call) = self.record.next_call(&wanted, renew, now) {
             commands.push(OrderCommand::CallStore(call));
         }
-        self.begin_fence(now);
+        self.start_fence(now);
         if let Some(order) = self.next_order(config, now) {
             commands.push(OrderCommand::Send(order));
         }
-        if self.poll_open.is_none() && now >= self.poll_at {
-            self.polls += 1;
-            let ticket = PollTicket(self.polls);
-            self.poll_open = Some(ticket);
+        if self.pending_poll.is_none() && now >= self.next_poll_at {
+            self.poll_count += 1;
+            let ticket = PollTicket(self.poll_count);
+            self.pending_poll = Some(ticket);
             commands.push(OrderCommand::Poll(ticket));
         }
         commands
@@ -242,9 +242,9 @@
     #[must_use]
     pub fn next_wake(&self, now: ClockTime) -> ClockTime {
         let wait = if self.tracks.is_empty() {
-            self.settings.poll_every
+            self.settings.idle_poll_interval
         } else {
-            self.settings.poll_moving
+            self.settings.pending_poll_interval
         };
         now + wait
     }
@@ -256,9 +256,9 @@
             OrderEvent::Answered { number, outcome } => self.on_outcome(number, outcome, now),
             OrderEvent::Polled { ticket, state } => self.on_state(ticket, &state, config, now),
             OrderEvent::PollFailed { ticket } => {
-                if self.poll_open == Some(ticket) {
-                    self.poll_open = None;
-                    self.poll_at = now + self.settings.poll_moving;
+                if self.pending_poll == Some(ticket) {
+                    self.pending_poll = None;
+                    self.next_poll_at = now + self.settings.pending_poll_interval;
                 }
             }
         }
@@ -268,7 +268,7 @@
     /// unload could still be executed.
     #[must_use]
     pub fn may_vanish(&self, weights: &WeightsKey, now: ClockTime) -> bool {
-        self.is_moving(weights) || self.unload_may_act(weights, now)
+        self.is_moving(weights) || self.has_late_unload(weights, now)
     }
 
     pub(super) fn own_epoch(&self) -> Option<Epoch> {
@@ -286,7 +286,7 @@
         }
     }
 
-    fn may_replace(&self, subject: &OrderSubject, action: &OrderAction) -> bool {
+    fn can_replace(&self, subject: &OrderSubject, action: &OrderAction) -> bool {
         let unload = matches!(action, OrderAction::Unload { .. });
         unload
             && self.tracks.get(subject).is_some_and(|track| {
@@ -305,8 +305,8 @@
             .memory_of(weights)
             .ok_or(BeginError::UnknownWeights)?;
         // A delayed unload would remove the replica again at a time when others may rely on it.
-        if self.unload_may_act(weights, now) {
-            return Err(BeginError::UnloadMayAct);
+        if self.has_late_unload(weights, now) {
+            return Err(BeginError::LateUnloadPending);
         }
         if self.ledger.fits(weights, needed_mib, now) {
             return Ok(());
@@ -322,8 +322,8 @@
     /// An earlier agent's order could reach the engine after this agent has read the engine's state.
     /// Once the engine has accepted one order of the new epoch, it rejects such orders. The order
     /// sets the current role again, which changes nothing.
-    fn begin_fence(&mut self, now: ClockTime) {
-        let wanted = self.settings.checks_numbers && !self.fenced && self.own_epoch().is_some();
+    fn start_fence(&mut self, now: ClockTime) {
+        let wanted = self.settings.checks_numbers && !self.is_fenced && self.own_epoch().is_some();
         if !wanted || self.tracks.contains_key(&OrderSubject::Role) {
             return;
         }
@@ -344,17 +344,17 @@
             .iter()
             .find(|(_, track)| track.is_due(now) && self.may_send(track, now))
             .map(|(subject, _)| subject.clone())?;
-        let renumber = self.settings.checks_numbers;
-        let number = if renumber {
+        let needs_new_number = self.settings.checks_numbers;
+        let number = if needs_new_number {
             Some(self.next_number())
         } else {
             None
         };
         let track = self.tracks.get_mut(&subject)?;
-        track.start_try(number);
+        track.mark_sent(number);
         let order = track.order();
         self.in_flight = Some((order.number, subject));
-        self.hold_copy(&order, config, now);
+        self.record_late_copy(&order, config, now);
         Some(order)
     }
 
@@ -370,8 +370,8 @@
         self.record.on_answer(answer, now);
         let taken = self.own_epoch().is_some() && !self.settings.checks_numbers;
         if taken && self.ready_after.is_none() {
-            self.ready_after = Some(PollTicket(self.polls));
-            self.poll_at = now;
+            self.ready_after = Some(PollTicket(self.poll_count));
+            self.next_poll_at = now;
         }
         let inherited = self.record.take_inherited();
         if !self.settings.checks_numbers {
--- a/crates/oatpier-placement/src/orders/late.rs
+++ b/crates/oatpier-placement/src/orders/late.rs
@@ -9,20 +9,20 @@
 use crate::record::OrderIntent;
 
 impl OrderKeeper {
-    pub(super) fn unload_may_act(&self, weights: &WeightsKey, now: ClockTime) -> bool {
+    pub(super) fn has_late_unload(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         self.late_unloads
             .iter()
             .any(|(intent, until)| now < *until && OrderSubject::of(&intent.action).is_for(weights))
     }
 
-    pub(super) fn forget_late(&mut self, now: ClockTime) {
-        self.refused.retain(|(_, until)| now < *until);
+    pub(super) fn remove_expired(&mut self, now: ClockTime) {
+        self.recently_rejected.retain(|(_, until)| now < *until);
         self.late_loads.retain(|(_, until)| now < *until);
         self.late_unloads.retain(|(_, until)| now < *until);
     }
 
     /// Returns the intents of all orders that may be in flight or may still be executed.
-    pub(super) fn wanted_intents(&self) -> Vec<OrderIntent> {
+    pub(super) fn required_intents(&self) -> Vec<OrderIntent> {
         if self.settings.checks_numbers {
             return Vec::new();
         }
@@ -36,7 +36,12 @@
         wanted
     }
 
-    pub(super) fn hold_copy(&mut self, order: &EngineOrder, config: &FleetConfig, now: ClockTime) {
+    pub(super) fn record_late_copy(
+        &mut self,
+        order: &EngineOrder,
+        config: &FleetConfig,
+        now: ClockTime,
+    ) {
         if self.settings.checks_numbers {
             return;
         }
@@ -45,10 +50,10 @@
             number: order.number,
             action: order.action.clone(),
         };
-        self.hold_intent(intent, until, config);
+        self.record_late_intent(intent, until, config);
     }
 
-    pub(super) fn hold_intent(
+    pub(super) fn record_late_intent(
         &mut self,
         intent: OrderIntent,
         until: ClockTime,
@@ -56,7 +61,7 @@
     ) {
         let late = match &intent.action {
             OrderAction::Load { weights } => {
-                self.ledger.hold_copy(weights, until, config);
+                self.ledger.charge_late_copy(weights, until, config);
                 &mut self.late_loads
             }
             OrderAction::Unload { .. } => &mut self.late_unloads,
@@ -70,7 +75,7 @@
     /// started, and completes the order.
     pub(super) fn inherit(&mut self, intent: OrderIntent, config: &FleetConfig, now: ClockTime) {
         let until = now + self.settings.late_order_hold;
-        self.hold_intent(intent.clone(), until, config);
+        self.record_late_intent(intent.clone(), until, config);
         if let OrderAction::Load { weights } = &intent.action {
             self.ledger.charge_order(weights, config);
         }
--- a/crates/oatpier-placement/src/orders/mod.rs
+++ b/crates/oatpier-placement/src/orders/mod.rs
@@ -39,9 +39,9 @@
     /// Delay before an order is sent again.
     pub retry_delay: Duration,
     /// Interval between state polls while no order is pending.
-    pub poll_every: Duration,
+    pub idle_poll_interval: Duration,
     /// Interval between state polls while an order is pending.
-    pub poll_moving: Duration,
+    pub pending_poll_interval: Duration,
 }
 
 impl OrderSettings {
@@ -53,8 +53,8 @@
             capacity_mib,
             late_order_hold: Duration::from_mins(2),
             retry_delay: Duration::from_millis(500),
-            poll_every: Duration::from_secs(5),
-            poll_moving: Duration::from_millis(200),
+            idle_poll_interval: Duration::from_secs(5),
+            pending_poll_interval: Duration::from_millis(200),
         }
     }
 }
@@ -153,10 +153,10 @@
     UnknownWeights,
     /// An earlier unload order for the weights could still be executed.
     #[error("an earlier unload order for the weights may still be executed")]
-    UnloadMayAct,
+    LateUnloadPending,
     /// The engine recently rejected an order for the same weights.
     #[error("the engine recently rejected an order for the same weights")]
-    JustRefused,
+    RecentlyRejected,
     /// The engine ignores numbers and the store cannot be written.
     #[error("the store is not reachable and the engine does not check order numbers")]
     StoreDown,
--- a/crates/oatpier-placement/src/orders/track.rs
+++ b/crates/oatpier-placement/src/orders/track.rs
@@ -12,7 +12,7 @@
 use crate::record::OrderIntent;
 
 /// Number of retry delays after a rejection before the same order may be started again.
-const REFUSED_DELAYS: u32 = 4;
+const REJECTION_DELAYS: u32 = 4;
 
 /// The object that an order changes. At most one order per subject has an unknown outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -43,7 +43,7 @@
     /// Sent; no response yet.
     Sent,
     /// Accepted by the engine. Polls from `since` on show the outcome.
-    Taken { since: PollTicket },
+    Accepted { since: PollTicket },
 }
 
 #[derive(Debug, Clone)]
@@ -53,9 +53,9 @@
     pub(super) phase: TrackPhase,
     retry_at: ClockTime,
     /// Whether a copy whose response is unknown may be in flight.
-    doubtful: bool,
+    has_unresolved_copy: bool,
     /// Whether this is an unload that replaces a load with an unknown outcome.
-    replaces: bool,
+    is_replacing_load: bool,
 }
 
 impl OrderTrack {
@@ -63,21 +63,21 @@
         action: OrderAction,
         number: OrderNumber,
         now: ClockTime,
-        replaces: bool,
+        is_replacing_load: bool,
     ) -> Self {
         Self {
             action,
             number,
             phase: TrackPhase::Waiting,
             retry_at: now,
-            doubtful: replaces,
-            replaces,
+            has_unresolved_copy: is_replacing_load,
+            is_replacing_load,
         }
     }
 
     pub(super) fn inherited(intent: OrderIntent, now: ClockTime) -> Self {
         let mut track = Self::new(intent.action, intent.number, now, false);
-        track.doubtful = true;
+        track.has_unresolved_copy = true;
         track
     }
 
@@ -85,7 +85,7 @@
         self.phase == TrackPhase::Waiting && now >= self.retry_at
     }
 
-    pub(super) fn start_try(&mut self, number: Option<OrderNumber>) {
+    pub(super) fn mark_sent(&mut self, number: Option<OrderNumber>) {
         self.number = number.unwrap_or(self.number);
         self.phase = TrackPhase::Sent;
     }
@@ -110,36 +110,41 @@
     }
 
     /// Determines from the poll `ticket` whether this order is completed or has to be sent again.
-    fn judge(&self, ticket: PollTicket, state: &EngineState) -> TrackEnd {
+    fn check_poll(&self, ticket: PollTicket, state: &EngineState) -> TrackProgress {
         if self.phase == TrackPhase::Sent {
-            return TrackEnd::Open;
+            return TrackProgress::Pending;
         }
-        let after_taken = matches!(self.phase, TrackPhase::Taken { since } if ticket >= since);
+        let is_after_acceptance =
+            matches!(self.phase, TrackPhase::Accepted { since } if ticket >= since);
         match &self.action {
             OrderAction::Load { weights } => match state_of(state, weights) {
-                Some(WeightsState::Loading | WeightsState::Ready) => TrackEnd::Done,
-                _ if after_taken => TrackEnd::Again,
-                _ => TrackEnd::Open,
+                Some(WeightsState::Loading | WeightsState::Ready) => TrackProgress::Completed,
+                _ if is_after_acceptance => TrackProgress::Resend,
+                _ => TrackProgress::Pending,
             },
             OrderAction::Unload { weights } => match state_of(state, weights) {
                 // The replaced load may not have arrived yet: only an accepted unload cancels it.
-                None if after_taken || !self.replaces => TrackEnd::Done,
-                Some(WeightsState::Loading | WeightsState::Ready) if after_taken => TrackEnd::Again,
-                _ => TrackEnd::Open,
+                None if is_after_acceptance || !self.is_replacing_load => TrackProgress::Completed,
+                Some(WeightsState::Loading | WeightsState::Ready) if is_after_acceptance => {
+                    TrackProgress::Resend
+                }
+                _ => TrackProgress::Pending,
             },
-            OrderAction::SetRole { role } if after_taken && state.role == *role => TrackEnd::Done,
-            OrderAction::SetRole { .. } if after_taken => TrackEnd::Again,
-            OrderAction::SetRole { .. } => TrackEnd::Open,
+            OrderAction::SetRole { role } if is_after_acceptance && state.role == *role => {
+                TrackProgress::Completed
+            }
+            OrderAction::SetRole { .. } if is_after_acceptance => TrackProgress::Resend,
+            OrderAction::SetRole { .. } => TrackProgress::Pending,
         }
     }
 }
 
 /// Result of comparing an order with a polled state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum TrackEnd {
-    Open,
-    Done,
-    Again,
+enum TrackProgress {
+    Pending,
+    Completed,
+    Resend,
 }
 
 fn state_of(state: &EngineState, weights: &WeightsKey) -> Option<WeightsState> {
@@ -168,24 +173,24 @@
         let Some((_, subject)) = self.in_flight.take() else {
             return;
         };
-        self.poll_at = now;
+        self.next_poll_at = now;
         match outcome {
-            OrderOutcome::Taken => self.on_taken(&subject),
+            OrderOutcome::Taken => self.on_accepted(&subject),
             OrderOutcome::Stale { highest } => self.on_stale(&subject, highest, now),
-            OrderOutcome::Refused => self.on_refused(&subject, now),
-            OrderOutcome::NotSent => self.try_again(&subject, false, now),
-            OrderOutcome::Unknown => self.try_again(&subject, true, now),
+            OrderOutcome::Refused => self.on_rejected(&subject, now),
+            OrderOutcome::NotSent => self.schedule_retry(&subject, false, now),
+            OrderOutcome::Unknown => self.schedule_retry(&subject, true, now),
         }
     }
 
-    fn on_taken(&mut self, subject: &OrderSubject) {
-        self.fenced = true;
-        let since = PollTicket(self.polls + 1);
+    fn on_accepted(&mut self, subject: &OrderSubject) {
+        self.is_fenced = true;
+        let since = PollTicket(self.poll_count + 1);
         if self.ready_after.is_none() {
-            self.ready_after = Some(PollTicket(self.polls));
+            self.ready_after = Some(PollTicket(self.poll_count));
         }
         if let Some(track) = self.tracks.get_mut(subject) {
-            track.phase = TrackPhase::Taken { since };
+            track.phase = TrackPhase::Accepted { since };
         }
     }
 
@@ -204,30 +209,38 @@
     }
 
     /// Handles the rejection of one copy. If no other copy may be in flight, the order has ended.
-    fn on_refused(&mut self, subject: &OrderSubject, now: ClockTime) {
-        let doubtful = self.tracks.get(subject).is_some_and(|track| track.doubtful);
-        if doubtful {
-            self.try_again(subject, false, now);
+    fn on_rejected(&mut self, subject: &OrderSubject, now: ClockTime) {
+        let has_unresolved_copy = self
+            .tracks
+            .get(subject)
+            .is_some_and(|track| track.has_unresolved_copy);
+        if has_unresolved_copy {
+            self.schedule_retry(subject, false, now);
         } else {
-            self.finish(subject);
-            let until = now + self.settings.retry_delay * REFUSED_DELAYS;
-            self.refused.push((subject.clone(), until));
+            self.complete(subject);
+            let until = now + self.settings.retry_delay * REJECTION_DELAYS;
+            self.recently_rejected.push((subject.clone(), until));
         }
     }
 
-    fn try_again(&mut self, subject: &OrderSubject, doubtful: bool, now: ClockTime) {
+    fn schedule_retry(
+        &mut self,
+        subject: &OrderSubject,
+        has_unresolved_copy: bool,
+        now: ClockTime,
+    ) {
         let retry_at = now + self.settings.retry_delay;
         if let Some(track) = self.tracks.get_mut(subject) {
-            track.doubtful |= doubtful;
+            track.has_unresolved_copy |= has_unresolved_copy;
             track.retry(retry_at);
         }
     }
 
     /// Removes an order whose outcome is known. From then on, only what the engine reports is charged.
-    fn finish(&mut self, subject: &OrderSubject) {
+    fn complete(&mut self, subject: &OrderSubject) {
         self.tracks.shift_remove(subject);
         if let OrderSubject::Weights(weights) = subject {
-            self.ledger.settle_order(weights);
+            self.ledger.end_order_charge(weights);
         }
     }
 
@@ -238,19 +251,19 @@
         config: &FleetConfig,
         now: ClockTime,
     ) {
-        if self.poll_open == Some(ticket) {
-            self.poll_open = None;
-            self.poll_at = self.next_wake(now);
+        if self.pending_poll == Some(ticket) {
+            self.pending_poll = None;
+            self.next_poll_at = self.next_wake(now);
         }
         // A response that arrives after that of a later poll is outdated.
-        if ticket <= self.poll_seen {
+        if ticket <= self.last_poll {
             return;
         }
-        self.poll_seen = ticket;
+        self.last_poll = ticket;
         self.check_epoch(ticket, state);
         self.role = Some(state.role);
         self.ledger.observe(state, config, now);
-        self.judge_tracks(ticket, state, now);
+        self.check_tracks(ticket, state, now);
     }
 
     /// Derives from the highest accepted number whether this agent's epoch is current, where the
@@ -265,22 +278,22 @@
         if highest.epoch > own {
             self.record.supersede();
         } else if highest.epoch == own {
-            self.in_force = ticket;
+            self.epoch_seen_at = ticket;
         }
     }
 
-    fn judge_tracks(&mut self, ticket: PollTicket, state: &EngineState, now: ClockTime) {
+    fn check_tracks(&mut self, ticket: PollTicket, state: &EngineState, now: ClockTime) {
         let wait = self.retry_wait();
         let mut done = Vec::new();
         for (subject, track) in &mut self.tracks {
-            match track.judge(ticket, state) {
-                TrackEnd::Open => {}
-                TrackEnd::Done => done.push(subject.clone()),
-                TrackEnd::Again => track.retry(now + wait),
+            match track.check_poll(ticket, state) {
+                TrackProgress::Pending => {}
+                TrackProgress::Completed => done.push(subject.clone()),
+                TrackProgress::Resend => track.retry(now + wait),
             }
         }
         for subject in done {
-            self.finish(&subject);
+            self.complete(&subject);
         }
     }
 
--- a/crates/oatpier-placement/src/planner/baselines.rs
+++ b/crates/oatpier-placement/src/planner/baselines.rs
@@ -2,9 +2,9 @@
 
 use oatpier_types::clock::ClockTime;
 
-use super::board::FleetBoard;
 use super::forecast::empty_views;
-use super::seek::SlotWish;
+use super::layout::FleetLayout;
+use super::slot_search::SlotCriteria;
 use super::versions::finish_plan;
 use super::{FleetPlanner, PlanOutcome, PlannerInput, PlannerSettings};
 
@@ -33,46 +33,46 @@
     fn plan(&mut self, input: &PlannerInput<'_>, _now: ClockTime) -> PlanOutcome {
         let views = empty_views(input.config);
         let demand = crate::demand::DemandSummary::default();
-        let fixed = PlannerInput {
+        let static_input = PlannerInput {
             demand: &demand,
             endpoints: &views,
             ..*input
         };
-        let mut board = FleetBoard::new(&fixed, &self.settings);
-        let rounds = board.slots.len();
+        let mut layout = FleetLayout::new(&static_input, &self.settings);
+        let rounds = layout.slots.len();
         for _ in 0..rounds {
-            if !spread_round(&mut board) {
+            if !spread_round(&mut layout) {
                 break;
             }
         }
-        finish_plan(&board, &fixed, Vec::new())
+        finish_plan(&layout, &static_input, Vec::new())
     }
 }
 
 /// Adds one replica of each item that fits. Returns whether any was added.
-fn spread_round(board: &mut FleetBoard) -> bool {
-    let wish = SlotWish {
+fn spread_round(layout: &mut FleetLayout) -> bool {
+    let criteria = SlotCriteria {
         limit: f64::INFINITY,
-        over_limit: true,
-        empty: true,
-        new_zone: false,
-        spare_mib: 0,
-        except: None,
+        allows_over_limit: true,
+        allows_empty: true,
+        requires_new_zone: false,
+        reserved_mib: 0,
+        excluded_slot: None,
     };
-    let mut order: Vec<usize> = (0..board.items.len()).collect();
+    let mut order: Vec<usize> = (0..layout.items.len()).collect();
     order.sort_by(|left, right| {
-        let adapters = board.items[*left].base.is_some();
-        let order = adapters.cmp(&board.items[*right].base.is_some());
-        order.then(board.by_size(*right, *left))
+        let adapters = layout.items[*left].base.is_some();
+        let order = adapters.cmp(&layout.items[*right].base.is_some());
+        order.then(layout.by_size(*right, *left))
     });
-    let mut any = false;
+    let mut is_any_placed = false;
     for item in order {
-        if let Some(slot) = board.seek_even(item, wish) {
-            board.place(item, slot);
-            any = true;
+        if let Some(slot) = layout.find_emptiest_slot(item, criteria) {
+            layout.place(item, slot);
+            is_any_placed = true;
         }
     }
-    any
+    is_any_placed
 }
 
 /// Planner that follows demand immediately, with exactly as many replicas as the current rates
@@ -102,12 +102,12 @@
         Self::default()
     }
 
-    fn wanted(&self, load: f64) -> usize {
+    fn replicas_for_load(&self, load: f64) -> usize {
         let mut replicas = 1;
-        let mut carried = self.settings.high_load;
-        while carried < load {
+        let mut capacity = self.settings.high_load;
+        while capacity < load {
             replicas += 1;
-            carried += self.settings.high_load;
+            capacity += self.settings.high_load;
         }
         replicas
     }
@@ -119,56 +119,56 @@
     }
 
     fn plan(&mut self, input: &PlannerInput<'_>, _now: ClockTime) -> PlanOutcome {
-        let mut board = FleetBoard::new(input, &self.settings);
-        board.start_from(input);
-        let mut order: Vec<usize> = (0..board.items.len()).collect();
+        let mut layout = FleetLayout::new(input, &self.settings);
+        layout.place_current(input);
+        let mut order: Vec<usize> = (0..layout.items.len()).collect();
         order.sort_by(|left, right| {
-            let loads = (board.items[*left].load, board.items[*right].load);
+            let loads = (layout.items[*left].load, layout.items[*right].load);
             loads.1.total_cmp(&loads.0).then(left.cmp(right))
         });
         for item in &order {
-            self.shrink(&mut board, *item);
+            self.remove_replicas(&mut layout, *item);
         }
         for item in &order {
-            self.grow(&mut board, *item);
+            self.add_replicas(&mut layout, *item);
         }
-        finish_plan(&board, input, Vec::new())
+        finish_plan(&layout, input, Vec::new())
     }
 }
 
 impl GreedyPlanner {
-    fn shrink(&self, board: &mut FleetBoard, item: usize) {
-        let wanted = self.wanted(board.items[item].load);
-        let mut holders: Vec<usize> = board.usable_holders(item).collect();
+    fn remove_replicas(&self, layout: &mut FleetLayout, item: usize) {
+        let wanted = self.replicas_for_load(layout.items[item].load);
+        let mut holders: Vec<usize> = layout.usable_holders(item).collect();
         holders.sort_by(|left, right| {
-            let loads = (board.slots[*left].load, board.slots[*right].load);
+            let loads = (layout.slots[*left].load, layout.slots[*right].load);
             loads.1.total_cmp(&loads.0).then(left.cmp(right))
         });
         for slot in holders {
-            let more = board.usable_holders(item).count() > wanted;
-            if more && !board.has_adapter_at(item, slot) && board.is_spare(item, slot) {
-                board.remove(item, slot);
+            let has_excess = layout.usable_holders(item).count() > wanted;
+            if has_excess && !layout.has_adapter_at(item, slot) && layout.is_redundant(item, slot) {
+                layout.remove(item, slot);
             }
         }
     }
 
-    fn grow(&self, board: &mut FleetBoard, item: usize) {
-        let wanted = self.wanted(board.items[item].load);
-        let wish = SlotWish {
+    fn add_replicas(&self, layout: &mut FleetLayout, item: usize) {
+        let wanted = self.replicas_for_load(layout.items[item].load);
+        let criteria = SlotCriteria {
             limit: self.settings.high_load,
-            over_limit: true,
-            empty: true,
-            new_zone: false,
-            spare_mib: 0,
-            except: None,
+            allows_over_limit: true,
+            allows_empty: true,
+            requires_new_zone: false,
+            reserved_mib: 0,
+            excluded_slot: None,
         };
-        while board.usable_holders(item).count() < wanted {
-            let slot = board.seek_slot(item, wish);
-            let slot = slot.or_else(|| board.evict_for(item, f64::INFINITY, &|_, _, _| true));
+        while layout.usable_holders(item).count() < wanted {
+            let slot = layout.find_slot(item, criteria);
+            let slot = slot.or_else(|| layout.evict_for(item, f64::INFINITY, &|_, _, _| true));
             let Some(slot) = slot else {
                 return;
             };
-            board.place(item, slot);
+            layout.place(item, slot);
         }
     }
 }
--- a/crates/oatpier-placement/src/planner/forecast.rs
+++ b/crates/oatpier-placement/src/planner/forecast.rs
@@ -45,7 +45,7 @@
         for view in &mut views {
             view.leaving |= stopping.contains(&view.endpoint);
         }
-        let replacements = only_at(&views, stopping);
+        let replacements = ready_only_on(&views, stopping);
         let input = PlannerInput {
             endpoints: &views,
             ..*input
@@ -59,7 +59,7 @@
 }
 
 /// Returns the weights that are ready only on endpoints that stop.
-fn only_at(views: &[EndpointView], stopping: &[EndpointName]) -> Vec<WeightsKey> {
+fn ready_only_on(views: &[EndpointView], stopping: &[EndpointName]) -> Vec<WeightsKey> {
     let ready = |view: &EndpointView| -> Vec<WeightsKey> {
         view.held
             .iter()
--- a/crates/oatpier-placement/src/planner/board.rs
+++ b/crates/oatpier-placement/src/planner/layout.rs
@@ -8,13 +8,13 @@
 use oatpier_types::plan::EndpointPlan;
 use smallvec::SmallVec;
 
-use super::figures::{PoolFigures, load_of, pool_figures, rate_of};
+use super::pool_profile::{PoolProfile, compute_load, pool_profiles, rate_of};
 use super::{EndpointView, PlannerInput, PlannerSettings};
 use crate::demand::DemandRate;
 
 /// Configured weights in their current version.
 #[derive(Debug, Clone)]
-pub(super) struct BoardItem {
+pub(super) struct LayoutItem {
     pub(super) weights: WeightsKey,
     pub(super) pool: usize,
     pub(super) base: Option<usize>,
@@ -28,12 +28,12 @@
 
 /// An endpoint with the weights that the plan assigns to it.
 #[derive(Debug, Clone)]
-pub(super) struct BoardSlot {
+pub(super) struct LayoutSlot {
     pub(super) endpoint: EndpointName,
     pub(super) pool: usize,
     pub(super) zone: usize,
     pub(super) memory_mib: u64,
-    pub(super) slots: u32,
+    pub(super) request_slots: u32,
     pub(super) used_mib: u64,
     pub(super) load: f64,
     pub(super) items: SmallVec<[usize; 8]>,
@@ -45,9 +45,9 @@
 
 /// State of the fleet during a planning step.
 #[derive(Debug, Clone)]
-pub(super) struct FleetBoard {
-    pub(super) items: Vec<BoardItem>,
-    pub(super) slots: Vec<BoardSlot>,
+pub(super) struct FleetLayout {
+    pub(super) items: Vec<LayoutItem>,
+    pub(super) slots: Vec<LayoutSlot>,
     pub(super) by_pool: Vec<Vec<usize>>,
     /// Item index of each model, in the order of the configuration.
     models: Vec<Option<usize>>,
@@ -55,7 +55,7 @@
     zones: Vec<ZoneName>,
 }
 
-impl FleetBoard {
+impl FleetLayout {
     /// Creates a layout where nothing is placed.
     pub(super) fn new(input: &PlannerInput<'_>, settings: &PlannerSettings) -> Self {
         let pools: HashMap<&PoolName, usize> = input
@@ -65,8 +65,8 @@
             .enumerate()
             .map(|(index, name)| (name, index))
             .collect();
-        let figures = pool_figures(input);
-        let mut board = Self {
+        let profiles = pool_profiles(input);
+        let mut layout = Self {
             items: Vec::new(),
             slots: Vec::with_capacity(input.endpoints.len()),
             by_pool: vec![Vec::new(); pools.len()],
@@ -74,26 +74,26 @@
             adapters: Vec::new(),
             zones: Vec::new(),
         };
-        board.add_models(input, &pools, &figures, settings);
-        board.add_adapters(input, &figures);
+        layout.add_models(input, &pools, &profiles, settings);
+        layout.add_adapters(input, &profiles);
         for view in input.endpoints {
-            board.add_slot(input, view, &pools, &figures);
+            layout.add_slot(input, view, &pools, &profiles);
         }
-        board
+        layout
     }
 
     /// Places the weights of the current plan, or those that are held where there is no plan.
-    pub(super) fn start_from(&mut self, input: &PlannerInput<'_>) {
+    pub(super) fn place_current(&mut self, input: &PlannerInput<'_>) {
         for (index, view) in input.endpoints.iter().enumerate() {
             if !self.slots[index].alive {
                 continue;
             }
             let row = input
                 .previous
-                .and_then(|plan| row_of(&plan.endpoints, &view.endpoint, index));
+                .and_then(|plan| find_row(&plan.endpoints, &view.endpoint, index));
             let mut wanted: SmallVec<[usize; 8]> = match row {
-                Some(row) => self.items_of(input.config, row.weights.iter()),
-                None => self.items_of(input.config, view.held.iter().map(|held| &held.weights)),
+                Some(row) => self.find_items(input.config, row.weights.iter()),
+                None => self.find_items(input.config, view.held.iter().map(|held| &held.weights)),
             };
             wanted.sort_by_key(|item| self.items[*item].base.is_some());
             for item in wanted {
@@ -105,7 +105,7 @@
     }
 
     /// Returns the item of weights, whatever their version.
-    pub(super) fn item_of(&self, config: &FleetConfig, weights: &WeightsKey) -> Option<usize> {
+    pub(super) fn find_item(&self, config: &FleetConfig, weights: &WeightsKey) -> Option<usize> {
         match &weights.adapter {
             None => self.models[config.models.get_index_of(&weights.model)?],
             Some(adapter) => {
@@ -127,11 +127,11 @@
 
     /// Returns whether a slot has memory for an item that it does not hold yet.
     pub(super) fn fits(&self, item: usize, slot: usize) -> bool {
-        let place = &self.slots[slot];
-        place.used_mib + self.items[item].size_mib <= place.memory_mib
-            && place.pool == self.items[item].pool
-            && !place.items.contains(&item)
-            && place.used_mib + self.needed_mib(item, slot) <= place.memory_mib
+        let target = &self.slots[slot];
+        target.used_mib + self.items[item].size_mib <= target.memory_mib
+            && target.pool == self.items[item].pool
+            && !target.items.contains(&item)
+            && target.used_mib + self.needed_mib(item, slot) <= target.memory_mib
     }
 
     /// Places an item on a slot, with its base model.
@@ -165,10 +165,10 @@
     /// Returns the cost of moving an item relative to moving a model.
     ///
     /// The cost of a load is proportional to the size: an adapter costs its fraction of its base model.
-    pub(super) fn move_part(&self, item: usize) -> f64 {
+    pub(super) fn relative_move_cost(&self, item: usize) -> f64 {
         let base = self.items[item].base.map(|base| self.items[base].size_mib);
         base.map_or(1.0, |base| {
-            size(self.items[item].size_mib) / size(base.max(1))
+            mib_to_f64(self.items[item].size_mib) / mib_to_f64(base.max(1))
         })
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Returns whether an item and its adapters on a slot are also ready on other usable slots.
-    pub(super) fn is_spare(&self, item: usize, slot: usize) -> bool {
+    pub(super) fn is_redundant(&self, item: usize, slot: usize) -> bool {
         let elsewhere = self
             .usable_holders(item)
             .any(|other| other != slot && self.slots[other].ready.contains(&item));
@@ -199,16 +199,16 @@
                 .adapters
                 .iter()
                 .filter(|adapter| self.slots[slot].items.contains(adapter))
-                .all(|adapter| self.is_spare(*adapter, slot))
+                .all(|adapter| self.is_redundant(*adapter, slot))
     }
 
     /// Shifts load from a slot to the other holders of its items, up to their `limit`. Returns whether
     /// the slot is then at or below `limit`.
     ///
     /// Requests go to the holder that is available first, so the load need not be even.
-    pub(super) fn level(&mut self, slot: usize, limit: f64) -> bool {
+    pub(super) fn rebalance(&mut self, slot: usize, limit: f64) -> bool {
         for item in self.slots[slot].items.clone() {
-            let mut movable = self.share_with(item, 0);
+            let mut movable = self.load_share(item, 0);
             let others: SmallVec<[usize; 8]> = self
                 .usable_holders(item)
                 .filter(|other| *other != slot)
@@ -228,23 +228,23 @@
     /// Returns whether the other holders of an item can absorb a slot's load for it within `limit`.
     ///
     /// They need not absorb equal shares: requests go to the holder that is available first.
-    pub(super) fn is_calm_without(&self, item: usize, slot: usize, limit: f64) -> bool {
+    pub(super) fn can_absorb_load(&self, item: usize, slot: usize, limit: f64) -> bool {
         let slack: f64 = self
             .usable_holders(item)
             .filter(|other| *other != slot)
             .map(|other| (limit - self.slots[other].load).max(0.0))
             .sum();
-        self.share_with(item, 0).min(self.slots[slot].load) <= slack
+        self.load_share(item, 0).min(self.slots[slot].load) <= slack
     }
 
     /// Returns the load of an item on each of its holders if `more` replicas are added.
-    pub(super) fn share_with(&self, item: usize, more: usize) -> f64 {
+    pub(super) fn load_share(&self, item: usize, more: usize) -> f64 {
         let holders = self.usable_holders(item).count() + more;
         self.items[item].load / f64::from(u32::try_from(holders.max(1)).unwrap_or(u32::MAX))
     }
 
     fn shift_load(&mut self, item: usize, sign: f64) {
-        let share = self.share_with(item, 0) * sign;
+        let share = self.load_share(item, 0) * sign;
         for holder in self.items[item].holders.clone() {
             if self.slots[holder].usable {
                 self.slots[holder].load += share;
@@ -252,13 +252,13 @@
         }
     }
 
-    fn items_of<'a>(
+    fn find_items<'a>(
         &self,
         config: &FleetConfig,
         weights: impl Iterator<Item = &'a WeightsKey>,
     ) -> SmallVec<[usize; 8]> {
         let mut found = SmallVec::new();
-        for item in weights.filter_map(|weights| self.item_of(config, weights)) {
+        for item in weights.filter_map(|weights| self.find_item(config, weights)) {
             if !found.contains(&item) {
                 found.push(item);
             }
@@ -270,7 +270,7 @@
         &mut self,
         input: &PlannerInput<'_>,
         pools: &HashMap<&PoolName, usize>,
-        figures: &[PoolFigures],
+        profiles: &[PoolProfile],
         settings: &PlannerSettings,
     ) {
         for (name, spec) in &input.config.models {
@@ -281,12 +281,12 @@
             self.models.push(Some(self.items.len()));
             let weights = model_weights(name, spec);
             let rate = rate_of(input, &weights);
-            let load = load_of(rate, figures[pool]).max(settings.assumed_load);
+            let load = compute_load(rate, profiles[pool]).max(settings.assumed_load);
             self.add_item(weights, pool, None, spec.memory_mib, load, rate);
         }
     }
 
-    fn add_adapters(&mut self, input: &PlannerInput<'_>, figures: &[PoolFigures]) {
+    fn add_adapters(&mut self, input: &PlannerInput<'_>, profiles: &[PoolProfile]) {
         for (name, spec) in &input.config.adapters {
             let weights = WeightsKey {
                 model: spec.model.clone(),
@@ -301,7 +301,7 @@
             self.adapters.push(Some(self.items.len()));
             let pool = self.items[base].pool;
             let rate = rate_of(input, &weights);
-            let load = load_of(rate, figures[pool]);
+            let load = compute_load(rate, profiles[pool]);
             self.add_item(weights, pool, Some(base), spec.memory_mib, load, rate);
         }
     }
@@ -319,7 +319,7 @@
         if let Some(base) = base {
             self.items[base].adapters.push(index);
         }
-        self.items.push(BoardItem {
+        self.items.push(LayoutItem {
             weights,
             pool,
             base,
@@ -346,7 +346,7 @@
         input: &PlannerInput<'_>,
         view: &EndpointView,
         pools: &HashMap<&PoolName, usize>,
-        figures: &[PoolFigures],
+        profiles: &[PoolProfile],
     ) {
         let index = self.slots.len();
         let zone = self.zone_index(&view.zone);
@@ -354,19 +354,19 @@
         if let Some(pool) = pool {
             self.by_pool[pool].push(index);
         }
-        let figure = pool.map(|pool| figures[pool]);
+        let profile = pool.map(|pool| profiles[pool]);
         let ready = view
             .held
             .iter()
             .filter(|held| held.state == WeightsState::Ready)
             .map(|held| &held.weights);
-        let ready = self.items_of(input.config, ready);
-        self.slots.push(BoardSlot {
+        let ready = self.find_items(input.config, ready);
+        self.slots.push(LayoutSlot {
             endpoint: view.endpoint.clone(),
             pool: pool.unwrap_or(usize::MAX),
             zone,
-            memory_mib: figure.map_or(0, |figure| figure.memory_mib),
-            slots: figure.map_or(1, |figure| figure.slots),
+            memory_mib: profile.map_or(0, |profile| profile.memory_mib),
+            request_slots: profile.map_or(1, |profile| profile.request_slots),
             used_mib: 0,
             load: 0.0,
             items: SmallVec::new(),
@@ -381,18 +381,18 @@
     clippy::cast_precision_loss,
     reason = "sizes in MiB are far below 2^52"
 )]
-fn size(mib: u64) -> f64 {
+fn mib_to_f64(mib: u64) -> f64 {
     mib as f64
 }
 
 /// Returns the row of an endpoint in a sorted plan. `place` is the index of the endpoint's view,
 /// which is usually also the index of its row.
-pub(super) fn row_of<'a>(
+pub(super) fn find_row<'a>(
     rows: &'a [EndpointPlan],
     endpoint: &EndpointName,
-    place: usize,
+    view_index: usize,
 ) -> Option<&'a EndpointPlan> {
-    if let Some(row) = rows.get(place).filter(|row| row.endpoint == *endpoint) {
+    if let Some(row) = rows.get(view_index).filter(|row| row.endpoint == *endpoint) {
         return Some(row);
     }
     rows.binary_search_by(|row| row.endpoint.cmp(endpoint))
--- a/crates/oatpier-placement/src/planner/mod.rs
+++ b/crates/oatpier-placement/src/planner/mod.rs
@@ -4,12 +4,12 @@
 //! [`GreedyPlanner`] are baselines for benchmarks.
 
 mod baselines;
-mod board;
 mod emptying;
-mod figures;
 mod forecast;
+mod layout;
 mod placement;
-mod seek;
+mod pool_profile;
+mod slot_search;
 mod versions;
 
 use std::time::Duration;
@@ -123,9 +123,9 @@
     pub assumed_load: f64,
     /// Rate in requests per second from which a model gets a second replica, if an endpoint in use
     /// has free memory for it.
-    pub fill_rate: f64,
+    pub add_second_rate: f64,
     /// Rate in requests per second from which a model keeps two replicas when an endpoint is emptied.
-    pub pair_rate: f64,
+    pub keep_second_rate: f64,
     /// Time within which the gain of a move must exceed its cost.
     pub horizon: Duration,
     /// Cost of a move, in seconds of one request slot of an endpoint.
@@ -145,8 +145,8 @@
             high_load: 0.85,
             low_load: 0.5,
             assumed_load: 0.02,
-            fill_rate: 2.5,
-            pair_rate: 5.0,
+            add_second_rate: 2.5,
+            keep_second_rate: 5.0,
             horizon: Duration::from_mins(5),
             move_cost: 120.0,
             dwell: Duration::from_mins(10),
--- a/crates/oatpier-placement/src/planner/placement.rs
+++ b/crates/oatpier-placement/src/planner/placement.rs
@@ -23,25 +23,25 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::EndpointName;
 
-use super::board::FleetBoard;
-use super::seek::SlotWish;
-use super::versions::{finish_plan, help_versions};
+use super::layout::FleetLayout;
+use super::slot_search::SlotCriteria;
+use super::versions::{add_upgrade_replicas, finish_plan};
 use super::{FleetPlanner, PlanNote, PlanOutcome, PlannerInput, PlannerSettings};
 
 /// Maximum number of loads that one step adds beyond reachability. Bounds the run time of a step.
-const MOST_LOADS: u32 = 64;
+const MAX_LOADS_PER_STEP: u32 = 64;
 
 /// The production planner. See the [module documentation](self).
 #[derive(Debug, Clone)]
 pub struct PlacementPlanner {
     settings: PlannerSettings,
-    added: IndexMap<(EndpointName, WeightsKey), ClockTime>,
+    added_at: IndexMap<(EndpointName, WeightsKey), ClockTime>,
     pub(super) emptying: Vec<EndpointName>,
     pub(super) emptied_at: ClockTime,
     /// Endpoints that were not alive in the last step.
-    away: HashSet<EndpointName>,
-    load_tokens: f64,
-    stepped_at: Option<ClockTime>,
+    offline: HashSet<EndpointName>,
+    load_credit: f64,
+    last_step_at: Option<ClockTime>,
 }
 
 impl PlacementPlanner {
@@ -50,12 +50,12 @@
     pub fn new(settings: PlannerSettings) -> Self {
         Self {
             settings,
-            added: IndexMap::new(),
+            added_at: IndexMap::new(),
             emptying: Vec::new(),
             emptied_at: ClockTime::ZERO,
-            away: HashSet::new(),
-            load_tokens: 0.0,
-            stepped_at: None,
+            offline: HashSet::new(),
+            load_credit: 0.0,
+            last_step_at: None,
         }
     }
 
@@ -68,40 +68,45 @@
     /// A crashed endpoint returns empty, and its weights were placed elsewhere in the meantime:
     /// loading them again would be an unnecessary move. An endpoint that was only unreachable still
     /// holds its weights, and its row stays.
-    fn keep_moved(&mut self, board: &mut FleetBoard, input: &PlannerInput<'_>) {
-        let back = |slot: usize| {
-            board.slots[slot].alive && self.away.contains(&input.endpoints[slot].endpoint)
+    fn drop_lost_weights(&mut self, layout: &mut FleetLayout, input: &PlannerInput<'_>) {
+        let has_returned = |slot: usize| {
+            layout.slots[slot].alive && self.offline.contains(&input.endpoints[slot].endpoint)
         };
-        let returned: Vec<usize> = (0..board.slots.len()).filter(|slot| back(*slot)).collect();
+        let returned: Vec<usize> = (0..layout.slots.len())
+            .filter(|slot| has_returned(*slot))
+            .collect();
         for slot in returned {
-            for item in board.slots[slot].items.clone() {
-                let empty = !board.is_held(item, &input.endpoints[slot]);
-                if empty && board.slots[slot].items.contains(&item) && board.is_spare(item, slot) {
-                    board.remove(item, slot);
+            for item in layout.slots[slot].items.clone() {
+                let is_lost = !layout.is_held(item, &input.endpoints[slot]);
+                if is_lost
+                    && layout.slots[slot].items.contains(&item)
+                    && layout.is_redundant(item, slot)
+                {
+                    layout.remove(item, slot);
                 }
             }
         }
-        let away = input.endpoints.iter().filter(|view| !view.alive);
-        self.away = away.map(|view| view.endpoint.clone()).collect();
+        let offline = input.endpoints.iter().filter(|view| !view.alive);
+        self.offline = offline.map(|view| view.endpoint.clone()).collect();
     }
 
     /// Returns how many loads this step may add beyond those that reachability needs.
-    fn allowance(&mut self, store: WeightStoreSpec, open: u32, now: ClockTime) -> u32 {
-        let at_once = store.full_speed_loads.max(1) * self.settings.open_loads.max(1);
+    fn refill_allowance(&mut self, store: WeightStoreSpec, pending: u32, now: ClockTime) -> u32 {
+        let max_pending = store.full_speed_loads.max(1) * self.settings.open_loads.max(1);
         let rate = if store.loads_per_second > 0.0 {
             store.loads_per_second
         } else {
             1.0
         };
-        let since = self
-            .stepped_at
+        let elapsed = self
+            .last_step_at
             .map_or(Duration::from_secs(1), |last| now.since(last));
-        self.stepped_at = Some(now);
-        let filled = self.load_tokens + rate * since.as_secs_f64();
-        self.load_tokens = filled.min(f64::from(at_once));
-        whole(self.load_tokens)
-            .min(at_once.saturating_sub(open))
-            .min(MOST_LOADS)
+        self.last_step_at = Some(now);
+        let credit = self.load_credit + rate * elapsed.as_secs_f64();
+        self.load_credit = credit.min(f64::from(max_pending));
+        floor_to_u32(self.load_credit)
+            .min(max_pending.saturating_sub(pending))
+            .min(MAX_LOADS_PER_STEP)
     }
 }
 
@@ -111,41 +116,41 @@
     }
 
     fn plan(&mut self, input: &PlannerInput<'_>, now: ClockTime) -> PlanOutcome {
-        let mut board = FleetBoard::new(input, &self.settings);
-        board.start_from(input);
-        self.keep_moved(&mut board, input);
-        let open = open_loads(&board);
-        let allowance = self.allowance(input.config.weight_store, open, now);
+        let mut layout = FleetLayout::new(input, &self.settings);
+        layout.place_current(input);
+        self.drop_lost_weights(&mut layout, input);
+        let pending = count_pending_loads(&layout);
+        let allowance = self.refill_allowance(input.config.weight_store, pending, now);
         let dwell = self.settings.dwell;
-        self.added.retain(|_, added| now.since(*added) < dwell);
+        self.added_at.retain(|_, added| now.since(*added) < dwell);
         let mut step = PlanStep {
             planner: self,
-            board,
+            layout,
             allowance,
-            debt: 0,
+            overdraft: 0,
             notes: Vec::new(),
             now,
         };
         step.place_unreachable();
-        step.relieve();
-        step.pair();
-        step.empty_quiet();
+        step.relieve_overloaded();
+        step.add_second_replicas();
+        step.empty_underloaded();
         let PlanStep {
-            mut board,
+            mut layout,
             mut notes,
             allowance: left,
-            debt,
+            overdraft,
             ..
         } = step;
-        self.load_tokens -= f64::from(allowance - left + debt);
-        help_versions(&mut board, input, &mut notes);
-        finish_plan(&board, input, notes)
+        self.load_credit -= f64::from(allowance - left + overdraft);
+        add_upgrade_replicas(&mut layout, input, &mut notes);
+        finish_plan(&layout, input, notes)
     }
 }
 
 /// Returns the number of replicas that are planned on usable endpoints and not ready.
-fn open_loads(board: &FleetBoard) -> u32 {
-    let open: usize = board
+fn count_pending_loads(layout: &FleetLayout) -> u32 {
+    let pending: usize = layout
         .slots
         .iter()
         .filter(|slot| slot.usable)
@@ -156,7 +161,7 @@
                 .count()
         })
         .sum();
-    u32::try_from(open).unwrap_or(u32::MAX)
+    u32::try_from(pending).unwrap_or(u32::MAX)
 }
 
 #[expect(
@@ -164,16 +169,16 @@
     clippy::cast_sign_loss,
     reason = "bounded by the loads at once"
 )]
-fn whole(tokens: f64) -> u32 {
-    tokens.max(0.0) as u32
+fn floor_to_u32(credit: f64) -> u32 {
+    credit.max(0.0) as u32
 }
 
 pub(super) struct PlanStep<'a> {
     pub(super) planner: &'a mut PlacementPlanner,
-    pub(super) board: FleetBoard,
+    pub(super) layout: FleetLayout,
     pub(super) allowance: u32,
     /// Loads beyond the allowance that emptying an endpoint needs. Deducted from later allowances.
-    pub(super) debt: u32,
+    pub(super) overdraft: u32,
     pub(super) notes: Vec<PlanNote>,
     pub(super) now: ClockTime,
 }
@@ -184,82 +189,82 @@
     }
 
     fn add(&mut self, item: usize, slot: usize) {
-        self.board.place(item, slot);
-        let weights = self.board.items[item].weights.clone();
-        let endpoint = self.board.slots[slot].endpoint.clone();
-        self.planner.added.insert((endpoint, weights), self.now);
+        self.layout.place(item, slot);
+        let weights = self.layout.items[item].weights.clone();
+        let endpoint = self.layout.slots[slot].endpoint.clone();
+        self.planner.added_at.insert((endpoint, weights), self.now);
     }
 
     /// Returns whether a replica was added less than the dwell time ago, and so has to stay.
-    pub(super) fn dwells(&self, item: usize, slot: usize) -> bool {
+    pub(super) fn is_dwelling(&self, item: usize, slot: usize) -> bool {
         let key = (
-            self.board.slots[slot].endpoint.clone(),
-            self.board.items[item].weights.clone(),
+            self.layout.slots[slot].endpoint.clone(),
+            self.layout.items[item].weights.clone(),
         );
-        self.planner.added.contains_key(&key)
+        self.planner.added_at.contains_key(&key)
     }
 
     /// Places weights without a usable replica: models before adapters, and the largest first, because
     /// small ones fit into the remaining memory.
     fn place_unreachable(&mut self) {
-        let mut lost: Vec<usize> = (0..self.board.items.len())
-            .filter(|item| self.board.usable_holders(*item).next().is_none())
+        let mut unreachable: Vec<usize> = (0..self.layout.items.len())
+            .filter(|item| self.layout.usable_holders(*item).next().is_none())
             .collect();
-        lost.sort_by(|left, right| {
-            let adapters = self.board.items[*left].base.is_some();
-            let order = adapters.cmp(&self.board.items[*right].base.is_some());
-            order.then(self.board.by_size(*right, *left))
+        unreachable.sort_by(|left, right| {
+            let adapters = self.layout.items[*left].base.is_some();
+            let order = adapters.cmp(&self.layout.items[*right].base.is_some());
+            order.then(self.layout.by_size(*right, *left))
         });
-        for item in lost {
+        for item in unreachable {
             // Placing an adapter may have placed this base model too.
-            if self.board.usable_holders(item).next().is_none() {
-                self.place_one(item);
+            if self.layout.usable_holders(item).next().is_none() {
+                self.place_item(item);
             }
         }
     }
 
-    fn place_one(&mut self, item: usize) {
-        let wish = SlotWish {
+    fn place_item(&mut self, item: usize) {
+        let criteria = SlotCriteria {
             limit: self.settings().high_load,
-            over_limit: true,
-            empty: true,
-            new_zone: false,
-            spare_mib: 0,
-            except: None,
+            allows_over_limit: true,
+            allows_empty: true,
+            requires_new_zone: false,
+            reserved_mib: 0,
+            excluded_slot: None,
         };
         // Space for its adapters is required too. Otherwise each adapter would need another replica
         // of the base model elsewhere.
-        let roomy = SlotWish {
-            spare_mib: self.lost_adapters_mib(item),
-            ..wish
+        let with_adapters = SlotCriteria {
+            reserved_mib: self.unplaced_adapters_mib(item),
+            ..criteria
         };
-        let found = self.board.seek_slot(item, roomy);
-        if let Some(slot) = found.or_else(|| self.board.seek_slot(item, wish)) {
+        let found = self.layout.find_slot(item, with_adapters);
+        if let Some(slot) = found.or_else(|| self.layout.find_slot(item, criteria)) {
             return self.add(item, slot);
         }
-        let may_go = |_: &FleetBoard, _: usize, _: usize| true;
-        if let Some(slot) = self.board.evict_for(item, f64::INFINITY, &may_go) {
+        let may_evict = |_: &FleetLayout, _: usize, _: usize| true;
+        if let Some(slot) = self.layout.evict_for(item, f64::INFINITY, &may_evict) {
             return self.add(item, slot);
         }
-        self.board.move_aside_for(item, wish);
+        self.layout.relocate_for(item, criteria);
         self.note_unplaced(item);
     }
 
-    fn lost_adapters_mib(&self, item: usize) -> u64 {
-        let adapters = self.board.items[item].adapters.iter();
+    fn unplaced_adapters_mib(&self, item: usize) -> u64 {
+        let adapters = self.layout.items[item].adapters.iter();
         adapters
-            .filter(|adapter| self.board.usable_holders(**adapter).next().is_none())
-            .map(|adapter| self.board.items[*adapter].size_mib)
+            .filter(|adapter| self.layout.usable_holders(**adapter).next().is_none())
+            .map(|adapter| self.layout.items[*adapter].size_mib)
             .sum()
     }
 
     fn note_unplaced(&mut self, item: usize) {
-        let board = &self.board;
-        let wanted = &board.items[item];
-        let base = wanted.base.map_or(0, |base| board.items[base].size_mib);
-        let largest = board.by_pool[wanted.pool]
+        let layout = &self.layout;
+        let wanted = &layout.items[item];
+        let base = wanted.base.map_or(0, |base| layout.items[base].size_mib);
+        let largest = layout.by_pool[wanted.pool]
             .iter()
-            .map(|slot| &board.slots[*slot])
+            .map(|slot| &layout.slots[*slot])
             .filter(|slot| slot.usable)
             .map(|slot| slot.memory_mib.saturating_sub(slot.used_mib))
             .max();
@@ -270,21 +275,21 @@
         });
     }
 
-    fn relieve(&mut self) {
+    fn relieve_overloaded(&mut self) {
         let high = self.settings().high_load;
-        let mut hot: Vec<usize> = (0..self.board.slots.len())
-            .filter(|slot| self.board.slots[*slot].usable && self.board.slots[*slot].load > high)
+        let mut overloaded: Vec<usize> = (0..self.layout.slots.len())
+            .filter(|slot| self.layout.slots[*slot].usable && self.layout.slots[*slot].load > high)
             .collect();
-        hot.sort_by(|left, right| {
+        overloaded.sort_by(|left, right| {
             let (left_load, right_load) = (self.load(*left), self.load(*right));
             right_load.total_cmp(&left_load).then(left.cmp(right))
         });
         // An item without a suitable slot cannot get one later in the same step: loads only grow.
-        let mut stuck = HashSet::new();
-        for slot in hot {
-            while !self.board.level(slot, high) && self.allowance > 0 {
-                if !self.relieve_one(slot, &mut stuck) {
-                    let endpoint = self.board.slots[slot].endpoint.clone();
+        let mut unplaceable = HashSet::new();
+        for slot in overloaded {
+            while !self.layout.rebalance(slot, high) && self.allowance > 0 {
+                if !self.add_relief_replica(slot, &mut unplaceable) {
+                    let endpoint = self.layout.slots[slot].endpoint.clone();
                     self.notes.push(PlanNote::Overloaded(endpoint));
                     break;
                 }
@@ -293,44 +298,46 @@
     }
 
     pub(super) fn load(&self, slot: usize) -> f64 {
-        self.board.slots[slot].load
+        self.layout.slots[slot].load
     }
 
     /// Adds a replica of the item that causes the most load on a slot, if its gain exceeds its cost.
-    fn relieve_one(&mut self, slot: usize, stuck: &mut HashSet<usize>) -> bool {
+    fn add_relief_replica(&mut self, slot: usize, unplaceable: &mut HashSet<usize>) -> bool {
         let settings = self.settings();
-        let heaviest = self.board.slots[slot]
+        let heaviest = self.layout.slots[slot]
             .items
             .iter()
             .copied()
             .max_by(|left, right| {
                 let shares = (
-                    self.board.share_with(*left, 0),
-                    self.board.share_with(*right, 0),
+                    self.layout.load_share(*left, 0),
+                    self.layout.load_share(*right, 0),
                 );
                 shares.0.total_cmp(&shares.1).then(right.cmp(left))
             });
         let Some(item) = heaviest else {
             return false;
         };
-        let moved = self.board.share_with(item, 0) - self.board.share_with(item, 1);
+        let moved = self.layout.load_share(item, 0) - self.layout.load_share(item, 1);
         let excess = (self.load(slot) - settings.high_load).min(moved);
-        if stuck.contains(&item) || !self.pays(excess, slot, 1.0) {
+        if unplaceable.contains(&item) || !self.is_worthwhile(excess, slot, 1.0) {
             return false;
         }
         // An item that needs more than one endpoint needs several replicas before any of them is
         // below the high load. Until then, each new one still reduces the load of the others.
-        let limit = settings.high_load.max(self.board.share_with(item, 1) * 1.1);
-        let wish = SlotWish {
+        let limit = settings
+            .high_load
+            .max(self.layout.load_share(item, 1) * 1.1);
+        let criteria = SlotCriteria {
             limit,
-            over_limit: false,
-            empty: false,
-            new_zone: false,
-            spare_mib: 0,
-            except: None,
+            allows_over_limit: false,
+            allows_empty: false,
+            requires_new_zone: false,
+            reserved_mib: 0,
+            excluded_slot: None,
         };
-        let Some(target) = self.relief_slot(item, wish) else {
-            stuck.insert(item);
+        let Some(target) = self.find_relief_slot(item, criteria) else {
+            unplaceable.insert(item);
             return false;
         };
         self.allowance -= 1;
@@ -340,71 +347,74 @@
 
     /// Returns whether freeing a share of an endpoint's capacity over the horizon is worth the cost of
     /// the moves.
-    pub(super) fn pays(&self, share: f64, slot: usize, moves: f64) -> bool {
+    pub(super) fn is_worthwhile(&self, share: f64, slot: usize, moves: f64) -> bool {
         let settings = self.settings();
-        let places = f64::from(self.board.slots[slot].slots);
-        share * places * settings.horizon.as_secs_f64() > settings.move_cost * moves
+        let request_slots = f64::from(self.layout.slots[slot].request_slots);
+        share * request_slots * settings.horizon.as_secs_f64() > settings.move_cost * moves
     }
 
     /// Finds a slot for a relief replica: in free memory of endpoints in use, then in memory of
     /// replicas that are no longer needed, and only then on an empty endpoint.
-    fn relief_slot(&mut self, item: usize, wish: SlotWish) -> Option<usize> {
-        let used = self.board.seek_slot(item, wish);
-        let used = used.or_else(|| self.make_room(item, wish.limit));
-        let empty = SlotWish {
-            empty: true,
-            ..wish
+    fn find_relief_slot(&mut self, item: usize, criteria: SlotCriteria) -> Option<usize> {
+        let used = self.layout.find_slot(item, criteria);
+        let used = used.or_else(|| self.evict_redundant(item, criteria.limit));
+        let empty = SlotCriteria {
+            allows_empty: true,
+            ..criteria
         };
-        used.or_else(|| self.board.seek_slot(item, empty))
+        used.or_else(|| self.layout.find_slot(item, empty))
     }
 
     /// Evicts redundant replicas whose load the other replicas can absorb.
-    fn make_room(&mut self, item: usize, limit: f64) -> Option<usize> {
+    fn evict_redundant(&mut self, item: usize, limit: f64) -> Option<usize> {
         let high = self.settings().high_load;
-        let added = &self.planner.added;
-        let may_go = |board: &FleetBoard, held: usize, slot: usize| {
+        let added_at = &self.planner.added_at;
+        let may_evict = |layout: &FleetLayout, held: usize, slot: usize| {
             let key = (
-                board.slots[slot].endpoint.clone(),
-                board.items[held].weights.clone(),
+                layout.slots[slot].endpoint.clone(),
+                layout.items[held].weights.clone(),
             );
-            let adapters = board.items[held].adapters.iter();
+            let adapters = layout.items[held].adapters.iter();
             let mut leaving = adapters
-                .filter(|adapter| board.slots[slot].items.contains(adapter))
+                .filter(|adapter| layout.slots[slot].items.contains(adapter))
                 .chain([&held]);
-            !added.contains_key(&key)
-                && leaving.all(|item| board.is_calm_without(*item, slot, high))
+            !added_at.contains_key(&key)
+                && leaving.all(|item| layout.can_absorb_load(*item, slot, high))
         };
-        self.board.evict_for(item, limit, &may_go)
+        self.layout.evict_for(item, limit, &may_evict)
     }
 
-    fn pair(&mut self) {
+    fn add_second_replicas(&mut self) {
         let settings = self.settings();
-        let mut single: Vec<usize> = (0..self.board.items.len())
-            .filter(|item| self.board.items[*item].requests >= settings.fill_rate)
-            .filter(|item| self.board.usable_holders(*item).count() == 1)
+        let mut single: Vec<usize> = (0..self.layout.items.len())
+            .filter(|item| self.layout.items[*item].requests >= settings.add_second_rate)
+            .filter(|item| self.layout.usable_holders(*item).count() == 1)
             .collect();
         single.sort_by(|left, right| {
-            let loads = (self.board.items[*left].load, self.board.items[*right].load);
+            let loads = (
+                self.layout.items[*left].load,
+                self.layout.items[*right].load,
+            );
             loads.1.total_cmp(&loads.0).then(left.cmp(right))
         });
-        let wish = SlotWish {
+        let criteria = SlotCriteria {
             limit: settings.high_load,
-            over_limit: false,
-            empty: false,
-            new_zone: false,
-            spare_mib: 0,
-            except: None,
+            allows_over_limit: false,
+            allows_empty: false,
+            requires_new_zone: false,
+            reserved_mib: 0,
+            excluded_slot: None,
         };
         for item in single {
             if self.allowance == 0 {
                 return;
             }
-            let other_zone = SlotWish {
-                new_zone: true,
-                ..wish
+            let other_zone = SlotCriteria {
+                requires_new_zone: true,
+                ..criteria
             };
-            let slot = self.board.seek_slot(item, other_zone);
-            if let Some(slot) = slot.or_else(|| self.board.seek_slot(item, wish)) {
+            let slot = self.layout.find_slot(item, other_zone);
+            if let Some(slot) = slot.or_else(|| self.layout.find_slot(item, criteria)) {
                 self.allowance -= 1;
                 self.add(item, slot);
             }
--- a/crates/oatpier-placement/src/planner/versions.rs
+++ b/crates/oatpier-placement/src/planner/versions.rs
@@ -10,49 +10,49 @@
 use oatpier_types::plan::{EndpointPlan, PlacementPlan};
 use smallvec::SmallVec;
 
-use super::board::{FleetBoard, row_of};
-use super::seek::SlotWish;
+use super::layout::{FleetLayout, find_row};
+use super::slot_search::SlotCriteria;
 use super::{EndpointView, PlanNote, PlanOutcome, PlannerInput};
 
 /// Places a second replica of weights whose only endpoint lacks memory for both versions: the old
 /// version may not be unloaded before the new one is ready elsewhere.
-pub(super) fn help_versions(
-    board: &mut FleetBoard,
+pub(super) fn add_upgrade_replicas(
+    layout: &mut FleetLayout,
     input: &PlannerInput<'_>,
     notes: &mut Vec<PlanNote>,
 ) {
-    for item in 0..board.items.len() {
-        let mut holders = board.usable_holders(item);
+    for item in 0..layout.items.len() {
+        let mut holders = layout.usable_holders(item);
         let (Some(slot), None) = (holders.next(), holders.next()) else {
             continue;
         };
         drop(holders);
-        let place = &board.slots[slot];
-        let both_fit = place.used_mib + board.items[item].size_mib <= place.memory_mib;
-        if both_fit || old_version(board, item, &input.endpoints[slot]).is_none() {
+        let holder = &layout.slots[slot];
+        let fits_both = holder.used_mib + layout.items[item].size_mib <= holder.memory_mib;
+        if fits_both || outdated_version(layout, item, &input.endpoints[slot]).is_none() {
             continue;
         }
-        let wish = SlotWish {
+        let criteria = SlotCriteria {
             limit: f64::INFINITY,
-            over_limit: true,
-            empty: true,
-            new_zone: false,
-            spare_mib: 0,
-            except: Some(slot),
+            allows_over_limit: true,
+            allows_empty: true,
+            requires_new_zone: false,
+            reserved_mib: 0,
+            excluded_slot: Some(slot),
         };
-        match board.seek_slot(item, wish) {
-            Some(target) => board.place(item, target),
-            None => notes.push(PlanNote::VersionWaits(board.items[item].weights.clone())),
+        match layout.find_slot(item, criteria) {
+            Some(target) => layout.place(item, target),
+            None => notes.push(PlanNote::VersionWaits(layout.items[item].weights.clone())),
         }
     }
 }
 
 /// Returns the outdated version that an endpoint has ready; `None` if it holds the current one.
-fn old_version(board: &FleetBoard, item: usize, view: &EndpointView) -> Option<WeightsKey> {
-    let present = &board.items[item].weights;
-    let same = |held: &&WeightsKey| held.model == present.model && held.adapter == present.adapter;
-    let present_held = view.held.iter().any(|held| held.weights == *present);
-    if present_held {
+fn outdated_version(layout: &FleetLayout, item: usize, view: &EndpointView) -> Option<WeightsKey> {
+    let current = &layout.items[item].weights;
+    let same = |held: &&WeightsKey| held.model == current.model && held.adapter == current.adapter;
+    let holds_current = view.held.iter().any(|held| held.weights == *current);
+    if holds_current {
         return None;
     }
     view.held
@@ -65,35 +65,35 @@
 
 /// Returns the plan of a layout, with the changes to the current plan.
 pub(super) fn finish_plan(
-    board: &FleetBoard,
+    layout: &FleetLayout,
     input: &PlannerInput<'_>,
     notes: Vec<PlanNote>,
 ) -> PlanOutcome {
-    let mut turns = VersionTurns::new(input);
-    let mut rows = Vec::with_capacity(board.slots.len());
+    let mut budget = UpgradeBudget::new(input);
+    let mut rows = Vec::with_capacity(layout.slots.len());
     for (index, view) in input.endpoints.iter().enumerate() {
         let previous = input
             .previous
-            .and_then(|plan| row_of(&plan.endpoints, &view.endpoint, index));
-        if board.slots[index].alive {
-            rows.push(row(board, index, view, previous, &mut turns));
+            .and_then(|plan| find_row(&plan.endpoints, &view.endpoint, index));
+        if layout.slots[index].alive {
+            rows.push(build_row(layout, index, view, previous, &mut budget));
         } else if let Some(previous) = previous {
             // The endpoint may only be unreachable: keeping its row avoids unloads when it returns.
             rows.push(previous.clone());
         }
     }
     rows.sort_by(|left, right| left.endpoint.cmp(&right.endpoint));
-    outcome(rows, input, notes)
+    build_outcome(rows, input, notes)
 }
 
 /// Limit on the replicas that change version at the same time.
-struct VersionTurns {
+struct UpgradeBudget {
     left: u32,
     /// Pending changes per weights. At most half of the replicas, and at least one, may change.
     open: HashMap<WeightsKey, u32>,
 }
 
-impl VersionTurns {
+impl UpgradeBudget {
     fn new(input: &PlannerInput<'_>) -> Self {
         Self {
             left: input.config.weight_store.full_speed_loads.max(1),
@@ -102,10 +102,10 @@
     }
 
     /// Reserves a version change for one replica. Returns whether the limits allow it.
-    fn take(&mut self, weights: &WeightsKey, holders: usize) -> bool {
-        let at_once = u32::try_from(holders / 2).unwrap_or(u32::MAX).max(1);
+    fn reserve(&mut self, weights: &WeightsKey, holders: usize) -> bool {
+        let max_open = u32::try_from(holders / 2).unwrap_or(u32::MAX).max(1);
         let open = self.open.entry(weights.clone()).or_default();
-        if self.left == 0 || *open >= at_once {
+        if self.left == 0 || *open >= max_open {
             return false;
         }
         self.left -= 1;
@@ -114,19 +114,19 @@
     }
 }
 
-fn row(
-    board: &FleetBoard,
+fn build_row(
+    layout: &FleetLayout,
     index: usize,
     view: &EndpointView,
     previous: Option<&EndpointPlan>,
-    turns: &mut VersionTurns,
+    budget: &mut UpgradeBudget,
 ) -> EndpointPlan {
-    let slot = &board.slots[index];
+    let slot = &layout.slots[index];
     let mut items = slot.items.clone();
-    items.sort_by_key(|item| (board.items[*item].base.is_some(), *item));
+    items.sort_by_key(|item| (layout.items[*item].base.is_some(), *item));
     let weights = items
         .into_iter()
-        .map(|item| version_for(board, item, view, previous, turns))
+        .map(|item| select_version(layout, item, view, previous, budget))
         .collect();
     EndpointPlan {
         endpoint: view.endpoint.clone(),
@@ -135,37 +135,41 @@
     }
 }
 
-fn version_for(
-    board: &FleetBoard,
+fn select_version(
+    layout: &FleetLayout,
     item: usize,
     view: &EndpointView,
     previous: Option<&EndpointPlan>,
-    turns: &mut VersionTurns,
+    budget: &mut UpgradeBudget,
 ) -> WeightsKey {
-    let present = &board.items[item].weights;
-    let Some(old) = old_version(board, item, view) else {
-        return present.clone();
+    let current = &layout.items[item].weights;
+    let Some(old) = outdated_version(layout, item, view) else {
+        return current.clone();
     };
-    let begun = previous.is_some_and(|row| row.weights.contains(present));
-    let holders = board.items[item].holders.len();
-    if turns.take(present, holders) || begun {
-        present.clone()
+    let is_started = previous.is_some_and(|row| row.weights.contains(current));
+    let holders = layout.items[item].holders.len();
+    if budget.reserve(current, holders) || is_started {
+        current.clone()
     } else {
         old
     }
 }
 
-fn outcome(rows: Vec<EndpointPlan>, input: &PlannerInput<'_>, notes: Vec<PlanNote>) -> PlanOutcome {
+fn build_outcome(
+    rows: Vec<EndpointPlan>,
+    input: &PlannerInput<'_>,
+    notes: Vec<PlanNote>,
+) -> PlanOutcome {
     let empty = PlacementPlan::default();
     let previous = input.previous.unwrap_or(&empty);
-    let (loads, unloads) = changes(&rows, input);
+    let (loads, unloads) = count_changes(&rows, input);
     let used = rows.iter().filter(|row| !row.weights.is_empty()).count();
-    let same = previous.endpoints == rows
+    let is_unchanged = previous.endpoints == rows
         && previous.generation == input.generation
         && previous.term == input.term;
     let plan = PlacementPlan {
         term: input.term,
-        sequence: previous.sequence + u64::from(!same),
+        sequence: previous.sequence + u64::from(!is_unchanged),
         generation: input.generation,
         endpoints: rows,
     };
@@ -180,11 +184,11 @@
 
 /// Counts the loads and unloads that the rows add to the current plan, or to the weights that are
 /// held where there is no plan.
-fn changes(rows: &[EndpointPlan], input: &PlannerInput<'_>) -> (u32, u32) {
+fn count_changes(rows: &[EndpointPlan], input: &PlannerInput<'_>) -> (u32, u32) {
     let mut loads = 0;
     let mut unloads = 0;
     let mut views = input.endpoints.iter().peekable();
-    for (place, row) in rows.iter().enumerate() {
+    for (index, row) in rows.iter().enumerate() {
         let view = loop {
             match views.next() {
                 Some(view) if view.endpoint == row.endpoint => break Some(view),
@@ -192,22 +196,22 @@
                 None => break None,
             }
         };
-        let before = weights_before(row, place, view, input);
+        let before = previous_weights(row, index, view, input);
         loads += count_missing(&row.weights, &before);
         unloads += count_missing(&before, &row.weights);
     }
     (loads, unloads)
 }
 
-fn weights_before(
+fn previous_weights(
     row: &EndpointPlan,
-    place: usize,
+    index: usize,
     view: Option<&EndpointView>,
     input: &PlannerInput<'_>,
 ) -> SmallVec<[WeightsKey; 8]> {
     let previous = input
         .previous
-        .and_then(|plan| row_of(&plan.endpoints, &row.endpoint, place));
+        .and_then(|plan| find_row(&plan.endpoints, &row.endpoint, index));
     if let Some(previous) = previous {
         return previous.weights.clone();
     }
@@ -215,10 +219,10 @@
     held.unwrap_or_default()
 }
 
-fn count_missing(all: &[WeightsKey], present: &[WeightsKey]) -> u32 {
-    let missing = all
+fn count_missing(wanted: &[WeightsKey], existing: &[WeightsKey]) -> u32 {
+    let missing = wanted
         .iter()
-        .filter(|weights| !present.contains(weights))
+        .filter(|weights| !existing.contains(weights))
         .count();
     u32::try_from(missing).unwrap_or(u32::MAX)
 }
--- a/crates/oatpier-placement/src/record.rs
+++ b/crates/oatpier-placement/src/record.rs
@@ -15,19 +15,19 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Initial delay after a failed store call.
-const STORE_RETRY: Duration = Duration::from_secs(1);
+const STORE_RETRY_MIN: Duration = Duration::from_secs(1);
 /// Maximum delay between two store calls during an outage, before jitter.
 const STORE_RETRY_MAX: Duration = Duration::from_secs(16);
 
 /// Number of distinct jitter values.
-const SPREAD_PARTS: u64 = 1_000;
+const JITTER_STEPS: u64 = 1_000;
 
 /// How long a store call that finds this agent's epoch current confirms it, counted from when the
 /// call was made.
 ///
 /// Without this bound, an agent that was suspended could send an order long after a successor has
 /// completed it. With it, the agent first reads the record and finds the successor's boot ID there.
-pub const CONFIRM_SPAN: Duration = Duration::from_secs(10);
+pub const CONFIRMATION_VALIDITY: Duration = Duration::from_secs(10);
 
 /// Returns the key of an endpoint's record in the store.
 #[must_use]
@@ -112,14 +112,14 @@
     boot: BootId,
     state: EpochState,
     stored: Option<StoredRecord>,
-    fresh: bool,
-    pending: Option<EndpointRecord>,
-    reading: bool,
-    asked_at: ClockTime,
+    is_current: bool,
+    pending_write: Option<EndpointRecord>,
+    is_reading: bool,
+    called_at: ClockTime,
     confirmed_at: ClockTime,
     calls: u64,
     confirmed_call: u64,
-    confirm_after: Option<u64>,
+    confirmation_after: Option<u64>,
     retry_at: ClockTime,
     failures: u32,
     inherited: Vec<OrderIntent>,
@@ -133,14 +133,14 @@
             boot,
             state: EpochState::Taking,
             stored: None,
-            fresh: false,
-            pending: None,
-            reading: false,
-            asked_at: ClockTime::ZERO,
+            is_current: false,
+            pending_write: None,
+            is_reading: false,
+            called_at: ClockTime::ZERO,
             confirmed_at: ClockTime::ZERO,
             calls: 0,
             confirmed_call: 0,
-            confirm_after: None,
+            confirmation_after: None,
             retry_at: ClockTime::ZERO,
             failures: 0,
             inherited: Vec::new(),
@@ -160,19 +160,19 @@
 
     /// Returns whether the store accepted the last call.
     #[must_use]
-    pub fn store_up(&self) -> bool {
+    pub fn is_store_up(&self) -> bool {
         self.failures == 0
     }
 
     /// Returns whether an intent is certainly in the store, and this agent's epoch was confirmed
-    /// within the last [`CONFIRM_SPAN`].
+    /// within the last [`CONFIRMATION_VALIDITY`].
     #[must_use]
     pub fn is_written(&self, number: OrderNumber, now: ClockTime) -> bool {
         let present = self
             .stored_intents()
             .iter()
             .any(|intent| intent.number == number);
-        self.fresh && present && self.is_confirmed(now)
+        self.is_current && present && self.is_confirmed(now)
     }
 
     /// Removes and returns the intents of earlier agents.
@@ -192,45 +192,45 @@
         sending: bool,
         now: ClockTime,
     ) -> Option<RecordCall> {
-        let busy = self.reading || self.pending.is_some() || now < self.retry_at;
-        if busy || self.state == EpochState::Superseded {
+        let is_busy = self.is_reading || self.pending_write.is_some() || now < self.retry_at;
+        if is_busy || self.state == EpochState::Superseded {
             return None;
         }
         let renew = sending && !self.is_confirmed(now);
         let taken = matches!(self.state, EpochState::Taken(_));
-        let write = self.next_record(wanted).filter(|_| self.fresh);
+        let write = self.next_record(wanted).filter(|_| self.is_current);
         // After a failure a read detects that the store is available again, even if nothing is
         // pending.
-        let unsure = !self.fresh || self.failures > 0;
-        let read = unsure || (taken && (renew || self.confirm_after.is_some()));
+        let is_uncertain = !self.is_current || self.failures > 0;
+        let read = is_uncertain || (taken && (renew || self.confirmation_after.is_some()));
         if write.is_none() && !read {
             return None;
         }
-        self.asked_at = now;
+        self.called_at = now;
         self.calls += 1;
         let Some(record) = write else {
-            self.reading = true;
+            self.is_reading = true;
             return Some(RecordCall::Read);
         };
-        self.pending = Some(record.clone());
+        self.pending_write = Some(record.clone());
         let expected = self.stored.as_ref().map(|stored| stored.revision);
         Some(RecordCall::Write { record, expected })
     }
 
     /// Processes the result of the last call.
     pub fn on_answer(&mut self, answer: RecordAnswer, now: ClockTime) {
-        self.reading = false;
-        let pending = self.pending.take();
+        self.is_reading = false;
+        let pending_write = self.pending_write.take();
         match answer {
             RecordAnswer::Found(stored) => self.on_found(stored),
-            RecordAnswer::Written(revision) => self.on_written(pending, revision),
+            RecordAnswer::Written(revision) => self.on_written(pending_write, revision),
             RecordAnswer::Conflict => {
                 self.failures = 0;
-                self.fresh = false;
+                self.is_current = false;
             }
             RecordAnswer::Unavailable => self.back_off(now),
             RecordAnswer::AnswerLost => {
-                self.fresh = false;
+                self.is_current = false;
                 self.back_off(now);
             }
         }
@@ -244,25 +244,25 @@
     }
 
     /// Requests a call that confirms the epoch.
-    pub fn want_confirmation(&mut self) {
-        self.confirm_after = Some(self.calls);
+    pub fn request_confirmation(&mut self) {
+        self.confirmation_after = Some(self.calls);
     }
 
     /// Returns whether a call after the first `calls` ones found this agent's epoch current.
     #[must_use]
-    pub fn confirmed_after(&self, calls: u64) -> bool {
+    pub fn is_confirmed_after(&self, calls: u64) -> bool {
         matches!(self.state, EpochState::Taken(_)) && self.confirmed_call > calls
     }
 
     fn confirm(&mut self) {
-        self.confirmed_at = self.asked_at;
+        self.confirmed_at = self.called_at;
         self.confirmed_call = self.calls;
-        let waits = |after: &u64| self.calls <= *after;
-        self.confirm_after = self.confirm_after.filter(waits);
+        let is_unconfirmed = |after: &u64| self.calls <= *after;
+        self.confirmation_after = self.confirmation_after.filter(is_unconfirmed);
     }
 
     fn is_confirmed(&self, now: ClockTime) -> bool {
-        now.since(self.confirmed_at) < CONFIRM_SPAN
+        now.since(self.confirmed_at) < CONFIRMATION_VALIDITY
     }
 
     fn next_record(&self, wanted: &[OrderIntent]) -> Option<EndpointRecord> {
@@ -287,53 +287,53 @@
 
     fn on_found(&mut self, stored: Option<StoredRecord>) {
         self.failures = 0;
-        self.fresh = true;
+        self.is_current = true;
         self.confirm();
-        let own = stored
+        let own_epoch = stored
             .as_ref()
             .filter(|stored| stored.record.boot == self.boot)
             .map(|stored| stored.record.epoch);
         self.stored = stored;
-        match (self.state, own) {
-            (EpochState::Taking, Some(epoch)) => self.take(epoch),
+        match (self.state, own_epoch) {
+            (EpochState::Taking, Some(epoch)) => self.acquire(epoch),
             // The record has the boot ID of another agent: a successor controls the endpoint.
             (EpochState::Taken(_), None) => self.state = EpochState::Superseded,
             _ => {}
         }
     }
 
-    fn on_written(&mut self, pending: Option<EndpointRecord>, revision: Revision) {
+    fn on_written(&mut self, pending_write: Option<EndpointRecord>, revision: Revision) {
         self.failures = 0;
         self.confirm();
-        let Some(record) = pending else {
+        let Some(record) = pending_write else {
             return;
         };
         let epoch = record.epoch;
         self.stored = Some(StoredRecord { record, revision });
         if self.state == EpochState::Taking {
-            self.take(epoch);
+            self.acquire(epoch);
         }
     }
 
-    fn take(&mut self, epoch: Epoch) {
+    fn acquire(&mut self, epoch: Epoch) {
         self.state = EpochState::Taken(epoch);
         self.inherited = self.stored_intents().to_vec();
     }
 
     fn back_off(&mut self, now: ClockTime) {
-        let wait = STORE_RETRY * 2_u32.saturating_pow(self.failures.min(4));
+        let wait = STORE_RETRY_MIN * 2_u32.saturating_pow(self.failures.min(4));
         self.failures = self.failures.saturating_add(1);
-        self.retry_at = now + wait.min(STORE_RETRY_MAX).mul_f64(self.spread());
+        self.retry_at = now + wait.min(STORE_RETRY_MAX).mul_f64(self.jitter());
     }
 
     /// Returns a jitter factor between 0.5 and 1.5 that differs for each agent and retry.
     ///
     /// It keeps agents from calling a recovered store all at once, even if they started at the same
     /// time.
-    fn spread(&self) -> f64 {
+    fn jitter(&self) -> f64 {
         let hash = xxh3_64_with_seed(&self.boot.0.to_le_bytes(), u64::from(self.failures));
-        let parts = u32::try_from(hash % SPREAD_PARTS).unwrap_or_default();
-        0.5 + f64::from(parts) / 1_000.0
+        let step = u32::try_from(hash % JITTER_STEPS).unwrap_or_default();
+        0.5 + f64::from(step) / 1_000.0
     }
 
     fn stored_epoch(&self) -> Epoch {
--- a/crates/oatpier-placement/src/release.rs
+++ b/crates/oatpier-placement/src/release.rs
@@ -2,10 +2,10 @@
 //!
 //! Two agents that each see the other's replica could both unload theirs, which would make the
 //! model unavailable. So an agent asks another holder before it unloads. A holder that has itself
-//! asked for a release, or is unloading, denies all requests.
+//! requested a release of the weights, or is unloading them, denies the requests of others.
 //!
 //! Proof of safety: consider all replicas that are ever unloaded, and among them the one whose
-//! release was granted last. Its granter had the weights ready and was not asking for a release at
+//! release was granted last. Its granter had the weights ready and was not requesting a release at
 //! that time. If the granter's replica had been unloaded later, its own release would have been
 //! granted later still, which is a contradiction. So the granter's replica still exists. The proof
 //! depends on no clock and on no view of which endpoint holds which weights: a stale view can
@@ -13,10 +13,10 @@
 //! engine rejects the orders of the earlier agent, or the intents of that agent are completed.
 //!
 //! An agent may have been superseded without having learned it, and its successor may be unloading
-//! weights that the first agent still considers stable. So an ask is granted only after a proof
-//! that the agent's epoch is current, requested after the ask arrived. A successor asks for
-//! releases only once its own epoch is current, and the agent whose ask its predecessor granted
-//! denies the successor's ask.
+//! weights that the first agent still considers stable. So a request is granted only after a proof
+//! that the agent's epoch is current, and this proof is obtained after the request has arrived. A
+//! successor requests releases only once its own epoch is current, and an agent whose request its
+//! predecessor granted denies the successor's request.
 
 use std::time::Duration;
 
@@ -31,23 +31,23 @@
 
 use crate::orders::{OrderKeeper, ProofMark};
 
-/// Timeout of an ask without a response.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a request without a response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Minimum delay after a denial.
-const RETRY_FLOOR: Duration = Duration::from_millis(200);
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(200);
 /// Maximum delay after a denial. The delay is random, so that two holders that denied each other
 /// do not collide repeatedly.
-const RETRY_CEILING: Duration = Duration::from_secs(2);
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(2);
 
 /// Request of an agent to another holder for permission to unload.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ReleaseAsk {
-    /// Endpoint of the agent that asks.
+    /// Endpoint of the requesting agent.
     pub endpoint: EndpointName,
-    /// Boot ID of the agent that asks.
+    /// Boot ID of the requesting agent.
     pub boot: BootId,
-    /// Sequence number of the ask; increases by one with each ask of that boot ID.
+    /// Sequence number of the request; increases by one with each request of that boot ID.
     pub sequence: u64,
     /// Weights to unload.
     pub weights: WeightsKey,
@@ -56,13 +56,13 @@
     pub keep: WeightsKey,
 }
 
-/// Response to an ask.
+/// Response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ReleaseAnswer {
-    /// Boot ID of the agent that asked.
+    /// Boot ID of the requesting agent.
     pub boot: BootId,
-    /// Sequence number of the ask.
+    /// Sequence number of the request.
     pub sequence: u64,
     /// Whether the agent may unload.
     pub granted: bool,
@@ -71,10 +71,10 @@
 /// State of the release of one agent's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseState {
-    /// Not requested, or waiting before the next ask.
+    /// Not requested, or waiting before the next request.
     None,
-    /// An ask is pending.
-    Asking,
+    /// A request is pending.
+    Requested,
     /// The agent may unload the weights.
     Granted,
 }
@@ -86,29 +86,29 @@
     until: ClockTime,
 }
 
-/// Release protocol of one agent: asks for releases and responds to the asks of other agents.
+/// Release protocol of one agent: requests releases and responds to the requests of other agents.
 #[derive(Debug, Clone)]
 pub struct ReleaseKeeper {
     endpoint: EndpointName,
     boot: BootId,
     sequence: u64,
     entries: IndexMap<WeightsKey, ReleaseEntry>,
-    asked: Vec<PendingAsk>,
+    pending_requests: Vec<PendingRequest>,
     random: ChaCha8Rng,
 }
 
-/// Another agent's ask that waits for a proof of the epoch.
+/// Another agent's request that waits for a proof of the epoch.
 #[derive(Debug, Clone)]
-struct PendingAsk {
-    ask: ReleaseAsk,
+struct PendingRequest {
+    request: ReleaseAsk,
     mark: ProofMark,
     until: ClockTime,
 }
 
-/// An answer to send to the agent that asked.
+/// An answer to send to the requesting agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseReply {
-    /// Endpoint of the agent that asked.
+    /// Endpoint of the requesting agent.
     pub to: EndpointName,
     /// The answer.
     pub answer: ReleaseAnswer,
@@ -123,7 +123,7 @@
             boot,
             sequence: 0,
             entries: IndexMap::new(),
-            asked: Vec::new(),
+            pending_requests: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -142,23 +142,28 @@
         self.state(weights) != ReleaseState::None
     }
 
-    /// Returns whether an ask may be sent now: the release is not granted, and the timeout of the last
-    /// ask or the delay after a denial has passed.
+    /// Returns whether a request may be sent now: the release is not granted, and the timeout of the last
+    /// request or the delay after a denial has passed.
     #[must_use]
-    pub fn may_ask(&self, weights: &WeightsKey, now: ClockTime) -> bool {
+    pub fn can_request(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         match self.entries.get(weights) {
             None => true,
             Some(entry) => entry.state != ReleaseState::Granted && now >= entry.until,
         }
     }
 
-    /// Creates an ask. The agent denies other agents' asks for these weights until the release ends.
-    pub fn ask(&mut self, weights: &WeightsKey, keep: &WeightsKey, now: ClockTime) -> ReleaseAsk {
+    /// Creates a request. The agent denies other agents' requests for these weights until the release ends.
+    pub fn request(
+        &mut self,
+        weights: &WeightsKey,
+        keep: &WeightsKey,
+        now: ClockTime,
+    ) -> ReleaseAsk {
         self.sequence += 1;
         let entry = ReleaseEntry {
-            state: ReleaseState::Asking,
+            state: ReleaseState::Requested,
             sequence: self.sequence,
-            until: now + ASK_TIMEOUT,
+            until: now + REQUEST_TIMEOUT,
         };
         self.entries.insert(weights.clone(), entry);
         ReleaseAsk {
@@ -170,9 +175,9 @@
         }
     }
 
-    /// Grants a release without an ask: other weights on this endpoint keep the model or adapter
+    /// Grants a release without a request: other weights on this endpoint keep the model or adapter
     /// served, or it is no longer configured.
-    pub fn grant_own(&mut self, weights: &WeightsKey) {
+    pub fn grant_without_request(&mut self, weights: &WeightsKey) {
         let entry = ReleaseEntry {
             state: ReleaseState::Granted,
             sequence: 0,
@@ -181,16 +186,15 @@
         self.entries.insert(weights.clone(), entry);
     }
 
-    /// Processes an answer. Ignores answers to expired asks and to asks of an earlier agent.
+    /// Processes an answer. Ignores answers to expired requests and to requests of an earlier agent.
     pub fn on_answer(&mut self, answer: ReleaseAnswer, now: ClockTime) {
         if answer.boot != self.boot {
             return;
         }
-        let wait = self.random.random_range(RETRY_FLOOR..RETRY_CEILING);
-        let entry = self
-            .entries
-            .values_mut()
-            .find(|entry| entry.state == ReleaseState::Asking && entry.sequence == answer.sequence);
+        let delay = self.random.random_range(RETRY_DELAY_MIN..RETRY_DELAY_MAX);
+        let entry = self.entries.values_mut().find(|entry| {
+            entry.state == ReleaseState::Requested && entry.sequence == answer.sequence
+        });
         let Some(entry) = entry else {
             return;
         };
@@ -198,17 +202,17 @@
             entry.state = ReleaseState::Granted;
         } else {
             entry.state = ReleaseState::None;
-            entry.until = now + wait;
+            entry.until = now + delay;
         }
     }
 
-    /// Expires asks without an answer. A grant that arrives later is ignored.
+    /// Expires requests without an answer. A grant that arrives later is ignored.
     pub fn expire(&mut self, now: ClockTime) {
-        let wait = self.random.random_range(RETRY_FLOOR..RETRY_CEILING);
+        let delay = self.random.random_range(RETRY_DELAY_MIN..RETRY_DELAY_MAX);
         for entry in self.entries.values_mut() {
-            if entry.state == ReleaseState::Asking && now >= entry.until {
+            if entry.state == ReleaseState::Requested && now >= entry.until {
                 entry.state = ReleaseState::None;
-                entry.until = now + wait;
+                entry.until = now + delay;
             }
         }
     }
@@ -220,44 +224,48 @@
         self.entries.shift_remove(weights);
     }
 
-    /// Processes another agent's ask. [`ReleaseKeeper::replies`] returns the reply.
-    pub fn on_ask(&mut self, ask: ReleaseAsk, keeper: &mut OrderKeeper, now: ClockTime) {
-        let mark = keeper.want_proof(now);
-        let until = now + ASK_TIMEOUT;
-        self.asked.push(PendingAsk { ask, mark, until });
+    /// Processes another agent's request. [`ReleaseKeeper::replies`] returns the reply.
+    pub fn on_ask(&mut self, request: ReleaseAsk, keeper: &mut OrderKeeper, now: ClockTime) {
+        let mark = keeper.request_proof(now);
+        let until = now + REQUEST_TIMEOUT;
+        self.pending_requests.push(PendingRequest {
+            request,
+            mark,
+            until,
+        });
     }
 
     /// Returns the replies that can be sent now: denials immediately, grants after the proof.
     ///
-    /// An ask whose proof does not arrive in time gets no reply: it has expired at its sender.
+    /// A request whose proof does not arrive in time gets no reply: it has expired at its sender.
     #[must_use]
     pub fn replies(&mut self, keeper: &OrderKeeper, now: ClockTime) -> Vec<ReleaseReply> {
-        self.asked.retain(|pending| now < pending.until);
+        self.pending_requests.retain(|pending| now < pending.until);
         let mut replies = Vec::new();
         let mut waiting = Vec::new();
-        for pending in std::mem::take(&mut self.asked) {
-            let may = self.may_grant(&pending.ask, keeper, now);
-            if may && !keeper.is_confirmed(pending.mark) {
+        for pending in std::mem::take(&mut self.pending_requests) {
+            let is_grantable = self.can_grant(&pending.request, keeper, now);
+            if is_grantable && !keeper.is_confirmed(pending.mark) {
                 waiting.push(pending);
                 continue;
             }
             replies.push(ReleaseReply {
-                to: pending.ask.endpoint,
+                to: pending.request.endpoint,
                 answer: ReleaseAnswer {
-                    boot: pending.ask.boot,
-                    sequence: pending.ask.sequence,
-                    granted: may,
+                    boot: pending.request.boot,
+                    sequence: pending.request.sequence,
+                    granted: is_grantable,
                 },
             });
         }
-        self.asked = waiting;
+        self.pending_requests = waiting;
         replies
     }
 
-    fn may_grant(&self, ask: &ReleaseAsk, keeper: &OrderKeeper, now: ClockTime) -> bool {
-        ask.endpoint != self.endpoint
-            && !self.is_releasing(&ask.keep)
-            && keeper.is_firm(&ask.keep, now)
+    fn can_grant(&self, request: &ReleaseAsk, keeper: &OrderKeeper, now: ClockTime) -> bool {
+        request.endpoint != self.endpoint
+            && !self.is_releasing(&request.keep)
+            && keeper.is_stable(&request.keep, now)
     }
 
     /// Returns all weights whose release is requested or granted.
@@ -268,10 +276,10 @@
             .map(|(weights, _)| weights)
     }
 
-    /// Returns the index of the holder to ask next. It changes with each ask, so that another holder
+    /// Returns the index of the holder to ask next. It changes with each request, so that another holder
     /// is asked after a denial.
     #[must_use]
-    pub fn turn(&self, holders: usize) -> usize {
+    pub fn next_holder(&self, holders: usize) -> usize {
         let sequence = usize::try_from(self.sequence).unwrap_or_default();
         sequence % holders.max(1)
     }
--- a/crates/oatpier-placement/src/repair.rs
+++ b/crates/oatpier-placement/src/repair.rs
@@ -24,16 +24,16 @@
 pub struct RepairSettings {
     /// How long a model has no live replica before the first endpoint loads it. Longer than a flap of
     /// membership; shorter than a planner failover.
-    pub patience: Duration,
+    pub initial_delay: Duration,
     /// Additional delay per rank: about the time of a load.
-    pub turn: Duration,
+    pub delay_per_rank: Duration,
 }
 
 impl Default for RepairSettings {
     fn default() -> Self {
         Self {
-            patience: Duration::from_secs(3),
-            turn: Duration::from_secs(4),
+            initial_delay: Duration::from_secs(3),
+            delay_per_rank: Duration::from_secs(4),
         }
     }
 }
@@ -57,7 +57,7 @@
     endpoint: EndpointName,
     pool: PoolName,
     lost_since: IndexMap<WeightsKey, ClockTime>,
-    taken: IndexMap<WeightsKey, ClockTime>,
+    repaired: IndexMap<WeightsKey, ClockTime>,
 }
 
 impl RepairKeeper {
@@ -69,20 +69,20 @@
             endpoint,
             pool,
             lost_since: IndexMap::new(),
-            taken: IndexMap::new(),
+            repaired: IndexMap::new(),
         }
     }
 
     /// Returns the weights that this endpoint holds for repair.
     pub fn taken(&self) -> impl Iterator<Item = &WeightsKey> {
-        self.taken.keys()
+        self.repaired.keys()
     }
 
     /// Returns the row to apply: the plan's row with the weights that repair adds, without the
     /// replicas that are removed to make room.
     ///
     /// Without a plan, weights that are ready stay. The row is input for
-    /// [`crate::steps::MoveStepper`], which still asks for a release before it unloads any weights.
+    /// [`crate::steps::MoveStepper`], which still requests a release before it unloads any weights.
     pub fn repaired_row(
         &mut self,
         input: &RepairInput<'_>,
@@ -90,16 +90,16 @@
         now: ClockTime,
     ) -> EndpointPlan {
         let mut row = self.base_row(input, keeper);
-        self.watch_lost(input, keeper, now);
-        self.end_taken(input, &row);
-        self.take_due(input, now);
-        for weights in self.taken.keys() {
+        self.update_lost(input, keeper, now);
+        self.remove_obsolete(input, &row);
+        self.add_due(input, now);
+        for weights in self.repaired.keys() {
             if !row.weights.contains(weights) {
                 row.weights.push(weights.clone());
             }
         }
         row.weights.sort_by_key(|weights| weights.adapter.is_some());
-        make_room(&mut row, input, keeper, &self.taken);
+        make_room(&mut row, input, keeper, &self.repaired);
         row
     }
 
@@ -111,8 +111,8 @@
         })
     }
 
-    fn watch_lost(&mut self, input: &RepairInput<'_>, keeper: &OrderKeeper, now: ClockTime) {
-        let lost: Vec<WeightsKey> = configured(input.config, &self.pool)
+    fn update_lost(&mut self, input: &RepairInput<'_>, keeper: &OrderKeeper, now: ClockTime) {
+        let lost: Vec<WeightsKey> = configured_weights(input.config, &self.pool)
             .filter(|weights| !is_served(weights, input, keeper))
             .collect();
         self.lost_since.retain(|weights, _| lost.contains(weights));
@@ -122,23 +122,24 @@
     }
 
     /// Ends the repair of weights that the plan includes or another endpoint serves.
-    fn end_taken(&mut self, input: &RepairInput<'_>, row: &EndpointPlan) {
-        self.taken.retain(|weights, _| {
-            let planned = input.plan.is_some() && row.weights.contains(weights);
-            let elsewhere = !input.replicas.ready_elsewhere(weights).is_empty();
-            !planned && !elsewhere
+    fn remove_obsolete(&mut self, input: &RepairInput<'_>, row: &EndpointPlan) {
+        self.repaired.retain(|weights, _| {
+            let is_planned = input.plan.is_some() && row.weights.contains(weights);
+            let is_served_elsewhere = !input.replicas.ready_elsewhere(weights).is_empty();
+            !is_planned && !is_served_elsewhere
         });
     }
 
-    fn take_due(&mut self, input: &RepairInput<'_>, now: ClockTime) {
+    fn add_due(&mut self, input: &RepairInput<'_>, now: ClockTime) {
         for (weights, since) in &self.lost_since {
-            let rank = rank_of(subject_of(weights), &self.endpoint, input.live.iter());
-            let turns = u32::try_from(rank).unwrap_or(u32::MAX);
-            let delay = self.settings.patience + self.settings.turn.saturating_mul(turns);
+            let rank = rank_of(rank_subject(weights), &self.endpoint, input.live.iter());
+            let rank_factor = u32::try_from(rank).unwrap_or(u32::MAX);
+            let delay = self.settings.initial_delay
+                + self.settings.delay_per_rank.saturating_mul(rank_factor);
             if now.since(*since) >= delay {
-                self.taken.entry(weights.clone()).or_insert(now);
-                self.taken
-                    .entry(base_of(weights, input.config))
+                self.repaired.entry(weights.clone()).or_insert(now);
+                self.repaired
+                    .entry(base_weights(weights, input.config))
                     .or_insert(now);
             }
         }
@@ -147,17 +148,17 @@
 
 /// Returns the rendezvous hashing subject of weights. An adapter is repaired on the same endpoint
 /// as its base model, so both are ranked by the base model's name.
-fn subject_of(weights: &WeightsKey) -> &str {
+fn rank_subject(weights: &WeightsKey) -> &str {
     weights.model.as_str()
 }
 
-fn base_of(weights: &WeightsKey, config: &FleetConfig) -> WeightsKey {
+fn base_weights(weights: &WeightsKey, config: &FleetConfig) -> WeightsKey {
     config
         .model_weights(&weights.model)
         .unwrap_or_else(|| weights.clone())
 }
 
-fn configured<'a>(
+fn configured_weights<'a>(
     config: &'a FleetConfig,
     pool: &'a PoolName,
 ) -> impl Iterator<Item = WeightsKey> + 'a {
@@ -183,11 +184,12 @@
 /// Returns whether any version of the weights is ready. Any version serves callers, so a version
 /// change needs no repair.
 fn is_served(weights: &WeightsKey, input: &RepairInput<'_>, keeper: &OrderKeeper) -> bool {
-    let here = keeper
+    let is_ready_here = keeper
         .ledger()
         .ready()
         .any(|held| held.model == weights.model && held.adapter == weights.adapter);
-    here || !input.replicas.ready_elsewhere(weights).is_empty()
+    is_ready_here
+        || !input.replicas.ready_elsewhere(weights).is_empty()
         || !input.replicas.other_versions(weights).is_empty()
 }
 
@@ -196,7 +198,7 @@
     row: &mut EndpointPlan,
     input: &RepairInput<'_>,
     keeper: &OrderKeeper,
-    taken: &IndexMap<WeightsKey, ClockTime>,
+    repaired: &IndexMap<WeightsKey, ClockTime>,
 ) {
     let capacity = keeper.ledger().capacity_mib();
     while row_mib(row, input.config) > capacity {
@@ -204,31 +206,31 @@
             .weights
             .iter()
             .enumerate()
-            .filter(|(_, weights)| !taken.contains_key(*weights))
+            .filter(|(_, weights)| !repaired.contains_key(*weights))
             .filter(|(_, weights)| !has_adapter(row, weights))
             .filter(|(_, weights)| !input.replicas.ready_elsewhere(weights).is_empty())
             .max_by_key(|(_, weights)| input.config.memory_of(weights))
             .map(|(index, _)| index);
         match droppable {
             Some(index) => row.weights.remove(index),
-            None => return drop_taken(row, input, taken, capacity),
+            None => return drop_repaired(row, input, repaired, capacity),
         };
     }
 }
 
 /// Removes repair weights that do not fit when no other weights may be removed. The endpoint of the
 /// next rank loads them.
-fn drop_taken(
+fn drop_repaired(
     row: &mut EndpointPlan,
     input: &RepairInput<'_>,
-    taken: &IndexMap<WeightsKey, ClockTime>,
+    repaired: &IndexMap<WeightsKey, ClockTime>,
     capacity: u64,
 ) {
     while row_mib(row, input.config) > capacity {
         let last = row
             .weights
             .iter()
-            .rposition(|weights| taken.contains_key(weights));
+            .rposition(|weights| repaired.contains_key(weights));
         match last {
             Some(index) => row.weights.remove(index),
             None => return,
--- a/crates/oatpier-placement/src/steps/mod.rs
+++ b/crates/oatpier-placement/src/steps/mod.rs
@@ -12,7 +12,7 @@
 //! drains the old one and unloads it. Where both do not fit, another holder releases the old
 //! version first, and it is unloaded before the new one is loaded.
 
-mod work;
+mod search;
 
 use std::time::Duration;
 
@@ -26,10 +26,10 @@
 
 use crate::orders::OrderKeeper;
 use crate::release::{ReleaseAsk, ReleaseKeeper};
-use work::{StepWork, is_wanted};
+use search::{StepSearch, is_wanted};
 
 /// Maximum number of orders with an unknown outcome per agent.
-const MAX_MOVING: usize = 2;
+const MAX_PENDING_ORDERS: usize = 2;
 
 /// Interval at which an idle agent checks for a next step.
 pub const STEP_EVERY: Duration = Duration::from_millis(200);
@@ -73,11 +73,11 @@
 pub enum PlacementStep {
     /// The keeper has started an order: execute the keeper's commands.
     Ordered(OrderAction),
-    /// Send the ask to the agent of another endpoint.
+    /// Send the request to the agent of another endpoint.
     AskRelease {
         /// Endpoint of that agent.
         to: EndpointName,
-        /// The ask.
+        /// The request.
         ask: ReleaseAsk,
     },
     /// Accept no new attempts for these weights, and continue those in flight.
@@ -91,7 +91,7 @@
 pub enum StepWait {
     /// The endpoint matches the plan.
     Done,
-    /// An order, an ask or a drain is pending.
+    /// An order, a request or a drain is pending.
     Busy,
     /// No order may be sent now.
     NotReady,
@@ -133,38 +133,43 @@
         now: ClockTime,
     ) -> Result<PlacementStep, StepWait> {
         releases.expire(now);
-        self.forget_gone(keeper, releases, now);
+        self.remove_unloaded(keeper, releases, now);
         if keeper.check_ready().is_err() {
             return Err(StepWait::NotReady);
         }
         if let Some(step) = self.resume_wanted(input, keeper, releases, now) {
             return Ok(step);
         }
-        if keeper.moving() >= MAX_MOVING {
+        if keeper.moving() >= MAX_PENDING_ORDERS {
             return Err(StepWait::Busy);
         }
-        let mut work = StepWork {
+        let mut search = StepSearch {
             input,
             keeper,
             releases,
             draining: &mut self.draining,
             wait: StepWait::Done,
         };
-        match work.find_step(now) {
+        match search.find_step(now) {
             Some(step) => Ok(step),
-            None => Err(work.wait),
+            None => Err(search.wait),
         }
     }
 
     /// Ends the drains and releases of weights that are unloaded.
-    fn forget_gone(&mut self, keeper: &OrderKeeper, releases: &mut ReleaseKeeper, now: ClockTime) {
-        let gone = |weights: &WeightsKey| {
+    fn remove_unloaded(
+        &mut self,
+        keeper: &OrderKeeper,
+        releases: &mut ReleaseKeeper,
+        now: ClockTime,
+    ) {
+        let is_unloaded = |weights: &WeightsKey| {
             keeper.ledger().state_of(weights).is_none() && !keeper.is_moving(weights)
         };
-        self.draining.retain(|weights, _| !gone(weights));
+        self.draining.retain(|weights, _| !is_unloaded(weights));
         let ended: Vec<WeightsKey> = releases
             .releasing()
-            .filter(|weights| gone(weights) && !keeper.may_vanish(weights, now))
+            .filter(|weights| is_unloaded(weights) && !keeper.may_vanish(weights, now))
             .cloned()
             .collect();
         for weights in ended {
@@ -175,7 +180,7 @@
     /// Resumes weights that were about to be unloaded and are in the plan again.
     ///
     /// Their release ends even if the drain had not started. Otherwise this agent would deny all
-    /// asks for these weights forever.
+    /// requests for these weights forever.
     fn resume_wanted(
         &mut self,
         input: StepInput<'_>,
--- a/crates/oatpier-placement/src/steps/work.rs
+++ b/crates/oatpier-placement/src/steps/search.rs
@@ -22,10 +22,10 @@
     weights: &WeightsKey,
     now: ClockTime,
 ) -> bool {
-    input.plan.weights.contains(weights) && !steps_aside(input, keeper, weights, now)
+    input.plan.weights.contains(weights) && !must_yield_to_base(input, keeper, weights, now)
 }
 
-fn steps_aside(
+fn must_yield_to_base(
     input: StepInput<'_>,
     keeper: &OrderKeeper,
     weights: &WeightsKey,
@@ -42,16 +42,16 @@
     let Some(base) = base else {
         return true;
     };
-    let old_base = keeper
+    let has_old_base = keeper
         .ledger()
         .ready()
         .any(|held| is_base_of(held, weights) && held != base);
-    let absent = keeper.ledger().state_of(base).is_none() && !keeper.is_moving(base);
+    let is_base_absent = keeper.ledger().state_of(base).is_none() && !keeper.is_moving(base);
     let size = input.config.memory_of(base).unwrap_or(u64::MAX);
-    old_base && absent && !keeper.ledger().fits(base, size, now)
+    has_old_base && is_base_absent && !keeper.ledger().fits(base, size, now)
 }
 
-pub(super) struct StepWork<'a> {
+pub(super) struct StepSearch<'a> {
     pub(super) input: StepInput<'a>,
     pub(super) keeper: &'a mut OrderKeeper,
     pub(super) releases: &'a mut ReleaseKeeper,
@@ -59,7 +59,7 @@
     pub(super) wait: StepWait,
 }
 
-impl StepWork<'_> {
+impl StepSearch<'_> {
     pub(super) fn find_step(&mut self, now: ClockTime) -> Option<PlacementStep> {
         if let Some(step) = self.role_step(now) {
             return Some(step);
@@ -75,7 +75,7 @@
         if self.keeper.role() == Some(role) || self.keeper.is_role_moving() {
             return None;
         }
-        self.order(OrderAction::SetRole { role }, now)
+        self.start_order(OrderAction::SetRole { role }, now)
     }
 
     /// Loads the first planned weights that are missing, fit, and have their base model ready.
@@ -91,16 +91,16 @@
             .collect();
         for weights in missing {
             if !self.base_is_ready(&weights) {
-                self.note(StepWait::Busy);
+                self.set_wait(StepWait::Busy);
                 continue;
             }
             let action = OrderAction::Load {
                 weights: weights.clone(),
             };
-            if let Some(step) = self.order(action, now) {
+            if let Some(step) = self.start_order(action, now) {
                 return Some(step);
             }
-            self.note(StepWait::NoMemory(weights));
+            self.set_wait(StepWait::NoMemory(weights));
         }
         None
     }
@@ -138,7 +138,7 @@
         let moving = self.keeper.is_moving(weights);
         let state = self.keeper.ledger().state_of(weights);
         if state == Some(WeightsState::Unloading) || (moving && state.is_some()) {
-            self.note(StepWait::Busy);
+            self.set_wait(StepWait::Busy);
             return None;
         }
         // A load that never completed serves no callers: it is canceled without a release.
@@ -146,16 +146,16 @@
             return self.order_unload(weights, now);
         }
         if self.is_base_in_use(weights, now) || self.is_successor_coming(weights) {
-            self.note(StepWait::Busy);
+            self.set_wait(StepWait::Busy);
             return None;
         }
         match self.releases.state(weights) {
             ReleaseState::Granted => self.drain_or_unload(weights, now),
-            ReleaseState::Asking => {
-                self.note(StepWait::Busy);
+            ReleaseState::Requested => {
+                self.set_wait(StepWait::Busy);
                 None
             }
-            ReleaseState::None => self.seek_release(weights, now),
+            ReleaseState::None => self.request_release(weights, now),
         }
     }
 
@@ -166,22 +166,23 @@
             return false;
         }
         let ledger = self.keeper.ledger();
-        let other_base = ledger.ready().any(|held| {
+        let has_other_base = ledger.ready().any(|held| {
             is_base_of(held, weights) && held != weights && !self.keeper.may_vanish(held, now)
         });
-        let adapters = ledger.charges().any(|(held, charge)| {
-            let there = charge.held.is_some() || charge.ordered;
-            held.adapter.is_some() && held.model == weights.model && there
+        let has_adapters = ledger.charges().any(|(held, charge)| {
+            let is_there = charge.held.is_some() || charge.ordered;
+            held.adapter.is_some() && held.model == weights.model && is_there
         });
-        adapters && !other_base
+        has_adapters && !has_other_base
     }
 
     /// Returns whether another version of these weights is being loaded. They serve until it is ready.
     fn is_successor_coming(&self, weights: &WeightsKey) -> bool {
         self.input.plan.weights.iter().any(|wanted| {
-            let sibling = wanted.model == weights.model && wanted.adapter == weights.adapter;
+            let is_other_version =
+                wanted.model == weights.model && wanted.adapter == weights.adapter;
             let loading = self.keeper.ledger().state_of(wanted) == Some(WeightsState::Loading);
-            sibling && wanted != weights && (loading || self.keeper.is_moving(wanted))
+            is_other_version && wanted != weights && (loading || self.keeper.is_moving(wanted))
         })
     }
 
@@ -192,30 +193,30 @@
         }
         // An unload now would abort the attempts that run on these weights.
         if self.input.attempts.in_flight(weights) > 0 {
-            self.note(StepWait::Busy);
+            self.set_wait(StepWait::Busy);
             return None;
         }
         self.order_unload(weights, now)
     }
 
-    fn seek_release(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
-        let Some(present) = self.present_version(weights) else {
+    fn request_release(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
+        let Some(current) = self.current_version(weights) else {
             // The weights are no longer configured, so no request can name them.
-            self.releases.grant_own(weights);
+            self.releases.grant_without_request(weights);
             return self.drain_or_unload(weights, now);
         };
-        if self.is_kept_here(weights, &present, now) {
-            self.releases.grant_own(weights);
+        if self.stays_ready_here(weights, &current, now) {
+            self.releases.grant_without_request(weights);
             return self.drain_or_unload(weights, now);
         }
-        if !self.releases.may_ask(weights, now) {
-            self.note(StepWait::Busy);
+        if !self.releases.can_request(weights, now) {
+            self.set_wait(StepWait::Busy);
             return None;
         }
-        self.ask_holder(weights, &present, now)
+        self.request_from_next_holder(weights, &current, now)
     }
 
-    fn present_version(&self, weights: &WeightsKey) -> Option<WeightsKey> {
+    fn current_version(&self, weights: &WeightsKey) -> Option<WeightsKey> {
         match &weights.adapter {
             Some(adapter) => self.input.config.adapter_weights(adapter),
             None => self.input.config.model_weights(&weights.model),
@@ -223,10 +224,10 @@
     }
 
     /// Returns whether the current version stays ready on this endpoint.
-    fn is_kept_here(&self, weights: &WeightsKey, present: &WeightsKey, now: ClockTime) -> bool {
-        weights != present
-            && self.keeper.is_firm(present, now)
-            && !self.releases.is_releasing(present)
+    fn stays_ready_here(&self, weights: &WeightsKey, current: &WeightsKey, now: ClockTime) -> bool {
+        weights != current
+            && self.keeper.is_stable(current, now)
+            && !self.releases.is_releasing(current)
     }
 
     /// Asks another holder for the release of these weights.
@@ -234,27 +235,27 @@
     /// Holders of the current version are asked first. If there are none, during a version change
     /// without memory for both versions, holders of the same old version are asked, then holders of
     /// any other version.
-    fn ask_holder(
+    fn request_from_next_holder(
         &mut self,
         weights: &WeightsKey,
-        present: &WeightsKey,
+        current: &WeightsKey,
         now: ClockTime,
     ) -> Option<PlacementStep> {
         let replicas = self.input.replicas;
         let others = replicas.other_versions(weights);
-        let found = [present, weights]
+        let found = [current, weights]
             .into_iter()
             .chain(&others)
             .find_map(|keep| {
                 let holders = replicas.ready_elsewhere(keep);
-                let to = holders.get(self.releases.turn(holders.len()));
+                let to = holders.get(self.releases.next_holder(holders.len()));
                 to.map(|to| (to.clone(), keep.clone()))
             });
         let Some((to, keep)) = found else {
-            self.note(StepWait::LastReplica(weights.clone()));
+            self.set_wait(StepWait::LastReplica(weights.clone()));
             return None;
         };
-        let ask = self.releases.ask(weights, &keep, now);
+        let ask = self.releases.request(weights, &keep, now);
         Some(PlacementStep::AskRelease { to, ask })
     }
 
@@ -262,21 +263,21 @@
         let action = OrderAction::Unload {
             weights: weights.clone(),
         };
-        let step = self.order(action, now);
+        let step = self.start_order(action, now);
         if step.is_none() {
-            self.note(StepWait::Busy);
+            self.set_wait(StepWait::Busy);
         }
         step
     }
 
-    fn order(&mut self, action: OrderAction, now: ClockTime) -> Option<PlacementStep> {
+    fn start_order(&mut self, action: OrderAction, now: ClockTime) -> Option<PlacementStep> {
         self.keeper
             .begin(action.clone(), self.input.config, now)
             .ok()?;
         Some(PlacementStep::Ordered(action))
     }
 
-    fn note(&mut self, wait: StepWait) {
+    fn set_wait(&mut self, wait: StepWait) {
         if matches!(self.wait, StepWait::Done | StepWait::Busy) {
             self.wait = wait;
         }
--- a/crates/oatpier-placement/tests/testsuite/demand.rs
+++ b/crates/oatpier-placement/tests/testsuite/demand.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_burst_is_seen_within_seconds() {
+fn burst_raises_rate_within_seconds() {
     let mut ledger = DemandLedger::new();
     let now = burst(&mut ledger, ClockTime::ZERO, 15);
     let rate = ledger.summary(now).rate_of(&key());
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_peak_is_remembered_for_minutes_and_then_forgotten() {
+fn peak_decays_over_minutes() {
     let mut ledger = DemandLedger::new();
     let now = burst(&mut ledger, ClockTime::ZERO, 60);
     let soon = ledger.summary(now + Duration::from_mins(3)).rate_of(&key());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn entries_add_up_until_they_are_gone() {
+fn total_sums_entries_until_they_expire() {
     let mut ledger = DemandLedger::new();
     let now = burst(&mut ledger, ClockTime::ZERO, 30);
     let summary = ledger.summary(now);
--- a/crates/oatpier-placement/tests/testsuite/engine.rs
+++ b/crates/oatpier-placement/tests/testsuite/engine.rs
@@ -12,7 +12,7 @@
 use oatpier_types::ids::OrderNumber;
 
 #[derive(Debug, Clone)]
-pub struct ModelEngine {
+pub struct SimulatedEngine {
     pub checks_numbers: bool,
     pub memory_mib: u64,
     pub load_time: Duration,
@@ -21,7 +21,7 @@
     role: EngineRole,
 }
 
-impl ModelEngine {
+impl SimulatedEngine {
     pub fn new(checks_numbers: bool, memory_mib: u64) -> Self {
         Self {
             checks_numbers,
--- a/crates/oatpier-placement/tests/testsuite/main.rs
+++ b/crates/oatpier-placement/tests/testsuite/main.rs
@@ -11,5 +11,5 @@
 mod record;
 mod release;
 mod repair;
+mod simulation;
 mod steps;
-mod world;
--- a/crates/oatpier-placement/tests/testsuite/moves.rs
+++ b/crates/oatpier-placement/tests/testsuite/moves.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 
 use crate::fleet::{adapter, add_adapter, base, fleet};
-use crate::world::{FaultRates, World};
+use crate::simulation::{FaultRates, Simulation};
 
 const CAPACITY_MIB: u64 = 100;
 /// Longer than the maximum order delay of the tests plus the time that a store confirmation counts.
@@ -26,10 +26,10 @@
 
 /// Creates three engines with the models `a` (with adapter `x`), `b` and `c`, each ready on two
 /// engines.
-pub fn world(checks: bool, settings: OrderSettings, seed: u64) -> World {
+pub fn simulation(checks: bool, settings: OrderSettings, seed: u64) -> Simulation {
     let mut config = fleet(3, CAPACITY_MIB, &[("a", 30), ("b", 30), ("c", 20)]);
     add_adapter(&mut config, "x", "a", 10);
-    let mut world = World::new(config, checks, settings, seed);
+    let mut simulation = Simulation::new(config, checks, settings, seed);
     let start = [
         vec![base("a", "v1"), adapter("x", "a", "v1"), base("b", "v1")],
         vec![base("b", "v1"), base("c", "v1")],
@@ -37,15 +37,15 @@
     ];
     for (index, weights) in start.iter().enumerate() {
         for weights in weights {
-            world.engines[index].put_ready(weights);
+            simulation.engines[index].put_ready(weights);
         }
-        world.rows[index].weights = weights.iter().cloned().collect();
+        simulation.rows[index].weights = weights.iter().cloned().collect();
     }
-    world
+    simulation
 }
 
-fn all_weights(world: &World) -> Vec<WeightsKey> {
-    let config = &world.config;
+fn all_weights(simulation: &Simulation) -> Vec<WeightsKey> {
+    let config = &simulation.config;
     let models = config
         .models
         .keys()
@@ -56,40 +56,40 @@
 }
 
 /// Assigns each of the weights to random endpoints.
-fn shuffle_plan(world: &mut World) {
-    for index in 0..world.rows.len() {
+fn shuffle_plan(simulation: &mut Simulation) {
+    for index in 0..simulation.rows.len() {
         let mut row: Vec<WeightsKey> = Vec::new();
-        for weights in all_weights(world) {
+        for weights in all_weights(simulation) {
             let base =
                 weights.adapter.is_none() || row.iter().any(|held| held.model == weights.model);
-            if base && world.chance(0.55) {
+            if base && simulation.chance(0.55) {
                 row.push(weights);
             }
         }
-        world.rows[index].weights = row.into_iter().collect();
+        simulation.rows[index].weights = row.into_iter().collect();
     }
 }
 
-fn change_version(world: &mut World) {
-    let model = usize::from(world.chance(0.5));
-    let version = format!("v{}", world.now.as_micros());
+fn change_version(simulation: &mut Simulation) {
+    let model = usize::from(simulation.chance(0.5));
+    let version = format!("v{}", simulation.now.as_micros());
     let version = VersionName::try_from(version.as_str()).unwrap();
-    world.config.models[model].version = version.clone();
-    if world.chance(0.5) {
-        world.config.adapters[0].version = version;
+    simulation.config.models[model].version = version.clone();
+    if simulation.chance(0.5) {
+        simulation.config.adapters[0].version = version;
     }
 }
 
 /// Runs with a high rate of faults, while the plan and the versions keep changing.
-fn storm(world: &mut World) {
-    world.faults = FaultRates::MANY;
+fn run_with_faults(simulation: &mut Simulation) {
+    simulation.faults = FaultRates::HIGH;
     for round in 0..20 {
         if round % 4 == 3 {
-            change_version(world);
+            change_version(simulation);
         }
-        world.store_down = world.chance(0.2);
-        shuffle_plan(world);
-        world.run(Duration::from_secs(8));
+        simulation.store_down = simulation.chance(0.2);
+        shuffle_plan(simulation);
+        simulation.run(Duration::from_secs(8));
     }
 }
 
@@ -110,31 +110,31 @@
     /// plan keeps changing. In any interleaving, no engine holds more than its memory, and no
     /// order unloads the last ready replica of a model or an adapter.
     #[test]
-    fn faults_never_overcommit_nor_unload_the_last(seed in any::<u64>(), checks in any::<bool>()) {
-        let mut world = world(checks, settings(checks), seed);
-        world.run(Duration::from_secs(5));
-        storm(&mut world);
-        prop_assert!(world.violations.is_empty(), "{:#?}", world.violations);
-        prop_assert!(world.orders_taken > 20, "only {} orders", world.orders_taken);
+    fn faults_never_overcommit_memory_or_unload_last_replica(seed in any::<u64>(), checks in any::<bool>()) {
+        let mut simulation = simulation(checks, settings(checks), seed);
+        simulation.run(Duration::from_secs(5));
+        run_with_faults(&mut simulation);
+        prop_assert!(simulation.violations.is_empty(), "{:#?}", simulation.violations);
+        prop_assert!(simulation.orders_taken > 20, "only {} orders", simulation.orders_taken);
     }
 
     /// After the faults, every endpoint converges to its planned weights in the current version.
     #[test]
-    fn after_faults_the_plan_is_carried_out(seed in any::<u64>(), checks in any::<bool>()) {
-        let mut world = world(checks, settings(checks), seed);
-        storm(&mut world);
-        world.faults = FaultRates::NONE;
-        world.store_down = false;
-        let all = all_weights(&world);
-        for row in &mut world.rows {
+    fn endpoints_converge_to_plan_after_faults(seed in any::<u64>(), checks in any::<bool>()) {
+        let mut simulation = simulation(checks, settings(checks), seed);
+        run_with_faults(&mut simulation);
+        simulation.faults = FaultRates::NONE;
+        simulation.store_down = false;
+        let all = all_weights(&simulation);
+        for row in &mut simulation.rows {
             row.weights = all.iter().cloned().collect();
         }
-        world.run(Duration::from_secs(400));
-        prop_assert!(world.violations.is_empty(), "{:#?}", world.violations);
+        simulation.run(Duration::from_secs(400));
+        prop_assert!(simulation.violations.is_empty(), "{:#?}", simulation.violations);
         for index in 0..3 {
-            let held = world.engines[index].state();
-            prop_assert_eq!(world.last_step(index), &Err(StepWait::Done), "{:?}", held);
-            prop_assert!(all.iter().all(|weights| world.engines[index].is_ready(weights)));
+            let held = simulation.engines[index].state();
+            prop_assert_eq!(simulation.last_step(index), &Err(StepWait::Done), "{:?}", held);
+            prop_assert!(all.iter().all(|weights| simulation.engines[index].is_ready(weights)));
         }
     }
 }
@@ -144,9 +144,9 @@
 fn violations(engine_checks: bool, settings: OrderSettings) -> usize {
     (0..12)
         .map(|seed| {
-            let mut world = world(engine_checks, settings, seed);
-            storm(&mut world);
-            world.violations.len()
+            let mut simulation = simulation(engine_checks, settings, seed);
+            run_with_faults(&mut simulation);
+            simulation.violations.len()
         })
         .sum()
 }
@@ -155,7 +155,7 @@
 /// after its weights were unloaded and others were loaded, and the engine is overcommitted. Shows
 /// that the fault tests above detect this.
 #[test]
-fn without_the_hold_a_late_copy_overcommits() {
+fn late_copy_overcommits_without_hold() {
     let hold = Duration::ZERO;
     let settings = OrderSettings {
         late_order_hold: hold,
@@ -167,6 +167,6 @@
 /// The agents assume that engines check numbers, but they do not: no intent is written before an
 /// order, and the order of an earlier agent is executed. Shows that the fault tests detect this.
 #[test]
-fn without_intents_a_former_agent_breaks_a_promise() {
+fn earlier_agent_violates_guarantee_without_intents() {
     assert!(violations(false, settings(true)) > 0);
 }
--- a/crates/oatpier-placement/tests/testsuite/network.rs
+++ b/crates/oatpier-placement/tests/testsuite/network.rs
@@ -7,14 +7,14 @@
 use oatpier_types::engine::EngineOrder;
 use oatpier_types::ids::{BootId, OrderNumber, Revision};
 
-use crate::world::{Agent, Message, TICK, World};
+use crate::simulation::{Agent, Message, Simulation, TICK};
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum delay of an order.
-const LATEST_ORDER: Duration = Duration::from_secs(20);
+const MAX_ORDER_DELAY: Duration = Duration::from_secs(20);
 
-impl World {
-    pub fn carry_out(&mut self, agent: usize, command: OrderCommand) {
+impl Simulation {
+    pub fn execute(&mut self, agent: usize, command: OrderCommand) {
         let Agent { index, boot, .. } = self.agents[agent];
         match command {
             OrderCommand::CallStore(call) => self.call_store(index, boot, call),
@@ -41,14 +41,14 @@
         let event = OrderEvent::Record(RecordAnswer::AnswerLost);
         self.post(Message::Event(boot, event), ANSWER_TIMEOUT);
         if self.chance(0.7) {
-            let late = self.up_to(Duration::from_secs(5));
+            let late = self.random_duration(Duration::from_secs(5));
             self.post(Message::StoreCall(index, boot, call, false), late);
         }
     }
 
     fn send_order(&mut self, index: usize, boot: BootId, order: EngineOrder) {
         let number = order.number;
-        let late = self.up_to(LATEST_ORDER);
+        let late = self.random_duration(MAX_ORDER_DELAY);
         let lost = self.chance(self.faults.order_lost);
         if lost || self.chance(self.faults.order_late) {
             self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
@@ -57,7 +57,7 @@
             }
             return;
         }
-        if self.chance(self.faults.order_doubled) {
+        if self.chance(self.faults.order_duplicated) {
             self.post(Message::Order(index, boot, order.clone(), false), late);
         }
         self.post(Message::Order(index, boot, order, true), TICK);
@@ -75,7 +75,7 @@
     }
 
     pub fn post_lossy(&mut self, message: &Message) {
-        let copies = if self.chance(self.faults.order_doubled) {
+        let copies = if self.chance(self.faults.order_duplicated) {
             2
         } else {
             1
@@ -86,7 +86,7 @@
             }
             let late = self.chance(self.faults.order_late);
             let span = if late { Duration::from_secs(6) } else { TICK };
-            let after = self.up_to(span);
+            let after = self.random_duration(span);
             self.post(message.clone(), after);
         }
     }
@@ -113,7 +113,7 @@
             }
             Message::Poll(index, boot, ticket) => {
                 let state = Box::new(self.engines[index].state());
-                let late = self.up_to(Duration::from_millis(500));
+                let late = self.random_duration(Duration::from_millis(500));
                 self.post(
                     Message::Event(boot, OrderEvent::Polled { ticket, state }),
                     late,
@@ -122,20 +122,20 @@
             Message::Event(boot, ref event) => {
                 let (event, now) = (event.clone(), self.now);
                 let config = self.config.clone();
-                if let Some(agent) = self.awake_agent(boot, message) {
+                if let Some(agent) = self.running_agent(boot, message) {
                     agent.keeper.on_event(event, &config, now);
                 }
             }
             Message::Ask(index, ref ask) => {
                 let (ask, now) = (ask.clone(), self.now);
                 let boot = self.current[index];
-                if let Some(agent) = self.awake_agent(boot, message) {
+                if let Some(agent) = self.running_agent(boot, message) {
                     agent.releases.on_ask(ask, &mut agent.keeper, now);
                 }
             }
             Message::Answer(answer) => {
                 let now = self.now;
-                if let Some(agent) = self.awake_agent(answer.boot, message) {
+                if let Some(agent) = self.running_agent(answer.boot, message) {
                     agent.releases.on_answer(answer, now);
                 }
             }
@@ -143,11 +143,11 @@
     }
 
     /// Returns the agent if it is running. Otherwise delivers the message when the agent resumes.
-    fn awake_agent(&mut self, boot: BootId, message: Message) -> Option<&mut Agent> {
+    fn running_agent(&mut self, boot: BootId, message: Message) -> Option<&mut Agent> {
         let agent = self.agents.iter().position(|agent| agent.boot == boot)?;
-        let wake = self.agents[agent].awake_from;
-        if wake > self.now {
-            let after = wake.since(self.now);
+        let resume = self.agents[agent].resumes_at;
+        if resume > self.now {
+            let after = resume.since(self.now);
             self.post(message, after);
             return None;
         }
--- a/crates/oatpier-placement/tests/testsuite/orders.rs
+++ b/crates/oatpier-placement/tests/testsuite/orders.rs
@@ -11,38 +11,38 @@
 use oatpier_types::engine::{EngineOrder, OrderAction, WeightsKey};
 use oatpier_types::ids::{BootId, Epoch, Revision};
 
-use crate::engine::ModelEngine;
+use crate::engine::SimulatedEngine;
 use crate::fleet::{base, fleet};
 
 /// An agent with its engine and store. Tests can respond to its orders and polls themselves.
-pub struct Desk {
+pub struct AgentHarness {
     pub keeper: OrderKeeper,
     pub config: FleetConfig,
-    pub engine: ModelEngine,
+    pub engine: SimulatedEngine,
     pub now: ClockTime,
     pub store: Option<StoredRecord>,
     pub store_down: bool,
 }
 
-impl Desk {
+impl AgentHarness {
     /// Creates an agent that has acquired its epoch and may start orders.
     pub fn ready(checks: bool, config: FleetConfig, memory_mib: u64) -> Self {
         let settings = OrderSettings::new(checks, memory_mib);
-        let mut desk = Self {
+        let mut harness = Self {
             keeper: OrderKeeper::new(settings, BootId(1)),
             config,
-            engine: ModelEngine::new(checks, memory_mib),
+            engine: SimulatedEngine::new(checks, memory_mib),
             now: ClockTime::ZERO,
             store: None,
             store_down: false,
         };
-        desk.run(Duration::from_secs(1));
-        assert_eq!(desk.keeper.check_ready(), Ok(()));
-        desk
+        harness.run(Duration::from_secs(1));
+        assert_eq!(harness.keeper.check_ready(), Ok(()));
+        harness
     }
 
     /// Replaces the agent by its successor on the same endpoint.
-    pub fn successor(&mut self, checks: bool, boot: u128) {
+    pub fn replace_agent(&mut self, checks: bool, boot: u128) {
         let settings = OrderSettings::new(checks, self.engine.memory_mib);
         self.keeper = OrderKeeper::new(settings, BootId(boot));
     }
@@ -51,23 +51,23 @@
         self.keeper.begin(action, &self.config, self.now)
     }
 
-    pub fn tell(&mut self, event: OrderEvent) {
+    pub fn handle_event(&mut self, event: OrderEvent) {
         self.keeper.on_event(event, &self.config, self.now);
     }
 
     pub fn answer(&mut self, order: &EngineOrder, outcome: OrderOutcome) {
         let number = order.number;
-        self.tell(OrderEvent::Answered { number, outcome });
+        self.handle_event(OrderEvent::Answered { number, outcome });
     }
 
     /// Runs until an order is sent, and returns it for the test to respond to.
-    pub fn sent(&mut self) -> Option<EngineOrder> {
+    pub fn next_order(&mut self) -> Option<EngineOrder> {
         for _ in 0..100 {
             let mut sent = None;
             for command in self.keeper.commands(&self.config, self.now) {
                 match command {
                     OrderCommand::Send(order) => sent = Some(order),
-                    other => self.serve(other),
+                    other => self.execute(other),
                 }
             }
             if sent.is_some() {
@@ -79,12 +79,12 @@
     }
 
     /// Runs until a poll is issued, and returns it for the test to respond to.
-    fn polled(&mut self) -> PollTicket {
+    fn next_poll(&mut self) -> PollTicket {
         loop {
             for command in self.keeper.commands(&self.config, self.now) {
                 match command {
                     OrderCommand::Poll(ticket) => return ticket,
-                    other => self.serve(other),
+                    other => self.execute(other),
                 }
             }
             self.tick();
@@ -96,13 +96,13 @@
         let end = self.now + span;
         while self.now < end {
             for command in self.keeper.commands(&self.config, self.now) {
-                self.serve(command);
+                self.execute(command);
             }
             self.tick();
         }
     }
 
-    pub fn charged(&self) -> u64 {
+    pub fn charged_mib(&self) -> u64 {
         self.keeper.ledger().charged_mib(self.now)
     }
 
@@ -111,11 +111,11 @@
         self.engine.advance(self.now);
     }
 
-    fn serve(&mut self, command: OrderCommand) {
+    fn execute(&mut self, command: OrderCommand) {
         match command {
             OrderCommand::CallStore(call) => {
                 let answer = self.call_store(call);
-                self.tell(OrderEvent::Record(answer));
+                self.handle_event(OrderEvent::Record(answer));
             }
             OrderCommand::Send(order) => {
                 let outcome = self.engine.take(&order, self.now);
@@ -123,7 +123,7 @@
             }
             OrderCommand::Poll(ticket) => {
                 let state = Box::new(self.engine.state());
-                self.tell(OrderEvent::Polled { ticket, state });
+                self.handle_event(OrderEvent::Polled { ticket, state });
             }
         }
     }
@@ -165,126 +165,126 @@
 /// second load that does not fit beside the first must wait, because both could be in memory. The
 /// first load is sent again until the engine reports it.
 #[test]
-fn a_lost_load_stays_charged_and_is_finished() {
+fn load_with_lost_response_stays_charged_and_completes() {
     for checks in [true, false] {
-        let mut desk = Desk::ready(checks, config(), 100);
+        let mut harness = AgentHarness::ready(checks, config(), 100);
         let (a, b) = (base("a", "v1"), base("b", "v1"));
-        desk.begin(load(&a)).unwrap();
-        let order = desk.sent().unwrap();
-        desk.answer(&order, OrderOutcome::Unknown);
-        assert_eq!(desk.charged(), 60);
+        harness.begin(load(&a)).unwrap();
+        let order = harness.next_order().unwrap();
+        harness.answer(&order, OrderOutcome::Unknown);
+        assert_eq!(harness.charged_mib(), 60);
         assert!(matches!(
-            desk.begin(load(&b)),
+            harness.begin(load(&b)),
             Err(BeginError::NoMemory { .. })
         ));
-        let again = desk.sent().unwrap();
+        let again = harness.next_order().unwrap();
         assert_eq!(again.action, order.action);
         assert_eq!(again.number > order.number, checks);
-        desk.engine.take(&again, desk.now);
-        desk.answer(&again, OrderOutcome::Taken);
-        desk.run(Duration::from_secs(5));
-        assert!(desk.engine.is_ready(&a));
-        assert_eq!((desk.charged(), desk.keeper.moving()), (60, 0));
+        harness.engine.take(&again, harness.now);
+        harness.answer(&again, OrderOutcome::Taken);
+        harness.run(Duration::from_secs(5));
+        assert!(harness.engine.is_ready(&a));
+        assert_eq!((harness.charged_mib(), harness.keeper.moving()), (60, 0));
     }
 }
 
 /// The response to a poll that was issued before a load was accepted arrives afterwards and does
 /// not show the load. It gives no evidence of the load, so the memory stays charged.
 #[test]
-fn an_older_poll_says_nothing_of_a_newer_order() {
-    let mut desk = Desk::ready(true, config(), 100);
-    let ticket = desk.polled();
-    let state = Box::new(desk.engine.state());
-    desk.begin(load(&base("a", "v1"))).unwrap();
-    let order = desk.sent().unwrap();
-    desk.engine.take(&order, desk.now);
-    desk.answer(&order, OrderOutcome::Taken);
-    desk.tell(OrderEvent::Polled { ticket, state });
-    assert_eq!(desk.charged(), 60);
-    assert_eq!(desk.keeper.moving(), 1);
+fn older_poll_does_not_complete_newer_order() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
+    let ticket = harness.next_poll();
+    let state = Box::new(harness.engine.state());
+    harness.begin(load(&base("a", "v1"))).unwrap();
+    let order = harness.next_order().unwrap();
+    harness.engine.take(&order, harness.now);
+    harness.answer(&order, OrderOutcome::Taken);
+    harness.handle_event(OrderEvent::Polled { ticket, state });
+    assert_eq!(harness.charged_mib(), 60);
+    assert_eq!(harness.keeper.moving(), 1);
 }
 
 /// The store is down. An engine that checks numbers rejects the orders of earlier agents by itself,
 /// so its agent continues. Where the engine ignores numbers, a successor could not learn of an
 /// order, so none is sent.
 #[test]
-fn a_store_outage_stops_moves_only_where_numbers_are_ignored() {
+fn store_outage_stops_orders_only_where_numbers_are_ignored() {
     for checks in [true, false] {
-        let mut desk = Desk::ready(checks, config(), 100);
-        desk.store_down = true;
+        let mut harness = AgentHarness::ready(checks, config(), 100);
+        harness.store_down = true;
         let a = base("a", "v1");
-        desk.begin(load(&a)).unwrap();
-        desk.run(Duration::from_secs(10));
-        assert_eq!(desk.engine.is_ready(&a), checks);
-        let next = desk.begin(load(&base("c", "v1")));
+        harness.begin(load(&a)).unwrap();
+        harness.run(Duration::from_secs(10));
+        assert_eq!(harness.engine.is_ready(&a), checks);
+        let next = harness.begin(load(&base("c", "v1")));
         assert_eq!(next.is_ok(), checks);
-        desk.store_down = false;
-        desk.run(Duration::from_secs(30));
-        assert!(desk.engine.is_ready(&a));
+        harness.store_down = false;
+        harness.run(Duration::from_secs(30));
+        assert!(harness.engine.is_ready(&a));
     }
 }
 
 /// An agent crashes after it has sent a load that reaches the engine late. Its successor finds the
 /// intent, charges it, and starts no other load, although the engine does not report the first.
 #[test]
-fn a_successor_charges_and_finishes_the_intents_it_finds() {
-    let mut desk = Desk::ready(false, config(), 100);
+fn successor_charges_and_completes_found_intents() {
+    let mut harness = AgentHarness::ready(false, config(), 100);
     let a = base("a", "v1");
-    desk.begin(load(&a)).unwrap();
-    let late = desk.sent().unwrap();
-    desk.successor(false, 2);
-    desk.run(Duration::from_millis(300));
-    assert_eq!(desk.charged(), 60);
-    assert!(desk.begin(load(&base("b", "v1"))).is_err());
-    desk.run(Duration::from_secs(5));
-    assert!(desk.engine.is_ready(&a));
-    desk.engine.take(&late, desk.now);
-    assert!(desk.engine.used_mib(&desk.config) <= 100);
+    harness.begin(load(&a)).unwrap();
+    let late = harness.next_order().unwrap();
+    harness.replace_agent(false, 2);
+    harness.run(Duration::from_millis(300));
+    assert_eq!(harness.charged_mib(), 60);
+    assert!(harness.begin(load(&base("b", "v1"))).is_err());
+    harness.run(Duration::from_secs(5));
+    assert!(harness.engine.is_ready(&a));
+    harness.engine.take(&late, harness.now);
+    assert!(harness.engine.used_mib(&harness.config) <= 100);
 }
 
 /// A load and an unload were executed, and a copy of the load is still in flight. Where the engine
 /// ignores numbers, the memory stays charged until no copy can arrive any more.
 #[test]
-fn memory_of_a_late_copy_stays_charged_after_the_unload() {
-    let mut desk = Desk::ready(false, config(), 100);
+fn late_copy_stays_charged_after_unload() {
+    let mut harness = AgentHarness::ready(false, config(), 100);
     let a = base("a", "v1");
-    desk.begin(load(&a)).unwrap();
-    desk.run(Duration::from_secs(5));
-    desk.begin(unload(&a)).unwrap();
-    desk.run(Duration::from_secs(5));
-    assert!(desk.engine.state().held.is_empty());
+    harness.begin(load(&a)).unwrap();
+    harness.run(Duration::from_secs(5));
+    harness.begin(unload(&a)).unwrap();
+    harness.run(Duration::from_secs(5));
+    assert!(harness.engine.state().held.is_empty());
     assert!(matches!(
-        desk.begin(load(&base("b", "v1"))),
+        harness.begin(load(&base("b", "v1"))),
         Err(BeginError::NoMemory { .. })
     ));
-    assert_eq!(desk.begin(load(&a)), Err(BeginError::UnloadMayAct));
-    desk.run(Duration::from_mins(2));
-    assert_eq!(desk.begin(load(&base("b", "v1"))), Ok(()));
+    assert_eq!(harness.begin(load(&a)), Err(BeginError::LateUnloadPending));
+    harness.run(Duration::from_mins(2));
+    assert_eq!(harness.begin(load(&base("b", "v1"))), Ok(()));
 }
 
 /// An agent was suspended before it sent a load, and resumes concurrently with its successor. The
 /// engine checks numbers, and the successor's first order has fenced off the earlier agent, which
 /// learns that it is superseded.
 #[test]
-fn a_woken_former_agent_is_refused_and_ends() {
-    let mut desk = Desk::ready(true, config(), 100);
-    desk.begin(load(&base("a", "v1"))).unwrap();
-    let late = desk.sent().unwrap();
-    let mut former = desk.keeper.clone();
-    desk.successor(true, 2);
-    desk.run(Duration::from_secs(1));
-    assert_eq!(desk.keeper.epoch(), EpochState::Taken(Epoch(2)));
-    let outcome = desk.engine.take(&late, desk.now);
+fn resumed_earlier_agent_is_rejected_and_superseded() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
+    harness.begin(load(&base("a", "v1"))).unwrap();
+    let late = harness.next_order().unwrap();
+    let mut earlier = harness.keeper.clone();
+    harness.replace_agent(true, 2);
+    harness.run(Duration::from_secs(1));
+    assert_eq!(harness.keeper.epoch(), EpochState::Taken(Epoch(2)));
+    let outcome = harness.engine.take(&late, harness.now);
     assert!(matches!(outcome, OrderOutcome::Stale { .. }));
     let number = late.number;
-    former.on_event(
+    earlier.on_event(
         OrderEvent::Answered { number, outcome },
-        &desk.config,
-        desk.now,
+        &harness.config,
+        harness.now,
     );
-    assert_eq!(former.epoch(), EpochState::Superseded);
+    assert_eq!(earlier.epoch(), EpochState::Superseded);
     assert_eq!(
-        former.begin(load(&base("c", "v1")), &desk.config, desk.now),
+        earlier.begin(load(&base("c", "v1")), &harness.config, harness.now),
         Err(BeginError::Superseded)
     );
 }
@@ -292,75 +292,75 @@
 /// The engine rejects a load. The order ends and its memory is free immediately, but the same load
 /// cannot be started again at once.
 #[test]
-fn a_refused_load_frees_its_memory() {
-    let mut desk = Desk::ready(true, config(), 100);
+fn rejected_load_frees_its_memory() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
     let a = base("a", "v1");
-    desk.begin(load(&a)).unwrap();
-    let order = desk.sent().unwrap();
-    desk.answer(&order, OrderOutcome::Refused);
-    assert_eq!((desk.charged(), desk.keeper.moving()), (0, 0));
-    assert_eq!(desk.begin(load(&a)), Err(BeginError::JustRefused));
-    desk.run(Duration::from_secs(5));
-    assert_eq!(desk.begin(load(&a)), Ok(()));
+    harness.begin(load(&a)).unwrap();
+    let order = harness.next_order().unwrap();
+    harness.answer(&order, OrderOutcome::Refused);
+    assert_eq!((harness.charged_mib(), harness.keeper.moving()), (0, 0));
+    assert_eq!(harness.begin(load(&a)), Err(BeginError::RecentlyRejected));
+    harness.run(Duration::from_secs(5));
+    assert_eq!(harness.begin(load(&a)), Ok(()));
 }
 
 /// A load was rejected after an earlier copy of it got no response. That copy may still arrive, so
 /// the memory stays charged.
 #[test]
-fn a_refusal_after_a_lost_answer_frees_nothing() {
-    let mut desk = Desk::ready(true, config(), 100);
-    desk.begin(load(&base("a", "v1"))).unwrap();
-    let order = desk.sent().unwrap();
-    desk.answer(&order, OrderOutcome::Unknown);
-    let again = desk.sent().unwrap();
-    desk.answer(&again, OrderOutcome::Refused);
-    assert_eq!(desk.charged(), 60);
+fn rejection_after_lost_response_frees_nothing() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
+    harness.begin(load(&base("a", "v1"))).unwrap();
+    let order = harness.next_order().unwrap();
+    harness.answer(&order, OrderOutcome::Unknown);
+    let again = harness.next_order().unwrap();
+    harness.answer(&again, OrderOutcome::Refused);
+    assert_eq!(harness.charged_mib(), 60);
 }
 
 /// The engine holds weights that are not configured. Their size is unknown, so nothing is loaded
 /// beside them, but they may be unloaded.
 #[test]
-fn weights_of_unknown_size_take_all_memory() {
-    let mut desk = Desk::ready(true, config(), 100);
-    let odd = base("odd", "v9");
-    desk.engine.put_ready(&odd);
-    desk.run(Duration::from_secs(6));
-    assert_eq!(desk.charged(), 100);
-    assert!(desk.begin(load(&base("c", "v1"))).is_err());
-    desk.begin(unload(&odd)).unwrap();
-    desk.run(Duration::from_secs(3));
-    assert_eq!(desk.charged(), 0);
+fn weights_of_unknown_size_charge_all_memory() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
+    let unconfigured = base("odd", "v9");
+    harness.engine.put_ready(&unconfigured);
+    harness.run(Duration::from_secs(6));
+    assert_eq!(harness.charged_mib(), 100);
+    assert!(harness.begin(load(&base("c", "v1"))).is_err());
+    harness.begin(unload(&unconfigured)).unwrap();
+    harness.run(Duration::from_secs(3));
+    assert_eq!(harness.charged_mib(), 0);
 }
 
 /// A configuration makes a model smaller while its old copy is loaded. The old size stays charged.
 #[test]
-fn a_charge_never_shrinks_while_it_stands() {
-    let mut desk = Desk::ready(true, config(), 100);
-    desk.engine.put_ready(&base("a", "v1"));
-    desk.run(Duration::from_secs(6));
-    desk.config.models[0].memory_mib = 10;
-    desk.run(Duration::from_secs(6));
-    assert_eq!(desk.charged(), 60);
+fn charge_never_shrinks() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
+    harness.engine.put_ready(&base("a", "v1"));
+    harness.run(Duration::from_secs(6));
+    harness.config.models[0].memory_mib = 10;
+    harness.run(Duration::from_secs(6));
+    assert_eq!(harness.charged_mib(), 60);
 }
 
 /// A load whose outcome is unknown is canceled by an unload, which does not reach the engine at
 /// first. The engine does not report the load, but it may still arrive. It stays charged until the
 /// engine has accepted the unload, after which it rejects the load.
 #[test]
-fn a_load_that_is_given_up_stays_charged_until_the_unload_is_taken() {
-    let mut desk = Desk::ready(true, config(), 100);
+fn canceled_load_stays_charged_until_unload_is_accepted() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
     let a = base("a", "v1");
-    desk.begin(load(&a)).unwrap();
-    let late = desk.sent().unwrap();
-    desk.answer(&late, OrderOutcome::Unknown);
-    desk.begin(unload(&a)).unwrap();
-    let order = desk.sent().unwrap();
-    desk.answer(&order, OrderOutcome::NotSent);
-    desk.run(Duration::from_millis(300));
-    assert_eq!(desk.charged(), 60);
-    desk.run(Duration::from_secs(2));
-    assert_eq!((desk.charged(), desk.keeper.moving()), (0, 0));
-    let outcome = desk.engine.take(&late, desk.now);
+    harness.begin(load(&a)).unwrap();
+    let late = harness.next_order().unwrap();
+    harness.answer(&late, OrderOutcome::Unknown);
+    harness.begin(unload(&a)).unwrap();
+    let order = harness.next_order().unwrap();
+    harness.answer(&order, OrderOutcome::NotSent);
+    harness.run(Duration::from_millis(300));
+    assert_eq!(harness.charged_mib(), 60);
+    harness.run(Duration::from_secs(2));
+    assert_eq!((harness.charged_mib(), harness.keeper.moving()), (0, 0));
+    let outcome = harness.engine.take(&late, harness.now);
     assert!(matches!(outcome, OrderOutcome::Stale { .. }));
 }
 
@@ -368,33 +368,33 @@
 /// after both. It shows no weights although the engine is still unloading, so the memory stays
 /// charged.
 #[test]
-fn a_poll_asked_before_an_unload_was_taken_frees_nothing() {
-    let mut desk = Desk::ready(true, config(), 100);
+fn poll_before_accepted_unload_frees_nothing() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
     let a = base("a", "v1");
-    desk.begin(load(&a)).unwrap();
-    let order = desk.sent().unwrap();
-    desk.answer(&order, OrderOutcome::Unknown);
-    let ticket = desk.polled();
-    let state = Box::new(desk.engine.state());
-    desk.engine.take(&order, desk.now);
-    desk.begin(unload(&a)).unwrap();
-    let order = desk.sent().unwrap();
-    desk.engine.take(&order, desk.now);
-    desk.answer(&order, OrderOutcome::Taken);
-    desk.tell(OrderEvent::Polled { ticket, state });
-    assert_eq!(desk.charged(), 60);
+    harness.begin(load(&a)).unwrap();
+    let order = harness.next_order().unwrap();
+    harness.answer(&order, OrderOutcome::Unknown);
+    let ticket = harness.next_poll();
+    let state = Box::new(harness.engine.state());
+    harness.engine.take(&order, harness.now);
+    harness.begin(unload(&a)).unwrap();
+    let order = harness.next_order().unwrap();
+    harness.engine.take(&order, harness.now);
+    harness.answer(&order, OrderOutcome::Taken);
+    harness.handle_event(OrderEvent::Polled { ticket, state });
+    assert_eq!(harness.charged_mib(), 60);
 }
 
 /// A poll failed, a load completed, and then the response to that poll arrives, without the load.
 /// The state from a later poll is kept.
 #[test]
-fn a_poll_answered_after_a_later_one_is_ignored() {
-    let mut desk = Desk::ready(true, config(), 100);
-    let ticket = desk.polled();
-    let state = Box::new(desk.engine.state());
-    desk.tell(OrderEvent::PollFailed { ticket });
-    desk.begin(load(&base("a", "v1"))).unwrap();
-    desk.run(Duration::from_secs(5));
-    desk.tell(OrderEvent::Polled { ticket, state });
-    assert_eq!(desk.charged(), 60);
+fn poll_response_after_later_poll_is_ignored() {
+    let mut harness = AgentHarness::ready(true, config(), 100);
+    let ticket = harness.next_poll();
+    let state = Box::new(harness.engine.state());
+    harness.handle_event(OrderEvent::PollFailed { ticket });
+    harness.begin(load(&base("a", "v1"))).unwrap();
+    harness.run(Duration::from_secs(5));
+    harness.handle_event(OrderEvent::Polled { ticket, state });
+    assert_eq!(harness.charged_mib(), 60);
 }
--- a/crates/oatpier-placement/tests/testsuite/plan_properties.rs
+++ b/crates/oatpier-placement/tests/testsuite/plan_properties.rs
@@ -35,19 +35,19 @@
     Fleet::new(config)
 }
 
-fn rates(fleet: &mut Fleet, rates: &[f64]) {
+fn set_model_rates(fleet: &mut Fleet, rates: &[f64]) {
     let names: Vec<String> = fleet
         .config
         .models
         .keys()
         .map(ToString::to_string)
         .collect();
-    let asked: Vec<(&str, f64)> = names
+    let model_rates: Vec<(&str, f64)> = names
         .iter()
         .map(String::as_str)
         .zip(rates.iter().copied())
         .collect();
-    fleet.ask(&asked);
+    fleet.set_rates(&model_rates);
 }
 
 fn used_mib(fleet: &Fleet, weights: &[WeightsKey]) -> u64 {
@@ -70,21 +70,21 @@
     /// base model, loads beyond reachability stay within the weight store's limit, and equal
     /// inputs give equal plans.
     #[test]
-    fn plans_keep_their_promises((sizes, demand, deaths) in scenarios()) {
+    fn plans_satisfy_invariants((sizes, demand, deaths) in scenarios()) {
         let mut fleet = build(&sizes);
         let (mut planner, mut twin) = (planner(), planner());
         for (round, row) in demand.iter().enumerate() {
             if let Some(dead) = deaths.get(round) {
                 fleet.views[*dead].alive = false;
             }
-            rates(&mut fleet, row);
-            let lost = fleet.plan.as_ref().map_or(usize::MAX, |_| unserved(&fleet));
+            set_model_rates(&mut fleet, row);
+            let failed = fleet.plan.as_ref().map_or(usize::MAX, |_| count_unplanned(&fleet));
             let now = fleet.now + Duration::from_secs(10);
             let expected = twin.plan(&fleet.input(), now);
             let outcome = fleet.step(&mut planner);
             prop_assert_eq!(&outcome, &expected);
-            prop_assert_eq!(unserved(&fleet), 0, "{:?}", outcome.notes);
-            let budget = lost.saturating_mul(2).saturating_add(40);
+            prop_assert_eq!(count_unplanned(&fleet), 0, "{:?}", outcome.notes);
+            let budget = failed.saturating_mul(2).saturating_add(40);
             prop_assert!((outcome.loads as usize) <= budget, "{} loads", outcome.loads);
             for row in &outcome.plan.endpoints {
                 prop_assert!(used_mib(&fleet, &row.weights) <= 100);
@@ -98,7 +98,7 @@
 }
 
 /// Returns the number of weights that no live endpoint is planned to hold.
-fn unserved(fleet: &Fleet) -> usize {
+fn count_unplanned(fleet: &Fleet) -> usize {
     let plan = fleet.plan.as_ref().unwrap();
     let models = fleet
         .config
--- a/crates/oatpier-placement/tests/testsuite/planner.rs
+++ b/crates/oatpier-placement/tests/testsuite/planner.rs
@@ -50,7 +50,7 @@
     }
 
     /// Sets the request rates of models, with 200 generated tokens per request.
-    pub fn ask(&mut self, rates: &[(&str, f64)]) {
+    pub fn set_rates(&mut self, rates: &[(&str, f64)]) {
         let rows = rates.iter().map(|(name, requests)| DemandRow {
             key: DemandKey {
                 model: model(name),
@@ -128,11 +128,11 @@
 }
 
 #[test]
-fn demand_brings_replicas_in_several_zones() {
+fn demand_adds_replicas_in_several_zones() {
     let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40), ("b", 40)]));
     let mut planner = planner();
     fleet.step(&mut planner);
-    fleet.ask(&[("a", 30.0)]);
+    fleet.set_rates(&[("a", 30.0)]);
     fleet.steps(&mut planner, 6);
     let holders = fleet.holders(&base("a", "v1"));
     assert!(holders.len() >= 3, "{holders:?}");
@@ -144,13 +144,13 @@
 
 /// Demand falls and stays low. The endpoints that it needed are emptied again after a while.
 #[test]
-fn quiet_endpoints_are_emptied() {
+fn underloaded_endpoints_are_emptied() {
     let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40), ("b", 40)]));
     let mut planner = planner();
-    fleet.ask(&[("a", 40.0), ("b", 20.0)]);
+    fleet.set_rates(&[("a", 40.0), ("b", 20.0)]);
     fleet.steps(&mut planner, 12);
     let busy = fleet.step(&mut planner).endpoints_used;
-    fleet.ask(&[("a", 1.0)]);
+    fleet.set_rates(&[("a", 1.0)]);
     fleet.steps(&mut planner, 600);
     let quiet = fleet.step(&mut planner).endpoints_used;
     assert!(busy >= 4 && quiet <= 2, "{busy} then {quiet}");
@@ -159,7 +159,7 @@
 /// Demand alternates between two models every half minute. A planner that follows it keeps loading
 /// and unloading the same weights; this planner keeps the replicas that the next change needs.
 #[test]
-fn swings_of_demand_cause_few_moves() {
+fn alternating_demand_causes_few_moves() {
     let moves = |planner: &mut dyn FleetPlanner| {
         let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40), ("b", 40), ("c", 40)]));
         (0..60)
@@ -169,7 +169,7 @@
                 } else {
                     (2.0, 30.0)
                 };
-                fleet.ask(&[("a", left), ("b", right)]);
+                fleet.set_rates(&[("a", left), ("b", right)]);
                 fleet.steps(planner, 3)
             })
             .sum::<u32>()
@@ -180,45 +180,45 @@
 
 /// An endpoint becomes unreachable and returns. Its row stays, and nothing is unloaded.
 #[test]
-fn an_endpoint_out_of_sight_loses_nothing() {
+fn unreachable_endpoint_keeps_its_row() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60), ("b", 60)]));
     let mut planner = planner();
     fleet.step(&mut planner);
-    let lost = fleet.holders(&base("a", "v1"))[0];
-    let row = fleet.plan.as_ref().unwrap().endpoints[lost].clone();
-    fleet.views[lost].alive = false;
+    let failed = fleet.holders(&base("a", "v1"))[0];
+    let row = fleet.plan.as_ref().unwrap().endpoints[failed].clone();
+    fleet.views[failed].alive = false;
     fleet.step(&mut planner);
     assert_eq!(fleet.holders(&base("a", "v1")).len(), 2);
-    fleet.views[lost].alive = true;
+    fleet.views[failed].alive = true;
     fleet.step(&mut planner);
-    assert_eq!(fleet.plan.as_ref().unwrap().endpoints[lost], row);
+    assert_eq!(fleet.plan.as_ref().unwrap().endpoints[failed], row);
 }
 
 /// An endpoint crashes and returns empty. Its model was loaded elsewhere in the meantime. If its
 /// row still contained the model, the model would be loaded twice.
 #[test]
-fn an_endpoint_that_comes_back_empty_loads_nothing_again() {
+fn endpoint_returning_empty_does_not_reload() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60), ("b", 60)]));
     let mut planner = planner();
     fleet.step(&mut planner);
-    let lost = fleet.holders(&base("a", "v1"))[0];
-    fleet.views[lost].alive = false;
-    fleet.views[lost].held.clear();
+    let failed = fleet.holders(&base("a", "v1"))[0];
+    fleet.views[failed].alive = false;
+    fleet.views[failed].held.clear();
     fleet.step(&mut planner);
-    fleet.views[lost].alive = true;
+    fleet.views[failed].alive = true;
     let outcome = fleet.step(&mut planner);
     let holders = fleet.holders(&base("a", "v1"));
-    assert!(holders.len() == 1 && holders[0] != lost, "{holders:?}");
+    assert!(holders.len() == 1 && holders[0] != failed, "{holders:?}");
     assert_eq!((outcome.loads, outcome.endpoints_used), (0, 2));
 }
 
 /// One of nine engines was suspended and reports steps of seconds. The planner must not treat the
 /// other engines as overloaded.
 #[test]
-fn one_frozen_engine_brings_no_replicas() {
+fn one_suspended_engine_adds_no_replicas() {
     let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40), ("b", 40)]));
     let mut planner = planner();
-    fleet.ask(&[("a", 5.0)]);
+    fleet.set_rates(&[("a", 5.0)]);
     for view in &mut fleet.views {
         view.step_us = 5_000;
     }
@@ -232,7 +232,7 @@
 /// Memory is full, and the only endpoint with a model has failed. A redundant replica of another
 /// model is removed to place it.
 #[test]
-fn extra_replicas_make_room_for_reachability() {
+fn redundant_replicas_are_evicted_for_reachability() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60), ("b", 60)]));
     for (index, weights) in [base("a", "v1"), base("a", "v1"), base("b", "v1")]
         .iter()
@@ -250,7 +250,7 @@
 /// A model has two planned replicas, of which one is still loading. Only that one may be removed to
 /// make room for another model: without the ready one, the model would become unavailable.
 #[test]
-fn a_replica_goes_only_while_another_is_ready() {
+fn replica_is_removed_only_while_another_is_ready() {
     let mut fleet = Fleet::new(fleet(2, 100, &[("a", 60), ("b", 60)]));
     let mut loading = ready(&base("a", "v1"));
     loading.state = WeightsState::Loading;
@@ -264,7 +264,7 @@
 /// A large model fits on no endpoint because of how small ones are placed. One of them first gets
 /// a second replica; the large model is placed when that is ready.
 #[test]
-fn small_models_are_moved_aside_for_a_large_one() {
+fn small_models_are_relocated_for_large_model() {
     let models = [("a", 40), ("b", 40), ("big", 90)];
     let mut fleet = Fleet::new(fleet(2, 100, &models));
     fleet.views[0].held = [ready(&base("a", "v1"))].into_iter().collect();
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_leaving_endpoint_gets_replacements_first() {
+fn leaving_endpoint_is_replaced_first() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60)]));
     let mut planner = planner();
     fleet.step(&mut planner);
@@ -297,7 +297,7 @@
 /// A stop of two of three endpoints leaves too little memory for one of the models. The forecast
 /// reports the model, the memory it needs and the memory that is free.
 #[test]
-fn a_stop_that_costs_reachability_is_told() {
+fn forecast_reports_lost_reachability() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60), ("b", 60)]));
     let mut planner = planner();
     fleet.step(&mut planner);
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn a_configuration_without_memory_is_refused_with_figures() {
+fn configuration_without_memory_is_rejected_with_sizes() {
     assert_eq!(
         check_reachable(&fleet(2, 100, &[("a", 60), ("b", 60)])),
         Ok(())
@@ -330,7 +330,7 @@
 fn versions_change_a_few_replicas_at_a_time() {
     let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40)]));
     let mut planner = planner();
-    fleet.ask(&[("a", 60.0)]);
+    fleet.set_rates(&[("a", 60.0)]);
     fleet.steps(&mut planner, 10);
     let all = fleet.holders(&base("a", "v1")).len();
     fleet.config.models[0].version = VersionName::try_from("v2").unwrap();
@@ -344,7 +344,7 @@
 
 /// The endpoint of the only replica lacks memory for two versions. The new one is placed elsewhere.
 #[test]
-fn a_version_without_memory_for_both_gets_a_second_place() {
+fn version_change_without_memory_places_second_replica() {
     let mut fleet = Fleet::new(fleet(3, 100, &[("a", 60)]));
     let mut planner = planner();
     fleet.step(&mut planner);
@@ -361,10 +361,10 @@
 }
 
 #[test]
-fn a_settled_plan_is_not_written_again() {
+fn steady_plan_is_unchanged() {
     let mut fleet = Fleet::new(fleet(9, 100, &[("a", 40), ("b", 40)]));
     let mut planner = planner();
-    fleet.ask(&[("a", 5.0)]);
+    fleet.set_rates(&[("a", 5.0)]);
     fleet.steps(&mut planner, 100);
     let before = fleet.plan.clone().unwrap();
     let outcome = fleet.step(&mut planner);
@@ -372,11 +372,11 @@
 }
 
 #[test]
-fn the_static_planner_never_moves() {
+fn static_planner_never_moves() {
     let mut fleet = Fleet::new(fleet(6, 100, &[("a", 40), ("b", 30)]));
     let mut planner = StaticPlanner::new();
     fleet.step(&mut planner);
-    fleet.ask(&[("a", 90.0)]);
+    fleet.set_rates(&[("a", 90.0)]);
     fleet.views[1].alive = false;
     assert_eq!(fleet.steps(&mut planner, 5), 0);
     assert_eq!(fleet.holders(&base("a", "v1")).len(), 6);
--- a/crates/oatpier-placement/tests/testsuite/record.rs
+++ b/crates/oatpier-placement/tests/testsuite/record.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_first_agent_takes_epoch_one() {
+fn first_agent_acquires_epoch_one() {
     let (mut keeper, call) = writing(None);
     assert!(matches!(call, RecordCall::Write { expected: None, .. }));
     keeper.on_answer(RecordAnswer::Written(Revision(1)), NOW);
@@ -57,7 +57,7 @@
 /// A write took effect and its response was lost. The record that is read back has the agent's own
 /// boot ID, so the agent has the epoch and does not acquire another.
 #[test]
-fn a_lost_answer_is_resolved_by_the_boot_id() {
+fn lost_response_is_resolved_by_boot_id() {
     let (mut keeper, _) = writing(Some(stored(4, 3, 9)));
     keeper.on_answer(RecordAnswer::AnswerLost, NOW);
     assert_eq!(keeper.state(), EpochState::Taking);
@@ -68,7 +68,7 @@
 
 /// Two agents start at the same time. The one whose write came second acquires the next epoch.
 #[test]
-fn the_loser_of_a_race_takes_the_next_epoch() {
+fn loser_of_race_acquires_next_epoch() {
     let (mut keeper, _) = writing(Some(stored(4, 3, 9)));
     keeper.on_answer(RecordAnswer::Conflict, NOW);
     assert_eq!(keeper.next_call(&[], false, NOW), Some(RecordCall::Read));
@@ -82,7 +82,7 @@
 /// A successor acquired the epoch while this agent was suspended. The agent's next write of an
 /// intent fails, and the record shows that the agent is superseded.
 #[test]
-fn an_agent_that_was_followed_gives_up() {
+fn agent_with_successor_becomes_superseded() {
     let (mut keeper, _) = writing(None);
     keeper.on_answer(RecordAnswer::Written(Revision(1)), NOW);
     let wanted = [intent()];
@@ -102,7 +102,7 @@
 /// confirmation of its epoch has expired. A successor may have completed the intent, so the agent
 /// reads the record before it sends.
 #[test]
-fn an_old_word_of_the_store_does_not_count() {
+fn expired_confirmation_requires_read() {
     let (mut keeper, _) = writing(None);
     keeper.on_answer(RecordAnswer::Written(Revision(1)), NOW);
     let wanted = [intent()];
@@ -119,7 +119,7 @@
 /// The store is down. The delays between calls grow and differ between agents, so that a recovered
 /// store is not called by all agents at once.
 #[test]
-fn tries_during_an_outage_become_rare() {
+fn outage_retries_back_off_with_jitter() {
     let tries = |boot: u128| {
         let mut keeper = RecordKeeper::new(BootId(boot));
         let mut times = Vec::new();
@@ -143,14 +143,14 @@
 
 /// Nothing is pending when the store becomes available again. The agent still detects it.
 #[test]
-fn the_end_of_an_outage_is_noticed() {
+fn end_of_outage_is_detected_without_pending_write() {
     let (mut keeper, _) = writing(None);
     keeper.on_answer(RecordAnswer::Written(Revision(1)), NOW);
     keeper.next_call(&[intent()], true, NOW).unwrap();
     keeper.on_answer(RecordAnswer::Unavailable, NOW);
-    assert!(!keeper.store_up());
+    assert!(!keeper.is_store_up());
     let later = NOW + Duration::from_secs(20);
     assert_eq!(keeper.next_call(&[], false, later), Some(RecordCall::Read));
     keeper.on_answer(RecordAnswer::Found(Some(stored(1, 7, 1))), later);
-    assert!(keeper.store_up());
+    assert!(keeper.is_store_up());
 }
--- a/crates/oatpier-placement/tests/testsuite/release.rs
+++ b/crates/oatpier-placement/tests/testsuite/release.rs
@@ -6,41 +6,45 @@
 use oatpier_types::ids::BootId;
 
 use crate::fleet::{base, endpoint, fleet};
-use crate::orders::Desk;
+use crate::orders::AgentHarness;
 
 /// Returns an agent that has `a` ready, and its release keeper.
-fn holder(name: &str, boot: u128) -> (Desk, ReleaseKeeper) {
-    let mut desk = Desk::ready(true, fleet(2, 100, &[("a", 60)]), 100);
-    desk.engine.put_ready(&base("a", "v1"));
-    desk.run(Duration::from_secs(6));
+fn holder(name: &str, boot: u128) -> (AgentHarness, ReleaseKeeper) {
+    let mut harness = AgentHarness::ready(true, fleet(2, 100, &[("a", 60)]), 100);
+    harness.engine.put_ready(&base("a", "v1"));
+    harness.run(Duration::from_secs(6));
     let releases = ReleaseKeeper::new(endpoint(name), BootId(boot), 1);
-    (desk, releases)
+    (harness, releases)
 }
 
 #[test]
-fn a_holder_that_stays_grants() {
-    let (mut granter, mut granting) = holder("e1", 1);
-    let (asker, mut asking) = holder("e2", 2);
+fn holder_that_keeps_its_replica_grants() {
+    let (mut granter, mut granter_releases) = holder("e1", 1);
+    let (asker, mut asker_releases) = holder("e2", 2);
     let a = base("a", "v1");
-    let ask = asking.ask(&a, &a, asker.now);
-    granting.on_ask(ask, &mut granter.keeper, granter.now);
-    assert!(granting.replies(&granter.keeper, granter.now).is_empty());
+    let ask = asker_releases.request(&a, &a, asker.now);
+    granter_releases.on_ask(ask, &mut granter.keeper, granter.now);
+    assert!(
+        granter_releases
+            .replies(&granter.keeper, granter.now)
+            .is_empty()
+    );
     granter.run(Duration::from_millis(200));
-    let replies = granting.replies(&granter.keeper, granter.now);
-    asking.on_answer(replies[0].answer, asker.now);
-    assert_eq!(asking.state(&a), ReleaseState::Granted);
+    let replies = granter_releases.replies(&granter.keeper, granter.now);
+    asker_releases.on_answer(replies[0].answer, asker.now);
+    assert_eq!(asker_releases.state(&a), ReleaseState::Granted);
 }
 
-/// Each of two agents sees the other's replica and asks at the same time. If both asks were
-/// granted, both agents would unload and the model would be unavailable. A holder with a pending
-/// ask denies others.
+/// Each of two agents sees the other's replica and requests a release at the same time. If both
+/// requests were granted, both agents would unload and the model would be unavailable. A holder with
+/// a pending request denies the requests of others.
 #[test]
-fn of_two_that_ask_each_other_neither_is_granted() {
+fn mutual_requests_are_both_denied() {
     let (mut left, mut left_releases) = holder("e1", 1);
     let (mut right, mut right_releases) = holder("e2", 2);
     let a = base("a", "v1");
-    let left_ask = left_releases.ask(&a, &a, left.now);
-    let right_ask = right_releases.ask(&a, &a, right.now);
+    let left_ask = left_releases.request(&a, &a, left.now);
+    let right_ask = right_releases.request(&a, &a, right.now);
     left_releases.on_ask(right_ask, &mut left.keeper, left.now);
     right_releases.on_ask(left_ask, &mut right.keeper, right.now);
     left.run(Duration::from_millis(200));
@@ -50,44 +54,44 @@
     assert!(!to_right[0].answer.granted && !to_left[0].answer.granted);
 }
 
-/// A grant arrives after its ask has expired. It must be ignored: meanwhile the agent may have
+/// A grant arrives after its request has expired. It must be ignored: meanwhile the agent may have
 /// granted a release to another holder, which then relies on this replica.
 #[test]
-fn a_late_grant_is_ignored() {
-    let (mut granter, mut granting) = holder("e1", 1);
-    let (asker, mut asking) = holder("e2", 2);
+fn grant_after_timeout_is_ignored() {
+    let (mut granter, mut granter_releases) = holder("e1", 1);
+    let (asker, mut asker_releases) = holder("e2", 2);
     let a = base("a", "v1");
-    let ask = asking.ask(&a, &a, asker.now);
-    granting.on_ask(ask, &mut granter.keeper, granter.now);
+    let ask = asker_releases.request(&a, &a, asker.now);
+    granter_releases.on_ask(ask, &mut granter.keeper, granter.now);
     granter.run(Duration::from_millis(200));
-    let replies = granting.replies(&granter.keeper, granter.now);
+    let replies = granter_releases.replies(&granter.keeper, granter.now);
     assert!(replies[0].answer.granted);
-    asking.expire(asker.now + Duration::from_secs(3));
-    asking.on_answer(replies[0].answer, asker.now + Duration::from_secs(3));
-    assert_eq!(asking.state(&a), ReleaseState::None);
+    asker_releases.expire(asker.now + Duration::from_secs(3));
+    asker_releases.on_answer(replies[0].answer, asker.now + Duration::from_secs(3));
+    assert_eq!(asker_releases.state(&a), ReleaseState::None);
 }
 
 /// An agent was superseded and has not learned it, and its successor may be unloading. It has no
-/// proof of its epoch, so it grants no ask.
+/// proof of its epoch, so it grants no request.
 #[test]
-fn without_proof_of_the_epoch_nothing_is_granted() {
-    let (mut former, mut granting) = holder("e1", 1);
-    let (asker, mut asking) = holder("e2", 2);
+fn superseded_agent_grants_nothing() {
+    let (mut superseded, mut granter_releases) = holder("e1", 1);
+    let (asker, mut asker_releases) = holder("e2", 2);
     let a = base("a", "v1");
-    let mut successor = Desk::ready(true, former.config.clone(), 100);
-    std::mem::swap(&mut successor.engine, &mut former.engine);
-    successor.store = former.store.clone();
-    successor.now = former.now;
-    successor.successor(true, 9);
+    let mut successor = AgentHarness::ready(true, superseded.config.clone(), 100);
+    std::mem::swap(&mut successor.engine, &mut superseded.engine);
+    successor.store = superseded.store.clone();
+    successor.now = superseded.now;
+    successor.replace_agent(true, 9);
     successor.run(Duration::from_secs(1));
-    std::mem::swap(&mut successor.engine, &mut former.engine);
-    granting.on_ask(
-        asking.ask(&a, &a, asker.now),
-        &mut former.keeper,
-        former.now,
+    std::mem::swap(&mut successor.engine, &mut superseded.engine);
+    granter_releases.on_ask(
+        asker_releases.request(&a, &a, asker.now),
+        &mut superseded.keeper,
+        superseded.now,
     );
-    let mut replies = granting.replies(&former.keeper, former.now);
-    former.run(Duration::from_millis(500));
-    replies.extend(granting.replies(&former.keeper, former.now));
+    let mut replies = granter_releases.replies(&superseded.keeper, superseded.now);
+    superseded.run(Duration::from_millis(500));
+    replies.extend(granter_releases.replies(&superseded.keeper, superseded.now));
     assert!(replies.iter().all(|reply| !reply.answer.granted));
 }
