--- a/crates/oatpier-placement/tests/testsuite/repair.rs
+++ b/crates/oatpier-placement/tests/testsuite/repair.rs
@@ -10,11 +10,11 @@
 use smallvec::{SmallVec, smallvec};
 
 use crate::fleet::{adapter, add_adapter, base, endpoint, fleet};
-use crate::orders::Desk;
+use crate::orders::AgentHarness;
 
-struct Elsewhere(Vec<WeightsKey>);
+struct OtherReplicas(Vec<WeightsKey>);
 
-impl ReplicaCount for Elsewhere {
+impl ReplicaCount for OtherReplicas {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         if self.0.contains(weights) {
             smallvec![endpoint("other")]
@@ -37,22 +37,22 @@
 
 /// Returns the rank of each of five endpoints, and after how many seconds it loads a model that
 /// only `replicas` may serve.
-fn turns(desk: &Desk, replicas: &Elsewhere) -> Vec<(usize, Option<u64>)> {
+fn load_delays(harness: &AgentHarness, replicas: &OtherReplicas) -> Vec<(usize, Option<u64>)> {
     let live = live(5);
     let ranked = live.iter().map(|name| {
         let mut repair = keeper(name);
-        let turn = (0..40).find(|second| {
-            let now = desk.now + Duration::from_secs(*second);
+        let delay = (0..40).find(|second| {
+            let now = harness.now + Duration::from_secs(*second);
             let input = RepairInput {
-                config: &desk.config,
+                config: &harness.config,
                 live: &live,
                 replicas,
                 plan: None,
             };
-            let row = repair.repaired_row(&input, &desk.keeper, now);
+            let row = repair.repaired_row(&input, &harness.keeper, now);
             row.weights.contains(&base("a", "v1"))
         });
-        (rank_of("a", name, live.iter()), turn)
+        (rank_of("a", name, live.iter()), delay)
     });
     let mut ranked: Vec<_> = ranked.collect();
     ranked.sort_unstable();
@@ -62,29 +62,29 @@
 /// The only endpoint with a model crashes while planner and store are unavailable. The live
 /// endpoints load it after a delay by rank, so that only one of them loads it.
 #[test]
-fn endpoints_take_a_lost_model_in_turn() {
-    let desk = Desk::ready(true, fleet(5, 100, &[("a", 60)]), 100);
-    let turns = turns(&desk, &Elsewhere(Vec::new()));
+fn endpoints_load_lost_model_by_rank() {
+    let harness = AgentHarness::ready(true, fleet(5, 100, &[("a", 60)]), 100);
+    let load_delays = load_delays(&harness, &OtherReplicas(Vec::new()));
     let wanted = [3, 7, 11, 15, 19].into_iter().map(Some).enumerate();
-    assert_eq!(turns, wanted.collect::<Vec<_>>());
+    assert_eq!(load_delays, wanted.collect::<Vec<_>>());
 }
 
 #[test]
-fn a_model_that_another_endpoint_serves_is_left() {
-    let desk = Desk::ready(true, fleet(5, 100, &[("a", 60)]), 100);
-    let turns = turns(&desk, &Elsewhere(vec![base("a", "v1")]));
-    assert!(turns.iter().all(|(_, turn)| turn.is_none()));
+fn model_served_elsewhere_is_not_repaired() {
+    let harness = AgentHarness::ready(true, fleet(5, 100, &[("a", 60)]), 100);
+    let load_delays = load_delays(&harness, &OtherReplicas(vec![base("a", "v1")]));
+    assert!(load_delays.iter().all(|(_, delay)| delay.is_none()));
 }
 
 /// Memory is full. A replica that another endpoint also has is removed to make room, but never the
 /// last one.
 #[test]
-fn only_extra_replicas_make_room() {
+fn only_redundant_replicas_make_room() {
     for extra in [true, false] {
-        let mut desk = Desk::ready(true, fleet(1, 100, &[("a", 60), ("b", 60)]), 100);
-        desk.engine.put_ready(&base("b", "v1"));
-        desk.run(Duration::from_secs(6));
-        let replicas = Elsewhere(if extra {
+        let mut harness = AgentHarness::ready(true, fleet(1, 100, &[("a", 60), ("b", 60)]), 100);
+        harness.engine.put_ready(&base("b", "v1"));
+        harness.run(Duration::from_secs(6));
+        let replicas = OtherReplicas(if extra {
             vec![base("b", "v1")]
         } else {
             Vec::new()
@@ -92,13 +92,17 @@
         let live = live(1);
         let mut repair = keeper(&live[0]);
         let input = RepairInput {
-            config: &desk.config,
+            config: &harness.config,
             live: &live,
             replicas: &replicas,
             plan: None,
         };
-        repair.repaired_row(&input, &desk.keeper, desk.now);
-        let row = repair.repaired_row(&input, &desk.keeper, desk.now + Duration::from_secs(5));
+        repair.repaired_row(&input, &harness.keeper, harness.now);
+        let row = repair.repaired_row(
+            &input,
+            &harness.keeper,
+            harness.now + Duration::from_secs(5),
+        );
         let wanted = if extra {
             base("a", "v1")
         } else {
@@ -109,21 +113,25 @@
 }
 
 #[test]
-fn an_adapter_is_taken_with_its_base_model() {
+fn adapter_is_repaired_with_base_model() {
     let mut config = fleet(1, 100, &[("a", 60)]);
     add_adapter(&mut config, "x", "a", 10);
-    let desk = Desk::ready(true, config, 100);
+    let harness = AgentHarness::ready(true, config, 100);
     let live = live(1);
     let mut repair = keeper(&live[0]);
-    let replicas = Elsewhere(vec![base("a", "v1")]);
+    let replicas = OtherReplicas(vec![base("a", "v1")]);
     let input = RepairInput {
-        config: &desk.config,
+        config: &harness.config,
         live: &live,
         replicas: &replicas,
         plan: None,
     };
-    repair.repaired_row(&input, &desk.keeper, desk.now);
-    let row = repair.repaired_row(&input, &desk.keeper, desk.now + Duration::from_secs(5));
+    repair.repaired_row(&input, &harness.keeper, harness.now);
+    let row = repair.repaired_row(
+        &input,
+        &harness.keeper,
+        harness.now + Duration::from_secs(5),
+    );
     assert_eq!(
         row.weights.as_slice(),
         [base("a", "v1"), adapter("x", "a", "v1")]
--- a/crates/oatpier-placement/tests/testsuite/world.rs
+++ b/crates/oatpier-placement/tests/testsuite/simulation.rs
@@ -19,7 +19,7 @@
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
 
-use crate::engine::ModelEngine;
+use crate::engine::SimulatedEngine;
 
 pub const TICK: Duration = Duration::from_millis(50);
 
@@ -28,7 +28,7 @@
 pub struct FaultRates {
     pub order_lost: f64,
     pub order_late: f64,
-    pub order_doubled: f64,
+    pub order_duplicated: f64,
     pub poll_lost: f64,
     pub store_lost: f64,
     pub restart: f64,
@@ -39,16 +39,16 @@
     pub const NONE: Self = Self {
         order_lost: 0.0,
         order_late: 0.0,
-        order_doubled: 0.0,
+        order_duplicated: 0.0,
         poll_lost: 0.0,
         store_lost: 0.0,
         restart: 0.0,
         pause: 0.0,
     };
-    pub const MANY: Self = Self {
+    pub const HIGH: Self = Self {
         order_lost: 0.15,
         order_late: 0.15,
-        order_doubled: 0.15,
+        order_duplicated: 0.15,
         poll_lost: 0.1,
         store_lost: 0.1,
         restart: 0.003,
@@ -72,10 +72,10 @@
     pub keeper: OrderKeeper,
     pub releases: ReleaseKeeper,
     pub stepper: MoveStepper,
-    pub awake_from: ClockTime,
+    pub resumes_at: ClockTime,
     pub view: Vec<(EndpointName, Vec<WeightsKey>)>,
-    pub view_until: ClockTime,
-    pub last: Result<PlacementStep, StepWait>,
+    pub view_valid_until: ClockTime,
+    pub last_step: Result<PlacementStep, StepWait>,
 }
 
 struct AgentView<'a>(&'a [(EndpointName, Vec<WeightsKey>)], usize);
@@ -102,19 +102,19 @@
     }
 }
 
-struct Busy(bool);
+struct RandomAttempts(bool);
 
-impl AttemptCount for Busy {
+impl AttemptCount for RandomAttempts {
     fn in_flight(&self, _: &WeightsKey) -> u32 {
         u32::from(self.0)
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: ClockTime,
     pub config: FleetConfig,
     pub rows: Vec<EndpointPlan>,
-    pub engines: Vec<ModelEngine>,
+    pub engines: Vec<SimulatedEngine>,
     pub faults: FaultRates,
     pub store_down: bool,
     pub violations: Vec<String>,
@@ -128,7 +128,7 @@
     pub random: ChaCha8Rng,
 }
 
-impl World {
+impl Simulation {
     /// Creates a simulation. `checks` is whether the engines check order numbers; `settings` is what
     /// the agents assume.
     pub fn new(config: FleetConfig, checks: bool, settings: OrderSettings, seed: u64) -> Self {
@@ -138,10 +138,10 @@
             weights: SmallVec::new(),
             role: EngineRole::Both,
         });
-        let mut world = Self {
+        let mut simulation = Self {
             now: ClockTime::ZERO,
             rows: rows.collect(),
-            engines: vec![ModelEngine::new(checks, settings.capacity_mib); names.len()],
+            engines: vec![SimulatedEngine::new(checks, settings.capacity_mib); names.len()],
             faults: FaultRates::NONE,
             store_down: false,
             violations: Vec::new(),
@@ -156,10 +156,10 @@
             config,
         };
         for index in 0..names.len() {
-            world.current.push(BootId(0));
-            world.start_agent(index);
+            simulation.current.push(BootId(0));
+            simulation.start_agent(index);
         }
-        world
+        simulation
     }
 
     pub fn run(&mut self, span: Duration) {
@@ -180,16 +180,16 @@
                 self.run_agent(agent);
             }
             self.end_superseded();
-            self.break_things();
+            self.inject_faults();
         }
     }
 
-    /// Starts a new agent of an endpoint. The earlier one resumes after `asleep`.
-    pub fn restart(&mut self, index: usize, asleep: Duration) {
+    /// Starts a new agent of an endpoint. The earlier one resumes after `suspended_for`.
+    pub fn restart(&mut self, index: usize, suspended_for: Duration) {
         let boot = self.current[index];
-        let wake = self.now + asleep;
+        let resume = self.now + suspended_for;
         if let Some(agent) = self.agents.iter_mut().find(|agent| agent.boot == boot) {
-            agent.awake_from = wake;
+            agent.resumes_at = resume;
         }
         self.start_agent(index);
     }
@@ -201,14 +201,14 @@
             .iter()
             .find(|agent| agent.boot == boot)
             .unwrap()
-            .last
+            .last_step
     }
 
     pub fn chance(&mut self, rate: f64) -> bool {
         self.random.random_bool(rate)
     }
 
-    pub fn up_to(&mut self, span: Duration) -> Duration {
+    pub fn random_duration(&mut self, span: Duration) -> Duration {
         span.mul_f64(self.random.random_range(0.0..1.0))
     }
 
@@ -223,10 +223,10 @@
             keeper: OrderKeeper::new(self.settings, boot),
             releases: ReleaseKeeper::new(endpoint, boot, self.sequence),
             stepper: MoveStepper::new(),
-            awake_from: self.now,
+            resumes_at: self.now,
             view: Vec::new(),
-            view_until: ClockTime::ZERO,
-            last: Err(StepWait::NotReady),
+            view_valid_until: ClockTime::ZERO,
+            last_step: Err(StepWait::NotReady),
         });
     }
 
@@ -247,29 +247,29 @@
         self.agents.retain(|agent| !ended(agent));
     }
 
-    fn break_things(&mut self) {
+    fn inject_faults(&mut self) {
         for index in 0..self.engines.len() {
             if self.chance(self.faults.restart) {
-                let asleep = self.up_to(Duration::from_secs(30));
-                self.restart(index, asleep);
+                let suspended_for = self.random_duration(Duration::from_secs(30));
+                self.restart(index, suspended_for);
             }
             if self.chance(self.faults.pause) {
                 let boot = self.current[index];
-                let wake = self.now + self.up_to(Duration::from_secs(15));
+                let resume = self.now + self.random_duration(Duration::from_secs(15));
                 if let Some(agent) = self.agents.iter_mut().find(|agent| agent.boot == boot) {
-                    agent.awake_from = wake;
+                    agent.resumes_at = resume;
                 }
             }
         }
     }
 
     fn run_agent(&mut self, agent: usize) {
-        if self.agents[agent].awake_from > self.now {
+        if self.agents[agent].resumes_at > self.now {
             return;
         }
         self.refresh_view(agent);
         for _ in 0..4 {
-            let busy = Busy(self.random.random_bool(0.3));
+            let attempts = RandomAttempts(self.random.random_bool(0.3));
             let now = self.now;
             let Agent {
                 index,
@@ -277,7 +277,7 @@
                 releases,
                 stepper,
                 view,
-                last,
+                last_step,
                 ..
             } = &mut self.agents[agent];
             let replicas = AgentView(view, *index);
@@ -285,10 +285,10 @@
                 plan: &self.rows[*index],
                 config: &self.config,
                 replicas: &replicas,
-                attempts: &busy,
+                attempts: &attempts,
             };
-            *last = stepper.next_step(input, keeper, releases, now);
-            match last.clone() {
+            *last_step = stepper.next_step(input, keeper, releases, now);
+            match last_step.clone() {
                 Ok(PlacementStep::AskRelease { to, ask }) => {
                     let to = self.rows.iter().position(|row| row.endpoint == to).unwrap();
                     self.post_lossy(&Message::Ask(to, ask));
@@ -305,15 +305,15 @@
         }
         let keeper = &mut self.agents[agent].keeper;
         for command in keeper.commands(&self.config, self.now) {
-            self.carry_out(agent, command);
+            self.execute(agent, command);
         }
     }
 
     fn refresh_view(&mut self, agent: usize) {
-        if self.now < self.agents[agent].view_until {
+        if self.now < self.agents[agent].view_valid_until {
             return;
         }
-        let lag = self.up_to(Duration::from_secs(2));
+        let lag = self.random_duration(Duration::from_secs(2));
         let view = self.rows.iter().zip(&self.engines).map(|(row, engine)| {
             let state = engine.state();
             let held = state.held.into_iter().map(|held| held.weights);
@@ -322,7 +322,7 @@
         });
         let view = view.collect();
         self.agents[agent].view = view;
-        self.agents[agent].view_until = self.now + lag;
+        self.agents[agent].view_valid_until = self.now + lag;
     }
 
     pub fn take_order(&mut self, index: usize, order: &EngineOrder) -> OrderOutcome {
--- a/crates/oatpier-placement/tests/testsuite/steps.rs
+++ b/crates/oatpier-placement/tests/testsuite/steps.rs
@@ -14,16 +14,16 @@
 use smallvec::{SmallVec, smallvec};
 
 use crate::fleet::{adapter, add_adapter, base, endpoint, fleet};
-use crate::orders::{Desk, load, unload};
+use crate::orders::{AgentHarness, load, unload};
 
 /// Replicas on other endpoints and running attempts, as this endpoint's agent sees them.
 #[derive(Default)]
-struct Surroundings {
+struct FakePeers {
     elsewhere: Vec<WeightsKey>,
     running: Vec<WeightsKey>,
 }
 
-impl ReplicaCount for Surroundings {
+impl ReplicaCount for FakePeers {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         if self.elsewhere.contains(weights) {
             smallvec![endpoint("other")]
@@ -33,37 +33,37 @@
     }
 }
 
-impl AttemptCount for Surroundings {
+impl AttemptCount for FakePeers {
     fn in_flight(&self, weights: &WeightsKey) -> u32 {
         u32::from(self.running.contains(weights))
     }
 }
 
 struct Agent {
-    desk: Desk,
+    harness: AgentHarness,
     stepper: MoveStepper,
     releases: ReleaseKeeper,
-    around: Surroundings,
+    peers: FakePeers,
     plan: EndpointPlan,
 }
 
 impl Agent {
     fn new(config: FleetConfig, memory_mib: u64, held: &[WeightsKey]) -> Self {
-        let mut desk = Desk::ready(true, config, memory_mib);
+        let mut harness = AgentHarness::ready(true, config, memory_mib);
         for weights in held {
-            desk.engine.put_ready(weights);
+            harness.engine.put_ready(weights);
         }
-        desk.run(Duration::from_secs(6));
+        harness.run(Duration::from_secs(6));
         let plan = EndpointPlan {
             endpoint: endpoint("e0000"),
             weights: held.iter().cloned().collect(),
             role: EngineRole::Both,
         };
         Self {
-            desk,
+            harness,
             stepper: MoveStepper::new(),
             releases: ReleaseKeeper::new(endpoint("e0000"), BootId(1), 1),
-            around: Surroundings::default(),
+            peers: FakePeers::default(),
             plan,
         }
     }
@@ -71,16 +71,16 @@
     fn step(&mut self) -> Result<PlacementStep, StepWait> {
         let input = StepInput {
             plan: &self.plan,
-            config: &self.desk.config,
-            replicas: &self.around,
-            attempts: &self.around,
+            config: &self.harness.config,
+            replicas: &self.peers,
+            attempts: &self.peers,
         };
-        let now = self.desk.now;
+        let now = self.harness.now;
         self.stepper
-            .next_step(input, &mut self.desk.keeper, &mut self.releases, now)
+            .next_step(input, &mut self.harness.keeper, &mut self.releases, now)
     }
 
-    /// Returns all steps until the endpoint matches the plan. The other holder grants every ask.
+    /// Returns all steps until the endpoint matches the plan. The other holder grants every request.
     fn all_steps(&mut self) -> Vec<PlacementStep> {
         let mut steps = Vec::new();
         for _ in 0..400 {
@@ -92,12 +92,12 @@
                             sequence: ask.sequence,
                             granted: true,
                         };
-                        self.releases.on_answer(answer, self.desk.now);
+                        self.releases.on_answer(answer, self.harness.now);
                     }
                     steps.push(step);
                 }
-                Err(StepWait::Done) if self.desk.keeper.moving() == 0 => break,
-                Err(_) => self.desk.run(Duration::from_millis(100)),
+                Err(StepWait::Done) if self.harness.keeper.moving() == 0 => break,
+                Err(_) => self.harness.run(Duration::from_millis(100)),
             }
         }
         steps
@@ -113,12 +113,12 @@
     }
 }
 
-fn second_version(config: &mut FleetConfig) {
+fn change_version(config: &mut FleetConfig) {
     config.models[0].version = VersionName::try_from("v2").unwrap();
 }
 
 #[test]
-fn a_base_model_comes_before_its_adapter_and_goes_after_it() {
+fn base_model_is_loaded_before_and_unloaded_after_adapter() {
     let mut config = fleet(1, 100, &[("a", 60)]);
     add_adapter(&mut config, "x", "a", 10);
     let both = [base("a", "v1"), adapter("x", "a", "v1")];
@@ -126,14 +126,14 @@
     agent.plan.weights = both.iter().rev().cloned().collect();
     assert_eq!(agent.orders(), [load(&both[0]), load(&both[1])]);
     agent.plan.weights.clear();
-    agent.around.elsewhere = both.to_vec();
+    agent.peers.elsewhere = both.to_vec();
     assert_eq!(agent.orders(), [unload(&both[1]), unload(&both[0])]);
 }
 
 /// The plan removes the only known replica. The model would become unavailable, so the replica
 /// stays and the result gives the reason.
 #[test]
-fn the_last_ready_replica_stays() {
+fn last_ready_replica_is_not_unloaded() {
     let a = base("a", "v1");
     let mut agent = Agent::new(fleet(1, 100, &[("a", 60)]), 100, std::slice::from_ref(&a));
     agent.plan.weights.clear();
@@ -143,10 +143,10 @@
 /// A new version fits beside the old one. It is ready before the old one is unloaded. No release
 /// is needed, because this endpoint continues to serve the model.
 #[test]
-fn a_version_is_changed_without_a_gap() {
+fn version_change_keeps_model_served() {
     let (old, new) = (base("a", "v1"), base("a", "v2"));
     let mut agent = Agent::new(fleet(1, 130, &[("a", 60)]), 130, std::slice::from_ref(&old));
-    second_version(&mut agent.desk.config);
+    change_version(&mut agent.harness.config);
     agent.plan.weights = smallvec![new.clone()];
     let steps = agent.all_steps();
     let wanted = [
@@ -161,16 +161,16 @@
 /// endpoint serves them, nothing is unloaded. Once one does, the adapter and the old base model
 /// are unloaded, and the new base model and the adapter are loaded in order.
 #[test]
-fn a_version_without_memory_for_both_waits_for_another_replica() {
+fn version_change_without_memory_waits_for_other_replica() {
     let mut config = fleet(1, 100, &[("a", 60)]);
     add_adapter(&mut config, "x", "a", 10);
     let (old, new, x) = (base("a", "v1"), base("a", "v2"), adapter("x", "a", "v1"));
     let mut agent = Agent::new(config, 100, &[old.clone(), x.clone()]);
-    second_version(&mut agent.desk.config);
+    change_version(&mut agent.harness.config);
     agent.plan.weights = smallvec![new.clone(), x.clone()];
-    agent.desk.run(Duration::from_secs(1));
+    agent.harness.run(Duration::from_secs(1));
     assert!(agent.step().is_err());
-    agent.around.elsewhere = vec![old.clone(), x.clone()];
+    agent.peers.elsewhere = vec![old.clone(), x.clone()];
     assert_eq!(
         agent.orders(),
         [unload(&x), unload(&old), load(&new), load(&x)]
@@ -180,28 +180,28 @@
 /// An attempt runs on weights that the plan removes. An unload would abort it, so no new attempts
 /// are accepted and the order waits for the last one to end.
 #[test]
-fn nothing_is_unloaded_under_an_attempt() {
+fn unload_waits_for_running_attempts() {
     let a = base("a", "v1");
     let mut agent = Agent::new(fleet(1, 100, &[("a", 60)]), 100, std::slice::from_ref(&a));
     agent.plan.weights.clear();
-    agent.around.elsewhere = vec![a.clone()];
-    agent.around.running = vec![a.clone()];
+    agent.peers.elsewhere = vec![a.clone()];
+    agent.peers.running = vec![a.clone()];
     let steps = agent.all_steps();
     assert_eq!(steps.last(), Some(&PlacementStep::StartDrain(a.clone())));
     assert!(!agent.stepper.takes_new(&a));
-    agent.around.running.clear();
+    agent.peers.running.clear();
     assert_eq!(agent.orders(), [unload(&a)]);
 }
 
 /// The plan includes weights again while they drain. They accept new attempts again, and the agent
 /// may grant releases to others again.
 #[test]
-fn a_drain_is_given_up_when_the_plan_changes_back() {
+fn drain_is_canceled_when_plan_changes_back() {
     let a = base("a", "v1");
     let mut agent = Agent::new(fleet(1, 100, &[("a", 60)]), 100, std::slice::from_ref(&a));
     agent.plan.weights.clear();
-    agent.around.elsewhere = vec![a.clone()];
-    agent.around.running = vec![a.clone()];
+    agent.peers.elsewhere = vec![a.clone()];
+    agent.peers.running = vec![a.clone()];
     agent.all_steps();
     agent.plan.weights = smallvec![a.clone()];
     assert_eq!(agent.step(), Ok(PlacementStep::ResumeServing(a.clone())));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_role_is_changed_as_planned() {
+fn role_change_follows_plan() {
     let mut agent = Agent::new(fleet(1, 100, &[("a", 60)]), 100, &[]);
     let role = EngineRole::Prefill;
     agent.plan.role = role;
