--- a/crates/oatpier-placement/src/planner/emptying.rs
+++ b/crates/oatpier-placement/src/planner/emptying.rs
@@ -152,8 +152,8 @@
             .collect()
     }
 
-    /// Places a replica of each item that only this slot holds on other slots in use. If one of them
-    /// fits nowhere, none is placed.
+    /// Places another replica of each item that needs one on other slots in use, and returns whether
+    /// all were placed. If one of them fits nowhere, none is placed.
     fn start_emptying(&mut self, slot: usize) -> bool {
         let to_replicate = self.items_to_replicate(slot);
         let loads = u32::try_from(to_replicate.len()).unwrap_or(u32::MAX);
--- a/crates/oatpier-placement/src/planner/layout.rs
+++ b/crates/oatpier-placement/src/planner/layout.rs
@@ -51,6 +51,7 @@
     pub(super) by_pool: Vec<Vec<usize>>,
     /// Item index of each model, in the order of the configuration.
     models: Vec<Option<usize>>,
+    /// Item index of each adapter, in the order of the configuration.
     adapters: Vec<Option<usize>>,
     zones: Vec<ZoneName>,
 }
@@ -385,8 +386,8 @@
     mib as f64
 }
 
-/// Returns the row of an endpoint in a sorted plan. `place` is the index of the endpoint's view,
-/// which is usually also the index of its row.
+/// Returns the row of an endpoint in a sorted plan. `view_index` is the index of the endpoint's
+/// view, which is usually also the index of its row.
 pub(super) fn find_row<'a>(
     rows: &'a [EndpointPlan],
     endpoint: &EndpointName,
--- a/crates/oatpier-placement/src/planner/mod.rs
+++ b/crates/oatpier-placement/src/planner/mod.rs
@@ -136,7 +136,7 @@
     pub empty_every: Duration,
     /// Maximum number of pending loads beyond those that reachability needs, as a multiple of the
     /// loads that the weight store runs concurrently at full speed.
-    pub open_loads: u32,
+    pub pending_load_factor: u32,
 }
 
 impl Default for PlannerSettings {
@@ -151,7 +151,7 @@
             move_cost: 120.0,
             dwell: Duration::from_mins(10),
             empty_every: Duration::from_mins(2),
-            open_loads: 1,
+            pending_load_factor: 1,
         }
     }
 }
--- a/crates/oatpier-placement/src/planner/placement.rs
+++ b/crates/oatpier-placement/src/planner/placement.rs
@@ -92,7 +92,7 @@
 
     /// Returns how many loads this step may add beyond those that reachability needs.
     fn refill_allowance(&mut self, store: WeightStoreSpec, pending: u32, now: ClockTime) -> u32 {
-        let max_pending = store.full_speed_loads.max(1) * self.settings.open_loads.max(1);
+        let max_pending = store.full_speed_loads.max(1) * self.settings.pending_load_factor.max(1);
         let rate = if store.loads_per_second > 0.0 {
             store.loads_per_second
         } else {
@@ -167,7 +167,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "bounded by the loads at once"
+    reason = "bounded by the maximum number of pending loads"
 )]
 fn floor_to_u32(credit: f64) -> u32 {
     credit.max(0.0) as u32
--- a/crates/oatpier-placement/src/planner/versions.rs
+++ b/crates/oatpier-placement/src/planner/versions.rs
@@ -47,7 +47,8 @@
     }
 }
 
-/// Returns the outdated version that an endpoint has ready; `None` if it holds the current one.
+/// Returns the outdated version that an endpoint has ready; `None` if it holds the current version in
+/// any state, or has no version ready.
 fn outdated_version(layout: &FleetLayout, item: usize, view: &EndpointView) -> Option<WeightsKey> {
     let current = &layout.items[item].weights;
     let same = |held: &&WeightsKey| held.model == current.model && held.adapter == current.adapter;
--- a/crates/oatpier-placement/src/record.rs
+++ b/crates/oatpier-placement/src/record.rs
@@ -112,7 +112,7 @@
     boot: BootId,
     state: EpochState,
     stored: Option<StoredRecord>,
-    is_current: bool,
+    is_stored_current: bool,
     pending_write: Option<EndpointRecord>,
     is_reading: bool,
     called_at: ClockTime,
@@ -133,7 +133,7 @@
             boot,
             state: EpochState::Taking,
             stored: None,
-            is_current: false,
+            is_stored_current: false,
             pending_write: None,
             is_reading: false,
             called_at: ClockTime::ZERO,
@@ -168,11 +168,11 @@
     /// within the last [`CONFIRMATION_VALIDITY`].
     #[must_use]
     pub fn is_written(&self, number: OrderNumber, now: ClockTime) -> bool {
-        let present = self
+        let is_stored = self
             .stored_intents()
             .iter()
             .any(|intent| intent.number == number);
-        self.is_current && present && self.is_confirmed(now)
+        self.is_stored_current && is_stored && self.is_confirmed(now)
     }
 
     /// Removes and returns the intents of earlier agents.
@@ -197,12 +197,12 @@
             return None;
         }
         let renew = sending && !self.is_confirmed(now);
-        let taken = matches!(self.state, EpochState::Taken(_));
-        let write = self.next_record(wanted).filter(|_| self.is_current);
+        let is_acquired = matches!(self.state, EpochState::Taken(_));
+        let write = self.next_record(wanted).filter(|_| self.is_stored_current);
         // After a failure a read detects that the store is available again, even if nothing is
         // pending.
-        let is_uncertain = !self.is_current || self.failures > 0;
-        let read = is_uncertain || (taken && (renew || self.confirmation_after.is_some()));
+        let is_uncertain = !self.is_stored_current || self.failures > 0;
+        let read = is_uncertain || (is_acquired && (renew || self.confirmation_after.is_some()));
         if write.is_none() && !read {
             return None;
         }
@@ -226,11 +226,11 @@
             RecordAnswer::Written(revision) => self.on_written(pending_write, revision),
             RecordAnswer::Conflict => {
                 self.failures = 0;
-                self.is_current = false;
+                self.is_stored_current = false;
             }
             RecordAnswer::Unavailable => self.back_off(now),
             RecordAnswer::AnswerLost => {
-                self.is_current = false;
+                self.is_stored_current = false;
                 self.back_off(now);
             }
         }
@@ -287,7 +287,7 @@
 
     fn on_found(&mut self, stored: Option<StoredRecord>) {
         self.failures = 0;
-        self.is_current = true;
+        self.is_stored_current = true;
         self.confirm();
         let own_epoch = stored
             .as_ref()
--- a/crates/oatpier-placement/src/steps/search.rs
+++ b/crates/oatpier-placement/src/steps/search.rs
@@ -135,9 +135,9 @@
     }
 
     fn unload_one(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
-        let moving = self.keeper.is_moving(weights);
+        let is_moving = self.keeper.is_moving(weights);
         let state = self.keeper.ledger().state_of(weights);
-        if state == Some(WeightsState::Unloading) || (moving && state.is_some()) {
+        if state == Some(WeightsState::Unloading) || (is_moving && state.is_some()) {
             self.set_wait(StepWait::Busy);
             return None;
         }
@@ -145,7 +145,7 @@
         if state.is_none() {
             return self.order_unload(weights, now);
         }
-        if self.is_base_in_use(weights, now) || self.is_successor_coming(weights) {
+        if self.is_base_in_use(weights, now) || self.is_replacement_loading(weights) {
             self.set_wait(StepWait::Busy);
             return None;
         }
@@ -176,13 +176,12 @@
         has_adapters && !has_other_base
     }
 
-    /// Returns whether another version of these weights is being loaded. They serve until it is ready.
-    fn is_successor_coming(&self, weights: &WeightsKey) -> bool {
+    /// Returns whether the planned version of these weights is being loaded. The old one serves until then.
+    fn is_replacement_loading(&self, weights: &WeightsKey) -> bool {
         self.input.plan.weights.iter().any(|wanted| {
-            let is_other_version =
-                wanted.model == weights.model && wanted.adapter == weights.adapter;
-            let loading = self.keeper.ledger().state_of(wanted) == Some(WeightsState::Loading);
-            is_other_version && wanted != weights && (loading || self.keeper.is_moving(wanted))
+            let has_same_name = wanted.model == weights.model && wanted.adapter == weights.adapter;
+            let is_loading = self.keeper.ledger().state_of(wanted) == Some(WeightsState::Loading);
+            has_same_name && wanted != weights && (is_loading || self.keeper.is_moving(wanted))
         })
     }
 
