--- a/crates/oatpier-placement/src/planner/placement.rs
+++ b/crates/oatpier-placement/src/planner/placement.rs
@@ -31,7 +31,8 @@
 /// Maximum number of loads that one step adds beyond reachability. Bounds the run time of a step.
 const MAX_LOADS_PER_STEP: u32 = 64;
 
-/// The production planner. See the [module documentation](self).
+/// The production planner: reachability first, then attainment per accelerator, with few changes to
+/// the current plan.
 #[derive(Debug, Clone)]
 pub struct PlacementPlanner {
     settings: PlannerSettings,
