--- a/crates/oatpier-placement/src/demand.rs
+++ b/crates/oatpier-placement/src/demand.rs
@@ -21,7 +21,7 @@
     pub long_window: Duration,
     /// Decay time of a peak.
     pub peak_window: Duration,
-    /// Fraction of the decayed peak that the planned rate is at least.
+    /// Fraction of the decayed peak below which the planned rate does not fall.
     pub peak_share: f64,
 }
 
--- a/crates/oatpier-placement/src/record.rs
+++ b/crates/oatpier-placement/src/record.rs
@@ -1,5 +1,5 @@
-//! The endpoint's record in the store: which agent may issue orders, and the orders it may have
-//! issued.
+//! The endpoint's record in the store: which agent may issue orders, and the orders that it may
+//! have issued or is about to issue.
 //!
 //! An agent acquires the next epoch by compare-and-swap when it starts. After a lost response it
 //! reads the record back: the boot ID in it shows whose write took effect. A delayed write expects
--- a/crates/oatpier-placement/src/release.rs
+++ b/crates/oatpier-placement/src/release.rs
@@ -142,8 +142,8 @@
         self.state(weights) != ReleaseState::None
     }
 
-    /// Returns whether a request may be sent now: the release is not granted, and the timeout of the last
-    /// request or the delay after a denial has passed.
+    /// Returns whether a request may be sent now: the release is not granted, and the timeout of the
+    /// last request or the delay after a denial has passed.
     #[must_use]
     pub fn can_request(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         match self.entries.get(weights) {
