--- a/crates/oatpier-placement/src/orders/late.rs
+++ b/crates/oatpier-placement/src/orders/late.rs
@@ -1,4 +1,4 @@
-//! Orders that may still act, where the engine ignores numbers.
+//! Delayed copies of orders that may still be executed, where the engine ignores numbers.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::FleetConfig;
@@ -9,20 +9,20 @@
 use crate::record::OrderIntent;
 
 impl OrderKeeper {
-    pub(super) fn unload_may_act(&self, weights: &WeightsKey, now: ClockTime) -> bool {
+    pub(super) fn has_late_unload(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         self.late_unloads
             .iter()
             .any(|(intent, until)| now < *until && OrderSubject::of(&intent.action).is_for(weights))
     }
 
-    pub(super) fn forget_late(&mut self, now: ClockTime) {
-        self.refused.retain(|(_, until)| now < *until);
+    pub(super) fn remove_expired(&mut self, now: ClockTime) {
+        self.recently_rejected.retain(|(_, until)| now < *until);
         self.late_loads.retain(|(_, until)| now < *until);
         self.late_unloads.retain(|(_, until)| now < *until);
     }
 
-    /// Every order that may be on its way or may still act.
-    pub(super) fn wanted_intents(&self) -> Vec<OrderIntent> {
+    /// Returns the intents of all orders that may be in flight or may still be executed.
+    pub(super) fn required_intents(&self) -> Vec<OrderIntent> {
         if self.settings.checks_numbers {
             return Vec::new();
         }
@@ -36,7 +36,12 @@
         wanted
     }
 
-    pub(super) fn hold_copy(&mut self, order: &EngineOrder, config: &FleetConfig, now: ClockTime) {
+    pub(super) fn record_late_copy(
+        &mut self,
+        order: &EngineOrder,
+        config: &FleetConfig,
+        now: ClockTime,
+    ) {
         if self.settings.checks_numbers {
             return;
         }
@@ -45,10 +50,10 @@
             number: order.number,
             action: order.action.clone(),
         };
-        self.hold_intent(intent, until, config);
+        self.record_late_intent(intent, until, config);
     }
 
-    pub(super) fn hold_intent(
+    pub(super) fn record_late_intent(
         &mut self,
         intent: OrderIntent,
         until: ClockTime,
@@ -56,7 +61,7 @@
     ) {
         let late = match &intent.action {
             OrderAction::Load { weights } => {
-                self.ledger.hold_copy(weights, until, config);
+                self.ledger.charge_late_copy(weights, until, config);
                 &mut self.late_loads
             }
             OrderAction::Unload { .. } => &mut self.late_unloads,
@@ -66,15 +71,16 @@
         late.push((intent, until));
     }
 
-    /// A former agent may have given this order a moment ago: charge it, and finish it.
+    /// Charges an intent of an earlier agent, which may have sent the order just before this agent
+    /// started, and completes the order.
     pub(super) fn inherit(&mut self, intent: OrderIntent, config: &FleetConfig, now: ClockTime) {
         let until = now + self.settings.late_order_hold;
-        self.hold_intent(intent.clone(), until, config);
+        self.record_late_intent(intent.clone(), until, config);
         if let OrderAction::Load { weights } = &intent.action {
             self.ledger.charge_order(weights, config);
         }
         let subject = OrderSubject::of(&intent.action);
-        // Of two orders for the same weights the later one is finished; both stay charged.
+        // Of two orders for the same weights only the later one is completed; both stay charged.
         let later = self
             .tracks
             .get(&subject)
--- a/crates/oatpier-placement/src/planner/board.rs
+++ b/crates/oatpier-placement/src/planner/layout.rs
@@ -1,4 +1,4 @@
-//! The planner's working copy of the fleet: weights and endpoints as numbers.
+//! The planner's working copy of the fleet, with weights and endpoints as indices.
 
 use std::collections::HashMap;
 
@@ -8,55 +8,56 @@
 use oatpier_types::plan::EndpointPlan;
 use smallvec::SmallVec;
 
-use super::figures::{PoolFigures, load_of, pool_figures, rate_of};
+use super::pool_profile::{PoolProfile, compute_load, pool_profiles, rate_of};
 use super::{EndpointView, PlannerInput, PlannerSettings};
 use crate::demand::DemandRate;
 
-/// Weights that the configuration knows, in their present version.
+/// Configured weights in their current version.
 #[derive(Debug, Clone)]
-pub(super) struct BoardItem {
+pub(super) struct LayoutItem {
     pub(super) weights: WeightsKey,
     pub(super) pool: usize,
     pub(super) base: Option<usize>,
     pub(super) adapters: Vec<usize>,
     pub(super) size_mib: u64,
-    /// The share of one endpoint's time that it takes in all.
+    /// Total load over all replicas, as a fraction of one endpoint's capacity.
     pub(super) load: f64,
     pub(super) requests: f64,
     pub(super) holders: SmallVec<[usize; 4]>,
 }
 
-/// An endpoint, with what the plan has it hold.
+/// An endpoint with the weights that the plan assigns to it.
 #[derive(Debug, Clone)]
-pub(super) struct BoardSlot {
+pub(super) struct LayoutSlot {
     pub(super) endpoint: EndpointName,
     pub(super) pool: usize,
     pub(super) zone: usize,
     pub(super) memory_mib: u64,
-    pub(super) slots: u32,
+    pub(super) request_slots: u32,
     pub(super) used_mib: u64,
     pub(super) load: f64,
     pub(super) items: SmallVec<[usize; 8]>,
-    /// Ready now, in any version.
+    /// Items that are ready on the endpoint, in any version.
     pub(super) ready: SmallVec<[usize; 8]>,
     pub(super) alive: bool,
     pub(super) usable: bool,
 }
 
-/// The fleet while a plan is made.
+/// State of the fleet during a planning step.
 #[derive(Debug, Clone)]
-pub(super) struct FleetBoard {
-    pub(super) items: Vec<BoardItem>,
-    pub(super) slots: Vec<BoardSlot>,
+pub(super) struct FleetLayout {
+    pub(super) items: Vec<LayoutItem>,
+    pub(super) slots: Vec<LayoutSlot>,
     pub(super) by_pool: Vec<Vec<usize>>,
-    /// The item of each model and adapter, in the order of the configuration.
+    /// Item index of each model, in the order of the configuration.
     models: Vec<Option<usize>>,
+    /// Item index of each adapter, in the order of the configuration.
     adapters: Vec<Option<usize>>,
     zones: Vec<ZoneName>,
 }
 
-impl FleetBoard {
-    /// A board where nothing is placed.
+impl FleetLayout {
+    /// Creates a layout where nothing is placed.
     pub(super) fn new(input: &PlannerInput<'_>, settings: &PlannerSettings) -> Self {
         let pools: HashMap<&PoolName, usize> = input
             .config
@@ -65,8 +66,8 @@
             .enumerate()
             .map(|(index, name)| (name, index))
             .collect();
-        let figures = pool_figures(input);
-        let mut board = Self {
+        let profiles = pool_profiles(input);
+        let mut layout = Self {
             items: Vec::new(),
             slots: Vec::with_capacity(input.endpoints.len()),
             by_pool: vec![Vec::new(); pools.len()],
@@ -74,26 +75,26 @@
             adapters: Vec::new(),
             zones: Vec::new(),
         };
-        board.add_models(input, &pools, &figures, settings);
-        board.add_adapters(input, &figures);
+        layout.add_models(input, &pools, &profiles, settings);
+        layout.add_adapters(input, &profiles);
         for view in input.endpoints {
-            board.add_slot(input, view, &pools, &figures);
+            layout.add_slot(input, view, &pools, &profiles);
         }
-        board
+        layout
     }
 
-    /// Takes over the plan in force, or what is held where there is none.
-    pub(super) fn start_from(&mut self, input: &PlannerInput<'_>) {
+    /// Places the weights of the current plan, or those that are held where there is no plan.
+    pub(super) fn place_current(&mut self, input: &PlannerInput<'_>) {
         for (index, view) in input.endpoints.iter().enumerate() {
             if !self.slots[index].alive {
                 continue;
             }
             let row = input
                 .previous
-                .and_then(|plan| row_of(&plan.endpoints, &view.endpoint, index));
+                .and_then(|plan| find_row(&plan.endpoints, &view.endpoint, index));
             let mut wanted: SmallVec<[usize; 8]> = match row {
-                Some(row) => self.items_of(input.config, row.weights.iter()),
-                None => self.items_of(input.config, view.held.iter().map(|held| &held.weights)),
+                Some(row) => self.find_items(input.config, row.weights.iter()),
+                None => self.find_items(input.config, view.held.iter().map(|held| &held.weights)),
             };
             wanted.sort_by_key(|item| self.items[*item].base.is_some());
             for item in wanted {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// The item of weights in whatever version.
-    pub(super) fn item_of(&self, config: &FleetConfig, weights: &WeightsKey) -> Option<usize> {
+    /// Returns the item of weights, whatever their version.
+    pub(super) fn find_item(&self, config: &FleetConfig, weights: &WeightsKey) -> Option<usize> {
         match &weights.adapter {
             None => self.models[config.models.get_index_of(&weights.model)?],
             Some(adapter) => {
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Memory that placing an item on a slot takes: with its base model where that is missing.
+    /// Returns the memory needed to place an item on a slot, including its base model if the slot
+    /// lacks it, in MiB.
     pub(super) fn needed_mib(&self, item: usize, slot: usize) -> u64 {
         let base = self.items[item]
             .base
@@ -124,16 +126,16 @@
         self.items[item].size_mib + base
     }
 
-    /// Whether a slot can take an item.
+    /// Returns whether a slot has memory for an item that it does not hold yet.
     pub(super) fn fits(&self, item: usize, slot: usize) -> bool {
-        let place = &self.slots[slot];
-        place.used_mib + self.items[item].size_mib <= place.memory_mib
-            && place.pool == self.items[item].pool
-            && !place.items.contains(&item)
-            && place.used_mib + self.needed_mib(item, slot) <= place.memory_mib
+        let target = &self.slots[slot];
+        target.used_mib + self.items[item].size_mib <= target.memory_mib
+            && target.pool == self.items[item].pool
+            && !target.items.contains(&item)
+            && target.used_mib + self.needed_mib(item, slot) <= target.memory_mib
     }
 
-    /// Puts an item on a slot, with its base model.
+    /// Places an item on a slot, with its base model.
     pub(super) fn place(&mut self, item: usize, slot: usize) {
         if let Some(base) = self.items[item].base
             && !self.slots[slot].items.contains(&base)
@@ -147,7 +149,7 @@
         self.slots[slot].used_mib += self.items[item].size_mib;
     }
 
-    /// Takes an item off a slot, with the adapters on it.
+    /// Removes an item from a slot, with its adapters there.
     pub(super) fn remove(&mut self, item: usize, slot: usize) {
         for adapter in self.items[item].adapters.clone() {
             if self.slots[slot].items.contains(&adapter) {
@@ -161,16 +163,17 @@
         self.slots[slot].used_mib -= self.items[item].size_mib;
     }
 
-    /// What moving an item costs as a part of moving a model: loads cost by size, and an adapter
-    /// is a small part of its base.
-    pub(super) fn move_part(&self, item: usize) -> f64 {
+    /// Returns the cost of moving an item relative to moving a model.
+    ///
+    /// The cost of a load is proportional to the size: an adapter costs its fraction of its base model.
+    pub(super) fn relative_move_cost(&self, item: usize) -> f64 {
         let base = self.items[item].base.map(|base| self.items[base].size_mib);
         base.map_or(1.0, |base| {
-            size(self.items[item].size_mib) / size(base.max(1))
+            mib_to_f64(self.items[item].size_mib) / mib_to_f64(base.max(1))
         })
     }
 
-    /// Whether an endpoint holds an item, in whatever version and state.
+    /// Returns whether an endpoint holds an item, in any version and state.
     pub(super) fn is_held(&self, item: usize, view: &EndpointView) -> bool {
         let wanted = &self.items[item].weights;
         view.held.iter().any(|held| {
@@ -178,7 +181,7 @@
         })
     }
 
-    /// Holders that take new work.
+    /// Returns the holders of an item that accept new requests.
     pub(super) fn usable_holders(&self, item: usize) -> impl Iterator<Item = usize> + '_ {
         self.items[item]
             .holders
@@ -187,8 +190,8 @@
             .filter(|slot| self.slots[*slot].usable)
     }
 
-    /// Whether an item stays ready somewhere else when a slot gives it up, adapters included.
-    pub(super) fn is_spare(&self, item: usize, slot: usize) -> bool {
+    /// Returns whether an item and its adapters on a slot are also ready on other usable slots.
+    pub(super) fn is_redundant(&self, item: usize, slot: usize) -> bool {
         let elsewhere = self
             .usable_holders(item)
             .any(|other| other != slot && self.slots[other].ready.contains(&item));
@@ -197,15 +200,16 @@
                 .adapters
                 .iter()
                 .filter(|adapter| self.slots[slot].items.contains(adapter))
-                .all(|adapter| self.is_spare(*adapter, slot))
+                .all(|adapter| self.is_redundant(*adapter, slot))
     }
 
-    /// Shifts load off a slot to other holders of what it holds, as far as they have time for it:
-    /// requests go to the holder that is first free, not evenly to all. Returns whether the slot
-    /// is at or below `limit` then.
-    pub(super) fn level(&mut self, slot: usize, limit: f64) -> bool {
+    /// Shifts load from a slot to the other holders of its items, up to their `limit`. Returns whether
+    /// the slot is then at or below `limit`.
+    ///
+    /// Requests go to the holder that is available first, so the load need not be even.
+    pub(super) fn rebalance(&mut self, slot: usize, limit: f64) -> bool {
         for item in self.slots[slot].items.clone() {
-            let mut movable = self.share_with(item, 0);
+            let mut movable = self.load_share(item, 0);
             let others: SmallVec<[usize; 8]> = self
                 .usable_holders(item)
                 .filter(|other| *other != slot)
@@ -222,25 +226,26 @@
         self.slots[slot].load <= limit + f64::EPSILON
     }
 
-    /// Whether the other holders of an item have time for what a slot does of it. They need not
-    /// take equal parts: requests go to the holder that is first free.
-    pub(super) fn is_calm_without(&self, item: usize, slot: usize, limit: f64) -> bool {
+    /// Returns whether the other holders of an item can absorb a slot's load for it within `limit`.
+    ///
+    /// They need not absorb equal shares: requests go to the holder that is available first.
+    pub(super) fn can_absorb_load(&self, item: usize, slot: usize, limit: f64) -> bool {
         let slack: f64 = self
             .usable_holders(item)
             .filter(|other| *other != slot)
             .map(|other| (limit - self.slots[other].load).max(0.0))
             .sum();
-        self.share_with(item, 0).min(self.slots[slot].load) <= slack
+        self.load_share(item, 0).min(self.slots[slot].load) <= slack
     }
 
-    /// The load that one more replica of an item would bring to a slot.
-    pub(super) fn share_with(&self, item: usize, more: usize) -> f64 {
+    /// Returns the load of an item on each of its holders if `more` replicas are added.
+    pub(super) fn load_share(&self, item: usize, more: usize) -> f64 {
         let holders = self.usable_holders(item).count() + more;
         self.items[item].load / f64::from(u32::try_from(holders.max(1)).unwrap_or(u32::MAX))
     }
 
     fn shift_load(&mut self, item: usize, sign: f64) {
-        let share = self.share_with(item, 0) * sign;
+        let share = self.load_share(item, 0) * sign;
         for holder in self.items[item].holders.clone() {
             if self.slots[holder].usable {
                 self.slots[holder].load += share;
@@ -248,13 +253,13 @@
         }
     }
 
-    fn items_of<'a>(
+    fn find_items<'a>(
         &self,
         config: &FleetConfig,
         weights: impl Iterator<Item = &'a WeightsKey>,
     ) -> SmallVec<[usize; 8]> {
         let mut found = SmallVec::new();
-        for item in weights.filter_map(|weights| self.item_of(config, weights)) {
+        for item in weights.filter_map(|weights| self.find_item(config, weights)) {
             if !found.contains(&item) {
                 found.push(item);
             }
@@ -266,7 +271,7 @@
         &mut self,
         input: &PlannerInput<'_>,
         pools: &HashMap<&PoolName, usize>,
-        figures: &[PoolFigures],
+        profiles: &[PoolProfile],
         settings: &PlannerSettings,
     ) {
         for (name, spec) in &input.config.models {
@@ -277,12 +282,12 @@
             self.models.push(Some(self.items.len()));
             let weights = model_weights(name, spec);
             let rate = rate_of(input, &weights);
-            let load = load_of(rate, figures[pool]).max(settings.assumed_load);
+            let load = compute_load(rate, profiles[pool]).max(settings.assumed_load);
             self.add_item(weights, pool, None, spec.memory_mib, load, rate);
         }
     }
 
-    fn add_adapters(&mut self, input: &PlannerInput<'_>, figures: &[PoolFigures]) {
+    fn add_adapters(&mut self, input: &PlannerInput<'_>, profiles: &[PoolProfile]) {
         for (name, spec) in &input.config.adapters {
             let weights = WeightsKey {
                 model: spec.model.clone(),
@@ -297,7 +302,7 @@
             self.adapters.push(Some(self.items.len()));
             let pool = self.items[base].pool;
             let rate = rate_of(input, &weights);
-            let load = load_of(rate, figures[pool]);
+            let load = compute_load(rate, profiles[pool]);
             self.add_item(weights, pool, Some(base), spec.memory_mib, load, rate);
         }
     }
@@ -315,7 +320,7 @@
         if let Some(base) = base {
             self.items[base].adapters.push(index);
         }
-        self.items.push(BoardItem {
+        self.items.push(LayoutItem {
             weights,
             pool,
             base,
@@ -335,13 +340,14 @@
         })
     }
 
-    /// Slots keep the order of the views; one of an unknown pool is never usable.
+    /// Adds the slot of a view. Slots keep the order of the views; a slot of an unknown pool is never
+    /// usable.
     fn add_slot(
         &mut self,
         input: &PlannerInput<'_>,
         view: &EndpointView,
         pools: &HashMap<&PoolName, usize>,
-        figures: &[PoolFigures],
+        profiles: &[PoolProfile],
     ) {
         let index = self.slots.len();
         let zone = self.zone_index(&view.zone);
@@ -349,19 +355,19 @@
         if let Some(pool) = pool {
             self.by_pool[pool].push(index);
         }
-        let figure = pool.map(|pool| figures[pool]);
+        let profile = pool.map(|pool| profiles[pool]);
         let ready = view
             .held
             .iter()
             .filter(|held| held.state == WeightsState::Ready)
             .map(|held| &held.weights);
-        let ready = self.items_of(input.config, ready);
-        self.slots.push(BoardSlot {
+        let ready = self.find_items(input.config, ready);
+        self.slots.push(LayoutSlot {
             endpoint: view.endpoint.clone(),
             pool: pool.unwrap_or(usize::MAX),
             zone,
-            memory_mib: figure.map_or(0, |figure| figure.memory_mib),
-            slots: figure.map_or(1, |figure| figure.slots),
+            memory_mib: profile.map_or(0, |profile| profile.memory_mib),
+            request_slots: profile.map_or(1, |profile| profile.request_slots),
             used_mib: 0,
             load: 0.0,
             items: SmallVec::new(),
@@ -376,17 +382,18 @@
     clippy::cast_precision_loss,
     reason = "sizes in MiB are far below 2^52"
 )]
-fn size(mib: u64) -> f64 {
+fn mib_to_f64(mib: u64) -> f64 {
     mib as f64
 }
 
-/// The row of an endpoint in a sorted plan. Mostly it stands where the endpoint's view does.
-pub(super) fn row_of<'a>(
+/// Returns the row of an endpoint in a sorted plan. `view_index` is the index of the endpoint's
+/// view, which is usually also the index of its row.
+pub(super) fn find_row<'a>(
     rows: &'a [EndpointPlan],
     endpoint: &EndpointName,
-    place: usize,
+    view_index: usize,
 ) -> Option<&'a EndpointPlan> {
-    if let Some(row) = rows.get(place).filter(|row| row.endpoint == *endpoint) {
+    if let Some(row) = rows.get(view_index).filter(|row| row.endpoint == *endpoint) {
         return Some(row);
     }
     rows.binary_search_by(|row| row.endpoint.cmp(endpoint))
--- a/crates/oatpier-placement/src/repair.rs
+++ b/crates/oatpier-placement/src/repair.rs
@@ -1,8 +1,9 @@
-//! Keeps models reachable without a planner and without the store.
+//! Keeps models reachable without the planner and the store.
 //!
-//! Every agent ranks the endpoints for a model that has no live replica by rendezvous hashing,
-//! and takes its turn after a delay by rank. Whoever could load it does; the others see it ready
-//! and leave it. Two that load it at once cost a move, no promise.
+//! Every agent ranks the endpoints for a model that has no live replica by rendezvous hashing, and
+//! loads the model after a delay that grows with its own rank. Agents that see it ready elsewhere
+//! do not load it. If two agents load it at the same time, this costs an unnecessary move but
+//! violates no guarantee.
 
 use std::time::Duration;
 
@@ -18,30 +19,30 @@
 use crate::rank::rank_of;
 use crate::steps::ReplicaCount;
 
-/// When repair starts.
+/// Delays before repair starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RepairSettings {
-    /// How long a model is without a live replica before the first endpoint takes it. Longer than
-    /// a flap of membership; shorter than a planner's change of hands.
-    pub patience: Duration,
-    /// The time that each rank waits longer: about a load.
-    pub turn: Duration,
+    /// How long a model has no live replica before the first endpoint loads it. Longer than a flap of
+    /// membership; shorter than a planner failover.
+    pub initial_delay: Duration,
+    /// Additional delay per rank: about the time of a load.
+    pub delay_per_rank: Duration,
 }
 
 impl Default for RepairSettings {
     fn default() -> Self {
         Self {
-            patience: Duration::from_secs(3),
-            turn: Duration::from_secs(4),
+            initial_delay: Duration::from_secs(3),
+            delay_per_rank: Duration::from_secs(4),
         }
     }
 }
 
-/// What membership knows of the pool.
+/// Membership's view of the pool.
 pub struct RepairInput<'a> {
-    /// The configuration in force.
+    /// The current configuration.
     pub config: &'a FleetConfig,
-    /// Live endpoints of this endpoint's pool, this one included.
+    /// Live endpoints of this endpoint's pool, including this one.
     pub live: &'a [EndpointName],
     /// Other ready replicas.
     pub replicas: &'a dyn ReplicaCount,
@@ -49,18 +50,18 @@
     pub plan: Option<&'a EndpointPlan>,
 }
 
-/// Decides which weights this endpoint takes on to keep them reachable.
+/// Repair state of one endpoint: the weights that it loads to keep them reachable.
 #[derive(Debug, Clone)]
 pub struct RepairKeeper {
     settings: RepairSettings,
     endpoint: EndpointName,
     pool: PoolName,
     lost_since: IndexMap<WeightsKey, ClockTime>,
-    taken: IndexMap<WeightsKey, ClockTime>,
+    repaired: IndexMap<WeightsKey, ClockTime>,
 }
 
 impl RepairKeeper {
-    /// A keeper for one endpoint.
+    /// Creates a keeper for one endpoint.
     #[must_use]
     pub fn new(settings: RepairSettings, endpoint: EndpointName, pool: PoolName) -> Self {
         Self {
@@ -68,19 +69,20 @@
             endpoint,
             pool,
             lost_since: IndexMap::new(),
-            taken: IndexMap::new(),
+            repaired: IndexMap::new(),
         }
     }
 
-    /// Weights that this endpoint has taken on.
+    /// Returns the weights that this endpoint holds for repair.
     pub fn taken(&self) -> impl Iterator<Item = &WeightsKey> {
-        self.taken.keys()
+        self.repaired.keys()
     }
 
-    /// The row to carry out: the plan's, with what repair adds and without what makes room.
+    /// Returns the row to apply: the plan's row with the weights that repair adds, without the
+    /// replicas that are removed to make room.
     ///
-    /// Without a plan, what is held stays. Hand it to [`crate::steps::MoveStepper`], which still
-    /// asks for a release before anything goes.
+    /// Without a plan, weights that are ready stay. The row is input for
+    /// [`crate::steps::MoveStepper`], which still requests a release before it unloads any weights.
     pub fn repaired_row(
         &mut self,
         input: &RepairInput<'_>,
@@ -88,16 +90,16 @@
         now: ClockTime,
     ) -> EndpointPlan {
         let mut row = self.base_row(input, keeper);
-        self.watch_lost(input, keeper, now);
-        self.end_taken(input, &row);
-        self.take_due(input, now);
-        for weights in self.taken.keys() {
+        self.update_lost(input, keeper, now);
+        self.remove_obsolete(input, &row);
+        self.add_due(input, now);
+        for weights in self.repaired.keys() {
             if !row.weights.contains(weights) {
                 row.weights.push(weights.clone());
             }
         }
         row.weights.sort_by_key(|weights| weights.adapter.is_some());
-        make_room(&mut row, input, keeper, &self.taken);
+        make_room(&mut row, input, keeper, &self.repaired);
         row
     }
 
@@ -109,8 +111,8 @@
         })
     }
 
-    fn watch_lost(&mut self, input: &RepairInput<'_>, keeper: &OrderKeeper, now: ClockTime) {
-        let lost: Vec<WeightsKey> = configured(input.config, &self.pool)
+    fn update_lost(&mut self, input: &RepairInput<'_>, keeper: &OrderKeeper, now: ClockTime) {
+        let lost: Vec<WeightsKey> = configured_weights(input.config, &self.pool)
             .filter(|weights| !is_served(weights, input, keeper))
             .collect();
         self.lost_since.retain(|weights, _| lost.contains(weights));
@@ -119,42 +121,44 @@
         }
     }
 
-    /// What the plan has taken over, or another endpoint serves, need not be kept by repair.
-    fn end_taken(&mut self, input: &RepairInput<'_>, row: &EndpointPlan) {
-        self.taken.retain(|weights, _| {
-            let planned = input.plan.is_some() && row.weights.contains(weights);
-            let elsewhere = !input.replicas.ready_elsewhere(weights).is_empty();
-            !planned && !elsewhere
+    /// Ends the repair of weights that the plan includes or another endpoint serves.
+    fn remove_obsolete(&mut self, input: &RepairInput<'_>, row: &EndpointPlan) {
+        self.repaired.retain(|weights, _| {
+            let is_planned = input.plan.is_some() && row.weights.contains(weights);
+            let is_served_elsewhere = !input.replicas.ready_elsewhere(weights).is_empty();
+            !is_planned && !is_served_elsewhere
         });
     }
 
-    fn take_due(&mut self, input: &RepairInput<'_>, now: ClockTime) {
+    fn add_due(&mut self, input: &RepairInput<'_>, now: ClockTime) {
         for (weights, since) in &self.lost_since {
-            let rank = rank_of(subject_of(weights), &self.endpoint, input.live.iter());
-            let turns = u32::try_from(rank).unwrap_or(u32::MAX);
-            let delay = self.settings.patience + self.settings.turn.saturating_mul(turns);
+            let rank = rank_of(rank_subject(weights), &self.endpoint, input.live.iter());
+            let rank_factor = u32::try_from(rank).unwrap_or(u32::MAX);
+            let delay = self.settings.initial_delay
+                + self.settings.delay_per_rank.saturating_mul(rank_factor);
             if now.since(*since) >= delay {
-                self.taken.entry(weights.clone()).or_insert(now);
-                self.taken
-                    .entry(base_of(weights, input.config))
+                self.repaired.entry(weights.clone()).or_insert(now);
+                self.repaired
+                    .entry(base_weights(weights, input.config))
                     .or_insert(now);
             }
         }
     }
 }
 
-/// An adapter is repaired where its base model is: both are ranked by the base model's name.
-fn subject_of(weights: &WeightsKey) -> &str {
+/// Returns the rendezvous hashing subject of weights. An adapter is repaired on the same endpoint
+/// as its base model, so both are ranked by the base model's name.
+fn rank_subject(weights: &WeightsKey) -> &str {
     weights.model.as_str()
 }
 
-fn base_of(weights: &WeightsKey, config: &FleetConfig) -> WeightsKey {
+fn base_weights(weights: &WeightsKey, config: &FleetConfig) -> WeightsKey {
     config
         .model_weights(&weights.model)
         .unwrap_or_else(|| weights.clone())
 }
 
-fn configured<'a>(
+fn configured_weights<'a>(
     config: &'a FleetConfig,
     pool: &'a PoolName,
 ) -> impl Iterator<Item = WeightsKey> + 'a {
@@ -177,22 +181,24 @@
     models.chain(adapters)
 }
 
-/// Any version that is ready serves callers: a change of version is no loss.
+/// Returns whether any version of the weights is ready. Any version serves callers, so a version
+/// change needs no repair.
 fn is_served(weights: &WeightsKey, input: &RepairInput<'_>, keeper: &OrderKeeper) -> bool {
-    let here = keeper
+    let is_ready_here = keeper
         .ledger()
         .ready()
         .any(|held| held.model == weights.model && held.adapter == weights.adapter);
-    here || !input.replicas.ready_elsewhere(weights).is_empty()
+    is_ready_here
+        || !input.replicas.ready_elsewhere(weights).is_empty()
         || !input.replicas.other_versions(weights).is_empty()
 }
 
-/// Drops extra replicas from the row, those of the largest first, until the rest fits.
+/// Removes redundant replicas from the row, largest first, until the rest fits.
 fn make_room(
     row: &mut EndpointPlan,
     input: &RepairInput<'_>,
     keeper: &OrderKeeper,
-    taken: &IndexMap<WeightsKey, ClockTime>,
+    repaired: &IndexMap<WeightsKey, ClockTime>,
 ) {
     let capacity = keeper.ledger().capacity_mib();
     while row_mib(row, input.config) > capacity {
@@ -200,30 +206,31 @@
             .weights
             .iter()
             .enumerate()
-            .filter(|(_, weights)| !taken.contains_key(*weights))
+            .filter(|(_, weights)| !repaired.contains_key(*weights))
             .filter(|(_, weights)| !has_adapter(row, weights))
             .filter(|(_, weights)| !input.replicas.ready_elsewhere(weights).is_empty())
             .max_by_key(|(_, weights)| input.config.memory_of(weights))
             .map(|(index, _)| index);
         match droppable {
             Some(index) => row.weights.remove(index),
-            None => return drop_taken(row, input, taken, capacity),
+            None => return drop_repaired(row, input, repaired, capacity),
         };
     }
 }
 
-/// Nothing may go: what repair would add and does not fit is left to the next rank.
-fn drop_taken(
+/// Removes repair weights that do not fit when no other weights may be removed. The endpoint of the
+/// next rank loads them.
+fn drop_repaired(
     row: &mut EndpointPlan,
     input: &RepairInput<'_>,
-    taken: &IndexMap<WeightsKey, ClockTime>,
+    repaired: &IndexMap<WeightsKey, ClockTime>,
     capacity: u64,
 ) {
     while row_mib(row, input.config) > capacity {
         let last = row
             .weights
             .iter()
-            .rposition(|weights| taken.contains_key(weights));
+            .rposition(|weights| repaired.contains_key(weights));
         match last {
             Some(index) => row.weights.remove(index),
             None => return,
--- a/crates/oatpier-placement/tests/testsuite/engine.rs
+++ b/crates/oatpier-placement/tests/testsuite/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine for tests: it does what it is told, and overcommits if it is told to.
+//! Simulated engine for tests. It executes every order, even one that overcommits its memory.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use oatpier_types::ids::OrderNumber;
 
 #[derive(Debug, Clone)]
-pub struct ModelEngine {
+pub struct SimulatedEngine {
     pub checks_numbers: bool,
     pub memory_mib: u64,
     pub load_time: Duration,
@@ -21,7 +21,7 @@
     role: EngineRole,
 }
 
-impl ModelEngine {
+impl SimulatedEngine {
     pub fn new(checks_numbers: bool, memory_mib: u64) -> Self {
         Self {
             checks_numbers,
@@ -106,7 +106,7 @@
             .is_some_and(|entry| entry.0 == WeightsState::Ready)
     }
 
-    /// Whether callers get an answer for these weights, in whatever version.
+    /// Returns whether the engine can serve requests for these weights, in any version.
     pub fn serves(&self, weights: &WeightsKey) -> bool {
         let ready = |adapter| {
             self.held.iter().any(|(held, entry)| {
