--- a/crates/oatpier-gateway/src/decisions.rs
+++ b/crates/oatpier-gateway/src/decisions.rs
@@ -26,9 +26,9 @@
 
 /// How important a line is when not all can be written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LineWeight {
+pub enum LinePriority {
     /// Reports a success.
-    Calm,
+    Routine,
     /// Reports a failure, a refusal or a change of the process's view.
     Notable,
 }
@@ -37,16 +37,16 @@
 #[derive(Debug)]
 pub struct DecisionLine {
     fields: Map<String, Value>,
-    weight: LineWeight,
+    priority: LinePriority,
 }
 
 impl DecisionLine {
     /// Creates a line about a decision.
     #[must_use]
-    pub fn new(weight: LineWeight, decision: &'static str) -> Self {
+    pub fn new(priority: LinePriority, decision: &'static str) -> Self {
         let mut fields = Map::new();
         fields.insert("decision".to_owned(), Value::from(decision));
-        Self { fields, weight }
+        Self { fields, priority }
     }
 
     /// Adds a field: an input or an outcome of the decision.
@@ -101,10 +101,10 @@
 
     /// Logs a decision, unless the limit of the current second is reached.
     pub fn write(&self, line: DecisionLine) {
-        match self.admit(line.weight) {
+        match self.admit(line.priority) {
             LineAdmission::Admitted { left_out } => {
                 if left_out > 0 {
-                    let line = DecisionLine::new(LineWeight::Notable, "lines left out");
+                    let line = DecisionLine::new(LinePriority::Notable, "lines left out");
                     self.send(line.with("lines", left_out));
                 }
                 self.send(line);
@@ -115,7 +115,7 @@
         }
     }
 
-    fn admit(&self, weight: LineWeight) -> LineAdmission {
+    fn admit(&self, priority: LinePriority) -> LineAdmission {
         let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
         let mut left_out = 0;
@@ -128,7 +128,7 @@
                 left_out: 0,
             };
         }
-        let is_routine = weight == LineWeight::Calm;
+        let is_routine = priority == LinePriority::Routine;
         let is_full = window.lines >= MAX_LINES_PER_SECOND
             || (is_routine && window.routine_lines >= MAX_ROUTINE_LINES_PER_SECOND);
         if is_full {
--- a/crates/oatpier-gateway/src/exchange.rs
+++ b/crates/oatpier-gateway/src/exchange.rs
@@ -26,7 +26,7 @@
 
 /// UDP socket for the messages between gateways and sidecars.
 #[derive(Debug)]
-pub struct InnerSocket {
+pub struct MessageSocket {
     socket: UdpSocket,
     metrics: ServingMetrics,
     /// Whether an invalid datagram has been logged. Only the first one is logged, since its sender usually continues
@@ -34,7 +34,7 @@
     has_logged: AtomicBool,
 }
 
-impl InnerSocket {
+impl MessageSocket {
     /// Registers a bound socket with the runtime.
     ///
     /// # Errors
@@ -70,7 +70,7 @@
     }
 }
 
-impl InnerSocket {
+impl MessageSocket {
     fn count_unreadable(&self, from: SocketAddr, length: usize, error: &dyn std::error::Error) {
         self.metrics.count_message("unreadable", RECEIVED, length);
         if !self.has_logged.swap(true, Ordering::Relaxed) {
@@ -80,7 +80,7 @@
     }
 }
 
-impl MessageOutlet for InnerSocket {
+impl MessageOutlet for MessageSocket {
     fn send(&self, to: SocketAddr, message: &InnerMessage) {
         let bytes = match rmp_serde::to_vec(message) {
             Ok(bytes) => bytes,
--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounts.rs
@@ -20,7 +20,7 @@
     /// Records the arrival of a request.
     pub fn record_arrival(&self, context: &RequestContext) {
         if let Some(workspace) = context.identity.workspace_name() {
-            self.metrics.workspaces.asked(workspace, "taken");
+            self.metrics.workspaces.count_request(workspace, "taken");
         }
         let mut state = self.lock();
         state
@@ -44,9 +44,9 @@
         }
         if let Some(weights) = &context.request.weights {
             state.demand.note_unserved(&weights.model, now);
-            if !state.urgent {
-                state.urgent = true;
-                self.pressed.notify_one();
+            if !state.has_unserved_demand {
+                state.has_unserved_demand = true;
+                self.demand_unserved.notify_one();
             }
         }
     }
@@ -57,7 +57,7 @@
         let chain = choice::prefix_chain(&context.request);
         let mut state = self.lock();
         let weights = context.request.weights.as_ref();
-        state.crashes.begin_run(context.fingerprint);
+        state.suspects.begin_run(context.fingerprint);
         state.directory.note_sent(endpoint, weights);
         state.directory.note_rest_probe(endpoint, now);
         let Some(weights) = weights else {
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -186,7 +186,7 @@
         let route = self.context.route.name.as_str();
         self.core
             .metrics
-            .first_after(route, now.since(self.context.arrived));
+            .observe_first_chunk(route, now.since(self.context.arrived));
     }
 
     fn end_prefill(&mut self) {
--- a/crates/oatpier-gateway/src/gateway/configuration.rs
+++ b/crates/oatpier-gateway/src/gateway/configuration.rs
@@ -13,7 +13,7 @@
 use oatpier_types::names::WorkspaceName;
 
 use super::core::{CoreState, GatewayCore};
-use crate::decisions::{DecisionLine, LineWeight};
+use crate::decisions::{DecisionLine, LinePriority};
 
 /// Minimum time between fetches of a newer configuration. Usually a store read succeeds within this time, and no
 /// fetch is needed.
@@ -22,7 +22,7 @@
 impl GatewayCore {
     /// Returns whether this gateway would know of a configuration that is in force everywhere.
     #[must_use]
-    pub fn is_current(&self) -> bool {
+    pub fn is_config_current(&self) -> bool {
         let bound = self.settings.borrow().bounds.config;
         let known_at = self.lock().config_known_at;
         known_at.is_some_and(|at| self.clock.now().since(at) <= bound)
@@ -36,7 +36,7 @@
         } else {
             "older, left out"
         };
-        let line = DecisionLine::new(LineWeight::Notable, "configuration")
+        let line = DecisionLine::new(LinePriority::Notable, "configuration")
             .with("version", config.version)
             .with("known", known)
             .with("routes", config.routes.len())
@@ -71,7 +71,7 @@
 
     /// Handles another gateway's report of its configuration. An equal version counts as confirmed by the store as
     /// recently as that gateway confirmed it. A newer version is fetched if the store does not answer here.
-    pub fn take_config_standing(&self, from: SocketAddr, reported: ConfigStatus) {
+    pub fn apply_config_status(&self, from: SocketAddr, reported: ConfigStatus) {
         let now = self.clock.now();
         let mut state = self.lock();
         let known = state.config.as_ref().map_or(0, |config| config.version);
@@ -86,12 +86,12 @@
         if reported.version > known && is_read_late && may_fetch {
             state.config_requested_at = Some(now);
             // A full ring counts what it drops; the next report requests the fetch again.
-            let _ = self.config_wanted.try_send(from);
+            let _ = self.config_sources.try_send(from);
         }
     }
 
     /// Applies a configuration that was fetched from another gateway.
-    pub fn take_passed_config(&self, config: Arc<SiteConfig>) {
+    pub fn apply_fetched_config(&self, config: Arc<SiteConfig>) {
         let mut state = self.lock();
         self.apply_config(&mut state, config);
         drop(state);
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -34,7 +34,7 @@
 use tokio::sync::{Notify, watch};
 
 use super::pending_calls::PendingCalls;
-use crate::decisions::{DecisionLine, DecisionLog, LineWeight};
+use crate::decisions::{DecisionLine, DecisionLog, LinePriority};
 use crate::exchange::MessageOutlet;
 use crate::metrics::ServingMetrics;
 use crate::parts_writer::DueClaim;
@@ -59,15 +59,15 @@
     /// The decision log.
     pub log: DecisionLog,
     /// Readiness flag: whether the process can serve.
-    pub able: Arc<AtomicBool>,
+    pub can_serve: Arc<AtomicBool>,
     /// Queue of store deltas from other gateways, read by the thread that reads the store.
-    pub words: RingSender<StoreDelta>,
+    pub store_deltas: RingSender<StoreDelta>,
     /// Queue of crash records to write, read by the thread that writes crashes.
     pub crash_changes: RingSender<CrashChange>,
     /// Publishes the configuration in force.
     pub shared_config: watch::Sender<Option<Arc<SiteConfig>>>,
     /// Queue of gateways that have a newer configuration, read by the thread that fetches configurations.
-    pub config_wanted: RingSender<SocketAddr>,
+    pub config_sources: RingSender<SocketAddr>,
     /// Queue of due claims of limit parts, read by the thread that claims parts.
     pub claims: RingSender<DueClaim>,
 }
@@ -80,16 +80,16 @@
     pub(super) demand: DemandTracker,
     pub(super) allowance: RetryAllowance,
     /// Requests that were running at endpoints when these ended.
-    pub(super) crashes: SuspectTable,
+    pub(super) suspects: SuspectTable,
     /// Attempts that were cut off, kept until it is known whether their endpoint ended.
-    pub(super) cuts: AttemptWatch,
+    pub(super) broken_attempts: AttemptWatch,
     pub(super) peers: PeerTable,
     /// Intervals between subscriptions to sidecars without a current status update.
     pub(super) subscription_schedule: SubscriptionSchedule,
     /// Quota rules of the workspaces that have limits.
     pub(super) limits: HashMap<WorkspaceName, QuotaRule>,
     /// Which gateway holds which part of the limits.
-    pub(super) tenure: PartLeases,
+    pub(super) leases: PartLeases,
     /// Units of the limit parts that this gateway holds.
     pub(super) holder: PartHolder,
     /// Units that were granted to this gateway.
@@ -97,7 +97,7 @@
     /// Engine updates from sidecars, to pass on as a relay of this availability zone.
     pub(super) relayed: RelayQueue,
     pub(super) planner: LoadPlanner,
-    pub(super) judge: AdmissionController,
+    pub(super) admission: AdmissionController,
     pub(super) store_read_at: Option<ClockTime>,
     /// When the configuration was last known to match the store, from an own read or from another gateway.
     pub(super) config_known_at: Option<ClockTime>,
@@ -106,7 +106,7 @@
     /// Era of the store at the last read; it changes when the store is restored from an older copy.
     pub(super) store_era: Option<StoreEra>,
     /// Whether demand that can't be served has arrived since the last report to peers.
-    pub(super) urgent: bool,
+    pub(super) has_unserved_demand: bool,
 }
 
 /// Shared state of a gateway.
@@ -117,7 +117,7 @@
     /// Wakes the subscription loop after endpoints have appeared.
     pub(super) endpoints_appeared: Notify,
     /// Wakes the reporting loop when demand can't be served.
-    pub(super) pressed: Notify,
+    pub(super) demand_unserved: Notify,
     pub(super) zone: ZoneName,
     pub(super) inner_port: u16,
     /// The settings in force.
@@ -138,11 +138,11 @@
     pub(super) turn_asks: PendingCalls<TurnAnswer>,
     pub(super) claims: RingSender<DueClaim>,
     pub(super) shared_config: watch::Sender<Option<Arc<SiteConfig>>>,
-    pub(super) config_wanted: RingSender<SocketAddr>,
+    pub(super) config_sources: RingSender<SocketAddr>,
     /// HTTP client for endpoints.
     pub client: HttpClient,
-    able: Arc<AtomicBool>,
-    words: RingSender<StoreDelta>,
+    can_serve: Arc<AtomicBool>,
+    store_deltas: RingSender<StoreDelta>,
     pub(super) crash_changes: RingSender<CrashChange>,
     closed: AtomicBool,
     behind: AtomicBool,
@@ -163,12 +163,12 @@
                 bounds.retry_slack,
                 bounds.retry_window,
             ),
-            crashes: SuspectTable::default(),
-            cuts: AttemptWatch::default(),
+            suspects: SuspectTable::default(),
+            broken_attempts: AttemptWatch::default(),
             peers: PeerTable::new(settings.inner_address(), settings.processor),
             subscription_schedule: SubscriptionSchedule::default(),
             limits: HashMap::new(),
-            tenure: PartLeases::new(HolderIdentity {
+            leases: PartLeases::new(HolderIdentity {
                 address: settings.inner_address(),
                 boot: rand::random(),
                 started_at: ClockTime::ZERO,
@@ -181,15 +181,15 @@
             store_era: None,
             relayed: RelayQueue::default(),
             planner: LoadPlanner::default(),
-            judge: AdmissionController::new(rand::random()),
+            admission: AdmissionController::new(rand::random()),
             store_read_at: None,
-            urgent: false,
+            has_unserved_demand: false,
         };
         Self {
             state: Mutex::new(state),
             changed: Notify::new(),
             endpoints_appeared: Notify::new(),
-            pressed: Notify::new(),
+            demand_unserved: Notify::new(),
             zone: settings.zone.clone(),
             inner_port: settings.inner_port,
             name: settings.name.clone(),
@@ -203,15 +203,15 @@
             turn_asks: PendingCalls::default(),
             claims: inputs.claims,
             shared_config: inputs.shared_config,
-            config_wanted: inputs.config_wanted,
+            config_sources: inputs.config_sources,
             client: HttpClient::new(ClientLimits {
                 connect_timeout: CONNECT_TIMEOUT,
                 idle_timeout: IDLE_TIMEOUT,
                 max_idle_per_address: MAX_IDLE_PER_ENDPOINT,
                 discard_on_close: true,
             }),
-            able: inputs.able,
-            words: inputs.words,
+            can_serve: inputs.can_serve,
+            store_deltas: inputs.store_deltas,
             crash_changes: inputs.crash_changes,
             closed: AtomicBool::new(false),
             behind: AtomicBool::new(false),
@@ -225,7 +225,7 @@
     /// Records whether the timers of this process fire late.
     pub fn set_behind(&self, behind: bool) {
         if self.behind.swap(behind, Ordering::Relaxed) != behind {
-            let line = DecisionLine::new(LineWeight::Notable, "processor");
+            let line = DecisionLine::new(LinePriority::Notable, "processor");
             self.log.write(line.with("behind", behind));
         }
     }
@@ -254,7 +254,7 @@
     }
 
     /// Applies the result of a store read. A configuration is never replaced by an older version.
-    pub fn take_records(&self, config: Option<Arc<SiteConfig>>, endpoints: Vec<EndpointRecord>) {
+    pub fn apply_records(&self, config: Option<Arc<SiteConfig>>, endpoints: Vec<EndpointRecord>) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.store_read_at = Some(now);
@@ -273,11 +273,11 @@
         self.metrics.endpoints.set(gauge_value(count));
         self.metrics.store_age_ms.set(0);
         for change in &changes {
-            let line = DecisionLine::new(LineWeight::Notable, "directory");
+            let line = DecisionLine::new(LinePriority::Notable, "directory");
             self.log.write(line.with("change", format!("{change:?}")));
         }
         self.settle_cuts();
-        self.able.store(is_able, Ordering::Relaxed);
+        self.can_serve.store(is_able, Ordering::Relaxed);
         if !changes.is_empty() {
             self.endpoints_appeared.notify_one();
             self.changed.notify_waiters();
@@ -293,7 +293,8 @@
         let is_restored = known.is_some_and(|known| known != era);
         if is_restored {
             state.directory.note_store_restored(now);
-            let line = DecisionLine::new(LineWeight::Notable, "store came back from an older copy");
+            let line =
+                DecisionLine::new(LinePriority::Notable, "store came back from an older copy");
             self.log.write(line.with("era", era));
         }
         is_restored
@@ -301,7 +302,7 @@
 
     /// Sends the changes found in the store to the other gateways of the availability zone, so that they need not
     /// read it.
-    pub fn tell_word(&self, delta: StoreDelta) {
+    pub fn broadcast_store_delta(&self, delta: StoreDelta) {
         let now = self.clock.now();
         let peers: Vec<SocketAddr> = self.lock().peers.in_zone(&self.zone, now).collect();
         let message = InnerMessage::StoreSeen(Box::new(delta));
@@ -311,13 +312,13 @@
     }
 
     /// Queues a store delta from another gateway of the availability zone.
-    pub fn take_store_word(&self, delta: StoreDelta) {
+    pub fn queue_store_delta(&self, delta: StoreDelta) {
         // A full ring counts what it drops. The store is then read at the usual time, as without the delta.
-        let _ = self.words.try_send(delta);
+        let _ = self.store_deltas.try_send(delta);
     }
 
     /// Records that the store still holds what is known here.
-    pub fn note_store_same(&self) {
+    pub fn note_store_unchanged(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.store_read_at = Some(now);
@@ -336,13 +337,13 @@
     }
 
     /// Applies an engine update from a sidecar, and queues it for the other gateways of the availability zone.
-    pub fn take_spread(&self, update: EngineUpdate) {
+    pub fn relay_update(&self, update: EngineUpdate) {
         self.lock().relayed.push(update.clone());
         self.apply_engine_update(update);
     }
 
     /// Applies engine updates that a relay passed on.
-    pub fn take_relayed(&self, updates: Vec<EngineUpdate>) {
+    pub fn apply_relayed(&self, updates: Vec<EngineUpdate>) {
         for update in updates {
             self.lock().relayed.note_forwarded(&update);
             self.apply_engine_update(update);
@@ -391,7 +392,7 @@
 
     /// Returns a refusal whose retry time is randomly spread.
     pub fn refusal(&self, cause: RefusalCause, after: Duration) -> Refusal {
-        self.lock().judge.refusal(cause, after)
+        self.lock().admission.refusal(cause, after)
     }
 }
 
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -20,7 +20,7 @@
 
 use super::core::{CoreState, GatewayCore};
 use super::placement::RequestContext;
-use crate::decisions::{DecisionLine, LineWeight, wall_clock_ms};
+use crate::decisions::{DecisionLine, LinePriority, wall_clock_ms};
 
 /// The number of crashes in one datagram; at about 150 bytes each they fit into a packet.
 const CRASHES_PER_MESSAGE: usize = 8;
@@ -30,8 +30,8 @@
     pub(super) fn suspect_verdict(&self, context: &RequestContext) -> SuspectVerdict {
         let now = self.clock.now();
         let state = self.lock();
-        let open = state.cuts.count_unresolved(&context.fingerprint);
-        state.crashes.evaluate(&context.fingerprint, open, now)
+        let open = state.broken_attempts.count_unresolved(&context.fingerprint);
+        state.suspects.evaluate(&context.fingerprint, open, now)
     }
 
     /// Records what the end of an attempt reveals about its request, and about others that were cut off at the same
@@ -45,7 +45,7 @@
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.crashes.end_run(&context.fingerprint);
+        state.suspects.end_run(&context.fingerprint);
         match outcome {
             RequestOutcome::Broken => {
                 record_broken_attempt(&mut state, context, endpoint, sent, now);
@@ -63,11 +63,13 @@
     pub(super) fn settle_cuts(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
-        if state.cuts.is_empty() {
+        if state.broken_attempts.is_empty() {
             return;
         }
         let CoreState {
-            cuts, directory, ..
+            broken_attempts: cuts,
+            directory,
+            ..
         } = &mut *state;
         let found = cuts.resolve(now, |cut| {
             directory.liveness(&cut.site.endpoint, cut.index, cut.at, now)
@@ -76,12 +78,12 @@
             return;
         }
         for record in &found {
-            if let Some(status) = state.crashes.note_crash(record, now) {
+            if let Some(status) = state.suspects.note_crash(record, now) {
                 self.log_suspect(record, &status, "seen");
             }
             self.queue_store_change(CrashChange::Put(record.clone()));
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
         let peers: Vec<SocketAddr> = state.peers.known(now).collect();
         drop(state);
         for records in found.chunks(CRASHES_PER_MESSAGE) {
@@ -94,14 +96,14 @@
         let now = self.clock.now();
         let mut state = self.lock();
         for record in records {
-            let status = state.crashes.note_crash(record, now);
+            let status = state.suspects.note_crash(record, now);
             // The gateway that saw the crash has logged the suspicion already; every other gateway would log it
             // again.
             if let Some(status) = status.filter(|status| status.is_barred) {
                 self.log_suspect(record, &status, "told");
             }
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
     }
 
     /// Handles a read of the store, which lists these crashes and no others. If `has_returned` is set, the store
@@ -109,23 +111,23 @@
     pub fn apply_stored_crashes(&self, records: &[CrashRecord], has_returned: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let barred_before = state.crashes.barred(now);
+        let barred_before = state.suspects.barred(now);
         if has_returned {
-            let lost = state.crashes.apply_restored(records, now);
+            let lost = state.suspects.apply_restored(records, now);
             for record in lost {
                 self.queue_store_change(CrashChange::Put(record));
             }
         } else {
-            state.crashes.apply_stored(records, now);
+            state.suspects.apply_stored(records, now);
         }
-        let barred = state.crashes.barred(now);
+        let barred = state.suspects.barred(now);
         if barred != barred_before {
-            let line = DecisionLine::new(LineWeight::Notable, "crashes read")
-                .with("suspects", state.crashes.suspects())
+            let line = DecisionLine::new(LinePriority::Notable, "crashes read")
+                .with("suspects", state.suspects.suspects())
                 .with("barred", barred);
             self.log.write(line);
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
     }
 
     /// Handles a report of another gateway that these requests completed.
@@ -133,9 +135,9 @@
         let now = self.clock.now();
         let mut state = self.lock();
         for fingerprint in fingerprints {
-            state.crashes.clear(fingerprint);
+            state.suspects.clear(fingerprint);
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
     }
 
     /// Expires old suspicions, here and in the store. The gateway that runs the planner expires them for all
@@ -143,17 +145,17 @@
     pub(super) fn expire_suspects(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let evicted = state.crashes.take_evicted();
+        let evicted = state.suspects.take_evicted();
         if !evicted.is_empty() {
-            let line = DecisionLine::new(LineWeight::Notable, "suspects pushed out")
+            let line = DecisionLine::new(LinePriority::Notable, "suspects pushed out")
                 .with("crashes", evicted.len());
             self.log.write(line);
         }
         if !state.peers.is_planner(now) {
             return;
         }
-        let expired = state.crashes.expire(now);
-        self.update_suspect_metrics(&state.crashes, now);
+        let expired = state.suspects.expire(now);
+        self.update_suspect_metrics(&state.suspects, now);
         for record in expired.into_iter().chain(evicted) {
             self.queue_store_change(CrashChange::Remove(record));
         }
@@ -165,18 +167,18 @@
         fingerprint: &RequestFingerprint,
         now: ClockTime,
     ) {
-        let records = state.crashes.clear(fingerprint);
+        let records = state.suspects.clear(fingerprint);
         if records.is_empty() {
             return;
         }
-        let line = DecisionLine::new(LineWeight::Notable, "request cleared")
+        let line = DecisionLine::new(LinePriority::Notable, "request cleared")
             .with("fingerprint", fingerprint.to_string())
             .with("crashes", records.len());
         self.log.write(line);
         for record in records {
             self.queue_store_change(CrashChange::Remove(record));
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
         let peers: Vec<SocketAddr> = state.peers.known(now).collect();
         self.send_to_peers(&peers, &InnerMessage::CrashesCleared(vec![*fingerprint]));
     }
@@ -187,7 +189,7 @@
         } else {
             "request suspected"
         };
-        let line = DecisionLine::new(LineWeight::Notable, decision)
+        let line = DecisionLine::new(LinePriority::Notable, decision)
             .with("fingerprint", record.fingerprint.to_string())
             .with("host", &*record.origin.host)
             .with(
@@ -233,7 +235,7 @@
     else {
         return;
     };
-    state.cuts.add(BrokenAttempt {
+    state.broken_attempts.add(BrokenAttempt {
         fingerprint: context.fingerprint,
         origin: RequestOrigin {
             host: context.route.host.clone(),
--- a/crates/oatpier-gateway/src/gateway/exchanges.rs
+++ b/crates/oatpier-gateway/src/gateway/exchanges.rs
@@ -13,9 +13,9 @@
 use super::planning::plan;
 use super::reports::{PeerReporter, report};
 use super::subscriptions::subscribe;
-use crate::exchange::InnerSocket;
+use crate::exchange::MessageSocket;
 use crate::parts_writer::ClaimResult;
-use crate::records::StoreNews;
+use crate::store_reader::StoreEvent;
 
 /// The interval at which reports of sidecars are relayed. A relay receives reports from about twenty engines in
 /// that time, which fit into one or two packets.
@@ -30,7 +30,7 @@
 /// What the other duties of the process send to this one.
 pub struct ExchangeInputs {
     /// The results of reading the store.
-    pub news: RingReceiver<StoreNews>,
+    pub news: RingReceiver<StoreEvent>,
     /// The results of claiming parts of limits.
     pub claims: RingReceiver<ClaimResult>,
     /// Configurations fetched from other gateways.
@@ -40,7 +40,7 @@
 /// Exchanges messages until the process ends.
 pub async fn run(
     core: Arc<GatewayCore>,
-    socket: &InnerSocket,
+    socket: &MessageSocket,
     inputs: ExchangeInputs,
     stop: &StopSignal,
 ) {
@@ -57,26 +57,26 @@
     );
 }
 
-async fn receive_messages(core: &GatewayCore, socket: &InnerSocket) {
+async fn receive_messages(core: &GatewayCore, socket: &MessageSocket) {
     loop {
         let (from, message) = socket.receive().await;
         match message {
             InnerMessage::Status(status) => core.apply_status(*status),
-            InnerMessage::Spread(update) => core.take_spread(update),
-            InnerMessage::Relayed(updates) => core.take_relayed(updates),
+            InnerMessage::Spread(update) => core.relay_update(update),
+            InnerMessage::Relayed(updates) => core.apply_relayed(updates),
             InnerMessage::Peer(report) => {
-                core.take_config_standing(from, report.config);
+                core.apply_config_status(from, report.config);
                 let now = core.clock.now();
                 core.lock().peers.apply_report(from, *report, now);
             }
             InnerMessage::Permit(grant) => core.take_permit(grant),
-            InnerMessage::QuotaAsk(ask) => core.take_quota_ask(from, &ask),
-            InnerMessage::QuotaAnswer(answer) => core.take_quota_answer(answer),
+            InnerMessage::QuotaAsk(ask) => core.answer_quota_ask(from, &ask),
+            InnerMessage::QuotaAnswer(answer) => core.complete_quota_ask(answer),
             InnerMessage::TurnAsk(ask) => core.answer_turn_ask(from, &ask),
             InnerMessage::TurnAnswer(reply) => core.complete_turn_ask(reply),
             InnerMessage::LimitSeen(report) => core.apply_limit_report(&report),
             InnerMessage::LeavingSeen(report) => core.apply_leaving_report(&report),
-            InnerMessage::StoreSeen(word) => core.take_store_word(*word),
+            InnerMessage::StoreSeen(delta) => core.queue_store_delta(*delta),
             InnerMessage::CrashesSeen(records) => core.apply_crashes(&records),
             InnerMessage::CrashesCleared(requests) => core.apply_cleared(&requests),
             // Messages to sidecars.
@@ -92,30 +92,30 @@
     }
 }
 
-async fn apply_store_news(core: &GatewayCore, news: &RingReceiver<StoreNews>, stop: &StopSignal) {
+async fn apply_store_news(core: &GatewayCore, news: &RingReceiver<StoreEvent>, stop: &StopSignal) {
     while let Some(news) = news.receive().await {
         match news {
-            StoreNews::Read {
+            StoreEvent::Read {
                 config,
                 endpoints,
                 crashes,
                 parts,
                 era,
-                word,
+                delta,
             } => {
                 let has_returned = core.note_era(era);
                 // The crashes must be known before the first configuration makes this gateway serve requests.
                 core.apply_stored_crashes(&crashes, has_returned);
-                core.take_parts(&parts, era);
+                core.apply_parts(&parts, era);
                 // A part holder that has just started resumes its parts at once, because their workspaces wait
                 // until then.
-                core.tend_parts(stop.phase() != StopPhase::Serving);
-                core.take_records(config, endpoints);
-                core.tell_word(word);
+                core.maintain_parts(stop.phase() != StopPhase::Serving);
+                core.apply_records(config, endpoints);
+                core.broadcast_store_delta(delta);
             }
-            StoreNews::Told { endpoints } => core.take_records(None, endpoints),
-            StoreNews::Same => core.note_store_same(),
-            StoreNews::Failed => core.note_store_failure(),
+            StoreEvent::Patched { endpoints } => core.apply_records(None, endpoints),
+            StoreEvent::Unchanged => core.note_store_unchanged(),
+            StoreEvent::Failed => core.note_store_failure(),
         }
     }
     std::future::pending::<()>().await;
@@ -123,7 +123,7 @@
 
 async fn apply_fetched_configs(core: &GatewayCore, fetched: &RingReceiver<Arc<SiteConfig>>) {
     while let Some(config) = fetched.receive().await {
-        core.take_passed_config(config);
+        core.apply_fetched_config(config);
     }
     std::future::pending::<()>().await;
 }
@@ -156,10 +156,10 @@
     count_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            _ = ticks.tick() => core.tend_parts(stop.phase() != StopPhase::Serving),
-            _ = count_ticks.tick() => core.count_limit_use(),
+            _ = ticks.tick() => core.maintain_parts(stop.phase() != StopPhase::Serving),
+            _ = count_ticks.tick() => core.report_limit_use(),
             result = claims.receive() => match result {
-                Some(result) => core.take_claim(result),
+                Some(result) => core.apply_claim(result),
                 None => break,
             },
         }
--- a/crates/oatpier-gateway/src/gateway/handler.rs
+++ b/crates/oatpier-gateway/src/gateway/handler.rs
@@ -27,7 +27,7 @@
 use super::placement::RequestContext;
 use super::quota::{self, ChargeCell};
 use super::run::RequestRun;
-use crate::decisions::{DecisionLine, LineWeight};
+use crate::decisions::{DecisionLine, LinePriority};
 
 /// The `Retry-After` of an overloaded gateway; the next attempt reaches another one.
 const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(60);
@@ -89,7 +89,8 @@
     let mut context = match build_context(core, route, identity, &message, arrived) {
         Ok(context) => context,
         Err(error) => {
-            core.metrics.answered("", OwnAnswer::Malformed.as_str());
+            core.metrics
+                .count_request("", OwnAnswer::Malformed.as_str());
             return OwnAnswer::Malformed.reply_with_text("", &error.to_string());
         }
     };
@@ -111,7 +112,7 @@
         return Ok(());
     };
     let units = rule.cost(&context.request);
-    let max_wait = quota::unit_patience(&context.route);
+    let max_wait = quota::max_unit_wait(&context.route);
     let charge = quota::charge(core, workspace, units, max_wait).await?;
     context.charge = ChargeCell::new(Some(charge));
     Ok(())
@@ -139,19 +140,19 @@
 
 fn reject_early(core: &GatewayCore, head: &Parts, response: OwnAnswer) -> Reply {
     let id = headers::decode_request(&head.headers).map_or(String::new(), |call| call.id);
-    let line = DecisionLine::new(LineWeight::Notable, "answer")
+    let line = DecisionLine::new(LinePriority::Notable, "answer")
         .with("request", id.as_str())
         .with("outcome", response.as_str())
         .with("path", head.uri.path());
     core.log.write(line);
-    core.metrics.answered("", response.as_str());
+    core.metrics.count_request("", response.as_str());
     response.reply(&id)
 }
 
 /// Responds to a request that exceeds, or may exceed, the limit of its workspace.
 fn reject_over_limit(core: &GatewayCore, context: &RequestContext, response: OwnAnswer) -> Reply {
     let id = context.request.id.as_str();
-    let mut line = DecisionLine::new(LineWeight::Notable, "answer")
+    let mut line = DecisionLine::new(LinePriority::Notable, "answer")
         .with("request", id)
         .with("outcome", response.as_str())
         .with("route", context.route.name.as_str());
@@ -164,11 +165,11 @@
             .with("burst", limit.map(|rule| rule.burst));
         core.metrics
             .workspaces
-            .asked(&workspace.name, response.as_str());
+            .count_request(&workspace.name, response.as_str());
     }
     core.log.write(line);
     core.metrics
-        .answered(context.route.name.as_str(), response.as_str());
+        .count_request(context.route.name.as_str(), response.as_str());
     response.reply(id)
 }
 
--- a/crates/oatpier-gateway/src/gateway/identity.rs
+++ b/crates/oatpier-gateway/src/gateway/identity.rs
@@ -91,7 +91,7 @@
     /// if a newer configuration may contain it. The response is final for the caller, so it is given only if this
     /// gateway would know a configuration that contains it by now. Otherwise the next gateway may know it.
     pub(super) fn or_outdated(&self, response: OwnAnswer) -> OwnAnswer {
-        if self.is_current() {
+        if self.is_config_current() {
             response
         } else {
             OwnAnswer::Outdated
--- a/crates/oatpier-gateway/src/gateway/mod.rs
+++ b/crates/oatpier-gateway/src/gateway/mod.rs
@@ -64,11 +64,11 @@
 
 use crate::config_share::{ConfigShareInputs, share_config};
 use crate::crash_writer::{CrashWriterInputs, write_crashes};
-use crate::exchange::{InnerSocket, MessageOutlet};
+use crate::exchange::{MessageOutlet, MessageSocket};
 use crate::node_process::{NodeProcess, ProcessInputs};
 use crate::parts_writer::{ClaimResult, PartsWriterInputs, write_parts};
-use crate::records::{ReaderInputs, StoreNews, read_store};
 use crate::reload::{SettingsFeed, SettingsSource};
+use crate::store_reader::{ReaderInputs, StoreEvent, read_store};
 
 use self::core::{CoreInputs, GatewayCore};
 use self::exchanges::ExchangeInputs;
@@ -112,7 +112,7 @@
     listener: TcpListener,
     socket: UdpSocket,
     core: CoreInputs,
-    news: RingReceiver<StoreNews>,
+    events: RingReceiver<StoreEvent>,
     claims: RingReceiver<ClaimResult>,
     fetched: RingReceiver<Arc<SiteConfig>>,
     stop: StopSignal,
@@ -140,17 +140,17 @@
         purpose: "gateways and sidecars",
         cause,
     })?;
-    let able = Arc::default();
+    let can_serve = Arc::default();
     let process_inputs = ProcessInputs {
         source,
         metrics_listener,
         readiness_listener,
-        can_serve: Arc::clone(&able),
+        can_serve: Arc::clone(&can_serve),
     };
     let mut node = NodeProcess::start(settings, process_inputs);
     let stop = node.process.stop.clone();
-    let (news_sender, news) = ring(EVENT_RING, RingRule::Wait, node.metrics.ring_full.clone());
-    let (word_sender, words) = ring(DELTA_RING, RingRule::Drop, node.metrics.ring_full.clone());
+    let (event_sender, events) = ring(EVENT_RING, RingRule::Wait, node.metrics.ring_full.clone());
+    let (delta_sender, deltas) = ring(DELTA_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (crash_sender, crash_changes) =
         ring(CRASH_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (claim_sender, due_claims) =
@@ -162,13 +162,13 @@
         ring(FETCH_RING, RingRule::Wait, node.metrics.ring_full.clone());
     let core = CoreInputs {
         shared_config,
-        config_wanted: wanted_sender,
+        config_sources: wanted_sender,
         claims: claim_sender,
         clock: RuntimeClock::start(),
         metrics: node.metrics.clone(),
         log: node.log,
-        able,
-        words: word_sender,
+        can_serve,
+        store_deltas: delta_sender,
         crash_changes: crash_sender,
     };
     let writer_inputs = CrashWriterInputs {
@@ -197,8 +197,8 @@
     node.process.spawn("parts", || write_parts(parts_inputs));
     let reader_inputs = ReaderInputs {
         settings: node.settings.clone(),
-        news: news_sender,
-        words,
+        events: event_sender,
+        deltas,
         metrics: node.metrics,
         stop: stop.clone(),
     };
@@ -208,7 +208,7 @@
         listener,
         socket,
         core,
-        news,
+        events,
         claims,
         fetched,
         stop,
@@ -221,7 +221,7 @@
 /// Serves callers until, after a stop, the last request is answered.
 async fn run_callers(inputs: CallersInputs) {
     let stop = inputs.stop.clone();
-    let socket = match InnerSocket::new(inputs.socket, inputs.core.metrics.clone()) {
+    let socket = match MessageSocket::new(inputs.socket, inputs.core.metrics.clone()) {
         Ok(socket) => Arc::new(socket),
         Err(error) => {
             spdlog::critical!("failed to register the socket with the runtime", kv: { error: = error.to_string() });
@@ -232,7 +232,7 @@
     let outlet: Arc<dyn MessageOutlet> = Arc::clone(&socket) as Arc<dyn MessageOutlet>;
     let core = Arc::new(GatewayCore::new(inputs.settings, inputs.core, outlet));
     let exchange_inputs = ExchangeInputs {
-        news: inputs.news,
+        news: inputs.events,
         claims: inputs.claims,
         fetched: inputs.fetched,
     };
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -8,7 +8,7 @@
 use oatpier_types::names::EndpointName;
 
 use super::core::{CoreState, GatewayCore};
-use crate::decisions::{DecisionLine, LineWeight};
+use crate::decisions::{DecisionLine, LinePriority};
 use crate::notice_metrics::NoticeCounts;
 
 impl GatewayCore {
@@ -68,7 +68,7 @@
         change: NoticeChange,
         request: Option<&str>,
     ) {
-        self.metrics.notices.noticed(change.as_str());
+        self.metrics.notices.count_notice(change.as_str());
         self.log
             .write(notice_line(state, endpoint, change).with("request", request));
     }
@@ -77,7 +77,7 @@
     pub(super) fn show_notices(&self, state: &CoreState) {
         let now = self.clock.now();
         let directory = &state.directory;
-        self.metrics.notices.note_counts(NoticeCounts {
+        self.metrics.notices.set_counts(NoticeCounts {
             limited: directory.limited_count(),
             leaving: directory.leaving_count(),
             resting: directory.resting_count(now),
@@ -90,12 +90,12 @@
 fn notice_line(state: &CoreState, endpoint: &EndpointName, change: NoticeChange) -> DecisionLine {
     let weight = match change {
         NoticeChange::RateUnusable | NoticeChange::LeavingUnusable | NoticeChange::RestUnusable => {
-            LineWeight::Calm
+            LinePriority::Routine
         }
         NoticeChange::RateNamed(_)
         | NoticeChange::RateEnded
         | NoticeChange::Leaving
-        | NoticeChange::Rests(_) => LineWeight::Notable,
+        | NoticeChange::Rests(_) => LinePriority::Notable,
     };
     let rate = match change {
         NoticeChange::RateNamed(rate) => Some(rate.per_second()),
--- a/crates/oatpier-gateway/src/gateway/pending_calls.rs
+++ b/crates/oatpier-gateway/src/gateway/pending_calls.rs
@@ -15,7 +15,7 @@
 
 impl<T> Drop for PendingCall<'_, T> {
     fn drop(&mut self) {
-        self.calls.close(self.id);
+        self.calls.remove(self.id);
     }
 }
 
@@ -37,21 +37,21 @@
     /// Sends a call and waits for its answer. Returns `None` if the answer did not arrive in time.
     pub(super) async fn ask(&self, wait: Duration, send: impl FnOnce(u64)) -> Option<T> {
         let id = rand::random();
-        let answer = self.open(id);
+        let answer = self.register(id);
         let _open = PendingCall { calls: self, id };
         send(id);
         timeout(wait, answer).await.ok()?.ok()
     }
 
     /// Registers a call that is sent, and returns the channel on which its answer arrives.
-    pub(super) fn open(&self, id: u64) -> oneshot::Receiver<T> {
+    pub(super) fn register(&self, id: u64) -> oneshot::Receiver<T> {
         let (sender, receiver) = oneshot::channel();
         self.lock().insert(id, sender);
         receiver
     }
 
     /// Passes an answer to its call. The call may no longer be pending.
-    pub(super) fn take(&self, id: u64, answer: T) {
+    pub(super) fn complete(&self, id: u64, answer: T) {
         if let Some(waiting) = self.lock().remove(&id) {
             // The receiver may have been dropped at this moment. A permit then expires, and granted units are lost,
             // which only makes the limit stricter.
@@ -60,7 +60,7 @@
     }
 
     /// Removes a call whose answer is no longer needed.
-    pub(super) fn close(&self, id: u64) {
+    pub(super) fn remove(&self, id: u64) {
         self.lock().remove(&id);
     }
 
--- a/crates/oatpier-gateway/src/gateway/permits.rs
+++ b/crates/oatpier-gateway/src/gateway/permits.rs
@@ -89,7 +89,7 @@
 
 impl Drop for PendingPermit {
     fn drop(&mut self) {
-        self.core.permits.close(self.ask.id);
+        self.core.permits.remove(self.ask.id);
         let mut state = self.core.lock();
         state
             .directory
@@ -134,7 +134,7 @@
         is_urgent: admission::is_urgent(&context.route, context.priority()),
         priority: context.priority(),
     };
-    let mut answer = core.permits.open(ask.id);
+    let mut answer = core.permits.register(ask.id);
     let mut pending = PendingPermit::begin(core, placed, ask);
     loop {
         pending.send(context);
@@ -153,7 +153,7 @@
 impl GatewayCore {
     /// Accepts a permit that a sidecar granted.
     pub fn take_permit(&self, grant: PermitGrant) {
-        self.permits.take(grant.id, ());
+        self.permits.complete(grant.id, ());
     }
 
     /// Returns whether a request that waits for a permit at a full engine would find a free slot at another one.
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placing.rs
@@ -53,7 +53,7 @@
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, excluded, engine, now) {
             ChoiceOutcome::Endpoint(choice) => {
-                let decision = state.judge.decide(&AdmissionQuery {
+                let decision = state.admission.decide(&AdmissionQuery {
                     choice: &choice,
                     route: &context.route,
                     priority: context.priority(),
@@ -90,7 +90,7 @@
             }
             ChoiceOutcome::NoEndpoint => {
                 let refusal = state
-                    .judge
+                    .admission
                     .refusal(RefusalCause::NoEndpoint, NO_ENDPOINT_RETRY_AFTER);
                 PlacementRefusal::without_endpoint(refusal)
             }
@@ -121,7 +121,7 @@
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, &[], engine, self.clock.now()) {
             ChoiceOutcome::Throttled(throttled) => {
-                Some((state.judge.refuse_throttled(&throttled), throttled))
+                Some((state.admission.refuse_throttled(&throttled), throttled))
             }
             ChoiceOutcome::Endpoint(_)
             | ChoiceOutcome::NoModel { .. }
@@ -151,7 +151,7 @@
     /// Returns the refusal of a request that has waited for the maximum time.
     pub(super) fn refusal_if_wait_exceeded(&self, context: &RequestContext) -> Option<Refusal> {
         let has_exceeded_wait = context.has_exceeded_wait(self.clock.now());
-        has_exceeded_wait.then(|| self.lock().judge.refuse_late(Duration::ZERO))
+        has_exceeded_wait.then(|| self.lock().admission.refuse_late(Duration::ZERO))
     }
 
     fn place_at(
@@ -172,7 +172,7 @@
             if now.since(context.arrived) > context.max_adapter_wait() {
                 self.record_unserved(state, context, now);
                 let refusal = state
-                    .judge
+                    .admission
                     .refusal(RefusalCause::WeightsMissing, ADAPTER_RETRY_AFTER);
                 return Placement::Refuse(PlacementRefusal {
                     refusal,
@@ -242,7 +242,7 @@
         .remaining_wait(now)
         .saturating_sub(throttled.remaining);
     if spare_wait.is_zero() {
-        let refusal = state.judge.refuse_throttled(&throttled);
+        let refusal = state.admission.refuse_throttled(&throttled);
         return PlacementRefusal::throttled(refusal, throttled);
     }
     let delay = throttled.remaining + (spare_wait / REST_SPREAD_DIVISOR).min(MAX_REST_SPREAD);
@@ -290,7 +290,7 @@
         return Placement::WaitForChange(MODEL_POLL_INTERVAL);
     }
     let refusal = state
-        .judge
+        .admission
         .refusal(RefusalCause::WeightsMissing, pending.time_until_ready());
     PlacementRefusal::without_endpoint(refusal)
 }
--- a/crates/oatpier-gateway/src/gateway/planning.rs
+++ b/crates/oatpier-gateway/src/gateway/planning.rs
@@ -12,7 +12,7 @@
 
 use super::core::GatewayCore;
 use super::subscriptions::engine_services;
-use crate::decisions::{DecisionLine, LineWeight};
+use crate::decisions::{DecisionLine, LinePriority};
 
 /// Interval between planning rounds while nothing changes.
 const PLAN_INTERVAL: Duration = Duration::from_millis(150);
@@ -111,7 +111,7 @@
 
 fn log_blocked(core: &GatewayCore, blocked: &[BlockedLoad]) {
     for load in blocked {
-        let line = DecisionLine::new(LineWeight::Notable, "load not possible")
+        let line = DecisionLine::new(LinePriority::Notable, "load not possible")
             .with("model", load.model.as_str())
             .with("reason", load.reason.as_str())
             .with("want", (load.want * 100.0).round() / 100.0)
@@ -149,7 +149,7 @@
         let adapters = held.adapters.len();
         format!("{}+{adapters}", held.model)
     });
-    DecisionLine::new(LineWeight::Notable, "engine seen")
+    DecisionLine::new(LinePriority::Notable, "engine seen")
         .with("endpoint", row.record.name.as_str())
         .with("requests", row.request_count())
         .with("waiting", row.waiting())
@@ -164,7 +164,7 @@
 fn log_plan(core: &GatewayCore, planned: &PlannedLoad) {
     let reason = planned.reason.as_str();
     let unload = planned.advice.unload.iter().map(ToString::to_string);
-    let line = DecisionLine::new(LineWeight::Notable, "load advised")
+    let line = DecisionLine::new(LinePriority::Notable, "load advised")
         .with("endpoint", planned.endpoint.as_str())
         .with("model", planned.advice.load.as_str())
         .with("unload", unload.collect::<Vec<_>>())
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -21,12 +21,12 @@
 
 use super::answers::OwnAnswer;
 use super::core::{CoreState, GatewayCore};
-use crate::decisions::{DecisionLine, LineWeight};
+use crate::decisions::{DecisionLine, LinePriority};
 use crate::parts_writer::{ClaimResult, DueClaim};
 
 /// Timeout for a holder's answer: a few times the network latency between availability zones plus the scheduling delay
 /// of a busy processor. After that another holder is asked.
-pub(super) const ANSWER_WAIT: Duration = Duration::from_millis(40);
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Retry interval of a request that waits for units while no holder is known, as after a start.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -40,7 +40,7 @@
 const MAX_WAIT: Duration = Duration::from_millis(250);
 
 /// Returns how long a request of a route may wait for units.
-pub(super) fn unit_patience(route: &RouteRule) -> Duration {
+pub(super) fn max_unit_wait(route: &RouteRule) -> Duration {
     route.target.mul_f64(WAIT_SHARE).min(MAX_WAIT)
 }
 
@@ -202,28 +202,28 @@
         });
         core.outlet.send(ask.holder, &message);
     };
-    core.quota_asks.ask(ANSWER_WAIT, send).await
+    core.quota_asks.ask(ANSWER_TIMEOUT, send).await
 }
 
 impl GatewayCore {
     fn over_limit(&self, after: Duration) -> OwnAnswer {
-        OwnAnswer::OverLimit(self.lock().judge.jitter(after))
+        OwnAnswer::OverLimit(self.lock().admission.jitter(after))
     }
 
     fn limit_unknown(&self) -> OwnAnswer {
-        OwnAnswer::LimitUnknown(self.lock().judge.jitter(UNREACHABLE_RETRY))
+        OwnAnswer::LimitUnknown(self.lock().admission.jitter(UNREACHABLE_RETRY))
     }
 
     /// Answers another gateway's request for units of a part that this gateway holds.
-    pub fn take_quota_ask(&self, from: SocketAddr, ask: &QuotaAsk) {
+    pub fn answer_quota_ask(&self, from: SocketAddr, ask: &QuotaAsk) {
         let answer = self.grant_units(ask.part, &ask.workspace, ask.wanted);
         let message = InnerMessage::QuotaAnswer(QuotaAnswer { id: ask.id, answer });
         self.outlet.send(from, &message);
     }
 
     /// Handles a holder's answer to a request for units.
-    pub fn take_quota_answer(&self, answer: QuotaAnswer) {
-        self.quota_asks.take(answer.id, answer.answer);
+    pub fn complete_quota_ask(&self, answer: QuotaAnswer) {
+        self.quota_asks.complete(answer.id, answer.answer);
     }
 
     fn grant_units(
@@ -238,7 +238,7 @@
         let Some(rule) = state.limits.get(workspace).copied() else {
             return PartAnswer::NotHeld;
         };
-        if !state.tenure.holds(part, now) {
+        if !state.leases.holds(part, now) {
             return PartAnswer::NotHeld;
         }
         let terms = bounds.bucket_params(&rule);
@@ -248,20 +248,20 @@
     }
 
     /// Applies the holders of the limit parts as read from the store.
-    pub fn take_parts(&self, parts: &[PartEntry], era: StoreEra) {
+    pub fn apply_parts(&self, parts: &[PartEntry], era: StoreEra) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let changes = state.tenure.apply_read(parts, era, now);
+        let changes = state.leases.apply_read(parts, era, now);
         self.apply_lease_changes(&mut state, changes);
     }
 
     /// Applies the result of a claim.
-    pub fn take_claim(&self, result: ClaimResult) {
+    pub fn apply_claim(&self, result: ClaimResult) {
         let now = self.clock.now();
         let mut state = self.lock();
         let ClaimResult { due, outcome } = result;
         let change = state
-            .tenure
+            .leases
             .apply_outcome(&due.claim, outcome, due.sent_at, now);
         self.apply_lease_changes(&mut state, change);
     }
@@ -280,16 +280,16 @@
                 }
                 LeaseChange::Ended(part) => state.holder.remove_part(part),
             }
-            let line = DecisionLine::new(LineWeight::Notable, "limit part");
+            let line = DecisionLine::new(LinePriority::Notable, "limit part");
             self.log.write(line.with("change", format!("{change:?}")));
         }
-        let holders = state.tenure.holders();
+        let holders = state.leases.holders();
         state.grants.holders_mut().set(holders);
     }
 
     /// Counts and logs the units that workspaces requested from the parts held here. Writes one line for each
     /// workspace that was refused units.
-    pub(super) fn count_limit_use(&self) {
+    pub(super) fn report_limit_use(&self) {
         let uses = self.lock().holder.take_use_counts();
         for used in uses {
             let workspace = &used.workspace;
@@ -303,7 +303,7 @@
             self.metrics
                 .workspaces
                 .count_units(workspace, "refused", units.refused);
-            let line = DecisionLine::new(LineWeight::Notable, "limit use")
+            let line = DecisionLine::new(LinePriority::Notable, "limit use")
                 .with("workspace", workspace.as_str())
                 .with("granted", units.granted)
                 .with("refused", units.refused)
@@ -313,7 +313,7 @@
     }
 
     /// Claims and renews parts that are due; gives them back if this gateway is leaving.
-    pub(super) fn tend_parts(&self, is_leaving: bool) {
+    pub(super) fn maintain_parts(&self, is_leaving: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
         let priority = ClaimPriority {
@@ -321,7 +321,7 @@
             is_eligible: !is_leaving,
         };
         let released = if is_leaving {
-            state.tenure.release(now)
+            state.leases.release(now)
         } else {
             Vec::new()
         };
@@ -329,7 +329,7 @@
             state.holder.remove_part(claim.record.part);
         }
         let mut claims = released;
-        while let Some(claim) = state.tenure.next_claim(priority, now) {
+        while let Some(claim) = state.leases.next_claim(priority, now) {
             claims.push(claim);
         }
         drop(state);
--- a/crates/oatpier-gateway/src/gateway/reports.rs
+++ b/crates/oatpier-gateway/src/gateway/reports.rs
@@ -53,7 +53,7 @@
         let now = self.core.clock.now();
         let mut state = self.core.lock();
         let demand = state.demand.summary(now);
-        state.urgent = false;
+        state.has_unserved_demand = false;
         let uses = state.directory.model_uses();
         let peers = state.peers.addresses(&self.core.zone, now);
         let receives_demand = state.peers.receives_demand(now);
@@ -85,7 +85,7 @@
     fn send_unserved(&mut self) {
         let now = self.core.clock.now();
         let mut state = self.core.lock();
-        state.urgent = false;
+        state.has_unserved_demand = false;
         let demand = state.demand.unserved_summary(now);
         let peers = state.peers.addresses(&self.core.zone, now);
         let own = state.peers.own();
@@ -155,7 +155,7 @@
                 number = number.wrapping_add(1);
                 reporter.send_full(number);
             }
-            () = reporter.core.pressed.notified() => {
+            () = reporter.core.demand_unserved.notified() => {
                 sleep(UNSERVED_DELAY).await;
                 reporter.send_unserved();
             }
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -200,7 +200,7 @@
 
     /// Renews the quota charge of a request that waited longer than its charge is valid.
     async fn renew_charge(&self) -> Result<(), OwnAnswer> {
-        let max_wait = quota::unit_patience(&self.context.route);
+        let max_wait = quota::max_unit_wait(&self.context.route);
         let renewed = quota::renew_charge(&self.core, &self.context.charge, max_wait).await;
         renewed.map_err(|response| self.unless_run(response))
     }
@@ -378,7 +378,7 @@
         endpoint: &EndpointName,
         failure: AttemptFailure,
     ) -> Option<OwnAnswer> {
-        self.core.metrics.attempted(failure.as_str());
+        self.core.metrics.count_attempt(failure.as_str());
         self.is_sending = false;
         self.ended_verdict = self.ended_verdict.and(failure.verdict());
         self.context
--- a/crates/oatpier-gateway/src/gateway/run_log.rs
+++ b/crates/oatpier-gateway/src/gateway/run_log.rs
@@ -10,12 +10,12 @@
 use super::pauses::StreamPause;
 use super::placement::PlacedSend;
 use super::run::RequestRun;
-use crate::decisions::{DecisionLine, LineWeight};
+use crate::decisions::{DecisionLine, LinePriority};
 
 impl RequestRun {
     /// Logs a failed attempt.
     pub(super) fn log_failure(&self, placed: &PlacedSend, failure: AttemptFailure) {
-        let line = DecisionLine::new(LineWeight::Notable, "attempt failed")
+        let line = DecisionLine::new(LinePriority::Notable, "attempt failed")
             .with("request", self.context.request.id.as_str())
             .with("fingerprint", self.context.fingerprint.short())
             .with("endpoint", placed.choice.endpoint.as_str())
@@ -40,7 +40,7 @@
             "cut at the caller"
         };
         let waited = self.core.clock.now().since(self.context.arrived);
-        let line = DecisionLine::new(LineWeight::Notable, "stream broke off")
+        let line = DecisionLine::new(LinePriority::Notable, "stream broke off")
             .with("request", self.context.request.id.as_str())
             .with("fingerprint", self.context.fingerprint.short())
             .with("endpoint", endpoint.as_str())
@@ -48,7 +48,7 @@
             .with("outcome", outcome)
             .with("waited_ms", millis(waited));
         self.core.log.write(line);
-        self.core.metrics.attempted(failure.as_str());
+        self.core.metrics.count_attempt(failure.as_str());
     }
 
     /// Logs why a complete stream was late, if it was.
@@ -65,7 +65,7 @@
             (false, true) => "pause",
             (true, true) => "start and pause",
         };
-        let line = DecisionLine::new(LineWeight::Notable, "stream late")
+        let line = DecisionLine::new(LinePriority::Notable, "stream late")
             .with("request", self.context.request.id.as_str())
             .with("route", self.context.route.name.as_str())
             .with("endpoint", endpoint.as_str())
@@ -85,15 +85,15 @@
     /// Logs a response that an endpoint sent.
     pub(super) fn log_response(&self, status: StatusCode) {
         let (outcome, weight) = if status.is_success() {
-            ("answered", LineWeight::Calm)
+            ("answered", LinePriority::Routine)
         } else {
-            ("endpoint-error", LineWeight::Notable)
+            ("endpoint-error", LinePriority::Notable)
         };
         let line = self.answer_line(weight, outcome);
         self.core.log.write(line.with("status", status.as_u16()));
         self.core
             .metrics
-            .answered(self.context.route.name.as_str(), outcome);
+            .count_request(self.context.route.name.as_str(), outcome);
     }
 
     /// Logs a response that the gateway generated itself.
@@ -103,7 +103,7 @@
         let best = self.best_choice.as_ref();
         let throttled = self.throttled.as_ref();
         let line = self
-            .answer_line(LineWeight::Notable, response.as_str())
+            .answer_line(LinePriority::Notable, response.as_str())
             .with("fingerprint", self.context.fingerprint.short())
             .with("best", best.map(|choice| choice.endpoint.to_string()))
             .with(
@@ -133,10 +133,10 @@
         self.core.log.write(line);
         self.core
             .metrics
-            .answered(self.context.route.name.as_str(), response.as_str());
+            .count_request(self.context.route.name.as_str(), response.as_str());
     }
 
-    fn answer_line(&self, weight: LineWeight, outcome: &'static str) -> DecisionLine {
+    fn answer_line(&self, weight: LinePriority, outcome: &'static str) -> DecisionLine {
         let context = &self.context;
         let waited = self.core.clock.now().since(context.arrived);
         DecisionLine::new(weight, "answer")
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -18,7 +18,7 @@
 
 use super::core::{CoreState, GatewayCore};
 use super::placing::STOP_CHECK_INTERVAL;
-use super::quota::ANSWER_WAIT;
+use super::quota::ANSWER_TIMEOUT;
 
 /// The outcome of a turn request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -114,7 +114,7 @@
             };
             self.outlet.send(query.holder, &InnerMessage::TurnAsk(ask));
         };
-        self.turn_asks.ask(ANSWER_WAIT, send).await
+        self.turn_asks.ask(ANSWER_TIMEOUT, send).await
     }
 
     /// Handles the request of another gateway for a turn of a part that this gateway holds.
@@ -127,7 +127,7 @@
 
     /// Handles the answer of the holder of a part to a turn request.
     pub fn complete_turn_ask(&self, reply: TurnReply) {
-        self.turn_asks.take(reply.id, reply.answer);
+        self.turn_asks.complete(reply.id, reply.answer);
     }
 
     /// Grants a turn according to the newest report of the limit, which may come with the request.
@@ -140,7 +140,7 @@
         let Some(rate) = known.or(limit.rate) else {
             return TurnAnswer::NotHeld;
         };
-        if !state.tenure.holds(part, now) {
+        if !state.leases.holds(part, now) {
             return TurnAnswer::NotHeld;
         }
         state
--- a/crates/oatpier-gateway/src/lib.rs
+++ b/crates/oatpier-gateway/src/lib.rs
@@ -3,7 +3,7 @@
 //! | process | thread | module | purpose |
 //! | --- | --- | --- | --- |
 //! | gateway | callers | [`gateway`] | accepts requests, sends them to endpoints and answers; receives status updates and reports, plans loads |
-//! | gateway | records | [`records`] | reads configuration and registry from the store |
+//! | gateway | records | [`store_reader`] | reads configuration and registry from the store |
 //! | gateway | crashes | [`crash_writer`] | writes to the store which requests were running at endpoints when these ended |
 //! | gateway | config | [`config_share`] | shares the configuration with gateways that can't read the store |
 //! | gateway | parts | [`parts_writer`] | claims and renews parts of workspaces' limits in the store |
@@ -25,7 +25,7 @@
 pub mod notice_metrics;
 pub mod observe;
 pub mod parts_writer;
-pub mod records;
 pub mod reload;
 pub mod sidecar;
+pub mod store_reader;
 pub mod workspace_metrics;
--- a/crates/oatpier-gateway/src/metrics.rs
+++ b/crates/oatpier-gateway/src/metrics.rs
@@ -130,7 +130,7 @@
     }
 
     /// Counts an answered request.
-    pub fn answered(&self, route: &str, outcome: &'static str) {
+    pub fn count_request(&self, route: &str, outcome: &'static str) {
         let labels = RequestLabels {
             route: route.to_owned(),
             outcome,
@@ -139,12 +139,12 @@
     }
 
     /// Counts a finished attempt.
-    pub fn attempted(&self, cause: &'static str) {
+    pub fn count_attempt(&self, cause: &'static str) {
         self.attempts.get_or_create(&CauseLabels { cause }).inc();
     }
 
     /// Records the time until the first chunk of an answer.
-    pub fn first_after(&self, route: &str, took: Duration) {
+    pub fn observe_first_chunk(&self, route: &str, took: Duration) {
         let labels = RouteLabels {
             route: route.to_owned(),
         };
--- a/crates/oatpier-gateway/src/notice_metrics.rs
+++ b/crates/oatpier-gateway/src/notice_metrics.rs
@@ -29,12 +29,12 @@
 
 impl NoticeMetrics {
     /// Counts an endpoint's notice, by the change that it caused.
-    pub fn noticed(&self, cause: &'static str) {
+    pub fn count_notice(&self, cause: &'static str) {
         self.notices.get_or_create(&CauseLabels { cause }).inc();
     }
 
     /// Sets the numbers of endpoints.
-    pub fn note_counts(&self, counts: NoticeCounts) {
+    pub fn set_counts(&self, counts: NoticeCounts) {
         let shown = |count: usize| i64::try_from(count).unwrap_or(i64::MAX);
         self.limited.set(shown(counts.limited));
         self.leaving.set(shown(counts.leaving));
--- a/crates/oatpier-gateway/src/sidecar/mod.rs
+++ b/crates/oatpier-gateway/src/sidecar/mod.rs
@@ -23,8 +23,8 @@
 use oatpier_serving::residency::{EngineResidency, LoadPace, SequencedOrder};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
-use crate::decisions::{DecisionLine, DecisionLog, LineWeight};
-use crate::exchange::{InnerSocket, MessageOutlet};
+use crate::decisions::{DecisionLine, DecisionLog, LinePriority};
+use crate::exchange::{MessageOutlet, MessageSocket};
 use crate::metrics::ServingMetrics;
 use crate::node_process::{NodeProcess, ProcessInputs};
 use crate::reload::{SettingsFeed, SettingsSource};
@@ -108,7 +108,7 @@
     let stop = inputs.stop.clone();
     let settings = Arc::clone(&inputs.settings.borrow());
     let address = settings.engine;
-    let socket = InnerSocket::new(inputs.socket, inputs.metrics.clone());
+    let socket = MessageSocket::new(inputs.socket, inputs.metrics.clone());
     let (Some(address), Ok(socket)) = (address, socket) else {
         spdlog::critical!(
             "the settings name no engine, or the socket could not be registered with the runtime"
@@ -151,7 +151,7 @@
     failures: FailureCount,
     link: EngineLink,
     status_sender: StatusSender,
-    socket: InnerSocket,
+    socket: MessageSocket,
     clock: RuntimeClock,
     metrics: ServingMetrics,
     log: DecisionLog,
@@ -220,7 +220,7 @@
                 self.residency.request_adapter(request, now);
             }
             InnerMessage::Advice(advice) => {
-                let line = DecisionLine::new(LineWeight::Notable, "advice heard")
+                let line = DecisionLine::new(LinePriority::Notable, "advice heard")
                     .with("model", advice.load.as_str())
                     .with("from", from.to_string());
                 self.log.write(line);
@@ -228,7 +228,7 @@
             }
             InnerMessage::RightAsk(right) => {
                 let is_lent = self.residency.lend_right(now);
-                let line = DecisionLine::new(LineWeight::Notable, "right asked")
+                let line = DecisionLine::new(LinePriority::Notable, "right asked")
                     .with("from", from.to_string())
                     .with("outcome", if is_lent { "lent" } else { "kept" });
                 self.log.write(line);
@@ -284,7 +284,7 @@
             }
             Err(cause) => {
                 if self.status_sender.set_answering(false) {
-                    let line = DecisionLine::new(LineWeight::Notable, "engine lost");
+                    let line = DecisionLine::new(LinePriority::Notable, "engine lost");
                     self.log.write(line.with("cause", cause));
                 }
                 self.forget_engine();
@@ -314,7 +314,7 @@
                 self.status_sender.set_instance(self.link.instance());
             }
             Err(cause) => {
-                let line = DecisionLine::new(LineWeight::Notable, "engine not named");
+                let line = DecisionLine::new(LinePriority::Notable, "engine not named");
                 self.log.write(line.with("cause", cause));
             }
         }
@@ -322,7 +322,7 @@
 
     fn log_engine(&self, decision: &'static str) {
         let instance = self.link.instance().map(ToString::to_string);
-        let line = DecisionLine::new(LineWeight::Notable, decision);
+        let line = DecisionLine::new(LinePriority::Notable, decision);
         self.log.write(line.with("instance", instance));
     }
 
@@ -387,7 +387,7 @@
             OrderAnswer::Rejected => "rejected",
             OrderAnswer::Unknown => "unanswered",
         };
-        let line = DecisionLine::new(LineWeight::Notable, "order")
+        let line = DecisionLine::new(LinePriority::Notable, "order")
             .with("operation", operation)
             .with("weights", weights)
             .with("expect", order.expect)
--- a/crates/oatpier-gateway/src/records.rs
+++ b/crates/oatpier-gateway/src/store_reader.rs
@@ -50,7 +50,7 @@
 
 /// Result of a store read, by this gateway or another one.
 #[derive(Debug)]
-pub enum StoreNews {
+pub enum StoreEvent {
     /// This gateway has read the store.
     Read {
         /// The configuration, if it has changed since the last read.
@@ -64,12 +64,12 @@
         /// Era of the store: which copy of it was read.
         era: StoreEra,
         /// The delta to send to other gateways.
-        word: StoreDelta,
+        delta: StoreDelta,
     },
     /// Another gateway of the availability zone has read the store, and nothing has changed.
-    Same,
+    Unchanged,
     /// Another gateway of the availability zone has read the store, and endpoints have changed.
-    Told {
+    Patched {
         /// All registered endpoints.
         endpoints: Vec<EndpointRecord>,
     },
@@ -82,9 +82,9 @@
     /// The store's address, and how soon changes must be seen.
     pub settings: SettingsFeed,
     /// Receives the results of reads.
-    pub news: RingSender<StoreNews>,
+    pub events: RingSender<StoreEvent>,
     /// Store deltas from other gateways.
-    pub words: RingReceiver<StoreDelta>,
+    pub deltas: RingReceiver<StoreDelta>,
     /// Counts reads.
     pub metrics: ServingMetrics,
     /// Stop signal of the process.
@@ -108,9 +108,9 @@
     let mut schedule = ReadSchedule::new(rand::random());
     loop {
         let due = clock.instant(schedule.next_at());
-        let word = tokio::select! {
+        let delta = tokio::select! {
             () = sleep_until(due) => None,
-            word = inputs.words.receive() => word,
+            delta = inputs.deltas.receive() => delta,
         };
         let current = Arc::clone(&inputs.settings.borrow());
         if current != settings {
@@ -118,17 +118,17 @@
             settings = current;
         }
         let period = read_period(&settings);
-        let news = match word {
-            Some(word) => reader.apply_delta(&word),
+        let event = match delta {
+            Some(delta) => reader.apply_delta(&delta),
             None => Some(read_once(&client, &mut reader, &mut schedule, period, clock).await),
         };
-        let Some(news) = news else {
+        let Some(event) = event else {
             continue;
         };
-        if matches!(news, StoreNews::Same | StoreNews::Told { .. }) {
+        if matches!(event, StoreEvent::Unchanged | StoreEvent::Patched { .. }) {
             schedule.note_peer_read(period, clock.now());
         }
-        inputs.news.send(news).await;
+        inputs.events.send(event).await;
     }
 }
 
@@ -138,7 +138,7 @@
     schedule: &mut ReadSchedule,
     period: Duration,
     clock: RuntimeClock,
-) -> StoreNews {
+) -> StoreEvent {
     let started_at = clock.now();
     match client.read(reader.read_timeout(period)).await {
         Ok(snapshot) => {
@@ -148,7 +148,7 @@
         Err(error) => {
             reader.note_failure(&error);
             schedule.note_failure(started_at + reader.retry_interval(period));
-            StoreNews::Failed
+            StoreEvent::Failed
         }
     }
 }
@@ -224,7 +224,7 @@
         }
     }
 
-    fn apply_snapshot(&mut self, snapshot: StoreSnapshot) -> StoreNews {
+    fn apply_snapshot(&mut self, snapshot: StoreSnapshot) -> StoreEvent {
         self.metrics.count_store_read("answered");
         if self.is_reachable != Some(true) {
             let (endpoints, crashes) = (snapshot.endpoints.len(), snapshot.crashes.len());
@@ -243,25 +243,25 @@
         };
         let mark = snapshot.config.as_deref().map_or(0, config_digest);
         let view = StoreView::new(mark, snapshot.endpoints).with_internal(&own);
-        let word = view.delta_since(self.view.as_ref());
+        let delta = view.delta_since(self.view.as_ref());
         let endpoints = view.endpoints().to_vec();
         self.view = Some(view);
-        StoreNews::Read {
+        StoreEvent::Read {
             config: snapshot.config.and_then(|value| self.decode_changed(value)),
             endpoints,
             crashes: snapshot.crashes,
             parts: snapshot.parts,
             era: snapshot.era,
-            word,
+            delta,
         }
     }
 
     /// Applies another gateway's delta. Returns `None` if the delta does not fit the state known here.
-    fn apply_delta(&mut self, word: &StoreDelta) -> Option<StoreNews> {
+    fn apply_delta(&mut self, delta: &StoreDelta) -> Option<StoreEvent> {
         let view = self.view.as_mut()?;
-        match view.apply_delta(word) {
-            DeltaOutcome::Same => Some(StoreNews::Same),
-            DeltaOutcome::Patched => Some(StoreNews::Told {
+        match view.apply_delta(delta) {
+            DeltaOutcome::Same => Some(StoreEvent::Unchanged),
+            DeltaOutcome::Patched => Some(StoreEvent::Patched {
                 endpoints: view.endpoints().to_vec(),
             }),
             DeltaOutcome::Unknown => None,
--- a/crates/oatpier-gateway/src/workspace_metrics.rs
+++ b/crates/oatpier-gateway/src/workspace_metrics.rs
@@ -54,7 +54,7 @@
 
 impl WorkspaceMetrics {
     /// Counts a request of a workspace that was accepted, or refused by its limit.
-    pub fn asked(&self, workspace: &WorkspaceName, outcome: &'static str) {
+    pub fn count_request(&self, workspace: &WorkspaceName, outcome: &'static str) {
         let labels = self.labels(workspace, outcome);
         self.requests.get_or_create(&labels).inc();
     }
--- a/crates/oatpier-gateway/tests/testsuite/crashes.rs
+++ b/crates/oatpier-gateway/tests/testsuite/crashes.rs
@@ -89,7 +89,7 @@
 
     fn register(&self) {
         let listed = record(self.started, self.endpoint.address);
-        self.gateway.core.take_records(None, vec![listed]);
+        self.gateway.core.apply_records(None, vec![listed]);
     }
 
     /// Sends a request, and replaces the endpoint if the request crashed it.
@@ -269,11 +269,11 @@
         while silent.requests().is_empty() {
             tokio::task::yield_now().await;
         }
-        gateway.core.take_records(None, vec![leaving]);
+        gateway.core.apply_records(None, vec![leaving]);
         silent.end();
     };
     let (answer, ()) = tokio::join!(reply, leave);
     assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
-    gateway.core.take_records(None, Vec::new());
+    gateway.core.apply_records(None, Vec::new());
     assert!(queued_crashes(&gateway).is_empty());
 }
--- a/crates/oatpier-gateway/tests/testsuite/exchange.rs
+++ b/crates/oatpier-gateway/tests/testsuite/exchange.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, UdpSocket};
 
-use oatpier_gateway::exchange::InnerSocket;
+use oatpier_gateway::exchange::MessageSocket;
 use oatpier_gateway::metrics::ServingMetrics;
 use oatpier_serving::message::{InnerMessage, PermitGrant};
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
     let metrics = ServingMetrics::default();
     let bound = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = bound.local_addr().unwrap();
-    let socket = InnerSocket::new(bound, metrics.clone()).unwrap();
+    let socket = MessageSocket::new(bound, metrics.clone()).unwrap();
     let stranger = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let message = InnerMessage::Permit(PermitGrant { id: 7 });
     let good = rmp_serde::to_vec(&message).unwrap();
--- a/crates/oatpier-gateway/tests/testsuite/failures.rs
+++ b/crates/oatpier-gateway/tests/testsuite/failures.rs
@@ -113,7 +113,7 @@
     let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&other]);
     gateway
         .core
-        .take_records(None, vec![record(1, gone), record(2, other.address)]);
+        .apply_records(None, vec![record(1, gone), record(2, other.address)]);
     for _ in 0..3 {
         assert_eq!(gateway.send(request(&[])).await.status(), StatusCode::OK);
     }
--- a/crates/oatpier-gateway/tests/testsuite/keys.rs
+++ b/crates/oatpier-gateway/tests/testsuite/keys.rs
@@ -49,7 +49,7 @@
 fn configured_gateway(config: SiteConfig, endpoint: &ScriptedEndpoint) -> TestGateway {
     let gateway = TestGateway::unconfigured();
     let records = vec![record(1, endpoint.address)];
-    gateway.core.take_records(Some(Arc::new(config)), records);
+    gateway.core.apply_records(Some(Arc::new(config)), records);
     gateway
 }
 
@@ -150,7 +150,7 @@
     assert!(answer.headers().contains_key("retry-after"));
     let no_key = gateway.send(request(&[])).await;
     assert_eq!(no_key.status(), StatusCode::UNAUTHORIZED);
-    gateway.core.note_store_same();
+    gateway.core.note_store_unchanged();
     assert_eq!(
         gateway.send(unknown()).await.status(),
         StatusCode::UNAUTHORIZED
@@ -178,7 +178,7 @@
         let left = vec![workspace("two", &["k2"])];
         let config = config_with_keys(2, route(stream, 1), left);
         let records = vec![record(1, endpoint.address)];
-        gateway.core.take_records(Some(Arc::new(config)), records);
+        gateway.core.apply_records(Some(Arc::new(config)), records);
     };
     let (answer, ()) = tokio::join!(waiting, revoking);
     assert_eq!(answer.status(), StatusCode::UNAUTHORIZED);
@@ -216,7 +216,7 @@
     }));
     assert!(wanted_sender.try_send(neighbour).is_ok());
     let config = fetched.receive().await.unwrap();
-    gateway.core.take_passed_config(config);
+    gateway.core.apply_fetched_config(config);
     let refused = gateway
         .send(request(&[("authorization", "Bearer k1")]))
         .await;
@@ -235,11 +235,11 @@
     let config = config_with_keys(3, route(RouteKind::Unsafe, 1), Vec::new());
     gateway
         .core
-        .take_records(Some(Arc::new(config)), Vec::new());
+        .apply_records(Some(Arc::new(config)), Vec::new());
     let peer = SocketAddr::from(([10, 0, 0, 9], 7380));
     let report = |gateway: &TestGateway, version| {
         let status = ConfigStatus { version, age_ms: 0 };
-        gateway.core.take_config_standing(peer, status);
+        gateway.core.apply_config_status(peer, status);
     };
     report(&gateway, 4);
     assert!(
@@ -258,7 +258,7 @@
     assert!(gateway.config_wanted.try_receive().is_none());
     // A peer that confirms the same version against the store is as good as an own read.
     tokio::time::advance(Duration::from_secs(2)).await;
-    assert!(!gateway.core.is_current());
+    assert!(!gateway.core.is_config_current());
     report(&gateway, 3);
-    assert!(gateway.core.is_current());
+    assert!(gateway.core.is_config_current());
 }
--- a/crates/oatpier-gateway/tests/testsuite/leaving.rs
+++ b/crates/oatpier-gateway/tests/testsuite/leaving.rs
@@ -31,7 +31,7 @@
     let staying = ScriptedEndpoint::start(answers(4)).await;
     // The registry lists the endpoint as ready, in this read as in the last one.
     let records = vec![record(1, leaving.address), record(2, staying.address)];
-    gateway.core.take_records(None, records);
+    gateway.core.apply_records(None, records);
     for _ in 0..4 {
         assert_eq!(gateway.send(request(&[])).await.status(), StatusCode::OK);
     }
--- a/crates/oatpier-gateway/tests/testsuite/observing.rs
+++ b/crates/oatpier-gateway/tests/testsuite/observing.rs
@@ -1,6 +1,6 @@
 //! The decision log and the metrics.
 
-use oatpier_gateway::decisions::{DecisionLine, DecisionLog, LineWeight};
+use oatpier_gateway::decisions::{DecisionLine, DecisionLog, LinePriority};
 use oatpier_gateway::metrics::ServingMetrics;
 use oatpier_serving::message::TurnAsk;
 use oatpier_serving::quota::turns::TurnAnswer;
@@ -16,9 +16,9 @@
     let metrics = ServingMetrics::default();
     let (log, lines) = DecisionLog::new("gateway", &metrics);
     for _ in 0..60 {
-        log.write(DecisionLine::new(LineWeight::Calm, "answer"));
+        log.write(DecisionLine::new(LinePriority::Routine, "answer"));
     }
-    log.write(DecisionLine::new(LineWeight::Notable, "answer").with("request", "r1"));
+    log.write(DecisionLine::new(LinePriority::Notable, "answer").with("request", "r1"));
     let written: Vec<String> = std::iter::from_fn(|| lines.try_receive()).collect();
     assert_eq!(written.len(), 41);
     assert!(written[40].contains("\"request\":\"r1\""));
@@ -30,10 +30,10 @@
     let metrics = ServingMetrics::default();
     let (log, lines) = DecisionLog::new("gateway", &metrics);
     for _ in 0..45 {
-        log.write(DecisionLine::new(LineWeight::Calm, "answer"));
+        log.write(DecisionLine::new(LinePriority::Routine, "answer"));
     }
     tokio::time::advance(std::time::Duration::from_secs(1)).await;
-    log.write(DecisionLine::new(LineWeight::Calm, "answer"));
+    log.write(DecisionLine::new(LinePriority::Routine, "answer"));
     let written: Vec<String> = std::iter::from_fn(|| lines.try_receive()).collect();
     let omitted = written.iter().find(|line| line.contains("lines left out"));
     assert!(omitted.unwrap().contains("\"lines\":5"));
@@ -51,10 +51,14 @@
     gateway.core.metrics.count_order("taken");
     gateway.core.metrics.count_advice("busy");
     gateway.core.metrics.count_message("pulse", "sent", 400);
-    gateway.core.metrics.attempted("cut");
-    gateway.core.metrics.notices.noticed("limit-named");
+    gateway.core.metrics.count_attempt("cut");
+    gateway.core.metrics.notices.count_notice("limit-named");
     let workspace = WorkspaceName::try_from("one").unwrap();
-    gateway.core.metrics.workspaces.asked(&workspace, "taken");
+    gateway
+        .core
+        .metrics
+        .workspaces
+        .count_request(&workspace, "taken");
     gateway
         .core
         .metrics
@@ -110,7 +114,7 @@
     let metrics = ServingMetrics::default();
     for number in 0..1_000 {
         let workspace = WorkspaceName::try_from(format!("w{number}")).unwrap();
-        metrics.workspaces.asked(&workspace, "taken");
+        metrics.workspaces.count_request(&workspace, "taken");
     }
     let text = metrics.encode();
     let series = |text: &str| text.matches("workspace_requests_total{").count();
--- a/crates/oatpier-gateway/tests/testsuite/permits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/permits.rs
@@ -121,7 +121,7 @@
         model: ModelName::try_from("m1").unwrap(),
         adapters: Vec::new(),
     }];
-    gateway.core.take_records(None, vec![listed]);
+    gateway.core.apply_records(None, vec![listed]);
     let answer = gateway.send(prompt()).await;
     assert_eq!(answer.status(), StatusCode::OK);
     assert!(permit_requests(&gateway).is_empty());
--- a/crates/oatpier-gateway/tests/testsuite/quota.rs
+++ b/crates/oatpier-gateway/tests/testsuite/quota.rs
@@ -45,7 +45,7 @@
     };
     let gateway = TestGateway::unconfigured();
     let records = vec![record(1, endpoint.address)];
-    gateway.core.take_records(Some(Arc::new(config)), records);
+    gateway.core.apply_records(Some(Arc::new(config)), records);
     gateway.hold_parts_elsewhere();
     gateway
 }
@@ -83,7 +83,7 @@
         loop {
             for (_, ask) in sent_asks(gateway).drain(answered..) {
                 answered += 1;
-                gateway.core.take_quota_answer(QuotaAnswer {
+                gateway.core.complete_quota_ask(QuotaAnswer {
                     id: ask.id,
                     answer: answer(&ask),
                 });
@@ -202,7 +202,7 @@
     let other = ScriptedEndpoint::start(vec![answered]).await;
     let gateway = limited_gateway(RouteKind::Safe, &endpoint);
     let records = vec![record(1, endpoint.address), record(2, other.address)];
-    gateway.core.take_records(None, records);
+    gateway.core.apply_records(None, records);
     let answer = send_with_holders(&gateway, plain_request(), grant_needed).await;
     assert!(answer.status() == StatusCode::OK, "{}", answer.status());
     assert_eq!(sent_asks(&gateway).len(), 1);
--- a/crates/oatpier-gateway/tests/testsuite/records.rs
+++ b/crates/oatpier-gateway/tests/testsuite/records.rs
@@ -1,6 +1,6 @@
 //! Entries read from the store.
 
-use oatpier_gateway::records::UnreadableEntries;
+use oatpier_gateway::store_reader::UnreadableEntries;
 use oatpier_platform::store::UnreadableEntry;
 
 fn entry(key: &str, revision: u64) -> UnreadableEntry {
--- a/crates/oatpier-gateway/tests/testsuite/refusals.rs
+++ b/crates/oatpier-gateway/tests/testsuite/refusals.rs
@@ -69,10 +69,14 @@
     let gateway = TestGateway::unconfigured();
     let mut newer = config(vec![route(RouteKind::Unsafe, 1)]);
     newer.version = 9;
-    gateway.core.take_records(Some(Arc::new(newer)), Vec::new());
+    gateway
+        .core
+        .apply_records(Some(Arc::new(newer)), Vec::new());
     let mut older = config(Vec::new());
     older.version = 8;
-    gateway.core.take_records(Some(Arc::new(older)), Vec::new());
+    gateway
+        .core
+        .apply_records(Some(Arc::new(older)), Vec::new());
     assert_eq!(gateway.core.config().unwrap().version, 9);
 }
 
--- a/crates/oatpier-gateway/tests/testsuite/relayed.rs
+++ b/crates/oatpier-gateway/tests/testsuite/relayed.rs
@@ -52,7 +52,7 @@
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
     let gateway = TestGateway::before(STREAM, 1, &[&engine]);
     let updates = vec![full_update(&engine, 1, "m1"), load_update(&engine, 2, 3)];
-    gateway.core.take_relayed(updates);
+    gateway.core.apply_relayed(updates);
     let sending = gateway.send(request(&[
         ("x-oatpier-model", "m1"),
         ("x-oatpier-token-usage", "400,10"),
@@ -84,7 +84,7 @@
     let engine = ScriptedEndpoint::start(Vec::new()).await;
     let gateway = TestGateway::before(STREAM, 1, &[&engine]);
     let updates = vec![full_update(&engine, 1, "m1"), load_update(&engine, 2, 10)];
-    gateway.core.take_relayed(updates);
+    gateway.core.apply_relayed(updates);
     let sending = gateway.send(request(&[
         ("x-oatpier-model", "m1"),
         ("x-oatpier-token-usage", "400,10"),
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -227,11 +227,11 @@
             clock: RuntimeClock::start(),
             metrics,
             log,
-            able: Arc::default(),
-            words: ring(8, RingRule::Drop, full).0,
+            can_serve: Arc::default(),
+            store_deltas: ring(8, RingRule::Drop, full).0,
             crash_changes,
             shared_config: watch::channel(None).0,
-            config_wanted: wanted_sender,
+            config_sources: wanted_sender,
             claims: ring(8, RingRule::Drop, ServingMetrics::default().ring_full).0,
         };
         let (_, feed) = watch::channel(Arc::new(settings()));
@@ -256,7 +256,7 @@
         let config = config(vec![route(kind, max_attempts)]);
         gateway
             .core
-            .take_records(Some(Arc::new(config)), records.collect());
+            .apply_records(Some(Arc::new(config)), records.collect());
         gateway
     }
 
@@ -272,7 +272,7 @@
             revision: 5,
         };
         let entries: Vec<PartEntry> = PartIndex::all().map(entry).collect();
-        self.core.take_parts(&entries, 0);
+        self.core.apply_parts(&entries, 0);
     }
 
     /// Reports an engine that holds the model `m1` and runs this many requests.
