--- a/crates/oatpier-entry/src/attempt.rs
+++ b/crates/oatpier-entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an agent, as a task that reports what happens to it.
+//! Runs one attempt on an agent in its own task and reports its events.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,44 +21,44 @@
 use crate::core::AgentContact;
 use crate::sink::AnswerHead;
 
-/// How long an agent's answer to a cancel is waited for.
+/// Timeout of an agent's response to a cancellation.
 const CANCEL_WAIT: Duration = Duration::from_secs(2);
-/// The largest answer that is held until it is whole, in bytes.
+/// Maximum size of a buffered non-streaming answer, in bytes.
 const MAX_HELD_BYTES: usize = 16 << 20;
 
-/// What happened to an attempt, with what the decision does not need to see.
+/// An event of an attempt, with the data that the policy does not need.
 #[derive(Debug)]
 pub struct AttemptSignal {
-    /// At whose agent.
+    /// Endpoint that runs the attempt.
     pub endpoint: EndpointName,
-    /// What happened.
+    /// The event.
     pub event: EntryEvent,
-    /// The head, with a first frame.
+    /// Head of the answer, set with the first frame.
     pub head: Option<AnswerHead>,
-    /// The bytes, with a piece.
+    /// Bytes of the answer, set with a piece.
     pub bytes: Bytes,
 }
 
-/// Where the signals of a request's attempts go. Bounded: an attempt whose caller is slow waits
-/// here, and its agent and engine behind it.
+/// Channel for the signals of a request's attempts. It is bounded for backpressure: if the caller
+/// is slow, the attempt waits here, and so do its agent and engine.
 pub type SignalSender = mpsc::Sender<AttemptSignal>;
 
-/// One attempt to be run.
+/// An attempt to run.
 pub struct AttemptRun {
-    /// At whose agent.
+    /// Endpoint to run the attempt on.
     pub endpoint: EndpointName,
-    /// Where the agent listens.
+    /// Address the agent listens on.
     pub address: SocketAddr,
-    /// What is to be run.
+    /// Description of the attempt.
     pub head: AttemptHead,
-    /// The caller's body.
+    /// Request body of the caller.
     pub body: Bytes,
-    /// Where its signals go.
+    /// Channel for the signals of the attempt.
     pub signals: SignalSender,
 }
 
 impl AttemptRun {
-    /// Runs the attempt to its end.
+    /// Runs the attempt until it ends.
     pub async fn run(self, peers: PeerClient) {
         let attempt = self.head.spec.attempt;
         let opened = peers
@@ -71,7 +71,7 @@
         self.signal(event).await;
     }
 
-    /// Passes the frames on, and returns the last one's event.
+    /// Relays the frames and returns the event of the last one.
     async fn relay(&self, mut stream: AttemptStream) -> EntryEvent {
         let attempt = self.head.spec.attempt;
         let mut held = None;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The event of the last frame, after what was held until then.
+    /// Sends the buffered answer, then returns the event of the last frame.
     async fn end(&self, last: AttemptFrame, held: Option<BytesMut>) -> EntryEvent {
         let attempt = self.head.spec.attempt;
         match last {
@@ -137,7 +137,7 @@
             head: Some(head),
             bytes: Bytes::new(),
         };
-        // A request that is over needs no more signals.
+        // The request may have ended; its signals are no longer needed.
         let _ = self.signals.send(signal).await;
     }
 
@@ -175,8 +175,8 @@
     }
 }
 
-/// Cancels an attempt and returns what the agent says of it. A cancel whose answer is lost
-/// leaves the attempt unknown.
+/// Cancels an attempt and returns the agent's verdict. If the response is lost, the attempt may
+/// have run.
 pub async fn cancel(
     peers: &PeerClient,
     contact: Option<AgentContact>,
--- a/crates/oatpier-entry/src/callers.rs
+++ b/crates/oatpier-entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers duty: takes requests, and owns the decisions about them.
+//! The callers duty: accepts requests and owns the routing policy.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,37 +27,37 @@
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 use oatpier_duty::observe::trace::extract_parent;
 
-/// How often the planner duty is told the demand.
+/// Interval at which the planner duty receives the demand.
 const DEMAND_PERIOD: Duration = Duration::from_secs(2);
-/// How long a stopping entry waits for its settlements of claims to be in the store. What is not
-/// by then stays held in the store: a repeat is told that the request may have run.
+/// Maximum time a stopping entry waits for its claim settlements to reach the store. Claims not
+/// settled by then stay held in the store: a repeat is told that the request may have run.
 const FLUSH_WAIT: Duration = Duration::from_secs(3);
-/// How often a stopping entry looks whether its last requests are over.
+/// Interval at which a stopping entry checks whether its last requests have ended.
 const LOOK_PERIOD: Duration = Duration::from_millis(20);
 
-/// What the callers duty works on.
+/// Inputs of the callers duty.
 pub struct CallersInputs {
-    /// The decisions and what they share.
+    /// Routing policy and shared state.
     pub core: Arc<EntryCore>,
-    /// Where callers connect.
+    /// Listener for callers.
     pub listener: std::net::TcpListener,
-    /// Limits on callers.
+    /// Limits on connections and requests of callers.
     pub limits: ServerLimits,
-    /// News of the other duties.
+    /// Updates from the other duties.
     pub news: RingReceiver<EntryNews>,
-    /// Where the demand is told.
+    /// Channel for the demand.
     pub planner: RingSender<PlannerNews>,
-    /// Tells to stop.
+    /// Signals the process to stop.
     pub stop: StopSignal,
-    /// How long the process says that it is not ready before it takes no more requests.
+    /// How long the process reports that it is not ready before it refuses new requests.
     pub notice: Duration,
 }
 
-/// Serves callers until the process drains and the last request has its answer.
+/// Serves callers until the process drains and the last request is answered.
 ///
 /// # Panics
 ///
-/// Panics if it runs on no runtime, or the runtime does not take the socket.
+/// Panics if called outside a runtime or if the runtime can't register the socket.
 pub async fn callers(inputs: CallersInputs) {
     let CallersInputs {
         core,
@@ -69,7 +69,7 @@
         notice,
     } = inputs;
     let listener =
-        tokio::net::TcpListener::from_std(listener).expect("the runtime takes the socket");
+        tokio::net::TcpListener::from_std(listener).expect("the runtime registers the socket");
     let handler = Arc::new(CallerHandler {
         core: Arc::clone(&core),
     });
@@ -88,17 +88,18 @@
     stop.advance(StopPhase::Ended);
 }
 
-/// Waits until new requests are to be refused. The balancer is given `notice` to see that the
-/// entry is not ready; until then it still serves, so that no caller meets a closed door.
+/// Waits until new requests are to be refused. During `notice` the load balancer can detect that
+/// the entry is not ready. The entry still serves requests in that time, so that no connection is
+/// refused.
 async fn drain_start(core: Arc<EntryCore>, stop: StopSignal, notice: Duration) {
     stop.reached(StopPhase::Draining).await;
     tokio::time::sleep(notice).await;
     core.begin_stop();
 }
 
-/// The last callers have their answers. What is still to be done: requests whose callers went
-/// away cancel their work, and the ends of requests under keys go to the store. Ending before
-/// that would leave keys held whose requests did not run.
+/// Finishes the remaining work after the last callers have their answers: requests of disconnected
+/// callers cancel their attempts, and claim settlements go to the store. Ending earlier would leave
+/// keys held whose requests did not run.
 async fn finish_work(core: &EntryCore) {
     while core.in_flight() > 0 {
         tokio::time::sleep(LOOK_PERIOD).await;
@@ -106,14 +107,14 @@
     let (reply, flushed) = oneshot::channel();
     core.claims().send(ClaimCommand::Flush { reply }).await;
     if tokio::time::timeout(FLUSH_WAIT, flushed).await.is_err() {
-        spdlog::warn!("some claims were not settled in the store");
+        spdlog::warn!("some claims were not settled in the store before the process ended");
     }
 }
 
 async fn tell_demand(core: &EntryCore, planner: &RingSender<PlannerNews>) {
     loop {
         tokio::time::sleep(DEMAND_PERIOD).await;
-        // Counted by the ring if it is full; the next word says it all.
+        // The ring counts dropped messages; the next one carries the complete demand.
         let _ = planner.try_send(PlannerNews::Own(core.demand()));
     }
 }
@@ -122,7 +123,7 @@
     while let Some(news) = news.receive().await {
         core.take_news(news);
     }
-    // The other duties are gone; requests in flight go on.
+    // The other duties have ended; requests in flight continue.
     std::future::pending::<()>().await;
 }
 
@@ -142,7 +143,8 @@
         .tracer
         .start("entry.request", SpanKind::Server, &parent);
     let trace = span.trace_id();
-    // Two requests may share a caller's trace, so only a trace that begins here names one.
+    // Two requests may share a caller's trace, so the trace ID serves as request ID only if the
+    // trace starts here.
     let is_own_trace = !parent.has_active_span();
     let id = if is_own_trace { trace } else { rand::random() };
     let identity = RequestIdentity {
@@ -172,7 +174,8 @@
         Err(error) => return CallerError::of_intake(&error).reply(identity),
     };
     let (sink, reply) = CallerSink::new(identity);
-    // A task of its own: when the caller goes away, the request still has to cancel its work.
+    // The request runs in its own task: if the caller disconnects, it still has to cancel its
+    // attempts.
     tokio::spawn(RequestRun::new(core, identity, call, sink, span).run());
     reply
         .await
@@ -191,7 +194,7 @@
     object: &'static str,
     created: u64,
     owned_by: &'static str,
-    /// The base model of an adapter.
+    /// Base model of an adapter.
     parent: Option<&'c str>,
 }
 
--- a/crates/oatpier-entry/src/claims/claimer.rs
+++ b/crates/oatpier-entry/src/claims/claimer.rs
@@ -1,4 +1,4 @@
-//! The claimers of this entry, one for each partition, and who waits for their answers.
+//! The local claimers, one per partition, and the waiters for their answers.
 
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
 use super::storing::StoreCall;
 use crate::messages::ClaimReply;
 
-/// Who waits for the answer to an ask.
+/// Recipient of the answer to a query.
 #[derive(Debug)]
 pub(super) enum AskWaiter {
     /// A request of this entry.
@@ -35,18 +35,18 @@
     }
 }
 
-/// What a claimer's step asks of the duty.
+/// Result of a claimer's step that the duty has to process.
 pub(super) enum ClaimerOutput {
-    /// A call to the store.
+    /// A store call to make.
     Store(StoreCall),
-    /// The answer to an ask of this entry.
+    /// The answer to a query of this entry.
     Answered {
-        /// The ask.
+        /// The query.
         open: OpenAsk,
         /// Its answer.
         answer: ClaimAnswer,
     },
-    /// A settlement is in the store.
+    /// A settlement is recorded in the store.
     Recorded(Settlement),
 }
 
@@ -83,7 +83,7 @@
         self.settles.entry((key, request)).or_default().push(waiter);
     }
 
-    /// Forgets those who no longer wait.
+    /// Removes waiters that no longer wait.
     pub(super) fn forget_closed(&mut self) {
         self.asks.retain(|_, waiters| {
             waiters.retain(|waiter| !waiter.is_closed());
@@ -146,7 +146,7 @@
             match waiter {
                 AskWaiter::Own(open) => outputs.push(ClaimerOutput::Answered { open, answer }),
                 AskWaiter::Peer(reply) => {
-                    // It asks again if it still wants to know.
+                    // The peer queries again if it still needs the answer.
                     let _ = reply.send(ClaimReply::Answer(answer));
                 }
             }
--- a/crates/oatpier-entry/src/claims/mod.rs
+++ b/crates/oatpier-entry/src/claims/mod.rs
@@ -1,10 +1,10 @@
-//! The claims duty: at most one request runs under an idempotency key, in the whole fleet.
+//! The claims duty: at most one request in the whole fleet runs under an idempotency key.
 //!
-//! Rendezvous hashing makes one entry the claimer of each partition of the keys
-//! ([`oatpier_claims`] decides); this duty is the claimer of the entry's own partitions, and asks
-//! other entries for the rest. A claimer that does not answer is replaced by asking the claimer
-//! in this process: it takes the partition over through the store, where a grant that the other
-//! one made is found.
+//! Rendezvous hashing assigns each partition of the keys to one entry, its claimer.
+//! [`oatpier_claims`] makes the decisions. This duty is the claimer of the entry's own partitions
+//! and queries other entries for the rest. If a claimer does not answer, the local claimer is
+//! queried instead: it takes over the partition through the store, where it finds the grants of the
+//! other claimer.
 
 mod claimer;
 mod outbox;
@@ -35,67 +35,67 @@
 use oatpier_duty::observe::metrics::MetricSet;
 use outbox::{Outbox, Settlement};
 
-/// Claimers that are asked for one claim, one after the other.
+/// Maximum number of claimers queried for one claim, one after another.
 const MOST_TRIES: u8 = 3;
-/// When a caller is to come back if its claim can't be recorded.
+/// Retry delay sent to callers whose claim can't be recorded.
 const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A command to the claims duty.
 #[derive(Debug)]
 pub enum ClaimCommand {
-    /// A request of this entry wants to run under a key.
+    /// A request of this entry needs a key before it runs.
     Ask {
-        /// What.
+        /// The query.
         ask: ClaimAsk,
-        /// Where the answer goes: granted, denied or unavailable.
+        /// Channel for the answer: granted, denied or unavailable.
         reply: oneshot::Sender<ClaimAnswer>,
     },
-    /// A request of this entry that asked for a key is over.
+    /// A request of this entry that claimed a key has ended.
     Settle {
         /// The key.
         key: KeyHash,
         /// The request.
         request: RequestId,
-        /// How it ended.
+        /// Whether the request ran.
         verdict: RunVerdict,
     },
-    /// Another entry turns to the claimer in this one.
+    /// Another entry calls the local claimer.
     Remote {
-        /// What it says.
+        /// The call.
         call: ClaimCall,
-        /// Where the answer goes.
+        /// Channel for the answer.
         reply: oneshot::Sender<ClaimReply>,
     },
-    /// The entries that are known to live, the own among them.
+    /// The known live entries including this one.
     Entries(Vec<EntryContact>),
-    /// Tell when all settlements are in the store.
+    /// Reports when all settlements are in the store.
     Flush {
-        /// Where to.
+        /// Channel for the report.
         reply: oneshot::Sender<()>,
     },
 }
 
-/// What the claims duty works on.
+/// Inputs of the claims duty.
 pub struct ClaimsInputs {
-    /// The own name.
+    /// Name of this entry.
     pub own: DaemonName,
-    /// The own start.
+    /// Boot ID of this process.
     pub boot: BootId,
-    /// The way to the store.
+    /// Access to the store.
     pub gate: Arc<StoreGate>,
-    /// Calls other entries.
+    /// Client for calls to other entries.
     pub links: Arc<dyn EntryLinks>,
-    /// The runtime's clock.
+    /// Clock of the runtime.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// What is to be done.
+    /// Commands from the other duties.
     pub commands: RingReceiver<ClaimCommand>,
-    /// Tells to stop.
+    /// Signals the process to stop.
     pub stop: StopSignal,
 }
 
-/// An ask of this entry that a claimer elsewhere is to answer.
+/// A query of this entry that a claimer has to answer.
 #[derive(Debug)]
 struct OpenAsk {
     ask: ClaimAsk,
@@ -103,7 +103,7 @@
     tries: u8,
 }
 
-/// How a call ended.
+/// Result of a call.
 enum ClaimEnd {
     Store {
         partition: PartitionId,
@@ -120,7 +120,7 @@
     },
 }
 
-/// Claims until the process ends.
+/// Processes claims until the process ends.
 pub async fn claims(inputs: ClaimsInputs) {
     let stop = inputs.stop.clone();
     let commands = inputs.commands;
@@ -219,7 +219,7 @@
             .collect();
     }
 
-    /// Asks the claimer that is thought to own the partition; the own one if none is reachable.
+    /// Queries the presumed owner of the partition, or the local claimer if no owner is reachable.
     fn route(&mut self, mut open: OpenAsk, owner: Option<DaemonName>) {
         if open.tries >= MOST_TRIES {
             self.finish(open, unavailable());
@@ -255,7 +255,7 @@
             ClaimAnswer::Denied(_) => "denied",
             ClaimAnswer::Unavailable { .. } | ClaimAnswer::Moved { .. } => "unavailable",
         });
-        // A request that is over settles the claim by itself.
+        // A request that has ended settles its claim separately.
         let _ = open.reply.send(answer);
     }
 
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Another entry's word to the claimer here.
+    /// Processes a call of another entry to the local claimer.
     fn serve(&mut self, call: ClaimCall, reply: oneshot::Sender<ClaimReply>) {
         let (key, event) = match call {
             ClaimCall::Ask(ask) => {
@@ -316,14 +316,14 @@
             }
             ClaimEnd::Asked { open, answer } => match answer {
                 Some(answer) => self.answered(open, answer),
-                // The claimer is dead or out of reach: the one here takes over.
+                // The claimer is down or unreachable: the local claimer takes over.
                 None => self.route(open, None),
             },
             ClaimEnd::Settled {
                 settlement,
                 recorded,
             } if recorded => self.outbox.recorded(settlement),
-            // It is said again later.
+            // The outbox sends the settlement again later.
             ClaimEnd::Settled { .. } => {}
         }
     }
--- a/crates/oatpier-entry/src/claims/outbox.rs
+++ b/crates/oatpier-entry/src/claims/outbox.rs
@@ -1,4 +1,4 @@
-//! How requests under keys ended, until that is in the store.
+//! Settlements of requests with keys, kept until they are recorded in the store.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 
 use crate::messages::ClaimCall;
 
-/// Settlements that are kept. Beyond them new ones are dropped and counted: their keys stay held,
-/// so that nothing runs twice; a repeat of the request is told that it may have run.
+/// Maximum number of kept settlements. Beyond it new ones are dropped and counted. Their keys stay
+/// held, so that nothing runs twice; a repeat of the request is told that it may have run.
 const KEPT_SETTLEMENTS: usize = 8192;
-/// Until a settlement that is not known to be in the store is said again: longer than a claimer
-/// waits for company before it writes.
+/// Interval at which a settlement that is not known to be in the store is sent again. It is longer
+/// than the time for which a claimer collects claims before it writes them.
 const SAY_AGAIN: Duration = Duration::from_secs(3);
 
-/// How a request under a key ended.
+/// Outcome of a request with a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Settlement {
     pub(super) key: KeyHash,
@@ -27,7 +27,7 @@
 }
 
 impl Settlement {
-    /// What is said to a claimer in another entry.
+    /// Returns the call to a claimer in another entry.
     pub(super) fn call(self) -> ClaimCall {
         let Self {
             key,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What is said to the claimer here.
+    /// Returns the event for the local claimer.
     pub(super) fn event(self) -> ClaimEvent {
         match self.call() {
             ClaimCall::Release(release) => ClaimEvent::Released(release),
@@ -62,9 +62,9 @@
 }
 
 impl Outbox {
-    /// Takes a settlement; false if there is no room. It takes the place of an earlier one of the
-    /// same request, but "may have run" says nothing that is not known from a sure one: words
-    /// that waited for the ring can come in another order.
+    /// Adds a settlement; returns false if the outbox is full. It replaces an earlier settlement of
+    /// the same request, but "may have run" never replaces a definite verdict: settlements that
+    /// waited for the ring can arrive out of order.
     pub(super) fn push(&mut self, settlement: Settlement, now: ClockTime) -> bool {
         let key = (settlement.key, settlement.request);
         let known = self.open.get(&key).map(|(known, _)| known.verdict);
@@ -80,8 +80,8 @@
         true
     }
 
-    /// The settlement is in the store. A later one of the same request stays: the end of a call
-    /// with "may have run" must not stop the release that came after it.
+    /// Removes a recorded settlement. A later settlement of the same request stays: the completed
+    /// call with "may have run" must not cancel the release that followed it.
     pub(super) fn recorded(&mut self, settlement: Settlement) {
         let key = (settlement.key, settlement.request);
         if self
@@ -93,14 +93,14 @@
         }
     }
 
-    /// All are to be said again at once.
+    /// Schedules all settlements to be sent again immediately.
     pub(super) fn retry_all(&mut self, now: ClockTime) {
         for (_, at) in self.open.values_mut() {
             *at = now;
         }
     }
 
-    /// The settlements to say now.
+    /// Returns the settlements that are due and schedules their next attempt.
     pub(super) fn take_due(&mut self, now: ClockTime) -> Vec<Settlement> {
         let due = self.open.values_mut().filter(|(_, at)| *at <= now);
         due.map(|(settlement, at)| {
--- a/crates/oatpier-entry/src/claims/storing.rs
+++ b/crates/oatpier-entry/src/claims/storing.rs
@@ -1,4 +1,4 @@
-//! Calls of claimers to the store.
+//! Store calls of the claimers.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use super::ClaimEnd;
 use crate::store::StoreGate;
 
-/// One call of a claimer.
+/// One store call of a claimer.
 pub(super) struct StoreCall {
     call: CallNumber,
     key: String,
@@ -29,7 +29,7 @@
 }
 
 impl StoreCall {
-    /// The call of an action; none if the action is no call.
+    /// Returns the store call of an action, or `None` if the action is no store call.
     pub(super) fn of(action: ClaimAction) -> Option<Self> {
         let (call, key, work) = match action {
             ClaimAction::WriteSegment {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Makes a call.
+/// Makes a store call.
 pub(super) async fn carry_out(
     gate: Arc<StoreGate>,
     partition: PartitionId,
@@ -94,7 +94,7 @@
     }
 }
 
-/// What an error says of the call; none: it may have taken effect.
+/// Converts a store error; `None` means that the call may have taken effect.
 fn answer_of(error: &StoreError) -> Option<StoreAnswer> {
     match error {
         StoreError::Conflict { .. } => Some(StoreAnswer::Conflict),
--- a/crates/oatpier-entry/src/completion.rs
+++ b/crates/oatpier-entry/src/completion.rs
@@ -1,19 +1,19 @@
-//! The body of a completion request, as far as the decisions need it.
+//! The fields of a completion request body that the policy needs.
 
 use oatpier_types::prefix::BYTES_PER_TOKEN;
 use oatpier_types::request::TokenDemand;
 use serde::Deserialize;
 
-/// The output that a request is expected to have if it names no bound.
+/// Expected number of output tokens if the request sets no limit.
 const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
-/// The fields of a completion request that matter here; the engine gets the whole body.
+/// The relevant fields of a completion request; the engine receives the complete body.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 pub struct CompletionBody {
-    /// The model or adapter.
+    /// Name of the model or adapter.
     pub model: String,
-    /// Whether the answer is to be a stream.
+    /// Whether the caller requests a streamed answer.
     #[serde(default)]
     pub stream: bool,
     #[serde(default)]
@@ -66,17 +66,17 @@
 }
 
 impl CompletionBody {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Returns the parser's error message if the body is invalid.
     pub fn read(body: &[u8]) -> Result<Self, String> {
         serde_json::from_slice(body).map_err(|error| error.to_string())
     }
 
-    /// The text that the model reads, for estimates and prefixes: the contents of the messages,
-    /// one a line, or the prompt.
+    /// Returns the prompt text for token estimates and prefix hashes: the contents of the messages,
+    /// one per line, or the prompt.
     #[must_use]
     pub fn prompt_text(&self) -> String {
         let mut text = String::new();
@@ -90,7 +90,7 @@
         text
     }
 
-    /// The request's size.
+    /// Returns the estimated size of the request in tokens.
     #[must_use]
     pub fn demand(&self, prompt: &str) -> TokenDemand {
         let tokens = prompt.len().div_ceil(BYTES_PER_TOKEN).max(1);
--- a/crates/oatpier-entry/src/configuration.rs
+++ b/crates/oatpier-entry/src/configuration.rs
@@ -1,7 +1,7 @@
-//! The configuration duty: the store's side of the configuration and of planned stops.
+//! The configuration duty: store calls for the configuration and the planned stops.
 //!
-//! When to read and whether to watch is decided by [`oatpier_membership`], in the peers duty;
-//! this duty makes the calls, so that a slow store holds up nobody else.
+//! [`oatpier_membership`] decides in the peers duty when to read and whether to watch. This duty
+//! makes the calls, so that a slow store blocks no other duty.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,51 +22,51 @@
 use crate::store::StoreGate;
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 
-/// What the peers duty wants of the store.
+/// A request of the peers duty for a store call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreOrder {
     /// Read the configuration and the planned stops.
     Read,
-    /// Wait for a change of them.
+    /// Wait for a change of the configuration or the planned stops.
     Watch {
-        /// The configuration's revision that is known.
+        /// Known revision of the configuration.
         after: Revision,
-        /// How long to wait.
+        /// Maximum time to wait.
         wait: Duration,
     },
 }
 
-/// What the store said.
+/// Result of a store call.
 #[derive(Debug, Clone)]
 pub enum StoreNews {
-    /// The read or the watch of the configuration ended.
+    /// Result of a read or watch of the configuration.
     Config(StoreReply<FleetConfig>),
-    /// The whole list of planned stops.
+    /// The complete list of planned stops.
     Stops(Vec<NamedStop>),
-    /// One planned stop was asked for or withdrawn.
+    /// A planned stop was requested or withdrawn.
     Stop(NamedStop),
 }
 
-/// What the configuration duty works on.
+/// Inputs of the configuration duty.
 pub struct ConfigurationInputs {
-    /// The way to the store.
+    /// Access to the store.
     pub gate: Arc<StoreGate>,
-    /// What is wanted. One order is open at a time, besides the one that is carried out.
+    /// Requested calls. At most one request is queued besides the one in progress.
     pub orders: RingReceiver<StoreOrder>,
-    /// Where news go.
+    /// Channel for the results.
     pub news: RingSender<StoreNews>,
-    /// Tells to stop.
+    /// Signals the process to stop.
     pub stop: StopSignal,
 }
 
-/// How a call ended.
+/// Result of a call.
 enum CallEnd {
     Config(StoreReply<FleetConfig>),
     Stops(Result<Vec<StoredValue>, StoreError>),
     StopChanges(Result<Vec<KeyChange>, StoreError>),
 }
 
-/// Makes the calls until the process ends.
+/// Makes store calls until the process ends.
 pub async fn configuration(inputs: ConfigurationInputs) {
     let stop = inputs.stop.clone();
     let mut caller = StoreCaller {
@@ -123,7 +123,8 @@
         }
     }
 
-    /// One watch of the planned stops goes along with that of the configuration.
+    /// Starts a watch of the planned stops alongside the watch of the configuration, unless one is
+    /// in progress.
     fn watch_stops(&mut self, wait: Duration) {
         if self.watches_stops {
             return;
@@ -154,7 +155,7 @@
                 self.watches_stops = false;
                 self.take_stop_changes(changes.unwrap_or_default()).await;
             }
-            // The next read or watch says what this one did not.
+            // The next read or watch delivers the changes that this one missed.
             CallEnd::Stops(Err(_)) => {}
         }
     }
@@ -207,7 +208,7 @@
             revision,
             ..
         }) => understood(revision, &value),
-        // A removed configuration stays in force: nobody asked for another.
+        // A deleted configuration stays active: a deletion does not name a replacement.
         Some(_) | None => StoreReply::Unchanged,
     }
 }
@@ -220,13 +221,13 @@
             value: Arc::new(record.content),
         }),
         Err(error) => {
-            spdlog::error!("the stored configuration can't be understood: {error}");
+            spdlog::error!("the stored configuration can't be decoded: {error}");
             StoreReply::Failed
         }
     }
 }
 
 fn failed(error: &StoreError) -> StoreReply<FleetConfig> {
-    spdlog::warn!("the configuration can't be read: {error}");
+    spdlog::warn!("failed to read the configuration: {error}");
     StoreReply::Failed
 }
--- a/crates/oatpier-entry/src/core.rs
+++ b/crates/oatpier-entry/src/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the callers duty share.
+//! State shared by the tasks of the callers duty.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,31 +28,31 @@
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 
-/// Where timer actions of a request go.
+/// Channel for the timer actions of a request.
 pub type TimerSender = mpsc::UnboundedSender<EntryActions>;
 
-/// The least time between two words to the peers duty that an agent answers.
+/// Minimum interval between two reports to the peers duty that an agent answers.
 const ANSWERED_EVERY: Duration = Duration::from_secs(1);
 
-/// How an agent is reached.
+/// Address and last known state of an agent.
 #[derive(Debug, Clone)]
 pub struct AgentContact {
-    /// The agent.
+    /// Name of the agent.
     pub daemon: DaemonName,
-    /// Where it listens.
+    /// Address the agent listens on.
     pub address: SocketAddr,
-    /// The newest queue report seen, which an attempt carries.
+    /// Newest queue report received, sent along with each attempt.
     pub ticket: AdmissionTicket,
-    /// How many weights are ready there.
+    /// Number of weights that are ready on the agent.
     pub replicas: usize,
-    /// Whether it takes work, as it last said.
+    /// Whether the agent accepts work, according to its newest report.
     pub accepting: bool,
-    /// When the peers duty was last told that it answers.
+    /// Time of the last report to the peers duty that the agent answers.
     answered: Option<ClockTime>,
 }
 
-/// The state that the duty's tasks share. They run on one thread, so the lock is never waited
-/// for; it is held for a decision and never across an await.
+/// State shared by the duty's tasks. All of them run on one thread, so the lock is never contended.
+/// It is held for one decision and never across an await.
 struct CoreState {
     policy: Box<dyn EntryDecisions>,
     config: Option<Arc<FleetConfig>>,
@@ -63,34 +63,34 @@
     history: RequestHistory,
 }
 
-/// The ways from the callers duty to the others.
+/// Channels from the callers duty to the other duties.
 #[derive(Clone)]
 pub struct CoreRings {
-    /// Evidence of the data path, for the peers duty. A full ring drops it: the next attempt
-    /// tells the same.
+    /// Data path evidence for the peers duty. A full ring drops it: the next attempt produces the
+    /// same evidence.
     pub paths: RingSender<PathNews>,
-    /// Claims, for the claims duty. A full ring turns an ask back as "unavailable", which is
-    /// true; a settlement waits.
+    /// Commands for the claims duty. If the ring is full, a query is answered "unavailable", which
+    /// is correct; a settlement waits.
     pub claims: RingSender<ClaimCommand>,
 }
 
-/// The callers duty's shared parts.
+/// Shared state of the callers duty.
 pub struct EntryCore {
     rings: CoreRings,
     state: Mutex<CoreState>,
     timer_changed: Notify,
-    /// The runtime's clock.
+    /// Clock of the runtime.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// Makes spans.
+    /// Creates spans.
     pub tracer: HopTracer,
-    /// Calls agents.
+    /// Client for calls to agents.
     pub peers: PeerClient,
 }
 
 impl EntryCore {
-    /// The shared parts around a policy.
+    /// Creates the shared state around a policy.
     #[must_use]
     pub fn new(
         policy: Box<dyn EntryDecisions>,
@@ -124,25 +124,25 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     #[must_use]
     pub fn config(&self) -> Option<Arc<FleetConfig>> {
         self.lock().config.clone()
     }
 
-    /// How an endpoint's agent is reached.
+    /// Returns the contact of an endpoint's agent.
     #[must_use]
     pub fn contact(&self, endpoint: &EndpointName) -> Option<AgentContact> {
         self.lock().agents.get(endpoint).cloned()
     }
 
-    /// Requests without a final answer.
+    /// Returns the number of requests without a final answer.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lock().policy.in_flight()
     }
 
-    /// Takes news from another duty.
+    /// Applies an update from another duty.
     pub fn take_news(&self, news: EntryNews) {
         match news {
             EntryNews::Config { generation, config } => self.take_config(generation, config),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Answers a question; one who no longer waits gets no answer.
+    /// Answers a query. The answer is discarded if the sender of the query no longer waits.
     fn answer(&self, question: CallersQuestion) {
         match question {
             CallersQuestion::Standing { reply } => {
@@ -172,25 +172,26 @@
         state.policy.standing(config, now)
     }
 
-    /// The demand of this entry's callers.
+    /// Returns the demand of this entry's callers.
     #[must_use]
     pub fn demand(&self) -> DemandSummary {
         let now = self.clock.now();
         self.lock().demand.summary(now)
     }
 
-    /// Remembers what became of a request.
+    /// Records the outcome of a request.
     pub fn remember(&self, explained: ExplainRequest) {
         self.lock().history.push(explained);
     }
 
-    /// The way to the claims duty.
+    /// Returns the channel to the claims duty.
     #[must_use]
     pub fn claims(&self) -> &RingSender<ClaimCommand> {
         &self.rings.claims
     }
 
-    /// A generation only rises: an older one that comes late changes nothing.
+    /// Applies a configuration. Generations only increase: an older one that arrives late is
+    /// ignored.
     fn take_config(&self, generation: Generation, config: Arc<FleetConfig>) {
         let mut state = self.lock();
         if generation <= state.generation {
@@ -246,7 +247,7 @@
         self.metrics.replicas_known.set(shown(replicas));
     }
 
-    /// A request came in; actions of its timers will go to `timers`.
+    /// Starts a request. Actions of its timers are sent to `timers`.
     pub fn start(&self, intake: RequestIntake, timers: TimerSender) -> EntryActions {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -258,7 +259,7 @@
         actions
     }
 
-    /// Something happened to a request; `endpoint` is where, if at one.
+    /// Handles an event of a request; `endpoint` is set if the event comes from an endpoint.
     pub fn handle(
         &self,
         request: RequestId,
@@ -274,24 +275,24 @@
         let actions = state.policy.handle(request, event, now);
         drop(state);
         if let Some(news) = news {
-            // Counted by the ring if it is full.
+            // The ring counts events dropped because it is full.
             let _ = self.rings.paths.try_send(news);
         }
         self.timer_changed.notify_one();
         actions
     }
 
-    /// A request is over.
+    /// Removes the timer channel of a finished request.
     pub fn finish(&self, request: RequestId) {
         self.lock().timers.remove(&request);
     }
 
-    /// New requests are refused from now on.
+    /// Refuses new requests from now on.
     pub fn begin_stop(&self) {
         self.lock().policy.begin_stop();
     }
 
-    /// Fires timers for ever.
+    /// Fires timers until the future is dropped.
     pub async fn run_timers(&self) {
         loop {
             let next = self.lock().policy.next_timer();
@@ -315,7 +316,7 @@
         state.policy.fire_timers(now, &mut fired);
         for (request, actions) in fired {
             if let Some(timers) = state.timers.get(&request) {
-                // A request whose task has ended needs no more actions.
+                // The task of the request may have ended; its actions are no longer needed.
                 let _ = timers.send(actions);
             }
         }
@@ -327,7 +328,7 @@
 }
 
 impl CoreState {
-    /// Takes an agent's contact; a ticket that is later than the one that came stays.
+    /// Stores an agent's contact, but keeps the known ticket if it is newer than the received one.
     fn take_contact(&mut self, endpoint: &EndpointName, fresh: AgentContact) {
         let known = self.agents.get(endpoint);
         let known = known.filter(|known| known.ticket.boot == fresh.ticket.boot);
@@ -367,7 +368,7 @@
         self.demand.record(&key, tokens.prompt, tokens.output, now);
     }
 
-    /// What an event tells of whether the agent is there, if the peers duty is to know.
+    /// Returns the reachability evidence of an event if the peers duty needs it.
     fn path_news(
         &mut self,
         endpoint: &EndpointName,
--- a/crates/oatpier-entry/src/decisions.rs
+++ b/crates/oatpier-entry/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions that the callers duty drives, as a trait object.
+//! The request policy that the callers duty drives, as a trait object.
 
 use oatpier_policy::action::EntryActions;
 use oatpier_policy::entry::EntryPolicy;
@@ -12,33 +12,33 @@
 
 use crate::news::CallersStanding;
 
-/// All that an entry decides about requests; see [`EntryPolicy`].
+/// All decisions of an entry about requests; see [`EntryPolicy`].
 pub trait EntryDecisions: Send {
-    /// Takes a configuration over.
+    /// Applies a configuration.
     fn apply_config(&mut self, config: &FleetConfig);
-    /// An agent's whole word on its endpoint came.
+    /// Applies the full status of an endpoint.
     fn on_status(&mut self, status: &EndpointStatus, now: ClockTime);
-    /// An agent's word on its queue came.
+    /// Applies a queue report of an endpoint.
     fn on_queue_report(&mut self, endpoint: &EndpointName, report: &QueueReport, now: ClockTime);
-    /// The endpoint is said to leave.
+    /// Marks an endpoint as leaving.
     fn mark_leaving(&mut self, endpoint: &EndpointName, now: ClockTime);
-    /// The endpoint does not leave after all.
+    /// Marks an endpoint as not leaving.
     fn clear_leaving(&mut self, endpoint: &EndpointName);
-    /// The endpoint is gone from the directory.
+    /// Removes an endpoint that is gone from the directory.
     fn forget(&mut self, endpoint: &EndpointName, now: ClockTime);
-    /// A request came in.
+    /// Starts a request.
     fn start(&mut self, intake: RequestIntake, now: ClockTime) -> EntryActions;
-    /// Something happened to a request.
+    /// Handles an event of a request.
     fn handle(&mut self, request: RequestId, event: &EntryEvent, now: ClockTime) -> EntryActions;
-    /// When the timers are to be fired next.
+    /// Returns the time at which the next timer fires.
     fn next_timer(&self) -> Option<ClockTime>;
-    /// Fires the timers whose time has come.
+    /// Fires the timers that are due.
     fn fire_timers(&mut self, now: ClockTime, fired: &mut Vec<(RequestId, EntryActions)>);
-    /// New requests are refused from now on.
+    /// Refuses new requests from now on.
     fn begin_stop(&mut self);
-    /// Requests without a final answer.
+    /// Returns the number of requests without a final answer.
     fn in_flight(&self) -> usize;
-    /// How the requests do, for operators.
+    /// Returns the overall status of the requests, for operators.
     fn standing(&self, config: &FleetConfig, now: ClockTime) -> CallersStanding;
 }
 
--- a/crates/oatpier-entry/src/errors.rs
+++ b/crates/oatpier-entry/src/errors.rs
@@ -1,7 +1,7 @@
-//! Errors as callers see them.
+//! Error responses to callers.
 //!
-//! Each error names the request, its trace and the verdict, and says when to come back, so that
-//! a caller can tell whether a repeat is safe without asking anyone.
+//! Each error contains the request ID, the trace ID, the verdict and a retry delay, so that a
+//! caller can decide by itself whether a retry is safe.
 
 use std::time::Duration;
 
@@ -15,32 +15,32 @@
 
 use crate::intake::IntakeError;
 
-/// The header that names a request.
+/// Header with the request ID.
 pub const REQUEST_HEADER: HeaderName = HeaderName::from_static("oatpier-request-id");
-/// The header that says whether a request may have run.
+/// Header that tells whether a request may have run.
 pub const VERDICT_HEADER: HeaderName = HeaderName::from_static("oatpier-verdict");
 
-/// Which request an answer belongs to.
+/// Identifiers of the request that an answer belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestIdentity {
-    /// The request.
+    /// Request ID.
     pub request: RequestId,
-    /// Its trace.
+    /// Trace ID.
     pub trace: u128,
 }
 
-/// What is told of a failed request.
+/// Error reported to the caller of a failed request.
 #[derive(Debug, Clone)]
 pub struct CallerError {
     /// The HTTP status.
     pub status: StatusCode,
-    /// A short word on the cause.
+    /// Machine-readable error type.
     pub kind: &'static str,
-    /// What happened.
+    /// Error message.
     pub message: String,
     /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// When to come back.
+    /// Delay after which to retry.
     pub retry_after: Option<Duration>,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl CallerError {
-    /// The error of a request that could not be understood.
+    /// Creates the error of a request that could not be parsed.
     #[must_use]
     pub fn of_intake(error: &IntakeError) -> Self {
         let (status, kind) = match error {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The error of a request that ended without a whole answer.
+    /// Creates the error of a request that ended without a complete answer.
     #[must_use]
     pub fn of_answer(answer: &FinalAnswer) -> Self {
         Self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The answer with this error.
+    /// Returns the response for this error.
     #[must_use]
     pub fn reply(&self, identity: RequestIdentity) -> Reply {
         let mut reply = reply::whole(self.status, "application/json", self.body(identity));
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The last event of a stream that can't be finished.
+    /// Returns the last event of a stream that can't be completed.
     #[must_use]
     pub fn event(&self, identity: RequestIdentity) -> Bytes {
         let body = self.body(identity);
@@ -134,11 +134,12 @@
                 .retry_after
                 .and_then(|after| u64::try_from(after.as_millis()).ok()),
         };
-        serde_json::to_vec(&ErrorBody { error: fields }).expect("the fields are plain")
+        serde_json::to_vec(&ErrorBody { error: fields })
+            .expect("the error fields serialize to JSON")
     }
 }
 
-/// Puts the request's number on an answer.
+/// Adds the request ID header to a response.
 #[must_use]
 pub fn identify(mut reply: Reply, identity: RequestIdentity) -> Reply {
     if let Ok(value) = HeaderValue::from_str(&identity.request.to_string()) {
--- a/crates/oatpier-entry/src/history.rs
+++ b/crates/oatpier-entry/src/history.rs
@@ -1,4 +1,4 @@
-//! What became of the last requests, for operators who ask why one was refused.
+//! Outcomes of recent requests, for operators who investigate a refusal.
 
 use std::collections::VecDeque;
 
@@ -7,19 +7,19 @@
 use oatpier_types::names::EndpointName;
 use oatpier_types::operator::{ExplainRequest, RequestStep};
 
-/// Requests that are remembered; the oldest is forgotten first.
+/// Number of requests kept; the oldest is dropped first.
 const KEPT_REQUESTS: usize = 1024;
-/// Steps that are remembered of one request; of a longer one the first.
+/// Number of steps kept per request; later steps are dropped.
 const KEPT_STEPS: usize = 48;
 
-/// The last requests that are over.
+/// Recently finished requests.
 #[derive(Debug, Default)]
 pub struct RequestHistory {
     requests: VecDeque<ExplainRequest>,
 }
 
 impl RequestHistory {
-    /// Remembers a request.
+    /// Adds a request.
     pub fn push(&mut self, explained: ExplainRequest) {
         if self.requests.len() >= KEPT_REQUESTS {
             self.requests.pop_front();
@@ -27,7 +27,7 @@
         self.requests.push_back(explained);
     }
 
-    /// What became of a request; none if it is not known, or no longer.
+    /// Returns the outcome of a request, or `None` if it is unknown or already dropped.
     #[must_use]
     pub fn get(&self, request: RequestId) -> Option<ExplainRequest> {
         let name = request.to_string();
@@ -36,7 +36,7 @@
     }
 }
 
-/// The steps of one request, as they happen.
+/// Steps of one request in chronological order.
 #[derive(Debug)]
 pub struct StepLog {
     started: ClockTime,
@@ -44,7 +44,7 @@
 }
 
 impl StepLog {
-    /// The log of a request that came at `started`.
+    /// Creates the log of a request that arrived at `started`.
     #[must_use]
     pub fn new(started: ClockTime) -> Self {
         Self {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Notes a step.
+    /// Adds a step.
     pub fn note(
         &mut self,
         hop: &str,
@@ -73,7 +73,7 @@
         });
     }
 
-    /// All steps, in order.
+    /// Takes all steps, in order.
     #[must_use]
     pub fn take(&mut self) -> Vec<RequestStep> {
         std::mem::take(&mut self.steps)
--- a/crates/oatpier-entry/src/intake.rs
+++ b/crates/oatpier-entry/src/intake.rs
@@ -1,4 +1,4 @@
-//! From a caller's HTTP request to what the decisions need to know of it.
+//! Parses a caller's HTTP request into the data that the policy needs.
 
 use std::net::IpAddr;
 
@@ -17,23 +17,23 @@
 
 use crate::completion::CompletionBody;
 
-/// The header in which a caller names a class of work.
+/// Header with the request class.
 pub const CLASS_HEADER: &str = "oatpier-class";
-/// The header in which a caller, or a proxy before the entry, says who it is.
+/// Header with the caller's identity, set by the caller or by a proxy in front of the entry.
 pub const CALLER_HEADER: &str = "oatpier-caller";
-/// The header that marks resubmissions of one request.
+/// Header with the idempotency key, which identifies resubmissions of one request.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// The path below which plain services are.
+/// Path prefix of plain services.
 const SERVICE_PREFIX: &str = "/services/";
 
-/// A request that can't be taken.
+/// Reason for which a request is rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error)]
 pub enum IntakeError {
-    /// Nothing is served under the path.
+    /// Nothing is served at the path.
     #[error(
         "there is nothing at `{path}`; use /v1/chat/completions, /v1/completions, /v1/models or \
          /services/NAME/..."
@@ -42,20 +42,20 @@
         /// The path.
         path: String,
     },
-    /// The path takes another method.
+    /// The path does not support the method.
     #[error("`{path}` does not take {method}; use {wanted}")]
     Method {
         /// The path.
         path: String,
-        /// The method that came.
+        /// The method of the request.
         method: Method,
-        /// The method that it takes.
+        /// The method that the path supports.
         wanted: &'static str,
     },
-    /// The body is not what the path takes.
+    /// The body is not a valid completion request.
     #[error("the body is not a completion request: {cause}")]
     Body {
-        /// What is wrong.
+        /// Description of the problem.
         cause: String,
     },
     /// No such model or adapter is configured.
@@ -84,43 +84,43 @@
     NoConfig,
 }
 
-/// A caller's request, understood.
+/// A parsed request of a caller.
 #[derive(Debug, Clone)]
 pub struct CallIntake {
-    /// What it is for.
+    /// Model or service that the request addresses.
     pub goal: RequestGoal,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassName,
-    /// Who sent it.
+    /// Caller that sent the request.
     pub caller: CallerName,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
     /// The idempotency key, hashed together with the caller's name.
     pub key: Option<KeyHash>,
-    /// Its size.
+    /// Estimated size in tokens.
     pub tokens: TokenDemand,
-    /// The growing prefixes of its prompt.
+    /// Hashes of the successively longer prefixes of the prompt.
     pub prefixes: PrefixChain,
     /// Whether the answer is a stream of server-sent events.
     pub stream: bool,
-    /// What the endpoint gets.
+    /// Parts that are forwarded to the endpoint.
     pub call: CallParts,
 }
 
-/// The parts of a call that pass through to the endpoint.
+/// The parts of a call that are forwarded to the endpoint.
 #[derive(Debug, Clone)]
 pub struct CallParts {
     /// The method.
     pub method: Method,
-    /// The path and query, as the endpoint sees them.
+    /// Path and query as sent to the endpoint.
     pub path: String,
-    /// The headers that pass through.
+    /// Headers that are forwarded.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// What kind of path a request goes to.
+/// Kind of path that a request addresses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallRoute {
     /// The list of models and adapters.
@@ -132,11 +132,11 @@
 }
 
 impl CallRoute {
-    /// The route of a request.
+    /// Returns the route of a request.
     ///
     /// # Errors
     ///
-    /// [`IntakeError::Path`] and [`IntakeError::Method`].
+    /// Returns [`IntakeError::Path`] or [`IntakeError::Method`].
     pub fn of(method: &Method, path: &str) -> Result<Self, IntakeError> {
         let (route, wanted) = match path {
             "/v1/models" => (Self::Models, Method::GET),
@@ -158,11 +158,11 @@
     }
 }
 
-/// Understands a request to a model or a plain service.
+/// Parses a request to a model or a plain service.
 ///
 /// # Errors
 ///
-/// What the caller has to mend.
+/// Returns an error that tells the caller what to correct.
 pub fn understand(
     config: &FleetConfig,
     route: CallRoute,
@@ -280,7 +280,7 @@
         .ok_or(IntakeError::Class { name })
 }
 
-/// Who sent a request. A credential is hashed, so that it shows up in no log or metric.
+/// Returns the caller of a request. Credentials are hashed to keep them out of logs and metrics.
 fn caller_of(headers: &HeaderMap, peer: IpAddr) -> CallerName {
     let named = [CALLER_HEADER, http::header::AUTHORIZATION.as_str()]
         .into_iter()
@@ -293,7 +293,7 @@
 }
 
 fn unknown_caller() -> CallerName {
-    CallerName::try_from("unknown").expect("the name is a constant")
+    CallerName::try_from("unknown").expect("the constant is a valid name")
 }
 
 fn key_of(headers: &HeaderMap, caller: &CallerName) -> Result<Option<KeyHash>, IntakeError> {
@@ -308,7 +308,7 @@
     Ok(Some(KeyHash::of(caller, text)))
 }
 
-/// All headers but those that concern one connection or oatpier itself.
+/// Returns all headers except hop-by-hop headers and those used by oatpier itself.
 fn passed_headers(headers: &HeaderMap) -> HeaderMap {
     const KEPT_BACK: [&str; 13] = [
         "connection",
--- a/crates/oatpier-entry/src/lib.rs
+++ b/crates/oatpier-entry/src/lib.rs
@@ -1,13 +1,14 @@
-//! An entry: takes callers' requests, chooses an endpoint, and answers for the outcome.
+//! The entry process: accepts client requests, selects an endpoint, and returns the outcome to the
+//! client.
 //!
 //! | duty | module | owns |
 //! | --- | --- | --- |
-//! | callers | [`callers`] | the decisions about requests ([`oatpier_policy`]) |
+//! | callers | [`callers`] | request routing policy ([`oatpier_policy`]) |
 //! | peers | [`peers`] | membership and configuration ([`oatpier_membership`]), the peer listener |
-//! | configuration | [`configuration`] | the store's side of configuration and planned stops |
+//! | configuration | [`configuration`] | store access for configuration and planned stops |
 //! | claims | [`claims`] | idempotency keys ([`oatpier_claims`]) |
 //! | planner | [`planner`] | the planner's lease and the plan ([`oatpier_placement`]) |
-//! | observe | [`oatpier_duty::observe`] | metrics, health, export of spans |
+//! | observe | [`oatpier_duty::observe`] | metrics, health checks, span export |
 
 pub mod attempt;
 pub mod callers;
@@ -56,10 +57,10 @@
 use oatpier_duty::observe::{ObserveInputs, observe};
 use oatpier_duty::settings::EntrySettings;
 
-/// How long one call to the platform may take.
+/// Timeout of one call to the platform.
 const PLATFORM_WAIT: Duration = Duration::from_secs(2);
 
-/// What all duties of an entry share.
+/// State shared by all duties of an entry.
 struct EntryParts {
     boot: BootId,
     clock: RuntimeClock,
@@ -90,11 +91,11 @@
     rand::make_rng()
 }
 
-/// Starts an entry's duties.
+/// Starts the duties of an entry.
 ///
 /// # Errors
 ///
-/// An address that can't be listened on.
+/// Returns an error if a listen address can't be bound.
 pub fn start(settings: &EntrySettings) -> Result<DutyProcess, StartError> {
     let caller_listener = bind(settings.caller_listen, "callers")?;
     let peer_listener = bind(settings.peer_listen, "peers")?;
@@ -205,7 +206,7 @@
     listener: std::net::TcpListener,
     rings: PeersRings,
 ) {
-    // Port 0 in the settings takes a free one, which others have to know.
+    // Port 0 in the settings binds a free port, so peers need the bound address.
     let address = listener.local_addr().unwrap_or(settings.peer_listen);
     let inputs = PeersInputs {
         listener,
--- a/crates/oatpier-entry/src/links.rs
+++ b/crates/oatpier-entry/src/links.rs
@@ -1,4 +1,4 @@
-//! Calls of an entry to other entries and to agents, attempts aside.
+//! Calls of an entry to other entries and to agents, except for attempts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,39 +17,39 @@
     CLAIM_PATH, ClaimCall, ClaimReply, DEMAND_PATH, DemandWord, GENERATIONS_PATH, GenerationRows,
 };
 
-/// How long a claimer in another entry may take over an ask: longer than it holds one itself.
+/// Timeout of a query to a claimer in another entry. Longer than a claimer itself holds a query.
 pub const CLAIM_WAIT: Duration = Duration::from_millis(800);
-/// How long it may take over a settlement, which waits for a write of other claims.
+/// Timeout of a settlement, which waits for a write of other claims.
 pub const SETTLE_WAIT: Duration = Duration::from_millis(1600);
-/// How long a demand word may take.
+/// Timeout of a demand report.
 const DEMAND_WAIT: Duration = Duration::from_millis(500);
-/// How long an entry may take to say who is on which generation.
+/// Timeout of a query for configuration generations.
 const GENERATIONS_WAIT: Duration = Duration::from_millis(500);
-/// How long one agent may take to say its status.
+/// Timeout of a status query to an agent.
 const STATUS_WAIT: Duration = Duration::from_millis(400);
 
-/// A call that may go to another task; none: no answer came.
+/// A call that can be moved to another task; `None` if no answer was received.
 pub type LinkFuture<T> = BoxFuture<'static, Option<T>>;
 
-/// Calls to other processes. All may be repeated.
+/// Calls to other processes. All of them may be repeated.
 pub trait EntryLinks: Send + Sync {
-    /// Calls about membership or configuration.
+    /// Makes a membership or configuration call.
     fn call(&self, to: SocketAddr, call: FleetCall) -> LinkFuture<FleetAnswer>;
 
-    /// Turns to the claimer in another entry.
+    /// Calls the claimer in another entry.
     fn claim(&self, to: SocketAddr, call: ClaimCall) -> LinkFuture<ClaimReply>;
 
-    /// Tells an entry that may plan what is asked for here.
+    /// Sends this entry's demand to a planner candidate.
     fn tell_demand(&self, to: SocketAddr, word: DemandWord) -> LinkFuture<()>;
 
-    /// Asks an entry who is on which generation.
+    /// Queries an entry for configuration generations.
     fn ask_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows>;
 
-    /// Asks an agent for its status.
+    /// Queries an agent for its status.
     fn ask_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus>;
 }
 
-/// The calls over HTTP. Belongs to one duty's runtime, as its connections do.
+/// Calls over HTTP. An instance belongs to one duty's runtime, because its connections do.
 #[derive(Clone)]
 pub struct HttpLinks {
     client: PeerClient,
--- a/crates/oatpier-entry/src/messages.rs
+++ b/crates/oatpier-entry/src/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between entries that nobody else needs to know.
+//! Messages exchanged only between entries.
 
 use oatpier_claims::message::{ClaimAnswer, ClaimAsk, ClaimFinish, ClaimRelease};
 use oatpier_placement::demand::DemandSummary;
@@ -6,38 +6,38 @@
 use oatpier_types::operator::DaemonGeneration;
 use serde::{Deserialize, Serialize};
 
-/// Where an entry takes a [`ClaimCall`].
+/// Path for [`ClaimCall`] messages.
 pub const CLAIM_PATH: &str = "/entry/claim";
-/// Where an entry takes a [`DemandWord`].
+/// Path for [`DemandWord`] messages.
 pub const DEMAND_PATH: &str = "/entry/demand";
-/// Where an entry says which configuration is in force at the agents that are registered with it.
+/// Path that returns the active configuration generations of the agents registered with an entry.
 pub const GENERATIONS_PATH: &str = "/entry/generations";
 
-/// One entry's word to a claimer.
+/// Request of an entry to a claimer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ClaimCall {
-    /// A request wants to run under a key.
+    /// A request needs a key before it runs.
     Ask(ClaimAsk),
     /// A request did not run and never will.
     Release(ClaimRelease),
-    /// A request that held a key is over.
+    /// A request that held a key has ended.
     Finish(ClaimFinish),
 }
 
-/// A claimer's answer to a [`ClaimCall`].
+/// Response of a claimer to a [`ClaimCall`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// To an ask.
+    /// Response to an `Ask`.
     Answer(ClaimAnswer),
-    /// A release or a finish is in the store.
+    /// The release or finish is recorded in the store.
     Recorded,
-    /// It is not in the store yet: it is to be said again.
+    /// The release or finish is not in the store yet and has to be sent again.
     Pending,
 }
 
-/// The demand that one entry sees.
+/// Demand of one entry's callers.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct DemandWord {
@@ -47,10 +47,10 @@
     pub summary: DemandSummary,
 }
 
-/// Which configuration is in force where, as one entry hears it itself.
+/// Active configuration generations that were reported to one entry directly.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct GenerationRows {
-    /// The entry, and the agents that are registered with it.
+    /// Rows of the entry itself and of the agents registered with it.
     pub rows: Vec<DaemonGeneration>,
 }
--- a/crates/oatpier-entry/src/news.rs
+++ b/crates/oatpier-entry/src/news.rs
@@ -1,4 +1,4 @@
-//! What the other duties of an entry tell its callers duty.
+//! Updates from the other duties to the callers duty.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,71 +10,72 @@
 use oatpier_types::status::{EndpointStatus, QueueReport};
 use tokio::sync::oneshot;
 
-/// News for the callers duty.
+/// Update for the callers duty.
 #[derive(Debug)]
 pub enum EntryNews {
-    /// A configuration is in force.
+    /// A configuration became active.
     Config {
-        /// Its generation.
+        /// Generation of the configuration.
         generation: Generation,
-        /// Its content.
+        /// Content of the configuration.
         config: Arc<FleetConfig>,
     },
     /// The directory of endpoints changed.
     Directory(DirectoryNews),
-    /// An operator asks.
+    /// An operator's query.
     Question(CallersQuestion),
 }
 
-/// A change of what is known of endpoints.
+/// A change in the directory of endpoints.
 #[derive(Debug, Clone)]
 pub enum DirectoryNews {
-    /// An agent's word on its endpoint.
+    /// An agent reported the status of its endpoint.
     Status {
-        /// The agent.
+        /// Name of the agent.
         daemon: DaemonName,
-        /// Where it listens.
+        /// Address the agent listens on.
         address: SocketAddr,
-        /// Its word.
+        /// The reported status.
         status: Box<EndpointStatus>,
     },
-    /// An agent's word on its queue.
+    /// An agent reported its queue.
     QueueReport {
-        /// The endpoint.
+        /// Name of the endpoint.
         endpoint: EndpointName,
-        /// The word.
+        /// The report.
         report: QueueReport,
     },
-    /// An endpoint leaves.
+    /// The endpoint is leaving.
     Leaving(EndpointName),
-    /// An endpoint does not leave after all.
+    /// The endpoint is not leaving, or no longer.
     Staying(EndpointName),
-    /// An endpoint is gone.
+    /// The endpoint is gone.
     Gone(EndpointName),
 }
 
-/// A question about requests. The one who asks waits for the answer for a short time only.
+/// A query about requests. The sender waits for the answer only for a short time.
 #[derive(Debug)]
 pub enum CallersQuestion {
-    /// How requests do.
+    /// Overall status of requests.
     Standing {
-        /// Where the answer goes.
+        /// Channel for the answer.
         reply: oneshot::Sender<CallersStanding>,
     },
-    /// What became of a request.
+    /// Outcome of one request.
     Request {
-        /// Which.
+        /// ID of the request.
         request: RequestId,
-        /// Where the answer goes; none if the request is not known, or no longer.
+        /// Channel for the answer, which is `None` if the request is unknown or was already
+        /// dropped.
         reply: oneshot::Sender<Option<ExplainRequest>>,
     },
 }
 
-/// How an entry's requests do.
+/// Overall status of an entry's requests.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct CallersStanding {
-    /// How the classes do against their targets.
+    /// Attainment of each class's target.
     pub attainment: Vec<AttainmentRow>,
-    /// Endpoints that the evidence of the data path is against.
+    /// Endpoints ejected because of data path failures.
     pub ejected: Vec<EndpointName>,
 }
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -1,4 +1,4 @@
-//! What the other duties are told of members.
+//! Updates about members for the other duties.
 
 use std::collections::{HashMap, HashSet};
 
@@ -16,22 +16,22 @@
 use crate::news::{DirectoryNews, EntryNews};
 use crate::planner::{EndpointView, FleetPicture, PlanGroup};
 
-/// Members that one round tells of; the rest comes in the next.
+/// Maximum number of members per round of updates; the rest follow in the next round.
 const ROUND_MEMBERS: usize = 64;
 
-/// Something for another duty.
+/// A message to another duty.
 pub(super) enum Outgoing {
-    /// For the callers duty, which can serve from then on.
+    /// Configuration for the callers duty, which can serve once it has one.
     Config(EntryNews),
-    /// For the callers duty.
+    /// Update for the callers duty.
     News(EntryNews),
-    /// For the configuration duty.
+    /// Store call for the configuration duty.
     Order(StoreOrder),
-    /// For the claims duty.
+    /// Command for the claims duty.
     Claims(ClaimCommand),
 }
 
-/// Takes what is to be told.
+/// Collects the pending messages.
 pub(super) fn take(state: &mut DriverState) -> Vec<Outgoing> {
     let mut news = Vec::new();
     news.extend(state.order.take().map(Outgoing::Order));
@@ -52,7 +52,8 @@
         news.extend(told.map(Outgoing::News));
     }
     if count < ROUND_MEMBERS {
-        // A queue's word counts only once its endpoint's status was told.
+        // Queue reports are sent only after all pending statuses, because they apply only to
+        // endpoints with a known status.
         let reports = state.reports.drain(..);
         let reports =
             reports.map(|(endpoint, report)| DirectoryNews::QueueReport { endpoint, report });
@@ -79,9 +80,10 @@
     heard.map(|(contact, _)| &contact.daemon)
 }
 
-/// The queue in a row that came by gossip is as old as the row. Where it says that the agent
-/// takes no work, that may have been before its first configuration, and no later row would say
-/// otherwise: such an agent gets work, and refuses by itself what it does not take.
+/// Returns a gossiped status with `accepting` set while the agent serves. The queue report in a
+/// gossiped row is as old as the row. If it says that the agent does not accept work, it may
+/// predate the agent's first configuration, and no later row would correct it. Such an agent
+/// receives work and refuses by itself what it does not accept.
 fn gossiped_status(status: &EndpointStatus, phase: MemberPhase) -> EndpointStatus {
     let mut status = status.clone();
     status.queue.accepting |= phase == MemberPhase::Serving;
@@ -114,7 +116,7 @@
     SmallVec::from_iter([whole, standing])
 }
 
-/// What the planner needs to know; none without a configuration.
+/// Returns the fleet state for the planner, or `None` without a configuration.
 pub(super) fn picture(state: &DriverState, own_zone: &ZoneName) -> Option<FleetPicture> {
     let held = state.member.in_force()?;
     let config = held.value.clone();
@@ -192,8 +194,9 @@
     }
 }
 
-/// A planned stop counts from when it was asked for, though its agent is told only once there
-/// are replacements: the planner is to have them loaded meanwhile.
+/// Returns whether an agent is leaving. A planned stop counts from the time it was requested,
+/// although the agent is told only once replacements exist. The planner loads the replacements in
+/// the meantime.
 fn is_leaving(state: &DriverState, view: &MemberView<'_>) -> bool {
     let daemon = &view.facts.daemon;
     let word = state.member.stops().word(daemon);
--- a/crates/oatpier-entry/src/peers/driver.rs
+++ b/crates/oatpier-entry/src/peers/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the membership machine: hands it what happens, and carries its actions out.
+//! Drives the membership state machine: passes events to it and executes its actions.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -27,42 +27,44 @@
 use crate::links::EntryLinks;
 use crate::planner::FleetPicture;
 
-/// After this long the agents and entries that live have been heard. What is not in the table
-/// before that may be missing only because this entry has just started.
+/// Time after start by which all live agents and entries have sent a heartbeat. A member missing
+/// from the table before that may be missing only because this entry has just started.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// After this long it is settled even if the list of VMs names agents that were never heard.
+/// Time after start from which the table counts as settled even if the list of VMs names unknown
+/// agents.
 const SETTLE_LONGEST: Duration = Duration::from_secs(30);
 
-/// Members beyond twice the table's of whom it is known when they were heard.
+/// Number of entries in `heard` beyond twice the table's size before unknown members are removed.
 const HEARD_MARGIN: usize = 64;
 
-/// The state that the duty's tasks share. They run on one thread, so the lock is never waited
-/// for; it is held for a decision and never across an await.
+/// State shared by the duty's tasks. All of them run on one thread, so the lock is never contended.
+/// It is held for one decision and never across an await.
 pub(super) struct DriverState {
     pub(super) member: EntryMember<FleetConfig>,
     pub(super) stops: StopGate,
-    /// When each member was last heard of.
+    /// Time of the last heartbeat or row update of each member.
     pub(super) heard: HashMap<DaemonName, ClockTime>,
-    /// Members of which the callers duty is to be told anew. Bounded by the table.
+    /// Members whose state has to be sent to the callers duty. Bounded by the table.
     pub(super) dirty: IndexSet<DaemonName>,
-    /// Queues that the callers duty is to be told; a later word replaces an earlier one.
+    /// Queue reports to send to the callers duty; a later report replaces an earlier one.
     pub(super) reports: IndexMap<EndpointName, QueueReport>,
-    /// The call to the store that the machine wants; it wants one at a time.
+    /// The store call that the state machine requests; there is at most one at a time.
     pub(super) order: Option<StoreOrder>,
-    /// The generation that the callers duty was told.
+    /// Generation last sent to the callers duty.
     pub(super) told: Generation,
-    /// Agents that the list of VMs names and the table lacks; none before the list was read.
+    /// Number of agents that are in the list of VMs but not in the table; `None` before the first
+    /// list.
     pub(super) unknown_agents: Option<usize>,
-    /// The entries that the claims duty was told.
+    /// Entries last sent to the claims duty.
     pub(super) told_entries: Vec<EntryContact>,
     mark: u64,
     leaving_hints: IndexSet<DaemonName>,
 }
 
-/// Drives the membership machine.
+/// Drives the membership state machine.
 pub(super) struct MemberDriver {
     state: Mutex<DriverState>,
-    /// There is something to publish, or another time to wake at.
+    /// Notified when there may be something to publish.
     changed: Notify,
     woken: Notify,
     stop: StopSignal,
@@ -113,7 +115,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands an event to the machine.
+    /// Passes an event to the state machine.
     pub(super) fn hear(self: &Arc<Self>, event: EntryEvent<FleetConfig>) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -134,7 +136,7 @@
         answer
     }
 
-    /// The whole list of planned stops was read.
+    /// Applies the complete list of planned stops.
     pub(super) fn take_stops(self: &Arc<Self>, stops: Vec<NamedStop>) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -148,7 +150,7 @@
         self.hear(EntryEvent::StopsListed(passed));
     }
 
-    /// One planned stop was asked for or withdrawn.
+    /// Applies one planned stop that was requested or withdrawn.
     pub(super) fn take_stop(self: &Arc<Self>, stop: NamedStop) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -164,7 +166,7 @@
         }
     }
 
-    /// The list of VMs was read.
+    /// Applies a new list of VMs.
     pub(super) fn take_hints(self: &Arc<Self>, hints: Vec<VmHint>) {
         let leaving = hints.iter().filter(|hint| hint.leaving);
         let leaving: IndexSet<DaemonName> =
@@ -198,7 +200,7 @@
                     log_change(&change);
                     state.dirty.insert(change.daemon);
                 }
-                // A stop that is withdrawn after the process began to drain comes too late.
+                // Withdrawing a stop has no effect once the process has begun to drain.
                 EntryAction::Stop(word) if !word.withdrawn => {
                     self.stop.advance(StopPhase::Draining);
                 }
@@ -210,7 +212,7 @@
         self.woken.notify_one();
     }
 
-    /// Gives the machine its ticks for ever.
+    /// Sends ticks to the state machine until the future is dropped.
     pub(super) async fn run_timers(self: &Arc<Self>) {
         loop {
             let wake = self.lock().member.next_wake();
@@ -233,8 +235,9 @@
         self.hear(EntryEvent::Tick);
     }
 
-    /// Tells the other duties what changed, for ever. What is to be told is kept by member, not
-    /// by event, so that a duty that is slow for a while gets the latest word and no backlog.
+    /// Sends changes to the other duties until the future is dropped. Pending changes are kept per
+    /// member and not per event. A duty that is slow for a while thus receives the latest state and
+    /// no backlog.
     pub(super) async fn publish(&self, rings: &PeersRings, able: &AtomicBool) {
         loop {
             self.changed.notified().await;
@@ -250,7 +253,7 @@
         }
     }
 
-    /// Live entries and agents that are known.
+    /// Returns the numbers of live entries and usable agents, at least one each.
     pub(super) fn counts(&self) -> (u32, u32) {
         let state = self.lock();
         let table = state.member.table();
@@ -260,29 +263,31 @@
         (count(entries), count(agents))
     }
 
-    /// Whether what the table lacks is likely not to be there: it has had time to fill since the
-    /// start, and knows every agent that the list of VMs names, or has waited long for that.
+    /// Returns whether members missing from the table are likely not to exist. This holds once the
+    /// table had time to fill since the start and contains every agent in the list of VMs, or after
+    /// [`SETTLE_LONGEST`].
     pub(super) fn is_settled(&self) -> bool {
         let waited = self.clock.now().since(self.started);
         let is_full = self.lock().unknown_agents == Some(0);
         waited >= SETTLE_LONGEST || (is_full && waited >= SETTLE_TIME)
     }
 
-    /// What the planner is to plan on; none before the table is filled. A plan that is made on a
-    /// half-empty table would have weights loaded that are there already, and unloaded from the
-    /// endpoints that were not known.
+    /// Returns the fleet state for the planner, or `None` before the table has settled. A plan
+    /// computed from an incomplete table would load weights that are already loaded elsewhere and
+    /// unload them from the endpoints missing from the table.
     pub(super) fn settled_picture(&self) -> Option<FleetPicture> {
         self.picture().filter(|_| self.is_settled())
     }
 
-    /// What there is; none without a configuration.
+    /// Returns the fleet state, or `None` without a configuration.
     pub(super) fn picture(&self) -> Option<FleetPicture> {
         directory::picture(&self.lock(), &self.own.zone)
     }
 }
 
 impl DriverState {
-    /// A full word may change nothing of the row but the queue, so its queue is told as well.
+    /// Records the queue report of a heartbeat. A full heartbeat may change only the queue of the
+    /// row, so its queue report is recorded as well.
     fn note_queue_report(&mut self, daemon: &DaemonName, body: &HeartbeatBody) {
         match body {
             HeartbeatBody::Full(status) => {
@@ -302,7 +307,7 @@
         let endpoints = config.pools.values().map(|pool| pool.endpoints.len());
         let scope = ExchangeScope::for_fleet(endpoints.sum());
         let actions = self.member.handle(EntryEvent::Scope(scope), now);
-        // A scope asks for nothing at once but states that change, which `dirty` takes.
+        // A change of scope triggers only state changes, which go into `dirty`.
         for action in actions {
             if let EntryAction::Changed(change) = action {
                 self.dirty.insert(change.daemon);
@@ -326,13 +331,13 @@
             self.dirty.extend(all);
         }
         self.mark = table.mark();
-        // The table forgets members that are long gone, and so does this.
+        // The table removes members that are long gone; their times are removed here.
         if self.heard.len() > HEARD_MARGIN + 2 * table.members().count() {
             self.heard.retain(|daemon, _| table.get(daemon).is_some());
         }
     }
 
-    /// Live entries, the own among them.
+    /// Returns the live entries including this one.
     pub(super) fn entries(&self) -> Vec<EntryContact> {
         let live = self.member.table().live_entries();
         let mut entries: Vec<EntryContact> = live.map(MemberFacts::contact).collect();
--- a/crates/oatpier-entry/src/peers/handler.rs
+++ b/crates/oatpier-entry/src/peers/handler.rs
@@ -1,4 +1,4 @@
-//! The ways in for agents, other entries and operators.
+//! Peer listener for agents, other entries and operators.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 use crate::planner::{PlannerBoard, PlannerNews};
 use crate::store::StoreGate;
 
-/// Answers what comes to the peer listener.
+/// Handles requests to the peer listener.
 pub(super) struct PeerHandler {
     pub(super) driver: Arc<MemberDriver>,
     pub(super) news: RingSender<EntryNews>,
@@ -63,7 +63,8 @@
         }
     }
 
-    /// The planner hears of demand again before long: a word that does not fit is dropped.
+    /// Passes a demand report to the planner. Overflow is dropped: the next report follows within
+    /// seconds.
     fn take_demand(&self, word: DemandWord) {
         let _ = self.planner.try_send(PlannerNews::Demand(word));
     }
--- a/crates/oatpier-entry/src/peers/hints.rs
+++ b/crates/oatpier-entry/src/peers/hints.rs
@@ -1,4 +1,4 @@
-//! The list of VMs: whom to turn to when nobody is known, and who may leave.
+//! Reads the list of VMs, which gives initial contacts and leaving VMs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use super::driver::MemberDriver;
 use crate::news::{DirectoryNews, EntryNews};
 
-/// How often a short list is read.
+/// Interval between reads of an empty list.
 const LIST_PERIOD: Duration = Duration::from_millis(500);
-/// How much longer that is for each row: the list is a hint, and reading thousands of rows a
-/// second time within the second would cost more bytes than all else that an entry hears.
+/// Additional interval per row. The list is only a hint, and reading thousands of rows several
+/// times a second would use more bandwidth than all other traffic that an entry receives.
 const ROW_PERIOD: Duration = Duration::from_millis(8);
-/// Agents that one round asks. Only those are asked that no registrar speaks for: right after a
-/// start, or where all registrars of an agent are gone.
+/// Maximum number of agents queried per round. Only agents without a registrar that reports them
+/// are queried: right after a start, or if all registrars of an agent are gone.
 const ASKED_IN_ROUND: usize = 16;
 
-/// Follows the list for ever.
+/// Reads the list periodically until the future is dropped.
 pub(super) async fn follow(
     driver: &Arc<MemberDriver>,
     vms: &dyn VmList,
@@ -41,7 +41,7 @@
                 driver.take_hints(rows.iter().map(hint_of).collect());
                 first = ask_unknown(driver, &rows, first, news, metrics).await;
             }
-            // The last list stays in use: it is only a hint.
+            // The previous list stays in use: it is only a hint.
             Err(error) => spdlog::warn!("{error}"),
         }
         tokio::time::sleep(period).await;
@@ -60,8 +60,8 @@
     }
 }
 
-/// Asks a few agents that the table lacks for their status, in turn; returns where the next round
-/// begins.
+/// Queries a few agents missing from the table for their status, in rotation. Returns the position
+/// at which the next round begins.
 async fn ask_unknown(
     driver: &MemberDriver,
     rows: &[VmRow],
@@ -106,7 +106,7 @@
 ) -> Option<DirectoryNews> {
     let status = driver.links.ask_status(address).await?;
     let is_known = driver.lock().member.table().get(&daemon).is_some();
-    // What the registrars say goes before, also if it came only just now.
+    // Information from registrars has priority, even if it arrived during the query.
     (!is_known).then(|| DirectoryNews::Status {
         daemon,
         address,
--- a/crates/oatpier-entry/src/peers/mod.rs
+++ b/crates/oatpier-entry/src/peers/mod.rs
@@ -1,7 +1,8 @@
-//! The peers duty: what is known of agents and other entries, and their ways in.
+//! The peers duty: membership of agents and other entries, and the listener for their calls.
 //!
-//! [`oatpier_membership`] decides; this duty serves the peer listener, makes the calls, and tells
-//! the other duties what follows. The list of VMs is a hint of whom to turn to and who leaves.
+//! [`oatpier_membership`] decides; this duty serves the peer listener, makes the calls, and sends
+//! the resulting updates to the other duties. The list of VMs is a hint for initial contacts and
+//! for VMs that leave.
 
 mod directory;
 mod driver;
@@ -37,21 +38,21 @@
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 
-/// How often the planner gets a picture of the fleet.
+/// Interval at which the planner receives the fleet state.
 const PICTURE_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the data path told of an agent.
+/// Reachability evidence of an agent from the data path.
 #[derive(Debug, Clone)]
 pub struct PathNews {
-    /// The agent.
+    /// Name of the agent.
     pub daemon: DaemonName,
-    /// Whether it is there.
+    /// Whether the agent answered.
     pub evidence: PathEvidence,
-    /// Its queue, if it said.
+    /// Queue report of the agent, if the event contained one.
     pub report: Option<QueueReport>,
 }
 
-/// What an event of an attempt tells of whether its agent is there.
+/// Returns the reachability evidence in an event of an attempt.
 pub(crate) fn evidence_of(event: &RequestEvent) -> Option<PathEvidence> {
     match event {
         RequestEvent::FirstFrame { .. }
@@ -64,63 +65,63 @@
     }
 }
 
-/// The ways from and to the other duties.
+/// Channels to and from the other duties.
 pub struct PeersRings {
-    /// News for the callers duty.
+    /// Updates for the callers duty.
     pub news: RingSender<EntryNews>,
-    /// Orders for the configuration duty.
+    /// Requested store calls for the configuration duty.
     pub orders: RingSender<StoreOrder>,
-    /// What the store said.
+    /// Results of store calls.
     pub store_news: RingReceiver<StoreNews>,
-    /// What the data path told.
+    /// Data path evidence.
     pub paths: RingReceiver<PathNews>,
-    /// News for the planner duty.
+    /// Updates for the planner duty.
     pub planner: RingSender<PlannerNews>,
     /// Commands for the claims duty.
     pub claims: RingSender<ClaimCommand>,
 }
 
-/// What the peers duty works on.
+/// Inputs of the peers duty.
 pub struct PeersInputs {
-    /// Where agents, other entries and operators connect.
+    /// Listener for agents, other entries and operators.
     pub listener: std::net::TcpListener,
-    /// Limits on them.
+    /// Limits on connections and requests.
     pub limits: ServerLimits,
-    /// How others reach this entry.
+    /// Name and address of this entry.
     pub own: EntryContact,
-    /// The own start.
+    /// Boot ID of this process.
     pub boot: BootId,
-    /// The platform's list of VMs.
+    /// List of VMs of the platform.
     pub vms: Arc<dyn VmList>,
-    /// Calls other processes.
+    /// Client for calls to other processes.
     pub links: Arc<dyn EntryLinks>,
-    /// The way to the store, for what operators ask.
+    /// Access to the store, for operator queries.
     pub gate: Arc<StoreGate>,
-    /// What the planner duty knows.
+    /// Planner state for operators and agents.
     pub board: Arc<PlannerBoard>,
-    /// The ways to the other duties.
+    /// Channels to and from the other duties.
     pub rings: PeersRings,
     /// Set once a configuration is known.
     pub able: Arc<AtomicBool>,
-    /// The runtime's clock.
+    /// Clock of the runtime.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// For all random choices.
+    /// Source of all random choices.
     pub generator: ChaCha8Rng,
-    /// Tells to stop.
+    /// Signals the process to stop.
     pub stop: StopSignal,
 }
 
-/// Keeps up with the other processes until this one ends.
+/// Runs the peers duty until the process ends.
 ///
 /// # Panics
 ///
-/// Panics if it runs on no runtime, or the runtime does not take the socket.
+/// Panics if called outside a runtime or if the runtime can't register the socket.
 pub async fn peers(inputs: PeersInputs) {
     let stop = inputs.stop.clone();
-    let listener =
-        tokio::net::TcpListener::from_std(inputs.listener).expect("the runtime takes the socket");
+    let listener = tokio::net::TcpListener::from_std(inputs.listener)
+        .expect("the runtime registers the socket");
     let driver = Arc::new(MemberDriver::new(
         inputs.own,
         inputs.boot,
@@ -179,8 +180,8 @@
     std::future::pending::<()>().await;
 }
 
-/// Gives the planner a picture of the fleet now and then; one that does not fit into the ring is
-/// dropped, as the next one says it all.
+/// Sends the fleet state to the planner periodically. If the ring is full it is dropped, because
+/// the next one replaces it.
 async fn draw_pictures(driver: &MemberDriver, planner: &RingSender<PlannerNews>, gate: &StoreGate) {
     loop {
         tokio::time::sleep(PICTURE_PERIOD).await;
--- a/crates/oatpier-entry/src/peers/operator.rs
+++ b/crates/oatpier-entry/src/peers/operator.rs
@@ -1,4 +1,4 @@
-//! What operators are told, as JSON.
+//! Operator API, with JSON responses.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,10 +29,10 @@
 
 mod explain;
 
-/// How long another duty may take to answer.
+/// Timeout of an answer from another duty.
 const ANSWER_WAIT: Duration = Duration::from_millis(500);
 
-/// Answers an operator.
+/// Answers an operator request.
 pub(super) async fn answer(handler: &PeerHandler, path: &str) -> Reply {
     if let Some(name) = path.strip_prefix(EXPLAIN_MODEL_PATH) {
         return found(explain::model(handler, name).as_ref());
@@ -63,7 +63,7 @@
     ask_callers(handler, ask).await.flatten()
 }
 
-/// Asks the callers duty; none if it does not answer in time.
+/// Queries the callers duty; returns `None` if it does not answer in time.
 async fn ask_callers<T>(
     handler: &PeerHandler,
     question: impl FnOnce(oneshot::Sender<T>) -> CallersQuestion,
@@ -98,7 +98,8 @@
     }
 }
 
-/// The lease's holder as the store has it; operators ask seldom.
+/// Returns the lease holder as stored. It is read from the store, because operators query it
+/// rarely.
 async fn planner_row(handler: &PeerHandler) -> PlannerRow {
     let group = handler.driver.picture().map(|picture| picture.group);
     let key = group.as_ref().map(PlanGroup::lease_key);
@@ -158,7 +159,8 @@
     }
 }
 
-/// What a registered agent said in its last heartbeat is later than its row.
+/// Returns the newest known generation of a member. The last heartbeat of a registered agent is
+/// newer than its row.
 fn generation_of(state: &DriverState, view: &MemberView<'_>) -> oatpier_types::ids::Generation {
     let daemon = &view.facts.daemon;
     let mut registered = state.member.registrar().generations();
@@ -196,7 +198,7 @@
     rows
 }
 
-/// The configuration in force here, and at the agents that are registered here.
+/// Returns the active generations of this entry and of the agents registered with it.
 pub(super) fn own_generations(driver: &MemberDriver) -> GenerationRows {
     let state = driver.lock();
     let own = DaemonGeneration {
@@ -215,8 +217,8 @@
     }
 }
 
-/// Who is on which generation. Only a registrar hears of each change at its agents, so all live
-/// entries are asked; an operator waits for this, and asks seldom.
+/// Returns the generation of each daemon. Only its registrar receives each change of an agent, so
+/// all live entries are queried. Operators wait for this query and run it rarely.
 async fn config(handler: &PeerHandler) -> ConfigAnswer {
     let driver = &handler.driver;
     let entries = driver.lock().entries();
@@ -260,7 +262,7 @@
     rows.collect()
 }
 
-/// A later generation counts; where the table stands against a daemon, that stays said.
+/// Merges rows: the newer generation wins, and the known state of a daemon is kept.
 fn merge(rows: &mut GenerationMap, told: GenerationRows) {
     for row in told.rows {
         match rows.get_mut(&row.name) {
--- a/crates/oatpier-entry/src/peers/operator/explain.rs
+++ b/crates/oatpier-entry/src/peers/operator/explain.rs
@@ -1,4 +1,4 @@
-//! Why a model or an adapter is where it is.
+//! Explains the placement of a model or adapter.
 
 use oatpier_membership::members::{MemberState, MemberView};
 use oatpier_types::config::FleetConfig;
@@ -11,7 +11,7 @@
 use super::super::handler::PeerHandler;
 use crate::planner::PlanShelf;
 
-/// Explains a model or an adapter; none if there is no such name.
+/// Explains a model or an adapter; returns `None` if the name is unknown.
 pub(super) fn model(handler: &PeerHandler, name: &str) -> Option<ExplainModel> {
     let picture = handler.driver.picture()?;
     let (weights, adapter) = weights_of(&picture.config, name)?;
--- a/crates/oatpier-entry/src/peers/placement.rs
+++ b/crates/oatpier-entry/src/peers/placement.rs
@@ -1,4 +1,4 @@
-//! What agents are told of the plan, and of who else holds their weights.
+//! Answers agents' queries for their plan row and for other holders of their weights.
 
 use std::collections::HashSet;
 
@@ -15,10 +15,10 @@
 use super::driver::{DriverState, MemberDriver};
 use crate::planner::PlannerBoard;
 
-/// Holders that are named of each version of some weights.
+/// Maximum number of holders returned per version of weights.
 const NAMED_HOLDERS: usize = 4;
 
-/// What concerns one endpoint's weights.
+/// Returns the placement data for one endpoint.
 pub(super) fn view(
     driver: &MemberDriver,
     board: &PlannerBoard,
@@ -29,8 +29,8 @@
     let table = state.member.table();
     let config = state.member.in_force();
     let unserved = match config {
-        // What an entry that has just started does not know of may well be there: agents that
-        // took it for lost would all load it again.
+        // Weights unknown to an entry that has just started may well be loaded. If agents
+        // considered them lost, all of them would load the weights again.
         Some(held) if settled => unserved(&state, &held.value, &ask.pool),
         _ => Vec::new(),
     };
@@ -84,7 +84,8 @@
         .collect()
 }
 
-/// All that ask hear of the same few: who asks and who is asked then meet.
+/// Returns a few holders by rendezvous hashing. All agents get the same ones, so that the agents
+/// that request and those that are requested agree.
 fn few(weights: &WeightsKey, holders: Vec<HolderContact>) -> SmallVec<[HolderContact; 4]> {
     let adapter = weights
         .adapter
@@ -101,7 +102,7 @@
     named.map(|(_, holder)| holder).collect()
 }
 
-/// Configured weights of the pool of which no version is ready anywhere.
+/// Returns the configured weights of the pool without a ready version on any endpoint.
 fn unserved(state: &DriverState, config: &FleetConfig, pool: &PoolName) -> Vec<WeightsKey> {
     let is_of_pool = |model| {
         config
--- a/crates/oatpier-entry/src/peers/stops.rs
+++ b/crates/oatpier-entry/src/peers/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops that wait for replacements.
+//! Planned stops that are delayed until replacements are ready.
 
 use std::time::Duration;
 
@@ -12,29 +12,29 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::DaemonName;
 
-/// The longest that a stop waits for replacements. After it the agent is told anyway: an operator
-/// who was warned that a stop costs reachability wants it none the less.
+/// Maximum delay of a stop. After it the agent is told without replacements: the operator was
+/// warned that the stop reduces reachability and wants it anyway.
 const LONGEST_HOLD: Duration = Duration::from_mins(2);
 
-/// Holds a planned stop of an agent back until all that it serves is ready elsewhere.
+/// Delays the planned stop of an agent until all weights it serves are ready elsewhere.
 ///
-/// An agent leaves as soon as it is told. Told at once, the only holder of a model would be gone
-/// while the model is still being loaded elsewhere, and its callers would be refused.
+/// An agent leaves as soon as it is told. If it were told immediately, the only holder of a model
+/// would be gone while the model is still being loaded elsewhere, and requests would be refused.
 #[derive(Debug, Default)]
 pub struct StopGate {
     held: IndexMap<DaemonName, (StopWord, ClockTime)>,
-    /// Given back, and not yet among the machine's own stops.
+    /// Stops that were released but are not yet recorded by the membership state machine.
     passed: IndexSet<DaemonName>,
 }
 
 impl StopGate {
-    /// Whether a stop waits.
+    /// Returns whether a stop of this agent is delayed.
     #[must_use]
     pub fn holds(&self, daemon: &DaemonName) -> bool {
         self.held.contains_key(daemon)
     }
 
-    /// The whole list was read: those that may be told.
+    /// Applies the complete list and returns the stops that may be sent now.
     #[must_use]
     pub fn take_list(
         &mut self,
@@ -50,7 +50,7 @@
             .collect()
     }
 
-    /// One stop: given back if it may be told now.
+    /// Applies one stop and returns it if it may be sent now.
     #[must_use]
     pub fn take_one(
         &mut self,
@@ -70,7 +70,7 @@
             self.passed.shift_remove(&stop.daemon);
             return Some(stop);
         }
-        // Held first, so that two agents don't count as each other's replacement.
+        // Inserted first, so that two agents don't count as each other's replacement.
         let since = self.held.get(&stop.daemon).map_or(now, |held| held.1);
         self.held.insert(stop.daemon.clone(), (stop.word, since));
         if self.may_tell(&stop.daemon, since, member, now) {
@@ -81,7 +81,7 @@
         None
     }
 
-    /// Those that may be told by now.
+    /// Returns the delayed stops that may be sent now.
     #[must_use]
     pub fn due(&mut self, member: &EntryMember<FleetConfig>, now: ClockTime) -> Vec<NamedStop> {
         let waiting = self.held.iter();
@@ -106,7 +106,7 @@
     ) -> bool {
         let table = member.table();
         let Some(view) = table.get(daemon) else {
-            // Not known yet: another entry may be about to tell of it, or nobody ever will.
+            // The agent is not known yet: another entry may report it soon, or it may never appear.
             return now.since(since) >= LONGEST_HOLD;
         };
         let Some(status) = view.facts.status() else {
--- a/crates/oatpier-entry/src/planner/board.rs
+++ b/crates/oatpier-entry/src/planner/board.rs
@@ -1,4 +1,4 @@
-//! What other duties see of the planner duty.
+//! Planner state that other duties can read.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,13 +10,14 @@
 use oatpier_types::names::{EndpointName, ZoneName};
 use oatpier_types::plan::PlacementPlan;
 
-/// No plan was written by this entry.
+/// Marks that this entry has written no plan.
 const NONE: u64 = u64::MAX;
 
 /// The plans in the store, by availability zone.
 pub type PlanShelf = BTreeMap<ZoneName, Arc<PlacementPlan>>;
 
-/// The plans as last seen in the store, and when this entry last wrote one, if it plans.
+/// The latest plans seen in the store, and the time of this entry's last plan write if it is the
+/// planner.
 #[derive(Debug)]
 pub struct PlannerBoard {
     planned: AtomicU64,
@@ -33,30 +34,30 @@
 }
 
 impl PlannerBoard {
-    /// A plan was written.
+    /// Records that a plan was written.
     pub fn planned(&self, now: ClockTime) {
         self.planned.store(now.as_micros(), Ordering::Relaxed);
     }
 
-    /// This entry plans no longer.
+    /// Records that this entry is no longer the planner.
     pub fn lost(&self) {
         self.planned.store(NONE, Ordering::Relaxed);
     }
 
-    /// The age of the plan in milliseconds; none if another entry made it.
+    /// Returns the age of the plan in milliseconds, or `None` if another entry is the planner.
     #[must_use]
     pub fn plan_age_ms(&self, now: ClockTime) -> Option<u64> {
         let planned = self.planned.load(Ordering::Relaxed);
         (planned != NONE).then(|| now.as_micros().saturating_sub(planned) / 1000)
     }
 
-    /// All plans that are known.
+    /// Returns all known plans.
     #[must_use]
     pub fn plans(&self) -> Arc<PlanShelf> {
         self.plans.load_full()
     }
 
-    /// The store has this plan. One that is older than the known one is ignored.
+    /// Stores a plan read from the store, unless it is older than the known one.
     pub fn show(&self, zone: ZoneName, plan: PlacementPlan) {
         let mut plans = PlanShelf::clone(&self.plans.load());
         let known = plans.get(&zone);
@@ -67,7 +68,7 @@
         self.plans.store(Arc::new(plans));
     }
 
-    /// An endpoint's row, with its plan's stamp.
+    /// Returns an endpoint's plan row with the plan's stamp.
     #[must_use]
     pub fn row(&self, endpoint: &EndpointName) -> Option<PlanRow> {
         let plans = self.plans.load();
--- a/crates/oatpier-entry/src/planner/follow.rs
+++ b/crates/oatpier-entry/src/planner/follow.rs
@@ -1,4 +1,4 @@
-//! Follows the plans in the store, for the agents that ask this entry.
+//! Watches the plans in the store, on behalf of the agents that query this entry.
 
 use std::time::Duration;
 
@@ -13,12 +13,14 @@
 use super::picture::PlanGroup;
 use crate::store::StoreGate;
 
-/// How long one watch waits: a call for each entry in this time, and bytes only with a change.
+/// Duration of one watch call: each entry makes one call in this time and receives data only after
+/// a change.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// How long to wait after a call that failed.
+/// Delay after a failed call.
 const RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// Follows the plans of the group for ever. While the store is away the last ones stay.
+/// Watches the plans of the group until the future is dropped. While the store is unavailable, the
+/// last known plans stay in use.
 pub(super) async fn follow_plans(
     gate: &StoreGate,
     board: &PlannerBoard,
@@ -61,12 +63,12 @@
     let (Some(zone), Some(value)) = (zone, change.value) else {
         return;
     };
-    // A name that only begins like the zone's is another zone's.
+    // Ignores keys that only share the prefix with the zone's key; they belong to other zones.
     if !group.has_zone(&zone) {
         return;
     }
     match decode_plan(&value) {
         Ok(plan) => board.show(zone, plan),
-        Err(error) => spdlog::error!("the plan of {zone} can't be understood: {error}"),
+        Err(error) => spdlog::error!("the plan of {zone} can't be decoded: {error}"),
     }
 }
--- a/crates/oatpier-entry/src/planner/hold.rs
+++ b/crates/oatpier-entry/src/planner/hold.rs
@@ -1,9 +1,9 @@
-//! What a new planner leaves as it is until it knows the demand.
+//! Keeps replicas in place while a new planner does not yet know the demand.
 //!
-//! A planner that has just taken the lease has heard of little demand: replicas that a former
-//! planner placed for good reason look idle to it. It would have them unloaded, and loaded again
-//! a minute later. Until it has seen a whole window of demand, an endpoint that would lose
-//! weights keeps its former row, unless something would then be ready nowhere.
+//! A planner that has just acquired the lease has received few demand reports, so replicas that the
+//! previous planner placed look unused. It would unload them and load them again a minute later.
+//! Until it has observed a full window of demand, an endpoint that would lose weights keeps its
+//! previous row, unless some weights would then be ready nowhere.
 
 use std::collections::{HashMap, HashSet};
 
@@ -15,8 +15,8 @@
 use super::EndpointView;
 use super::picture::FleetPicture;
 
-/// Puts the former rows back into a plan where it drops replicas. Not for use after the
-/// configuration has changed: what was planned for the former one may not fit any more.
+/// Restores the previous rows where a plan drops replicas. Does nothing if the configuration
+/// generation has changed, because the previous rows may not be valid under the new configuration.
 pub fn hold_replicas(
     plan: &mut PlacementPlan,
     picture: &FleetPicture,
@@ -52,8 +52,8 @@
     }
 }
 
-/// Gives up the former rows of those endpoints that are to hold what would be ready nowhere else.
-/// Tells whether there were any.
+/// Drops the previous rows of endpoints that are planned to hold weights which would be ready
+/// nowhere else. Returns whether there were any.
 fn let_lost_through(
     plan: &PlacementPlan,
     usable: &HashMap<&EndpointName, &EndpointView>,
@@ -82,7 +82,7 @@
     !needed.is_empty()
 }
 
-/// The endpoint's row of the former plan; without one what it has ready.
+/// Returns the endpoint's row of the previous plan, or its ready weights if it has none.
 fn former_row(view: &EndpointView, previous: Option<&PlacementPlan>) -> EndpointPlan {
     let rows = previous.iter().flat_map(|plan| &plan.endpoints);
     let mut rows = rows.filter(|row| row.endpoint == view.endpoint);
@@ -102,7 +102,7 @@
     })
 }
 
-/// Whether callers are to get this version.
+/// Returns whether the configuration uses this version of the weights.
 fn is_wanted(config: &FleetConfig, key: &WeightsKey) -> bool {
     let wanted = match &key.adapter {
         Some(adapter) => config.adapter_weights(adapter),
--- a/crates/oatpier-entry/src/planner/mod.rs
+++ b/crates/oatpier-entry/src/planner/mod.rs
@@ -1,8 +1,8 @@
-//! The planner duty: makes the placement plan while this entry holds the planner's lease.
+//! The planner duty: computes the placement plan while this entry holds the planner lease.
 //!
-//! A group of entries has one planner: a small fleet is one group, in a large one each
-//! availability zone is. The plan of each availability zone is a value of its own, changed by
-//! compare-and-swap under the lease's term; agents read the one of their availability zone.
+//! Each group of entries has one planner. A small fleet is one group; in a large fleet each
+//! availability zone is a group. The plan of each availability zone is a separate value, updated by
+//! compare-and-swap under the lease's term. Agents read the plan of their availability zone.
 
 mod board;
 mod follow;
@@ -44,17 +44,17 @@
 pub use oatpier_placement::planner::EndpointView;
 pub use picture::{FleetPicture, PlanGroup};
 
-/// How often a plan is made.
+/// Interval between plans.
 const PLAN_PERIOD: Duration = Duration::from_secs(2);
-/// How often an entry tells its demand to those that may plan.
+/// Interval at which an entry sends its demand to the planner candidates.
 const DEMAND_PERIOD: Duration = Duration::from_secs(5);
 /// How long a new planner drops no replicas: the long window of demand.
 const HOLD_REPLICAS: Duration = Duration::from_mins(1);
 
-/// News for the planner duty.
+/// Updates for the planner duty.
 #[derive(Debug)]
 pub enum PlannerNews {
-    /// What there is.
+    /// Current state of the fleet.
     Fleet(Box<FleetPicture>),
     /// The demand of this entry's callers.
     Own(DemandSummary),
@@ -62,29 +62,29 @@
     Demand(DemandWord),
 }
 
-/// What the planner duty works on.
+/// Inputs of the planner duty.
 pub struct PlannerInputs {
-    /// The own name.
+    /// Name of this entry.
     pub own: DaemonName,
-    /// The own start.
+    /// Boot ID of this process.
     pub boot: BootId,
-    /// The way to the store.
+    /// Access to the store.
     pub gate: Arc<StoreGate>,
-    /// Calls other entries.
+    /// Client for calls to other entries.
     pub links: Arc<dyn EntryLinks>,
-    /// What other duties see of it.
+    /// Planner state that other duties can read.
     pub board: Arc<PlannerBoard>,
-    /// What there is and what is asked for.
+    /// Updates of fleet state and demand.
     pub news: RingReceiver<PlannerNews>,
-    /// The runtime's clock.
+    /// Clock of the runtime.
     pub clock: RuntimeClock,
-    /// For all random choices.
+    /// Source of all random choices.
     pub generator: ChaCha8Rng,
-    /// Tells to stop.
+    /// Signals the process to stop.
     pub stop: StopSignal,
 }
 
-/// How a call ended.
+/// Result of a call.
 enum PlannerEnd {
     Lease(String, LeaseEvent),
     Read(ZoneName, PlanRead),
@@ -92,7 +92,7 @@
     Told,
 }
 
-/// Plans while the lease is held, until the process ends.
+/// Computes plans while the lease is held, until the process ends.
 pub async fn planner(inputs: PlannerInputs) {
     let stop = inputs.stop.clone();
     let PlannerInputs {
@@ -219,7 +219,7 @@
         self.lease_event(LeaseEvent::Candidate(is_candidate));
     }
 
-    /// Tells those that may plan what this entry's callers ask for.
+    /// Sends the demand of this entry's callers to the planner candidates.
     fn tell_demand(&mut self, summary: &DemandSummary, now: ClockTime) {
         let Some(picture) = self.picture.as_ref().filter(|_| now >= self.next_word) else {
             return;
@@ -233,7 +233,7 @@
                 entry: self.own.clone(),
                 summary: summary.clone(),
             };
-            // If it is lost, the next word says it all again.
+            // A lost message is harmless: the next one carries the complete demand.
             let telling = self.links.tell_demand(entry.address, word);
             self.calls.push(telling.map(|_| PlannerEnd::Told).boxed());
         }
@@ -256,13 +256,13 @@
                     self.calls.push(call.boxed());
                 }
                 LeaseAction::Gained(term) => {
-                    spdlog::info!("this entry plans", kv: { term: = term.0 });
+                    spdlog::info!("this entry is now the planner", kv: { term: = term.0 });
                     self.book = PlanBook::default();
                     self.next_plan = now;
                     self.gained = now;
                 }
                 LeaseAction::Lost(term) => {
-                    spdlog::info!("this entry plans no longer", kv: { term: = term.0 });
+                    spdlog::info!("this entry is no longer the planner", kv: { term: = term.0 });
                     self.book = PlanBook::default();
                     self.board.lost();
                 }
@@ -273,7 +273,7 @@
     fn end(&mut self, end: PlannerEnd) {
         match end {
             PlannerEnd::Lease(key, event) => {
-                // The end of a call for a former group's lease says nothing of this one.
+                // The result of a call for a previous group's lease does not apply to this lease.
                 if self.lease.as_ref().is_some_and(|lease| lease.key == key) {
                     self.lease_event(event);
                 }
@@ -288,7 +288,8 @@
         }
     }
 
-    /// The term under which this entry may write now. A holder that was paused gets none.
+    /// Returns the term under which this entry may write now. Returns `None` if the lease expired,
+    /// for example while the process was paused.
     fn term(&self) -> Option<Term> {
         let now = self.clock.now();
         self.lease.as_ref()?.keeper.may_act(now)
@@ -335,10 +336,10 @@
             hold_replicas(&mut outcome.plan, picture, previous.as_ref());
         }
         for note in &outcome.notes {
-            spdlog::warn!("the plan: {note:?}");
+            spdlog::warn!("placement plan: {note:?}");
         }
-        // Asked again right before the writes: a planner that was paused while it planned writes
-        // nothing, and one that is paused from here on is refused by the compare-and-swap.
+        // Checks the term again right before the writes: a planner that was paused during planning
+        // writes nothing. If it is paused after this check, the compare-and-swap rejects its write.
         if self.term() != Some(term) {
             return;
         }
@@ -349,7 +350,7 @@
     }
 }
 
-/// The few entries that wait for the lease, and are told of demand.
+/// Returns the few entries that compete for the lease and receive demand reports.
 fn candidates(picture: &FleetPicture) -> smallvec::SmallVec<[&EntryContact; 4]> {
     let key = picture.group.lease_key();
     rendezvous::choose(&key, &picture.entries, LEASE_CANDIDATES, contact_name)
@@ -386,7 +387,7 @@
     lease: PlannerLease,
     expected: Option<Revision>,
 ) -> PlannerEnd {
-    let value = serde_json::to_vec(&lease).expect("a lease has a form in JSON");
+    let value = serde_json::to_vec(&lease).expect("a lease serializes to JSON");
     let expected = expected.map_or(ExpectedValue::Absent, ExpectedValue::At);
     let kind = CallKind::PlannerLease;
     let written = gate.put(kind, &key, Bytes::from(value), expected).await;
--- a/crates/oatpier-entry/src/planner/picture.rs
+++ b/crates/oatpier-entry/src/planner/picture.rs
@@ -1,4 +1,4 @@
-//! What the planner needs to know of the fleet.
+//! Fleet state that the planner works on.
 
 use std::sync::Arc;
 
@@ -9,13 +9,13 @@
 use oatpier_types::ids::Generation;
 use oatpier_types::names::ZoneName;
 
-/// The key of the planner's lease where one planner plans for all.
+/// Key of the planner lease if one planner serves the whole fleet.
 const FLEET_LEASE: &str = "lease/planner";
 
-/// What one planner plans for.
+/// Scope of one planner.
 ///
-/// A small fleet has one: its engines are too few for each availability zone to hold all models.
-/// A large one has a planner for each availability zone: no process then needs to know all
+/// A small fleet has one planner: it has too few engines for each availability zone to hold all
+/// models. A large fleet has one planner per availability zone: no process then needs to know all
 /// endpoints, and every model is reachable in each availability zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlanGroup {
@@ -26,7 +26,7 @@
 }
 
 impl PlanGroup {
-    /// Whether an availability zone belongs to the group.
+    /// Returns whether an availability zone belongs to the group.
     #[must_use]
     pub fn has_zone(&self, zone: &ZoneName) -> bool {
         match self {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The key of the planner's lease.
+    /// Returns the key of the planner lease.
     #[must_use]
     pub fn lease_key(&self) -> String {
         match self {
@@ -45,23 +45,23 @@
     }
 }
 
-/// The fleet as an entry sees it at one point.
+/// Snapshot of the fleet as seen by one entry.
 #[derive(Debug, Clone)]
 pub struct FleetPicture {
-    /// The configuration's generation.
+    /// Generation of the configuration.
     pub generation: Generation,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: Arc<FleetConfig>,
-    /// What is planned for.
+    /// Scope of the planner.
     pub group: PlanGroup,
-    /// The group's live entries.
+    /// Live entries of the group.
     pub entries: Vec<EntryContact>,
-    /// The group's engine endpoints, sorted by name.
+    /// Engine endpoints of the group, sorted by name.
     pub endpoints: Vec<EndpointView>,
 }
 
 impl FleetPicture {
-    /// The availability zones of the group's endpoints, sorted.
+    /// Returns the availability zones of the group's endpoints, sorted.
     #[must_use]
     pub fn zones(&self) -> Vec<ZoneName> {
         let zones = self.endpoints.iter().map(|view| view.zone.clone());
--- a/crates/oatpier-entry/src/planner/writing.rs
+++ b/crates/oatpier-entry/src/planner/writing.rs
@@ -1,4 +1,4 @@
-//! The plans in the store: what is known of them, and their writes.
+//! State of the stored plans and the writes to them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,20 +16,20 @@
 use super::picture::FleetPicture;
 use crate::store::StoreGate;
 
-/// What is under a plan's key.
+/// Content of a plan's key in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct StoredPlan {
     revision: Option<Revision>,
     plan: Option<PlacementPlan>,
 }
 
-/// How a read ended; none: the store did not answer.
+/// Result of a read; `None` if the store did not answer.
 pub(super) type PlanRead = Option<StoredPlan>;
 
-/// How a write ended: what is under the key now; none if that is not known.
+/// Result of a write: the current content of the key, or `None` if it is unknown.
 pub(super) type PlanWrite = Option<StoredPlan>;
 
-/// A write to be made.
+/// A pending plan write.
 pub(super) struct PlanOrder {
     zone: ZoneName,
     plan: PlacementPlan,
@@ -38,26 +38,26 @@
 
 #[derive(Debug, Default)]
 enum PlanSlot {
-    /// Nothing is known: it has to be read.
+    /// The content is unknown and has to be read.
     #[default]
     Unknown,
-    /// A read or a write is under way.
+    /// A read or a write is in progress.
     Busy,
-    /// What is there.
+    /// The content is known.
     Known(StoredPlan),
 }
 
-/// What the planner knows of the plans in the store.
+/// Known content of the plans in the store.
 ///
-/// A plan is only ever made from what was read under the present lease, and written over exactly
-/// that: a late write of a former planner, or of this one, meets another revision and fails.
+/// A plan is derived only from values read under the current lease and replaces exactly those
+/// revisions. A late write of a previous planner, or of this one, finds another revision and fails.
 #[derive(Debug, Default)]
 pub(super) struct PlanBook {
     slots: HashMap<ZoneName, PlanSlot>,
 }
 
 impl PlanBook {
-    /// The availability zones whose plan has to be read, each given out once.
+    /// Returns the availability zones whose plan has to be read. Each is returned once.
     pub(super) fn take_unread(&mut self, zones: &[ZoneName]) -> Vec<ZoneName> {
         let mut unread = Vec::new();
         for zone in zones {
@@ -70,7 +70,7 @@
         unread
     }
 
-    /// Whether the plans of all these availability zones are known.
+    /// Returns whether the plans of all these availability zones are known.
     pub(super) fn is_known(&self, zones: &[ZoneName]) -> bool {
         zones
             .iter()
@@ -81,7 +81,7 @@
         self.settle(zone, read);
     }
 
-    /// Takes the end of a write; tells whether the plan is there.
+    /// Applies the result of a write; returns whether the plan is stored.
     pub(super) fn take_write(&mut self, zone: &ZoneName, write: PlanWrite) -> bool {
         let is_written = write.is_some();
         self.settle(zone, write);
@@ -90,13 +90,13 @@
 
     fn settle(&mut self, zone: &ZoneName, found: Option<StoredPlan>) {
         let slot = found.map_or(PlanSlot::Unknown, PlanSlot::Known);
-        // A book that was begun anew since then reads by itself.
+        // A plan book that was reset in the meantime starts its own read.
         if let Some(known) = self.slots.get_mut(zone) {
             *known = slot;
         }
     }
 
-    /// The plan of the whole group, put together.
+    /// Returns the merged plan of the whole group.
     pub(super) fn whole(&self) -> Option<PlacementPlan> {
         let plans = self.slots.values().filter_map(|slot| match slot {
             PlanSlot::Known(stored) => stored.plan.as_ref(),
@@ -118,8 +118,8 @@
         whole
     }
 
-    /// The writes that bring the store to a plan. What is there already is not written again,
-    /// but for the term: the first write under a new one shuts out the former planner.
+    /// Returns the writes that store a plan. Unchanged plans are not written again, except under a
+    /// new term: the first write under it fences off the previous planner.
     pub(super) fn writes(
         &mut self,
         plan: &PlacementPlan,
@@ -191,7 +191,7 @@
             revision: None,
             plan: None,
         }),
-        // A value that is no plan is written over.
+        // A value that can't be decoded is overwritten.
         Ok(Some(stored)) => Some(StoredPlan {
             revision: Some(stored.revision),
             plan: decode_plan(&stored.value).ok(),
@@ -207,13 +207,13 @@
         plan,
         expected,
     } = order;
-    let value: Bytes = encode_plan(&plan).expect("a plan has a form in JSON");
+    let value: Bytes = encode_plan(&plan).expect("a plan serializes to JSON");
     let expected = expected.map_or(ExpectedValue::Absent, ExpectedValue::At);
     let key = plan_key(&zone);
     let written = gate
         .put(CallKind::PlannerLease, &key, value, expected)
         .await;
-    // After a conflict or a lost answer the plan is read again before the next one is made.
+    // After a conflict or a lost answer, the plan is read again before the next one is computed.
     let found = match written {
         Ok(revision) => Some(StoredPlan {
             revision: Some(revision),
@@ -221,7 +221,7 @@
         }),
         Err(error) => {
             if let StoreError::TooLarge { bytes } = error {
-                spdlog::error!("the plan of {zone} has {bytes} bytes: too many for the store");
+                spdlog::error!("the plan of {zone} exceeds the store's size limit: {bytes} bytes");
             }
             None
         }
--- a/crates/oatpier-entry/src/rings.rs
+++ b/crates/oatpier-entry/src/rings.rs
@@ -1,4 +1,5 @@
-//! The rings between an entry's duties, each with its rule for when it is full. All are counted.
+//! The rings between an entry's duties, each with its overflow rule. Overflows are counted in the
+//! metrics.
 
 use oatpier_duty::duty::{RingReceiver, RingRule, RingSender, ring};
 use oatpier_duty::observe::metrics::MetricSet;
@@ -10,25 +11,25 @@
 use crate::peers::PathNews;
 use crate::planner::PlannerNews;
 
-/// News for the callers duty. The sender waits: each says something that no later one repeats.
-/// What is to be said meanwhile is kept by member, so that nothing piles up behind it.
+/// Updates for the callers duty. The sender waits: no later update repeats an earlier one. Pending
+/// updates are merged per member, so the backlog is bounded.
 const NEWS_RING: usize = 1024;
-/// Evidence of the data path for the peers duty. Further pieces are dropped: the next attempt
-/// tells the same.
+/// Data path evidence for the peers duty. Overflow is dropped: the next attempt produces the same
+/// evidence.
 const PATHS_RING: usize = 256;
-/// Calls to the store for the configuration duty. The sender waits; there is one at a time.
+/// Store calls for the configuration duty. The sender waits; there is one call at a time.
 const ORDERS_RING: usize = 4;
-/// What the store said, for the peers duty. The sender waits: a change is told once.
+/// Store results for the peers duty. The sender waits: a change is sent only once.
 const STORE_NEWS_RING: usize = 64;
-/// Commands for the claims duty. An ask that does not fit is answered "unavailable", a peer's
-/// with 503; a settlement and the list of entries wait.
+/// Commands for the claims duty. If the ring is full, a query is answered "unavailable", and one
+/// from a peer with status 503. Settlements and the list of entries wait.
 const CLAIMS_RING: usize = 1024;
-/// News for the planner duty. Further ones are dropped: each is said anew within seconds.
+/// Updates for the planner duty. Overflow is dropped: each update is sent again within seconds.
 const PLANNER_RING: usize = 64;
-/// Spans that wait to be written. Further ones are dropped: a trace is worth less than a request.
+/// Spans that wait to be written. Overflow is dropped: serving requests has priority over traces.
 const SPAN_RING: usize = 4096;
 
-/// Both ends of a ring.
+/// Sender and receiver of a ring.
 type RingPair<T> = (RingSender<T>, RingReceiver<T>);
 
 /// All rings of an entry.
--- a/crates/oatpier-entry/src/run.rs
+++ b/crates/oatpier-entry/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of one request: feeds what happens to the decisions and carries out their actions.
+//! Runs one request: passes its events to the policy and executes the resulting actions.
 
 mod claiming;
 mod late;
@@ -31,10 +31,10 @@
 use crate::sink::{AnswerHead, CallerSink, SinkChange, SinkState};
 use oatpier_duty::observe::trace::{HopSpan, TRACEPARENT};
 
-/// Signals of attempts that wait for the request's task.
+/// Capacity of the channel from a request's attempts to its task.
 const WAITING_SIGNALS: usize = 8;
 
-/// A request that is being worked on.
+/// A request in progress.
 pub struct RequestRun {
     core: Arc<EntryCore>,
     identity: RequestIdentity,
@@ -43,7 +43,7 @@
     span: HopSpan,
     relay_span: Option<HopSpan>,
     started: ClockTime,
-    /// The head of the answer, held until something of it is relayed.
+    /// Head of the answer, held until the first piece is relayed.
     head: Option<AnswerHead>,
     signals: SignalSender,
     received: mpsc::Receiver<AttemptSignal>,
@@ -59,11 +59,11 @@
 struct SentAttempt {
     attempt: AttemptId,
     contact: AgentContact,
-    /// Ends when the attempt's last signal has come.
+    /// Ends with the attempt's last signal.
     _span: HopSpan,
 }
 
-/// What the request's task woke up for.
+/// Reason for which the request's task woke up.
 enum WakeCause {
     Signal(AttemptSignal),
     Event(EntryEvent),
@@ -71,7 +71,7 @@
 }
 
 impl RequestRun {
-    /// A request whose answer goes to `sink`.
+    /// Creates the run of a request whose answer goes to `sink`.
     #[must_use]
     pub fn new(
         core: Arc<EntryCore>,
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Works on the request until its caller has its final answer, and no cancel of it is under
-    /// way that could yet free its key.
+    /// Runs the request until its caller has the final answer and no pending cancellation can still
+    /// release its key.
     pub async fn run(mut self) {
         self.core.metrics.in_flight.inc();
         let (timers, mut fired) = mpsc::unbounded_channel();
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Waits for the next thing that concerns the request. While the caller takes nothing, no
-    /// more of the answer is read.
+    /// Waits for the next event of the request. Stops reading the answer while the caller is not
+    /// reading.
     async fn wake(&mut self, fired: &mut mpsc::UnboundedReceiver<EntryActions>) -> WakeCause {
         let blocked = self.sink.is_blocked();
         let caller_gone = self.caller_gone;
@@ -193,7 +193,7 @@
         self.act(actions, &signal.bytes)
     }
 
-    /// Carries actions out, in order; `piece` is what a `Relay` relays.
+    /// Executes the actions in order; `piece` holds the bytes that a `Relay` sends.
     fn act(&mut self, actions: EntryActions, piece: &Bytes) -> Option<FinalAnswer> {
         let mut answer = None;
         for action in actions {
@@ -263,7 +263,8 @@
         }
     }
 
-    /// Cancels from a task of its own: the request may be over before the agent has answered.
+    /// Cancels an attempt in a separate task, because the request may end before the agent has
+    /// answered.
     fn cancel(&self, endpoint: &EndpointName, attempt: AttemptId, mode: CancelMode) {
         let sent = self.sent.iter().find(|sent| sent.attempt == attempt);
         let contact = sent
@@ -289,7 +290,7 @@
             let request = self.identity.request;
             let event = EntryEvent::CallerBlocked;
             let actions = self.core.handle(request, None, &event);
-            debug_assert!(actions.is_empty(), "a blocked caller only stops the clock");
+            debug_assert!(actions.is_empty(), "a blocked caller triggers no action");
         }
     }
 
@@ -327,7 +328,7 @@
     }
 }
 
-/// The attempt that an event is the last one of.
+/// Returns the attempt that ends with this event.
 fn over(event: &EntryEvent) -> Option<AttemptId> {
     match event {
         EntryEvent::FirstFrame { .. } | EntryEvent::Piece { .. } => None,
--- a/crates/oatpier-entry/src/run/claiming.rs
+++ b/crates/oatpier-entry/src/run/claiming.rs
@@ -1,4 +1,4 @@
-//! A request's idempotency key: claimed before it runs, settled after.
+//! Claims a request's idempotency key before the request runs and settles the claim afterwards.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::core::EntryCore;
 
 impl RequestRun {
-    /// Asks for the request's key, from a task of its own.
+    /// Requests the idempotency key in a separate task.
     pub(super) fn claim(&mut self) {
         let Some(key) = self.call.key else {
             let _ = self.events.send(EntryEvent::ClaimUnavailable);
@@ -32,13 +32,13 @@
         tokio::spawn(async move {
             let event = ask_claim(&core, ask).await;
             span.set_attribute("granted", event == EntryEvent::ClaimGranted);
-            // A request that is over has settled its claim.
+            // A request that has ended has already settled its claim.
             let _ = events.send(event);
         });
     }
 
-    /// Says how the request ended under its key. What does not fit into the ring waits for it:
-    /// a release that is lost would keep the key held.
+    /// Reports the verdict of the request for its key. If the ring is full, the settlement waits: a
+    /// lost release would keep the key held.
     pub(super) fn settle_claim(&self, verdict: RunVerdict) {
         let Some(key) = self.call.key else {
             return;
@@ -47,7 +47,7 @@
     }
 }
 
-/// Passes the settlement of a request's claim to the claims duty.
+/// Sends the settlement of a request's claim to the claims duty.
 pub(super) fn settle(core: &Arc<EntryCore>, key: KeyHash, request: RequestId, verdict: RunVerdict) {
     let command = ClaimCommand::Settle {
         key,
@@ -60,10 +60,10 @@
     }
 }
 
-/// The key as the decisions name it.
+/// Returns the key in the form that the policy uses.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "the low half of a hash is a hash"
+    reason = "the low half of a hash is uniformly distributed too"
 )]
 pub(super) fn short_key(key: KeyHash) -> u64 {
     key.0 as u64
--- a/crates/oatpier-entry/src/run/late.rs
+++ b/crates/oatpier-entry/src/run/late.rs
@@ -1,8 +1,8 @@
-//! What is heard of a request after its final answer.
+//! Cancellation results that arrive after a request's final answer.
 //!
-//! A change that nothing was heard of is answered "may have run" at its deadline, while a cancel
-//! of it may still be under way. If the agent then says that it never ran, the decisions free the
-//! key; without this its caller could not submit the change under the key at all.
+//! A non-idempotent request without any response is answered "may have run" at its deadline, while
+//! a cancellation may still be pending. If the agent then reports that the request never ran, the
+//! policy releases the key. Otherwise the caller could never submit the request under that key.
 
 use std::sync::Arc;
 
@@ -15,12 +15,12 @@
 use super::claiming::settle;
 use crate::core::EntryCore;
 
-/// Waits for the cancels that are under way when a request ends.
+/// Waits for the cancellations that are pending when a request ends.
 pub(super) struct LateWords {
     pub(super) core: Arc<EntryCore>,
     pub(super) request: RequestId,
     pub(super) key: KeyHash,
-    /// Closes when the last cancel has ended, which its time limit sees to.
+    /// Closes when the last cancellation has ended, at the latest at its timeout.
     pub(super) events: mpsc::UnboundedReceiver<EntryEvent>,
 }
 
--- a/crates/oatpier-entry/src/run/report.rs
+++ b/crates/oatpier-entry/src/run/report.rs
@@ -1,4 +1,4 @@
-//! What is remembered, counted and logged of a request.
+//! History, metrics and log entry of a finished request.
 
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// How an attempt ended, for operators.
+/// Returns an operator-readable description of how an attempt ended.
 pub(super) fn end_of(event: &EntryEvent) -> String {
     match event {
         EntryEvent::Ended { .. } => "came to its end".to_owned(),
--- a/crates/oatpier-entry/src/sink.rs
+++ b/crates/oatpier-entry/src/sink.rs
@@ -1,8 +1,8 @@
-//! The caller's side of one request: where its answer goes.
+//! Sends the answer of one request to its caller.
 //!
-//! A streamed answer goes out piece by piece; any other is held until it is whole, so that a
-//! failure on the way is still answered by a proper error. Pieces wait in a bounded channel. A
-//! caller that reads slowly fills its own channel and stops its own request's reading, no other.
+//! A streamed answer is sent piece by piece. Any other answer is buffered until it is complete, so
+//! that a failure in the middle still results in an error response. Pieces wait in a bounded
+//! channel: a slow caller fills its own channel and pauses the reading of its own request only.
 
 use bytes::Bytes;
 use futures::stream;
@@ -13,20 +13,20 @@
 
 use crate::errors::{CallerError, RequestIdentity, identify};
 
-/// Pieces of an answer that wait for a slow caller.
+/// Capacity of the channel of pieces to a caller.
 const WAITING_PIECES: usize = 16;
 
-/// The head of an endpoint's answer.
+/// Status and headers of an endpoint's answer.
 #[derive(Debug, Clone)]
 pub struct AnswerHead {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
 }
 
 impl AnswerHead {
-    /// Whether the answer is a stream of server-sent events.
+    /// Returns whether the answer is a stream of server-sent events.
     #[must_use]
     pub fn is_stream(&self) -> bool {
         self.headers
@@ -35,28 +35,28 @@
     }
 }
 
-/// Whether a relayed piece was taken.
+/// Whether the caller can receive more pieces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SinkState {
-    /// The caller takes more.
+    /// The caller can receive more.
     Ready,
-    /// The caller takes no more at the moment.
+    /// The channel to the caller is full.
     Blocked,
 }
 
-/// What changed at the caller.
+/// A change of the caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SinkChange {
-    /// It takes more again.
+    /// The caller can receive more again.
     Ready,
-    /// It went away.
+    /// The caller disconnected.
     Gone,
 }
 
 enum SinkStage {
     /// Nothing was sent.
     Start(oneshot::Sender<Reply>),
-    /// A whole answer is held until its end.
+    /// A non-streaming answer is buffered until its end.
     Held {
         reply: oneshot::Sender<Reply>,
         head: AnswerHead,
@@ -64,11 +64,11 @@
     },
     /// A stream is being sent.
     Streaming(mpsc::Sender<Bytes>),
-    /// All was sent.
+    /// Everything was sent.
     Done,
 }
 
-/// Where the answer to one request goes.
+/// Destination of the answer to one request.
 pub struct CallerSink {
     identity: RequestIdentity,
     stage: SinkStage,
@@ -76,7 +76,7 @@
 }
 
 impl CallerSink {
-    /// A sink whose reply is awaited at the receiver.
+    /// Creates a sink and the receiver of its response.
     #[must_use]
     pub fn new(identity: RequestIdentity) -> (Self, oneshot::Receiver<Reply>) {
         let (sender, receiver) = oneshot::channel();
@@ -88,7 +88,7 @@
         (sink, receiver)
     }
 
-    /// Sends a piece, and the head before the first one.
+    /// Sends a piece, preceded by the head if it is given.
     pub fn relay(&mut self, head: Option<AnswerHead>, piece: Bytes) -> SinkState {
         if let Some(head) = head {
             self.begin(head);
@@ -100,7 +100,7 @@
                     self.waiting = Some(piece);
                     return SinkState::Blocked;
                 }
-                // A caller that is gone is seen by `gone`.
+                // `changed` reports a disconnected caller.
                 Ok(()) | Err(mpsc::error::TrySendError::Closed(_)) => {}
             },
             SinkStage::Start(_) | SinkStage::Done => {}
@@ -108,13 +108,14 @@
         SinkState::Ready
     }
 
-    /// Whether a piece waits for the caller.
+    /// Returns whether a piece waits for the caller.
     #[must_use]
     pub fn is_blocked(&self) -> bool {
         self.waiting.is_some()
     }
 
-    /// Waits until the caller takes more again, if a piece waits, or has gone away.
+    /// Waits until the caller disconnects or, if a piece is waiting, until the caller can receive
+    /// more.
     pub async fn changed(&mut self) -> SinkChange {
         match &mut self.stage {
             SinkStage::Start(reply) | SinkStage::Held { reply, .. } => reply.closed().await,
@@ -130,7 +131,7 @@
         SinkChange::Gone
     }
 
-    /// Ends a whole answer; `head` is given if no piece came.
+    /// Completes the answer; `head` is set if no piece was relayed.
     pub fn finish(&mut self, head: Option<AnswerHead>) {
         if let Some(head) = head {
             self.begin(head);
@@ -141,12 +142,13 @@
                 let answer = answer_of(&head, reply::text(StatusCode::OK, body), self.identity);
                 let _ = reply.send(answer);
             }
-            // Dropping the sender ends the stream, after what waits in it.
+            // Dropping the sender ends the stream after the pieces in the channel.
             SinkStage::Streaming(_) | SinkStage::Start(_) | SinkStage::Done => {}
         }
     }
 
-    /// Ends the answer by an error: as its status, or as the last event of a begun stream.
+    /// Ends the answer with an error: as an error response, or as the last event of a stream that
+    /// has begun.
     pub async fn fail(&mut self, error: &CallerError) {
         match std::mem::replace(&mut self.stage, SinkStage::Done) {
             SinkStage::Start(reply) | SinkStage::Held { reply, .. } => {
--- a/crates/oatpier-entry/src/store.rs
+++ b/crates/oatpier-entry/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's key-value service, within the process's share of its rates.
+//! Calls to the platform's key-value store, limited to this process's share of the call rate.
 
 use std::future::Future;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,18 +14,19 @@
 use oatpier_types::operator::StoreRow;
 use rand_chacha::ChaCha8Rng;
 
-/// The longest that a call waits for a token of the budget.
+/// Maximum time a call waits for a token of the budget.
 const LONGEST_HOLD: Duration = Duration::from_millis(250);
 
-/// The state that the duties' threads share; locked for a few instructions at a time.
+/// State shared by the duties' threads; locked only for a few instructions at a time.
 struct GateState {
     budget: StoreBudget,
     available: bool,
     answered: Option<ClockTime>,
 }
 
-/// The one way of an entry's duties to the store. Each call takes a token of the process's
-/// budget; one that gets none soon fails as "unavailable", which is true: it had no effect.
+/// The only access of an entry's duties to the store. Each call takes a token of the process's
+/// budget. A call that gets no token in time fails as "unavailable", which is correct: it had no
+/// effect.
 pub struct StoreGate {
     store: Arc<dyn KeyStore>,
     clock: RuntimeClock,
@@ -34,7 +35,8 @@
 }
 
 impl StoreGate {
-    /// A gate before a store, with the share of a fleet of one until [`Self::set_fleet`].
+    /// Creates the access to a store. The rates are those of a fleet with one entry until
+    /// [`Self::set_fleet`] is called.
     #[must_use]
     pub fn new(
         store: Arc<dyn KeyStore>,
@@ -60,7 +62,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the share by the processes that are known.
+    /// Sets this process's share from the numbers of known processes.
     pub fn set_fleet(&self, entries: u32, agents: u32) {
         let share = StoreShare {
             entries,
@@ -71,7 +73,7 @@
         self.lock().budget.set_rates(share.entry(), now);
     }
 
-    /// How the store stands, for operators.
+    /// Returns the status of the store for operators.
     #[must_use]
     pub fn row(&self) -> StoreRow {
         let now = self.clock.now();
@@ -87,27 +89,27 @@
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn get(&self, kind: CallKind, key: &str) -> Result<Option<StoredValue>, StoreError> {
         let call = self.store.get(key);
         self.run(kind, CallMode::Read, call).await
     }
 
-    /// Reads all values under a prefix.
+    /// Reads all values with a key prefix.
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn list(&self, kind: CallKind, prefix: &str) -> Result<Vec<StoredValue>, StoreError> {
         let call = self.store.list(prefix);
         self.run(kind, CallMode::Read, call).await
     }
 
-    /// Writes a value if what is there is as expected.
+    /// Writes a value if the current value is as expected.
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn put(
         &self,
         kind: CallKind,
@@ -119,21 +121,21 @@
         self.run(kind, CallMode::Write, call).await
     }
 
-    /// Removes a key, whatever is there.
+    /// Deletes a key regardless of its current value.
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn delete(&self, kind: CallKind, key: &str) -> Result<(), StoreError> {
         let call = self.store.delete(key, ExpectedValue::Any);
         self.run(kind, CallMode::Write, call).await
     }
 
-    /// Waits for changes under a prefix.
+    /// Waits for changes of keys with a prefix.
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn watch(
         &self,
         kind: CallKind,
@@ -153,7 +155,7 @@
     ) -> Result<T, StoreError> {
         if !self.admit(kind, mode).await {
             self.metrics.count_store_call(kind_word(kind), "held-back");
-            let cause = "this process's share of calls is used up".to_owned();
+            let cause = "this process has exhausted its share of store calls".to_owned();
             return Err(StoreError::Unavailable { cause });
         }
         let answer = call.await;
@@ -165,8 +167,9 @@
         answer
     }
 
-    /// Takes a token, and waits a short while for one: a claimer that takes a partition over makes
-    /// several calls at once, and to refuse its claims for that would help nobody.
+    /// Takes a token, waiting a short time for one if necessary. A claimer that takes over a
+    /// partition makes several calls at once; refusing its claims because of that burst would be
+    /// pointless.
     async fn admit(&self, kind: CallKind, mode: CallMode) -> bool {
         let until = self.clock.now() + LONGEST_HOLD;
         loop {
--- a/crates/oatpier-entry/tests/testsuite/claims.rs
+++ b/crates/oatpier-entry/tests/testsuite/claims.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys across entries, their deaths, and outages of the store.
+//! Idempotency keys across entries, during entry failures and store outages.
 
 use oatpier_claims::message::{ClaimAnswer, ClaimDenial};
 use oatpier_standin::store::{DownMode, StoreFaults};
@@ -7,9 +7,10 @@
 
 use crate::support::ClaimFleet;
 
-/// Enough keys for each of the two entries to be the claimer of some.
+/// Enough keys for each of the two entries to be the claimer of some of them.
 const KEYS: u128 = 16;
-/// Makes the second word on a key come at another point of the first one's write.
+/// Delay per key, so that the second settlement arrives at a different point of the first one's
+/// write for each key.
 const SETTLE_STEP: std::time::Duration = std::time::Duration::from_millis(250);
 
 fn held_by(request: u128) -> ClaimAnswer {
@@ -18,8 +19,8 @@
     })
 }
 
-/// A caller sends one request twice, through both entries at once. Whichever of them is the
-/// claimer of the key, exactly one of the two may run, and the other is told who holds the key.
+/// The same request arrives at both entries at once. Whichever entry is the claimer of the key,
+/// exactly one of the two requests may run, and the other is told the holder of the key.
 #[tokio::test(start_paused = true)]
 async fn a_key_sent_through_two_entries_at_once_is_granted_once() {
     let fleet = ClaimFleet::start(2).await;
@@ -30,14 +31,14 @@
         match answers {
             (ClaimAnswer::Granted, other) => assert_eq!(other, held_by(first)),
             (other, ClaimAnswer::Granted) => assert_eq!(other, held_by(second)),
-            neither => panic!("one has to be granted: {neither:?}"),
+            neither => panic!("one query must be granted: {neither:?}"),
         }
     }
 }
 
-/// The store is away. A new key can't be claimed, and its caller is told so: it did not run. A
-/// key that was claimed before is still answered, since its claimer remembers it. Once the store
-/// is back the refused request may claim its key.
+/// During a store outage a new key can't be claimed, and its caller is told that the request did
+/// not run. A key claimed before is still answered from the claimer's memory. After the outage the
+/// refused request can claim its key.
 #[tokio::test(start_paused = true)]
 async fn in_an_outage_new_keys_are_refused_and_known_ones_answered() {
     let fleet = ClaimFleet::start(2).await;
@@ -60,7 +61,7 @@
     }
     fleet.store.set_faults(StoreFaults::default());
     loop {
-        // The claimer lets a while pass before it tries the store again.
+        // The claimer waits a while before it retries the store.
         match fleet.ask(0, KEYS, 300).await {
             ClaimAnswer::Unavailable { retry_after } => tokio::time::sleep(retry_after).await,
             last => break assert_eq!(last, ClaimAnswer::Granted),
@@ -68,9 +69,10 @@
     }
 }
 
-/// An entry dies after it granted keys as their claimer. The other does not know of its death
-/// yet: it gets no answer, takes the partitions over through the store, and finds the grants
-/// there. The keys are not granted again, and new ones are granted by the other entry.
+/// An entry fails after it granted keys as their claimer, and the other entry has not detected it
+/// yet. Its query gets no answer, so it takes over the partitions through the store and finds the
+/// grants there. The keys must not be granted again, and new keys are granted by the remaining
+/// entry.
 #[tokio::test(start_paused = true)]
 async fn a_dead_claimer_is_replaced_and_its_grants_stand() {
     let fleet = ClaimFleet::start(2).await;
@@ -86,8 +88,8 @@
     }
 }
 
-/// The store takes a claim and loses its answer. The claimer does not know whether the key is
-/// claimed, reads it again, and grants it to the request that asked and to no other.
+/// The store writes a claim but its answer is lost. The claimer does not know whether the key is
+/// claimed, reads it again, and must grant it only to the request that queried it.
 #[tokio::test(start_paused = true)]
 async fn a_claim_whose_answer_is_lost_is_granted_to_its_request_alone() {
     let fleet = ClaimFleet::start(2).await;
@@ -102,9 +104,9 @@
     assert_eq!(fleet.ask(1, same_partition, 201).await, held_by(101));
 }
 
-/// A request got its key and did not run after all, since no endpoint took it. Its entry gives
-/// the key back, also to a claimer in the other entry, and the caller's next try may run. A key
-/// whose request ran stays used.
+/// A request got its key but did not run, because no endpoint accepted it. Its entry releases the
+/// key, also if the claimer is in the other entry, and the caller's next attempt may run. The key
+/// of a request that ran stays used.
 #[tokio::test(start_paused = true)]
 async fn the_key_of_a_request_that_did_not_run_is_free_again() {
     let fleet = ClaimFleet::start(2).await;
@@ -134,8 +136,8 @@
     }
 }
 
-/// The store is away while requests end without having run. Their entry says so again until the
-/// store has it: the keys are free once the store is back, and were not before.
+/// Requests end without having run during a store outage. Their entry sends the settlements again
+/// until the store has them: the keys are free once the store is back, and not before.
 #[tokio::test(start_paused = true)]
 async fn a_settlement_outlasts_an_outage() {
     let fleet = ClaimFleet::start(2).await;
@@ -158,9 +160,9 @@
     }
 }
 
-/// A change ends as "may have run", and its seal is answered "not run" a moment later, before or
-/// after the first word is in the store. The last word holds, whoever of the two entries is the
-/// claimer, and the key is free for the caller's next try.
+/// A non-idempotent request ends as "may have run", and its seal is answered "not run" shortly
+/// after, before or after the first settlement is in the store. The last settlement must win
+/// regardless of which entry is the claimer, and the key is free for the caller's next attempt.
 #[tokio::test(start_paused = true)]
 async fn a_key_is_freed_after_its_own_may_have_run() {
     let fleet = ClaimFleet::start(2).await;
--- a/crates/oatpier-entry/tests/testsuite/configuration.rs
+++ b/crates/oatpier-entry/tests/testsuite/configuration.rs
@@ -1,4 +1,4 @@
-//! The store's side of configuration and planned stops.
+//! Store calls for the configuration and the planned stops.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -81,8 +81,8 @@
     }
 }
 
-/// A change is told to the one that watches; the store being away is told as a failed call, and
-/// never as a configuration that is gone.
+/// A configuration change reaches the watcher. An unavailable store is reported as a failed call
+/// and never as a removed configuration.
 #[tokio::test(start_paused = true)]
 async fn a_change_is_told_and_an_outage_is_no_change() {
     let test = ConfigurationTest::start();
@@ -101,7 +101,7 @@
     assert_eq!(test.config_news().await, StoreReply::Failed);
 }
 
-/// An operator plans a stop and takes it back. Who watches hears of both, in that order.
+/// An operator requests a stop and withdraws it. The watcher receives both changes in that order.
 #[tokio::test(start_paused = true)]
 async fn a_planned_stop_and_its_withdrawal_are_told() {
     let test = ConfigurationTest::start();
@@ -110,7 +110,7 @@
     test.orders.send(watch).await;
     test.put("stop/agent-1", b"{}".to_vec()).await;
     assert_eq!(test.stop_news().await, ("agent-1".to_owned(), false));
-    // The configuration's watch ends first, and the machine asks for the next one.
+    // The watch of the configuration ends first, and the state machine requests the next one.
     assert_eq!(test.config_news().await, StoreReply::Unchanged);
     test.orders.send(watch).await;
     let deleted = test.store.delete("stop/agent-1", ExpectedValue::Any);
--- a/crates/oatpier-entry/tests/testsuite/hold.rs
+++ b/crates/oatpier-entry/tests/testsuite/hold.rs
@@ -1,4 +1,4 @@
-//! A new planner leaves replicas as they are until it knows the demand.
+//! A new planner keeps replicas until it knows the demand.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     names.iter().map(of).collect()
 }
 
-/// A plan with a row for each endpoint of the picture.
+/// Returns a plan with one row for each endpoint of the fleet.
 fn plan(picture: &FleetPicture, rows: &[&[&str]]) -> PlacementPlan {
     let rows = picture.endpoints.iter().zip(rows);
     PlacementPlan {
@@ -112,9 +112,9 @@
     assert_eq!(held(&picture, &rows, Some(&before)), plan(&picture, &rows));
 }
 
-/// An entry that has run for a while takes the lease after the planner died. It knows no demand
-/// yet, so all endpoints look quiet to it. What the former planner had loaded for the callers
-/// stays until it has seen a whole window of demand.
+/// An entry that has run for a while acquires the lease after the planner failed. It knows no
+/// demand yet, so all endpoints look idle. The weights that the previous planner had loaded must
+/// stay until it has observed a full window of demand.
 #[tokio::test(start_paused = true)]
 async fn a_new_planner_empties_nothing_at_once() {
     let mut picture = picture();
--- a/crates/oatpier-entry/tests/testsuite/late.rs
+++ b/crates/oatpier-entry/tests/testsuite/late.rs
@@ -1,4 +1,4 @@
-//! What is heard of a request after its final answer.
+//! Cancellation results that arrive after a request's final answer.
 
 use std::sync::Arc;
 
@@ -34,11 +34,11 @@
 const REQUEST: RequestId = RequestId(7);
 const ATTEMPT: AttemptId = AttemptId(8);
 const KEY: KeyHash = KeyHash(9);
-/// On the paused clock.
+/// Timeout on the paused clock.
 const SETTLED_WITHIN: std::time::Duration = std::time::Duration::from_secs(30);
 
-/// Decisions that answer "may have run" with a seal under way, and free the key when it is
-/// answered.
+/// Policy that answers "may have run" while a seal is pending, and releases the key when the seal
+/// is answered.
 struct OpenSeal;
 
 fn settle(verdict: RunVerdict) -> EntryAction {
@@ -140,13 +140,14 @@
             assert_eq!((key, request), (KEY, REQUEST));
             Some(verdict)
         }
-        other => panic!("only settlements are wanted: {other:?}"),
+        other => panic!("expected only settlements: {other:?}"),
     }
 }
 
-/// A change gets no answer until its deadline and ends as "may have run"; its seal is under way.
-/// Then the seal is answered: the change never ran. Its key has to be freed, although its caller
-/// has its answer already: else the caller could never submit the change under this key.
+/// A non-idempotent request gets no response until its deadline and ends as "may have run" while
+/// its seal is pending. Then the seal is answered: the request never ran. Its key has to be
+/// released although the caller has its answer already; otherwise the caller could never submit the
+/// request under this key.
 #[tokio::test(start_paused = true)]
 async fn a_seal_that_is_answered_after_the_final_answer_frees_the_key() {
     let (core, claims) = core();
--- a/crates/oatpier-entry/tests/testsuite/main.rs
+++ b/crates/oatpier-entry/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of an entry's duties, in one paused runtime with stand-ins in the process.
+//! Tests of an entry's duties, in one runtime with simulated platform services in the same process.
 
 mod claims;
 mod configuration;
--- a/crates/oatpier-entry/tests/testsuite/planner.rs
+++ b/crates/oatpier-entry/tests/testsuite/planner.rs
@@ -1,4 +1,4 @@
-//! The planner's lease and the plans in the store.
+//! The planner lease and the plans in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,12 +61,12 @@
     ZoneName::try_from(name).unwrap()
 }
 
-/// Two live endpoints, one in each availability zone, that hold nothing.
+/// Two live endpoints without weights, one in each availability zone.
 fn picture() -> FleetPicture {
     picture_of(CONFIG)
 }
 
-/// All endpoints of a configuration, live and empty.
+/// All endpoints of a configuration, live and without weights.
 pub fn picture_of(config: &str) -> FleetPicture {
     let config = FleetConfig::try_from(config).unwrap();
     let pools = config.pools.iter();
@@ -104,7 +104,7 @@
         Self::start_after(number, store, picture(), Duration::ZERO).await
     }
 
-    /// An entry that sees the fleet some time after its start.
+    /// Starts an entry that receives the fleet state some time after its start.
     pub async fn start_after(
         number: u16,
         store: &Arc<LocalStore>,
@@ -147,8 +147,8 @@
     tokio::time::sleep(Duration::from_secs(seconds)).await;
 }
 
-/// Two entries could plan. One does: each availability zone's plan is in the store under its
-/// term, both models are placed, and both entries know the plans, for the agents that ask them.
+/// Only one of two candidates plans: the plan of each availability zone is in the store under its
+/// term, both models are placed, and both entries know the plans, which agents query from either.
 #[tokio::test(start_paused = true)]
 async fn one_entry_plans_and_all_know_the_plan() {
     let store = Arc::new(LocalStore::new());
@@ -170,9 +170,9 @@
     }
 }
 
-/// The planner dies. Nobody releases its lease, so the other entry waits until it is over, and
-/// then plans under the next term. The plans are written anew under it at once: a late write of
-/// the dead one would meet another revision.
+/// The planner fails without releasing its lease, so the other entry waits until the lease expires
+/// and then plans under the next term. It writes the plans under that term immediately: a late
+/// write of the failed planner would find another revision.
 #[tokio::test(start_paused = true)]
 async fn the_next_entry_plans_after_the_planner_died() {
     let store = Arc::new(LocalStore::new());
@@ -188,12 +188,12 @@
     assert!(after.sequence > before.sequence);
     assert_eq!(
         after.endpoints, before.endpoints,
-        "no move for a new planner"
+        "a new planner moves no replicas"
     );
 }
 
-/// A planner that stops gives its lease back: the next one plans within seconds, before the lease
-/// would have run out, and while the first still finishes its requests.
+/// A planner that stops releases its lease: the next one plans within seconds, before the lease
+/// would have expired, and while the first still finishes its requests.
 #[tokio::test(start_paused = true)]
 async fn a_stopping_planner_hands_over_at_once() {
     let store = Arc::new(LocalStore::new());
@@ -209,8 +209,9 @@
     assert!(!first.task.is_finished());
 }
 
-/// The store is away for longer than the lease lasts. The planner must not plan on, since another
-/// could hold the lease; once the store is back there is a planner again, and no plan was lost.
+/// The store is unavailable for longer than the lease lasts. The planner must stop planning,
+/// because another one could hold the lease. After the outage there is a planner again, and no plan
+/// was lost.
 #[tokio::test(start_paused = true)]
 async fn an_outage_ends_planning_and_keeps_the_plan() {
     let store = Arc::new(LocalStore::new());
@@ -226,7 +227,7 @@
     assert_eq!(
         entry.board.plan_age_ms(clock.now()),
         None,
-        "it plans no more"
+        "the entry is no longer the planner"
     );
     let kept = entry.board.row(&before.endpoints[0].endpoint);
     assert_eq!(kept.unwrap().row, before.endpoints[0]);
@@ -241,6 +242,6 @@
     assert!(after.term >= before.term);
     assert!(
         entry.board.plan_age_ms(clock.now()).is_some(),
-        "it plans again"
+        "the entry is the planner again"
     );
 }
--- a/crates/oatpier-entry/tests/testsuite/stops.rs
+++ b/crates/oatpier-entry/tests/testsuite/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops wait for replacements.
+//! Planned stops are delayed until replacements are ready.
 
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// An entry that registers agents.
+/// Entry with which agents are registered.
 struct Registrar {
     member: EntryMember<FleetConfig>,
     now: ClockTime,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// An agent says that it has these models ready.
+    /// Receives a heartbeat of an agent that has these models ready.
     fn beat(&mut self, number: u16, models: &[&str]) {
         self.beats += 1;
         let report = QueueReport {
@@ -108,9 +108,9 @@
     }
 }
 
-/// An operator plans the stop of the only holder of a model. Its agent is not told before another
-/// endpoint has the model ready: told at once, it would leave, and callers would be refused while
-/// the model is being loaded elsewhere.
+/// An operator requests the stop of the only holder of a model. Its agent must not be told before
+/// another endpoint has the model ready: otherwise it would leave, and requests would be refused
+/// while the model is being loaded elsewhere.
 #[test]
 fn the_only_holder_is_told_once_there_is_a_replacement() {
     let mut registrar = Registrar::new();
@@ -121,7 +121,7 @@
     assert_eq!(gate.take_one(stop(1, false), &registrar.member, now), None);
     assert!(
         gate.holds(&agent(1)),
-        "the planner is to know of it meanwhile"
+        "the planner needs to know of the delayed stop"
     );
     assert_eq!(gate.due(&registrar.member, now), []);
     registrar.beat(2, &["halls", "tables"]);
@@ -129,8 +129,8 @@
     assert!(!gate.holds(&agent(1)));
 }
 
-/// Both holders of a model are to stop at once. Each would count as the other's replacement, and
-/// the model would be gone: neither is told until a third has it.
+/// Both holders of a model are to stop at once. If each counted as the other's replacement, the
+/// model would be gone. The second holder must not be told until a third one has the model.
 #[test]
 fn two_that_stop_are_no_replacement_for_each_other() {
     let mut registrar = Registrar::new();
@@ -140,7 +140,7 @@
     let now = registrar.now;
     let listed = vec![stop(1, false), stop(2, false)];
     let told = gate.take_list(listed, &registrar.member, now);
-    // The first may go, as the second still serves; the second has to stay for now.
+    // The first may stop, because the second still serves; the second has to stay for now.
     assert_eq!(told, [stop(1, false)]);
     let _ = registrar
         .member
@@ -150,8 +150,9 @@
     assert_eq!(gate.due(&registrar.member, now), [stop(2, false)]);
 }
 
-/// No replacement ever comes, as there is no memory for one, which the operator was told before.
-/// The stop is not put off for ever. One that is withdrawn meanwhile is not told at all.
+/// No replacement ever becomes ready, because there is no memory for one, as the operator was
+/// warned. The stop is not delayed forever. A stop that is withdrawn in the meantime is never
+/// released as a stop.
 #[test]
 fn a_stop_without_replacement_is_told_in_the_end_and_a_withdrawn_one_never() {
     let mut registrar = Registrar::new();
--- a/crates/oatpier-entry/tests/testsuite/support.rs
+++ b/crates/oatpier-entry/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Entries without sockets: their duties as tasks, and calls between them through memory.
+//! Entries without sockets: their duties run as tasks, and calls between them are passed in memory.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,10 +25,10 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// How long another entry may take in a test.
+/// Timeout of a call to another entry in a test.
 const CALL_WAIT: Duration = Duration::from_millis(800);
 
-/// How long settlements may take to be in the store, on the paused clock.
+/// Timeout until settlements are in the store, on the paused clock.
 const FLUSH_WAIT: Duration = Duration::from_mins(1);
 
 pub fn daemon(number: u16) -> DaemonName {
@@ -49,7 +49,7 @@
     Arc::new(StoreGate::new(store.clone(), clock, metrics, generator))
 }
 
-/// Calls between the entries of a test; one that is dead or cut off does not answer.
+/// Calls between the entries of a test; a killed entry does not answer.
 #[derive(Default)]
 pub struct TestLinks {
     claimers: Mutex<HashMap<SocketAddr, RingSender<ClaimCommand>>>,
@@ -90,7 +90,7 @@
     task: JoinHandle<()>,
 }
 
-/// Entries that claim keys with one store.
+/// Entries that claim keys in one shared store.
 pub struct ClaimFleet {
     pub store: Arc<LocalStore>,
     links: Arc<TestLinks>,
@@ -98,7 +98,7 @@
 }
 
 impl ClaimFleet {
-    /// Entries that know of each other.
+    /// Starts entries that know each other.
     pub async fn start(count: u16) -> Self {
         let mut fleet = Self {
             store: Arc::new(LocalStore::new()),
@@ -138,14 +138,14 @@
         self.entries.push(ClaimingEntry { commands, task });
     }
 
-    /// An entry dies: it answers nobody any more.
+    /// Kills an entry: it no longer answers calls.
     pub fn kill(&self, number: u16) {
         self.entries[usize::from(number)].task.abort();
         let address = contact(number).address;
         self.links.claimers.lock().unwrap().remove(&address);
     }
 
-    /// A request at an entry asks for a key.
+    /// Queries a key for a request at an entry.
     pub async fn ask(&self, entry: u16, key: u128, request: u128) -> ClaimAnswer {
         let ask = ClaimAsk {
             key: KeyHash(key),
@@ -161,7 +161,7 @@
         answer.await.unwrap()
     }
 
-    /// A request at an entry is over.
+    /// Settles the key of a request at an entry.
     pub async fn settle(&self, entry: u16, key: u128, request: u128, verdict: RunVerdict) {
         let command = ClaimCommand::Settle {
             key: KeyHash(key),
@@ -174,7 +174,7 @@
             .await;
     }
 
-    /// Waits until all that an entry settled is in the store.
+    /// Waits until all settlements of an entry are in the store.
     pub async fn flush(&self, entry: u16) {
         let (reply, flushed) = oneshot::channel();
         let command = ClaimCommand::Flush { reply };
@@ -183,6 +183,9 @@
             .send(command)
             .await;
         let flushed = tokio::time::timeout(FLUSH_WAIT, flushed);
-        flushed.await.expect("all is in the store").unwrap();
+        flushed
+            .await
+            .expect("all settlements are in the store")
+            .unwrap();
     }
 }
--- a/crates/oatpier-entry/tests/testsuite/whole.rs
+++ b/crates/oatpier-entry/tests/testsuite/whole.rs
@@ -1,4 +1,4 @@
-//! A whole entry, as operators and its VM see it.
+//! A complete entry process, as seen by operators and by its VM.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -89,8 +89,8 @@
     }
 }
 
-/// Operators ask an entry that stands alone. It tells of itself, of the generation in force, of
-/// who plans, and of a model that is nowhere; what it does not know it says so.
+/// Operators query an entry that runs alone. It reports itself, the active generation, the planner,
+/// and a model without replicas. Unknown names are answered with 404.
 #[tokio::test]
 async fn an_entry_tells_operators_what_it_sees_and_ends_when_told() {
     let entry = WholeEntry::start().await;
@@ -107,7 +107,10 @@
             break;
         }
         tries += 1;
-        assert!(tries < LOOK_TRIES, "it never came about: {status:?}");
+        assert!(
+            tries < LOOK_TRIES,
+            "the entry reported no planner and configuration in time: {status:?}"
+        );
         tokio::time::sleep(LOOK_PERIOD).await;
     }
     let explained: ExplainModel = entry.ask("/operator/explain/model/tables").await;
