--- a/crates/oatpier-entry/src/attempt.rs
+++ b/crates/oatpier-entry/src/attempt.rs
@@ -22,9 +22,9 @@
 use crate::sink::AnswerHead;
 
 /// Timeout of an agent's response to a cancellation.
-const CANCEL_WAIT: Duration = Duration::from_secs(2);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of a buffered non-streaming answer, in bytes.
-const MAX_HELD_BYTES: usize = 16 << 20;
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
 /// An event of an attempt, with the data that the policy does not need.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
             .await;
         let event = match opened {
             Ok(stream) => self.relay(stream).await,
-            Err(error) => event_of(attempt, &error),
+            Err(error) => error_event(attempt, &error),
         };
         self.signal(event).await;
     }
@@ -74,7 +74,7 @@
     /// Relays the frames and returns the event of the last one.
     async fn relay(&self, mut stream: AttemptStream) -> EntryEvent {
         let attempt = self.head.spec.attempt;
-        let mut held = None;
+        let mut buffer = None;
         loop {
             let Ok(frame) = stream.next().await else {
                 return EntryEvent::ConnectionLost { attempt };
@@ -89,28 +89,28 @@
                         status: StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY),
                         headers: to_headers(&headers),
                     };
-                    held = (!answer_head.is_stream()).then(BytesMut::new);
+                    buffer = (!answer_head.is_stream()).then(BytesMut::new);
                     self.signal_head(answer_head, report).await;
                 }
-                AttemptFrame::Piece { bytes, tokens } => match &mut held {
+                AttemptFrame::Piece { bytes, tokens } => match &mut buffer {
                     None => self.signal_piece(bytes, tokens).await,
-                    Some(held) if held.len() + bytes.len() > MAX_HELD_BYTES => {
+                    Some(buffer) if buffer.len() + bytes.len() > MAX_BUFFERED_BYTES => {
                         return failed(attempt, RunVerdict::MayHaveRun);
                     }
-                    Some(held) => held.extend_from_slice(&bytes),
+                    Some(buffer) => buffer.extend_from_slice(&bytes),
                 },
-                last => return self.end(last, held).await,
+                last => return self.finish(last, buffer).await,
             }
         }
     }
 
     /// Sends the buffered answer, then returns the event of the last frame.
-    async fn end(&self, last: AttemptFrame, held: Option<BytesMut>) -> EntryEvent {
+    async fn finish(&self, last: AttemptFrame, buffer: Option<BytesMut>) -> EntryEvent {
         let attempt = self.head.spec.attempt;
         match last {
             AttemptFrame::Ended { report } => {
-                if let Some(held) = held.filter(|held| !held.is_empty()) {
-                    self.signal_piece(held.freeze(), 0).await;
+                if let Some(buffer) = buffer.filter(|buffer| !buffer.is_empty()) {
+                    self.signal_piece(buffer.freeze(), 0).await;
                 }
                 let report = Some(report);
                 EntryEvent::Ended { attempt, report }
@@ -167,7 +167,7 @@
     EntryEvent::Failed { attempt, verdict }
 }
 
-fn event_of(attempt: AttemptId, error: &SendError) -> EntryEvent {
+fn error_event(attempt: AttemptId, error: &SendError) -> EntryEvent {
     match (error.stage, error.verdict) {
         (SendStage::Connect | SendStage::Queue, _) => EntryEvent::ConnectFailed { attempt },
         (SendStage::Response, RunVerdict::NotRun) => failed(attempt, RunVerdict::NotRun),
@@ -196,7 +196,7 @@
             CancelMode::Abort => CancelScope::Abort,
         },
     };
-    let answer = peers.cancel_attempt(contact.address, &cancel, CANCEL_WAIT);
+    let answer = peers.cancel_attempt(contact.address, &cancel, CANCEL_TIMEOUT);
     let answer = answer.await;
     answer.map_or(RunVerdict::MayHaveRun, |answer| answer.verdict)
 }
--- a/crates/oatpier-entry/src/callers.rs
+++ b/crates/oatpier-entry/src/callers.rs
@@ -19,21 +19,21 @@
 use crate::claims::ClaimCommand;
 use crate::core::EntryCore;
 use crate::errors::{CallerError, RequestIdentity, identify};
-use crate::intake::{CallRoute, IntakeError, understand};
-use crate::news::EntryNews;
-use crate::planner::PlannerNews;
+use crate::intake::{CallRoute, IntakeError, parse_call};
+use crate::planner::PlannerUpdate;
 use crate::run::RequestRun;
 use crate::sink::CallerSink;
+use crate::updates::CallersUpdate;
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 use oatpier_duty::observe::trace::extract_parent;
 
 /// Interval at which the planner duty receives the demand.
-const DEMAND_PERIOD: Duration = Duration::from_secs(2);
+const DEMAND_INTERVAL: Duration = Duration::from_secs(2);
 /// Maximum time a stopping entry waits for its claim settlements to reach the store. Claims not
 /// settled by then stay held in the store: a repeat is told that the request may have run.
-const FLUSH_WAIT: Duration = Duration::from_secs(3);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Interval at which a stopping entry checks whether its last requests have ended.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Inputs of the callers duty.
 pub struct CallersInputs {
@@ -44,9 +44,9 @@
     /// Limits on connections and requests of callers.
     pub limits: ServerLimits,
     /// Updates from the other duties.
-    pub news: RingReceiver<EntryNews>,
+    pub updates: RingReceiver<CallersUpdate>,
     /// Channel for the demand.
-    pub planner: RingSender<PlannerNews>,
+    pub planner: RingSender<PlannerUpdate>,
     /// Signals the process to stop.
     pub stop: StopSignal,
     /// How long the process reports that it is not ready before it refuses new requests.
@@ -63,7 +63,7 @@
         core,
         listener,
         limits,
-        news,
+        updates,
         planner,
         stop,
         notice,
@@ -73,7 +73,7 @@
     let handler = Arc::new(CallerHandler {
         core: Arc::clone(&core),
     });
-    let closing = drain_start(Arc::clone(&core), stop.clone(), notice);
+    let closing = wait_for_drain(Arc::clone(&core), stop.clone(), notice);
     let counters = Arc::<ServerCounters>::default();
     let serving = async {
         server::serve(listener, handler, limits, counters, closing).await;
@@ -81,8 +81,8 @@
     };
     tokio::select! {
         () = serving => {}
-        () = tell_demand(&core, &planner) => {}
-        () = take_news(&core, &news) => {}
+        () = send_demand(&core, &planner) => {}
+        () = apply_updates(&core, &updates) => {}
         () = core.run_timers() => {}
     }
     stop.advance(StopPhase::Ended);
@@ -91,7 +91,7 @@
 /// Waits until new requests are to be refused. During `notice` the load balancer can detect that
 /// the entry is not ready. The entry still serves requests in that time, so that no connection is
 /// refused.
-async fn drain_start(core: Arc<EntryCore>, stop: StopSignal, notice: Duration) {
+async fn wait_for_drain(core: Arc<EntryCore>, stop: StopSignal, notice: Duration) {
     stop.reached(StopPhase::Draining).await;
     tokio::time::sleep(notice).await;
     core.begin_stop();
@@ -102,26 +102,26 @@
 /// keys held whose requests did not run.
 async fn finish_work(core: &EntryCore) {
     while core.in_flight() > 0 {
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let (reply, flushed) = oneshot::channel();
     core.claims().send(ClaimCommand::Flush { reply }).await;
-    if tokio::time::timeout(FLUSH_WAIT, flushed).await.is_err() {
+    if tokio::time::timeout(FLUSH_TIMEOUT, flushed).await.is_err() {
         spdlog::warn!("some claims were not settled in the store before the process ended");
     }
 }
 
-async fn tell_demand(core: &EntryCore, planner: &RingSender<PlannerNews>) {
+async fn send_demand(core: &EntryCore, planner: &RingSender<PlannerUpdate>) {
     loop {
-        tokio::time::sleep(DEMAND_PERIOD).await;
+        tokio::time::sleep(DEMAND_INTERVAL).await;
         // The ring counts dropped messages; the next one carries the complete demand.
-        let _ = planner.try_send(PlannerNews::Own(core.demand()));
+        let _ = planner.try_send(PlannerUpdate::OwnDemand(core.demand()));
     }
 }
 
-async fn take_news(core: &EntryCore, news: &RingReceiver<EntryNews>) {
-    while let Some(news) = news.receive().await {
-        core.take_news(news);
+async fn apply_updates(core: &EntryCore, updates: &RingReceiver<CallersUpdate>) {
+    while let Some(update) = updates.receive().await {
+        core.apply_update(update);
     }
     // The other duties have ended; requests in flight continue.
     std::future::pending::<()>().await;
@@ -156,7 +156,7 @@
         .tracer
         .start("entry.admit", SpanKind::Internal, span.context());
     let (head, body) = request.into_parts();
-    let understood = core
+    let parsed = core
         .config()
         .ok_or(IntakeError::NoConfig)
         .and_then(|config| {
@@ -164,11 +164,11 @@
             if route == CallRoute::Models {
                 return Ok((config, None));
             }
-            let call = understand(&config, route, &head, body, caller.ip())?;
+            let call = parse_call(&config, route, &head, body, caller.ip())?;
             Ok((config, Some(call)))
         });
     drop(admit);
-    let call = match understood {
+    let call = match parsed {
         Ok((_, Some(call))) => call,
         Ok((config, None)) => return identify(model_list(&config), identity),
         Err(error) => return CallerError::of_intake(&error).reply(identity),
--- a/crates/oatpier-entry/src/claims/claimer.rs
+++ b/crates/oatpier-entry/src/claims/claimer.rs
@@ -12,24 +12,24 @@
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
-use super::OpenAsk;
+use super::PendingQuery;
 use super::outbox::Settlement;
-use super::storing::StoreCall;
+use super::store_calls::StoreCall;
 use crate::messages::ClaimReply;
 
 /// Recipient of the answer to a query.
 #[derive(Debug)]
-pub(super) enum AskWaiter {
+pub(super) enum QueryWaiter {
     /// A request of this entry.
-    Own(OpenAsk),
+    Own(PendingQuery),
     /// Another entry.
     Peer(oneshot::Sender<ClaimReply>),
 }
 
-impl AskWaiter {
+impl QueryWaiter {
     fn is_closed(&self) -> bool {
         match self {
-            Self::Own(open) => open.reply.is_closed(),
+            Self::Own(pending) => pending.reply.is_closed(),
             Self::Peer(reply) => reply.is_closed(),
         }
     }
@@ -42,7 +42,7 @@
     /// The answer to a query of this entry.
     Answered {
         /// The query.
-        open: OpenAsk,
+        pending: PendingQuery,
         /// Its answer.
         answer: ClaimAnswer,
     },
@@ -50,13 +50,13 @@
     Recorded(Settlement),
 }
 
-type WaitKey = (KeyHash, RequestId);
+type WaiterKey = (KeyHash, RequestId);
 
 /// The claimers of this entry.
 pub(super) struct LocalClaimer {
     logs: Vec<ClaimLog>,
-    asks: HashMap<WaitKey, SmallVec<[AskWaiter; 1]>>,
-    settles: HashMap<WaitKey, SmallVec<[oneshot::Sender<ClaimReply>; 1]>>,
+    queries: HashMap<WaiterKey, SmallVec<[QueryWaiter; 1]>>,
+    settlements: HashMap<WaiterKey, SmallVec<[oneshot::Sender<ClaimReply>; 1]>>,
 }
 
 impl LocalClaimer {
@@ -64,32 +64,35 @@
         let log = |partition| ClaimLog::new(partition, own.clone(), boot, ClaimSettings::default());
         Self {
             logs: PartitionId::all().map(log).collect(),
-            asks: HashMap::new(),
-            settles: HashMap::new(),
+            queries: HashMap::new(),
+            settlements: HashMap::new(),
         }
     }
 
-    pub(super) fn wait(&mut self, ask: ClaimAsk, waiter: AskWaiter) {
-        let waiters = self.asks.entry((ask.key, ask.request)).or_default();
+    pub(super) fn add_query_waiter(&mut self, ask: ClaimAsk, waiter: QueryWaiter) {
+        let waiters = self.queries.entry((ask.key, ask.request)).or_default();
         waiters.push(waiter);
     }
 
-    pub(super) fn wait_settled(
+    pub(super) fn add_settle_waiter(
         &mut self,
         key: KeyHash,
         request: RequestId,
         waiter: oneshot::Sender<ClaimReply>,
     ) {
-        self.settles.entry((key, request)).or_default().push(waiter);
+        self.settlements
+            .entry((key, request))
+            .or_default()
+            .push(waiter);
     }
 
     /// Removes waiters that no longer wait.
-    pub(super) fn forget_closed(&mut self) {
-        self.asks.retain(|_, waiters| {
+    pub(super) fn remove_closed(&mut self) {
+        self.queries.retain(|_, waiters| {
             waiters.retain(|waiter| !waiter.is_closed());
             !waiters.is_empty()
         });
-        self.settles.retain(|_, waiters| {
+        self.settlements.retain(|_, waiters| {
             waiters.retain(|waiter| !waiter.is_closed());
             !waiters.is_empty()
         });
@@ -125,7 +128,7 @@
                     request,
                     verdict,
                 } => {
-                    for waiter in self.settles.remove(&(key, request)).unwrap_or_default() {
+                    for waiter in self.settlements.remove(&(key, request)).unwrap_or_default() {
                         let _ = waiter.send(ClaimReply::Recorded);
                     }
                     outputs.push(ClaimerOutput::Recorded(Settlement {
@@ -140,12 +143,14 @@
         outputs
     }
 
-    fn answer(&mut self, key: WaitKey, answer: &ClaimAnswer, outputs: &mut Vec<ClaimerOutput>) {
-        for waiter in self.asks.remove(&key).unwrap_or_default() {
+    fn answer(&mut self, key: WaiterKey, answer: &ClaimAnswer, outputs: &mut Vec<ClaimerOutput>) {
+        for waiter in self.queries.remove(&key).unwrap_or_default() {
             let answer = answer.clone();
             match waiter {
-                AskWaiter::Own(open) => outputs.push(ClaimerOutput::Answered { open, answer }),
-                AskWaiter::Peer(reply) => {
+                QueryWaiter::Own(pending) => {
+                    outputs.push(ClaimerOutput::Answered { pending, answer })
+                }
+                QueryWaiter::Peer(reply) => {
                     // The peer queries again if it still needs the answer.
                     let _ = reply.send(ClaimReply::Answer(answer));
                 }
--- a/crates/oatpier-entry/src/claims/mod.rs
+++ b/crates/oatpier-entry/src/claims/mod.rs
@@ -8,7 +8,7 @@
 
 mod claimer;
 mod outbox;
-mod storing;
+mod store_calls;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,16 +29,16 @@
 
 use crate::links::EntryLinks;
 use crate::messages::{ClaimCall, ClaimReply};
-use crate::store::StoreGate;
-use claimer::{AskWaiter, ClaimerOutput, LocalClaimer};
+use crate::store::StoreClient;
+use claimer::{ClaimerOutput, LocalClaimer, QueryWaiter};
 use oatpier_duty::duty::{RingReceiver, RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 use outbox::{Outbox, Settlement};
 
 /// Maximum number of claimers queried for one claim, one after another.
-const MOST_TRIES: u8 = 3;
+const MAX_TRIES: u8 = 3;
 /// Retry delay sent to callers whose claim can't be recorded.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A command to the claims duty.
 #[derive(Debug)]
@@ -82,7 +82,7 @@
     /// Boot ID of this process.
     pub boot: BootId,
     /// Access to the store.
-    pub gate: Arc<StoreGate>,
+    pub client: Arc<StoreClient>,
     /// Client for calls to other entries.
     pub links: Arc<dyn EntryLinks>,
     /// Clock of the runtime.
@@ -97,21 +97,21 @@
 
 /// A query of this entry that a claimer has to answer.
 #[derive(Debug)]
-struct OpenAsk {
+struct PendingQuery {
     ask: ClaimAsk,
     reply: oneshot::Sender<ClaimAnswer>,
     tries: u8,
 }
 
 /// Result of a call.
-enum ClaimEnd {
+enum ClaimResult {
     Store {
         partition: PartitionId,
         call: CallNumber,
         answer: Option<StoreAnswer>,
     },
     Asked {
-        open: OpenAsk,
+        pending: PendingQuery,
         answer: Option<ClaimAnswer>,
     },
     Settled {
@@ -127,7 +127,7 @@
     let mut duty = ClaimsDuty {
         claimer: LocalClaimer::new(&inputs.own, inputs.boot),
         own: inputs.own,
-        gate: inputs.gate,
+        client: inputs.client,
         links: inputs.links,
         clock: inputs.clock,
         metrics: inputs.metrics,
@@ -145,7 +145,7 @@
 
 struct ClaimsDuty {
     own: DaemonName,
-    gate: Arc<StoreGate>,
+    client: Arc<StoreClient>,
     links: Arc<dyn EntryLinks>,
     clock: RuntimeClock,
     metrics: MetricSet,
@@ -153,7 +153,7 @@
     map: PartitionMap,
     contacts: HashMap<DaemonName, SocketAddr>,
     outbox: Outbox,
-    calls: FuturesUnordered<BoxFuture<'static, ClaimEnd>>,
+    calls: FuturesUnordered<BoxFuture<'static, ClaimResult>>,
     flushes: Vec<oneshot::Sender<()>>,
 }
 
@@ -164,26 +164,26 @@
             let wake = self.clock.instant(wake);
             tokio::select! {
                 command = commands.receive() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
-                Some(end) = self.calls.next() => self.end(end),
+                Some(end) = self.calls.next() => self.handle_result(end),
                 () = tokio::time::sleep_until(wake) => self.tick(),
             }
-            self.tell_flushed();
+            self.notify_flushed();
         }
     }
 
-    fn command(&mut self, command: ClaimCommand) {
+    fn handle_command(&mut self, command: ClaimCommand) {
         match command {
             ClaimCommand::Ask { ask, reply } => {
-                let open = OpenAsk {
+                let pending = PendingQuery {
                     ask,
                     reply,
                     tries: 0,
                 };
-                let owner = self.map.claimer_of(open.ask.key).cloned();
-                self.route(open, owner);
+                let owner = self.map.claimer_of(pending.ask.key).cloned();
+                self.route_query(pending, owner);
             }
             ClaimCommand::Settle {
                 key,
@@ -201,7 +201,7 @@
                 self.settle_due();
             }
             ClaimCommand::Remote { call, reply } => self.serve(call, reply),
-            ClaimCommand::Entries(entries) => self.take_entries(&entries),
+            ClaimCommand::Entries(entries) => self.set_entries(&entries),
             ClaimCommand::Flush { reply } => {
                 self.flushes.push(reply);
                 self.outbox.retry_all(self.clock.now());
@@ -210,7 +210,7 @@
         }
     }
 
-    fn take_entries(&mut self, entries: &[EntryContact]) {
+    fn set_entries(&mut self, entries: &[EntryContact]) {
         let names: Vec<DaemonName> = entries.iter().map(|entry| entry.daemon.clone()).collect();
         self.map = PartitionMap::new(&names);
         let contacts = entries.iter();
@@ -220,49 +220,50 @@
     }
 
     /// Queries the presumed owner of the partition, or the local claimer if no owner is reachable.
-    fn route(&mut self, mut open: OpenAsk, owner: Option<DaemonName>) {
-        if open.tries >= MOST_TRIES {
-            self.finish(open, unavailable());
+    fn route_query(&mut self, mut pending: PendingQuery, owner: Option<DaemonName>) {
+        if pending.tries >= MAX_TRIES {
+            self.finish(pending, unavailable());
             return;
         }
-        open.tries += 1;
+        pending.tries += 1;
         let owner = owner.filter(|owner| *owner != self.own);
         let address = owner.and_then(|owner| self.contacts.get(&owner).copied());
         if let Some(address) = address {
-            self.ask_remote(open, address);
+            self.query_remote(pending, address);
             return;
         }
-        let ask = open.ask;
-        self.claimer.wait(ask, AskWaiter::Own(open));
+        let ask = pending.ask;
+        self.claimer
+            .add_query_waiter(ask, QueryWaiter::Own(pending));
         self.step(PartitionId::of(ask.key), ClaimEvent::Asked(ask));
     }
 
-    fn ask_remote(&mut self, open: OpenAsk, address: SocketAddr) {
-        let asking = self.links.claim(address, ClaimCall::Ask(open.ask));
+    fn query_remote(&mut self, pending: PendingQuery, address: SocketAddr) {
+        let asking = self.links.claim(address, ClaimCall::Ask(pending.ask));
         let asking = asking.map(move |answer| {
             let answer = match answer {
                 Some(ClaimReply::Answer(answer)) => Some(answer),
                 Some(ClaimReply::Recorded | ClaimReply::Pending) | None => None,
             };
-            ClaimEnd::Asked { open, answer }
+            ClaimResult::Asked { pending, answer }
         });
         self.calls.push(asking.boxed());
     }
 
-    fn finish(&self, open: OpenAsk, answer: ClaimAnswer) {
+    fn finish(&self, pending: PendingQuery, answer: ClaimAnswer) {
         self.metrics.count_claim(match &answer {
             ClaimAnswer::Granted => "granted",
             ClaimAnswer::Denied(_) => "denied",
             ClaimAnswer::Unavailable { .. } | ClaimAnswer::Moved { .. } => "unavailable",
         });
         // A request that has ended settles its claim separately.
-        let _ = open.reply.send(answer);
+        let _ = pending.reply.send(answer);
     }
 
-    fn answered(&mut self, open: OpenAsk, answer: ClaimAnswer) {
+    fn handle_answer(&mut self, pending: PendingQuery, answer: ClaimAnswer) {
         match answer {
-            ClaimAnswer::Moved { owner } => self.route(open, owner),
-            last => self.finish(open, last),
+            ClaimAnswer::Moved { owner } => self.route_query(pending, owner),
+            last => self.finish(pending, last),
         }
     }
 
@@ -270,16 +271,17 @@
     fn serve(&mut self, call: ClaimCall, reply: oneshot::Sender<ClaimReply>) {
         let (key, event) = match call {
             ClaimCall::Ask(ask) => {
-                self.claimer.wait(ask, AskWaiter::Peer(reply));
+                self.claimer.add_query_waiter(ask, QueryWaiter::Peer(reply));
                 (ask.key, ClaimEvent::Asked(ask))
             }
             ClaimCall::Release(release) => {
                 self.claimer
-                    .wait_settled(release.key, release.request, reply);
+                    .add_settle_waiter(release.key, release.request, reply);
                 (release.key, ClaimEvent::Released(release))
             }
             ClaimCall::Finish(finish) => {
-                self.claimer.wait_settled(finish.key, finish.request, reply);
+                self.claimer
+                    .add_settle_waiter(finish.key, finish.request, reply);
                 (finish.key, ClaimEvent::Finished(finish))
             }
         };
@@ -290,20 +292,20 @@
         let now = self.clock.now();
         for output in self.claimer.step(partition, event, now) {
             match output {
-                ClaimerOutput::Store(order) => {
-                    let gate = Arc::clone(&self.gate);
-                    let call = storing::carry_out(gate, partition, order);
+                ClaimerOutput::Store(store_call) => {
+                    let client = Arc::clone(&self.client);
+                    let call = store_calls::execute(client, partition, store_call);
                     self.calls.push(call.boxed());
                 }
-                ClaimerOutput::Answered { open, answer } => self.answered(open, answer),
+                ClaimerOutput::Answered { pending, answer } => self.handle_answer(pending, answer),
                 ClaimerOutput::Recorded(settlement) => self.outbox.recorded(settlement),
             }
         }
     }
 
-    fn end(&mut self, end: ClaimEnd) {
+    fn handle_result(&mut self, end: ClaimResult) {
         match end {
-            ClaimEnd::Store {
+            ClaimResult::Store {
                 partition,
                 call,
                 answer,
@@ -314,23 +316,23 @@
                 };
                 self.step(partition, event);
             }
-            ClaimEnd::Asked { open, answer } => match answer {
-                Some(answer) => self.answered(open, answer),
+            ClaimResult::Asked { pending, answer } => match answer {
+                Some(answer) => self.handle_answer(pending, answer),
                 // The claimer is down or unreachable: the local claimer takes over.
-                None => self.route(open, None),
+                None => self.route_query(pending, None),
             },
-            ClaimEnd::Settled {
+            ClaimResult::Settled {
                 settlement,
                 recorded,
             } if recorded => self.outbox.recorded(settlement),
             // The outbox sends the settlement again later.
-            ClaimEnd::Settled { .. } => {}
+            ClaimResult::Settled { .. } => {}
         }
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.claimer.forget_closed();
+        self.claimer.remove_closed();
         for partition in PartitionId::all() {
             if self.claimer.is_due(partition, now) {
                 self.step(partition, ClaimEvent::Timer);
@@ -356,14 +358,14 @@
 
     fn settle_remote(&self, settlement: Settlement, address: SocketAddr) {
         let settling = self.links.claim(address, settlement.call());
-        let settling = settling.map(move |reply| ClaimEnd::Settled {
+        let settling = settling.map(move |reply| ClaimResult::Settled {
             settlement,
             recorded: reply == Some(ClaimReply::Recorded),
         });
         self.calls.push(settling.boxed());
     }
 
-    fn tell_flushed(&mut self) {
+    fn notify_flushed(&mut self) {
         if self.outbox.is_empty() {
             for reply in self.flushes.drain(..) {
                 let _ = reply.send(());
@@ -374,6 +376,6 @@
 
 fn unavailable() -> ClaimAnswer {
     ClaimAnswer::Unavailable {
-        retry_after: RETRY_AFTER,
+        retry_after: RETRY_DELAY,
     }
 }
--- a/crates/oatpier-entry/src/claims/outbox.rs
+++ b/crates/oatpier-entry/src/claims/outbox.rs
@@ -13,10 +13,10 @@
 
 /// Maximum number of kept settlements. Beyond it new ones are dropped and counted. Their keys stay
 /// held, so that nothing runs twice; a repeat of the request is told that it may have run.
-const KEPT_SETTLEMENTS: usize = 8192;
+const MAX_SETTLEMENTS: usize = 8192;
 /// Interval at which a settlement that is not known to be in the store is sent again. It is longer
 /// than the time for which a claimer collects claims before it writes them.
-const SAY_AGAIN: Duration = Duration::from_secs(3);
+const RESEND_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Outcome of a request with a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,7 +58,7 @@
 /// Settlements that are not known to be in the store.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
-    open: IndexMap<(KeyHash, RequestId), (Settlement, ClockTime)>,
+    pending: IndexMap<(KeyHash, RequestId), (Settlement, ClockTime)>,
 }
 
 impl Outbox {
@@ -67,16 +67,16 @@
     /// waited for the ring can arrive out of order.
     pub(super) fn push(&mut self, settlement: Settlement, now: ClockTime) -> bool {
         let key = (settlement.key, settlement.request);
-        let known = self.open.get(&key).map(|(known, _)| known.verdict);
+        let known = self.pending.get(&key).map(|(known, _)| known.verdict);
         if settlement.verdict == RunVerdict::MayHaveRun
             && known.is_some_and(|verdict| verdict != RunVerdict::MayHaveRun)
         {
             return true;
         }
-        if known.is_none() && self.open.len() >= KEPT_SETTLEMENTS {
+        if known.is_none() && self.pending.len() >= MAX_SETTLEMENTS {
             return false;
         }
-        self.open.insert(key, (settlement, now));
+        self.pending.insert(key, (settlement, now));
         true
     }
 
@@ -85,37 +85,37 @@
     pub(super) fn recorded(&mut self, settlement: Settlement) {
         let key = (settlement.key, settlement.request);
         if self
-            .open
+            .pending
             .get(&key)
-            .is_some_and(|(open, _)| *open == settlement)
+            .is_some_and(|(pending, _)| *pending == settlement)
         {
-            self.open.swap_remove(&key);
+            self.pending.swap_remove(&key);
         }
     }
 
     /// Schedules all settlements to be sent again immediately.
     pub(super) fn retry_all(&mut self, now: ClockTime) {
-        for (_, at) in self.open.values_mut() {
+        for (_, at) in self.pending.values_mut() {
             *at = now;
         }
     }
 
     /// Returns the settlements that are due and schedules their next attempt.
     pub(super) fn take_due(&mut self, now: ClockTime) -> Vec<Settlement> {
-        let due = self.open.values_mut().filter(|(_, at)| *at <= now);
+        let due = self.pending.values_mut().filter(|(_, at)| *at <= now);
         due.map(|(settlement, at)| {
-            *at = now + SAY_AGAIN;
+            *at = now + RESEND_INTERVAL;
             *settlement
         })
         .collect()
     }
 
     pub(super) fn next_retry(&self) -> ClockTime {
-        let times = self.open.values().map(|(_, at)| *at);
+        let times = self.pending.values().map(|(_, at)| *at);
         times.min().unwrap_or(ClockTime::NEVER)
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.pending.is_empty()
     }
 }
--- a/crates/oatpier-entry/src/claims/storing.rs
+++ b/crates/oatpier-entry/src/claims/store_calls.rs
@@ -8,17 +8,17 @@
 use oatpier_membership::budget::CallKind;
 use oatpier_ports::store::{ExpectedValue, StoreError, StoredValue};
 
-use super::ClaimEnd;
-use crate::store::StoreGate;
+use super::ClaimResult;
+use crate::store::StoreClient;
 
 /// One store call of a claimer.
 pub(super) struct StoreCall {
     call: CallNumber,
     key: String,
-    work: CallWork,
+    operation: StoreOperation,
 }
 
-enum CallWork {
+enum StoreOperation {
     Write {
         value: Vec<u8>,
         expected: ExpectedValue,
@@ -31,7 +31,7 @@
 impl StoreCall {
     /// Returns the store call of an action, or `None` if the action is no store call.
     pub(super) fn of(action: ClaimAction) -> Option<Self> {
-        let (call, key, work) = match action {
+        let (call, key, operation) = match action {
             ClaimAction::WriteSegment {
                 call,
                 key,
@@ -42,47 +42,55 @@
                     ExpectedSegment::Absent => ExpectedValue::Absent,
                     ExpectedSegment::At(revision) => ExpectedValue::At(revision),
                 };
-                (call, key, CallWork::Write { value, expected })
+                (call, key, StoreOperation::Write { value, expected })
             }
-            ClaimAction::ReadSegment { call, key } => (call, key, CallWork::Read),
-            ClaimAction::ListSegments { call, prefix } => (call, prefix, CallWork::List),
-            ClaimAction::DeleteSegment { call, key } => (call, key, CallWork::Delete),
+            ClaimAction::ReadSegment { call, key } => (call, key, StoreOperation::Read),
+            ClaimAction::ListSegments { call, prefix } => (call, prefix, StoreOperation::List),
+            ClaimAction::DeleteSegment { call, key } => (call, key, StoreOperation::Delete),
             ClaimAction::Answer { .. } | ClaimAction::Recorded { .. } => return None,
         };
-        Some(Self { call, key, work })
+        Some(Self {
+            call,
+            key,
+            operation,
+        })
     }
 }
 
 /// Makes a store call.
-pub(super) async fn carry_out(
-    gate: Arc<StoreGate>,
+pub(super) async fn execute(
+    client: Arc<StoreClient>,
     partition: PartitionId,
-    order: StoreCall,
-) -> ClaimEnd {
-    let StoreCall { call, key, work } = order;
+    store_call: StoreCall,
+) -> ClaimResult {
+    let StoreCall {
+        call,
+        key,
+        operation,
+    } = store_call;
     let kind = CallKind::KeyClaim;
-    let answer = match work {
-        CallWork::Write { value, expected } => {
-            let written = gate.put(kind, &key, Bytes::from(value), expected).await;
+    let answer = match operation {
+        StoreOperation::Write { value, expected } => {
+            let written = client.put(kind, &key, Bytes::from(value), expected).await;
             written.map(StoreAnswer::Written)
         }
-        CallWork::Read => {
-            let read = gate.get(kind, &key).await;
+        StoreOperation::Read => {
+            let read = client.get(kind, &key).await;
             read.map(|value| StoreAnswer::Read(value.map(segment)))
         }
-        CallWork::List => {
-            let listed = gate.list(kind, &key).await;
+        StoreOperation::List => {
+            let listed = client.list(kind, &key).await;
             listed.map(|values| StoreAnswer::Listed(values.into_iter().map(segment).collect()))
         }
-        CallWork::Delete => {
-            let deleted = gate.delete(kind, &key).await;
+        StoreOperation::Delete => {
+            let deleted = client.delete(kind, &key).await;
             deleted.map(|()| StoreAnswer::Deleted)
         }
     };
-    ClaimEnd::Store {
+    ClaimResult::Store {
         partition,
         call,
-        answer: answer.map_or_else(|error| answer_of(&error), Some),
+        answer: answer.map_or_else(|error| store_answer(&error), Some),
     }
 }
 
@@ -95,7 +103,7 @@
 }
 
 /// Converts a store error; `None` means that the call may have taken effect.
-fn answer_of(error: &StoreError) -> Option<StoreAnswer> {
+fn store_answer(error: &StoreError) -> Option<StoreAnswer> {
     match error {
         StoreError::Conflict { .. } => Some(StoreAnswer::Conflict),
         StoreError::LeaseLapsed | StoreError::Unavailable { .. } | StoreError::TooLarge { .. } => {
--- a/crates/oatpier-entry/src/configuration.rs
+++ b/crates/oatpier-entry/src/configuration.rs
@@ -19,12 +19,12 @@
 use oatpier_types::ids::Revision;
 use oatpier_types::names::DaemonName;
 
-use crate::store::StoreGate;
+use crate::store::StoreClient;
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 
 /// A request of the peers duty for a store call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreOrder {
+pub enum StoreRequest {
     /// Read the configuration and the planned stops.
     Read,
     /// Wait for a change of the configuration or the planned stops.
@@ -38,7 +38,7 @@
 
 /// Result of a store call.
 #[derive(Debug, Clone)]
-pub enum StoreNews {
+pub enum StoreUpdate {
     /// Result of a read or watch of the configuration.
     Config(StoreReply<FleetConfig>),
     /// The complete list of planned stops.
@@ -50,17 +50,17 @@
 /// Inputs of the configuration duty.
 pub struct ConfigurationInputs {
     /// Access to the store.
-    pub gate: Arc<StoreGate>,
+    pub client: Arc<StoreClient>,
     /// Requested calls. At most one request is queued besides the one in progress.
-    pub orders: RingReceiver<StoreOrder>,
+    pub requests: RingReceiver<StoreRequest>,
     /// Channel for the results.
-    pub news: RingSender<StoreNews>,
+    pub updates: RingSender<StoreUpdate>,
     /// Signals the process to stop.
     pub stop: StopSignal,
 }
 
 /// Result of a call.
-enum CallEnd {
+enum StoreResult {
     Config(StoreReply<FleetConfig>),
     Stops(Result<Vec<StoredValue>, StoreError>),
     StopChanges(Result<Vec<KeyChange>, StoreError>),
@@ -70,53 +70,54 @@
 pub async fn configuration(inputs: ConfigurationInputs) {
     let stop = inputs.stop.clone();
     let mut caller = StoreCaller {
-        gate: inputs.gate,
-        news: inputs.news,
+        client: inputs.client,
+        updates: inputs.updates,
         calls: FuturesUnordered::new(),
         stops_seen: Revision(0),
-        watches_stops: false,
+        is_watching_stops: false,
     };
     tokio::select! {
-        () = caller.run(&inputs.orders) => {}
+        () = caller.run(&inputs.requests) => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
 }
 
 struct StoreCaller {
-    gate: Arc<StoreGate>,
-    news: RingSender<StoreNews>,
-    calls: FuturesUnordered<BoxFuture<'static, CallEnd>>,
+    client: Arc<StoreClient>,
+    updates: RingSender<StoreUpdate>,
+    calls: FuturesUnordered<BoxFuture<'static, StoreResult>>,
     stops_seen: Revision,
-    watches_stops: bool,
+    is_watching_stops: bool,
 }
 
 impl StoreCaller {
-    async fn run(&mut self, orders: &RingReceiver<StoreOrder>) {
+    async fn run(&mut self, requests: &RingReceiver<StoreRequest>) {
         loop {
             tokio::select! {
-                order = orders.receive() => match order {
-                    Some(order) => self.order(order),
+                request = requests.receive() => match request {
+                    Some(request) => self.handle_request(request),
                     None => return,
                 },
-                Some(end) = self.calls.next() => self.end(end).await,
+                Some(result) = self.calls.next() => self.handle_result(result).await,
             }
         }
     }
 
-    fn order(&mut self, order: StoreOrder) {
-        let gate = Arc::clone(&self.gate);
-        match order {
-            StoreOrder::Read => {
-                let config = async move { CallEnd::Config(read_config(&gate).await) };
+    fn handle_request(&mut self, request: StoreRequest) {
+        let client = Arc::clone(&self.client);
+        match request {
+            StoreRequest::Read => {
+                let config = async move { StoreResult::Config(read_config(&client).await) };
                 self.calls.push(config.boxed());
-                let gate = Arc::clone(&self.gate);
+                let client = Arc::clone(&self.client);
                 let stops = async move {
-                    CallEnd::Stops(gate.list(CallKind::ConfigWatch, STOP_PREFIX).await)
+                    StoreResult::Stops(client.list(CallKind::ConfigWatch, STOP_PREFIX).await)
                 };
                 self.calls.push(stops.boxed());
             }
-            StoreOrder::Watch { after, wait } => {
-                let config = async move { CallEnd::Config(watch_config(&gate, after, wait).await) };
+            StoreRequest::Watch { after, wait } => {
+                let config =
+                    async move { StoreResult::Config(watch_config(&client, after, wait).await) };
                 self.calls.push(config.boxed());
                 self.watch_stops(wait);
             }
@@ -126,46 +127,46 @@
     /// Starts a watch of the planned stops alongside the watch of the configuration, unless one is
     /// in progress.
     fn watch_stops(&mut self, wait: Duration) {
-        if self.watches_stops {
+        if self.is_watching_stops {
             return;
         }
-        self.watches_stops = true;
-        let gate = Arc::clone(&self.gate);
+        self.is_watching_stops = true;
+        let client = Arc::clone(&self.client);
         let after = self.stops_seen;
         let watch = async move {
             let kind = CallKind::ConfigWatch;
-            CallEnd::StopChanges(gate.watch(kind, STOP_PREFIX, after, wait).await)
+            StoreResult::StopChanges(client.watch(kind, STOP_PREFIX, after, wait).await)
         };
         self.calls.push(watch.boxed());
     }
 
-    async fn end(&mut self, end: CallEnd) {
-        match end {
-            CallEnd::Config(reply) => self.news.send(StoreNews::Config(reply)).await,
-            CallEnd::Stops(Ok(stored)) => {
+    async fn handle_result(&mut self, result: StoreResult) {
+        match result {
+            StoreResult::Config(reply) => self.updates.send(StoreUpdate::Config(reply)).await,
+            StoreResult::Stops(Ok(stored)) => {
                 let stops: Vec<NamedStop> = stored
                     .iter()
                     .filter_map(|value| named_stop(&value.key, value.revision, false))
                     .collect();
                 let latest = stops.iter().map(|stop| stop.word.revision).max();
                 self.stops_seen = self.stops_seen.max(latest.unwrap_or_default());
-                self.news.send(StoreNews::Stops(stops)).await;
+                self.updates.send(StoreUpdate::Stops(stops)).await;
             }
-            CallEnd::StopChanges(changes) => {
-                self.watches_stops = false;
-                self.take_stop_changes(changes.unwrap_or_default()).await;
+            StoreResult::StopChanges(changes) => {
+                self.is_watching_stops = false;
+                self.apply_stop_changes(changes.unwrap_or_default()).await;
             }
             // The next read or watch delivers the changes that this one missed.
-            CallEnd::Stops(Err(_)) => {}
+            StoreResult::Stops(Err(_)) => {}
         }
     }
 
-    async fn take_stop_changes(&mut self, changes: Vec<KeyChange>) {
+    async fn apply_stop_changes(&mut self, changes: Vec<KeyChange>) {
         for change in changes {
             self.stops_seen = self.stops_seen.max(change.revision);
             let withdrawn = change.value.is_none();
             if let Some(stop) = named_stop(&change.key, change.revision, withdrawn) {
-                self.news.send(StoreNews::Stop(stop)).await;
+                self.updates.send(StoreUpdate::Stop(stop)).await;
             }
         }
     }
@@ -182,23 +183,23 @@
     })
 }
 
-async fn read_config(gate: &StoreGate) -> StoreReply<FleetConfig> {
-    match gate.get(CallKind::ConfigWatch, CONFIG_KEY).await {
-        Ok(Some(stored)) => understood(stored.revision, &stored.value),
+async fn read_config(client: &StoreClient) -> StoreReply<FleetConfig> {
+    match client.get(CallKind::ConfigWatch, CONFIG_KEY).await {
+        Ok(Some(stored)) => decode_config(stored.revision, &stored.value),
         Ok(None) => StoreReply::Unchanged,
-        Err(error) => failed(&error),
+        Err(error) => read_failure(&error),
     }
 }
 
 async fn watch_config(
-    gate: &StoreGate,
+    client: &StoreClient,
     after: Revision,
     wait: Duration,
 ) -> StoreReply<FleetConfig> {
-    let watched = gate.watch(CallKind::ConfigWatch, CONFIG_KEY, after, wait);
+    let watched = client.watch(CallKind::ConfigWatch, CONFIG_KEY, after, wait);
     let changes = match watched.await {
         Ok(changes) => changes,
-        Err(error) => return failed(&error),
+        Err(error) => return read_failure(&error),
     };
     let last = changes.into_iter().rev();
     let mut last = last.filter(|change| change.key == CONFIG_KEY);
@@ -207,13 +208,13 @@
             value: Some(value),
             revision,
             ..
-        }) => understood(revision, &value),
+        }) => decode_config(revision, &value),
         // A deleted configuration stays active: a deletion does not name a replacement.
         Some(_) | None => StoreReply::Unchanged,
     }
 }
 
-fn understood(revision: Revision, value: &[u8]) -> StoreReply<FleetConfig> {
+fn decode_config(revision: Revision, value: &[u8]) -> StoreReply<FleetConfig> {
     match ConfigRecord::decode(value) {
         Ok(record) => StoreReply::Value(StoredConfig {
             revision,
@@ -227,7 +228,7 @@
     }
 }
 
-fn failed(error: &StoreError) -> StoreReply<FleetConfig> {
+fn read_failure(error: &StoreError) -> StoreReply<FleetConfig> {
     spdlog::warn!("failed to read the configuration: {error}");
     StoreReply::Failed
 }
--- a/crates/oatpier-entry/src/core.rs
+++ b/crates/oatpier-entry/src/core.rs
@@ -20,10 +20,10 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::claims::ClaimCommand;
-use crate::decisions::EntryDecisions;
 use crate::history::RequestHistory;
-use crate::news::{CallersQuestion, CallersStanding, DirectoryNews, EntryNews};
-use crate::peers::{PathNews, evidence_of};
+use crate::peers::{PathReport, evidence_of};
+use crate::policy::RequestPolicy;
+use crate::updates::{CallersQuery, CallersStatus, CallersUpdate, DirectoryUpdate};
 use oatpier_duty::duty::{RingSender, RuntimeClock};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
@@ -32,7 +32,7 @@
 pub type TimerSender = mpsc::UnboundedSender<EntryActions>;
 
 /// Minimum interval between two reports to the peers duty that an agent answers.
-const ANSWERED_EVERY: Duration = Duration::from_secs(1);
+const ANSWERED_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Address and last known state of an agent.
 #[derive(Debug, Clone)]
@@ -48,13 +48,13 @@
     /// Whether the agent accepts work, according to its newest report.
     pub accepting: bool,
     /// Time of the last report to the peers duty that the agent answers.
-    answered: Option<ClockTime>,
+    last_answered: Option<ClockTime>,
 }
 
 /// State shared by the duty's tasks. All of them run on one thread, so the lock is never contended.
 /// It is held for one decision and never across an await.
 struct CoreState {
-    policy: Box<dyn EntryDecisions>,
+    policy: Box<dyn RequestPolicy>,
     config: Option<Arc<FleetConfig>>,
     generation: Generation,
     agents: HashMap<EndpointName, AgentContact>,
@@ -68,8 +68,8 @@
 pub struct CoreRings {
     /// Data path evidence for the peers duty. A full ring drops it: the next attempt produces the
     /// same evidence.
-    pub paths: RingSender<PathNews>,
-    /// Commands for the claims duty. If the ring is full, a query is answered "unavailable", which
+    pub paths: RingSender<PathReport>,
+    /// Commands for the claims duty. If the ring is full, a query is last_answered "unavailable", which
     /// is correct; a settlement waits.
     pub claims: RingSender<ClaimCommand>,
 }
@@ -93,7 +93,7 @@
     /// Creates the shared state around a policy.
     #[must_use]
     pub fn new(
-        policy: Box<dyn EntryDecisions>,
+        policy: Box<dyn RequestPolicy>,
         clock: RuntimeClock,
         metrics: MetricSet,
         tracer: HopTracer,
@@ -136,40 +136,40 @@
         self.lock().agents.get(endpoint).cloned()
     }
 
-    /// Returns the number of requests without a final answer.
+    /// Returns the number of requests without a final answer_query.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lock().policy.in_flight()
     }
 
     /// Applies an update from another duty.
-    pub fn take_news(&self, news: EntryNews) {
-        match news {
-            EntryNews::Config { generation, config } => self.take_config(generation, config),
-            EntryNews::Directory(news) => self.take_directory(news),
-            EntryNews::Question(question) => self.answer(question),
+    pub fn apply_update(&self, update: CallersUpdate) {
+        match update {
+            CallersUpdate::Config { generation, config } => self.apply_config(generation, config),
+            CallersUpdate::Directory(update) => self.apply_directory_update(update),
+            CallersUpdate::Query(query) => self.answer_query(query),
         }
     }
 
-    /// Answers a query. The answer is discarded if the sender of the query no longer waits.
-    fn answer(&self, question: CallersQuestion) {
-        match question {
-            CallersQuestion::Standing { reply } => {
-                let _ = reply.send(self.standing());
+    /// Answers a query. The answer_query is discarded if the sender of the query no longer waits.
+    fn answer_query(&self, query: CallersQuery) {
+        match query {
+            CallersQuery::Status { reply } => {
+                let _ = reply.send(self.callers_status());
             }
-            CallersQuestion::Request { request, reply } => {
+            CallersQuery::Request { request, reply } => {
                 let _ = reply.send(self.lock().history.get(request));
             }
         }
     }
 
-    fn standing(&self) -> CallersStanding {
+    fn callers_status(&self) -> CallersStatus {
         let now = self.clock.now();
         let state = self.lock();
         let Some(config) = &state.config else {
-            return CallersStanding::default();
+            return CallersStatus::default();
         };
-        state.policy.standing(config, now)
+        state.policy.callers_status(config, now)
     }
 
     /// Returns the demand of this entry's callers.
@@ -180,7 +180,7 @@
     }
 
     /// Records the outcome of a request.
-    pub fn remember(&self, explained: ExplainRequest) {
+    pub fn record_outcome(&self, explained: ExplainRequest) {
         self.lock().history.push(explained);
     }
 
@@ -192,7 +192,7 @@
 
     /// Applies a configuration. Generations only increase: an older one that arrives late is
     /// ignored.
-    fn take_config(&self, generation: Generation, config: Arc<FleetConfig>) {
+    fn apply_config(&self, generation: Generation, config: Arc<FleetConfig>) {
         let mut state = self.lock();
         if generation <= state.generation {
             return;
@@ -200,15 +200,15 @@
         state.policy.apply_config(&config);
         state.generation = generation;
         state.config = Some(config);
-        let shown = i64::try_from(generation.0).unwrap_or(i64::MAX);
-        self.metrics.generation.set(shown);
+        let value = i64::try_from(generation.0).unwrap_or(i64::MAX);
+        self.metrics.generation.set(value);
     }
 
-    fn take_directory(&self, news: DirectoryNews) {
+    fn apply_directory_update(&self, update: DirectoryUpdate) {
         let now = self.clock.now();
         let mut state = self.lock();
-        match news {
-            DirectoryNews::Status {
+        match update {
+            DirectoryUpdate::Status {
                 daemon,
                 address,
                 status,
@@ -219,32 +219,34 @@
                     ticket: AdmissionTicket::of(&status.queue),
                     replicas: status.ready.len(),
                     accepting: status.queue.accepting,
-                    answered: None,
+                    last_answered: None,
                 };
-                state.take_contact(&status.endpoint, contact);
+                state.update_contact(&status.endpoint, contact);
                 state.policy.on_status(&status, now);
             }
-            DirectoryNews::QueueReport { endpoint, report } => {
-                state.renew_ticket(&endpoint, &report);
+            DirectoryUpdate::QueueReport { endpoint, report } => {
+                state.update_ticket(&endpoint, &report);
                 state.policy.on_queue_report(&endpoint, &report, now);
             }
-            DirectoryNews::Leaving(endpoint) => state.policy.mark_leaving(&endpoint, now),
-            DirectoryNews::Staying(endpoint) => state.policy.clear_leaving(&endpoint),
-            DirectoryNews::Gone(endpoint) => {
+            DirectoryUpdate::Leaving(endpoint) => state.policy.mark_leaving(&endpoint, now),
+            DirectoryUpdate::NotLeaving(endpoint) => state.policy.clear_leaving(&endpoint),
+            DirectoryUpdate::Gone(endpoint) => {
                 state.agents.remove(&endpoint);
                 state.policy.forget(&endpoint, now);
             }
         }
-        self.show_directory(&state);
+        self.update_gauges(&state);
         drop(state);
         self.timer_changed.notify_one();
     }
 
-    fn show_directory(&self, state: &CoreState) {
+    fn update_gauges(&self, state: &CoreState) {
         let open = || state.agents.values().filter(|contact| contact.accepting);
         let replicas = open().map(|contact| contact.replicas).sum();
-        self.metrics.endpoints_known.set(shown(open().count()));
-        self.metrics.replicas_known.set(shown(replicas));
+        self.metrics
+            .endpoints_known
+            .set(gauge_value(open().count()));
+        self.metrics.replicas_known.set(gauge_value(replicas));
     }
 
     /// Starts a request. Actions of its timers are sent to `timers`.
@@ -252,7 +254,7 @@
         let now = self.clock.now();
         let mut state = self.lock();
         state.timers.insert(intake.request, timers);
-        state.count_demand(&intake, now);
+        state.record_demand(&intake, now);
         let actions = state.policy.start(intake, now);
         drop(state);
         self.timer_changed.notify_one();
@@ -269,14 +271,14 @@
         let now = self.clock.now();
         let mut state = self.lock();
         if let (Some(endpoint), Some(report)) = (endpoint, event.queue_report()) {
-            state.renew_ticket(endpoint, report);
+            state.update_ticket(endpoint, report);
         }
-        let news = endpoint.and_then(|endpoint| state.path_news(endpoint, event, now));
+        let report = endpoint.and_then(|endpoint| state.path_report(endpoint, event, now));
         let actions = state.policy.handle(request, event, now);
         drop(state);
-        if let Some(news) = news {
+        if let Some(report) = report {
             // The ring counts events dropped because it is full.
-            let _ = self.rings.paths.try_send(news);
+            let _ = self.rings.paths.try_send(report);
         }
         self.timer_changed.notify_one();
         actions
@@ -323,13 +325,13 @@
     }
 }
 
-fn shown(count: usize) -> i64 {
+fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
 impl CoreState {
     /// Stores an agent's contact, but keeps the known ticket if it is newer than the received one.
-    fn take_contact(&mut self, endpoint: &EndpointName, fresh: AgentContact) {
+    fn update_contact(&mut self, endpoint: &EndpointName, fresh: AgentContact) {
         let known = self.agents.get(endpoint);
         let known = known.filter(|known| known.ticket.boot == fresh.ticket.boot);
         let contact = match known {
@@ -343,7 +345,7 @@
         self.agents.insert(endpoint.clone(), contact);
     }
 
-    fn renew_ticket(&mut self, endpoint: &EndpointName, report: &QueueReport) {
+    fn update_ticket(&mut self, endpoint: &EndpointName, report: &QueueReport) {
         let Some(contact) = self.agents.get_mut(endpoint) else {
             return;
         };
@@ -356,7 +358,7 @@
         }
     }
 
-    fn count_demand(&mut self, intake: &RequestIntake, now: ClockTime) {
+    fn record_demand(&mut self, intake: &RequestIntake, now: ClockTime) {
         let RequestGoal::Model { model, adapter } = &intake.goal else {
             return;
         };
@@ -369,23 +371,23 @@
     }
 
     /// Returns the reachability evidence of an event if the peers duty needs it.
-    fn path_news(
+    fn path_report(
         &mut self,
         endpoint: &EndpointName,
         event: &EntryEvent,
         now: ClockTime,
-    ) -> Option<PathNews> {
+    ) -> Option<PathReport> {
         let evidence = evidence_of(event)?;
         let contact = self.agents.get_mut(endpoint)?;
-        let is_known = evidence == PathEvidence::Answered
+        let is_recent = evidence == PathEvidence::Answered
             && contact
-                .answered
-                .is_some_and(|at| now.since(at) < ANSWERED_EVERY);
-        if is_known {
+                .last_answered
+                .is_some_and(|at| now.since(at) < ANSWERED_INTERVAL);
+        if is_recent {
             return None;
         }
-        contact.answered = (evidence == PathEvidence::Answered).then_some(now);
-        Some(PathNews {
+        contact.last_answered = (evidence == PathEvidence::Answered).then_some(now);
+        Some(PathReport {
             daemon: contact.daemon.clone(),
             evidence,
             report: event.queue_report().copied(),
--- a/crates/oatpier-entry/src/history.rs
+++ b/crates/oatpier-entry/src/history.rs
@@ -8,9 +8,9 @@
 use oatpier_types::operator::{ExplainRequest, RequestStep};
 
 /// Number of requests kept; the oldest is dropped first.
-const KEPT_REQUESTS: usize = 1024;
+const MAX_REQUESTS: usize = 1024;
 /// Number of steps kept per request; later steps are dropped.
-const KEPT_STEPS: usize = 48;
+const MAX_STEPS: usize = 48;
 
 /// Recently finished requests.
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
 impl RequestHistory {
     /// Adds a request.
     pub fn push(&mut self, explained: ExplainRequest) {
-        if self.requests.len() >= KEPT_REQUESTS {
+        if self.requests.len() >= MAX_REQUESTS {
             self.requests.pop_front();
         }
         self.requests.push_back(explained);
@@ -54,14 +54,14 @@
     }
 
     /// Adds a step.
-    pub fn note(
+    pub fn add(
         &mut self,
         hop: &str,
         endpoint: Option<&EndpointName>,
         detail: impl Into<String>,
         now: ClockTime,
     ) {
-        if self.steps.len() >= KEPT_STEPS {
+        if self.steps.len() >= MAX_STEPS {
             return;
         }
         let after = now.since(self.started).as_micros();
--- a/crates/oatpier-entry/src/intake.rs
+++ b/crates/oatpier-entry/src/intake.rs
@@ -163,7 +163,7 @@
 /// # Errors
 ///
 /// Returns an error that tells the caller what to correct.
-pub fn understand(
+pub fn parse_call(
     config: &FleetConfig,
     route: CallRoute,
     head: &Parts,
@@ -201,7 +201,7 @@
         call: CallParts {
             method: head.method.clone(),
             path: head.uri.path().to_owned(),
-            headers: passed_headers(&head.headers),
+            headers: forwarded_headers(&head.headers),
             body,
         },
     })
@@ -259,7 +259,7 @@
         call: CallParts {
             method: head.method.clone(),
             path: format!("{rest}{}", query.unwrap_or_default()),
-            headers: passed_headers(&head.headers),
+            headers: forwarded_headers(&head.headers),
             body,
         },
     })
@@ -309,8 +309,8 @@
 }
 
 /// Returns all headers except hop-by-hop headers and those used by oatpier itself.
-fn passed_headers(headers: &HeaderMap) -> HeaderMap {
-    const KEPT_BACK: [&str; 13] = [
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    const NOT_FORWARDED: [&str; 13] = [
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -327,7 +327,7 @@
     ];
     headers
         .iter()
-        .filter(|(name, _)| !KEPT_BACK.contains(&name.as_str()))
+        .filter(|(name, _)| !NOT_FORWARDED.contains(&name.as_str()))
         .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
--- a/crates/oatpier-entry/src/lib.rs
+++ b/crates/oatpier-entry/src/lib.rs
@@ -16,19 +16,19 @@
 pub mod completion;
 pub mod configuration;
 pub mod core;
-pub mod decisions;
 pub mod errors;
 pub mod history;
 pub mod intake;
 pub mod links;
 pub mod messages;
-pub mod news;
 pub mod peers;
 pub mod planner;
+pub mod policy;
 mod rings;
 pub mod run;
 pub mod sink;
 pub mod store;
+pub mod updates;
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -48,9 +48,9 @@
 use crate::core::{CoreRings, EntryCore};
 use crate::links::HttpLinks;
 use crate::peers::{PeersInputs, PeersRings};
-use crate::planner::{PlannerBoard, PlannerInputs};
+use crate::planner::{PlanCache, PlannerInputs};
 use crate::rings::EntryRings;
-use crate::store::StoreGate;
+use crate::store::StoreClient;
 use oatpier_duty::duty::{DutyProcess, RuntimeClock, StartError, bind};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
@@ -58,31 +58,31 @@
 use oatpier_duty::settings::EntrySettings;
 
 /// Timeout of one call to the platform.
-const PLATFORM_WAIT: Duration = Duration::from_secs(2);
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// State shared by all duties of an entry.
-struct EntryParts {
+struct EntryState {
     boot: BootId,
     clock: RuntimeClock,
     metrics: MetricSet,
-    gate: Arc<StoreGate>,
-    able: Arc<AtomicBool>,
-    board: Arc<PlannerBoard>,
+    client: Arc<StoreClient>,
+    can_serve: Arc<AtomicBool>,
+    cache: Arc<PlanCache>,
 }
 
-impl EntryParts {
+impl EntryState {
     fn new(settings: &EntrySettings) -> Self {
         let clock = RuntimeClock::start();
         let metrics = MetricSet::default();
-        let store = Arc::new(HttpStore::new(settings.store, PLATFORM_WAIT));
-        let gate = StoreGate::new(store, clock, metrics.clone(), generator());
+        let store = Arc::new(HttpStore::new(settings.store, PLATFORM_TIMEOUT));
+        let client = StoreClient::new(store, clock, metrics.clone(), generator());
         Self {
             boot: BootId(rand::random()),
             clock,
             metrics,
-            gate: Arc::new(gate),
-            able: Arc::new(AtomicBool::new(false)),
-            board: Arc::default(),
+            client: Arc::new(client),
+            can_serve: Arc::new(AtomicBool::new(false)),
+            cache: Arc::default(),
         }
     }
 }
@@ -100,38 +100,38 @@
     let caller_listener = bind(settings.caller_listen, "callers")?;
     let peer_listener = bind(settings.peer_listen, "peers")?;
     let observe_listener = bind(settings.observe_listen, "observers")?;
-    let parts = EntryParts::new(settings);
-    let rings = EntryRings::new(&parts.metrics);
+    let state = EntryState::new(settings);
+    let rings = EntryRings::new(&state.metrics);
     let mut process = DutyProcess::default();
-    start_observe(&mut process, &parts, observe_listener, rings.spans.1);
+    start_observe(&mut process, &state, observe_listener, rings.spans.1);
     let tracer = HopTracer::new(&settings.name, rings.spans.0);
     let core_rings = CoreRings {
         paths: rings.paths.0,
         claims: rings.claims.0.clone(),
     };
     let callers_inputs = CallersInputs {
-        core: Arc::new(entry_core(settings, &parts, tracer, core_rings)),
+        core: Arc::new(entry_core(settings, &state, tracer, core_rings)),
         listener: caller_listener,
         limits: settings.limits.server_limits(),
-        news: rings.news.1,
+        updates: rings.updates.1,
         planner: rings.planner.0.clone(),
         stop: process.stop.clone(),
         notice: settings.stop_notice,
     };
     process.spawn("callers", || callers::callers(callers_inputs));
     let peers_rings = PeersRings {
-        news: rings.news.0,
-        orders: rings.orders.0,
-        store_news: rings.store_news.1,
+        updates: rings.updates.0,
+        store_requests: rings.store_requests.0,
+        store_updates: rings.store_updates.1,
         paths: rings.paths.1,
         planner: rings.planner.0,
         claims: rings.claims.0,
     };
-    start_peers(&mut process, settings, &parts, peer_listener, peers_rings);
+    start_peers(&mut process, settings, &state, peer_listener, peers_rings);
     let configuration_inputs = ConfigurationInputs {
-        gate: Arc::clone(&parts.gate),
-        orders: rings.orders.1,
-        news: rings.store_news.0,
+        client: Arc::clone(&state.client),
+        requests: rings.store_requests.1,
+        updates: rings.store_updates.0,
         stop: process.stop.clone(),
     };
     process.spawn("configuration", || {
@@ -139,23 +139,23 @@
     });
     let claims_inputs = ClaimsInputs {
         own: settings.name.clone(),
-        boot: parts.boot,
-        gate: Arc::clone(&parts.gate),
+        boot: state.boot,
+        client: Arc::clone(&state.client),
         links: Arc::new(HttpLinks::default()),
-        clock: parts.clock,
-        metrics: parts.metrics.clone(),
+        clock: state.clock,
+        metrics: state.metrics.clone(),
         commands: rings.claims.1,
         stop: process.stop.clone(),
     };
     process.spawn("claims", || claims::claims(claims_inputs));
     let planner_inputs = PlannerInputs {
         own: settings.name.clone(),
-        boot: parts.boot,
-        gate: parts.gate,
+        boot: state.boot,
+        client: state.client,
         links: Arc::new(HttpLinks::default()),
-        board: parts.board,
-        news: rings.planner.1,
-        clock: parts.clock,
+        cache: state.cache,
+        updates: rings.planner.1,
+        clock: state.clock,
         generator: generator(),
         stop: process.stop.clone(),
     };
@@ -165,14 +165,14 @@
 
 fn start_observe(
     process: &mut DutyProcess,
-    parts: &EntryParts,
+    state: &EntryState,
     listener: std::net::TcpListener,
     spans: oatpier_duty::duty::RingReceiver<oatpier_duty::observe::trace::SpanLine>,
 ) {
     let inputs = ObserveInputs {
         listener,
-        metrics: parts.metrics.clone(),
-        can_serve: Arc::clone(&parts.able),
+        metrics: state.metrics.clone(),
+        can_serve: Arc::clone(&state.can_serve),
         spans,
         output: Box::new(std::io::stdout()),
         stop: process.stop.clone(),
@@ -182,7 +182,7 @@
 
 fn entry_core(
     settings: &EntrySettings,
-    parts: &EntryParts,
+    state: &EntryState,
     tracer: HopTracer,
     rings: CoreRings,
 ) -> EntryCore {
@@ -191,8 +191,8 @@
     let policy = EntryPolicy::new(decisions, settings.zone.clone(), rand::random());
     EntryCore::new(
         Box::new(policy),
-        parts.clock,
-        parts.metrics.clone(),
+        state.clock,
+        state.metrics.clone(),
         tracer,
         PeerClient::new(ClientLimits::default()),
         rings,
@@ -202,7 +202,7 @@
 fn start_peers(
     process: &mut DutyProcess,
     settings: &EntrySettings,
-    parts: &EntryParts,
+    state: &EntryState,
     listener: std::net::TcpListener,
     rings: PeersRings,
 ) {
@@ -216,15 +216,15 @@
             zone: settings.zone.clone(),
             address,
         },
-        boot: parts.boot,
-        vms: Arc::new(HttpVmList::new(settings.vm_list, PLATFORM_WAIT)),
+        boot: state.boot,
+        vms: Arc::new(HttpVmList::new(settings.vm_list, PLATFORM_TIMEOUT)),
         links: Arc::new(HttpLinks::default()),
-        gate: Arc::clone(&parts.gate),
-        board: Arc::clone(&parts.board),
+        client: Arc::clone(&state.client),
+        cache: Arc::clone(&state.cache),
         rings,
-        able: Arc::clone(&parts.able),
-        clock: parts.clock,
-        metrics: parts.metrics.clone(),
+        can_serve: Arc::clone(&state.can_serve),
+        clock: state.clock,
+        metrics: state.metrics.clone(),
         generator: generator(),
         stop: process.stop.clone(),
     };
--- a/crates/oatpier-entry/src/links.rs
+++ b/crates/oatpier-entry/src/links.rs
@@ -14,19 +14,19 @@
 use serde::de::DeserializeOwned;
 
 use crate::messages::{
-    CLAIM_PATH, ClaimCall, ClaimReply, DEMAND_PATH, DemandWord, GENERATIONS_PATH, GenerationRows,
+    CLAIM_PATH, ClaimCall, ClaimReply, DEMAND_PATH, DemandReport, GENERATIONS_PATH, GenerationRows,
 };
 
 /// Timeout of a query to a claimer in another entry. Longer than a claimer itself holds a query.
-pub const CLAIM_WAIT: Duration = Duration::from_millis(800);
+pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(800);
 /// Timeout of a settlement, which waits for a write of other claims.
-pub const SETTLE_WAIT: Duration = Duration::from_millis(1600);
+pub const SETTLE_TIMEOUT: Duration = Duration::from_millis(1600);
 /// Timeout of a demand report.
-const DEMAND_WAIT: Duration = Duration::from_millis(500);
+const DEMAND_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of a query for configuration generations.
-const GENERATIONS_WAIT: Duration = Duration::from_millis(500);
+const GENERATIONS_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of a status query to an agent.
-const STATUS_WAIT: Duration = Duration::from_millis(400);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A call that can be moved to another task; `None` if no answer was received.
 pub type LinkFuture<T> = BoxFuture<'static, Option<T>>;
@@ -40,13 +40,13 @@
     fn claim(&self, to: SocketAddr, call: ClaimCall) -> LinkFuture<ClaimReply>;
 
     /// Sends this entry's demand to a planner candidate.
-    fn tell_demand(&self, to: SocketAddr, word: DemandWord) -> LinkFuture<()>;
+    fn send_demand(&self, to: SocketAddr, word: DemandReport) -> LinkFuture<()>;
 
     /// Queries an entry for configuration generations.
-    fn ask_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows>;
+    fn fetch_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows>;
 
     /// Queries an agent for its status.
-    fn ask_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus>;
+    fn fetch_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus>;
 }
 
 /// Calls over HTTP. An instance belongs to one duty's runtime, because its connections do.
@@ -87,21 +87,21 @@
 
     fn claim(&self, to: SocketAddr, call: ClaimCall) -> LinkFuture<ClaimReply> {
         let within = match call {
-            ClaimCall::Ask(_) => CLAIM_WAIT,
-            ClaimCall::Release(_) | ClaimCall::Finish(_) => SETTLE_WAIT,
+            ClaimCall::Ask(_) => CLAIM_TIMEOUT,
+            ClaimCall::Release(_) | ClaimCall::Finish(_) => SETTLE_TIMEOUT,
         };
         self.ask(to, CLAIM_PATH, call, within)
     }
 
-    fn tell_demand(&self, to: SocketAddr, word: DemandWord) -> LinkFuture<()> {
-        self.ask(to, DEMAND_PATH, word, DEMAND_WAIT)
+    fn send_demand(&self, to: SocketAddr, word: DemandReport) -> LinkFuture<()> {
+        self.ask(to, DEMAND_PATH, word, DEMAND_TIMEOUT)
     }
 
-    fn ask_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows> {
-        self.ask(to, GENERATIONS_PATH, (), GENERATIONS_WAIT)
+    fn fetch_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows> {
+        self.ask(to, GENERATIONS_PATH, (), GENERATIONS_TIMEOUT)
     }
 
-    fn ask_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus> {
-        self.ask(to, STATUS_PATH, (), STATUS_WAIT)
+    fn fetch_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus> {
+        self.ask(to, STATUS_PATH, (), STATUS_TIMEOUT)
     }
 }
--- a/crates/oatpier-entry/src/messages.rs
+++ b/crates/oatpier-entry/src/messages.rs
@@ -8,7 +8,7 @@
 
 /// Path for [`ClaimCall`] messages.
 pub const CLAIM_PATH: &str = "/entry/claim";
-/// Path for [`DemandWord`] messages.
+/// Path for [`DemandReport`] messages.
 pub const DEMAND_PATH: &str = "/entry/demand";
 /// Path that returns the active configuration generations of the agents registered with an entry.
 pub const GENERATIONS_PATH: &str = "/entry/generations";
@@ -40,7 +40,7 @@
 /// Demand of one entry's callers.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct DemandWord {
+pub struct DemandReport {
     /// The entry.
     pub entry: DaemonName,
     /// Its demand.
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -12,67 +12,71 @@
 
 use super::driver::DriverState;
 use crate::claims::ClaimCommand;
-use crate::configuration::StoreOrder;
-use crate::news::{DirectoryNews, EntryNews};
-use crate::planner::{EndpointView, FleetPicture, PlanGroup};
+use crate::configuration::StoreRequest;
+use crate::planner::{EndpointView, FleetSnapshot, PlanGroup};
+use crate::updates::{CallersUpdate, DirectoryUpdate};
 
 /// Maximum number of members per round of updates; the rest follow in the next round.
-const ROUND_MEMBERS: usize = 64;
+const MEMBERS_PER_ROUND: usize = 64;
 
 /// A message to another duty.
-pub(super) enum Outgoing {
+pub(super) enum DutyMessage {
     /// Configuration for the callers duty, which can serve once it has one.
-    Config(EntryNews),
+    Config(CallersUpdate),
     /// Update for the callers duty.
-    News(EntryNews),
+    Update(CallersUpdate),
     /// Store call for the configuration duty.
-    Order(StoreOrder),
+    StoreRequest(StoreRequest),
     /// Command for the claims duty.
     Claims(ClaimCommand),
 }
 
 /// Collects the pending messages.
-pub(super) fn take(state: &mut DriverState) -> Vec<Outgoing> {
-    let mut news = Vec::new();
-    news.extend(state.order.take().map(Outgoing::Order));
-    news.extend(take_config(state));
+pub(super) fn collect_messages(state: &mut DriverState) -> Vec<DutyMessage> {
+    let mut messages = Vec::new();
+    messages.extend(state.store_request.take().map(DutyMessage::StoreRequest));
+    messages.extend(take_config(state));
     let entries = state.entries();
-    if entries != state.told_entries {
-        state.told_entries.clone_from(&entries);
-        news.push(Outgoing::Claims(ClaimCommand::Entries(entries)));
+    if entries != state.sent_entries {
+        state.sent_entries.clone_from(&entries);
+        messages.push(DutyMessage::Claims(ClaimCommand::Entries(entries)));
     }
-    let count = state.dirty.len().min(ROUND_MEMBERS);
+    let count = state.dirty.len().min(MEMBERS_PER_ROUND);
     let dirty: Vec<DaemonName> = state.dirty.drain(..count).collect();
     let table = state.member.table();
     let registered: HashSet<&DaemonName> = registered_agents(state).collect();
     for view in dirty.iter().filter_map(|daemon| table.get(daemon)) {
         let is_registered = registered.contains(&view.facts.daemon);
-        let told = member_news(&view, is_registered).into_iter();
-        let told = told.map(EntryNews::Directory);
-        news.extend(told.map(Outgoing::News));
+        let updates = member_updates(&view, is_registered).into_iter();
+        let updates = updates.map(CallersUpdate::Directory);
+        messages.extend(updates.map(DutyMessage::Update));
     }
-    if count < ROUND_MEMBERS {
+    if count < MEMBERS_PER_ROUND {
         // Queue reports are sent only after all pending statuses, because they apply only to
         // endpoints with a known status.
         let reports = state.reports.drain(..);
         let reports =
-            reports.map(|(endpoint, report)| DirectoryNews::QueueReport { endpoint, report });
-        news.extend(reports.map(EntryNews::Directory).map(Outgoing::News));
+            reports.map(|(endpoint, report)| DirectoryUpdate::QueueReport { endpoint, report });
+        messages.extend(
+            reports
+                .map(CallersUpdate::Directory)
+                .map(DutyMessage::Update),
+        );
     }
-    news
+    messages
 }
 
-fn take_config(state: &mut DriverState) -> Option<Outgoing> {
+fn take_config(state: &mut DriverState) -> Option<DutyMessage> {
     let held = state.member.in_force()?;
-    if held.generation <= state.told {
+    if held.generation <= state.sent_generation {
         return None;
     }
-    let news = EntryNews::Config {
+    let update = CallersUpdate::Config {
         generation: held.generation,
         config: held.value.clone(),
     };
-    state.told = held.generation;
-    Some(Outgoing::Config(news))
+    state.sent_generation = held.generation;
+    Some(DutyMessage::Config(update))
 }
 
 fn registered_agents(state: &DriverState) -> impl Iterator<Item = &DaemonName> {
@@ -90,34 +94,34 @@
     status
 }
 
-fn member_news(view: &MemberView<'_>, is_registered: bool) -> SmallVec<[DirectoryNews; 2]> {
+fn member_updates(view: &MemberView<'_>, is_registered: bool) -> SmallVec<[DirectoryUpdate; 2]> {
     let Some(status) = view.facts.status() else {
         return SmallVec::new();
     };
     let endpoint = status.endpoint.clone();
     if view.state == MemberState::Gone {
-        return SmallVec::from_iter([DirectoryNews::Gone(endpoint)]);
+        return SmallVec::from_iter([DirectoryUpdate::Gone(endpoint)]);
     }
     let status = if is_registered {
         status.clone()
     } else {
         gossiped_status(status, view.facts.phase)
     };
-    let whole = DirectoryNews::Status {
+    let status_update = DirectoryUpdate::Status {
         daemon: view.facts.daemon.clone(),
         address: view.facts.address,
         status: Box::new(status),
     };
-    let standing = if view.state == MemberState::Leaving || view.hinted_leaving {
-        DirectoryNews::Leaving(endpoint)
+    let leaving_update = if view.state == MemberState::Leaving || view.hinted_leaving {
+        DirectoryUpdate::Leaving(endpoint)
     } else {
-        DirectoryNews::Staying(endpoint)
+        DirectoryUpdate::NotLeaving(endpoint)
     };
-    SmallVec::from_iter([whole, standing])
+    SmallVec::from_iter([status_update, leaving_update])
 }
 
 /// Returns the fleet state for the planner, or `None` without a configuration.
-pub(super) fn picture(state: &DriverState, own_zone: &ZoneName) -> Option<FleetPicture> {
+pub(super) fn fleet_snapshot(state: &DriverState, own_zone: &ZoneName) -> Option<FleetSnapshot> {
     let held = state.member.in_force()?;
     let config = held.value.clone();
     let endpoints = config.pools.values().map(|pool| pool.endpoints.len());
@@ -127,7 +131,7 @@
     };
     let mut entries = state.entries();
     entries.retain(|entry| group.has_zone(&entry.zone));
-    Some(FleetPicture {
+    Some(FleetSnapshot {
         generation: held.generation,
         endpoints: endpoint_views(state, &config, &group),
         group,
@@ -195,7 +199,7 @@
 }
 
 /// Returns whether an agent is leaving. A planned stop counts from the time it was requested,
-/// although the agent is told only once replacements exist. The planner loads the replacements in
+/// although the agent is updates only once replacements exist. The planner loads the replacements in
 /// the meantime.
 fn is_leaving(state: &DriverState, view: &MemberView<'_>) -> bool {
     let daemon = &view.facts.daemon;
@@ -203,5 +207,5 @@
     view.state == MemberState::Leaving
         || view.hinted_leaving
         || word.is_some_and(|word| !word.withdrawn)
-        || state.stops.holds(daemon)
+        || state.stops.contains(daemon)
 }
--- a/crates/oatpier-entry/src/peers/driver.rs
+++ b/crates/oatpier-entry/src/peers/driver.rs
@@ -21,42 +21,42 @@
 use tokio::sync::Notify;
 
 use super::PeersRings;
-use super::directory::{self, Outgoing};
-use super::stops::StopGate;
-use crate::configuration::StoreOrder;
+use super::directory::{self, DutyMessage};
+use super::stops::StopQueue;
+use crate::configuration::StoreRequest;
 use crate::links::EntryLinks;
-use crate::planner::FleetPicture;
+use crate::planner::FleetSnapshot;
 
 /// Time after start by which all live agents and entries have sent a heartbeat. A member missing
 /// from the table before that may be missing only because this entry has just started.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Time after start from which the table counts as settled even if the list of VMs names unknown
 /// agents.
-const SETTLE_LONGEST: Duration = Duration::from_secs(30);
+const MAX_SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// Number of entries in `heard` beyond twice the table's size before unknown members are removed.
-const HEARD_MARGIN: usize = 64;
+/// Number of entries in `last_heard` beyond twice the table's size before unknown members are removed.
+const LAST_HEARD_MARGIN: usize = 64;
 
 /// State shared by the duty's tasks. All of them run on one thread, so the lock is never contended.
 /// It is held for one decision and never across an await.
 pub(super) struct DriverState {
     pub(super) member: EntryMember<FleetConfig>,
-    pub(super) stops: StopGate,
+    pub(super) stops: StopQueue,
     /// Time of the last heartbeat or row update of each member.
-    pub(super) heard: HashMap<DaemonName, ClockTime>,
+    pub(super) last_heard: HashMap<DaemonName, ClockTime>,
     /// Members whose state has to be sent to the callers duty. Bounded by the table.
     pub(super) dirty: IndexSet<DaemonName>,
     /// Queue reports to send to the callers duty; a later report replaces an earlier one.
     pub(super) reports: IndexMap<EndpointName, QueueReport>,
     /// The store call that the state machine requests; there is at most one at a time.
-    pub(super) order: Option<StoreOrder>,
+    pub(super) store_request: Option<StoreRequest>,
     /// Generation last sent to the callers duty.
-    pub(super) told: Generation,
+    pub(super) sent_generation: Generation,
     /// Number of agents that are in the list of VMs but not in the table; `None` before the first
     /// list.
     pub(super) unknown_agents: Option<usize>,
     /// Entries last sent to the claims duty.
-    pub(super) told_entries: Vec<EntryContact>,
+    pub(super) sent_entries: Vec<EntryContact>,
     mark: u64,
     leaving_hints: IndexSet<DaemonName>,
 }
@@ -88,14 +88,14 @@
         let member = EntryMember::new(own.clone(), boot, Vec::new(), limits, &mut generator, now);
         let state = DriverState {
             member,
-            stops: StopGate::default(),
-            heard: HashMap::new(),
+            stops: StopQueue::default(),
+            last_heard: HashMap::new(),
             dirty: IndexSet::new(),
             reports: IndexMap::new(),
-            order: None,
-            told: Generation(0),
+            store_request: None,
+            sent_generation: Generation(0),
             unknown_agents: None,
-            told_entries: Vec::new(),
+            sent_entries: Vec::new(),
             mark: 0,
             leaving_hints: IndexSet::new(),
         };
@@ -116,11 +116,11 @@
     }
 
     /// Passes an event to the state machine.
-    pub(super) fn hear(self: &Arc<Self>, event: EntryEvent<FleetConfig>) {
+    pub(super) fn handle_event(self: &Arc<Self>, event: EntryEvent<FleetConfig>) {
         let now = self.clock.now();
         let mut state = self.lock();
         let actions = state.member.handle(event, now);
-        self.carry_out(&mut state, actions, now);
+        self.execute(&mut state, actions, now);
     }
 
     /// Answers a call of another process.
@@ -128,46 +128,46 @@
         let now = self.clock.now();
         let mut state = self.lock();
         if let PeerCall::Heartbeat(heartbeat) = &call {
-            state.heard.insert(heartbeat.daemon.clone(), now);
-            state.note_queue_report(&heartbeat.daemon, &heartbeat.body);
+            state.last_heard.insert(heartbeat.daemon.clone(), now);
+            state.record_queue_report(&heartbeat.daemon, &heartbeat.body);
         }
         let (answer, actions) = state.member.answer(call, now);
-        self.carry_out(&mut state, actions, now);
+        self.execute(&mut state, actions, now);
         answer
     }
 
     /// Applies the complete list of planned stops.
-    pub(super) fn take_stops(self: &Arc<Self>, stops: Vec<NamedStop>) {
+    pub(super) fn apply_stop_list(self: &Arc<Self>, stops: Vec<NamedStop>) {
         let now = self.clock.now();
         let mut state = self.lock();
         let DriverState {
-            stops: gate,
+            stops: queue,
             member,
             ..
         } = &mut *state;
-        let passed = gate.take_list(stops, member, now);
+        let released = queue.apply_list(stops, member, now);
         drop(state);
-        self.hear(EntryEvent::StopsListed(passed));
+        self.handle_event(EntryEvent::StopsListed(released));
     }
 
     /// Applies one planned stop that was requested or withdrawn.
-    pub(super) fn take_stop(self: &Arc<Self>, stop: NamedStop) {
+    pub(super) fn apply_stop(self: &Arc<Self>, stop: NamedStop) {
         let now = self.clock.now();
         let mut state = self.lock();
         let DriverState {
-            stops: gate,
+            stops: queue,
             member,
             ..
         } = &mut *state;
-        let passed = gate.take_one(stop, member, now);
+        let released = queue.apply(stop, member, now);
         drop(state);
-        if let Some(stop) = passed {
-            self.hear(EntryEvent::StopChanged(stop));
+        if let Some(stop) = released {
+            self.handle_event(EntryEvent::StopChanged(stop));
         }
     }
 
     /// Applies a new list of VMs.
-    pub(super) fn take_hints(self: &Arc<Self>, hints: Vec<VmHint>) {
+    pub(super) fn apply_vm_list(self: &Arc<Self>, hints: Vec<VmHint>) {
         let leaving = hints.iter().filter(|hint| hint.leaving);
         let leaving: IndexSet<DaemonName> =
             leaving.map(|hint| hint.contact.daemon.clone()).collect();
@@ -177,10 +177,10 @@
         let changed: Vec<DaemonName> = changed.cloned().collect();
         state.dirty.extend(changed);
         drop(state);
-        self.hear(EntryEvent::Hints(hints));
+        self.handle_event(EntryEvent::Hints(hints));
     }
 
-    fn carry_out(
+    fn execute(
         self: &Arc<Self>,
         state: &mut DriverState,
         actions: Vec<EntryAction<FleetConfig>>,
@@ -191,9 +191,9 @@
                 EntryAction::Call { call, to, body } => {
                     tokio::spawn(make_call(Arc::clone(self), call, to, body));
                 }
-                EntryAction::ReadConfig => state.order = Some(StoreOrder::Read),
+                EntryAction::ReadConfig => state.store_request = Some(StoreRequest::Read),
                 EntryAction::WatchConfig { after, wait } => {
-                    state.order = Some(StoreOrder::Watch { after, wait });
+                    state.store_request = Some(StoreRequest::Watch { after, wait });
                 }
                 EntryAction::InForce(held) => state.set_scope(&held.value, now),
                 EntryAction::Changed(change) => {
@@ -207,7 +207,7 @@
                 EntryAction::Stop(_) => {}
             }
         }
-        state.note_deltas(now);
+        state.mark_changed_members(now);
         self.changed.notify_one();
         self.woken.notify_one();
     }
@@ -227,27 +227,27 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let DriverState { stops, member, .. } = &mut *state;
-        let due = stops.due(member, now);
+        let due = stops.take_due(member, now);
         drop(state);
         for stop in due {
-            self.hear(EntryEvent::StopChanged(stop));
+            self.handle_event(EntryEvent::StopChanged(stop));
         }
-        self.hear(EntryEvent::Tick);
+        self.handle_event(EntryEvent::Tick);
     }
 
     /// Sends changes to the other duties until the future is dropped. Pending changes are kept per
     /// member and not per event. A duty that is slow for a while thus receives the latest state and
     /// no backlog.
-    pub(super) async fn publish(&self, rings: &PeersRings, able: &AtomicBool) {
+    pub(super) async fn publish(&self, rings: &PeersRings, can_serve: &AtomicBool) {
         loop {
             self.changed.notified().await;
             loop {
-                let news = directory::take(&mut self.lock());
-                if news.is_empty() {
+                let messages = directory::collect_messages(&mut self.lock());
+                if messages.is_empty() {
                     break;
                 }
-                for outgoing in news {
-                    send(outgoing, rings, able).await;
+                for message in messages {
+                    send(message, rings, can_serve).await;
                 }
             }
         }
@@ -265,30 +265,30 @@
 
     /// Returns whether members missing from the table are likely not to exist. This holds once the
     /// table had time to fill since the start and contains every agent in the list of VMs, or after
-    /// [`SETTLE_LONGEST`].
+    /// [`MAX_SETTLE_TIME`].
     pub(super) fn is_settled(&self) -> bool {
         let waited = self.clock.now().since(self.started);
-        let is_full = self.lock().unknown_agents == Some(0);
-        waited >= SETTLE_LONGEST || (is_full && waited >= SETTLE_TIME)
+        let is_complete = self.lock().unknown_agents == Some(0);
+        waited >= MAX_SETTLE_TIME || (is_complete && waited >= SETTLE_TIME)
     }
 
     /// Returns the fleet state for the planner, or `None` before the table has settled. A plan
     /// computed from an incomplete table would load weights that are already loaded elsewhere and
     /// unload them from the endpoints missing from the table.
-    pub(super) fn settled_picture(&self) -> Option<FleetPicture> {
-        self.picture().filter(|_| self.is_settled())
+    pub(super) fn settled_snapshot(&self) -> Option<FleetSnapshot> {
+        self.snapshot().filter(|_| self.is_settled())
     }
 
     /// Returns the fleet state, or `None` without a configuration.
-    pub(super) fn picture(&self) -> Option<FleetPicture> {
-        directory::picture(&self.lock(), &self.own.zone)
+    pub(super) fn snapshot(&self) -> Option<FleetSnapshot> {
+        directory::fleet_snapshot(&self.lock(), &self.own.zone)
     }
 }
 
 impl DriverState {
     /// Records the queue report of a heartbeat. A full heartbeat may change only the queue of the
     /// row, so its queue report is recorded as well.
-    fn note_queue_report(&mut self, daemon: &DaemonName, body: &HeartbeatBody) {
+    fn record_queue_report(&mut self, daemon: &DaemonName, body: &HeartbeatBody) {
         match body {
             HeartbeatBody::Full(status) => {
                 self.reports.insert(status.endpoint.clone(), status.queue);
@@ -316,14 +316,14 @@
     }
 
     /// Marks the members whose rows changed.
-    fn note_deltas(&mut self, now: ClockTime) {
+    fn mark_changed_members(&mut self, now: ClockTime) {
         let table = self.member.table();
         if table.mark() == self.mark {
             return;
         }
         if let Some(deltas) = table.deltas_since(self.mark) {
             for row in deltas.rows {
-                self.heard.insert(row.facts.daemon.clone(), now);
+                self.last_heard.insert(row.facts.daemon.clone(), now);
                 self.dirty.insert(row.facts.daemon);
             }
         } else {
@@ -332,8 +332,9 @@
         }
         self.mark = table.mark();
         // The table removes members that are long gone; their times are removed here.
-        if self.heard.len() > HEARD_MARGIN + 2 * table.members().count() {
-            self.heard.retain(|daemon, _| table.get(daemon).is_some());
+        if self.last_heard.len() > LAST_HEARD_MARGIN + 2 * table.members().count() {
+            self.last_heard
+                .retain(|daemon, _| table.get(daemon).is_some());
         }
     }
 
@@ -358,17 +359,17 @@
 async fn make_call(driver: Arc<MemberDriver>, call: CallNumber, to: EntryContact, body: FleetCall) {
     let answer = driver.links.call(to.address, body).await;
     let answer = answer.map(Box::new);
-    driver.hear(EntryEvent::CallEnded { call, answer });
+    driver.handle_event(EntryEvent::CallEnded { call, answer });
 }
 
-async fn send(outgoing: Outgoing, rings: &PeersRings, able: &AtomicBool) {
-    match outgoing {
-        Outgoing::Config(news) => {
-            rings.news.send(news).await;
-            able.store(true, Ordering::Relaxed);
+async fn send(message: DutyMessage, rings: &PeersRings, can_serve: &AtomicBool) {
+    match message {
+        DutyMessage::Config(update) => {
+            rings.updates.send(update).await;
+            can_serve.store(true, Ordering::Relaxed);
         }
-        Outgoing::News(news) => rings.news.send(news).await,
-        Outgoing::Order(order) => rings.orders.send(order).await,
-        Outgoing::Claims(command) => rings.claims.send(command).await,
+        DutyMessage::Update(update) => rings.updates.send(update).await,
+        DutyMessage::StoreRequest(request) => rings.store_requests.send(request).await,
+        DutyMessage::Claims(command) => rings.claims.send(command).await,
     }
 }
--- a/crates/oatpier-entry/src/peers/handler.rs
+++ b/crates/oatpier-entry/src/peers/handler.rs
@@ -20,22 +20,22 @@
 use super::driver::MemberDriver;
 use super::{operator, placement};
 use crate::claims::ClaimCommand;
-use crate::links::{CLAIM_WAIT, SETTLE_WAIT};
+use crate::links::{CLAIM_TIMEOUT, SETTLE_TIMEOUT};
 use crate::messages::{
-    CLAIM_PATH, ClaimCall, ClaimReply, DEMAND_PATH, DemandWord, GENERATIONS_PATH,
+    CLAIM_PATH, ClaimCall, ClaimReply, DEMAND_PATH, DemandReport, GENERATIONS_PATH,
 };
-use crate::news::EntryNews;
-use crate::planner::{PlannerBoard, PlannerNews};
-use crate::store::StoreGate;
+use crate::planner::{PlanCache, PlannerUpdate};
+use crate::store::StoreClient;
+use crate::updates::CallersUpdate;
 
 /// Handles requests to the peer listener.
 pub(super) struct PeerHandler {
     pub(super) driver: Arc<MemberDriver>,
-    pub(super) news: RingSender<EntryNews>,
-    pub(super) planner: RingSender<PlannerNews>,
+    pub(super) updates: RingSender<CallersUpdate>,
+    pub(super) planner: RingSender<PlannerUpdate>,
     pub(super) claims: RingSender<ClaimCommand>,
-    pub(super) gate: Arc<StoreGate>,
-    pub(super) board: Arc<PlannerBoard>,
+    pub(super) client: Arc<StoreClient>,
+    pub(super) cache: Arc<PlanCache>,
 }
 
 impl RequestHandler for PeerHandler {
@@ -51,7 +51,7 @@
         match (head.method, path) {
             (Method::POST, PEER_PATH) => respond(&body, |call: FleetCall| self.driver.answer(call)),
             (Method::POST, PLACEMENT_PATH) => respond(&body, |ask| {
-                placement::view(&self.driver, &self.board, &ask)
+                placement::view(&self.driver, &self.cache, &ask)
             }),
             (Method::POST, CLAIM_PATH) => self.claim(&body).await,
             (Method::POST, DEMAND_PATH) => respond(&body, |word| self.take_demand(word)),
@@ -65,8 +65,8 @@
 
     /// Passes a demand report to the planner. Overflow is dropped: the next report follows within
     /// seconds.
-    fn take_demand(&self, word: DemandWord) {
-        let _ = self.planner.try_send(PlannerNews::Demand(word));
+    fn take_demand(&self, word: DemandReport) {
+        let _ = self.planner.try_send(PlannerUpdate::PeerDemand(word));
     }
 
     async fn claim(&self, body: &[u8]) -> Reply {
@@ -83,7 +83,11 @@
         if self.claims.try_send(command).is_err() {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "too many claims\n");
         }
-        let within = if is_ask { CLAIM_WAIT } else { SETTLE_WAIT };
+        let within = if is_ask {
+            CLAIM_TIMEOUT
+        } else {
+            SETTLE_TIMEOUT
+        };
         match tokio::time::timeout(within, receiver).await {
             Ok(Ok(answer)) => reply::message(&answer),
             Ok(Err(_)) | Err(_) => reply::message(&ClaimReply::Pending),
@@ -93,7 +97,7 @@
 
 fn respond<Q: DeserializeOwned, A: Serialize>(body: &[u8], answer: impl FnOnce(Q) -> A) -> Reply {
     match decode_message(body) {
-        Ok(question) => reply::message(&answer(question)),
+        Ok(query) => reply::message(&answer(query)),
         Err(error) => reply::text(StatusCode::BAD_REQUEST, error.to_string()),
     }
 }
--- a/crates/oatpier-entry/src/peers/mod.rs
+++ b/crates/oatpier-entry/src/peers/mod.rs
@@ -28,22 +28,22 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::claims::ClaimCommand;
-use crate::configuration::{StoreNews, StoreOrder};
+use crate::configuration::{StoreRequest, StoreUpdate};
 use crate::links::EntryLinks;
-use crate::news::EntryNews;
-use crate::planner::{PlannerBoard, PlannerNews};
-use crate::store::StoreGate;
+use crate::planner::{PlanCache, PlannerUpdate};
+use crate::store::StoreClient;
+use crate::updates::CallersUpdate;
 use driver::MemberDriver;
 use handler::PeerHandler;
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 
 /// Interval at which the planner receives the fleet state.
-const PICTURE_PERIOD: Duration = Duration::from_secs(1);
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Reachability evidence of an agent from the data path.
 #[derive(Debug, Clone)]
-pub struct PathNews {
+pub struct PathReport {
     /// Name of the agent.
     pub daemon: DaemonName,
     /// Whether the agent answered.
@@ -68,15 +68,15 @@
 /// Channels to and from the other duties.
 pub struct PeersRings {
     /// Updates for the callers duty.
-    pub news: RingSender<EntryNews>,
+    pub updates: RingSender<CallersUpdate>,
     /// Requested store calls for the configuration duty.
-    pub orders: RingSender<StoreOrder>,
+    pub store_requests: RingSender<StoreRequest>,
     /// Results of store calls.
-    pub store_news: RingReceiver<StoreNews>,
+    pub store_updates: RingReceiver<StoreUpdate>,
     /// Data path evidence.
-    pub paths: RingReceiver<PathNews>,
+    pub paths: RingReceiver<PathReport>,
     /// Updates for the planner duty.
-    pub planner: RingSender<PlannerNews>,
+    pub planner: RingSender<PlannerUpdate>,
     /// Commands for the claims duty.
     pub claims: RingSender<ClaimCommand>,
 }
@@ -96,13 +96,13 @@
     /// Client for calls to other processes.
     pub links: Arc<dyn EntryLinks>,
     /// Access to the store, for operator queries.
-    pub gate: Arc<StoreGate>,
+    pub client: Arc<StoreClient>,
     /// Planner state for operators and agents.
-    pub board: Arc<PlannerBoard>,
+    pub cache: Arc<PlanCache>,
     /// Channels to and from the other duties.
     pub rings: PeersRings,
     /// Set once a configuration is known.
-    pub able: Arc<AtomicBool>,
+    pub can_serve: Arc<AtomicBool>,
     /// Clock of the runtime.
     pub clock: RuntimeClock,
     /// Metrics of the process.
@@ -132,11 +132,11 @@
     ));
     let handler = Arc::new(PeerHandler {
         driver: Arc::clone(&driver),
-        news: inputs.rings.news.clone(),
+        updates: inputs.rings.updates.clone(),
         planner: inputs.rings.planner.clone(),
         claims: inputs.rings.claims.clone(),
-        gate: Arc::clone(&inputs.gate),
-        board: inputs.board,
+        client: Arc::clone(&inputs.client),
+        cache: inputs.cache,
     });
     let ended = stop.clone();
     let closing = async move { ended.reached(StopPhase::Ended).await };
@@ -144,57 +144,61 @@
     tokio::select! {
         () = server::serve(listener, handler, inputs.limits, Arc::default(), closing) => {}
         () = driver.run_timers() => {}
-        () = driver.publish(&rings, &inputs.able) => {}
-        () = hints::follow(&driver, inputs.vms.as_ref(), &rings.news, &inputs.metrics) => {}
-        () = take_store_news(&driver, &rings.store_news) => {}
-        () = take_paths(&driver, &rings.paths) => {}
-        () = draw_pictures(&driver, &rings.planner, &inputs.gate) => {}
-        () = leave_when_told(&driver, &stop) => {}
+        () = driver.publish(&rings, &inputs.can_serve) => {}
+        () = hints::poll_vm_list(&driver, inputs.vms.as_ref(), &rings.updates, &inputs.metrics) => {}
+        () = handle_store_updates(&driver, &rings.store_updates) => {}
+        () = handle_path_reports(&driver, &rings.paths) => {}
+        () = send_snapshots(&driver, &rings.planner, &inputs.client) => {}
+        () = leave_on_drain(&driver, &stop) => {}
     }
 }
 
-async fn take_store_news(driver: &Arc<MemberDriver>, news: &RingReceiver<StoreNews>) {
-    while let Some(news) = news.receive().await {
-        match news {
-            StoreNews::Config(reply) => driver.hear(EntryEvent::StoreEnded(reply)),
-            StoreNews::Stops(stops) => driver.take_stops(stops),
-            StoreNews::Stop(stop) => driver.take_stop(stop),
+async fn handle_store_updates(driver: &Arc<MemberDriver>, updates: &RingReceiver<StoreUpdate>) {
+    while let Some(update) = updates.receive().await {
+        match update {
+            StoreUpdate::Config(reply) => driver.handle_event(EntryEvent::StoreEnded(reply)),
+            StoreUpdate::Stops(stops) => driver.apply_stop_list(stops),
+            StoreUpdate::Stop(stop) => driver.apply_stop(stop),
         }
     }
     std::future::pending::<()>().await;
 }
 
-async fn take_paths(driver: &Arc<MemberDriver>, paths: &RingReceiver<PathNews>) {
-    while let Some(news) = paths.receive().await {
-        let PathNews {
+async fn handle_path_reports(driver: &Arc<MemberDriver>, paths: &RingReceiver<PathReport>) {
+    while let Some(report) = paths.receive().await {
+        let PathReport {
             daemon,
             evidence,
             report,
-        } = news;
+        } = report;
         if let Some(report) = report {
             let daemon = daemon.clone();
-            driver.hear(EntryEvent::QueueReport { daemon, report });
+            driver.handle_event(EntryEvent::QueueReport { daemon, report });
         }
-        driver.hear(EntryEvent::Path { daemon, evidence });
+        driver.handle_event(EntryEvent::Path { daemon, evidence });
     }
     std::future::pending::<()>().await;
 }
 
 /// Sends the fleet state to the planner periodically. If the ring is full it is dropped, because
 /// the next one replaces it.
-async fn draw_pictures(driver: &MemberDriver, planner: &RingSender<PlannerNews>, gate: &StoreGate) {
+async fn send_snapshots(
+    driver: &MemberDriver,
+    planner: &RingSender<PlannerUpdate>,
+    client: &StoreClient,
+) {
     loop {
-        tokio::time::sleep(PICTURE_PERIOD).await;
+        tokio::time::sleep(SNAPSHOT_INTERVAL).await;
         let (entries, agents) = driver.counts();
-        gate.set_fleet(entries, agents);
-        if let Some(picture) = driver.settled_picture() {
-            let _ = planner.try_send(PlannerNews::Fleet(Box::new(picture)));
+        client.set_fleet_size(entries, agents);
+        if let Some(snapshot) = driver.settled_snapshot() {
+            let _ = planner.try_send(PlannerUpdate::Fleet(Box::new(snapshot)));
         }
     }
 }
 
-async fn leave_when_told(driver: &Arc<MemberDriver>, stop: &StopSignal) {
+async fn leave_on_drain(driver: &Arc<MemberDriver>, stop: &StopSignal) {
     stop.reached(StopPhase::Draining).await;
-    driver.hear(EntryEvent::Phase(MemberPhase::Leaving));
+    driver.handle_event(EntryEvent::Phase(MemberPhase::Leaving));
     std::future::pending::<()>().await;
 }
--- a/crates/oatpier-entry/src/peers/operator.rs
+++ b/crates/oatpier-entry/src/peers/operator.rs
@@ -24,13 +24,13 @@
 use super::driver::{DriverState, MemberDriver};
 use super::handler::PeerHandler;
 use crate::messages::GenerationRows;
-use crate::news::{CallersQuestion, CallersStanding, EntryNews};
 use crate::planner::PlanGroup;
+use crate::updates::{CallersQuery, CallersStatus, CallersUpdate};
 
 mod explain;
 
 /// Timeout of an answer from another duty.
-const ANSWER_WAIT: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Answers an operator request.
 pub(super) async fn answer(handler: &PeerHandler, path: &str) -> Reply {
@@ -59,30 +59,33 @@
 
 async fn request(handler: &PeerHandler, id: &str) -> Option<ExplainRequest> {
     let request = RequestId(u128::from_str_radix(id, 16).ok()?);
-    let ask = |reply| CallersQuestion::Request { request, reply };
-    ask_callers(handler, ask).await.flatten()
+    let query = |reply| CallersQuery::Request { request, reply };
+    query_callers(handler, query).await.flatten()
 }
 
 /// Queries the callers duty; returns `None` if it does not answer in time.
-async fn ask_callers<T>(
+async fn query_callers<T>(
     handler: &PeerHandler,
-    question: impl FnOnce(oneshot::Sender<T>) -> CallersQuestion,
+    query: impl FnOnce(oneshot::Sender<T>) -> CallersQuery,
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
-    let question = EntryNews::Question(question(reply));
-    handler.news.try_send(question).ok()?;
-    tokio::time::timeout(ANSWER_WAIT, answer).await.ok()?.ok()
+    let query = CallersUpdate::Query(query(reply));
+    handler.updates.try_send(query).ok()?;
+    tokio::time::timeout(ANSWER_TIMEOUT, answer)
+        .await
+        .ok()?
+        .ok()
 }
 
 async fn status(handler: &PeerHandler) -> StatusAnswer {
-    let ask = |reply| CallersQuestion::Standing { reply };
-    let standing = ask_callers(handler, ask).await.unwrap_or_default();
+    let query = |reply| CallersQuery::Status { reply };
+    let callers_status = query_callers(handler, query).await.unwrap_or_default();
     let planner = planner_row(handler).await;
     let driver = &handler.driver;
     let state = driver.lock();
     let members = state.member.table().members();
     let mut daemons: Vec<DaemonRow> = members
-        .map(|view| daemon_row(driver, &state, &view, &standing))
+        .map(|view| daemon_row(driver, &state, &view, &callers_status))
         .collect();
     daemons.sort_by(|left, right| left.name.cmp(&right.name));
     let config = state.member.in_force().map(|held| held.value.clone());
@@ -92,8 +95,8 @@
             .map(|config| model_rows(&state, &config))
             .unwrap_or_default(),
         planner,
-        store: handler.gate.row(),
-        attainment: standing.attainment,
+        store: handler.client.row(),
+        attainment: callers_status.attainment,
         ..StatusAnswer::default()
     }
 }
@@ -101,11 +104,11 @@
 /// Returns the lease holder as stored. It is read from the store, because operators query it
 /// rarely.
 async fn planner_row(handler: &PeerHandler) -> PlannerRow {
-    let group = handler.driver.picture().map(|picture| picture.group);
+    let group = handler.driver.snapshot().map(|snapshot| snapshot.group);
     let key = group.as_ref().map(PlanGroup::lease_key);
     let holder = match key {
         Some(key) => {
-            let read = handler.gate.get(CallKind::StatusHistory, &key).await;
+            let read = handler.client.get(CallKind::StatusHistory, &key).await;
             let stored = read.ok().flatten();
             let lease = stored.and_then(|stored| serde_json::from_slice(&stored.value).ok());
             lease.filter(|lease: &PlannerLease| !lease.released)
@@ -114,7 +117,7 @@
     };
     PlannerRow {
         holder: holder.map(|lease| lease.holder),
-        plan_age_ms: handler.board.plan_age_ms(handler.driver.clock.now()),
+        plan_age_ms: handler.cache.plan_age_ms(handler.driver.clock.now()),
     }
 }
 
@@ -122,13 +125,13 @@
     driver: &MemberDriver,
     state: &DriverState,
     view: &MemberView<'_>,
-    standing: &CallersStanding,
+    callers_status: &CallersStatus,
 ) -> DaemonRow {
     let facts = view.facts;
     let is_own = facts.daemon == driver.own.daemon;
     let endpoint = facts.status().map(|status| status.endpoint.clone());
     let now = driver.clock.now();
-    let heard = state.heard.get(&facts.daemon).filter(|_| !is_own);
+    let heard = state.last_heard.get(&facts.daemon).filter(|_| !is_own);
     let heard = heard.map_or(0, |at| now.since(*at).as_millis());
     DaemonRow {
         name: facts.daemon.clone(),
@@ -137,7 +140,7 @@
         } else {
             DaemonDuty::Agent
         },
-        state: state_of(view, endpoint.as_ref(), standing),
+        state: state_of(view, endpoint.as_ref(), callers_status),
         endpoint,
         zone: facts.zone.clone(),
         generation: generation_of(state, view),
@@ -148,9 +151,9 @@
 fn state_of(
     view: &MemberView<'_>,
     endpoint: Option<&EndpointName>,
-    standing: &CallersStanding,
+    callers_status: &CallersStatus,
 ) -> DaemonState {
-    let is_ejected = endpoint.is_some_and(|endpoint| standing.ejected.contains(endpoint));
+    let is_ejected = endpoint.is_some_and(|endpoint| callers_status.ejected.contains(endpoint));
     match view.state {
         MemberState::Leaving => DaemonState::Leaving,
         MemberState::Alive if is_ejected => DaemonState::Ejected,
@@ -225,12 +228,12 @@
     let others = entries
         .iter()
         .filter(|entry| entry.daemon != driver.own.daemon);
-    let mut asked: FuturesUnordered<_> = others
-        .map(|entry| driver.links.ask_generations(entry.address))
+    let mut queries: FuturesUnordered<_> = others
+        .map(|entry| driver.links.fetch_generations(entry.address))
         .collect();
     let mut rows = table_generations(driver);
     merge(&mut rows, own_generations(driver));
-    while let Some(answer) = asked.next().await {
+    while let Some(answer) = queries.next().await {
         merge(&mut rows, answer.unwrap_or_default());
     }
     let state = driver.lock();
@@ -247,7 +250,7 @@
 
 fn table_generations(driver: &MemberDriver) -> GenerationMap {
     let state = driver.lock();
-    let standing = CallersStanding::default();
+    let callers_status = CallersStatus::default();
     let members = state.member.table().members();
     let rows = members
         .filter(|view| view.state != MemberState::Gone)
@@ -255,7 +258,7 @@
             let row = DaemonGeneration {
                 name: view.facts.daemon.clone(),
                 generation: generation_of(&state, &view),
-                state: state_of(&view, None, &standing),
+                state: state_of(&view, None, &callers_status),
             };
             (row.name.clone(), row)
         });
@@ -263,8 +266,8 @@
 }
 
 /// Merges rows: the newer generation wins, and the known state of a daemon is kept.
-fn merge(rows: &mut GenerationMap, told: GenerationRows) {
-    for row in told.rows {
+fn merge(rows: &mut GenerationMap, added: GenerationRows) {
+    for row in added.rows {
         match rows.get_mut(&row.name) {
             Some(known) => known.generation = known.generation.max(row.generation),
             None => {
--- a/crates/oatpier-entry/src/peers/operator/explain.rs
+++ b/crates/oatpier-entry/src/peers/operator/explain.rs
@@ -9,16 +9,16 @@
 
 use super::super::driver::DriverState;
 use super::super::handler::PeerHandler;
-use crate::planner::PlanShelf;
+use crate::planner::PlanMap;
 
 /// Explains a model or an adapter; returns `None` if the name is unknown.
 pub(super) fn model(handler: &PeerHandler, name: &str) -> Option<ExplainModel> {
-    let picture = handler.driver.picture()?;
-    let (weights, adapter) = weights_of(&picture.config, name)?;
-    let plans = handler.board.plans();
-    let pool = picture.config.models.get(&weights.model)?.pool.clone();
+    let snapshot = handler.driver.snapshot()?;
+    let (weights, adapter) = weights_of(&snapshot.config, name)?;
+    let plans = handler.cache.plans();
+    let pool = snapshot.config.models.get(&weights.model)?.pool.clone();
     let replicas = replicas(&handler.driver.lock(), &weights, &plans);
-    let reasons = reasons(&weights, &plans, &replicas, &picture.zones());
+    let reasons = reasons(&weights, &plans, &replicas, &snapshot.zones());
     Some(ExplainModel {
         model: weights.model.clone(),
         adapter,
@@ -39,7 +39,7 @@
     Some((config.adapter_weights(adapter)?, Some(adapter.clone())))
 }
 
-fn replicas(state: &DriverState, weights: &WeightsKey, plans: &PlanShelf) -> Vec<ReplicaRow> {
+fn replicas(state: &DriverState, weights: &WeightsKey, plans: &PlanMap) -> Vec<ReplicaRow> {
     let members = state.member.table().members();
     let mut rows: Vec<ReplicaRow> = members
         .filter_map(|view| replica(&view, weights, plans))
@@ -63,7 +63,7 @@
 
 fn planned_rows<'a>(
     weights: &'a WeightsKey,
-    plans: &'a PlanShelf,
+    plans: &'a PlanMap,
 ) -> impl Iterator<Item = (&'a ZoneName, &'a EndpointPlan)> {
     let rows = plans.iter();
     let rows = rows.flat_map(|(zone, plan)| plan.endpoints.iter().map(move |row| (zone, row)));
@@ -74,7 +74,7 @@
     left.model == right.model && left.adapter == right.adapter
 }
 
-fn replica(view: &MemberView<'_>, weights: &WeightsKey, plans: &PlanShelf) -> Option<ReplicaRow> {
+fn replica(view: &MemberView<'_>, weights: &WeightsKey, plans: &PlanMap) -> Option<ReplicaRow> {
     let status = view.facts.status()?;
     let ready = status.ready.iter().find(|ready| is_same(ready, weights));
     let planned = is_planned(&status.endpoint, weights, plans);
@@ -93,7 +93,7 @@
     })
 }
 
-fn is_planned(endpoint: &EndpointName, weights: &WeightsKey, plans: &PlanShelf) -> bool {
+fn is_planned(endpoint: &EndpointName, weights: &WeightsKey, plans: &PlanMap) -> bool {
     planned_rows(weights, plans).any(|(_, row)| row.endpoint == *endpoint)
 }
 
@@ -110,7 +110,7 @@
 
 fn reasons(
     weights: &WeightsKey,
-    plans: &PlanShelf,
+    plans: &PlanMap,
     replicas: &[ReplicaRow],
     zones: &[ZoneName],
 ) -> Vec<String> {
--- a/crates/oatpier-entry/src/peers/placement.rs
+++ b/crates/oatpier-entry/src/peers/placement.rs
@@ -13,16 +13,16 @@
 use smallvec::SmallVec;
 
 use super::driver::{DriverState, MemberDriver};
-use crate::planner::PlannerBoard;
+use crate::planner::PlanCache;
 
 /// Maximum number of holders returned per version of weights.
-const NAMED_HOLDERS: usize = 4;
+const MAX_HOLDERS: usize = 4;
 
 /// Returns the placement data for one endpoint.
 pub(super) fn view(
     driver: &MemberDriver,
-    board: &PlannerBoard,
-    ask: &PlacementQuery,
+    cache: &PlanCache,
+    query: &PlacementQuery,
 ) -> PlacementView {
     let settled = driver.is_settled();
     let state = driver.lock();
@@ -31,17 +31,17 @@
     let unserved = match config {
         // Weights unknown to an entry that has just started may well be loaded. If agents
         // considered them lost, all of them would load the weights again.
-        Some(held) if settled => unserved(&state, &held.value, &ask.pool),
+        Some(held) if settled => unserved_weights(&state, &held.value, &query.pool),
         _ => Vec::new(),
     };
     let live = if unserved.is_empty() {
         Vec::new()
     } else {
-        live(table, &ask.pool)
+        live_endpoints(table, &query.pool)
     };
     PlacementView {
-        plan: board.row(&ask.endpoint),
-        holders: holders(table, ask),
+        plan: cache.row(&query.endpoint),
+        holders: holders(table, query),
         unserved,
         live,
     }
@@ -58,16 +58,16 @@
         .flat_map(|status| &status.ready)
 }
 
-fn holders(table: &MemberTable, ask: &PlacementQuery) -> Vec<WeightsHolders> {
+fn holders(table: &MemberTable, query: &PlacementQuery) -> Vec<WeightsHolders> {
     let mut found: IndexMap<WeightsKey, Vec<HolderContact>> = IndexMap::new();
     for view in table.usable_agents() {
         let Some(status) = view.facts.status() else {
             continue;
         };
-        if status.endpoint == ask.endpoint {
+        if status.endpoint == query.endpoint {
             continue;
         }
-        let asked = |ready: &&WeightsKey| ask.weights.iter().any(|key| same_weights(key, ready));
+        let asked = |ready: &&WeightsKey| query.weights.iter().any(|key| same_weights(key, ready));
         for ready in ready_of(&view).filter(asked) {
             found.entry(ready.clone()).or_default().push(HolderContact {
                 endpoint: status.endpoint.clone(),
@@ -78,7 +78,7 @@
     found
         .into_iter()
         .map(|(weights, holders)| WeightsHolders {
-            holders: few(&weights, holders),
+            holders: choose_holders(&weights, holders),
             weights,
         })
         .collect()
@@ -86,7 +86,10 @@
 
 /// Returns a few holders by rendezvous hashing. All agents get the same ones, so that the agents
 /// that request and those that are requested agree.
-fn few(weights: &WeightsKey, holders: Vec<HolderContact>) -> SmallVec<[HolderContact; 4]> {
+fn choose_holders(
+    weights: &WeightsKey,
+    holders: Vec<HolderContact>,
+) -> SmallVec<[HolderContact; 4]> {
     let adapter = weights
         .adapter
         .as_ref()
@@ -98,12 +101,12 @@
         .map(|holder| (weight(&holder), holder))
         .collect();
     ranked.sort_by_key(|(weight, _)| std::cmp::Reverse(*weight));
-    let named = ranked.into_iter().take(NAMED_HOLDERS);
+    let named = ranked.into_iter().take(MAX_HOLDERS);
     named.map(|(_, holder)| holder).collect()
 }
 
 /// Returns the configured weights of the pool without a ready version on any endpoint.
-fn unserved(state: &DriverState, config: &FleetConfig, pool: &PoolName) -> Vec<WeightsKey> {
+fn unserved_weights(state: &DriverState, config: &FleetConfig, pool: &PoolName) -> Vec<WeightsKey> {
     let is_of_pool = |model| {
         config
             .models
@@ -141,7 +144,7 @@
     }
 }
 
-fn live(table: &MemberTable, pool: &PoolName) -> Vec<EndpointName> {
+fn live_endpoints(table: &MemberTable, pool: &PoolName) -> Vec<EndpointName> {
     let statuses = table.usable_agents().filter_map(|view| view.facts.status());
     let of_pool = statuses.filter(|status| status.pool == *pool);
     let mut live: Vec<EndpointName> = of_pool.map(|status| status.endpoint.clone()).collect();
--- a/crates/oatpier-entry/src/peers/stops.rs
+++ b/crates/oatpier-entry/src/peers/stops.rs
@@ -12,70 +12,70 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::DaemonName;
 
-/// Maximum delay of a stop. After it the agent is told without replacements: the operator was
+/// Maximum delay of a stop. After it the agent is released without replacements: the operator was
 /// warned that the stop reduces reachability and wants it anyway.
-const LONGEST_HOLD: Duration = Duration::from_mins(2);
+const MAX_DELAY: Duration = Duration::from_mins(2);
 
 /// Delays the planned stop of an agent until all weights it serves are ready elsewhere.
 ///
-/// An agent leaves as soon as it is told. If it were told immediately, the only holder of a model
+/// An agent leaves as soon as it is released. If it were released immediately, the only holder of a model
 /// would be gone while the model is still being loaded elsewhere, and requests would be refused.
 #[derive(Debug, Default)]
-pub struct StopGate {
-    held: IndexMap<DaemonName, (StopWord, ClockTime)>,
+pub struct StopQueue {
+    delayed: IndexMap<DaemonName, (StopWord, ClockTime)>,
     /// Stops that were released but are not yet recorded by the membership state machine.
-    passed: IndexSet<DaemonName>,
+    released: IndexSet<DaemonName>,
 }
 
-impl StopGate {
+impl StopQueue {
     /// Returns whether a stop of this agent is delayed.
     #[must_use]
-    pub fn holds(&self, daemon: &DaemonName) -> bool {
-        self.held.contains_key(daemon)
+    pub fn contains(&self, daemon: &DaemonName) -> bool {
+        self.delayed.contains_key(daemon)
     }
 
     /// Applies the complete list and returns the stops that may be sent now.
     #[must_use]
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         listed: Vec<NamedStop>,
         member: &EntryMember<FleetConfig>,
         now: ClockTime,
     ) -> Vec<NamedStop> {
         let is_listed = |daemon: &DaemonName| listed.iter().any(|stop| stop.daemon == *daemon);
-        self.held.retain(|daemon, _| is_listed(daemon));
+        self.delayed.retain(|daemon, _| is_listed(daemon));
         listed
             .into_iter()
-            .filter_map(|stop| self.take_one(stop, member, now))
+            .filter_map(|stop| self.apply(stop, member, now))
             .collect()
     }
 
     /// Applies one stop and returns it if it may be sent now.
     #[must_use]
-    pub fn take_one(
+    pub fn apply(
         &mut self,
         stop: NamedStop,
         member: &EntryMember<FleetConfig>,
         now: ClockTime,
     ) -> Option<NamedStop> {
         let known = member.stops().word(&stop.daemon);
-        let is_told = known.is_some_and(|known| !known.withdrawn);
+        let is_sent = known.is_some_and(|known| !known.withdrawn);
         let is_open = |daemon: &DaemonName| {
             let word = member.stops().word(daemon);
             word.is_none_or(|word| word.withdrawn)
         };
-        self.passed.retain(is_open);
-        if stop.word.withdrawn || is_told {
-            self.held.shift_remove(&stop.daemon);
-            self.passed.shift_remove(&stop.daemon);
+        self.released.retain(is_open);
+        if stop.word.withdrawn || is_sent {
+            self.delayed.shift_remove(&stop.daemon);
+            self.released.shift_remove(&stop.daemon);
             return Some(stop);
         }
         // Inserted first, so that two agents don't count as each other's replacement.
-        let since = self.held.get(&stop.daemon).map_or(now, |held| held.1);
-        self.held.insert(stop.daemon.clone(), (stop.word, since));
-        if self.may_tell(&stop.daemon, since, member, now) {
-            self.held.shift_remove(&stop.daemon);
-            self.passed.insert(stop.daemon.clone());
+        let since = self.delayed.get(&stop.daemon).map_or(now, |held| held.1);
+        self.delayed.insert(stop.daemon.clone(), (stop.word, since));
+        if self.may_release(&stop.daemon, since, member, now) {
+            self.delayed.shift_remove(&stop.daemon);
+            self.released.insert(stop.daemon.clone());
             return Some(stop);
         }
         None
@@ -83,8 +83,12 @@
 
     /// Returns the delayed stops that may be sent now.
     #[must_use]
-    pub fn due(&mut self, member: &EntryMember<FleetConfig>, now: ClockTime) -> Vec<NamedStop> {
-        let waiting = self.held.iter();
+    pub fn take_due(
+        &mut self,
+        member: &EntryMember<FleetConfig>,
+        now: ClockTime,
+    ) -> Vec<NamedStop> {
+        let waiting = self.delayed.iter();
         let waiting: Vec<NamedStop> = waiting
             .map(|(daemon, (word, _))| NamedStop {
                 daemon: daemon.clone(),
@@ -93,11 +97,11 @@
             .collect();
         waiting
             .into_iter()
-            .filter_map(|stop| self.take_one(stop, member, now))
+            .filter_map(|stop| self.apply(stop, member, now))
             .collect()
     }
 
-    fn may_tell(
+    fn may_release(
         &self,
         daemon: &DaemonName,
         since: ClockTime,
@@ -107,7 +111,7 @@
         let table = member.table();
         let Some(view) = table.get(daemon) else {
             // The agent is not known yet: another entry may report it soon, or it may never appear.
-            return now.since(since) >= LONGEST_HOLD;
+            return now.since(since) >= MAX_DELAY;
         };
         let Some(status) = view.facts.status() else {
             return true;
@@ -115,18 +119,18 @@
         let stays = |other: &MemberView<'_>| {
             let name = &other.facts.daemon;
             let word = member.stops().word(name);
-            let is_asked = self.holds(name) || self.passed.contains(name);
+            let is_asked = self.contains(name) || self.released.contains(name);
             name != daemon && !is_asked && word.is_none_or(|word| word.withdrawn)
         };
         let is_covered = status
             .ready
             .iter()
-            .all(|weights| is_elsewhere(table, weights, stays));
-        is_covered || now.since(since) >= LONGEST_HOLD
+            .all(|weights| is_ready_elsewhere(table, weights, stays));
+        is_covered || now.since(since) >= MAX_DELAY
     }
 }
 
-fn is_elsewhere(
+fn is_ready_elsewhere(
     table: &MemberTable,
     weights: &WeightsKey,
     stays: impl Fn(&MemberView<'_>) -> bool,
--- a/crates/oatpier-entry/src/planner/board.rs
+++ b/crates/oatpier-entry/src/planner/cache.rs
@@ -11,55 +11,55 @@
 use oatpier_types::plan::PlacementPlan;
 
 /// Marks that this entry has written no plan.
-const NONE: u64 = u64::MAX;
+const NO_WRITE: u64 = u64::MAX;
 
 /// The plans in the store, by availability zone.
-pub type PlanShelf = BTreeMap<ZoneName, Arc<PlacementPlan>>;
+pub type PlanMap = BTreeMap<ZoneName, Arc<PlacementPlan>>;
 
 /// The latest plans seen in the store, and the time of this entry's last plan write if it is the
 /// planner.
 #[derive(Debug)]
-pub struct PlannerBoard {
-    planned: AtomicU64,
-    plans: ArcSwap<PlanShelf>,
+pub struct PlanCache {
+    last_write_us: AtomicU64,
+    plans: ArcSwap<PlanMap>,
 }
 
-impl Default for PlannerBoard {
+impl Default for PlanCache {
     fn default() -> Self {
         Self {
-            planned: AtomicU64::new(NONE),
+            last_write_us: AtomicU64::new(NO_WRITE),
             plans: ArcSwap::default(),
         }
     }
 }
 
-impl PlannerBoard {
+impl PlanCache {
     /// Records that a plan was written.
-    pub fn planned(&self, now: ClockTime) {
-        self.planned.store(now.as_micros(), Ordering::Relaxed);
+    pub fn record_write(&self, now: ClockTime) {
+        self.last_write_us.store(now.as_micros(), Ordering::Relaxed);
     }
 
     /// Records that this entry is no longer the planner.
-    pub fn lost(&self) {
-        self.planned.store(NONE, Ordering::Relaxed);
+    pub fn clear_write(&self) {
+        self.last_write_us.store(NO_WRITE, Ordering::Relaxed);
     }
 
     /// Returns the age of the plan in milliseconds, or `None` if another entry is the planner.
     #[must_use]
     pub fn plan_age_ms(&self, now: ClockTime) -> Option<u64> {
-        let planned = self.planned.load(Ordering::Relaxed);
-        (planned != NONE).then(|| now.as_micros().saturating_sub(planned) / 1000)
+        let last_write_us = self.last_write_us.load(Ordering::Relaxed);
+        (last_write_us != NO_WRITE).then(|| now.as_micros().saturating_sub(last_write_us) / 1000)
     }
 
     /// Returns all known plans.
     #[must_use]
-    pub fn plans(&self) -> Arc<PlanShelf> {
+    pub fn plans(&self) -> Arc<PlanMap> {
         self.plans.load_full()
     }
 
     /// Stores a plan read from the store, unless it is older than the known one.
-    pub fn show(&self, zone: ZoneName, plan: PlacementPlan) {
-        let mut plans = PlanShelf::clone(&self.plans.load());
+    pub fn update(&self, zone: ZoneName, plan: PlacementPlan) {
+        let mut plans = PlanMap::clone(&self.plans.load());
         let known = plans.get(&zone);
         if known.is_some_and(|known| stamp_of(known) >= stamp_of(&plan)) {
             return;
--- a/crates/oatpier-entry/src/planner/hold.rs
+++ b/crates/oatpier-entry/src/planner/hold.rs
@@ -13,58 +13,61 @@
 use oatpier_types::plan::{EndpointPlan, PlacementPlan};
 
 use super::EndpointView;
-use super::picture::FleetPicture;
+use super::snapshot::FleetSnapshot;
 
 /// Restores the previous rows where a plan drops replicas. Does nothing if the configuration
 /// generation has changed, because the previous rows may not be valid under the new configuration.
 pub fn hold_replicas(
     plan: &mut PlacementPlan,
-    picture: &FleetPicture,
+    snapshot: &FleetSnapshot,
     previous: Option<&PlacementPlan>,
 ) {
-    if previous.is_some_and(|previous| previous.generation != picture.generation) {
+    if previous.is_some_and(|previous| previous.generation != snapshot.generation) {
         return;
     }
-    let views = picture.endpoints.iter();
+    let views = snapshot.endpoints.iter();
     let usable: HashMap<&EndpointName, &EndpointView> = views
         .filter(|view| view.alive && !view.leaving)
         .map(|view| (&view.endpoint, view))
         .collect();
-    let mut former: HashMap<EndpointName, EndpointPlan> = plan
+    let mut previous_rows: HashMap<EndpointName, EndpointPlan> = plan
         .endpoints
         .iter()
         .filter_map(|row| {
             let view = usable.get(&row.endpoint)?;
-            let former = former_row(view, previous);
-            let is_whole = former
+            let row_before = previous_row(view, previous);
+            let is_valid = row_before
                 .weights
                 .iter()
-                .all(|key| is_wanted(&picture.config, key));
-            let drops = former.weights.iter().any(|key| !row.weights.contains(key));
-            (is_whole && drops).then(|| (row.endpoint.clone(), former))
+                .all(|key| is_wanted(&snapshot.config, key));
+            let drops = row_before
+                .weights
+                .iter()
+                .any(|key| !row.weights.contains(key));
+            (is_valid && drops).then(|| (row.endpoint.clone(), row_before))
         })
         .collect();
-    while let_lost_through(plan, &usable, &mut former) {}
+    while drop_needed_rows(plan, &usable, &mut previous_rows) {}
     for row in &mut plan.endpoints {
-        if let Some(former) = former.remove(&row.endpoint) {
-            *row = former;
+        if let Some(row_before) = previous_rows.remove(&row.endpoint) {
+            *row = row_before;
         }
     }
 }
 
 /// Drops the previous rows of endpoints that are planned to hold weights which would be ready
 /// nowhere else. Returns whether there were any.
-fn let_lost_through(
+fn drop_needed_rows(
     plan: &PlacementPlan,
     usable: &HashMap<&EndpointName, &EndpointView>,
-    former: &mut HashMap<EndpointName, EndpointPlan>,
+    previous_rows: &mut HashMap<EndpointName, EndpointPlan>,
 ) -> bool {
     let rows = || {
         let rows = plan.endpoints.iter();
         rows.filter(|row| usable.contains_key(&row.endpoint))
     };
     let kept: HashSet<&WeightsKey> = rows()
-        .map(|row| former.get(&row.endpoint).unwrap_or(row))
+        .map(|row| previous_rows.get(&row.endpoint).unwrap_or(row))
         .flat_map(|row| &row.weights)
         .collect();
     let lost: HashSet<&WeightsKey> = rows()
@@ -72,18 +75,18 @@
         .filter(|key| !kept.contains(key))
         .collect();
     let needed: Vec<EndpointName> = rows()
-        .filter(|row| former.contains_key(&row.endpoint))
+        .filter(|row| previous_rows.contains_key(&row.endpoint))
         .filter(|row| row.weights.iter().any(|key| lost.contains(key)))
         .map(|row| row.endpoint.clone())
         .collect();
     for endpoint in &needed {
-        former.remove(endpoint);
+        previous_rows.remove(endpoint);
     }
     !needed.is_empty()
 }
 
 /// Returns the endpoint's row of the previous plan, or its ready weights if it has none.
-fn former_row(view: &EndpointView, previous: Option<&PlacementPlan>) -> EndpointPlan {
+fn previous_row(view: &EndpointView, previous: Option<&PlacementPlan>) -> EndpointPlan {
     let rows = previous.iter().flat_map(|plan| &plan.endpoints);
     let mut rows = rows.filter(|row| row.endpoint == view.endpoint);
     rows.next().cloned().unwrap_or_else(|| {
--- a/crates/oatpier-entry/src/planner/mod.rs
+++ b/crates/oatpier-entry/src/planner/mod.rs
@@ -4,11 +4,11 @@
 //! availability zone is a group. The plan of each availability zone is a separate value, updated by
 //! compare-and-swap under the lease's term. Agents read the plan of their availability zone.
 
-mod board;
-mod follow;
+mod cache;
 mod hold;
-mod picture;
-mod writing;
+mod snapshot;
+mod table;
+mod watcher;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,32 +34,32 @@
 use tokio::sync::watch;
 
 use crate::links::EntryLinks;
-use crate::messages::DemandWord;
-use crate::store::StoreGate;
+use crate::messages::DemandReport;
+use crate::store::StoreClient;
 use oatpier_duty::duty::{RingReceiver, RuntimeClock, StopPhase, StopSignal};
-use writing::{PlanBook, PlanRead, PlanWrite};
+use table::{PlanTable, ReadResult, WriteResult};
 
-pub use board::{PlanShelf, PlannerBoard};
+pub use cache::{PlanCache, PlanMap};
 pub use hold::hold_replicas;
 pub use oatpier_placement::planner::EndpointView;
-pub use picture::{FleetPicture, PlanGroup};
+pub use snapshot::{FleetSnapshot, PlanGroup};
 
 /// Interval between plans.
-const PLAN_PERIOD: Duration = Duration::from_secs(2);
+const PLAN_INTERVAL: Duration = Duration::from_secs(2);
 /// Interval at which an entry sends its demand to the planner candidates.
-const DEMAND_PERIOD: Duration = Duration::from_secs(5);
+const DEMAND_INTERVAL: Duration = Duration::from_secs(5);
 /// How long a new planner drops no replicas: the long window of demand.
-const HOLD_REPLICAS: Duration = Duration::from_mins(1);
+const REPLICA_HOLD_TIME: Duration = Duration::from_mins(1);
 
 /// Updates for the planner duty.
 #[derive(Debug)]
-pub enum PlannerNews {
+pub enum PlannerUpdate {
     /// Current state of the fleet.
-    Fleet(Box<FleetPicture>),
+    Fleet(Box<FleetSnapshot>),
     /// The demand of this entry's callers.
-    Own(DemandSummary),
+    OwnDemand(DemandSummary),
     /// The demand of another entry's callers.
-    Demand(DemandWord),
+    PeerDemand(DemandReport),
 }
 
 /// Inputs of the planner duty.
@@ -69,13 +69,13 @@
     /// Boot ID of this process.
     pub boot: BootId,
     /// Access to the store.
-    pub gate: Arc<StoreGate>,
+    pub client: Arc<StoreClient>,
     /// Client for calls to other entries.
     pub links: Arc<dyn EntryLinks>,
     /// Planner state that other duties can read.
-    pub board: Arc<PlannerBoard>,
+    pub cache: Arc<PlanCache>,
     /// Updates of fleet state and demand.
-    pub news: RingReceiver<PlannerNews>,
+    pub updates: RingReceiver<PlannerUpdate>,
     /// Clock of the runtime.
     pub clock: RuntimeClock,
     /// Source of all random choices.
@@ -85,11 +85,11 @@
 }
 
 /// Result of a call.
-enum PlannerEnd {
+enum PlannerResult {
     Lease(String, LeaseEvent),
-    Read(ZoneName, PlanRead),
-    Written(ZoneName, PlanWrite),
-    Told,
+    Read(ZoneName, ReadResult),
+    Written(ZoneName, WriteResult),
+    DemandSent,
 }
 
 /// Computes plans while the lease is held, until the process ends.
@@ -98,44 +98,44 @@
     let PlannerInputs {
         own,
         boot,
-        gate,
+        client,
         links,
-        board,
-        news,
+        cache,
+        updates,
         clock,
         generator,
         ..
     } = inputs;
     let (groups, group) = watch::channel(None);
-    let (plan_gate, plan_board) = (Arc::clone(&gate), Arc::clone(&board));
+    let (plan_client, plan_cache) = (Arc::clone(&client), Arc::clone(&cache));
     let mut duty = PlannerDuty {
         groups,
         own,
         boot,
-        gate,
+        client,
         links,
-        board,
+        cache,
         clock,
         generator,
         lease: None,
         planner: PlacementPlanner::new(PlannerSettings::default()),
-        picture: None,
+        snapshot: None,
         demand: DemandBook::new(),
-        book: PlanBook::default(),
+        table: PlanTable::default(),
         next_plan: clock.now(),
-        next_word: clock.now(),
-        released: false,
-        gained: ClockTime::ZERO,
+        next_demand_report: clock.now(),
+        is_released: false,
+        gained_at: ClockTime::ZERO,
         calls: FuturesUnordered::new(),
     };
     tokio::select! {
-        () = duty.run(&news, &stop) => {}
-        () = follow::follow_plans(&plan_gate, &plan_board, group) => {}
+        () = duty.run(&updates, &stop) => {}
+        () = watcher::watch_plans(&plan_client, &plan_cache, group) => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
 }
 
-struct HeldKeeper {
+struct GroupLease {
     key: String,
     keeper: LeaseKeeper,
 }
@@ -144,38 +144,38 @@
     groups: watch::Sender<Option<PlanGroup>>,
     own: DaemonName,
     boot: BootId,
-    gate: Arc<StoreGate>,
+    client: Arc<StoreClient>,
     links: Arc<dyn EntryLinks>,
-    board: Arc<PlannerBoard>,
+    cache: Arc<PlanCache>,
     clock: RuntimeClock,
     generator: ChaCha8Rng,
-    lease: Option<HeldKeeper>,
+    lease: Option<GroupLease>,
     planner: PlacementPlanner,
-    picture: Option<FleetPicture>,
+    snapshot: Option<FleetSnapshot>,
     demand: DemandBook,
-    book: PlanBook,
+    table: PlanTable,
     next_plan: ClockTime,
-    next_word: ClockTime,
-    released: bool,
-    gained: ClockTime,
-    calls: FuturesUnordered<BoxFuture<'static, PlannerEnd>>,
+    next_demand_report: ClockTime,
+    is_released: bool,
+    gained_at: ClockTime,
+    calls: FuturesUnordered<BoxFuture<'static, PlannerResult>>,
 }
 
 impl PlannerDuty {
-    async fn run(&mut self, news: &RingReceiver<PlannerNews>, stop: &StopSignal) {
+    async fn run(&mut self, updates: &RingReceiver<PlannerUpdate>, stop: &StopSignal) {
         loop {
             let wake = self.clock.instant(self.next_wake());
-            let released = self.released;
+            let is_released = self.is_released;
             tokio::select! {
-                news = news.receive() => match news {
-                    Some(news) => self.take(news),
+                update = updates.receive() => match update {
+                    Some(update) => self.apply_update(update),
                     None => return,
                 },
-                Some(end) = self.calls.next() => self.end(end),
-                () = tokio::time::sleep_until(wake) => self.lease_event(LeaseEvent::Tick),
-                () = stop.reached(StopPhase::Draining), if !released => {
-                    self.released = true;
-                    self.lease_event(LeaseEvent::Release);
+                Some(end) = self.calls.next() => self.handle_result(end),
+                () = tokio::time::sleep_until(wake) => self.handle_lease_event(LeaseEvent::Tick),
+                () = stop.reached(StopPhase::Draining), if !is_released => {
+                    self.is_released = true;
+                    self.handle_lease_event(LeaseEvent::Release);
                 }
             }
             self.plan_if_due();
@@ -188,58 +188,63 @@
         lease.min(self.next_plan.max(self.clock.now()))
     }
 
-    fn take(&mut self, news: PlannerNews) {
+    fn apply_update(&mut self, update: PlannerUpdate) {
         let now = self.clock.now();
-        match news {
-            PlannerNews::Fleet(picture) => self.take_picture(*picture),
-            PlannerNews::Own(summary) => {
-                self.tell_demand(&summary, now);
+        match update {
+            PlannerUpdate::Fleet(snapshot) => self.apply_snapshot(*snapshot),
+            PlannerUpdate::OwnDemand(summary) => {
+                self.send_demand(&summary, now);
                 self.demand.absorb(self.own.clone(), summary, now);
             }
-            PlannerNews::Demand(word) => self.demand.absorb(word.entry, word.summary, now),
+            PlannerUpdate::PeerDemand(word) => self.demand.absorb(word.entry, word.summary, now),
         }
     }
 
-    fn take_picture(&mut self, picture: FleetPicture) {
-        let key = picture.group.lease_key();
+    fn apply_snapshot(&mut self, snapshot: FleetSnapshot) {
+        let key = snapshot.group.lease_key();
         if self.lease.as_ref().is_none_or(|lease| lease.key != key) {
             let generator = ChaCha8Rng::from_rng(&mut self.generator);
             let now = self.clock.now();
             let keeper = LeaseKeeper::new(self.own.clone(), self.boot, generator, now);
-            self.lease = Some(HeldKeeper { key, keeper });
-            self.book = PlanBook::default();
+            self.lease = Some(GroupLease { key, keeper });
+            self.table = PlanTable::default();
         }
-        let is_candidate = is_candidate(&picture, &self.own);
+        let is_candidate = is_candidate(&snapshot, &self.own);
         self.groups.send_if_modified(|group| {
-            let changed = group.as_ref() != Some(&picture.group);
-            *group = Some(picture.group.clone());
+            let changed = group.as_ref() != Some(&snapshot.group);
+            *group = Some(snapshot.group.clone());
             changed
         });
-        self.picture = Some(picture);
-        self.lease_event(LeaseEvent::Candidate(is_candidate));
+        self.snapshot = Some(snapshot);
+        self.handle_lease_event(LeaseEvent::Candidate(is_candidate));
     }
 
     /// Sends the demand of this entry's callers to the planner candidates.
-    fn tell_demand(&mut self, summary: &DemandSummary, now: ClockTime) {
-        let Some(picture) = self.picture.as_ref().filter(|_| now >= self.next_word) else {
+    fn send_demand(&mut self, summary: &DemandSummary, now: ClockTime) {
+        let Some(snapshot) = self
+            .snapshot
+            .as_ref()
+            .filter(|_| now >= self.next_demand_report)
+        else {
             return;
         };
-        self.next_word = now + DEMAND_PERIOD;
-        for entry in candidates(picture) {
+        self.next_demand_report = now + DEMAND_INTERVAL;
+        for entry in candidates(snapshot) {
             if entry.daemon == self.own {
                 continue;
             }
-            let word = DemandWord {
+            let word = DemandReport {
                 entry: self.own.clone(),
                 summary: summary.clone(),
             };
             // A lost message is harmless: the next one carries the complete demand.
-            let telling = self.links.tell_demand(entry.address, word);
-            self.calls.push(telling.map(|_| PlannerEnd::Told).boxed());
+            let sending = self.links.send_demand(entry.address, word);
+            self.calls
+                .push(sending.map(|_| PlannerResult::DemandSent).boxed());
         }
     }
 
-    fn lease_event(&mut self, event: LeaseEvent) {
+    fn handle_lease_event(&mut self, event: LeaseEvent) {
         let now = self.clock.now();
         let Some(lease) = self.lease.as_mut() else {
             return;
@@ -248,43 +253,43 @@
         for action in lease.keeper.handle(event, now) {
             match action {
                 LeaseAction::Read => {
-                    let call = read_lease(Arc::clone(&self.gate), key.clone());
+                    let call = read_lease(Arc::clone(&self.client), key.clone());
                     self.calls.push(call.boxed());
                 }
                 LeaseAction::Write { lease, expected } => {
-                    let call = write_lease(Arc::clone(&self.gate), key.clone(), lease, expected);
+                    let call = write_lease(Arc::clone(&self.client), key.clone(), lease, expected);
                     self.calls.push(call.boxed());
                 }
                 LeaseAction::Gained(term) => {
                     spdlog::info!("this entry is now the planner", kv: { term: = term.0 });
-                    self.book = PlanBook::default();
+                    self.table = PlanTable::default();
                     self.next_plan = now;
-                    self.gained = now;
+                    self.gained_at = now;
                 }
                 LeaseAction::Lost(term) => {
                     spdlog::info!("this entry is no longer the planner", kv: { term: = term.0 });
-                    self.book = PlanBook::default();
-                    self.board.lost();
+                    self.table = PlanTable::default();
+                    self.cache.clear_write();
                 }
             }
         }
     }
 
-    fn end(&mut self, end: PlannerEnd) {
+    fn handle_result(&mut self, end: PlannerResult) {
         match end {
-            PlannerEnd::Lease(key, event) => {
+            PlannerResult::Lease(key, event) => {
                 // The result of a call for a previous group's lease does not apply to this lease.
                 if self.lease.as_ref().is_some_and(|lease| lease.key == key) {
-                    self.lease_event(event);
+                    self.handle_lease_event(event);
                 }
             }
-            PlannerEnd::Read(zone, read) => self.book.take_read(&zone, read),
-            PlannerEnd::Written(zone, write) => {
-                if self.book.take_write(&zone, write) {
-                    self.board.planned(self.clock.now());
+            PlannerResult::Read(zone, read) => self.table.apply_read(&zone, read),
+            PlannerResult::Written(zone, write) => {
+                if self.table.apply_write(&zone, write) {
+                    self.cache.record_write(self.clock.now());
                 }
             }
-            PlannerEnd::Told => {}
+            PlannerResult::DemandSent => {}
         }
     }
 
@@ -300,40 +305,40 @@
         if now < self.next_plan {
             return;
         }
-        self.next_plan = now + PLAN_PERIOD;
+        self.next_plan = now + PLAN_INTERVAL;
         let Some(term) = self.term() else {
             return;
         };
-        let Some(picture) = self.picture.take() else {
+        let Some(snapshot) = self.snapshot.take() else {
             return;
         };
-        let zones = picture.zones();
-        for zone in self.book.take_unread(&zones) {
-            let call = writing::read_plan(Arc::clone(&self.gate), zone);
+        let zones = snapshot.zones();
+        for zone in self.table.take_unread(&zones) {
+            let call = table::read_plan(Arc::clone(&self.client), zone);
             self.calls.push(call.boxed());
         }
-        if self.book.is_known(&zones) {
-            self.plan(&picture, term, now);
+        if self.table.is_known(&zones) {
+            self.plan(&snapshot, term, now);
         }
-        self.picture = Some(picture);
+        self.snapshot = Some(snapshot);
     }
 
-    fn plan(&mut self, picture: &FleetPicture, term: Term, now: ClockTime) {
+    fn plan(&mut self, snapshot: &FleetSnapshot, term: Term, now: ClockTime) {
         let demand = self.demand.total(now);
-        let previous = self.book.whole();
+        let previous = self.table.merged_plan();
         let mut outcome = self.planner.plan(
             &PlannerInput {
-                config: &picture.config,
-                generation: picture.generation,
+                config: &snapshot.config,
+                generation: snapshot.generation,
                 term,
                 demand: &demand,
-                endpoints: &picture.endpoints,
+                endpoints: &snapshot.endpoints,
                 previous: previous.as_ref(),
             },
             now,
         );
-        if now.since(self.gained) < HOLD_REPLICAS {
-            hold_replicas(&mut outcome.plan, picture, previous.as_ref());
+        if now.since(self.gained_at) < REPLICA_HOLD_TIME {
+            hold_replicas(&mut outcome.plan, snapshot, previous.as_ref());
         }
         for note in &outcome.notes {
             spdlog::warn!("placement plan: {note:?}");
@@ -343,21 +348,21 @@
         if self.term() != Some(term) {
             return;
         }
-        for order in self.book.writes(&outcome.plan, picture, term) {
-            let call = writing::write_plan(Arc::clone(&self.gate), order);
+        for write in self.table.pending_writes(&outcome.plan, snapshot, term) {
+            let call = table::write_plan(Arc::clone(&self.client), write);
             self.calls.push(call.boxed());
         }
     }
 }
 
 /// Returns the few entries that compete for the lease and receive demand reports.
-fn candidates(picture: &FleetPicture) -> smallvec::SmallVec<[&EntryContact; 4]> {
-    let key = picture.group.lease_key();
-    rendezvous::choose(&key, &picture.entries, LEASE_CANDIDATES, contact_name)
+fn candidates(snapshot: &FleetSnapshot) -> smallvec::SmallVec<[&EntryContact; 4]> {
+    let key = snapshot.group.lease_key();
+    rendezvous::choose(&key, &snapshot.entries, LEASE_CANDIDATES, contact_name)
 }
 
-fn is_candidate(picture: &FleetPicture, own: &DaemonName) -> bool {
-    let mut candidates = candidates(picture).into_iter();
+fn is_candidate(snapshot: &FleetSnapshot, own: &DaemonName) -> bool {
+    let mut candidates = candidates(snapshot).into_iter();
     candidates.any(|entry| entry.daemon == *own)
 }
 
@@ -365,8 +370,8 @@
     contact.daemon.as_str()
 }
 
-async fn read_lease(gate: Arc<StoreGate>, key: String) -> PlannerEnd {
-    let read = gate.get(CallKind::PlannerLease, &key).await;
+async fn read_lease(client: Arc<StoreClient>, key: String) -> PlannerResult {
+    let read = client.get(CallKind::PlannerLease, &key).await;
     let read = match read {
         Ok(None) => Ok(None),
         Ok(Some(stored)) => match serde_json::from_slice(&stored.value) {
@@ -378,24 +383,24 @@
         },
         Err(_) => Err(()),
     };
-    PlannerEnd::Lease(key, LeaseEvent::Read(read))
+    PlannerResult::Lease(key, LeaseEvent::Read(read))
 }
 
 async fn write_lease(
-    gate: Arc<StoreGate>,
+    client: Arc<StoreClient>,
     key: String,
     lease: PlannerLease,
     expected: Option<Revision>,
-) -> PlannerEnd {
+) -> PlannerResult {
     let value = serde_json::to_vec(&lease).expect("a lease serializes to JSON");
     let expected = expected.map_or(ExpectedValue::Absent, ExpectedValue::At);
     let kind = CallKind::PlannerLease;
-    let written = gate.put(kind, &key, Bytes::from(value), expected).await;
+    let written = client.put(kind, &key, Bytes::from(value), expected).await;
     let wrote = match written {
         Ok(revision) => LeaseWrite::Written(revision),
         Err(StoreError::Conflict { .. }) => LeaseWrite::Conflict,
         Err(StoreError::AnswerLost { .. }) => LeaseWrite::AnswerLost,
         Err(_) => LeaseWrite::Failed,
     };
-    PlannerEnd::Lease(key, LeaseEvent::Wrote(wrote))
+    PlannerResult::Lease(key, LeaseEvent::Wrote(wrote))
 }
--- a/crates/oatpier-entry/src/planner/picture.rs
+++ b/crates/oatpier-entry/src/planner/snapshot.rs
@@ -10,7 +10,7 @@
 use oatpier_types::names::ZoneName;
 
 /// Key of the planner lease if one planner serves the whole fleet.
-const FLEET_LEASE: &str = "lease/planner";
+const FLEET_LEASE_KEY: &str = "lease/planner";
 
 /// Scope of one planner.
 ///
@@ -39,7 +39,7 @@
     #[must_use]
     pub fn lease_key(&self) -> String {
         match self {
-            Self::Fleet => FLEET_LEASE.to_owned(),
+            Self::Fleet => FLEET_LEASE_KEY.to_owned(),
             Self::Zone(zone) => lease_key(zone),
         }
     }
@@ -47,7 +47,7 @@
 
 /// Snapshot of the fleet as seen by one entry.
 #[derive(Debug, Clone)]
-pub struct FleetPicture {
+pub struct FleetSnapshot {
     /// Generation of the configuration.
     pub generation: Generation,
     /// The active configuration.
@@ -60,7 +60,7 @@
     pub endpoints: Vec<EndpointView>,
 }
 
-impl FleetPicture {
+impl FleetSnapshot {
     /// Returns the availability zones of the group's endpoints, sorted.
     #[must_use]
     pub fn zones(&self) -> Vec<ZoneName> {
--- a/crates/oatpier-entry/src/planner/writing.rs
+++ b/crates/oatpier-entry/src/planner/table.rs
@@ -12,9 +12,9 @@
 use oatpier_types::names::{EndpointName, ZoneName};
 use oatpier_types::plan::{EndpointPlan, PlacementPlan};
 
-use super::PlannerEnd;
-use super::picture::FleetPicture;
-use crate::store::StoreGate;
+use super::PlannerResult;
+use super::snapshot::FleetSnapshot;
+use crate::store::StoreClient;
 
 /// Content of a plan's key in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,13 +24,13 @@
 }
 
 /// Result of a read; `None` if the store did not answer.
-pub(super) type PlanRead = Option<StoredPlan>;
+pub(super) type ReadResult = Option<StoredPlan>;
 
 /// Result of a write: the current content of the key, or `None` if it is unknown.
-pub(super) type PlanWrite = Option<StoredPlan>;
+pub(super) type WriteResult = Option<StoredPlan>;
 
 /// A pending plan write.
-pub(super) struct PlanOrder {
+pub(super) struct PendingWrite {
     zone: ZoneName,
     plan: PlacementPlan,
     expected: Option<Revision>,
@@ -52,11 +52,11 @@
 /// A plan is derived only from values read under the current lease and replaces exactly those
 /// revisions. A late write of a previous planner, or of this one, finds another revision and fails.
 #[derive(Debug, Default)]
-pub(super) struct PlanBook {
+pub(super) struct PlanTable {
     slots: HashMap<ZoneName, PlanSlot>,
 }
 
-impl PlanBook {
+impl PlanTable {
     /// Returns the availability zones whose plan has to be read. Each is returned once.
     pub(super) fn take_unread(&mut self, zones: &[ZoneName]) -> Vec<ZoneName> {
         let mut unread = Vec::new();
@@ -77,57 +77,57 @@
             .all(|zone| matches!(self.slots.get(zone), Some(PlanSlot::Known(_))))
     }
 
-    pub(super) fn take_read(&mut self, zone: &ZoneName, read: PlanRead) {
-        self.settle(zone, read);
+    pub(super) fn apply_read(&mut self, zone: &ZoneName, read: ReadResult) {
+        self.set_slot(zone, read);
     }
 
     /// Applies the result of a write; returns whether the plan is stored.
-    pub(super) fn take_write(&mut self, zone: &ZoneName, write: PlanWrite) -> bool {
+    pub(super) fn apply_write(&mut self, zone: &ZoneName, write: WriteResult) -> bool {
         let is_written = write.is_some();
-        self.settle(zone, write);
+        self.set_slot(zone, write);
         is_written
     }
 
-    fn settle(&mut self, zone: &ZoneName, found: Option<StoredPlan>) {
+    fn set_slot(&mut self, zone: &ZoneName, found: Option<StoredPlan>) {
         let slot = found.map_or(PlanSlot::Unknown, PlanSlot::Known);
-        // A plan book that was reset in the meantime starts its own read.
+        // A plan table that was reset in the meantime starts its own read.
         if let Some(known) = self.slots.get_mut(zone) {
             *known = slot;
         }
     }
 
-    /// Returns the merged plan of the whole group.
-    pub(super) fn whole(&self) -> Option<PlacementPlan> {
+    /// Returns the merged plan of the merged group.
+    pub(super) fn merged_plan(&self) -> Option<PlacementPlan> {
         let plans = self.slots.values().filter_map(|slot| match slot {
             PlanSlot::Known(stored) => stored.plan.as_ref(),
             PlanSlot::Unknown | PlanSlot::Busy => None,
         });
-        let mut whole: Option<PlacementPlan> = None;
+        let mut merged: Option<PlacementPlan> = None;
         for plan in plans {
-            let sum = whole.get_or_insert_default();
+            let sum = merged.get_or_insert_default();
             sum.term = sum.term.max(plan.term);
             sum.sequence = sum.sequence.max(plan.sequence);
             sum.generation = sum.generation.max(plan.generation);
             sum.endpoints.extend(plan.endpoints.iter().cloned());
         }
-        if let Some(whole) = &mut whole {
-            whole
+        if let Some(merged) = &mut merged {
+            merged
                 .endpoints
                 .sort_by(|left, right| left.endpoint.cmp(&right.endpoint));
         }
-        whole
+        merged
     }
 
     /// Returns the writes that store a plan. Unchanged plans are not written again, except under a
     /// new term: the first write under it fences off the previous planner.
-    pub(super) fn writes(
+    pub(super) fn pending_writes(
         &mut self,
         plan: &PlacementPlan,
-        picture: &FleetPicture,
+        snapshot: &FleetSnapshot,
         term: Term,
-    ) -> Vec<PlanOrder> {
-        let mut rows = rows_by_zone(plan, picture);
-        let mut orders = Vec::new();
+    ) -> Vec<PendingWrite> {
+        let mut rows = rows_by_zone(plan, snapshot);
+        let mut writes = Vec::new();
         for (zone, slot) in &mut self.slots {
             let PlanSlot::Known(stored) = slot else {
                 continue;
@@ -136,22 +136,22 @@
             let Some(next) = next_plan(stored, endpoints, plan, term) else {
                 continue;
             };
-            orders.push(PlanOrder {
+            writes.push(PendingWrite {
                 zone: zone.clone(),
                 plan: next,
                 expected: stored.revision,
             });
             *slot = PlanSlot::Busy;
         }
-        orders
+        writes
     }
 }
 
 fn rows_by_zone(
     plan: &PlacementPlan,
-    picture: &FleetPicture,
+    snapshot: &FleetSnapshot,
 ) -> HashMap<ZoneName, Vec<EndpointPlan>> {
-    let views = picture.endpoints.iter();
+    let views = snapshot.endpoints.iter();
     let zones: HashMap<&EndpointName, &ZoneName> =
         views.map(|view| (&view.endpoint, &view.zone)).collect();
     let mut rows: HashMap<ZoneName, Vec<EndpointPlan>> = HashMap::new();
@@ -184,8 +184,8 @@
     })
 }
 
-pub(super) async fn read_plan(gate: Arc<StoreGate>, zone: ZoneName) -> PlannerEnd {
-    let read = gate.get(CallKind::PlannerLease, &plan_key(&zone)).await;
+pub(super) async fn read_plan(client: Arc<StoreClient>, zone: ZoneName) -> PlannerResult {
+    let read = client.get(CallKind::PlannerLease, &plan_key(&zone)).await;
     let found = match read {
         Ok(None) => Some(StoredPlan {
             revision: None,
@@ -198,19 +198,19 @@
         }),
         Err(_) => None,
     };
-    PlannerEnd::Read(zone, found)
+    PlannerResult::Read(zone, found)
 }
 
-pub(super) async fn write_plan(gate: Arc<StoreGate>, order: PlanOrder) -> PlannerEnd {
-    let PlanOrder {
+pub(super) async fn write_plan(client: Arc<StoreClient>, write: PendingWrite) -> PlannerResult {
+    let PendingWrite {
         zone,
         plan,
         expected,
-    } = order;
+    } = write;
     let value: Bytes = encode_plan(&plan).expect("a plan serializes to JSON");
     let expected = expected.map_or(ExpectedValue::Absent, ExpectedValue::At);
     let key = plan_key(&zone);
-    let written = gate
+    let written = client
         .put(CallKind::PlannerLease, &key, value, expected)
         .await;
     // After a conflict or a lost answer, the plan is read again before the next one is computed.
@@ -226,5 +226,5 @@
             None
         }
     };
-    PlannerEnd::Written(zone, found)
+    PlannerResult::Written(zone, found)
 }
--- a/crates/oatpier-entry/src/planner/follow.rs
+++ b/crates/oatpier-entry/src/planner/watcher.rs
@@ -9,21 +9,21 @@
 use oatpier_types::names::ZoneName;
 use tokio::sync::watch;
 
-use super::board::PlannerBoard;
-use super::picture::PlanGroup;
-use crate::store::StoreGate;
+use super::cache::PlanCache;
+use super::snapshot::PlanGroup;
+use crate::store::StoreClient;
 
 /// Duration of one watch call: each entry makes one call in this time and receives data only after
 /// a change.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// Delay after a failed call.
-const RETRY_WAIT: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Watches the plans of the group until the future is dropped. While the store is unavailable, the
 /// last known plans stay in use.
-pub(super) async fn follow_plans(
-    gate: &StoreGate,
-    board: &PlannerBoard,
+pub(super) async fn watch_plans(
+    client: &StoreClient,
+    cache: &PlanCache,
     mut groups: watch::Receiver<Option<PlanGroup>>,
 ) {
     let mut seen = Revision(0);
@@ -37,15 +37,15 @@
         };
         let prefix = prefix_of(&group);
         let kind = CallKind::PlanRead;
-        let watched = gate.watch(kind, &prefix, seen, WATCH_WAIT).await;
+        let watched = client.watch(kind, &prefix, seen, WATCH_TIMEOUT).await;
         match watched {
             Ok(changes) => {
                 for change in changes {
                     seen = seen.max(change.revision);
-                    show(board, &group, change);
+                    apply_change(cache, &group, change);
                 }
             }
-            Err(_) => tokio::time::sleep(RETRY_WAIT).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
@@ -57,7 +57,7 @@
     }
 }
 
-fn show(board: &PlannerBoard, group: &PlanGroup, change: KeyChange) {
+fn apply_change(cache: &PlanCache, group: &PlanGroup, change: KeyChange) {
     let name = change.key.strip_prefix(PLAN_PREFIX);
     let zone = name.and_then(|name| ZoneName::try_from(name).ok());
     let (Some(zone), Some(value)) = (zone, change.value) else {
@@ -68,7 +68,7 @@
         return;
     }
     match decode_plan(&value) {
-        Ok(plan) => board.show(zone, plan),
+        Ok(plan) => cache.update(zone, plan),
         Err(error) => spdlog::error!("the plan of {zone} can't be decoded: {error}"),
     }
 }
--- a/crates/oatpier-entry/src/decisions.rs
+++ b/crates/oatpier-entry/src/policy.rs
@@ -10,10 +10,10 @@
 use oatpier_types::operator::AttainmentRow;
 use oatpier_types::status::{EndpointStatus, QueueReport};
 
-use crate::news::CallersStanding;
+use crate::updates::CallersStatus;
 
 /// All decisions of an entry about requests; see [`EntryPolicy`].
-pub trait EntryDecisions: Send {
+pub trait RequestPolicy: Send {
     /// Applies a configuration.
     fn apply_config(&mut self, config: &FleetConfig);
     /// Applies the full status of an endpoint.
@@ -39,10 +39,10 @@
     /// Returns the number of requests without a final answer.
     fn in_flight(&self) -> usize;
     /// Returns the overall status of the requests, for operators.
-    fn standing(&self, config: &FleetConfig, now: ClockTime) -> CallersStanding;
+    fn callers_status(&self, config: &FleetConfig, now: ClockTime) -> CallersStatus;
 }
 
-impl EntryDecisions for EntryPolicy {
+impl RequestPolicy for EntryPolicy {
     fn apply_config(&mut self, config: &FleetConfig) {
         Self::apply_config(self, config);
     }
@@ -91,7 +91,7 @@
         Self::in_flight(self)
     }
 
-    fn standing(&self, config: &FleetConfig, now: ClockTime) -> CallersStanding {
+    fn callers_status(&self, config: &FleetConfig, now: ClockTime) -> CallersStatus {
         let attainment = config.classes.iter().map(|(name, spec)| {
             let class = self.class_index(name);
             let share = class.and_then(|class| self.attainment().share_ppm(class, now));
@@ -103,7 +103,7 @@
             }
         });
         let ejected = self.health().ejected().iter();
-        CallersStanding {
+        CallersStatus {
             attainment: attainment.collect(),
             ejected: ejected
                 .map(|endpoint| self.table().row(*endpoint).name.clone())
--- a/crates/oatpier-entry/src/run.rs
+++ b/crates/oatpier-entry/src/run.rs
@@ -21,8 +21,8 @@
 use tokio::task::JoinSet;
 
 use self::claiming::short_key;
-use self::late::LateWords;
-use self::report::end_of;
+use self::late::LateCancels;
+use self::report::describe_end;
 use crate::attempt::{AttemptRun, AttemptSignal, SignalSender, cancel};
 use crate::core::{AgentContact, EntryCore};
 use crate::errors::{CallerError, RequestIdentity};
@@ -32,7 +32,7 @@
 use oatpier_duty::observe::trace::{HopSpan, TRACEPARENT};
 
 /// Capacity of the channel from a request's attempts to its task.
-const WAITING_SIGNALS: usize = 8;
+const SIGNAL_CAPACITY: usize = 8;
 
 /// A request in progress.
 pub struct RequestRun {
@@ -46,13 +46,13 @@
     /// Head of the answer, held until the first piece is relayed.
     head: Option<AnswerHead>,
     signals: SignalSender,
-    received: mpsc::Receiver<AttemptSignal>,
-    events: mpsc::UnboundedSender<EntryEvent>,
-    own_events: mpsc::UnboundedReceiver<EntryEvent>,
+    signal_receiver: mpsc::Receiver<AttemptSignal>,
+    event_sender: mpsc::UnboundedSender<EntryEvent>,
+    event_receiver: mpsc::UnboundedReceiver<EntryEvent>,
     attempts: JoinSet<()>,
     sent: smallvec::SmallVec<[SentAttempt; 2]>,
     steps: StepLog,
-    caller_gone: bool,
+    is_caller_gone: bool,
 }
 
 /// An attempt that was sent, with the contact whose ticket it carries.
@@ -80,8 +80,8 @@
         sink: CallerSink,
         span: HopSpan,
     ) -> Self {
-        let (signals, received) = mpsc::channel(WAITING_SIGNALS);
-        let (events, own_events) = mpsc::unbounded_channel();
+        let (signals, signal_receiver) = mpsc::channel(SIGNAL_CAPACITY);
+        let (event_sender, event_receiver) = mpsc::unbounded_channel();
         let started = core.clock.now();
         Self {
             core,
@@ -93,13 +93,13 @@
             started,
             head: None,
             signals,
-            received,
-            events,
-            own_events,
+            signal_receiver,
+            event_sender,
+            event_receiver,
             attempts: JoinSet::new(),
             sent: smallvec::SmallVec::new(),
             steps: StepLog::new(started),
-            caller_gone: false,
+            is_caller_gone: false,
         }
     }
 
@@ -109,18 +109,18 @@
         self.core.metrics.in_flight.inc();
         let (timers, mut fired) = mpsc::unbounded_channel();
         let actions = {
-            let choose = self.hop("entry.choose");
+            let choose = self.start_span("entry.choose");
             let actions = self.core.start(self.intake(), timers);
             choose.set_attribute("actions", i64::try_from(actions.len()).unwrap_or(i64::MAX));
             actions
         };
-        let mut answer = self.act(actions, &Bytes::new());
+        let mut answer = self.execute(actions, &Bytes::new());
         let answer = loop {
             if let Some(answer) = answer {
                 break answer;
             }
             let wake = self.wake(&mut fired).await;
-            answer = self.step(wake);
+            answer = self.handle_wake(wake);
         };
         if let Some(late) = self.finish(&answer).await {
             late.run().await;
@@ -145,28 +145,28 @@
     /// reading.
     async fn wake(&mut self, fired: &mut mpsc::UnboundedReceiver<EntryActions>) -> WakeCause {
         let blocked = self.sink.is_blocked();
-        let caller_gone = self.caller_gone;
+        let is_caller_gone = self.is_caller_gone;
         tokio::select! {
             biased;
-            change = self.sink.changed(), if !caller_gone => {
-                self.caller_gone = change == SinkChange::Gone;
+            change = self.sink.changed(), if !is_caller_gone => {
+                self.is_caller_gone = change == SinkChange::Gone;
                 WakeCause::Event(match change {
                     SinkChange::Ready => EntryEvent::CallerReady,
                     SinkChange::Gone => EntryEvent::CallerGone,
                 })
             }
             Some(actions) = fired.recv() => WakeCause::Timer(actions),
-            Some(event) = self.own_events.recv() => WakeCause::Event(event),
-            Some(signal) = self.received.recv(), if !blocked => WakeCause::Signal(signal),
+            Some(event) = self.event_receiver.recv() => WakeCause::Event(event),
+            Some(signal) = self.signal_receiver.recv(), if !blocked => WakeCause::Signal(signal),
         }
     }
 
-    fn step(&mut self, wake: WakeCause) -> Option<FinalAnswer> {
+    fn handle_wake(&mut self, wake: WakeCause) -> Option<FinalAnswer> {
         match wake {
-            WakeCause::Timer(actions) => self.act(actions, &Bytes::new()),
+            WakeCause::Timer(actions) => self.execute(actions, &Bytes::new()),
             WakeCause::Event(event) => {
                 let actions = self.core.handle(self.identity.request, None, &event);
-                self.act(actions, &Bytes::new())
+                self.execute(actions, &Bytes::new())
             }
             WakeCause::Signal(signal) => self.take_signal(signal),
         }
@@ -186,15 +186,19 @@
         if is_piece && !is_relayed {
             self.core.metrics.crossed.inc();
         }
-        if let Some(attempt) = over(&signal.event) {
+        if let Some(attempt) = ended_attempt(&signal.event) {
             self.sent.retain(|sent| sent.attempt != attempt);
-            self.note("attempt", Some(&signal.endpoint), end_of(&signal.event));
+            self.add_step(
+                "attempt",
+                Some(&signal.endpoint),
+                describe_end(&signal.event),
+            );
         }
-        self.act(actions, &signal.bytes)
+        self.execute(actions, &signal.bytes)
     }
 
     /// Executes the actions in order; `piece` holds the bytes that a `Relay` sends.
-    fn act(&mut self, actions: EntryActions, piece: &Bytes) -> Option<FinalAnswer> {
+    fn execute(&mut self, actions: EntryActions, piece: &Bytes) -> Option<FinalAnswer> {
         let mut answer = None;
         for action in actions {
             match action {
@@ -218,13 +222,15 @@
     fn send(&mut self, endpoint: EndpointName, spec: AttemptSpec) {
         let attempt = spec.attempt;
         let Some(contact) = self.core.contact(&endpoint) else {
-            let _ = self.events.send(EntryEvent::ConnectFailed { attempt });
+            let _ = self
+                .event_sender
+                .send(EntryEvent::ConnectFailed { attempt });
             return;
         };
-        let span = self.hop("entry.attempt");
+        let span = self.start_span("entry.attempt");
         span.set_attribute("endpoint", endpoint.to_string());
         span.set_attribute("attempt", attempt.to_string());
-        self.note("attempt", Some(&endpoint), format!("attempt {attempt}"));
+        self.add_step("attempt", Some(&endpoint), format!("attempt {attempt}"));
         let run = AttemptRun {
             address: contact.address,
             head: self.attempt_head(spec, &contact, &span),
@@ -257,7 +263,7 @@
             ticket: contact.ticket,
             method: self.call.call.method.as_str().to_owned(),
             path: self.call.call.path.clone(),
-            headers: self.call.call.headers.iter().map(pair_of).collect(),
+            headers: self.call.call.headers.iter().map(header_pair).collect(),
             key: self.call.key.map(|key| key.0),
             traceparent,
         }
@@ -272,7 +278,7 @@
             .or_else(|| self.core.contact(endpoint));
         let peers = self.core.peers.clone();
         let request = self.identity.request;
-        let events = self.events.clone();
+        let events = self.event_sender.clone();
         tokio::spawn(async move {
             let verdict = cancel(&peers, contact, request, attempt, mode).await;
             let _ = events.send(EntryEvent::CancelAnswered { attempt, verdict });
@@ -281,7 +287,7 @@
 
     fn relay(&mut self, piece: Bytes) {
         if self.relay_span.is_none() {
-            self.relay_span = Some(self.hop("entry.relay"));
+            self.relay_span = Some(self.start_span("entry.relay"));
             let waited = self.core.clock.now().since(self.started);
             let class = self.call.class.as_str();
             self.core.metrics.observe_first_due(class, waited);
@@ -294,7 +300,7 @@
         }
     }
 
-    async fn finish(mut self, answer: &FinalAnswer) -> Option<LateWords> {
+    async fn finish(mut self, answer: &FinalAnswer) -> Option<LateCancels> {
         if answer.cause == FinalCause::Complete {
             self.sink.finish(self.head.take());
         } else {
@@ -302,26 +308,26 @@
         }
         self.core.finish(self.identity.request);
         self.core.metrics.in_flight.dec();
-        self.remember(answer);
+        self.record_outcome(answer);
         self.count(answer);
         self.log(answer);
         self.span.set_attribute("cause", answer.cause.as_str());
         self.span.set_attribute("verdict", answer.verdict.as_str());
-        Some(LateWords {
+        Some(LateCancels {
             core: Arc::clone(&self.core),
             request: self.identity.request,
             key: self.call.key?,
-            events: self.own_events,
+            events: self.event_receiver,
         })
     }
 
-    fn hop(&self, name: &'static str) -> HopSpan {
+    fn start_span(&self, name: &'static str) -> HopSpan {
         let kind = SpanKind::Internal;
         self.core.tracer.start(name, kind, self.span.context())
     }
 }
 
-fn pair_of((name, value): (&http::HeaderName, &http::HeaderValue)) -> HeaderPair {
+fn header_pair((name, value): (&http::HeaderName, &http::HeaderValue)) -> HeaderPair {
     HeaderPair {
         name: name.as_str().to_owned(),
         value: Bytes::copy_from_slice(value.as_bytes()),
@@ -329,7 +335,7 @@
 }
 
 /// Returns the attempt that ends with this event.
-fn over(event: &EntryEvent) -> Option<AttemptId> {
+fn ended_attempt(event: &EntryEvent) -> Option<AttemptId> {
     match event {
         EntryEvent::FirstFrame { .. } | EntryEvent::Piece { .. } => None,
         event => event.attempt(),
--- a/crates/oatpier-entry/src/run/claiming.rs
+++ b/crates/oatpier-entry/src/run/claiming.rs
@@ -16,7 +16,7 @@
     /// Requests the idempotency key in a separate task.
     pub(super) fn claim(&mut self) {
         let Some(key) = self.call.key else {
-            let _ = self.events.send(EntryEvent::ClaimUnavailable);
+            let _ = self.event_sender.send(EntryEvent::ClaimUnavailable);
             return;
         };
         let call = &self.call.call;
@@ -25,10 +25,10 @@
             fingerprint: RequestFingerprint::of(call.method.as_str(), &call.path, &call.body),
             request: self.identity.request,
         };
-        let span = self.hop("entry.claim");
-        self.note("claim", None, "asked for the idempotency key");
+        let span = self.start_span("entry.claim");
+        self.add_step("claim", None, "asked for the idempotency key");
         let core = Arc::clone(&self.core);
-        let events = self.events.clone();
+        let events = self.event_sender.clone();
         tokio::spawn(async move {
             let event = ask_claim(&core, ask).await;
             span.set_attribute("granted", event == EntryEvent::ClaimGranted);
--- a/crates/oatpier-entry/src/run/late.rs
+++ b/crates/oatpier-entry/src/run/late.rs
@@ -16,7 +16,7 @@
 use crate::core::EntryCore;
 
 /// Waits for the cancellations that are pending when a request ends.
-pub(super) struct LateWords {
+pub(super) struct LateCancels {
     pub(super) core: Arc<EntryCore>,
     pub(super) request: RequestId,
     pub(super) key: KeyHash,
@@ -24,16 +24,16 @@
     pub(super) events: mpsc::UnboundedReceiver<EntryEvent>,
 }
 
-impl LateWords {
+impl LateCancels {
     pub(super) async fn run(mut self) {
         while let Some(event) = self.events.recv().await {
             if matches!(event, EntryEvent::CancelAnswered { .. }) {
-                self.take(&event);
+                self.handle_cancel_answer(&event);
             }
         }
     }
 
-    fn take(&self, event: &EntryEvent) {
+    fn handle_cancel_answer(&self, event: &EntryEvent) {
         for action in self.core.handle(self.request, None, event) {
             if let EntryAction::SettleClaim { verdict, .. } = action {
                 settle(&self.core, self.key, self.request, verdict);
--- a/crates/oatpier-entry/src/run/report.rs
+++ b/crates/oatpier-entry/src/run/report.rs
@@ -11,13 +11,13 @@
 use super::RequestRun;
 
 impl RequestRun {
-    pub(super) fn remember(&mut self, answer: &FinalAnswer) {
-        self.note("answer", None, answer.cause.as_str());
+    pub(super) fn record_outcome(&mut self, answer: &FinalAnswer) {
+        self.add_step("answer", None, answer.cause.as_str());
         let refusal = match answer.cause {
             FinalCause::Refused(cause) => Some(cause),
             _ => None,
         };
-        self.core.remember(ExplainRequest {
+        self.core.record_outcome(ExplainRequest {
             request: self.identity.request.to_string(),
             class: self.call.class.clone(),
             verdict: answer.verdict,
@@ -27,14 +27,14 @@
         });
     }
 
-    pub(super) fn note(
+    pub(super) fn add_step(
         &mut self,
         hop: &str,
         endpoint: Option<&EndpointName>,
         detail: impl Into<String>,
     ) {
         let now = self.core.clock.now();
-        self.steps.note(hop, endpoint, detail, now);
+        self.steps.add(hop, endpoint, detail, now);
     }
 
     pub(super) fn count(&self, answer: &FinalAnswer) {
@@ -72,7 +72,7 @@
 }
 
 /// Returns an operator-readable description of how an attempt ended.
-pub(super) fn end_of(event: &EntryEvent) -> String {
+pub(super) fn describe_end(event: &EntryEvent) -> String {
     match event {
         EntryEvent::Ended { .. } => "came to its end".to_owned(),
         EntryEvent::Refused { refusal, .. } => format!("refused: {}", refusal.cause.as_str()),
--- a/crates/oatpier-entry/src/sink.rs
+++ b/crates/oatpier-entry/src/sink.rs
@@ -14,7 +14,7 @@
 use crate::errors::{CallerError, RequestIdentity, identify};
 
 /// Capacity of the channel of pieces to a caller.
-const WAITING_PIECES: usize = 16;
+const PIECE_CAPACITY: usize = 16;
 
 /// Status and headers of an endpoint's answer.
 #[derive(Debug, Clone)]
@@ -57,7 +57,7 @@
     /// Nothing was sent.
     Start(oneshot::Sender<Reply>),
     /// A non-streaming answer is buffered until its end.
-    Held {
+    Buffered {
         reply: oneshot::Sender<Reply>,
         head: AnswerHead,
         body: Vec<Bytes>,
@@ -72,7 +72,7 @@
 pub struct CallerSink {
     identity: RequestIdentity,
     stage: SinkStage,
-    waiting: Option<Bytes>,
+    pending_piece: Option<Bytes>,
 }
 
 impl CallerSink {
@@ -83,7 +83,7 @@
         let sink = Self {
             identity,
             stage: SinkStage::Start(sender),
-            waiting: None,
+            pending_piece: None,
         };
         (sink, receiver)
     }
@@ -91,13 +91,13 @@
     /// Sends a piece, preceded by the head if it is given.
     pub fn relay(&mut self, head: Option<AnswerHead>, piece: Bytes) -> SinkState {
         if let Some(head) = head {
-            self.begin(head);
+            self.send_head(head);
         }
         match &mut self.stage {
-            SinkStage::Held { body, .. } => body.push(piece),
+            SinkStage::Buffered { body, .. } => body.push(piece),
             SinkStage::Streaming(sender) => match sender.try_send(piece) {
                 Err(mpsc::error::TrySendError::Full(piece)) => {
-                    self.waiting = Some(piece);
+                    self.pending_piece = Some(piece);
                     return SinkState::Blocked;
                 }
                 // `changed` reports a disconnected caller.
@@ -111,17 +111,17 @@
     /// Returns whether a piece waits for the caller.
     #[must_use]
     pub fn is_blocked(&self) -> bool {
-        self.waiting.is_some()
+        self.pending_piece.is_some()
     }
 
     /// Waits until the caller disconnects or, if a piece is waiting, until the caller can receive
     /// more.
     pub async fn changed(&mut self) -> SinkChange {
         match &mut self.stage {
-            SinkStage::Start(reply) | SinkStage::Held { reply, .. } => reply.closed().await,
-            SinkStage::Streaming(sender) if self.waiting.is_some() => {
+            SinkStage::Start(reply) | SinkStage::Buffered { reply, .. } => reply.closed().await,
+            SinkStage::Streaming(sender) if self.pending_piece.is_some() => {
                 if let Ok(permit) = sender.reserve().await {
-                    permit.send(self.waiting.take().unwrap_or_default());
+                    permit.send(self.pending_piece.take().unwrap_or_default());
                     return SinkChange::Ready;
                 }
             }
@@ -134,12 +134,12 @@
     /// Completes the answer; `head` is set if no piece was relayed.
     pub fn finish(&mut self, head: Option<AnswerHead>) {
         if let Some(head) = head {
-            self.begin(head);
+            self.send_head(head);
         }
         match std::mem::replace(&mut self.stage, SinkStage::Done) {
-            SinkStage::Held { reply, head, body } => {
+            SinkStage::Buffered { reply, head, body } => {
                 let body = body.concat();
-                let answer = answer_of(&head, reply::text(StatusCode::OK, body), self.identity);
+                let answer = build_reply(&head, reply::text(StatusCode::OK, body), self.identity);
                 let _ = reply.send(answer);
             }
             // Dropping the sender ends the stream after the pieces in the channel.
@@ -151,11 +151,11 @@
     /// has begun.
     pub async fn fail(&mut self, error: &CallerError) {
         match std::mem::replace(&mut self.stage, SinkStage::Done) {
-            SinkStage::Start(reply) | SinkStage::Held { reply, .. } => {
+            SinkStage::Start(reply) | SinkStage::Buffered { reply, .. } => {
                 let _ = reply.send(error.reply(self.identity));
             }
             SinkStage::Streaming(sender) => {
-                if let Some(piece) = self.waiting.take() {
+                if let Some(piece) = self.pending_piece.take() {
                     let _ = sender.send(piece).await;
                 }
                 let _ = sender.send(error.event(self.identity)).await;
@@ -164,27 +164,27 @@
         }
     }
 
-    fn begin(&mut self, head: AnswerHead) {
+    fn send_head(&mut self, head: AnswerHead) {
         let SinkStage::Start(reply) = std::mem::replace(&mut self.stage, SinkStage::Done) else {
             return;
         };
         if !head.is_stream() {
             let body = Vec::new();
-            self.stage = SinkStage::Held { reply, head, body };
+            self.stage = SinkStage::Buffered { reply, head, body };
             return;
         }
-        let (sender, receiver) = mpsc::channel(WAITING_PIECES);
+        let (sender, receiver) = mpsc::channel(PIECE_CAPACITY);
         let pieces = stream::unfold(receiver, |mut receiver| async move {
             let piece = receiver.recv().await?;
             Some((Ok::<_, BoxError>(piece), receiver))
         });
         let streamed = reply::streamed(StatusCode::OK, "text/event-stream", pieces);
-        let _ = reply.send(answer_of(&head, streamed, self.identity));
+        let _ = reply.send(build_reply(&head, streamed, self.identity));
         self.stage = SinkStage::Streaming(sender);
     }
 }
 
-fn answer_of(head: &AnswerHead, mut reply: Reply, identity: RequestIdentity) -> Reply {
+fn build_reply(head: &AnswerHead, mut reply: Reply, identity: RequestIdentity) -> Reply {
     *reply.status_mut() = head.status;
     for (name, value) in &head.headers {
         reply.headers_mut().insert(name.clone(), value.clone());
--- a/crates/oatpier-entry/src/store.rs
+++ b/crates/oatpier-entry/src/store.rs
@@ -15,28 +15,28 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Maximum time a call waits for a token of the budget.
-const LONGEST_HOLD: Duration = Duration::from_millis(250);
+const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
 
 /// State shared by the duties' threads; locked only for a few instructions at a time.
-struct GateState {
+struct ClientState {
     budget: StoreBudget,
     available: bool,
-    answered: Option<ClockTime>,
+    last_answered: Option<ClockTime>,
 }
 
 /// The only access of an entry's duties to the store. Each call takes a token of the process's
 /// budget. A call that gets no token in time fails as "unavailable", which is correct: it had no
 /// effect.
-pub struct StoreGate {
+pub struct StoreClient {
     store: Arc<dyn KeyStore>,
     clock: RuntimeClock,
     metrics: MetricSet,
-    state: Mutex<GateState>,
+    state: Mutex<ClientState>,
 }
 
-impl StoreGate {
+impl StoreClient {
     /// Creates the access to a store. The rates are those of a fleet with one entry until
-    /// [`Self::set_fleet`] is called.
+    /// [`Self::set_fleet_size`] is called.
     #[must_use]
     pub fn new(
         store: Arc<dyn KeyStore>,
@@ -45,10 +45,10 @@
         generator: ChaCha8Rng,
     ) -> Self {
         let rates = StoreShare::default().entry();
-        let state = GateState {
+        let state = ClientState {
             budget: StoreBudget::new(rates, generator, clock.now()),
             available: false,
-            answered: None,
+            last_answered: None,
         };
         Self {
             store,
@@ -58,12 +58,12 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, GateState> {
+    fn lock(&self) -> MutexGuard<'_, ClientState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Sets this process's share from the numbers of known processes.
-    pub fn set_fleet(&self, entries: u32, agents: u32) {
+    pub fn set_fleet_size(&self, entries: u32, agents: u32) {
         let share = StoreShare {
             entries,
             agents,
@@ -78,10 +78,10 @@
     pub fn row(&self) -> StoreRow {
         let now = self.clock.now();
         let state = self.lock();
-        let answered = state.answered.map(|at| now.since(at).as_millis());
+        let last_answered = state.last_answered.map(|at| now.since(at).as_millis());
         StoreRow {
             available: state.available,
-            answered_ms: answered.and_then(|span| u64::try_from(span).ok()),
+            answered_ms: last_answered.and_then(|span| u64::try_from(span).ok()),
         }
     }
 
@@ -153,8 +153,8 @@
         mode: CallMode,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        if !self.admit(kind, mode).await {
-            self.metrics.count_store_call(kind_word(kind), "held-back");
+        if !self.acquire_token(kind, mode).await {
+            self.metrics.count_store_call(kind_label(kind), "held-back");
             let cause = "this process has exhausted its share of store calls".to_owned();
             return Err(StoreError::Unavailable { cause });
         }
@@ -163,15 +163,15 @@
             answer,
             Err(StoreError::Unavailable { .. } | StoreError::AnswerLost { .. })
         );
-        self.note(kind, failed);
+        self.record_result(kind, failed);
         answer
     }
 
     /// Takes a token, waiting a short time for one if necessary. A claimer that takes over a
     /// partition makes several calls at once; refusing its claims because of that burst would be
     /// pointless.
-    async fn admit(&self, kind: CallKind, mode: CallMode) -> bool {
-        let until = self.clock.now() + LONGEST_HOLD;
+    async fn acquire_token(&self, kind: CallKind, mode: CallMode) -> bool {
+        let until = self.clock.now() + MAX_TOKEN_WAIT;
         loop {
             let taken = self.lock().budget.take(kind, mode, self.clock.now());
             match taken {
@@ -184,7 +184,7 @@
         }
     }
 
-    fn note(&self, kind: CallKind, failed: bool) {
+    fn record_result(&self, kind: CallKind, failed: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.available = !failed;
@@ -192,15 +192,15 @@
             state.budget.store_failed();
         } else {
             state.budget.store_answered(now);
-            state.answered = Some(now);
+            state.last_answered = Some(now);
         }
         drop(state);
         let end = if failed { "failed" } else { "answered" };
-        self.metrics.count_store_call(kind_word(kind), end);
+        self.metrics.count_store_call(kind_label(kind), end);
     }
 }
 
-fn kind_word(kind: CallKind) -> &'static str {
+fn kind_label(kind: CallKind) -> &'static str {
     match kind {
         CallKind::ConfigWatch => "config-watch",
         CallKind::PlannerLease => "planner-lease",
--- a/crates/oatpier-entry/src/news.rs
+++ b/crates/oatpier-entry/src/updates.rs
@@ -12,7 +12,7 @@
 
 /// Update for the callers duty.
 #[derive(Debug)]
-pub enum EntryNews {
+pub enum CallersUpdate {
     /// A configuration became active.
     Config {
         /// Generation of the configuration.
@@ -21,14 +21,14 @@
         config: Arc<FleetConfig>,
     },
     /// The directory of endpoints changed.
-    Directory(DirectoryNews),
+    Directory(DirectoryUpdate),
     /// An operator's query.
-    Question(CallersQuestion),
+    Query(CallersQuery),
 }
 
 /// A change in the directory of endpoints.
 #[derive(Debug, Clone)]
-pub enum DirectoryNews {
+pub enum DirectoryUpdate {
     /// An agent reported the status of its endpoint.
     Status {
         /// Name of the agent.
@@ -48,18 +48,18 @@
     /// The endpoint is leaving.
     Leaving(EndpointName),
     /// The endpoint is not leaving, or no longer.
-    Staying(EndpointName),
+    NotLeaving(EndpointName),
     /// The endpoint is gone.
     Gone(EndpointName),
 }
 
 /// A query about requests. The sender waits for the answer only for a short time.
 #[derive(Debug)]
-pub enum CallersQuestion {
+pub enum CallersQuery {
     /// Overall status of requests.
-    Standing {
+    Status {
         /// Channel for the answer.
-        reply: oneshot::Sender<CallersStanding>,
+        reply: oneshot::Sender<CallersStatus>,
     },
     /// Outcome of one request.
     Request {
@@ -73,7 +73,7 @@
 
 /// Overall status of an entry's requests.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct CallersStanding {
+pub struct CallersStatus {
     /// Attainment of each class's target.
     pub attainment: Vec<AttainmentRow>,
     /// Endpoints ejected because of data path failures.
--- a/crates/oatpier-entry/tests/testsuite/configuration.rs
+++ b/crates/oatpier-entry/tests/testsuite/configuration.rs
@@ -6,40 +6,40 @@
 use bytes::Bytes;
 use oatpier_duty::duty::{RingReceiver, RingRule, RingSender, RuntimeClock, StopSignal, ring};
 use oatpier_duty::observe::metrics::MetricSet;
-use oatpier_entry::configuration::{ConfigurationInputs, StoreNews, StoreOrder, configuration};
+use oatpier_entry::configuration::{ConfigurationInputs, StoreRequest, StoreUpdate, configuration};
 use oatpier_membership::spread::StoreReply;
 use oatpier_ports::store::{ExpectedValue, KeyStore};
 use oatpier_standin::store::{DownMode, LocalStore, StoreFaults};
 use oatpier_types::config::record::{CONFIG_KEY, ConfigRecord};
 use oatpier_types::ids::{Generation, Revision};
 
-use crate::support::gate;
+use crate::support::client;
 
 const WAIT: Duration = Duration::from_secs(20);
 
 struct ConfigurationTest {
     store: Arc<LocalStore>,
-    orders: RingSender<StoreOrder>,
-    news: RingReceiver<StoreNews>,
+    requests: RingSender<StoreRequest>,
+    updates: RingReceiver<StoreUpdate>,
 }
 
 impl ConfigurationTest {
     fn start() -> Self {
         let store = Arc::new(LocalStore::new());
         let metrics = MetricSet::default();
-        let (orders, wanted) = ring(4, RingRule::Wait, metrics.ring("orders"));
-        let (teller, news) = ring(64, RingRule::Wait, metrics.ring("store-news"));
+        let (requests, request_receiver) = ring(4, RingRule::Wait, metrics.ring("orders"));
+        let (update_sender, updates) = ring(64, RingRule::Wait, metrics.ring("store-news"));
         let inputs = ConfigurationInputs {
-            gate: gate(&store, RuntimeClock::start(), 1),
-            orders: wanted,
-            news: teller,
+            client: client(&store, RuntimeClock::start(), 1),
+            requests: request_receiver,
+            updates: update_sender,
             stop: StopSignal::default(),
         };
         tokio::spawn(configuration(inputs));
         Self {
             store,
-            orders,
-            news,
+            requests,
+            updates,
         }
     }
 
@@ -57,17 +57,17 @@
         self.put(CONFIG_KEY, record.encode().unwrap()).await
     }
 
-    async fn config_news(&self) -> StoreReply<oatpier_types::config::FleetConfig> {
+    async fn next_config(&self) -> StoreReply<oatpier_types::config::FleetConfig> {
         loop {
-            if let StoreNews::Config(reply) = self.news.receive().await.unwrap() {
+            if let StoreUpdate::Config(reply) = self.updates.receive().await.unwrap() {
                 return reply;
             }
         }
     }
 
-    async fn stop_news(&self) -> (String, bool) {
+    async fn next_stop(&self) -> (String, bool) {
         loop {
-            if let StoreNews::Stop(stop) = self.news.receive().await.unwrap() {
+            if let StoreUpdate::Stop(stop) = self.updates.receive().await.unwrap() {
                 return (stop.daemon.to_string(), stop.word.withdrawn);
             }
         }
@@ -87,18 +87,18 @@
 async fn a_change_is_told_and_an_outage_is_no_change() {
     let test = ConfigurationTest::start();
     let after = test.put_config(1).await;
-    test.orders.send(StoreOrder::Read).await;
-    assert_eq!(generation_of(&test.config_news().await), Some(1));
-    let watch = StoreOrder::Watch { after, wait: WAIT };
-    test.orders.send(watch).await;
+    test.requests.send(StoreRequest::Read).await;
+    assert_eq!(generation_of(&test.next_config().await), Some(1));
+    let watch = StoreRequest::Watch { after, wait: WAIT };
+    test.requests.send(watch).await;
     test.put_config(2).await;
-    assert_eq!(generation_of(&test.config_news().await), Some(2));
+    assert_eq!(generation_of(&test.next_config().await), Some(2));
     test.store.set_faults(StoreFaults {
         down: Some(DownMode::Refuse),
         ..StoreFaults::default()
     });
-    test.orders.send(StoreOrder::Read).await;
-    assert_eq!(test.config_news().await, StoreReply::Failed);
+    test.requests.send(StoreRequest::Read).await;
+    assert_eq!(test.next_config().await, StoreReply::Failed);
 }
 
 /// An operator requests a stop and withdraws it. The watcher receives both changes in that order.
@@ -106,14 +106,14 @@
 async fn a_planned_stop_and_its_withdrawal_are_told() {
     let test = ConfigurationTest::start();
     let after = test.put_config(1).await;
-    let watch = StoreOrder::Watch { after, wait: WAIT };
-    test.orders.send(watch).await;
+    let watch = StoreRequest::Watch { after, wait: WAIT };
+    test.requests.send(watch).await;
     test.put("stop/agent-1", b"{}".to_vec()).await;
-    assert_eq!(test.stop_news().await, ("agent-1".to_owned(), false));
+    assert_eq!(test.next_stop().await, ("agent-1".to_owned(), false));
     // The watch of the configuration ends first, and the state machine requests the next one.
-    assert_eq!(test.config_news().await, StoreReply::Unchanged);
-    test.orders.send(watch).await;
+    assert_eq!(test.next_config().await, StoreReply::Unchanged);
+    test.requests.send(watch).await;
     let deleted = test.store.delete("stop/agent-1", ExpectedValue::Any);
     deleted.await.unwrap();
-    assert_eq!(test.stop_news().await, ("agent-1".to_owned(), true));
+    assert_eq!(test.next_stop().await, ("agent-1".to_owned(), true));
 }
