--- a/crates/oatpier-entry/tests/testsuite/hold.rs
+++ b/crates/oatpier-entry/tests/testsuite/hold.rs
@@ -5,42 +5,42 @@
 
 use bytes::Bytes;
 use oatpier_duty::messages::{encode_plan, plan_key};
-use oatpier_entry::planner::{FleetPicture, hold_replicas};
+use oatpier_entry::planner::{FleetSnapshot, hold_replicas};
 use oatpier_ports::store::{ExpectedValue, KeyStore};
 use oatpier_standin::store::LocalStore;
 use oatpier_types::engine::{EngineRole, HeldWeights, WeightsKey, WeightsState};
 use oatpier_types::ids::{Generation, Term};
 use oatpier_types::plan::{EndpointPlan, PlacementPlan};
 
-use crate::planner::{CONFIG, PlanningEntry, pass, picture_of, stored_plan};
+use crate::planner::{CONFIG, PlanningEntry, pass, snapshot_of, stored_plan};
 
-fn picture() -> FleetPicture {
-    picture_of(&CONFIG.replace("memory_mib = 1000", "memory_mib = 2000"))
+fn snapshot() -> FleetSnapshot {
+    snapshot_of(&CONFIG.replace("memory_mib = 1000", "memory_mib = 2000"))
 }
 
-fn weights(picture: &FleetPicture, names: &[&str]) -> Vec<WeightsKey> {
+fn weights(snapshot: &FleetSnapshot, names: &[&str]) -> Vec<WeightsKey> {
     let of = |name: &&str| {
-        let model = picture
+        let model = snapshot
             .config
             .models
             .keys()
             .find(|key| key.as_str() == *name);
-        picture.config.model_weights(model.unwrap()).unwrap()
+        snapshot.config.model_weights(model.unwrap()).unwrap()
     };
     names.iter().map(of).collect()
 }
 
 /// Returns a plan with one row for each endpoint of the fleet.
-fn plan(picture: &FleetPicture, rows: &[&[&str]]) -> PlacementPlan {
-    let rows = picture.endpoints.iter().zip(rows);
+fn plan(snapshot: &FleetSnapshot, rows: &[&[&str]]) -> PlacementPlan {
+    let rows = snapshot.endpoints.iter().zip(rows);
     PlacementPlan {
         term: Term(1),
         sequence: 1,
-        generation: picture.generation,
+        generation: snapshot.generation,
         endpoints: rows
             .map(|(view, names)| EndpointPlan {
                 endpoint: view.endpoint.clone(),
-                weights: weights(picture, names).into(),
+                weights: weights(snapshot, names).into(),
                 role: EngineRole::Both,
             })
             .collect(),
@@ -48,68 +48,71 @@
 }
 
 fn held(
-    picture: &FleetPicture,
+    snapshot: &FleetSnapshot,
     next: &[&[&str]],
     previous: Option<&PlacementPlan>,
 ) -> PlacementPlan {
-    let mut next = plan(picture, next);
-    hold_replicas(&mut next, picture, previous);
+    let mut next = plan(snapshot, next);
+    hold_replicas(&mut next, snapshot, previous);
     next
 }
 
 #[test]
 fn rows_that_lose_replicas_stay_and_those_that_gain_pass() {
-    let picture = picture();
-    let before = plan(&picture, &[&["tables", "halls"], &["tables"]]);
+    let snapshot = snapshot();
+    let before = plan(&snapshot, &[&["tables", "halls"], &["tables"]]);
     let next = held(
-        &picture,
+        &snapshot,
         &[&["tables"], &["tables", "halls"]],
         Some(&before),
     );
-    let wanted = plan(&picture, &[&["tables", "halls"], &["tables", "halls"]]);
+    let wanted = plan(&snapshot, &[&["tables", "halls"], &["tables", "halls"]]);
     assert_eq!(next, wanted);
 }
 
 #[test]
 fn weights_that_would_be_ready_nowhere_pass_in_place_of_others() {
-    let picture = picture();
-    let before = plan(&picture, &[&["tables"], &["tables"]]);
-    let next = held(&picture, &[&["halls"], &["tables"]], Some(&before));
-    assert_eq!(next, plan(&picture, &[&["halls"], &["tables"]]));
+    let snapshot = snapshot();
+    let before = plan(&snapshot, &[&["tables"], &["tables"]]);
+    let next = held(&snapshot, &[&["halls"], &["tables"]], Some(&before));
+    assert_eq!(next, plan(&snapshot, &[&["halls"], &["tables"]]));
 }
 
 #[test]
 fn endpoints_without_a_former_row_keep_what_is_ready() {
-    let mut picture = picture();
-    for view in &mut picture.endpoints {
+    let mut snapshot = snapshot();
+    for view in &mut snapshot.endpoints {
         let of = |weights| HeldWeights {
             weights,
             state: WeightsState::Ready,
         };
         let all = ["tables", "halls"];
-        let keys = picture
+        let keys = snapshot
             .config
             .models
             .keys()
             .filter(|key| all.contains(&key.as_str()));
-        let keys = keys.filter_map(|key| picture.config.model_weights(key));
+        let keys = keys.filter_map(|key| snapshot.config.model_weights(key));
         view.held = keys.map(of).collect();
     }
-    let next = held(&picture, &[&["tables"], &["halls"]], None);
+    let next = held(&snapshot, &[&["tables"], &["halls"]], None);
     assert!(next.endpoints.iter().all(|row| row.weights.len() == 2));
 }
 
 #[test]
 fn leaving_endpoints_and_other_generations_are_not_held() {
-    let mut picture = picture();
-    let mut before = plan(&picture, &[&["tables", "halls"], &["tables", "halls"]]);
+    let mut snapshot = snapshot();
+    let mut before = plan(&snapshot, &[&["tables", "halls"], &["tables", "halls"]]);
     let rows: [&[&str]; 2] = [&["tables"], &["halls"]];
-    picture.endpoints[0].leaving = true;
-    let next = held(&picture, &rows, Some(&before));
-    assert_eq!(next, plan(&picture, &[&["tables"], &["tables", "halls"]]));
-    picture.endpoints[0].leaving = false;
+    snapshot.endpoints[0].leaving = true;
+    let next = held(&snapshot, &rows, Some(&before));
+    assert_eq!(next, plan(&snapshot, &[&["tables"], &["tables", "halls"]]));
+    snapshot.endpoints[0].leaving = false;
     before.generation = Generation(0);
-    assert_eq!(held(&picture, &rows, Some(&before)), plan(&picture, &rows));
+    assert_eq!(
+        held(&snapshot, &rows, Some(&before)),
+        plan(&snapshot, &rows)
+    );
 }
 
 /// An entry that has run for a while acquires the lease after the planner failed. It knows no
@@ -117,10 +120,10 @@
 /// stay until it has observed a full window of demand.
 #[tokio::test(start_paused = true)]
 async fn a_new_planner_empties_nothing_at_once() {
-    let mut picture = picture();
+    let mut snapshot = snapshot();
     let both: &[&str] = &["tables", "halls"];
-    let before = plan(&picture, &[both, both]);
-    for (view, row) in picture.endpoints.iter_mut().zip(&before.endpoints) {
+    let before = plan(&snapshot, &[both, both]);
+    for (view, row) in snapshot.endpoints.iter_mut().zip(&before.endpoints) {
         let keys = row.weights.iter().cloned();
         let ready = keys.map(|weights| HeldWeights {
             weights,
@@ -129,7 +132,7 @@
         view.held = ready.collect();
     }
     let store = Arc::new(LocalStore::new());
-    for (view, row) in picture.endpoints.iter().zip(&before.endpoints) {
+    for (view, row) in snapshot.endpoints.iter().zip(&before.endpoints) {
         let one = PlacementPlan {
             endpoints: vec![row.clone()],
             ..before.clone()
@@ -139,7 +142,7 @@
         let put = store.put(&key, value, ExpectedValue::Absent, None).await;
         put.unwrap();
     }
-    let _entry = PlanningEntry::start_after(0, &store, picture, Duration::from_hours(1)).await;
+    let _entry = PlanningEntry::start_after(0, &store, snapshot, Duration::from_hours(1)).await;
     pass(45).await;
     let mut counts = Vec::new();
     for name in ["ikeja", "lekki"] {
--- a/crates/oatpier-entry/tests/testsuite/late.rs
+++ b/crates/oatpier-entry/tests/testsuite/late.rs
@@ -10,12 +10,12 @@
 use oatpier_duty::observe::trace::{HopTracer, extract_parent};
 use oatpier_entry::claims::ClaimCommand;
 use oatpier_entry::core::{CoreRings, EntryCore};
-use oatpier_entry::decisions::EntryDecisions;
 use oatpier_entry::errors::RequestIdentity;
 use oatpier_entry::intake::{CallIntake, CallParts};
-use oatpier_entry::news::CallersStanding;
+use oatpier_entry::policy::RequestPolicy;
 use oatpier_entry::run::RequestRun;
 use oatpier_entry::sink::CallerSink;
+use oatpier_entry::updates::CallersStatus;
 use oatpier_policy::action::{CancelMode, EntryAction, EntryActions};
 use oatpier_policy::event::{EntryEvent, RequestIntake};
 use oatpier_policy::outcome::{FinalAnswer, FinalCause};
@@ -35,17 +35,17 @@
 const ATTEMPT: AttemptId = AttemptId(8);
 const KEY: KeyHash = KeyHash(9);
 /// Timeout on the paused clock.
-const SETTLED_WITHIN: std::time::Duration = std::time::Duration::from_secs(30);
+const SETTLE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
 
 /// Policy that answers "may have run" while a seal is pending, and releases the key when the seal
 /// is answered.
-struct OpenSeal;
+struct PendingSealPolicy;
 
 fn settle(verdict: RunVerdict) -> EntryAction {
     EntryAction::SettleClaim { key: 9, verdict }
 }
 
-impl EntryDecisions for OpenSeal {
+impl RequestPolicy for PendingSealPolicy {
     fn apply_config(&mut self, _: &FleetConfig) {}
     fn on_status(&mut self, _: &EndpointStatus, _: ClockTime) {}
     fn on_queue_report(&mut self, _: &EndpointName, _: &QueueReport, _: ClockTime) {}
@@ -74,8 +74,8 @@
     }
 
     fn handle(&mut self, _: RequestId, event: &EntryEvent, _: ClockTime) -> EntryActions {
-        let is_late = matches!(event, EntryEvent::CancelAnswered { .. });
-        let late = is_late.then(|| settle(RunVerdict::NotRun));
+        let is_cancel_answer = matches!(event, EntryEvent::CancelAnswered { .. });
+        let late = is_cancel_answer.then(|| settle(RunVerdict::NotRun));
         late.into_iter().collect()
     }
 
@@ -87,8 +87,8 @@
     fn in_flight(&self) -> usize {
         0
     }
-    fn standing(&self, _: &FleetConfig, _: ClockTime) -> CallersStanding {
-        CallersStanding::default()
+    fn callers_status(&self, _: &FleetConfig, _: ClockTime) -> CallersStatus {
+        CallersStatus::default()
     }
 }
 
@@ -98,7 +98,7 @@
     let (paths, _) = ring(16, RingRule::Drop, metrics.ring("paths"));
     let (spans, _) = ring(16, RingRule::Drop, metrics.ring("spans"));
     let core = EntryCore::new(
-        Box::new(OpenSeal),
+        Box::new(PendingSealPolicy),
         RuntimeClock::start(),
         metrics,
         HopTracer::new(&daemon(0), spans),
@@ -108,7 +108,7 @@
     (Arc::new(core), received)
 }
 
-fn keyed_change() -> CallIntake {
+fn keyed_request() -> CallIntake {
     CallIntake {
         goal: RequestGoal::Service {
             pool: PoolName::try_from("orders").unwrap(),
@@ -130,7 +130,7 @@
 }
 
 async fn next_verdict(claims: &RingReceiver<ClaimCommand>) -> Option<RunVerdict> {
-    let next = tokio::time::timeout(SETTLED_WITHIN, claims.receive()).await;
+    let next = tokio::time::timeout(SETTLE_TIMEOUT, claims.receive()).await;
     match next.ok()?? {
         ClaimCommand::Settle {
             key,
@@ -159,7 +159,7 @@
     let parent = extract_parent(&HeaderMap::new());
     let kind = opentelemetry::trace::SpanKind::Server;
     let span = core.tracer.start("entry.request", kind, &parent);
-    let run = RequestRun::new(Arc::clone(&core), identity, keyed_change(), sink, span);
+    let run = RequestRun::new(Arc::clone(&core), identity, keyed_request(), sink, span);
     run.run().await;
     assert_eq!(reply.await.unwrap().status().as_u16(), 504);
     assert_eq!(next_verdict(&claims).await, Some(RunVerdict::MayHaveRun));
--- a/crates/oatpier-entry/tests/testsuite/planner.rs
+++ b/crates/oatpier-entry/tests/testsuite/planner.rs
@@ -7,7 +7,7 @@
 use oatpier_duty::messages::{decode_plan, plan_key};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_entry::planner::{
-    EndpointView, FleetPicture, PlanGroup, PlannerBoard, PlannerInputs, PlannerNews, planner,
+    EndpointView, FleetSnapshot, PlanCache, PlanGroup, PlannerInputs, PlannerUpdate, planner,
 };
 use oatpier_ports::store::KeyStore;
 use oatpier_standin::store::{DownMode, LocalStore, StoreFaults};
@@ -21,7 +21,7 @@
 use smallvec::SmallVec;
 use tokio::task::JoinHandle;
 
-use crate::support::{TestLinks, contact, daemon, gate};
+use crate::support::{TestLinks, client, contact, daemon};
 
 pub const CONFIG: &str = r#"
 [weight_store]
@@ -62,12 +62,12 @@
 }
 
 /// Two live endpoints without weights, one in each availability zone.
-fn picture() -> FleetPicture {
-    picture_of(CONFIG)
+fn snapshot() -> FleetSnapshot {
+    snapshot_of(CONFIG)
 }
 
 /// All endpoints of a configuration, live and without weights.
-pub fn picture_of(config: &str) -> FleetPicture {
+pub fn snapshot_of(config: &str) -> FleetSnapshot {
     let config = FleetConfig::try_from(config).unwrap();
     let pools = config.pools.iter();
     let endpoints = pools.flat_map(|(pool, spec)| {
@@ -83,7 +83,7 @@
             step_us: 0,
         })
     });
-    FleetPicture {
+    FleetSnapshot {
         generation: Generation(1),
         endpoints: endpoints.collect(),
         config: Arc::new(config),
@@ -93,45 +93,45 @@
 }
 
 pub struct PlanningEntry {
-    news: RingSender<PlannerNews>,
-    board: Arc<PlannerBoard>,
+    updates: RingSender<PlannerUpdate>,
+    cache: Arc<PlanCache>,
     stop: StopSignal,
     task: JoinHandle<()>,
 }
 
 impl PlanningEntry {
     async fn start(number: u16, store: &Arc<LocalStore>) -> Self {
-        Self::start_after(number, store, picture(), Duration::ZERO).await
+        Self::start_after(number, store, snapshot(), Duration::ZERO).await
     }
 
     /// Starts an entry that receives the fleet state some time after its start.
     pub async fn start_after(
         number: u16,
         store: &Arc<LocalStore>,
-        picture: FleetPicture,
-        waits: Duration,
+        snapshot: FleetSnapshot,
+        delay: Duration,
     ) -> Self {
         let clock = RuntimeClock::start();
         let metrics = MetricSet::default();
-        let (news, receiver) = ring(64, RingRule::Drop, metrics.ring("planner"));
-        let (board, stop) = (Arc::<PlannerBoard>::default(), StopSignal::default());
+        let (updates, receiver) = ring(64, RingRule::Drop, metrics.ring("planner"));
+        let (cache, stop) = (Arc::<PlanCache>::default(), StopSignal::default());
         let inputs = PlannerInputs {
             own: daemon(number),
             boot: BootId(u128::from(number) + 1),
-            gate: gate(store, clock, number.into()),
+            client: client(store, clock, number.into()),
             links: Arc::<TestLinks>::default(),
-            board: Arc::clone(&board),
-            news: receiver,
+            cache: Arc::clone(&cache),
+            updates: receiver,
             clock,
             generator: ChaCha8Rng::seed_from_u64(number.into()),
             stop: stop.clone(),
         };
         let task = tokio::spawn(planner(inputs));
-        tokio::time::sleep(waits).await;
-        news.send(PlannerNews::Fleet(Box::new(picture))).await;
+        tokio::time::sleep(delay).await;
+        updates.send(PlannerUpdate::Fleet(Box::new(snapshot))).await;
         Self {
-            news,
-            board,
+            updates,
+            cache,
             stop,
             task,
         }
@@ -164,7 +164,7 @@
     for plan in &plans {
         assert_eq!(plan.term, Term(1));
         for entry in [&first, &second] {
-            let row = entry.board.row(&plan.endpoints[0].endpoint).unwrap();
+            let row = entry.cache.row(&plan.endpoints[0].endpoint).unwrap();
             assert_eq!(row.row, plan.endpoints[0]);
         }
     }
@@ -225,23 +225,23 @@
     pass(30).await;
     let clock = RuntimeClock::start();
     assert_eq!(
-        entry.board.plan_age_ms(clock.now()),
+        entry.cache.plan_age_ms(clock.now()),
         None,
         "the entry is no longer the planner"
     );
-    let kept = entry.board.row(&before.endpoints[0].endpoint);
+    let kept = entry.cache.row(&before.endpoints[0].endpoint);
     assert_eq!(kept.unwrap().row, before.endpoints[0]);
     store.set_faults(StoreFaults::default());
     entry
-        .news
-        .send(PlannerNews::Fleet(Box::new(picture())))
+        .updates
+        .send(PlannerUpdate::Fleet(Box::new(snapshot())))
         .await;
     pass(30).await;
     let after = stored_plan(&store, "lekki").await.unwrap();
     assert_eq!(after.endpoints, before.endpoints);
     assert!(after.term >= before.term);
     assert!(
-        entry.board.plan_age_ms(clock.now()).is_some(),
+        entry.cache.plan_age_ms(clock.now()).is_some(),
         "the entry is the planner again"
     );
 }
--- a/crates/oatpier-entry/tests/testsuite/stops.rs
+++ b/crates/oatpier-entry/tests/testsuite/stops.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oatpier_entry::peers::stops::StopGate;
+use oatpier_entry::peers::stops::StopQueue;
 use oatpier_membership::entry::{EntryEvent, EntryMember};
 use oatpier_membership::members::{MemberPhase, TableLimits};
 use oatpier_membership::messages::{AgentHeartbeat, HeartbeatBody, NamedStop, PeerCall};
@@ -108,7 +108,7 @@
     }
 }
 
-/// An operator requests the stop of the only holder of a model. Its agent must not be told before
+/// An operator requests the stop of the only holder of a model. Its agent must not be released before
 /// another endpoint has the model ready: otherwise it would leave, and requests would be refused
 /// while the model is being loaded elsewhere.
 #[test]
@@ -116,38 +116,38 @@
     let mut registrar = Registrar::new();
     registrar.beat(1, &["tables", "halls"]);
     registrar.beat(2, &["halls"]);
-    let mut gate = StopGate::default();
+    let mut queue = StopQueue::default();
     let now = registrar.now;
-    assert_eq!(gate.take_one(stop(1, false), &registrar.member, now), None);
+    assert_eq!(queue.apply(stop(1, false), &registrar.member, now), None);
     assert!(
-        gate.holds(&agent(1)),
+        queue.contains(&agent(1)),
         "the planner needs to know of the delayed stop"
     );
-    assert_eq!(gate.due(&registrar.member, now), []);
+    assert_eq!(queue.take_due(&registrar.member, now), []);
     registrar.beat(2, &["halls", "tables"]);
-    assert_eq!(gate.due(&registrar.member, now), [stop(1, false)]);
-    assert!(!gate.holds(&agent(1)));
+    assert_eq!(queue.take_due(&registrar.member, now), [stop(1, false)]);
+    assert!(!queue.contains(&agent(1)));
 }
 
 /// Both holders of a model are to stop at once. If each counted as the other's replacement, the
-/// model would be gone. The second holder must not be told until a third one has the model.
+/// model would be gone. The second holder must not be released until a third one has the model.
 #[test]
 fn two_that_stop_are_no_replacement_for_each_other() {
     let mut registrar = Registrar::new();
     registrar.beat(1, &["tables"]);
     registrar.beat(2, &["tables"]);
-    let mut gate = StopGate::default();
+    let mut queue = StopQueue::default();
     let now = registrar.now;
     let listed = vec![stop(1, false), stop(2, false)];
-    let told = gate.take_list(listed, &registrar.member, now);
+    let released = queue.apply_list(listed, &registrar.member, now);
     // The first may stop, because the second still serves; the second has to stay for now.
-    assert_eq!(told, [stop(1, false)]);
+    assert_eq!(released, [stop(1, false)]);
     let _ = registrar
         .member
-        .handle(EntryEvent::StopsListed(told), registrar.now);
-    assert_eq!(gate.due(&registrar.member, now), []);
+        .handle(EntryEvent::StopsListed(released), registrar.now);
+    assert_eq!(queue.take_due(&registrar.member, now), []);
     registrar.beat(3, &["tables"]);
-    assert_eq!(gate.due(&registrar.member, now), [stop(2, false)]);
+    assert_eq!(queue.take_due(&registrar.member, now), [stop(2, false)]);
 }
 
 /// No replacement ever becomes ready, because there is no memory for one, as the operator was
@@ -158,19 +158,22 @@
     let mut registrar = Registrar::new();
     registrar.beat(1, &["tables"]);
     registrar.beat(2, &["halls"]);
-    let mut gate = StopGate::default();
+    let mut queue = StopQueue::default();
     for number in [1, 2] {
         let now = registrar.now;
         assert_eq!(
-            gate.take_one(stop(number, false), &registrar.member, now),
+            queue.apply(stop(number, false), &registrar.member, now),
             None
         );
     }
     let now = registrar.now;
-    let withdrawn = gate.take_one(stop(2, true), &registrar.member, now);
+    let withdrawn = queue.apply(stop(2, true), &registrar.member, now);
     assert_eq!(withdrawn, Some(stop(2, true)));
     registrar.pass(Duration::from_mins(1));
-    assert_eq!(gate.due(&registrar.member, registrar.now), []);
+    assert_eq!(queue.take_due(&registrar.member, registrar.now), []);
     registrar.pass(Duration::from_mins(1));
-    assert_eq!(gate.due(&registrar.member, registrar.now), [stop(1, false)]);
+    assert_eq!(
+        queue.take_due(&registrar.member, registrar.now),
+        [stop(1, false)]
+    );
 }
--- a/crates/oatpier-entry/tests/testsuite/support.rs
+++ b/crates/oatpier-entry/tests/testsuite/support.rs
@@ -12,8 +12,8 @@
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_entry::claims::{ClaimCommand, ClaimsInputs, claims};
 use oatpier_entry::links::{EntryLinks, LinkFuture};
-use oatpier_entry::messages::{ClaimCall, ClaimReply, DemandWord, GenerationRows};
-use oatpier_entry::store::StoreGate;
+use oatpier_entry::messages::{ClaimCall, ClaimReply, DemandReport, GenerationRows};
+use oatpier_entry::store::StoreClient;
 use oatpier_membership::messages::EntryContact;
 use oatpier_standin::store::LocalStore;
 use oatpier_types::ids::{BootId, RequestId};
@@ -26,10 +26,10 @@
 use tokio::task::JoinHandle;
 
 /// Timeout of a call to another entry in a test.
-const CALL_WAIT: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Timeout until settlements are in the store, on the paused clock.
-const FLUSH_WAIT: Duration = Duration::from_mins(1);
+const FLUSH_TIMEOUT: Duration = Duration::from_mins(1);
 
 pub fn daemon(number: u16) -> DaemonName {
     DaemonName::try_from(format!("entry-{number}")).unwrap()
@@ -43,10 +43,10 @@
     }
 }
 
-pub fn gate(store: &Arc<LocalStore>, clock: RuntimeClock, seed: u64) -> Arc<StoreGate> {
+pub fn client(store: &Arc<LocalStore>, clock: RuntimeClock, seed: u64) -> Arc<StoreClient> {
     let generator = ChaCha8Rng::seed_from_u64(seed);
     let metrics = MetricSet::default();
-    Arc::new(StoreGate::new(store.clone(), clock, metrics, generator))
+    Arc::new(StoreClient::new(store.clone(), clock, metrics, generator))
 }
 
 /// Calls between the entries of a test; a killed entry does not answer.
@@ -67,20 +67,20 @@
             claimer?
                 .try_send(ClaimCommand::Remote { call, reply })
                 .ok()?;
-            tokio::time::timeout(CALL_WAIT, answer).await.ok()?.ok()
+            tokio::time::timeout(CALL_TIMEOUT, answer).await.ok()?.ok()
         }
         .boxed()
     }
 
-    fn tell_demand(&self, _: SocketAddr, _: DemandWord) -> LinkFuture<()> {
+    fn send_demand(&self, _: SocketAddr, _: DemandReport) -> LinkFuture<()> {
         std::future::ready(None).boxed()
     }
 
-    fn ask_generations(&self, _: SocketAddr) -> LinkFuture<GenerationRows> {
+    fn fetch_generations(&self, _: SocketAddr) -> LinkFuture<GenerationRows> {
         std::future::ready(None).boxed()
     }
 
-    fn ask_status(&self, _: SocketAddr) -> LinkFuture<EndpointStatus> {
+    fn fetch_status(&self, _: SocketAddr) -> LinkFuture<EndpointStatus> {
         std::future::ready(None).boxed()
     }
 }
@@ -124,7 +124,7 @@
         let inputs = ClaimsInputs {
             own: daemon(number),
             boot: BootId(u128::from(number) + 1),
-            gate: gate(&self.store, clock, number.into()),
+            client: client(&self.store, clock, number.into()),
             links,
             clock,
             metrics,
@@ -182,7 +182,7 @@
             .commands
             .send(command)
             .await;
-        let flushed = tokio::time::timeout(FLUSH_WAIT, flushed);
+        let flushed = tokio::time::timeout(FLUSH_TIMEOUT, flushed);
         flushed
             .await
             .expect("all settlements are in the store")
--- a/crates/oatpier-entry/tests/testsuite/whole.rs
+++ b/crates/oatpier-entry/tests/testsuite/whole.rs
@@ -21,10 +21,10 @@
 use crate::planner::CONFIG;
 
 const WAIT: Duration = Duration::from_secs(20);
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
-const LOOK_TRIES: usize = 400;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_POLLS: usize = 400;
 
-struct WholeEntry {
+struct EntryProcess {
     process: DutyProcess,
     peers: SocketAddr,
     client: HttpClient,
@@ -38,7 +38,7 @@
     listener.local_addr().unwrap()
 }
 
-impl WholeEntry {
+impl EntryProcess {
     async fn start() -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let store = start_store(any).await.unwrap();
@@ -93,7 +93,7 @@
 /// and a model without replicas. Unknown names are answered with 404.
 #[tokio::test]
 async fn an_entry_tells_operators_what_it_sees_and_ends_when_told() {
-    let entry = WholeEntry::start().await;
+    let entry = EntryProcess::start().await;
     let mut tries = 0;
     loop {
         let config: ConfigAnswer = entry.ask("/operator/config").await;
@@ -108,10 +108,10 @@
         }
         tries += 1;
         assert!(
-            tries < LOOK_TRIES,
+            tries < MAX_POLLS,
             "the entry reported no planner and configuration in time: {status:?}"
         );
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let explained: ExplainModel = entry.ask("/operator/explain/model/tables").await;
     assert_eq!(explained.replicas, []);
