--- a/crates/oatpier-entry/src/callers.rs
+++ b/crates/oatpier-entry/src/callers.rs
@@ -58,7 +58,7 @@
 /// # Panics
 ///
 /// Panics if called outside a runtime or if the runtime can't register the socket.
-pub async fn callers(inputs: CallersInputs) {
+pub async fn run_callers(inputs: CallersInputs) {
     let CallersInputs {
         core,
         listener,
--- a/crates/oatpier-entry/src/claims/claimer.rs
+++ b/crates/oatpier-entry/src/claims/claimer.rs
@@ -148,7 +148,7 @@
             let answer = answer.clone();
             match waiter {
                 QueryWaiter::Own(pending) => {
-                    outputs.push(ClaimerOutput::Answered { pending, answer })
+                    outputs.push(ClaimerOutput::Answered { pending, answer });
                 }
                 QueryWaiter::Peer(reply) => {
                     // The peer queries again if it still needs the answer.
--- a/crates/oatpier-entry/src/claims/mod.rs
+++ b/crates/oatpier-entry/src/claims/mod.rs
@@ -121,7 +121,7 @@
 }
 
 /// Processes claims until the process ends.
-pub async fn claims(inputs: ClaimsInputs) {
+pub async fn run_claims(inputs: ClaimsInputs) {
     let stop = inputs.stop.clone();
     let commands = inputs.commands;
     let mut duty = ClaimsDuty {
--- a/crates/oatpier-entry/src/configuration.rs
+++ b/crates/oatpier-entry/src/configuration.rs
@@ -67,7 +67,7 @@
 }
 
 /// Makes store calls until the process ends.
-pub async fn configuration(inputs: ConfigurationInputs) {
+pub async fn run_configuration(inputs: ConfigurationInputs) {
     let stop = inputs.stop.clone();
     let mut caller = StoreCaller {
         client: inputs.client,
--- a/crates/oatpier-entry/src/core.rs
+++ b/crates/oatpier-entry/src/core.rs
@@ -69,7 +69,7 @@
     /// Data path evidence for the peers duty. A full ring drops it: the next attempt produces the
     /// same evidence.
     pub paths: RingSender<PathReport>,
-    /// Commands for the claims duty. If the ring is full, a query is last_answered "unavailable", which
+    /// Commands for the claims duty. If the ring is full, a query is answered "unavailable", which
     /// is correct; a settlement waits.
     pub claims: RingSender<ClaimCommand>,
 }
@@ -136,7 +136,7 @@
         self.lock().agents.get(endpoint).cloned()
     }
 
-    /// Returns the number of requests without a final answer_query.
+    /// Returns the number of requests without a final answer.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lock().policy.in_flight()
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Answers a query. The answer_query is discarded if the sender of the query no longer waits.
+    /// Answers a query. The answer is discarded if the sender of the query no longer waits.
     fn answer_query(&self, query: CallersQuery) {
         match query {
             CallersQuery::Status { reply } => {
--- a/crates/oatpier-entry/src/lib.rs
+++ b/crates/oatpier-entry/src/lib.rs
@@ -118,7 +118,7 @@
         stop: process.stop.clone(),
         notice: settings.stop_notice,
     };
-    process.spawn("callers", || callers::callers(callers_inputs));
+    process.spawn("callers", || callers::run_callers(callers_inputs));
     let peers_rings = PeersRings {
         updates: rings.updates.0,
         store_requests: rings.store_requests.0,
@@ -135,7 +135,7 @@
         stop: process.stop.clone(),
     };
     process.spawn("configuration", || {
-        configuration::configuration(configuration_inputs)
+        configuration::run_configuration(configuration_inputs)
     });
     let claims_inputs = ClaimsInputs {
         own: settings.name.clone(),
@@ -147,7 +147,7 @@
         commands: rings.claims.1,
         stop: process.stop.clone(),
     };
-    process.spawn("claims", || claims::claims(claims_inputs));
+    process.spawn("claims", || claims::run_claims(claims_inputs));
     let planner_inputs = PlannerInputs {
         own: settings.name.clone(),
         boot: state.boot,
@@ -159,7 +159,7 @@
         generator: generator(),
         stop: process.stop.clone(),
     };
-    process.spawn("planner", || planner::planner(planner_inputs));
+    process.spawn("planner", || planner::run_planner(planner_inputs));
     Ok(process)
 }
 
@@ -228,5 +228,5 @@
         generator: generator(),
         stop: process.stop.clone(),
     };
-    process.spawn("peers", || peers::peers(inputs));
+    process.spawn("peers", || peers::run_peers(inputs));
 }
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -199,7 +199,7 @@
 }
 
 /// Returns whether an agent is leaving. A planned stop counts from the time it was requested,
-/// although the agent is updates only once replacements exist. The planner loads the replacements in
+/// although the agent is told only once replacements exist. The planner loads the replacements in
 /// the meantime.
 fn is_leaving(state: &DriverState, view: &MemberView<'_>) -> bool {
     let daemon = &view.facts.daemon;
--- a/crates/oatpier-entry/src/peers/handler.rs
+++ b/crates/oatpier-entry/src/peers/handler.rs
@@ -54,7 +54,7 @@
                 placement::view(&self.driver, &self.cache, &ask)
             }),
             (Method::POST, CLAIM_PATH) => self.claim(&body).await,
-            (Method::POST, DEMAND_PATH) => respond(&body, |word| self.take_demand(word)),
+            (Method::POST, DEMAND_PATH) => respond(&body, |word| self.forward_demand(word)),
             (Method::POST, GENERATIONS_PATH) => {
                 reply::message(&operator::own_generations(&self.driver))
             }
@@ -65,7 +65,7 @@
 
     /// Passes a demand report to the planner. Overflow is dropped: the next report follows within
     /// seconds.
-    fn take_demand(&self, word: DemandReport) {
+    fn forward_demand(&self, word: DemandReport) {
         let _ = self.planner.try_send(PlannerUpdate::PeerDemand(word));
     }
 
@@ -83,12 +83,12 @@
         if self.claims.try_send(command).is_err() {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "too many claims\n");
         }
-        let within = if is_ask {
+        let timeout = if is_ask {
             CLAIM_TIMEOUT
         } else {
             SETTLE_TIMEOUT
         };
-        match tokio::time::timeout(within, receiver).await {
+        match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(answer)) => reply::message(&answer),
             Ok(Err(_)) | Err(_) => reply::message(&ClaimReply::Pending),
         }
--- a/crates/oatpier-entry/src/peers/mod.rs
+++ b/crates/oatpier-entry/src/peers/mod.rs
@@ -118,7 +118,7 @@
 /// # Panics
 ///
 /// Panics if called outside a runtime or if the runtime can't register the socket.
-pub async fn peers(inputs: PeersInputs) {
+pub async fn run_peers(inputs: PeersInputs) {
     let stop = inputs.stop.clone();
     let listener = tokio::net::TcpListener::from_std(inputs.listener)
         .expect("the runtime registers the socket");
--- a/crates/oatpier-entry/src/peers/operator.rs
+++ b/crates/oatpier-entry/src/peers/operator.rs
@@ -35,19 +35,19 @@
 /// Answers an operator request.
 pub(super) async fn answer(handler: &PeerHandler, path: &str) -> Reply {
     if let Some(name) = path.strip_prefix(EXPLAIN_MODEL_PATH) {
-        return found(explain::model(handler, name).as_ref());
+        return json_reply(explain::model(handler, name).as_ref());
     }
     if let Some(id) = path.strip_prefix(EXPLAIN_REQUEST_PATH) {
-        return found(request(handler, id).await.as_ref());
+        return json_reply(explain_request(handler, id).await.as_ref());
     }
     match path {
-        STATUS_PATH => found(Some(&status(handler).await)),
-        CONFIG_PATH => found(Some(&config(handler).await)),
+        STATUS_PATH => json_reply(Some(&status(handler).await)),
+        CONFIG_PATH => json_reply(Some(&config(handler).await)),
         _ => reply::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-fn found<T: Serialize>(answer: Option<&T>) -> Reply {
+fn json_reply<T: Serialize>(answer: Option<&T>) -> Reply {
     let Some(answer) = answer else {
         return reply::text(StatusCode::NOT_FOUND, "not known here\n");
     };
@@ -57,7 +57,7 @@
     }
 }
 
-async fn request(handler: &PeerHandler, id: &str) -> Option<ExplainRequest> {
+async fn explain_request(handler: &PeerHandler, id: &str) -> Option<ExplainRequest> {
     let request = RequestId(u128::from_str_radix(id, 16).ok()?);
     let query = |reply| CallersQuery::Request { request, reply };
     query_callers(handler, query).await.flatten()
@@ -131,8 +131,8 @@
     let is_own = facts.daemon == driver.own.daemon;
     let endpoint = facts.status().map(|status| status.endpoint.clone());
     let now = driver.clock.now();
-    let heard = state.last_heard.get(&facts.daemon).filter(|_| !is_own);
-    let heard = heard.map_or(0, |at| now.since(*at).as_millis());
+    let last_heard = state.last_heard.get(&facts.daemon).filter(|_| !is_own);
+    let last_heard = last_heard.map_or(0, |at| now.since(*at).as_millis());
     DaemonRow {
         name: facts.daemon.clone(),
         duty: if facts.is_entry() {
@@ -144,7 +144,7 @@
         endpoint,
         zone: facts.zone.clone(),
         generation: generation_of(state, view),
-        heard_ms: u64::try_from(heard).unwrap_or(u64::MAX),
+        heard_ms: u64::try_from(last_heard).unwrap_or(u64::MAX),
     }
 }
 
@@ -167,9 +167,11 @@
 fn generation_of(state: &DriverState, view: &MemberView<'_>) -> oatpier_types::ids::Generation {
     let daemon = &view.facts.daemon;
     let mut registered = state.member.registrar().generations();
-    let heard = registered.find(|(name, _)| *name == daemon);
-    let heard = heard.map(|(_, generation)| generation).unwrap_or_default();
-    view.facts.generation.max(heard)
+    let reported = registered.find(|(name, _)| *name == daemon);
+    let reported = reported
+        .map(|(_, generation)| generation)
+        .unwrap_or_default();
+    view.facts.generation.max(reported)
 }
 
 fn model_rows(state: &DriverState, config: &FleetConfig) -> Vec<ModelRow> {
--- a/crates/oatpier-entry/src/peers/stops.rs
+++ b/crates/oatpier-entry/src/peers/stops.rs
@@ -12,13 +12,13 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::DaemonName;
 
-/// Maximum delay of a stop. After it the agent is released without replacements: the operator was
+/// Maximum delay of a stop. After it the agent is told without replacements: the operator was
 /// warned that the stop reduces reachability and wants it anyway.
 const MAX_DELAY: Duration = Duration::from_mins(2);
 
 /// Delays the planned stop of an agent until all weights it serves are ready elsewhere.
 ///
-/// An agent leaves as soon as it is released. If it were released immediately, the only holder of a model
+/// An agent leaves as soon as it is told. If it were told immediately, the only holder of a model
 /// would be gone while the model is still being loaded elsewhere, and requests would be refused.
 #[derive(Debug, Default)]
 pub struct StopQueue {
--- a/crates/oatpier-entry/src/planner/mod.rs
+++ b/crates/oatpier-entry/src/planner/mod.rs
@@ -93,7 +93,7 @@
 }
 
 /// Computes plans while the lease is held, until the process ends.
-pub async fn planner(inputs: PlannerInputs) {
+pub async fn run_planner(inputs: PlannerInputs) {
     let stop = inputs.stop.clone();
     let PlannerInputs {
         own,
--- a/crates/oatpier-entry/src/planner/table.rs
+++ b/crates/oatpier-entry/src/planner/table.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns the merged plan of the merged group.
+    /// Returns the merged plan of the whole group.
     pub(super) fn merged_plan(&self) -> Option<PlacementPlan> {
         let plans = self.slots.values().filter_map(|slot| match slot {
             PlanSlot::Known(stored) => stored.plan.as_ref(),
--- a/crates/oatpier-entry/src/rings.rs
+++ b/crates/oatpier-entry/src/rings.rs
@@ -45,15 +45,15 @@
 
 impl EntryRings {
     pub(crate) fn new(metrics: &MetricSet) -> Self {
-        let (wait, drop) = (RingRule::Wait, RingRule::Drop);
+        let (wait, discard) = (RingRule::Wait, RingRule::Drop);
         Self {
             updates: ring(UPDATES_CAPACITY, wait, metrics.ring("news")),
-            paths: ring(PATHS_CAPACITY, drop, metrics.ring("paths")),
+            paths: ring(PATHS_CAPACITY, discard, metrics.ring("paths")),
             store_requests: ring(STORE_REQUESTS_CAPACITY, wait, metrics.ring("orders")),
             store_updates: ring(STORE_UPDATES_CAPACITY, wait, metrics.ring("store-news")),
             claims: ring(CLAIMS_CAPACITY, wait, metrics.ring("claims")),
-            planner: ring(PLANNER_CAPACITY, drop, metrics.ring("planner")),
-            spans: ring(SPAN_CAPACITY, drop, metrics.ring("spans")),
+            planner: ring(PLANNER_CAPACITY, discard, metrics.ring("planner")),
+            spans: ring(SPAN_CAPACITY, discard, metrics.ring("spans")),
         }
     }
 }
--- a/crates/oatpier-entry/tests/testsuite/claims.rs
+++ b/crates/oatpier-entry/tests/testsuite/claims.rs
@@ -11,7 +11,7 @@
 const KEYS: u128 = 16;
 /// Delay per key, so that the second settlement arrives at a different point of the first one's
 /// write for each key.
-const SETTLE_STEP: std::time::Duration = std::time::Duration::from_millis(250);
+const SETTLE_DELAY_STEP: std::time::Duration = std::time::Duration::from_millis(250);
 
 fn held_by(request: u128) -> ClaimAnswer {
     ClaimAnswer::Denied(ClaimDenial::Held {
@@ -74,7 +74,7 @@
 /// grants there. The keys must not be granted again, and new keys are granted by the remaining
 /// entry.
 #[tokio::test(start_paused = true)]
-async fn a_dead_claimer_is_replaced_and_its_grants_stand() {
+async fn a_failed_claimer_is_replaced_and_its_grants_are_kept() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
         assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
@@ -108,7 +108,7 @@
 /// key, also if the claimer is in the other entry, and the caller's next attempt may run. The key
 /// of a request that ran stays used.
 #[tokio::test(start_paused = true)]
-async fn the_key_of_a_request_that_did_not_run_is_free_again() {
+async fn the_key_of_a_request_that_did_not_run_is_released() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
         assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
@@ -139,7 +139,7 @@
 /// Requests end without having run during a store outage. Their entry sends the settlements again
 /// until the store has them: the keys are free once the store is back, and not before.
 #[tokio::test(start_paused = true)]
-async fn a_settlement_outlasts_an_outage() {
+async fn settlements_are_sent_again_until_an_outage_ends() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
         assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
@@ -164,14 +164,14 @@
 /// after, before or after the first settlement is in the store. The last settlement must win
 /// regardless of which entry is the claimer, and the key is free for the caller's next attempt.
 #[tokio::test(start_paused = true)]
-async fn a_key_is_freed_after_its_own_may_have_run() {
+async fn a_key_is_released_after_its_request_ended_as_may_have_run() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
         assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
         fleet
             .settle(0, key, 100 + key, RunVerdict::MayHaveRun)
             .await;
-        tokio::time::sleep(SETTLE_STEP * u32::try_from(key).unwrap()).await;
+        tokio::time::sleep(SETTLE_DELAY_STEP * u32::try_from(key).unwrap()).await;
         fleet.settle(0, key, 100 + key, RunVerdict::NotRun).await;
     }
     fleet.flush(0).await;
--- a/crates/oatpier-entry/tests/testsuite/configuration.rs
+++ b/crates/oatpier-entry/tests/testsuite/configuration.rs
@@ -6,7 +6,9 @@
 use bytes::Bytes;
 use oatpier_duty::duty::{RingReceiver, RingRule, RingSender, RuntimeClock, StopSignal, ring};
 use oatpier_duty::observe::metrics::MetricSet;
-use oatpier_entry::configuration::{ConfigurationInputs, StoreRequest, StoreUpdate, configuration};
+use oatpier_entry::configuration::{
+    ConfigurationInputs, StoreRequest, StoreUpdate, run_configuration,
+};
 use oatpier_membership::spread::StoreReply;
 use oatpier_ports::store::{ExpectedValue, KeyStore};
 use oatpier_standin::store::{DownMode, LocalStore, StoreFaults};
@@ -35,7 +37,7 @@
             updates: update_sender,
             stop: StopSignal::default(),
         };
-        tokio::spawn(configuration(inputs));
+        tokio::spawn(run_configuration(inputs));
         Self {
             store,
             requests,
@@ -84,7 +86,7 @@
 /// A configuration change reaches the watcher. An unavailable store is reported as a failed call
 /// and never as a removed configuration.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_told_and_an_outage_is_no_change() {
+async fn a_change_is_reported_and_an_outage_is_a_failed_call() {
     let test = ConfigurationTest::start();
     let after = test.put_config(1).await;
     test.requests.send(StoreRequest::Read).await;
@@ -103,7 +105,7 @@
 
 /// An operator requests a stop and withdraws it. The watcher receives both changes in that order.
 #[tokio::test(start_paused = true)]
-async fn a_planned_stop_and_its_withdrawal_are_told() {
+async fn a_planned_stop_and_its_withdrawal_are_reported() {
     let test = ConfigurationTest::start();
     let after = test.put_config(1).await;
     let watch = StoreRequest::Watch { after, wait: WAIT };
--- a/crates/oatpier-entry/tests/testsuite/hold.rs
+++ b/crates/oatpier-entry/tests/testsuite/hold.rs
@@ -12,7 +12,7 @@
 use oatpier_types::ids::{Generation, Term};
 use oatpier_types::plan::{EndpointPlan, PlacementPlan};
 
-use crate::planner::{CONFIG, PlanningEntry, pass, snapshot_of, stored_plan};
+use crate::planner::{CONFIG, PlanningEntry, advance, snapshot_of, stored_plan};
 
 fn snapshot() -> FleetSnapshot {
     snapshot_of(&CONFIG.replace("memory_mib = 1000", "memory_mib = 2000"))
@@ -47,7 +47,7 @@
     }
 }
 
-fn held(
+fn plan_with_hold(
     snapshot: &FleetSnapshot,
     next: &[&[&str]],
     previous: Option<&PlacementPlan>,
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn rows_that_lose_replicas_stay_and_those_that_gain_pass() {
+fn rows_that_lose_replicas_are_kept_and_rows_that_gain_are_replaced() {
     let snapshot = snapshot();
     let before = plan(&snapshot, &[&["tables", "halls"], &["tables"]]);
-    let next = held(
+    let next = plan_with_hold(
         &snapshot,
         &[&["tables"], &["tables", "halls"]],
         Some(&before),
@@ -71,15 +71,15 @@
 }
 
 #[test]
-fn weights_that_would_be_ready_nowhere_pass_in_place_of_others() {
+fn rows_with_weights_ready_nowhere_else_are_replaced() {
     let snapshot = snapshot();
     let before = plan(&snapshot, &[&["tables"], &["tables"]]);
-    let next = held(&snapshot, &[&["halls"], &["tables"]], Some(&before));
+    let next = plan_with_hold(&snapshot, &[&["halls"], &["tables"]], Some(&before));
     assert_eq!(next, plan(&snapshot, &[&["halls"], &["tables"]]));
 }
 
 #[test]
-fn endpoints_without_a_former_row_keep_what_is_ready() {
+fn endpoints_without_a_previous_row_keep_ready_weights() {
     let mut snapshot = snapshot();
     for view in &mut snapshot.endpoints {
         let of = |weights| HeldWeights {
@@ -95,7 +95,7 @@
         let keys = keys.filter_map(|key| snapshot.config.model_weights(key));
         view.held = keys.map(of).collect();
     }
-    let next = held(&snapshot, &[&["tables"], &["halls"]], None);
+    let next = plan_with_hold(&snapshot, &[&["tables"], &["halls"]], None);
     assert!(next.endpoints.iter().all(|row| row.weights.len() == 2));
 }
 
@@ -105,12 +105,12 @@
     let mut before = plan(&snapshot, &[&["tables", "halls"], &["tables", "halls"]]);
     let rows: [&[&str]; 2] = [&["tables"], &["halls"]];
     snapshot.endpoints[0].leaving = true;
-    let next = held(&snapshot, &rows, Some(&before));
+    let next = plan_with_hold(&snapshot, &rows, Some(&before));
     assert_eq!(next, plan(&snapshot, &[&["tables"], &["tables", "halls"]]));
     snapshot.endpoints[0].leaving = false;
     before.generation = Generation(0);
     assert_eq!(
-        held(&snapshot, &rows, Some(&before)),
+        plan_with_hold(&snapshot, &rows, Some(&before)),
         plan(&snapshot, &rows)
     );
 }
@@ -119,7 +119,7 @@
 /// demand yet, so all endpoints look idle. The weights that the previous planner had loaded must
 /// stay until it has observed a full window of demand.
 #[tokio::test(start_paused = true)]
-async fn a_new_planner_empties_nothing_at_once() {
+async fn a_new_planner_keeps_replicas_until_it_knows_the_demand() {
     let mut snapshot = snapshot();
     let both: &[&str] = &["tables", "halls"];
     let before = plan(&snapshot, &[both, both]);
@@ -143,7 +143,7 @@
         put.unwrap();
     }
     let _entry = PlanningEntry::start_after(0, &store, snapshot, Duration::from_hours(1)).await;
-    pass(45).await;
+    advance(45).await;
     let mut counts = Vec::new();
     for name in ["ikeja", "lekki"] {
         let plan = stored_plan(&store, name).await.unwrap();
--- a/crates/oatpier-entry/tests/testsuite/late.rs
+++ b/crates/oatpier-entry/tests/testsuite/late.rs
@@ -149,7 +149,7 @@
 /// released although the caller has its answer already; otherwise the caller could never submit the
 /// request under this key.
 #[tokio::test(start_paused = true)]
-async fn a_seal_that_is_answered_after_the_final_answer_frees_the_key() {
+async fn a_seal_answered_after_the_final_answer_releases_the_key() {
     let (core, claims) = core();
     let identity = RequestIdentity {
         request: REQUEST,
--- a/crates/oatpier-entry/tests/testsuite/planner.rs
+++ b/crates/oatpier-entry/tests/testsuite/planner.rs
@@ -7,7 +7,7 @@
 use oatpier_duty::messages::{decode_plan, plan_key};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_entry::planner::{
-    EndpointView, FleetSnapshot, PlanCache, PlanGroup, PlannerInputs, PlannerUpdate, planner,
+    EndpointView, FleetSnapshot, PlanCache, PlanGroup, PlannerInputs, PlannerUpdate, run_planner,
 };
 use oatpier_ports::store::KeyStore;
 use oatpier_standin::store::{DownMode, LocalStore, StoreFaults};
@@ -126,7 +126,7 @@
             generator: ChaCha8Rng::seed_from_u64(number.into()),
             stop: stop.clone(),
         };
-        let task = tokio::spawn(planner(inputs));
+        let task = tokio::spawn(run_planner(inputs));
         tokio::time::sleep(delay).await;
         updates.send(PlannerUpdate::Fleet(Box::new(snapshot))).await;
         Self {
@@ -143,7 +143,7 @@
     stored.map(|stored| decode_plan(&stored.value).unwrap())
 }
 
-pub async fn pass(seconds: u64) {
+pub async fn advance(seconds: u64) {
     tokio::time::sleep(Duration::from_secs(seconds)).await;
 }
 
@@ -154,7 +154,7 @@
     let store = Arc::new(LocalStore::new());
     let first = PlanningEntry::start(0, &store).await;
     let second = PlanningEntry::start(1, &store).await;
-    pass(20).await;
+    advance(20).await;
     let plans = [
         stored_plan(&store, "ikeja").await.unwrap(),
         stored_plan(&store, "lekki").await.unwrap(),
@@ -174,15 +174,15 @@
 /// and then plans under the next term. It writes the plans under that term immediately: a late
 /// write of the failed planner would find another revision.
 #[tokio::test(start_paused = true)]
-async fn the_next_entry_plans_after_the_planner_died() {
+async fn the_next_entry_plans_after_the_planner_failed() {
     let store = Arc::new(LocalStore::new());
     let first = PlanningEntry::start(0, &store).await;
-    pass(10).await;
+    advance(10).await;
     let before = stored_plan(&store, "ikeja").await.unwrap();
     assert_eq!(before.term, Term(1));
     first.task.abort();
     let _second = PlanningEntry::start(1, &store).await;
-    pass(20).await;
+    advance(20).await;
     let after = stored_plan(&store, "ikeja").await.unwrap();
     assert_eq!(after.term, Term(2));
     assert!(after.sequence > before.sequence);
@@ -195,16 +195,16 @@
 /// A planner that stops releases its lease: the next one plans within seconds, before the lease
 /// would have expired, and while the first still finishes its requests.
 #[tokio::test(start_paused = true)]
-async fn a_stopping_planner_hands_over_at_once() {
+async fn a_stopping_planner_releases_its_lease() {
     let store = Arc::new(LocalStore::new());
     let first = PlanningEntry::start(0, &store).await;
-    pass(10).await;
+    advance(10).await;
     assert_eq!(stored_plan(&store, "ikeja").await.unwrap().term, Term(1));
     let _second = PlanningEntry::start(1, &store).await;
-    pass(5).await;
+    advance(5).await;
     assert_eq!(stored_plan(&store, "ikeja").await.unwrap().term, Term(1));
     first.stop.advance(StopPhase::Draining);
-    pass(5).await;
+    advance(5).await;
     assert_eq!(stored_plan(&store, "ikeja").await.unwrap().term, Term(2));
     assert!(!first.task.is_finished());
 }
@@ -216,13 +216,13 @@
 async fn an_outage_ends_planning_and_keeps_the_plan() {
     let store = Arc::new(LocalStore::new());
     let entry = PlanningEntry::start(0, &store).await;
-    pass(10).await;
+    advance(10).await;
     let before = stored_plan(&store, "lekki").await.unwrap();
     store.set_faults(StoreFaults {
         down: Some(DownMode::Drop),
         ..StoreFaults::default()
     });
-    pass(30).await;
+    advance(30).await;
     let clock = RuntimeClock::start();
     assert_eq!(
         entry.cache.plan_age_ms(clock.now()),
@@ -236,7 +236,7 @@
         .updates
         .send(PlannerUpdate::Fleet(Box::new(snapshot())))
         .await;
-    pass(30).await;
+    advance(30).await;
     let after = stored_plan(&store, "lekki").await.unwrap();
     assert_eq!(after.endpoints, before.endpoints);
     assert!(after.term >= before.term);
--- a/crates/oatpier-entry/tests/testsuite/stops.rs
+++ b/crates/oatpier-entry/tests/testsuite/stops.rs
@@ -45,7 +45,7 @@
 struct Registrar {
     member: EntryMember<FleetConfig>,
     now: ClockTime,
-    beats: u64,
+    heartbeats: u64,
 }
 
 impl Registrar {
@@ -58,16 +58,16 @@
         Self {
             member,
             now,
-            beats: 0,
+            heartbeats: 0,
         }
     }
 
     /// Receives a heartbeat of an agent that has these models ready.
-    fn beat(&mut self, number: u16, models: &[&str]) {
-        self.beats += 1;
+    fn heartbeat(&mut self, number: u16, models: &[&str]) {
+        self.heartbeats += 1;
         let report = QueueReport {
             boot: BootId(number.into()),
-            sequence: self.beats,
+            sequence: self.heartbeats,
             queued: 0,
             running: 0,
             slots: 16,
@@ -84,7 +84,7 @@
                 .iter()
                 .map(|model| weights(model))
                 .collect::<SmallVec<_>>(),
-            ready_sequence: self.beats,
+            ready_sequence: self.heartbeats,
             generation: Generation(1),
             queue: report,
         };
@@ -103,19 +103,19 @@
         let _ = self.member.answer(call, self.now);
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
     }
 }
 
-/// An operator requests the stop of the only holder of a model. Its agent must not be released before
+/// An operator requests the stop of the only holder of a model. Its agent must not be told before
 /// another endpoint has the model ready: otherwise it would leave, and requests would be refused
 /// while the model is being loaded elsewhere.
 #[test]
-fn the_only_holder_is_told_once_there_is_a_replacement() {
+fn stop_of_the_only_holder_is_released_once_a_replacement_is_ready() {
     let mut registrar = Registrar::new();
-    registrar.beat(1, &["tables", "halls"]);
-    registrar.beat(2, &["halls"]);
+    registrar.heartbeat(1, &["tables", "halls"]);
+    registrar.heartbeat(2, &["halls"]);
     let mut queue = StopQueue::default();
     let now = registrar.now;
     assert_eq!(queue.apply(stop(1, false), &registrar.member, now), None);
@@ -124,18 +124,18 @@
         "the planner needs to know of the delayed stop"
     );
     assert_eq!(queue.take_due(&registrar.member, now), []);
-    registrar.beat(2, &["halls", "tables"]);
+    registrar.heartbeat(2, &["halls", "tables"]);
     assert_eq!(queue.take_due(&registrar.member, now), [stop(1, false)]);
     assert!(!queue.contains(&agent(1)));
 }
 
 /// Both holders of a model are to stop at once. If each counted as the other's replacement, the
-/// model would be gone. The second holder must not be released until a third one has the model.
+/// model would be gone. The second holder must not be told until a third one has the model.
 #[test]
-fn two_that_stop_are_no_replacement_for_each_other() {
+fn two_stopping_holders_do_not_replace_each_other() {
     let mut registrar = Registrar::new();
-    registrar.beat(1, &["tables"]);
-    registrar.beat(2, &["tables"]);
+    registrar.heartbeat(1, &["tables"]);
+    registrar.heartbeat(2, &["tables"]);
     let mut queue = StopQueue::default();
     let now = registrar.now;
     let listed = vec![stop(1, false), stop(2, false)];
@@ -146,7 +146,7 @@
         .member
         .handle(EntryEvent::StopsListed(released), registrar.now);
     assert_eq!(queue.take_due(&registrar.member, now), []);
-    registrar.beat(3, &["tables"]);
+    registrar.heartbeat(3, &["tables"]);
     assert_eq!(queue.take_due(&registrar.member, now), [stop(2, false)]);
 }
 
@@ -154,10 +154,10 @@
 /// warned. The stop is not delayed forever. A stop that is withdrawn in the meantime is never
 /// released as a stop.
 #[test]
-fn a_stop_without_replacement_is_told_in_the_end_and_a_withdrawn_one_never() {
+fn a_stop_without_replacement_is_released_after_the_maximum_delay_unless_withdrawn() {
     let mut registrar = Registrar::new();
-    registrar.beat(1, &["tables"]);
-    registrar.beat(2, &["halls"]);
+    registrar.heartbeat(1, &["tables"]);
+    registrar.heartbeat(2, &["halls"]);
     let mut queue = StopQueue::default();
     for number in [1, 2] {
         let now = registrar.now;
@@ -169,9 +169,9 @@
     let now = registrar.now;
     let withdrawn = queue.apply(stop(2, true), &registrar.member, now);
     assert_eq!(withdrawn, Some(stop(2, true)));
-    registrar.pass(Duration::from_mins(1));
+    registrar.advance(Duration::from_mins(1));
     assert_eq!(queue.take_due(&registrar.member, registrar.now), []);
-    registrar.pass(Duration::from_mins(1));
+    registrar.advance(Duration::from_mins(1));
     assert_eq!(
         queue.take_due(&registrar.member, registrar.now),
         [stop(1, false)]
--- a/crates/oatpier-entry/tests/testsuite/support.rs
+++ b/crates/oatpier-entry/tests/testsuite/support.rs
@@ -10,7 +10,7 @@
 use oatpier_duty::duty::{RingRule, RingSender, RuntimeClock, StopSignal, ring};
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
 use oatpier_duty::observe::metrics::MetricSet;
-use oatpier_entry::claims::{ClaimCommand, ClaimsInputs, claims};
+use oatpier_entry::claims::{ClaimCommand, ClaimsInputs, run_claims};
 use oatpier_entry::links::{EntryLinks, LinkFuture};
 use oatpier_entry::messages::{ClaimCall, ClaimReply, DemandReport, GenerationRows};
 use oatpier_entry::store::StoreClient;
@@ -134,7 +134,7 @@
         let address = contact(number).address;
         let mut claimers = self.links.claimers.lock().unwrap();
         claimers.insert(address, commands.clone());
-        let task = tokio::spawn(claims(inputs));
+        let task = tokio::spawn(run_claims(inputs));
         self.entries.push(ClaimingEntry { commands, task });
     }
 
--- a/crates/oatpier-entry/tests/testsuite/whole.rs
+++ b/crates/oatpier-entry/tests/testsuite/whole.rs
@@ -82,7 +82,7 @@
         fetched.await.unwrap()
     }
 
-    async fn ask<A: DeserializeOwned>(&self, path: &str) -> A {
+    async fn get_json<A: DeserializeOwned>(&self, path: &str) -> A {
         let answer = self.get(path).await;
         assert_eq!(answer.status(), StatusCode::OK, "{path}");
         serde_json::from_slice(answer.body()).unwrap()
@@ -92,12 +92,12 @@
 /// Operators query an entry that runs alone. It reports itself, the active generation, the planner,
 /// and a model without replicas. Unknown names are answered with 404.
 #[tokio::test]
-async fn an_entry_tells_operators_what_it_sees_and_ends_when_told() {
+async fn an_entry_answers_operators_and_ends_when_drained() {
     let entry = EntryProcess::start().await;
     let mut tries = 0;
     loop {
-        let config: ConfigAnswer = entry.ask("/operator/config").await;
-        let status: StatusAnswer = entry.ask("/operator/status").await;
+        let config: ConfigAnswer = entry.get_json("/operator/config").await;
+        let status: StatusAnswer = entry.get_json("/operator/status").await;
         if config.newest == Generation(7) && status.planner.holder.is_some() {
             assert_eq!(config.daemons.len(), 1);
             assert_eq!(status.daemons[0].duty, DaemonDuty::Entry);
@@ -113,7 +113,7 @@
         );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let explained: ExplainModel = entry.ask("/operator/explain/model/tables").await;
+    let explained: ExplainModel = entry.get_json("/operator/explain/model/tables").await;
     assert_eq!(explained.replicas, []);
     for unknown in ["model/nothing", "request/12"] {
         let answer = entry.get(&format!("/operator/explain/{unknown}")).await;
