--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounts.rs
@@ -158,6 +158,6 @@
         let mut state = self.lock();
         state.directory.note_replaced(endpoint, successor, now);
         drop(state);
-        self.settle_cuts();
+        self.resolve_broken_attempts();
     }
 }
--- a/crates/oatpier-gateway/src/gateway/answers.rs
+++ b/crates/oatpier-gateway/src/gateway/answers.rs
@@ -12,7 +12,7 @@
 
 /// A response that the gateway generates itself, by its cause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnAnswer {
+pub enum LocalResponse {
     /// The request was refused and did not run.
     Refused(Refusal),
     /// The gateway has no configuration yet.
@@ -62,7 +62,7 @@
 /// The `Retry-After` of a gateway that has no configuration yet.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(600);
 
-impl OwnAnswer {
+impl LocalResponse {
     /// Returns the status.
     #[must_use]
     pub fn status(self) -> StatusCode {
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -276,7 +276,7 @@
             let line = DecisionLine::new(LineWeight::Notable, "directory");
             self.log.write(line.with("change", format!("{change:?}")));
         }
-        self.settle_cuts();
+        self.resolve_broken_attempts();
         self.able.store(is_able, Ordering::Relaxed);
         if !changes.is_empty() {
             self.endpoints_appeared.notify_one();
@@ -363,7 +363,7 @@
             }
         };
         drop(state);
-        self.settle_cuts();
+        self.resolve_broken_attempts();
         if changed {
             self.changed.notify_waiters();
         }
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -56,11 +56,11 @@
             _ => {}
         }
         drop(state);
-        self.settle_cuts();
+        self.resolve_broken_attempts();
     }
 
     /// Checks whether the endpoints of attempts that were cut off have ended.
-    pub(super) fn settle_cuts(&self) {
+    pub(super) fn resolve_broken_attempts(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
         if state.cuts.is_empty() {
--- a/crates/oatpier-gateway/src/gateway/exchanges.rs
+++ b/crates/oatpier-gateway/src/gateway/exchanges.rs
@@ -28,7 +28,7 @@
 const USAGE_COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What the other duties of the process send to this one.
-pub struct ExchangeInputs {
+pub struct MessagingInputs {
     /// The results of reading the store.
     pub news: RingReceiver<StoreNews>,
     /// The results of claiming parts of limits.
@@ -41,7 +41,7 @@
 pub async fn run(
     core: Arc<GatewayCore>,
     socket: &InnerSocket,
-    inputs: ExchangeInputs,
+    inputs: MessagingInputs,
     stop: &StopSignal,
 ) {
     let reporter = PeerReporter::new(&core, stop);
@@ -69,7 +69,7 @@
                 let now = core.clock.now();
                 core.lock().peers.apply_report(from, *report, now);
             }
-            InnerMessage::Permit(grant) => core.take_permit(grant),
+            InnerMessage::Permit(grant) => core.apply_permit(grant),
             InnerMessage::QuotaAsk(ask) => core.take_quota_ask(from, &ask),
             InnerMessage::QuotaAnswer(answer) => core.take_quota_answer(answer),
             InnerMessage::TurnAsk(ask) => core.answer_turn_ask(from, &ask),
--- a/crates/oatpier-gateway/src/gateway/handler.rs
+++ b/crates/oatpier-gateway/src/gateway/handler.rs
@@ -20,7 +20,7 @@
 use oatpier_wire::reply::Reply;
 use oatpier_wire::server::RequestHandler;
 
-use super::answers::OwnAnswer;
+use super::answers::LocalResponse;
 use super::attempt::CallerMessage;
 use super::core::GatewayCore;
 use super::identity::CallerIdentity;
@@ -63,24 +63,24 @@
     let (head, body) = request.into_parts();
     if core.is_behind() {
         let refusal = core.refusal(RefusalCause::QueueFull, OVERLOADED_RETRY_AFTER);
-        return reject_early(core, &head, OwnAnswer::Refused(refusal));
+        return reject_early(core, &head, LocalResponse::Refused(refusal));
     }
     if core.is_closed() {
         let refusal = core.refusal(RefusalCause::Leaving, Duration::ZERO);
-        return reject_early(core, &head, OwnAnswer::Refused(refusal));
+        return reject_early(core, &head, LocalResponse::Refused(refusal));
     }
     let Some(config) = core.config() else {
-        return reject_early(core, &head, OwnAnswer::NoConfiguration);
+        return reject_early(core, &head, LocalResponse::NoConfiguration);
     };
     let Some(route) = find_route(&config, &head) else {
-        return reject_early(core, &head, core.or_outdated(OwnAnswer::NoRoute));
+        return reject_early(core, &head, core.or_outdated(LocalResponse::NoRoute));
     };
     let identity = match core.identify(&config, &route, &head.headers) {
         Ok(identity) => identity,
         Err(response) => return reject_early(core, &head, response),
     };
     if body.len() > config.limits.body_bytes {
-        return reject_early(core, &head, OwnAnswer::TooLarge);
+        return reject_early(core, &head, LocalResponse::TooLarge);
     }
     let message = CallerMessage {
         head: Arc::new(head),
@@ -89,8 +89,8 @@
     let mut context = match build_context(core, route, identity, &message, arrived) {
         Ok(context) => context,
         Err(error) => {
-            core.metrics.answered("", OwnAnswer::Malformed.as_str());
-            return OwnAnswer::Malformed.reply_with_text("", &error.to_string());
+            core.metrics.answered("", LocalResponse::Malformed.as_str());
+            return LocalResponse::Malformed.reply_with_text("", &error.to_string());
         }
     };
     if let Err(response) = charge(core, &mut context).await {
@@ -103,7 +103,10 @@
 }
 
 /// Charges the request to its workspace if the workspace has a limit.
-async fn charge(core: &Arc<GatewayCore>, context: &mut RequestContext) -> Result<(), OwnAnswer> {
+async fn charge(
+    core: &Arc<GatewayCore>,
+    context: &mut RequestContext,
+) -> Result<(), LocalResponse> {
     let Some(workspace) = context.identity.workspace() else {
         return Ok(());
     };
@@ -137,7 +140,7 @@
     })
 }
 
-fn reject_early(core: &GatewayCore, head: &Parts, response: OwnAnswer) -> Reply {
+fn reject_early(core: &GatewayCore, head: &Parts, response: LocalResponse) -> Reply {
     let id = headers::decode_request(&head.headers).map_or(String::new(), |call| call.id);
     let line = DecisionLine::new(LineWeight::Notable, "answer")
         .with("request", id.as_str())
@@ -149,7 +152,11 @@
 }
 
 /// Responds to a request that exceeds, or may exceed, the limit of its workspace.
-fn reject_over_limit(core: &GatewayCore, context: &RequestContext, response: OwnAnswer) -> Reply {
+fn reject_over_limit(
+    core: &GatewayCore,
+    context: &RequestContext,
+    response: LocalResponse,
+) -> Reply {
     let id = context.request.id.as_str();
     let mut line = DecisionLine::new(LineWeight::Notable, "answer")
         .with("request", id)
--- a/crates/oatpier-gateway/src/gateway/identity.rs
+++ b/crates/oatpier-gateway/src/gateway/identity.rs
@@ -12,7 +12,7 @@
 use oatpier_serving::workspace::{WorkspaceRule, WorkspaceTable};
 use oatpier_types::names::WorkspaceName;
 
-use super::answers::OwnAnswer;
+use super::answers::LocalResponse;
 use super::core::GatewayCore;
 
 /// The identity of a caller, as far as the configuration requires one.
@@ -64,7 +64,7 @@
         config: &SiteConfig,
         route: &RouteRule,
         request_headers: &HeaderMap,
-    ) -> Result<CallerIdentity, OwnAnswer> {
+    ) -> Result<CallerIdentity, LocalResponse> {
         let anonymous = CallerIdentity {
             key: None,
             workspace: None,
@@ -82,19 +82,19 @@
             }),
             (_, true) => Ok(anonymous),
             // No configuration can make this a valid key.
-            (CallerKey::Absent | CallerKey::Unusable, false) => Err(OwnAnswer::NoKey),
-            (CallerKey::Given(_), false) => Err(self.or_outdated(OwnAnswer::UnknownKey)),
+            (CallerKey::Absent | CallerKey::Unusable, false) => Err(LocalResponse::NoKey),
+            (CallerKey::Given(_), false) => Err(self.or_outdated(LocalResponse::UnknownKey)),
         }
     }
 
-    /// Returns `response`, which says that the configuration does not contain something, or [`OwnAnswer::Outdated`]
+    /// Returns `response`, which says that the configuration does not contain something, or [`LocalResponse::Outdated`]
     /// if a newer configuration may contain it. The response is final for the caller, so it is given only if this
     /// gateway would know a configuration that contains it by now. Otherwise the next gateway may know it.
-    pub(super) fn or_outdated(&self, response: OwnAnswer) -> OwnAnswer {
+    pub(super) fn or_outdated(&self, response: LocalResponse) -> LocalResponse {
         if self.is_current() {
             response
         } else {
-            OwnAnswer::Outdated
+            LocalResponse::Outdated
         }
     }
 
--- a/crates/oatpier-gateway/src/gateway/mod.rs
+++ b/crates/oatpier-gateway/src/gateway/mod.rs
@@ -71,7 +71,7 @@
 use crate::reload::{SettingsFeed, SettingsSource};
 
 use self::core::{CoreInputs, GatewayCore};
-use self::exchanges::ExchangeInputs;
+use self::exchanges::MessagingInputs;
 use self::handler::GatewayHandler;
 
 /// Capacity of the queue of store reads that wait to be applied. When it is full, the reader waits.
@@ -231,7 +231,7 @@
     };
     let outlet: Arc<dyn MessageOutlet> = Arc::clone(&socket) as Arc<dyn MessageOutlet>;
     let core = Arc::new(GatewayCore::new(inputs.settings, inputs.core, outlet));
-    let exchange_inputs = ExchangeInputs {
+    let exchange_inputs = MessagingInputs {
         news: inputs.news,
         claims: inputs.claims,
         fetched: inputs.fetched,
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -74,7 +74,7 @@
     }
 
     /// Updates the metrics of the numbers of endpoints with each kind of notice.
-    pub(super) fn show_notices(&self, state: &CoreState) {
+    pub(super) fn update_notice_metrics(&self, state: &CoreState) {
         let now = self.clock.now();
         let directory = &state.directory;
         self.metrics.notices.note_counts(NoticeCounts {
--- a/crates/oatpier-gateway/src/gateway/permits.rs
+++ b/crates/oatpier-gateway/src/gateway/permits.rs
@@ -152,7 +152,7 @@
 
 impl GatewayCore {
     /// Accepts a permit that a sidecar granted.
-    pub fn take_permit(&self, grant: PermitGrant) {
+    pub fn apply_permit(&self, grant: PermitGrant) {
         self.permits.take(grant.id, ());
     }
 
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -19,7 +19,7 @@
 use oatpier_types::names::WorkspaceName;
 use tokio::time::sleep;
 
-use super::answers::OwnAnswer;
+use super::answers::LocalResponse;
 use super::core::{CoreState, GatewayCore};
 use crate::decisions::{DecisionLine, LineWeight};
 use crate::parts_writer::{ClaimResult, DueClaim};
@@ -123,7 +123,7 @@
     workspace: &Arc<WorkspaceRule>,
     units: u64,
     max_wait: Duration,
-) -> Result<UnitsCharge, OwnAnswer> {
+) -> Result<UnitsCharge, LocalResponse> {
     let mut asked = QueriedParts::default();
     let until = core.clock.now() + max_wait;
     loop {
@@ -161,7 +161,7 @@
     core: &Arc<GatewayCore>,
     cell: &ChargeCell,
     max_wait: Duration,
-) -> Result<(), OwnAnswer> {
+) -> Result<(), LocalResponse> {
     let Some((workspace, units)) = cell.expired(core.clock.now()) else {
         return Ok(());
     };
@@ -206,12 +206,12 @@
 }
 
 impl GatewayCore {
-    fn over_limit(&self, after: Duration) -> OwnAnswer {
-        OwnAnswer::OverLimit(self.lock().judge.jitter(after))
+    fn over_limit(&self, after: Duration) -> LocalResponse {
+        LocalResponse::OverLimit(self.lock().judge.jitter(after))
     }
 
-    fn limit_unknown(&self) -> OwnAnswer {
-        OwnAnswer::LimitUnknown(self.lock().judge.jitter(UNREACHABLE_RETRY))
+    fn limit_unknown(&self) -> LocalResponse {
+        LocalResponse::LimitUnknown(self.lock().judge.jitter(UNREACHABLE_RETRY))
     }
 
     /// Answers another gateway's request for units of a part that this gateway holds.
--- a/crates/oatpier-gateway/src/gateway/reports.rs
+++ b/crates/oatpier-gateway/src/gateway/reports.rs
@@ -111,7 +111,7 @@
         let store_age = now.since(state.store_read_at.unwrap_or_default());
         let store_age = i64::try_from(store_age.as_millis()).unwrap_or(i64::MAX);
         self.core.metrics.store_age_ms.set(store_age);
-        self.core.show_notices(state);
+        self.core.update_notice_metrics(state);
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         self.core.metrics.gateways.set(count);
     }
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -16,7 +16,7 @@
 use smallvec::SmallVec;
 use tokio::time::{sleep_until, timeout_at};
 
-use super::answers::OwnAnswer;
+use super::answers::LocalResponse;
 use super::attempt::{self, AttemptFailure, CallerMessage};
 use super::core::GatewayCore;
 use super::permits::{self, PermitVerdict};
@@ -69,7 +69,7 @@
 /// The final outcome of a request.
 enum RunOutcome {
     Relayed(Reply),
-    Local(OwnAnswer),
+    Local(LocalResponse),
 }
 
 impl RequestRun {
@@ -97,9 +97,9 @@
         let outcome = match timeout_at(deadline, self.run_attempts()).await {
             Ok(outcome) => outcome,
             Err(_) if self.verdict() == RunVerdict::NotRun => {
-                RunOutcome::Local(OwnAnswer::ExpiredUnsent)
+                RunOutcome::Local(LocalResponse::ExpiredUnsent)
             }
-            Err(_) => RunOutcome::Local(OwnAnswer::ExpiredSent),
+            Err(_) => RunOutcome::Local(LocalResponse::ExpiredSent),
         };
         match outcome {
             RunOutcome::Relayed(reply) => reply,
@@ -144,7 +144,7 @@
     /// When the gateway is being stopped, requests that still wait are refused. If they were kept until the process
     /// is killed, the caller would see a closed connection and could not tell whether the request ran. Each wait
     /// below lasts at most 100 ms, so the stop is noticed long before the process is killed.
-    pub(super) async fn await_placement(&mut self) -> Result<PlacedSend, OwnAnswer> {
+    pub(super) async fn await_placement(&mut self) -> Result<PlacedSend, LocalResponse> {
         let core = Arc::clone(&self.core);
         let mut skipped = self.excluded.clone();
         loop {
@@ -189,31 +189,31 @@
 
     /// Refuses a request that is suspected of crashing the endpoints that run it. This is checked before each send
     /// and while the request waits, because another gateway may report the verdict meanwhile.
-    fn check_suspect(&self) -> Result<(), OwnAnswer> {
+    fn check_suspect(&self) -> Result<(), LocalResponse> {
         let response = match self.core.suspect_verdict(&self.context) {
             SuspectVerdict::Allowed => return Ok(()),
-            SuspectVerdict::Deferred => OwnAnswer::Held,
-            SuspectVerdict::Barred => OwnAnswer::Barred,
+            SuspectVerdict::Deferred => LocalResponse::Held,
+            SuspectVerdict::Barred => LocalResponse::Barred,
         };
         Err(self.unless_run(response))
     }
 
     /// Renews the quota charge of a request that waited longer than its charge is valid.
-    async fn renew_charge(&self) -> Result<(), OwnAnswer> {
+    async fn renew_charge(&self) -> Result<(), LocalResponse> {
         let max_wait = quota::unit_patience(&self.context.route);
         let renewed = quota::renew_charge(&self.core, &self.context.charge, max_wait).await;
         renewed.map_err(|response| self.unless_run(response))
     }
 
     /// Refuses a request whose API key was revoked while it waited.
-    fn check_identity(&self) -> Result<(), OwnAnswer> {
+    fn check_identity(&self) -> Result<(), LocalResponse> {
         if self
             .core
             .is_still_valid(&self.context.identity, &self.context.route)
         {
             return Ok(());
         }
-        Err(self.unless_run(OwnAnswer::UnknownKey))
+        Err(self.unless_run(LocalResponse::UnknownKey))
     }
 
     /// Waits for a turn if the endpoint has a rate limit. Returns `None` if the request must be placed again. If
@@ -223,7 +223,7 @@
         &mut self,
         placed: PlacedSend,
         skipped: &mut SmallVec<[EndpointName; 2]>,
-    ) -> Result<Option<PlacedSend>, OwnAnswer> {
+    ) -> Result<Option<PlacedSend>, LocalResponse> {
         let endpoint = placed.choice.endpoint.clone();
         if !self.core.has_rate_limit(&endpoint) {
             return Ok(Some(placed));
@@ -266,7 +266,7 @@
     async fn acquire_permit(
         &mut self,
         placed: PlacedSend,
-    ) -> Result<Option<PlacedSend>, OwnAnswer> {
+    ) -> Result<Option<PlacedSend>, LocalResponse> {
         match permits::acquire_permit(&self.core, &self.context, &placed).await {
             PermitVerdict::NotNeeded => return Ok(Some(placed)),
             PermitVerdict::Granted(permit) => {
@@ -284,17 +284,17 @@
         Err(self.refusal_unless_run(refusal))
     }
 
-    /// Returns the refusal, or [`OwnAnswer::Broken`] if the request may have run: a refusal promises that it did
+    /// Returns the refusal, or [`LocalResponse::Broken`] if the request may have run: a refusal promises that it did
     /// not.
-    fn refusal_unless_run(&self, refusal: Refusal) -> OwnAnswer {
-        self.unless_run(OwnAnswer::Refused(refusal))
+    fn refusal_unless_run(&self, refusal: Refusal) -> LocalResponse {
+        self.unless_run(LocalResponse::Refused(refusal))
     }
 
-    fn unless_run(&self, response: OwnAnswer) -> OwnAnswer {
+    fn unless_run(&self, response: LocalResponse) -> LocalResponse {
         if self.ended_verdict == RunVerdict::NotRun {
             response
         } else {
-            OwnAnswer::Broken
+            LocalResponse::Broken
         }
     }
 
@@ -377,7 +377,7 @@
         &mut self,
         endpoint: &EndpointName,
         failure: AttemptFailure,
-    ) -> Option<OwnAnswer> {
+    ) -> Option<LocalResponse> {
         self.core.metrics.attempted(failure.as_str());
         self.is_sending = false;
         self.ended_verdict = self.ended_verdict.and(failure.verdict());
@@ -391,7 +391,7 @@
             self.reached.push(endpoint.clone());
         }
         if !self.ended_verdict.may_repeat(self.repeat()) {
-            return Some(OwnAnswer::Broken);
+            return Some(LocalResponse::Broken);
         }
         let has_budget = failure.is_free_retry() || self.core.take_retry(&self.context.service);
         if self.remaining_sends() == 0 || !has_budget {
@@ -408,7 +408,7 @@
         }
     }
 
-    fn refusal_after(&mut self, failure: AttemptFailure) -> OwnAnswer {
+    fn refusal_after(&mut self, failure: AttemptFailure) -> LocalResponse {
         if let Some((refusal, throttled)) = self.core.refusal_if_throttled(&self.context) {
             self.throttled = Some(throttled);
             return self.refusal_unless_run(refusal);
--- a/crates/oatpier-gateway/src/gateway/run_log.rs
+++ b/crates/oatpier-gateway/src/gateway/run_log.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use oatpier_types::names::EndpointName;
 
-use super::answers::OwnAnswer;
+use super::answers::LocalResponse;
 use super::attempt::AttemptFailure;
 use super::pauses::StreamPause;
 use super::placement::PlacedSend;
@@ -97,7 +97,7 @@
     }
 
     /// Logs a response that the gateway generated itself.
-    pub(super) fn log_local_response(&self, response: OwnAnswer) {
+    pub(super) fn log_local_response(&self, response: LocalResponse) {
         let now = self.core.clock.now();
         let store_read_at = self.core.lock().store_read_at;
         let best = self.best_choice.as_ref();
--- a/crates/oatpier-gateway/tests/testsuite/crashes.rs
+++ b/crates/oatpier-gateway/tests/testsuite/crashes.rs
@@ -16,7 +16,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, own_answer, read_request, record, request, status,
+    EndpointStep, ScriptedEndpoint, TestGateway, endpoint_response, read_request, record, request,
+    status,
 };
 
 /// The body that crashes an endpoint.
@@ -61,7 +62,7 @@
 }
 
 async fn answer(stream: &mut TcpStream) {
-    let bytes = own_answer("200 OK", "world");
+    let bytes = endpoint_response("200 OK", "world");
     stream.write_all(bytes.as_bytes()).await.unwrap();
 }
 
@@ -76,7 +77,7 @@
 impl FragileFleet {
     async fn start() -> Self {
         let endpoint = FragileEndpoint::start().await;
-        let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
+        let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[]);
         let fleet = Self {
             gateway,
             endpoint,
@@ -135,7 +136,7 @@
 }
 
 fn queued_crashes(gateway: &TestGateway) -> Vec<CrashRecord> {
-    std::iter::from_fn(|| gateway.written.try_receive())
+    std::iter::from_fn(|| gateway.crash_changes.try_receive())
         .filter_map(|change| match change {
             CrashChange::Put(record) => Some(record),
             CrashChange::Remove(_) => None,
@@ -214,7 +215,7 @@
     fleet.gateway.core.apply_stored_crashes(&crashes, false);
     assert_eq!(fleet.send(request(&[])).await.status(), StatusCode::OK);
     let removed: Vec<CrashChange> =
-        std::iter::from_fn(|| fleet.gateway.written.try_receive()).collect();
+        std::iter::from_fn(|| fleet.gateway.crash_changes.try_receive()).collect();
     let expected: Vec<CrashChange> = crashes.into_iter().map(CrashChange::Remove).collect();
     assert_eq!(removed, expected);
 }
@@ -224,10 +225,10 @@
 /// it happens.
 #[tokio::test]
 async fn a_request_that_is_cut_off_at_a_running_endpoint_is_not_suspect() {
-    let complete = || EndpointStep::Answer(own_answer("200 OK", "world"));
+    let complete = || EndpointStep::Answer(endpoint_response("200 OK", "world"));
     let steps = (0..8).flat_map(|_| [EndpointStep::Close, complete()]);
     let endpoint = ScriptedEndpoint::start(steps.collect()).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     for _ in 0..8 {
         let cut = gateway.send(crashing_request("a1")).await;
         assert_eq!(cut.status(), StatusCode::BAD_GATEWAY);
@@ -259,7 +260,7 @@
 #[tokio::test]
 async fn the_end_of_a_leaving_endpoint_makes_no_request_suspect() {
     let silent = ScriptedEndpoint::start(vec![EndpointStep::Silence]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&silent]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&silent]);
     let leaving = EndpointRecord {
         draining: true,
         ..record(1, silent.address)
--- a/crates/oatpier-gateway/tests/testsuite/failures.rs
+++ b/crates/oatpier-gateway/tests/testsuite/failures.rs
@@ -4,7 +4,7 @@
 use oatpier_serving::site::RouteKind;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, not_executed_response, own_answer, record,
+    EndpointStep, ScriptedEndpoint, TestGateway, endpoint_response, not_executed_response, record,
     request, status,
 };
 
@@ -13,7 +13,7 @@
 }
 
 fn complete_response() -> EndpointStep {
-    EndpointStep::Answer(own_answer("200 OK", "world"))
+    EndpointStep::Answer(endpoint_response("200 OK", "world"))
 }
 
 /// Guards against requests that run twice. The endpoint reads the request and dies. The request may have run, so
@@ -22,7 +22,7 @@
 async fn a_request_that_may_have_run_is_not_sent_again() {
     let dying = endpoint(EndpointStep::Close).await;
     let other = endpoint(complete_response()).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 2, &[&dying, &other]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 2, &[&dying, &other]);
     let mut statuses = Vec::new();
     for _ in 0..2 {
         statuses.push(gateway.send(request(&[])).await.status());
@@ -37,7 +37,7 @@
 async fn an_idempotent_request_is_retried_at_another_endpoint() {
     let dying = endpoint(EndpointStep::Close).await;
     let other = ScriptedEndpoint::start(vec![complete_response(), complete_response()]).await;
-    let gateway = TestGateway::before(RouteKind::Safe, 2, &[&dying, &other]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Safe, 2, &[&dying, &other]);
     for _ in 0..2 {
         assert_eq!(gateway.send(request(&[])).await.status(), StatusCode::OK);
     }
@@ -51,7 +51,7 @@
         "503 Service Unavailable",
     )))
     .await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&full]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&full]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers().contains_key("retry-after"));
@@ -63,9 +63,9 @@
 #[tokio::test]
 async fn a_response_to_another_request_is_never_relayed() {
     let other_response =
-        own_answer("200 OK", "another's").replace(crate::support::REQUEST_ID, "another");
+        endpoint_response("200 OK", "another's").replace(crate::support::REQUEST_ID, "another");
     let endpoint = endpoint(EndpointStep::Answer(other_response)).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
     assert!(!String::from_utf8_lossy(answer.body()).contains("another's"));
@@ -73,9 +73,9 @@
 
 #[tokio::test]
 async fn a_success_without_response_stamp_is_not_relayed() {
-    let unstamped = own_answer("200 OK", "x").replace("x-oatpier-response-stamp", "x-other");
+    let unstamped = endpoint_response("200 OK", "x").replace("x-oatpier-response-stamp", "x-other");
     let endpoint = endpoint(EndpointStep::Answer(unstamped)).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     assert_eq!(
         gateway.send(request(&[])).await.status(),
         StatusCode::BAD_GATEWAY
@@ -87,9 +87,9 @@
 #[tokio::test]
 async fn a_truncated_response_never_looks_complete() {
     let truncated =
-        own_answer("200 OK", "world").replace("content-length: 5", "content-length: 50");
+        endpoint_response("200 OK", "world").replace("content-length: 5", "content-length: 50");
     let endpoint = endpoint(EndpointStep::AnswerAndClose(truncated)).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     assert_eq!(
         gateway.send(request(&[])).await.status(),
         StatusCode::BAD_GATEWAY
@@ -110,7 +110,7 @@
         complete_response(),
     ])
     .await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&other]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&other]);
     gateway
         .core
         .take_records(None, vec![record(1, gone), record(2, other.address)]);
@@ -128,7 +128,7 @@
                  content-length: 0\r\n\r\n";
     let steps = vec![EndpointStep::Answer(other.to_owned()), complete_response()];
     let endpoint = ScriptedEndpoint::start(steps).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway
         .core
         .apply_status(status(1, endpoint.address, Vec::new()));
@@ -143,7 +143,7 @@
                  content-length: 0\r\n\r\n";
     let steps = vec![EndpointStep::Answer(other.to_owned()), complete_response()];
     let endpoint = ScriptedEndpoint::start(steps).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(endpoint.requests().len(), 1);
@@ -154,7 +154,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_silent_endpoint_leads_to_gateway_timeout_at_the_deadline() {
     let silent = endpoint(EndpointStep::Silence).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&silent]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&silent]);
     let answer = gateway
         .send(request(&[("x-oatpier-deadline-ms", "2000")]))
         .await;
@@ -167,7 +167,7 @@
 async fn a_silent_endpoint_gets_no_later_requests_of_any_kind() {
     let frozen = ScriptedEndpoint::start(vec![EndpointStep::Silence; 20]).await;
     let healthy = ScriptedEndpoint::start(vec![complete_response(); 20]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&frozen, &healthy]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&frozen, &healthy]);
     let mut waiting = Vec::new();
     while frozen.requests().len() < 2 {
         let sending = Box::pin(gateway.send(request(&[])));
--- a/crates/oatpier-gateway/tests/testsuite/forwarding.rs
+++ b/crates/oatpier-gateway/tests/testsuite/forwarding.rs
@@ -4,14 +4,14 @@
 use oatpier_serving::site::RouteKind;
 
 use crate::support::{
-    EndpointStep, REQUEST_ID, ScriptedEndpoint, TestGateway, own_answer, request,
+    EndpointStep, REQUEST_ID, ScriptedEndpoint, TestGateway, endpoint_response, request,
 };
 
 #[tokio::test]
 async fn a_request_is_forwarded_unchanged_and_its_response_is_returned() {
-    let answer = EndpointStep::Answer(own_answer("200 OK", "world"));
+    let answer = EndpointStep::Answer(endpoint_response("200 OK", "world"));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     let answer = gateway.send(request(&[("x-other", "kept")])).await;
     assert_eq!(answer.status(), StatusCode::OK);
     assert_eq!(answer.headers()["x-oatpier-response-stamp"], "s1");
@@ -28,9 +28,9 @@
 /// of the gateway.
 #[tokio::test]
 async fn forged_headers_never_reach_an_endpoint() {
-    let answer = EndpointStep::Answer(own_answer("200 OK", ""));
+    let answer = EndpointStep::Answer(endpoint_response("200 OK", ""));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     let forged = [
         ("x-oatpier-hold", "h1"),
         ("kv-from", "10.0.0.1:1/2"),
@@ -45,9 +45,9 @@
 
 #[tokio::test]
 async fn the_endpoint_gets_the_shorter_of_caller_and_route_timeout() {
-    let answer = EndpointStep::Answer(own_answer("200 OK", ""));
+    let answer = EndpointStep::Answer(endpoint_response("200 OK", ""));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway
         .send(request(&[("x-oatpier-deadline-ms", "3000")]))
         .await;
@@ -61,9 +61,9 @@
 
 #[tokio::test]
 async fn an_endpoint_error_is_returned_unchanged() {
-    let answer = EndpointStep::Answer(own_answer("503 Service Unavailable", "own"));
+    let answer = EndpointStep::Answer(endpoint_response("503 Service Unavailable", "own"));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.headers()["x-oatpier-response-stamp"], "s1");
--- a/crates/oatpier-gateway/tests/testsuite/keys.rs
+++ b/crates/oatpier-gateway/tests/testsuite/keys.rs
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, config, own_answer, record, request, route,
+    EndpointStep, ScriptedEndpoint, TestGateway, config, endpoint_response, record, request, route,
 };
 
 fn workspace(name: &str, keys: &[&str]) -> DeclaredWorkspace {
@@ -54,7 +54,7 @@
 }
 
 fn ok_answers(count: usize) -> Vec<EndpointStep> {
-    vec![EndpointStep::Answer(own_answer("200 OK", "done")); count]
+    vec![EndpointStep::Answer(endpoint_response("200 OK", "done")); count]
 }
 
 #[tokio::test]
--- a/crates/oatpier-gateway/tests/testsuite/leaving.rs
+++ b/crates/oatpier-gateway/tests/testsuite/leaving.rs
@@ -6,19 +6,19 @@
 use oatpier_types::names::EndpointName;
 
 use crate::support::{
-    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, own_answer, prompt, record,
-    request, status, stream_start, with_headers,
+    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, endpoint_response, prompt,
+    record, request, status, stream_start, with_headers,
 };
 
 /// Returns responses that announce that their endpoint is leaving.
 fn leaving_answers(count: usize) -> Vec<EndpointStep> {
-    let answer = own_answer("200 OK", "done");
+    let answer = endpoint_response("200 OK", "done");
     let answer = with_headers(&answer, &[("server-leaving", "1")]);
     vec![EndpointStep::Answer(answer); count]
 }
 
 fn answers(count: usize) -> Vec<EndpointStep> {
-    vec![EndpointStep::Answer(own_answer("200 OK", "done")); count]
+    vec![EndpointStep::Answer(endpoint_response("200 OK", "done")); count]
 }
 
 /// Guards against requests that are sent to a leaving endpoint until it is gone. The store does not respond, and
@@ -26,7 +26,7 @@
 #[tokio::test]
 async fn an_endpoint_that_announced_leaving_gets_no_more_requests() {
     let leaving = ScriptedEndpoint::start(leaving_answers(5)).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&leaving]);
     assert_eq!(gateway.send(request(&[])).await.status(), StatusCode::OK);
     let staying = ScriptedEndpoint::start(answers(4)).await;
     // The registry lists the endpoint as ready, in this read as in the last one.
@@ -51,7 +51,7 @@
 #[tokio::test]
 async fn other_gateways_are_informed_that_an_endpoint_is_leaving() {
     let leaving = ScriptedEndpoint::start(leaving_answers(1)).await;
-    let reporter = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
+    let reporter = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&leaving]);
     let mut named = status(1, leaving.address, Vec::new());
     named.gateways = vec!["10.0.0.9:7380".parse().unwrap()];
     reporter.core.apply_status(named);
@@ -63,7 +63,7 @@
         [InnerMessage::LeavingSeen(leaving_report())]
     );
 
-    let receiver = TestGateway::before(RouteKind::Unsafe, 1, &[&leaving]);
+    let receiver = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&leaving]);
     receiver.core.apply_leaving_report(&leaving_report());
     receiver.send(request(&[])).await;
     assert_eq!(leaving.requests().len(), 1);
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn when_all_endpoints_are_leaving_callers_are_refused_at_once() {
     let leaving = ScriptedEndpoint::start(leaving_answers(1)).await;
-    let gateway = TestGateway::before(RouteKind::Safe, 2, &[&leaving]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Safe, 2, &[&leaving]);
     gateway.send(request(&[])).await;
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -89,7 +89,7 @@
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let leaving = ScriptedEndpoint::start(Vec::new()).await;
     let staying = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&leaving, &staying]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&leaving, &staying]);
     gateway.report_engine(&leaving, 0);
     gateway.report_engine(&staying, 5);
     let answer = tokio::select! {
--- a/crates/oatpier-gateway/tests/testsuite/observing.rs
+++ b/crates/oatpier-gateway/tests/testsuite/observing.rs
@@ -8,7 +8,7 @@
 use oatpier_types::names::WorkspaceName;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, own_answer, request, with_headers,
+    EndpointStep, ScriptedEndpoint, TestGateway, endpoint_response, request, with_headers,
 };
 
 #[tokio::test(start_paused = true)]
@@ -42,9 +42,9 @@
 /// Engineers look these names up in docs/OPERATIONS.md.
 #[tokio::test]
 async fn every_metric_named_in_the_operations_page_is_served() {
-    let answer = EndpointStep::Answer(own_answer("200 OK", ""));
+    let answer = EndpointStep::Answer(endpoint_response("200 OK", ""));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.send(request(&[])).await;
     gateway.core.metrics.count_store_read("answered");
     gateway.core.metrics.count_store_write("answered");
@@ -76,15 +76,17 @@
 /// count; the repetition gives none.
 #[tokio::test]
 async fn a_change_of_an_endpoints_limit_is_logged_and_counted_once() {
-    let plain = own_answer("200 OK", "");
+    let plain = endpoint_response("200 OK", "");
     let limited = with_headers(&plain, &[("Server-Limit", "2.5")]);
     let steps = [&limited, &limited, &plain].map(|answer| EndpointStep::Answer(answer.clone()));
     let endpoint = ScriptedEndpoint::start(steps.to_vec()).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.hold_parts_elsewhere();
     let now = |_: &TurnAsk| TurnAnswer::In(0);
     gateway.send(request(&[])).await;
-    gateway.with_turns(gateway.send(request(&[])), now).await;
+    gateway
+        .with_turn_answers(gateway.send(request(&[])), now)
+        .await;
     let lines = gateway.logged("endpoint says");
     assert_eq!(lines.len(), 1, "{lines:?}");
     for part in [
@@ -95,7 +97,9 @@
     ] {
         assert!(lines[0].contains(part), "{part} in {}", lines[0]);
     }
-    gateway.with_turns(gateway.send(request(&[])), now).await;
+    gateway
+        .with_turn_answers(gateway.send(request(&[])), now)
+        .await;
     assert_eq!(gateway.logged("endpoint says").len(), 1);
     let text = gateway.core.metrics.encode();
     assert!(text.contains("endpoint_notices_total{cause=\"limit-named\"} 1"));
--- a/crates/oatpier-gateway/tests/testsuite/permits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/permits.rs
@@ -37,7 +37,7 @@
 /// Creates a gateway that has sent an engine enough prompts to know how long they take. Every permit request is
 /// granted at once.
 async fn gateway_with_learned_times(engine: &ScriptedEndpoint) -> TestGateway {
-    let gateway = TestGateway::before(STREAM, 1, &[engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[engine]);
     report_engine(&gateway, engine, 1);
     for _ in 0..PROMPTS_TO_LEARN {
         let sending = gateway.send(prompt());
@@ -78,7 +78,7 @@
 
 fn grant_last(gateway: &TestGateway) {
     if let Some(ask) = permit_requests(gateway).last() {
-        gateway.core.take_permit(PermitGrant { id: ask.id });
+        gateway.core.apply_permit(PermitGrant { id: ask.id });
     }
 }
 
@@ -115,7 +115,7 @@
 #[tokio::test]
 async fn a_prompt_is_sent_without_a_permit_if_no_sidecar_reports() {
     let engine = ScriptedEndpoint::start(stream_responses(1)).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     let mut listed = crate::support::record(1, engine.address);
     listed.models = vec![HeldModel {
         model: ModelName::try_from("m1").unwrap(),
@@ -133,7 +133,7 @@
 #[tokio::test]
 async fn a_gateway_that_has_just_started_requests_permits_for_whole_pauses() {
     let engine = ScriptedEndpoint::start(stream_responses(1)).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     report_engine(&gateway, &engine, 1);
     let sending = gateway.send(prompt());
     let granting = async {
@@ -153,7 +153,7 @@
 #[tokio::test]
 async fn a_permit_request_is_withdrawn_when_its_caller_disconnects() {
     let engine = ScriptedEndpoint::start(stream_responses(1)).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     report_engine(&gateway, &engine, 1);
     tokio::select! {
         _ = gateway.send(prompt()) => panic!("the prompt was sent without a permit"),
--- a/crates/oatpier-gateway/tests/testsuite/quota.rs
+++ b/crates/oatpier-gateway/tests/testsuite/quota.rs
@@ -17,7 +17,8 @@
 use tokio::time::sleep;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, config, holder, own_answer, record, request, route,
+    EndpointStep, ScriptedEndpoint, TestGateway, config, endpoint_response, holder, record,
+    request, route,
 };
 
 const STREAM: RouteKind = RouteKind::Stream {
@@ -105,7 +106,7 @@
 
 #[tokio::test]
 async fn a_request_is_charged_its_tokens_and_a_plain_request_the_configured_units() {
-    let answer = EndpointStep::Answer(own_answer("200 OK", "done"));
+    let answer = EndpointStep::Answer(endpoint_response("200 OK", "done"));
     let endpoint = ScriptedEndpoint::start(vec![answer; 2]).await;
     let gateway = limited_gateway(RouteKind::Unsafe, &endpoint);
     let answer = send_with_holders(&gateway, plain_request(), grant_needed).await;
@@ -150,7 +151,7 @@
 
 #[tokio::test]
 async fn another_holder_is_asked_when_one_has_no_units_left() {
-    let answer = EndpointStep::Answer(own_answer("200 OK", "done"));
+    let answer = EndpointStep::Answer(endpoint_response("200 OK", "done"));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
     let gateway = limited_gateway(RouteKind::Unsafe, &endpoint);
     let last_only = |ask: &QuotaAsk| match ask.part {
@@ -196,8 +197,8 @@
 /// but is charged once.
 #[tokio::test]
 async fn a_retry_is_not_charged_again() {
-    let failed = EndpointStep::Answer(own_answer("500 Internal Server Error", "no"));
-    let answered = EndpointStep::Answer(own_answer("200 OK", "done"));
+    let failed = EndpointStep::Answer(endpoint_response("500 Internal Server Error", "no"));
+    let answered = EndpointStep::Answer(endpoint_response("200 OK", "done"));
     let endpoint = ScriptedEndpoint::start(vec![failed]).await;
     let other = ScriptedEndpoint::start(vec![answered]).await;
     let gateway = limited_gateway(RouteKind::Safe, &endpoint);
--- a/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rate_limits.rs
@@ -14,8 +14,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::support::{
-    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, own_answer, prompt, request,
-    status, stream_start, with_headers,
+    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, endpoint_response, prompt,
+    request, status, stream_start, with_headers,
 };
 
 /// The rate that the endpoint accepts, in requests per second.
@@ -26,7 +26,7 @@
 
 /// Returns responses that announce the rate limit.
 fn limited_answers(count: usize) -> Vec<EndpointStep> {
-    let answer = own_answer("200 OK", "done");
+    let answer = endpoint_response("200 OK", "done");
     let answer = with_headers(&answer, &[("server-limit", &RATE.to_string())]);
     vec![EndpointStep::Answer(answer); count]
 }
@@ -44,7 +44,7 @@
 #[tokio::test]
 async fn gateways_together_keep_the_rate_limit_of_an_endpoint() {
     let endpoint = ScriptedEndpoint::start(limited_answers(3 * CALLERS)).await;
-    let gateways = [0, 1].map(|_| TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]));
+    let gateways = [0, 1].map(|_| TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]));
     let started_at = Instant::now();
     for gateway in &gateways {
         gateway.send(request_with_short_deadline()).await;
@@ -63,7 +63,7 @@
 
 /// Creates a gateway that was informed by another gateway of the limit of its first endpoint.
 fn gateway_with_limit(endpoints: &[&ScriptedEndpoint]) -> TestGateway {
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, endpoints);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, endpoints);
     gateway.hold_parts_elsewhere();
     gateway.core.apply_limit_report(&limit_report());
     gateway
@@ -83,7 +83,9 @@
     let endpoint = ScriptedEndpoint::start(limited_answers(1)).await;
     let gateway = gateway_with_limit(&[&endpoint]);
     let sending = gateway.send(request_with_short_deadline());
-    let answer = gateway.with_turns(sending, |_| TurnAnswer::In(20)).await;
+    let answer = gateway
+        .with_turn_answers(sending, |_| TurnAnswer::In(20))
+        .await;
     assert_eq!(answer.status(), StatusCode::OK);
     let asks = gateway.turn_requests();
     assert_eq!(asks.len(), 1);
@@ -95,13 +97,13 @@
 #[tokio::test]
 async fn beyond_the_limit_a_request_goes_to_another_endpoint() {
     let limited = ScriptedEndpoint::start(limited_answers(1)).await;
-    let plain = EndpointStep::Answer(own_answer("200 OK", "done"));
+    let plain = EndpointStep::Answer(endpoint_response("200 OK", "done"));
     let other = ScriptedEndpoint::start(vec![plain; 2]).await;
     let gateway = gateway_with_limit(&[&limited, &other]);
     for _ in 0..2 {
         let sending = gateway.send(request_with_short_deadline());
         let answer = gateway
-            .with_turns(sending, |_| TurnAnswer::Later(1_000))
+            .with_turn_answers(sending, |_| TurnAnswer::Later(1_000))
             .await;
         assert_eq!(answer.status(), StatusCode::OK);
     }
@@ -119,7 +121,7 @@
     let gateway = gateway_with_limit(&[&endpoint]);
     let sending = gateway.send(request_with_short_deadline());
     let answer = gateway
-        .with_turns(sending, |_| TurnAnswer::Later(9_000))
+        .with_turn_answers(sending, |_| TurnAnswer::Later(9_000))
         .await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     let after = answer.headers()["retry-after"].to_str().unwrap();
@@ -157,7 +159,7 @@
 async fn a_limit_applies_to_requests_that_were_placed_before_it_was_known() {
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     gateway.hold_parts_elsewhere();
     gateway.report_engine(&engine, 0);
     let sending = async {
@@ -168,7 +170,9 @@
             }
         }
     };
-    let answer = gateway.with_turns(sending, |_| TurnAnswer::In(0)).await;
+    let answer = gateway
+        .with_turn_answers(sending, |_| TurnAnswer::In(0))
+        .await;
     assert_eq!(answer.status(), StatusCode::OK);
     assert_eq!(gateway.turn_requests().len(), 1);
     assert!(
@@ -184,17 +188,19 @@
 /// response informs the others at once.
 #[tokio::test]
 async fn other_gateways_are_informed_of_a_limit_and_of_its_end() {
-    let plain = EndpointStep::Answer(own_answer("200 OK", "done"));
+    let plain = EndpointStep::Answer(endpoint_response("200 OK", "done"));
     let steps = [limited_answers(2), vec![plain]].concat();
     let endpoint = ScriptedEndpoint::start(steps).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.hold_parts_elsewhere();
     let mut named = status(1, endpoint.address, Vec::new());
     named.gateways = vec!["10.0.0.9:7380".parse().unwrap()];
     gateway.core.apply_status(named);
     for _ in 0..3 {
         let sending = gateway.send(request_with_short_deadline());
-        gateway.with_turns(sending, |_| TurnAnswer::In(0)).await;
+        gateway
+            .with_turn_answers(sending, |_| TurnAnswer::In(0))
+            .await;
     }
     let reports = gateway.outlet.sent().into_iter();
     let reports = reports.filter_map(|(to, message)| match message {
@@ -223,7 +229,9 @@
         gateway.core.close();
     };
     let sending = async { tokio::join!(gateway.send(request(&[])), closing).0 };
-    let answer = gateway.with_turns(sending, |_| TurnAnswer::In(1_900)).await;
+    let answer = gateway
+        .with_turn_answers(sending, |_| TurnAnswer::In(1_900))
+        .await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     let lines = gateway.logged("answer").join("");
     assert!(lines.contains("\"outcome\":\"leaving\""), "{lines}");
--- a/crates/oatpier-gateway/tests/testsuite/refusals.rs
+++ b/crates/oatpier-gateway/tests/testsuite/refusals.rs
@@ -10,7 +10,7 @@
 use oatpier_types::names::ModelName;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, config, own_answer, request, route, status,
+    EndpointStep, ScriptedEndpoint, TestGateway, config, endpoint_response, request, route, status,
 };
 
 #[tokio::test]
@@ -23,7 +23,7 @@
 
 #[tokio::test]
 async fn a_path_without_route_is_not_found() {
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[]);
     let mut unknown = request(&[]);
     *unknown.uri_mut() = "/other/".parse().unwrap();
     assert_eq!(gateway.send(unknown).await.status(), StatusCode::NOT_FOUND);
@@ -31,7 +31,7 @@
 
 #[tokio::test]
 async fn a_request_without_id_or_with_too_large_a_body_is_rejected() {
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[]);
     let mut without_id = request(&[]);
     without_id.headers_mut().remove("x-oatpier-request-id");
     assert_eq!(
@@ -48,7 +48,7 @@
 
 #[tokio::test]
 async fn a_request_to_a_service_without_endpoints_is_refused_at_once() {
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers().contains_key("retry-after"));
@@ -56,7 +56,7 @@
 
 #[tokio::test]
 async fn a_closed_gateway_refuses_requests() {
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[]);
     gateway.core.close();
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -81,9 +81,9 @@
 /// nor a retry.
 #[tokio::test]
 async fn a_request_waits_for_its_adapter() {
-    let answer = EndpointStep::Answer(own_answer("200 OK", ""));
+    let answer = EndpointStep::Answer(endpoint_response("200 OK", ""));
     let engine = ScriptedEndpoint::start(vec![answer]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&engine]);
     let held = |adapters: &[&str]| HeldModel {
         model: ModelName::try_from("m1").unwrap(),
         adapters: adapters
@@ -118,7 +118,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_for_a_model_that_is_not_loading_is_refused_in_time() {
     let engine = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&engine]);
     let begun = tokio::time::Instant::now();
     let answer = gateway.send(request(&[("x-oatpier-model", "m1")])).await;
     assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/oatpier-gateway/tests/testsuite/relayed.rs
+++ b/crates/oatpier-gateway/tests/testsuite/relayed.rs
@@ -50,7 +50,7 @@
 async fn a_request_is_served_by_an_engine_known_only_through_relays() {
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     let updates = vec![full_update(&engine, 1, "m1"), load_update(&engine, 2, 3)];
     gateway.core.take_relayed(updates);
     let sending = gateway.send(request(&[
@@ -66,7 +66,7 @@
                 _ => None,
             });
             if let Some(ask) = ask {
-                gateway.core.take_permit(PermitGrant { id: ask.id });
+                gateway.core.apply_permit(PermitGrant { id: ask.id });
             }
         }
     };
@@ -82,7 +82,7 @@
 #[tokio::test]
 async fn a_request_that_finds_no_slot_waits_at_the_sidecar() {
     let engine = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     let updates = vec![full_update(&engine, 1, "m1"), load_update(&engine, 2, 10)];
     gateway.core.take_relayed(updates);
     let sending = gateway.send(request(&[
--- a/crates/oatpier-gateway/tests/testsuite/rests.rs
+++ b/crates/oatpier-gateway/tests/testsuite/rests.rs
@@ -10,8 +10,8 @@
 use tokio::time::sleep;
 
 use crate::support::{
-    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, not_executed_response,
-    own_answer, prompt, request, stream_start, with_headers,
+    EndpointStep, STREAM, STREAM_END, ScriptedEndpoint, TestGateway, endpoint_response,
+    not_executed_response, prompt, request, stream_start, with_headers,
 };
 
 /// Returns responses that refuse a request and ask for a rest period of this many seconds.
@@ -26,7 +26,7 @@
 #[tokio::test]
 async fn an_endpoint_gets_no_requests_during_its_rest_period() {
     let endpoint = ScriptedEndpoint::start(refusals(20, "30")).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     for _ in 0..20 {
         let answer = gateway.send(request(&[])).await;
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -36,7 +36,7 @@
 }
 
 fn answers(count: usize) -> Vec<EndpointStep> {
-    vec![EndpointStep::Answer(own_answer("200 OK", "done")); count]
+    vec![EndpointStep::Answer(endpoint_response("200 OK", "done")); count]
 }
 
 fn retry_after_seconds(answer: &Response<Bytes>) -> f64 {
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn a_caller_gets_the_rest_period_of_its_only_endpoint_as_retry_after() {
     let endpoint = ScriptedEndpoint::start(refusals(1, "30")).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     for _ in 0..2 {
         let answer = gateway.send(request(&[])).await;
         assert_eq!(answer.status(), StatusCode::SERVICE_UNAVAILABLE);
@@ -75,7 +75,7 @@
 async fn another_endpoint_serves_during_a_rest_period() {
     let refusing = ScriptedEndpoint::start(refusals(1, "30")).await;
     let other = ScriptedEndpoint::start(answers(4)).await;
-    let gateway = TestGateway::before(RouteKind::Safe, 2, &[&refusing, &other]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Safe, 2, &[&refusing, &other]);
     for _ in 0..4 {
         assert_eq!(gateway.send(request(&[])).await.status(), StatusCode::OK);
     }
@@ -87,7 +87,7 @@
 async fn a_request_waits_for_a_short_rest_period_to_end() {
     let steps = [refusals(1, "0.2"), answers(1)].concat();
     let endpoint = ScriptedEndpoint::start(steps).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     let refused = gateway.send(request(&[])).await;
     assert_eq!(refused.status(), StatusCode::SERVICE_UNAVAILABLE);
     let served = gateway.send(request(&[])).await;
@@ -110,7 +110,7 @@
 async fn after_a_rest_period_one_request_is_sent_before_the_others() {
     let steps = [refusals(1, "0.1"), refusals(19, "30")].concat();
     let endpoint = ScriptedEndpoint::start(steps).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     let statuses = send_twenty_after_a_refusal(&gateway).await;
     assert_eq!(statuses, [StatusCode::SERVICE_UNAVAILABLE; 20]);
     assert_eq!(endpoint.requests().len(), 2);
@@ -121,7 +121,7 @@
 async fn after_a_successful_rest_period_all_requests_are_served() {
     let steps = [refusals(1, "0.05"), answers(20)].concat();
     let endpoint = ScriptedEndpoint::start(steps).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     let statuses = send_twenty_after_a_refusal(&gateway).await;
     assert_eq!(statuses, [StatusCode::OK; 20]);
 }
@@ -133,20 +133,20 @@
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let steps = [refusals(1, "30"), vec![EndpointStep::Answer(stream)]].concat();
     let engine = ScriptedEndpoint::start(steps).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     gateway.report_engine(&engine, 0);
     let granting = async {
         while gateway.permit_request_ids().len() < 2 {
             sleep(Duration::from_millis(1)).await;
         }
         let ids = gateway.permit_request_ids();
-        gateway.core.take_permit(PermitGrant { id: ids[0] });
+        gateway.core.apply_permit(PermitGrant { id: ids[0] });
         while engine.requests().is_empty() {
             sleep(Duration::from_millis(1)).await;
         }
         // The first request is being refused meanwhile.
         sleep(Duration::from_millis(20)).await;
-        gateway.core.take_permit(PermitGrant { id: ids[1] });
+        gateway.core.apply_permit(PermitGrant { id: ids[1] });
     };
     let (one, other, ()) = tokio::join!(gateway.send(prompt()), gateway.send(prompt()), granting);
     for answer in [one, other] {
@@ -162,7 +162,7 @@
 #[tokio::test]
 async fn a_request_that_waits_for_a_rest_period_is_refused_when_its_gateway_stops() {
     let endpoint = ScriptedEndpoint::start(refusals(1, "8")).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.send(request(&[])).await;
     let closing = async {
         sleep(Duration::from_millis(20)).await;
--- a/crates/oatpier-gateway/tests/testsuite/statuses.rs
+++ b/crates/oatpier-gateway/tests/testsuite/statuses.rs
@@ -11,7 +11,7 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{AdapterName, ModelName, ZoneName};
 
-use crate::support::KeptOutlet;
+use crate::support::RecordingOutlet;
 
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_380))
@@ -64,7 +64,7 @@
 }
 
 /// Returns the full status updates that were sent, with their receivers.
-fn sent_full_statuses(outlet: &KeptOutlet) -> Vec<(SocketAddr, EngineStatus)> {
+fn sent_full_statuses(outlet: &RecordingOutlet) -> Vec<(SocketAddr, EngineStatus)> {
     let status = |(to, message): (SocketAddr, InnerMessage)| match message {
         InnerMessage::Status(status) | InnerMessage::Spread(EngineUpdate::Status(status)) => {
             Some((to, *status))
@@ -79,7 +79,7 @@
 /// within some status updates.
 #[test]
 fn status_updates_list_gateways_in_rotation() {
-    let outlet = KeptOutlet::default();
+    let outlet = RecordingOutlet::default();
     let mut sender = StatusSender::new(address(200), None);
     sender.set_answering(true);
     let residency = residency();
@@ -106,7 +106,7 @@
 /// zone, whatever their number.
 #[test]
 fn status_update_goes_to_two_gateways_of_each_zone() {
-    let outlet = KeptOutlet::default();
+    let outlet = RecordingOutlet::default();
     let mut sender = StatusSender::new(address(200), None);
     sender.set_answering(true);
     for number in 0..60 {
@@ -131,7 +131,7 @@
 /// that the engine has no sidecar. Its subscription says so, and the sidecar sends it status updates directly.
 #[test]
 fn gateway_without_status_updates_is_sent_them_directly() {
-    let outlet = KeptOutlet::default();
+    let outlet = RecordingOutlet::default();
     let mut sender = StatusSender::new(address(200), None);
     sender.set_answering(true);
     for number in 0..9 {
@@ -155,7 +155,7 @@
 /// that the engine rejects.
 #[test]
 fn a_new_adapter_is_sent_at_once_to_its_requester_and_a_lost_one_to_all() {
-    let outlet = KeptOutlet::default();
+    let outlet = RecordingOutlet::default();
     let mut sender = StatusSender::new(address(200), None);
     sender.set_answering(true);
     sender.apply_subscription(address(1), &subscription("near", true), at(1_000));
--- a/crates/oatpier-gateway/tests/testsuite/stops.rs
+++ b/crates/oatpier-gateway/tests/testsuite/stops.rs
@@ -28,7 +28,7 @@
 /// Sends a request for `weights` that must wait at the gateway, and closes the gateway meanwhile.
 async fn close_while_waiting(status: impl Fn(&ScriptedEndpoint) -> EngineStatus, weights: &str) {
     let engine = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&engine]);
     gateway.core.apply_status(status(&engine));
     let weights: &'static str = weights.to_owned().leak();
     let sending = gateway.send(request(&[("x-oatpier-model", weights)]));
--- a/crates/oatpier-gateway/tests/testsuite/streams.rs
+++ b/crates/oatpier-gateway/tests/testsuite/streams.rs
@@ -28,7 +28,7 @@
 async fn a_complete_stream_is_relayed() {
     let stream = stream_start(&[&event(1), &event(2)]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
-    let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(PLAIN, 1, &[&engine]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::OK);
     assert_eq!(&answer.body()[..], (event(1) + &event(2)).as_bytes());
@@ -40,7 +40,7 @@
 async fn an_event_whose_end_is_split_over_two_chunks_is_complete() {
     let stream = stream_start(&["id: 1\ndata: 1\n", "\n"]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
-    let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(PLAIN, 1, &[&engine]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(&answer.body()[..], event(1).as_bytes());
 }
@@ -57,7 +57,7 @@
     ];
     let first = ScriptedEndpoint::start(steps.clone()).await;
     let second = ScriptedEndpoint::start(vec![EndpointStep::Answer(rest)]).await;
-    let gateway = TestGateway::before(RESUMABLE, 2, &[&first, &second]);
+    let gateway = TestGateway::with_endpoints(RESUMABLE, 2, &[&first, &second]);
     // The first engine is preferred because of its name; the response is correct in either order.
     let answer = gateway.send(request(&[])).await;
     let body = String::from_utf8(answer.body().to_vec()).unwrap();
@@ -75,7 +75,7 @@
 async fn a_broken_stream_that_cannot_be_resumed_cuts_the_callers_connection() {
     let truncated = stream_start(&[&event(1)]);
     let engine = ScriptedEndpoint::start(vec![EndpointStep::AnswerAndClose(truncated)]).await;
-    let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(PLAIN, 1, &[&engine]);
     let reply = gateway.reply(request(&[])).await;
     assert_eq!(reply.status(), StatusCode::OK);
     assert!(reply.into_body().collect().await.is_err());
@@ -87,7 +87,7 @@
     let head = stream_start(&[]).replace("transfer-encoding: chunked\r\n", "");
     let text = head + &event(1) + "id: 2\nda";
     let engine = ScriptedEndpoint::start(vec![EndpointStep::AnswerAndClose(text)]).await;
-    let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(PLAIN, 1, &[&engine]);
     let reply = gateway.reply(request(&[])).await;
     assert!(reply.into_body().collect().await.is_err());
 }
@@ -98,7 +98,7 @@
 async fn a_stream_that_breaks_before_its_first_event_gets_bad_gateway() {
     let engine =
         ScriptedEndpoint::start(vec![EndpointStep::AnswerAndClose(stream_start(&[]))]).await;
-    let gateway = TestGateway::before(PLAIN, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(PLAIN, 1, &[&engine]);
     let answer = gateway.send(request(&[])).await;
     assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
 }
@@ -108,7 +108,7 @@
     let (head, tail) = ("id: 1\nda", "ta: 1\n\n");
     let stream = stream_start(&[]) + &chunk(head) + &chunk(tail) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
-    let gateway = TestGateway::before(RESUMABLE, 2, &[&engine]);
+    let gateway = TestGateway::with_endpoints(RESUMABLE, 2, &[&engine]);
     let reply = gateway.reply(request(&[])).await;
     let first = reply.into_body().frame().await.unwrap().unwrap();
     assert_eq!(first.into_data().unwrap(), event(1).as_bytes());
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -142,7 +142,7 @@
 }
 
 /// Returns a valid endpoint response to the request with [`REQUEST_ID`].
-pub fn own_answer(status: &str, body: &str) -> String {
+pub fn endpoint_response(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nx-oatpier-request-id: {REQUEST_ID}\r\nx-oatpier-response-stamp: s1\r\n\
          content-length: {}\r\n\r\n{body}",
@@ -185,17 +185,17 @@
 
 /// Records the messages that the gateway sends to sidecars and other gateways.
 #[derive(Debug, Default)]
-pub struct KeptOutlet {
+pub struct RecordingOutlet {
     sent: Mutex<Vec<(SocketAddr, InnerMessage)>>,
 }
 
-impl KeptOutlet {
+impl RecordingOutlet {
     pub fn sent(&self) -> Vec<(SocketAddr, InnerMessage)> {
         self.sent.lock().unwrap().clone()
     }
 }
 
-impl MessageOutlet for KeptOutlet {
+impl MessageOutlet for RecordingOutlet {
     fn send(&self, to: SocketAddr, message: &InnerMessage) {
         self.sent.lock().unwrap().push((to, message.clone()));
     }
@@ -204,11 +204,11 @@
 /// A gateway in front of scripted endpoints.
 pub struct TestGateway {
     pub core: Arc<GatewayCore>,
-    pub outlet: Arc<KeptOutlet>,
+    pub outlet: Arc<RecordingOutlet>,
     /// The lines that the gateway logs.
     pub lines: RingReceiver<String>,
     /// The changes of crash records that the gateway queues for the store.
-    pub written: RingReceiver<CrashChange>,
+    pub crash_changes: RingReceiver<CrashChange>,
     /// The addresses of gateways with a newer configuration.
     pub config_wanted: RingReceiver<SocketAddr>,
     handler: GatewayHandler,
@@ -217,7 +217,7 @@
 impl TestGateway {
     /// Creates a gateway without a configuration.
     pub fn unconfigured() -> Self {
-        let outlet = Arc::new(KeptOutlet::default());
+        let outlet = Arc::new(RecordingOutlet::default());
         let metrics = ServingMetrics::default();
         let (log, lines) = DecisionLog::new("gateway", &metrics);
         let full = metrics.ring_full.clone();
@@ -242,13 +242,17 @@
             core,
             outlet,
             lines,
-            written,
+            crash_changes: written,
             config_wanted,
         }
     }
 
     /// Creates a gateway with one route of this kind to plain endpoints.
-    pub fn before(kind: RouteKind, max_attempts: u32, endpoints: &[&ScriptedEndpoint]) -> Self {
+    pub fn with_endpoints(
+        kind: RouteKind,
+        max_attempts: u32,
+        endpoints: &[&ScriptedEndpoint],
+    ) -> Self {
         let gateway = Self::unconfigured();
         let records = (1..)
             .zip(endpoints)
@@ -307,7 +311,7 @@
             for id in self.permit_request_ids().drain(granted..) {
                 granted += 1;
                 before_grant();
-                self.core.take_permit(PermitGrant { id });
+                self.core.apply_permit(PermitGrant { id });
             }
         }
     }
@@ -323,7 +327,7 @@
     }
 
     /// Runs `work` while the part holders answer each turn request with `answer`.
-    pub async fn with_turns<T>(
+    pub async fn with_turn_answers<T>(
         &self,
         work: impl Future<Output = T>,
         answer: impl Fn(&TurnAsk) -> TurnAnswer,
