--- a/crates/oatpier-gateway/src/gateway/handler.rs
+++ b/crates/oatpier-gateway/src/gateway/handler.rs
@@ -20,10 +20,10 @@
 use oatpier_wire::reply::Reply;
 use oatpier_wire::server::RequestHandler;
 
-use super::answers::LocalResponse;
 use super::attempt::CallerMessage;
 use super::core::GatewayCore;
 use super::identity::CallerIdentity;
+use super::local_responses::LocalResponse;
 use super::placement::RequestContext;
 use super::quota::{self, ChargeCell};
 use super::run::RequestRun;
--- a/crates/oatpier-gateway/src/gateway/identity.rs
+++ b/crates/oatpier-gateway/src/gateway/identity.rs
@@ -12,8 +12,8 @@
 use oatpier_serving::workspace::{WorkspaceRule, WorkspaceTable};
 use oatpier_types::names::WorkspaceName;
 
-use super::answers::LocalResponse;
 use super::core::GatewayCore;
+use super::local_responses::LocalResponse;
 
 /// The identity of a caller, as far as the configuration requires one.
 #[derive(Debug, Clone)]
--- a/crates/oatpier-gateway/src/gateway/mod.rs
+++ b/crates/oatpier-gateway/src/gateway/mod.rs
@@ -5,40 +5,40 @@
 //! - [`handler`]: entry point of incoming requests.
 //! - `run`: the course of one request, from placement to the final answer.
 //! - [`placement`]: a request in progress and the next action for it.
-//! - `placing`: choice of the endpoint for a request.
+//! - `placement_decision`: choice of the endpoint for a request.
 //! - [`attempt`]: one attempt at one endpoint.
 //! - [`permits`]: requests to sidecars for permits to send prompts to their engines.
 //! - [`pauses`]: causes of late streams.
 //! - [`relay`]: answers forwarded as a stream of events.
-//! - [`answers`]: answers that the gateway itself generates.
+//! - [`local_responses`]: answers that the gateway itself generates.
 //! - `pending_calls`: calls to other processes that wait for an answer.
 //! - `run_log`: decision lines about requests.
-//! - `accounts`: bookkeeping of request outcomes.
+//! - `accounting`: bookkeeping of request outcomes.
 //! - `crashes`: requests that make the endpoints running them end.
 //! - `notices`: what endpoints report about themselves in answer headers.
 //! - [`identity`]: authentication of requests, and the workspace they belong to.
 //! - [`quota`]: units of workspaces' limits.
 //! - `subscriptions`: subscriptions to sidecars' status updates.
-//! - [`exchanges`]: messages between gateways and sidecars.
+//! - [`messaging`]: messages between gateways and sidecars.
 //! - `turns`: turns at endpoints that limit the requests of all gateways together.
 //! - `reports`: reports between gateways.
 //! - `planning`: rounds of the load planner.
 
-mod accounts;
-pub mod answers;
+mod accounting;
 pub mod attempt;
 mod configuration;
 pub mod core;
 mod crashes;
-pub mod exchanges;
 pub mod handler;
 pub mod identity;
+pub mod local_responses;
+pub mod messaging;
 mod notices;
 pub mod pauses;
 mod pending_calls;
 pub mod permits;
 pub mod placement;
-mod placing;
+mod placement_decision;
 mod planning;
 pub mod quota;
 pub mod relay;
@@ -71,8 +71,8 @@
 use crate::reload::{SettingsFeed, SettingsSource};
 
 use self::core::{CoreInputs, GatewayCore};
-use self::exchanges::MessagingInputs;
 use self::handler::GatewayHandler;
+use self::messaging::MessagingInputs;
 
 /// Capacity of the queue of store reads that wait to be applied. When it is full, the reader waits.
 const EVENT_RING: usize = 4;
@@ -241,7 +241,7 @@
         () = serving => {}
         () = refuse_after_stop(&core, &stop) => {}
         () = watch_timer_delay(&core) => {}
-        () = exchanges::run(Arc::clone(&core), &socket, exchange_inputs, &stop) => {}
+        () = messaging::run(Arc::clone(&core), &socket, exchange_inputs, &stop) => {}
     }
     stop.advance(StopPhase::Ended);
 }
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -19,8 +19,8 @@
 use oatpier_types::names::WorkspaceName;
 use tokio::time::sleep;
 
-use super::answers::LocalResponse;
 use super::core::{CoreState, GatewayCore};
+use super::local_responses::LocalResponse;
 use crate::decisions::{DecisionLine, LineWeight};
 use crate::parts_writer::{ClaimResult, DueClaim};
 
--- a/crates/oatpier-gateway/src/gateway/run.rs
+++ b/crates/oatpier-gateway/src/gateway/run.rs
@@ -16,9 +16,9 @@
 use smallvec::SmallVec;
 use tokio::time::{sleep_until, timeout_at};
 
-use super::answers::LocalResponse;
 use super::attempt::{self, AttemptFailure, CallerMessage};
 use super::core::GatewayCore;
+use super::local_responses::LocalResponse;
 use super::permits::{self, PermitVerdict};
 use super::placement::{PlacedSend, Placement, RequestContext};
 use super::quota;
--- a/crates/oatpier-gateway/src/gateway/run_log.rs
+++ b/crates/oatpier-gateway/src/gateway/run_log.rs
@@ -5,8 +5,8 @@
 use http::StatusCode;
 use oatpier_types::names::EndpointName;
 
-use super::answers::LocalResponse;
 use super::attempt::AttemptFailure;
+use super::local_responses::LocalResponse;
 use super::pauses::StreamPause;
 use super::placement::PlacedSend;
 use super::run::RequestRun;
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 
 use super::core::{CoreState, GatewayCore};
-use super::placing::STOP_CHECK_INTERVAL;
+use super::placement_decision::STOP_CHECK_INTERVAL;
 use super::quota::ANSWER_WAIT;
 
 /// The outcome of a turn request.
