--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -20,6 +20,7 @@
 use tokio::time::sleep;
 
 use super::core::{CoreState, GatewayCore};
+use super::local_responses::LocalResponse;
 use crate::decisions::{DecisionLine, LinePriority};
 use crate::parts_writer::{ClaimResult, DueClaim};
 
