--- a/crates/oatpier/src/ops/decision_log.rs
+++ b/crates/oatpier/src/ops/decision_log.rs
@@ -1,4 +1,5 @@
-//! Extracts the decisions on one request, model, endpoint or request fingerprint from the logs of gateways and sidecars.
+//! Extracts the decisions on one request, model, endpoint or request fingerprint from the logs of gateways and
+//! sidecars.
 //!
 //! Decision lines are JSON objects with a `decision` field. Text before the object on its line (such as a log
 //! collector's time or host) and lines without such an object are skipped. The decisions are sorted by the wall-clock
@@ -89,7 +90,7 @@
                 };
                 named("endpoint") || named("failed_at") || named("instance") || named("change")
             }
-            // Lines on answers have a prefix of the fingerprint, lines on crashes the whole fingerprint.
+            // Lines on attempts and answers have a prefix of the fingerprint, lines on crashes the whole fingerprint.
             Self::Fingerprint(wanted) => text("fingerprint")
                 .is_some_and(|own| own.starts_with(wanted) || wanted.starts_with(own)),
         }
--- a/crates/oatpierd/benches/path_cost/main.rs
+++ b/crates/oatpierd/benches/path_cost/main.rs
@@ -1,11 +1,11 @@
-//! What the path costs: time that an entry and an agent add to a call of an engine, and the
-//! memory of each process, idle and under 200 streams at once.
+//! The overhead of the path: the latency that an entry and an agent add to an engine call, and the memory use of each
+//! process, idle and with 200 concurrent streams.
 //!
-//! `cargo bench -p oatpierd --bench path_cost [-- --json]`, after
+//! Run `cargo bench -p oatpierd --bench path_cost [-- --json]`, after
 //! `cargo build --release -p oatpier-standin --examples`.
 
-mod figures;
 mod memory;
+mod report;
 #[path = "../../tests/testsuite/support/mod.rs"]
 #[allow(dead_code, reason = "the tests use more of it")]
 mod support;
@@ -21,8 +21,8 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use figures::{CostReport, LatencyPair};
-use memory::{MemoryRow, MemoryWatch};
+use memory::{MemoryRow, MemorySampler};
+use report::{CostReport, LatencyPair};
 use support::fleet::{Fleet, FleetSize};
 use support::http::{StreamEnd, chat, client};
 
@@ -31,16 +31,16 @@
     engines: 4,
     services: 0,
 };
-/// Calls each way before anything is measured: connections are open and caches filled after them.
+/// Calls each way before the measurement, which open connections and fill caches.
 const WARM_UP: usize = 20;
-/// Measured calls each way.
+/// Calls each way in the measurement.
 const CALLS: usize = 150;
-/// Tokens of a measured answer.
+/// Tokens per answer of these calls.
 const TOKENS: u32 = 16;
-/// Streams at once while memory is measured, and the tokens of each.
+/// Concurrent streams during the memory measurement, and the tokens of each.
 const STREAMS: usize = 200;
 const STREAM_TOKENS: u32 = 200;
-/// How long everything may take.
+/// Time limit of the whole run.
 const LIMIT: Duration = Duration::from_secs(58);
 
 fn main() {
@@ -50,7 +50,9 @@
         .build()
         .expect("a runtime can be built");
     let measuring = async { tokio::time::timeout(LIMIT, measure()).await };
-    let report = runtime.block_on(measuring).expect("it ends in time");
+    let report = runtime
+        .block_on(measuring)
+        .expect("the run ends within its time limit");
     if wants_json {
         println!("{}", report.json());
     } else {
@@ -75,14 +77,14 @@
     }
 }
 
-/// The machine's load over the last minute, before this run adds its own.
+/// Returns the one-minute load average of the machine, before this run adds load.
 fn load_average() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let first = text.split(' ').next().unwrap_or_default();
     first.parse().unwrap_or(f64::NAN)
 }
 
-/// Calls an engine directly and through an entry in turn, so that both see the same machine.
+/// Alternates direct calls to an engine with calls through an entry, so that both run under the same machine load.
 async fn measure_latency(fleet: &Fleet) -> (LatencyPair, LatencyPair) {
     let client = client();
     let direct = fleet.engines[0].address;
@@ -131,9 +133,9 @@
     }
 }
 
-/// Looks at the processes' memory while all streams run, and counts the whole answers.
+/// Samples the processes' memory while all streams run, and counts the complete answers.
 async fn measure_memory(fleet: &Fleet) -> (Vec<MemoryRow>, usize) {
-    let mut watch = MemoryWatch::new(fleet);
+    let mut sampler = MemorySampler::new(fleet);
     let client = client();
     let streams = (0..STREAMS).map(|number| {
         let entry = fleet.entries[number % fleet.entries.len()].serve;
@@ -145,8 +147,8 @@
     });
     let ends = tokio::select! {
         ends = join_all(streams) => ends,
-        () = watch.look_for_ever() => unreachable!("it looks for ever"),
+        () = sampler.sample_forever() => unreachable!("sampling never ends"),
     };
     let whole = ends.iter().filter(|end| **end == Some(StreamEnd::Whole));
-    (watch.rows, whole.count())
+    (sampler.rows, whole.count())
 }
--- a/crates/oatpierd/benches/path_cost/memory.rs
+++ b/crates/oatpierd/benches/path_cost/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of the processes of a fleet.
+//! Samples the memory use of a fleet's processes.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 
 use crate::support::fleet::Fleet;
 
-/// How often memory is looked at under load.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+/// Time between two memory samples under load.
+const SAMPLE_PERIOD: Duration = Duration::from_millis(50);
 
 /// The resident memory of one process, in KiB.
 #[derive(Debug, Clone)]
 #[derive(Serialize)]
 pub struct MemoryRow {
-    /// The process.
+    /// The name of the process.
     pub name: String,
-    /// Before the streams.
+    /// Memory before the streams.
     pub idle_kib: u64,
-    /// The most that was seen while they ran.
+    /// Maximum during the streams.
     pub loaded_kib: u64,
 }
 
-/// Looks at the memory of all daemons again and again.
-pub struct MemoryWatch {
+/// Samples the memory of all daemons periodically.
+pub struct MemorySampler {
     processes: Vec<u32>,
-    /// What was seen so far.
+    /// The results so far.
     pub rows: Vec<MemoryRow>,
 }
 
-impl MemoryWatch {
-    /// Looks for the first time, before the load.
+impl MemorySampler {
+    /// Takes the first sample, before the load.
     pub fn new(fleet: &Fleet) -> Self {
         let daemons = || fleet.entries.iter().chain(&fleet.agents);
         let row = |name: &str, process: u32| MemoryRow {
@@ -45,13 +45,13 @@
         }
     }
 
-    /// Looks until it is dropped.
-    pub async fn look_for_ever(&mut self) {
+    /// Samples until the future is dropped.
+    pub async fn sample_forever(&mut self) {
         loop {
             for (row, process) in self.rows.iter_mut().zip(&self.processes) {
                 row.loaded_kib = row.loaded_kib.max(resident_kib(*process));
             }
-            tokio::time::sleep(LOOK_PERIOD).await;
+            tokio::time::sleep(SAMPLE_PERIOD).await;
         }
     }
 }
@@ -63,5 +63,5 @@
     let number = line.and_then(|line| line.split_whitespace().next());
     number
         .and_then(|number| number.parse().ok())
-        .expect("the system says how much memory a process has")
+        .expect("/proc reports the resident memory of the process")
 }
--- a/crates/oatpierd/benches/path_cost/figures.rs
+++ b/crates/oatpierd/benches/path_cost/report.rs
@@ -1,4 +1,4 @@
-//! The figures, as a table and as JSON.
+//! The results, as a table and as JSON.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 
 /// Significant digits of a histogram.
 const DIGITS: u8 = 3;
-/// The longest time that is told apart, in microseconds: a minute.
+/// Upper bound of the histogram, in microseconds: one minute. Longer times are recorded as this value.
 const LONGEST_US: u64 = 60_000_000;
-/// The quantiles that are shown.
+/// The reported quantiles.
 const QUANTILES: [f64; 4] = [0.5, 0.9, 0.99, 1.0];
 
-/// Times of the same call, directly and through the path.
+/// Latencies of the same call, sent to the engine directly and through the path.
 #[derive(Default)]
 pub struct LatencyPair {
     direct: LatencySeries,
     path: LatencySeries,
 }
 
-/// Times in microseconds.
+/// Latencies in microseconds.
 pub struct LatencySeries(Histogram<u64>);
 
 impl Default for LatencySeries {
@@ -44,7 +44,7 @@
     }
 }
 
-/// One quantile of a pair, in microseconds.
+/// One quantile of a pair of latencies, in microseconds.
 #[derive(Debug, Clone, Copy)]
 #[derive(Serialize)]
 pub struct LatencyRow {
@@ -57,7 +57,7 @@
 }
 
 impl LatencyPair {
-    /// Adds one call each way.
+    /// Records one direct call and one call through the path.
     pub fn add(&mut self, direct: Duration, path: Duration) {
         self.direct.add(direct);
         self.path.add(path);
@@ -83,28 +83,28 @@
     }
 }
 
-/// All figures of a run.
+/// All results of a run.
 pub struct CostReport {
-    /// The machine's load over the minute before the run.
+    /// The one-minute load average of the machine before the run.
     pub load_average: f64,
-    /// Measured calls each way.
+    /// Number of calls each way.
     pub calls: usize,
-    /// Tokens of each of their answers.
+    /// Tokens per answer.
     pub tokens: u32,
-    /// Streams at once while memory was measured.
+    /// Concurrent streams during the memory measurement.
     pub streams: usize,
-    /// How many of them came to a whole answer; the others were refused.
+    /// Streams with a complete answer; the others were refused.
     pub whole_streams: usize,
-    /// Until the first token.
+    /// Latency to the first token.
     pub first_token: LatencyPair,
-    /// Until the end of the answer.
+    /// Latency to the end of the answer.
     pub whole: LatencyPair,
-    /// Memory of each process.
+    /// Memory use of each process.
     pub memory: Vec<MemoryRow>,
 }
 
 impl CostReport {
-    /// The figures as JSON.
+    /// Returns the results as JSON.
     pub fn json(&self) -> Value {
         json!({
             "load_average": self.load_average,
@@ -118,10 +118,10 @@
         })
     }
 
-    /// The figures as a table.
+    /// Returns the results as a table.
     pub fn table(&self) -> String {
         let mut text = format!(
-            "{} calls each way, {} tokens each; the machine's load before: {:.2}\n\n",
+            "{} calls each way, {} tokens each; load average before the run: {:.2}\n\n",
             self.calls, self.tokens, self.load_average
         );
         add_line(
@@ -133,7 +133,7 @@
         let streams = format!("{} streams", self.streams);
         let whole = self.whole_streams;
         // Writing to a string can't fail.
-        let _ = writeln!(text, "\n{whole} of {streams} came to a whole answer");
+        let _ = writeln!(text, "\n{whole} of {streams} got a complete answer");
         add_line(&mut text, ["memory of", "idle", &streams, "", "", ""]);
         for row in &self.memory {
             let (idle, loaded) = (mib(row.idle_kib), mib(row.loaded_kib));
--- a/crates/oatpierd/benches/soak.rs
+++ b/crates/oatpierd/benches/soak.rs
@@ -1,4 +1,4 @@
-//! `cargo soak`: soaks the real daemon and says which promises were broken.
+//! `cargo soak`: runs soak tests against the real daemon, and reports violated guarantees.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,16 +16,20 @@
             .help(help)
             .value_parser(value_parser!(u64))
     };
-    // Cargo gives it to every bench target.
+    // Cargo passes `--bench` to every bench target.
     let bench = Arg::new("bench").long("bench").num_args(0).hide(true);
     let from = Arg::new("from")
         .long("from")
         .value_parser(value_parser!(u64));
     Command::new("soak")
-        .about("Runs gateways and sidecars as processes while faults strike from outside")
-        .arg(from.help("First seed; drawn from the time of day if left out"))
-        .arg(number("seeds", "1", "Soaks, each with the next seed"))
-        .arg(number("seconds", "12", "How long requests are sent"))
+        .about("Runs gateways and sidecars as processes while faults are injected from outside")
+        .arg(from.help("First seed [default: the current time]"))
+        .arg(number(
+            "seeds",
+            "1",
+            "Number of soaks, with consecutive seeds",
+        ))
+        .arg(number("seconds", "12", "Duration of the load, in seconds"))
         .arg(number("gateways", "3", "Gateways"))
         .arg(number("engines", "6", "Engines, each with a sidecar"))
         .arg(number("services", "3", "Endpoints of the plain service"))
@@ -41,8 +45,8 @@
 fn main() -> ExitCode {
     let matches = command().get_matches();
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
-    let drawn = now.map_or(1, |now| now.as_secs());
-    let first = matches.get_one("from").copied().unwrap_or(drawn);
+    let now_seconds = now.map_or(1, |now| now.as_secs());
+    let first = matches.get_one("from").copied().unwrap_or(now_seconds);
     let seeds = count(&matches, "seeds") as u64;
     let seconds = count(&matches, "seconds") as u64;
     let mut failed = 0;
@@ -62,7 +66,7 @@
             failed += 1;
         }
     }
-    println!("{failed} of {seeds} soaks broke a promise or did not run");
+    println!("{failed} of {seeds} soaks violated a guarantee or did not run");
     if failed == 0 {
         ExitCode::SUCCESS
     } else {
@@ -76,7 +80,7 @@
         .build();
     let report = runtime.and_then(|runtime| runtime.block_on(run::run(settings)));
     match report {
-        Ok(report) => tell(settings.seed, report),
+        Ok(report) => print_report(settings.seed, report),
         Err(error) => {
             println!("seed {}: did not run: {error}", settings.seed);
             false
@@ -84,7 +88,7 @@
     }
 }
 
-fn tell(seed: u64, report: SoakReport) -> bool {
+fn print_report(seed: u64, report: SoakReport) -> bool {
     let served = report.answered(|status| status == 200);
     let refused = report.answered(|status| status == 503);
     let other = report.answered(|status| !matches!(status, 200 | 503));
--- a/crates/oatpierd/examples/quickstart/calls.rs
+++ b/crates/oatpierd/examples/quickstart/calls.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests through the entry, and judges what comes back.
+//! A caller that sends requests through the entry and checks the answers.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -12,30 +12,30 @@
 
 type AnyError = Box<dyn Error>;
 
-/// How long one answer may take.
-const ANSWER_WAIT: Duration = Duration::from_secs(10);
-/// The largest answer, in bytes.
-const ANSWER_BYTES: usize = 1 << 20;
+/// Timeout of one answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum size of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 /// Tokens of each answer.
 const TOKENS: u32 = 12;
-/// How long to wait between two looks at something that has to come about.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+/// Time between two polls of an awaited condition.
+const POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// What came back of one call.
+/// The result of one call.
 #[derive(Debug)]
 pub struct CallReport {
-    /// What was called.
+    /// The name of the call.
     pub name: &'static str,
     /// The HTTP status.
     pub status: u16,
-    /// Whether the request ran: the entry's verdict, or `ran` with a whole answer.
+    /// Whether the request ran: the entry's verdict, or `ran` for a successful answer.
     pub verdict: String,
-    /// The request's number; that of its trace, too.
+    /// The request id, which is also the trace id.
     pub request: String,
-    /// The answer in short.
+    /// The answer, shortened.
     pub content: String,
-    /// What is not as it has to be.
-    pub fault: Option<String>,
+    /// What is wrong with the answer, if anything.
+    pub problem: Option<String>,
 }
 
 impl CallReport {
@@ -55,13 +55,13 @@
             verdict: header("oatpier-verdict").unwrap_or(whole).to_owned(),
             request: header("oatpier-request-id").unwrap_or("none").to_owned(),
             content,
-            fault: None,
+            problem: None,
         }
     }
 
-    fn judged(mut self, is_good: bool, wanted: &str) -> Self {
+    fn checked(mut self, is_good: bool, wanted: &str) -> Self {
         if !is_good {
-            self.fault = Some(format!("expected {wanted}"));
+            self.problem = Some(format!("expected {wanted}"));
         }
         self
     }
@@ -74,7 +74,7 @@
 }
 
 impl Caller {
-    /// A caller of the entry at this address.
+    /// Creates a caller of the entry at this address.
     pub fn new(entry: SocketAddr) -> Self {
         Self {
             client: HttpClient::new(ClientLimits::default()),
@@ -103,11 +103,11 @@
             {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK_PERIOD).await;
+            tokio::time::sleep(POLL_PERIOD).await;
         }
     }
 
-    /// A chat completion whose answer is a stream.
+    /// Sends a chat completion with a streamed answer.
     pub async fn streamed_chat(&self) -> Result<CallReport, AnyError> {
         let prompt = "Arrange twelve tables for a wedding.";
         let answer = self.chat(prompt, true).await?;
@@ -116,10 +116,13 @@
         let is_done = text.ends_with("data: [DONE]\n\n");
         let is_whole = is_done && content == answer_text(prompt, TOKENS);
         let report = CallReport::new("streamed chat completion", &answer, content);
-        Ok(report.judged(is_whole, "the whole answer to its own prompt, up to [DONE]"))
+        Ok(report.checked(
+            is_whole,
+            "the complete answer to its own prompt, up to [DONE]",
+        ))
     }
 
-    /// A chat completion whose answer comes in one piece.
+    /// Sends a chat completion with an answer in one piece.
     pub async fn whole_chat(&self) -> Result<CallReport, AnyError> {
         let prompt = "Seat the parents near the dance floor.";
         let answer = self.chat(prompt, false).await?;
@@ -128,46 +131,48 @@
         let content = content.as_str().unwrap_or_default().to_owned();
         let is_whole = content == answer_text(prompt, TOKENS);
         let report = CallReport::new("whole chat completion", &answer, content);
-        Ok(report.judged(is_whole, "the whole answer to its own prompt"))
+        Ok(report.checked(is_whole, "the complete answer to its own prompt"))
     }
 
-    /// A call to the plain service.
+    /// Sends a call to the plain service.
     pub async fn service_call(&self) -> Result<CallReport, AnyError> {
         let request = Request::get("/services/plan-api/plans/7").body(Bytes::new())?;
         let answer = self.fetch(self.entry, request).await?;
         let content = service_content(&answer);
         let is_good = content == "GET /plans/7";
         let report = CallReport::new("service call", &answer, content);
-        Ok(report.judged(is_good, "the service's answer to GET /plans/7"))
+        Ok(report.checked(is_good, "the service's answer to GET /plans/7"))
     }
 
-    /// A call that may run only once. An answer that says "not run, come back" is taken at its
-    /// word.
+    /// Sends a call that may run only once. Retries on 503, which means that the call has not run.
     pub async fn first_submission(&self) -> Result<CallReport, AnyError> {
-        let deadline = tokio::time::Instant::now() + ANSWER_WAIT;
+        let deadline = tokio::time::Instant::now() + ANSWER_TIMEOUT;
         let answer = loop {
             let answer = self.submit().await?;
             let is_busy = answer.status() == http::StatusCode::SERVICE_UNAVAILABLE;
             if !is_busy || tokio::time::Instant::now() > deadline {
                 break answer;
             }
-            tokio::time::sleep(LOOK_PERIOD).await;
+            tokio::time::sleep(POLL_PERIOD).await;
         };
         let content = service_content(&answer);
         let is_good = content == "POST /plans/7/apply";
         let report = CallReport::new("at-most-once call", &answer, content);
-        Ok(report.judged(is_good, "the service's answer to POST /plans/7/apply"))
+        Ok(report.checked(is_good, "the service's answer to POST /plans/7/apply"))
     }
 
-    /// The same call again, with the same key: it is told that it ran, and does not run again.
+    /// Sends the same call again with the same key. It must not run again, and the answer must say that it ran.
     pub async fn second_submission(&self) -> Result<CallReport, AnyError> {
         let answer = self.submit().await?;
         let is_refused = answer.status() == http::StatusCode::CONFLICT;
         let body: Value = serde_json::from_slice(answer.body()).unwrap_or_default();
         let kind = body["error"]["type"].as_str().unwrap_or_default();
         let report = CallReport::new("the same call again", &answer, kind.to_owned());
-        let is_told = is_refused && report.verdict != "not-run";
-        Ok(report.judged(is_told, "409 and that it ran"))
+        let is_rejected_as_used = is_refused && report.verdict != "not-run";
+        Ok(report.checked(
+            is_rejected_as_used,
+            "status 409 and a verdict other than not-run",
+        ))
     }
 
     async fn submit(&self) -> Result<Response<Bytes>, AnyError> {
@@ -197,12 +202,12 @@
     ) -> Result<Response<Bytes>, AnyError> {
         let fetching = self
             .client
-            .fetch(address, request, ANSWER_WAIT, ANSWER_BYTES);
+            .fetch(address, request, ANSWER_TIMEOUT, MAX_ANSWER_BYTES);
         Ok(fetching.await?)
     }
 }
 
-/// The text of a streamed chat completion.
+/// Returns the text of a streamed chat completion.
 fn stream_content(text: &str) -> String {
     text.lines()
         .filter_map(|line| line.strip_prefix("data: "))
@@ -214,7 +219,7 @@
         .collect()
 }
 
-/// Which call the service says that it acted on.
+/// Returns the method and path of the call that the service reports.
 fn service_content(answer: &Response<Bytes>) -> String {
     let call: Value = serde_json::from_slice(answer.body()).unwrap_or_default();
     let field = |name: &str| call[name].as_str().unwrap_or("?").to_owned();
--- a/crates/oatpierd/examples/quickstart/capture.rs
+++ b/crates/oatpierd/examples/quickstart/capture.rs
@@ -1,4 +1,4 @@
-//! Takes what the daemons of this process write: log lines, and spans on the standard output.
+//! Captures the output of the daemons in this process: log lines, and spans on the standard output.
 
 use std::error::Error;
 use std::fs::File;
@@ -13,27 +13,27 @@
 use spdlog::formatter::JsonFormatter;
 use spdlog::sink::WriteSink;
 
-/// A span, as a daemon writes it.
+/// A span, as a daemon prints it.
 #[derive(Debug, Clone)]
 #[derive(Deserialize)]
 pub struct HopLine {
     /// The name of the hop.
     pub span: String,
-    /// The process.
+    /// The name of the process.
     pub daemon: String,
-    /// The trace.
+    /// The trace id.
     pub trace_id: String,
-    /// The span.
+    /// The span id.
     pub span_id: String,
-    /// The span above it.
+    /// The id of the parent span.
     pub parent_id: String,
-    /// When it started, in microseconds.
+    /// Start time, in microseconds.
     pub start_us: u64,
-    /// How long it took, in microseconds.
+    /// Duration, in microseconds.
     pub duration_us: u64,
 }
 
-/// Lines of the log so far. Cloning shares them.
+/// The log lines so far. Clones share the same lines.
 #[derive(Debug, Clone, Default)]
 pub struct LogLines(Arc<Mutex<Vec<u8>>>);
 
@@ -50,7 +50,7 @@
 }
 
 impl LogLines {
-    /// Sends the log of this process here.
+    /// Redirects the log of this process here.
     pub fn install() -> Result<Self, Box<dyn Error>> {
         let lines = Self::default();
         let sink = WriteSink::builder()
@@ -62,13 +62,13 @@
         Ok(lines)
     }
 
-    /// The text so far.
+    /// Returns the log text so far.
     pub fn text(&self) -> String {
         let text = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// The addresses that daemons have logged so far, in order.
+    /// Returns the addresses that daemons have logged so far, in order.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.text()
             .lines()
@@ -79,32 +79,32 @@
     }
 }
 
-/// The standard output, and the spans that daemons write there.
+/// Captures the spans that daemons print to the standard output.
 ///
-/// Daemons write their spans to the standard output, a JSON line each. Here that would bury the
-/// report, so it goes through a pipe, and the report to what the standard output was before.
+/// Daemons print each span as a JSON line to the standard output. Mixed with these lines, the report would be
+/// unreadable. So the standard output is replaced by a pipe, and the report goes to the original standard output.
 pub struct SpanCapture {
-    /// What the standard output was.
-    pub screen: File,
+    /// The original standard output.
+    pub original_stdout: File,
     hops: Arc<Mutex<Vec<HopLine>>>,
 }
 
 impl SpanCapture {
-    /// Puts a pipe in place of the standard output.
+    /// Replaces the standard output by a pipe.
     pub fn install() -> Result<Self, Box<dyn Error>> {
-        let screen = std::io::stdout().as_fd().try_clone_to_owned()?;
+        let original_stdout = std::io::stdout().as_fd().try_clone_to_owned()?;
         let (reader, writer) = std::io::pipe()?;
         nix::unistd::dup2_stdout(&writer)?;
         let hops = Arc::<Mutex<Vec<HopLine>>>::default();
         let shared = Arc::clone(&hops);
         std::thread::spawn(move || collect(reader, &shared));
         Ok(Self {
-            screen: screen.into(),
+            original_stdout: original_stdout.into(),
             hops,
         })
     }
 
-    /// The hops of a trace so far.
+    /// Returns the hops of a trace so far.
     pub fn hops(&self, trace: &str) -> Vec<HopLine> {
         let hops = self.hops.lock().unwrap_or_else(PoisonError::into_inner);
         hops.iter()
--- a/crates/oatpierd/examples/quickstart/fleet.rs
+++ b/crates/oatpierd/examples/quickstart/fleet.rs
@@ -29,17 +29,17 @@
 
 type AnyError = Box<dyn Error>;
 
-/// How long a call to the store may take.
-const STORE_WAIT: Duration = Duration::from_secs(2);
-/// How long a daemon may take to stop.
-const STOP_WAIT: Duration = Duration::from_secs(10);
+/// Timeout of a call to the store.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for a daemon to stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 /// A loopback address with a free port.
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// The operators' configuration.
+/// The configuration, as an operator writes it.
 const CONFIG_TEXT: &str = include_str!("fleet.toml");
 
-/// Stand-ins of the platform and its endpoints. Dropping them ends them.
+/// Stand-ins of the platform and its endpoints. Dropping it stops them.
 pub struct Platform {
     store: Running<LocalStore>,
     vms: Running<LocalVms>,
@@ -50,7 +50,7 @@
 }
 
 impl Platform {
-    /// Starts them on free ports, with the configuration in the store.
+    /// Starts the stand-ins on free ports, and writes the configuration to the store.
     pub async fn start() -> Result<Self, AnyError> {
         let clock = StandinClock::start();
         let weights = WeightStore::shared(weights_options());
@@ -99,9 +99,9 @@
     }
 }
 
-/// Puts the configuration into the store, by the same merge as `oatpier config apply`.
+/// Writes the configuration to the store, with the same merge as `oatpier config apply`.
 async fn apply_config(store: SocketAddr) -> Result<(), AnyError> {
-    let store = HttpStore::new(store, STORE_WAIT);
+    let store = HttpStore::new(store, STORE_TIMEOUT);
     let before = ConfigRecord::default();
     let wanted = FleetConfig::try_from(CONFIG_TEXT)?;
     let proposal = ChangeProposal {
@@ -114,7 +114,7 @@
         unanswered: None,
     };
     let MergeOutcome::Write { record, .. } = before.merge(&proposal)? else {
-        return Err("the configuration changes nothing".into());
+        return Err("the configuration makes no change".into());
     };
     let value = Bytes::from(record.encode()?);
     store
@@ -123,17 +123,17 @@
     Ok(())
 }
 
-/// One running daemon of this process.
+/// One running daemon in this process.
 pub struct Daemon {
-    /// Its name.
+    /// The name of the daemon.
     pub name: String,
-    /// Where it listens, in the order of its log.
+    /// Its listen addresses, in the order in which it logs them.
     pub addresses: Vec<SocketAddr>,
     process: DutyProcess,
 }
 
 impl Daemon {
-    /// Stops it as SIGTERM does, and waits for its end.
+    /// Stops the daemon as SIGTERM does, and waits until it has ended.
     pub fn stop(self) -> Result<(), AnyError> {
         let (ended, end) = mpsc::channel();
         let process = self.process;
@@ -142,21 +142,21 @@
             process.join().expect("no duty panics");
             let _ = ended.send(());
         });
-        end.recv_timeout(STOP_WAIT)
-            .map_err(|_| format!("{} did not stop within {STOP_WAIT:?}", self.name).into())
+        end.recv_timeout(STOP_TIMEOUT)
+            .map_err(|_| format!("{} did not stop within {STOP_TIMEOUT:?}", self.name).into())
     }
 }
 
-/// The daemons of this process.
+/// The daemons in this process.
 pub struct Daemons {
-    /// The entry: addresses for callers, peers and observers.
+    /// The entry, with addresses for callers, peers and observers.
     pub entry: Daemon,
-    /// The agents: addresses for entries and observers.
+    /// The agents, with addresses for entries and observers.
     pub agents: Vec<Daemon>,
 }
 
 impl Daemons {
-    /// Starts an agent beside each endpoint, and an entry; then lists their VMs.
+    /// Starts an agent for each endpoint, and an entry, then adds them to the VM list.
     pub fn start(platform: &Platform, logs: &LogLines) -> Result<Self, AnyError> {
         let starter = DaemonStarter { platform, logs };
         let agents = vec![
@@ -232,7 +232,7 @@
         Ok(self.daemon(name, process, known))
     }
 
-    /// A daemon binds and logs its addresses before `start` returns.
+    /// Collects the addresses of a started daemon, which it binds and logs before `start` returns.
     fn daemon(&self, name: String, process: DutyProcess, known: usize) -> Daemon {
         Daemon {
             name,
--- a/crates/oatpierd/examples/quickstart/main.rs
+++ b/crates/oatpierd/examples/quickstart/main.rs
@@ -1,7 +1,7 @@
 //! The embedded quickstart: stand-ins, an entry and three agents in one process.
 //!
-//! It sends requests through them, prints what came back and the hops of one trace, and ends with
-//! 0. It ends with 1 and says what is wrong if any answer is not as it has to be.
+//! It sends requests through the fleet, and prints the answers and the hops of one trace. It exits with 0 if all
+//! answers are as expected. Otherwise it reports the errors and exits with 1.
 
 mod calls;
 mod capture;
@@ -20,14 +20,14 @@
 
 type AnyError = Box<dyn Error>;
 
-/// How long all calls together may take.
+/// Time limit of all calls together.
 const RUN_LIMIT: Duration = Duration::from_secs(40);
-/// How long the spans of a finished request may take to be exported.
-const SPANS_LIMIT: Duration = Duration::from_secs(5);
-/// Hops of a streamed chat completion: five at the entry, two at the agent.
+/// Timeout for the export of the spans of a finished request.
+const SPANS_TIMEOUT: Duration = Duration::from_secs(5);
+/// Hops of a streamed chat completion: five in the entry, two in the agent.
 const CHAT_HOPS: usize = 7;
-/// Log lines that are shown when something is wrong.
-const SHOWN_LOG_LINES: usize = 20;
+/// Number of log lines printed on failure.
+const MAX_LOG_LINES: usize = 20;
 
 fn main() -> ExitCode {
     let logs = match LogLines::install() {
@@ -42,7 +42,7 @@
 
 fn failed(error: &dyn Error, log: &str) -> ExitCode {
     let lines: Vec<_> = log.lines().collect();
-    for line in &lines[lines.len().saturating_sub(SHOWN_LOG_LINES)..] {
+    for line in &lines[lines.len().saturating_sub(MAX_LOG_LINES)..] {
         eprintln!("{line}");
     }
     eprintln!("the quickstart failed: {error}");
@@ -61,32 +61,32 @@
             .map_err(|_| format!("not done within {RUN_LIMIT:?}"))?
     })?;
     daemons.stop()?;
-    let mut screen = capture.screen;
+    let mut original_stdout = capture.original_stdout;
     writeln!(
-        screen,
-        "\nThe entry and the agents have stopped; nothing was cut off."
+        original_stdout,
+        "\nThe entry and the agents have stopped; no request was cut off."
     )?;
-    let faults: Vec<_> = reports.iter().filter_map(fault_of).collect();
-    if faults.is_empty() {
+    let problems: Vec<_> = reports.iter().filter_map(format_problem).collect();
+    if problems.is_empty() {
         return Ok(());
     }
-    Err(faults.join("; ").into())
+    Err(problems.join("; ").into())
 }
 
-fn fault_of(report: &CallReport) -> Option<String> {
-    let fault = report.fault.as_ref()?;
-    Some(format!("{}: {fault}", report.name))
+fn format_problem(report: &CallReport) -> Option<String> {
+    let problem = report.problem.as_ref()?;
+    Some(format!("{}: {problem}", report.name))
 }
 
-/// Starts everything, sends the requests and prints what came back.
+/// Starts the fleet, sends the requests and prints the results.
 async fn serve(
     logs: &LogLines,
     capture: &mut SpanCapture,
 ) -> Result<(Daemons, Vec<CallReport>), AnyError> {
     let platform = Platform::start().await?;
     let daemons = Daemons::start(&platform, logs)?;
-    let screen = &mut capture.screen;
-    print_fleet(screen, &daemons)?;
+    let original_stdout = &mut capture.original_stdout;
+    print_fleet(original_stdout, &daemons)?;
     let caller = Caller::new(daemons.entry.addresses[0]);
     let observe = daemons.entry.addresses[2];
     caller.wait_until_known(observe, 3, 2).await?;
@@ -98,12 +98,12 @@
         caller.second_submission().await?,
     ];
     check_runs(&platform, &mut reports);
-    print_reports(screen, &reports)?;
+    print_reports(original_stdout, &reports)?;
     print_trace(capture, &reports[0]).await?;
     Ok((daemons, reports))
 }
 
-/// The service's own record says how often the at-most-once call ran.
+/// Checks in the service's record that the at-most-once call ran exactly once.
 fn check_runs(platform: &Platform, reports: &mut [CallReport]) {
     let calls = platform.service.handle.calls();
     let runs = calls
@@ -111,36 +111,37 @@
         .filter(|call| call.path == "/plans/7/apply")
         .count();
     if let (Some(last), true) = (reports.last_mut(), runs != 1) {
-        let fault = format!("the service ran the call {runs} times, not once");
-        last.fault = Some(fault);
+        let problem = format!("the service ran the call {runs} times, not once");
+        last.problem = Some(problem);
     }
 }
 
-fn print_fleet(screen: &mut File, daemons: &Daemons) -> Result<(), AnyError> {
+fn print_fleet(original_stdout: &mut File, daemons: &Daemons) -> Result<(), AnyError> {
     writeln!(
-        screen,
+        original_stdout,
         "Started a store, a VM list, two engines and a plain service, and"
     )?;
     let entry = std::iter::once(&daemons.entry);
     for daemon in entry.chain(&daemons.agents) {
-        writeln!(screen, "  {:<18} {}", daemon.name, daemon.addresses[0])?;
+        writeln!(
+            original_stdout,
+            "  {:<18} {}",
+            daemon.name, daemon.addresses[0]
+        )?;
     }
     Ok(())
 }
 
-fn print_reports(screen: &mut File, reports: &[CallReport]) -> Result<(), AnyError> {
+fn print_reports(original_stdout: &mut File, reports: &[CallReport]) -> Result<(), AnyError> {
     writeln!(
-        screen,
+        original_stdout,
         "\n{:<26} {:<7} {:<13} answer",
         "request", "status", "verdict"
     )?;
     for report in reports {
-        let mark = report
-            .fault
-            .as_ref()
-            .map_or("", |_| "   <- not as it has to be");
+        let mark = report.problem.as_ref().map_or("", |_| "   <- unexpected");
         writeln!(
-            screen,
+            original_stdout,
             "{:<26} {:<7} {:<13} {}{mark}",
             report.name, report.status, report.verdict, report.content
         )?;
@@ -148,7 +149,7 @@
     Ok(())
 }
 
-/// Prints the hops of a request. The daemons export them after the answer is over.
+/// Prints the hops of a request. The daemons export them after the end of the answer.
 async fn print_trace(capture: &mut SpanCapture, report: &CallReport) -> Result<(), AnyError> {
     let trace = report.request.as_str();
     let collecting = async {
@@ -156,14 +157,16 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let is_whole = tokio::time::timeout(SPANS_LIMIT, collecting).await.is_ok();
+    let is_whole = tokio::time::timeout(SPANS_TIMEOUT, collecting)
+        .await
+        .is_ok();
     let hops = capture.hops(trace);
     writeln!(
-        capture.screen,
+        capture.original_stdout,
         "\nHops of the {} (trace {trace}):",
         report.name
     )?;
-    write!(capture.screen, "{}", tree::tree_text(&hops))?;
+    write!(capture.original_stdout, "{}", tree::tree_text(&hops))?;
     if is_whole {
         return Ok(());
     }
--- a/crates/oatpierd/examples/quickstart/tree.rs
+++ b/crates/oatpierd/examples/quickstart/tree.rs
@@ -1,10 +1,10 @@
-//! The hops of a trace as an indented tree.
+//! Formats the hops of a trace as an indented tree.
 
 use std::fmt::Write;
 
 use crate::capture::HopLine;
 
-/// The hops as text, each below the one that it is a part of.
+/// Returns the hops as text, each indented below its parent.
 pub fn tree_text(hops: &[HopLine]) -> String {
     let mut ordered: Vec<_> = hops.iter().collect();
     ordered.sort_by_key(|hop| hop.start_us);
@@ -31,7 +31,7 @@
     }
 }
 
-/// Microseconds as milliseconds with two places.
+/// Formats microseconds as milliseconds with two decimal places.
 fn millis(micros: u64) -> String {
     format!("{}.{:02}", micros / 1000, micros % 1000 / 10)
 }
--- a/crates/oatpierd/src/cli.rs
+++ b/crates/oatpierd/src/cli.rs
@@ -7,19 +7,19 @@
 
 use crate::commands;
 
-/// The exit code for settings that are not accepted.
+/// Exit code for invalid settings.
 pub const EXIT_SETTINGS: u8 = 2;
-/// The exit code for a process that could not start.
+/// Exit code for a process that could not start.
 pub const EXIT_FAILED: u8 = 1;
 
-/// What `--help` says of exit codes.
+/// The exit codes, for `--help`.
 pub(crate) const EXIT_CODES: &str = "\
 Exit codes:
-  0  stopped as asked, or the settings are good
+  0  stopped as requested, or the settings are valid
   1  could not start: an address can't be listened on
-  2  wrong command line or settings";
+  2  invalid command line or settings";
 
-/// Runs the command line of this process.
+/// Parses and runs the command line of this process, and returns its exit code.
 #[must_use]
 pub fn main() -> ExitCode {
     match exec(&cli().get_matches()) {
@@ -31,16 +31,16 @@
     }
 }
 
-/// Why a command ended without success.
+/// The failure of a command.
 #[derive(Debug)]
 pub struct CommandFailure {
     /// The process's exit code.
     pub code: u8,
-    /// What the operator is told.
+    /// The error report for the operator.
     pub report: miette::Report,
 }
 
-/// The whole command line.
+/// Returns the command line with all subcommands.
 #[must_use]
 pub fn cli() -> Command {
     Command::new("oatpierd")
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// What the command failed with.
+/// Returns the error of the command.
 pub fn exec(matches: &ArgMatches) -> Result<(), CommandFailure> {
     match matches.subcommand() {
         Some(("entry", matches)) => commands::entry::exec(matches),
@@ -70,18 +70,18 @@
     }
 }
 
-/// The arguments that both commands take.
+/// Returns the arguments that `entry` and `agent` share.
 pub(crate) fn settings_args() -> [Arg; 2] {
     [
         Arg::new("settings")
             .long("settings")
             .value_name("FILE")
-            .help("The process's settings, in TOML; read once, at the start")
+            .help("Settings file in TOML, read once at startup")
             .required(true)
             .value_parser(value_parser!(PathBuf)),
         Arg::new("check-settings")
             .long("check-settings")
-            .help("Check the settings, name every error with its place and mend, and stop")
+            .help("Check the settings, report every error with its position and a fix, and exit")
             .action(ArgAction::SetTrue),
     ]
 }
--- a/crates/oatpierd/src/commands/agent.rs
+++ b/crates/oatpierd/src/commands/agent.rs
@@ -8,17 +8,18 @@
 use oatpier_duty::observe::logs;
 use oatpier_duty::settings::AgentSettings;
 
-/// What `--help` says.
+/// The text of `--help`.
 const LONG_ABOUT: &str = "\
-Runs an agent: the only way to the one endpoint beside it, an engine or a plain service.
+Runs an agent: the proxy through which all requests reach its local endpoint, an engine or a plain
+service.
 
 Entries connect to `listen.peers`. Metrics and health are at `listen.observe`: /metrics, /live and
 /ready. Log lines go to the standard error, spans to the standard output, as JSON lines.
 
-SIGTERM and SIGINT start a planned stop: new work is refused and goes to other endpoints, and the
-process ends when the last call at its endpoint is over.";
+SIGTERM and SIGINT start a planned stop: new requests are refused and go to other endpoints, and the
+process exits when the last call at its endpoint is done.";
 
-/// The command line.
+/// Returns the clap definition of the subcommand.
 #[must_use]
 pub fn cli() -> Command {
     Command::new("agent")
@@ -28,15 +29,15 @@
         .args(cli::settings_args())
 }
 
-/// Runs the process until it is told to stop and its last request is done.
+/// Runs the process until it is asked to stop and its last request is done.
 ///
 /// # Errors
 ///
-/// Settings that are not accepted, or an address that can't be listened on.
+/// Returns an error if the settings are invalid, or an address can't be listened on.
 pub fn exec(matches: &ArgMatches) -> Result<(), CommandFailure> {
     let settings: AgentSettings = read_settings(matches)?;
     if matches.get_flag("check-settings") {
-        println!("the settings of {} are good", settings.name);
+        println!("the settings of {} are valid", settings.name);
         return Ok(());
     }
     logs::install_on_stderr(&settings.name);
--- a/crates/oatpierd/src/commands/entry.rs
+++ b/crates/oatpierd/src/commands/entry.rs
@@ -8,19 +8,19 @@
 use oatpier_duty::observe::logs;
 use oatpier_duty::settings::EntrySettings;
 
-/// What `--help` says.
+/// The text of `--help`.
 const LONG_ABOUT: &str = "\
-Runs an entry: takes callers' requests, chooses an endpoint for each, and answers for the
-outcome.
+Runs an entry: accepts callers' requests, chooses an endpoint for each, and reports the outcome
+to the caller.
 
 Callers use /v1/chat/completions, /v1/completions, /v1/models and /services/NAME/... at
 `listen.callers`. Metrics and health are at `listen.observe`: /metrics, /live and /ready. Log
 lines go to the standard error, spans to the standard output, as JSON lines.
 
-SIGTERM and SIGINT start a planned stop: /ready says 503 for `stop_notice`, then new requests are
-refused, and the process ends when the last answer is whole.";
+SIGTERM and SIGINT start a planned stop: /ready answers 503 for `stop_notice`, then new requests are
+refused, and the process exits when the last answer is complete.";
 
-/// The command line.
+/// Returns the clap definition of the subcommand.
 #[must_use]
 pub fn cli() -> Command {
     Command::new("entry")
@@ -30,15 +30,15 @@
         .args(cli::settings_args())
 }
 
-/// Runs the process until it is told to stop and its last request is done.
+/// Runs the process until it is asked to stop and its last request is done.
 ///
 /// # Errors
 ///
-/// Settings that are not accepted, or an address that can't be listened on.
+/// Returns an error if the settings are invalid, or an address can't be listened on.
 pub fn exec(matches: &ArgMatches) -> Result<(), CommandFailure> {
     let settings: EntrySettings = read_settings(matches)?;
     if matches.get_flag("check-settings") {
-        println!("the settings of {} are good", settings.name);
+        println!("the settings of {} are valid", settings.name);
         return Ok(());
     }
     logs::install_on_stderr(&settings.name);
--- a/crates/oatpierd/src/commands/mod.rs
+++ b/crates/oatpierd/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands: each module has `cli()`, its command line, and `exec()`, which runs it.
+//! The subcommands: in each module, `cli()` declares the arguments and `exec()` runs the subcommand.
 
 pub mod agent;
 pub mod entry;
@@ -15,7 +15,7 @@
 use oatpier_duty::duty::{DutyPanic, StartError};
 use oatpier_duty::settings::{SettingsErrors, SettingsFailure, SettingsText};
 
-/// Reads and checks the settings file that the command line names.
+/// Reads and validates the settings file given on the command line.
 fn read_settings<T>(matches: &ArgMatches) -> Result<T, CommandFailure>
 where
     T: for<'t> TryFrom<&'t SettingsText, Error = SettingsErrors>,
--- a/crates/oatpierd/src/commands/node.rs
+++ b/crates/oatpierd/src/commands/node.rs
@@ -1,4 +1,4 @@
-//! What `gateway` and `sidecar` share: the platform's settings file.
+//! Code that `gateway` and `sidecar` share: both read the platform's settings file.
 
 use std::path::PathBuf;
 
@@ -14,25 +14,25 @@
 use super::{duty_failure, start_failure};
 use crate::cli::{CommandFailure, EXIT_SETTINGS};
 
-/// The arguments of both commands.
+/// Returns the arguments of both commands.
 pub(crate) fn node_args() -> [Arg; 2] {
     [
         Arg::new("settings")
             .long("settings")
             .value_name("FILE")
-            .help("The settings file that the platform writes; by default the one that the environment names")
+            .help("Settings file written by the platform [default: the file that the environment names]")
             .value_parser(value_parser!(PathBuf)),
         Arg::new("check-settings")
             .long("check-settings")
-            .help("Check the settings, name what is wrong with its mend, and stop")
+            .help("Check the settings, report errors with a fix, and exit")
             .action(ArgAction::SetTrue),
     ]
 }
 
-/// How a process's duties are started.
+/// Starts the duties of a process.
 type StartNode = fn(&NodeSettings, Box<dyn SettingsSource>) -> Result<DutyProcess, StartError>;
 
-/// Runs a process until it is told to stop, unless its settings were only to be checked.
+/// Runs a process until it is asked to stop; with `--check-settings`, only checks its settings.
 pub(crate) fn run_node(matches: &ArgMatches, start: StartNode) -> Result<(), CommandFailure> {
     let path = matches.get_one::<PathBuf>("settings").cloned();
     let settings = settings::read(path.as_deref()).map_err(|failure| CommandFailure {
@@ -40,7 +40,7 @@
         report: Report::new(failure),
     })?;
     if matches.get_flag("check-settings") {
-        println!("the settings of {} are good", settings.name);
+        println!("the settings of {} are valid", settings.name);
         return Ok(());
     }
     logs::install_on_stdout(&settings.name);
--- a/crates/oatpierd/src/lib.rs
+++ b/crates/oatpierd/src/lib.rs
@@ -1,9 +1,9 @@
-//! The daemon, as a library, so that tests and the quickstart run its parts in one process.
+//! The daemon as a library, so that tests and the quickstart can run its parts in one process.
 //!
 //! - [`cli`], [`commands`]: the command line.
-//! - [`entry`]: the duties of an entry.
-//! - [`agent`]: the duties of an agent.
-//! - [`duty`], [`observe`], [`settings`]: what they share.
+//! - [`entry`]: the implementation of an entry.
+//! - [`agent`]: the implementation of an agent.
+//! - [`duty`], [`observe`], [`settings`]: code that both share.
 
 pub mod cli;
 pub mod commands;
--- a/crates/oatpierd/tests/testsuite/callers.rs
+++ b/crates/oatpierd/tests/testsuite/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that are slow, or go away.
+//! Callers that are slow, or disconnect.
 
 use std::os::fd::AsFd;
 
@@ -14,7 +14,7 @@
     engines: 1,
     services: 0,
 };
-/// More tokens than an engine makes in any time that a test waits.
+/// More tokens than an engine generates within the time limit of a test.
 const ENDLESS: u32 = 10_000_000;
 /// The receive buffer of a slow caller, in bytes.
 const SMALL_BUFFER: usize = 4096;
@@ -30,12 +30,11 @@
     )
 }
 
-/// Some callers ask for answers without end and read nothing of them. Other callers get their
-/// whole answers all the while. Once nothing more fits between entry and slow caller for the
-/// limit's time, the entry gives it up and the engine's slot is free: else a few such callers
-/// would hold all slots.
+/// Slow callers request endless answers and read nothing. Meanwhile other callers must get complete answers. When the
+/// entry can't write to a slow caller for `write_time`, it must close the connection and free the engine's slot.
+/// Otherwise a few such callers would occupy all slots.
 #[tokio::test]
-async fn callers_that_do_not_read_hold_up_nobody_and_are_given_up() {
+async fn callers_that_do_not_read_are_closed_and_free_their_slots() {
     let fleet = Fleet::start(FleetOptions {
         entry_limits: "write_time = \"500ms\"",
         engine_flags: &["--step-us", "500", "--step-request-us", "0"],
@@ -60,18 +59,18 @@
         let (log, prompt) = (&log, format!("quick {number}"));
         async move { log.chat(entry, &prompt, 20).await }
     });
-    for view in futures::future::join_all(calls).await {
-        assert_eq!(view, Some(StreamEnd::Whole));
+    for outcome in futures::future::join_all(calls).await {
+        assert_eq!(outcome, Some(StreamEnd::Whole));
     }
     fleet.wait_until_idle().await;
     assert_eq!(log.breaches(&fleet).await, []);
     drop(slow);
 }
 
-/// A caller goes away in the middle of an answer without end. Nobody waits for the rest, so the
-/// entry cancels the attempt, the agent cancels at the engine, and the engine's slot is free.
+/// A caller disconnects in the middle of an endless answer. The entry must cancel the attempt, and the agent must
+/// cancel it at the engine, so that the engine's slot is freed.
 #[tokio::test]
-async fn a_caller_that_goes_away_is_cancelled_at_the_engine() {
+async fn request_of_a_disconnected_caller_is_cancelled_at_the_engine() {
     let fleet = Fleet::start(SIZE).await;
     let mut caller = RawCaller::connect(fleet.entries[0].serve);
     caller.write(&endless_chat());
--- a/crates/oatpierd/tests/testsuite/command.rs
+++ b/crates/oatpierd/tests/testsuite/command.rs
@@ -1,4 +1,4 @@
-//! The command line, and the exit codes that a service manager goes by.
+//! The command line, and the exit codes that a service manager relies on.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -14,23 +14,23 @@
     path.to_str().unwrap().to_owned()
 }
 
-fn said(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 #[test]
-fn good_settings_are_told_and_end_with_0() {
+fn valid_settings_are_reported_and_exit_with_0() {
     for duty in ["entry", "agent"] {
         let path = example(&format!("{duty}.toml"));
         let output = oatpierd(&[duty, "--settings", &path, "--check-settings"]);
-        assert_eq!(output.status.code(), Some(0), "{}", said(&output));
+        assert_eq!(output.status.code(), Some(0), "{}", stderr(&output));
         let text = String::from_utf8(output.stdout).unwrap();
-        assert!(text.ends_with("are good\n"), "{text}");
+        assert!(text.ends_with("are valid\n"), "{text}");
     }
 }
 
 #[test]
-fn wrong_settings_end_with_2_and_name_place_value_and_mend() {
+fn invalid_settings_exit_with_2_and_list_all_errors() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("entry.toml");
     let text = std::fs::read_to_string(example("entry.toml")).unwrap();
@@ -38,26 +38,29 @@
     std::fs::write(&path, text.replace("zone = ", "zoen = ")).unwrap();
     let output = oatpierd(&["entry", "--settings", path.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2));
-    let said = said(&output);
+    let stderr = stderr(&output);
     for part in ["entry.toml", "`zoen`", "`zone` is missing", "connections"] {
-        assert!(said.contains(part), "{part} is not in: {said}");
+        assert!(stderr.contains(part), "{part} is not in: {stderr}");
     }
 }
 
 #[test]
-fn a_missing_file_and_a_wrong_command_line_end_with_2() {
+fn missing_file_and_invalid_command_line_exit_with_2() {
     let missing = oatpierd(&["agent", "--settings", "/nowhere/agent.toml"]);
     assert_eq!(missing.status.code(), Some(2));
-    assert!(said(&missing).contains("/nowhere/agent.toml"));
+    assert!(stderr(&missing).contains("/nowhere/agent.toml"));
     let wrong = oatpierd(&["entri"]);
     assert_eq!(wrong.status.code(), Some(2));
-    assert!(said(&wrong).contains("entry"), "a near name is suggested");
+    assert!(
+        stderr(&wrong).contains("entry"),
+        "a similar name must be suggested"
+    );
 }
 
-/// Another process has the address that the settings name. The daemon says which and for what,
-/// and ends with 1 before it has started anything.
+/// Another process listens on the configured address. The daemon must report the address and its use, and exit with 1
+/// before it starts anything.
 #[test]
-fn an_address_in_use_ends_with_1() {
+fn address_in_use_exits_with_1() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
     let folder = tempfile::tempdir().unwrap();
@@ -66,7 +69,7 @@
     std::fs::write(&path, text.replace("10.2.0.17:7070", &address)).unwrap();
     let output = oatpierd(&["agent", "--settings", path.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(said(&output).contains(&address), "{}", said(&output));
+    assert!(stderr(&output).contains(&address), "{}", stderr(&output));
 }
 
 #[test]
--- a/crates/oatpierd/tests/testsuite/config.rs
+++ b/crates/oatpierd/tests/testsuite/config.rs
@@ -18,7 +18,7 @@
 }
 
 impl<'f> Operator<'f> {
-    /// An operator's settings beside the fleet's.
+    /// Writes an operator's settings for the fleet into a folder.
     fn of(fleet: &Fleet, folder: &'f Path) -> Self {
         let peers = fleet
             .entries
@@ -34,7 +34,7 @@
         Self { folder }
     }
 
-    /// Runs `oatpier` to its end, without holding up the test's own connections.
+    /// Runs `oatpier` to completion, without blocking the test's own connections.
     async fn run(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(operator_binary());
         command.args(arguments).current_dir(self.folder);
@@ -45,16 +45,15 @@
 
     async fn expect(&self, arguments: &[&str]) {
         let output = self.run(arguments).await;
-        let said = String::from_utf8_lossy(&output.stderr);
-        assert!(output.status.success(), "{arguments:?}: {said}");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(output.status.success(), "{arguments:?}: {stderr}");
     }
 }
 
-/// An operator changes a class's target with `oatpier config apply`. `oatpier config wait` ends
-/// only when each entry and agent acts on it, and says so by its exit code; then each process's
-/// own metrics show the generation.
+/// An operator changes a class's target with `oatpier config apply`. `oatpier config wait` must succeed only when the
+/// generation is in force at each entry and agent. Then the metrics of each process must show the generation.
 #[tokio::test]
-async fn an_applied_configuration_reaches_all_processes() {
+async fn applied_configuration_reaches_all_processes() {
     let fleet = Fleet::start(SIZE).await;
     let folder = tempfile::tempdir().unwrap();
     let operator = Operator::of(&fleet, folder.path());
--- a/crates/oatpierd/tests/testsuite/once.rs
+++ b/crates/oatpierd/tests/testsuite/idempotency_keys.rs
@@ -3,7 +3,7 @@
 use futures::future::join_all;
 use serde_json::json;
 
-use crate::support::calls::{CallView, CallerLog, PlanCall};
+use crate::support::calls::{CallOutcome, CallerLog, PlanCall};
 use crate::support::fleet::{Fleet, FleetSize, eventually};
 use crate::support::http::StreamEnd;
 
@@ -22,23 +22,23 @@
     }
 }
 
-fn is_refused(view: &CallView, verdicts: &[&str]) -> bool {
-    let Some(StreamEnd::Error(told)) = view else {
+fn is_refused(outcome: &CallOutcome, verdicts: &[&str]) -> bool {
+    let Some(StreamEnd::Error(error)) = outcome else {
         return false;
     };
-    verdicts.contains(&told.verdict.as_str())
+    verdicts.contains(&error.verdict.as_str())
 }
 
-/// Waits until keys can be claimed through each entry: a key is refused, truly not run, until
-/// the entries have agreed on who keeps the claims.
+/// Waits until keys can be claimed through each entry. Until the entries agree on which of them stores the claims, a
+/// request with a key is refused and does not run.
 async fn wait_until_claims_work(fleet: &Fleet, log: &CallerLog) {
     for (number, entry) in fleet.entries.iter().enumerate() {
         let tries = std::sync::atomic::AtomicUsize::new(0);
         eventually("a key can be claimed", async || {
             let count = tries.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             let key = format!("ready {number} {count}");
-            let view = log.apply_plan(entry.serve, &keyed(&key)).await;
-            view == Some(StreamEnd::Whole)
+            let outcome = log.apply_plan(entry.serve, &keyed(&key)).await;
+            outcome == Some(StreamEnd::Whole)
         })
         .await;
     }
@@ -49,11 +49,11 @@
     fleet.calls_with_key(key).await
 }
 
-/// The service runs a call and its answer is lost, so the caller is told "may have run". It sends
-/// the call again with the same key, through the other entry, where nobody has seen it. It is
-/// told that the key is used; the call does not run again.
+/// The service runs a call but its answer is lost, so the caller gets "may have run". The caller sends the call again
+/// with the same key through the other entry, which has not handled it before. The answer must be that the key is
+/// already used, and the call must not run again.
 #[tokio::test]
-async fn a_key_sent_again_through_another_entry_runs_once() {
+async fn key_resent_through_another_entry_runs_once() {
     let fleet = Fleet::start(SIZE).await;
     let log = CallerLog::default();
     wait_until_claims_work(&fleet, &log).await;
@@ -68,11 +68,10 @@
     assert_eq!(runs_of(&fleet, &log, key).await, 1);
 }
 
-/// A caller whose client library repeats too eagerly sends one call many times at once, through
-/// both entries. One of them runs; the others are told that the key is used, or that they did not
-/// run.
+/// A caller with an overeager retry policy sends one call many times concurrently, through both entries. Exactly one
+/// runs; the others are answered that the key is already used, or that they did not run.
 #[tokio::test]
-async fn a_key_sent_many_times_at_once_runs_once() {
+async fn key_sent_many_times_concurrently_runs_once() {
     let fleet = Fleet::start(SIZE).await;
     let log = CallerLog::default();
     wait_until_claims_work(&fleet, &log).await;
@@ -82,16 +81,16 @@
         let log = &log;
         async move { log.apply_plan(entry, &keyed(key)).await }
     });
-    let views = join_all(calls).await;
-    let whole = |view: &&CallView| **view == Some(StreamEnd::Whole);
-    assert_eq!(views.iter().filter(whole).count(), 1, "{views:?}");
+    let outcomes = join_all(calls).await;
+    let is_whole = |outcome: &&CallOutcome| **outcome == Some(StreamEnd::Whole);
+    assert_eq!(outcomes.iter().filter(is_whole).count(), 1, "{outcomes:?}");
     assert_eq!(runs_of(&fleet, &log, key).await, 1);
 }
 
-/// A key that was used is sent again while the store is away. It is not run: either the entry
-/// knows that it was used, or it refuses what it can't claim.
+/// A used key is sent again while the store is unavailable. The call must not run: either the entry knows that the key
+/// is used, or it refuses a key that it can't claim.
 #[tokio::test]
-async fn a_used_key_does_not_run_while_the_store_is_away() {
+async fn used_key_does_not_run_while_the_store_is_unavailable() {
     let fleet = Fleet::start(SIZE).await;
     let log = CallerLog::default();
     wait_until_claims_work(&fleet, &log).await;
@@ -103,8 +102,8 @@
         .await;
     for entry in &fleet.entries {
         let again = log.apply_plan(entry.serve, &keyed(key)).await;
-        let told = ["not-run", "may-have-run", "ran"];
-        assert!(is_refused(&again, &told), "{again:?}");
+        let verdicts = ["not-run", "may-have-run", "ran"];
+        assert!(is_refused(&again, &verdicts), "{again:?}");
     }
     assert_eq!(fleet.calls_with_key(key).await, 1);
 }
--- a/crates/oatpierd/tests/testsuite/kill.rs
+++ b/crates/oatpierd/tests/testsuite/kill.rs
@@ -1,4 +1,4 @@
-//! Processes that die under a mixed load, judged by the checker.
+//! Processes that are killed under a mixed load, with all events verified by the checker.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use oatpier_types::event::FleetEvent;
 use serde_json::json;
 
-use crate::support::calls::{CallView, CallerLog, PlanCall};
+use crate::support::calls::{CallOutcome, CallerLog, PlanCall};
 use crate::support::fleet::{Daemon, Fleet, FleetSize, eventually};
 use crate::support::http::StreamEnd;
 
@@ -19,10 +19,10 @@
 const CHATS: usize = 60;
 const PLANS: usize = 60;
 const TOKENS: u32 = 40;
-/// How long the service works on a call: long enough for calls to be there when a process dies.
+/// Time that the service takes per call, so that calls are running when a process is killed.
 const SERVICE_DELAY_MS: u64 = 2000;
-/// So many calls have begun at each kind of endpoint when a process dies.
-const BEGUN: usize = 10;
+/// Minimum number of calls that have started at each kind of endpoint when a process is killed.
+const MIN_STARTED: usize = 10;
 
 struct MixedLoad {
     fleet: Fleet,
@@ -46,17 +46,19 @@
         &self.fleet.entries[number % self.fleet.entries.len()]
     }
 
-    /// Sends everything at once; callers of `dying` expect no word once it is dead.
-    async fn run(&self, dying: Option<SocketAddr>) -> Vec<(SocketAddr, CallView)> {
+    /// Sends all requests at once. Callers of `killed` may get no answer.
+    async fn run(&self, killed: Option<SocketAddr>) -> Vec<(SocketAddr, CallOutcome)> {
         let chats = (0..CHATS).map(|number| async move {
             let entry = self.entry_of(number).serve;
             let prompt = format!("arrange hall {number}");
-            let view = if dying == Some(entry) {
-                self.log.chat_at_dying(entry, &prompt, TOKENS).await
+            let outcome = if killed == Some(entry) {
+                self.log
+                    .chat_with_killed_entry(entry, &prompt, TOKENS)
+                    .await
             } else {
                 self.log.chat(entry, &prompt, TOKENS).await
             };
-            (entry, view)
+            (entry, outcome)
         });
         let plans = (0..PLANS).map(|plan| async move {
             let entry = self.entry_of(plan).serve;
@@ -66,23 +68,23 @@
             };
             (entry, self.log.apply_plan(entry, &call).await)
         });
-        let (mut views, plan_views) = join(join_all(chats), join_all(plans)).await;
-        views.extend(plan_views);
-        views
+        let (mut outcomes, plan_outcomes) = join(join_all(chats), join_all(plans)).await;
+        outcomes.extend(plan_outcomes);
+        outcomes
     }
 
-    async fn run_and_kill(&self, daemon: &Daemon) -> Vec<(SocketAddr, CallView)> {
+    async fn run_and_kill(&self, daemon: &Daemon) -> Vec<(SocketAddr, CallOutcome)> {
         let killing = async {
             eventually("calls run at the endpoints", async || {
                 let first_service = self.fleet.events_of(&self.fleet.services[0]).await.len();
                 let engines = self.fleet.engine_runs().await.len();
-                first_service >= BEGUN && engines >= BEGUN
+                first_service >= MIN_STARTED && engines >= MIN_STARTED
             })
             .await;
             daemon.process.signal(Signal::SIGKILL);
         };
-        let (views, ()) = tokio::join!(self.run(Some(daemon.serve)), killing);
-        views
+        let (outcomes, ()) = tokio::join!(self.run(Some(daemon.serve)), killing);
+        outcomes
     }
 
     async fn expect_no_breach(&self) {
@@ -90,54 +92,69 @@
         let events = self.fleet.endpoint_events().await;
         let is_run = |event: &FleetEvent| matches!(event, FleetEvent::RunStarted { .. });
         let runs = events.iter().filter(|logged| is_run(&logged.event)).count();
-        assert!(runs >= CHATS, "the checker has something to judge");
+        assert!(
+            runs >= CHATS,
+            "the load must run on the engines, so that the checker has events to verify"
+        );
         assert_eq!(self.log.breaches(&self.fleet).await, []);
     }
 }
 
-/// The agent of a plain service dies while calls are at it that may run only once. Those that had
-/// begun are told "may have run" and are never tried elsewhere; a "not run" is true; everything
-/// else is answered whole.
+/// The agent of a plain service is killed while it runs calls that may run only once. Calls that had started must get
+/// "may have run" and must not be retried elsewhere. A "not run" must be true. All other calls get complete answers.
 #[tokio::test]
-async fn the_death_of_a_services_agent_runs_nothing_twice() {
+async fn killed_service_agent_runs_no_call_twice() {
     let load = MixedLoad::new().await;
     let agents = &load.fleet.agents;
-    let dying = agents.iter().find(|agent| agent.name == "agent-plan-api-1");
-    let views = load.run_and_kill(dying.unwrap()).await;
-    let whole = |view: &CallView| *view == Some(StreamEnd::Whole);
-    assert!(views[..CHATS].iter().all(|(_, view)| whole(view)));
-    let is_told = |view: &CallView| matches!(view, Some(StreamEnd::Error(told)) if told.verdict == "may-have-run");
-    let plans = &views[CHATS..];
-    let told = plans.iter().filter(|(_, view)| is_told(view)).count();
-    assert!(told >= BEGUN, "calls were at the agent: {plans:?}");
-    let whole_plans = plans.iter().filter(|(_, view)| whole(view)).count();
-    assert_eq!(told + whole_plans, PLANS, "{plans:?}");
+    let killed = agents.iter().find(|agent| agent.name == "agent-plan-api-1");
+    let outcomes = load.run_and_kill(killed.unwrap()).await;
+    let is_whole = |outcome: &CallOutcome| *outcome == Some(StreamEnd::Whole);
+    assert!(
+        outcomes[..CHATS]
+            .iter()
+            .all(|(_, outcome)| is_whole(outcome))
+    );
+    let may_have_run = |outcome: &CallOutcome| matches!(outcome, Some(StreamEnd::Error(error)) if error.verdict == "may-have-run");
+    let plans = &outcomes[CHATS..];
+    let may_have_run_count = plans
+        .iter()
+        .filter(|(_, outcome)| may_have_run(outcome))
+        .count();
+    assert!(
+        may_have_run_count >= MIN_STARTED,
+        "too few calls were running at the agent: {plans:?}"
+    );
+    let complete_plans = plans
+        .iter()
+        .filter(|(_, outcome)| is_whole(outcome))
+        .count();
+    assert_eq!(may_have_run_count + complete_plans, PLANS, "{plans:?}");
     load.expect_no_breach().await;
 }
 
-/// The agent of an engine dies under the same load: chat completions go on elsewhere, and calls
-/// that may run only once don't notice.
+/// The agent of an engine is killed under the same load. Chat completions continue on other engines, and calls that may
+/// run only once are not affected.
 #[tokio::test]
-async fn the_death_of_an_engines_agent_breaks_no_promise() {
+async fn killed_engine_agent_violates_no_guarantee() {
     let load = MixedLoad::new().await;
-    let views = load.run_and_kill(&load.fleet.agents[0]).await;
-    for (_, view) in &views[CHATS..] {
-        assert_eq!(*view, Some(StreamEnd::Whole));
+    let outcomes = load.run_and_kill(&load.fleet.agents[0]).await;
+    for (_, outcome) in &outcomes[CHATS..] {
+        assert_eq!(*outcome, Some(StreamEnd::Whole));
     }
     load.expect_no_breach().await;
 }
 
-/// An entry dies under the same load. Its callers' connections break: nobody is left to tell them
-/// anything. What it had sent to services goes on to its end, and runs nowhere else. The other
-/// entry's callers get all their answers.
+/// An entry is killed under the same load. Its callers' connections break, and no process can answer them. Calls that
+/// it had sent to services run to completion and run nowhere else. The callers of the other entry get all their
+/// answers.
 #[tokio::test]
-async fn the_death_of_an_entry_breaks_no_promise() {
+async fn killed_entry_violates_no_guarantee() {
     let load = MixedLoad::new().await;
-    let dying = &load.fleet.entries[0];
-    let views = load.run_and_kill(dying).await;
-    for (entry, view) in &views {
-        let is_lost = view.is_none() && *entry == dying.serve;
-        assert!(is_lost || *view == Some(StreamEnd::Whole), "{view:?}");
+    let killed = &load.fleet.entries[0];
+    let outcomes = load.run_and_kill(killed).await;
+    for (entry, outcome) in &outcomes {
+        let is_lost = outcome.is_none() && *entry == killed.serve;
+        assert!(is_lost || *outcome == Some(StreamEnd::Whole), "{outcome:?}");
     }
     load.expect_no_breach().await;
 }
--- a/crates/oatpierd/tests/testsuite/limits.rs
+++ b/crates/oatpierd/tests/testsuite/limits.rs
@@ -18,16 +18,16 @@
     .await
 }
 
-/// Another caller gets its whole answer, whatever the first one did.
+/// Checks that another caller gets a complete answer.
 async fn expect_service(fleet: &Fleet) {
     let answer = chat(&fleet.client, fleet.entries[0].serve, "tables", "next", 5).await;
     assert_eq!(answer.unwrap().stream_end("next", 5), StreamEnd::Whole);
 }
 
-/// A caller sends a head without end. The entry reads no more of it than the limit and answers
-/// 431, so that the caller knows and the entry's memory doesn't grow with what callers send.
+/// A caller sends a request head above the limit. The entry must read no more than the limit and answer 431, so that
+/// its memory use doesn't grow with the size of requests.
 #[tokio::test]
-async fn a_head_over_the_limit_is_answered_431() {
+async fn head_over_the_limit_gets_431() {
     let fleet = fleet("header_bytes = 8192").await;
     let mut caller = RawCaller::connect(fleet.entries[0].serve);
     let filling = "x".repeat(16 * 1024);
@@ -39,26 +39,26 @@
     expect_service(&fleet).await;
 }
 
-/// A caller says, or shows, that its body is larger than the limit. It is told 413 before
-/// anything ran, and no engine hears of it.
+/// A caller declares a body above the limit, or sends one in chunks. It must get 413 before anything runs, and no
+/// engine may receive the request.
 #[tokio::test]
-async fn a_body_over_the_limit_is_answered_413_and_does_not_run() {
+async fn body_over_the_limit_gets_413_and_does_not_run() {
     let fleet = fleet("body_bytes = 4096").await;
     let before = fleet.engine_runs().await.len();
     let prompt = "x".repeat(8192);
     let body = format!("{{\"model\": \"tables\", \"prompt\": \"{prompt}\"}}");
     let path = "/v1/completions";
-    let mut told = RawCaller::connect(fleet.entries[0].serve);
-    told.write(&format!(
+    let mut declared = RawCaller::connect(fleet.entries[0].serve);
+    declared.write(&format!(
         "POST {path} HTTP/1.1\r\nhost: entry\r\ncontent-length: {}\r\n\r\n",
         body.len()
     ));
-    let mut shown = RawCaller::connect(fleet.entries[0].serve);
-    shown.write(&format!(
+    let mut chunked = RawCaller::connect(fleet.entries[0].serve);
+    chunked.write(&format!(
         "POST {path} HTTP/1.1\r\nhost: entry\r\ntransfer-encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n",
         body.len()
     ));
-    for caller in [&mut told, &mut shown] {
+    for caller in [&mut declared, &mut chunked] {
         let answer = caller.read_to_close();
         assert!(answer.starts_with("HTTP/1.1 413 "), "{answer}");
     }
@@ -66,10 +66,10 @@
     expect_service(&fleet).await;
 }
 
-/// A caller sends half a head and then nothing: its connection is closed, since no request is
-/// there that could be answered. One that sends a head and half a body is told 408.
+/// A caller sends half a head and then nothing. Its connection must be closed, since there is no request to answer. A
+/// caller that sends a head and half a body must get 408.
 #[tokio::test]
-async fn slow_heads_are_closed_and_slow_bodies_answered_408() {
+async fn slow_head_is_closed_and_slow_body_gets_408() {
     let fleet = fleet("header_time = \"300ms\"\nbody_time = \"300ms\"").await;
     let entry = fleet.entries[0].serve;
     let mut slow_head = RawCaller::connect(entry);
@@ -85,10 +85,10 @@
     expect_service(&fleet).await;
 }
 
-/// Callers hold all connections that the entry takes. The next one is told 503 and when to come
-/// back, not left waiting; when a connection is given back, it is served.
+/// Callers hold all connections that the entry accepts. The next caller must get 503 with Retry-After instead of
+/// waiting. When connections are released, callers must be served again.
 #[tokio::test]
-async fn connections_over_the_limit_are_answered_503_until_there_is_room() {
+async fn connections_over_the_limit_get_503_until_one_is_free() {
     let fleet = fleet("connections = 8").await;
     let entry = fleet.entries[0].serve;
     let request = "GET /v1/models HTTP/1.1\r\nhost: entry\r\nconnection: close\r\n\r\n";
--- a/crates/oatpierd/tests/testsuite/main.rs
+++ b/crates/oatpierd/tests/testsuite/main.rs
@@ -3,10 +3,10 @@
 mod callers;
 mod command;
 mod config;
+mod idempotency_keys;
 mod kill;
 mod limits;
 mod load;
-mod once;
 mod path;
 mod pause;
 mod settings;
--- a/crates/oatpierd/tests/testsuite/path.rs
+++ b/crates/oatpierd/tests/testsuite/path.rs
@@ -1,4 +1,4 @@
-//! One request through separate processes.
+//! Single requests through separate processes.
 
 use bytes::Bytes;
 use http::{Method, Request, StatusCode};
@@ -14,7 +14,7 @@
 };
 
 #[tokio::test]
-async fn a_streamed_answer_comes_back_whole() {
+async fn streamed_answer_is_complete() {
     let fleet = Fleet::start(SIZE).await;
     let entry = fleet.entries[0].serve;
     let prompt = "arrange twelve tables";
@@ -29,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_in_one_piece_comes_back_whole() {
+async fn unstreamed_answer_is_complete() {
     let fleet = Fleet::start(SIZE).await;
     let body = json!({"model": "tables", "prompt": "seat", "max_tokens": 5}).to_string();
     let path = "/v1/completions";
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn a_service_call_comes_back_whole() {
+async fn service_answer_is_complete() {
     let fleet = Fleet::start(SIZE).await;
     let entry = fleet.entries[0].serve;
     let path = "/services/plan-api/plans/7?floor=2";
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn models_are_listed_and_unknown_ones_are_told() {
+async fn models_are_listed_and_unknown_ones_get_404() {
     let fleet = Fleet::start(SIZE).await;
     let entry = fleet.entries[0].serve;
     let answer = get(&fleet.client, entry, "/v1/models").await;
--- a/crates/oatpierd/tests/testsuite/pause.rs
+++ b/crates/oatpierd/tests/testsuite/pause.rs
@@ -1,10 +1,10 @@
-//! A process that is paused, and wakes up later.
+//! A process that is paused and later resumed.
 
 use futures::future::join_all;
 use nix::sys::signal::Signal;
 
-use crate::support::calls::{CallView, CallerLog, PlanCall};
-use crate::support::fleet::{Fleet, FleetSize, comes_about, eventually};
+use crate::support::calls::{CallOutcome, CallerLog, PlanCall};
+use crate::support::fleet::{Fleet, FleetSize, becomes_true, eventually};
 use crate::support::http::StreamEnd;
 
 const SIZE: FleetSize = FleetSize {
@@ -14,7 +14,7 @@
 };
 const CALLS: usize = 20;
 
-async fn apply_plans(fleet: &Fleet, log: &CallerLog, first: usize) -> Vec<CallView> {
+async fn apply_plans(fleet: &Fleet, log: &CallerLog, first: usize) -> Vec<CallOutcome> {
     let entry = fleet.entries[0].serve;
     let calls = (first..first + CALLS).map(|plan| async move {
         let call = PlanCall {
@@ -27,12 +27,12 @@
     join_all(calls).await
 }
 
-/// The agent of one service is paused as by a stopped VM. Calls that may run only once and are on
-/// their way to it get no word; their callers are told "may have run" when their time is over,
-/// and later calls go to the other agent. Then the paused agent wakes up and finds all that was
-/// sent to it. It must not run what a caller was told did not run, and nothing runs twice.
+/// The agent of one service is paused, as by a stopped VM. At-most-once calls sent to it get no answer; their callers
+/// get "may have run" at the deadline, and later calls go to the other agent. When the paused agent resumes, it
+/// receives all calls that were sent to it. It must not run a call that was answered with "not run", and no call may
+/// run twice.
 #[tokio::test]
-async fn a_paused_agent_that_wakes_up_runs_nothing_twice() {
+async fn resumed_agent_runs_no_call_twice() {
     let fleet = Fleet::start(SIZE).await;
     let log = CallerLog::default();
     let paused = fleet
@@ -41,9 +41,12 @@
         .find(|agent| agent.name == "agent-plan-api-1")
         .unwrap();
     paused.process.signal(Signal::SIGSTOP);
-    let views = apply_plans(&fleet, &log, 0).await;
-    let is_lost = |view: &CallView| matches!(view, Some(StreamEnd::Error(told)) if told.verdict == "may-have-run");
-    assert!(views.iter().any(is_lost), "the agent is paused: {views:?}");
+    let outcomes = apply_plans(&fleet, &log, 0).await;
+    let is_lost = |outcome: &CallOutcome| matches!(outcome, Some(StreamEnd::Error(error)) if error.verdict == "may-have-run");
+    assert!(
+        outcomes.iter().any(is_lost),
+        "no call was lost at the paused agent: {outcomes:?}"
+    );
     let entry = fleet.entries[0].serve;
     eventually("calls go elsewhere", async || {
         let plan = CALLS;
@@ -54,28 +57,30 @@
             ..PlanCall::default()
         };
         let calls = (0..4).map(|_| log.apply_plan(entry, &call));
-        let views = join_all(calls).await;
-        views.iter().all(|view| *view == Some(StreamEnd::Whole))
+        let outcomes = join_all(calls).await;
+        outcomes
+            .iter()
+            .all(|outcome| *outcome == Some(StreamEnd::Whole))
     })
     .await;
     paused.process.signal(Signal::SIGCONT);
-    let works = async || {
+    let gets_calls = async || {
         let before = fleet.events_of(&fleet.services[0]).await.len();
         apply_plans(&fleet, &log, 1000).await;
         fleet.events_of(&fleet.services[0]).await.len() > before
     };
-    if !comes_about(works).await {
-        let told = fleet.told(&fleet.entries[0]).await;
-        panic!("the woken agent gets no work: {told}");
+    if !becomes_true(gets_calls).await {
+        let state = fleet.describe_state(&fleet.entries[0]).await;
+        panic!("the resumed agent gets no calls: {state}");
     }
     assert_eq!(log.breaches(&fleet).await, []);
 }
 
-/// The agent of one engine is paused while it streams. A stream that says nothing any more is
-/// taken up at the other engine after the tokens that were relayed; when the agent wakes up, the
-/// late rest of its streams goes to nobody.
+/// The agent of one engine is paused while it streams. A stream that goes silent is continued on the other engine,
+/// after the tokens that were already relayed. When the agent resumes, the late remainder of its streams must be
+/// discarded.
 #[tokio::test]
-async fn streams_of_a_paused_agent_go_on_elsewhere() {
+async fn streams_of_a_paused_agent_continue_on_another_engine() {
     let fleet = Fleet::start(SIZE).await;
     let log = CallerLog::default();
     let entry = fleet.entries[0].serve;
@@ -91,12 +96,15 @@
         .await;
         paused.process.signal(Signal::SIGSTOP);
     };
-    let (views, ()) = tokio::join!(join_all(calls), pausing);
+    let (outcomes, ()) = tokio::join!(join_all(calls), pausing);
     paused.process.signal(Signal::SIGCONT);
-    for view in views {
-        let is_told =
-            matches!(&view, Some(StreamEnd::Error(told)) if told.verdict == "may-have-run");
-        assert!(view == Some(StreamEnd::Whole) || is_told, "{view:?}");
+    for outcome in outcomes {
+        let may_have_run =
+            matches!(&outcome, Some(StreamEnd::Error(error)) if error.verdict == "may-have-run");
+        assert!(
+            outcome == Some(StreamEnd::Whole) || may_have_run,
+            "{outcome:?}"
+        );
     }
     fleet.wait_until_idle().await;
     assert_eq!(log.breaches(&fleet).await, []);
--- a/crates/oatpierd/tests/testsuite/settings.rs
+++ b/crates/oatpierd/tests/testsuite/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: the commented examples, and what is said of wrong ones.
+//! Settings files: the commented examples, and the errors for invalid files.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_example_of_an_entry_gives_the_defaults() {
+fn entry_example_has_the_default_values() {
     let example = text(include_str!("../../examples-settings/entry.toml"));
     let settings = EntrySettings::try_from(&example).unwrap();
     assert_eq!(settings.limits, RequestLimits::default());
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn the_example_of_an_agent_is_good() {
+fn agent_example_is_valid() {
     let example = text(include_str!("../../examples-settings/agent.toml"));
     let settings = AgentSettings::try_from(&example).unwrap();
     assert_eq!(settings.pool.as_str(), "wool-scribe");
 }
 
 #[test]
-fn all_errors_of_a_text_are_told_at_once() {
+fn all_errors_of_a_file_are_reported_at_once() {
     let wrong = text(
         "name = \"entry 1\"\nvm = 7\nzone = \"ikeja\"\ncolour = \"red\"\n\
          [listen]\ncallers = \"entry.example:80\"\npeers = \"10.0.0.1:7\"\n\
@@ -37,16 +37,16 @@
          [limits]\nconnections = 0\nidle_time = \"soon\"\n",
     );
     let errors = EntrySettings::try_from(&wrong).unwrap_err();
-    let told: Vec<_> = errors
+    let reported: Vec<_> = errors
         .errors
         .iter()
         .map(|error| {
             let start = error.span.offset();
-            let place = &wrong.text[start..start + error.span.len()];
-            format!("{} | at {place:?} | {}", error.message, error.help)
+            let span_text = &wrong.text[start..start + error.span.len()];
+            format!("{} | at {span_text:?} | {}", error.message, error.help)
         })
         .collect();
-    insta::assert_snapshot!(told.join("\n"), @r#"
+    insta::assert_snapshot!(reported.join("\n"), @r#"
     `region` is missing | at "" | add a line such as `region = "lagos"`
     `name` is "entry 1", not a name | at "\"entry 1\"" | daemon name `entry 1` holds ` `; use letters, digits, `.`, `_`, `:`, `/` and `-`; for example "entry-ikeja-1"
     `vm` is 7, not a name | at "7" | it has to be a string; for example "vm-ikeja-1"
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_is_no_toml_is_told_with_its_place() {
+fn invalid_toml_is_reported_with_its_position() {
     let errors = EntrySettings::try_from(&text("name = \n")).unwrap_err();
     assert_eq!(errors.errors.len(), 1);
     assert!(errors.errors[0].message.starts_with("this is not TOML"));
--- a/crates/oatpierd/tests/testsuite/soak.rs
+++ b/crates/oatpierd/tests/testsuite/soak.rs
@@ -1,7 +1,7 @@
-//! Short soaks of gateways and sidecars as processes, with seeds that stay.
+//! Short soak tests of gateways and sidecars as processes, with fixed seeds.
 //!
-//! What strikes when follows from the seed; what it meets does not, since processes run at their own pace.
-//! A verdict depends on promises alone, never on how many requests were served or how fast.
+//! The seed determines the faults and their times, but not the state that they hit, since processes run at their own
+//! pace. A test therefore checks only guarantees, never how many requests were served or how fast.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn promises_hold_while_faults_strike() {
+fn guarantees_hold_under_faults_of_seed_1() {
     soak(1);
 }
 
 #[test]
-fn promises_hold_while_other_faults_strike() {
+fn guarantees_hold_under_faults_of_seed_3() {
     soak(3);
 }
--- a/crates/oatpierd/tests/testsuite/start.rs
+++ b/crates/oatpierd/tests/testsuite/start.rs
@@ -1,4 +1,4 @@
-//! Processes that start while the platform's key-value service is away.
+//! Processes that start while the platform's key-value store is unavailable.
 
 use serde_json::json;
 
@@ -17,12 +17,11 @@
     services: 0,
 };
 
-/// The store has been away for a while when a VM with an entry and one with an agent start. Both
-/// get the configuration from the processes that are there: the new entry serves callers, and the
-/// new agent's engine takes requests.
+/// An entry and an agent start on new VMs while the store is unavailable. Both must get the configuration from the
+/// running processes: the new entry serves callers, and the new agent's engine receives requests.
 #[tokio::test]
-async fn an_entry_and_an_agent_start_from_their_peers() {
-    let mut fleet = Fleet::start_some(SIZE, BOTH).await;
+async fn entry_and_agent_get_the_configuration_from_peers() {
+    let mut fleet = Fleet::start_part(SIZE, BOTH).await;
     fleet
         .set_faults(&fleet.store, json!({"down": "drop"}))
         .await;
@@ -33,8 +32,10 @@
     let entry = fleet.entries[1].serve;
     eventually("the new entry answers, with the new engine", async || {
         let calls = (0..8).map(|_| log.chat(entry, "seat", 5));
-        let views = futures::future::join_all(calls).await;
-        let is_whole = views.iter().all(|view| *view == Some(StreamEnd::Whole));
+        let outcomes = futures::future::join_all(calls).await;
+        let is_whole = outcomes
+            .iter()
+            .all(|outcome| *outcome == Some(StreamEnd::Whole));
         is_whole && !fleet.events_of(&fleet.engines[1]).await.is_empty()
     })
     .await;
--- a/crates/oatpierd/tests/testsuite/stop.rs
+++ b/crates/oatpierd/tests/testsuite/stop.rs
@@ -8,7 +8,7 @@
 use oatpier_types::event::FleetEvent;
 use oatpier_types::names::DaemonName;
 
-use crate::support::calls::{CallView, CallerLog, PlanCall};
+use crate::support::calls::{CallOutcome, CallerLog, PlanCall};
 use crate::support::fleet::{Fleet, FleetSize, Standin, eventually};
 use crate::support::http::{StreamEnd, chat, get, send};
 
@@ -17,15 +17,15 @@
     engines: 2,
     services: 0,
 };
-const LONG: u32 = 200;
+const LONG_TOKENS: u32 = 200;
 
-/// A caller's answer is half-way when the entry is told to stop. The entry says first that it is
-/// not ready, goes on with the answer to its end, and only then ends, by itself and with 0.
+/// An entry is asked to stop in the middle of an answer. It must first report that it is not ready, then complete the
+/// answer, and only then exit by itself with 0.
 #[tokio::test]
-async fn a_stopping_entry_finishes_what_is_in_flight() {
+async fn stopping_entry_finishes_in_flight_requests() {
     let mut fleet = Fleet::start(SIZE).await;
     let entry = &fleet.entries[0];
-    let calling = chat(&fleet.client, entry.serve, "tables", "long", LONG);
+    let calling = chat(&fleet.client, entry.serve, "tables", "long", LONG_TOKENS);
     let stopping = async {
         eventually("the request runs", async || {
             !fleet.engine_runs().await.is_empty() && in_flight(&fleet).await
@@ -39,8 +39,11 @@
         .await;
     };
     let (answer, ()) = tokio::join!(calling, stopping);
-    assert_eq!(answer.unwrap().stream_end("long", LONG), StreamEnd::Whole);
-    let status = fleet.entries[0].process.ended().await;
+    assert_eq!(
+        answer.unwrap().stream_end("long", LONG_TOKENS),
+        StreamEnd::Whole
+    );
+    let status = fleet.entries[0].process.wait_for_exit().await;
     assert!(status.success());
 }
 
@@ -49,16 +52,16 @@
     text.lines().any(|line| line == "oatpier_in_flight 1")
 }
 
-/// Both agents are told to stop in turn while requests come in. Each finishes what it runs,
-/// refuses what is new (which goes to the other), and ends by itself with 0.
+/// One of two agents is asked to stop while requests run on both. It must finish its running requests, refuse new ones,
+/// which then go to the other agent, and exit by itself with 0.
 #[tokio::test]
-async fn a_stopping_agent_finishes_what_it_runs_and_takes_nothing_new() {
+async fn stopping_agent_finishes_running_requests_and_refuses_new_ones() {
     let mut fleet = Fleet::start(SIZE).await;
     let entry = fleet.entries[0].serve;
     let prompts: Vec<_> = (0..20).map(|number| format!("table {number}")).collect();
     let calls = prompts
         .iter()
-        .map(|prompt| chat(&fleet.client, entry, "tables", prompt, LONG));
+        .map(|prompt| chat(&fleet.client, entry, "tables", prompt, LONG_TOKENS));
     let calling = futures::future::join_all(calls);
     let stopping = async {
         eventually("requests run", async || {
@@ -69,9 +72,12 @@
     };
     let (answers, ()) = tokio::join!(calling, stopping);
     for (answer, prompt) in answers.into_iter().zip(&prompts) {
-        assert_eq!(answer.unwrap().stream_end(prompt, LONG), StreamEnd::Whole);
+        assert_eq!(
+            answer.unwrap().stream_end(prompt, LONG_TOKENS),
+            StreamEnd::Whole
+        );
     }
-    let status = fleet.agents[0].process.ended().await;
+    let status = fleet.agents[0].process.wait_for_exit().await;
     assert!(status.success());
     let later = chat(&fleet.client, entry, "tables", "later", 5).await;
     assert_eq!(later.unwrap().stream_end("later", 5), StreamEnd::Whole);
@@ -82,13 +88,13 @@
     engines: 3,
     services: 2,
 };
-/// Calls that each caller makes one after another.
+/// Consecutive calls per caller.
 const CALLS: usize = 12;
 const CALLERS: usize = 16;
 
-/// Each caller makes its calls in turn, until all are done.
-async fn keep_calling(log: &CallerLog, entry: SocketAddr, caller: usize) -> Vec<CallView> {
-    let mut views = Vec::new();
+/// Makes the calls of one caller, one after another.
+async fn keep_calling(log: &CallerLog, entry: SocketAddr, caller: usize) -> Vec<CallOutcome> {
+    let mut outcomes = Vec::new();
     for number in 0..CALLS {
         let prompt = format!("caller {caller} seat {number}");
         let plan = caller * CALLS + number;
@@ -96,24 +102,24 @@
             plan,
             ..PlanCall::default()
         };
-        views.push(log.chat(entry, &prompt, 60).await);
-        views.push(log.apply_plan(entry, &call).await);
+        outcomes.push(log.chat(entry, &prompt, 60).await);
+        outcomes.push(log.apply_plan(entry, &call).await);
     }
-    views
+    outcomes
 }
 
-fn expect_whole(views: &[Vec<CallView>]) {
-    for view in views.iter().flatten() {
-        assert_eq!(*view, Some(StreamEnd::Whole));
+fn expect_whole(outcomes: &[Vec<CallOutcome>]) {
+    for outcome in outcomes.iter().flatten() {
+        assert_eq!(*outcome, Some(StreamEnd::Whole));
     }
 }
 
-/// Callers keep calling through both entries while the agents of an engine and of a service are
-/// told to stop. Nobody sees anything of it: what ran there ends there, what comes is refused by
-/// the agent and goes elsewhere, and the processes end by themselves with 0. Nothing begins at a
-/// leaving endpoint later than the bound after the word to leave.
+/// Callers keep sending calls through both entries while the agents of an engine and of a service are asked to stop. No
+/// caller may notice: running calls finish there, new calls are refused by the agent and go elsewhere, and the
+/// processes exit by themselves with 0. No call may start at a leaving endpoint later than the checker's bound after
+/// the stop request.
 #[tokio::test]
-async fn the_planned_stop_of_agents_under_load_cuts_off_nothing() {
+async fn planned_stop_of_agents_under_load_cuts_off_no_request() {
     let mut fleet = Fleet::start(LOAD_SIZE).await;
     let log = CallerLog::default();
     let stopped = [0, 3];
@@ -127,24 +133,24 @@
         })
         .await;
         for (agent, endpoint) in [(0, &fleet.engines[0]), (3, &fleet.services[0])] {
-            note_leave(&fleet, &log, endpoint).await;
+            record_leave(&fleet, &log, endpoint).await;
             fleet.agents[agent].process.signal(Signal::SIGTERM);
         }
     };
-    let (views, ()) = tokio::join!(futures::future::join_all(calls), stopping);
-    expect_whole(&views);
+    let (outcomes, ()) = tokio::join!(futures::future::join_all(calls), stopping);
+    expect_whole(&outcomes);
     for agent in stopped {
         let daemon = &mut fleet.agents[agent];
-        assert!(daemon.process.ended().await.success());
+        assert!(daemon.process.wait_for_exit().await.success());
         let name = DaemonName::try_from(daemon.name.as_str()).unwrap();
-        note_end(&log, name);
+        record_exit(&log, name);
     }
     assert_eq!(log.breaches(&fleet).await, []);
 }
 
-/// Notes on the endpoint's own clock that it is told to leave: a call past the agent is the mark
-/// in its record.
-async fn note_leave(fleet: &Fleet, log: &CallerLog, endpoint: &Standin) {
+/// Logs, on the endpoint's own clock, that the endpoint is asked to leave. A call that bypasses the agent marks the
+/// time in the endpoint's record.
+async fn record_leave(fleet: &Fleet, log: &CallerLog, endpoint: &Standin) {
     let is_engine = fleet
         .engines
         .iter()
@@ -165,30 +171,32 @@
         _ => None,
     });
     let (at, endpoint) = mark.expect("the mark is in the record");
-    log.note(at, FleetEvent::LeaveStarted { endpoint });
+    log.record_event(at, FleetEvent::LeaveStarted { endpoint });
 }
 
-/// The callers saw that all answers were whole, so nothing was cut off.
-fn note_end(log: &CallerLog, name: DaemonName) {
+/// Logs the exit of a process without cut-off requests, since the callers have seen that all answers were complete.
+fn record_exit(log: &CallerLog, name: DaemonName) {
     let event = FleetEvent::Ended {
         name,
         killed: false,
         cut_off: 0,
     };
-    log.note(ClockTime::NEVER, event);
+    log.record_event(ClockTime::NEVER, event);
 }
 
-/// An entry is told to stop while its callers are in the middle of answers. Each answer comes to
-/// its end, calls that come until the balancer has seen it are still taken, and the process ends
-/// by itself with 0.
+/// An entry is asked to stop while its callers are receiving answers. Each answer must complete, calls that arrive
+/// until the load balancer has noticed the stop must still be accepted, and the process must exit by itself with 0.
 #[tokio::test]
-async fn the_planned_stop_of_an_entry_under_load_cuts_off_nothing() {
+async fn planned_stop_of_an_entry_under_load_cuts_off_no_request() {
     let mut fleet = Fleet::start(LOAD_SIZE).await;
     let log = CallerLog::default();
     let stopped = fleet.entries[0].serve;
     let calls = (0..CALLERS * 4).map(|caller| {
         let log = &log;
-        async move { log.chat(stopped, &format!("seat {caller}"), LONG).await }
+        async move {
+            log.chat(stopped, &format!("seat {caller}"), LONG_TOKENS)
+                .await
+        }
     });
     let others = (0..CALLERS).map(|caller| keep_calling(&log, fleet.entries[1].serve, caller));
     let stopping = async {
@@ -200,12 +208,12 @@
     };
     let calls = futures::future::join_all(calls);
     let others = futures::future::join_all(others);
-    let (views, others, ()) = tokio::join!(calls, others, stopping);
-    expect_whole(&[views]);
+    let (outcomes, others, ()) = tokio::join!(calls, others, stopping);
+    expect_whole(&[outcomes]);
     expect_whole(&others);
     let daemon = &mut fleet.entries[0];
-    assert!(daemon.process.ended().await.success());
+    assert!(daemon.process.wait_for_exit().await.success());
     let name = DaemonName::try_from(daemon.name.as_str()).unwrap();
-    note_end(&log, name);
+    record_exit(&log, name);
     assert_eq!(log.breaches(&fleet).await, []);
 }
--- a/crates/oatpierd/tests/testsuite/store.rs
+++ b/crates/oatpierd/tests/testsuite/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service is away.
+//! Requests while the platform's key-value store is unavailable.
 
 use futures::future::join_all;
 use serde_json::json;
@@ -14,11 +14,11 @@
 };
 const CALLS: usize = 40;
 
-/// The store breaks every connection from before the first request until after the last. No
-/// caller notices: chat completions, and calls without an idempotency key that may run only once,
-/// need what the processes know already and nothing of the store.
+/// The store drops every connection from before the first request until after the last. No caller may notice: chat
+/// completions, and at-most-once calls without an idempotency key, depend only on state that the processes already
+/// have.
 #[tokio::test]
-async fn requests_go_on_while_the_store_is_away() {
+async fn requests_are_served_while_the_store_is_unavailable() {
     let fleet = Fleet::start(SIZE).await;
     let log = CallerLog::default();
     fleet
@@ -38,8 +38,8 @@
         async move { log.apply_plan(entry, &call).await }
     });
     let (chats, plans) = tokio::join!(join_all(chats), join_all(plans));
-    for view in chats.into_iter().chain(plans) {
-        assert_eq!(view, Some(StreamEnd::Whole));
+    for outcome in chats.into_iter().chain(plans) {
+        assert_eq!(outcome, Some(StreamEnd::Whole));
     }
     assert_eq!(log.breaches(&fleet).await, []);
 }
--- a/crates/oatpierd/tests/testsuite/support/calls.rs
+++ b/crates/oatpierd/tests/testsuite/support/calls.rs
@@ -1,4 +1,4 @@
-//! Callers whose requests and answers are logged, so that the checker can judge them.
+//! Callers whose requests and answers are logged for the checker.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -16,32 +16,32 @@
 use serde_json::json;
 
 use super::fleet::Fleet;
-use super::http::{CallerAnswer, StreamEnd, ToldError, client, read};
+use super::http::{CallerAnswer, CallerError, StreamEnd, client, read};
 
-/// The first request's number; no test has so many.
+/// Id of the first request; greater than the number of requests in any test.
 const FIRST_REQUEST: u64 = 0x0a7_0000;
 
-/// Sends requests and logs what their callers saw.
+/// Sends requests and logs the outcomes that their callers saw.
 ///
-/// The endpoints have clocks of their own, which the callers don't know. So the log keeps the
-/// order alone: requests are sent at its start, and answered at its end.
+/// Each endpoint has its own clock, which the callers don't know. The log therefore only keeps the order: requests are
+/// logged at time zero, and answers at the end of time.
 pub struct CallerLog {
     client: HttpClient,
     next: AtomicU64,
     events: Mutex<Vec<LoggedEvent>>,
 }
 
-/// One request that is made again and again by its caller.
+/// A service call that applies a plan and may run only once.
 #[derive(Debug, Clone, Default)]
 pub struct PlanCall<'c> {
-    /// The plan that is applied.
+    /// The number of the plan.
     pub plan: usize,
     pub key: Option<&'c str>,
     pub class: Option<&'c str>,
 }
 
-/// What a caller saw of its call: an answer, or the end of its entry.
-pub type CallView = Option<StreamEnd>;
+/// The outcome of a call as its caller saw it; `None` if its entry died before an answer began.
+pub type CallOutcome = Option<StreamEnd>;
 
 impl Default for CallerLog {
     fn default() -> Self {
@@ -54,12 +54,12 @@
 }
 
 impl CallerLog {
-    /// Logs something else that the checker has to know.
-    pub fn note(&self, at: ClockTime, event: FleetEvent) {
+    /// Logs an event for the checker.
+    pub fn record_event(&self, at: ClockTime, event: FleetEvent) {
         self.events.lock().unwrap().push(LoggedEvent { at, event });
     }
 
-    fn sent(&self, repeat: Repeat, key: Option<&str>) -> RequestId {
+    fn record_sent(&self, repeat: Repeat, key: Option<&str>) -> RequestId {
         let request = RequestId(self.next.fetch_add(1, Ordering::Relaxed).into());
         let key = key.map(key_hash);
         let event = FleetEvent::RequestSent {
@@ -67,19 +67,19 @@
             repeat,
             key,
         };
-        self.note(ClockTime::ZERO, event);
+        self.record_event(ClockTime::ZERO, event);
         request
     }
 
-    /// Notes how a call ended. Nobody can tell a caller anything whose entry has died; such a
-    /// caller counts as one that went away.
-    fn ended(&self, request: RequestId, view: &CallView) {
-        let stranger = RequestId(0);
-        let (end, verdict, content_of) = match view {
+    /// Logs how a call ended. If the entry has died, its caller can't get an answer, so the call is logged as one whose
+    /// caller disconnected.
+    fn record_end(&self, request: RequestId, outcome: &CallOutcome) {
+        let unknown_request = RequestId(0);
+        let (end, verdict, content_of) = match outcome {
             Some(StreamEnd::Whole) => (AnswerEnd::Whole, RunVerdict::Ran, Some(request)),
-            Some(StreamEnd::Error(told)) => (AnswerEnd::Error, verdict_of(told), None),
+            Some(StreamEnd::Error(error)) => (AnswerEnd::Error, verdict_of(error), None),
             Some(StreamEnd::Cut) => (AnswerEnd::Cut, RunVerdict::MayHaveRun, None),
-            Some(StreamEnd::Wrong(_)) => (AnswerEnd::Whole, RunVerdict::Ran, Some(stranger)),
+            Some(StreamEnd::Wrong(_)) => (AnswerEnd::Whole, RunVerdict::Ran, Some(unknown_request)),
             None => (AnswerEnd::CallerGone, RunVerdict::MayHaveRun, None),
         };
         let event = FleetEvent::AnswerEnded {
@@ -89,24 +89,29 @@
             verdict,
             in_time: true,
         };
-        self.note(ClockTime::NEVER, event);
+        self.record_event(ClockTime::NEVER, event);
     }
 
-    /// A streamed chat completion of `tables` with a prompt of its own.
-    pub async fn chat(&self, entry: SocketAddr, prompt: &str, tokens: u32) -> CallView {
-        let request = self.sent(Repeat::Idempotent, None);
-        let view = self.stream(request, entry, prompt, tokens).await;
-        self.ended(request, &view);
-        view
+    /// Sends a streamed chat completion to the model `tables`.
+    pub async fn chat(&self, entry: SocketAddr, prompt: &str, tokens: u32) -> CallOutcome {
+        let request = self.record_sent(Repeat::Idempotent, None);
+        let outcome = self.stream(request, entry, prompt, tokens).await;
+        self.record_end(request, &outcome);
+        outcome
     }
 
-    /// The same at an entry that dies under it: a cut answer tells no more than none.
-    pub async fn chat_at_dying(&self, entry: SocketAddr, prompt: &str, tokens: u32) -> CallView {
-        let request = self.sent(Repeat::Idempotent, None);
-        let view = self.stream(request, entry, prompt, tokens).await;
-        let view = view.filter(|end| *end != StreamEnd::Cut);
-        self.ended(request, &view);
-        view
+    /// Sends a streamed chat completion to an entry that is killed meanwhile. A truncated answer counts as no answer.
+    pub async fn chat_with_killed_entry(
+        &self,
+        entry: SocketAddr,
+        prompt: &str,
+        tokens: u32,
+    ) -> CallOutcome {
+        let request = self.record_sent(Repeat::Idempotent, None);
+        let outcome = self.stream(request, entry, prompt, tokens).await;
+        let outcome = outcome.filter(|end| *end != StreamEnd::Cut);
+        self.record_end(request, &outcome);
+        outcome
     }
 
     async fn stream(
@@ -115,7 +120,7 @@
         entry: SocketAddr,
         prompt: &str,
         tokens: u32,
-    ) -> CallView {
+    ) -> CallOutcome {
         let body = json!({
             "model": "tables",
             "stream": true,
@@ -128,9 +133,9 @@
         answer.map(|answer| answer.stream_end(prompt, tokens))
     }
 
-    /// A service call that may run only once.
-    pub async fn apply_plan(&self, entry: SocketAddr, call: &PlanCall<'_>) -> CallView {
-        let request = self.sent(Repeat::AtMostOnce, call.key);
+    /// Sends a service call that may run only once.
+    pub async fn apply_plan(&self, entry: SocketAddr, call: &PlanCall<'_>) -> CallOutcome {
+        let request = self.record_sent(Repeat::AtMostOnce, call.key);
         let path = format!("/plans/{}/apply", call.plan);
         let mut parts = Request::builder()
             .method(Method::POST)
@@ -143,12 +148,12 @@
             parts = parts.header("oatpier-class", class);
         }
         let answer = read(&self.client, entry, parts.body(Bytes::new()).unwrap()).await;
-        let view = answer.map(|answer| answer.call_end(&path));
-        self.ended(request, &view);
-        view
+        let outcome = answer.map(|answer| answer.call_end(&path));
+        self.record_end(request, &outcome);
+        outcome
     }
 
-    /// What the checker finds in this log and the endpoints' records.
+    /// Returns the violations that the checker finds in this log and the endpoints' records.
     pub async fn breaches(&self, fleet: &Fleet) -> Vec<RuleBreach> {
         let mut log = self.events.lock().unwrap().clone();
         log.extend(fleet.endpoint_events().await);
@@ -156,12 +161,12 @@
     }
 }
 
-fn verdict_of(told: &ToldError) -> RunVerdict {
-    match told.verdict.as_str() {
+fn verdict_of(error: &CallerError) -> RunVerdict {
+    match error.verdict.as_str() {
         "not-run" => RunVerdict::NotRun,
         "may-have-run" => RunVerdict::MayHaveRun,
         "ran" => RunVerdict::Ran,
-        other => panic!("an error has to carry a verdict, not `{other}`"),
+        other => panic!("unexpected verdict `{other}` in an error answer"),
     }
 }
 
@@ -170,13 +175,13 @@
 }
 
 impl CallerAnswer {
-    /// Judges the answer of the plain service to a call of `path`.
+    /// Classifies the answer of the plain service to a call of `path`.
     fn call_end(&self, path: &str) -> StreamEnd {
         if !self.status.is_success() {
             return self.stream_end("", 0);
         }
         let call: serde_json::Value = serde_json::from_str(&self.text).unwrap_or_default();
-        match (self.framed, call["path"].as_str()) {
+        match (self.is_complete, call["path"].as_str()) {
             (true, Some(found)) if found == path => StreamEnd::Whole,
             (false, _) => StreamEnd::Cut,
             _ => StreamEnd::Wrong(self.text.clone()),
--- a/crates/oatpierd/tests/testsuite/support/config.rs
+++ b/crates/oatpierd/tests/testsuite/support/config.rs
@@ -1,15 +1,15 @@
-//! The operators' configuration of a test's fleet.
+//! The configuration of a test's fleet.
 
 use oatpier_types::config::FleetConfig;
 
 use super::fleet::FleetSize;
 
-/// The configuration of a fleet.
+/// Returns the configuration of a fleet.
 pub fn config(size: FleetSize) -> FleetConfig {
-    FleetConfig::try_from(config_text(size).as_str()).expect("the configuration is right")
+    FleetConfig::try_from(config_text(size).as_str()).expect("the configuration is valid")
 }
 
-/// The same as an operator writes it.
+/// Returns the configuration as the TOML text that an operator writes.
 pub fn config_text(size: FleetSize) -> String {
     let group = |pool: &str, prefix: &str, count: usize| {
         if count == 0 {
--- a/crates/oatpierd/tests/testsuite/support/fleet.rs
+++ b/crates/oatpierd/tests/testsuite/support/fleet.rs
@@ -1,4 +1,4 @@
-//! Starts a store, a list of VMs, engines, services, agents and entries, each a process.
+//! Starts a store, a VM list, engines, services, agents and entries, each as a separate process.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -19,17 +19,17 @@
 use super::http::{client, get, send};
 use super::process::{TestProcess, standin_binary};
 
-/// How often something is looked at that has to come about.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
-/// How long it may take to come about.
-const LOOK_TRIES: usize = 400;
+/// Time between two polls of an awaited condition.
+const POLL_PERIOD: Duration = Duration::from_millis(50);
+/// Maximum number of polls of an awaited condition.
+const MAX_POLLS: usize = 400;
 
-/// Fleets that run at once. Each is about ten processes; with as many fleets as there are test
-/// threads, the tests would measure how the machine shares itself out.
+/// Maximum number of concurrent fleets. Each has about ten processes. With one fleet per test thread, the results would
+/// depend on how the machine schedules them.
 const FLEETS_AT_ONCE: usize = 4;
-static FLEET_PLACES: Semaphore = Semaphore::const_new(FLEETS_AT_ONCE);
+static FLEET_PERMITS: Semaphore = Semaphore::const_new(FLEETS_AT_ONCE);
 
-/// The sizes of a fleet.
+/// The number of processes of each kind in a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSize {
     pub entries: usize,
@@ -37,13 +37,13 @@
     pub services: usize,
 }
 
-/// How a fleet is started.
+/// The start options of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetOptions {
     pub size: FleetSize,
-    /// Lines of `[limits]` in the settings of each entry.
+    /// Content of `[limits]` in the settings of each entry.
     pub entry_limits: &'static str,
-    /// Further flags of each engine.
+    /// Additional flags of each engine.
     pub engine_flags: &'static [&'static str],
 }
 
@@ -57,23 +57,23 @@
     }
 }
 
-/// One daemon.
+/// One daemon process.
 pub struct Daemon {
     pub process: TestProcess,
     pub name: String,
     pub observe: SocketAddr,
-    /// Where its users connect: callers of an entry, entries of an agent.
+    /// The address for clients: callers of an entry, entries of an agent.
     pub serve: SocketAddr,
     pub peers: SocketAddr,
 }
 
-/// A stand-in.
+/// One stand-in process.
 pub struct Standin {
     _process: TestProcess,
     pub address: SocketAddr,
 }
 
-/// A running fleet; dropping it kills all its processes.
+/// A running fleet. Dropping it kills all its processes.
 pub struct Fleet {
     pub entries: Vec<Daemon>,
     pub agents: Vec<Daemon>,
@@ -84,28 +84,28 @@
     pub client: HttpClient,
     options: FleetOptions,
     folder: TempDir,
-    /// Given back after all processes are killed.
-    _place: SemaphorePermit<'static>,
+    /// Released after all processes are killed, since fields drop in order.
+    _permit: SemaphorePermit<'static>,
 }
 
 pub const ZONES: [&str; 2] = ["ikeja", "lekki"];
 
 impl Fleet {
-    /// Starts a fleet and waits until each entry serves.
+    /// Starts a fleet and waits until each entry serves requests.
     pub async fn start(options: impl Into<FleetOptions>) -> Self {
         let options = options.into();
         let size = options.size;
         Self::start_configured(options, size).await
     }
 
-    /// Starts a part of a fleet whose configuration has room for the whole.
-    pub async fn start_some(size: FleetSize, whole: FleetSize) -> Self {
+    /// Starts a part of a fleet whose configuration describes the whole fleet.
+    pub async fn start_part(size: FleetSize, whole: FleetSize) -> Self {
         Self::start_configured(size.into(), whole).await
     }
 
     async fn start_configured(options: FleetOptions, whole: FleetSize) -> Self {
         let size = options.size;
-        let place = FLEET_PLACES.acquire().await.unwrap();
+        let permit = FLEET_PERMITS.acquire().await.unwrap();
         let folder = tempfile::tempdir().unwrap();
         let store = standin(&["store"]);
         let vms = standin(&["vms"]);
@@ -119,7 +119,7 @@
             client: client(),
             options,
             folder,
-            _place: place,
+            _permit: permit,
         };
         fleet.put_config(1, &config(whole)).await;
         for number in 1..=size.engines {
@@ -128,7 +128,7 @@
         for number in 1..=size.services {
             fleet.start_service(number);
         }
-        // An entry may begin to plan as soon as it runs; it is to know all engines by then.
+        // An entry may start planning as soon as it runs, so all engines must be listed before.
         fleet.list_vms().await;
         for number in 1..=size.entries {
             fleet.start_entry(number);
@@ -226,14 +226,14 @@
         TestProcess::start(daemon)
     }
 
-    /// Writes all daemons into the list of VMs.
+    /// Writes all daemons to the VM list.
     pub async fn list_vms(&self) {
         let rows = |daemons: &[Daemon], duty: &str| -> Vec<Value> {
-            let row = |(place, daemon): (usize, &Daemon)| {
+            let row = |(index, daemon): (usize, &Daemon)| {
                 json!({
                     "vm": format!("vm-{}", daemon.name),
                     "daemon": daemon.name,
-                    "zone": ZONES[(place + 1) % ZONES.len()],
+                    "zone": ZONES[(index + 1) % ZONES.len()],
                     "peer_address": daemon.peers,
                     "duty": duty,
                     "state": "live",
@@ -248,7 +248,7 @@
         assert_eq!(answer.status(), StatusCode::NO_CONTENT);
     }
 
-    /// Waits until each entry answers requests, of all engines and services.
+    /// Waits until each entry is ready and knows all engines and services.
     async fn wait_until_serving(&self, size: FleetSize) {
         let endpoints = size.engines + size.services;
         for entry in &self.entries {
@@ -263,18 +263,22 @@
                 let text = self.metrics(entry).await;
                 text.lines().any(|line| line == known) && text.lines().any(|line| line == ready)
             };
-            let informed = comes_about(knows_all).await;
-            let told = if informed {
+            let knows_all_endpoints = becomes_true(knows_all).await;
+            let state = if knows_all_endpoints {
                 String::new()
             } else {
-                self.told(entry).await
+                self.describe_state(entry).await
             };
-            assert!(informed, "{} does not know all: {told}", entry.name);
+            assert!(
+                knows_all_endpoints,
+                "{} does not know all endpoints: {state}",
+                entry.name
+            );
         }
     }
 
-    /// What an entry knows of its fleet, and what all daemons logged.
-    pub async fn told(&self, entry: &Daemon) -> String {
+    /// Returns the number of items that an entry knows, and the logs of all daemons, for failure messages.
+    pub async fn describe_state(&self, entry: &Daemon) -> String {
         let metrics = self.metrics(entry).await;
         let known: Vec<_> = metrics
             .lines()
@@ -287,7 +291,7 @@
         format!("{known:?}\n{logs:#?}")
     }
 
-    /// The metrics of a daemon, as text.
+    /// Returns the metrics page of a daemon.
     pub async fn metrics(&self, daemon: &Daemon) -> String {
         let answer = get(&self.client, daemon.observe, "/metrics").await;
         String::from_utf8_lossy(answer.body()).into_owned()
@@ -301,7 +305,7 @@
         assert_eq!(answer.status(), StatusCode::NO_CONTENT, "{faults}");
     }
 
-    /// What all endpoints recorded. Each endpoint has a clock of its own.
+    /// Returns the events that all endpoints recorded. Each endpoint has its own clock.
     pub async fn endpoint_events(&self) -> Vec<LoggedEvent> {
         let mut events = Vec::new();
         for endpoint in self.engines.iter().chain(&self.services) {
@@ -310,13 +314,13 @@
         events
     }
 
-    /// What one endpoint recorded.
+    /// Returns the events that one endpoint recorded.
     pub async fn events_of(&self, endpoint: &Standin) -> Vec<LoggedEvent> {
         let answer = get(&self.client, endpoint.address, "/standin/events").await;
         serde_json::from_slice(answer.body()).unwrap()
     }
 
-    /// How many calls with an idempotency key the services acted on.
+    /// Returns how many calls with an idempotency key the services executed.
     pub async fn calls_with_key(&self, key: &str) -> usize {
         let mut count = 0;
         for service in &self.services {
@@ -327,7 +331,7 @@
         count
     }
 
-    /// Waits until no engine works on anything.
+    /// Waits until no engine has running or waiting requests.
     pub async fn wait_until_idle(&self) {
         for engine in &self.engines {
             eventually("the engine is idle", async || {
@@ -339,7 +343,7 @@
         }
     }
 
-    /// What all engines ran, by attempt.
+    /// Returns all runs of all engines, one per attempt.
     pub async fn engine_runs(&self) -> Vec<Value> {
         let mut runs = Vec::new();
         for engine in &self.engines {
@@ -351,18 +355,21 @@
     }
 }
 
-/// Waits until `look` says so.
-pub async fn eventually(what: &str, look: impl AsyncFn() -> bool) {
-    assert!(comes_about(look).await, "it never came about that {what}");
+/// Waits until `condition` returns true, and panics after a time limit.
+pub async fn eventually(what: &str, condition: impl AsyncFn() -> bool) {
+    assert!(
+        becomes_true(condition).await,
+        "timed out waiting until {what}"
+    );
 }
 
-/// Looks until it is so, for a bounded time.
-pub async fn comes_about(look: impl AsyncFn() -> bool) -> bool {
-    for _ in 0..LOOK_TRIES {
-        if look().await {
+/// Polls `condition` until it returns true. Returns false after a time limit.
+pub async fn becomes_true(condition: impl AsyncFn() -> bool) -> bool {
+    for _ in 0..MAX_POLLS {
+        if condition().await {
             return true;
         }
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
     false
 }
--- a/crates/oatpierd/tests/testsuite/support/http.rs
+++ b/crates/oatpierd/tests/testsuite/support/http.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! An HTTP caller.
 
 use std::net::SocketAddr;
 
@@ -9,40 +9,40 @@
 use oatpier_wire::client::{ClientLimits, HttpClient};
 use serde_json::{Value, json};
 
-/// What a caller got.
+/// An answer as its caller received it.
 #[derive(Debug)]
 pub struct CallerAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    /// Events or body as text, up to its end or the cut.
+    /// The body or event stream as text, up to its end or the point where it was cut off.
     pub text: String,
-    /// Whether the HTTP framing says that this is all.
-    pub framed: bool,
+    /// Whether the body is complete according to the HTTP framing.
+    pub is_complete: bool,
 }
 
-/// How a streamed answer ended, as its caller sees it.
+/// How a streamed answer ended, as its caller saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// It is the whole answer to this prompt.
+    /// The complete answer to this prompt.
     Whole,
-    /// It ended in an explicit error; what came before is the answer's start.
-    Error(ToldError),
-    /// It just stopped.
+    /// An explicit error, possibly after the start of the answer.
+    Error(CallerError),
+    /// The stream broke off without an error.
     Cut,
-    /// It is not, or not the start of, the answer to this prompt.
+    /// The text is neither the answer to this prompt nor the start of it.
     Wrong(String),
 }
 
-/// What an error told its caller.
+/// The content of an error answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ToldError {
+pub struct CallerError {
     pub kind: String,
     pub verdict: String,
 }
 
-fn told_error(body: &Value) -> ToldError {
+fn parse_error(body: &Value) -> CallerError {
     let field = |name: &str| body["error"][name].as_str().unwrap_or("none").to_owned();
-    ToldError {
+    CallerError {
         kind: field("type"),
         verdict: field("verdict"),
     }
@@ -69,7 +69,7 @@
     client.fetch(address, request, wait, 1 << 24).await.unwrap()
 }
 
-/// Sends a chat completion and reads all of its answer; `None` if no answer began.
+/// Sends a chat completion and reads its whole answer; `None` if no answer began.
 pub async fn chat(
     client: &HttpClient,
     address: SocketAddr,
@@ -88,7 +88,7 @@
     read(client, address, request).await
 }
 
-/// Sends a request and reads all of its answer; `None` if no answer began.
+/// Sends a request and reads its whole answer; `None` if no answer began.
 pub async fn read(
     client: &HttpClient,
     address: SocketAddr,
@@ -97,7 +97,7 @@
     let response = client.send(address, request).await.ok()?;
     let (parts, mut body) = response.into_parts();
     let mut text = Vec::new();
-    let framed = loop {
+    let is_complete = loop {
         match body.frame().await {
             Some(Ok(frame)) => text.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
             Some(Err(_)) => break false,
@@ -108,16 +108,16 @@
         status: parts.status,
         headers: parts.headers,
         text: String::from_utf8(text).unwrap(),
-        framed,
+        is_complete,
     })
 }
 
 impl CallerAnswer {
-    /// Judges a streamed answer to `prompt`.
+    /// Classifies a streamed answer to `prompt`.
     pub fn stream_end(&self, prompt: &str, tokens: u32) -> StreamEnd {
         if self.status != StatusCode::OK {
             let body: Value = serde_json::from_str(&self.text).unwrap_or_default();
-            return StreamEnd::Error(told_error(&body));
+            return StreamEnd::Error(parse_error(&body));
         }
         let wanted = answer_text(prompt, tokens);
         let mut text = String::new();
@@ -132,7 +132,7 @@
                         return StreamEnd::Wrong(line.to_owned());
                     };
                     if is_error {
-                        return StreamEnd::Error(told_error(&data));
+                        return StreamEnd::Error(parse_error(&data));
                     }
                     let choice = &data["choices"][0];
                     text += choice["delta"]["content"].as_str().unwrap_or_default();
@@ -140,9 +140,9 @@
                 None => {}
             }
         }
-        match (done, self.framed) {
+        match (done, self.is_complete) {
             (true, true) if text == wanted => StreamEnd::Whole,
-            // Even after its last event an answer without its framing's end was cut.
+            // An answer whose HTTP framing is incomplete was cut off, even if its last event arrived.
             (_, false) | (false, _) if wanted.starts_with(&text) => StreamEnd::Cut,
             _ => StreamEnd::Wrong(text),
         }
--- a/crates/oatpierd/tests/testsuite/support/mod.rs
+++ b/crates/oatpierd/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet of separate processes.
+//! Support code to run a small fleet of separate processes.
 
 pub mod calls;
 pub mod config;
--- a/crates/oatpierd/tests/testsuite/support/process.rs
+++ b/crates/oatpierd/tests/testsuite/support/process.rs
@@ -1,4 +1,4 @@
-//! Child processes that say on a stream where they listen.
+//! Child processes that print the addresses that they listen on.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use nix::unistd::Pid;
 use serde_json::Value;
 
-/// How long a process may take to say where it listens.
-const START_WAIT: Duration = Duration::from_secs(20);
+/// Timeout for a process to print its address.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How often it is looked whether a process has ended, and how many times.
-const END_PERIOD: Duration = Duration::from_millis(50);
-const END_TRIES: usize = 400;
+/// Time between two polls for the exit of a process, and the maximum number of polls.
+const EXIT_POLL_PERIOD: Duration = Duration::from_millis(50);
+const MAX_EXIT_POLLS: usize = 400;
 
 /// Lines that a process has written so far.
 pub type SharedLines = Arc<Mutex<Vec<String>>>;
@@ -25,9 +25,9 @@
 /// A child process. Dropping it kills it.
 pub struct TestProcess {
     pub child: Child,
-    /// Log lines so far.
+    /// Lines of standard error so far: the log.
     pub logs: SharedLines,
-    /// Lines of the standard output so far: spans, of a daemon.
+    /// Lines of standard output so far: the spans of a daemon.
     pub spans: SharedLines,
     log_lines: Receiver<String>,
     span_lines: Receiver<String>,
@@ -47,7 +47,7 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .unwrap_or_else(|error| panic!("{command:?} does not start: {error}"));
+            .unwrap_or_else(|error| panic!("failed to start {command:?}: {error}"));
         let (spans, span_lines) = collect(child.stdout.take().unwrap());
         let (logs, log_lines) = collect(child.stderr.take().unwrap());
         Self {
@@ -59,17 +59,17 @@
         }
     }
 
-    /// The address that a stand-in says on its standard output.
+    /// Returns the address that a stand-in prints to standard output.
     pub fn standin_address(&self) -> SocketAddr {
-        let line = self.span_lines.recv_timeout(START_WAIT);
+        let line = self.span_lines.recv_timeout(START_TIMEOUT);
         let line: Value = serde_json::from_str(&line.expect("the stand-in starts")).unwrap();
         line["listening"].as_str().unwrap().parse().unwrap()
     }
 
-    /// The next address that a daemon logs.
+    /// Returns the next address that a daemon logs.
     pub fn daemon_address(&self) -> SocketAddr {
         loop {
-            let line = self.log_lines.recv_timeout(START_WAIT);
+            let line = self.log_lines.recv_timeout(START_TIMEOUT);
             let line = line.expect("the daemon starts");
             let value: Value = serde_json::from_str(&line).unwrap_or_default();
             if value["payload"] == "listening" {
@@ -83,15 +83,15 @@
         kill(Pid::from_raw(id), signal).unwrap();
     }
 
-    /// Waits until the process has ended by itself.
-    pub async fn ended(&mut self) -> ExitStatus {
-        for _ in 0..END_TRIES {
+    /// Waits until the process exits by itself.
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
+        for _ in 0..MAX_EXIT_POLLS {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            tokio::time::sleep(END_PERIOD).await;
+            tokio::time::sleep(EXIT_POLL_PERIOD).await;
         }
-        panic!("the process does not end: {:?}", self.logs.lock().unwrap());
+        panic!("the process does not exit: {:?}", self.logs.lock().unwrap());
     }
 }
 
@@ -108,18 +108,18 @@
     (lines, receiver)
 }
 
-/// The stand-ins' binary, an example of another package of the workspace.
+/// Returns the path of the stand-ins' binary, an example of another package in the workspace.
 pub fn standin_binary() -> PathBuf {
-    built("examples/standin")
+    built_binary("examples/standin")
 }
 
-/// The operators' binary, of another package of the workspace.
+/// Returns the path of the operators' binary, from another package in the workspace.
 pub fn operator_binary() -> PathBuf {
-    built("oatpier")
+    built_binary("oatpier")
 }
 
-/// What another package of the workspace built beside this test.
-fn built(name: &str) -> PathBuf {
+/// Returns the path of a binary that another package of the workspace built in the profile folder of this test.
+fn built_binary(name: &str) -> PathBuf {
     let test = std::env::current_exe().unwrap();
     let profile = test.parent().and_then(|deps| deps.parent()).unwrap();
     let path = profile.join(name);
--- a/crates/oatpierd/tests/testsuite/support/raw.rs
+++ b/crates/oatpierd/tests/testsuite/support/raw.rs
@@ -1,11 +1,11 @@
-//! A caller that speaks HTTP badly: a bare socket.
+//! A caller on a raw socket, to send slow or malformed HTTP.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a bare caller waits for anything.
-const READ_WAIT: Duration = Duration::from_secs(20);
+/// Read timeout of a raw caller.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct RawCaller {
     pub stream: TcpStream,
@@ -14,17 +14,17 @@
 impl RawCaller {
     pub fn connect(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(READ_WAIT)).unwrap();
+        stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
         Self { stream }
     }
 
-    /// Writes as much as the other side takes.
+    /// Writes the text, as far as the peer accepts it.
     pub fn write(&mut self, text: &str) {
-        // The other side may have answered and closed before it has read all.
+        // The peer may answer and close the connection before it has read everything.
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// What comes until the other side closes or resets the connection.
+    /// Reads until the peer closes or resets the connection.
     pub fn read_to_close(&mut self) -> String {
         let mut text = Vec::new();
         let mut buffer = [0; 4096];
@@ -39,7 +39,7 @@
         String::from_utf8(text).unwrap()
     }
 
-    /// The first bytes that come.
+    /// Reads the first bytes that arrive.
     pub fn read_some(&mut self) -> String {
         let mut buffer = [0; 4096];
         let count = self.stream.read(&mut buffer).unwrap();
--- a/crates/oatpierd/tests/testsuite/trace.rs
+++ b/crates/oatpierd/tests/testsuite/trace.rs
@@ -1,4 +1,4 @@
-//! The hops of a request, as spans of one trace.
+//! The spans of a request in one trace.
 
 use bytes::Bytes;
 use http::Request;
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test]
-async fn a_callers_trace_goes_through_all_hops() {
+async fn trace_of_a_caller_covers_all_hops() {
     let fleet = Fleet::start(SIZE).await;
     let body = json!({"model": "tables", "prompt": "x", "max_tokens": 3, "stream": true});
     let request = Request::post("/v1/completions")
