--- a/crates/oatpierd/examples/quickstart/calls.rs
+++ b/crates/oatpierd/examples/quickstart/calls.rs
@@ -161,7 +161,7 @@
         Ok(report.checked(is_good, "the service's answer to POST /plans/7/apply"))
     }
 
-    /// Sends the same call again with the same key. It must not run again, and the answer must say that it ran.
+    /// Sends the same call again with the same key. It must be refused as already used, and must not run again.
     pub async fn second_submission(&self) -> Result<CallReport, AnyError> {
         let answer = self.submit().await?;
         let is_refused = answer.status() == http::StatusCode::CONFLICT;
--- a/crates/oatpierd/tests/testsuite/idempotency_keys.rs
+++ b/crates/oatpierd/tests/testsuite/idempotency_keys.rs
@@ -68,7 +68,7 @@
     assert_eq!(runs_of(&fleet, &log, key).await, 1);
 }
 
-/// A caller with an overeager retry policy sends one call many times concurrently, through both entries. Exactly one
+/// A caller with an aggressive retry policy sends one call many times concurrently, through both entries. Exactly one
 /// runs; the others are answered that the key is already used, or that they did not run.
 #[tokio::test]
 async fn key_sent_many_times_concurrently_runs_once() {
--- a/crates/oatpierd/tests/testsuite/limits.rs
+++ b/crates/oatpierd/tests/testsuite/limits.rs
@@ -25,7 +25,7 @@
 }
 
 /// A caller sends a request head above the limit. The entry must read no more than the limit and answer 431, so that
-/// its memory use doesn't grow with the size of requests.
+/// the caller knows the reason and the entry's memory use doesn't grow with the size of requests.
 #[tokio::test]
 async fn head_over_the_limit_gets_431() {
     let fleet = fleet("header_bytes = 8192").await;
