--- a/crates/oatpier-checker/src/bounds.rs
+++ b/crates/oatpier-checker/src/bounds.rs
@@ -1,20 +1,20 @@
-//! Time bounds that the promises leave open ("within seconds").
+//! Time bounds for promises that say only "within seconds".
 
 use std::time::Duration;
 
-/// How long each promise may take.
+/// The time bound of each promise that has one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RuleBounds {
-    /// From the word to leave until an endpoint gets no new work.
+    /// From the start of an endpoint's shutdown until it gets no new work.
     pub leave: Duration,
-    /// From acceptance until a configuration is in force everywhere.
+    /// From the acceptance of a configuration until it is active everywhere.
     pub spread: Duration,
     /// From the loss of a model's last replica until it is reachable again.
     pub reach: Duration,
 }
 
 impl Default for RuleBounds {
-    /// 2 s to leave, 5 s to spread a configuration, 30 s to bring a model back.
+    /// Returns 2 s for a shutdown, 5 s for a configuration and 30 s for the recovery of a model.
     fn default() -> Self {
         Self {
             leave: Duration::from_secs(2),
--- a/crates/oatpier-checker/src/breach.rs
+++ b/crates/oatpier-checker/src/breach.rs
@@ -1,4 +1,4 @@
-//! What a rule found.
+//! The promises and their breaches.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// One thing that must always hold.
+/// A guarantee that must always hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -15,22 +15,22 @@
     Memory,
     /// Every configured model stays reachable.
     Reachability,
-    /// A caller gets the whole answer to its own request and no other, once.
+    /// A caller gets the complete response to its own request, no other response, and only once.
     OwnAnswer,
     /// A refusal that says "not run" is true.
     TrueRefusal,
     /// A request that is not idempotent runs at most once.
     AtMostOnce,
-    /// A leaving endpoint gets no new work after a few seconds.
+    /// An endpoint that shuts down gets no new work after a few seconds.
     Leaving,
     /// A planned stop cuts off no request.
     GracefulStop,
-    /// An accepted configuration is in force everywhere within seconds and never reverts.
+    /// An accepted configuration is active everywhere within seconds and is never reverted.
     Configuration,
 }
 
 impl PromiseName {
-    /// All promises, in the order that pages and reports give them.
+    /// All promises, in the order of documentation and reports.
     pub const ALL: [Self; 8] = [
         Self::Memory,
         Self::Reachability,
@@ -42,7 +42,7 @@
         Self::Configuration,
     ];
 
-    /// The word that reports use.
+    /// Returns the name that reports use.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -64,15 +64,15 @@
     }
 }
 
-/// A promise that did not hold.
+/// A broken promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Error, Serialize, Deserialize)]
 #[error("{promise} at {at:?}: {finding}")]
 pub struct RuleBreach {
-    /// Which promise.
+    /// The promise that was broken.
     pub promise: PromiseName,
     /// When it was broken, on the log's clock.
     pub at: ClockTime,
-    /// What was seen.
+    /// The observation that breaks it.
     pub finding: String,
 }
--- a/crates/oatpier-checker/src/lib.rs
+++ b/crates/oatpier-checker/src/lib.rs
@@ -1,11 +1,10 @@
-//! Checks an event log against what must always hold.
+//! Checks an event log against the promises.
 //!
-//! The policy bench, the fault tests and the tests with separate processes all write the typed
-//! events of `oatpier_types::event` and have them judged here, so that one reading of each promise
-//! serves everywhere. Data flows one way: a time-ordered log goes in, each [`PromiseRule`] folds
-//! over it, and the breaches come out.
+//! The policy bench, the fault tests and the tests with separate processes all write the typed events of
+//! `oatpier_types::event` and check them here, so that all of them apply the same definition of each promise. Data
+//! flows one way: a time-ordered log goes in, each [`PromiseRule`] folds over it, and the breaches come out.
 //!
-//! A rule sees only what could be seen from outside. It never asks the code what it believed.
+//! A rule uses only events that are observable from outside, never the internal state of the code under test.
 
 mod bounds;
 mod breach;
@@ -17,21 +16,21 @@
 
 use oatpier_types::event::LoggedEvent;
 
-/// Runs every rule over a log.
+/// A checker that runs every rule over a log.
 pub struct LogChecker {
     bounds: RuleBounds,
 }
 
 impl LogChecker {
-    /// A checker with these time bounds.
+    /// Creates a checker with these time bounds.
     #[must_use]
     pub fn new(bounds: RuleBounds) -> Self {
         Self { bounds }
     }
 
-    /// The breaches that the log holds, in the order of the rules; none if all promises held.
+    /// Returns the breaches in the log, in the order of the rules, or none if all promises held.
     ///
-    /// Events may come in any order; they are judged by their time.
+    /// Events may come in any order; they are sorted by their time.
     #[must_use]
     pub fn check(&self, log: &[LoggedEvent]) -> Vec<RuleBreach> {
         let mut ordered: Vec<&LoggedEvent> = log.iter().collect();
--- a/crates/oatpier-checker/src/rules/answers.rs
+++ b/crates/oatpier-checker/src/rules/answers.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request and no other, and gets it once.
+//! Checks that a caller gets the complete response to its own request, no other response, and only once.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -8,7 +8,7 @@
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// Matches each answer with the request that it was sent for.
+/// A rule that matches each response with its request.
 #[derive(Default)]
 pub(super) struct AnswerRule {
     open: IndexMap<RequestId, ClockTime>,
@@ -27,11 +27,15 @@
             return Some(format!("request {request} was answered twice"));
         }
         match (end, content_of) {
-            (AnswerEnd::Cut, _) => Some(format!("the answer to {request} just stopped")),
-            (AnswerEnd::Whole, None) => Some(format!("the whole answer to {request} was empty")),
-            (_, Some(content)) if content != request => {
-                Some(format!("request {request} got the answer to {content}"))
-            }
+            (AnswerEnd::Cut, _) => Some(format!(
+                "the response to request {request} was cut off without an error"
+            )),
+            (AnswerEnd::Whole, None) => Some(format!(
+                "the complete response to request {request} was empty"
+            )),
+            (_, Some(content)) if content != request => Some(format!(
+                "request {request} got the response to request {content}"
+            )),
             _ => None,
         }
     }
--- a/crates/oatpier-checker/src/rules/configuration.rs
+++ b/crates/oatpier-checker/src/rules/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Checks that an accepted configuration is active everywhere within seconds and is never reverted.
 
 use std::time::Duration;
 
@@ -11,13 +11,13 @@
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// What one process acts on.
+/// The generation that is active in one process.
 struct ForceRecord {
     generation: Generation,
     since: ClockTime,
 }
 
-/// Follows the generation in force in each process.
+/// A rule that tracks the active generation of each process.
 pub(super) struct ConfigRule {
     bound: Duration,
     accepted: Vec<(ClockTime, Generation)>,
@@ -47,12 +47,14 @@
     ) -> Vec<String> {
         let mut findings = Vec::new();
         if *self.contents.entry(generation).or_insert(content) != content {
-            findings.push(format!("generation {generation} has two contents"));
+            findings.push(format!(
+                "generation {generation} has two different contents"
+            ));
         }
         if let Some(record) = self.in_force.get(daemon) {
             if generation < record.generation {
                 findings.push(format!(
-                    "{daemon} went back from generation {} to {generation}",
+                    "{daemon} reverted from generation {} to {generation}",
                     record.generation
                 ));
             }
@@ -66,7 +68,8 @@
         findings
     }
 
-    /// The first accepted generation that the process took up too late, seen at `until`.
+    /// Returns a finding for the first accepted generation that was still not active in the process at `until`, after the
+    /// time bound.
     fn overdue(
         &self,
         daemon: &DaemonName,
@@ -80,7 +83,7 @@
             .find(|(due_from, _)| until.since(*due_from) > self.bound)
             .map(|(due_from, generation)| {
                 let late = until.since(due_from);
-                format!("{daemon} was still without generation {generation} after {late:?}")
+                format!("{daemon} had not activated generation {generation} after {late:?}")
             })
     }
 
--- a/crates/oatpier-checker/src/rules/leaving.rs
+++ b/crates/oatpier-checker/src/rules/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving endpoint gets no new work after a few seconds.
+//! Checks that an endpoint that shuts down gets no new work after a few seconds.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// Looks for runs that start at an endpoint after its leave.
+/// A rule that finds runs that start at an endpoint too long after the start of its shutdown.
 pub(super) struct LeaveRule {
     bound: Duration,
     leaving: IndexMap<EndpointName, ClockTime>,
@@ -42,7 +42,7 @@
                 breaches.extend(late.map(|late| RuleBreach {
                     promise: PromiseName::Leaving,
                     at: logged.at,
-                    finding: format!("{endpoint} began {request} {late:?} after its leave"),
+                    finding: format!("{endpoint} started request {request} {late:?} after the start of its shutdown"),
                 }));
             }
             _ => {}
--- a/crates/oatpier-checker/src/rules/memory.rs
+++ b/crates/oatpier-checker/src/rules/memory.rs
@@ -1,11 +1,11 @@
-//! No accelerator's memory is overcommitted.
+//! Checks that no accelerator's memory is overcommitted.
 
 use oatpier_types::event::{FleetEvent, LoggedEvent};
 
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// Compares each reading of an engine's memory with its size.
+/// A rule that compares each reading of an engine's used memory with its size.
 pub(super) struct MemoryRule;
 
 impl PromiseRule for MemoryRule {
@@ -22,7 +22,7 @@
             breaches.push(RuleBreach {
                 promise: PromiseName::Memory,
                 at: logged.at,
-                finding: format!("{endpoint} holds {used_mib} MiB of {total_mib} MiB"),
+                finding: format!("{endpoint} uses {used_mib} MiB of {total_mib} MiB"),
             });
         }
     }
--- a/crates/oatpier-checker/src/rules/mod.rs
+++ b/crates/oatpier-checker/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! One rule a promise.
+//! The rules, one per promise.
 
 mod answers;
 mod configuration;
@@ -14,16 +14,16 @@
 use crate::bounds::RuleBounds;
 use crate::breach::RuleBreach;
 
-/// Folds over a log in time order and reports what breaks its promise.
+/// A rule that folds over a log in time order and reports breaches of its promise.
 pub trait PromiseRule {
-    /// Takes the next event.
+    /// Processes the next event.
     fn observe(&mut self, logged: &LoggedEvent, breaches: &mut Vec<RuleBreach>);
 
-    /// Judges what only the end of the log shows.
+    /// Reports breaches that only the end of the log shows.
     fn finish(&mut self, _breaches: &mut Vec<RuleBreach>) {}
 }
 
-/// All rules, fresh.
+/// Returns all rules in their initial state.
 #[must_use]
 pub fn all_rules(bounds: RuleBounds) -> Vec<Box<dyn PromiseRule>> {
     vec![
--- a/crates/oatpier-checker/src/rules/once.rs
+++ b/crates/oatpier-checker/src/rules/once.rs
@@ -1,4 +1,4 @@
-//! A request that is not idempotent runs at most once, however often its caller sends it.
+//! Checks that a request that is not idempotent runs at most once, however often its caller sends it.
 
 use indexmap::IndexMap;
 use oatpier_types::event::{FleetEvent, LoggedEvent};
@@ -8,7 +8,7 @@
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// Counts the runs of each request and of each idempotency key.
+/// A rule that counts the runs of each request and of each idempotency key.
 #[derive(Default)]
 pub(super) struct OnceRule {
     repeats: IndexMap<RequestId, Repeat>,
@@ -29,7 +29,8 @@
         let key = key?;
         let key_runs = self.key_runs.entry(key).or_default();
         *key_runs += 1;
-        (*key_runs > 1).then(|| format!("key {key:016x} ran {key_runs} times"))
+        (*key_runs > 1)
+            .then(|| format!("requests with idempotency key {key:016x} ran {key_runs} times"))
     }
 }
 
--- a/crates/oatpier-checker/src/rules/reach.rs
+++ b/crates/oatpier-checker/src/rules/reach.rs
@@ -1,6 +1,6 @@
-//! Every configured model stays reachable.
+//! Checks that every configured model stays reachable.
 //!
-//! A model may lose its last replica only through a fault, and comes back within the bound.
+//! A model may lose its last replica only because of a fault, and must be reachable again within the bound.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// Follows the ready replicas of each model.
+/// A rule that tracks the ready replicas of each model.
 pub(super) struct ReachRule {
     bound: Duration,
     lost_at: IndexMap<ModelName, ClockTime>,
@@ -52,7 +52,7 @@
     fn judge(&self, model: &ModelName, lost_at: ClockTime, breaches: &mut Vec<RuleBreach>) {
         let away = self.now.since(lost_at);
         if away > self.bound {
-            breaches.push(self.breach(format!("{model} was out of reach for {away:?}")));
+            breaches.push(self.breach(format!("{model} was unreachable for {away:?}")));
         }
     }
 
--- a/crates/oatpier-checker/src/rules/refusals.rs
+++ b/crates/oatpier-checker/src/rules/refusals.rs
@@ -1,4 +1,4 @@
-//! A refusal that says "not run" is true, then and for ever.
+//! Checks that a request that is refused as "not run" neither ran before nor runs later.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -9,7 +9,7 @@
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// Looks for a run of a request whose caller was told that it did not run.
+/// A rule that finds runs of requests that were reported to their callers as not run.
 #[derive(Default)]
 pub(super) struct RefusalRule {
     ran: IndexMap<RequestId, ClockTime>,
@@ -39,7 +39,7 @@
                 promise: PromiseName::TrueRefusal,
                 at: logged.at,
                 finding: format!(
-                    "request {request} was called not run at {refused_at:?} and ran at {ran_at:?}"
+                    "request {request} was reported as not run at {refused_at:?} but ran at {ran_at:?}"
                 ),
             });
         }
--- a/crates/oatpier-checker/src/rules/stops.rs
+++ b/crates/oatpier-checker/src/rules/stops.rs
@@ -1,11 +1,11 @@
-//! A planned stop cuts off no request.
+//! Checks that a planned stop cuts off no request.
 
 use oatpier_types::event::{FleetEvent, LoggedEvent};
 
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// Looks at the requests that a process cut off when it ended by plan.
+/// A rule that finds planned stops that cut off requests.
 pub(super) struct StopRule;
 
 impl PromiseRule for StopRule {
--- a/crates/oatpier-checker/tests/testsuite/main.rs
+++ b/crates/oatpier-checker/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Each rule catches a planted violation and passes its innocent twin.
+//! Tests that each rule finds an injected breach and passes a similar log without one.
 
 mod planted;
 mod support;
--- a/crates/oatpier-checker/tests/testsuite/planted.rs
+++ b/crates/oatpier-checker/tests/testsuite/planted.rs
@@ -1,4 +1,4 @@
-//! Planted violations, one or more a promise, each beside a log that keeps it.
+//! Tests with injected breaches, at least one per promise, most with a similar log that keeps the promise.
 
 use oatpier_checker::PromiseName;
 use oatpier_types::event::{AnswerEnd, FleetEvent};
--- a/crates/oatpier-checker/tests/testsuite/support.rs
+++ b/crates/oatpier-checker/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Short ways to write a log.
+//! Helpers that build events and logs.
 
 use oatpier_checker::{LogChecker, PromiseName, RuleBounds};
 use oatpier_types::clock::ClockTime;
