--- a/crates/oatpier-checker/src/rules/configuration.rs
+++ b/crates/oatpier-checker/src/rules/configuration.rs
@@ -12,7 +12,7 @@
 use crate::breach::{PromiseName, RuleBreach};
 
 /// The generation that is active in one process.
-struct ForceRecord {
+struct ActiveRecord {
     generation: Generation,
     since: ClockTime,
 }
@@ -21,9 +21,9 @@
 pub(super) struct ConfigRule {
     bound: Duration,
     accepted: Vec<(ClockTime, Generation)>,
-    in_force: IndexMap<DaemonName, ForceRecord>,
+    active: IndexMap<DaemonName, ActiveRecord>,
     contents: IndexMap<Generation, u64>,
-    faults_until: ClockTime,
+    faults_ended_at: ClockTime,
     now: ClockTime,
 }
 
@@ -32,14 +32,14 @@
         Self {
             bound,
             accepted: Vec::new(),
-            in_force: IndexMap::new(),
+            active: IndexMap::new(),
             contents: IndexMap::new(),
-            faults_until: ClockTime::ZERO,
+            faults_ended_at: ClockTime::ZERO,
             now: ClockTime::ZERO,
         }
     }
 
-    fn in_force(
+    fn activate(
         &mut self,
         daemon: &DaemonName,
         generation: Generation,
@@ -51,35 +51,40 @@
                 "generation {generation} has two different contents"
             ));
         }
-        if let Some(record) = self.in_force.get(daemon) {
+        if let Some(record) = self.active.get(daemon) {
             if generation < record.generation {
                 findings.push(format!(
                     "{daemon} reverted from generation {} to {generation}",
                     record.generation
                 ));
             }
-            findings.extend(self.overdue(daemon, record, self.now));
+            findings.extend(self.find_overdue(daemon, record, self.now));
         }
-        let record = ForceRecord {
+        let record = ActiveRecord {
             generation,
             since: self.now,
         };
-        self.in_force.insert(daemon.clone(), record);
+        self.active.insert(daemon.clone(), record);
         findings
     }
 
     /// Returns a finding for the first accepted generation that was still not active in the process at `until`, after the
     /// time bound.
-    fn overdue(
+    fn find_overdue(
         &self,
         daemon: &DaemonName,
-        record: &ForceRecord,
+        record: &ActiveRecord,
         until: ClockTime,
     ) -> Option<String> {
         self.accepted
             .iter()
             .filter(|(_, generation)| *generation > record.generation)
-            .map(|(at, generation)| ((*at).max(record.since).max(self.faults_until), *generation))
+            .map(|(at, generation)| {
+                (
+                    (*at).max(record.since).max(self.faults_ended_at),
+                    *generation,
+                )
+            })
             .find(|(due_from, _)| until.since(*due_from) > self.bound)
             .map(|(due_from, generation)| {
                 let late = until.since(due_from);
@@ -87,7 +92,7 @@
             })
     }
 
-    fn report(&self, findings: Vec<String>, breaches: &mut Vec<RuleBreach>) {
+    fn report_findings(&self, findings: Vec<String>, breaches: &mut Vec<RuleBreach>) {
         breaches.extend(findings.into_iter().map(|finding| RuleBreach {
             promise: PromiseName::Configuration,
             at: self.now,
@@ -108,23 +113,23 @@
                 generation,
                 content,
             } => {
-                let findings = self.in_force(daemon, *generation, *content);
-                self.report(findings, breaches);
+                let findings = self.activate(daemon, *generation, *content);
+                self.report_findings(findings, breaches);
             }
             FleetEvent::Ended { name, .. } => {
-                self.in_force.swap_remove(name);
+                self.active.swap_remove(name);
             }
-            FleetEvent::FaultsOver => self.faults_until = logged.at,
+            FleetEvent::FaultsOver => self.faults_ended_at = logged.at,
             _ => {}
         }
     }
 
     fn finish(&mut self, breaches: &mut Vec<RuleBreach>) {
         let findings = self
-            .in_force
+            .active
             .iter()
-            .filter_map(|(daemon, record)| self.overdue(daemon, record, self.now))
+            .filter_map(|(daemon, record)| self.find_overdue(daemon, record, self.now))
             .collect();
-        self.report(findings, breaches);
+        self.report_findings(findings, breaches);
     }
 }
--- a/crates/oatpier-checker/src/rules/mod.rs
+++ b/crates/oatpier-checker/src/rules/mod.rs
@@ -1,12 +1,12 @@
 //! The rules, one per promise.
 
-mod answers;
 mod configuration;
-mod leaving;
 mod memory;
 mod once;
-mod reach;
+mod reachability;
 mod refusals;
+mod responses;
+mod shutdown;
 mod stops;
 
 use oatpier_types::event::LoggedEvent;
@@ -28,12 +28,12 @@
 pub fn all_rules(bounds: RuleBounds) -> Vec<Box<dyn PromiseRule>> {
     vec![
         Box::new(memory::MemoryRule),
-        Box::new(reach::ReachRule::new(bounds.reach)),
-        Box::new(answers::AnswerRule::default()),
+        Box::new(reachability::ReachabilityRule::new(bounds.recovery)),
+        Box::new(responses::ResponseRule::default()),
         Box::new(refusals::RefusalRule::default()),
         Box::new(once::OnceRule::default()),
-        Box::new(leaving::LeaveRule::new(bounds.leave)),
+        Box::new(shutdown::ShutdownRule::new(bounds.shutdown)),
         Box::new(stops::StopRule),
-        Box::new(configuration::ConfigRule::new(bounds.spread)),
+        Box::new(configuration::ConfigRule::new(bounds.activation)),
     ]
 }
--- a/crates/oatpier-checker/src/rules/once.rs
+++ b/crates/oatpier-checker/src/rules/once.rs
@@ -17,7 +17,7 @@
 }
 
 impl OnceRule {
-    fn started(&mut self, request: RequestId, key: Option<u64>) -> Option<String> {
+    fn check_run(&mut self, request: RequestId, key: Option<u64>) -> Option<String> {
         if self.repeats.get(&request) != Some(&Repeat::AtMostOnce) {
             return None;
         }
@@ -43,7 +43,7 @@
                 self.repeats.insert(*request, *repeat);
                 None
             }
-            FleetEvent::RunStarted { request, key, .. } => self.started(*request, *key),
+            FleetEvent::RunStarted { request, key, .. } => self.check_run(*request, *key),
             _ => None,
         };
         breaches.extend(finding.map(|finding| RuleBreach {
--- a/crates/oatpier-checker/src/rules/reach.rs
+++ b/crates/oatpier-checker/src/rules/reachability.rs
@@ -13,50 +13,51 @@
 use crate::breach::{PromiseName, RuleBreach};
 
 /// A rule that tracks the ready replicas of each model.
-pub(super) struct ReachRule {
+pub(super) struct ReachabilityRule {
     bound: Duration,
     lost_at: IndexMap<ModelName, ClockTime>,
-    seen_ready: IndexMap<ModelName, ()>,
+    ever_ready: IndexMap<ModelName, ()>,
     last_kill: Option<ClockTime>,
     now: ClockTime,
 }
 
-impl ReachRule {
+impl ReachabilityRule {
     pub(super) fn new(bound: Duration) -> Self {
         Self {
             bound,
             lost_at: IndexMap::new(),
-            seen_ready: IndexMap::new(),
+            ever_ready: IndexMap::new(),
             last_kill: None,
             now: ClockTime::ZERO,
         }
     }
 
-    fn lost(&mut self, model: &ModelName, breaches: &mut Vec<RuleBreach>) {
-        let fault_explains = self
+    fn note_lost(&mut self, model: &ModelName, breaches: &mut Vec<RuleBreach>) {
+        let has_recent_fault = self
             .last_kill
             .is_some_and(|killed| self.now.since(killed) <= self.bound);
-        if self.seen_ready.contains_key(model) && !fault_explains {
-            breaches.push(self.breach(format!("{model} lost its last replica without a fault")));
+        if self.ever_ready.contains_key(model) && !has_recent_fault {
+            breaches
+                .push(self.build_breach(format!("{model} lost its last replica without a fault")));
         }
         self.lost_at.entry(model.clone()).or_insert(self.now);
     }
 
-    fn found(&mut self, model: &ModelName, breaches: &mut Vec<RuleBreach>) {
-        self.seen_ready.insert(model.clone(), ());
+    fn note_ready(&mut self, model: &ModelName, breaches: &mut Vec<RuleBreach>) {
+        self.ever_ready.insert(model.clone(), ());
         if let Some(lost_at) = self.lost_at.swap_remove(model) {
-            self.judge(model, lost_at, breaches);
+            self.check_outage(model, lost_at, breaches);
         }
     }
 
-    fn judge(&self, model: &ModelName, lost_at: ClockTime, breaches: &mut Vec<RuleBreach>) {
-        let away = self.now.since(lost_at);
-        if away > self.bound {
-            breaches.push(self.breach(format!("{model} was unreachable for {away:?}")));
+    fn check_outage(&self, model: &ModelName, lost_at: ClockTime, breaches: &mut Vec<RuleBreach>) {
+        let outage = self.now.since(lost_at);
+        if outage > self.bound {
+            breaches.push(self.build_breach(format!("{model} was unreachable for {outage:?}")));
         }
     }
 
-    fn breach(&self, finding: String) -> RuleBreach {
+    fn build_breach(&self, finding: String) -> RuleBreach {
         RuleBreach {
             promise: PromiseName::Reachability,
             at: self.now,
@@ -65,12 +66,12 @@
     }
 }
 
-impl PromiseRule for ReachRule {
+impl PromiseRule for ReachabilityRule {
     fn observe(&mut self, logged: &LoggedEvent, breaches: &mut Vec<RuleBreach>) {
         self.now = logged.at;
         match &logged.event {
-            FleetEvent::ReplicasReady { model, count: 0 } => self.lost(model, breaches),
-            FleetEvent::ReplicasReady { model, .. } => self.found(model, breaches),
+            FleetEvent::ReplicasReady { model, count: 0 } => self.note_lost(model, breaches),
+            FleetEvent::ReplicasReady { model, .. } => self.note_ready(model, breaches),
             FleetEvent::Ended { killed: true, .. } => self.last_kill = Some(logged.at),
             _ => {}
         }
@@ -78,7 +79,7 @@
 
     fn finish(&mut self, breaches: &mut Vec<RuleBreach>) {
         for (model, lost_at) in &self.lost_at {
-            self.judge(model, *lost_at, breaches);
+            self.check_outage(model, *lost_at, breaches);
         }
     }
 }
--- a/crates/oatpier-checker/src/rules/answers.rs
+++ b/crates/oatpier-checker/src/rules/responses.rs
@@ -10,19 +10,19 @@
 
 /// A rule that matches each response with its request.
 #[derive(Default)]
-pub(super) struct AnswerRule {
-    open: IndexMap<RequestId, ClockTime>,
+pub(super) struct ResponseRule {
+    unanswered: IndexMap<RequestId, ClockTime>,
     answered: IndexMap<RequestId, ()>,
 }
 
-impl AnswerRule {
-    fn ended(
+impl ResponseRule {
+    fn check_response(
         &mut self,
         request: RequestId,
         content_of: Option<RequestId>,
         end: AnswerEnd,
     ) -> Option<String> {
-        self.open.swap_remove(&request);
+        self.unanswered.swap_remove(&request);
         if self.answered.insert(request, ()).is_some() {
             return Some(format!("request {request} was answered twice"));
         }
@@ -41,11 +41,11 @@
     }
 }
 
-impl PromiseRule for AnswerRule {
+impl PromiseRule for ResponseRule {
     fn observe(&mut self, logged: &LoggedEvent, breaches: &mut Vec<RuleBreach>) {
         let finding = match &logged.event {
             FleetEvent::RequestSent { request, .. } => {
-                self.open.insert(*request, logged.at);
+                self.unanswered.insert(*request, logged.at);
                 None
             }
             FleetEvent::AnswerEnded {
@@ -53,7 +53,7 @@
                 content_of,
                 end,
                 ..
-            } => self.ended(*request, *content_of, *end),
+            } => self.check_response(*request, *content_of, *end),
             _ => None,
         };
         breaches.extend(finding.map(|finding| RuleBreach {
@@ -64,7 +64,7 @@
     }
 
     fn finish(&mut self, breaches: &mut Vec<RuleBreach>) {
-        breaches.extend(self.open.iter().map(|(request, sent_at)| RuleBreach {
+        breaches.extend(self.unanswered.iter().map(|(request, sent_at)| RuleBreach {
             promise: PromiseName::OwnAnswer,
             at: *sent_at,
             finding: format!("request {request} was never answered"),
--- a/crates/oatpier-checker/src/rules/leaving.rs
+++ b/crates/oatpier-checker/src/rules/shutdown.rs
@@ -11,33 +11,35 @@
 use crate::breach::{PromiseName, RuleBreach};
 
 /// A rule that finds runs that start at an endpoint too long after the start of its shutdown.
-pub(super) struct LeaveRule {
+pub(super) struct ShutdownRule {
     bound: Duration,
-    leaving: IndexMap<EndpointName, ClockTime>,
+    shutdown_starts: IndexMap<EndpointName, ClockTime>,
 }
 
-impl LeaveRule {
+impl ShutdownRule {
     pub(super) fn new(bound: Duration) -> Self {
         Self {
             bound,
-            leaving: IndexMap::new(),
+            shutdown_starts: IndexMap::new(),
         }
     }
 }
 
-impl PromiseRule for LeaveRule {
+impl PromiseRule for ShutdownRule {
     fn observe(&mut self, logged: &LoggedEvent, breaches: &mut Vec<RuleBreach>) {
         match &logged.event {
             FleetEvent::LeaveStarted { endpoint } => {
-                self.leaving.entry(endpoint.clone()).or_insert(logged.at);
+                self.shutdown_starts
+                    .entry(endpoint.clone())
+                    .or_insert(logged.at);
             }
             FleetEvent::RunStarted {
                 endpoint, request, ..
             } => {
                 let late = self
-                    .leaving
+                    .shutdown_starts
                     .get(endpoint)
-                    .map(|leaving_at| logged.at.since(*leaving_at))
+                    .map(|started_at| logged.at.since(*started_at))
                     .filter(|late| *late > self.bound);
                 breaches.extend(late.map(|late| RuleBreach {
                     promise: PromiseName::Leaving,
--- a/crates/oatpier-checker/tests/testsuite/planted.rs
+++ b/crates/oatpier-checker/tests/testsuite/planted.rs
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn a_crossed_answer_is_a_breach() {
+fn an_answer_to_another_request_is_a_breach() {
     let log = [at(1, sent(1, IDEMPOTENT, None)), at(2, whole(1, 2))];
     assert_eq!(broken(&log), [PromiseName::OwnAnswer]);
 }
 
 #[test]
-fn a_quietly_cut_a_doubled_and_a_missing_answer_are_breaches() {
+fn a_cut_a_duplicate_and_a_missing_answer_are_breaches() {
     let asked = at(1, sent(1, IDEMPOTENT, None));
     let cut = at(2, failed(1, AnswerEnd::Cut, RunVerdict::MayHaveRun));
     assert_eq!(broken(&[asked.clone(), cut]), [PromiseName::OwnAnswer]);
-    let doubled = [asked.clone(), at(2, whole(1, 1)), at(3, whole(1, 1))];
-    assert_eq!(broken(&doubled), [PromiseName::OwnAnswer]);
+    let duplicate = [asked.clone(), at(2, whole(1, 1)), at(3, whole(1, 1))];
+    assert_eq!(broken(&duplicate), [PromiseName::OwnAnswer]);
     assert_eq!(
         broken(std::slice::from_ref(&asked)),
         [PromiseName::OwnAnswer]
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_run_before_or_after_the_word_not_run_is_a_breach() {
+fn a_run_before_or_after_a_not_run_verdict_is_a_breach() {
     let asked = at(1, sent(1, IDEMPOTENT, None));
     let refused = at(3, failed(1, AnswerEnd::Error, RunVerdict::NotRun));
     let before = [asked.clone(), at(2, run(1, 1, None)), refused.clone()];
--- a/crates/oatpier-soak/src/check/mod.rs
+++ b/crates/oatpier-soak/src/check/mod.rs
@@ -8,8 +8,8 @@
 use std::fmt;
 use std::time::Duration;
 
-use crate::ledger::{BegunRun, CallEnd, DisturbedPlace, LedgerRow, SeenEvent, SentCall};
-use crate::standin::answers;
+use crate::history::{BegunRun, CallEnd, FaultScope, HistoryRow, ObservedEvent, SentCall};
+use crate::standin::responses;
 
 /// A guarantee that must hold throughout a soak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,12 +52,12 @@
     /// The promise that was broken.
     pub promise: SoakPromise,
     /// The observation that breaks it.
-    pub what: String,
+    pub detail: String,
 }
 
 impl fmt::Display for SoakBreach {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{:?}: {}", self.promise, self.what)
+        write!(formatter, "{:?}: {}", self.promise, self.detail)
     }
 }
 
@@ -72,30 +72,28 @@
 
 /// The period during which a fault was active.
 #[derive(Debug, Clone, Copy)]
-struct DisturbedSpan {
-    place: DisturbedPlace,
+struct FaultSpan {
+    scope: FaultScope,
     from: Duration,
     to: Duration,
 }
 
-impl DisturbedSpan {
-    fn concerns(&self, gateway: usize) -> bool {
-        match self.place {
-            DisturbedPlace::Store | DisturbedPlace::AllGateways => true,
-            DisturbedPlace::Gateway(number) | DisturbedPlace::StoreLink(number) => {
-                number == gateway
-            }
-            DisturbedPlace::Endpoint(_) => false,
+impl FaultSpan {
+    fn affects(&self, gateway: usize) -> bool {
+        match self.scope {
+            FaultScope::Store | FaultScope::AllGateways => true,
+            FaultScope::Gateway(number) | FaultScope::StoreLink(number) => number == gateway,
+            FaultScope::Endpoint(_) => false,
         }
     }
 }
 
 /// Returns the period of each fault, from its own start to its own end. Faults overlap, so the end of another fault
 /// doesn't end it.
-fn disturbed_spans(rows: &[LedgerRow]) -> Vec<DisturbedSpan> {
+fn fault_spans(rows: &[HistoryRow]) -> Vec<FaultSpan> {
     let spans = rows.iter().filter_map(|row| match row.event {
-        SeenEvent::Disturbed { place, since } => Some(DisturbedSpan {
-            place,
+        ObservedEvent::FaultEnded { scope, since } => Some(FaultSpan {
+            scope,
             from: since,
             to: row.at,
         }),
@@ -106,7 +104,7 @@
 
 /// All recorded events of one request.
 #[derive(Debug, Default)]
-struct CallStory<'a> {
+struct CallRecord<'a> {
     sent: Option<&'a SentCall>,
     runs: Vec<&'a BegunRun>,
     end: Option<&'a CallEnd>,
@@ -114,141 +112,146 @@
 
 /// Returns all breaches, or none if every promise held.
 #[must_use]
-pub fn check(rows: &[LedgerRow], loads: LoadBound) -> Vec<SoakBreach> {
-    let mut stories: HashMap<&str, CallStory<'_>> = HashMap::new();
+pub fn check(rows: &[HistoryRow], loads: LoadBound) -> Vec<SoakBreach> {
+    let mut records: HashMap<&str, CallRecord<'_>> = HashMap::new();
     let mut breaches = Vec::new();
     for row in rows {
         match &row.event {
-            SeenEvent::Sent(sent) => stories.entry(&sent.id).or_default().sent = Some(sent),
-            SeenEvent::Begun(run) => stories.entry(&run.id).or_default().runs.push(run),
-            SeenEvent::Ended { id, end } => stories.entry(id).or_default().end = Some(end),
-            SeenEvent::Overfull { instance, what } => {
-                breach(
+            ObservedEvent::Sent(sent) => records.entry(&sent.id).or_default().sent = Some(sent),
+            ObservedEvent::RunStarted(run) => records.entry(&run.id).or_default().runs.push(run),
+            ObservedEvent::Ended { id, end } => records.entry(id).or_default().end = Some(end),
+            ObservedEvent::Overcommitted { instance, detail } => {
+                add_breach(
                     &mut breaches,
                     SoakPromise::Memory,
-                    format!("{instance}: {what}"),
+                    format!("{instance}: {detail}"),
                 );
             }
-            SeenEvent::Exit { process, status } => {
-                breach(
+            ObservedEvent::Exit { process, status } => {
+                add_breach(
                     &mut breaches,
                     SoakPromise::StaysUp,
                     format!("{process}: {status}"),
                 );
             }
-            SeenEvent::Unserved { what } => {
-                breach(&mut breaches, SoakPromise::Recovers, what.clone());
+            ObservedEvent::Unserved { detail } => {
+                add_breach(&mut breaches, SoakPromise::Recovers, detail.clone());
             }
-            SeenEvent::StoreLoad { .. }
-            | SeenEvent::Crashed { .. }
-            | SeenEvent::Routed { .. }
-            | SeenEvent::Reached { .. }
-            | SeenEvent::Said { .. }
-            | SeenEvent::Disturbed { .. } => {}
+            ObservedEvent::StoreLoad { .. }
+            | ObservedEvent::Crashed { .. }
+            | ObservedEvent::Routed { .. }
+            | ObservedEvent::Reached { .. }
+            | ObservedEvent::NoticeSent { .. }
+            | ObservedEvent::FaultEnded { .. } => {}
         }
     }
     check_loads(rows, loads, &mut breaches);
     crashes::check_crashes(rows, &mut breaches);
     notices::check_notices(rows, &mut breaches);
     workspaces::check_limit(rows, &mut breaches);
-    for (id, story) in &stories {
-        check_story(id, story, &mut breaches);
+    for (id, record) in &records {
+        check_call(id, record, &mut breaches);
     }
     breaches
 }
 
-fn breach(breaches: &mut Vec<SoakBreach>, promise: SoakPromise, what: String) {
-    breaches.push(SoakBreach { promise, what });
+fn add_breach(breaches: &mut Vec<SoakBreach>, promise: SoakPromise, detail: String) {
+    breaches.push(SoakBreach { promise, detail });
 }
 
-fn check_loads(rows: &[LedgerRow], bound: LoadBound, breaches: &mut Vec<SoakBreach>) {
+fn check_loads(rows: &[HistoryRow], bound: LoadBound, breaches: &mut Vec<SoakBreach>) {
     let begun = rows
         .iter()
-        .filter(|row| matches!(row.event, SeenEvent::StoreLoad { .. }));
+        .filter(|row| matches!(row.event, ObservedEvent::StoreLoad { .. }));
     let times: Vec<Duration> = begun.map(|row| row.at).collect();
     let over = times
         .windows(bound.loads + 1)
         .find(|span| span[bound.loads].saturating_sub(span[0]) < bound.window);
     if let Some(span) = over {
-        let what = format!("{} loads in one window from {:?} on", span.len(), span[0]);
-        breach(breaches, SoakPromise::LoadRate, what);
+        let detail = format!("{} loads in one window from {:?} on", span.len(), span[0]);
+        add_breach(breaches, SoakPromise::LoadRate, detail);
     }
 }
 
-fn check_story(id: &str, story: &CallStory<'_>, breaches: &mut Vec<SoakBreach>) {
-    let Some(sent) = story.sent else {
-        breach(
+fn check_call(id: &str, record: &CallRecord<'_>, breaches: &mut Vec<SoakBreach>) {
+    let Some(sent) = record.sent else {
+        add_breach(
             breaches,
             SoakPromise::OnlyAsked,
             format!("{id} was never sent"),
         );
         return;
     };
-    for run in &story.runs {
+    for run in &record.runs {
         check_run(sent, run, breaches);
     }
-    if sent.kind.is_once() && story.runs.len() > 1 {
-        let at: Vec<&str> = story.runs.iter().map(|run| run.instance.as_str()).collect();
-        breach(breaches, SoakPromise::Once, format!("{id} ran at {at:?}"));
+    if sent.kind.is_once() && record.runs.len() > 1 {
+        let at: Vec<&str> = record
+            .runs
+            .iter()
+            .map(|run| run.instance.as_str())
+            .collect();
+        add_breach(breaches, SoakPromise::Once, format!("{id} ran at {at:?}"));
     }
-    match story.end {
-        Some(CallEnd::Whole {
+    match record.end {
+        Some(CallEnd::Complete {
             status,
             stamp,
             body,
-        }) => check_answer(sent, story, (*status, stamp.as_deref(), body), breaches),
-        Some(CallEnd::Hung) | None => {
-            breach(breaches, SoakPromise::Ends, format!("{id} got no response"));
+        }) => check_response(sent, record, (*status, stamp.as_deref(), body), breaches),
+        Some(CallEnd::TimedOut) | None => {
+            add_breach(breaches, SoakPromise::Ends, format!("{id} got no response"));
         }
-        Some(CallEnd::Cut | CallEnd::Left) => {}
+        Some(CallEnd::Interrupted | CallEnd::Cancelled) => {}
     }
 }
 
 fn check_run(sent: &SentCall, run: &BegunRun, breaches: &mut Vec<SoakBreach>) {
-    let same = run.target == sent.target && run.body == sent.body && run.model == sent.model;
-    if !same || !run.forged.is_empty() {
-        let what = format!(
+    let is_unaltered =
+        run.target == sent.target && run.body == sent.body && run.model == sent.model;
+    if !is_unaltered || !run.forged.is_empty() {
+        let detail = format!(
             "{} arrived altered or with reserved headers: {run:?}",
             sent.id
         );
-        breach(breaches, SoakPromise::OnlyAsked, what);
+        add_breach(breaches, SoakPromise::OnlyAsked, detail);
     }
     workspaces::check_workspace(sent, run, breaches);
     if run.service != sent.service {
-        let what = format!("{} for {} ran at {}", sent.id, sent.service, run.service);
-        breach(breaches, SoakPromise::RightService, what);
+        let detail = format!("{} for {} ran at {}", sent.id, sent.service, run.service);
+        add_breach(breaches, SoakPromise::RightService, detail);
     }
 }
 
-fn check_answer(
+fn check_response(
     sent: &SentCall,
-    story: &CallStory<'_>,
+    record: &CallRecord<'_>,
     (status, stamp, body): (u16, Option<&str>, &str),
     breaches: &mut Vec<SoakBreach>,
 ) {
-    let refused = matches!(status, 408 | 421 | 429 | 503);
-    if refused && sent.kind.is_once() && !story.runs.is_empty() {
-        let what = format!("{} got status {status} but ran", sent.id);
-        breach(breaches, SoakPromise::TrueRefusal, what);
+    let is_refused = matches!(status, 408 | 421 | 429 | 503);
+    if is_refused && sent.kind.is_once() && !record.runs.is_empty() {
+        let detail = format!("{} got status {status} but ran", sent.id);
+        add_breach(breaches, SoakPromise::TrueRefusal, detail);
     }
     if !(200..300).contains(&status) {
         return;
     }
-    let own = stamp.is_some_and(|stamp| {
-        let ran = |run: &&&BegunRun| answers::stamp(&run.id, &run.instance) == stamp;
-        story.runs.iter().any(|run| ran(&run))
+    let is_own = stamp.is_some_and(|stamp| {
+        let ran = |run: &&&BegunRun| responses::stamp(&run.id, &run.instance) == stamp;
+        record.runs.iter().any(|run| ran(&run))
     });
-    if !own {
-        let what = format!("{} got status {status} with the stamp {stamp:?}", sent.id);
-        breach(breaches, SoakPromise::OwnAnswer, what);
+    if !is_own {
+        let detail = format!("{} got status {status} with the stamp {stamp:?}", sent.id);
+        add_breach(breaches, SoakPromise::OwnAnswer, detail);
     }
     if sent.kind.is_stream() {
-        if body != answers::stream(&sent.id) {
-            let what = format!("the stream of {} completed as {body:?}", sent.id);
-            breach(breaches, SoakPromise::WholeStream, what);
+        if body != responses::stream(&sent.id) {
+            let detail = format!("the stream of {} completed as {body:?}", sent.id);
+            add_breach(breaches, SoakPromise::WholeStream, detail);
         }
-    } else if body != answers::whole(&sent.id) {
-        breach(
+    } else if body != responses::body(&sent.id) {
+        add_breach(
             breaches,
             SoakPromise::OwnAnswer,
             format!("{} got the body {body:?}", sent.id),
--- a/crates/oatpier-soak/src/check/notices.rs
+++ b/crates/oatpier-soak/src/check/notices.rs
@@ -3,21 +3,21 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{DisturbedSpan, SoakBreach, SoakPromise, breach, disturbed_spans};
-use crate::ledger::{CallEnd, DisturbedPlace, LedgerRow, SaidNotice, SeenEvent};
+use super::{FaultSpan, SoakBreach, SoakPromise, add_breach, fault_spans};
+use crate::history::{CallEnd, FaultScope, HistoryRow, NoticeKind, ObservedEvent};
 
 /// Time after a gateway forwards a shutdown notice from which new requests must not reach that endpoint through that
 /// gateway. It equals `drain_ms` in the settings of the processes.
-const DRAIN: Duration = Duration::from_secs(2);
+const DRAIN_TIME: Duration = Duration::from_secs(2);
 
 /// Time within which a gateway must apply a notice.
-const HEARD: Duration = Duration::from_millis(500);
+const NOTICE_DELAY: Duration = Duration::from_millis(500);
 
 /// Requests that may reach an endpoint from one gateway during a rest period that the endpoint asked for.
-const REQUESTS_IN_REST: usize = 2;
+const MAX_REQUESTS_IN_REST: usize = 2;
 
 /// Time after an endpoint first reports a rate limit from which the limit is checked.
-const LIMIT_BINDS: Duration = Duration::from_secs(3);
+const LIMIT_DELAY: Duration = Duration::from_secs(3);
 
 /// The window over which a rate limit is checked, the factor by which a window may exceed the limit, and the number
 /// of requests allowed on top of that.
@@ -37,19 +37,19 @@
 
 /// A notice that an instance sent to a gateway.
 #[derive(Debug)]
-struct HeardNotice<'a> {
+struct ReceivedNotice<'a> {
     /// When the instance sent it.
     at: Duration,
     /// When the gateway had forwarded the response that carried it, if it did.
-    passed_at: Option<Duration>,
+    forwarded_at: Option<Duration>,
     gateway: usize,
     instance: &'a str,
-    said: SaidNotice,
+    kind: NoticeKind,
 }
 
 /// A rate limit that an instance reported, with the times of its first and last report.
 #[derive(Debug, Clone, Copy)]
-struct SaidLimit {
+struct ReportedLimit {
     per_mille: u32,
     first_at: Duration,
     last_at: Duration,
@@ -60,46 +60,46 @@
 struct CallTimes {
     sent_at: Duration,
     gateway: Option<usize>,
-    answered_at: Option<Duration>,
+    responded_at: Option<Duration>,
 }
 
 /// Checks the requests that endpoints received after they announced a shutdown, a rest period or a rate limit.
-pub(super) fn check_notices(rows: &[LedgerRow], breaches: &mut Vec<SoakBreach>) {
-    let calls = call_times(rows);
+pub(super) fn check_notices(rows: &[HistoryRow], breaches: &mut Vec<SoakBreach>) {
+    let calls = collect_call_times(rows);
     let arrivals = arrivals(rows, &calls);
-    let heard = heard(rows, &calls);
-    let spans = disturbed_spans(rows);
-    for notice in &heard {
-        match notice.said {
-            SaidNotice::Leaving => check_leaving(notice, &arrivals, &spans, breaches),
-            SaidNotice::Rest(span) => check_rest(notice, span, &arrivals, &spans, breaches),
-            SaidNotice::Limit(_) => {}
+    let received_notices = received_notices(rows, &calls);
+    let spans = fault_spans(rows);
+    for notice in &received_notices {
+        match notice.kind {
+            NoticeKind::Leaving => check_leaving(notice, &arrivals, &spans, breaches),
+            NoticeKind::Rest(span) => check_rest(notice, span, &arrivals, &spans, breaches),
+            NoticeKind::Limit(_) => {}
         }
     }
-    check_limits(&heard, &arrivals, &spans, breaches);
+    check_limits(&received_notices, &arrivals, &spans, breaches);
 }
 
-fn call_times(rows: &[LedgerRow]) -> HashMap<&str, CallTimes> {
+fn collect_call_times(rows: &[HistoryRow]) -> HashMap<&str, CallTimes> {
     let mut calls: HashMap<&str, CallTimes> = HashMap::new();
     for row in rows {
         match &row.event {
-            SeenEvent::Sent(call) => calls.entry(&call.id).or_default().sent_at = row.at,
-            SeenEvent::Routed { id, gateway } => {
+            ObservedEvent::Sent(call) => calls.entry(&call.id).or_default().sent_at = row.at,
+            ObservedEvent::Routed { id, gateway } => {
                 calls.entry(id).or_default().gateway = Some(*gateway);
             }
-            SeenEvent::Ended {
+            ObservedEvent::Ended {
                 id,
-                end: CallEnd::Whole { .. },
-            } => calls.entry(id).or_default().answered_at = Some(row.at),
+                end: CallEnd::Complete { .. },
+            } => calls.entry(id).or_default().responded_at = Some(row.at),
             _ => {}
         }
     }
     calls
 }
 
-fn arrivals<'a>(rows: &'a [LedgerRow], calls: &HashMap<&str, CallTimes>) -> Vec<Arrival<'a>> {
-    let arrival = |row: &'a LedgerRow| {
-        let SeenEvent::Reached {
+fn arrivals<'a>(rows: &'a [HistoryRow], calls: &HashMap<&str, CallTimes>) -> Vec<Arrival<'a>> {
+    let arrival = |row: &'a HistoryRow| {
+        let ObservedEvent::Reached {
             id,
             endpoint,
             instance,
@@ -119,18 +119,21 @@
     rows.iter().filter_map(arrival).collect()
 }
 
-fn heard<'a>(rows: &'a [LedgerRow], calls: &HashMap<&str, CallTimes>) -> Vec<HeardNotice<'a>> {
-    let notice = |row: &'a LedgerRow| {
-        let SeenEvent::Said { id, instance, said } = &row.event else {
+fn received_notices<'a>(
+    rows: &'a [HistoryRow],
+    calls: &HashMap<&str, CallTimes>,
+) -> Vec<ReceivedNotice<'a>> {
+    let notice = |row: &'a HistoryRow| {
+        let ObservedEvent::NoticeSent { id, instance, kind } = &row.event else {
             return None;
         };
         let call = calls.get(id.as_str())?;
-        Some(HeardNotice {
+        Some(ReceivedNotice {
             at: row.at,
-            passed_at: call.answered_at,
+            forwarded_at: call.responded_at,
             gateway: call.gateway?,
             instance,
-            said: *said,
+            kind: *kind,
         })
     };
     rows.iter().filter_map(notice).collect()
@@ -140,115 +143,116 @@
 /// fault.
 ///
 /// Store faults don't count: notices arrive in responses, without the store.
-fn is_excused(spans: &[DisturbedSpan], arrival: &Arrival<'_>, from: Duration) -> bool {
+fn is_exempt(spans: &[FaultSpan], arrival: &Arrival<'_>, from: Duration) -> bool {
     spans.iter().any(|span| {
-        let concerns = match span.place {
-            DisturbedPlace::AllGateways => true,
-            DisturbedPlace::Gateway(number) => number == arrival.gateway,
-            DisturbedPlace::Endpoint(number) => number == arrival.endpoint,
-            DisturbedPlace::Store | DisturbedPlace::StoreLink(_) => false,
+        let is_affected = match span.scope {
+            FaultScope::AllGateways => true,
+            FaultScope::Gateway(number) => number == arrival.gateway,
+            FaultScope::Endpoint(number) => number == arrival.endpoint,
+            FaultScope::Store | FaultScope::StoreLink(_) => false,
         };
-        concerns && span.from <= arrival.at && span.to >= from
+        is_affected && span.from <= arrival.at && span.to >= from
     })
 }
 
 fn check_leaving(
-    notice: &HeardNotice<'_>,
+    notice: &ReceivedNotice<'_>,
     arrivals: &[Arrival<'_>],
-    spans: &[DisturbedSpan],
+    spans: &[FaultSpan],
     breaches: &mut Vec<SoakBreach>,
 ) {
-    let Some(passed_at) = notice.passed_at else {
+    let Some(forwarded_at) = notice.forwarded_at else {
         return;
     };
     let late = arrivals.iter().find(|arrival| {
         arrival.instance == notice.instance
             && arrival.gateway == notice.gateway
-            && arrival.sent_at > passed_at + DRAIN
-            && !is_excused(spans, arrival, passed_at)
+            && arrival.sent_at > forwarded_at + DRAIN_TIME
+            && !is_exempt(spans, arrival, forwarded_at)
     });
     if let Some(arrival) = late {
-        let what = format!(
-            "{} announced its shutdown at {passed_at:?} to gateway {}, and got a request sent at {:?}",
+        let detail = format!(
+            "{} announced its shutdown at {forwarded_at:?} to gateway {}, and got a request sent at {:?}",
             notice.instance, notice.gateway, arrival.sent_at
         );
-        breach(breaches, SoakPromise::LeavesAlone, what);
+        add_breach(breaches, SoakPromise::LeavesAlone, detail);
     }
 }
 
 fn check_rest(
-    notice: &HeardNotice<'_>,
+    notice: &ReceivedNotice<'_>,
     rest: Duration,
     arrivals: &[Arrival<'_>],
-    spans: &[DisturbedSpan],
+    spans: &[FaultSpan],
     breaches: &mut Vec<SoakBreach>,
 ) {
     let until = notice.at + rest;
     let in_rest = arrivals.iter().filter(|arrival| {
         arrival.instance == notice.instance
             && arrival.gateway == notice.gateway
-            && arrival.at > notice.at + HEARD
+            && arrival.at > notice.at + NOTICE_DELAY
             && arrival.at < until
-            && !is_excused(spans, arrival, notice.at)
+            && !is_exempt(spans, arrival, notice.at)
     });
     let count = in_rest.count();
-    if count > REQUESTS_IN_REST {
-        let what = format!(
+    if count > MAX_REQUESTS_IN_REST {
+        let detail = format!(
             "{} asked gateway {} at {:?} for a rest period of {rest:?}, and got {count} requests",
             notice.instance, notice.gateway, notice.at
         );
-        breach(breaches, SoakPromise::LeavesAlone, what);
+        add_breach(breaches, SoakPromise::LeavesAlone, detail);
     }
 }
 
 fn check_limits(
-    heard: &[HeardNotice<'_>],
+    received_notices: &[ReceivedNotice<'_>],
     arrivals: &[Arrival<'_>],
-    spans: &[DisturbedSpan],
+    spans: &[FaultSpan],
     breaches: &mut Vec<SoakBreach>,
 ) {
-    let mut limits: HashMap<&str, SaidLimit> = HashMap::new();
-    let mut told: HashMap<(&str, usize), Duration> = HashMap::new();
-    for notice in heard {
-        let SaidNotice::Limit(per_mille) = notice.said else {
+    let mut limits: HashMap<&str, ReportedLimit> = HashMap::new();
+    let mut known_since: HashMap<(&str, usize), Duration> = HashMap::new();
+    for notice in received_notices {
+        let NoticeKind::Limit(per_mille) = notice.kind else {
             continue;
         };
-        let limit = limits.entry(notice.instance).or_insert(SaidLimit {
+        let limit = limits.entry(notice.instance).or_insert(ReportedLimit {
             per_mille,
             first_at: notice.at,
             last_at: notice.at,
         });
         limit.last_at = limit.last_at.max(notice.at);
-        if let Some(passed_at) = notice.passed_at {
-            let known = told
+        if let Some(forwarded_at) = notice.forwarded_at {
+            let earliest = known_since
                 .entry((notice.instance, notice.gateway))
-                .or_insert(passed_at);
-            *known = (*known).min(passed_at);
+                .or_insert(forwarded_at);
+            *earliest = (*earliest).min(forwarded_at);
         }
     }
     for (instance, limit) in limits {
         let counted = |arrival: &&Arrival<'_>| {
-            let told_at = told.get(&(instance, arrival.gateway));
-            let knows = told_at.is_some_and(|told_at| arrival.at >= *told_at + HEARD);
-            let binds = arrival.at >= limit.first_at + LIMIT_BINDS && arrival.at <= limit.last_at;
-            let is_excused = || is_excused(spans, arrival, limit.first_at);
-            arrival.instance == instance && knows && binds && !is_excused()
+            let known_at = known_since.get(&(instance, arrival.gateway));
+            let is_known = known_at.is_some_and(|known_at| arrival.at >= *known_at + NOTICE_DELAY);
+            let is_binding =
+                arrival.at >= limit.first_at + LIMIT_DELAY && arrival.at <= limit.last_at;
+            let is_exempt = || is_exempt(spans, arrival, limit.first_at);
+            arrival.instance == instance && is_known && is_binding && !is_exempt()
         };
         let counted = arrivals.iter().filter(counted);
         let times: Vec<Duration> = counted.map(|arrival| arrival.at).collect();
-        let most = most_in_window(&times);
+        let max_count = max_in_window(&times);
         let rate = f64::from(limit.per_mille) / 1e3;
         let allowed = LIMIT_FACTOR * rate * LIMIT_WINDOW.as_secs_f64() + LIMIT_SLACK;
-        if f64::from(u32::try_from(most).unwrap_or(u32::MAX)) > allowed {
-            let what = format!(
-                "{instance} reported a limit of {rate} requests per second, and got {most} in {LIMIT_WINDOW:?}"
+        if f64::from(u32::try_from(max_count).unwrap_or(u32::MAX)) > allowed {
+            let detail = format!(
+                "{instance} reported a limit of {rate} requests per second, and got {max_count} in {LIMIT_WINDOW:?}"
             );
-            breach(breaches, SoakPromise::LeavesAlone, what);
+            add_breach(breaches, SoakPromise::LeavesAlone, detail);
         }
     }
 }
 
-fn most_in_window(times: &[Duration]) -> usize {
+fn max_in_window(times: &[Duration]) -> usize {
     let in_window = |first: usize| {
         let end = times[first] + LIMIT_WINDOW;
         times[first..].iter().take_while(|at| **at <= end).count()
--- a/crates/oatpier-soak/src/check/workspaces.rs
+++ b/crates/oatpier-soak/src/check/workspaces.rs
@@ -3,46 +3,49 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use super::{SoakBreach, SoakPromise, breach};
-use crate::ledger::{BegunRun, LedgerRow, SeenEvent, SentCall};
-use crate::standin::settings::{LIMIT, LIMITED_KEY, workspace_of};
+use super::{SoakBreach, SoakPromise, add_breach};
+use crate::history::{BegunRun, HistoryRow, ObservedEvent, SentCall};
+use crate::standin::settings::{LIMITED_KEY, WORKSPACE_LIMIT, workspace_of};
 
 /// Checks that a run names the workspace that owns its caller's key.
 pub(super) fn check_workspace(sent: &SentCall, run: &BegunRun, breaches: &mut Vec<SoakBreach>) {
-    let holder = workspace_of(sent.key);
-    if holder.is_none() || run.workspace.as_deref() != holder {
-        let what = format!(
-            "{} of workspace {holder:?} ran for workspace {:?}",
+    let owner = workspace_of(sent.key);
+    if owner.is_none() || run.workspace.as_deref() != owner {
+        let detail = format!(
+            "{} of workspace {owner:?} ran for workspace {:?}",
             sent.id, run.workspace
         );
-        breach(breaches, SoakPromise::RightWorkspace, what);
+        add_breach(breaches, SoakPromise::RightWorkspace, detail);
     }
 }
 
 /// Checks that the limited workspace uses no more tokens in any window than its limit allows. A request counts once,
 /// at the start of its first run.
-pub(super) fn check_limit(rows: &[LedgerRow], breaches: &mut Vec<SoakBreach>) {
-    let window = Duration::from_secs_f64(LIMIT.window_s);
+pub(super) fn check_limit(rows: &[HistoryRow], breaches: &mut Vec<SoakBreach>) {
+    let window = Duration::from_secs_f64(WORKSPACE_LIMIT.window_s);
     let mut sent: HashMap<&str, u64> = HashMap::new();
-    let mut within: VecDeque<(Duration, u64)> = VecDeque::new();
+    let mut window_runs: VecDeque<(Duration, u64)> = VecDeque::new();
     let mut sum = 0;
     for row in rows {
         match &row.event {
-            SeenEvent::Sent(call) if call.key == LIMITED_KEY => {
+            ObservedEvent::Sent(call) if call.key == LIMITED_KEY => {
                 sent.insert(&call.id, call.tokens());
             }
-            SeenEvent::Begun(run) => {
+            ObservedEvent::RunStarted(run) => {
                 let Some(tokens) = sent.remove(run.id.as_str()) else {
                     continue;
                 };
-                within.push_back((row.at, tokens));
+                window_runs.push_back((row.at, tokens));
                 sum += tokens;
-                while within.front().is_some_and(|(at, _)| *at + window < row.at) {
-                    sum -= within.pop_front().map_or(0, |(_, tokens)| tokens);
+                while window_runs
+                    .front()
+                    .is_some_and(|(at, _)| *at + window < row.at)
+                {
+                    sum -= window_runs.pop_front().map_or(0, |(_, tokens)| tokens);
                 }
-                if sum > allowed() {
-                    let what = format!("{sum} tokens in the window that ends at {:?}", row.at);
-                    breach(breaches, SoakPromise::Limit, what);
+                if sum > allowed_tokens() {
+                    let detail = format!("{sum} tokens in the window that ends at {:?}", row.at);
+                    add_breach(breaches, SoakPromise::Limit, detail);
                     return;
                 }
             }
@@ -58,7 +61,8 @@
     clippy::cast_precision_loss,
     reason = "the value is a few thousand tokens"
 )]
-fn allowed() -> u64 {
-    let limit = LIMIT.rate as f64 * LIMIT.window_s + LIMIT.burst as f64;
-    (limit * (1.0 + LIMIT.overage) + LIMIT.slack) as u64
+fn allowed_tokens() -> u64 {
+    let limit =
+        WORKSPACE_LIMIT.rate as f64 * WORKSPACE_LIMIT.window_s + WORKSPACE_LIMIT.burst as f64;
+    (limit * (1.0 + WORKSPACE_LIMIT.overage) + WORKSPACE_LIMIT.slack) as u64
 }
--- a/crates/oatpier-soak/src/fleet.rs
+++ b/crates/oatpier-soak/src/fleet.rs
@@ -12,18 +12,18 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-use crate::ledger::{SeenEvent, SoakLedger};
+use crate::history::{EventHistory, ObservedEvent};
 use crate::standin::settings::{ProcessSettings, SETTINGS_VARIABLE};
 
 /// Delay between the exit of a process and its restart.
-const RESTART_AFTER: Duration = Duration::from_millis(150);
+const RESTART_DELAY: Duration = Duration::from_millis(150);
 
 /// Time that a process may take to exit after SIGTERM, as on the platform. SIGKILL follows.
-const GRACE: Duration = Duration::from_secs(8);
+const GRACE_PERIOD: Duration = Duration::from_secs(8);
 
 /// The program, settings and working folder of a process.
 #[derive(Debug, Clone)]
-pub struct ProcessKind {
+pub struct ProcessSpec {
     /// The path of the daemon's executable.
     pub daemon: PathBuf,
     /// The role argument: `gateway` or `sidecar`.
@@ -38,26 +38,26 @@
 #[derive(Debug)]
 pub struct SoakProcess {
     id: Arc<Mutex<Option<u32>>>,
-    told_to_end: Arc<AtomicBool>,
-    watching: JoinHandle<()>,
+    is_stop_expected: Arc<AtomicBool>,
+    watch_task: JoinHandle<()>,
 }
 
 impl SoakProcess {
     /// Starts the process and a task that restarts it.
     #[must_use]
-    pub fn start(kind: ProcessKind, ledger: SoakLedger) -> Self {
+    pub fn start(spec: ProcessSpec, history: EventHistory) -> Self {
         let id = Arc::new(Mutex::new(None));
-        let told_to_end = Arc::new(AtomicBool::new(false));
+        let is_stop_expected = Arc::new(AtomicBool::new(false));
         let watch = ProcessWatch {
-            kind,
-            ledger,
+            spec,
+            history,
             id: Arc::clone(&id),
-            told_to_end: Arc::clone(&told_to_end),
+            is_stop_expected: Arc::clone(&is_stop_expected),
         };
         Self {
             id,
-            told_to_end,
-            watching: tokio::spawn(watch.run()),
+            is_stop_expected,
+            watch_task: tokio::spawn(watch.run()),
         }
     }
 
@@ -71,21 +71,21 @@
 
     /// Sends SIGKILL.
     pub fn kill(&self) {
-        self.told_to_end.store(true, Ordering::SeqCst);
+        self.is_stop_expected.store(true, Ordering::SeqCst);
         self.signal(Signal::SIGKILL);
     }
 
     /// Sends SIGTERM, as for a planned stop, and SIGKILL if the process has not exited when its grace period ends.
     pub async fn stop(&self) {
-        self.told_to_end.store(true, Ordering::SeqCst);
-        let before = *self.id.lock().unwrap_or_else(PoisonError::into_inner);
+        self.is_stop_expected.store(true, Ordering::SeqCst);
+        let old_id = *self.id.lock().unwrap_or_else(PoisonError::into_inner);
         self.signal(Signal::SIGTERM);
-        let is_over = async {
-            while *self.id.lock().unwrap_or_else(PoisonError::into_inner) == before {
+        let exited = async {
+            while *self.id.lock().unwrap_or_else(PoisonError::into_inner) == old_id {
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        if timeout(GRACE, is_over).await.is_err() {
+        if timeout(GRACE_PERIOD, exited).await.is_err() {
             self.signal(Signal::SIGKILL);
         }
     }
@@ -106,39 +106,39 @@
 impl Drop for SoakProcess {
     fn drop(&mut self) {
         // Aborting the task drops the child, which kills the process (`kill_on_drop`).
-        self.watching.abort();
+        self.watch_task.abort();
     }
 }
 
 struct ProcessWatch {
-    kind: ProcessKind,
-    ledger: SoakLedger,
+    spec: ProcessSpec,
+    history: EventHistory,
     id: Arc<Mutex<Option<u32>>>,
-    told_to_end: Arc<AtomicBool>,
+    is_stop_expected: Arc<AtomicBool>,
 }
 
 impl ProcessWatch {
     async fn run(self) {
         let mut is_first = true;
         loop {
-            let mut settings = self.kind.settings.clone();
-            settings.first_start = is_first;
+            let mut settings = self.spec.settings.clone();
+            settings.is_first_start = is_first;
             is_first = false;
             match self.spawn(&settings) {
                 Ok(mut child) => self.watch(&mut child).await,
-                Err(error) => self.note_exit(&error.to_string()),
+                Err(error) => self.record_exit(&error.to_string()),
             }
-            sleep(RESTART_AFTER).await;
+            sleep(RESTART_DELAY).await;
         }
     }
 
     fn spawn(&self, settings: &ProcessSettings) -> std::io::Result<Child> {
-        let file = self.kind.folder.join(format!("{}.toml", settings.name));
+        let file = self.spec.folder.join(format!("{}.toml", settings.name));
         std::fs::write(&file, settings.text())?;
-        let log = append(&self.kind.folder.join(format!("{}.log", settings.name)))?;
+        let log = append(&self.spec.folder.join(format!("{}.log", settings.name)))?;
         let errors = log.try_clone()?;
-        Command::new(&self.kind.daemon)
-            .arg(self.kind.role)
+        Command::new(&self.spec.daemon)
+            .arg(self.spec.role)
             .env(SETTINGS_VARIABLE, file)
             .stdin(Stdio::null())
             .stdout(log)
@@ -151,14 +151,14 @@
         *self.id.lock().unwrap_or_else(PoisonError::into_inner) = child.id();
         let ended = child.wait().await;
         *self.id.lock().unwrap_or_else(PoisonError::into_inner) = None;
-        if !self.told_to_end.swap(false, Ordering::SeqCst) {
-            self.note_exit(&describe(ended));
+        if !self.is_stop_expected.swap(false, Ordering::SeqCst) {
+            self.record_exit(&describe(ended));
         }
     }
 
-    fn note_exit(&self, status: &str) {
-        self.ledger.note(SeenEvent::Exit {
-            process: self.kind.settings.name.clone(),
+    fn record_exit(&self, status: &str) {
+        self.history.record(ObservedEvent::Exit {
+            process: self.spec.settings.name.clone(),
             status: status.to_owned(),
         });
     }
--- a/crates/oatpier-soak/src/ledger.rs
+++ b/crates/oatpier-soak/src/history.rs
@@ -91,7 +91,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
     /// The caller received a complete response.
-    Whole {
+    Complete {
         /// The HTTP status.
         status: u16,
         /// The endpoint's response stamp, if present.
@@ -100,16 +100,16 @@
         body: String,
     },
     /// The connection failed before the response was complete, or before it began.
-    Cut,
+    Interrupted,
     /// The caller cancelled the request.
-    Left,
+    Cancelled,
     /// No complete response arrived long after the route's timeout.
-    Hung,
+    TimedOut,
 }
 
 /// The part of the system that a fault affects, for faults that exempt gateways from checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DisturbedPlace {
+pub enum FaultScope {
     /// The store, and with it all gateways.
     Store,
     /// All gateways.
@@ -124,7 +124,7 @@
 
 /// A notice that an endpoint sends in the headers of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SaidNotice {
+pub enum NoticeKind {
     /// The endpoint is about to shut down.
     Leaving,
     /// The endpoint asks for a rest period of this length.
@@ -135,7 +135,7 @@
 
 /// An event that callers, endpoints or the harness observe.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SeenEvent {
+pub enum ObservedEvent {
     /// A caller sent a request.
     Sent(SentCall),
     /// A caller chose a gateway for its request.
@@ -155,16 +155,16 @@
         instance: String,
     },
     /// An endpoint sent a notice in the response to a request.
-    Said {
+    NoticeSent {
         /// The id of the request.
         id: String,
         /// The endpoint's instance.
         instance: String,
         /// The notice.
-        said: SaidNotice,
+        kind: NoticeKind,
     },
     /// An endpoint started to run a request.
-    Begun(BegunRun),
+    RunStarted(BegunRun),
     /// A call ended for its caller.
     Ended {
         /// The id of the request.
@@ -178,11 +178,11 @@
         instance: String,
     },
     /// An engine received an order that needs more memory or adapter slots than it has.
-    Overfull {
+    Overcommitted {
         /// The engine's instance.
         instance: String,
         /// What the engine held and what the order asks for.
-        what: String,
+        detail: String,
     },
     /// A request crashed the endpoint that ran it.
     Crashed {
@@ -190,9 +190,9 @@
         target: String,
     },
     /// A fault that exempts gateways from checks is over.
-    Disturbed {
+    FaultEnded {
         /// The part that it affected.
-        place: DisturbedPlace,
+        scope: FaultScope,
         /// When it began, since the start of the soak.
         since: Duration,
     },
@@ -206,27 +206,27 @@
     /// Something was not served in time at the start or after the last fault, or an endpoint failed to restart.
     Unserved {
         /// What was not served.
-        what: String,
+        detail: String,
     },
 }
 
 /// An event and the time of its recording.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LedgerRow {
+pub struct HistoryRow {
     /// The time since the start of the soak.
     pub at: Duration,
     /// The event.
-    pub event: SeenEvent,
+    pub event: ObservedEvent,
 }
 
 /// All recorded events in order. Clones share the same history.
 #[derive(Debug, Clone)]
-pub struct SoakLedger {
+pub struct EventHistory {
     started: Instant,
-    rows: Arc<Mutex<Vec<LedgerRow>>>,
+    rows: Arc<Mutex<Vec<HistoryRow>>>,
 }
 
-impl Default for SoakLedger {
+impl Default for EventHistory {
     fn default() -> Self {
         Self {
             started: Instant::now(),
@@ -235,7 +235,7 @@
     }
 }
 
-impl SoakLedger {
+impl EventHistory {
     /// Returns the time since the start of the soak.
     #[must_use]
     pub fn now(&self) -> Duration {
@@ -243,15 +243,15 @@
     }
 
     /// Records an event at the present time.
-    pub fn note(&self, event: SeenEvent) {
+    pub fn record(&self, event: ObservedEvent) {
         let at = self.now();
         let mut rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
-        rows.push(LedgerRow { at, event });
+        rows.push(HistoryRow { at, event });
     }
 
     /// Returns all events recorded so far.
     #[must_use]
-    pub fn rows(&self) -> Vec<LedgerRow> {
+    pub fn rows(&self) -> Vec<HistoryRow> {
         let rows = self.rows.lock().unwrap_or_else(PoisonError::into_inner);
         rows.clone()
     }
--- a/crates/oatpier-soak/src/lib.rs
+++ b/crates/oatpier-soak/src/lib.rs
@@ -15,7 +15,7 @@
 
 pub mod check;
 pub mod fleet;
-pub mod ledger;
+pub mod history;
 pub mod plan;
 pub mod proxy;
 pub mod run;
--- a/crates/oatpier-soak/src/plan.rs
+++ b/crates/oatpier-soak/src/plan.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::ledger::CallKind;
+use crate::history::CallKind;
 use crate::proxy::LinkMode;
 use crate::standin::store::StoreMode;
 
@@ -89,30 +89,30 @@
 }
 
 /// The mean interval between the starts of two faults. Faults last longer than that on average, so several overlap.
-const FAULT_EVERY_MS: u64 = 700;
+const MEAN_FAULT_INTERVAL_MS: u64 = 700;
 
 /// The longest duration of a drawn fault.
-const LONGEST_MS: u64 = 3_000;
+const MAX_DURATION_MS: u64 = 3_000;
 
 /// Returns the faults of a soak that sends requests for `length`, in order of their start.
 #[must_use]
 pub fn plan(seed: u64, size: SoakSize, length: Duration) -> Vec<FaultStep> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut steps = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        at += Duration::from_millis(random.random_range(50..2 * FAULT_EVERY_MS));
+        at += Duration::from_millis(rng.random_range(50..2 * MEAN_FAULT_INTERVAL_MS));
         if at >= length {
-            steps.push(crashing_request(seed, length));
-            steps.push(store_return(seed, length));
-            steps.extend(notices(seed, size, length));
+            steps.push(crashing_request_step(seed, length));
+            steps.push(store_restore_step(seed, length));
+            steps.extend(notice_steps(seed, size, length));
             steps.sort_by_key(|step| step.at);
             return steps;
         }
         steps.push(FaultStep {
             at,
-            lasts: Duration::from_millis(random.random_range(200..LONGEST_MS)),
-            fault: draw(&mut random, size),
+            lasts: Duration::from_millis(rng.random_range(200..MAX_DURATION_MS)),
+            fault: draw_fault(&mut rng, size),
         });
     }
 }
@@ -120,93 +120,93 @@
 /// Returns the step that sends a crashing request, from a time in the first third of a soak to its end.
 ///
 /// It has a random generator of its own, so that the other faults of a seed don't depend on it.
-fn crashing_request(seed: u64, length: Duration) -> FaultStep {
-    let mut random = ChaCha8Rng::seed_from_u64(!seed);
+fn crashing_request_step(seed: u64, length: Duration) -> FaultStep {
+    let mut rng = ChaCha8Rng::seed_from_u64(!seed);
     let kinds = [
         CallKind::Stream,
         CallKind::Unsafe,
         CallKind::ResumableStream,
         CallKind::Safe,
     ];
-    let at = length.mul_f64(random.random_range(0.05..0.33));
+    let at = length.mul_f64(rng.random_range(0.05..0.33));
     FaultStep {
         at,
         lasts: length.saturating_sub(at),
-        fault: SoakFault::CrashingRequest(kinds[random.random_range(0..kinds.len())]),
+        fault: SoakFault::CrashingRequest(kinds[rng.random_range(0..kinds.len())]),
     }
 }
 
 /// Returns the step that restores the store from an older copy, drawn with a generator of its own.
-fn store_return(seed: u64, length: Duration) -> FaultStep {
-    let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(17));
-    let age = Duration::from_millis(random.random_range(300..4_000));
+fn store_restore_step(seed: u64, length: Duration) -> FaultStep {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(17));
+    let age = Duration::from_millis(rng.random_range(300..4_000));
     FaultStep {
-        at: length.mul_f64(random.random_range(0.3..0.8)),
+        at: length.mul_f64(rng.random_range(0.3..0.8)),
         lasts: Duration::ZERO,
         fault: SoakFault::StoreReturns(age),
     }
 }
 
 /// Returns the steps that make endpoints send notices, two of each kind, drawn with a generator of their own.
-fn notices(seed: u64, size: SoakSize, length: Duration) -> Vec<FaultStep> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(31));
+fn notice_steps(seed: u64, size: SoakSize, length: Duration) -> Vec<FaultStep> {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(31));
     let mut steps = Vec::new();
     for number in 0..6 {
-        let endpoint = random.random_range(0..size.endpoints());
-        let rest = Duration::from_millis(random.random_range(300..3_000));
-        let limit = random.random_range(500..6_000);
+        let endpoint = rng.random_range(0..size.endpoints());
+        let rest = Duration::from_millis(rng.random_range(300..3_000));
+        let limit = rng.random_range(500..6_000);
         let (fault, share) = match number % 3 {
             0 => (SoakFault::Leave(endpoint), 0.4),
             1 => (SoakFault::Rest(endpoint, rest), 0.3),
             _ => (SoakFault::Limit(endpoint, limit), 0.8),
         };
         steps.push(FaultStep {
-            at: length.mul_f64(random.random_range(0.05..0.5)),
-            lasts: length.mul_f64(share * random.random_range(0.5..1.0)),
+            at: length.mul_f64(rng.random_range(0.05..0.5)),
+            lasts: length.mul_f64(share * rng.random_range(0.5..1.0)),
             fault,
         });
     }
     steps
 }
 
-fn draw(random: &mut ChaCha8Rng, size: SoakSize) -> SoakFault {
-    let gateway = random.random_range(0..size.gateways);
-    let engine = random.random_range(0..size.engines);
-    let endpoint = random.random_range(0..size.endpoints());
-    match random.random_range(0..18) {
+fn draw_fault(rng: &mut ChaCha8Rng, size: SoakSize) -> SoakFault {
+    let gateway = rng.random_range(0..size.gateways);
+    let engine = rng.random_range(0..size.engines);
+    let endpoint = rng.random_range(0..size.endpoints());
+    match rng.random_range(0..18) {
         0 => SoakFault::KillGateway(gateway),
         1 => SoakFault::KillSidecar(engine),
-        2 if random.random_bool(0.3) => SoakFault::KillAll,
+        2 if rng.random_bool(0.3) => SoakFault::KillAll,
         2 | 3 => SoakFault::StopGateway(gateway),
         4 => SoakFault::ReloadGateway(gateway),
         5 => SoakFault::PauseGateway(gateway),
         6 => SoakFault::PauseSidecar(engine),
-        7 | 8 => SoakFault::Link(endpoint, link_mode(random)),
-        9 => SoakFault::StoreLink(gateway, link_mode(random)),
-        10 | 11 => SoakFault::Store(store_mode(random)),
+        7 | 8 => SoakFault::Link(endpoint, draw_link_mode(rng)),
+        9 => SoakFault::StoreLink(gateway, draw_link_mode(rng)),
+        10 | 11 => SoakFault::Store(draw_store_mode(rng)),
         12 | 13 => SoakFault::Crash(endpoint),
         14 => SoakFault::Drain(endpoint),
         15 => SoakFault::LoseAnswers(endpoint),
         16 => SoakFault::Garble(endpoint),
-        _ if random.random_bool(0.5) => SoakFault::LateOrders(engine),
+        _ if rng.random_bool(0.5) => SoakFault::LateOrders(engine),
         _ => SoakFault::Configure,
     }
 }
 
-fn link_mode(random: &mut ChaCha8Rng) -> LinkMode {
-    match random.random_range(0..4) {
-        0 => LinkMode::Delayed(Duration::from_millis(random.random_range(20..400))),
+fn draw_link_mode(rng: &mut ChaCha8Rng) -> LinkMode {
+    match rng.random_range(0..4) {
+        0 => LinkMode::Delayed(Duration::from_millis(rng.random_range(20..400))),
         1 => LinkMode::Reset,
         2 => LinkMode::Silent,
         _ => LinkMode::OneWay,
     }
 }
 
-fn store_mode(random: &mut ChaCha8Rng) -> StoreMode {
-    match random.random_range(0..4) {
+fn draw_store_mode(rng: &mut ChaCha8Rng) -> StoreMode {
+    match rng.random_range(0..4) {
         0 => StoreMode::Silent,
         1 => StoreMode::Busy,
-        2 => StoreMode::Slow(Duration::from_millis(random.random_range(50..800))),
+        2 => StoreMode::Slow(Duration::from_millis(rng.random_range(50..800))),
         _ => StoreMode::Broken,
     }
 }
--- a/crates/oatpier-soak/src/proxy.rs
+++ b/crates/oatpier-soak/src/proxy.rs
@@ -36,8 +36,8 @@
     /// Returns an error if the address can't be bound.
     pub async fn start(listen: SocketAddr, target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
-        let (mode, seen) = watch::channel(LinkMode::Open);
-        tokio::spawn(accept(listener, target, seen));
+        let (mode, mode_receiver) = watch::channel(LinkMode::Open);
+        tokio::spawn(accept(listener, target, mode_receiver));
         Ok(Self { mode })
     }
 
@@ -48,31 +48,31 @@
 }
 
 async fn accept(listener: TcpListener, target: SocketAddr, mode: watch::Receiver<LinkMode>) {
-    while let Ok((near, _)) = listener.accept().await {
-        tokio::spawn(pass(near, target, mode.clone()));
+    while let Ok((client, _)) = listener.accept().await {
+        tokio::spawn(forward(client, target, mode.clone()));
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, mode: watch::Receiver<LinkMode>) {
+async fn forward(client: TcpStream, target: SocketAddr, mode: watch::Receiver<LinkMode>) {
     // With zero linger, dropping the client's connection sends a reset, as a broken link would. An orderly shutdown is
     // forwarded.
-    if near.set_zero_linger().is_err() || *mode.borrow() == LinkMode::Reset {
+    if client.set_zero_linger().is_err() || *mode.borrow() == LinkMode::Reset {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let requests = copy(near_read, far_write, mode.clone(), false);
-    let answers = copy(far_read, near_write, mode.clone(), true);
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let requests = copy(client_read, upstream_write, mode.clone(), false);
+    let responses = copy(upstream_read, client_write, mode.clone(), true);
     tokio::select! {
-        _ = futures::future::join(requests, answers) => {}
-        () = reset(mode) => {}
+        _ = futures::future::join(requests, responses) => {}
+        () = wait_for_reset(mode) => {}
     }
 }
 
-async fn reset(mut mode: watch::Receiver<LinkMode>) {
+async fn wait_for_reset(mut mode: watch::Receiver<LinkMode>) {
     // An error means that the link was dropped, which resets the connection as well.
     let _ = mode.wait_for(|mode| *mode == LinkMode::Reset).await;
 }
@@ -81,31 +81,31 @@
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     mut mode: watch::Receiver<LinkMode>,
-    is_answer: bool,
+    is_response: bool,
 ) {
-    let mut piece = vec![0; 16 << 10];
+    let mut chunk = vec![0; 16 << 10];
     loop {
-        let Ok(read) = from.read(&mut piece).await else {
+        let Ok(read) = from.read(&mut chunk).await else {
             return;
         };
-        let holds = |mode: &LinkMode| match mode {
+        let is_held = |mode: &LinkMode| match mode {
             LinkMode::Silent => true,
-            LinkMode::OneWay => is_answer,
+            LinkMode::OneWay => is_response,
             LinkMode::Open | LinkMode::Delayed(_) | LinkMode::Reset => false,
         };
-        if mode.wait_for(|mode| !holds(mode)).await.is_err() {
+        if mode.wait_for(|mode| !is_held(mode)).await.is_err() {
             return;
         }
-        let present = *mode.borrow();
-        if let LinkMode::Delayed(late) = present {
-            tokio::time::sleep(late).await;
+        let current = *mode.borrow();
+        if let LinkMode::Delayed(delay) = current {
+            tokio::time::sleep(delay).await;
         }
         if read == 0 {
             // A failure means that the other side has already closed.
             let _ = to.shutdown().await;
             return;
         }
-        if to.write_all(&piece[..read]).await.is_err() {
+        if to.write_all(&chunk[..read]).await.is_err() {
             return;
         }
     }
--- a/crates/oatpier-soak/src/run.rs
+++ b/crates/oatpier-soak/src/run.rs
@@ -16,24 +16,24 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::check::{self, LoadBound, SoakBreach};
-use crate::fleet::{ProcessKind, SoakProcess};
-use crate::ledger::{CallEnd, CallKind, DisturbedPlace, LedgerRow, SeenEvent, SoakLedger};
+use crate::fleet::{ProcessSpec, SoakProcess};
+use crate::history::{CallEnd, CallKind, EventHistory, FaultScope, HistoryRow, ObservedEvent};
 use crate::plan::{self, FaultStep, SoakFault, SoakSize};
 use crate::proxy::{FaultLink, LinkMode};
 use crate::standin::caller::{self, SoakCaller};
-use crate::standin::endpoint::{EndpointFaults, EndpointKind, EndpointStandin};
-use crate::standin::settings::{self, ENGINES, LOADS_PER_S, PLAIN, ProcessSettings};
+use crate::standin::endpoint::{EndpointFaults, EndpointSpec, EndpointStandin};
+use crate::standin::settings::{self, ENGINE_SERVICE, LOADS_PER_S, PLAIN_SERVICE, ProcessSettings};
 use crate::standin::store::{StoreMode, StoreStandin};
 
 /// The number of models, a few more than fit into the engines at the same time.
-const MODELS: usize = 9;
+const MODEL_COUNT: usize = 9;
 
 /// Time limits for the fleet to serve all kinds of requests and all models, at the start and after the last fault.
-const START_WAIT: Duration = Duration::from_secs(30);
-const RECOVERY_WAIT: Duration = Duration::from_secs(40);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// The interval between two sends of a crashing request.
-const RETURN_EVERY: Duration = Duration::from_millis(230);
+const CRASH_SEND_INTERVAL: Duration = Duration::from_millis(230);
 
 /// The window over which loads are bounded, and the factor and the number of loads by which a window may exceed the
 /// rate. Window and factor equal `ceiling_window_s` and `ceiling_overage` in the settings of the processes.
@@ -60,7 +60,7 @@
     /// The broken promises.
     pub breaches: Vec<SoakBreach>,
     /// All recorded events.
-    pub rows: Vec<LedgerRow>,
+    pub rows: Vec<HistoryRow>,
     /// The injected faults.
     pub steps: Vec<FaultStep>,
     /// The folder of the processes' settings and logs. It is deleted on drop, unless the caller keeps it after a breach.
@@ -71,8 +71,8 @@
     /// Returns the number of calls that ended with a complete response whose status `wanted` accepts.
     #[must_use]
     pub fn answered(&self, wanted: impl Fn(u16) -> bool) -> usize {
-        let is_wanted = |row: &&LedgerRow| {
-            matches!(&row.event, SeenEvent::Ended { end: CallEnd::Whole { status, .. }, .. }
+        let is_wanted = |row: &&HistoryRow| {
+            matches!(&row.event, ObservedEvent::Ended { end: CallEnd::Complete { status, .. }, .. }
                 if wanted(*status))
         };
         self.rows.iter().filter(is_wanted).count()
@@ -87,7 +87,7 @@
 pub async fn run(soak: &SoakSettings) -> std::io::Result<SoakReport> {
     let folder = tempfile::Builder::new().prefix("oatpier-soak").tempdir()?;
     let fleet = SoakFleet::start(soak, folder.path()).await?;
-    fleet.await_service(START_WAIT).await;
+    fleet.await_service(START_TIMEOUT).await;
     let steps = plan::plan(soak.seed, soak.size, soak.length);
     let (stop, stopped) = watch::channel(false);
     let callers = (0..soak.size.callers).map(|number| {
@@ -95,20 +95,20 @@
         let caller = SoakCaller::new(
             number,
             seed,
-            fleet.callers_at.clone(),
+            fleet.gateway_addresses.clone(),
             fleet.models.clone(),
-            fleet.ledger.clone(),
+            fleet.history.clone(),
         );
         tokio::spawn(caller.run(stopped.clone()))
     });
     let callers: Vec<_> = callers.collect();
-    let begun = Instant::now();
-    join_all(steps.iter().map(|step| strike(&fleet, step, begun))).await;
-    sleep_until(begun + soak.length).await;
+    let started = Instant::now();
+    join_all(steps.iter().map(|step| run_step(&fleet, step, started))).await;
+    sleep_until(started + soak.length).await;
     stop.send_replace(true);
     join_all(callers).await;
-    fleet.await_service(RECOVERY_WAIT).await;
-    let rows = fleet.ledger.rows();
+    fleet.await_service(RECOVERY_TIMEOUT).await;
+    let rows = fleet.history.rows();
     let breaches = check::check(&rows, load_bound());
     Ok(SoakReport {
         breaches,
@@ -132,7 +132,7 @@
 
 /// The stand-ins, links and processes of a soak.
 struct SoakFleet {
-    ledger: SoakLedger,
+    history: EventHistory,
     models: Vec<String>,
     store: StoreStandin,
     store_links: Vec<FaultLink>,
@@ -140,7 +140,7 @@
     endpoints: Vec<EndpointStandin>,
     gateways: Vec<SoakProcess>,
     sidecars: Vec<SoakProcess>,
-    callers_at: Vec<SocketAddr>,
+    gateway_addresses: Vec<SocketAddr>,
     version: AtomicU64,
     probes: AtomicU64,
 }
@@ -155,11 +155,11 @@
 impl AddressBlock {
     /// Draws a block from the system's randomness, because concurrent soaks must not share addresses.
     fn draw() -> Self {
-        let mut random = ChaCha8Rng::from_rng(&mut rand::rng());
+        let mut rng = ChaCha8Rng::from_rng(&mut rand::rng());
         Self {
-            second: random.random_range(1..255),
-            third: random.random_range(1..255),
-            port: random.random_range(20_000..30_000),
+            second: rng.random_range(1..255),
+            third: rng.random_range(1..255),
+            port: rng.random_range(20_000..30_000),
         }
     }
 
@@ -174,12 +174,12 @@
 }
 
 /// Port offsets within a block. The first sixteen ports are the range for traffic between processes.
-const FRONT: u16 = 20;
-const READINESS: u16 = 21;
-const ENDPOINT: u16 = 22;
-const LINK: u16 = 23;
-const STORE: u16 = 24;
-const STORE_LINK: u16 = 25;
+const FRONT_OFFSET: u16 = 20;
+const READINESS_OFFSET: u16 = 21;
+const ENDPOINT_OFFSET: u16 = 22;
+const LINK_OFFSET: u16 = 23;
+const STORE_OFFSET: u16 = 24;
+const STORE_LINK_OFFSET: u16 = 25;
 
 /// The VM number of the store.
 const STORE_VM: usize = 250;
@@ -187,11 +187,13 @@
 impl SoakFleet {
     async fn start(soak: &SoakSettings, folder: &Path) -> std::io::Result<Self> {
         let block = AddressBlock::draw();
-        let ledger = SoakLedger::default();
-        let models: Vec<String> = (0..MODELS).map(|number| format!("model{number}")).collect();
+        let history = EventHistory::default();
+        let models: Vec<String> = (0..MODEL_COUNT)
+            .map(|number| format!("model{number}"))
+            .collect();
         let store = StoreStandin::default();
         store.configure(&settings::config(2, &models));
-        let listener = TcpListener::bind(block.address(STORE_VM, STORE)).await?;
+        let listener = TcpListener::bind(block.address(STORE_VM, STORE_OFFSET)).await?;
         let handler: Arc<dyn RequestHandler> = Arc::new(store.clone());
         tokio::spawn(server::serve(
             listener,
@@ -201,7 +203,7 @@
             std::future::pending(),
         ));
         let mut fleet = Self {
-            ledger,
+            history,
             models,
             store,
             store_links: Vec::new(),
@@ -209,7 +211,7 @@
             endpoints: Vec::new(),
             gateways: Vec::new(),
             sidecars: Vec::new(),
-            callers_at: Vec::new(),
+            gateway_addresses: Vec::new(),
             version: AtomicU64::new(2),
             probes: AtomicU64::new(0),
         };
@@ -230,21 +232,34 @@
         folder: &Path,
     ) -> std::io::Result<()> {
         let is_engine = number < soak.size.engines;
-        let first = number % MODELS;
-        let held = [first, (first + 1) % MODELS].map(|place| self.models[place].clone());
-        let kind = EndpointKind {
+        let first = number % MODEL_COUNT;
+        let loaded_models =
+            [first, (first + 1) % MODEL_COUNT].map(|index| self.models[index].clone());
+        let spec = EndpointSpec {
             number,
-            listen: block.address(number, ENDPOINT),
-            address: block.address(number, LINK),
-            service: if is_engine { ENGINES } else { PLAIN },
+            listen: block.address(number, ENDPOINT_OFFSET),
+            address: block.address(number, LINK_OFFSET),
+            service: if is_engine {
+                ENGINE_SERVICE
+            } else {
+                PLAIN_SERVICE
+            },
             zone: zone(number),
-            models: if is_engine { held.to_vec() } else { Vec::new() },
-            copies: if is_engine { held.to_vec() } else { Vec::new() },
+            models: if is_engine {
+                loaded_models.to_vec()
+            } else {
+                Vec::new()
+            },
+            copies: if is_engine {
+                loaded_models.to_vec()
+            } else {
+                Vec::new()
+            },
         };
-        let address = kind.address;
+        let address = spec.address;
         self.links
-            .push(FaultLink::start(address, kind.listen).await?);
-        let endpoint = EndpointStandin::start(kind, self.store.clone(), self.ledger.clone())?;
+            .push(FaultLink::start(address, spec.listen).await?);
+        let endpoint = EndpointStandin::start(spec, self.store.clone(), self.history.clone())?;
         self.endpoints.push(endpoint);
         if is_engine {
             let settings = ProcessSettings {
@@ -254,10 +269,10 @@
                 inner_port: block.port,
                 callers: None,
                 engine: Some(address),
-                store: block.address(STORE_VM, STORE),
-                first_start: true,
+                store: block.address(STORE_VM, STORE_OFFSET),
+                is_first_start: true,
             };
-            let sidecar = self.process(soak, "sidecar", settings, folder);
+            let sidecar = self.start_process(soak, "sidecar", settings, folder);
             self.sidecars.push(sidecar);
         }
         Ok(())
@@ -271,79 +286,79 @@
         folder: &Path,
     ) -> std::io::Result<()> {
         let vm = soak.size.endpoints() + number;
-        let store_link = block.address(vm, STORE_LINK);
-        let store = block.address(STORE_VM, STORE);
+        let store_link = block.address(vm, STORE_LINK_OFFSET);
+        let store = block.address(STORE_VM, STORE_OFFSET);
         self.store_links
             .push(FaultLink::start(store_link, store).await?);
-        let front = block.address(vm, FRONT);
+        let front = block.address(vm, FRONT_OFFSET);
         let settings = ProcessSettings {
             name: format!("gateway-{number}"),
             ip: block.ip(vm),
             zone: zone(number),
             inner_port: block.port,
-            callers: Some((front, block.address(vm, READINESS))),
+            callers: Some((front, block.address(vm, READINESS_OFFSET))),
             engine: None,
             store: store_link,
-            first_start: true,
+            is_first_start: true,
         };
-        let gateway = self.process(soak, "gateway", settings, folder);
+        let gateway = self.start_process(soak, "gateway", settings, folder);
         self.gateways.push(gateway);
-        self.callers_at.push(front);
+        self.gateway_addresses.push(front);
         Ok(())
     }
 
-    fn process(
+    fn start_process(
         &self,
         soak: &SoakSettings,
         role: &'static str,
         settings: ProcessSettings,
         folder: &Path,
     ) -> SoakProcess {
-        let kind = ProcessKind {
+        let spec = ProcessSpec {
             daemon: soak.daemon.clone(),
             role,
             settings,
             folder: folder.to_owned(),
         };
-        SoakProcess::start(kind, self.ledger.clone())
+        SoakProcess::start(spec, self.history.clone())
     }
 
     /// Waits until every gateway serves every kind of request and the fleet serves every model, and records what is not
     /// served in time.
-    async fn await_service(&self, most: Duration) {
-        let by_gateway = self.callers_at.iter().flat_map(|gateway| {
+    async fn await_service(&self, wait_limit: Duration) {
+        let by_gateway = self.gateway_addresses.iter().flat_map(|gateway| {
             [CallKind::Safe, CallKind::Unsafe, CallKind::Stream].map(|kind| (*gateway, kind, 0))
         });
-        let by_model = (0..MODELS).map(|model| {
-            let gateway = self.callers_at[model % self.callers_at.len()];
+        let by_model = (0..MODEL_COUNT).map(|model| {
+            let gateway = self.gateway_addresses[model % self.gateway_addresses.len()];
             (gateway, CallKind::ResumableStream, model)
         });
         let probes = by_gateway.chain(by_model);
-        let until = Instant::now() + most;
-        join_all(probes.map(|(gateway, kind, model)| self.probe(gateway, kind, model, until)))
+        let deadline = Instant::now() + wait_limit;
+        join_all(probes.map(|(gateway, kind, model)| self.probe(gateway, kind, model, deadline)))
             .await;
     }
 
-    async fn probe(&self, gateway: SocketAddr, kind: CallKind, model: usize, until: Instant) {
+    async fn probe(&self, gateway: SocketAddr, kind: CallKind, model: usize, deadline: Instant) {
         let client = caller::new_client();
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let number = self.probes.fetch_add(1, Ordering::Relaxed);
             let id = format!("ffff{number:08x}");
-            let call = caller::call(&id, kind, &self.models[model], None);
-            let end = caller::send(&client, gateway, &call, None, &self.ledger).await;
-            if matches!(end, CallEnd::Whole { status: 200, .. }) {
+            let call = caller::build_call(&id, kind, &self.models[model], None);
+            let end = caller::send(&client, gateway, &call, None, &self.history).await;
+            if matches!(end, CallEnd::Complete { status: 200, .. }) {
                 return;
             }
             sleep(Duration::from_millis(200)).await;
         }
-        let what = format!("{kind:?} request for {} at {gateway}", self.models[model]);
-        self.ledger.note(SeenEvent::Unserved { what });
+        let detail = format!("{kind:?} request for {} at {gateway}", self.models[model]);
+        self.history.record(ObservedEvent::Unserved { detail });
     }
 
-    fn note_standin(&self, done: std::io::Result<()>) {
+    fn record_restart(&self, done: std::io::Result<()>) {
         if let Err(error) = done {
-            let what = format!("an endpoint did not restart: {error}");
-            self.ledger.note(SeenEvent::Unserved { what });
+            let detail = format!("an endpoint did not restart: {error}");
+            self.history.record(ObservedEvent::Unserved { detail });
         }
     }
 }
@@ -353,30 +368,32 @@
 }
 
 /// Injects one fault at its start time, and records its end if it exempts gateways from checks.
-async fn strike(fleet: &SoakFleet, step: &FaultStep, begun: Instant) {
-    sleep_until(begun + step.at).await;
-    let since = fleet.ledger.now();
-    inflict(fleet, step).await;
-    if let Some(place) = disturbed(&step.fault) {
-        fleet.ledger.note(SeenEvent::Disturbed { place, since });
+async fn run_step(fleet: &SoakFleet, step: &FaultStep, started: Instant) {
+    sleep_until(started + step.at).await;
+    let since = fleet.history.now();
+    inject_fault(fleet, step).await;
+    if let Some(scope) = exempt_scope(&step.fault) {
+        fleet
+            .history
+            .record(ObservedEvent::FaultEnded { scope, since });
     }
 }
 
 /// Returns the part that a fault affects, if the fault exempts gateways from checks.
-fn disturbed(fault: &SoakFault) -> Option<DisturbedPlace> {
+fn exempt_scope(fault: &SoakFault) -> Option<FaultScope> {
     match fault {
         SoakFault::KillGateway(number)
         | SoakFault::StopGateway(number)
-        | SoakFault::PauseGateway(number) => Some(DisturbedPlace::Gateway(*number)),
-        SoakFault::StoreLink(number, _) => Some(DisturbedPlace::StoreLink(*number)),
-        SoakFault::Link(number, _) => Some(DisturbedPlace::Endpoint(*number)),
-        SoakFault::KillAll => Some(DisturbedPlace::AllGateways),
-        SoakFault::Store(_) => Some(DisturbedPlace::Store),
+        | SoakFault::PauseGateway(number) => Some(FaultScope::Gateway(*number)),
+        SoakFault::StoreLink(number, _) => Some(FaultScope::StoreLink(*number)),
+        SoakFault::Link(number, _) => Some(FaultScope::Endpoint(*number)),
+        SoakFault::KillAll => Some(FaultScope::AllGateways),
+        SoakFault::Store(_) => Some(FaultScope::Store),
         _ => None,
     }
 }
 
-async fn inflict(fleet: &SoakFleet, step: &FaultStep) {
+async fn inject_fault(fleet: &SoakFleet, step: &FaultStep) {
     match &step.fault {
         SoakFault::KillGateway(number) => fleet.gateways[*number].kill(),
         SoakFault::KillSidecar(number) => fleet.sidecars[*number].kill(),
@@ -388,17 +405,19 @@
         SoakFault::ReloadGateway(number) => fleet.gateways[*number].reload(),
         SoakFault::PauseGateway(number) => fleet.gateways[*number].pause(step.lasts).await,
         SoakFault::PauseSidecar(number) => fleet.sidecars[*number].pause(step.lasts).await,
-        SoakFault::Link(number, mode) => hold(&fleet.links[*number], *mode, step.lasts).await,
+        SoakFault::Link(number, mode) => {
+            hold_link_mode(&fleet.links[*number], *mode, step.lasts).await
+        }
         SoakFault::StoreLink(number, mode) => {
-            hold(&fleet.store_links[*number], *mode, step.lasts).await;
+            hold_link_mode(&fleet.store_links[*number], *mode, step.lasts).await;
         }
         SoakFault::Store(mode) => {
             fleet.store.set_mode(*mode);
             sleep(step.lasts).await;
             fleet.store.set_mode(StoreMode::Up);
         }
-        SoakFault::Crash(number) => fleet.note_standin(fleet.endpoints[*number].crash().await),
-        SoakFault::Drain(number) => fleet.note_standin(fleet.endpoints[*number].drain().await),
+        SoakFault::Crash(number) => fleet.record_restart(fleet.endpoints[*number].crash().await),
+        SoakFault::Drain(number) => fleet.record_restart(fleet.endpoints[*number].drain().await),
         SoakFault::LoseAnswers(number) => {
             let faults = EndpointFaults {
                 lost: 0.3,
@@ -426,47 +445,47 @@
                 .store
                 .configure(&settings::config(version, &fleet.models));
         }
-        SoakFault::StoreReturns(age) => fleet.store.come_back(*age),
+        SoakFault::StoreReturns(age) => fleet.store.restore_copy(*age),
         SoakFault::Leave(number) => {
-            fleet.note_standin(fleet.endpoints[*number].leave(step.lasts).await);
+            fleet.record_restart(fleet.endpoints[*number].leave(step.lasts).await);
         }
         SoakFault::Rest(number, rest) => {
             let endpoint = &fleet.endpoints[*number];
-            endpoint.say(|sayings| sayings.rest = Some(*rest));
+            endpoint.change_notices(|notices| notices.rest = Some(*rest));
             sleep(step.lasts).await;
-            endpoint.say(|sayings| sayings.rest = None);
+            endpoint.change_notices(|notices| notices.rest = None);
         }
         SoakFault::Limit(number, per_mille) => {
             let endpoint = &fleet.endpoints[*number];
-            endpoint.say(|sayings| sayings.limit_per_mille = Some(*per_mille));
+            endpoint.change_notices(|notices| notices.limit_per_mille = Some(*per_mille));
             sleep(step.lasts).await;
-            endpoint.say(|sayings| sayings.limit_per_mille = None);
+            endpoint.change_notices(|notices| notices.limit_per_mille = None);
         }
-        SoakFault::CrashingRequest(kind) => come_back(fleet, *kind, step.lasts).await,
+        SoakFault::CrashingRequest(kind) => send_crashing_requests(fleet, *kind, step.lasts).await,
     }
 }
 
 /// Sends one request, each time under a new id, to the gateways in turn without waiting for responses.
-async fn come_back(fleet: &SoakFleet, kind: CallKind, span: Duration) {
-    let until = Instant::now() + span;
+async fn send_crashing_requests(fleet: &SoakFleet, kind: CallKind, span: Duration) {
+    let deadline = Instant::now() + span;
     let mut sent = JoinSet::new();
     for number in 0.. {
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             break;
         }
-        let place = usize::try_from(number).unwrap_or_default() % fleet.callers_at.len();
-        let gateway = fleet.callers_at[place];
-        let call = caller::crashing_call(kind, place, number, &fleet.models[0]);
-        let ledger = fleet.ledger.clone();
+        let index = usize::try_from(number).unwrap_or_default() % fleet.gateway_addresses.len();
+        let gateway = fleet.gateway_addresses[index];
+        let call = caller::crashing_call(kind, index, number, &fleet.models[0]);
+        let history = fleet.history.clone();
         sent.spawn(async move {
-            caller::send(&caller::new_client(), gateway, &call, None, &ledger).await;
+            caller::send(&caller::new_client(), gateway, &call, None, &history).await;
         });
-        sleep(RETURN_EVERY).await;
+        sleep(CRASH_SEND_INTERVAL).await;
     }
     while sent.join_next().await.is_some() {}
 }
 
-async fn hold(link: &FaultLink, mode: LinkMode, span: Duration) {
+async fn hold_link_mode(link: &FaultLink, mode: LinkMode, span: Duration) {
     link.set(mode);
     sleep(span).await;
     link.set(LinkMode::Open);
--- a/crates/oatpier-soak/src/standin/caller.rs
+++ b/crates/oatpier-soak/src/standin/caller.rs
@@ -12,16 +12,17 @@
 use tokio::time::{sleep, timeout};
 
 use super::settings::{
-    ENGINES, FREE_KEY, HOST, LIMITED_KEY, PLAIN, STREAM_TOKENS, TIMEOUT_MS, UNKNOWN_KEY,
+    ENGINE_SERVICE, FREE_KEY, HOST, LIMITED_KEY, PLAIN_SERVICE, STREAM_TOKENS, TIMEOUT_MS,
+    UNKNOWN_KEY,
 };
-use crate::ledger::{CallEnd, CallKind, SeenEvent, SentCall, SoakLedger};
+use crate::history::{CallEnd, CallKind, EventHistory, ObservedEvent, SentCall};
 
 /// Time after which a caller without a complete response gives up: the route's timeout plus 12 s, because a paused
 /// gateway responds only after the pause.
-const HUNG_AFTER: Duration = Duration::from_millis(TIMEOUT_MS + 12_000);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(TIMEOUT_MS + 12_000);
 
 /// The longest pause between two requests of a caller, in milliseconds.
-const PAUSE_MS: u64 = 40;
+const MAX_PAUSE_MS: u64 = 40;
 
 /// Draws keys with a random generator of its own, so that the other draws of a seed don't depend on them.
 #[derive(Debug)]
@@ -42,11 +43,11 @@
 pub struct SoakCaller {
     number: usize,
     sent: u64,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     keys: KeyDraw,
     gateways: Vec<SocketAddr>,
     models: Vec<String>,
-    ledger: SoakLedger,
+    history: EventHistory,
 }
 
 impl SoakCaller {
@@ -57,16 +58,16 @@
         seed: u64,
         gateways: Vec<SocketAddr>,
         models: Vec<String>,
-        ledger: SoakLedger,
+        history: EventHistory,
     ) -> Self {
         Self {
             number,
             sent: 0,
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             keys: KeyDraw(ChaCha8Rng::seed_from_u64(!seed)),
             gateways,
             models,
-            ledger,
+            history,
         }
     }
 
@@ -74,40 +75,40 @@
     pub async fn run(mut self, stop: tokio::sync::watch::Receiver<bool>) {
         let client = new_client();
         while !*stop.borrow() {
-            let call = self.draw();
-            let gateway = self.random.random_range(0..self.gateways.len());
+            let call = self.draw_call();
+            let gateway = self.rng.random_range(0..self.gateways.len());
             let id = call.id.clone();
-            self.ledger.note(SeenEvent::Routed { id, gateway });
+            self.history.record(ObservedEvent::Routed { id, gateway });
             let gateway = self.gateways[gateway];
-            let leaves = self.random.random_bool(0.05).then(|| {
-                let after = self.random.random_range(1..200);
+            let cancel_after = self.rng.random_bool(0.05).then(|| {
+                let after = self.rng.random_range(1..200);
                 Duration::from_millis(after)
             });
-            send(&client, gateway, &call, leaves, &self.ledger).await;
-            let pause = self.random.random_range(0..PAUSE_MS);
+            send(&client, gateway, &call, cancel_after, &self.history).await;
+            let pause = self.rng.random_range(0..MAX_PAUSE_MS);
             sleep(Duration::from_millis(pause)).await;
         }
     }
 
-    fn draw(&mut self) -> SentCall {
+    fn draw_call(&mut self) -> SentCall {
         self.sent += 1;
         let id = format!("{:04x}{:08x}", self.number, self.sent);
-        let kind = match self.random.random_range(0..6) {
+        let kind = match self.rng.random_range(0..6) {
             0 => CallKind::Safe,
             1 | 2 => CallKind::Unsafe,
             3 | 4 => CallKind::Stream,
             _ => CallKind::ResumableStream,
         };
         // Uses the lower of two draws, so that the first models get most of the requests.
-        let place = self
-            .random
+        let index = self
+            .rng
             .random_range(0..self.models.len())
-            .min(self.random.random_range(0..self.models.len()));
+            .min(self.rng.random_range(0..self.models.len()));
         let adapter = self
-            .random
+            .rng
             .random_bool(0.3)
-            .then(|| self.random.random_range(1..5));
-        let call = call(&id, kind, &self.models[place], adapter);
+            .then(|| self.rng.random_range(1..5));
+        let call = build_call(&id, kind, &self.models[index], adapter);
         SentCall {
             key: self.keys.next_key(),
             ..call
@@ -117,12 +118,12 @@
 
 /// Returns a request of a kind, with the key of the workspace without a limit.
 #[must_use]
-pub fn call(id: &str, kind: CallKind, model: &str, adapter: Option<u32>) -> SentCall {
+pub fn build_call(id: &str, kind: CallKind, model: &str, adapter: Option<u32>) -> SentCall {
     let (method, prefix, service) = match kind {
-        CallKind::Safe => ("GET", "/safe/", PLAIN),
-        CallKind::Unsafe => ("POST", "/unsafe/", PLAIN),
-        CallKind::Stream => ("POST", "/stream/", ENGINES),
-        CallKind::ResumableStream => ("POST", "/stream-resume/", ENGINES),
+        CallKind::Safe => ("GET", "/safe/", PLAIN_SERVICE),
+        CallKind::Unsafe => ("POST", "/unsafe/", PLAIN_SERVICE),
+        CallKind::Stream => ("POST", "/stream/", ENGINE_SERVICE),
+        CallKind::ResumableStream => ("POST", "/stream-resume/", ENGINE_SERVICE),
     };
     let weights = match adapter {
         Some(adapter) => format!("{model}/a{adapter}"),
@@ -138,34 +139,34 @@
         } else {
             format!("body of {id}")
         },
-        model: (service == ENGINES).then_some(weights),
+        model: (service == ENGINE_SERVICE).then_some(weights),
         key: FREE_KEY,
     }
 }
 
 /// The end of the paths of crashing requests.
-pub const CRASHING: &str = "/crash";
+pub const CRASH_PATH: &str = "/crash";
 
 /// The prefix of the ids of crashing requests. The number of the gateway follows it.
-const CRASHING_ID: &str = "dead";
+const CRASH_ID_PREFIX: &str = "dead";
 
 /// Returns a request that crashes the endpoints that run it, as sent to a gateway for the `number`th time. Only its id
 /// differs between sends.
 #[must_use]
 pub fn crashing_call(kind: CallKind, gateway: usize, number: u64, model: &str) -> SentCall {
-    let plain = call("", kind, model, None);
-    let id = format!("{CRASHING_ID}{gateway:04x}{number:08x}");
+    let plain = build_call("", kind, model, None);
+    let id = format!("{CRASH_ID_PREFIX}{gateway:04x}{number:08x}");
     SentCall {
         id,
-        target: plain.target.replacen("/?", &format!("{CRASHING}?"), 1),
+        target: plain.target.replacen("/?", &format!("{CRASH_PATH}?"), 1),
         ..plain
     }
 }
 
 /// Returns the gateway that a crashing request was sent to, or `None` for any other request.
 #[must_use]
-pub fn gateway_of(id: &str) -> Option<usize> {
-    let rest = id.strip_prefix(CRASHING_ID)?;
+pub fn crash_gateway(id: &str) -> Option<usize> {
+    let rest = id.strip_prefix(CRASH_ID_PREFIX)?;
     usize::from_str_radix(rest.get(..4)?, 16).ok()
 }
 
@@ -185,45 +186,47 @@
     client: &HttpClient,
     gateway: SocketAddr,
     call: &SentCall,
-    leaves: Option<Duration>,
-    ledger: &SoakLedger,
+    cancel_after: Option<Duration>,
+    history: &EventHistory,
 ) -> CallEnd {
-    ledger.note(SeenEvent::Sent(call.clone()));
-    let answered = answer(client, gateway, call);
-    let end = match leaves {
-        Some(after) => timeout(after, answered).await.unwrap_or(CallEnd::Left),
-        None => timeout(HUNG_AFTER, answered).await.unwrap_or(CallEnd::Hung),
+    history.record(ObservedEvent::Sent(call.clone()));
+    let exchange = exchange(client, gateway, call);
+    let end = match cancel_after {
+        Some(after) => timeout(after, exchange).await.unwrap_or(CallEnd::Cancelled),
+        None => timeout(CALLER_TIMEOUT, exchange)
+            .await
+            .unwrap_or(CallEnd::TimedOut),
     };
-    ledger.note(SeenEvent::Ended {
+    history.record(ObservedEvent::Ended {
         id: call.id.clone(),
         end: end.clone(),
     });
     end
 }
 
-async fn answer(client: &HttpClient, gateway: SocketAddr, call: &SentCall) -> CallEnd {
-    let Some(request) = request(call) else {
-        return CallEnd::Cut;
+async fn exchange(client: &HttpClient, gateway: SocketAddr, call: &SentCall) -> CallEnd {
+    let Some(request) = build_request(call) else {
+        return CallEnd::Interrupted;
     };
-    let Ok(answer) = client.send(gateway, request).await else {
-        return CallEnd::Cut;
+    let Ok(response) = client.send(gateway, request).await else {
+        return CallEnd::Interrupted;
     };
-    let (parts, body) = answer.into_parts();
+    let (parts, body) = response.into_parts();
     let stamp = parts.headers.get("x-oatpier-response-stamp");
     let stamp = stamp
         .and_then(|stamp| stamp.to_str().ok())
         .map(str::to_owned);
     match body.collect().await.map(Collected::to_bytes) {
-        Ok(body) => CallEnd::Whole {
+        Ok(body) => CallEnd::Complete {
             status: parts.status.as_u16(),
             stamp,
             body: String::from_utf8_lossy(&body).into_owned(),
         },
-        Err(_) => CallEnd::Cut,
+        Err(_) => CallEnd::Interrupted,
     }
 }
 
-fn request(call: &SentCall) -> Option<Request<Bytes>> {
+fn build_request(call: &SentCall) -> Option<Request<Bytes>> {
     let (method, target) = call.target.split_once(' ')?;
     let mut builder = Request::builder()
         .method(method)
--- a/crates/oatpier-soak/src/standin/endpoint.rs
+++ b/crates/oatpier-soak/src/standin/endpoint.rs
@@ -19,32 +19,32 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-use super::answers::{self, not_run, set, sign, text};
-use super::caller::CRASHING;
-use super::sayings::EndpointSayings;
+use super::caller::CRASH_PATH;
+use super::notices::EndpointNotices;
+use super::responses::{self, not_run_response, set, sign, text};
 use super::store::StoreStandin;
 use super::weights::{EngineWeights, OrderOutcome};
-use crate::ledger::{BegunRun, SeenEvent, SoakLedger};
+use crate::history::{BegunRun, EventHistory, ObservedEvent};
 
 /// The number of requests that an endpoint runs at the same time.
 const SLOTS: u32 = 8;
 
 /// The run time of a request without a stream, and the interval between events of a stream.
-const WORK: Duration = Duration::from_millis(15);
-const EVENT_EVERY: Duration = Duration::from_millis(12);
+const RUN_TIME: Duration = Duration::from_millis(15);
+const EVENT_INTERVAL: Duration = Duration::from_millis(12);
 
 /// The interval at which an endpoint writes its registry entry.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(400);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long a draining endpoint serves after it reports that it drains.
-const LINGER: Duration = Duration::from_millis(1_200);
+const DRAIN_TIME: Duration = Duration::from_millis(1_200);
 
 /// How long an endpoint is down between a stop and its restart.
-const AWAY: Duration = Duration::from_millis(400);
+const DOWNTIME: Duration = Duration::from_millis(400);
 
 /// Headers that gateways must remove from callers' requests. The expected instance and the workspace are not listed,
 /// because gateways set them.
-const FORGED: [&str; 7] = [
+const RESERVED_HEADERS: [&str; 7] = [
     "authorization",
     "x-oatpier-hold",
     "x-oatpier-pin-ms",
@@ -67,7 +67,7 @@
 
 /// The fixed properties of an endpoint.
 #[derive(Debug, Clone)]
-pub struct EndpointKind {
+pub struct EndpointSpec {
     /// Its index among all endpoints.
     pub number: usize,
     /// The address that it listens on, behind its link.
@@ -89,21 +89,21 @@
     instance: String,
     weights: EngineWeights,
     running: u32,
-    draining: bool,
+    is_draining: bool,
     faults: EndpointFaults,
-    sayings: EndpointSayings,
+    notices: EndpointNotices,
 }
 
 /// A running endpoint. Clones share it.
 #[derive(Debug, Clone)]
 pub struct EndpointStandin {
-    kind: Arc<EndpointKind>,
+    spec: Arc<EndpointSpec>,
     state: Arc<Mutex<EndpointState>>,
     store: StoreStandin,
-    ledger: SoakLedger,
+    history: EventHistory,
     serving: Arc<Mutex<Option<JoinHandle<()>>>>,
     /// Held from a stop to the end of the restart. Faults overlap, and only one may restart the endpoint at a time.
-    turn: Arc<tokio::sync::Mutex<()>>,
+    restart_lock: Arc<tokio::sync::Mutex<()>>,
 }
 
 impl EndpointStandin {
@@ -113,25 +113,25 @@
     ///
     /// Returns an error if its address can't be bound.
     pub fn start(
-        kind: EndpointKind,
+        spec: EndpointSpec,
         store: StoreStandin,
-        ledger: SoakLedger,
+        history: EventHistory,
     ) -> std::io::Result<Self> {
         let state = EndpointState {
-            instance: new_instance(),
-            weights: EngineWeights::starting_with(&kind.models, &kind.copies),
+            instance: new_instance_id(),
+            weights: EngineWeights::starting_with(&spec.models, &spec.copies),
             running: 0,
-            draining: false,
+            is_draining: false,
             faults: EndpointFaults::default(),
-            sayings: EndpointSayings::default(),
+            notices: EndpointNotices::default(),
         };
         let endpoint = Self {
-            kind: Arc::new(kind),
+            spec: Arc::new(spec),
             state: Arc::new(Mutex::new(state)),
             store,
-            ledger,
+            history,
             serving: Arc::default(),
-            turn: Arc::default(),
+            restart_lock: Arc::default(),
         };
         endpoint.serve()?;
         tokio::spawn(endpoint.clone().write_entries());
@@ -145,7 +145,7 @@
     fn serve(&self) -> std::io::Result<()> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
-        socket.bind(self.kind.listen)?;
+        socket.bind(self.spec.listen)?;
         let listener: TcpListener = socket.listen(1_024)?;
         let handler: Arc<dyn RequestHandler> = Arc::new(self.clone());
         let serving = tokio::spawn(server::serve(
@@ -155,14 +155,14 @@
             Arc::default(),
             std::future::pending(),
         ));
-        let mut kept = self.serving.lock().unwrap_or_else(PoisonError::into_inner);
-        *kept = Some(serving);
+        let mut current = self.serving.lock().unwrap_or_else(PoisonError::into_inner);
+        *current = Some(serving);
         Ok(())
     }
 
     fn stop_serving(&self) {
-        let mut kept = self.serving.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(serving) = kept.take() {
+        let mut current = self.serving.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(serving) = current.take() {
             serving.abort();
         }
     }
@@ -178,7 +178,7 @@
                 let (name, entry) = self.entry();
                 self.store.register(&name, Some(&entry));
             }
-            sleep(HEARTBEAT_EVERY).await;
+            sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
@@ -186,9 +186,9 @@
         let mut state = self.lock();
         let models = state.weights.models();
         let entry = json!({
-            "service": self.kind.service, "address": self.kind.address, "zone": self.kind.zone,
+            "service": self.spec.service, "address": self.spec.address, "zone": self.spec.zone,
             "version": "v1", "slots": SLOTS, "cold_ms": 0, "seq": 1, "models": models,
-            "state": if state.draining { "draining" } else { "ready" },
+            "state": if state.is_draining { "draining" } else { "ready" },
         });
         (state.instance.clone(), entry)
     }
@@ -199,8 +199,8 @@
     }
 
     /// Changes the notices that the endpoint sends.
-    pub fn say(&self, change: impl FnOnce(&mut EndpointSayings)) {
-        change(&mut self.lock().sayings);
+    pub fn change_notices(&self, change: impl FnOnce(&mut EndpointNotices)) {
+        change(&mut self.lock().notices);
     }
 
     /// Announces a shutdown only in responses, serves for `span`, and restarts as a new instance.
@@ -209,8 +209,8 @@
     ///
     /// Returns an error if its address can't be bound again.
     pub async fn leave(&self, span: Duration) -> std::io::Result<()> {
-        let _turn = self.turn.lock().await;
-        self.say(|sayings| sayings.leaving = true);
+        let _restart_guard = self.restart_lock.lock().await;
+        self.change_notices(|notices| notices.is_leaving = true);
         sleep(span).await;
         let (name, _) = self.entry();
         self.store.register(&name, None);
@@ -223,38 +223,38 @@
     ///
     /// Returns an error if its address can't be bound again.
     pub async fn crash(&self) -> std::io::Result<()> {
-        let _turn = self.turn.lock().await;
+        let _restart_guard = self.restart_lock.lock().await;
         self.restart().await
     }
 
     /// Crashes because of a request. Returns false if a stop or restart is already in progress.
-    fn crash_under(&self, request: &Request<Bytes>) -> bool {
-        let Ok(turn) = Arc::clone(&self.turn).try_lock_owned() else {
+    fn crash_during(&self, request: &Request<Bytes>) -> bool {
+        let Ok(restart_lock) = Arc::clone(&self.restart_lock).try_lock_owned() else {
             return false;
         };
         let target = format!("{} {}", request.method(), request.uri());
-        self.ledger.note(SeenEvent::Crashed { target });
+        self.history.record(ObservedEvent::Crashed { target });
         let endpoint = self.clone();
         tokio::spawn(async move {
             if let Err(error) = endpoint.restart().await {
-                let what = format!("an endpoint did not restart: {error}");
-                endpoint.ledger.note(SeenEvent::Unserved { what });
+                let detail = format!("an endpoint did not restart: {error}");
+                endpoint.history.record(ObservedEvent::Unserved { detail });
             }
-            drop(turn);
+            drop(restart_lock);
         });
         true
     }
 
     async fn restart(&self) -> std::io::Result<()> {
         self.stop_serving();
-        sleep(AWAY).await;
+        sleep(DOWNTIME).await;
         {
             let mut state = self.lock();
-            state.instance = new_instance();
+            state.instance = new_instance_id();
             state.weights = state.weights.after_crash();
             state.running = 0;
-            state.draining = false;
-            state.sayings = EndpointSayings::default();
+            state.is_draining = false;
+            state.notices = EndpointNotices::default();
         }
         self.serve()
     }
@@ -265,77 +265,78 @@
     ///
     /// Returns an error if its address can't be bound again.
     pub async fn drain(&self) -> std::io::Result<()> {
-        let _turn = self.turn.lock().await;
-        self.lock().draining = true;
+        let _restart_guard = self.restart_lock.lock().await;
+        self.lock().is_draining = true;
         let (name, entry) = self.entry();
         self.store.register(&name, Some(&entry));
-        sleep(LINGER).await;
+        sleep(DRAIN_TIME).await;
         self.store.register(&name, None);
         self.restart().await
     }
 
-    async fn answer(&self, request: Request<Bytes>) -> Reply {
+    async fn respond(&self, request: Request<Bytes>) -> Reply {
         match request.uri().path() {
             "/report" => self.report(),
             "/health" => self.health(),
             "/order" => self.order(&request).await,
-            _ => self.answer_request(request).await,
+            _ => self.respond_to_request(request).await,
         }
     }
 
     /// Responds to a request that is meant for this instance, and adds the notices to the response.
-    async fn answer_request(&self, request: Request<Bytes>) -> Reply {
-        if let Some(other) = self.other_instance(request.headers()) {
+    async fn respond_to_request(&self, request: Request<Bytes>) -> Reply {
+        if let Some(other) = self.refuse_other_instance(request.headers()) {
             return other;
         }
         let id = text(request.headers(), "x-oatpier-request-id").unwrap_or_default();
         let instance = self.lock().instance.clone();
-        self.ledger.note(SeenEvent::Reached {
+        self.history.record(ObservedEvent::Reached {
             id: id.clone(),
-            endpoint: self.kind.number,
+            endpoint: self.spec.number,
             instance: instance.clone(),
         });
-        let rests = self.lock().sayings.rest.is_some();
-        let mut answer = if rests {
-            not_run(StatusCode::SERVICE_UNAVAILABLE)
+        let is_resting = self.lock().notices.rest.is_some();
+        let mut response = if is_resting {
+            not_run_response(StatusCode::SERVICE_UNAVAILABLE)
         } else {
             self.run(request).await
         };
-        let mut sayings = self.lock().sayings;
-        sayings.rest = sayings.rest.filter(|_| rests);
-        for said in sayings.list() {
+        let mut notices = self.lock().notices;
+        notices.rest = notices.rest.filter(|_| is_resting);
+        for kind in notices.list() {
             let (id, instance) = (id.clone(), instance.clone());
-            self.ledger.note(SeenEvent::Said { id, instance, said });
+            self.history
+                .record(ObservedEvent::NoticeSent { id, instance, kind });
         }
-        sayings.write(answer.headers_mut());
-        answer
+        notices.write(response.headers_mut());
+        response
     }
 
     fn report(&self) -> Reply {
         let mut state = self.lock();
         let running = state.running;
         let mut report = state.weights.report(running);
-        if state.draining {
+        if state.is_draining {
             report["state"] = json!("draining");
         }
         reply::whole(StatusCode::OK, "application/json", report.to_string())
     }
 
     fn health(&self) -> Reply {
-        let mut answer = reply::text(StatusCode::OK, "");
+        let mut response = reply::text(StatusCode::OK, "");
         set(
-            answer.headers_mut(),
+            response.headers_mut(),
             "x-oatpier-instance-id",
             &self.lock().instance,
         );
-        answer
+        response
     }
 
     async fn order(&self, request: &Request<Bytes>) -> Reply {
         let Ok(order) = serde_json::from_slice::<Value>(request.body()) else {
             return reply::text(StatusCode::BAD_REQUEST, "");
         };
-        if let Some(other) = self.other_instance(request.headers()) {
+        if let Some(other) = self.refuse_other_instance(request.headers()) {
             return other;
         }
         let late = self.lock().faults.late_orders;
@@ -361,70 +362,71 @@
         let mut state = self.lock();
         let instance = state.instance.clone();
         match state.weights.order(order) {
-            OrderOutcome::Taken { from_store } => {
+            OrderOutcome::Accepted { from_store } => {
                 if from_store {
-                    self.ledger.note(SeenEvent::StoreLoad { instance });
+                    self.history.record(ObservedEvent::StoreLoad { instance });
                 }
                 StatusCode::ACCEPTED
             }
-            OrderOutcome::Holds => StatusCode::OK,
+            OrderOutcome::Unchanged => StatusCode::OK,
             OrderOutcome::Conflict => StatusCode::CONFLICT,
             OrderOutcome::Rejected => StatusCode::MISDIRECTED_REQUEST,
-            OrderOutcome::Overfull(what) => {
-                self.ledger.note(SeenEvent::Overfull { instance, what });
+            OrderOutcome::Overcommitted(detail) => {
+                self.history
+                    .record(ObservedEvent::Overcommitted { instance, detail });
                 StatusCode::BAD_REQUEST
             }
         }
     }
 
     /// Returns the refusal of a call that is meant for another instance.
-    fn other_instance(&self, headers: &HeaderMap) -> Option<Reply> {
+    fn refuse_other_instance(&self, headers: &HeaderMap) -> Option<Reply> {
         let expected = text(headers, "x-oatpier-expect-instance")?;
         let instance = self.lock().instance.clone();
         if expected == instance {
             return None;
         }
-        let mut answer = not_run(StatusCode::MISDIRECTED_REQUEST);
-        set(answer.headers_mut(), "x-oatpier-instance-id", &instance);
-        Some(answer)
+        let mut response = not_run_response(StatusCode::MISDIRECTED_REQUEST);
+        set(response.headers_mut(), "x-oatpier-instance-id", &instance);
+        Some(response)
     }
 
     async fn run(&self, request: Request<Bytes>) -> Reply {
         let Some(id) = text(request.headers(), "x-oatpier-request-id") else {
-            return not_run(StatusCode::BAD_REQUEST);
+            return not_run_response(StatusCode::BAD_REQUEST);
         };
         let slot = match self.take_slot(&request) {
             Ok(slot) => slot,
-            Err(status) => return not_run(status),
+            Err(status) => return not_run_response(status),
         };
-        let run = begun(&id, &slot, self.kind.service, &request);
-        self.ledger.note(SeenEvent::Begun(run));
-        if request.uri().path().ends_with(CRASHING) {
-            if self.crash_under(&request) {
+        let run = started_run(&id, &slot, self.spec.service, &request);
+        self.history.record(ObservedEvent::RunStarted(run));
+        if request.uri().path().ends_with(CRASH_PATH) {
+            if self.crash_during(&request) {
                 return std::future::pending().await;
             }
             // A complete run would clear the request of suspicion, so an endpoint that already stops cuts off its
             // response instead.
-            return cut_answer(&id, &slot);
+            return cut_response(&id, &slot);
         }
         let faults = self.lock().faults;
         if rand::rng().random_bool(faults.lost) {
-            sleep(WORK).await;
-            return cut_answer(&id, &slot);
+            sleep(RUN_TIME).await;
+            return cut_response(&id, &slot);
         }
         let garbled = rand::rng().random_bool(faults.garbled);
         if request.uri().path().contains("stream") {
             let after = text(request.headers(), "last-event-id");
             let after = after.and_then(|id| id.parse().ok()).unwrap_or(0);
-            return stream_answer(&id, slot, after, garbled);
+            return stream_response(&id, slot, after, garbled);
         }
-        sleep(WORK).await;
+        sleep(RUN_TIME).await;
         if garbled {
-            return cut_answer(&id, &slot);
+            return cut_response(&id, &slot);
         }
-        let mut answer = reply::text(StatusCode::OK, answers::whole(&id));
-        sign(answer.headers_mut(), &id, &slot.instance);
-        answer
+        let mut response = reply::text(StatusCode::OK, responses::body(&id));
+        sign(response.headers_mut(), &id, &slot.instance);
+        response
     }
 
     fn take_slot(&self, request: &Request<Bytes>) -> Result<RunSlot, StatusCode> {
@@ -449,7 +451,7 @@
 
 impl RequestHandler for EndpointStandin {
     fn handle(&self, request: Request<Bytes>, _: SocketAddr) -> BoxFuture<'_, Reply> {
-        self.answer(request).boxed()
+        self.respond(request).boxed()
     }
 }
 
@@ -473,9 +475,16 @@
     }
 }
 
-fn begun(id: &str, slot: &RunSlot, service: &'static str, request: &Request<Bytes>) -> BegunRun {
+fn started_run(
+    id: &str,
+    slot: &RunSlot,
+    service: &'static str,
+    request: &Request<Bytes>,
+) -> BegunRun {
     let headers = request.headers();
-    let forged = FORGED.iter().filter(|name| headers.contains_key(**name));
+    let forged = RESERVED_HEADERS
+        .iter()
+        .filter(|name| headers.contains_key(**name));
     BegunRun {
         id: id.to_owned(),
         instance: slot.instance.clone(),
@@ -489,47 +498,47 @@
 }
 
 /// Returns a response that breaks off in the middle of its body.
-fn cut_answer(id: &str, slot: &RunSlot) -> Reply {
-    let half = answers::whole(id);
+fn cut_response(id: &str, slot: &RunSlot) -> Reply {
+    let half = responses::body(id);
     let half = Bytes::from(half[..half.len() / 2].to_owned());
-    let pieces = [Ok(Frame::data(half)), Err(BoxError::from("cut"))];
-    let mut answer = body_of(stream::iter(pieces));
-    sign(answer.headers_mut(), id, &slot.instance);
-    answer
+    let frames = [Ok(Frame::data(half)), Err(BoxError::from("cut"))];
+    let mut response = streaming_response(stream::iter(frames));
+    sign(response.headers_mut(), id, &slot.instance);
+    response
 }
 
-fn stream_answer(id: &str, slot: RunSlot, after: u32, garbled: bool) -> Reply {
+fn stream_response(id: &str, slot: RunSlot, after: u32, garbled: bool) -> Reply {
     let instance = slot.instance.clone();
     let cut_after = if garbled { after + 4 } else { u32::MAX };
-    let owned = id.to_owned();
+    let request_id = id.to_owned();
     let due = Instant::now();
-    let pieces = stream::unfold((after + 1, slot), move |(number, slot)| {
-        let id = owned.clone();
+    let frames = stream::unfold((after + 1, slot), move |(number, slot)| {
+        let id = request_id.clone();
         async move {
-            if number > answers::EVENTS {
+            if number > responses::EVENTS {
                 return None;
             }
-            let ahead = EVENT_EVERY * (number - after);
-            tokio::time::sleep_until(due + ahead).await;
+            let offset = EVENT_INTERVAL * (number - after);
+            tokio::time::sleep_until(due + offset).await;
             if number > cut_after {
                 return Some((Err(BoxError::from("cut")), (u32::MAX, slot)));
             }
-            let event = Bytes::from(answers::event(&id, number));
+            let event = Bytes::from(responses::event(&id, number));
             Some((Ok(Frame::data(event)), (number + 1, slot)))
         }
     });
-    let mut answer = body_of(pieces);
-    set(answer.headers_mut(), "content-type", "text/event-stream");
-    sign(answer.headers_mut(), id, &instance);
-    answer
+    let mut response = streaming_response(frames);
+    set(response.headers_mut(), "content-type", "text/event-stream");
+    sign(response.headers_mut(), id, &instance);
+    response
 }
 
-fn body_of(
-    pieces: impl futures::Stream<Item = Result<Frame<Bytes>, BoxError>> + Send + 'static,
+fn streaming_response(
+    frames: impl futures::Stream<Item = Result<Frame<Bytes>, BoxError>> + Send + 'static,
 ) -> Reply {
-    Response::new(BodyExt::boxed_unsync(StreamBody::new(pieces)))
+    Response::new(BodyExt::boxed_unsync(StreamBody::new(frames)))
 }
 
-fn new_instance() -> String {
+fn new_instance_id() -> String {
     format!("i-{:010x}", rand::rng().random::<u32>())
 }
--- a/crates/oatpier-soak/src/standin/mod.rs
+++ b/crates/oatpier-soak/src/standin/mod.rs
@@ -4,14 +4,14 @@
 //! - [`endpoint`]: engines and plain services, with faults of their own.
 //! - [`notices`]: notices that an endpoint sends in its responses.
 //! - [`weights`]: the models and adapters that an engine holds, and the effect of orders on them.
-//! - [`answers`]: the correct response to a request.
+//! - [`responses`]: the correct response to a request.
 //! - [`caller`]: callers and the requests that they send.
 //! - [`settings`]: the settings files of processes, and the configuration.
 
-pub mod answers;
 pub mod caller;
 pub mod endpoint;
-pub mod sayings;
+pub mod notices;
+pub mod responses;
 pub mod settings;
 pub mod store;
 pub mod weights;
--- a/crates/oatpier-soak/src/standin/answers.rs
+++ b/crates/oatpier-soak/src/standin/responses.rs
@@ -8,7 +8,7 @@
 
 /// Returns the body of a single response.
 #[must_use]
-pub fn whole(id: &str) -> String {
+pub fn body(id: &str) -> String {
     format!("answer to {id}, with enough text after it to be cut in the middle")
 }
 
@@ -31,10 +31,10 @@
 }
 
 /// Returns a response that says that the request did not run.
-pub(super) fn not_run(status: StatusCode) -> Reply {
-    let mut answer = reply::text(status, "");
-    set(answer.headers_mut(), "x-oatpier-not-executed", "1");
-    answer
+pub(super) fn not_run_response(status: StatusCode) -> Reply {
+    let mut response = reply::text(status, "");
+    set(response.headers_mut(), "x-oatpier-not-executed", "1");
+    response
 }
 
 /// Sets the request id and the stamp on a response to the request `id`.
--- a/crates/oatpier-soak/src/standin/settings.rs
+++ b/crates/oatpier-soak/src/standin/settings.rs
@@ -4,15 +4,15 @@
 
 use serde_json::{Value, json};
 
-use super::weights::{ADAPTER_MB, MEMORY_MB, MODEL_MB, PLACES};
+use super::weights::{ADAPTER_MB, ADAPTER_SLOTS, MEMORY_MB, MODEL_MB};
 
 /// The environment variable that holds the path of a process's settings file.
 pub const SETTINGS_VARIABLE: &str = "OATPIER_NODE_FILE";
 
 /// The service of the engines.
-pub const ENGINES: &str = "drafts";
+pub const ENGINE_SERVICE: &str = "drafts";
 /// The plain service, which has no engines.
-pub const PLAIN: &str = "lookups";
+pub const PLAIN_SERVICE: &str = "lookups";
 
 /// The host that callers send in their requests.
 pub const HOST: &str = "soak.example";
@@ -51,7 +51,7 @@
 }
 
 /// The limit of the limited workspace. Callers ask for several times this.
-pub const LIMIT: WorkspaceLimit = WorkspaceLimit {
+pub const WORKSPACE_LIMIT: WorkspaceLimit = WorkspaceLimit {
     rate: 1_500,
     burst: 1_500,
     window_s: 4.0,
@@ -87,7 +87,7 @@
     /// The address of the store.
     pub store: SocketAddr,
     /// Whether this is the first start, which bootstraps the fleet.
-    pub first_start: bool,
+    pub is_first_start: bool,
 }
 
 impl ProcessSettings {
@@ -98,7 +98,7 @@
             format!("[listen]\nfront = \"{front}\"\nreadiness = \"{readiness}\"\n")
         });
         let engine = self.engine.map_or(String::new(), |engine| {
-            format!("app = \"{engine}\"\nservice = \"{ENGINES}\"\n")
+            format!("app = \"{engine}\"\nservice = \"{ENGINE_SERVICE}\"\n")
         });
         format!(
             "node_name = \"{}\"\nip = \"{}\"\nzone = \"{}\"\nport_range = [{}, {}]\n\
@@ -111,10 +111,10 @@
             self.zone,
             self.inner_port,
             self.inner_port + 15,
-            self.first_start,
-            LIMIT.window_s,
-            LIMIT.overage,
-            LIMIT.slack,
+            self.is_first_start,
+            WORKSPACE_LIMIT.window_s,
+            WORKSPACE_LIMIT.overage,
+            WORKSPACE_LIMIT.slack,
             self.store,
         )
     }
@@ -132,13 +132,19 @@
         })
     };
     let mut routes = vec![
-        route("r-safe", "/safe/", "safe", PLAIN, false),
-        route("r-unsafe", "/unsafe/", "unsafe", PLAIN, false),
-        route("r-stream", "/stream/", "streaming", ENGINES, false),
-        route("r-resume", "/stream-resume/", "streaming", ENGINES, true),
+        route("r-safe", "/safe/", "safe", PLAIN_SERVICE, false),
+        route("r-unsafe", "/unsafe/", "unsafe", PLAIN_SERVICE, false),
+        route("r-stream", "/stream/", "streaming", ENGINE_SERVICE, false),
+        route(
+            "r-resume",
+            "/stream-resume/",
+            "streaming",
+            ENGINE_SERVICE,
+            true,
+        ),
     ];
     if version.is_multiple_of(2) {
-        routes.push(route("r-extra", "/extra/", "safe", PLAIN, false));
+        routes.push(route("r-extra", "/extra/", "safe", PLAIN_SERVICE, false));
     }
     let models: Vec<Value> = models
         .iter()
@@ -153,16 +159,16 @@
         "version": version,
         "routes": routes,
         "services": [
-            {"name": ENGINES, "health_path": "/health", "max_connections": 200, "engine": {
+            {"name": ENGINE_SERVICE, "health_path": "/health", "max_connections": 200, "engine": {
                 "slots": 8, "kv_capacity": 90_000, "size_mb": MEMORY_MB,
-                "adapter_slots": PLACES, "loads_per_s": LOADS_PER_S, "models": models,
+                "adapter_slots": ADAPTER_SLOTS, "loads_per_s": LOADS_PER_S, "models": models,
             }},
-            {"name": PLAIN, "health_path": "/health", "max_connections": 200},
+            {"name": PLAIN_SERVICE, "health_path": "/health", "max_connections": 200},
         ],
         "tenants": [
             {"name": "free", "api_keys": [FREE_KEY]},
             {"name": "limited", "api_keys": ["spare-0001", LIMITED_KEY], "unit": "tokens",
-             "plain_tokens": PLAIN_TOKENS, "rate_per_s": LIMIT.rate, "burst": LIMIT.burst},
+             "plain_tokens": PLAIN_TOKENS, "rate_per_s": WORKSPACE_LIMIT.rate, "burst": WORKSPACE_LIMIT.burst},
         ],
         "limits": {"max_header_bytes": 16_384, "max_body_bytes": 65_536,
                    "header_timeout_ms": 3_000, "idle_timeout_ms": 15_000},
--- a/crates/oatpier-soak/src/standin/store.rs
+++ b/crates/oatpier-soak/src/standin/store.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 /// Time after which an endpoint's entry expires if the endpoint doesn't write it again: three of its heartbeats.
-const ENTRY_LIFE: Duration = Duration::from_millis(1_200);
+const ENTRY_TTL: Duration = Duration::from_millis(1_200);
 
 /// How the store responds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -54,7 +54,7 @@
 }
 
 /// How long copies are kept.
-const COPY_LIFE: Duration = Duration::from_secs(10);
+const COPY_RETENTION: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
 struct StoreState {
@@ -69,14 +69,14 @@
 }
 
 impl StoreState {
-    fn copy(&mut self) {
+    fn save_copy(&mut self) {
         let copy = StoreCopy {
             made: Instant::now(),
             revision: self.revision,
             written: self.written.clone(),
         };
         self.copies.push_back(copy);
-        let is_old = |copy: &StoreCopy| copy.made.elapsed() > COPY_LIFE;
+        let is_old = |copy: &StoreCopy| copy.made.elapsed() > COPY_RETENTION;
         while self.copies.len() > 1 && self.copies.front().is_some_and(is_old) {
             self.copies.pop_front();
         }
@@ -125,7 +125,7 @@
     ///
     /// Entries of endpoints and the operator's configuration stay, as if they were written again at once. Changes that
     /// oatpier wrote after the copy are lost, and their revisions are assigned again.
-    pub fn come_back(&self, age: Duration) {
+    pub fn restore_copy(&self, age: Duration) {
         let mut state = self.lock();
         let copies = state.copies.iter().rev();
         let copy = copies.clone().find(|copy| copy.made.elapsed() >= age);
@@ -170,7 +170,7 @@
         let mut state = self.lock();
         state
             .entries
-            .retain(|_, entry| entry.written.elapsed() < ENTRY_LIFE);
+            .retain(|_, entry| entry.written.elapsed() < ENTRY_TTL);
         let config = state.config.iter().map(|(value, revision)| {
             json!({"key": "op/config", "value": STANDARD.encode(value), "revision": revision})
         });
@@ -191,14 +191,14 @@
         };
         let mut state = self.lock();
         let rows = |name: &str| change[name].as_array().cloned().unwrap_or_default();
-        let is_other = |row: &Value| {
+        let is_changed = |row: &Value| {
             let key = row["key"].as_str().unwrap_or_default();
             state.revision_of(key) != row["revision"].as_u64().unwrap_or_default()
         };
-        if rows("expect").iter().any(is_other) {
-            return refused(&state, &rows("expect"));
+        if rows("expect").iter().any(is_changed) {
+            return conflict_response(&state, &rows("expect"));
         }
-        state.copy();
+        state.save_copy();
         state.revision += 1;
         let revision = state.revision;
         for put in rows("puts") {
@@ -208,24 +208,24 @@
         for key in rows("remove") {
             state.written.remove(key.as_str().unwrap_or_default());
         }
-        let answer = json!({"revision": revision});
-        reply::whole(StatusCode::OK, "application/json", answer.to_string())
+        let response = json!({"revision": revision});
+        reply::whole(StatusCode::OK, "application/json", response.to_string())
     }
 
-    async fn answer(&self, request: Request<Bytes>) -> Reply {
-        let mut answer = self.answer_without_era(request).await;
+    async fn respond(&self, request: Request<Bytes>) -> Reply {
+        let mut response = self.response_without_era(request).await;
         let era = HeaderValue::from(self.lock().era);
-        answer.headers_mut().insert("store-era", era);
-        answer
+        response.headers_mut().insert("store-era", era);
+        response
     }
 
-    async fn answer_without_era(&self, request: Request<Bytes>) -> Reply {
+    async fn response_without_era(&self, request: Request<Bytes>) -> Reply {
         let mode = self.lock().mode;
         match mode {
             StoreMode::Up => {}
             StoreMode::Silent => std::future::pending().await,
             StoreMode::Busy => return reply::text(StatusCode::SERVICE_UNAVAILABLE, "busy\n"),
-            StoreMode::Slow(late) => tokio::time::sleep(late).await,
+            StoreMode::Slow(delay) => tokio::time::sleep(delay).await,
             StoreMode::Broken => return reply::text(StatusCode::OK, "{\"items\": [{\"key\""),
         }
         if request.method() == Method::POST {
@@ -236,22 +236,22 @@
 }
 
 /// Returns the response to a change whose condition fails: the present values of the expected keys.
-fn refused(state: &StoreState, expected: &[Value]) -> Reply {
+fn conflict_response(state: &StoreState, expected: &[Value]) -> Reply {
     let keys = expected.iter().filter_map(|row| row["key"].as_str());
     let present = keys.filter_map(|key| {
         let (value, revision) = state.written.get(key)?;
         Some(json!({"key": key, "value": value, "revision": revision}))
     });
-    let answer = json!({"items": present.collect::<Vec<Value>>()});
+    let response = json!({"items": present.collect::<Vec<Value>>()});
     reply::whole(
         StatusCode::PRECONDITION_FAILED,
         "application/json",
-        answer.to_string(),
+        response.to_string(),
     )
 }
 
 impl RequestHandler for StoreStandin {
     fn handle(&self, request: Request<Bytes>, _: SocketAddr) -> BoxFuture<'_, Reply> {
-        self.answer(request).boxed()
+        self.respond(request).boxed()
     }
 }
--- a/crates/oatpier-soak/src/standin/weights.rs
+++ b/crates/oatpier-soak/src/standin/weights.rs
@@ -13,7 +13,7 @@
 /// The size of each adapter, in MB.
 pub const ADAPTER_MB: u32 = 2;
 /// The number of adapter slots of an engine.
-pub const PLACES: usize = 3;
+pub const ADAPTER_SLOTS: usize = 3;
 /// The durations of a model load from the weight store, a model load from a copy, and an adapter load.
 const STORE_LOAD: Duration = Duration::from_millis(500);
 const COPY_LOAD: Duration = Duration::from_millis(80);
@@ -23,18 +23,18 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The engine carries it out.
-    Taken {
+    Accepted {
         /// Whether it loads from the weight store.
         from_store: bool,
     },
     /// Nothing is left to carry out: the engine is in the ordered state.
-    Holds,
+    Unchanged,
     /// Another order is in progress, the weights are in use, or the sequence number differs.
     Conflict,
     /// The order is invalid or names a model that is not loaded.
     Rejected,
     /// The order asks for more than fits.
-    Overfull(String),
+    Overcommitted(String),
 }
 
 /// The models, adapters and copies that an engine holds.
@@ -42,13 +42,13 @@
 pub struct EngineWeights {
     /// Loaded adapters, with the number of requests that use each, by model.
     models: BTreeMap<String, BTreeMap<String, u32>>,
-    users: BTreeMap<String, u32>,
+    uses: BTreeMap<String, u32>,
     copies: Vec<String>,
     sequence: u64,
     busy_until: Option<Instant>,
     loading: Option<String>,
     unloading: Option<String>,
-    coming: Vec<(String, String, Instant)>,
+    adapter_loads: Vec<(String, String, Instant)>,
 }
 
 impl EngineWeights {
@@ -75,7 +75,7 @@
     }
 
     /// Completes loads that are due and unloads that no request blocks any more.
-    fn settle(&mut self) {
+    fn complete_due(&mut self) {
         let now = Instant::now();
         if self.busy_until.is_some_and(|until| until <= now) {
             self.busy_until = None;
@@ -84,18 +84,18 @@
                 self.models.insert(model, BTreeMap::new());
             }
         }
-        let idle = |model: &String| self.users.get(model).copied().unwrap_or(0) == 0;
-        if self.unloading.as_ref().is_some_and(idle)
+        let is_idle = |model: &String| self.uses.get(model).copied().unwrap_or(0) == 0;
+        if self.unloading.as_ref().is_some_and(is_idle)
             && let Some(model) = self.unloading.take()
         {
             self.models.remove(&model);
         }
-        let (come, coming) = self
-            .coming
+        let (finished, adapter_loads) = self
+            .adapter_loads
             .drain(..)
             .partition(|(_, _, due): &(String, String, Instant)| *due <= now);
-        self.coming = coming;
-        for (model, adapter, _) in come {
+        self.adapter_loads = adapter_loads;
+        for (model, adapter, _) in finished {
             if let Some(adapters) = self.models.get_mut(&model) {
                 adapters.insert(adapter, 0);
             }
@@ -108,7 +108,7 @@
 
     /// Applies an order.
     pub fn order(&mut self, order: &Value) -> OrderOutcome {
-        self.settle();
+        self.complete_due();
         let expected = order["expect"].as_u64();
         if self.is_busy() || expected.is_some_and(|expected| expected != self.sequence) {
             return OrderOutcome::Conflict;
@@ -123,7 +123,7 @@
             (Some("unload"), Some(adapter)) => self.unload_adapter(model, adapter),
             _ => OrderOutcome::Rejected,
         };
-        if matches!(outcome, OrderOutcome::Taken { .. }) {
+        if matches!(outcome, OrderOutcome::Accepted { .. }) {
             self.sequence += 1;
         }
         outcome
@@ -131,13 +131,13 @@
 
     fn load_model(&mut self, model: &str) -> OrderOutcome {
         if self.models.contains_key(model) {
-            return OrderOutcome::Holds;
+            return OrderOutcome::Unchanged;
         }
         let held = u32::try_from(self.models.len()).unwrap_or(u32::MAX);
         let adapters: usize = self.models.values().map(BTreeMap::len).sum();
         let adapters = u32::try_from(adapters).unwrap_or(u32::MAX);
         if (held + 1) * MODEL_MB + adapters * ADAPTER_MB > MEMORY_MB {
-            return OrderOutcome::Overfull(format!(
+            return OrderOutcome::Overcommitted(format!(
                 "{model} in addition to {:?}",
                 self.models.keys()
             ));
@@ -146,16 +146,16 @@
         let load = if from_store { STORE_LOAD } else { COPY_LOAD };
         self.busy_until = Some(Instant::now() + load);
         self.loading = Some(model.to_owned());
-        OrderOutcome::Taken { from_store }
+        OrderOutcome::Accepted { from_store }
     }
 
     fn unload_model(&mut self, model: &str) -> OrderOutcome {
         if !self.models.contains_key(model) {
-            return OrderOutcome::Holds;
+            return OrderOutcome::Unchanged;
         }
         self.unloading = Some(model.to_owned());
-        self.settle();
-        OrderOutcome::Taken { from_store: false }
+        self.complete_due();
+        OrderOutcome::Accepted { from_store: false }
     }
 
     fn load_adapter(&mut self, model: &str, adapter: &str) -> OrderOutcome {
@@ -163,31 +163,31 @@
             return OrderOutcome::Rejected;
         };
         if adapters.contains_key(adapter) {
-            return OrderOutcome::Holds;
+            return OrderOutcome::Unchanged;
         }
-        let places: usize = self.models.values().map(BTreeMap::len).sum();
-        if places + self.coming.len() >= PLACES {
-            return OrderOutcome::Overfull(format!(
+        let used_slots: usize = self.models.values().map(BTreeMap::len).sum();
+        if used_slots + self.adapter_loads.len() >= ADAPTER_SLOTS {
+            return OrderOutcome::Overcommitted(format!(
                 "{model}/{adapter} in addition to {:?}",
                 self.models
             ));
         }
         let due = Instant::now() + ADAPTER_LOAD;
-        self.coming
+        self.adapter_loads
             .push((model.to_owned(), adapter.to_owned(), due));
-        OrderOutcome::Taken { from_store: false }
+        OrderOutcome::Accepted { from_store: false }
     }
 
     fn unload_adapter(&mut self, model: &str, adapter: &str) -> OrderOutcome {
-        let users = self.models.get(model).and_then(|held| held.get(adapter));
-        match users {
-            None => OrderOutcome::Holds,
+        let uses = self.models.get(model).and_then(|held| held.get(adapter));
+        match uses {
+            None => OrderOutcome::Unchanged,
             Some(0) => {
                 if let Some(adapters) = self.models.get_mut(model) {
                     adapters.remove(adapter);
                 }
                 self.sequence += 1;
-                OrderOutcome::Holds
+                OrderOutcome::Unchanged
             }
             Some(_) => OrderOutcome::Conflict,
         }
@@ -195,7 +195,7 @@
 
     /// Starts to use weights for a request. Returns false if they are not loaded.
     pub fn begin_use(&mut self, weights: &str) -> bool {
-        self.settle();
+        self.complete_due();
         let (model, adapter) = weights.split_once('/').unwrap_or((weights, ""));
         if self.unloading.as_deref() == Some(model) {
             return false;
@@ -204,31 +204,31 @@
             return false;
         };
         if !adapter.is_empty() {
-            let Some(users) = adapters.get_mut(adapter) else {
+            let Some(uses) = adapters.get_mut(adapter) else {
                 return false;
             };
-            *users += 1;
+            *uses += 1;
         }
-        *self.users.entry(model.to_owned()).or_default() += 1;
+        *self.uses.entry(model.to_owned()).or_default() += 1;
         true
     }
 
     /// Ends the use of weights by a request.
     pub fn end_use(&mut self, weights: &str) {
         let (model, adapter) = weights.split_once('/').unwrap_or((weights, ""));
-        if let Some(users) = self.users.get_mut(model) {
-            *users = users.saturating_sub(1);
+        if let Some(uses) = self.uses.get_mut(model) {
+            *uses = uses.saturating_sub(1);
         }
         let held = self.models.get_mut(model);
-        if let Some(users) = held.and_then(|adapters| adapters.get_mut(adapter)) {
-            *users = users.saturating_sub(1);
+        if let Some(uses) = held.and_then(|adapters| adapters.get_mut(adapter)) {
+            *uses = uses.saturating_sub(1);
         }
-        self.settle();
+        self.complete_due();
     }
 
     /// Returns the models with their adapters, as reports and registry entries list them.
     pub fn models(&mut self) -> Value {
-        self.settle();
+        self.complete_due();
         let models = self.models.iter().map(|(model, adapters)| {
             let adapters: Vec<&String> = adapters.keys().collect();
             json!({"name": model, "version": 1, "adapters": adapters})
@@ -239,15 +239,15 @@
     /// Returns the engine's report.
     pub fn report(&mut self, running: u32) -> Value {
         let models = self.models();
-        let coming: Vec<String> = self
-            .coming
+        let adapter_loads: Vec<String> = self
+            .adapter_loads
             .iter()
             .map(|(model, adapter, _)| format!("{model}/{adapter}@1"))
             .collect();
         json!({
             "stage": "both", "models": models, "busy": self.is_busy(), "seq": self.sequence,
             "waiting": 0, "running": running, "kv_used": running * 300, "kv_total": 90_000,
-            "handles": 0, "coming": coming,
+            "handles": 0, "coming": adapter_loads,
             "at_hand": {"in_memory": [], "on_disk": self.copies},
         })
     }
--- a/crates/oatpier-soak/tests/testsuite/proxy.rs
+++ b/crates/oatpier-soak/tests/testsuite/proxy.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 /// Returns a link in front of an echo server, and a connection through it.
-async fn link() -> (FaultLink, TcpStream) {
+async fn start_link() -> (FaultLink, TcpStream) {
     let peer = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
     let target = peer.local_addr().unwrap();
     tokio::spawn(async move {
@@ -28,31 +28,31 @@
     (link, TcpStream::connect(listen).await.unwrap())
 }
 
-async fn echoed(stream: &mut TcpStream) -> std::io::Result<u8> {
+async fn echo(stream: &mut TcpStream) -> std::io::Result<u8> {
     stream.write_all(b"a").await?;
     stream.read_u8().await
 }
 
 #[tokio::test]
 async fn an_open_link_passes_bytes_on() {
-    let (_link, mut stream) = link().await;
-    assert_eq!(echoed(&mut stream).await.unwrap(), b'a');
+    let (_link, mut stream) = start_link().await;
+    assert_eq!(echo(&mut stream).await.unwrap(), b'a');
 }
 
 #[tokio::test]
 async fn a_silent_link_holds_bytes_and_passes_them_on_later() {
-    let (link, mut stream) = link().await;
+    let (link, mut stream) = start_link().await;
     link.set(LinkMode::Silent);
     let wait = Duration::from_millis(100);
-    assert!(timeout(wait, echoed(&mut stream)).await.is_err());
+    assert!(timeout(wait, echo(&mut stream)).await.is_err());
     link.set(LinkMode::Open);
     assert_eq!(stream.read_u8().await.unwrap(), b'a');
 }
 
 #[tokio::test]
 async fn a_link_that_is_reset_breaks_open_connections() {
-    let (link, mut stream) = link().await;
-    assert_eq!(echoed(&mut stream).await.unwrap(), b'a');
+    let (link, mut stream) = start_link().await;
+    assert_eq!(echo(&mut stream).await.unwrap(), b'a');
     link.set(LinkMode::Reset);
     assert!(stream.read_u8().await.is_err());
 }
