--- a/crates/oatpier-checker/tests/testsuite/planted.rs
+++ b/crates/oatpier-checker/tests/testsuite/planted.rs
@@ -5,7 +5,7 @@
 use oatpier_types::verdict::{Repeat, RunVerdict};
 
 use crate::support::{
-    accepted, at, broken, ended, endpoint, failed, in_force, replicas, run, sent, whole,
+    accepted, at, broken, complete, ended, endpoint, failed, in_force, replicas, run, sent,
 };
 
 const IDEMPOTENT: Repeat = Repeat::Idempotent;
@@ -49,7 +49,7 @@
 
 #[test]
 fn an_answer_to_another_request_is_a_breach() {
-    let log = [at(1, sent(1, IDEMPOTENT, None)), at(2, whole(1, 2))];
+    let log = [at(1, sent(1, IDEMPOTENT, None)), at(2, complete(1, 2))];
     assert_eq!(broken(&log), [PromiseName::OwnAnswer]);
 }
 
@@ -58,13 +58,13 @@
     let asked = at(1, sent(1, IDEMPOTENT, None));
     let cut = at(2, failed(1, AnswerEnd::Cut, RunVerdict::MayHaveRun));
     assert_eq!(broken(&[asked.clone(), cut]), [PromiseName::OwnAnswer]);
-    let duplicate = [asked.clone(), at(2, whole(1, 1)), at(3, whole(1, 1))];
+    let duplicate = [asked.clone(), at(2, complete(1, 1)), at(3, complete(1, 1))];
     assert_eq!(broken(&duplicate), [PromiseName::OwnAnswer]);
     assert_eq!(
         broken(std::slice::from_ref(&asked)),
         [PromiseName::OwnAnswer]
     );
-    assert!(broken(&[asked, at(2, whole(1, 1))]).is_empty());
+    assert!(broken(&[asked, at(2, complete(1, 1))]).is_empty());
 }
 
 #[test]
@@ -84,16 +84,16 @@
         at(1, sent(1, ONCE, None)),
         at(2, run(1, 1, None)),
         at(3, run(1, 2, None)),
-        at(4, whole(1, 1)),
+        at(4, complete(1, 1)),
     ];
     assert_eq!(broken(&twice), [PromiseName::AtMostOnce]);
     let resubmitted = [
         at(1, sent(1, ONCE, Some(7))),
         at(2, run(1, 1, Some(7))),
-        at(3, whole(1, 1)),
+        at(3, complete(1, 1)),
         at(4, sent(2, ONCE, Some(7))),
         at(5, run(2, 2, Some(7))),
-        at(6, whole(2, 2)),
+        at(6, complete(2, 2)),
     ];
     assert_eq!(broken(&resubmitted), [PromiseName::AtMostOnce]);
 }
@@ -104,7 +104,7 @@
         at(1, sent(1, IDEMPOTENT, None)),
         at(2, run(1, 1, None)),
         at(3, run(1, 2, None)),
-        at(4, whole(1, 1)),
+        at(4, complete(1, 1)),
     ];
     assert!(broken(&log).is_empty());
 }
--- a/crates/oatpier-checker/tests/testsuite/support.rs
+++ b/crates/oatpier-checker/tests/testsuite/support.rs
@@ -47,7 +47,7 @@
     }
 }
 
-pub(crate) fn whole(request: u128, content_of: u128) -> FleetEvent {
+pub(crate) fn complete(request: u128, content_of: u128) -> FleetEvent {
     FleetEvent::AnswerEnded {
         request: RequestId(request),
         content_of: Some(RequestId(content_of)),
--- a/crates/oatpier-soak/src/check/mod.rs
+++ b/crates/oatpier-soak/src/check/mod.rs
@@ -14,7 +14,7 @@
 /// A guarantee that must hold throughout a soak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SoakPromise {
-    /// A request that is not idempotent runs once at most.
+    /// A request that is not idempotent runs at most once.
     Once,
     /// A request that is refused did not run and does not run later.
     TrueRefusal,
--- a/crates/oatpier-soak/src/plan.rs
+++ b/crates/oatpier-soak/src/plan.rs
@@ -40,7 +40,7 @@
     LoseAnswers(usize),
     /// An endpoint cuts off a share of its responses.
     Garble(usize),
-    /// An engine doesn't answer a share of its orders and carries them out late.
+    /// An engine sends no response to a share of its orders and carries them out late.
     LateOrders(usize),
     /// The operator writes a new version of the configuration.
     Configure,
--- a/crates/oatpier-soak/src/run.rs
+++ b/crates/oatpier-soak/src/run.rs
@@ -405,11 +405,9 @@
         SoakFault::ReloadGateway(number) => fleet.gateways[*number].reload(),
         SoakFault::PauseGateway(number) => fleet.gateways[*number].pause(step.lasts).await,
         SoakFault::PauseSidecar(number) => fleet.sidecars[*number].pause(step.lasts).await,
-        SoakFault::Link(number, mode) => {
-            hold_link_mode(&fleet.links[*number], *mode, step.lasts).await
-        }
+        SoakFault::Link(number, mode) => hold_mode(&fleet.links[*number], *mode, step.lasts).await,
         SoakFault::StoreLink(number, mode) => {
-            hold_link_mode(&fleet.store_links[*number], *mode, step.lasts).await;
+            hold_mode(&fleet.store_links[*number], *mode, step.lasts).await;
         }
         SoakFault::Store(mode) => {
             fleet.store.set_mode(*mode);
@@ -420,21 +418,21 @@
         SoakFault::Drain(number) => fleet.record_restart(fleet.endpoints[*number].drain().await),
         SoakFault::LoseAnswers(number) => {
             let faults = EndpointFaults {
-                lost: 0.3,
+                lost_share: 0.3,
                 ..EndpointFaults::default()
             };
             hold_faults(&fleet.endpoints[*number], faults, step.lasts).await;
         }
         SoakFault::Garble(number) => {
             let faults = EndpointFaults {
-                garbled: 0.3,
+                cut_share: 0.3,
                 ..EndpointFaults::default()
             };
             hold_faults(&fleet.endpoints[*number], faults, step.lasts).await;
         }
         SoakFault::LateOrders(number) => {
             let faults = EndpointFaults {
-                late_orders: 0.5,
+                late_order_share: 0.5,
                 ..EndpointFaults::default()
             };
             hold_faults(&fleet.endpoints[*number], faults, step.lasts).await;
@@ -485,7 +483,7 @@
     while sent.join_next().await.is_some() {}
 }
 
-async fn hold_link_mode(link: &FaultLink, mode: LinkMode, span: Duration) {
+async fn hold_mode(link: &FaultLink, mode: LinkMode, span: Duration) {
     link.set(mode);
     sleep(span).await;
     link.set(LinkMode::Open);
--- a/crates/oatpier-soak/src/standin/endpoint.rs
+++ b/crates/oatpier-soak/src/standin/endpoint.rs
@@ -21,7 +21,7 @@
 
 use super::caller::CRASH_PATH;
 use super::notices::EndpointNotices;
-use super::responses::{self, not_run_response, set, sign, text};
+use super::responses::{self, not_run_response, set, set_stamp, text};
 use super::store::StoreStandin;
 use super::weights::{EngineWeights, OrderOutcome};
 use crate::history::{BegunRun, EventHistory, ObservedEvent};
@@ -58,11 +58,11 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct EndpointFaults {
     /// The share of requests that run and whose responses are lost.
-    pub lost: f64,
+    pub lost_share: f64,
     /// The share of responses that are cut off.
-    pub garbled: f64,
+    pub cut_share: f64,
     /// The share of orders that get no response and are carried out late.
-    pub late_orders: f64,
+    pub late_order_share: f64,
 }
 
 /// The fixed properties of an endpoint.
@@ -339,7 +339,7 @@
         if let Some(other) = self.refuse_other_instance(request.headers()) {
             return other;
         }
-        let late = self.lock().faults.late_orders;
+        let late = self.lock().faults.late_order_share;
         if rand::rng().random_bool(late) {
             tokio::spawn(self.clone().carry_out_late(order));
             std::future::pending::<()>().await;
@@ -410,22 +410,22 @@
             return cut_response(&id, &slot);
         }
         let faults = self.lock().faults;
-        if rand::rng().random_bool(faults.lost) {
+        if rand::rng().random_bool(faults.lost_share) {
             sleep(RUN_TIME).await;
             return cut_response(&id, &slot);
         }
-        let garbled = rand::rng().random_bool(faults.garbled);
+        let is_cut = rand::rng().random_bool(faults.cut_share);
         if request.uri().path().contains("stream") {
             let after = text(request.headers(), "last-event-id");
             let after = after.and_then(|id| id.parse().ok()).unwrap_or(0);
-            return stream_response(&id, slot, after, garbled);
+            return stream_response(&id, slot, after, is_cut);
         }
         sleep(RUN_TIME).await;
-        if garbled {
+        if is_cut {
             return cut_response(&id, &slot);
         }
         let mut response = reply::text(StatusCode::OK, responses::body(&id));
-        sign(response.headers_mut(), &id, &slot.instance);
+        set_stamp(response.headers_mut(), &id, &slot.instance);
         response
     }
 
@@ -503,13 +503,13 @@
     let half = Bytes::from(half[..half.len() / 2].to_owned());
     let frames = [Ok(Frame::data(half)), Err(BoxError::from("cut"))];
     let mut response = streaming_response(stream::iter(frames));
-    sign(response.headers_mut(), id, &slot.instance);
+    set_stamp(response.headers_mut(), id, &slot.instance);
     response
 }
 
-fn stream_response(id: &str, slot: RunSlot, after: u32, garbled: bool) -> Reply {
+fn stream_response(id: &str, slot: RunSlot, after: u32, is_cut: bool) -> Reply {
     let instance = slot.instance.clone();
-    let cut_after = if garbled { after + 4 } else { u32::MAX };
+    let cut_after = if is_cut { after + 4 } else { u32::MAX };
     let request_id = id.to_owned();
     let due = Instant::now();
     let frames = stream::unfold((after + 1, slot), move |(number, slot)| {
@@ -529,7 +529,7 @@
     });
     let mut response = streaming_response(frames);
     set(response.headers_mut(), "content-type", "text/event-stream");
-    sign(response.headers_mut(), id, &instance);
+    set_stamp(response.headers_mut(), id, &instance);
     response
 }
 
--- a/crates/oatpier-soak/src/standin/responses.rs
+++ b/crates/oatpier-soak/src/standin/responses.rs
@@ -38,7 +38,7 @@
 }
 
 /// Sets the request id and the stamp on a response to the request `id`.
-pub(super) fn sign(headers: &mut HeaderMap, id: &str, instance: &str) {
+pub(super) fn set_stamp(headers: &mut HeaderMap, id: &str, instance: &str) {
     set(headers, "x-oatpier-request-id", id);
     set(headers, "x-oatpier-response-stamp", &stamp(id, instance));
 }
--- a/crates/oatpier-soak/tests/testsuite/check.rs
+++ b/crates/oatpier-soak/tests/testsuite/check.rs
@@ -39,7 +39,7 @@
     }
 }
 
-fn good_end(call: &SentCall) -> CallEnd {
+fn correct_end(call: &SentCall) -> CallEnd {
     let body = if call.kind.is_stream() {
         responses::stream(&call.id)
     } else {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn good_answers_break_nothing() {
+fn correct_responses_break_nothing() {
     for kind in [
         CallKind::Safe,
         CallKind::Unsafe,
@@ -80,7 +80,7 @@
     ] {
         let call = sent(kind);
         let runs = [run_of(&call, "i-1")];
-        assert!(broken(&call, &runs, Some(good_end(&call))).is_empty());
+        assert!(broken(&call, &runs, Some(correct_end(&call))).is_empty());
         assert!(broken(&call, &runs, Some(CallEnd::Interrupted)).is_empty());
         assert!(broken(&call, &[], Some(complete(503, None, "later"))).is_empty());
     }
@@ -90,15 +90,15 @@
 fn a_second_run_is_found_where_one_is_allowed() {
     let runs = |call: &SentCall| [run_of(call, "i-1"), run_of(call, "i-2")];
     let once = sent(CallKind::Unsafe);
-    let end = Some(good_end(&once));
+    let end = Some(correct_end(&once));
     assert_eq!(broken(&once, &runs(&once), end), [SoakPromise::Once]);
     let resumable = sent(CallKind::ResumableStream);
-    let end = Some(good_end(&resumable));
+    let end = Some(correct_end(&resumable));
     assert!(broken(&resumable, &runs(&resumable), end).is_empty());
 }
 
 #[test]
-fn a_refusal_of_what_ran_is_found() {
+fn a_refusal_of_a_request_that_ran_is_found() {
     let call = sent(CallKind::Stream);
     let runs = [run_of(&call, "i-1")];
     for status in [408, 421, 429, 503] {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn an_answer_of_another_endpoint_or_request_is_found() {
+fn a_response_of_another_endpoint_or_request_is_found() {
     let call = sent(CallKind::Safe);
     let runs = [run_of(&call, "i-1")];
     let body = responses::body("c1");
@@ -151,7 +151,7 @@
     let mut forged = run_of(&call, "i-1");
     forged.forged = vec!["kv-from".to_owned()];
     for run in [other_body, forged] {
-        let end = Some(good_end(&call));
+        let end = Some(correct_end(&call));
         assert_eq!(broken(&call, &[run], end), [SoakPromise::OnlyAsked]);
     }
     let unsent = ObservedEvent::RunStarted(run_of(&call, "i-1"));
@@ -163,7 +163,7 @@
     let call = sent(CallKind::Unsafe);
     let mut run = run_of(&call, "i-1");
     run.service = "elsewhere";
-    let end = Some(good_end(&call));
+    let end = Some(correct_end(&call));
     assert_eq!(broken(&call, &[run], end), [SoakPromise::RightService]);
 }
 
@@ -276,13 +276,13 @@
 }
 
 #[test]
-fn a_run_without_a_key_or_for_another_workspace_is_found() {
+fn a_run_with_an_unknown_key_or_for_another_workspace_is_found() {
     let call = sent(CallKind::Safe);
     let other = BegunRun {
         workspace: Some("limited".to_owned()),
         ..run_of(&call, "i-1")
     };
-    let end = Some(good_end(&call));
+    let end = Some(correct_end(&call));
     assert_eq!(
         broken(&call, &[other], end.clone()),
         [SoakPromise::RightWorkspace]
