--- a/crates/oatpier-checker/src/rules/configuration.rs
+++ b/crates/oatpier-checker/src/rules/configuration.rs
@@ -68,8 +68,8 @@
         findings
     }
 
-    /// Returns a finding for the first accepted generation that was still not active in the process at `until`, after the
-    /// time bound.
+    /// Returns a finding for the first accepted generation that was still not active in the process at `until`, after
+    /// the time bound.
     fn find_overdue(
         &self,
         daemon: &DaemonName,
--- a/crates/oatpier-soak/src/run.rs
+++ b/crates/oatpier-soak/src/run.rs
@@ -63,7 +63,7 @@
     pub rows: Vec<HistoryRow>,
     /// The injected faults.
     pub steps: Vec<FaultStep>,
-    /// The folder of the processes' settings and logs. It is deleted on drop, unless the caller keeps it after a breach.
+    /// The folder of the processes' settings and logs. Dropping it deletes the folder, so callers keep it after a breach.
     pub folder: tempfile::TempDir,
 }
 
--- a/crates/oatpier-soak/tests/testsuite/check.rs
+++ b/crates/oatpier-soak/tests/testsuite/check.rs
@@ -212,8 +212,8 @@
     );
 }
 
-/// Returns the promises that a crashing request breaks if it crashes an endpoint each second at one gateway, and is sent
-/// again from second 10 on. `disturbed` is a fault of 0.1 s just before these last sends.
+/// Returns the promises that a crashing request breaks if it crashes an endpoint each second at one gateway, and is
+/// sent again from second 10 on. `fault_scope` is the part affected by a fault of 0.1 s just before these last sends.
 fn broken_by_crashes(
     crashes: usize,
     sends_after: usize,
@@ -320,8 +320,8 @@
 /// Returns whether the requests to an instance break its notice.
 ///
 /// The instance sends the notice at the start and in each response, through gateway 1, and gets a request every
-/// `every_ms` from `from_ms` on, until eight seconds have passed. `disturbed` is a fault of half a second just before
-/// the first of them.
+/// `every_ms` from `from_ms` on, until eight seconds have passed. `fault_scope` is the part affected by a fault of half
+/// a second just before the first of them.
 fn breaks_notice(
     kind: NoticeKind,
     from_ms: u64,
@@ -416,8 +416,8 @@
     assert!(breaks_notice_until(limit, 6_500, 4_000, 50, None));
 }
 
-/// A gateway that was restarted or paused may not know the notice. Store faults don't exempt it, because notices come in
-/// responses.
+/// A gateway that was restarted or paused may not know the notice. Store faults don't exempt it, because notices come
+/// in responses.
 #[test]
 fn gateways_and_links_with_a_recent_fault_are_exempt_from_notices() {
     for scope in [
