--- a/crates/oatpier-soak/src/proxy.rs
+++ b/crates/oatpier-soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A link that passes bytes on, late, or not at all.
+//! A TCP proxy that forwards bytes, delays them, holds them back or resets connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,72 +7,73 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What a link does.
+/// How a link treats its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkMode {
-    /// It passes all on.
+    /// Forwards everything.
     Open,
-    /// Each piece comes this much later.
+    /// Forwards each chunk after this delay.
     Delayed(Duration),
-    /// Connections are reset, new ones too.
+    /// Resets open and new connections.
     Reset,
-    /// Connections stay, and nothing passes either way.
+    /// Keeps connections open and forwards nothing in either direction.
     Silent,
-    /// Requests pass and answers don't.
+    /// Forwards requests and holds back responses.
     OneWay,
 }
 
-/// A link before one address.
+/// A proxy in front of one address.
 #[derive(Debug)]
 pub struct FaultLink {
     mode: watch::Sender<LinkMode>,
 }
 
 impl FaultLink {
-    /// Listens and passes connections on to `target`.
+    /// Listens on `listen` and forwards connections to `target`.
     ///
     /// # Errors
     ///
-    /// The address can't be listened on.
+    /// Returns an error if the address can't be bound.
     pub async fn start(listen: SocketAddr, target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
-        let (mode, seen) = watch::channel(LinkMode::Open);
-        tokio::spawn(accept(listener, target, seen));
+        let (mode, mode_receiver) = watch::channel(LinkMode::Open);
+        tokio::spawn(accept(listener, target, mode_receiver));
         Ok(Self { mode })
     }
 
-    /// Changes what the link does, for open connections too.
+    /// Changes the mode, for open connections too.
     pub fn set(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 }
 
 async fn accept(listener: TcpListener, target: SocketAddr, mode: watch::Receiver<LinkMode>) {
-    while let Ok((near, _)) = listener.accept().await {
-        tokio::spawn(pass(near, target, mode.clone()));
+    while let Ok((client, _)) = listener.accept().await {
+        tokio::spawn(forward(client, target, mode.clone()));
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, mode: watch::Receiver<LinkMode>) {
-    // Both sides are closed by a reset, as a link that breaks would; an orderly end passes through.
-    if near.set_zero_linger().is_err() || *mode.borrow() == LinkMode::Reset {
+async fn forward(client: TcpStream, target: SocketAddr, mode: watch::Receiver<LinkMode>) {
+    // With zero linger, dropping the client's connection sends a reset, as a broken link would. An orderly shutdown is
+    // forwarded.
+    if client.set_zero_linger().is_err() || *mode.borrow() == LinkMode::Reset {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let requests = copy(near_read, far_write, mode.clone(), false);
-    let answers = copy(far_read, near_write, mode.clone(), true);
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let requests = copy(client_read, upstream_write, mode.clone(), false);
+    let responses = copy(upstream_read, client_write, mode.clone(), true);
     tokio::select! {
-        _ = futures::future::join(requests, answers) => {}
-        () = reset(mode) => {}
+        _ = futures::future::join(requests, responses) => {}
+        () = wait_for_reset(mode) => {}
     }
 }
 
-async fn reset(mut mode: watch::Receiver<LinkMode>) {
-    // An error says that the link is gone, which resets as well.
+async fn wait_for_reset(mut mode: watch::Receiver<LinkMode>) {
+    // An error means that the link was dropped, which resets the connection as well.
     let _ = mode.wait_for(|mode| *mode == LinkMode::Reset).await;
 }
 
@@ -80,31 +81,31 @@
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     mut mode: watch::Receiver<LinkMode>,
-    is_answer: bool,
+    is_response: bool,
 ) {
-    let mut piece = vec![0; 16 << 10];
+    let mut chunk = vec![0; 16 << 10];
     loop {
-        let Ok(read) = from.read(&mut piece).await else {
+        let Ok(read) = from.read(&mut chunk).await else {
             return;
         };
-        let holds = |mode: &LinkMode| match mode {
+        let is_held = |mode: &LinkMode| match mode {
             LinkMode::Silent => true,
-            LinkMode::OneWay => is_answer,
+            LinkMode::OneWay => is_response,
             LinkMode::Open | LinkMode::Delayed(_) | LinkMode::Reset => false,
         };
-        if mode.wait_for(|mode| !holds(mode)).await.is_err() {
+        if mode.wait_for(|mode| !is_held(mode)).await.is_err() {
             return;
         }
-        let present = *mode.borrow();
-        if let LinkMode::Delayed(late) = present {
-            tokio::time::sleep(late).await;
+        let current = *mode.borrow();
+        if let LinkMode::Delayed(delay) = current {
+            tokio::time::sleep(delay).await;
         }
         if read == 0 {
-            // The other side is gone already if this fails.
+            // A failure means that the other side has already closed.
             let _ = to.shutdown().await;
             return;
         }
-        if to.write_all(&piece[..read]).await.is_err() {
+        if to.write_all(&chunk[..read]).await.is_err() {
             return;
         }
     }
--- a/crates/oatpier-soak/src/standin/endpoint.rs
+++ b/crates/oatpier-soak/src/standin/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint: an engine or one of a plain service.
+//! A stand-in for an endpoint: an engine or an endpoint of the plain service.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,31 +19,32 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-use super::answers::{self, not_run, set, sign, text};
-use super::caller::CRASHING;
-use super::sayings::EndpointSayings;
+use super::caller::CRASH_PATH;
+use super::notices::EndpointNotices;
+use super::responses::{self, not_run_response, set, set_stamp, text};
 use super::store::StoreStandin;
 use super::weights::{EngineWeights, OrderOutcome};
-use crate::ledger::{BegunRun, SeenEvent, SoakLedger};
+use crate::history::{BegunRun, EventHistory, ObservedEvent};
 
-/// Requests at the same time.
+/// The number of requests that an endpoint runs at the same time.
 const SLOTS: u32 = 8;
 
-/// How long a request of a plain service runs, and the time between events of a stream.
-const WORK: Duration = Duration::from_millis(15);
-const EVENT_EVERY: Duration = Duration::from_millis(12);
+/// The run time of a request without a stream, and the interval between events of a stream.
+const RUN_TIME: Duration = Duration::from_millis(15);
+const EVENT_INTERVAL: Duration = Duration::from_millis(12);
 
-/// How often an endpoint writes its entry.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(400);
+/// The interval at which an endpoint writes its registry entry.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long an endpoint that leaves goes on serving after its report.
-const LINGER: Duration = Duration::from_millis(1_200);
+/// How long a draining endpoint serves after it reports that it drains.
+const DRAIN_TIME: Duration = Duration::from_millis(1_200);
 
-/// How long a crashed endpoint is away.
-const AWAY: Duration = Duration::from_millis(400);
+/// How long an endpoint is down between a stop and its restart.
+const DOWNTIME: Duration = Duration::from_millis(400);
 
-/// Headers that callers must not get through. The system sets an expected instance by itself.
-const FORGED: [&str; 7] = [
+/// Headers that gateways must remove from callers' requests. The expected instance and the workspace are not listed,
+/// because gateways set them.
+const RESERVED_HEADERS: [&str; 7] = [
     "authorization",
     "x-oatpier-hold",
     "x-oatpier-pin-ms",
@@ -53,33 +54,33 @@
     "x-oatpier-not-executed",
 ];
 
-/// What goes wrong at an endpoint, as shares of its requests.
+/// Faults of an endpoint, as shares of its requests or orders.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct EndpointFaults {
-    /// Requests that run and whose answers are lost.
-    pub lost: f64,
-    /// Answers that are cut or belong to nobody.
-    pub garbled: f64,
-    /// Orders that are left unanswered and carried out late.
-    pub late_orders: f64,
+    /// The share of requests that run and whose responses are lost.
+    pub lost_share: f64,
+    /// The share of responses that are cut off.
+    pub cut_share: f64,
+    /// The share of orders that get no response and are carried out late.
+    pub late_order_share: f64,
 }
 
-/// What an endpoint is.
+/// The fixed properties of an endpoint.
 #[derive(Debug, Clone)]
-pub struct EndpointKind {
-    /// Its place among all endpoints.
+pub struct EndpointSpec {
+    /// Its index among all endpoints.
     pub number: usize,
-    /// Where it listens, behind its link.
+    /// The address that it listens on, behind its link.
     pub listen: SocketAddr,
-    /// Where it is registered: its link.
+    /// The address that it registers: that of its link.
     pub address: SocketAddr,
     /// Its service.
     pub service: &'static str,
     /// Its availability zone.
     pub zone: &'static str,
-    /// Models that it starts with; none for a plain service.
+    /// The models that are loaded at the start; none for the plain service.
     pub models: Vec<String>,
-    /// Models that it has copies of.
+    /// The models that it has copies of on disk.
     pub copies: Vec<String>,
 }
 
@@ -88,49 +89,49 @@
     instance: String,
     weights: EngineWeights,
     running: u32,
-    draining: bool,
+    is_draining: bool,
     faults: EndpointFaults,
-    sayings: EndpointSayings,
+    notices: EndpointNotices,
 }
 
-/// An endpoint. Cloning shares it.
+/// A running endpoint. Clones share it.
 #[derive(Debug, Clone)]
 pub struct EndpointStandin {
-    kind: Arc<EndpointKind>,
+    spec: Arc<EndpointSpec>,
     state: Arc<Mutex<EndpointState>>,
     store: StoreStandin,
-    ledger: SoakLedger,
+    history: EventHistory,
     serving: Arc<Mutex<Option<JoinHandle<()>>>>,
-    /// Held while it goes and comes back: faults overlap.
-    turn: Arc<tokio::sync::Mutex<()>>,
+    /// Held from a stop to the end of the restart. Faults overlap, and only one may restart the endpoint at a time.
+    restart_lock: Arc<tokio::sync::Mutex<()>>,
 }
 
 impl EndpointStandin {
-    /// An endpoint that serves from now on.
+    /// Starts an endpoint, which serves at once.
     ///
     /// # Errors
     ///
-    /// Its address can't be listened on.
+    /// Returns an error if its address can't be bound.
     pub fn start(
-        kind: EndpointKind,
+        spec: EndpointSpec,
         store: StoreStandin,
-        ledger: SoakLedger,
+        history: EventHistory,
     ) -> std::io::Result<Self> {
         let state = EndpointState {
-            instance: new_instance(),
-            weights: EngineWeights::starting_with(&kind.models, &kind.copies),
+            instance: new_instance_id(),
+            weights: EngineWeights::starting_with(&spec.models, &spec.copies),
             running: 0,
-            draining: false,
+            is_draining: false,
             faults: EndpointFaults::default(),
-            sayings: EndpointSayings::default(),
+            notices: EndpointNotices::default(),
         };
         let endpoint = Self {
-            kind: Arc::new(kind),
+            spec: Arc::new(spec),
             state: Arc::new(Mutex::new(state)),
             store,
-            ledger,
+            history,
             serving: Arc::default(),
-            turn: Arc::default(),
+            restart_lock: Arc::default(),
         };
         endpoint.serve()?;
         tokio::spawn(endpoint.clone().write_entries());
@@ -144,7 +145,7 @@
     fn serve(&self) -> std::io::Result<()> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
-        socket.bind(self.kind.listen)?;
+        socket.bind(self.spec.listen)?;
         let listener: TcpListener = socket.listen(1_024)?;
         let handler: Arc<dyn RequestHandler> = Arc::new(self.clone());
         let serving = tokio::spawn(server::serve(
@@ -154,14 +155,14 @@
             Arc::default(),
             std::future::pending(),
         ));
-        let mut kept = self.serving.lock().unwrap_or_else(PoisonError::into_inner);
-        *kept = Some(serving);
+        let mut current = self.serving.lock().unwrap_or_else(PoisonError::into_inner);
+        *current = Some(serving);
         Ok(())
     }
 
     fn stop_serving(&self) {
-        let mut kept = self.serving.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(serving) = kept.take() {
+        let mut current = self.serving.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(serving) = current.take() {
             serving.abort();
         }
     }
@@ -177,7 +178,7 @@
                 let (name, entry) = self.entry();
                 self.store.register(&name, Some(&entry));
             }
-            sleep(HEARTBEAT_EVERY).await;
+            sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
@@ -185,159 +186,160 @@
         let mut state = self.lock();
         let models = state.weights.models();
         let entry = json!({
-            "service": self.kind.service, "address": self.kind.address, "zone": self.kind.zone,
+            "service": self.spec.service, "address": self.spec.address, "zone": self.spec.zone,
             "version": "v1", "slots": SLOTS, "cold_ms": 0, "seq": 1, "models": models,
-            "state": if state.draining { "draining" } else { "ready" },
+            "state": if state.is_draining { "draining" } else { "ready" },
         });
         (state.instance.clone(), entry)
     }
 
-    /// Sets what goes wrong.
+    /// Sets the faults.
     pub fn set_faults(&self, faults: EndpointFaults) {
         self.lock().faults = faults;
     }
 
-    /// Sets what it says of itself, by what it said before.
-    pub fn say(&self, change: impl FnOnce(&mut EndpointSayings)) {
-        change(&mut self.lock().sayings);
+    /// Changes the notices that the endpoint sends.
+    pub fn change_notices(&self, change: impl FnOnce(&mut EndpointNotices)) {
+        change(&mut self.lock().notices);
     }
 
-    /// Says in its answers alone that it leaves, goes on for a while, and comes back as another instance.
+    /// Announces a shutdown only in responses, serves for `span`, and restarts as a new instance.
     ///
     /// # Errors
     ///
-    /// Its address can't be listened on again.
+    /// Returns an error if its address can't be bound again.
     pub async fn leave(&self, span: Duration) -> std::io::Result<()> {
-        let _turn = self.turn.lock().await;
-        self.say(|sayings| sayings.leaving = true);
+        let _restart_guard = self.restart_lock.lock().await;
+        self.change_notices(|notices| notices.is_leaving = true);
         sleep(span).await;
         let (name, _) = self.entry();
         self.store.register(&name, None);
         self.restart().await
     }
 
-    /// Loses all connections and comes back as another instance, empty, a moment later.
+    /// Drops all connections and restarts as a new instance with nothing loaded, a moment later.
     ///
     /// # Errors
     ///
-    /// Its address can't be listened on again.
+    /// Returns an error if its address can't be bound again.
     pub async fn crash(&self) -> std::io::Result<()> {
-        let _turn = self.turn.lock().await;
+        let _restart_guard = self.restart_lock.lock().await;
         self.restart().await
     }
 
-    /// Ends under a request, unless it goes already.
-    fn crash_under(&self, request: &Request<Bytes>) -> bool {
-        let Ok(turn) = Arc::clone(&self.turn).try_lock_owned() else {
+    /// Crashes because of a request. Returns false if a stop or restart is already in progress.
+    fn crash_during(&self, request: &Request<Bytes>) -> bool {
+        let Ok(restart_lock) = Arc::clone(&self.restart_lock).try_lock_owned() else {
             return false;
         };
         let target = format!("{} {}", request.method(), request.uri());
-        self.ledger.note(SeenEvent::Crashed { target });
+        self.history.record(ObservedEvent::Crashed { target });
         let endpoint = self.clone();
         tokio::spawn(async move {
             if let Err(error) = endpoint.restart().await {
-                let what = format!("a stand-in did not come back: {error}");
-                endpoint.ledger.note(SeenEvent::Unserved { what });
+                let detail = format!("an endpoint did not restart: {error}");
+                endpoint.history.record(ObservedEvent::Unserved { detail });
             }
-            drop(turn);
+            drop(restart_lock);
         });
         true
     }
 
     async fn restart(&self) -> std::io::Result<()> {
         self.stop_serving();
-        sleep(AWAY).await;
+        sleep(DOWNTIME).await;
         {
             let mut state = self.lock();
-            state.instance = new_instance();
+            state.instance = new_instance_id();
             state.weights = state.weights.after_crash();
             state.running = 0;
-            state.draining = false;
-            state.sayings = EndpointSayings::default();
+            state.is_draining = false;
+            state.notices = EndpointNotices::default();
         }
         self.serve()
     }
 
-    /// Reports that it leaves, goes on for a while, and comes back as another instance.
+    /// Reports that it is draining, serves for a while longer, and restarts as a new instance.
     ///
     /// # Errors
     ///
-    /// Its address can't be listened on again.
+    /// Returns an error if its address can't be bound again.
     pub async fn drain(&self) -> std::io::Result<()> {
-        let _turn = self.turn.lock().await;
-        self.lock().draining = true;
+        let _restart_guard = self.restart_lock.lock().await;
+        self.lock().is_draining = true;
         let (name, entry) = self.entry();
         self.store.register(&name, Some(&entry));
-        sleep(LINGER).await;
+        sleep(DRAIN_TIME).await;
         self.store.register(&name, None);
         self.restart().await
     }
 
-    async fn answer(&self, request: Request<Bytes>) -> Reply {
+    async fn respond(&self, request: Request<Bytes>) -> Reply {
         match request.uri().path() {
             "/report" => self.report(),
             "/health" => self.health(),
             "/order" => self.order(&request).await,
-            _ => self.answer_request(request).await,
+            _ => self.respond_to_request(request).await,
         }
     }
 
-    /// Answers a request that is meant for this instance, and says in its answer what it says of itself.
-    async fn answer_request(&self, request: Request<Bytes>) -> Reply {
-        if let Some(other) = self.other_instance(request.headers()) {
+    /// Responds to a request that is meant for this instance, and adds the notices to the response.
+    async fn respond_to_request(&self, request: Request<Bytes>) -> Reply {
+        if let Some(other) = self.refuse_other_instance(request.headers()) {
             return other;
         }
         let id = text(request.headers(), "x-oatpier-request-id").unwrap_or_default();
         let instance = self.lock().instance.clone();
-        self.ledger.note(SeenEvent::Reached {
+        self.history.record(ObservedEvent::Reached {
             id: id.clone(),
-            endpoint: self.kind.number,
+            endpoint: self.spec.number,
             instance: instance.clone(),
         });
-        let rests = self.lock().sayings.rest.is_some();
-        let mut answer = if rests {
-            not_run(StatusCode::SERVICE_UNAVAILABLE)
+        let is_resting = self.lock().notices.rest.is_some();
+        let mut response = if is_resting {
+            not_run_response(StatusCode::SERVICE_UNAVAILABLE)
         } else {
             self.run(request).await
         };
-        let mut sayings = self.lock().sayings;
-        sayings.rest = sayings.rest.filter(|_| rests);
-        for said in sayings.list() {
+        let mut notices = self.lock().notices;
+        notices.rest = notices.rest.filter(|_| is_resting);
+        for kind in notices.list() {
             let (id, instance) = (id.clone(), instance.clone());
-            self.ledger.note(SeenEvent::Said { id, instance, said });
+            self.history
+                .record(ObservedEvent::NoticeSent { id, instance, kind });
         }
-        sayings.write(answer.headers_mut());
-        answer
+        notices.write(response.headers_mut());
+        response
     }
 
     fn report(&self) -> Reply {
         let mut state = self.lock();
         let running = state.running;
         let mut report = state.weights.report(running);
-        if state.draining {
+        if state.is_draining {
             report["state"] = json!("draining");
         }
         reply::whole(StatusCode::OK, "application/json", report.to_string())
     }
 
     fn health(&self) -> Reply {
-        let mut answer = reply::text(StatusCode::OK, "");
+        let mut response = reply::text(StatusCode::OK, "");
         set(
-            answer.headers_mut(),
+            response.headers_mut(),
             "x-oatpier-instance-id",
             &self.lock().instance,
         );
-        answer
+        response
     }
 
     async fn order(&self, request: &Request<Bytes>) -> Reply {
         let Ok(order) = serde_json::from_slice::<Value>(request.body()) else {
             return reply::text(StatusCode::BAD_REQUEST, "");
         };
-        if let Some(other) = self.other_instance(request.headers()) {
+        if let Some(other) = self.refuse_other_instance(request.headers()) {
             return other;
         }
-        let late = self.lock().faults.late_orders;
+        let late = self.lock().faults.late_order_share;
         if rand::rng().random_bool(late) {
             tokio::spawn(self.clone().carry_out_late(order));
             std::future::pending::<()>().await;
@@ -350,7 +352,7 @@
         let instance = self.lock().instance.clone();
         let late = rand::rng().random_range(500..3_000);
         sleep(Duration::from_millis(late)).await;
-        // A restart loses what was not carried out.
+        // A restart loses orders that are not carried out yet.
         if self.lock().instance == instance {
             self.carry_out(&order);
         }
@@ -360,69 +362,71 @@
         let mut state = self.lock();
         let instance = state.instance.clone();
         match state.weights.order(order) {
-            OrderOutcome::Taken { from_store } => {
+            OrderOutcome::Accepted { from_store } => {
                 if from_store {
-                    self.ledger.note(SeenEvent::StoreLoad { instance });
+                    self.history.record(ObservedEvent::StoreLoad { instance });
                 }
                 StatusCode::ACCEPTED
             }
-            OrderOutcome::Holds => StatusCode::OK,
+            OrderOutcome::Unchanged => StatusCode::OK,
             OrderOutcome::Conflict => StatusCode::CONFLICT,
             OrderOutcome::Rejected => StatusCode::MISDIRECTED_REQUEST,
-            OrderOutcome::Overfull(what) => {
-                self.ledger.note(SeenEvent::Overfull { instance, what });
+            OrderOutcome::Overcommitted(detail) => {
+                self.history
+                    .record(ObservedEvent::Overcommitted { instance, detail });
                 StatusCode::BAD_REQUEST
             }
         }
     }
 
-    /// The answer to a call that is meant for another instance.
-    fn other_instance(&self, headers: &HeaderMap) -> Option<Reply> {
+    /// Returns the refusal of a call that is meant for another instance.
+    fn refuse_other_instance(&self, headers: &HeaderMap) -> Option<Reply> {
         let expected = text(headers, "x-oatpier-expect-instance")?;
         let instance = self.lock().instance.clone();
         if expected == instance {
             return None;
         }
-        let mut answer = not_run(StatusCode::MISDIRECTED_REQUEST);
-        set(answer.headers_mut(), "x-oatpier-instance-id", &instance);
-        Some(answer)
+        let mut response = not_run_response(StatusCode::MISDIRECTED_REQUEST);
+        set(response.headers_mut(), "x-oatpier-instance-id", &instance);
+        Some(response)
     }
 
     async fn run(&self, request: Request<Bytes>) -> Reply {
         let Some(id) = text(request.headers(), "x-oatpier-request-id") else {
-            return not_run(StatusCode::BAD_REQUEST);
+            return not_run_response(StatusCode::BAD_REQUEST);
         };
         let slot = match self.take_slot(&request) {
             Ok(slot) => slot,
-            Err(status) => return not_run(status),
+            Err(status) => return not_run_response(status),
         };
-        let run = begun(&id, &slot, self.kind.service, &request);
-        self.ledger.note(SeenEvent::Begun(run));
-        if request.uri().path().ends_with(CRASHING) {
-            if self.crash_under(&request) {
+        let run = started_run(&id, &slot, self.spec.service, &request);
+        self.history.record(ObservedEvent::RunStarted(run));
+        if request.uri().path().ends_with(CRASH_PATH) {
+            if self.crash_during(&request) {
                 return std::future::pending().await;
             }
-            // Such a request never runs whole, or it would be cleared; an endpoint that goes already loses its answer.
-            return cut_answer(&id, &slot);
+            // A complete run would clear the request of suspicion, so an endpoint that already stops cuts off its
+            // response instead.
+            return cut_response(&id, &slot);
         }
         let faults = self.lock().faults;
-        if rand::rng().random_bool(faults.lost) {
-            sleep(WORK).await;
-            return cut_answer(&id, &slot);
+        if rand::rng().random_bool(faults.lost_share) {
+            sleep(RUN_TIME).await;
+            return cut_response(&id, &slot);
         }
-        let garbled = rand::rng().random_bool(faults.garbled);
+        let is_cut = rand::rng().random_bool(faults.cut_share);
         if request.uri().path().contains("stream") {
             let after = text(request.headers(), "last-event-id");
             let after = after.and_then(|id| id.parse().ok()).unwrap_or(0);
-            return stream_answer(&id, slot, after, garbled);
+            return stream_response(&id, slot, after, is_cut);
         }
-        sleep(WORK).await;
-        if garbled {
-            return cut_answer(&id, &slot);
+        sleep(RUN_TIME).await;
+        if is_cut {
+            return cut_response(&id, &slot);
         }
-        let mut answer = reply::text(StatusCode::OK, answers::whole(&id));
-        sign(answer.headers_mut(), &id, &slot.instance);
-        answer
+        let mut response = reply::text(StatusCode::OK, responses::body(&id));
+        set_stamp(response.headers_mut(), &id, &slot.instance);
+        response
     }
 
     fn take_slot(&self, request: &Request<Bytes>) -> Result<RunSlot, StatusCode> {
@@ -447,11 +451,11 @@
 
 impl RequestHandler for EndpointStandin {
     fn handle(&self, request: Request<Bytes>, _: SocketAddr) -> BoxFuture<'_, Reply> {
-        self.answer(request).boxed()
+        self.respond(request).boxed()
     }
 }
 
-/// A slot that a run holds until it is over or its caller is gone.
+/// A slot that a run holds until it ends or its caller disconnects.
 struct RunSlot {
     endpoint: EndpointStandin,
     instance: String,
@@ -471,9 +475,16 @@
     }
 }
 
-fn begun(id: &str, slot: &RunSlot, service: &'static str, request: &Request<Bytes>) -> BegunRun {
+fn started_run(
+    id: &str,
+    slot: &RunSlot,
+    service: &'static str,
+    request: &Request<Bytes>,
+) -> BegunRun {
     let headers = request.headers();
-    let forged = FORGED.iter().filter(|name| headers.contains_key(**name));
+    let forged = RESERVED_HEADERS
+        .iter()
+        .filter(|name| headers.contains_key(**name));
     BegunRun {
         id: id.to_owned(),
         instance: slot.instance.clone(),
@@ -486,48 +497,48 @@
     }
 }
 
-/// An answer that breaks off in the middle of its body.
-fn cut_answer(id: &str, slot: &RunSlot) -> Reply {
-    let half = answers::whole(id);
+/// Returns a response that breaks off in the middle of its body.
+fn cut_response(id: &str, slot: &RunSlot) -> Reply {
+    let half = responses::body(id);
     let half = Bytes::from(half[..half.len() / 2].to_owned());
-    let pieces = [Ok(Frame::data(half)), Err(BoxError::from("cut"))];
-    let mut answer = body_of(stream::iter(pieces));
-    sign(answer.headers_mut(), id, &slot.instance);
-    answer
+    let frames = [Ok(Frame::data(half)), Err(BoxError::from("cut"))];
+    let mut response = streaming_response(stream::iter(frames));
+    set_stamp(response.headers_mut(), id, &slot.instance);
+    response
 }
 
-fn stream_answer(id: &str, slot: RunSlot, after: u32, garbled: bool) -> Reply {
+fn stream_response(id: &str, slot: RunSlot, after: u32, is_cut: bool) -> Reply {
     let instance = slot.instance.clone();
-    let cut_after = if garbled { after + 4 } else { u32::MAX };
-    let owned = id.to_owned();
+    let cut_after = if is_cut { after + 4 } else { u32::MAX };
+    let request_id = id.to_owned();
     let due = Instant::now();
-    let pieces = stream::unfold((after + 1, slot), move |(number, slot)| {
-        let id = owned.clone();
+    let frames = stream::unfold((after + 1, slot), move |(number, slot)| {
+        let id = request_id.clone();
         async move {
-            if number > answers::EVENTS {
+            if number > responses::EVENTS {
                 return None;
             }
-            let ahead = EVENT_EVERY * (number - after);
-            tokio::time::sleep_until(due + ahead).await;
+            let offset = EVENT_INTERVAL * (number - after);
+            tokio::time::sleep_until(due + offset).await;
             if number > cut_after {
                 return Some((Err(BoxError::from("cut")), (u32::MAX, slot)));
             }
-            let event = Bytes::from(answers::event(&id, number));
+            let event = Bytes::from(responses::event(&id, number));
             Some((Ok(Frame::data(event)), (number + 1, slot)))
         }
     });
-    let mut answer = body_of(pieces);
-    set(answer.headers_mut(), "content-type", "text/event-stream");
-    sign(answer.headers_mut(), id, &instance);
-    answer
+    let mut response = streaming_response(frames);
+    set(response.headers_mut(), "content-type", "text/event-stream");
+    set_stamp(response.headers_mut(), id, &instance);
+    response
 }
 
-fn body_of(
-    pieces: impl futures::Stream<Item = Result<Frame<Bytes>, BoxError>> + Send + 'static,
+fn streaming_response(
+    frames: impl futures::Stream<Item = Result<Frame<Bytes>, BoxError>> + Send + 'static,
 ) -> Reply {
-    Response::new(BodyExt::boxed_unsync(StreamBody::new(pieces)))
+    Response::new(BodyExt::boxed_unsync(StreamBody::new(frames)))
 }
 
-fn new_instance() -> String {
+fn new_instance_id() -> String {
     format!("i-{:010x}", rand::rng().random::<u32>())
 }
--- a/crates/oatpier-soak/src/standin/weights.rs
+++ b/crates/oatpier-soak/src/standin/weights.rs
@@ -1,4 +1,4 @@
-//! What an engine holds, and what orders do to it.
+//! The models and adapters that an engine holds, and the effect of orders on them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,53 +6,53 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// Memory of an engine for models, in MB, and the size of each model: two fit beside the adapters.
+/// The memory of an engine, in MB. Two models fit, with all adapters.
 pub const MEMORY_MB: u32 = 200;
-/// See [`MEMORY_MB`].
+/// The size of each model, in MB.
 pub const MODEL_MB: u32 = 90;
-/// See [`MEMORY_MB`].
+/// The size of each adapter, in MB.
 pub const ADAPTER_MB: u32 = 2;
-/// Places for adapters.
-pub const PLACES: usize = 3;
-/// A load from the weight store, and one from a copy.
+/// The number of adapter slots of an engine.
+pub const ADAPTER_SLOTS: usize = 3;
+/// The durations of a model load from the weight store, a model load from a copy, and an adapter load.
 const STORE_LOAD: Duration = Duration::from_millis(500);
 const COPY_LOAD: Duration = Duration::from_millis(80);
 const ADAPTER_LOAD: Duration = Duration::from_millis(8);
 
-/// What an order came to.
+/// The outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is being carried out; whether it is a load from the weight store.
-    Taken {
-        /// Whether it is a load from the weight store.
+    /// The engine carries it out.
+    Accepted {
+        /// Whether it loads from the weight store.
         from_store: bool,
     },
-    /// It holds already.
-    Holds,
-    /// Another order is under way, or the sequence differs.
+    /// Nothing is left to carry out: the engine is in the ordered state.
+    Unchanged,
+    /// Another order is in progress, the weights are in use, or the sequence number differs.
     Conflict,
-    /// It can't be.
+    /// The order is invalid or names a model that is not loaded.
     Rejected,
-    /// It asks for more than fits.
-    Overfull(String),
+    /// The order asks for more than fits.
+    Overcommitted(String),
 }
 
-/// What an engine holds.
+/// The models, adapters and copies that an engine holds.
 #[derive(Debug, Default)]
 pub struct EngineWeights {
-    /// Adapters with the requests that use them, by model.
+    /// Loaded adapters, with the number of requests that use each, by model.
     models: BTreeMap<String, BTreeMap<String, u32>>,
-    users: BTreeMap<String, u32>,
+    uses: BTreeMap<String, u32>,
     copies: Vec<String>,
     sequence: u64,
     busy_until: Option<Instant>,
     loading: Option<String>,
     unloading: Option<String>,
-    coming: Vec<(String, String, Instant)>,
+    adapter_loads: Vec<(String, String, Instant)>,
 }
 
 impl EngineWeights {
-    /// Weights of an engine that starts with `models` and has copies of others.
+    /// Creates the weights of an engine that starts with `models` loaded and has `copies` on disk.
     #[must_use]
     pub fn starting_with(models: &[String], copies: &[String]) -> Self {
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The weights after a crash: only copies are left.
+    /// Returns the weights after a crash, which only the copies survive.
     #[must_use]
     pub fn after_crash(&self) -> Self {
         Self {
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Carries out what is due.
-    fn settle(&mut self) {
+    /// Completes loads that are due and unloads that no request blocks any more.
+    fn complete_due(&mut self) {
         let now = Instant::now();
         if self.busy_until.is_some_and(|until| until <= now) {
             self.busy_until = None;
@@ -84,18 +84,18 @@
                 self.models.insert(model, BTreeMap::new());
             }
         }
-        let idle = |model: &String| self.users.get(model).copied().unwrap_or(0) == 0;
-        if self.unloading.as_ref().is_some_and(idle)
+        let is_idle = |model: &String| self.uses.get(model).copied().unwrap_or(0) == 0;
+        if self.unloading.as_ref().is_some_and(is_idle)
             && let Some(model) = self.unloading.take()
         {
             self.models.remove(&model);
         }
-        let (come, coming) = self
-            .coming
+        let (finished, adapter_loads) = self
+            .adapter_loads
             .drain(..)
             .partition(|(_, _, due): &(String, String, Instant)| *due <= now);
-        self.coming = coming;
-        for (model, adapter, _) in come {
+        self.adapter_loads = adapter_loads;
+        for (model, adapter, _) in finished {
             if let Some(adapters) = self.models.get_mut(&model) {
                 adapters.insert(adapter, 0);
             }
@@ -106,9 +106,9 @@
         self.busy_until.is_some() || self.unloading.is_some()
     }
 
-    /// Takes an order.
+    /// Applies an order.
     pub fn order(&mut self, order: &Value) -> OrderOutcome {
-        self.settle();
+        self.complete_due();
         let expected = order["expect"].as_u64();
         if self.is_busy() || expected.is_some_and(|expected| expected != self.sequence) {
             return OrderOutcome::Conflict;
@@ -123,7 +123,7 @@
             (Some("unload"), Some(adapter)) => self.unload_adapter(model, adapter),
             _ => OrderOutcome::Rejected,
         };
-        if matches!(outcome, OrderOutcome::Taken { .. }) {
+        if matches!(outcome, OrderOutcome::Accepted { .. }) {
             self.sequence += 1;
         }
         outcome
@@ -131,28 +131,31 @@
 
     fn load_model(&mut self, model: &str) -> OrderOutcome {
         if self.models.contains_key(model) {
-            return OrderOutcome::Holds;
+            return OrderOutcome::Unchanged;
         }
         let held = u32::try_from(self.models.len()).unwrap_or(u32::MAX);
         let adapters: usize = self.models.values().map(BTreeMap::len).sum();
         let adapters = u32::try_from(adapters).unwrap_or(u32::MAX);
         if (held + 1) * MODEL_MB + adapters * ADAPTER_MB > MEMORY_MB {
-            return OrderOutcome::Overfull(format!("{model} beside {:?}", self.models.keys()));
+            return OrderOutcome::Overcommitted(format!(
+                "{model} in addition to {:?}",
+                self.models.keys()
+            ));
         }
         let from_store = !self.copies.iter().any(|copy| copy == model);
         let load = if from_store { STORE_LOAD } else { COPY_LOAD };
         self.busy_until = Some(Instant::now() + load);
         self.loading = Some(model.to_owned());
-        OrderOutcome::Taken { from_store }
+        OrderOutcome::Accepted { from_store }
     }
 
     fn unload_model(&mut self, model: &str) -> OrderOutcome {
         if !self.models.contains_key(model) {
-            return OrderOutcome::Holds;
+            return OrderOutcome::Unchanged;
         }
         self.unloading = Some(model.to_owned());
-        self.settle();
-        OrderOutcome::Taken { from_store: false }
+        self.complete_due();
+        OrderOutcome::Accepted { from_store: false }
     }
 
     fn load_adapter(&mut self, model: &str, adapter: &str) -> OrderOutcome {
@@ -160,36 +163,39 @@
             return OrderOutcome::Rejected;
         };
         if adapters.contains_key(adapter) {
-            return OrderOutcome::Holds;
+            return OrderOutcome::Unchanged;
         }
-        let places: usize = self.models.values().map(BTreeMap::len).sum();
-        if places + self.coming.len() >= PLACES {
-            return OrderOutcome::Overfull(format!("{model}/{adapter} beside {:?}", self.models));
+        let used_slots: usize = self.models.values().map(BTreeMap::len).sum();
+        if used_slots + self.adapter_loads.len() >= ADAPTER_SLOTS {
+            return OrderOutcome::Overcommitted(format!(
+                "{model}/{adapter} in addition to {:?}",
+                self.models
+            ));
         }
         let due = Instant::now() + ADAPTER_LOAD;
-        self.coming
+        self.adapter_loads
             .push((model.to_owned(), adapter.to_owned(), due));
-        OrderOutcome::Taken { from_store: false }
+        OrderOutcome::Accepted { from_store: false }
     }
 
     fn unload_adapter(&mut self, model: &str, adapter: &str) -> OrderOutcome {
-        let users = self.models.get(model).and_then(|held| held.get(adapter));
-        match users {
-            None => OrderOutcome::Holds,
+        let uses = self.models.get(model).and_then(|held| held.get(adapter));
+        match uses {
+            None => OrderOutcome::Unchanged,
             Some(0) => {
                 if let Some(adapters) = self.models.get_mut(model) {
                     adapters.remove(adapter);
                 }
                 self.sequence += 1;
-                OrderOutcome::Holds
+                OrderOutcome::Unchanged
             }
             Some(_) => OrderOutcome::Conflict,
         }
     }
 
-    /// Begins to use weights for a request; false if they are not there.
+    /// Starts to use weights for a request. Returns false if they are not loaded.
     pub fn begin_use(&mut self, weights: &str) -> bool {
-        self.settle();
+        self.complete_due();
         let (model, adapter) = weights.split_once('/').unwrap_or((weights, ""));
         if self.unloading.as_deref() == Some(model) {
             return false;
@@ -198,31 +204,31 @@
             return false;
         };
         if !adapter.is_empty() {
-            let Some(users) = adapters.get_mut(adapter) else {
+            let Some(uses) = adapters.get_mut(adapter) else {
                 return false;
             };
-            *users += 1;
+            *uses += 1;
         }
-        *self.users.entry(model.to_owned()).or_default() += 1;
+        *self.uses.entry(model.to_owned()).or_default() += 1;
         true
     }
 
-    /// A request is over.
+    /// Ends the use of weights by a request.
     pub fn end_use(&mut self, weights: &str) {
         let (model, adapter) = weights.split_once('/').unwrap_or((weights, ""));
-        if let Some(users) = self.users.get_mut(model) {
-            *users = users.saturating_sub(1);
+        if let Some(uses) = self.uses.get_mut(model) {
+            *uses = uses.saturating_sub(1);
         }
         let held = self.models.get_mut(model);
-        if let Some(users) = held.and_then(|adapters| adapters.get_mut(adapter)) {
-            *users = users.saturating_sub(1);
+        if let Some(uses) = held.and_then(|adapters| adapters.get_mut(adapter)) {
+            *uses = uses.saturating_sub(1);
         }
-        self.settle();
+        self.complete_due();
     }
 
-    /// The models with their adapters, as reports and entries give them.
+    /// Returns the models with their adapters, as reports and registry entries list them.
     pub fn models(&mut self) -> Value {
-        self.settle();
+        self.complete_due();
         let models = self.models.iter().map(|(model, adapters)| {
             let adapters: Vec<&String> = adapters.keys().collect();
             json!({"name": model, "version": 1, "adapters": adapters})
@@ -230,18 +236,18 @@
         models.collect()
     }
 
-    /// The rest of a report.
+    /// Returns the engine's report.
     pub fn report(&mut self, running: u32) -> Value {
         let models = self.models();
-        let coming: Vec<String> = self
-            .coming
+        let adapter_loads: Vec<String> = self
+            .adapter_loads
             .iter()
             .map(|(model, adapter, _)| format!("{model}/{adapter}@1"))
             .collect();
         json!({
             "stage": "both", "models": models, "busy": self.is_busy(), "seq": self.sequence,
             "waiting": 0, "running": running, "kv_used": running * 300, "kv_total": 90_000,
-            "handles": 0, "coming": coming,
+            "handles": 0, "coming": adapter_loads,
             "at_hand": {"in_memory": [], "on_disk": self.copies},
         })
     }
