--- a/crates/oatpier-agent/src/membership/fallback.rs
+++ b/crates/oatpier-agent/src/membership/fallback.rs
@@ -73,12 +73,12 @@
     /// The read has ended.
     pub fn ended(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
         self.reading = false;
-        self.next = self.backoff.failed(now, generator);
+        self.next = self.backoff.record_failure(now, generator);
     }
 
     /// An entry answered.
     pub fn heard(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
-        self.backoff.succeeded();
+        self.backoff.record_success();
         self.next = now + jittered(SILENCE, generator);
     }
 }
--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -17,7 +17,7 @@
 use oatpier_membership::generation::ConfigContent;
 use oatpier_membership::members::MemberPhase;
 use oatpier_membership::messages::{ConfigAnswer, HeartbeatAnswer, PeerAnswer, PeerCall};
-use oatpier_membership::stops::StopWord;
+use oatpier_membership::stops::StopRequest;
 use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
 use oatpier_ports::store::{ExpectedValue, KeyStore};
 use oatpier_ports::vms::{VmDuty, VmRow, VmState};
@@ -53,7 +53,7 @@
 struct TestEntry {
     down: bool,
     generation: u64,
-    stop: Option<StopWord>,
+    stop: Option<StopRequest>,
     plan: Option<PlanRow>,
     heartbeats: u32,
     phases: Vec<MemberPhase>,
@@ -370,7 +370,7 @@
         if by_list {
             member.vms.set_rows(vm_rows(VmState::Leaving));
         } else {
-            let word = StopWord {
+            let word = StopRequest {
                 revision: Revision(3),
                 withdrawn: false,
             };
--- a/crates/oatpier-bench/src/cost/state.rs
+++ b/crates/oatpier-bench/src/cost/state.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use oatpier_membership::members::{
-    Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, MemberTable, TableLimits, WitnessWord,
+    MemberFacts, MemberKind, MemberPhase, MemberRow, MemberTable, Reachability, TableLimits,
+    WitnessVote,
 };
 use oatpier_membership::messages::{AgentHeartbeat, HeartbeatBody};
 use oatpier_membership::registrar::RegistrarTable;
@@ -91,7 +92,7 @@
         if let HeartbeatBody::QueueReport { report, .. } = &mut beat.body {
             report.sequence = sequence;
         }
-        black_box(registrar.hear(beat, &mut table, now));
+        black_box(registrar.handle_heartbeat(beat, &mut table, now));
     });
 }
 
@@ -199,15 +200,15 @@
         generation: Generation(1),
         kind: MemberKind::Agent(Box::new(status.clone())),
     };
-    let word = WitnessWord {
+    let vote = WitnessVote {
         witness: registrar(),
         about: 1,
         order: (1, 1),
-        hearing: Hearing::Heard,
+        reachability: Reachability::Reachable,
     };
     MemberRow {
         facts,
-        words: smallvec::smallvec![word],
+        votes: smallvec::smallvec![vote],
     }
 }
 
--- a/crates/oatpier-entry/src/configuration.rs
+++ b/crates/oatpier-entry/src/configuration.rs
@@ -12,7 +12,7 @@
 use oatpier_membership::budget::CallKind;
 use oatpier_membership::messages::NamedStop;
 use oatpier_membership::spread::{StoreReply, StoredConfig};
-use oatpier_membership::stops::{STOP_PREFIX, StopWord};
+use oatpier_membership::stops::{STOP_PREFIX, StopRequest};
 use oatpier_ports::store::{KeyChange, StoreError, StoredValue};
 use oatpier_types::config::FleetConfig;
 use oatpier_types::config::record::{CONFIG_KEY, ConfigRecord};
@@ -146,7 +146,7 @@
                     .iter()
                     .filter_map(|value| named_stop(&value.key, value.revision, false))
                     .collect();
-                let latest = stops.iter().map(|stop| stop.word.revision).max();
+                let latest = stops.iter().map(|stop| stop.request.revision).max();
                 self.stops_seen = self.stops_seen.max(latest.unwrap_or_default());
                 self.news.send(StoreNews::Stops(stops)).await;
             }
@@ -174,7 +174,7 @@
     let name = key.strip_prefix(STOP_PREFIX)?;
     Some(NamedStop {
         daemon: DaemonName::try_from(name).ok()?,
-        word: StopWord {
+        request: StopRequest {
             revision,
             withdrawn,
         },
--- a/crates/oatpier-entry/src/links.rs
+++ b/crates/oatpier-entry/src/links.rs
@@ -6,7 +6,7 @@
 use futures::FutureExt;
 use futures::future::BoxFuture;
 use oatpier_duty::messages::{FleetAnswer, FleetCall, PEER_PATH, STATUS_PATH};
-use oatpier_membership::spread::CALL_WITHIN;
+use oatpier_membership::spread::CALL_TIMEOUT;
 use oatpier_types::status::EndpointStatus;
 use oatpier_wire::client::ClientLimits;
 use oatpier_wire::peer::PeerClient;
@@ -82,7 +82,7 @@
 
 impl EntryLinks for HttpLinks {
     fn call(&self, to: SocketAddr, call: FleetCall) -> LinkFuture<FleetAnswer> {
-        self.ask(to, PEER_PATH, call, CALL_WITHIN)
+        self.ask(to, PEER_PATH, call, CALL_TIMEOUT)
     }
 
     fn claim(&self, to: SocketAddr, call: ClaimCall) -> LinkFuture<ClaimReply> {
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -75,7 +75,7 @@
 }
 
 fn registered_agents(state: &DriverState) -> impl Iterator<Item = &DaemonName> {
-    let heard = state.member.registrar().heard();
+    let heard = state.member.registrar().reachable_agents();
     heard.map(|(contact, _)| &contact.daemon)
 }
 
@@ -196,7 +196,7 @@
 /// are replacements: the planner is to have them loaded meanwhile.
 fn is_leaving(state: &DriverState, view: &MemberView<'_>) -> bool {
     let daemon = &view.facts.daemon;
-    let word = state.member.stops().word(daemon);
+    let word = state.member.stops().request(daemon);
     view.state == MemberState::Leaving
         || view.hinted_leaving
         || word.is_some_and(|word| !word.withdrawn)
--- a/crates/oatpier-entry/src/peers/placement.rs
+++ b/crates/oatpier-entry/src/peers/placement.rs
@@ -130,7 +130,12 @@
 
 fn is_in_another_zone(state: &DriverState, weights: &WeightsKey) -> bool {
     let key = summary_key(weights);
-    state.member.book().zones_with(&key).next().is_some()
+    state
+        .member
+        .zone_summaries()
+        .zones_with(&key)
+        .next()
+        .is_some()
 }
 
 fn summary_key(weights: &WeightsKey) -> SummaryKey {
--- a/crates/oatpier-entry/src/peers/stops.rs
+++ b/crates/oatpier-entry/src/peers/stops.rs
@@ -6,7 +6,7 @@
 use oatpier_membership::entry::EntryMember;
 use oatpier_membership::members::{MemberTable, MemberView};
 use oatpier_membership::messages::NamedStop;
-use oatpier_membership::stops::StopWord;
+use oatpier_membership::stops::StopRequest;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::FleetConfig;
 use oatpier_types::engine::WeightsKey;
@@ -22,7 +22,7 @@
 /// while the model is still being loaded elsewhere, and its callers would be refused.
 #[derive(Debug, Default)]
 pub struct StopGate {
-    held: IndexMap<DaemonName, (StopWord, ClockTime)>,
+    held: IndexMap<DaemonName, (StopRequest, ClockTime)>,
     /// Given back, and not yet among the machine's own stops.
     passed: IndexSet<DaemonName>,
 }
@@ -58,21 +58,21 @@
         member: &EntryMember<FleetConfig>,
         now: ClockTime,
     ) -> Option<NamedStop> {
-        let known = member.stops().word(&stop.daemon);
+        let known = member.stops().request(&stop.daemon);
         let is_told = known.is_some_and(|known| !known.withdrawn);
         let is_open = |daemon: &DaemonName| {
-            let word = member.stops().word(daemon);
+            let word = member.stops().request(daemon);
             word.is_none_or(|word| word.withdrawn)
         };
         self.passed.retain(is_open);
-        if stop.word.withdrawn || is_told {
+        if stop.request.withdrawn || is_told {
             self.held.shift_remove(&stop.daemon);
             self.passed.shift_remove(&stop.daemon);
             return Some(stop);
         }
         // Held first, so that two agents don't count as each other's replacement.
         let since = self.held.get(&stop.daemon).map_or(now, |held| held.1);
-        self.held.insert(stop.daemon.clone(), (stop.word, since));
+        self.held.insert(stop.daemon.clone(), (stop.request, since));
         if self.may_tell(&stop.daemon, since, member, now) {
             self.held.shift_remove(&stop.daemon);
             self.passed.insert(stop.daemon.clone());
@@ -88,7 +88,7 @@
         let waiting: Vec<NamedStop> = waiting
             .map(|(daemon, (word, _))| NamedStop {
                 daemon: daemon.clone(),
-                word: *word,
+                request: *word,
             })
             .collect();
         waiting
@@ -114,7 +114,7 @@
         };
         let stays = |other: &MemberView<'_>| {
             let name = &other.facts.daemon;
-            let word = member.stops().word(name);
+            let word = member.stops().request(name);
             let is_asked = self.holds(name) || self.passed.contains(name);
             name != daemon && !is_asked && word.is_none_or(|word| word.withdrawn)
         };
--- a/crates/oatpier-entry/tests/testsuite/configuration.rs
+++ b/crates/oatpier-entry/tests/testsuite/configuration.rs
@@ -68,7 +68,7 @@
     async fn stop_news(&self) -> (String, bool) {
         loop {
             if let StoreNews::Stop(stop) = self.news.receive().await.unwrap() {
-                return (stop.daemon.to_string(), stop.word.withdrawn);
+                return (stop.daemon.to_string(), stop.request.withdrawn);
             }
         }
     }
--- a/crates/oatpier-entry/tests/testsuite/stops.rs
+++ b/crates/oatpier-entry/tests/testsuite/stops.rs
@@ -6,7 +6,7 @@
 use oatpier_membership::entry::{EntryEvent, EntryMember};
 use oatpier_membership::members::{MemberPhase, TableLimits};
 use oatpier_membership::messages::{AgentHeartbeat, HeartbeatBody, NamedStop, PeerCall};
-use oatpier_membership::stops::StopWord;
+use oatpier_membership::stops::StopRequest;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::FleetConfig;
 use oatpier_types::engine::WeightsKey;
@@ -34,7 +34,7 @@
 fn stop(number: u16, withdrawn: bool) -> NamedStop {
     NamedStop {
         daemon: agent(number),
-        word: StopWord {
+        request: StopRequest {
             revision: Revision(10 + u64::from(withdrawn)),
             withdrawn,
         },
--- a/crates/oatpier-faults/src/membership/act.rs
+++ b/crates/oatpier-faults/src/membership/act.rs
@@ -6,7 +6,7 @@
 use oatpier_membership::entry::{CallNumber, EntryAction, EntryEvent};
 use oatpier_membership::generation::{ConfigPayload, HeldConfig};
 use oatpier_membership::messages::{EntryContact, PeerCall};
-use oatpier_membership::spread::{CALL_WITHIN, StoreReply};
+use oatpier_membership::spread::{CALL_TIMEOUT, StoreReply};
 use oatpier_types::config::FleetConfig;
 use oatpier_types::event::FleetEvent;
 use oatpier_types::ids::Generation;
@@ -100,7 +100,7 @@
     fn send(&mut self, from: usize, to: &EntryContact, call: CallNumber, body: Call) {
         let boot = self.processes[from].boot;
         let end = Happening::End { call, answer: None };
-        self.put(CALL_WITHIN, from, Some(boot), end);
+        self.put(CALL_TIMEOUT, from, Some(boot), end);
         let target =
             (0..PROCESSES).find(|index| self.processes[*index].contact.daemon == to.daemon);
         let Some(target) = target else {
--- a/crates/oatpier-membership/src/agent.rs
+++ b/crates/oatpier-membership/src/agent.rs
@@ -20,7 +20,7 @@
     ConfigAck, ConfigAnswer, ConfigPull, ConfigPush, EntryContact, PeerAnswer, PeerCall,
 };
 use crate::registrar::{HeartbeatAction, HeartbeatKeeper, RegistrarLost};
-use crate::stops::StopWord;
+use crate::stops::StopRequest;
 
 /// Delay before a lost pull is repeated.
 const PULL_RETRY_AFTER: Duration = Duration::from_millis(200);
@@ -62,7 +62,7 @@
     /// This configuration is now in force.
     InForce(HeldConfig<P>),
     /// A planned stop of this agent was requested or withdrawn.
-    Stop(StopWord),
+    Stop(StopRequest),
     /// A registrar did not answer and was replaced. Informational only.
     RegistrarLost(RegistrarLost),
 }
@@ -78,7 +78,7 @@
     keeper: GenerationKeeper<P>,
     ahead: Option<(EntryContact, Generation)>,
     is_pulling: bool,
-    stop: Option<StopWord>,
+    stop: Option<StopRequest>,
     next_pull: ClockTime,
     calls: IndexMap<CallNumber, (EntryContact, bool)>,
     next_call: u64,
@@ -214,10 +214,10 @@
                 }
                 HeartbeatAction::Lost(lost) => actions.push(AgentAction::RegistrarLost(lost)),
                 HeartbeatAction::Former(former) => self.keeper.raise_floor(former.generation),
-                HeartbeatAction::Stop(word) => {
+                HeartbeatAction::Stop(request) => {
                     // Every heartbeat answer repeats the request.
-                    if self.stop.replace(word) != Some(word) {
-                        actions.push(AgentAction::Stop(word));
+                    if self.stop.replace(request) != Some(request) {
+                        actions.push(AgentAction::Stop(request));
                     }
                 }
                 HeartbeatAction::GenerationSeen { from, generation } => {
--- a/crates/oatpier-membership/src/backoff.rs
+++ b/crates/oatpier-membership/src/backoff.rs
@@ -32,14 +32,14 @@
     }
 
     /// Counts a failure and returns when to try again.
-    pub fn failed(&mut self, now: ClockTime, generator: &mut ChaCha8Rng) -> ClockTime {
+    pub fn record_failure(&mut self, now: ClockTime, generator: &mut ChaCha8Rng) -> ClockTime {
         let doubled = self.first.saturating_mul(1 << self.failures.min(16));
         self.failures += 1;
         now + jittered(doubled.min(self.longest), generator)
     }
 
     /// Resets the count of failures.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
     }
 
--- a/crates/oatpier-membership/src/entry/calls.rs
+++ b/crates/oatpier-membership/src/entry/calls.rs
@@ -133,7 +133,7 @@
         actions: &mut Actions<P>,
     ) -> Vec<ExchangeAction> {
         for summary in &answer.summaries {
-            self.book.merge(summary, now);
+            self.zone_summaries.merge(summary, now);
         }
         self.observe_generation(peer.clone(), answer.generation, now, actions);
         let (table, stops) = (&mut self.table, &mut self.stops);
@@ -161,7 +161,7 @@
     fn renew_votes(&mut self, now: ClockTime) {
         let own = self.exchange.own_row(self.spreader.generation());
         self.table.merge(&own, now);
-        let votes: Vec<RegistrarVote> = self.registrar.words();
+        let votes: Vec<RegistrarVote> = self.registrar.votes();
         for vote in &votes {
             self.exchange.cast_vote(vote, &mut self.table);
         }
--- a/crates/oatpier-membership/src/entry/member.rs
+++ b/crates/oatpier-membership/src/entry/member.rs
@@ -17,7 +17,7 @@
 };
 use crate::registrar::{RegistrarTable, entries_digest};
 use crate::spread::{ConfigSpreader, SpreadEvent, SpreadPeers};
-use crate::stops::{StopRegistry, StopWord};
+use crate::stops::{StopRegistry, StopRequest};
 use crate::summary::SummaryTable;
 
 /// The interval between two checks for silent agents.
@@ -34,9 +34,9 @@
     pub(super) registrar: RegistrarTable,
     pub(super) exchange: EntryExchange,
     pub(super) summaries: SummaryExchange,
-    pub(super) book: SummaryTable,
+    pub(super) zone_summaries: SummaryTable,
     pub(super) stops: StopRegistry,
-    own_stop: Option<StopWord>,
+    own_stop: Option<StopRequest>,
     pub(super) spreader: ConfigSpreader<P>,
     pub(super) calls: IndexMap<CallNumber, (EntryContact, CallPurpose)>,
     pub(super) next_call: u64,
@@ -73,7 +73,7 @@
             registrar: RegistrarTable::default(),
             exchange: EntryExchange::new(own.clone(), boot, seeds, fork(), now),
             summaries,
-            book: SummaryTable::default(),
+            zone_summaries: SummaryTable::default(),
             stops: StopRegistry::default(),
             own_stop: None,
             spreader: ConfigSpreader::new(own.clone(), boot, fork(), now),
@@ -93,8 +93,8 @@
 
     /// Returns the summaries of other availability zones.
     #[must_use]
-    pub fn book(&self) -> &SummaryTable {
-        &self.book
+    pub fn zone_summaries(&self) -> &SummaryTable {
+        &self.zone_summaries
     }
 
     /// Returns the planned stops.
@@ -206,7 +206,7 @@
             for vote in self.registrar.check(is_isolated, &self.table, now) {
                 self.exchange.cast_vote(&vote, &mut self.table);
             }
-            self.book.prune(now);
+            self.zone_summaries.prune(now);
             self.refresh(now, actions);
         }
         let generation = self.generation();
@@ -234,10 +234,10 @@
         if self.table.mark() != self.refreshed_mark {
             self.refresh(now, actions);
         }
-        let word = self.stops.word(&self.own.daemon);
-        if word != self.own_stop {
-            self.own_stop = word;
-            actions.extend(word.map(EntryAction::Stop));
+        let request = self.stops.request(&self.own.daemon);
+        if request != self.own_stop {
+            self.own_stop = request;
+            actions.extend(request.map(EntryAction::Stop));
         }
     }
 
@@ -272,7 +272,9 @@
         actions: &mut Actions<P>,
     ) -> HeartbeatAnswer {
         let mark = self.table.mark();
-        let handled = self.registrar.hear(heartbeat, &mut self.table, now);
+        let handled = self
+            .registrar
+            .handle_heartbeat(heartbeat, &mut self.table, now);
         let (mut answer, vote) = handled;
         if self.table.mark() != mark {
             self.exchange.queue_row(&heartbeat.daemon);
@@ -294,7 +296,7 @@
             self.run_spreader(seen, now, actions);
         }
         answer.generation = self.generation();
-        answer.stop = self.stops.word(&heartbeat.daemon);
+        answer.stop = self.stops.request(&heartbeat.daemon);
         let entries = self.group_entries();
         if entries_digest(entries.iter()) != heartbeat.entries_digest {
             answer.entries = Some(entries);
@@ -314,7 +316,7 @@
             .handle_gossip(gossip, &mut self.table, stops, now);
         self.send(sent, now, actions);
         for summary in &gossip.summaries {
-            self.summaries.merge(summary, &mut self.book, now);
+            self.summaries.merge(summary, &mut self.zone_summaries, now);
         }
         // An empty table (apart from the sender's own row) means that the sender has just started.
         let is_empty = |parts: &Vec<u32>| parts.iter().filter(|part| **part != 0).count() <= 1;
@@ -323,7 +325,7 @@
             .as_ref()
             .is_some_and(|digest| is_empty(&digest.parts))
         {
-            answer.summaries = self.book.all(now);
+            answer.summaries = self.zone_summaries.all(now);
         }
         self.observe_generation(gossip.from.clone(), gossip.generation, now, actions);
         answer.generation = self.generation();
@@ -336,7 +338,8 @@
         now: ClockTime,
         actions: &mut Actions<P>,
     ) -> SummaryAnswer {
-        self.summaries.merge(&call.summary, &mut self.book, now);
+        self.summaries
+            .merge(&call.summary, &mut self.zone_summaries, now);
         self.summaries.add_contacts(&call.contacts);
         self.observe_generation(call.from.clone(), call.generation, now, actions);
         SummaryAnswer {
@@ -361,7 +364,7 @@
     pub(super) fn peers(&self) -> SpreadPeers {
         let mut group = self.group_entries();
         group.retain(|peer| peer.daemon != self.own.daemon);
-        let agents = self.registrar.heard();
+        let agents = self.registrar.reachable_agents();
         SpreadPeers {
             group,
             agents: agents.map(|(contact, at)| (contact.clone(), at)).collect(),
--- a/crates/oatpier-membership/src/entry/mod.rs
+++ b/crates/oatpier-membership/src/entry/mod.rs
@@ -1,7 +1,7 @@
 //! The combined state machine of an entry for configuration and membership.
 //!
 //! The caller sends the calls and reports their ends (without an answer after
-//! [`crate::spread::CALL_WITHIN`]). It also passes in the calls of other processes, and sends a
+//! [`crate::spread::CALL_TIMEOUT`]). It also passes in the calls of other processes, and sends a
 //! tick at [`EntryMember::next_wake`].
 
 mod calls;
@@ -18,7 +18,7 @@
 use crate::members::{MemberChange, MemberPhase, PathEvidence, VmHint};
 use crate::messages::{EntryContact, NamedStop, PeerAnswer, PeerCall};
 use crate::spread::StoreReply;
-use crate::stops::StopWord;
+use crate::stops::StopRequest;
 
 pub use member::EntryMember;
 
@@ -93,5 +93,5 @@
     /// A member's state changed.
     Changed(MemberChange),
     /// A planned stop of this entry was requested or withdrawn.
-    Stop(StopWord),
+    Stop(StopRequest),
 }
--- a/crates/oatpier-membership/src/exchange/group.rs
+++ b/crates/oatpier-membership/src/exchange/group.rs
@@ -15,7 +15,7 @@
 use super::{DIGEST_ROUNDS, ExchangeAction, ExchangeScope, GOSSIP_EVERY, GOSSIP_FANOUT, ROW_SENDS};
 use crate::backoff::jittered;
 use crate::members::{
-    Hearing, MemberFacts, MemberPhase, MemberRow, MemberState, MemberTable, WitnessWord,
+    MemberFacts, MemberPhase, MemberRow, MemberState, MemberTable, Reachability, WitnessVote,
 };
 use crate::messages::{EntryContact, EntryGossip, FormerBoot, GossipAnswer, NamedStop};
 use crate::registrar::RegistrarVote;
@@ -147,11 +147,11 @@
     /// Merges this entry's own vote into the table and queues it to be gossiped.
     pub fn cast_vote(&mut self, vote: &RegistrarVote, table: &mut MemberTable) {
         self.vote_count += 1;
-        let witness_vote = WitnessWord {
+        let witness_vote = WitnessVote {
             witness: self.own.contact.daemon.clone(),
             about: vote.about,
             order: (self.own.incarnation, self.vote_count),
-            hearing: vote.hearing,
+            reachability: vote.reachability,
         };
         if table.merge_vote(&vote.daemon, &witness_vote) {
             self.queue_row(&vote.daemon);
@@ -289,8 +289,10 @@
         };
         let incarnation = row.facts.incarnation;
         let own = &self.own.contact.daemon;
-        let has_voted = row.words.iter().any(|vote| {
-            vote.witness == *own && vote.about == incarnation && vote.hearing == Hearing::Silent
+        let has_voted = row.votes.iter().any(|vote| {
+            vote.witness == *own
+                && vote.about == incarnation
+                && vote.reachability == Reachability::Silent
         });
         if has_voted && !is_answering {
             return;
@@ -298,10 +300,10 @@
         let vote = RegistrarVote {
             daemon: about.clone(),
             about: incarnation,
-            hearing: if is_answering {
-                Hearing::Heard
+            reachability: if is_answering {
+                Reachability::Reachable
             } else {
-                Hearing::Silent
+                Reachability::Silent
             },
         };
         self.cast_vote(&vote, table);
@@ -353,9 +355,9 @@
         let names = take_due(&mut self.rumors);
         rows.extend(names.iter().filter_map(|name| table.row(name)).cloned());
         let names = take_due(&mut self.stop_rumors);
-        let words = names.into_iter().filter_map(|daemon| {
-            let word = stops.word(&daemon)?;
-            Some(NamedStop { daemon, word })
+        let requests = names.into_iter().filter_map(|daemon| {
+            let request = stops.request(&daemon)?;
+            Some(NamedStop { daemon, request })
         });
         EntryGossip {
             from: self.own.contact.clone(),
@@ -363,7 +365,7 @@
             generation,
             rows,
             summaries: Vec::new(),
-            stops: words.collect(),
+            stops: requests.collect(),
             digest: digest.then(|| table.digest()),
         }
     }
--- a/crates/oatpier-membership/src/exchange/own.rs
+++ b/crates/oatpier-membership/src/exchange/own.rs
@@ -9,7 +9,9 @@
 
 use super::ExchangeAction;
 use crate::backoff::RetryBackoff;
-use crate::members::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, REMOVAL_VOTES};
+use crate::members::{
+    MemberFacts, MemberKind, MemberPhase, MemberRow, REMOVAL_VOTES, Reachability,
+};
 use crate::messages::{EntryContact, FormerBoot};
 
 /// Bounds of the delay between two refutations. The upper bound is harmless: the entry that voted
@@ -63,7 +65,7 @@
                 generation,
                 kind: MemberKind::Entry,
             },
-            words: SmallVec::new(),
+            votes: SmallVec::new(),
         }
     }
 
@@ -83,14 +85,14 @@
             return actions;
         }
         let about = self.incarnation;
-        let current = row.words.iter().filter(|vote| vote.about == about);
+        let current = row.votes.iter().filter(|vote| vote.about == about);
         let silent_votes = current
-            .filter(|vote| vote.hearing == Hearing::Silent)
+            .filter(|vote| vote.reachability == Reachability::Silent)
             .count();
         if silent_votes < REMOVAL_VOTES || now < self.refute_at {
             return Vec::new();
         }
-        self.refute_at = self.backoff.failed(now, &mut self.generator);
+        self.refute_at = self.backoff.record_failure(now, &mut self.generator);
         self.raise_incarnation(self.incarnation + 1)
     }
 
--- a/crates/oatpier-membership/src/members/mod.rs
+++ b/crates/oatpier-membership/src/members/mod.rs
@@ -12,7 +12,7 @@
 mod table;
 
 pub use evidence::{EvidenceCache, PathEvidence};
-pub use row::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, WitnessWord};
+pub use row::{MemberFacts, MemberKind, MemberPhase, MemberRow, Reachability, WitnessVote};
 pub use table::{
     EVIDENCE_TTL, GONE_KEPT, LostRegistrar, MemberChange, MemberState, MemberTable, MemberView,
     REMOVAL_VOTES, SUSPECT_AFTER, TableDeltas, TableLimits, VmHint,
--- a/crates/oatpier-membership/src/members/row.rs
+++ b/crates/oatpier-membership/src/members/row.rs
@@ -102,7 +102,7 @@
 /// changes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct WitnessWord {
+pub struct WitnessVote {
     /// The entry that votes.
     pub witness: DaemonName,
     /// The incarnation of the process that the vote is about.
@@ -110,15 +110,17 @@
     /// The witness's incarnation, then its vote counter: a later vote has a higher order.
     pub order: (u64, u64),
     /// Whether the witness receives messages from the process.
-    pub hearing: Hearing,
+    #[serde(rename = "hearing")]
+    pub reachability: Reachability,
 }
 
 /// Whether an entry receives messages from a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub enum Hearing {
+pub enum Reachability {
     /// It does.
-    Heard,
+    #[serde(rename = "Heard")]
+    Reachable,
     /// It expects messages and receives none.
     Silent,
     /// It no longer expects messages, as the agent has other registrars now. No evidence about the
@@ -133,7 +135,8 @@
     /// What the process states about itself.
     pub facts: MemberFacts,
     /// The votes of entries.
-    pub words: SmallVec<[WitnessWord; 2]>,
+    #[serde(rename = "words")]
+    pub votes: SmallVec<[WitnessVote; 2]>,
 }
 
 impl MemberRow {
@@ -147,7 +150,7 @@
             // This alone is not gossiped. It is the lower bound for the next boot of the process.
             self.facts.generation = self.facts.generation.max(other.facts.generation);
         }
-        for vote in &other.words {
+        for vote in &other.votes {
             changed |= self.merge_vote(vote);
         }
         changed | self.drop_old_votes()
@@ -155,9 +158,9 @@
 
     /// Takes in a vote if it is later than the earlier one of the same witness. Returns whether it
     /// was.
-    pub fn merge_vote(&mut self, vote: &WitnessWord) -> bool {
+    pub fn merge_vote(&mut self, vote: &WitnessVote) -> bool {
         let known = self
-            .words
+            .votes
             .iter_mut()
             .find(|known| known.witness == vote.witness);
         match known {
@@ -168,8 +171,8 @@
             }
             None if vote.about < self.facts.incarnation => false,
             None => {
-                self.words.push(vote.clone());
-                self.words
+                self.votes.push(vote.clone());
+                self.votes
                     .sort_by(|left, right| left.witness.cmp(&right.witness));
                 true
             }
@@ -187,7 +190,7 @@
         hasher.update(&[phase as u8]);
         hasher.update(&sequence.to_le_bytes());
         hasher.update(&boot.0.to_le_bytes());
-        for vote in &self.words {
+        for vote in &self.votes {
             hasher.update(vote.witness.as_str().as_bytes());
             hasher.update(&vote.order.0.to_le_bytes());
             hasher.update(&vote.order.1.to_le_bytes());
@@ -196,9 +199,9 @@
     }
 
     fn drop_old_votes(&mut self) -> bool {
-        let before = self.words.len();
+        let before = self.votes.len();
         let incarnation = self.facts.incarnation;
-        self.words.retain(|vote| vote.about >= incarnation);
-        self.words.len() != before
+        self.votes.retain(|vote| vote.about >= incarnation);
+        self.votes.len() != before
     }
 }
--- a/crates/oatpier-membership/src/members/state.rs
+++ b/crates/oatpier-membership/src/members/state.rs
@@ -8,7 +8,7 @@
 use smallvec::SmallVec;
 
 use super::evidence::PathEvidence;
-use super::row::{Hearing, MemberFacts, MemberPhase, MemberRow, WitnessWord};
+use super::row::{MemberFacts, MemberPhase, MemberRow, Reachability, WitnessVote};
 use super::table::{
     GONE_KEPT, LostRegistrar, MemberChange, MemberState, MemberTable, REMOVAL_VOTES, SUSPECT_AFTER,
     TableRecord,
@@ -67,7 +67,7 @@
         if facts.daemon == self.own || evidence == Some(PathEvidence::Answered) {
             return serving_state(facts);
         }
-        if record.dropped_votes.as_ref() == Some(&record.row.words) {
+        if record.dropped_votes.as_ref() == Some(&record.row.votes) {
             return MemberState::Gone;
         }
         let others = expected.saturating_sub(usize::from(facts.is_entry()));
@@ -87,11 +87,14 @@
         failed: bool,
         now: ClockTime,
     ) -> VoteCount {
-        let live: SmallVec<[&WitnessWord; 4]> = self.live_votes(&record.row).collect();
-        let votes_for = |hearing| live.iter().filter(move |vote| vote.hearing == hearing);
-        let reachable = votes_for(Hearing::Heard).count();
-        let own_silent = votes_for(Hearing::Silent).any(|vote| vote.witness == self.own);
-        let silent = votes_for(Hearing::Silent).count() + usize::from(failed && !own_silent);
+        let live: SmallVec<[&WitnessVote; 4]> = self.live_votes(&record.row).collect();
+        let votes_for = |reachability| {
+            live.iter()
+                .filter(move |vote| vote.reachability == reachability)
+        };
+        let reachable = votes_for(Reachability::Reachable).count();
+        let own_silent = votes_for(Reachability::Silent).any(|vote| vote.witness == self.own);
+        let silent = votes_for(Reachability::Silent).count() + usize::from(failed && !own_silent);
         VoteCount {
             reachable,
             silent,
@@ -103,8 +106,10 @@
 
     /// Counts live registrars that can reach a member.
     fn reachable_count(&self, row: &MemberRow) -> usize {
-        let words = self.live_votes(row);
-        words.filter(|vote| vote.hearing == Hearing::Heard).count()
+        let votes = self.live_votes(row);
+        votes
+            .filter(|vote| vote.reachability == Reachability::Reachable)
+            .count()
     }
 
     /// Whether an entry other than this process can reach a member.
@@ -114,7 +119,7 @@
             return false;
         };
         let mut others = self.live_votes(row).filter(|vote| vote.witness != self.own);
-        others.any(|vote| vote.hearing == Hearing::Heard)
+        others.any(|vote| vote.reachability == Reachability::Reachable)
     }
 
     fn is_reachable(&self, row: &MemberRow) -> bool {
@@ -123,9 +128,9 @@
 
     /// Returns the votes of live witnesses. The last vote of a witness that died or restarted is
     /// ignored, as it is no evidence of the present state.
-    fn live_votes<'a>(&'a self, row: &'a MemberRow) -> impl Iterator<Item = &'a WitnessWord> {
+    fn live_votes<'a>(&'a self, row: &'a MemberRow) -> impl Iterator<Item = &'a WitnessVote> {
         let about = row.facts.incarnation;
-        row.words.iter().filter(move |vote| {
+        row.votes.iter().filter(move |vote| {
             let witness = self.records.get(&vote.witness);
             vote.about == about
                 && witness.is_some_and(|witness| {
@@ -146,7 +151,7 @@
             let lost = primary.is_some_and(|primary| lost.contains(&primary));
             // An agent that already has its next registrar is registered again.
             if lost && self.reachable_count(row) < REGISTRARS {
-                self.records[index].dropped_votes = Some(row.words.clone());
+                self.records[index].dropped_votes = Some(row.votes.clone());
             }
         }
     }
@@ -156,9 +161,9 @@
 fn primary_registrar(row: &MemberRow) -> Option<&DaemonName> {
     row.facts.status()?;
     let witnesses = row
-        .words
+        .votes
         .iter()
-        .filter(|vote| vote.hearing == Hearing::Heard);
+        .filter(|vote| vote.reachability == Reachability::Reachable);
     let key = rendezvous::registrar_key(&row.facts.daemon);
     witnesses
         .map(|vote| &vote.witness)
--- a/crates/oatpier-membership/src/members/table.rs
+++ b/crates/oatpier-membership/src/members/table.rs
@@ -10,7 +10,7 @@
 use smallvec::SmallVec;
 
 use super::evidence::{EvidenceCache, PathEvidence};
-use super::row::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, WitnessWord};
+use super::row::{MemberFacts, MemberKind, MemberPhase, MemberRow, Reachability, WitnessVote};
 use crate::messages::EntryContact;
 use crate::summary::TableDigest;
 
@@ -122,7 +122,7 @@
     pub(super) state: MemberState,
     pub(super) gone_since: ClockTime,
     pub(super) last_reachable: ClockTime,
-    pub(super) dropped_votes: Option<SmallVec<[WitnessWord; 2]>>,
+    pub(super) dropped_votes: Option<SmallVec<[WitnessVote; 2]>>,
     hinted_leaving: bool,
 }
 
@@ -179,7 +179,7 @@
     }
 
     /// Takes in one entry's vote on a member.
-    pub fn merge_vote(&mut self, daemon: &DaemonName, vote: &WitnessWord) -> bool {
+    pub fn merge_vote(&mut self, daemon: &DaemonName, vote: &WitnessVote) -> bool {
         let Some(record) = self.records.get_mut(daemon) else {
             return false;
         };
@@ -331,11 +331,14 @@
     }
 
     fn insert(&mut self, row: &MemberRow, now: ClockTime) -> bool {
-        let reachable = row.words.iter().any(|vote| vote.hearing == Hearing::Heard);
+        let reachable = row
+            .votes
+            .iter()
+            .any(|vote| vote.reachability == Reachability::Reachable);
         let silent = row
-            .words
+            .votes
             .iter()
-            .filter(|vote| vote.hearing == Hearing::Silent);
+            .filter(|vote| vote.reachability == Reachability::Silent);
         let silent = silent.count() >= REMOVAL_VOTES && !reachable;
         if silent || row.facts.phase == MemberPhase::Left {
             return false;
--- a/crates/oatpier-membership/src/messages.rs
+++ b/crates/oatpier-membership/src/messages.rs
@@ -14,7 +14,7 @@
 
 use crate::generation::{ConfigContent, ConfigPayload};
 use crate::members::{MemberPhase, MemberRow};
-use crate::stops::StopWord;
+use crate::stops::StopRequest;
 use crate::summary::{TableDigest, ZoneSummary};
 
 /// The identity and address of an entry, as used by peers and agents.
@@ -84,7 +84,7 @@
     /// All live entries of the group, if the agent's list differs.
     pub entries: Option<Vec<EntryContact>>,
     /// The planned stop of the agent known to the registrar, if any.
-    pub stop: Option<StopWord>,
+    pub stop: Option<StopRequest>,
 }
 
 /// What is known of an earlier boot of a process.
@@ -124,7 +124,8 @@
     /// The process.
     pub daemon: DaemonName,
     /// The stop request.
-    pub word: StopWord,
+    #[serde(rename = "word")]
+    pub request: StopRequest,
 }
 
 /// The answer to a gossip message.
--- a/crates/oatpier-membership/src/registrar/keeper.rs
+++ b/crates/oatpier-membership/src/registrar/keeper.rs
@@ -14,7 +14,7 @@
 use crate::backoff::jittered;
 use crate::members::MemberPhase;
 use crate::messages::{AgentHeartbeat, EntryContact, FormerBoot, HeartbeatAnswer, HeartbeatBody};
-use crate::stops::StopWord;
+use crate::stops::StopRequest;
 
 /// The longest interval between two heartbeats; the average is one second. Heartbeats go to the
 /// registrars in turn.
@@ -59,7 +59,7 @@
         generation: Generation,
     },
     /// A planned stop of this agent was requested or withdrawn.
-    Stop(StopWord),
+    Stop(StopRequest),
 }
 
 #[derive(Debug, Clone)]
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -10,9 +10,9 @@
 use smallvec::SmallVec;
 
 use crate::exchange::{RECENT_WINDOW, ReachableShare};
-use crate::members::{Hearing, MemberFacts, MemberKind, MemberRow, MemberTable};
+use crate::members::{MemberFacts, MemberKind, MemberRow, MemberTable, Reachability};
 use crate::messages::{AgentHeartbeat, EntryContact, FormerBoot, HeartbeatAnswer, HeartbeatBody};
-use crate::stops::StopWord;
+use crate::stops::StopRequest;
 
 /// An agent counts as silent after this long without a heartbeat: three missed heartbeats, plus a
 /// margin for delays.
@@ -43,7 +43,7 @@
     /// The incarnation that the vote is about.
     pub about: u64,
     /// Whether the agent is reachable.
-    pub hearing: Hearing,
+    pub reachability: Reachability,
 }
 
 #[derive(Debug, Clone)]
@@ -80,7 +80,7 @@
     /// Handles a heartbeat and merges its content into `members`. The answer lacks the list of
     /// entries, the stop request and the generation, which the caller fills in. If the vote on the
     /// agent changed, it is returned, to be sent to the other entries.
-    pub fn hear(
+    pub fn handle_heartbeat(
         &mut self,
         heartbeat: &AgentHeartbeat,
         members: &mut MemberTable,
@@ -101,7 +101,7 @@
             need_full,
             former,
             entries: None,
-            stop: None::<StopWord>,
+            stop: None::<StopRequest>,
         };
         (answer, vote)
     }
@@ -117,7 +117,7 @@
         members: &MemberTable,
         now: ClockTime,
     ) -> Vec<RegistrarVote> {
-        let mut words = Vec::new();
+        let mut votes = Vec::new();
         for (daemon, agent) in &mut self.agents {
             if is_isolated {
                 agent.silent_since = now;
@@ -125,22 +125,22 @@
             if agent.is_reachable && now.since(agent.silent_since) >= SILENT_AFTER {
                 agent.is_reachable = false;
                 agent.flaps += 1;
-                words.push(vote_on(daemon, agent));
+                votes.push(vote_on(daemon, agent));
             }
         }
-        self.release(members, now, &mut words);
-        words
+        self.release(members, now, &mut votes);
+        votes
     }
 
     /// Drops agents that were silent for long, and those that sent heartbeats to other entries but
     /// not to this one, as these have other registrars now. If this entry's vote stayed at silent,
     /// two such votes would remove the agent as soon as its current registrars die.
-    fn release(&mut self, members: &MemberTable, now: ClockTime, words: &mut Vec<RegistrarVote>) {
+    fn release(&mut self, members: &MemberTable, now: ClockTime, votes: &mut Vec<RegistrarVote>) {
         self.agents.retain(|daemon, agent| {
             let silent_for = now.since(agent.silent_since);
             if silent_for >= RELEASE_AFTER && members.is_reachable_elsewhere(daemon) {
-                words.push(RegistrarVote {
-                    hearing: Hearing::Released,
+                votes.push(RegistrarVote {
+                    reachability: Reachability::Released,
                     ..vote_on(daemon, agent)
                 });
                 return false;
@@ -152,7 +152,7 @@
     /// Returns all votes, to be sent again when the entry's incarnation rose and its earlier votes
     /// are void.
     #[must_use]
-    pub fn words(&self) -> Vec<RegistrarVote> {
+    pub fn votes(&self) -> Vec<RegistrarVote> {
         let agents = self.agents.iter();
         agents
             .map(|(daemon, agent)| vote_on(daemon, agent))
@@ -160,7 +160,7 @@
     }
 
     /// Returns the agents that are reachable, with the generation in force at each.
-    pub fn heard(&self) -> impl Iterator<Item = (&EntryContact, Generation)> {
+    pub fn reachable_agents(&self) -> impl Iterator<Item = (&EntryContact, Generation)> {
         let agents = self.agents.values().filter(|agent| agent.is_reachable);
         agents.map(|agent| (&agent.contact, agent.generation))
     }
@@ -251,10 +251,10 @@
     RegistrarVote {
         daemon: daemon.clone(),
         about: agent.incarnation,
-        hearing: if agent.is_reachable {
-            Hearing::Heard
+        reachability: if agent.is_reachable {
+            Reachability::Reachable
         } else {
-            Hearing::Silent
+            Reachability::Silent
         },
     }
 }
@@ -285,7 +285,7 @@
                     generation: heartbeat.generation,
                     kind: MemberKind::Agent(status.clone()),
                 },
-                words: SmallVec::new(),
+                votes: SmallVec::new(),
             };
             members.merge(&row, now);
             members.record_queue_report(&heartbeat.daemon, &status.queue);
--- a/crates/oatpier-membership/src/spread/mod.rs
+++ b/crates/oatpier-membership/src/spread/mod.rs
@@ -24,7 +24,7 @@
 
 /// How long to wait for an answer before a call to another process counts as lost. The caller then
 /// reports its end.
-pub const CALL_WITHIN: Duration = Duration::from_millis(500);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The configuration as stored.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/oatpier-membership/src/spread/watch.rs
+++ b/crates/oatpier-membership/src/spread/watch.rs
@@ -117,7 +117,7 @@
             return;
         }
         self.state = WatchState::Idle;
-        self.backoff.succeeded();
+        self.backoff.record_success();
         self.after = Some(revision.or(self.after).unwrap_or_default());
         self.next = now;
     }
@@ -127,7 +127,7 @@
             return;
         }
         self.state = WatchState::Idle;
-        self.next = self.backoff.failed(now, generator);
+        self.next = self.backoff.record_failure(now, generator);
     }
 
     /// Whether an answer can't belong to the open call: no call is open, a watch would have had to
--- a/crates/oatpier-membership/src/stops.rs
+++ b/crates/oatpier-membership/src/stops.rs
@@ -24,7 +24,7 @@
 /// withdrawal does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct StopWord {
+pub struct StopRequest {
     /// The store revision at which the stop was requested or withdrawn.
     pub revision: Revision,
     /// Whether the stop was withdrawn.
@@ -34,17 +34,17 @@
 /// All planned stops known to a process.
 #[derive(Debug, Clone, Default)]
 pub struct StopRegistry {
-    requests: IndexMap<DaemonName, StopWord>,
+    requests: IndexMap<DaemonName, StopRequest>,
 }
 
 impl StopRegistry {
     /// Takes in a stop request. Returns whether it is later than the known one.
     pub fn merge(&mut self, stop: &NamedStop) -> bool {
         let known = self.requests.get(&stop.daemon);
-        if known.is_some_and(|known| *known >= stop.word) {
+        if known.is_some_and(|known| *known >= stop.request) {
             return false;
         }
-        self.requests.insert(stop.daemon.clone(), stop.word);
+        self.requests.insert(stop.daemon.clone(), stop.request);
         self.drop_withdrawn();
         true
     }
@@ -52,14 +52,14 @@
     /// Takes in the complete list from the store; stops missing from it were withdrawn. Returns the
     /// changes.
     pub fn replace(&mut self, listed: &[NamedStop]) -> Vec<NamedStop> {
-        let missing = self.requests.iter().filter(|(daemon, word)| {
-            !word.withdrawn && !listed.iter().any(|stop| stop.daemon == **daemon)
+        let missing = self.requests.iter().filter(|(daemon, request)| {
+            !request.withdrawn && !listed.iter().any(|stop| stop.daemon == **daemon)
         });
-        let withdrawn = missing.map(|(daemon, word)| NamedStop {
+        let withdrawn = missing.map(|(daemon, request)| NamedStop {
             daemon: daemon.clone(),
-            word: StopWord {
+            request: StopRequest {
                 withdrawn: true,
-                ..*word
+                ..*request
             },
         });
         let mut news: Vec<NamedStop> = withdrawn.collect();
@@ -70,7 +70,7 @@
 
     /// Returns the stop request for a process.
     #[must_use]
-    pub fn word(&self, daemon: &DaemonName) -> Option<StopWord> {
+    pub fn request(&self, daemon: &DaemonName) -> Option<StopRequest> {
         self.requests.get(daemon).copied()
     }
 
@@ -78,7 +78,7 @@
     pub fn active(&self) -> impl Iterator<Item = &DaemonName> {
         let requests = self.requests.iter();
         requests
-            .filter(|(_, word)| !word.withdrawn)
+            .filter(|(_, request)| !request.withdrawn)
             .map(|row| row.0)
     }
 
@@ -87,17 +87,21 @@
     pub fn all(&self) -> Vec<NamedStop> {
         let requests = self.requests.iter();
         requests
-            .map(|(daemon, word)| NamedStop {
+            .map(|(daemon, request)| NamedStop {
                 daemon: daemon.clone(),
-                word: *word,
+                request: *request,
             })
             .collect()
     }
 
     fn drop_withdrawn(&mut self) {
-        let withdrawn = self.requests.values().filter(|word| word.withdrawn).count();
+        let withdrawn = self
+            .requests
+            .values()
+            .filter(|request| request.withdrawn)
+            .count();
         if withdrawn > MAX_WITHDRAWN
-            && let Some(first) = self.requests.values().position(|word| word.withdrawn)
+            && let Some(first) = self.requests.values().position(|request| request.withdrawn)
         {
             self.requests.shift_remove_index(first);
         }
@@ -135,7 +139,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopEvent {
     /// A stop request for this process, or its withdrawal.
-    Requested(StopWord),
+    Requested(StopRequest),
     /// The process got a termination signal, which can't be withdrawn.
     Signalled,
     /// The current number of requests in flight. Must be sent again after each
@@ -154,7 +158,7 @@
     phase: StopPhase,
     announce_for: Duration,
     announced_at: ClockTime,
-    word: Option<StopWord>,
+    request: Option<StopRequest>,
     signalled: bool,
     in_flight: Option<u32>,
 }
@@ -169,7 +173,7 @@
             phase: StopPhase::Serving,
             announce_for,
             announced_at: ClockTime::ZERO,
-            word: None,
+            request: None,
             signalled: false,
             in_flight: None,
         }
@@ -193,8 +197,8 @@
     /// Handles an event and returns the steps to take.
     pub fn handle(&mut self, event: StopEvent, now: ClockTime) -> Vec<StopAction> {
         match event {
-            StopEvent::Requested(word) if self.word.is_none_or(|known| known < word) => {
-                self.word = Some(word);
+            StopEvent::Requested(request) if self.request.is_none_or(|known| known < request) => {
+                self.request = Some(request);
             }
             StopEvent::Signalled => self.signalled = true,
             StopEvent::WorkCounted { in_flight } => self.in_flight = Some(in_flight),
@@ -208,7 +212,7 @@
     }
 
     fn is_requested(&self) -> bool {
-        self.signalled || self.word.is_some_and(|word| !word.withdrawn)
+        self.signalled || self.request.is_some_and(|request| !request.withdrawn)
     }
 
     fn step(&mut self, now: ClockTime) -> Option<StopAction> {
--- a/crates/oatpier-membership/tests/testsuite/bytes.rs
+++ b/crates/oatpier-membership/tests/testsuite/bytes.rs
@@ -1,7 +1,7 @@
 //! Message sizes at the design size: 340 entries, 3,500 agents, 490 models.
 
 use oatpier_membership::members::{
-    Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, WitnessWord,
+    MemberFacts, MemberKind, MemberPhase, MemberRow, Reachability, WitnessVote,
 };
 use oatpier_membership::messages::{AgentHeartbeat, HeartbeatAnswer, HeartbeatBody, PeerCall};
 use oatpier_types::ids::{BootId, Generation};
@@ -39,11 +39,11 @@
         .map(|index| format!("seat-drafting-model-{index}"))
         .collect();
     let models: Vec<&str> = models.iter().map(String::as_str).collect();
-    let word = |witness: &str| WitnessWord {
+    let vote = |witness: &str| WitnessVote {
         witness: daemon(witness),
         about: 3,
         order: (3, 10_000),
-        hearing: Hearing::Heard,
+        reachability: Reachability::Reachable,
     };
     MemberRow {
         facts: MemberFacts {
@@ -61,7 +61,7 @@
                 &models,
             ))),
         },
-        words: [word("entry-waikato-a-17"), word("entry-waikato-a-31")]
+        votes: [vote("entry-waikato-a-17"), vote("entry-waikato-a-31")]
             .into_iter()
             .collect(),
     }
--- a/crates/oatpier-membership/tests/testsuite/members.rs
+++ b/crates/oatpier-membership/tests/testsuite/members.rs
@@ -1,8 +1,8 @@
 //! Tests of the member table alone.
 
 use oatpier_membership::members::{
-    Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, MemberState, MemberTable,
-    TableLimits, VmHint, WitnessWord,
+    MemberFacts, MemberKind, MemberPhase, MemberRow, MemberState, MemberTable, Reachability,
+    TableLimits, VmHint, WitnessVote,
 };
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, Generation};
@@ -11,21 +11,21 @@
 
 use crate::support::{contact, daemon, fixed_cases, queue_report, seconds, status, zone};
 
-fn row(name: &str, incarnation: u64, words: &[(&str, u64, bool)]) -> MemberRow {
+fn row(name: &str, incarnation: u64, votes: &[(&str, u64, bool)]) -> MemberRow {
     let boot = BootId(1);
     let kind = if name.starts_with("entry") {
         MemberKind::Entry
     } else {
         MemberKind::Agent(Box::new(status(name, "zone-0", boot, &["model"])))
     };
-    let words = words.iter().map(|(witness, count, heard)| WitnessWord {
+    let votes = votes.iter().map(|(witness, count, reachable)| WitnessVote {
         witness: daemon(witness),
         about: incarnation,
         order: (0, *count),
-        hearing: if *heard {
-            Hearing::Heard
+        reachability: if *reachable {
+            Reachability::Reachable
         } else {
-            Hearing::Silent
+            Reachability::Silent
         },
     });
     MemberRow {
@@ -39,7 +39,7 @@
             generation: Generation(1),
             kind,
         },
-        words: words.collect::<SmallVec<_>>(),
+        votes: votes.collect::<SmallVec<_>>(),
     }
 }
 
@@ -58,11 +58,11 @@
         .collect()
 }
 
-fn state_with(words: &[(&str, u64, bool)]) -> Option<MemberState> {
+fn state_with(votes: &[(&str, u64, bool)]) -> Option<MemberState> {
     let mut rows = entries();
     rows.push(row("agent-1", 0, &[]));
     let mut table = table_with(&rows);
-    table.merge(&row("agent-1", 0, words), ClockTime::ZERO);
+    table.merge(&row("agent-1", 0, votes), ClockTime::ZERO);
     table.refresh(ClockTime::ZERO);
     table.get(&daemon("agent-1")).map(|view| view.state)
 }
@@ -93,12 +93,12 @@
         0,
         &[("entry-1", 1, false), ("entry-2", 1, false)],
     ));
-    let words = [
+    let votes = [
         ("entry-1", 1, false),
         ("entry-2", 1, false),
         ("entry-3", 1, true),
     ];
-    rows.push(row("agent-1", 0, &words));
+    rows.push(row("agent-1", 0, &votes));
     let table = table_with(&rows);
     let state = |name: &str| table.get(&daemon(name)).map(|view| view.state);
     assert_eq!(state("entry-3"), Some(MemberState::Gone));
@@ -191,11 +191,11 @@
             .iter()
             .map(|(incarnation, witness, count, _)| {
                 // A witness has one vote for each count.
-                let heard = (count + incarnation) % 2 == 0;
-                row("agent-1", *incarnation, &[(&format!("entry-{witness}"), *count, heard)])
+                let reachable = (count + incarnation) % 2 == 0;
+                row("agent-1", *incarnation, &[(&format!("entry-{witness}"), *count, reachable)])
             })
             .map(|mut row| {
-                for vote in &mut row.words {
+                for vote in &mut row.votes {
                     vote.order.1 += 10 * vote.about;
                 }
                 row
--- a/crates/oatpier-membership/tests/testsuite/stops.rs
+++ b/crates/oatpier-membership/tests/testsuite/stops.rs
@@ -2,15 +2,15 @@
 
 use oatpier_membership::messages::NamedStop;
 use oatpier_membership::stops::{
-    StopAction, StopEvent, StopKeeper, StopPhase, StopRegistry, StopWord,
+    StopAction, StopEvent, StopKeeper, StopPhase, StopRegistry, StopRequest,
 };
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::Revision;
 
 use crate::support::{daemon, seconds};
 
-fn request(revision: u64, withdrawn: bool) -> StopWord {
-    StopWord {
+fn request(revision: u64, withdrawn: bool) -> StopRequest {
+    StopRequest {
         revision: Revision(revision),
         withdrawn,
     }
@@ -70,7 +70,7 @@
 fn stops_missing_from_the_list_are_withdrawn() {
     let named = |name, revision, withdrawn| NamedStop {
         daemon: daemon(name),
-        word: request(revision, withdrawn),
+        request: request(revision, withdrawn),
     };
     let mut registry = StopRegistry::default();
     assert!(registry.merge(&named("agent-1", 3, false)));
--- a/crates/oatpier-membership/tests/testsuite/summary.rs
+++ b/crates/oatpier-membership/tests/testsuite/summary.rs
@@ -109,7 +109,7 @@
     };
     for entry in 0..fleet.entries {
         let near = fleet.contact(entry).zone == status.zone;
-        let book = fleet.entry(entry).book();
+        let book = fleet.entry(entry).zone_summaries();
         let found = book
             .zones_with(&wanted)
             .any(|(zone, row)| *zone == status.zone && row.samples[0].endpoint == status.endpoint);
--- a/crates/oatpier-membership/tests/testsuite/support/fleet.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/fleet.rs
@@ -10,7 +10,7 @@
 use oatpier_membership::exchange::ExchangeScope;
 use oatpier_membership::members::{MemberChange, MemberState, TableLimits};
 use oatpier_membership::messages::{EntryContact, PeerAnswer, PeerCall};
-use oatpier_membership::spread::{CALL_WITHIN, StoreReply};
+use oatpier_membership::spread::{CALL_TIMEOUT, StoreReply};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::{DaemonName, ZoneName};
@@ -528,7 +528,7 @@
     fn send(&mut self, from: usize, to: &EntryContact, call: CallNumber, body: Call) {
         let boot = self.processes[from].boot;
         let end = FleetEvent::CallEnded { call, answer: None };
-        self.push(self.now + CALL_WITHIN, from, Some(boot), end);
+        self.push(self.now + CALL_TIMEOUT, from, Some(boot), end);
         let Some(&target) = self.by_name.get(&to.daemon) else {
             return;
         };
