--- a/crates/oatpier-wire/src/attempt.rs
+++ b/crates/oatpier-wire/src/attempt.rs
@@ -191,6 +191,7 @@
     /// The ticket that the attempt was sent with.
     pub ticket: AdmissionTicket,
     /// The scope of the cancellation.
+    #[serde(rename = "reach")]
     pub scope: CancelScope,
 }
 
