--- a/crates/oatpier-admission/src/event.rs
+++ b/crates/oatpier-admission/src/event.rs
@@ -55,7 +55,7 @@
         attempt: AttemptId,
     },
     /// The endpoint sent a further part of an answer.
-    EndpointPiece {
+    EndpointChunk {
         /// The attempt.
         attempt: AttemptId,
         /// The number of tokens in the part.
@@ -81,7 +81,7 @@
     /// The agent or its endpoint starts a graceful shutdown.
     Leave,
     /// The weights at the endpoint changed.
-    ReadyChanged {
+    WeightsChanged {
         /// All weights that are ready.
         ready: Vec<WeightsKey>,
         /// All weights that are loading.
--- a/crates/oatpier-admission/src/policy.rs
+++ b/crates/oatpier-admission/src/policy.rs
@@ -27,7 +27,7 @@
 use crate::need::{MAX_NEED, NeedTracker};
 use crate::queue::{AdmissionQueue, QueuePlacement, WaitingAttempt};
 use crate::running::RunningAttempt;
-use crate::weights::{WeightsOutlook, WeightsTable};
+use crate::weights::{WeightsAvailability, WeightsTable};
 
 /// Engine priority values per step of need.
 const PRIORITIES_PER_NEED: u32 = 1_000;
@@ -102,7 +102,7 @@
         let mut actions = AgentActions::new();
         // Further output frees no slot and changes nothing for waiting attempts. Without this
         // check, each generated token would cost a scan of the whole queue.
-        let is_chunk = matches!(event, AgentEvent::EndpointPiece { .. });
+        let is_chunk = matches!(event, AgentEvent::EndpointChunk { .. });
         self.ledger.expire(now);
         self.apply_event(event, now, &mut actions);
         if is_chunk {
@@ -182,7 +182,7 @@
                 self.cancel((attempt, ticket), scope, now, actions);
             }
             AgentEvent::EndpointFirstToken { attempt } => self.handle_first_token(attempt, now),
-            AgentEvent::EndpointPiece { attempt, tokens } => {
+            AgentEvent::EndpointChunk { attempt, tokens } => {
                 self.handle_chunk(attempt, tokens, now);
             }
             AgentEvent::EndpointEnded { attempt } => self.handle_end(attempt, now),
@@ -191,7 +191,7 @@
             }
             AgentEvent::EndpointUp { up } => self.up = up,
             AgentEvent::Leave => self.drain.leave(),
-            AgentEvent::ReadyChanged { ready, loading } => {
+            AgentEvent::WeightsChanged { ready, loading } => {
                 self.weights.replace(ready, loading, now);
             }
             AgentEvent::ClassesChanged { classes } => self.tracker.configure(classes),
@@ -333,7 +333,7 @@
         while self.running.len() < self.limits.slots as usize {
             let (tracker, weights) = (&self.tracker, &self.weights);
             let next = self.queue.pop(&|class| tracker.need(class, now), &|spec| {
-                weights.outlook(&spec.goal) == WeightsOutlook::Ready
+                weights.availability(&spec.goal) == WeightsAvailability::Ready
             });
             let Some(waiting) = next else {
                 return;
--- a/crates/oatpier-admission/src/policy/refusing.rs
+++ b/crates/oatpier-admission/src/policy/refusing.rs
@@ -10,7 +10,7 @@
 use super::AgentPolicy;
 use crate::event::{AgentAction, AgentActions};
 use crate::queue::WaitingAttempt;
-use crate::weights::WeightsOutlook;
+use crate::weights::WeightsAvailability;
 
 /// Retry delay for an endpoint that is down.
 const ENDPOINT_DOWN_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -37,10 +37,10 @@
         now: ClockTime,
     ) -> Option<RefusalCause> {
         let spec = &waiting.spec;
-        let earliest = match self.weights.outlook(&spec.goal) {
-            WeightsOutlook::Ready => now,
-            WeightsOutlook::From(at) => at.max(now),
-            WeightsOutlook::Missing => return Some(RefusalCause::WeightsMissing),
+        let earliest = match self.weights.availability(&spec.goal) {
+            WeightsAvailability::Ready => now,
+            WeightsAvailability::ReadyAt(at) => at.max(now),
+            WeightsAvailability::Missing => return Some(RefusalCause::WeightsMissing),
         };
         if earliest + self.estimator.expected_latency(spec) > waiting.deadline && earliest > now {
             return Some(RefusalCause::WeightsMissing);
@@ -64,7 +64,8 @@
             .queue
             .iter()
             .filter_map(|waiting| {
-                let missing = self.weights.outlook(&waiting.spec.goal) == WeightsOutlook::Missing;
+                let missing =
+                    self.weights.availability(&waiting.spec.goal) == WeightsAvailability::Missing;
                 let late = now > self.last_start(waiting);
                 let cause = closed
                     .or(missing.then_some(RefusalCause::WeightsMissing))
@@ -110,9 +111,9 @@
                 self.estimator.wait(self.whole_load(), now)
             }
             RefusalCause::EndpointDown => ENDPOINT_DOWN_RETRY_AFTER,
-            RefusalCause::WeightsMissing => match self.weights.outlook(&spec.goal) {
-                WeightsOutlook::From(at) => at.since(now),
-                WeightsOutlook::Ready | WeightsOutlook::Missing => return None,
+            RefusalCause::WeightsMissing => match self.weights.availability(&spec.goal) {
+                WeightsAvailability::ReadyAt(at) => at.since(now),
+                WeightsAvailability::Ready | WeightsAvailability::Missing => return None,
             },
             _ => return None,
         };
--- a/crates/oatpier-admission/src/weights.rs
+++ b/crates/oatpier-admission/src/weights.rs
@@ -9,11 +9,11 @@
 
 /// Availability of the weights that an attempt needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WeightsOutlook {
+pub enum WeightsAvailability {
     /// Ready now.
     Ready,
     /// Expected to be ready at about this time.
-    From(ClockTime),
+    ReadyAt(ClockTime),
     /// Neither ready nor known to be loading.
     Missing,
 }
@@ -42,9 +42,9 @@
 
     /// Returns when an attempt's weights are available. A plain service needs no weights.
     #[must_use]
-    pub fn outlook(&self, goal: &RequestGoal) -> WeightsOutlook {
+    pub fn availability(&self, goal: &RequestGoal) -> WeightsAvailability {
         let RequestGoal::Model { model, adapter } = goal else {
-            return WeightsOutlook::Ready;
+            return WeightsAvailability::Ready;
         };
         let base = self.ready_from(model, None);
         let adapter = match adapter {
@@ -52,9 +52,9 @@
             None => Some(ClockTime::ZERO),
         };
         match (base, adapter) {
-            (Some(ClockTime::ZERO), Some(ClockTime::ZERO)) => WeightsOutlook::Ready,
-            (Some(base), Some(adapter)) => WeightsOutlook::From(base.max(adapter)),
-            _ => WeightsOutlook::Missing,
+            (Some(ClockTime::ZERO), Some(ClockTime::ZERO)) => WeightsAvailability::Ready,
+            (Some(base), Some(adapter)) => WeightsAvailability::ReadyAt(base.max(adapter)),
+            _ => WeightsAvailability::Missing,
         }
     }
 
--- a/crates/oatpier-admission/tests/testsuite/order.rs
+++ b/crates/oatpier-admission/tests/testsuite/order.rs
@@ -96,7 +96,7 @@
     harness.classes();
     let ready: Vec<WeightsKey> = vec![weights(None)];
     let loading = Vec::new();
-    harness.step(AgentEvent::ReadyChanged { ready, loading });
+    harness.step(AgentEvent::WeightsChanged { ready, loading });
     (1..=20).for_each(|attempt| {
         let late = AttemptSpec {
             remaining: Duration::from_millis(1),
--- a/crates/oatpier-admission/tests/testsuite/timeliness.rs
+++ b/crates/oatpier-admission/tests/testsuite/timeliness.rs
@@ -114,14 +114,14 @@
     let mut harness = AgentHarness::new(1);
     let ready = vec![weights(None)];
     let loading = Vec::new();
-    harness.step(AgentEvent::ReadyChanged { ready, loading });
+    harness.step(AgentEvent::WeightsChanged { ready, loading });
     (1..=20).for_each(|attempt| {
         harness.arrive(model_spec(attempt, None));
         harness.wait(25);
         let id = AttemptId(attempt);
         harness.step(AgentEvent::EndpointFirstToken { attempt: id });
         harness.wait(5);
-        harness.step(AgentEvent::EndpointPiece {
+        harness.step(AgentEvent::EndpointChunk {
             attempt: id,
             tokens: 1,
         });
--- a/crates/oatpier-admission/tests/testsuite/weights.rs
+++ b/crates/oatpier-admission/tests/testsuite/weights.rs
@@ -22,7 +22,7 @@
     let missing = harness.arrive(model_spec(1, None));
     assert!(refused(1, RefusalCause::WeightsMissing, &missing));
     let ready = vec![weights(None)];
-    harness.step(AgentEvent::ReadyChanged {
+    harness.step(AgentEvent::WeightsChanged {
         ready,
         loading: Vec::new(),
     });
@@ -35,7 +35,7 @@
 fn adapter_without_its_base_is_not_ready() {
     let mut harness = AgentHarness::new(1);
     let ready = vec![weights(Some("hall"))];
-    harness.step(AgentEvent::ReadyChanged {
+    harness.step(AgentEvent::WeightsChanged {
         ready,
         loading: Vec::new(),
     });
@@ -49,7 +49,7 @@
     // attempt whose weights are ready must not wait behind the first.
     let mut harness = AgentHarness::new(2);
     let ready = vec![weights(None)];
-    harness.step(AgentEvent::ReadyChanged {
+    harness.step(AgentEvent::WeightsChanged {
         ready: ready.clone(),
         loading: vec![loading(Some("hall"), 2_000)],
     });
@@ -64,7 +64,7 @@
     assert_eq!(started(&harness.arrive(model_spec(3, None))), [3]);
     harness.wait(1_500);
     let ready = vec![weights(None), weights(Some("hall"))];
-    let loaded = harness.step(AgentEvent::ReadyChanged {
+    let loaded = harness.step(AgentEvent::WeightsChanged {
         ready,
         loading: Vec::new(),
     });
@@ -74,12 +74,12 @@
 #[test]
 fn waiting_attempt_whose_load_failed_is_refused() {
     let mut harness = AgentHarness::new(1);
-    harness.step(AgentEvent::ReadyChanged {
+    harness.step(AgentEvent::WeightsChanged {
         ready: Vec::new(),
         loading: vec![loading(None, 2_000)],
     });
     assert!(harness.arrive(model_spec(1, None)).is_empty());
-    let failed = harness.step(AgentEvent::ReadyChanged {
+    let failed = harness.step(AgentEvent::WeightsChanged {
         ready: Vec::new(),
         loading: Vec::new(),
     });
--- a/crates/oatpier-agent/src/attempt.rs
+++ b/crates/oatpier-agent/src/attempt.rs
@@ -8,7 +8,7 @@
 use http::header::CONTENT_TYPE;
 use http::{HeaderMap, Method, StatusCode};
 use oatpier_admission::event::AgentEvent;
-use oatpier_ports::work::{CallError, EndpointAnswer, EndpointCall};
+use oatpier_ports::endpoint::{CallError, EndpointAnswer, EndpointCall};
 use oatpier_types::ids::AttemptId;
 use oatpier_types::request::RequestGoal;
 use oatpier_types::verdict::RunVerdict;
@@ -277,7 +277,7 @@
             self.core.step(AgentEvent::EndpointFirstToken { attempt });
         }
         self.core
-            .step(AgentEvent::EndpointPiece { attempt, tokens });
+            .step(AgentEvent::EndpointChunk { attempt, tokens });
         self.tell(AttemptFrame::Piece { bytes, tokens }).await;
     }
 
--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -159,7 +159,7 @@
         state.loading.clone_from(&news.loading);
         drop(state);
         let (ready, loading) = (news.ready, news.loading);
-        self.step(AgentEvent::ReadyChanged { ready, loading });
+        self.step(AgentEvent::WeightsChanged { ready, loading });
     }
 
     /// What still runs on weights that are to go; none while nothing drains.
@@ -200,7 +200,7 @@
         self.step(AgentEvent::SlotsChanged { slots });
         let classes = config.classes.clone();
         self.step(AgentEvent::ClassesChanged { classes });
-        self.step(AgentEvent::ReadyChanged { ready, loading });
+        self.step(AgentEvent::WeightsChanged { ready, loading });
         if leaving {
             self.step(AgentEvent::Leave);
         }
--- a/crates/oatpier-agent/src/endpoint.rs
+++ b/crates/oatpier-agent/src/endpoint.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use oatpier_ports::work::EndpointWork;
+use oatpier_ports::endpoint::EndpointClient;
 use oatpier_types::names::{EndpointName, PoolName, ZoneName};
 use oatpier_types::request::RequestGoal;
 
@@ -21,15 +21,15 @@
 #[derive(Clone)]
 pub struct EndpointWorks {
     /// For requests to models.
-    pub engine: Arc<dyn EndpointWork>,
+    pub engine: Arc<dyn EndpointClient>,
     /// For calls to a plain service.
-    pub service: Arc<dyn EndpointWork>,
+    pub service: Arc<dyn EndpointClient>,
 }
 
 impl EndpointWorks {
     /// The side that takes a goal.
     #[must_use]
-    pub fn of(&self, goal: &RequestGoal) -> &Arc<dyn EndpointWork> {
+    pub fn of(&self, goal: &RequestGoal) -> &Arc<dyn EndpointClient> {
         match goal {
             RequestGoal::Model { .. } => &self.engine,
             RequestGoal::Service { .. } => &self.service,
--- a/crates/oatpier-agent/src/lib.rs
+++ b/crates/oatpier-agent/src/lib.rs
@@ -24,7 +24,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-use oatpier_ports::http::{EndpointKind, HttpEngine, HttpStore, HttpVmList, HttpWork};
+use oatpier_ports::http::{EndpointKind, HttpEndpoint, HttpEngine, HttpStore, HttpVmList};
 use oatpier_types::ids::BootId;
 
 use crate::core::AgentCore;
@@ -143,7 +143,13 @@
 }
 
 fn works_of(settings: &AgentSettings) -> EndpointWorks {
-    let work = |kind| Arc::new(HttpWork::new(settings.endpoint_address, kind, CONTROL_WAIT));
+    let work = |kind| {
+        Arc::new(HttpEndpoint::new(
+            settings.endpoint_address,
+            kind,
+            CONTROL_WAIT,
+        ))
+    };
     EndpointWorks {
         engine: work(EndpointKind::Engine),
         service: work(EndpointKind::Service),
--- a/crates/oatpier-bench/src/cost/requests.rs
+++ b/crates/oatpier-bench/src/cost/requests.rs
@@ -95,7 +95,7 @@
     let ready = fleet.statuses[0].ready.to_vec();
     let model = ready[0].model.clone();
     let loading = Vec::new();
-    policy.step(AgentEvent::ReadyChanged { ready, loading }, now);
+    policy.step(AgentEvent::WeightsChanged { ready, loading }, now);
     let mut number: u128 = 0;
     meter.measure("agent-admission", ROUNDS, || {
         number += 1;
--- a/crates/oatpier-bench/src/fleet/agent.rs
+++ b/crates/oatpier-bench/src/fleet/agent.rs
@@ -97,7 +97,7 @@
                 self.started.swap_remove(&attempt);
                 AgentActions::new()
             }
-            AgentEvent::ReadyChanged { ready, .. } => {
+            AgentEvent::WeightsChanged { ready, .. } => {
                 self.ready = ready;
                 AgentActions::new()
             }
--- a/crates/oatpier-bench/src/fleet/attempts.rs
+++ b/crates/oatpier-bench/src/fleet/attempts.rs
@@ -286,7 +286,7 @@
         if tokens == 0 {
             return;
         }
-        let event = AgentEvent::EndpointPiece { attempt, tokens };
+        let event = AgentEvent::EndpointChunk { attempt, tokens };
         let actions = self.nodes[node].brain.step(event, self.now);
         if !actions.is_empty() {
             self.agent_actions(node, actions, None);
--- a/crates/oatpier-bench/src/fleet/moves.rs
+++ b/crates/oatpier-bench/src/fleet/moves.rs
@@ -48,7 +48,7 @@
         let loading = loading_of(&state.state());
         self.agent_event(
             node,
-            AgentEvent::ReadyChanged {
+            AgentEvent::WeightsChanged {
                 ready: ready.into_vec(),
                 loading,
             },
--- a/crates/oatpier-claims/examples/claim_costs.rs
+++ b/crates/oatpier-claims/examples/claim_costs.rs
@@ -10,7 +10,7 @@
     ClaimAction, ClaimEvent, ClaimSettings, ExpectedSegment, SegmentValue, StoreAnswer,
 };
 use oatpier_claims::log::ClaimLog;
-use oatpier_claims::message::{ClaimAsk, ClaimFinish, KeyHash, RequestFingerprint};
+use oatpier_claims::message::{ClaimFinish, ClaimQuery, KeyHash, RequestFingerprint};
 use oatpier_claims::partition::PartitionId;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, RequestId, Revision};
@@ -89,13 +89,13 @@
     }
 
     fn query(&mut self, rng: &mut ChaCha8Rng) {
-        let query = ClaimAsk {
+        let query = ClaimQuery {
             key: KeyHash(rng.random()),
             fingerprint: RequestFingerprint(rng.random()),
             request: RequestId(rng.random()),
         };
         self.asked.push_back((query.request, self.now));
-        self.step(ClaimEvent::Asked(query));
+        self.step(ClaimEvent::Queried(query));
     }
 
     fn step(&mut self, event: ClaimEvent) {
--- a/crates/oatpier-claims/src/event.rs
+++ b/crates/oatpier-claims/src/event.rs
@@ -6,7 +6,7 @@
 use oatpier_types::verdict::RunVerdict;
 use smallvec::SmallVec;
 
-use crate::message::{ClaimAnswer, ClaimAsk, ClaimFinish, ClaimRelease, KeyHash};
+use crate::message::{ClaimAnswer, ClaimFinish, ClaimQuery, ClaimRelease, KeyHash};
 
 /// The number of a call to the store. An answer to a call that is no longer pending is ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
@@ -58,7 +58,7 @@
     /// The membership view of this entry selects another claimer, or this entry shuts down.
     OwnershipRevoked,
     /// An entry asked for a key.
-    Asked(ClaimAsk),
+    Queried(ClaimQuery),
     /// An entry released a key.
     Released(ClaimRelease),
     /// An entry reported the outcome of a request under a key.
--- a/crates/oatpier-claims/src/log.rs
+++ b/crates/oatpier-claims/src/log.rs
@@ -28,7 +28,7 @@
 use oatpier_types::names::DaemonName;
 
 use crate::event::{CallNumber, ClaimAction, ClaimActions, ClaimEvent, ClaimSettings};
-use crate::message::{ClaimAnswer, ClaimAsk, ClaimDenial, ClaimFinish, ClaimRelease, KeyHash};
+use crate::message::{ClaimAnswer, ClaimDenial, ClaimFinish, ClaimQuery, ClaimRelease, KeyHash};
 use crate::partition::PartitionId;
 use crate::segment::{KnownHead, PartitionHead, SegmentInfo};
 use crate::table::{KeyPhase, KeyTable};
@@ -43,14 +43,14 @@
 
 #[derive(Debug, Clone, Copy)]
 struct WaitingQuery {
-    query: ClaimAsk,
+    query: ClaimQuery,
     since: ClockTime,
 }
 
 /// A record that is queued for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum QueuedRecord {
-    Claim(ClaimAsk),
+    Claim(ClaimQuery),
     Release { claim: u64, release: ClaimRelease },
     Finish { claim: u64, finish: ClaimFinish },
 }
@@ -176,7 +176,7 @@
         match event {
             ClaimEvent::OwnershipAssigned => self.take_over(now, &mut actions),
             ClaimEvent::OwnershipRevoked => self.lose_ownership(None, now, &mut actions),
-            ClaimEvent::Asked(query) => self.handle_query(query, now, &mut actions),
+            ClaimEvent::Queried(query) => self.handle_query(query, now, &mut actions),
             ClaimEvent::Released(release) => {
                 self.handle_outcome(RequestOutcome::Release(release), now, &mut actions);
             }
@@ -212,7 +212,7 @@
 
     /// Returns whether this claimer owns its partition, according to the last head that it saw.
     #[must_use]
-    pub fn owns(&self) -> bool {
+    pub fn is_owner(&self) -> bool {
         self.stage == LogStage::Owning
     }
 
@@ -228,7 +228,7 @@
         &self.table
     }
 
-    fn handle_query(&mut self, query: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
+    fn handle_query(&mut self, query: ClaimQuery, now: ClockTime, actions: &mut ClaimActions) {
         let id = QueryId {
             key: query.key,
             request: query.request,
@@ -260,7 +260,7 @@
     }
 
     /// Decides on a query by the loaded table.
-    fn decide(&mut self, query: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
+    fn decide(&mut self, query: ClaimQuery, now: ClockTime, actions: &mut ClaimActions) {
         let id = QueryId {
             key: query.key,
             request: query.request,
@@ -286,7 +286,7 @@
         }
     }
 
-    fn claim(&mut self, query: ClaimAsk, now: ClockTime, actions: &mut ClaimActions) {
+    fn claim(&mut self, query: ClaimQuery, now: ClockTime, actions: &mut ClaimActions) {
         let id = QueryId {
             key: query.key,
             request: query.request,
@@ -301,13 +301,13 @@
         self.await_answer(query, now);
     }
 
-    fn resume_pending(&mut self, query: ClaimAsk) {
+    fn resume_pending(&mut self, query: ClaimQuery) {
         if let Some(entry) = self.table.get_own(query.key, query.request) {
             entry.phase = KeyPhase::Pending { abandoned: false };
         }
     }
 
-    fn await_answer(&mut self, query: ClaimAsk, now: ClockTime) {
+    fn await_answer(&mut self, query: ClaimQuery, now: ClockTime) {
         let id = QueryId {
             key: query.key,
             request: query.request,
--- a/crates/oatpier-claims/src/log/writing.rs
+++ b/crates/oatpier-claims/src/log/writing.rs
@@ -15,7 +15,7 @@
 use super::store::{CallKind, HeadPurpose, HeadWrite};
 use super::{ClaimLog, LogStage, QueryId, QueuedRecord};
 use crate::event::{ClaimAction, ClaimActions, SegmentValue};
-use crate::message::{ClaimAnswer, ClaimAsk, ClaimRelease};
+use crate::message::{ClaimAnswer, ClaimQuery, ClaimRelease};
 use crate::segment::{
     ClosedSegment, KnownHead, LAYOUT, LogRecord, SegmentInfo, decode_head, encode, segment_key,
 };
@@ -154,12 +154,12 @@
 
     fn settle_claim(
         &mut self,
-        query: ClaimAsk,
+        query: ClaimQuery,
         position: u64,
         now: ClockTime,
         actions: &mut ClaimActions,
     ) {
-        let ClaimAsk { key, request, .. } = query;
+        let ClaimQuery { key, request, .. } = query;
         if self.table.hold(key, position) {
             self.answer(QueryId { key, request }, ClaimAnswer::Granted, actions);
         } else {
@@ -201,7 +201,7 @@
             .partition(|queued| matches!(queued, QueuedRecord::Claim(_)));
         self.queued_records = others;
         for queued in claims {
-            if let QueuedRecord::Claim(ClaimAsk { key, request, .. }) = queued {
+            if let QueuedRecord::Claim(ClaimQuery { key, request, .. }) = queued {
                 self.table.remove(key, request);
                 let id = QueryId { key, request };
                 if self.waiting_queries.contains_key(&id) {
--- a/crates/oatpier-claims/src/message.rs
+++ b/crates/oatpier-claims/src/message.rs
@@ -51,7 +51,7 @@
 /// is the same.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimQuery {
     /// The key.
     pub key: KeyHash,
     /// The fingerprint of the request.
@@ -60,7 +60,7 @@
     pub request: RequestId,
 }
 
-/// A claimer's answer to a [`ClaimAsk`].
+/// A claimer's answer to a [`ClaimQuery`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
--- a/crates/oatpier-claims/src/table.rs
+++ b/crates/oatpier-claims/src/table.rs
@@ -5,7 +5,7 @@
 use oatpier_types::ids::RequestId;
 use oatpier_types::verdict::RunVerdict;
 
-use crate::message::{ClaimAsk, ClaimDenial, KeyHash, RequestFingerprint};
+use crate::message::{ClaimDenial, ClaimQuery, KeyHash, RequestFingerprint};
 use crate::segment::{ClosedSegment, LogRecord, PartitionHead, SegmentError};
 
 /// Maximum number of released requests that are remembered, so that a late query of one claims
@@ -46,7 +46,7 @@
 impl KeyEntry {
     /// Returns the reason why another request may not have the key.
     #[must_use]
-    pub fn denial(&self, query: &ClaimAsk) -> ClaimDenial {
+    pub fn denial(&self, query: &ClaimQuery) -> ClaimDenial {
         let holder = self.request;
         if self.fingerprint != query.fingerprint {
             return ClaimDenial::Mismatch { holder };
@@ -132,7 +132,7 @@
     }
 
     /// Inserts a claim that is not written yet.
-    pub fn insert_pending(&mut self, query: &ClaimAsk) {
+    pub fn insert_pending(&mut self, query: &ClaimQuery) {
         let entry = KeyEntry {
             request: query.request,
             fingerprint: query.fingerprint,
--- a/crates/oatpier-claims/tests/testsuite/fleet.rs
+++ b/crates/oatpier-claims/tests/testsuite/fleet.rs
@@ -10,7 +10,7 @@
 };
 use oatpier_claims::log::ClaimLog;
 use oatpier_claims::message::{
-    ClaimAnswer, ClaimAsk, ClaimFinish, ClaimRelease, KeyHash, RequestFingerprint,
+    ClaimAnswer, ClaimFinish, ClaimQuery, ClaimRelease, KeyHash, RequestFingerprint,
 };
 use oatpier_claims::partition::PartitionId;
 use oatpier_types::clock::ClockTime;
@@ -99,7 +99,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct AskedRequest {
-    pub ask: ClaimAsk,
+    pub query: ClaimQuery,
     pub granted_at: Option<ClockTime>,
     pub released: bool,
 }
@@ -219,9 +219,9 @@
             .retention
             .saturating_sub(self.settings.answer_timeout);
         let is_concurrent_grant = |other: &AskedRequest| {
-            other.ask.key == asked.ask.key
+            other.query.key == asked.query.key
                 && !other.released
-                && other.ask.request != request
+                && other.query.request != request
                 && other
                     .granted_at
                     .is_some_and(|at| self.now.since(at) < retained_for)
@@ -235,23 +235,23 @@
 
     pub fn ask(&mut self, claimer: usize, key: KeyHash) -> RequestId {
         let request = RequestId(self.requests.len() as u128);
-        let ask = ClaimAsk {
+        let query = ClaimQuery {
             key,
             fingerprint: RequestFingerprint(0),
             request,
         };
         self.requests.push(AskedRequest {
-            ask,
+            query,
             granted_at: None,
             released: false,
         });
-        self.step(claimer, ClaimEvent::Asked(ask));
+        self.step(claimer, ClaimEvent::Queried(query));
         request
     }
 
     pub fn ask_again(&mut self, claimer: usize, request: RequestId) {
-        let ask = self.asked(request).ask;
-        self.step(claimer, ClaimEvent::Asked(ask));
+        let query = self.asked(request).query;
+        self.step(claimer, ClaimEvent::Queried(query));
     }
 
     pub fn asked(&self, request: RequestId) -> AskedRequest {
@@ -262,12 +262,12 @@
     pub fn release(&mut self, claimer: usize, request: RequestId) {
         let index = usize::try_from(request.0).unwrap();
         self.requests[index].released = true;
-        let key = self.requests[index].ask.key;
+        let key = self.requests[index].query.key;
         self.step(claimer, ClaimEvent::Released(ClaimRelease { key, request }));
     }
 
     pub fn finish(&mut self, claimer: usize, request: RequestId, verdict: RunVerdict) {
-        let key = self.asked(request).ask.key;
+        let key = self.asked(request).query.key;
         let finish = ClaimFinish {
             key,
             request,
--- a/crates/oatpier-claims/tests/testsuite/outages.rs
+++ b/crates/oatpier-claims/tests/testsuite/outages.rs
@@ -4,7 +4,7 @@
 
 use oatpier_claims::event::ClaimEvent;
 use oatpier_claims::event::ClaimSettings;
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk, ClaimDenial, KeyHash, RequestFingerprint};
+use oatpier_claims::message::{ClaimAnswer, ClaimDenial, ClaimQuery, KeyHash, RequestFingerprint};
 use oatpier_types::ids::RequestId;
 
 use crate::fleet::{ClaimFleet, key};
@@ -121,13 +121,13 @@
     // A caller reuses a key for a different request by mistake. If it were answered "ran" for the
     // first one, it would assume that the second was done.
     let (mut fleet, held) = owner_of_one_key();
-    let ask = ClaimAsk {
+    let query = ClaimQuery {
         key: key(1),
         fingerprint: RequestFingerprint(9),
         request: RequestId(77),
     };
     fleet.requests.resize(78, fleet.requests[0]);
-    fleet.step(0, ClaimEvent::Asked(ask));
+    fleet.step(0, ClaimEvent::Queried(query));
     let denial = ClaimDenial::Mismatch { holder: held };
     assert_eq!(
         fleet.answer(RequestId(77)),
--- a/crates/oatpier-claims/tests/testsuite/takeovers.rs
+++ b/crates/oatpier-claims/tests/testsuite/takeovers.rs
@@ -53,7 +53,7 @@
     fleet.deliver(late_write);
     fleet.run(0, SHORT_RUN);
     assert_eq!(fleet.answer(paused), Some(&moved_to("entry-1")));
-    assert!(!fleet.log(0).owns());
+    assert!(!fleet.log(0).is_owner());
     fleet.ask_again(1, paused);
     let held = ClaimDenial::Held { holder: second };
     assert_eq!(fleet.answer(paused), Some(&ClaimAnswer::Denied(held)));
@@ -265,7 +265,10 @@
     assert!(fleet.store.values.len() < before, "{:?}", fleet.keys());
     fleet.ask(1, key(101));
     fleet.run(1, SHORT_RUN);
-    assert!(fleet.log(1).owns(), "the remaining records can be loaded");
+    assert!(
+        fleet.log(1).is_owner(),
+        "the remaining records can be loaded"
+    );
 }
 
 #[test]
--- a/crates/oatpier-entry/src/claims/claimer.rs
+++ b/crates/oatpier-entry/src/claims/claimer.rs
@@ -4,7 +4,7 @@
 
 use oatpier_claims::event::{ClaimAction, ClaimEvent, ClaimSettings};
 use oatpier_claims::log::ClaimLog;
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk, KeyHash};
+use oatpier_claims::message::{ClaimAnswer, ClaimQuery, KeyHash};
 use oatpier_claims::partition::PartitionId;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, RequestId};
@@ -69,7 +69,7 @@
         }
     }
 
-    pub(super) fn wait(&mut self, ask: ClaimAsk, waiter: AskWaiter) {
+    pub(super) fn wait(&mut self, ask: ClaimQuery, waiter: AskWaiter) {
         let waiters = self.asks.entry((ask.key, ask.request)).or_default();
         waiters.push(waiter);
     }
--- a/crates/oatpier-entry/src/claims/mod.rs
+++ b/crates/oatpier-entry/src/claims/mod.rs
@@ -19,7 +19,7 @@
 use futures::stream::FuturesUnordered;
 use futures::{FutureExt, StreamExt};
 use oatpier_claims::event::{CallNumber, ClaimEvent, StoreAnswer};
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk, KeyHash};
+use oatpier_claims::message::{ClaimAnswer, ClaimQuery, KeyHash};
 use oatpier_claims::partition::{PartitionId, PartitionMap};
 use oatpier_membership::messages::EntryContact;
 use oatpier_types::ids::{BootId, RequestId};
@@ -46,7 +46,7 @@
     /// A request of this entry wants to run under a key.
     Ask {
         /// What.
-        ask: ClaimAsk,
+        ask: ClaimQuery,
         /// Where the answer goes: granted, denied or unavailable.
         reply: oneshot::Sender<ClaimAnswer>,
     },
@@ -98,7 +98,7 @@
 /// An ask of this entry that a claimer elsewhere is to answer.
 #[derive(Debug)]
 struct OpenAsk {
-    ask: ClaimAsk,
+    ask: ClaimQuery,
     reply: oneshot::Sender<ClaimAnswer>,
     tries: u8,
 }
@@ -234,7 +234,7 @@
         }
         let ask = open.ask;
         self.claimer.wait(ask, AskWaiter::Own(open));
-        self.step(PartitionId::of(ask.key), ClaimEvent::Asked(ask));
+        self.step(PartitionId::of(ask.key), ClaimEvent::Queried(ask));
     }
 
     fn ask_remote(&mut self, open: OpenAsk, address: SocketAddr) {
@@ -271,7 +271,7 @@
         let (key, event) = match call {
             ClaimCall::Ask(ask) => {
                 self.claimer.wait(ask, AskWaiter::Peer(reply));
-                (ask.key, ClaimEvent::Asked(ask))
+                (ask.key, ClaimEvent::Queried(ask))
             }
             ClaimCall::Release(release) => {
                 self.claimer
--- a/crates/oatpier-entry/src/messages.rs
+++ b/crates/oatpier-entry/src/messages.rs
@@ -1,6 +1,6 @@
 //! The messages between entries that nobody else needs to know.
 
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk, ClaimFinish, ClaimRelease};
+use oatpier_claims::message::{ClaimAnswer, ClaimFinish, ClaimQuery, ClaimRelease};
 use oatpier_placement::demand::DemandSummary;
 use oatpier_types::names::DaemonName;
 use oatpier_types::operator::DaemonGeneration;
@@ -18,7 +18,7 @@
 #[derive(Serialize, Deserialize)]
 pub enum ClaimCall {
     /// A request wants to run under a key.
-    Ask(ClaimAsk),
+    Ask(ClaimQuery),
     /// A request did not run and never will.
     Release(ClaimRelease),
     /// A request that held a key is over.
--- a/crates/oatpier-entry/src/run/claiming.rs
+++ b/crates/oatpier-entry/src/run/claiming.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk, KeyHash, RequestFingerprint};
+use oatpier_claims::message::{ClaimAnswer, ClaimQuery, KeyHash, RequestFingerprint};
 use oatpier_policy::event::EntryEvent;
 use oatpier_types::ids::RequestId;
 use oatpier_types::verdict::RunVerdict;
@@ -20,7 +20,7 @@
             return;
         };
         let call = &self.call.call;
-        let ask = ClaimAsk {
+        let ask = ClaimQuery {
             key,
             fingerprint: RequestFingerprint::of(call.method.as_str(), &call.path, &call.body),
             request: self.identity.request,
@@ -69,7 +69,7 @@
     key.0 as u64
 }
 
-async fn ask_claim(core: &EntryCore, ask: ClaimAsk) -> EntryEvent {
+async fn ask_claim(core: &EntryCore, ask: ClaimQuery) -> EntryEvent {
     let (reply, answer) = oneshot::channel();
     let command = ClaimCommand::Ask { ask, reply };
     if core.claims().try_send(command).is_err() {
--- a/crates/oatpier-entry/tests/testsuite/support.rs
+++ b/crates/oatpier-entry/tests/testsuite/support.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use futures::FutureExt;
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk, KeyHash, RequestFingerprint};
+use oatpier_claims::message::{ClaimAnswer, ClaimQuery, KeyHash, RequestFingerprint};
 use oatpier_duty::duty::{RingRule, RingSender, RuntimeClock, StopSignal, ring};
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
 use oatpier_duty::observe::metrics::MetricSet;
@@ -147,7 +147,7 @@
 
     /// A request at an entry asks for a key.
     pub async fn ask(&self, entry: u16, key: u128, request: u128) -> ClaimAnswer {
-        let ask = ClaimAsk {
+        let ask = ClaimQuery {
             key: KeyHash(key),
             fingerprint: RequestFingerprint(1),
             request: RequestId(request),
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -67,7 +67,7 @@
             Vec::new()
         };
         let loading = Vec::new();
-        self.step_agent(agent, AgentEvent::ReadyChanged { ready, loading });
+        self.step_agent(agent, AgentEvent::WeightsChanged { ready, loading });
         let up = self.nodes[agent + AGENTS].up;
         self.step_agent(agent, AgentEvent::EndpointUp { up });
         self.tell_status(agent);
@@ -202,7 +202,7 @@
         let event = match word {
             CallWord::Up(up) => AgentEvent::EndpointUp { up },
             CallWord::Piece(_) if first => AgentEvent::EndpointFirstToken { attempt },
-            CallWord::Piece(_) => AgentEvent::EndpointPiece { attempt, tokens: 1 },
+            CallWord::Piece(_) => AgentEvent::EndpointChunk { attempt, tokens: 1 },
             CallWord::End => AgentEvent::EndpointEnded { attempt },
             CallWord::Failed(verdict) => AgentEvent::EndpointFailed { attempt, verdict },
         };
--- a/crates/oatpier-faults/src/request/claims.rs
+++ b/crates/oatpier-faults/src/request/claims.rs
@@ -9,7 +9,7 @@
 };
 use oatpier_claims::log::ClaimLog;
 use oatpier_claims::message::{
-    ClaimAnswer, ClaimAsk, ClaimFinish, ClaimRelease, KeyHash, RequestFingerprint,
+    ClaimAnswer, ClaimFinish, ClaimQuery, ClaimRelease, KeyHash, RequestFingerprint,
 };
 use oatpier_claims::partition::PartitionId;
 use oatpier_policy::event::EntryEvent;
@@ -33,7 +33,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct OpenAsk {
-    ask: ClaimAsk,
+    ask: ClaimQuery,
     tries: u32,
     again_at: ClockTime,
 }
@@ -142,7 +142,7 @@
         if self.order.omits(Bypass::Claim) {
             return self.tell_request(entry, request, &EntryEvent::ClaimGranted, None);
         }
-        let ask = ClaimAsk {
+        let ask = ClaimQuery {
             key: KeyHash(key.into()),
             fingerprint: RequestFingerprint(1),
             request,
@@ -151,7 +151,7 @@
         self.ask(entry, claimer, ask, 1);
     }
 
-    fn ask(&mut self, entry: NodeId, claimer: NodeId, ask: ClaimAsk, tries: u32) {
+    fn ask(&mut self, entry: NodeId, claimer: NodeId, ask: ClaimQuery, tries: u32) {
         let open = OpenAsk {
             ask,
             tries,
@@ -218,7 +218,7 @@
         match message {
             Message::Ask(ask) => {
                 self.entries[entry].claims.askers.insert(ask.request, from);
-                self.step_log(entry, ClaimEvent::Asked(ask));
+                self.step_log(entry, ClaimEvent::Queried(ask));
             }
             Message::AskAnswer { request, answer } => self.ask_answered(entry, request, &answer),
             Message::Settle {
--- a/crates/oatpier-faults/src/request/message.rs
+++ b/crates/oatpier-faults/src/request/message.rs
@@ -1,7 +1,7 @@
 //! What the processes of a request say to each other.
 
 use oatpier_claims::event::{CallNumber, ClaimAction, StoreAnswer};
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk};
+use oatpier_claims::message::{ClaimAnswer, ClaimQuery};
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::refusal::Refusal;
 use oatpier_types::request::AttemptSpec;
@@ -88,7 +88,7 @@
         verdict: RunVerdict,
     },
     /// An ask for a key.
-    Ask(ClaimAsk),
+    Ask(ClaimQuery),
     /// Its answer.
     AskAnswer {
         request: RequestId,
--- a/crates/oatpier-ports/src/work.rs
+++ b/crates/oatpier-ports/src/endpoint.rs
@@ -49,7 +49,7 @@
 }
 
 /// Sends calls to one endpoint. Used only by the agent next to the endpoint.
-pub trait EndpointWork: Send + Sync {
+pub trait EndpointClient: Send + Sync {
     /// Sends a call and returns the head of its response.
     fn run(&self, call: EndpointCall) -> BoxFuture<'_, Result<EndpointAnswer, CallError>>;
 
--- a/crates/oatpier-ports/src/http.rs
+++ b/crates/oatpier-ports/src/http.rs
@@ -16,7 +16,7 @@
 mod store;
 mod vms;
 
-pub use endpoint::{EndpointKind, HttpWork};
+pub use endpoint::{EndpointKind, HttpEndpoint};
 pub use engine::HttpEngine;
 pub use store::HttpStore;
 pub use vms::HttpVmList;
--- a/crates/oatpier-ports/src/http/endpoint.rs
+++ b/crates/oatpier-ports/src/http/endpoint.rs
@@ -19,7 +19,7 @@
 use oatpier_wire::client::{ClientLimits, HttpClient, ResponseBody};
 
 use super::ExternalService;
-use crate::work::{CallError, EndpointAnswer, EndpointCall, EndpointWork};
+use crate::endpoint::{CallError, EndpointAnswer, EndpointCall, EndpointClient};
 
 /// Header with the attempt id, as 32 hex digits.
 const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
@@ -53,7 +53,7 @@
 }
 
 /// Sends calls to the endpoint at an address over HTTP.
-pub struct HttpWork {
+pub struct HttpEndpoint {
     address: SocketAddr,
     kind: EndpointKind,
     client: HttpClient,
@@ -61,7 +61,7 @@
     control: ExternalService,
 }
 
-impl HttpWork {
+impl HttpEndpoint {
     /// Creates a client of the endpoint at `address`. `timeout` bounds connecting, a cancel and a
     /// probe. It does not bound an answer: the caller does so by dropping the call.
     #[must_use]
@@ -136,7 +136,7 @@
     }
 }
 
-impl EndpointWork for HttpWork {
+impl EndpointClient for HttpEndpoint {
     fn run(&self, call: EndpointCall) -> BoxFuture<'_, Result<EndpointAnswer, CallError>> {
         Box::pin(self.run_call(call))
     }
--- a/crates/oatpier-ports/src/lib.rs
+++ b/crates/oatpier-ports/src/lib.rs
@@ -8,11 +8,11 @@
 //! - [`store`]: the key-value service.
 //! - [`vms`]: the lagging list of VMs.
 //! - [`engine`]: control interface of an engine, with orders and reports.
-//! - [`work`]: calls to an endpoint, which is an engine or a plain service.
+//! - [`endpoint`]: calls to an endpoint, which is an engine or a plain service.
 //! - [`http`]: the HTTP implementations, as specified in docs/design/platform-interfaces.md.
 
+pub mod endpoint;
 pub mod engine;
 pub mod http;
 pub mod store;
 pub mod vms;
-pub mod work;
--- a/crates/oatpier-ports/tests/testsuite/endpoint_calls.rs
+++ b/crates/oatpier-ports/tests/testsuite/endpoint_calls.rs
@@ -6,8 +6,8 @@
 use bytes::Bytes;
 use futures::TryStreamExt;
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
-use oatpier_ports::http::{EndpointKind, HttpWork};
-use oatpier_ports::work::{CallError, EndpointCall, EndpointWork};
+use oatpier_ports::endpoint::{CallError, EndpointCall, EndpointClient};
+use oatpier_ports::http::{EndpointKind, HttpEndpoint};
 use oatpier_types::ids::AttemptId;
 use oatpier_types::verdict::RunVerdict;
 
@@ -33,13 +33,13 @@
     }
 }
 
-fn work(address: SocketAddr, kind: EndpointKind) -> HttpWork {
-    HttpWork::new(address, kind, LONG_TIMEOUT)
+fn client(address: SocketAddr, kind: EndpointKind) -> HttpEndpoint {
+    HttpEndpoint::new(address, kind, LONG_TIMEOUT)
 }
 
 /// Sends a call to a service and reads its whole body.
 async fn run_whole(address: SocketAddr, call: EndpointCall) -> Result<Vec<u8>, CallError> {
-    let answer = work(address, EndpointKind::Service).run(call).await?;
+    let answer = client(address, EndpointKind::Service).run(call).await?;
     let chunks: Vec<Bytes> = answer.body.try_collect().await?;
     Ok(chunks.concat())
 }
@@ -47,7 +47,9 @@
 #[tokio::test]
 async fn engine_receives_a_call_and_its_cancel() {
     let server = FixedServer::start(201, &[("x-note", "kept"), ("keep-alive", "9")], "ok").await;
-    let answer = work(server.address, EndpointKind::Engine).run(call()).await;
+    let answer = client(server.address, EndpointKind::Engine)
+        .run(call())
+        .await;
     let answer = answer.unwrap();
     assert_eq!(answer.status, StatusCode::CREATED);
     assert_eq!(answer.headers["x-note"], "kept");
@@ -63,7 +65,7 @@
     assert_eq!(request.headers["host"], server.address.to_string());
     assert!(!request.headers.contains_key("connection"));
     let server = FixedServer::start(204, &[], "").await;
-    work(server.address, EndpointKind::Engine)
+    client(server.address, EndpointKind::Engine)
         .cancel(ATTEMPT)
         .await;
     let line = format!("DELETE /v1/requests/{ATTEMPT_HEX}");
@@ -73,9 +75,9 @@
 #[tokio::test]
 async fn plain_service_receives_no_engine_headers_and_no_cancel() {
     let server = FixedServer::start(200, &[], "ok").await;
-    let work = work(server.address, EndpointKind::Service);
-    assert!(work.run(call()).await.is_ok());
-    work.cancel(ATTEMPT).await;
+    let client = client(server.address, EndpointKind::Service);
+    assert!(client.run(call()).await.is_ok());
+    client.cancel(ATTEMPT).await;
     let request = server.only_request();
     assert!(!request.headers.contains_key("x-priority"));
     assert!(!request.headers.contains_key("x-resume-after"));
@@ -86,19 +88,23 @@
     let healthy = FixedServer::start(200, &[], "").await;
     let unhealthy = FixedServer::start(500, &[], "").await;
     let unresponsive = silent_server().await;
-    assert!(work(healthy.address, EndpointKind::Service).probe().await);
-    assert!(!work(unhealthy.address, EndpointKind::Service).probe().await);
+    assert!(client(healthy.address, EndpointKind::Service).probe().await);
+    assert!(
+        !client(unhealthy.address, EndpointKind::Service)
+            .probe()
+            .await
+    );
     assert!(
-        !work(closed_address().await, EndpointKind::Service)
+        !client(closed_address().await, EndpointKind::Service)
             .probe()
             .await
     );
-    let short_timeout_work = HttpWork::new(
+    let short_timeout_client = HttpEndpoint::new(
         unresponsive,
         EndpointKind::Service,
         Duration::from_millis(200),
     );
-    assert!(!short_timeout_work.probe().await);
+    assert!(!short_timeout_client.probe().await);
 }
 
 #[tokio::test]
--- a/crates/oatpier-standin/src/lib.rs
+++ b/crates/oatpier-standin/src/lib.rs
@@ -15,7 +15,7 @@
 //! - [`service`]: a plain service.
 //! - [`answer`]: which answer belongs to which prompt.
 //! - [`serve`]: the HTTP server that they share.
-//! - [`work`]: an engine or plain service as an `EndpointWork`, without sockets.
+//! - [`work`]: an engine or plain service as an `EndpointClient`, without sockets.
 
 pub mod answer;
 pub mod clock;
--- a/crates/oatpier-standin/src/work.rs
+++ b/crates/oatpier-standin/src/work.rs
@@ -1,4 +1,4 @@
-//! An engine or plain service as an [`EndpointWork`], without sockets.
+//! An engine or plain service as an [`EndpointClient`], without sockets.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use futures::{FutureExt, StreamExt};
 use http::{HeaderValue, StatusCode};
 use http_body_util::BodyExt;
-use oatpier_ports::work::{CallError, EndpointAnswer, EndpointCall, EndpointWork};
+use oatpier_ports::endpoint::{CallError, EndpointAnswer, EndpointCall, EndpointClient};
 use oatpier_types::ids::AttemptId;
 use oatpier_types::verdict::RunVerdict;
 
@@ -80,7 +80,7 @@
     }
 }
 
-impl<H: RequestHandler> EndpointWork for LocalWork<H> {
+impl<H: RequestHandler> EndpointClient for LocalWork<H> {
     fn run(&self, call: EndpointCall) -> BoxFuture<'_, Result<EndpointAnswer, CallError>> {
         let answer = Arc::clone(&self.handler).handle(whole_request(call));
         async move {
--- a/crates/oatpier-standin/tests/testsuite/engine_http.rs
+++ b/crates/oatpier-standin/tests/testsuite/engine_http.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use futures::StreamExt;
+use oatpier_ports::endpoint::EndpointClient;
 use oatpier_ports::engine::{EngineControl, OrderError};
-use oatpier_ports::http::{EndpointKind, HttpEngine, HttpWork};
-use oatpier_ports::work::EndpointWork;
+use oatpier_ports::http::{EndpointKind, HttpEndpoint, HttpEngine};
 use oatpier_standin::answer::answer_text;
 use oatpier_standin::clock::StandinClock;
 use oatpier_standin::engine::{EngineFaults, EngineOptions, LocalEngine, start_engine};
@@ -22,15 +22,15 @@
 /// Tokens of an answer that doesn't end while a test looks at it.
 const ENDLESS: u32 = 4_000;
 
-async fn serve(options: EngineOptions) -> (Running<LocalEngine>, HttpWork) {
+async fn serve(options: EngineOptions) -> (Running<LocalEngine>, HttpEndpoint) {
     let store = WeightStore::shared(WeightsOptions::default());
     let clock = StandinClock::start();
     let running = start_engine(ANY_PORT, options, store, clock).await.unwrap();
-    let work = HttpWork::new(running.address, EndpointKind::Engine, TIMEOUT);
+    let work = HttpEndpoint::new(running.address, EndpointKind::Engine, TIMEOUT);
     (running, work)
 }
 
-async fn check_whole_and_resumed(work: &dyn EndpointWork) {
+async fn check_whole_and_resumed(work: &dyn EndpointClient) {
     let whole = work.run(completion(1, "a prompt", 5)).await.unwrap();
     let (events, error) = read_body(whole).await;
     assert_eq!(error, None);
--- a/crates/oatpier-standin/tests/testsuite/service.rs
+++ b/crates/oatpier-standin/tests/testsuite/service.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use oatpier_ports::http::{EndpointKind, HttpWork};
-use oatpier_ports::work::EndpointWork;
+use oatpier_ports::endpoint::EndpointClient;
+use oatpier_ports::http::{EndpointKind, HttpEndpoint};
 use oatpier_standin::clock::StandinClock;
 use oatpier_standin::service::{LocalService, ServiceCall, ServiceFaults, start_service};
 use oatpier_standin::work::LocalWork;
@@ -16,7 +16,7 @@
 
 /// The service acts on a call and its answer is lost: the sender learns only that the call may
 /// have run, and the record shows that it did.
-async fn check_calls(work: &dyn EndpointWork, service: &LocalService) {
+async fn check_calls(work: &dyn EndpointClient, service: &LocalService) {
     let seats = || call(7, "/seats/1?day=2", "{}".to_owned());
     let answer = work.run(seats()).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
@@ -45,7 +45,7 @@
     let clock = StandinClock::start();
     let running = start_service(ANY_PORT, endpoint(), clock).await.unwrap();
     let timeout = Duration::from_mins(1);
-    let work = HttpWork::new(running.address, EndpointKind::Service, timeout);
+    let work = HttpEndpoint::new(running.address, EndpointKind::Service, timeout);
     check_calls(&work, &running.handle).await;
 }
 
--- a/crates/oatpier-standin/tests/testsuite/support.rs
+++ b/crates/oatpier-standin/tests/testsuite/support.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures::TryStreamExt;
 use http::{HeaderMap, HeaderValue, Method};
-use oatpier_ports::work::{CallError, EndpointAnswer, EndpointCall};
+use oatpier_ports::endpoint::{CallError, EndpointAnswer, EndpointCall};
 use oatpier_standin::engine::{EngineCore, EngineOptions, EngineRequest};
 use oatpier_standin::weights::{WeightStore, WeightsOptions};
 use oatpier_types::engine::{EngineOrder, OrderAction, WeightsKey};
