--- a/crates/oatpier-agent/src/news.rs
+++ b/crates/oatpier-agent/src/news.rs
@@ -15,7 +15,7 @@
 
 use oatpier_admission::event::LoadingWeights;
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_types::config::FleetConfig;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::Generation;
@@ -95,7 +95,7 @@
     /// Another agent asks for a release.
     Release {
         /// What it asks.
-        ask: ReleaseAsk,
+        ask: ReleaseRequest,
         /// Where the answer goes.
         reply: oneshot::Sender<ReleaseAnswer>,
     },
--- a/crates/oatpier-agent/src/orders/io.rs
+++ b/crates/oatpier-agent/src/orders/io.rs
@@ -59,11 +59,11 @@
 
 async fn send(control: &dyn EngineControl, order: EngineOrder) -> OrderEvent {
     let outcome = match control.order(&order).await {
-        Ok(()) => OrderOutcome::Taken,
+        Ok(()) => OrderOutcome::Accepted,
         Err(OrderError::Stale { highest }) => OrderOutcome::Stale { highest },
         Err(OrderError::Refused { cause }) => {
             spdlog::warn!("the engine refused an order: {cause}");
-            OrderOutcome::Refused
+            OrderOutcome::Rejected
         }
         Err(OrderError::NotSent { .. }) => OrderOutcome::NotSent,
         Err(OrderError::Unknown { .. }) => OrderOutcome::Unknown,
--- a/crates/oatpier-agent/src/orders/knowledge.rs
+++ b/crates/oatpier-agent/src/orders/knowledge.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use indexmap::IndexMap;
-use oatpier_placement::steps::{AttemptCount, ReplicaCount};
+use oatpier_placement::steps::{AttemptCount, ReplicaView};
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::EndpointName;
 use oatpier_types::plan::EndpointPlan;
@@ -106,7 +106,7 @@
     }
 }
 
-impl ReplicaCount for PlacementKnowledge {
+impl ReplicaView for PlacementKnowledge {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         self.names_of(weights)
     }
@@ -125,7 +125,7 @@
 /// See [`PlacementKnowledge::for_repair`].
 pub struct RepairReplicas<'a>(&'a PlacementKnowledge);
 
-impl ReplicaCount for RepairReplicas<'_> {
+impl ReplicaView for RepairReplicas<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let known = self.0;
         if known.holders.contains_key(weights) || known.unserved.contains(weights) {
--- a/crates/oatpier-agent/src/orders/outlook.rs
+++ b/crates/oatpier-agent/src/orders/outlook.rs
@@ -41,10 +41,10 @@
         now: ClockTime,
     ) {
         let there = keeper.ledger().ready();
-        let there = there.filter(|weights| !keeper.may_vanish(weights, now));
+        let there = there.filter(|weights| !keeper.may_be_unloaded(weights, now));
         let (ready, leaving): (Vec<_>, Vec<_>) = there
             .cloned()
-            .partition(|weights| stepper.takes_new(weights));
+            .partition(|weights| stepper.accepts_new(weights));
         let draining = leaving.into_iter().map(|weights| DrainingWeights {
             preferred: is_newest(keeper, &weights),
             weights,
--- a/crates/oatpier-agent/src/orders/state.rs
+++ b/crates/oatpier-agent/src/orders/state.rs
@@ -5,9 +5,9 @@
 
 use oatpier_placement::orders::{OrderCommand, OrderEvent, OrderKeeper, OrderSettings, PollTicket};
 use oatpier_placement::record::RecordCall;
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk, ReleaseKeeper, ReleaseReply};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseKeeper, ReleaseReply, ReleaseRequest};
 use oatpier_placement::repair::{RepairInput, RepairKeeper, RepairSettings};
-use oatpier_placement::steps::{MoveStepper, PlacementStep, STEP_EVERY, StepInput};
+use oatpier_placement::steps::{MoveStepper, PlacementStep, STEP_INTERVAL, StepInput};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::{FleetConfig, PoolKind};
 use oatpier_types::engine::{EngineOrder, EngineRole, OrderAction, WeightsKey};
@@ -40,7 +40,7 @@
         /// Where it listens.
         to: SocketAddr,
         /// The ask.
-        ask: ReleaseAsk,
+        ask: ReleaseRequest,
     },
 }
 
@@ -117,7 +117,7 @@
     #[must_use]
     pub fn next_wake(&self, now: ClockTime) -> ClockTime {
         let wake = self.keeper.as_ref().map(|keeper| keeper.next_wake(now));
-        wake.map_or(ClockTime::NEVER, |wake| wake.min(now + STEP_EVERY))
+        wake.map_or(ClockTime::NEVER, |wake| wake.min(now + STEP_INTERVAL))
     }
 
     /// Takes what became of a task.
@@ -175,7 +175,12 @@
         }
     }
 
-    fn take_ask(&mut self, ask: ReleaseAsk, reply: oneshot::Sender<ReleaseAnswer>, now: ClockTime) {
+    fn take_ask(
+        &mut self,
+        ask: ReleaseRequest,
+        reply: oneshot::Sender<ReleaseAnswer>,
+        now: ClockTime,
+    ) {
         let (boot, sequence) = (ask.boot, ask.sequence);
         let keeper = self.keeper.as_mut().filter(|_| !self.leaving);
         let Some(keeper) = keeper else {
@@ -188,7 +193,7 @@
             });
             return;
         };
-        self.releases.on_ask(ask, keeper, now);
+        self.releases.on_request(ask, keeper, now);
         self.asks.push(WaitingAsk {
             boot,
             sequence,
@@ -267,9 +272,9 @@
             return Some(row);
         }
         // Nobody asked for anything to go, so what a former agent began to load stays as well.
-        self.repair.taken().next()?;
+        self.repair.repaired_weights().next()?;
         let there = keeper.ledger().charges();
-        let there = there.filter(|(_, charge)| charge.held.is_some() || charge.ordered);
+        let there = there.filter(|(_, charge)| charge.held.is_some() || charge.is_ordered);
         for (weights, _) in there {
             if !row.weights.contains(weights) {
                 row.weights.push(weights.clone());
@@ -284,7 +289,7 @@
                 let cause = self.cause_of(&action);
                 self.spans.begin(&action, cause);
             }
-            PlacementStep::AskRelease { to, ask } => {
+            PlacementStep::RequestRelease { to, request: ask } => {
                 let address = self.knowledge.address_of(&to);
                 tasks.extend(address.map(|to| OrdersTask::AskRelease { to, ask }));
             }
@@ -296,7 +301,7 @@
 
     fn cause_of(&self, action: &OrderAction) -> MoveCause {
         let repaired = weights_of(action)
-            .is_some_and(|weights| self.repair.taken().any(|taken| taken == weights));
+            .is_some_and(|weights| self.repair.repaired_weights().any(|taken| taken == weights));
         if repaired {
             MoveCause::Repair
         } else {
@@ -323,8 +328,8 @@
 
     fn note(&mut self, keeper: &OrderKeeper, now: ClockTime) {
         self.spans.end(|action| match weights_of(action) {
-            Some(weights) => keeper.is_moving(weights),
-            None => keeper.is_role_moving(),
+            Some(weights) => keeper.has_pending_order(weights),
+            None => keeper.has_pending_role_order(),
         });
         let charged = keeper.ledger().charged_mib(now);
         let charged = i64::try_from(charged).unwrap_or(i64::MAX);
--- a/crates/oatpier-agent/src/peers.rs
+++ b/crates/oatpier-agent/src/peers.rs
@@ -6,7 +6,7 @@
 use futures::FutureExt;
 use futures::future::BoxFuture;
 use oatpier_duty::messages::{FleetAnswer, FleetCall, PEER_PATH};
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_wire::client::ClientLimits;
 use oatpier_wire::peer::PeerClient;
 
@@ -36,7 +36,11 @@
     ) -> PeerFuture<Option<PlacementView>>;
 
     /// Asks another agent for a release.
-    fn ask_release(&self, agent: SocketAddr, ask: ReleaseAsk) -> PeerFuture<Option<ReleaseAnswer>>;
+    fn ask_release(
+        &self,
+        agent: SocketAddr,
+        ask: ReleaseRequest,
+    ) -> PeerFuture<Option<ReleaseAnswer>>;
 }
 
 /// The calls over HTTP. Belongs to one duty's runtime, as its connections do.
@@ -76,7 +80,11 @@
         .boxed()
     }
 
-    fn ask_release(&self, agent: SocketAddr, ask: ReleaseAsk) -> PeerFuture<Option<ReleaseAnswer>> {
+    fn ask_release(
+        &self,
+        agent: SocketAddr,
+        ask: ReleaseRequest,
+    ) -> PeerFuture<Option<ReleaseAnswer>> {
         let client = self.client.clone();
         async move {
             let answer = client.call(agent, RELEASE_PATH, &ask, RELEASE_WAIT);
--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -21,7 +21,7 @@
 use oatpier_duty::placement::{
     HolderContact, PlacementQuery, PlacementView, PlanRow, PlanStamp, WeightsHolders,
 };
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_standin::clock::StandinClock;
 use oatpier_standin::engine::{EngineOptions, LocalEngine};
 use oatpier_standin::store::LocalStore;
@@ -56,7 +56,11 @@
         std::future::ready(None).boxed()
     }
 
-    fn ask_release(&self, agent: SocketAddr, ask: ReleaseAsk) -> PeerFuture<Option<ReleaseAnswer>> {
+    fn ask_release(
+        &self,
+        agent: SocketAddr,
+        ask: ReleaseRequest,
+    ) -> PeerFuture<Option<ReleaseAnswer>> {
         let asks = self.asks.lock().unwrap().get(&agent).cloned();
         async move {
             let (reply, answer) = oneshot::channel();
--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -18,7 +18,7 @@
 use oatpier_membership::members::MemberPhase;
 use oatpier_membership::messages::{ConfigAnswer, HeartbeatAnswer, PeerAnswer, PeerCall};
 use oatpier_membership::stops::StopWord;
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_ports::store::{ExpectedValue, KeyStore};
 use oatpier_ports::vms::{VmDuty, VmRow, VmState};
 use oatpier_standin::store::{DownMode, LocalStore, StoreFaults};
@@ -119,7 +119,7 @@
         std::future::ready(view).boxed()
     }
 
-    fn ask_release(&self, _: SocketAddr, _: ReleaseAsk) -> PeerFuture<Option<ReleaseAnswer>> {
+    fn ask_release(&self, _: SocketAddr, _: ReleaseRequest) -> PeerFuture<Option<ReleaseAnswer>> {
         std::future::ready(None).boxed()
     }
 }
--- a/crates/oatpier-bench/src/fleet/moves.rs
+++ b/crates/oatpier-bench/src/fleet/moves.rs
@@ -6,8 +6,8 @@
 use oatpier_placement::orders::{OrderCommand, OrderEvent, OrderOutcome};
 use oatpier_placement::planner::{EndpointView, PlannerInput};
 use oatpier_placement::record::{RecordAnswer, RecordCall, StoredRecord};
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
-use oatpier_placement::steps::{PlacementStep, ReplicaCount, STEP_EVERY, StepInput};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
+use oatpier_placement::steps::{PlacementStep, ReplicaView, STEP_INTERVAL, StepInput};
 use oatpier_ports::engine::OrderError;
 use oatpier_types::engine::{EngineOrder, WeightsKey, WeightsState};
 use oatpier_types::event::FleetEvent;
@@ -91,7 +91,7 @@
         self.step_moves(node);
         self.commands(node);
         self.note_ready(node);
-        let at = self.now + STEP_EVERY;
+        let at = self.now + STEP_INTERVAL;
         self.queue.push(at, FleetStep::Moves { node, boot });
     }
 
@@ -110,7 +110,7 @@
         let step = state
             .stepper
             .next_step(input, &mut state.keeper, &mut state.releases, self.now);
-        if let Ok(PlacementStep::AskRelease { to, ask }) = step
+        if let Ok(PlacementStep::RequestRelease { to, request: ask }) = step
             && let Some(holder) = self.indices.get(&to).copied()
         {
             let at = self.now + self.deployment.between_zones;
@@ -141,9 +141,9 @@
         }
         let result = self.nodes[node].engine.order(self.now, order);
         let outcome = match result {
-            Ok(()) => OrderOutcome::Taken,
+            Ok(()) => OrderOutcome::Accepted,
             Err(OrderError::Stale { highest }) => OrderOutcome::Stale { highest },
-            Err(OrderError::Refused { .. }) => OrderOutcome::Refused,
+            Err(OrderError::Refused { .. }) => OrderOutcome::Rejected,
             Err(OrderError::NotSent { .. }) => OrderOutcome::NotSent,
             Err(OrderError::Unknown { .. }) => OrderOutcome::Unknown,
         };
@@ -188,12 +188,12 @@
         }
     }
 
-    pub(super) fn asked_release(&mut self, node: usize, ask: ReleaseAsk) {
+    pub(super) fn asked_release(&mut self, node: usize, ask: ReleaseRequest) {
         let state = &mut self.nodes[node];
         if !state.alive {
             return;
         }
-        state.releases.on_ask(ask, &mut state.keeper, self.now);
+        state.releases.on_request(ask, &mut state.keeper, self.now);
         self.commands(node);
     }
 
@@ -232,7 +232,7 @@
     pub(super) fn make_plan(&mut self) -> PlacementPlan {
         for (index, entry) in self.entries.iter_mut().enumerate() {
             let summary = entry.demand.summary(self.now);
-            self.demand.absorb(entry_name(index), summary, self.now);
+            self.demand.update(entry_name(index), summary, self.now);
         }
         let demand = self.demand.total(self.now);
         let mut endpoints: Vec<EndpointView> =
@@ -283,7 +283,7 @@
     }
 }
 
-impl ReplicaCount for OtherReplicas {
+impl ReplicaView for OtherReplicas {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         self.holders
             .iter()
--- a/crates/oatpier-bench/src/fleet/node.rs
+++ b/crates/oatpier-bench/src/fleet/node.rs
@@ -158,7 +158,7 @@
             .held
             .iter()
             .filter(|held| held.state == WeightsState::Ready)
-            .filter(|held| self.stepper.takes_new(&held.weights))
+            .filter(|held| self.stepper.accepts_new(&held.weights))
             .map(|held| held.weights.clone())
             .collect()
     }
--- a/crates/oatpier-bench/src/fleet/step.rs
+++ b/crates/oatpier-bench/src/fleet/step.rs
@@ -2,7 +2,7 @@
 
 use oatpier_admission::event::AdmissionTicket;
 use oatpier_placement::record::RecordAnswer;
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_policy::action::CancelMode;
 use oatpier_policy::event::EntryEvent;
 use oatpier_types::engine::{CacheEvent, LoadReport};
@@ -64,7 +64,7 @@
         answer: RecordAnswer,
     },
     /// An agent is asked for a release.
-    Ask { node: usize, ask: ReleaseAsk },
+    Ask { node: usize, ask: ReleaseRequest },
     /// An agent is answered about a release.
     Asked { node: usize, answer: ReleaseAnswer },
     /// Agents send heartbeats.
--- a/crates/oatpier-bench/src/fleet/world.rs
+++ b/crates/oatpier-bench/src/fleet/world.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 use oatpier_admission::event::AdmissionTicket;
-use oatpier_placement::demand::{DemandBook, DemandLedger};
+use oatpier_placement::demand::{DemandLedger, DemandTotals};
 use oatpier_placement::planner::FleetPlanner;
 use oatpier_standin::weights::SharedWeights;
 use oatpier_types::clock::ClockTime;
@@ -80,7 +80,7 @@
     pub(super) planner: Box<dyn FleetPlanner>,
     pub(super) replans: bool,
     pub(super) admission: bool,
-    pub(super) demand: DemandBook,
+    pub(super) demand: DemandTotals,
     pub(super) plan: Option<PlacementPlan>,
     pub(super) faults: Vec<FaultPlan>,
     pub(super) heard: BTreeMap<usize, ClockTime>,
@@ -115,7 +115,7 @@
             planner: brains.planner,
             replans: brains.replans,
             admission: brains.admission,
-            demand: DemandBook::new(),
+            demand: DemandTotals::new(),
             plan: None,
             faults: scenario.faults(),
             heard: BTreeMap::new(),
--- a/crates/oatpier-bench/src/policy.rs
+++ b/crates/oatpier-bench/src/policy.rs
@@ -108,7 +108,7 @@
         horizon: settings.horizon / COMPRESSION,
         move_cost: settings.move_cost / f64::from(COMPRESSION),
         dwell: settings.dwell / COMPRESSION,
-        empty_every: settings.empty_every / COMPRESSION,
+        emptying_interval: settings.emptying_interval / COMPRESSION,
         ..settings
     }
 }
--- a/crates/oatpier-entry/src/planner/mod.rs
+++ b/crates/oatpier-entry/src/planner/mod.rs
@@ -23,7 +23,7 @@
 };
 use oatpier_membership::messages::EntryContact;
 use oatpier_membership::rendezvous;
-use oatpier_placement::demand::{DemandBook, DemandSummary};
+use oatpier_placement::demand::{DemandSummary, DemandTotals};
 use oatpier_placement::planner::{FleetPlanner, PlacementPlanner, PlannerInput, PlannerSettings};
 use oatpier_ports::store::{ExpectedValue, StoreError};
 use oatpier_types::clock::ClockTime;
@@ -120,7 +120,7 @@
         lease: None,
         planner: PlacementPlanner::new(PlannerSettings::default()),
         picture: None,
-        demand: DemandBook::new(),
+        demand: DemandTotals::new(),
         book: PlanBook::default(),
         next_plan: clock.now(),
         next_word: clock.now(),
@@ -152,7 +152,7 @@
     lease: Option<HeldKeeper>,
     planner: PlacementPlanner,
     picture: Option<FleetPicture>,
-    demand: DemandBook,
+    demand: DemandTotals,
     book: PlanBook,
     next_plan: ClockTime,
     next_word: ClockTime,
@@ -194,9 +194,9 @@
             PlannerNews::Fleet(picture) => self.take_picture(*picture),
             PlannerNews::Own(summary) => {
                 self.tell_demand(&summary, now);
-                self.demand.absorb(self.own.clone(), summary, now);
+                self.demand.update(self.own.clone(), summary, now);
             }
-            PlannerNews::Demand(word) => self.demand.absorb(word.entry, word.summary, now),
+            PlannerNews::Demand(word) => self.demand.update(word.entry, word.summary, now),
         }
     }
 
--- a/crates/oatpier-faults/src/orders/network.rs
+++ b/crates/oatpier-faults/src/orders/network.rs
@@ -31,7 +31,7 @@
         }
         match command {
             OrderCommand::CallStore(call) => {
-                let taking = agent.keeper.epoch() == EpochState::Taking;
+                let taking = agent.keeper.epoch() == EpochState::Acquiring;
                 self.call_store(index, boot, call, taking);
             }
             OrderCommand::Send(order) => self.send_order(index, boot, order),
@@ -262,7 +262,7 @@
                     return;
                 };
                 if let Some(agent) = self.awake_agent(boot, message) {
-                    agent.releases.on_ask(ask, &mut agent.keeper, now);
+                    agent.releases.on_request(ask, &mut agent.keeper, now);
                 }
             }
             OrderMessage::Answer(answer) => {
@@ -277,7 +277,7 @@
 
     fn take_order(&mut self, index: usize, order: &EngineOrder) -> OrderOutcome {
         let outcome = self.engines[index].take(order, self.now);
-        if outcome != OrderOutcome::Taken {
+        if outcome != OrderOutcome::Accepted {
             return outcome;
         }
         self.note(FleetEvent::OrderTaken {
--- a/crates/oatpier-faults/src/orders/view.rs
+++ b/crates/oatpier-faults/src/orders/view.rs
@@ -1,6 +1,6 @@
 //! What an agent sees of the others' replicas, and of its own work.
 
-use oatpier_placement::steps::{AttemptCount, ReplicaCount};
+use oatpier_placement::steps::{AttemptCount, ReplicaView};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::EndpointName;
@@ -9,7 +9,7 @@
 /// What an agent believes that the others have ready: a moment old.
 pub struct OldView<'a>(pub &'a [(EndpointName, Vec<WeightsKey>)], pub usize);
 
-impl ReplicaCount for OldView<'_> {
+impl ReplicaView for OldView<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let others = self.0.iter().enumerate();
         let others =
--- a/crates/oatpier-faults/src/orders/world.rs
+++ b/crates/oatpier-faults/src/orders/world.rs
@@ -4,7 +4,7 @@
 
 use oatpier_placement::orders::{OrderEvent, OrderKeeper, OrderSettings, PollTicket};
 use oatpier_placement::record::{EpochState, RecordCall, StoredRecord};
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk, ReleaseKeeper};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseKeeper, ReleaseRequest};
 use oatpier_placement::steps::{MoveStepper, PlacementStep, StepInput};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::FleetConfig;
@@ -43,7 +43,7 @@
     StoreCall(usize, BootId, RecordCall, bool),
     Poll(usize, BootId, PollTicket),
     Event(BootId, OrderEvent),
-    Ask(usize, ReleaseAsk),
+    Ask(usize, ReleaseRequest),
     Answer(ReleaseAnswer),
     Start(usize),
 }
@@ -189,7 +189,8 @@
                 let held = self.engines[agent.index].state().held.into_iter();
                 let held = held.map(|held| held.weights);
                 let taken = held.filter(|weights| {
-                    agent.stepper.takes_new(weights) && !agent.keeper.may_vanish(weights, now)
+                    agent.stepper.accepts_new(weights)
+                        && !agent.keeper.may_be_unloaded(weights, now)
                 });
                 taken.map(|weights| RunningWork {
                     index: agent.index,
@@ -291,7 +292,7 @@
 
     fn take_step(&mut self, place: usize, step: PlacementStep) {
         match step {
-            PlacementStep::AskRelease { to, ask } => {
+            PlacementStep::RequestRelease { to, request: ask } => {
                 if self.order.omits(Bypass::Release) {
                     let answer = ReleaseAnswer {
                         boot: ask.boot,
--- a/crates/oatpier-placement/src/demand.rs
+++ b/crates/oatpier-placement/src/demand.rs
@@ -220,11 +220,11 @@
 
 /// Latest demand summary of each entry, kept by the planner.
 #[derive(Debug, Clone, Default)]
-pub struct DemandBook {
+pub struct DemandTotals {
     entries: IndexMap<DaemonName, (DemandSummary, ClockTime)>,
 }
 
-impl DemandBook {
+impl DemandTotals {
     /// Creates a book without entries.
     #[must_use]
     pub fn new() -> Self {
@@ -232,7 +232,7 @@
     }
 
     /// Replaces an entry's summary with its latest one.
-    pub fn absorb(&mut self, entry: DaemonName, summary: DemandSummary, now: ClockTime) {
+    pub fn update(&mut self, entry: DaemonName, summary: DemandSummary, now: ClockTime) {
         self.entries.insert(entry, (summary, now));
     }
 
--- a/crates/oatpier-placement/src/ledger.rs
+++ b/crates/oatpier-placement/src/ledger.rs
@@ -17,7 +17,7 @@
     /// Last state that the engine reported; `None` if it does not hold the weights.
     pub held: Option<WeightsState>,
     /// Whether a load was ordered, or is about to be, and its outcome is unknown.
-    pub ordered: bool,
+    pub is_ordered: bool,
     /// Time until which a delayed copy of a load order could still arrive and be executed.
     pub late_copy_until: ClockTime,
 }
@@ -26,7 +26,7 @@
     /// Returns whether the weights use memory, or could use it.
     #[must_use]
     pub fn is_counted(&self, now: ClockTime) -> bool {
-        self.held.is_some() || self.ordered || now < self.late_copy_until
+        self.held.is_some() || self.is_ordered || now < self.late_copy_until
     }
 }
 
@@ -66,7 +66,7 @@
 
     /// Charges for a load that is about to be ordered, until [`MemoryLedger::end_order_charge`].
     pub fn charge_order(&mut self, weights: &WeightsKey, config: &FleetConfig) {
-        self.charge_entry(weights, config).ordered = true;
+        self.charge_entry(weights, config).is_ordered = true;
     }
 
     /// Charges until `until` for a delayed copy of a load order that could still be executed.
@@ -85,7 +85,7 @@
     /// From then on, only what the engine reports is charged.
     pub fn end_order_charge(&mut self, weights: &WeightsKey) {
         if let Some(charge) = self.charges.get_mut(weights) {
-            charge.ordered = false;
+            charge.is_ordered = false;
         }
     }
 
--- a/crates/oatpier-placement/src/orders/keeper.rs
+++ b/crates/oatpier-placement/src/orders/keeper.rs
@@ -79,20 +79,20 @@
 
     /// Returns whether an order for these weights has an unknown outcome.
     #[must_use]
-    pub fn is_moving(&self, weights: &WeightsKey) -> bool {
+    pub fn has_pending_order(&self, weights: &WeightsKey) -> bool {
         self.tracks
             .contains_key(&OrderSubject::Weights(weights.clone()))
     }
 
     /// Returns whether an order for the role has an unknown outcome.
     #[must_use]
-    pub fn is_role_moving(&self) -> bool {
+    pub fn has_pending_role_order(&self) -> bool {
         self.tracks.contains_key(&OrderSubject::Role)
     }
 
     /// Returns the number of orders with an unknown outcome.
     #[must_use]
-    pub fn moving(&self) -> usize {
+    pub fn pending_orders(&self) -> usize {
         self.tracks.len()
     }
 
@@ -104,7 +104,7 @@
     pub fn check_ready(&self) -> Result<(), BeginError> {
         match self.record.state() {
             EpochState::Superseded => return Err(BeginError::Superseded),
-            EpochState::Taking => return Err(BeginError::NotReady),
+            EpochState::Acquiring => return Err(BeginError::NotReady),
             EpochState::Taken(_) => {}
         }
         // A state read before earlier agents were fenced off may miss their later changes.
@@ -137,7 +137,8 @@
 
     /// Returns whether weights are ready and no order could unload them.
     fn stays_ready(&self, weights: &WeightsKey, now: ClockTime) -> bool {
-        self.ledger.state_of(weights) == Some(WeightsState::Ready) && !self.may_vanish(weights, now)
+        self.ledger.state_of(weights) == Some(WeightsState::Ready)
+            && !self.may_be_unloaded(weights, now)
     }
 
     /// Returns whether any version of an adapter's base model is ready here and no order could unload it.
@@ -267,8 +268,8 @@
     /// Returns whether an order for these weights has an unknown outcome, or a delayed copy of an
     /// unload could still be executed.
     #[must_use]
-    pub fn may_vanish(&self, weights: &WeightsKey, now: ClockTime) -> bool {
-        self.is_moving(weights) || self.has_late_unload(weights, now)
+    pub fn may_be_unloaded(&self, weights: &WeightsKey, now: ClockTime) -> bool {
+        self.has_pending_order(weights) || self.has_late_unload(weights, now)
     }
 
     pub(super) fn own_epoch(&self) -> Option<Epoch> {
--- a/crates/oatpier-placement/src/orders/mod.rs
+++ b/crates/oatpier-placement/src/orders/mod.rs
@@ -63,14 +63,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderOutcome {
     /// The engine accepted the order.
-    Taken,
+    Accepted,
     /// The engine has already accepted a higher number.
     Stale {
         /// The highest number that the engine has accepted.
         highest: OrderNumber,
     },
     /// The engine rejected the order; nothing changed.
-    Refused,
+    Rejected,
     /// The order never reached the engine.
     NotSent,
     /// No response arrived: the order may be executed, now or later.
--- a/crates/oatpier-placement/src/orders/track.rs
+++ b/crates/oatpier-placement/src/orders/track.rs
@@ -175,9 +175,9 @@
         };
         self.next_poll_at = now;
         match outcome {
-            OrderOutcome::Taken => self.on_accepted(&subject),
+            OrderOutcome::Accepted => self.on_accepted(&subject),
             OrderOutcome::Stale { highest } => self.on_stale(&subject, highest, now),
-            OrderOutcome::Refused => self.on_rejected(&subject, now),
+            OrderOutcome::Rejected => self.on_rejected(&subject, now),
             OrderOutcome::NotSent => self.schedule_retry(&subject, false, now),
             OrderOutcome::Unknown => self.schedule_retry(&subject, true, now),
         }
--- a/crates/oatpier-placement/src/planner/emptying.rs
+++ b/crates/oatpier-placement/src/planner/emptying.rs
@@ -29,7 +29,8 @@
             slot.is_some_and(|slot| self.continue_emptying(slot))
         });
         self.planner.emptying = emptying;
-        let is_round_due = self.now.since(self.planner.emptied_at) >= self.settings().empty_every;
+        let is_round_due =
+            self.now.since(self.planner.emptied_at) >= self.settings().emptying_interval;
         if is_round_due && self.planner.emptying.is_empty() {
             self.start_round();
         }
@@ -56,7 +57,7 @@
         // If demand for the remaining weights has increased in the meantime, they cannot leave. After
         // the timeout another endpoint is tried.
         let is_within_timeout =
-            self.now.since(self.planner.emptied_at) < self.settings().empty_every * 4;
+            self.now.since(self.planner.emptied_at) < self.settings().emptying_interval * 4;
         !left.is_empty() && is_covered && is_within_timeout
     }
 
--- a/crates/oatpier-placement/src/planner/mod.rs
+++ b/crates/oatpier-placement/src/planner/mod.rs
@@ -133,7 +133,7 @@
     /// Minimum time that an added replica stays.
     pub dwell: Duration,
     /// Minimum time between two rounds in which endpoints are emptied.
-    pub empty_every: Duration,
+    pub emptying_interval: Duration,
     /// Maximum number of pending loads beyond those that reachability needs, as a multiple of the
     /// loads that the weight store runs concurrently at full speed.
     pub pending_load_factor: u32,
@@ -150,7 +150,7 @@
             horizon: Duration::from_mins(5),
             move_cost: 120.0,
             dwell: Duration::from_mins(10),
-            empty_every: Duration::from_mins(2),
+            emptying_interval: Duration::from_mins(2),
             pending_load_factor: 1,
         }
     }
--- a/crates/oatpier-placement/src/record.rs
+++ b/crates/oatpier-placement/src/record.rs
@@ -99,7 +99,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EpochState {
     /// Not acquired yet: the agent may not send orders.
-    Taking,
+    Acquiring,
     /// Acquired: the agent may send orders.
     Taken(Epoch),
     /// A later agent has acquired the endpoint: the agent may never send orders again.
@@ -131,7 +131,7 @@
     pub fn new(boot: BootId) -> Self {
         Self {
             boot,
-            state: EpochState::Taking,
+            state: EpochState::Acquiring,
             stored: None,
             is_stored_current: false,
             pending_write: None,
@@ -267,7 +267,7 @@
 
     fn next_record(&self, wanted: &[OrderIntent]) -> Option<EndpointRecord> {
         match self.state {
-            EpochState::Taking => Some(EndpointRecord {
+            EpochState::Acquiring => Some(EndpointRecord {
                 epoch: self.stored_epoch().next(),
                 boot: self.boot,
                 intents: self.stored_intents().to_vec(),
@@ -295,7 +295,7 @@
             .map(|stored| stored.record.epoch);
         self.stored = stored;
         match (self.state, own_epoch) {
-            (EpochState::Taking, Some(epoch)) => self.acquire(epoch),
+            (EpochState::Acquiring, Some(epoch)) => self.acquire(epoch),
             // The record has the boot ID of another agent: a successor controls the endpoint.
             (EpochState::Taken(_), None) => self.state = EpochState::Superseded,
             _ => {}
@@ -310,7 +310,7 @@
         };
         let epoch = record.epoch;
         self.stored = Some(StoredRecord { record, revision });
-        if self.state == EpochState::Taking {
+        if self.state == EpochState::Acquiring {
             self.acquire(epoch);
         }
     }
--- a/crates/oatpier-placement/src/release.rs
+++ b/crates/oatpier-placement/src/release.rs
@@ -42,7 +42,7 @@
 /// Request of an agent to another holder for permission to unload.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct ReleaseAsk {
+pub struct ReleaseRequest {
     /// Endpoint of the requesting agent.
     pub endpoint: EndpointName,
     /// Boot ID of the requesting agent.
@@ -100,7 +100,7 @@
 /// Another agent's request that waits for a proof of the epoch.
 #[derive(Debug, Clone)]
 struct PendingRequest {
-    request: ReleaseAsk,
+    request: ReleaseRequest,
     mark: ProofMark,
     until: ClockTime,
 }
@@ -158,7 +158,7 @@
         weights: &WeightsKey,
         keep: &WeightsKey,
         now: ClockTime,
-    ) -> ReleaseAsk {
+    ) -> ReleaseRequest {
         self.sequence += 1;
         let entry = ReleaseEntry {
             state: ReleaseState::Requested,
@@ -166,7 +166,7 @@
             until: now + REQUEST_TIMEOUT,
         };
         self.entries.insert(weights.clone(), entry);
-        ReleaseAsk {
+        ReleaseRequest {
             endpoint: self.endpoint.clone(),
             boot: self.boot,
             sequence: self.sequence,
@@ -225,7 +225,12 @@
     }
 
     /// Processes another agent's request. [`ReleaseKeeper::replies`] returns the reply.
-    pub fn on_ask(&mut self, request: ReleaseAsk, keeper: &mut OrderKeeper, now: ClockTime) {
+    pub fn on_request(
+        &mut self,
+        request: ReleaseRequest,
+        keeper: &mut OrderKeeper,
+        now: ClockTime,
+    ) {
         let mark = keeper.request_proof(now);
         let until = now + REQUEST_TIMEOUT;
         self.pending_requests.push(PendingRequest {
@@ -262,7 +267,7 @@
         replies
     }
 
-    fn can_grant(&self, request: &ReleaseAsk, keeper: &OrderKeeper, now: ClockTime) -> bool {
+    fn can_grant(&self, request: &ReleaseRequest, keeper: &OrderKeeper, now: ClockTime) -> bool {
         request.endpoint != self.endpoint
             && !self.is_releasing(&request.keep)
             && keeper.is_stable(&request.keep, now)
--- a/crates/oatpier-placement/src/repair.rs
+++ b/crates/oatpier-placement/src/repair.rs
@@ -17,7 +17,7 @@
 
 use crate::orders::OrderKeeper;
 use crate::rank::rank_of;
-use crate::steps::ReplicaCount;
+use crate::steps::ReplicaView;
 
 /// Delays before repair starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// Live endpoints of this endpoint's pool, including this one.
     pub live: &'a [EndpointName],
     /// Other ready replicas.
-    pub replicas: &'a dyn ReplicaCount,
+    pub replicas: &'a dyn ReplicaView,
     /// The plan's row for this endpoint, if there is a plan.
     pub plan: Option<&'a EndpointPlan>,
 }
@@ -74,7 +74,7 @@
     }
 
     /// Returns the weights that this endpoint holds for repair.
-    pub fn taken(&self) -> impl Iterator<Item = &WeightsKey> {
+    pub fn repaired_weights(&self) -> impl Iterator<Item = &WeightsKey> {
         self.repaired.keys()
     }
 
--- a/crates/oatpier-placement/src/steps/mod.rs
+++ b/crates/oatpier-placement/src/steps/mod.rs
@@ -25,17 +25,17 @@
 use smallvec::SmallVec;
 
 use crate::orders::OrderKeeper;
-use crate::release::{ReleaseAsk, ReleaseKeeper};
+use crate::release::{ReleaseKeeper, ReleaseRequest};
 use search::{StepSearch, is_wanted};
 
 /// Maximum number of orders with an unknown outcome per agent.
 const MAX_PENDING_ORDERS: usize = 2;
 
 /// Interval at which an idle agent checks for a next step.
-pub const STEP_EVERY: Duration = Duration::from_millis(200);
+pub const STEP_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Membership's view of other replicas.
-pub trait ReplicaCount {
+pub trait ReplicaView {
     /// Returns other live endpoints that have these weights ready, the preferred one to ask first. May
     /// be stale: the release protocol decides.
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]>;
@@ -63,7 +63,7 @@
     /// The current configuration.
     pub config: &'a FleetConfig,
     /// Other replicas.
-    pub replicas: &'a dyn ReplicaCount,
+    pub replicas: &'a dyn ReplicaView,
     /// Attempts that run on this endpoint.
     pub attempts: &'a dyn AttemptCount,
 }
@@ -74,11 +74,11 @@
     /// The keeper has started an order: execute the keeper's commands.
     Ordered(OrderAction),
     /// Send the request to the agent of another endpoint.
-    AskRelease {
+    RequestRelease {
         /// Endpoint of that agent.
         to: EndpointName,
         /// The request.
-        ask: ReleaseAsk,
+        request: ReleaseRequest,
     },
     /// Accept no new attempts for these weights, and continue those in flight.
     StartDrain(WeightsKey),
@@ -116,7 +116,7 @@
 
     /// Returns whether these weights accept new attempts, that is, they are not draining.
     #[must_use]
-    pub fn takes_new(&self, weights: &WeightsKey) -> bool {
+    pub fn accepts_new(&self, weights: &WeightsKey) -> bool {
         !self.draining.contains_key(weights)
     }
 
@@ -140,7 +140,7 @@
         if let Some(step) = self.resume_wanted(input, keeper, releases, now) {
             return Ok(step);
         }
-        if keeper.moving() >= MAX_PENDING_ORDERS {
+        if keeper.pending_orders() >= MAX_PENDING_ORDERS {
             return Err(StepWait::Busy);
         }
         let mut search = StepSearch {
@@ -164,12 +164,12 @@
         now: ClockTime,
     ) {
         let is_unloaded = |weights: &WeightsKey| {
-            keeper.ledger().state_of(weights).is_none() && !keeper.is_moving(weights)
+            keeper.ledger().state_of(weights).is_none() && !keeper.has_pending_order(weights)
         };
         self.draining.retain(|weights, _| !is_unloaded(weights));
         let ended: Vec<WeightsKey> = releases
             .releasing()
-            .filter(|weights| is_unloaded(weights) && !keeper.may_vanish(weights, now))
+            .filter(|weights| is_unloaded(weights) && !keeper.may_be_unloaded(weights, now))
             .cloned()
             .collect();
         for weights in ended {
@@ -189,7 +189,7 @@
         now: ClockTime,
     ) -> Option<PlacementStep> {
         let stays = |weights: &WeightsKey| {
-            is_wanted(input, keeper, weights, now) && !keeper.may_vanish(weights, now)
+            is_wanted(input, keeper, weights, now) && !keeper.may_be_unloaded(weights, now)
         };
         let kept: Vec<WeightsKey> = releases.releasing().filter(|w| stays(w)).cloned().collect();
         for weights in kept {
--- a/crates/oatpier-placement/src/steps/search.rs
+++ b/crates/oatpier-placement/src/steps/search.rs
@@ -46,7 +46,8 @@
         .ledger()
         .ready()
         .any(|held| is_base_of(held, weights) && held != base);
-    let is_base_absent = keeper.ledger().state_of(base).is_none() && !keeper.is_moving(base);
+    let is_base_absent =
+        keeper.ledger().state_of(base).is_none() && !keeper.has_pending_order(base);
     let size = input.config.memory_of(base).unwrap_or(u64::MAX);
     has_old_base && is_base_absent && !keeper.ledger().fits(base, size, now)
 }
@@ -72,7 +73,7 @@
 
     fn role_step(&mut self, now: ClockTime) -> Option<PlacementStep> {
         let role = self.input.plan.role;
-        if self.keeper.role() == Some(role) || self.keeper.is_role_moving() {
+        if self.keeper.role() == Some(role) || self.keeper.has_pending_role_order() {
             return None;
         }
         self.start_order(OrderAction::SetRole { role }, now)
@@ -86,7 +87,7 @@
             .weights
             .iter()
             .filter(|weights| self.keeper.ledger().state_of(weights).is_none())
-            .filter(|weights| !self.keeper.is_moving(weights))
+            .filter(|weights| !self.keeper.has_pending_order(weights))
             .cloned()
             .collect();
         for weights in missing {
@@ -124,7 +125,7 @@
             .keeper
             .ledger()
             .charges()
-            .filter(|(_, charge)| charge.held.is_some() || charge.ordered)
+            .filter(|(_, charge)| charge.held.is_some() || charge.is_ordered)
             .filter(|(weights, _)| !is_wanted(self.input, self.keeper, weights, now))
             .map(|(weights, _)| weights.clone())
             .collect();
@@ -135,7 +136,7 @@
     }
 
     fn unload_one(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
-        let is_moving = self.keeper.is_moving(weights);
+        let is_moving = self.keeper.has_pending_order(weights);
         let state = self.keeper.ledger().state_of(weights);
         if state == Some(WeightsState::Unloading) || (is_moving && state.is_some()) {
             self.set_wait(StepWait::Busy);
@@ -167,10 +168,10 @@
         }
         let ledger = self.keeper.ledger();
         let has_other_base = ledger.ready().any(|held| {
-            is_base_of(held, weights) && held != weights && !self.keeper.may_vanish(held, now)
+            is_base_of(held, weights) && held != weights && !self.keeper.may_be_unloaded(held, now)
         });
         let has_adapters = ledger.charges().any(|(held, charge)| {
-            let is_there = charge.held.is_some() || charge.ordered;
+            let is_there = charge.held.is_some() || charge.is_ordered;
             held.adapter.is_some() && held.model == weights.model && is_there
         });
         has_adapters && !has_other_base
@@ -181,7 +182,9 @@
         self.input.plan.weights.iter().any(|wanted| {
             let has_same_name = wanted.model == weights.model && wanted.adapter == weights.adapter;
             let is_loading = self.keeper.ledger().state_of(wanted) == Some(WeightsState::Loading);
-            has_same_name && wanted != weights && (is_loading || self.keeper.is_moving(wanted))
+            has_same_name
+                && wanted != weights
+                && (is_loading || self.keeper.has_pending_order(wanted))
         })
     }
 
@@ -255,7 +258,7 @@
             return None;
         };
         let ask = self.releases.request(weights, &keep, now);
-        Some(PlacementStep::AskRelease { to, ask })
+        Some(PlacementStep::RequestRelease { to, request: ask })
     }
 
     fn order_unload(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
--- a/crates/oatpier-placement/tests/testsuite/demand.rs
+++ b/crates/oatpier-placement/tests/testsuite/demand.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use oatpier_placement::demand::{DemandBook, DemandKey, DemandLedger};
+use oatpier_placement::demand::{DemandKey, DemandLedger, DemandTotals};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::DaemonName;
 
@@ -49,9 +49,9 @@
     let mut ledger = DemandLedger::new();
     let now = burst(&mut ledger, ClockTime::ZERO, 30);
     let summary = ledger.summary(now);
-    let mut book = DemandBook::new();
+    let mut book = DemandTotals::new();
     for entry in ["one", "two"] {
-        book.absorb(DaemonName::try_from(entry).unwrap(), summary.clone(), now);
+        book.update(DaemonName::try_from(entry).unwrap(), summary.clone(), now);
     }
     let both = book.total(now).rate_of(&key()).requests;
     assert!((both - 2.0 * summary.rate_of(&key()).requests).abs() < 1e-9);
--- a/crates/oatpier-placement/tests/testsuite/engine.rs
+++ b/crates/oatpier-placement/tests/testsuite/engine.rs
@@ -50,7 +50,7 @@
             OrderAction::Unload { weights } => self.unload(weights, now),
             OrderAction::SetRole { role } => self.role = *role,
         }
-        OrderOutcome::Taken
+        OrderOutcome::Accepted
     }
 
     fn load(&mut self, weights: &WeightsKey, now: ClockTime) {
--- a/crates/oatpier-placement/tests/testsuite/network.rs
+++ b/crates/oatpier-placement/tests/testsuite/network.rs
@@ -130,7 +130,7 @@
                 let (ask, now) = (ask.clone(), self.now);
                 let boot = self.current[index];
                 if let Some(agent) = self.running_agent(boot, message) {
-                    agent.releases.on_ask(ask, &mut agent.keeper, now);
+                    agent.releases.on_request(ask, &mut agent.keeper, now);
                 }
             }
             Message::Answer(answer) => {
--- a/crates/oatpier-placement/tests/testsuite/orders.rs
+++ b/crates/oatpier-placement/tests/testsuite/orders.rs
@@ -181,10 +181,13 @@
         assert_eq!(again.action, order.action);
         assert_eq!(again.number > order.number, checks);
         harness.engine.take(&again, harness.now);
-        harness.answer(&again, OrderOutcome::Taken);
+        harness.answer(&again, OrderOutcome::Accepted);
         harness.run(Duration::from_secs(5));
         assert!(harness.engine.is_ready(&a));
-        assert_eq!((harness.charged_mib(), harness.keeper.moving()), (60, 0));
+        assert_eq!(
+            (harness.charged_mib(), harness.keeper.pending_orders()),
+            (60, 0)
+        );
     }
 }
 
@@ -198,10 +201,10 @@
     harness.begin(load(&base("a", "v1"))).unwrap();
     let order = harness.next_order().unwrap();
     harness.engine.take(&order, harness.now);
-    harness.answer(&order, OrderOutcome::Taken);
+    harness.answer(&order, OrderOutcome::Accepted);
     harness.handle_event(OrderEvent::Polled { ticket, state });
     assert_eq!(harness.charged_mib(), 60);
-    assert_eq!(harness.keeper.moving(), 1);
+    assert_eq!(harness.keeper.pending_orders(), 1);
 }
 
 /// The store is down. An engine that checks numbers rejects the orders of earlier agents by itself,
@@ -297,8 +300,11 @@
     let a = base("a", "v1");
     harness.begin(load(&a)).unwrap();
     let order = harness.next_order().unwrap();
-    harness.answer(&order, OrderOutcome::Refused);
-    assert_eq!((harness.charged_mib(), harness.keeper.moving()), (0, 0));
+    harness.answer(&order, OrderOutcome::Rejected);
+    assert_eq!(
+        (harness.charged_mib(), harness.keeper.pending_orders()),
+        (0, 0)
+    );
     assert_eq!(harness.begin(load(&a)), Err(BeginError::RecentlyRejected));
     harness.run(Duration::from_secs(5));
     assert_eq!(harness.begin(load(&a)), Ok(()));
@@ -313,7 +319,7 @@
     let order = harness.next_order().unwrap();
     harness.answer(&order, OrderOutcome::Unknown);
     let again = harness.next_order().unwrap();
-    harness.answer(&again, OrderOutcome::Refused);
+    harness.answer(&again, OrderOutcome::Rejected);
     assert_eq!(harness.charged_mib(), 60);
 }
 
@@ -359,7 +365,10 @@
     harness.run(Duration::from_millis(300));
     assert_eq!(harness.charged_mib(), 60);
     harness.run(Duration::from_secs(2));
-    assert_eq!((harness.charged_mib(), harness.keeper.moving()), (0, 0));
+    assert_eq!(
+        (harness.charged_mib(), harness.keeper.pending_orders()),
+        (0, 0)
+    );
     let outcome = harness.engine.take(&late, harness.now);
     assert!(matches!(outcome, OrderOutcome::Stale { .. }));
 }
@@ -380,7 +389,7 @@
     harness.begin(unload(&a)).unwrap();
     let order = harness.next_order().unwrap();
     harness.engine.take(&order, harness.now);
-    harness.answer(&order, OrderOutcome::Taken);
+    harness.answer(&order, OrderOutcome::Accepted);
     harness.handle_event(OrderEvent::Polled { ticket, state });
     assert_eq!(harness.charged_mib(), 60);
 }
--- a/crates/oatpier-placement/tests/testsuite/record.rs
+++ b/crates/oatpier-placement/tests/testsuite/record.rs
@@ -60,7 +60,7 @@
 fn lost_response_is_resolved_by_boot_id() {
     let (mut keeper, _) = writing(Some(stored(4, 3, 9)));
     keeper.on_answer(RecordAnswer::AnswerLost, NOW);
-    assert_eq!(keeper.state(), EpochState::Taking);
+    assert_eq!(keeper.state(), EpochState::Acquiring);
     assert_eq!(keeper.next_call(&[], false, LATER), Some(RecordCall::Read));
     keeper.on_answer(RecordAnswer::Found(Some(stored(5, 7, 10))), LATER);
     assert_eq!(keeper.state(), EpochState::Taken(Epoch(5)));
--- a/crates/oatpier-placement/tests/testsuite/release.rs
+++ b/crates/oatpier-placement/tests/testsuite/release.rs
@@ -23,7 +23,7 @@
     let (asker, mut asker_releases) = holder("e2", 2);
     let a = base("a", "v1");
     let ask = asker_releases.request(&a, &a, asker.now);
-    granter_releases.on_ask(ask, &mut granter.keeper, granter.now);
+    granter_releases.on_request(ask, &mut granter.keeper, granter.now);
     assert!(
         granter_releases
             .replies(&granter.keeper, granter.now)
@@ -45,8 +45,8 @@
     let a = base("a", "v1");
     let left_ask = left_releases.request(&a, &a, left.now);
     let right_ask = right_releases.request(&a, &a, right.now);
-    left_releases.on_ask(right_ask, &mut left.keeper, left.now);
-    right_releases.on_ask(left_ask, &mut right.keeper, right.now);
+    left_releases.on_request(right_ask, &mut left.keeper, left.now);
+    right_releases.on_request(left_ask, &mut right.keeper, right.now);
     left.run(Duration::from_millis(200));
     right.run(Duration::from_millis(200));
     let to_right = left_releases.replies(&left.keeper, left.now);
@@ -62,7 +62,7 @@
     let (asker, mut asker_releases) = holder("e2", 2);
     let a = base("a", "v1");
     let ask = asker_releases.request(&a, &a, asker.now);
-    granter_releases.on_ask(ask, &mut granter.keeper, granter.now);
+    granter_releases.on_request(ask, &mut granter.keeper, granter.now);
     granter.run(Duration::from_millis(200));
     let replies = granter_releases.replies(&granter.keeper, granter.now);
     assert!(replies[0].answer.granted);
@@ -85,7 +85,7 @@
     successor.replace_agent(true, 9);
     successor.run(Duration::from_secs(1));
     std::mem::swap(&mut successor.engine, &mut superseded.engine);
-    granter_releases.on_ask(
+    granter_releases.on_request(
         asker_releases.request(&a, &a, asker.now),
         &mut superseded.keeper,
         superseded.now,
--- a/crates/oatpier-placement/tests/testsuite/repair.rs
+++ b/crates/oatpier-placement/tests/testsuite/repair.rs
@@ -4,7 +4,7 @@
 
 use oatpier_placement::rank::rank_of;
 use oatpier_placement::repair::{RepairInput, RepairKeeper, RepairSettings};
-use oatpier_placement::steps::ReplicaCount;
+use oatpier_placement::steps::ReplicaView;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::{EndpointName, PoolName};
 use smallvec::{SmallVec, smallvec};
@@ -14,7 +14,7 @@
 
 struct OtherReplicas(Vec<WeightsKey>);
 
-impl ReplicaCount for OtherReplicas {
+impl ReplicaView for OtherReplicas {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         if self.0.contains(weights) {
             smallvec![endpoint("other")]
--- a/crates/oatpier-placement/tests/testsuite/simulation.rs
+++ b/crates/oatpier-placement/tests/testsuite/simulation.rs
@@ -5,9 +5,9 @@
 
 use oatpier_placement::orders::{OrderEvent, OrderKeeper, OrderOutcome, OrderSettings, PollTicket};
 use oatpier_placement::record::{EpochState, RecordCall, StoredRecord};
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk, ReleaseKeeper};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseKeeper, ReleaseRequest};
 use oatpier_placement::steps::{
-    AttemptCount, MoveStepper, PlacementStep, ReplicaCount, StepInput, StepWait,
+    AttemptCount, MoveStepper, PlacementStep, ReplicaView, StepInput, StepWait,
 };
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::FleetConfig;
@@ -62,7 +62,7 @@
     StoreCall(usize, BootId, RecordCall, bool),
     Poll(usize, BootId, PollTicket),
     Event(BootId, OrderEvent),
-    Ask(usize, ReleaseAsk),
+    Ask(usize, ReleaseRequest),
     Answer(ReleaseAnswer),
 }
 
@@ -80,7 +80,7 @@
 
 struct AgentView<'a>(&'a [(EndpointName, Vec<WeightsKey>)], usize);
 
-impl ReplicaCount for AgentView<'_> {
+impl ReplicaView for AgentView<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         self.0
             .iter()
@@ -289,7 +289,7 @@
             };
             *last_step = stepper.next_step(input, keeper, releases, now);
             match last_step.clone() {
-                Ok(PlacementStep::AskRelease { to, ask }) => {
+                Ok(PlacementStep::RequestRelease { to, request: ask }) => {
                     let to = self.rows.iter().position(|row| row.endpoint == to).unwrap();
                     self.post_lossy(&Message::Ask(to, ask));
                 }
@@ -328,7 +328,7 @@
     pub fn take_order(&mut self, index: usize, order: &EngineOrder) -> OrderOutcome {
         let before = self.served();
         let outcome = self.engines[index].take(order, self.now);
-        self.orders_taken += u32::from(outcome == OrderOutcome::Taken);
+        self.orders_taken += u32::from(outcome == OrderOutcome::Accepted);
         let mut lost = before;
         lost.retain(|weights| !self.is_served(weights));
         for lost in lost {
--- a/crates/oatpier-placement/tests/testsuite/steps.rs
+++ b/crates/oatpier-placement/tests/testsuite/steps.rs
@@ -4,7 +4,7 @@
 
 use oatpier_placement::release::{ReleaseAnswer, ReleaseKeeper};
 use oatpier_placement::steps::{
-    AttemptCount, MoveStepper, PlacementStep, ReplicaCount, StepInput, StepWait,
+    AttemptCount, MoveStepper, PlacementStep, ReplicaView, StepInput, StepWait,
 };
 use oatpier_types::config::FleetConfig;
 use oatpier_types::engine::{EngineRole, OrderAction, WeightsKey};
@@ -23,7 +23,7 @@
     running: Vec<WeightsKey>,
 }
 
-impl ReplicaCount for FakePeers {
+impl ReplicaView for FakePeers {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         if self.elsewhere.contains(weights) {
             smallvec![endpoint("other")]
@@ -86,7 +86,7 @@
         for _ in 0..400 {
             match self.step() {
                 Ok(step) => {
-                    if let PlacementStep::AskRelease { ask, .. } = &step {
+                    if let PlacementStep::RequestRelease { request: ask, .. } = &step {
                         let answer = ReleaseAnswer {
                             boot: ask.boot,
                             sequence: ask.sequence,
@@ -96,7 +96,7 @@
                     }
                     steps.push(step);
                 }
-                Err(StepWait::Done) if self.harness.keeper.moving() == 0 => break,
+                Err(StepWait::Done) if self.harness.keeper.pending_orders() == 0 => break,
                 Err(_) => self.harness.run(Duration::from_millis(100)),
             }
         }
@@ -188,7 +188,7 @@
     agent.peers.running = vec![a.clone()];
     let steps = agent.all_steps();
     assert_eq!(steps.last(), Some(&PlacementStep::StartDrain(a.clone())));
-    assert!(!agent.stepper.takes_new(&a));
+    assert!(!agent.stepper.accepts_new(&a));
     agent.peers.running.clear();
     assert_eq!(agent.orders(), [unload(&a)]);
 }
@@ -205,7 +205,7 @@
     agent.all_steps();
     agent.plan.weights = smallvec![a.clone()];
     assert_eq!(agent.step(), Ok(PlacementStep::ResumeServing(a.clone())));
-    assert!(agent.stepper.takes_new(&a) && !agent.releases.is_releasing(&a));
+    assert!(agent.stepper.accepts_new(&a) && !agent.releases.is_releasing(&a));
 }
 
 #[test]
