--- a/crates/oatpier-placement/src/demand.rs
+++ b/crates/oatpier-placement/src/demand.rs
@@ -225,7 +225,7 @@
 }
 
 impl DemandTotals {
-    /// Creates a book without entries.
+    /// Creates totals without entries.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
--- a/crates/oatpier-placement/src/orders/keeper.rs
+++ b/crates/oatpier-placement/src/orders/keeper.rs
@@ -105,7 +105,7 @@
         match self.record.state() {
             EpochState::Superseded => return Err(BeginError::Superseded),
             EpochState::Acquiring => return Err(BeginError::NotReady),
-            EpochState::Taken(_) => {}
+            EpochState::Acquired(_) => {}
         }
         // A state read before earlier agents were fenced off may miss their later changes.
         let known = self
@@ -274,7 +274,7 @@
 
     pub(super) fn own_epoch(&self) -> Option<Epoch> {
         match self.record.state() {
-            EpochState::Taken(epoch) => Some(epoch),
+            EpochState::Acquired(epoch) => Some(epoch),
             _ => None,
         }
     }
--- a/crates/oatpier-placement/src/record.rs
+++ b/crates/oatpier-placement/src/record.rs
@@ -101,7 +101,7 @@
     /// Not acquired yet: the agent may not send orders.
     Acquiring,
     /// Acquired: the agent may send orders.
-    Taken(Epoch),
+    Acquired(Epoch),
     /// A later agent has acquired the endpoint: the agent may never send orders again.
     Superseded,
 }
@@ -197,7 +197,7 @@
             return None;
         }
         let renew = sending && !self.is_confirmed(now);
-        let is_acquired = matches!(self.state, EpochState::Taken(_));
+        let is_acquired = matches!(self.state, EpochState::Acquired(_));
         let write = self.next_record(wanted).filter(|_| self.is_stored_current);
         // After a failure a read detects that the store is available again, even if nothing is
         // pending.
@@ -251,7 +251,7 @@
     /// Returns whether a call after the first `calls` ones found this agent's epoch current.
     #[must_use]
     pub fn is_confirmed_after(&self, calls: u64) -> bool {
-        matches!(self.state, EpochState::Taken(_)) && self.confirmed_call > calls
+        matches!(self.state, EpochState::Acquired(_)) && self.confirmed_call > calls
     }
 
     fn confirm(&mut self) {
@@ -272,7 +272,7 @@
                 boot: self.boot,
                 intents: self.stored_intents().to_vec(),
             }),
-            EpochState::Taken(epoch) => {
+            EpochState::Acquired(epoch) => {
                 let written = self.stored_intents();
                 let missing = wanted.iter().any(|intent| !written.contains(intent));
                 missing.then(|| EndpointRecord {
@@ -297,7 +297,7 @@
         match (self.state, own_epoch) {
             (EpochState::Acquiring, Some(epoch)) => self.acquire(epoch),
             // The record has the boot ID of another agent: a successor controls the endpoint.
-            (EpochState::Taken(_), None) => self.state = EpochState::Superseded,
+            (EpochState::Acquired(_), None) => self.state = EpochState::Superseded,
             _ => {}
         }
     }
@@ -316,7 +316,7 @@
     }
 
     fn acquire(&mut self, epoch: Epoch) {
-        self.state = EpochState::Taken(epoch);
+        self.state = EpochState::Acquired(epoch);
         self.inherited = self.stored_intents().to_vec();
     }
 
--- a/crates/oatpier-placement/src/steps/search.rs
+++ b/crates/oatpier-placement/src/steps/search.rs
@@ -257,8 +257,8 @@
             self.set_wait(StepWait::LastReplica(weights.clone()));
             return None;
         };
-        let ask = self.releases.request(weights, &keep, now);
-        Some(PlacementStep::RequestRelease { to, request: ask })
+        let request = self.releases.request(weights, &keep, now);
+        Some(PlacementStep::RequestRelease { to, request })
     }
 
     fn order_unload(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
--- a/crates/oatpier-placement/tests/testsuite/demand.rs
+++ b/crates/oatpier-placement/tests/testsuite/demand.rs
@@ -49,11 +49,11 @@
     let mut ledger = DemandLedger::new();
     let now = burst(&mut ledger, ClockTime::ZERO, 30);
     let summary = ledger.summary(now);
-    let mut book = DemandTotals::new();
+    let mut totals = DemandTotals::new();
     for entry in ["one", "two"] {
-        book.update(DaemonName::try_from(entry).unwrap(), summary.clone(), now);
+        totals.update(DaemonName::try_from(entry).unwrap(), summary.clone(), now);
     }
-    let both = book.total(now).rate_of(&key()).requests;
+    let both = totals.total(now).rate_of(&key()).requests;
     assert!((both - 2.0 * summary.rate_of(&key()).requests).abs() < 1e-9);
-    assert!(book.total(now + Duration::from_mins(2)).rows.is_empty());
+    assert!(totals.total(now + Duration::from_mins(2)).rows.is_empty());
 }
--- a/crates/oatpier-placement/tests/testsuite/network.rs
+++ b/crates/oatpier-placement/tests/testsuite/network.rs
@@ -126,11 +126,11 @@
                     agent.keeper.on_event(event, &config, now);
                 }
             }
-            Message::Ask(index, ref ask) => {
-                let (ask, now) = (ask.clone(), self.now);
+            Message::Request(index, ref request) => {
+                let (request, now) = (request.clone(), self.now);
                 let boot = self.current[index];
                 if let Some(agent) = self.running_agent(boot, message) {
-                    agent.releases.on_request(ask, &mut agent.keeper, now);
+                    agent.releases.on_request(request, &mut agent.keeper, now);
                 }
             }
             Message::Answer(answer) => {
--- a/crates/oatpier-placement/tests/testsuite/orders.rs
+++ b/crates/oatpier-placement/tests/testsuite/orders.rs
@@ -276,7 +276,7 @@
     let mut earlier = harness.keeper.clone();
     harness.replace_agent(true, 2);
     harness.run(Duration::from_secs(1));
-    assert_eq!(harness.keeper.epoch(), EpochState::Taken(Epoch(2)));
+    assert_eq!(harness.keeper.epoch(), EpochState::Acquired(Epoch(2)));
     let outcome = harness.engine.take(&late, harness.now);
     assert!(matches!(outcome, OrderOutcome::Stale { .. }));
     let number = late.number;
--- a/crates/oatpier-placement/tests/testsuite/record.rs
+++ b/crates/oatpier-placement/tests/testsuite/record.rs
@@ -50,7 +50,7 @@
     let (mut keeper, call) = writing(None);
     assert!(matches!(call, RecordCall::Write { expected: None, .. }));
     keeper.on_answer(RecordAnswer::Written(Revision(1)), NOW);
-    assert_eq!(keeper.state(), EpochState::Taken(Epoch(1)));
+    assert_eq!(keeper.state(), EpochState::Acquired(Epoch(1)));
     assert_eq!(keeper.next_call(&[], false, NOW), None);
 }
 
@@ -63,7 +63,7 @@
     assert_eq!(keeper.state(), EpochState::Acquiring);
     assert_eq!(keeper.next_call(&[], false, LATER), Some(RecordCall::Read));
     keeper.on_answer(RecordAnswer::Found(Some(stored(5, 7, 10))), LATER);
-    assert_eq!(keeper.state(), EpochState::Taken(Epoch(5)));
+    assert_eq!(keeper.state(), EpochState::Acquired(Epoch(5)));
 }
 
 /// Two agents start at the same time. The one whose write came second acquires the next epoch.
--- a/crates/oatpier-placement/tests/testsuite/release.rs
+++ b/crates/oatpier-placement/tests/testsuite/release.rs
@@ -20,10 +20,10 @@
 #[test]
 fn holder_that_keeps_its_replica_grants() {
     let (mut granter, mut granter_releases) = holder("e1", 1);
-    let (asker, mut asker_releases) = holder("e2", 2);
+    let (requester, mut requester_releases) = holder("e2", 2);
     let a = base("a", "v1");
-    let ask = asker_releases.request(&a, &a, asker.now);
-    granter_releases.on_request(ask, &mut granter.keeper, granter.now);
+    let request = requester_releases.request(&a, &a, requester.now);
+    granter_releases.on_request(request, &mut granter.keeper, granter.now);
     assert!(
         granter_releases
             .replies(&granter.keeper, granter.now)
@@ -31,8 +31,8 @@
     );
     granter.run(Duration::from_millis(200));
     let replies = granter_releases.replies(&granter.keeper, granter.now);
-    asker_releases.on_answer(replies[0].answer, asker.now);
-    assert_eq!(asker_releases.state(&a), ReleaseState::Granted);
+    requester_releases.on_answer(replies[0].answer, requester.now);
+    assert_eq!(requester_releases.state(&a), ReleaseState::Granted);
 }
 
 /// Each of two agents sees the other's replica and requests a release at the same time. If both
@@ -43,10 +43,10 @@
     let (mut left, mut left_releases) = holder("e1", 1);
     let (mut right, mut right_releases) = holder("e2", 2);
     let a = base("a", "v1");
-    let left_ask = left_releases.request(&a, &a, left.now);
-    let right_ask = right_releases.request(&a, &a, right.now);
-    left_releases.on_request(right_ask, &mut left.keeper, left.now);
-    right_releases.on_request(left_ask, &mut right.keeper, right.now);
+    let left_request = left_releases.request(&a, &a, left.now);
+    let right_request = right_releases.request(&a, &a, right.now);
+    left_releases.on_request(right_request, &mut left.keeper, left.now);
+    right_releases.on_request(left_request, &mut right.keeper, right.now);
     left.run(Duration::from_millis(200));
     right.run(Duration::from_millis(200));
     let to_right = left_releases.replies(&left.keeper, left.now);
@@ -59,16 +59,16 @@
 #[test]
 fn grant_after_timeout_is_ignored() {
     let (mut granter, mut granter_releases) = holder("e1", 1);
-    let (asker, mut asker_releases) = holder("e2", 2);
+    let (requester, mut requester_releases) = holder("e2", 2);
     let a = base("a", "v1");
-    let ask = asker_releases.request(&a, &a, asker.now);
-    granter_releases.on_request(ask, &mut granter.keeper, granter.now);
+    let request = requester_releases.request(&a, &a, requester.now);
+    granter_releases.on_request(request, &mut granter.keeper, granter.now);
     granter.run(Duration::from_millis(200));
     let replies = granter_releases.replies(&granter.keeper, granter.now);
     assert!(replies[0].answer.granted);
-    asker_releases.expire(asker.now + Duration::from_secs(3));
-    asker_releases.on_answer(replies[0].answer, asker.now + Duration::from_secs(3));
-    assert_eq!(asker_releases.state(&a), ReleaseState::None);
+    requester_releases.expire(requester.now + Duration::from_secs(3));
+    requester_releases.on_answer(replies[0].answer, requester.now + Duration::from_secs(3));
+    assert_eq!(requester_releases.state(&a), ReleaseState::None);
 }
 
 /// An agent was superseded and has not learned it, and its successor may be unloading. It has no
@@ -76,7 +76,7 @@
 #[test]
 fn superseded_agent_grants_nothing() {
     let (mut superseded, mut granter_releases) = holder("e1", 1);
-    let (asker, mut asker_releases) = holder("e2", 2);
+    let (requester, mut requester_releases) = holder("e2", 2);
     let a = base("a", "v1");
     let mut successor = AgentHarness::ready(true, superseded.config.clone(), 100);
     std::mem::swap(&mut successor.engine, &mut superseded.engine);
@@ -86,7 +86,7 @@
     successor.run(Duration::from_secs(1));
     std::mem::swap(&mut successor.engine, &mut superseded.engine);
     granter_releases.on_request(
-        asker_releases.request(&a, &a, asker.now),
+        requester_releases.request(&a, &a, requester.now),
         &mut superseded.keeper,
         superseded.now,
     );
--- a/crates/oatpier-placement/tests/testsuite/simulation.rs
+++ b/crates/oatpier-placement/tests/testsuite/simulation.rs
@@ -62,7 +62,7 @@
     StoreCall(usize, BootId, RecordCall, bool),
     Poll(usize, BootId, PollTicket),
     Event(BootId, OrderEvent),
-    Ask(usize, ReleaseRequest),
+    Request(usize, ReleaseRequest),
     Answer(ReleaseAnswer),
 }
 
@@ -289,9 +289,9 @@
             };
             *last_step = stepper.next_step(input, keeper, releases, now);
             match last_step.clone() {
-                Ok(PlacementStep::RequestRelease { to, request: ask }) => {
+                Ok(PlacementStep::RequestRelease { to, request }) => {
                     let to = self.rows.iter().position(|row| row.endpoint == to).unwrap();
-                    self.post_lossy(&Message::Ask(to, ask));
+                    self.post_lossy(&Message::Request(to, request));
                 }
                 Ok(_) => {}
                 Err(_) => break,
--- a/crates/oatpier-placement/tests/testsuite/steps.rs
+++ b/crates/oatpier-placement/tests/testsuite/steps.rs
@@ -86,10 +86,10 @@
         for _ in 0..400 {
             match self.step() {
                 Ok(step) => {
-                    if let PlacementStep::RequestRelease { request: ask, .. } = &step {
+                    if let PlacementStep::RequestRelease { request, .. } = &step {
                         let answer = ReleaseAnswer {
-                            boot: ask.boot,
-                            sequence: ask.sequence,
+                            boot: request.boot,
+                            sequence: request.sequence,
                             granted: true,
                         };
                         self.releases.on_answer(answer, self.harness.now);
