--- a/crates/oatpier-entry/src/claims/mod.rs
+++ b/crates/oatpier-entry/src/claims/mod.rs
@@ -19,7 +19,7 @@
 use futures::stream::FuturesUnordered;
 use futures::{FutureExt, StreamExt};
 use oatpier_claims::event::{CallNumber, ClaimEvent, StoreAnswer};
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk, KeyHash};
+use oatpier_claims::message::{ClaimAnswer, ClaimQuery, KeyHash};
 use oatpier_claims::partition::{PartitionId, PartitionMap};
 use oatpier_membership::messages::EntryContact;
 use oatpier_types::ids::{BootId, RequestId};
@@ -46,7 +46,7 @@
     /// A request of this entry needs a key before it runs.
     Ask {
         /// The query.
-        ask: ClaimAsk,
+        ask: ClaimQuery,
         /// Channel for the answer: granted, denied or unavailable.
         reply: oneshot::Sender<ClaimAnswer>,
     },
@@ -98,7 +98,7 @@
 /// A query of this entry that a claimer has to answer.
 #[derive(Debug)]
 struct PendingQuery {
-    ask: ClaimAsk,
+    ask: ClaimQuery,
     reply: oneshot::Sender<ClaimAnswer>,
     tries: u8,
 }
@@ -235,7 +235,7 @@
         let ask = pending.ask;
         self.claimer
             .add_query_waiter(ask, QueryWaiter::Own(pending));
-        self.step(PartitionId::of(ask.key), ClaimEvent::Asked(ask));
+        self.step(PartitionId::of(ask.key), ClaimEvent::Queried(ask));
     }
 
     fn query_remote(&mut self, pending: PendingQuery, address: SocketAddr) {
@@ -272,7 +272,7 @@
         let (key, event) = match call {
             ClaimCall::Ask(ask) => {
                 self.claimer.add_query_waiter(ask, QueryWaiter::Peer(reply));
-                (ask.key, ClaimEvent::Asked(ask))
+                (ask.key, ClaimEvent::Queried(ask))
             }
             ClaimCall::Release(release) => {
                 self.claimer
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -80,7 +80,7 @@
 }
 
 fn registered_agents(state: &DriverState) -> impl Iterator<Item = &DaemonName> {
-    let heard = state.member.registrar().heard();
+    let heard = state.member.registrar().reachable_agents();
     heard.map(|(contact, _)| &contact.daemon)
 }
 
@@ -203,7 +203,7 @@
 /// the meantime.
 fn is_leaving(state: &DriverState, view: &MemberView<'_>) -> bool {
     let daemon = &view.facts.daemon;
-    let word = state.member.stops().word(daemon);
+    let word = state.member.stops().request(daemon);
     view.state == MemberState::Leaving
         || view.hinted_leaving
         || word.is_some_and(|word| !word.withdrawn)
--- a/crates/oatpier-entry/src/peers/placement.rs
+++ b/crates/oatpier-entry/src/peers/placement.rs
@@ -134,7 +134,12 @@
 
 fn is_in_another_zone(state: &DriverState, weights: &WeightsKey) -> bool {
     let key = summary_key(weights);
-    state.member.book().zones_with(&key).next().is_some()
+    state
+        .member
+        .zone_summaries()
+        .zones_with(&key)
+        .next()
+        .is_some()
 }
 
 fn summary_key(weights: &WeightsKey) -> SummaryKey {
--- a/crates/oatpier-entry/src/peers/stops.rs
+++ b/crates/oatpier-entry/src/peers/stops.rs
@@ -6,7 +6,7 @@
 use oatpier_membership::entry::EntryMember;
 use oatpier_membership::members::{MemberTable, MemberView};
 use oatpier_membership::messages::NamedStop;
-use oatpier_membership::stops::StopWord;
+use oatpier_membership::stops::StopRequest;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::FleetConfig;
 use oatpier_types::engine::WeightsKey;
@@ -22,7 +22,7 @@
 /// would be gone while the model is still being loaded elsewhere, and requests would be refused.
 #[derive(Debug, Default)]
 pub struct StopQueue {
-    delayed: IndexMap<DaemonName, (StopWord, ClockTime)>,
+    delayed: IndexMap<DaemonName, (StopRequest, ClockTime)>,
     /// Stops that were released but are not yet recorded by the membership state machine.
     released: IndexSet<DaemonName>,
 }
@@ -58,21 +58,22 @@
         member: &EntryMember<FleetConfig>,
         now: ClockTime,
     ) -> Option<NamedStop> {
-        let known = member.stops().word(&stop.daemon);
+        let known = member.stops().request(&stop.daemon);
         let is_sent = known.is_some_and(|known| !known.withdrawn);
         let is_open = |daemon: &DaemonName| {
-            let word = member.stops().word(daemon);
+            let word = member.stops().request(daemon);
             word.is_none_or(|word| word.withdrawn)
         };
         self.released.retain(is_open);
-        if stop.word.withdrawn || is_sent {
+        if stop.request.withdrawn || is_sent {
             self.delayed.shift_remove(&stop.daemon);
             self.released.shift_remove(&stop.daemon);
             return Some(stop);
         }
         // Inserted first, so that two agents don't count as each other's replacement.
         let since = self.delayed.get(&stop.daemon).map_or(now, |held| held.1);
-        self.delayed.insert(stop.daemon.clone(), (stop.word, since));
+        self.delayed
+            .insert(stop.daemon.clone(), (stop.request, since));
         if self.may_release(&stop.daemon, since, member, now) {
             self.delayed.shift_remove(&stop.daemon);
             self.released.insert(stop.daemon.clone());
@@ -92,7 +93,7 @@
         let waiting: Vec<NamedStop> = waiting
             .map(|(daemon, (word, _))| NamedStop {
                 daemon: daemon.clone(),
-                word: *word,
+                request: *word,
             })
             .collect();
         waiting
@@ -118,7 +119,7 @@
         };
         let stays = |other: &MemberView<'_>| {
             let name = &other.facts.daemon;
-            let word = member.stops().word(name);
+            let word = member.stops().request(name);
             let is_asked = self.contains(name) || self.released.contains(name);
             name != daemon && !is_asked && word.is_none_or(|word| word.withdrawn)
         };
--- a/crates/oatpier-entry/src/planner/mod.rs
+++ b/crates/oatpier-entry/src/planner/mod.rs
@@ -23,7 +23,7 @@
 };
 use oatpier_membership::messages::EntryContact;
 use oatpier_membership::rendezvous;
-use oatpier_placement::demand::{DemandBook, DemandSummary};
+use oatpier_placement::demand::{DemandSummary, DemandTotals};
 use oatpier_placement::planner::{FleetPlanner, PlacementPlanner, PlannerInput, PlannerSettings};
 use oatpier_ports::store::{ExpectedValue, StoreError};
 use oatpier_types::clock::ClockTime;
@@ -120,7 +120,7 @@
         lease: None,
         planner: PlacementPlanner::new(PlannerSettings::default()),
         snapshot: None,
-        demand: DemandBook::new(),
+        demand: DemandTotals::new(),
         table: PlanTable::default(),
         next_plan: clock.now(),
         next_demand_report: clock.now(),
@@ -152,7 +152,7 @@
     lease: Option<GroupLease>,
     planner: PlacementPlanner,
     snapshot: Option<FleetSnapshot>,
-    demand: DemandBook,
+    demand: DemandTotals,
     table: PlanTable,
     next_plan: ClockTime,
     next_demand_report: ClockTime,
@@ -194,9 +194,9 @@
             PlannerUpdate::Fleet(snapshot) => self.apply_snapshot(*snapshot),
             PlannerUpdate::OwnDemand(summary) => {
                 self.send_demand(&summary, now);
-                self.demand.absorb(self.own.clone(), summary, now);
+                self.demand.update(self.own.clone(), summary, now);
             }
-            PlannerUpdate::PeerDemand(word) => self.demand.absorb(word.entry, word.summary, now),
+            PlannerUpdate::PeerDemand(word) => self.demand.update(word.entry, word.summary, now),
         }
     }
 
--- a/crates/oatpier-entry/tests/testsuite/configuration.rs
+++ b/crates/oatpier-entry/tests/testsuite/configuration.rs
@@ -70,7 +70,7 @@
     async fn next_stop(&self) -> (String, bool) {
         loop {
             if let StoreUpdate::Stop(stop) = self.updates.receive().await.unwrap() {
-                return (stop.daemon.to_string(), stop.word.withdrawn);
+                return (stop.daemon.to_string(), stop.request.withdrawn);
             }
         }
     }
--- a/crates/oatpier-soak/src/standin/store.rs
+++ b/crates/oatpier-soak/src/standin/store.rs
@@ -1,5 +1,5 @@
-//! The platform's store, as far as oatpier calls it: reads of everything, changes with and without a condition, and
-//! a return from a copy some seconds old.
+//! A stand-in for the platform's store, with the calls that oatpier makes: reads of all items, and changes with and
+//! without a condition. The store can also be restored from a copy that is some seconds old.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,21 +17,21 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-/// Entries of endpoints that do not write for this long lapse: three of their heartbeats.
-const ENTRY_LIFE: Duration = Duration::from_millis(1_200);
+/// Time after which an endpoint's entry expires if the endpoint doesn't write it again: three of its heartbeats.
+const ENTRY_TTL: Duration = Duration::from_millis(1_200);
 
-/// What the store does.
+/// How the store responds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It answers.
+    /// Responds normally.
     Up,
-    /// It answers nothing, and endpoints can't write: their entries lapse.
+    /// Sends no response. Endpoints can't write either, so their entries expire.
     Silent,
-    /// It turns calls away.
+    /// Rejects calls as overloaded.
     Busy,
-    /// It answers late.
+    /// Responds after a delay.
     Slow(Duration),
-    /// It answers what is no answer.
+    /// Sends a malformed response.
     Broken,
 }
 
@@ -42,10 +42,10 @@
     written: Instant,
 }
 
-/// What oatpier wrote: values in base64, and the revisions of their last change.
+/// The entries that oatpier wrote: values in base64, each with the revision of its last change.
 type WrittenEntries = BTreeMap<String, (Value, u64)>;
 
-/// The store as it was.
+/// A copy of the store's state at an earlier time.
 #[derive(Debug)]
 struct StoreCopy {
     made: Instant,
@@ -53,14 +53,14 @@
     written: WrittenEntries,
 }
 
-/// Copies are kept for this long.
-const COPY_LIFE: Duration = Duration::from_secs(10);
+/// How long copies are kept.
+const COPY_RETENTION: Duration = Duration::from_secs(10);
 
 #[derive(Debug)]
 struct StoreState {
     mode: StoreMode,
     revision: u64,
-    /// Rises with each return from an older copy.
+    /// Increases with each restore from an older copy.
     era: u64,
     config: Option<(String, u64)>,
     entries: BTreeMap<String, StoreEntry>,
@@ -69,26 +69,26 @@
 }
 
 impl StoreState {
-    fn copy(&mut self) {
+    fn save_copy(&mut self) {
         let copy = StoreCopy {
             made: Instant::now(),
             revision: self.revision,
             written: self.written.clone(),
         };
         self.copies.push_back(copy);
-        let is_old = |copy: &StoreCopy| copy.made.elapsed() > COPY_LIFE;
+        let is_old = |copy: &StoreCopy| copy.made.elapsed() > COPY_RETENTION;
         while self.copies.len() > 1 && self.copies.front().is_some_and(is_old) {
             self.copies.pop_front();
         }
     }
 
-    /// The revision of a key's last change; 0 for no such key.
+    /// Returns the revision of a key's last change, or 0 if there is no such key.
     fn revision_of(&self, key: &str) -> u64 {
         self.written.get(key).map_or(0, |(_, revision)| *revision)
     }
 }
 
-/// The store. Cloning shares it.
+/// The store. Clones share it.
 #[derive(Debug, Clone)]
 pub struct StoreStandin {
     state: Arc<Mutex<StoreState>>,
@@ -116,14 +116,16 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes what it does.
+    /// Sets how the store responds.
     pub fn set_mode(&self, mode: StoreMode) {
         self.lock().mode = mode;
     }
 
-    /// It comes back from a copy of this age. What endpoints and the operator wrote is written again at once;
-    /// what oatpier wrote since is gone, and its revisions are given out again.
-    pub fn come_back(&self, age: Duration) {
+    /// Restores the store from a copy of at least this age.
+    ///
+    /// Entries of endpoints and the operator's configuration stay, as if they were written again at once. Changes that
+    /// oatpier wrote after the copy are lost, and their revisions are assigned again.
+    pub fn restore_copy(&self, age: Duration) {
         let mut state = self.lock();
         let copies = state.copies.iter().rev();
         let copy = copies.clone().find(|copy| copy.made.elapsed() >= age);
@@ -137,14 +139,14 @@
         state.era += 1;
     }
 
-    /// The operator writes a configuration.
+    /// Writes a configuration, as the operator does.
     pub fn configure(&self, config: &Value) {
         let mut state = self.lock();
         state.revision += 1;
         state.config = Some((config.to_string(), state.revision));
     }
 
-    /// An endpoint writes its entry, or takes it back. Neither works while the store is away.
+    /// Writes or removes an endpoint's entry. Does nothing while the store is unavailable.
     pub fn register(&self, name: &str, entry: Option<&Value>) {
         let mut state = self.lock();
         if !matches!(state.mode, StoreMode::Up | StoreMode::Slow(_)) {
@@ -168,7 +170,7 @@
         let mut state = self.lock();
         state
             .entries
-            .retain(|_, entry| entry.written.elapsed() < ENTRY_LIFE);
+            .retain(|_, entry| entry.written.elapsed() < ENTRY_TTL);
         let config = state.config.iter().map(|(value, revision)| {
             json!({"key": "op/config", "value": STANDARD.encode(value), "revision": revision})
         });
@@ -189,14 +191,14 @@
         };
         let mut state = self.lock();
         let rows = |name: &str| change[name].as_array().cloned().unwrap_or_default();
-        let is_other = |row: &Value| {
+        let is_changed = |row: &Value| {
             let key = row["key"].as_str().unwrap_or_default();
             state.revision_of(key) != row["revision"].as_u64().unwrap_or_default()
         };
-        if rows("expect").iter().any(is_other) {
-            return refused(&state, &rows("expect"));
+        if rows("expect").iter().any(is_changed) {
+            return conflict_response(&state, &rows("expect"));
         }
-        state.copy();
+        state.save_copy();
         state.revision += 1;
         let revision = state.revision;
         for put in rows("puts") {
@@ -206,24 +208,24 @@
         for key in rows("remove") {
             state.written.remove(key.as_str().unwrap_or_default());
         }
-        let answer = json!({"revision": revision});
-        reply::whole(StatusCode::OK, "application/json", answer.to_string())
+        let response = json!({"revision": revision});
+        reply::whole(StatusCode::OK, "application/json", response.to_string())
     }
 
-    async fn answer(&self, request: Request<Bytes>) -> Reply {
-        let mut answer = self.answer_without_era(request).await;
+    async fn respond(&self, request: Request<Bytes>) -> Reply {
+        let mut response = self.response_without_era(request).await;
         let era = HeaderValue::from(self.lock().era);
-        answer.headers_mut().insert("store-era", era);
-        answer
+        response.headers_mut().insert("store-era", era);
+        response
     }
 
-    async fn answer_without_era(&self, request: Request<Bytes>) -> Reply {
+    async fn response_without_era(&self, request: Request<Bytes>) -> Reply {
         let mode = self.lock().mode;
         match mode {
             StoreMode::Up => {}
             StoreMode::Silent => std::future::pending().await,
             StoreMode::Busy => return reply::text(StatusCode::SERVICE_UNAVAILABLE, "busy\n"),
-            StoreMode::Slow(late) => tokio::time::sleep(late).await,
+            StoreMode::Slow(delay) => tokio::time::sleep(delay).await,
             StoreMode::Broken => return reply::text(StatusCode::OK, "{\"items\": [{\"key\""),
         }
         if request.method() == Method::POST {
@@ -233,23 +235,23 @@
     }
 }
 
-/// What is in place of what was expected.
-fn refused(state: &StoreState, expected: &[Value]) -> Reply {
+/// Returns the response to a change whose condition fails: the present values of the expected keys.
+fn conflict_response(state: &StoreState, expected: &[Value]) -> Reply {
     let keys = expected.iter().filter_map(|row| row["key"].as_str());
     let present = keys.filter_map(|key| {
         let (value, revision) = state.written.get(key)?;
         Some(json!({"key": key, "value": value, "revision": revision}))
     });
-    let answer = json!({"items": present.collect::<Vec<Value>>()});
+    let response = json!({"items": present.collect::<Vec<Value>>()});
     reply::whole(
         StatusCode::PRECONDITION_FAILED,
         "application/json",
-        answer.to_string(),
+        response.to_string(),
     )
 }
 
 impl RequestHandler for StoreStandin {
     fn handle(&self, request: Request<Bytes>, _: SocketAddr) -> BoxFuture<'_, Reply> {
-        self.answer(request).boxed()
+        self.respond(request).boxed()
     }
 }
