--- a/crates/oatpier-entry/src/claims/claimer.rs
+++ b/crates/oatpier-entry/src/claims/claimer.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    pub(super) fn add_query_waiter(&mut self, ask: ClaimQuery, waiter: QueryWaiter) {
-        let waiters = self.queries.entry((ask.key, ask.request)).or_default();
+    pub(super) fn add_query_waiter(&mut self, query: ClaimQuery, waiter: QueryWaiter) {
+        let waiters = self.queries.entry((query.key, query.request)).or_default();
         waiters.push(waiter);
     }
 
--- a/crates/oatpier-entry/src/claims/mod.rs
+++ b/crates/oatpier-entry/src/claims/mod.rs
@@ -44,9 +44,9 @@
 #[derive(Debug)]
 pub enum ClaimCommand {
     /// A request of this entry needs a key before it runs.
-    Ask {
+    Query {
         /// The query.
-        ask: ClaimQuery,
+        query: ClaimQuery,
         /// Channel for the answer: granted, denied or unavailable.
         reply: oneshot::Sender<ClaimAnswer>,
     },
@@ -98,7 +98,7 @@
 /// A query of this entry that a claimer has to answer.
 #[derive(Debug)]
 struct PendingQuery {
-    ask: ClaimQuery,
+    query: ClaimQuery,
     reply: oneshot::Sender<ClaimAnswer>,
     tries: u8,
 }
@@ -110,7 +110,7 @@
         call: CallNumber,
         answer: Option<StoreAnswer>,
     },
-    Asked {
+    Queried {
         pending: PendingQuery,
         answer: Option<ClaimAnswer>,
     },
@@ -176,13 +176,13 @@
 
     fn handle_command(&mut self, command: ClaimCommand) {
         match command {
-            ClaimCommand::Ask { ask, reply } => {
+            ClaimCommand::Query { query, reply } => {
                 let pending = PendingQuery {
-                    ask,
+                    query,
                     reply,
                     tries: 0,
                 };
-                let owner = self.map.claimer_of(pending.ask.key).cloned();
+                let owner = self.map.claimer_of(pending.query.key).cloned();
                 self.route_query(pending, owner);
             }
             ClaimCommand::Settle {
@@ -232,22 +232,22 @@
             self.query_remote(pending, address);
             return;
         }
-        let ask = pending.ask;
+        let query = pending.query;
         self.claimer
-            .add_query_waiter(ask, QueryWaiter::Own(pending));
-        self.step(PartitionId::of(ask.key), ClaimEvent::Queried(ask));
+            .add_query_waiter(query, QueryWaiter::Own(pending));
+        self.step(PartitionId::of(query.key), ClaimEvent::Queried(query));
     }
 
     fn query_remote(&mut self, pending: PendingQuery, address: SocketAddr) {
-        let asking = self.links.claim(address, ClaimCall::Ask(pending.ask));
-        let asking = asking.map(move |answer| {
+        let querying = self.links.claim(address, ClaimCall::Query(pending.query));
+        let querying = querying.map(move |answer| {
             let answer = match answer {
                 Some(ClaimReply::Answer(answer)) => Some(answer),
                 Some(ClaimReply::Recorded | ClaimReply::Pending) | None => None,
             };
-            ClaimResult::Asked { pending, answer }
+            ClaimResult::Queried { pending, answer }
         });
-        self.calls.push(asking.boxed());
+        self.calls.push(querying.boxed());
     }
 
     fn finish(&self, pending: PendingQuery, answer: ClaimAnswer) {
@@ -270,9 +270,10 @@
     /// Processes a call of another entry to the local claimer.
     fn serve(&mut self, call: ClaimCall, reply: oneshot::Sender<ClaimReply>) {
         let (key, event) = match call {
-            ClaimCall::Ask(ask) => {
-                self.claimer.add_query_waiter(ask, QueryWaiter::Peer(reply));
-                (ask.key, ClaimEvent::Queried(ask))
+            ClaimCall::Query(query) => {
+                self.claimer
+                    .add_query_waiter(query, QueryWaiter::Peer(reply));
+                (query.key, ClaimEvent::Queried(query))
             }
             ClaimCall::Release(release) => {
                 self.claimer
@@ -316,7 +317,7 @@
                 };
                 self.step(partition, event);
             }
-            ClaimResult::Asked { pending, answer } => match answer {
+            ClaimResult::Queried { pending, answer } => match answer {
                 Some(answer) => self.handle_answer(pending, answer),
                 // The claimer is down or unreachable: the local claimer takes over.
                 None => self.route_query(pending, None),
--- a/crates/oatpier-entry/src/claims/outbox.rs
+++ b/crates/oatpier-entry/src/claims/outbox.rs
@@ -50,7 +50,7 @@
         match self.call() {
             ClaimCall::Release(release) => ClaimEvent::Released(release),
             ClaimCall::Finish(finish) => ClaimEvent::Finished(finish),
-            ClaimCall::Ask(ask) => ClaimEvent::Queried(ask),
+            ClaimCall::Query(query) => ClaimEvent::Queried(query),
         }
     }
 }
--- a/crates/oatpier-entry/src/links.rs
+++ b/crates/oatpier-entry/src/links.rs
@@ -40,7 +40,7 @@
     fn claim(&self, to: SocketAddr, call: ClaimCall) -> LinkFuture<ClaimReply>;
 
     /// Sends this entry's demand to a planner candidate.
-    fn send_demand(&self, to: SocketAddr, word: DemandReport) -> LinkFuture<()>;
+    fn send_demand(&self, to: SocketAddr, report: DemandReport) -> LinkFuture<()>;
 
     /// Queries an entry for configuration generations.
     fn fetch_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows>;
@@ -64,44 +64,44 @@
 }
 
 impl HttpLinks {
-    fn ask<Q, A>(
+    fn call_path<Q, A>(
         &self,
         to: SocketAddr,
         path: &'static str,
-        question: Q,
-        within: Duration,
+        request: Q,
+        timeout: Duration,
     ) -> LinkFuture<A>
     where
         Q: Serialize + Send + Sync + 'static,
         A: DeserializeOwned + Send + 'static,
     {
         let client = self.client.clone();
-        async move { client.call(to, path, &question, within).await.ok() }.boxed()
+        async move { client.call(to, path, &request, timeout).await.ok() }.boxed()
     }
 }
 
 impl EntryLinks for HttpLinks {
     fn call(&self, to: SocketAddr, call: FleetCall) -> LinkFuture<FleetAnswer> {
-        self.ask(to, PEER_PATH, call, CALL_TIMEOUT)
+        self.call_path(to, PEER_PATH, call, CALL_TIMEOUT)
     }
 
     fn claim(&self, to: SocketAddr, call: ClaimCall) -> LinkFuture<ClaimReply> {
-        let within = match call {
-            ClaimCall::Ask(_) => CLAIM_TIMEOUT,
+        let timeout = match call {
+            ClaimCall::Query(_) => CLAIM_TIMEOUT,
             ClaimCall::Release(_) | ClaimCall::Finish(_) => SETTLE_TIMEOUT,
         };
-        self.ask(to, CLAIM_PATH, call, within)
+        self.call_path(to, CLAIM_PATH, call, timeout)
     }
 
-    fn send_demand(&self, to: SocketAddr, word: DemandReport) -> LinkFuture<()> {
-        self.ask(to, DEMAND_PATH, word, DEMAND_TIMEOUT)
+    fn send_demand(&self, to: SocketAddr, report: DemandReport) -> LinkFuture<()> {
+        self.call_path(to, DEMAND_PATH, report, DEMAND_TIMEOUT)
     }
 
     fn fetch_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows> {
-        self.ask(to, GENERATIONS_PATH, (), GENERATIONS_TIMEOUT)
+        self.call_path(to, GENERATIONS_PATH, (), GENERATIONS_TIMEOUT)
     }
 
     fn fetch_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus> {
-        self.ask(to, STATUS_PATH, (), STATUS_TIMEOUT)
+        self.call_path(to, STATUS_PATH, (), STATUS_TIMEOUT)
     }
 }
--- a/crates/oatpier-entry/src/messages.rs
+++ b/crates/oatpier-entry/src/messages.rs
@@ -18,7 +18,8 @@
 #[derive(Serialize, Deserialize)]
 pub enum ClaimCall {
     /// A request needs a key before it runs.
-    Ask(ClaimQuery),
+    #[serde(rename = "Ask")]
+    Query(ClaimQuery),
     /// A request did not run and never will.
     Release(ClaimRelease),
     /// A request that held a key has ended.
@@ -29,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// Response to an `Ask`.
+    /// Response to a `Query`.
     Answer(ClaimAnswer),
     /// The release or finish is recorded in the store.
     Recorded,
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -80,8 +80,8 @@
 }
 
 fn registered_agents(state: &DriverState) -> impl Iterator<Item = &DaemonName> {
-    let heard = state.member.registrar().reachable_agents();
-    heard.map(|(contact, _)| &contact.daemon)
+    let reachable = state.member.registrar().reachable_agents();
+    reachable.map(|(contact, _)| &contact.daemon)
 }
 
 /// Returns a gossiped status with `accepting` set while the agent serves. The queue report in a
@@ -203,9 +203,9 @@
 /// the meantime.
 fn is_leaving(state: &DriverState, view: &MemberView<'_>) -> bool {
     let daemon = &view.facts.daemon;
-    let word = state.member.stops().request(daemon);
+    let request = state.member.stops().request(daemon);
     view.state == MemberState::Leaving
         || view.hinted_leaving
-        || word.is_some_and(|word| !word.withdrawn)
+        || request.is_some_and(|request| !request.withdrawn)
         || state.stops.contains(daemon)
 }
--- a/crates/oatpier-entry/src/peers/driver.rs
+++ b/crates/oatpier-entry/src/peers/driver.rs
@@ -201,7 +201,7 @@
                     state.dirty.insert(change.daemon);
                 }
                 // Withdrawing a stop has no effect once the process has begun to drain.
-                EntryAction::Stop(word) if !word.withdrawn => {
+                EntryAction::Stop(request) if !request.withdrawn => {
                     self.stop.advance(StopPhase::Draining);
                 }
                 EntryAction::Stop(_) => {}
--- a/crates/oatpier-entry/src/peers/handler.rs
+++ b/crates/oatpier-entry/src/peers/handler.rs
@@ -50,11 +50,11 @@
         let path = head.uri.path();
         match (head.method, path) {
             (Method::POST, PEER_PATH) => respond(&body, |call: FleetCall| self.driver.answer(call)),
-            (Method::POST, PLACEMENT_PATH) => respond(&body, |ask| {
-                placement::view(&self.driver, &self.cache, &ask)
+            (Method::POST, PLACEMENT_PATH) => respond(&body, |query| {
+                placement::view(&self.driver, &self.cache, &query)
             }),
             (Method::POST, CLAIM_PATH) => self.claim(&body).await,
-            (Method::POST, DEMAND_PATH) => respond(&body, |word| self.forward_demand(word)),
+            (Method::POST, DEMAND_PATH) => respond(&body, |report| self.forward_demand(report)),
             (Method::POST, GENERATIONS_PATH) => {
                 reply::message(&operator::own_generations(&self.driver))
             }
@@ -65,8 +65,8 @@
 
     /// Passes a demand report to the planner. Overflow is dropped: the next report follows within
     /// seconds.
-    fn forward_demand(&self, word: DemandReport) {
-        let _ = self.planner.try_send(PlannerUpdate::PeerDemand(word));
+    fn forward_demand(&self, report: DemandReport) {
+        let _ = self.planner.try_send(PlannerUpdate::PeerDemand(report));
     }
 
     async fn claim(&self, body: &[u8]) -> Reply {
@@ -74,7 +74,7 @@
             Ok(call) => call,
             Err(error) => return reply::text(StatusCode::BAD_REQUEST, error.to_string()),
         };
-        let is_ask = matches!(call, ClaimCall::Ask(_));
+        let is_query = matches!(call, ClaimCall::Query(_));
         let (sender, receiver) = oneshot::channel();
         let command = ClaimCommand::Remote {
             call,
@@ -83,7 +83,7 @@
         if self.claims.try_send(command).is_err() {
             return reply::text(StatusCode::SERVICE_UNAVAILABLE, "too many claims\n");
         }
-        let timeout = if is_ask {
+        let timeout = if is_query {
             CLAIM_TIMEOUT
         } else {
             SETTLE_TIMEOUT
--- a/crates/oatpier-entry/src/peers/placement.rs
+++ b/crates/oatpier-entry/src/peers/placement.rs
@@ -67,8 +67,9 @@
         if status.endpoint == query.endpoint {
             continue;
         }
-        let asked = |ready: &&WeightsKey| query.weights.iter().any(|key| same_weights(key, ready));
-        for ready in ready_of(&view).filter(asked) {
+        let is_queried =
+            |ready: &&WeightsKey| query.weights.iter().any(|key| same_weights(key, ready));
+        for ready in ready_of(&view).filter(is_queried) {
             found.entry(ready.clone()).or_default().push(HolderContact {
                 endpoint: status.endpoint.clone(),
                 address: view.facts.address,
--- a/crates/oatpier-entry/src/peers/stops.rs
+++ b/crates/oatpier-entry/src/peers/stops.rs
@@ -61,8 +61,8 @@
         let known = member.stops().request(&stop.daemon);
         let is_sent = known.is_some_and(|known| !known.withdrawn);
         let is_open = |daemon: &DaemonName| {
-            let word = member.stops().request(daemon);
-            word.is_none_or(|word| word.withdrawn)
+            let request = member.stops().request(daemon);
+            request.is_none_or(|request| request.withdrawn)
         };
         self.released.retain(is_open);
         if stop.request.withdrawn || is_sent {
@@ -91,9 +91,9 @@
     ) -> Vec<NamedStop> {
         let waiting = self.delayed.iter();
         let waiting: Vec<NamedStop> = waiting
-            .map(|(daemon, (word, _))| NamedStop {
+            .map(|(daemon, (request, _))| NamedStop {
                 daemon: daemon.clone(),
-                request: *word,
+                request: *request,
             })
             .collect();
         waiting
@@ -119,9 +119,9 @@
         };
         let stays = |other: &MemberView<'_>| {
             let name = &other.facts.daemon;
-            let word = member.stops().request(name);
-            let is_asked = self.contains(name) || self.released.contains(name);
-            name != daemon && !is_asked && word.is_none_or(|word| word.withdrawn)
+            let request = member.stops().request(name);
+            let is_stopping = self.contains(name) || self.released.contains(name);
+            name != daemon && !is_stopping && request.is_none_or(|request| request.withdrawn)
         };
         let is_covered = status
             .ready
--- a/crates/oatpier-entry/src/planner/mod.rs
+++ b/crates/oatpier-entry/src/planner/mod.rs
@@ -196,7 +196,9 @@
                 self.send_demand(&summary, now);
                 self.demand.update(self.own.clone(), summary, now);
             }
-            PlannerUpdate::PeerDemand(word) => self.demand.update(word.entry, word.summary, now),
+            PlannerUpdate::PeerDemand(report) => {
+                self.demand.update(report.entry, report.summary, now);
+            }
         }
     }
 
@@ -233,12 +235,12 @@
             if entry.daemon == self.own {
                 continue;
             }
-            let word = DemandReport {
+            let report = DemandReport {
                 entry: self.own.clone(),
                 summary: summary.clone(),
             };
             // A lost message is harmless: the next one carries the complete demand.
-            let sending = self.links.send_demand(entry.address, word);
+            let sending = self.links.send_demand(entry.address, report);
             self.calls
                 .push(sending.map(|_| PlannerResult::DemandSent).boxed());
         }
--- a/crates/oatpier-entry/src/run/claiming.rs
+++ b/crates/oatpier-entry/src/run/claiming.rs
@@ -20,7 +20,7 @@
             return;
         };
         let call = &self.call.call;
-        let ask = ClaimQuery {
+        let query = ClaimQuery {
             key,
             fingerprint: RequestFingerprint::of(call.method.as_str(), &call.path, &call.body),
             request: self.identity.request,
@@ -30,7 +30,7 @@
         let core = Arc::clone(&self.core);
         let events = self.event_sender.clone();
         tokio::spawn(async move {
-            let event = ask_claim(&core, ask).await;
+            let event = query_claim(&core, query).await;
             span.set_attribute("granted", event == EntryEvent::ClaimGranted);
             // A request that has ended has already settled its claim.
             let _ = events.send(event);
@@ -69,9 +69,9 @@
     key.0 as u64
 }
 
-async fn ask_claim(core: &EntryCore, ask: ClaimQuery) -> EntryEvent {
+async fn query_claim(core: &EntryCore, query: ClaimQuery) -> EntryEvent {
     let (reply, answer) = oneshot::channel();
-    let command = ClaimCommand::Ask { ask, reply };
+    let command = ClaimCommand::Query { query, reply };
     if core.claims().try_send(command).is_err() {
         return EntryEvent::ClaimUnavailable;
     }
--- a/crates/oatpier-entry/tests/testsuite/claims.rs
+++ b/crates/oatpier-entry/tests/testsuite/claims.rs
@@ -26,8 +26,8 @@
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
         let (first, second) = (100 + key, 200 + key);
-        let asks = (fleet.ask(0, key, first), fleet.ask(1, key, second));
-        let answers = tokio::join!(asks.0, asks.1);
+        let queries = (fleet.query(0, key, first), fleet.query(1, key, second));
+        let answers = tokio::join!(queries.0, queries.1);
         match answers {
             (ClaimAnswer::Granted, other) => assert_eq!(other, held_by(first)),
             (other, ClaimAnswer::Granted) => assert_eq!(other, held_by(second)),
@@ -43,26 +43,26 @@
 async fn in_an_outage_new_keys_are_refused_and_known_ones_answered() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
-        assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
+        assert_eq!(fleet.query(0, key, 100 + key).await, ClaimAnswer::Granted);
     }
     for mode in [DownMode::Refuse, DownMode::Drop] {
         fleet.store.set_faults(StoreFaults {
             down: Some(mode),
             ..StoreFaults::default()
         });
-        let fresh = fleet.ask(0, KEYS, 300).await;
+        let fresh = fleet.query(0, KEYS, 300).await;
         assert!(
             matches!(fresh, ClaimAnswer::Unavailable { .. }),
             "{fresh:?}"
         );
         for key in 0..KEYS {
-            assert_eq!(fleet.ask(1, key, 200 + key).await, held_by(100 + key));
+            assert_eq!(fleet.query(1, key, 200 + key).await, held_by(100 + key));
         }
     }
     fleet.store.set_faults(StoreFaults::default());
     loop {
         // The claimer waits a while before it retries the store.
-        match fleet.ask(0, KEYS, 300).await {
+        match fleet.query(0, KEYS, 300).await {
             ClaimAnswer::Unavailable { retry_after } => tokio::time::sleep(retry_after).await,
             last => break assert_eq!(last, ClaimAnswer::Granted),
         }
@@ -77,14 +77,14 @@
 async fn a_failed_claimer_is_replaced_and_its_grants_are_kept() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
-        assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
+        assert_eq!(fleet.query(0, key, 100 + key).await, ClaimAnswer::Granted);
     }
     fleet.kill(0);
     for key in 0..KEYS {
-        assert_eq!(fleet.ask(1, key, 200 + key).await, held_by(100 + key));
+        assert_eq!(fleet.query(1, key, 200 + key).await, held_by(100 + key));
     }
     for key in KEYS..2 * KEYS {
-        assert_eq!(fleet.ask(1, key, 200 + key).await, ClaimAnswer::Granted);
+        assert_eq!(fleet.query(1, key, 200 + key).await, ClaimAnswer::Granted);
     }
 }
 
@@ -93,15 +93,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_claim_whose_answer_is_lost_is_granted_to_its_request_alone() {
     let fleet = ClaimFleet::start(2).await;
-    assert_eq!(fleet.ask(0, 1, 100).await, ClaimAnswer::Granted);
+    assert_eq!(fleet.query(0, 1, 100).await, ClaimAnswer::Granted);
     fleet.store.set_faults(StoreFaults {
         lose_answers: 1,
         ..StoreFaults::default()
     });
     let same_partition = 1 + 8;
-    let first = fleet.ask(0, same_partition, 101).await;
+    let first = fleet.query(0, same_partition, 101).await;
     assert_eq!(first, ClaimAnswer::Granted);
-    assert_eq!(fleet.ask(1, same_partition, 201).await, held_by(101));
+    assert_eq!(fleet.query(1, same_partition, 201).await, held_by(101));
 }
 
 /// A request got its key but did not run, because no endpoint accepted it. Its entry releases the
@@ -111,7 +111,7 @@
 async fn the_key_of_a_request_that_did_not_run_is_released() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
-        assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
+        assert_eq!(fleet.query(0, key, 100 + key).await, ClaimAnswer::Granted);
         let is_even = key % 2 == 0;
         let verdict = if is_even {
             RunVerdict::NotRun
@@ -122,7 +122,7 @@
     }
     fleet.flush(0).await;
     for key in 0..KEYS {
-        let answer = fleet.ask(1, key, 200 + key).await;
+        let answer = fleet.query(1, key, 200 + key).await;
         let used = ClaimAnswer::Denied(ClaimDenial::Finished {
             holder: RequestId(100 + key),
             verdict: RunVerdict::Ran,
@@ -142,7 +142,7 @@
 async fn settlements_are_sent_again_until_an_outage_ends() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
-        assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
+        assert_eq!(fleet.query(0, key, 100 + key).await, ClaimAnswer::Granted);
     }
     fleet.store.set_faults(StoreFaults {
         down: Some(DownMode::Drop),
@@ -155,7 +155,7 @@
     fleet.store.set_faults(StoreFaults::default());
     fleet.flush(0).await;
     for key in 0..KEYS {
-        let answer = fleet.ask(1, key, 200 + key).await;
+        let answer = fleet.query(1, key, 200 + key).await;
         assert_eq!(answer, ClaimAnswer::Granted, "key {key}");
     }
 }
@@ -167,7 +167,7 @@
 async fn a_key_is_released_after_its_request_ended_as_may_have_run() {
     let fleet = ClaimFleet::start(2).await;
     for key in 0..KEYS {
-        assert_eq!(fleet.ask(0, key, 100 + key).await, ClaimAnswer::Granted);
+        assert_eq!(fleet.query(0, key, 100 + key).await, ClaimAnswer::Granted);
         fleet
             .settle(0, key, 100 + key, RunVerdict::MayHaveRun)
             .await;
@@ -176,6 +176,6 @@
     }
     fleet.flush(0).await;
     for key in 0..KEYS {
-        assert_eq!(fleet.ask(1, key, 200 + key).await, ClaimAnswer::Granted);
+        assert_eq!(fleet.query(1, key, 200 + key).await, ClaimAnswer::Granted);
     }
 }
--- a/crates/oatpier-entry/tests/testsuite/support.rs
+++ b/crates/oatpier-entry/tests/testsuite/support.rs
@@ -146,14 +146,14 @@
     }
 
     /// Queries a key for a request at an entry.
-    pub async fn ask(&self, entry: u16, key: u128, request: u128) -> ClaimAnswer {
-        let ask = ClaimQuery {
+    pub async fn query(&self, entry: u16, key: u128, request: u128) -> ClaimAnswer {
+        let query = ClaimQuery {
             key: KeyHash(key),
             fingerprint: RequestFingerprint(1),
             request: RequestId(request),
         };
         let (reply, answer) = oneshot::channel();
-        let command = ClaimCommand::Ask { ask, reply };
+        let command = ClaimCommand::Query { query, reply };
         self.entries[usize::from(entry)]
             .commands
             .send(command)
