--- a/crates/oatpier-entry/src/peers/placement.rs
+++ b/crates/oatpier-entry/src/peers/placement.rs
@@ -85,8 +85,8 @@
         .collect()
 }
 
-/// Returns a few holders by rendezvous hashing. All agents get the same ones, so that the agents
-/// that request and those that are requested agree.
+/// Returns a few holders by rendezvous hashing. All agents get the same few, so that their requests
+/// for the same weights reach the same holders.
 fn choose_holders(
     weights: &WeightsKey,
     holders: Vec<HolderContact>,
