--- a/crates/oatpier-entry/src/callers.rs
+++ b/crates/oatpier-entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers duty: takes requests, and owns the decisions about them.
+//! The callers duty: accepts requests and owns the routing policy.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,61 +19,61 @@
 use crate::claims::ClaimCommand;
 use crate::core::EntryCore;
 use crate::errors::{CallerError, RequestIdentity, identify};
-use crate::intake::{CallRoute, IntakeError, understand};
-use crate::news::EntryNews;
-use crate::planner::PlannerNews;
+use crate::intake::{CallRoute, IntakeError, parse_call};
+use crate::planner::PlannerUpdate;
 use crate::run::RequestRun;
 use crate::sink::CallerSink;
+use crate::updates::CallersUpdate;
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 use oatpier_duty::observe::trace::extract_parent;
 
-/// How often the planner duty is told the demand.
-const DEMAND_PERIOD: Duration = Duration::from_secs(2);
-/// How long a stopping entry waits for its settlements of claims to be in the store. What is not
-/// by then stays held in the store: a repeat is told that the request may have run.
-const FLUSH_WAIT: Duration = Duration::from_secs(3);
-/// How often a stopping entry looks whether its last requests are over.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+/// Interval at which the planner duty receives the demand.
+const DEMAND_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum time a stopping entry waits for its claim settlements to reach the store. Claims not
+/// settled by then stay held in the store: a repeat is told that the request may have run.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval at which a stopping entry checks whether its last requests have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the callers duty works on.
+/// Inputs of the callers duty.
 pub struct CallersInputs {
-    /// The decisions and what they share.
+    /// Routing policy and shared state.
     pub core: Arc<EntryCore>,
-    /// Where callers connect.
+    /// Listener for callers.
     pub listener: std::net::TcpListener,
-    /// Limits on callers.
+    /// Limits on connections and requests of callers.
     pub limits: ServerLimits,
-    /// News of the other duties.
-    pub news: RingReceiver<EntryNews>,
-    /// Where the demand is told.
-    pub planner: RingSender<PlannerNews>,
-    /// Tells to stop.
+    /// Updates from the other duties.
+    pub updates: RingReceiver<CallersUpdate>,
+    /// Channel for the demand.
+    pub planner: RingSender<PlannerUpdate>,
+    /// Signals the process to stop.
     pub stop: StopSignal,
-    /// How long the process says that it is not ready before it takes no more requests.
+    /// How long the process reports that it is not ready before it refuses new requests.
     pub notice: Duration,
 }
 
-/// Serves callers until the process drains and the last request has its answer.
+/// Serves callers until the process drains and the last request is answered.
 ///
 /// # Panics
 ///
-/// Panics if it runs on no runtime, or the runtime does not take the socket.
-pub async fn callers(inputs: CallersInputs) {
+/// Panics if called outside a runtime or if the runtime can't register the socket.
+pub async fn run_callers(inputs: CallersInputs) {
     let CallersInputs {
         core,
         listener,
         limits,
-        news,
+        updates,
         planner,
         stop,
         notice,
     } = inputs;
     let listener =
-        tokio::net::TcpListener::from_std(listener).expect("the runtime takes the socket");
+        tokio::net::TcpListener::from_std(listener).expect("the runtime registers the socket");
     let handler = Arc::new(CallerHandler {
         core: Arc::clone(&core),
     });
-    let closing = drain_start(Arc::clone(&core), stop.clone(), notice);
+    let closing = wait_for_drain(Arc::clone(&core), stop.clone(), notice);
     let counters = Arc::<ServerCounters>::default();
     let serving = async {
         server::serve(listener, handler, limits, counters, closing).await;
@@ -81,48 +81,49 @@
     };
     tokio::select! {
         () = serving => {}
-        () = tell_demand(&core, &planner) => {}
-        () = take_news(&core, &news) => {}
+        () = send_demand(&core, &planner) => {}
+        () = apply_updates(&core, &updates) => {}
         () = core.run_timers() => {}
     }
     stop.advance(StopPhase::Ended);
 }
 
-/// Waits until new requests are to be refused. The balancer is given `notice` to see that the
-/// entry is not ready; until then it still serves, so that no caller meets a closed door.
-async fn drain_start(core: Arc<EntryCore>, stop: StopSignal, notice: Duration) {
+/// Waits until new requests are to be refused. During `notice` the load balancer can detect that
+/// the entry is not ready. The entry still serves requests in that time, so that no connection is
+/// refused.
+async fn wait_for_drain(core: Arc<EntryCore>, stop: StopSignal, notice: Duration) {
     stop.reached(StopPhase::Draining).await;
     tokio::time::sleep(notice).await;
     core.begin_stop();
 }
 
-/// The last callers have their answers. What is still to be done: requests whose callers went
-/// away cancel their work, and the ends of requests under keys go to the store. Ending before
-/// that would leave keys held whose requests did not run.
+/// Finishes the remaining work after the last callers have their answers: requests of disconnected
+/// callers cancel their attempts, and claim settlements go to the store. Ending earlier would leave
+/// keys held whose requests did not run.
 async fn finish_work(core: &EntryCore) {
     while core.in_flight() > 0 {
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let (reply, flushed) = oneshot::channel();
     core.claims().send(ClaimCommand::Flush { reply }).await;
-    if tokio::time::timeout(FLUSH_WAIT, flushed).await.is_err() {
-        spdlog::warn!("some claims were not settled in the store");
+    if tokio::time::timeout(FLUSH_TIMEOUT, flushed).await.is_err() {
+        spdlog::warn!("some claims were not settled in the store before the process ended");
     }
 }
 
-async fn tell_demand(core: &EntryCore, planner: &RingSender<PlannerNews>) {
+async fn send_demand(core: &EntryCore, planner: &RingSender<PlannerUpdate>) {
     loop {
-        tokio::time::sleep(DEMAND_PERIOD).await;
-        // Counted by the ring if it is full; the next word says it all.
-        let _ = planner.try_send(PlannerNews::Own(core.demand()));
+        tokio::time::sleep(DEMAND_INTERVAL).await;
+        // The ring counts dropped messages; the next one carries the complete demand.
+        let _ = planner.try_send(PlannerUpdate::OwnDemand(core.demand()));
     }
 }
 
-async fn take_news(core: &EntryCore, news: &RingReceiver<EntryNews>) {
-    while let Some(news) = news.receive().await {
-        core.take_news(news);
+async fn apply_updates(core: &EntryCore, updates: &RingReceiver<CallersUpdate>) {
+    while let Some(update) = updates.receive().await {
+        core.apply_update(update);
     }
-    // The other duties are gone; requests in flight go on.
+    // The other duties have ended; requests in flight continue.
     std::future::pending::<()>().await;
 }
 
@@ -142,7 +143,8 @@
         .tracer
         .start("entry.request", SpanKind::Server, &parent);
     let trace = span.trace_id();
-    // Two requests may share a caller's trace, so only a trace that begins here names one.
+    // Two requests may share a caller's trace, so the trace ID serves as request ID only if the
+    // trace starts here.
     let is_own_trace = !parent.has_active_span();
     let id = if is_own_trace { trace } else { rand::random() };
     let identity = RequestIdentity {
@@ -154,7 +156,7 @@
         .tracer
         .start("entry.admit", SpanKind::Internal, span.context());
     let (head, body) = request.into_parts();
-    let understood = core
+    let parsed = core
         .config()
         .ok_or(IntakeError::NoConfig)
         .and_then(|config| {
@@ -162,17 +164,18 @@
             if route == CallRoute::Models {
                 return Ok((config, None));
             }
-            let call = understand(&config, route, &head, body, caller.ip())?;
+            let call = parse_call(&config, route, &head, body, caller.ip())?;
             Ok((config, Some(call)))
         });
     drop(admit);
-    let call = match understood {
+    let call = match parsed {
         Ok((_, Some(call))) => call,
         Ok((config, None)) => return identify(model_list(&config), identity),
         Err(error) => return CallerError::of_intake(&error).reply(identity),
     };
     let (sink, reply) = CallerSink::new(identity);
-    // A task of its own: when the caller goes away, the request still has to cancel its work.
+    // The request runs in its own task: if the caller disconnects, it still has to cancel its
+    // attempts.
     tokio::spawn(RequestRun::new(core, identity, call, sink, span).run());
     reply
         .await
@@ -191,7 +194,7 @@
     object: &'static str,
     created: u64,
     owned_by: &'static str,
-    /// The base model of an adapter.
+    /// Base model of an adapter.
     parent: Option<&'c str>,
 }
 
--- a/crates/oatpier-entry/src/claims/mod.rs
+++ b/crates/oatpier-entry/src/claims/mod.rs
@@ -1,14 +1,14 @@
-//! The claims duty: at most one request runs under an idempotency key, in the whole fleet.
+//! The claims duty: at most one request in the whole fleet runs under an idempotency key.
 //!
-//! Rendezvous hashing makes one entry the claimer of each partition of the keys
-//! ([`oatpier_claims`] decides); this duty is the claimer of the entry's own partitions, and asks
-//! other entries for the rest. A claimer that does not answer is replaced by asking the claimer
-//! in this process: it takes the partition over through the store, where a grant that the other
-//! one made is found.
+//! Rendezvous hashing assigns each partition of the keys to one entry, its claimer.
+//! [`oatpier_claims`] makes the decisions. This duty is the claimer of the entry's own partitions
+//! and queries other entries for the rest. If a claimer does not answer, the local claimer is
+//! queried instead: it takes over the partition through the store, where it finds the grants of the
+//! other claimer.
 
 mod claimer;
 mod outbox;
-mod storing;
+mod store_calls;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,89 +29,89 @@
 
 use crate::links::EntryLinks;
 use crate::messages::{ClaimCall, ClaimReply};
-use crate::store::StoreGate;
-use claimer::{AskWaiter, ClaimerOutput, LocalClaimer};
+use crate::store::StoreClient;
+use claimer::{ClaimerOutput, LocalClaimer, QueryWaiter};
 use oatpier_duty::duty::{RingReceiver, RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 use outbox::{Outbox, Settlement};
 
-/// Claimers that are asked for one claim, one after the other.
-const MOST_TRIES: u8 = 3;
-/// When a caller is to come back if its claim can't be recorded.
-const RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Maximum number of claimers queried for one claim, one after another.
+const MAX_TRIES: u8 = 3;
+/// Retry delay sent to callers whose claim can't be recorded.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A command to the claims duty.
 #[derive(Debug)]
 pub enum ClaimCommand {
-    /// A request of this entry wants to run under a key.
-    Ask {
-        /// What.
-        ask: ClaimQuery,
-        /// Where the answer goes: granted, denied or unavailable.
+    /// A request of this entry needs a key before it runs.
+    Query {
+        /// The query.
+        query: ClaimQuery,
+        /// Channel for the answer: granted, denied or unavailable.
         reply: oneshot::Sender<ClaimAnswer>,
     },
-    /// A request of this entry that asked for a key is over.
+    /// A request of this entry that claimed a key has ended.
     Settle {
         /// The key.
         key: KeyHash,
         /// The request.
         request: RequestId,
-        /// How it ended.
+        /// Whether the request ran.
         verdict: RunVerdict,
     },
-    /// Another entry turns to the claimer in this one.
+    /// Another entry calls the local claimer.
     Remote {
-        /// What it says.
+        /// The call.
         call: ClaimCall,
-        /// Where the answer goes.
+        /// Channel for the answer.
         reply: oneshot::Sender<ClaimReply>,
     },
-    /// The entries that are known to live, the own among them.
+    /// The known live entries including this one.
     Entries(Vec<EntryContact>),
-    /// Tell when all settlements are in the store.
+    /// Reports when all settlements are in the store.
     Flush {
-        /// Where to.
+        /// Channel for the report.
         reply: oneshot::Sender<()>,
     },
 }
 
-/// What the claims duty works on.
+/// Inputs of the claims duty.
 pub struct ClaimsInputs {
-    /// The own name.
+    /// Name of this entry.
     pub own: DaemonName,
-    /// The own start.
+    /// Boot ID of this process.
     pub boot: BootId,
-    /// The way to the store.
-    pub gate: Arc<StoreGate>,
-    /// Calls other entries.
+    /// Access to the store.
+    pub client: Arc<StoreClient>,
+    /// Client for calls to other entries.
     pub links: Arc<dyn EntryLinks>,
-    /// The runtime's clock.
+    /// Clock of the runtime.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// What is to be done.
+    /// Commands from the other duties.
     pub commands: RingReceiver<ClaimCommand>,
-    /// Tells to stop.
+    /// Signals the process to stop.
     pub stop: StopSignal,
 }
 
-/// An ask of this entry that a claimer elsewhere is to answer.
+/// A query of this entry that a claimer has to answer.
 #[derive(Debug)]
-struct OpenAsk {
-    ask: ClaimQuery,
+struct PendingQuery {
+    query: ClaimQuery,
     reply: oneshot::Sender<ClaimAnswer>,
     tries: u8,
 }
 
-/// How a call ended.
-enum ClaimEnd {
+/// Result of a call.
+enum ClaimResult {
     Store {
         partition: PartitionId,
         call: CallNumber,
         answer: Option<StoreAnswer>,
     },
-    Asked {
-        open: OpenAsk,
+    Queried {
+        pending: PendingQuery,
         answer: Option<ClaimAnswer>,
     },
     Settled {
@@ -120,14 +120,14 @@
     },
 }
 
-/// Claims until the process ends.
-pub async fn claims(inputs: ClaimsInputs) {
+/// Processes claims until the process ends.
+pub async fn run_claims(inputs: ClaimsInputs) {
     let stop = inputs.stop.clone();
     let commands = inputs.commands;
     let mut duty = ClaimsDuty {
         claimer: LocalClaimer::new(&inputs.own, inputs.boot),
         own: inputs.own,
-        gate: inputs.gate,
+        client: inputs.client,
         links: inputs.links,
         clock: inputs.clock,
         metrics: inputs.metrics,
@@ -145,7 +145,7 @@
 
 struct ClaimsDuty {
     own: DaemonName,
-    gate: Arc<StoreGate>,
+    client: Arc<StoreClient>,
     links: Arc<dyn EntryLinks>,
     clock: RuntimeClock,
     metrics: MetricSet,
@@ -153,7 +153,7 @@
     map: PartitionMap,
     contacts: HashMap<DaemonName, SocketAddr>,
     outbox: Outbox,
-    calls: FuturesUnordered<BoxFuture<'static, ClaimEnd>>,
+    calls: FuturesUnordered<BoxFuture<'static, ClaimResult>>,
     flushes: Vec<oneshot::Sender<()>>,
 }
 
@@ -164,26 +164,26 @@
             let wake = self.clock.instant(wake);
             tokio::select! {
                 command = commands.receive() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
-                Some(end) = self.calls.next() => self.end(end),
+                Some(end) = self.calls.next() => self.handle_result(end),
                 () = tokio::time::sleep_until(wake) => self.tick(),
             }
-            self.tell_flushed();
+            self.notify_flushed();
         }
     }
 
-    fn command(&mut self, command: ClaimCommand) {
+    fn handle_command(&mut self, command: ClaimCommand) {
         match command {
-            ClaimCommand::Ask { ask, reply } => {
-                let open = OpenAsk {
-                    ask,
+            ClaimCommand::Query { query, reply } => {
+                let pending = PendingQuery {
+                    query,
                     reply,
                     tries: 0,
                 };
-                let owner = self.map.claimer_of(open.ask.key).cloned();
-                self.route(open, owner);
+                let owner = self.map.claimer_of(pending.query.key).cloned();
+                self.route_query(pending, owner);
             }
             ClaimCommand::Settle {
                 key,
@@ -201,7 +201,7 @@
                 self.settle_due();
             }
             ClaimCommand::Remote { call, reply } => self.serve(call, reply),
-            ClaimCommand::Entries(entries) => self.take_entries(&entries),
+            ClaimCommand::Entries(entries) => self.set_entries(&entries),
             ClaimCommand::Flush { reply } => {
                 self.flushes.push(reply);
                 self.outbox.retry_all(self.clock.now());
@@ -210,7 +210,7 @@
         }
     }
 
-    fn take_entries(&mut self, entries: &[EntryContact]) {
+    fn set_entries(&mut self, entries: &[EntryContact]) {
         let names: Vec<DaemonName> = entries.iter().map(|entry| entry.daemon.clone()).collect();
         self.map = PartitionMap::new(&names);
         let contacts = entries.iter();
@@ -219,67 +219,70 @@
             .collect();
     }
 
-    /// Asks the claimer that is thought to own the partition; the own one if none is reachable.
-    fn route(&mut self, mut open: OpenAsk, owner: Option<DaemonName>) {
-        if open.tries >= MOST_TRIES {
-            self.finish(open, unavailable());
+    /// Queries the presumed owner of the partition, or the local claimer if no owner is reachable.
+    fn route_query(&mut self, mut pending: PendingQuery, owner: Option<DaemonName>) {
+        if pending.tries >= MAX_TRIES {
+            self.finish(pending, unavailable());
             return;
         }
-        open.tries += 1;
+        pending.tries += 1;
         let owner = owner.filter(|owner| *owner != self.own);
         let address = owner.and_then(|owner| self.contacts.get(&owner).copied());
         if let Some(address) = address {
-            self.ask_remote(open, address);
+            self.query_remote(pending, address);
             return;
         }
-        let ask = open.ask;
-        self.claimer.wait(ask, AskWaiter::Own(open));
-        self.step(PartitionId::of(ask.key), ClaimEvent::Queried(ask));
+        let query = pending.query;
+        self.claimer
+            .add_query_waiter(query, QueryWaiter::Own(pending));
+        self.step(PartitionId::of(query.key), ClaimEvent::Queried(query));
     }
 
-    fn ask_remote(&mut self, open: OpenAsk, address: SocketAddr) {
-        let asking = self.links.claim(address, ClaimCall::Ask(open.ask));
-        let asking = asking.map(move |answer| {
+    fn query_remote(&mut self, pending: PendingQuery, address: SocketAddr) {
+        let querying = self.links.claim(address, ClaimCall::Query(pending.query));
+        let querying = querying.map(move |answer| {
             let answer = match answer {
                 Some(ClaimReply::Answer(answer)) => Some(answer),
                 Some(ClaimReply::Recorded | ClaimReply::Pending) | None => None,
             };
-            ClaimEnd::Asked { open, answer }
+            ClaimResult::Queried { pending, answer }
         });
-        self.calls.push(asking.boxed());
+        self.calls.push(querying.boxed());
     }
 
-    fn finish(&self, open: OpenAsk, answer: ClaimAnswer) {
+    fn finish(&self, pending: PendingQuery, answer: ClaimAnswer) {
         self.metrics.count_claim(match &answer {
             ClaimAnswer::Granted => "granted",
             ClaimAnswer::Denied(_) => "denied",
             ClaimAnswer::Unavailable { .. } | ClaimAnswer::Moved { .. } => "unavailable",
         });
-        // A request that is over settles the claim by itself.
-        let _ = open.reply.send(answer);
+        // A request that has ended settles its claim separately.
+        let _ = pending.reply.send(answer);
     }
 
-    fn answered(&mut self, open: OpenAsk, answer: ClaimAnswer) {
+    fn handle_answer(&mut self, pending: PendingQuery, answer: ClaimAnswer) {
         match answer {
-            ClaimAnswer::Moved { owner } => self.route(open, owner),
-            last => self.finish(open, last),
+            ClaimAnswer::Moved { owner } => self.route_query(pending, owner),
+            last => self.finish(pending, last),
         }
     }
 
-    /// Another entry's word to the claimer here.
+    /// Processes a call of another entry to the local claimer.
     fn serve(&mut self, call: ClaimCall, reply: oneshot::Sender<ClaimReply>) {
         let (key, event) = match call {
-            ClaimCall::Ask(ask) => {
-                self.claimer.wait(ask, AskWaiter::Peer(reply));
-                (ask.key, ClaimEvent::Queried(ask))
+            ClaimCall::Query(query) => {
+                self.claimer
+                    .add_query_waiter(query, QueryWaiter::Peer(reply));
+                (query.key, ClaimEvent::Queried(query))
             }
             ClaimCall::Release(release) => {
                 self.claimer
-                    .wait_settled(release.key, release.request, reply);
+                    .add_settle_waiter(release.key, release.request, reply);
                 (release.key, ClaimEvent::Released(release))
             }
             ClaimCall::Finish(finish) => {
-                self.claimer.wait_settled(finish.key, finish.request, reply);
+                self.claimer
+                    .add_settle_waiter(finish.key, finish.request, reply);
                 (finish.key, ClaimEvent::Finished(finish))
             }
         };
@@ -290,20 +293,20 @@
         let now = self.clock.now();
         for output in self.claimer.step(partition, event, now) {
             match output {
-                ClaimerOutput::Store(order) => {
-                    let gate = Arc::clone(&self.gate);
-                    let call = storing::carry_out(gate, partition, order);
+                ClaimerOutput::Store(store_call) => {
+                    let client = Arc::clone(&self.client);
+                    let call = store_calls::execute(client, partition, store_call);
                     self.calls.push(call.boxed());
                 }
-                ClaimerOutput::Answered { open, answer } => self.answered(open, answer),
+                ClaimerOutput::Answered { pending, answer } => self.handle_answer(pending, answer),
                 ClaimerOutput::Recorded(settlement) => self.outbox.recorded(settlement),
             }
         }
     }
 
-    fn end(&mut self, end: ClaimEnd) {
+    fn handle_result(&mut self, end: ClaimResult) {
         match end {
-            ClaimEnd::Store {
+            ClaimResult::Store {
                 partition,
                 call,
                 answer,
@@ -314,23 +317,23 @@
                 };
                 self.step(partition, event);
             }
-            ClaimEnd::Asked { open, answer } => match answer {
-                Some(answer) => self.answered(open, answer),
-                // The claimer is dead or out of reach: the one here takes over.
-                None => self.route(open, None),
+            ClaimResult::Queried { pending, answer } => match answer {
+                Some(answer) => self.handle_answer(pending, answer),
+                // The claimer is down or unreachable: the local claimer takes over.
+                None => self.route_query(pending, None),
             },
-            ClaimEnd::Settled {
+            ClaimResult::Settled {
                 settlement,
                 recorded,
             } if recorded => self.outbox.recorded(settlement),
-            // It is said again later.
-            ClaimEnd::Settled { .. } => {}
+            // The outbox sends the settlement again later.
+            ClaimResult::Settled { .. } => {}
         }
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.claimer.forget_closed();
+        self.claimer.remove_closed();
         for partition in PartitionId::all() {
             if self.claimer.is_due(partition, now) {
                 self.step(partition, ClaimEvent::Timer);
@@ -356,14 +359,14 @@
 
     fn settle_remote(&self, settlement: Settlement, address: SocketAddr) {
         let settling = self.links.claim(address, settlement.call());
-        let settling = settling.map(move |reply| ClaimEnd::Settled {
+        let settling = settling.map(move |reply| ClaimResult::Settled {
             settlement,
             recorded: reply == Some(ClaimReply::Recorded),
         });
         self.calls.push(settling.boxed());
     }
 
-    fn tell_flushed(&mut self) {
+    fn notify_flushed(&mut self) {
         if self.outbox.is_empty() {
             for reply in self.flushes.drain(..) {
                 let _ = reply.send(());
@@ -374,6 +377,6 @@
 
 fn unavailable() -> ClaimAnswer {
     ClaimAnswer::Unavailable {
-        retry_after: RETRY_AFTER,
+        retry_after: RETRY_DELAY,
     }
 }
--- a/crates/oatpier-entry/src/peers/directory.rs
+++ b/crates/oatpier-entry/src/peers/directory.rs
@@ -1,4 +1,4 @@
-//! What the other duties are told of members.
+//! Updates about members for the other duties.
 
 use std::collections::{HashMap, HashSet};
 
@@ -12,110 +12,116 @@
 
 use super::driver::DriverState;
 use crate::claims::ClaimCommand;
-use crate::configuration::StoreOrder;
-use crate::news::{DirectoryNews, EntryNews};
-use crate::planner::{EndpointView, FleetPicture, PlanGroup};
+use crate::configuration::StoreRequest;
+use crate::planner::{EndpointView, FleetSnapshot, PlanGroup};
+use crate::updates::{CallersUpdate, DirectoryUpdate};
 
-/// Members that one round tells of; the rest comes in the next.
-const ROUND_MEMBERS: usize = 64;
+/// Maximum number of members per round of updates; the rest follow in the next round.
+const MEMBERS_PER_ROUND: usize = 64;
 
-/// Something for another duty.
-pub(super) enum Outgoing {
-    /// For the callers duty, which can serve from then on.
-    Config(EntryNews),
-    /// For the callers duty.
-    News(EntryNews),
-    /// For the configuration duty.
-    Order(StoreOrder),
-    /// For the claims duty.
+/// A message to another duty.
+pub(super) enum DutyMessage {
+    /// Configuration for the callers duty, which can serve once it has one.
+    Config(CallersUpdate),
+    /// Update for the callers duty.
+    Update(CallersUpdate),
+    /// Store call for the configuration duty.
+    StoreRequest(StoreRequest),
+    /// Command for the claims duty.
     Claims(ClaimCommand),
 }
 
-/// Takes what is to be told.
-pub(super) fn take(state: &mut DriverState) -> Vec<Outgoing> {
-    let mut news = Vec::new();
-    news.extend(state.order.take().map(Outgoing::Order));
-    news.extend(take_config(state));
+/// Collects the pending messages.
+pub(super) fn collect_messages(state: &mut DriverState) -> Vec<DutyMessage> {
+    let mut messages = Vec::new();
+    messages.extend(state.store_request.take().map(DutyMessage::StoreRequest));
+    messages.extend(take_config(state));
     let entries = state.entries();
-    if entries != state.told_entries {
-        state.told_entries.clone_from(&entries);
-        news.push(Outgoing::Claims(ClaimCommand::Entries(entries)));
+    if entries != state.sent_entries {
+        state.sent_entries.clone_from(&entries);
+        messages.push(DutyMessage::Claims(ClaimCommand::Entries(entries)));
     }
-    let count = state.dirty.len().min(ROUND_MEMBERS);
+    let count = state.dirty.len().min(MEMBERS_PER_ROUND);
     let dirty: Vec<DaemonName> = state.dirty.drain(..count).collect();
     let table = state.member.table();
     let registered: HashSet<&DaemonName> = registered_agents(state).collect();
     for view in dirty.iter().filter_map(|daemon| table.get(daemon)) {
         let is_registered = registered.contains(&view.facts.daemon);
-        let told = member_news(&view, is_registered).into_iter();
-        let told = told.map(EntryNews::Directory);
-        news.extend(told.map(Outgoing::News));
+        let updates = member_updates(&view, is_registered).into_iter();
+        let updates = updates.map(CallersUpdate::Directory);
+        messages.extend(updates.map(DutyMessage::Update));
     }
-    if count < ROUND_MEMBERS {
-        // A queue's word counts only once its endpoint's status was told.
+    if count < MEMBERS_PER_ROUND {
+        // Queue reports are sent only after all pending statuses, because they apply only to
+        // endpoints with a known status.
         let reports = state.reports.drain(..);
         let reports =
-            reports.map(|(endpoint, report)| DirectoryNews::QueueReport { endpoint, report });
-        news.extend(reports.map(EntryNews::Directory).map(Outgoing::News));
+            reports.map(|(endpoint, report)| DirectoryUpdate::QueueReport { endpoint, report });
+        messages.extend(
+            reports
+                .map(CallersUpdate::Directory)
+                .map(DutyMessage::Update),
+        );
     }
-    news
+    messages
 }
 
-fn take_config(state: &mut DriverState) -> Option<Outgoing> {
+fn take_config(state: &mut DriverState) -> Option<DutyMessage> {
     let held = state.member.in_force()?;
-    if held.generation <= state.told {
+    if held.generation <= state.sent_generation {
         return None;
     }
-    let news = EntryNews::Config {
+    let update = CallersUpdate::Config {
         generation: held.generation,
         config: held.value.clone(),
     };
-    state.told = held.generation;
-    Some(Outgoing::Config(news))
+    state.sent_generation = held.generation;
+    Some(DutyMessage::Config(update))
 }
 
 fn registered_agents(state: &DriverState) -> impl Iterator<Item = &DaemonName> {
-    let heard = state.member.registrar().reachable_agents();
-    heard.map(|(contact, _)| &contact.daemon)
+    let reachable = state.member.registrar().reachable_agents();
+    reachable.map(|(contact, _)| &contact.daemon)
 }
 
-/// The queue in a row that came by gossip is as old as the row. Where it says that the agent
-/// takes no work, that may have been before its first configuration, and no later row would say
-/// otherwise: such an agent gets work, and refuses by itself what it does not take.
+/// Returns a gossiped status with `accepting` set while the agent serves. The queue report in a
+/// gossiped row is as old as the row. If it says that the agent does not accept work, it may
+/// predate the agent's first configuration, and no later row would correct it. Such an agent
+/// receives work and refuses by itself what it does not accept.
 fn gossiped_status(status: &EndpointStatus, phase: MemberPhase) -> EndpointStatus {
     let mut status = status.clone();
     status.queue.accepting |= phase == MemberPhase::Serving;
     status
 }
 
-fn member_news(view: &MemberView<'_>, is_registered: bool) -> SmallVec<[DirectoryNews; 2]> {
+fn member_updates(view: &MemberView<'_>, is_registered: bool) -> SmallVec<[DirectoryUpdate; 2]> {
     let Some(status) = view.facts.status() else {
         return SmallVec::new();
     };
     let endpoint = status.endpoint.clone();
     if view.state == MemberState::Gone {
-        return SmallVec::from_iter([DirectoryNews::Gone(endpoint)]);
+        return SmallVec::from_iter([DirectoryUpdate::Gone(endpoint)]);
     }
     let status = if is_registered {
         status.clone()
     } else {
         gossiped_status(status, view.facts.phase)
     };
-    let whole = DirectoryNews::Status {
+    let status_update = DirectoryUpdate::Status {
         daemon: view.facts.daemon.clone(),
         address: view.facts.address,
         status: Box::new(status),
     };
-    let standing = if view.state == MemberState::Leaving || view.hinted_leaving {
-        DirectoryNews::Leaving(endpoint)
+    let leaving_update = if view.state == MemberState::Leaving || view.hinted_leaving {
+        DirectoryUpdate::Leaving(endpoint)
     } else {
-        DirectoryNews::Staying(endpoint)
+        DirectoryUpdate::NotLeaving(endpoint)
     };
-    SmallVec::from_iter([whole, standing])
+    SmallVec::from_iter([status_update, leaving_update])
 }
 
-/// What the planner needs to know; none without a configuration.
-pub(super) fn picture(state: &DriverState, own_zone: &ZoneName) -> Option<FleetPicture> {
+/// Returns the fleet state for the planner, or `None` without a configuration.
+pub(super) fn fleet_snapshot(state: &DriverState, own_zone: &ZoneName) -> Option<FleetSnapshot> {
     let held = state.member.in_force()?;
     let config = held.value.clone();
     let endpoints = config.pools.values().map(|pool| pool.endpoints.len());
@@ -125,7 +131,7 @@
     };
     let mut entries = state.entries();
     entries.retain(|entry| group.has_zone(&entry.zone));
-    Some(FleetPicture {
+    Some(FleetSnapshot {
         generation: held.generation,
         endpoints: endpoint_views(state, &config, &group),
         group,
@@ -192,13 +198,14 @@
     }
 }
 
-/// A planned stop counts from when it was asked for, though its agent is told only once there
-/// are replacements: the planner is to have them loaded meanwhile.
+/// Returns whether an agent is leaving. A planned stop counts from the time it was requested,
+/// although the agent is told only once replacements exist. The planner loads the replacements in
+/// the meantime.
 fn is_leaving(state: &DriverState, view: &MemberView<'_>) -> bool {
     let daemon = &view.facts.daemon;
-    let word = state.member.stops().request(daemon);
+    let request = state.member.stops().request(daemon);
     view.state == MemberState::Leaving
         || view.hinted_leaving
-        || word.is_some_and(|word| !word.withdrawn)
-        || state.stops.holds(daemon)
+        || request.is_some_and(|request| !request.withdrawn)
+        || state.stops.contains(daemon)
 }
--- a/crates/oatpier-entry/src/peers/operator.rs
+++ b/crates/oatpier-entry/src/peers/operator.rs
@@ -1,4 +1,4 @@
-//! What operators are told, as JSON.
+//! Operator API, with JSON responses.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,30 +24,30 @@
 use super::driver::{DriverState, MemberDriver};
 use super::handler::PeerHandler;
 use crate::messages::GenerationRows;
-use crate::news::{CallersQuestion, CallersStanding, EntryNews};
 use crate::planner::PlanGroup;
+use crate::updates::{CallersQuery, CallersStatus, CallersUpdate};
 
 mod explain;
 
-/// How long another duty may take to answer.
-const ANSWER_WAIT: Duration = Duration::from_millis(500);
+/// Timeout of an answer from another duty.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Answers an operator.
+/// Answers an operator request.
 pub(super) async fn answer(handler: &PeerHandler, path: &str) -> Reply {
     if let Some(name) = path.strip_prefix(EXPLAIN_MODEL_PATH) {
-        return found(explain::model(handler, name).as_ref());
+        return json_reply(explain::model(handler, name).as_ref());
     }
     if let Some(id) = path.strip_prefix(EXPLAIN_REQUEST_PATH) {
-        return found(request(handler, id).await.as_ref());
+        return json_reply(explain_request(handler, id).await.as_ref());
     }
     match path {
-        STATUS_PATH => found(Some(&status(handler).await)),
-        CONFIG_PATH => found(Some(&config(handler).await)),
+        STATUS_PATH => json_reply(Some(&status(handler).await)),
+        CONFIG_PATH => json_reply(Some(&config(handler).await)),
         _ => reply::text(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-fn found<T: Serialize>(answer: Option<&T>) -> Reply {
+fn json_reply<T: Serialize>(answer: Option<&T>) -> Reply {
     let Some(answer) = answer else {
         return reply::text(StatusCode::NOT_FOUND, "not known here\n");
     };
@@ -57,32 +57,35 @@
     }
 }
 
-async fn request(handler: &PeerHandler, id: &str) -> Option<ExplainRequest> {
+async fn explain_request(handler: &PeerHandler, id: &str) -> Option<ExplainRequest> {
     let request = RequestId(u128::from_str_radix(id, 16).ok()?);
-    let ask = |reply| CallersQuestion::Request { request, reply };
-    ask_callers(handler, ask).await.flatten()
+    let query = |reply| CallersQuery::Request { request, reply };
+    query_callers(handler, query).await.flatten()
 }
 
-/// Asks the callers duty; none if it does not answer in time.
-async fn ask_callers<T>(
+/// Queries the callers duty; returns `None` if it does not answer in time.
+async fn query_callers<T>(
     handler: &PeerHandler,
-    question: impl FnOnce(oneshot::Sender<T>) -> CallersQuestion,
+    query: impl FnOnce(oneshot::Sender<T>) -> CallersQuery,
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
-    let question = EntryNews::Question(question(reply));
-    handler.news.try_send(question).ok()?;
-    tokio::time::timeout(ANSWER_WAIT, answer).await.ok()?.ok()
+    let query = CallersUpdate::Query(query(reply));
+    handler.updates.try_send(query).ok()?;
+    tokio::time::timeout(ANSWER_TIMEOUT, answer)
+        .await
+        .ok()?
+        .ok()
 }
 
 async fn status(handler: &PeerHandler) -> StatusAnswer {
-    let ask = |reply| CallersQuestion::Standing { reply };
-    let standing = ask_callers(handler, ask).await.unwrap_or_default();
+    let query = |reply| CallersQuery::Status { reply };
+    let callers_status = query_callers(handler, query).await.unwrap_or_default();
     let planner = planner_row(handler).await;
     let driver = &handler.driver;
     let state = driver.lock();
     let members = state.member.table().members();
     let mut daemons: Vec<DaemonRow> = members
-        .map(|view| daemon_row(driver, &state, &view, &standing))
+        .map(|view| daemon_row(driver, &state, &view, &callers_status))
         .collect();
     daemons.sort_by(|left, right| left.name.cmp(&right.name));
     let config = state.member.in_force().map(|held| held.value.clone());
@@ -92,19 +95,20 @@
             .map(|config| model_rows(&state, &config))
             .unwrap_or_default(),
         planner,
-        store: handler.gate.row(),
-        attainment: standing.attainment,
+        store: handler.client.row(),
+        attainment: callers_status.attainment,
         ..StatusAnswer::default()
     }
 }
 
-/// The lease's holder as the store has it; operators ask seldom.
+/// Returns the lease holder as stored. It is read from the store, because operators query it
+/// rarely.
 async fn planner_row(handler: &PeerHandler) -> PlannerRow {
-    let group = handler.driver.picture().map(|picture| picture.group);
+    let group = handler.driver.snapshot().map(|snapshot| snapshot.group);
     let key = group.as_ref().map(PlanGroup::lease_key);
     let holder = match key {
         Some(key) => {
-            let read = handler.gate.get(CallKind::StatusHistory, &key).await;
+            let read = handler.client.get(CallKind::StatusHistory, &key).await;
             let stored = read.ok().flatten();
             let lease = stored.and_then(|stored| serde_json::from_slice(&stored.value).ok());
             lease.filter(|lease: &PlannerLease| !lease.released)
@@ -113,7 +117,7 @@
     };
     PlannerRow {
         holder: holder.map(|lease| lease.holder),
-        plan_age_ms: handler.board.plan_age_ms(handler.driver.clock.now()),
+        plan_age_ms: handler.cache.plan_age_ms(handler.driver.clock.now()),
     }
 }
 
@@ -121,14 +125,14 @@
     driver: &MemberDriver,
     state: &DriverState,
     view: &MemberView<'_>,
-    standing: &CallersStanding,
+    callers_status: &CallersStatus,
 ) -> DaemonRow {
     let facts = view.facts;
     let is_own = facts.daemon == driver.own.daemon;
     let endpoint = facts.status().map(|status| status.endpoint.clone());
     let now = driver.clock.now();
-    let heard = state.heard.get(&facts.daemon).filter(|_| !is_own);
-    let heard = heard.map_or(0, |at| now.since(*at).as_millis());
+    let last_heard = state.last_heard.get(&facts.daemon).filter(|_| !is_own);
+    let last_heard = last_heard.map_or(0, |at| now.since(*at).as_millis());
     DaemonRow {
         name: facts.daemon.clone(),
         duty: if facts.is_entry() {
@@ -136,20 +140,20 @@
         } else {
             DaemonDuty::Agent
         },
-        state: state_of(view, endpoint.as_ref(), standing),
+        state: state_of(view, endpoint.as_ref(), callers_status),
         endpoint,
         zone: facts.zone.clone(),
         generation: generation_of(state, view),
-        heard_ms: u64::try_from(heard).unwrap_or(u64::MAX),
+        heard_ms: u64::try_from(last_heard).unwrap_or(u64::MAX),
     }
 }
 
 fn state_of(
     view: &MemberView<'_>,
     endpoint: Option<&EndpointName>,
-    standing: &CallersStanding,
+    callers_status: &CallersStatus,
 ) -> DaemonState {
-    let is_ejected = endpoint.is_some_and(|endpoint| standing.ejected.contains(endpoint));
+    let is_ejected = endpoint.is_some_and(|endpoint| callers_status.ejected.contains(endpoint));
     match view.state {
         MemberState::Leaving => DaemonState::Leaving,
         MemberState::Alive if is_ejected => DaemonState::Ejected,
@@ -158,13 +162,16 @@
     }
 }
 
-/// What a registered agent said in its last heartbeat is later than its row.
+/// Returns the newest known generation of a member. The last heartbeat of a registered agent is
+/// newer than its row.
 fn generation_of(state: &DriverState, view: &MemberView<'_>) -> oatpier_types::ids::Generation {
     let daemon = &view.facts.daemon;
     let mut registered = state.member.registrar().generations();
-    let heard = registered.find(|(name, _)| *name == daemon);
-    let heard = heard.map(|(_, generation)| generation).unwrap_or_default();
-    view.facts.generation.max(heard)
+    let reported = registered.find(|(name, _)| *name == daemon);
+    let reported = reported
+        .map(|(_, generation)| generation)
+        .unwrap_or_default();
+    view.facts.generation.max(reported)
 }
 
 fn model_rows(state: &DriverState, config: &FleetConfig) -> Vec<ModelRow> {
@@ -196,7 +203,7 @@
     rows
 }
 
-/// The configuration in force here, and at the agents that are registered here.
+/// Returns the active generations of this entry and of the agents registered with it.
 pub(super) fn own_generations(driver: &MemberDriver) -> GenerationRows {
     let state = driver.lock();
     let own = DaemonGeneration {
@@ -215,20 +222,20 @@
     }
 }
 
-/// Who is on which generation. Only a registrar hears of each change at its agents, so all live
-/// entries are asked; an operator waits for this, and asks seldom.
+/// Returns the generation of each daemon. Only its registrar receives each change of an agent, so
+/// all live entries are queried. Operators wait for this query and run it rarely.
 async fn config(handler: &PeerHandler) -> ConfigAnswer {
     let driver = &handler.driver;
     let entries = driver.lock().entries();
     let others = entries
         .iter()
         .filter(|entry| entry.daemon != driver.own.daemon);
-    let mut asked: FuturesUnordered<_> = others
-        .map(|entry| driver.links.ask_generations(entry.address))
+    let mut queries: FuturesUnordered<_> = others
+        .map(|entry| driver.links.fetch_generations(entry.address))
         .collect();
     let mut rows = table_generations(driver);
     merge(&mut rows, own_generations(driver));
-    while let Some(answer) = asked.next().await {
+    while let Some(answer) = queries.next().await {
         merge(&mut rows, answer.unwrap_or_default());
     }
     let state = driver.lock();
@@ -245,7 +252,7 @@
 
 fn table_generations(driver: &MemberDriver) -> GenerationMap {
     let state = driver.lock();
-    let standing = CallersStanding::default();
+    let callers_status = CallersStatus::default();
     let members = state.member.table().members();
     let rows = members
         .filter(|view| view.state != MemberState::Gone)
@@ -253,16 +260,16 @@
             let row = DaemonGeneration {
                 name: view.facts.daemon.clone(),
                 generation: generation_of(&state, &view),
-                state: state_of(&view, None, &standing),
+                state: state_of(&view, None, &callers_status),
             };
             (row.name.clone(), row)
         });
     rows.collect()
 }
 
-/// A later generation counts; where the table stands against a daemon, that stays said.
-fn merge(rows: &mut GenerationMap, told: GenerationRows) {
-    for row in told.rows {
+/// Merges rows: the newer generation wins, and the known state of a daemon is kept.
+fn merge(rows: &mut GenerationMap, added: GenerationRows) {
+    for row in added.rows {
         match rows.get_mut(&row.name) {
             Some(known) => known.generation = known.generation.max(row.generation),
             None => {
--- a/crates/oatpier-entry/src/peers/placement.rs
+++ b/crates/oatpier-entry/src/peers/placement.rs
@@ -1,4 +1,4 @@
-//! What agents are told of the plan, and of who else holds their weights.
+//! Answers agents' queries for their plan row and for other holders of their weights.
 
 use std::collections::HashSet;
 
@@ -13,35 +13,35 @@
 use smallvec::SmallVec;
 
 use super::driver::{DriverState, MemberDriver};
-use crate::planner::PlannerBoard;
+use crate::planner::PlanCache;
 
-/// Holders that are named of each version of some weights.
-const NAMED_HOLDERS: usize = 4;
+/// Maximum number of holders returned per version of weights.
+const MAX_HOLDERS: usize = 4;
 
-/// What concerns one endpoint's weights.
+/// Returns the placement data for one endpoint.
 pub(super) fn view(
     driver: &MemberDriver,
-    board: &PlannerBoard,
-    ask: &PlacementQuery,
+    cache: &PlanCache,
+    query: &PlacementQuery,
 ) -> PlacementView {
     let settled = driver.is_settled();
     let state = driver.lock();
     let table = state.member.table();
     let config = state.member.in_force();
     let unserved = match config {
-        // What an entry that has just started does not know of may well be there: agents that
-        // took it for lost would all load it again.
-        Some(held) if settled => unserved(&state, &held.value, &ask.pool),
+        // Weights unknown to an entry that has just started may well be loaded. If agents
+        // considered them lost, all of them would load the weights again.
+        Some(held) if settled => unserved_weights(&state, &held.value, &query.pool),
         _ => Vec::new(),
     };
     let live = if unserved.is_empty() {
         Vec::new()
     } else {
-        live(table, &ask.pool)
+        live_endpoints(table, &query.pool)
     };
     PlacementView {
-        plan: board.row(&ask.endpoint),
-        holders: holders(table, ask),
+        plan: cache.row(&query.endpoint),
+        holders: holders(table, query),
         unserved,
         live,
     }
@@ -58,17 +58,18 @@
         .flat_map(|status| &status.ready)
 }
 
-fn holders(table: &MemberTable, ask: &PlacementQuery) -> Vec<WeightsHolders> {
+fn holders(table: &MemberTable, query: &PlacementQuery) -> Vec<WeightsHolders> {
     let mut found: IndexMap<WeightsKey, Vec<HolderContact>> = IndexMap::new();
     for view in table.usable_agents() {
         let Some(status) = view.facts.status() else {
             continue;
         };
-        if status.endpoint == ask.endpoint {
+        if status.endpoint == query.endpoint {
             continue;
         }
-        let asked = |ready: &&WeightsKey| ask.weights.iter().any(|key| same_weights(key, ready));
-        for ready in ready_of(&view).filter(asked) {
+        let is_queried =
+            |ready: &&WeightsKey| query.weights.iter().any(|key| same_weights(key, ready));
+        for ready in ready_of(&view).filter(is_queried) {
             found.entry(ready.clone()).or_default().push(HolderContact {
                 endpoint: status.endpoint.clone(),
                 address: view.facts.address,
@@ -78,14 +79,18 @@
     found
         .into_iter()
         .map(|(weights, holders)| WeightsHolders {
-            holders: few(&weights, holders),
+            holders: choose_holders(&weights, holders),
             weights,
         })
         .collect()
 }
 
-/// All that ask hear of the same few: who asks and who is asked then meet.
-fn few(weights: &WeightsKey, holders: Vec<HolderContact>) -> SmallVec<[HolderContact; 4]> {
+/// Returns a few holders by rendezvous hashing. All agents get the same few, so that their requests
+/// for the same weights reach the same holders.
+fn choose_holders(
+    weights: &WeightsKey,
+    holders: Vec<HolderContact>,
+) -> SmallVec<[HolderContact; 4]> {
     let adapter = weights
         .adapter
         .as_ref()
@@ -97,12 +102,12 @@
         .map(|holder| (weight(&holder), holder))
         .collect();
     ranked.sort_by_key(|(weight, _)| std::cmp::Reverse(*weight));
-    let named = ranked.into_iter().take(NAMED_HOLDERS);
+    let named = ranked.into_iter().take(MAX_HOLDERS);
     named.map(|(_, holder)| holder).collect()
 }
 
-/// Configured weights of the pool of which no version is ready anywhere.
-fn unserved(state: &DriverState, config: &FleetConfig, pool: &PoolName) -> Vec<WeightsKey> {
+/// Returns the configured weights of the pool without a ready version on any endpoint.
+fn unserved_weights(state: &DriverState, config: &FleetConfig, pool: &PoolName) -> Vec<WeightsKey> {
     let is_of_pool = |model| {
         config
             .models
@@ -145,7 +150,7 @@
     }
 }
 
-fn live(table: &MemberTable, pool: &PoolName) -> Vec<EndpointName> {
+fn live_endpoints(table: &MemberTable, pool: &PoolName) -> Vec<EndpointName> {
     let statuses = table.usable_agents().filter_map(|view| view.facts.status());
     let of_pool = statuses.filter(|status| status.pool == *pool);
     let mut live: Vec<EndpointName> = of_pool.map(|status| status.endpoint.clone()).collect();
--- a/crates/oatpier-entry/src/planner/follow.rs
+++ b/crates/oatpier-entry/src/planner/watcher.rs
@@ -1,4 +1,4 @@
-//! Follows the plans in the store, for the agents that ask this entry.
+//! Watches the plans in the store, on behalf of the agents that query this entry.
 
 use std::time::Duration;
 
@@ -9,19 +9,21 @@
 use oatpier_types::names::ZoneName;
 use tokio::sync::watch;
 
-use super::board::PlannerBoard;
-use super::picture::PlanGroup;
-use crate::store::StoreGate;
+use super::cache::PlanCache;
+use super::snapshot::PlanGroup;
+use crate::store::StoreClient;
 
-/// How long one watch waits: a call for each entry in this time, and bytes only with a change.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// How long to wait after a call that failed.
-const RETRY_WAIT: Duration = Duration::from_secs(1);
+/// Duration of one watch call: each entry makes one call in this time and receives data only after
+/// a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Follows the plans of the group for ever. While the store is away the last ones stay.
-pub(super) async fn follow_plans(
-    gate: &StoreGate,
-    board: &PlannerBoard,
+/// Watches the plans of the group until the future is dropped. While the store is unavailable, the
+/// last known plans stay in use.
+pub(super) async fn watch_plans(
+    client: &StoreClient,
+    cache: &PlanCache,
     mut groups: watch::Receiver<Option<PlanGroup>>,
 ) {
     let mut seen = Revision(0);
@@ -35,15 +37,15 @@
         };
         let prefix = prefix_of(&group);
         let kind = CallKind::PlanRead;
-        let watched = gate.watch(kind, &prefix, seen, WATCH_WAIT).await;
+        let watched = client.watch(kind, &prefix, seen, WATCH_TIMEOUT).await;
         match watched {
             Ok(changes) => {
                 for change in changes {
                     seen = seen.max(change.revision);
-                    show(board, &group, change);
+                    apply_change(cache, &group, change);
                 }
             }
-            Err(_) => tokio::time::sleep(RETRY_WAIT).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
@@ -55,18 +57,18 @@
     }
 }
 
-fn show(board: &PlannerBoard, group: &PlanGroup, change: KeyChange) {
+fn apply_change(cache: &PlanCache, group: &PlanGroup, change: KeyChange) {
     let name = change.key.strip_prefix(PLAN_PREFIX);
     let zone = name.and_then(|name| ZoneName::try_from(name).ok());
     let (Some(zone), Some(value)) = (zone, change.value) else {
         return;
     };
-    // A name that only begins like the zone's is another zone's.
+    // Ignores keys that only share the prefix with the zone's key; they belong to other zones.
     if !group.has_zone(&zone) {
         return;
     }
     match decode_plan(&value) {
-        Ok(plan) => board.show(zone, plan),
-        Err(error) => spdlog::error!("the plan of {zone} can't be understood: {error}"),
+        Ok(plan) => cache.update(zone, plan),
+        Err(error) => spdlog::error!("the plan of {zone} can't be decoded: {error}"),
     }
 }
--- a/crates/oatpier-entry/src/sink.rs
+++ b/crates/oatpier-entry/src/sink.rs
@@ -1,8 +1,8 @@
-//! The caller's side of one request: where its answer goes.
+//! Sends the answer of one request to its caller.
 //!
-//! A streamed answer goes out piece by piece; any other is held until it is whole, so that a
-//! failure on the way is still answered by a proper error. Pieces wait in a bounded channel. A
-//! caller that reads slowly fills its own channel and stops its own request's reading, no other.
+//! A streamed answer is sent piece by piece. Any other answer is buffered until it is complete, so
+//! that a failure in the middle still results in an error response. Pieces wait in a bounded
+//! channel: a slow caller fills its own channel and pauses the reading of its own request only.
 
 use bytes::Bytes;
 use futures::stream;
@@ -13,20 +13,20 @@
 
 use crate::errors::{CallerError, RequestIdentity, identify};
 
-/// Pieces of an answer that wait for a slow caller.
-const WAITING_PIECES: usize = 16;
+/// Capacity of the channel of pieces to a caller.
+const PIECE_CAPACITY: usize = 16;
 
-/// The head of an endpoint's answer.
+/// Status and headers of an endpoint's answer.
 #[derive(Debug, Clone)]
 pub struct AnswerHead {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
 }
 
 impl AnswerHead {
-    /// Whether the answer is a stream of server-sent events.
+    /// Returns whether the answer is a stream of server-sent events.
     #[must_use]
     pub fn is_stream(&self) -> bool {
         self.headers
@@ -35,72 +35,72 @@
     }
 }
 
-/// Whether a relayed piece was taken.
+/// Whether the caller can receive more pieces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SinkState {
-    /// The caller takes more.
+    /// The caller can receive more.
     Ready,
-    /// The caller takes no more at the moment.
+    /// The channel to the caller is full.
     Blocked,
 }
 
-/// What changed at the caller.
+/// A change of the caller's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SinkChange {
-    /// It takes more again.
+    /// The caller can receive more again.
     Ready,
-    /// It went away.
+    /// The caller disconnected.
     Gone,
 }
 
 enum SinkStage {
     /// Nothing was sent.
     Start(oneshot::Sender<Reply>),
-    /// A whole answer is held until its end.
-    Held {
+    /// A non-streaming answer is buffered until its end.
+    Buffered {
         reply: oneshot::Sender<Reply>,
         head: AnswerHead,
         body: Vec<Bytes>,
     },
     /// A stream is being sent.
     Streaming(mpsc::Sender<Bytes>),
-    /// All was sent.
+    /// Everything was sent.
     Done,
 }
 
-/// Where the answer to one request goes.
+/// Destination of the answer to one request.
 pub struct CallerSink {
     identity: RequestIdentity,
     stage: SinkStage,
-    waiting: Option<Bytes>,
+    pending_piece: Option<Bytes>,
 }
 
 impl CallerSink {
-    /// A sink whose reply is awaited at the receiver.
+    /// Creates a sink and the receiver of its response.
     #[must_use]
     pub fn new(identity: RequestIdentity) -> (Self, oneshot::Receiver<Reply>) {
         let (sender, receiver) = oneshot::channel();
         let sink = Self {
             identity,
             stage: SinkStage::Start(sender),
-            waiting: None,
+            pending_piece: None,
         };
         (sink, receiver)
     }
 
-    /// Sends a piece, and the head before the first one.
+    /// Sends a piece, preceded by the head if it is given.
     pub fn relay(&mut self, head: Option<AnswerHead>, piece: Bytes) -> SinkState {
         if let Some(head) = head {
-            self.begin(head);
+            self.send_head(head);
         }
         match &mut self.stage {
-            SinkStage::Held { body, .. } => body.push(piece),
+            SinkStage::Buffered { body, .. } => body.push(piece),
             SinkStage::Streaming(sender) => match sender.try_send(piece) {
                 Err(mpsc::error::TrySendError::Full(piece)) => {
-                    self.waiting = Some(piece);
+                    self.pending_piece = Some(piece);
                     return SinkState::Blocked;
                 }
-                // A caller that is gone is seen by `gone`.
+                // `changed` reports a disconnected caller.
                 Ok(()) | Err(mpsc::error::TrySendError::Closed(_)) => {}
             },
             SinkStage::Start(_) | SinkStage::Done => {}
@@ -108,19 +108,20 @@
         SinkState::Ready
     }
 
-    /// Whether a piece waits for the caller.
+    /// Returns whether a piece waits for the caller.
     #[must_use]
     pub fn is_blocked(&self) -> bool {
-        self.waiting.is_some()
+        self.pending_piece.is_some()
     }
 
-    /// Waits until the caller takes more again, if a piece waits, or has gone away.
+    /// Waits until the caller disconnects or, if a piece is waiting, until the caller can receive
+    /// more.
     pub async fn changed(&mut self) -> SinkChange {
         match &mut self.stage {
-            SinkStage::Start(reply) | SinkStage::Held { reply, .. } => reply.closed().await,
-            SinkStage::Streaming(sender) if self.waiting.is_some() => {
+            SinkStage::Start(reply) | SinkStage::Buffered { reply, .. } => reply.closed().await,
+            SinkStage::Streaming(sender) if self.pending_piece.is_some() => {
                 if let Ok(permit) = sender.reserve().await {
-                    permit.send(self.waiting.take().unwrap_or_default());
+                    permit.send(self.pending_piece.take().unwrap_or_default());
                     return SinkChange::Ready;
                 }
             }
@@ -130,30 +131,31 @@
         SinkChange::Gone
     }
 
-    /// Ends a whole answer; `head` is given if no piece came.
+    /// Completes the answer; `head` is set if no piece was relayed.
     pub fn finish(&mut self, head: Option<AnswerHead>) {
         if let Some(head) = head {
-            self.begin(head);
+            self.send_head(head);
         }
         match std::mem::replace(&mut self.stage, SinkStage::Done) {
-            SinkStage::Held { reply, head, body } => {
+            SinkStage::Buffered { reply, head, body } => {
                 let body = body.concat();
-                let answer = answer_of(&head, reply::text(StatusCode::OK, body), self.identity);
+                let answer = build_reply(&head, reply::text(StatusCode::OK, body), self.identity);
                 let _ = reply.send(answer);
             }
-            // Dropping the sender ends the stream, after what waits in it.
+            // Dropping the sender ends the stream after the pieces in the channel.
             SinkStage::Streaming(_) | SinkStage::Start(_) | SinkStage::Done => {}
         }
     }
 
-    /// Ends the answer by an error: as its status, or as the last event of a begun stream.
+    /// Ends the answer with an error: as an error response, or as the last event of a stream that
+    /// has begun.
     pub async fn fail(&mut self, error: &CallerError) {
         match std::mem::replace(&mut self.stage, SinkStage::Done) {
-            SinkStage::Start(reply) | SinkStage::Held { reply, .. } => {
+            SinkStage::Start(reply) | SinkStage::Buffered { reply, .. } => {
                 let _ = reply.send(error.reply(self.identity));
             }
             SinkStage::Streaming(sender) => {
-                if let Some(piece) = self.waiting.take() {
+                if let Some(piece) = self.pending_piece.take() {
                     let _ = sender.send(piece).await;
                 }
                 let _ = sender.send(error.event(self.identity)).await;
@@ -162,27 +164,27 @@
         }
     }
 
-    fn begin(&mut self, head: AnswerHead) {
+    fn send_head(&mut self, head: AnswerHead) {
         let SinkStage::Start(reply) = std::mem::replace(&mut self.stage, SinkStage::Done) else {
             return;
         };
         if !head.is_stream() {
             let body = Vec::new();
-            self.stage = SinkStage::Held { reply, head, body };
+            self.stage = SinkStage::Buffered { reply, head, body };
             return;
         }
-        let (sender, receiver) = mpsc::channel(WAITING_PIECES);
+        let (sender, receiver) = mpsc::channel(PIECE_CAPACITY);
         let pieces = stream::unfold(receiver, |mut receiver| async move {
             let piece = receiver.recv().await?;
             Some((Ok::<_, BoxError>(piece), receiver))
         });
         let streamed = reply::streamed(StatusCode::OK, "text/event-stream", pieces);
-        let _ = reply.send(answer_of(&head, streamed, self.identity));
+        let _ = reply.send(build_reply(&head, streamed, self.identity));
         self.stage = SinkStage::Streaming(sender);
     }
 }
 
-fn answer_of(head: &AnswerHead, mut reply: Reply, identity: RequestIdentity) -> Reply {
+fn build_reply(head: &AnswerHead, mut reply: Reply, identity: RequestIdentity) -> Reply {
     *reply.status_mut() = head.status;
     for (name, value) in &head.headers {
         reply.headers_mut().insert(name.clone(), value.clone());
