--- a/crates/oatpier-bench/src/cost/fleet.rs
+++ b/crates/oatpier-bench/src/cost/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of a given size, as each decision sees it.
+//! Fleets of fixed sizes that serve as input for the measured decisions.
 
 use indexmap::IndexMap;
 use oatpier_types::config::{FleetConfig, PoolKind, PoolSpec, RegionSpec, WeightStoreSpec};
@@ -11,35 +11,35 @@
     ENGINE_MEMORY_MIB, ENGINE_SLOTS, classes, model_name, model_spec, name,
 };
 
-/// Base models that each endpoint holds: as many as its memory has room for.
+/// Number of base models on each endpoint, which is as many as fit into its memory.
 const MODELS_PER_ENDPOINT: usize = 5;
-/// Availability zones of one region.
+/// Number of availability zones in one region.
 const ZONES_PER_REGION: usize = 2;
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
-    /// Engine endpoints.
+    /// Number of engine endpoints.
     pub endpoints: usize,
-    /// Models.
+    /// Number of models.
     pub models: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
 }
 
-/// A fleet with its models spread evenly.
+/// Fleet whose models are spread evenly over its endpoints.
 #[derive(Debug, Clone)]
 pub struct CostFleet {
-    /// Its size.
+    /// Size of the fleet.
     pub size: FleetSize,
-    /// Its configuration.
+    /// Configuration of the fleet.
     pub config: FleetConfig,
-    /// What each agent says.
+    /// Status that each agent reports.
     pub statuses: Vec<EndpointStatus>,
 }
 
 impl CostFleet {
-    /// A fleet of a given size.
+    /// Creates a fleet of the given size.
     #[must_use]
     pub fn new(size: FleetSize) -> Self {
         let config = config(size);
@@ -54,12 +54,12 @@
     }
 }
 
-/// The pool of all engines.
+/// Returns the name of the pool that holds all engines.
 pub(super) fn pool() -> PoolName {
     name("llm")
 }
 
-/// The availability zone at a place.
+/// Returns the name of the availability zone with this index.
 pub(super) fn zone(place: usize) -> ZoneName {
     name(&format!("zone-{place}"))
 }
@@ -119,7 +119,7 @@
     }
 }
 
-/// An agent's word on its queue.
+/// Returns the queue report of the agent with this index.
 pub(super) fn queue_report(index: usize, sequence: u64) -> QueueReport {
     QueueReport {
         boot: BootId(index as u128 + 1),
--- a/crates/oatpier-bench/src/cost/mod.rs
+++ b/crates/oatpier-bench/src/cost/mod.rs
@@ -1,7 +1,7 @@
-//! The cost bench: time and allocations of one decision, at three sizes of the fleet.
+//! Cost bench: time and allocations of one decision, at three fleet sizes.
 //!
-//! Times are of this machine and are printed only. Allocations, and how they grow, are the same
-//! everywhere and are held to bounds. The clock of the machine is read here and in no decision.
+//! Times depend on the machine and are only printed. Allocation counts and their growth are the same on every machine
+//! and are checked against bounds. Only this module reads the system clock; the decisions never do.
 
 mod fleet;
 mod requests;
@@ -17,7 +17,7 @@
 
 pub use fleet::{CostFleet, FleetSize};
 
-/// The sizes: of a deployment today, of a tenth of the fleet to design for, and of that fleet.
+/// Fleet sizes: a present-day deployment, a tenth of the design target, and the design target.
 pub const SIZES: [FleetSize; 3] = [
     FleetSize {
         endpoints: 21,
@@ -36,33 +36,35 @@
     },
 ];
 
-/// Counts allocations. The counting allocator belongs to the program, so it is handed in.
+/// Counts allocations.
+///
+/// The global allocator is set by the bench executable, which therefore passes in its counter.
 pub trait AllocationCounter {
-    /// The allocations since some fixed point.
+    /// Returns the number of allocations since a fixed point in time.
     fn allocations(&self) -> u64;
 }
 
-/// What one operation costs.
+/// Cost of one operation at one fleet size.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct CostRow {
-    /// The operation.
+    /// Name of the operation.
     pub operation: String,
-    /// Endpoints in the fleet.
+    /// Number of endpoints in the fleet.
     pub endpoints: usize,
-    /// Models in the fleet.
+    /// Number of models in the fleet.
     pub models: usize,
-    /// Time of one operation on this machine, the median over batches.
+    /// Time of one operation on this machine, as the median over batches.
     pub nanoseconds: f64,
-    /// Allocations of one operation, on average.
+    /// Mean number of allocations of one operation.
     pub allocations: f64,
 }
 
-/// The whole report.
+/// Report of the cost bench.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct CostReport {
-    /// One row an operation and size.
+    /// One row for each operation and fleet size.
     pub costs: Vec<CostRow>,
 }
 
@@ -87,7 +89,7 @@
     CostReport { costs }
 }
 
-/// Batches that the median is taken over.
+/// Number of batches over which the median is taken.
 const BATCHES: usize = 9;
 
 struct CostMeter<'a> {
@@ -97,7 +99,7 @@
 }
 
 impl CostMeter<'_> {
-    /// Runs `work` in batches of `rounds`, after one batch that does not count.
+    /// Runs `work` in batches of `rounds` calls. The first batch is a warm-up and is not counted.
     fn measure(&mut self, operation: &str, rounds: u32, mut work: impl FnMut()) {
         let mut times = [0.0; BATCHES];
         let mut allocations = 0;
@@ -125,7 +127,7 @@
     }
 }
 
-/// The report as a table.
+/// Formats the report as a table.
 #[must_use]
 pub fn table(report: &CostReport) -> TextTable {
     let mut table = TextTable::new(&["operation", "endpoints", "models", "ns", "allocations"]);
@@ -141,7 +143,7 @@
     table
 }
 
-/// The figures that bounds may name: allocations alone.
+/// Returns the figures that can have bounds, which are the allocation counts only.
 #[must_use]
 pub fn figures(report: &CostReport) -> Vec<MeasuredFigure> {
     let rows = report.costs.iter();
--- a/crates/oatpier-bench/src/cost/requests.rs
+++ b/crates/oatpier-bench/src/cost/requests.rs
@@ -1,4 +1,4 @@
-//! Decisions about requests: an entry's and an agent's.
+//! Cost of the decisions that entries and agents make about requests.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -20,14 +20,14 @@
 
 const SEED: u64 = 3;
 const ROUNDS: u32 = 20_000;
-/// The size of every request.
+/// Token counts of every request.
 const TOKENS: TokenDemand = TokenDemand {
     prompt: 400,
     output: 350,
 };
-/// Blocks in the prefix chain of a prompt.
+/// Number of blocks in the prefix chain of a prompt.
 const BLOCKS: u64 = 6;
-/// Between two requests of one entry at the size to design for (8,500 a second at 340 entries).
+/// Interval between two requests at one entry at the design target (8,500 requests per second at 340 entries).
 const BETWEEN: Duration = Duration::from_millis(40);
 
 pub(super) fn measure(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
@@ -65,7 +65,7 @@
     });
 }
 
-/// A request comes, its endpoint is chosen, and its caller goes away: start and end of a request.
+/// Measures the start and end of a request: it arrives, its endpoint is chosen and its caller disconnects.
 fn entry_request(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let mut policy = entry(fleet, now);
@@ -85,7 +85,7 @@
     });
 }
 
-/// An attempt comes, is started at once, gives its first token and ends.
+/// Measures an attempt that arrives, starts immediately, produces its first token and ends.
 fn agent_admission(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let boot = BootId(1);
--- a/crates/oatpier-bench/src/cost/state.rs
+++ b/crates/oatpier-bench/src/cost/state.rs
@@ -1,4 +1,4 @@
-//! Decisions about state: memory, membership and the plan.
+//! Cost of the decisions about state: memory, membership and the placement plan.
 
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -28,7 +28,7 @@
 
 const ROUNDS: u32 = 20_000;
 const PLAN_ROUNDS: u32 = 3;
-/// Requests a second of the whole fleet, for each endpoint.
+/// Requests per second in the whole fleet, per endpoint.
 const RATE_PER_ENDPOINT: f64 = 8_500.0 / 3_500.0;
 
 pub(super) fn measure(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
@@ -38,7 +38,7 @@
     plan_step(fleet, meter);
 }
 
-/// Whether one more model fits beside all that an engine may hold.
+/// Measures the check whether one more model fits beside all weights that an engine may hold.
 fn ledger_check(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let now = ClockTime::from_millis(1_000);
     let mut ledger = MemoryLedger::new(ENGINE_MEMORY_MIB);
@@ -55,7 +55,7 @@
     });
 }
 
-/// A row with news of an agent's weights comes from a peer.
+/// Measures merging a row from a peer that changes an agent's ready weights.
 fn membership_delta(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let now = ClockTime::from_millis(1_000);
     let mut table = table(fleet, now);
@@ -69,11 +69,14 @@
         if let MemberKind::Agent(status) = &mut row.facts.kind {
             status.ready_sequence += 1;
         }
-        assert!(table.merge(black_box(row), now), "the row has news");
+        assert!(
+            table.merge(black_box(row), now),
+            "the row is newer than the table"
+        );
     });
 }
 
-/// A heartbeat with an agent's queue comes to its registrar.
+/// Measures how a registrar processes a heartbeat that carries an agent's queue report.
 fn heartbeat(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let mut table = table(fleet, now);
@@ -95,7 +98,7 @@
     });
 }
 
-/// One step of the planner with a plan in force and demand that moves.
+/// Measures one planner step with a previous plan and changing demand.
 fn plan_step(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut planner = PlacementPlanner::new(PlannerSettings::default());
     let endpoints: Vec<EndpointView> = fleet.statuses.iter().map(view).collect();
@@ -141,7 +144,8 @@
     }
 }
 
-/// One model in ten gets ten times the demand of the others, and others every ten steps.
+/// Returns demand in which one model in ten gets eleven times the demand of the others.
+/// The set of these models changes every ten steps.
 fn demand(fleet: &CostFleet, step: u32) -> DemandSummary {
     let all = RATE_PER_ENDPOINT * size_f64(fleet.size.endpoints);
     let mean = all / size_f64(fleet.size.models);
--- a/crates/oatpier-bench/src/fleet/agent.rs
+++ b/crates/oatpier-bench/src/fleet/agent.rs
@@ -1,4 +1,4 @@
-//! What decides about requests at an agent: oatpier's policy or a baseline, behind one trait.
+//! Request decisions at an agent: one trait for oatpier's policy and the baseline.
 
 use indexmap::IndexMap;
 use oatpier_admission::event::{AgentAction, AgentActions, AgentEvent};
@@ -11,13 +11,13 @@
 use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 
-/// Decides about requests at one agent.
+/// Makes the request decisions of one agent.
 pub trait AgentBrain {
-    /// Takes one event and says what to do.
+    /// Processes one event and returns the resulting actions.
     fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions;
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     fn next_timer(&self) -> ClockTime;
-    /// A fresh queue report.
+    /// Creates a new queue report.
     fn queue_report(&mut self, now: ClockTime) -> QueueReport;
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// A baseline agent: passes everything on to its engine, in the order in which it came.
+/// Baseline agent that forwards every attempt to its engine in order of arrival.
 pub struct PlainAgent {
     boot: BootId,
     sequence: u64,
@@ -44,7 +44,7 @@
 }
 
 impl PlainAgent {
-    /// An agent that has just started.
+    /// Creates an agent that has just started.
     #[must_use]
     pub fn new(boot: BootId) -> Self {
         Self {
--- a/crates/oatpier-bench/src/fleet/attempts.rs
+++ b/crates/oatpier-bench/src/fleet/attempts.rs
@@ -1,4 +1,4 @@
-//! What happens at agents and engines: attempts.
+//! Handling of attempts at agents and engines.
 
 use oatpier_admission::event::{AdmissionTicket, AgentAction, AgentActions, AgentEvent};
 use oatpier_policy::action::CancelMode;
@@ -15,12 +15,12 @@
 use super::step::FleetStep;
 use super::world::FleetWorld;
 
-/// Tokens that an agent gathers before it passes them on, but for the first token and the last
-/// ones. A token a message would make the run four times as long and change no decision: targets
-/// are about the first token and about the mean time between tokens.
+/// Number of tokens that an agent collects before it forwards them. The first token is forwarded immediately and the
+/// last ones when the answer ends. One message per token would make a run take four times as long and would change no
+/// decision, because targets cover only the time to the first token and the mean time between tokens.
 const PIECE_TOKENS: u32 = 4;
 
-/// Where an answer comes from and goes to.
+/// Source and destination of an answer.
 #[derive(Debug, Clone, Copy)]
 struct AnswerRoute {
     node: usize,
@@ -108,7 +108,7 @@
         self.arm_agent(node);
     }
 
-    /// Whether a node lives, and is the one that an event was meant for.
+    /// Returns whether a node is alive and still the incarnation (`boot`) to which an event was addressed.
     pub(super) fn is_current(&self, node: usize, boot: BootId) -> bool {
         self.nodes[node].boot == boot && self.nodes[node].alive
     }
@@ -213,14 +213,14 @@
 
     pub(super) fn engine_step(&mut self, node: usize, boot: BootId) {
         if !self.is_current(node, boot) || self.nodes[node].armed.engine != self.now {
-            // A wake-up that an earlier one took the place of. Were it to arm the next one too,
-            // there would be two from here on, and more with each such step.
+            // An earlier wake-up replaced this one. If it armed a successor as well, two wake-ups would stay queued,
+            // and each further replacement would add another.
             return;
         }
         self.nodes[node].armed.engine = ClockTime::NEVER;
         let outputs = self.nodes[node].engine.advance(self.now);
         if outputs.is_empty() {
-            // Weights came or went; with outputs in the way, the next moves tick sees it.
+            // The set of weights may have changed. If there are outputs, the next `Moves` step detects the change.
             self.note_ready(node);
         }
         for output in outputs {
@@ -275,8 +275,10 @@
         self.tell(route, EntryEvent::Piece { attempt, tokens: 1 });
     }
 
-    /// Passes on the tokens that were gathered. The agent's timer is left as it is: a piece only
-    /// refines estimates, and a timer that fires early is armed anew.
+    /// Forwards the collected tokens.
+    ///
+    /// The agent's timer is re-armed only if the agent returns actions: otherwise a piece only refines estimates, and
+    /// a timer that fires early is armed again.
     fn flush(&mut self, route: AnswerRoute) {
         let AnswerRoute { node, attempt, .. } = route;
         let Some(held) = self.nodes[node].attempts.0.get_mut(&attempt) else {
--- a/crates/oatpier-bench/src/fleet/caller.rs
+++ b/crates/oatpier-bench/src/fleet/caller.rs
@@ -1,4 +1,4 @@
-//! What the callers saw: the figures come from here, not from what the decisions believe.
+//! Outcomes as callers observe them. The figures are computed from these, not from the internal state of the decisions.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use oatpier_types::ids::RequestId;
 use oatpier_types::verdict::{Repeat, RunVerdict};
 
-/// One try of a caller.
+/// One try of a caller, which is one request sent to an entry.
 #[derive(Debug, Clone)]
 pub struct CallerTry {
-    /// Which arrival it belongs to.
+    /// Index of the arrival that it belongs to.
     pub arrival: usize,
-    /// Its place among the tries of the arrival, from 0.
+    /// Number of the try within the arrival, starting at 0.
     pub number: u32,
-    /// The entry that it was sent to.
+    /// Index of the entry that it was sent to.
     pub entry: usize,
     sent_at: ClockTime,
     first_at: Option<ClockTime>,
@@ -24,18 +24,18 @@
     tokens: u32,
 }
 
-/// How a caller's request stands.
+/// State of a caller's request over all its tries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ArrivalRecord {
-    /// When its first try was sent.
+    /// Time at which the first try was sent.
     pub sent_at: ClockTime,
-    /// Whether a try was answered whole and within the target, counted from the first try.
+    /// Whether a try was answered completely and within the target, measured from the first try.
     pub in_time: bool,
-    /// Whether a try was answered whole.
+    /// Whether a try was answered completely.
     pub whole: bool,
 }
 
-/// All callers.
+/// Record of all callers.
 #[derive(Default)]
 pub struct CallerBook {
     tries: IndexMap<RequestId, CallerTry>,
@@ -44,19 +44,19 @@
     refusals: IndexMap<&'static str, u32>,
 }
 
-/// How an answer ended, as the entry gave it.
+/// End of an answer as the entry reported it.
 #[derive(Debug, Clone, Copy)]
 pub struct AnswerSeen {
-    /// Whether it was whole.
+    /// Whether the answer was complete.
     pub whole: bool,
-    /// Its verdict.
+    /// Verdict of the answer.
     pub verdict: RunVerdict,
-    /// Its cause.
+    /// Cause of the end.
     pub cause: &'static str,
 }
 
 impl CallerBook {
-    /// A try was sent.
+    /// Records that a try was sent.
     pub fn sent(
         &mut self,
         request: RequestId,
@@ -93,7 +93,7 @@
         );
     }
 
-    /// Tokens reached the caller.
+    /// Records that tokens reached the caller.
     pub fn tokens(&mut self, request: RequestId, tokens: u32, now: ClockTime) {
         if let Some(caller) = self.tries.get_mut(&request) {
             caller.first_at.get_or_insert(now);
@@ -102,13 +102,13 @@
         }
     }
 
-    /// The arrival that an open try belongs to.
+    /// Returns the index of the arrival that an open try belongs to.
     #[must_use]
     pub fn arrival_of(&self, request: RequestId) -> Option<usize> {
         self.tries.get(&request).map(|caller| caller.arrival)
     }
 
-    /// An answer ended. Gives the try, if it was open.
+    /// Records the end of an answer. Returns the try if it was open.
     pub fn ended(
         &mut self,
         request: RequestId,
@@ -142,29 +142,29 @@
         Some(caller)
     }
 
-    /// Adds an event that was seen elsewhere.
+    /// Adds an event that another component observed.
     pub fn log(&mut self, at: ClockTime, event: FleetEvent) {
         self.events.push(LoggedEvent { at, event });
     }
 
-    /// Adds events that were seen elsewhere.
+    /// Adds events that other components observed.
     pub fn extend(&mut self, events: Vec<LoggedEvent>) {
         self.events.extend(events);
     }
 
-    /// The whole log.
+    /// Returns the whole event log.
     #[must_use]
     pub fn events(&self) -> &[LoggedEvent] {
         &self.events
     }
 
-    /// Answers that were not whole, by cause.
+    /// Returns the number of incomplete answers by cause.
     #[must_use]
     pub fn refusals(&self) -> &IndexMap<&'static str, u32> {
         &self.refusals
     }
 
-    /// Requests whose first try was sent in a span of time.
+    /// Returns the requests whose first try was sent at or after `from` and before `to`.
     pub fn sent_within(
         &self,
         from: ClockTime,
@@ -176,7 +176,9 @@
     }
 }
 
-/// `asked_at` is when the first try was sent: asking again does not reset the target.
+/// Returns whether an answer met its target.
+///
+/// The target is measured from `asked_at`, when the first try was sent, because a retry does not reset it.
 fn is_in_time(caller: &CallerTry, asked_at: ClockTime, target: ClassTarget) -> bool {
     debug_assert!(caller.sent_at >= asked_at);
     match target {
--- a/crates/oatpier-bench/src/fleet/entry.rs
+++ b/crates/oatpier-bench/src/fleet/entry.rs
@@ -1,4 +1,4 @@
-//! What decides at an entry: oatpier's policy or a baseline, behind one trait.
+//! Request decisions at an entry: one trait for oatpier's policy and the baselines.
 
 use indexmap::IndexMap;
 use oatpier_policy::action::{EntryAction, EntryActions};
@@ -14,26 +14,26 @@
 use oatpier_types::status::EndpointStatus;
 use oatpier_types::verdict::RunVerdict;
 
-/// Actions of one request, from a timer.
+/// Actions that fired timers caused, by request.
 pub type FiredActions = Vec<(RequestId, EntryActions)>;
 
-/// Decides about requests at one entry.
+/// Makes the request decisions of one entry.
 pub trait EntryBrain {
-    /// An agent's whole word on its endpoint came.
+    /// Processes an agent's full status of its endpoint.
     fn on_status(&mut self, status: &EndpointStatus, now: ClockTime);
-    /// An engine's lagged load report came.
+    /// Processes an engine's load report, which may be outdated.
     fn on_report(&mut self, endpoint: &EndpointName, report: &LoadReport, now: ClockTime);
-    /// An engine's cache event came, late and perhaps after a gap.
+    /// Processes an engine's cache event, which may be late and may follow a gap in the sequence.
     fn on_cache_event(&mut self, endpoint: &EndpointName, event: &CacheEvent, now: ClockTime);
-    /// The endpoint has not been heard of for long.
+    /// Removes an endpoint that has sent no status for too long.
     fn forget(&mut self, endpoint: &EndpointName, now: ClockTime);
-    /// A request came in.
+    /// Starts a new request.
     fn start(&mut self, intake: RequestIntake, now: ClockTime) -> EntryActions;
-    /// Something happened to a request.
+    /// Processes an event of a request.
     fn handle(&mut self, request: RequestId, event: &EntryEvent, now: ClockTime) -> EntryActions;
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     fn next_timer(&self) -> Option<ClockTime>;
-    /// Fires the timers that are due.
+    /// Fires the timers that are due and adds their actions to `fired`.
     fn fire_timers(&mut self, now: ClockTime, fired: &mut FiredActions);
 }
 
@@ -71,16 +71,16 @@
     }
 }
 
-/// How a baseline chooses.
+/// Method by which a baseline chooses an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlainChoice {
-    /// One after the other.
+    /// Each endpoint in turn.
     RoundRobin,
-    /// The one with the fewest requests of this entry in flight.
+    /// The endpoint with the fewest requests of this entry in flight.
     LeastOutstanding,
 }
 
-/// How often a baseline tries elsewhere after a failure.
+/// Maximum number of tries of one request by a baseline, the first one included.
 const PLAIN_TRIES: u32 = 3;
 
 struct PlainRequest {
@@ -96,7 +96,7 @@
     outstanding: u32,
 }
 
-/// A baseline: a usual load balancer with health checks and retries on connect errors.
+/// Baseline entry: a conventional load balancer with health checks that retries failures before the first token.
 pub struct PlainEntry {
     choice: PlainChoice,
     seed: u128,
@@ -107,7 +107,7 @@
 }
 
 impl PlainEntry {
-    /// A baseline entry. `seed` keeps attempt ids of two entries apart.
+    /// Creates a baseline entry. `seed` keeps the attempt ids of two entries distinct.
     #[must_use]
     pub fn new(choice: PlainChoice, seed: u64) -> Self {
         Self {
--- a/crates/oatpier-bench/src/fleet/faults.rs
+++ b/crates/oatpier-bench/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of engines.
+//! Injection of engine faults.
 
 use oatpier_policy::event::EntryEvent;
 use oatpier_standin::engine::EngineFaults;
@@ -61,7 +61,7 @@
             && ready.any(|weights| weights.adapter.is_none() && weights.model == *model)
     }
 
-    /// The live node at this rank by attempts on it.
+    /// Returns the live node at this rank, ordered by descending number of attempts.
     fn busiest(&self, rank: usize) -> Option<usize> {
         let mut live: Vec<usize> = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].alive)
--- a/crates/oatpier-bench/src/fleet/figures.rs
+++ b/crates/oatpier-bench/src/fleet/figures.rs
@@ -1,4 +1,4 @@
-//! What a run showed.
+//! Figures of one run.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -8,35 +8,35 @@
 use super::world::FleetWorld;
 use crate::units::size_f64;
 
-/// What a run showed.
+/// Figures of one run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunFigures {
-    /// Requests that callers sent after the warm-up.
+    /// Number of requests that callers sent after the warm-up.
     pub requests: u64,
-    /// Of these, delivered once, whole and within target.
+    /// Number of these that were delivered once, completely and within target.
     pub delivered: u64,
-    /// Accelerators that held weights, on average over time.
+    /// Mean number of accelerators that held weights, over time.
     pub accelerators_used: f64,
-    /// Loads, unloads and role changes that agents ordered after the warm-up.
+    /// Number of loads, unloads and role changes that agents ordered after the warm-up.
     pub moves: u64,
-    /// When each of them was ordered.
+    /// Time at which each of these moves was ordered.
     pub move_times: Vec<ClockTime>,
-    /// Models that lost their last ready replica, in the order of that.
+    /// Outages of models that lost their last ready replica, by start time.
     pub outages: Vec<ModelOutage>,
-    /// Breaches of what must always hold.
+    /// Violations of invariants.
     pub breaches: Vec<String>,
-    /// Answers that were not whole, by cause, over the whole run.
+    /// Number of incomplete answers by cause, over the whole run.
     pub refusals: IndexMap<String, u32>,
 }
 
-/// A model without a ready replica.
+/// Period in which a model had no ready replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelOutage {
     /// The model.
     pub model: ModelName,
-    /// When its last ready replica went.
+    /// Time at which the last ready replica was lost.
     pub lost_at: ClockTime,
-    /// When one was ready again; none: not within the run.
+    /// Time at which a replica was ready again, or `None` if that did not happen within the run.
     pub back_at: Option<ClockTime>,
 }
 
--- a/crates/oatpier-bench/src/fleet/mod.rs
+++ b/crates/oatpier-bench/src/fleet/mod.rs
@@ -1,16 +1,16 @@
-//! A small fleet on one clock: the real decisions around small in-process engines.
+//! Simulation of a small fleet on one clock: the production decisions with small in-process engines.
 //!
-//! Nothing here decides. An event is taken from the queue, given to the decisions of an entry, an
-//! agent or the planner, and what they ask for becomes new events, later by the latency of the
-//! brief. Equal seeds give equal runs.
+//! This module makes no decisions. It takes an event from the queue and passes it to the decisions of an entry, an
+//! agent or the planner. The actions that they return become new events, delayed by the simulated latency. Equal seeds
+//! give equal runs.
 //!
-//! - [`queue`]: events by time.
-//! - [`entry`], [`agent`]: decisions about requests, oatpier's or a baseline's.
+//! - [`queue`]: the event queue, ordered by time.
+//! - [`entry`], [`agent`]: request decisions of oatpier or of a baseline.
 //! - [`node`]: one engine with its agent.
-//! - [`world`]: the whole fleet, and the loop.
-//! - `setup`: how it is put together; `step`: the kinds of events.
-//! - `requests`, `attempts`, `moves`, `faults`: what each event does.
-//! - [`caller`]: what the callers saw; [`figures`]: what a run showed.
+//! - [`world`]: the whole fleet and the event loop.
+//! - `setup`: construction of the fleet; `step`: the kinds of events.
+//! - `requests`, `attempts`, `moves`, `faults`: the event handlers.
+//! - [`caller`]: outcomes as callers observe them; [`figures`]: figures of a run.
 
 pub mod agent;
 mod attempts;
--- a/crates/oatpier-bench/src/fleet/moves.rs
+++ b/crates/oatpier-bench/src/fleet/moves.rs
@@ -1,4 +1,4 @@
-//! What happens about memory: the planner's plans and the agents' moves.
+//! Handling of the planner's plans and of the agents' moves of weights.
 
 use std::time::Duration;
 
@@ -19,15 +19,15 @@
 use super::step::FleetStep;
 use super::world::FleetWorld;
 
-/// Time of a store call.
+/// Duration of a store call.
 const STORE_CALL: Duration = Duration::from_millis(3);
-/// Until a new plan reaches the agents.
+/// Delay until a new plan reaches the agents.
 const PLAN_DELAY: Duration = Duration::from_millis(100);
-/// What an agent's guess is of a load's time.
+/// Time that an agent estimates for a load.
 const LOAD_GUESS: Duration = Duration::from_secs(4);
 
 impl FleetWorld<'_> {
-    /// A node's agent and engine begin.
+    /// Starts a node's agent and engine.
     pub(super) fn begin_node(&mut self, node: usize) {
         self.note_ready(node);
         let boot = self.nodes[node].boot;
@@ -35,7 +35,7 @@
         self.arm_engine(node);
     }
 
-    /// Tells the agent's decisions, and the entries, when what callers may get has changed.
+    /// Notifies the agent's decisions and the entries if the set of servable weights has changed.
     pub(super) fn note_ready(&mut self, node: usize) {
         let ready = self.nodes[node].servable();
         if ready == self.nodes[node].ready && self.nodes[node].ready_sequence > 0 {
@@ -267,7 +267,7 @@
     }
 }
 
-/// What an agent hears of other replicas through its registrars.
+/// Replicas on other endpoints, as an agent knows them through its registrars.
 struct OtherReplicas {
     holders: Vec<(EndpointName, SmallVec<[WeightsKey; 8]>)>,
 }
--- a/crates/oatpier-bench/src/fleet/node.rs
+++ b/crates/oatpier-bench/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! One engine with its agent.
+//! Node: one engine with its agent.
 
 use std::time::Duration;
 
@@ -21,78 +21,78 @@
 
 use super::agent::AgentBrain;
 
-/// Where a node stands, for good.
+/// Fixed identity and location of a node.
 #[derive(Debug, Clone)]
 pub struct NodePlace {
-    /// Its endpoint.
+    /// Name of its endpoint.
     pub endpoint: EndpointName,
-    /// Its pool.
+    /// Name of its pool.
     pub pool: PoolName,
-    /// Its availability zone.
+    /// Name of its availability zone.
     pub zone: ZoneName,
 }
 
-/// An attempt at a node.
+/// Attempt at a node.
 #[derive(Debug, Clone)]
 pub struct NodeAttempt {
-    /// The entry that sent it.
+    /// Index of the entry that sent it.
     pub entry: usize,
-    /// What it asks for.
+    /// Specification of the attempt.
     pub spec: AttemptSpec,
-    /// The weights that it runs on, once it runs.
+    /// Weights that serve it, or `None` until it is submitted to the engine.
     pub weights: Option<WeightsKey>,
-    /// Whether the head of its answer went out.
+    /// Whether the engine has produced output for it.
     pub begun: bool,
-    /// Tokens after the first that are yet to be passed on.
+    /// Number of tokens after the first that are not forwarded yet.
     pub unsent: u32,
 }
 
-/// The attempts at one node.
+/// Attempts at one node.
 #[derive(Debug, Clone, Default)]
 pub struct NodeAttempts(pub IndexMap<AttemptId, NodeAttempt>);
 
-/// One engine with its agent.
+/// State of one engine and its agent.
 pub struct EngineNode {
-    /// Where it stands.
+    /// Identity and location.
     pub place: NodePlace,
-    /// The agent's start.
+    /// Identifier of the current start of the agent.
     pub boot: BootId,
-    /// Whether engine and agent live.
+    /// Whether engine and agent are running.
     pub alive: bool,
-    /// Whether entries and planner lost its registration.
+    /// Whether entries and planner have lost its registration.
     pub unregistered: bool,
-    /// The agent's decisions about requests.
+    /// Request decisions of the agent.
     pub brain: Box<dyn AgentBrain>,
     /// The engine.
     pub engine: EngineCore,
-    /// The agent's orders.
+    /// Orders of the agent to the engine.
     pub keeper: OrderKeeper,
-    /// The agent's moves.
+    /// Moves of weights by the agent.
     pub stepper: MoveStepper,
-    /// The agent's releases.
+    /// Releases of weights that the agent requests or grants.
     pub releases: ReleaseKeeper,
-    /// The plan's row.
+    /// Row of the placement plan for this endpoint.
     pub plan: Option<EndpointPlan>,
-    /// What is in its store record.
+    /// Content of its record in the store.
     pub record: Option<StoredRecord>,
-    /// Attempts that wait or run.
+    /// Attempts that are waiting or running.
     pub attempts: NodeAttempts,
-    /// The weights that entries were last told of.
+    /// Ready weights as last sent to the entries.
     pub ready: SmallVec<[WeightsKey; 8]>,
-    /// Counts the changes of `ready`.
+    /// Number of changes of `ready`.
     pub ready_sequence: u64,
-    /// When its next engine step, agent timer and placement step are queued.
+    /// Earliest queued wake-ups.
     pub armed: ArmedTimes,
-    /// The last cache event that was read.
+    /// Sequence number of the last cache event that was read.
     pub cache_seen: u64,
 }
 
-/// The earliest queued wake-up of each kind.
+/// Time of the earliest queued wake-up of each kind.
 #[derive(Debug, Clone, Copy)]
 pub struct ArmedTimes {
-    /// Of the engine.
+    /// Next engine step.
     pub engine: ClockTime,
-    /// Of the agent's decisions about requests.
+    /// Next timer of the agent's request decisions.
     pub agent: ClockTime,
 }
 
@@ -105,18 +105,18 @@
     }
 }
 
-/// What a node is made of anew at each start.
+/// Components of a node that are created again at each start.
 pub struct NodeParts {
-    /// The start.
+    /// Identifier of the start.
     pub boot: BootId,
-    /// The decisions about requests.
+    /// Request decisions of the agent.
     pub brain: Box<dyn AgentBrain>,
     /// The engine.
     pub engine: EngineCore,
 }
 
 impl EngineNode {
-    /// A node that has just started.
+    /// Creates a node that has just started.
     #[must_use]
     pub fn new(place: NodePlace, parts: NodeParts, config: &FleetConfig) -> Self {
         let settings = order_settings(&place, config);
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Starts again, empty; the store's record stays.
+    /// Restarts the node without weights and attempts. The record in the store and the plan are kept.
     pub fn restart(&mut self, parts: NodeParts, config: &FleetConfig) {
         let record = self.record.take();
         let plan = self.plan.take();
@@ -150,7 +150,7 @@
         self.plan = plan;
     }
 
-    /// The weights that callers may get now: ready, and not draining.
+    /// Returns the weights that can serve new requests, which are those that are ready and not draining.
     #[must_use]
     pub fn servable(&self) -> SmallVec<[WeightsKey; 8]> {
         let state = self.engine.state();
@@ -163,7 +163,7 @@
             .collect()
     }
 
-    /// The agent's whole word.
+    /// Returns the full status that the agent sends to the entries.
     pub fn status(&mut self, now: ClockTime) -> EndpointStatus {
         EndpointStatus {
             endpoint: self.place.endpoint.clone(),
@@ -176,13 +176,13 @@
         }
     }
 
-    /// What the engine holds.
+    /// Returns the state of the engine.
     #[must_use]
     pub fn state(&self) -> EngineState {
         self.engine.state()
     }
 
-    /// Whether the endpoint takes memory for any weights.
+    /// Returns whether the node is alive and its engine uses memory for weights.
     #[must_use]
     pub fn is_used(&self) -> bool {
         self.alive && self.engine.used_mib() > 0
@@ -210,7 +210,7 @@
     }
 }
 
-/// A fresh engine.
+/// Creates an engine with the given weights preloaded.
 #[must_use]
 pub fn fresh_engine(
     place: &NodePlace,
@@ -236,7 +236,7 @@
     EngineCore::new(options, store.clone())
 }
 
-/// The engine's request for an attempt.
+/// Creates the engine request for an attempt.
 #[must_use]
 pub fn engine_request(
     spec: &AttemptSpec,
--- a/crates/oatpier-bench/src/fleet/queue.rs
+++ b/crates/oatpier-bench/src/fleet/queue.rs
@@ -1,11 +1,11 @@
-//! Events in the order of their time; equal times in the order of their making.
+//! Event queue ordered by time; events with equal times keep the order in which they were added.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use oatpier_types::clock::ClockTime;
 
-/// The place of an event in time. Only these small keys are sorted; events stay where they are.
+/// Sort key of an event. Only these small keys are moved in the heap; the events stay in their slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     at: ClockTime,
@@ -13,7 +13,7 @@
     place: usize,
 }
 
-/// The events that are yet to come.
+/// Queue of pending events.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<QueueKey>>,
     events: Vec<Option<E>>,
@@ -33,7 +33,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event.
+    /// Adds an event that is due at `at`.
     pub fn push(&mut self, at: ClockTime, event: E) {
         self.made += 1;
         let place = self.keep(event);
@@ -44,7 +44,7 @@
         }));
     }
 
-    /// Takes the next event with its time.
+    /// Removes and returns the next event with its time.
     pub fn pop(&mut self) -> Option<(ClockTime, E)> {
         let Reverse(key) = self.heap.pop()?;
         let event = self.events[key.place].take()?;
--- a/crates/oatpier-bench/src/fleet/requests.rs
+++ b/crates/oatpier-bench/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! What happens at entries: callers' requests, and what agents say.
+//! Handling of callers' requests and agents' status at the entries.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use super::step::FleetStep;
 use super::world::{FleetWorld, HEARTBEAT, SILENCE};
 
-/// How long a refused caller waits that got no word on when to come back.
+/// Time until a caller retries. Callers do not wait for the `retry_after` of the answer.
 const IMPATIENCE: Duration = Duration::from_millis(50);
 
 impl FleetWorld<'_> {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// A caller in a storm comes back at once, whatever it was told.
+    /// Queues a retry if the scenario has retries left. It ignores `retry_after`, as callers in a retry storm do.
     fn ask_again(&mut self, caller: &CallerTry, _retry_after: Option<Duration>) {
         if caller.number < self.scenario.caller_retries() {
             let step = FleetStep::Arrive {
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Each live agent tells all entries of itself; what was silent for long is forgotten.
+    /// Sends the status of each live agent to all entries. Removes nodes that have been silent for [`SILENCE`].
     pub(super) fn heartbeats(&mut self) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].alive {
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Sends an agent's word to all entries.
+    /// Sends an agent's status to all entries.
     pub(super) fn tell_entries(&mut self, node: usize) {
         if self.nodes[node].unregistered {
             return;
--- a/crates/oatpier-bench/src/fleet/setup.rs
+++ b/crates/oatpier-bench/src/fleet/setup.rs
@@ -1,4 +1,4 @@
-//! How a fleet is put together.
+//! Construction of a simulated fleet.
 
 use indexmap::IndexMap;
 use oatpier_admission::event::{AdmissionLimits, AgentEvent};
@@ -53,7 +53,7 @@
         self.preload();
     }
 
-    /// The first plan, made before any demand, is there from the start.
+    /// Creates the first plan, before any demand, and starts all nodes with its weights loaded.
     fn preload(&mut self) {
         let plan = self.make_plan();
         for row in &plan.endpoints {
--- a/crates/oatpier-bench/src/fleet/step.rs
+++ b/crates/oatpier-bench/src/fleet/step.rs
@@ -1,4 +1,4 @@
-//! The kinds of events of a run.
+//! Kinds of events in a run.
 
 use oatpier_admission::event::AdmissionTicket;
 use oatpier_placement::record::RecordAnswer;
@@ -11,7 +11,7 @@
 use oatpier_types::request::AttemptSpec;
 use oatpier_types::status::EndpointStatus;
 
-/// Something that happens.
+/// Event of a run.
 pub(super) enum FleetStep {
     /// A caller sends a try.
     Arrive { arrival: usize, number: u32 },
@@ -31,51 +31,51 @@
         ticket: Option<AdmissionTicket>,
         mode: CancelMode,
     },
-    /// Something about a request reaches its entry.
+    /// An event of a request reaches its entry.
     AtEntry {
         entry: usize,
         request: RequestId,
         event: EntryEvent,
     },
-    /// An agent's word reaches an entry.
+    /// An agent's status reaches an entry.
     Status {
         entry: usize,
         status: EndpointStatus,
     },
-    /// Published reports reach an entry.
+    /// An engine's load report and cache events reach an entry.
     Reports {
         entry: usize,
         node: usize,
         load: LoadReport,
         cache: Vec<CacheEvent>,
     },
-    /// An entry's timer.
+    /// An entry's timer is due.
     EntryTimer { entry: usize },
-    /// An agent's timer.
+    /// An agent's timer is due.
     AgentTimer { node: usize, boot: BootId },
-    /// An engine has something to do.
+    /// An engine step is due.
     Engine { node: usize, boot: BootId },
-    /// An agent looks after its moves.
+    /// An agent's placement step is due.
     Moves { node: usize, boot: BootId },
-    /// The store answers an agent.
+    /// The store's answer reaches an agent.
     Stored {
         node: usize,
         boot: BootId,
         answer: RecordAnswer,
     },
-    /// An agent is asked for a release.
+    /// A release request reaches an agent.
     Ask { node: usize, ask: ReleaseAsk },
-    /// An agent is answered about a release.
+    /// The answer to a release request reaches an agent.
     Asked { node: usize, answer: ReleaseAnswer },
-    /// Agents send heartbeats.
+    /// All agents send heartbeats.
     Heartbeats,
-    /// Reports are read.
+    /// The engines' load reports and cache events are read.
     ReadReports,
-    /// The planner makes a plan.
+    /// The planner computes a plan.
     Plan,
     /// A row of the plan reaches an agent.
     Planned { node: usize, row: EndpointPlan },
-    /// Memory and use are looked at.
+    /// The number of accelerators in use is sampled.
     Sample,
     /// A fault begins.
     FaultBegins(usize),
--- a/crates/oatpier-bench/src/fleet/world.rs
+++ b/crates/oatpier-bench/src/fleet/world.rs
@@ -1,4 +1,4 @@
-//! The whole fleet, and the loop.
+//! The whole fleet and the event loop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,30 +27,30 @@
 use crate::load::scenario::{BenchCase, BenchScenario, FaultPlan, RunSpan};
 use crate::units::size_f64;
 
-/// How often agents tell entries of themselves.
+/// Interval at which agents send their status to the entries.
 pub(super) const HEARTBEAT: Duration = Duration::from_secs(1);
-/// After how long a silence an entry forgets an endpoint.
+/// Time without a heartbeat after which entries remove an endpoint.
 pub(crate) const SILENCE: Duration = Duration::from_secs(3);
-/// How often the planner makes a plan.
+/// Interval at which the planner computes a plan.
 const PLAN_EVERY: Duration = Duration::from_secs(1);
-/// How often the memory and the use of accelerators are looked at.
+/// Interval at which the number of accelerators in use is sampled.
 const SAMPLE_EVERY: Duration = Duration::from_millis(500);
-/// How often published reports are read.
+/// Interval at which the engines' load reports and cache events are read.
 const REPORT_EVERY: Duration = Duration::from_millis(500);
 /// One-way latency within an availability zone.
 const WITHIN_ZONE: Duration = Duration::from_micros(250);
-/// How long after the end of the demand the run goes on.
+/// Time for which a run continues after the end of the demand, so that open requests can end.
 const RUN_OUT: Duration = Duration::from_secs(30);
 
-/// What decides in a run.
+/// Decision makers of a run.
 pub struct FleetBrains {
-    /// At each entry.
+    /// Request decisions of each entry.
     pub entries: Vec<Box<dyn EntryBrain>>,
-    /// Whether agents decide by oatpier's admission or pass everything on.
+    /// Whether agents use oatpier's admission. Otherwise they forward every attempt.
     pub admission: bool,
-    /// Where weights are.
+    /// Planner that decides which endpoints hold which weights.
     pub planner: Box<dyn FleetPlanner>,
-    /// Whether the plan follows the demand or stays as it was at the start.
+    /// Whether the plan follows the demand. Otherwise the first plan stays in force.
     pub replans: bool,
 }
 
@@ -63,7 +63,7 @@
     pub(super) tickets: IndexMap<AttemptId, Option<AdmissionTicket>>,
 }
 
-/// The whole fleet.
+/// Simulated fleet and its event queue.
 pub struct FleetWorld<'a> {
     pub(super) deployment: &'a BenchDeployment,
     pub(super) scenario: BenchScenario,
@@ -91,7 +91,7 @@
 }
 
 impl<'a> FleetWorld<'a> {
-    /// A fleet at its start: the planner's first plan is loaded already.
+    /// Creates a fleet in which the weights of the planner's first plan are already loaded.
     #[must_use]
     pub fn new(case: BenchCase<'a>, arrivals: &'a [BenchArrival], brains: FleetBrains) -> Self {
         let BenchCase {
@@ -141,24 +141,24 @@
         self.queue_arrival(0);
     }
 
-    /// The same fleet with other faults than those of its scenario.
+    /// Replaces the faults of the scenario by the given ones.
     #[must_use]
     pub fn with_faults(mut self, faults: Vec<FaultPlan>) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Queues one arrival; it queues the next one, so that the queue stays short.
+    /// Queues one arrival. Its handler queues the next one, which keeps the queue short.
     pub(super) fn queue_arrival(&mut self, arrival: usize) {
         if let Some(next) = self.arrivals.get(arrival) {
-            // Entries get a moment to hear of the agents.
+            // The entries receive the agents' first status before the first request.
             let at = next.at.max(ClockTime::from_millis(100));
             self.queue
                 .push(at, FleetStep::Arrive { arrival, number: 0 });
         }
     }
 
-    /// Runs to the end and gives the figures.
+    /// Runs to the end and returns the figures.
     #[must_use]
     pub fn run(mut self) -> RunFigures {
         for (index, fault) in self.faults.iter().enumerate() {
@@ -235,7 +235,7 @@
         (self.span.counted_from()..self.span.ends_at()).contains(&at)
     }
 
-    /// Latency between an entry and a node, one way.
+    /// Returns the one-way latency between an entry and a node.
     pub(super) fn latency(&self, entry: usize, node: usize) -> Duration {
         if self.entries[entry].zone == self.nodes[node].place.zone {
             WITHIN_ZONE
--- a/crates/oatpier-bench/src/lib.rs
+++ b/crates/oatpier-bench/src/lib.rs
@@ -1,15 +1,15 @@
-//! Benches, the fault matrix and plots.
+//! Benches, their scenarios and faults, and plots.
 //!
-//! Each command prints one JSON document with `--json`, an aligned table without. Figures that
-//! don't depend on this machine's speed are held to committed bounds.
+//! Each command prints an aligned table, or one JSON document with `--json`. Figures that do not depend on the speed of
+//! the machine are checked against committed bounds.
 //!
-//! - [`load`]: deployments, demand, scenarios.
-//! - [`fleet`]: the real decisions around small in-process engines, on one clock.
-//! - [`policy`]: the policy bench: attainment per accelerator and moves.
-//! - [`cost`]: time and allocations of one decision.
-//! - [`state`]: spread of changes, recovery, moves and what control costs.
-//! - [`plots`]: plots for the docs.
-//! - [`report`]: printing and bounds.
+//! - [`load`]: deployments, demand and scenarios.
+//! - [`fleet`]: simulation of a fleet with the production decisions and in-process engines, on one clock.
+//! - [`policy`]: policy bench: attainment per accelerator and moves.
+//! - [`cost`]: cost bench: time and allocations of one decision.
+//! - [`state`]: state bench: spread of changes, recovery, moves and the cost of the control plane.
+//! - [`plots`]: plots for the documentation.
+//! - [`report`]: output and bounds.
 
 pub mod cost;
 pub mod fleet;
--- a/crates/oatpier-bench/src/load/demand.rs
+++ b/crates/oatpier-bench/src/load/demand.rs
@@ -1,7 +1,7 @@
-//! Seeded arrivals.
+//! Generation of request arrivals from a seed.
 //!
-//! Models have a popularity that falls with their rank; under a burst some of them move tenfold.
-//! Arrivals are a Poisson process. Prompts of one model share prefixes, as conversations do.
+//! The popularity of a model falls with its rank. In a burst, the demand for some models rises tenfold. Arrivals are a
+//! Poisson process. Prompts of one model share prefixes, as the requests of one conversation do.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use super::scenario::{BenchCase, BenchScenario};
 use crate::units::size_f64;
 
-/// Tokens in one block of a prompt prefix.
+/// Number of tokens in one block of a prompt prefix.
 pub const BLOCK_TOKENS: u32 = 64;
 
 const BURST_FACTOR: f64 = 10.0;
@@ -28,23 +28,23 @@
 /// One request of a caller.
 #[derive(Debug, Clone)]
 pub struct BenchArrival {
-    /// When it reaches its entry.
+    /// Time at which it reaches its entry.
     pub at: ClockTime,
-    /// The entry that the balancer picks.
+    /// Index of the entry to which the load balancer sends it.
     pub entry: usize,
-    /// The model.
+    /// Requested model.
     pub model: ModelName,
-    /// The adapter on it.
+    /// Requested adapter of the model, if any.
     pub adapter: Option<AdapterName>,
-    /// Its class.
+    /// Request class.
     pub class: ClassName,
-    /// Its size.
+    /// Token counts of prompt and output.
     pub tokens: TokenDemand,
-    /// The prefixes of its prompt.
+    /// Prefix chain of the prompt.
     pub prefixes: PrefixChain,
 }
 
-/// Makes the arrivals of one run.
+/// Generates the arrivals of one run.
 pub struct DemandMaker<'a> {
     case: BenchCase<'a>,
     random: ChaCha8Rng,
@@ -52,7 +52,7 @@
 }
 
 impl<'a> DemandMaker<'a> {
-    /// A maker for one run; equal seeds give equal arrivals.
+    /// Creates a generator for one run. Equal seeds give equal arrivals.
     #[must_use]
     pub fn new(case: BenchCase<'a>, seed: u64) -> Self {
         let base_weights = (1..=case.deployment.config.models.len())
@@ -65,7 +65,7 @@
         }
     }
 
-    /// All arrivals, by time.
+    /// Returns all arrivals, ordered by time.
     #[must_use]
     pub fn arrivals(mut self, entries: usize) -> Vec<BenchArrival> {
         let total: f64 = self.base_weights.iter().sum();
@@ -80,7 +80,9 @@
         arrivals
     }
 
-    /// Thins a Poisson process at the model's highest rate down to its rate at each point.
+    /// Generates the arrivals of one model by thinning a Poisson process.
+    ///
+    /// The process has the model's highest rate; each arrival is kept with the ratio of the current rate to it.
     fn model_arrivals(
         &mut self,
         index: usize,
@@ -145,13 +147,13 @@
     }
 }
 
-/// Which of the bursts a point in time, in seconds, lies in.
+/// Returns the index of the burst at a time in seconds.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn phase_of(at: f64) -> usize {
     (at / BURST_LENGTH.as_secs_f64()) as usize
 }
 
-/// How much a model at a rank, from 1, is asked for beside the others.
+/// Returns the relative demand for the model at a rank. Ranks start at 1.
 pub(crate) fn rank_weight(rank: usize) -> f64 {
     size_f64(rank).powf(-POPULARITY_POWER)
 }
--- a/crates/oatpier-bench/src/load/deployment.rs
+++ b/crates/oatpier-bench/src/load/deployment.rs
@@ -1,4 +1,4 @@
-//! The two deployments of the brief, as checked configurations.
+//! The two reference deployments of the benches and their configurations.
 
 use std::time::Duration;
 
@@ -11,32 +11,32 @@
     AdapterName, ClassName, EndpointName, ModelName, PoolName, RegionName, VersionName, ZoneName,
 };
 
-/// Memory for weights of one engine of the benches, in MiB.
+/// Memory for weights on one engine of the benches, in MiB.
 pub const ENGINE_MEMORY_MIB: u64 = 80_000;
 /// Memory that a base model takes, in MiB.
 pub const MODEL_MEMORY_MIB: u64 = 14_000;
 /// Memory that an adapter takes, in MiB.
 pub const ADAPTER_MEMORY_MIB: u64 = 200;
-/// Requests that one engine generates for at once.
+/// Number of requests that one engine serves concurrently.
 pub const ENGINE_SLOTS: u32 = 16;
 
-/// A deployment that the benches run.
+/// Deployment that the benches simulate.
 #[derive(Debug, Clone)]
 pub struct BenchDeployment {
-    /// Its name in reports.
+    /// Name in reports.
     pub name: &'static str,
-    /// Its configuration.
+    /// Configuration of the fleet.
     pub config: FleetConfig,
-    /// Time of an engine's step without its requests.
+    /// Time of an engine's step with no requests in it.
     pub step: Duration,
     /// One-way latency between availability zones.
     pub between_zones: Duration,
     /// One-way latency to callers.
     pub to_callers: Duration,
-    /// Requests to models in a second when steady.
+    /// Requests to models per second under steady demand.
     pub rate: f64,
-    /// What all endpoints together can serve, as a multiple of `rate`: at this demand the static
-    /// placement has 95 in 100 within target.
+    /// Capacity of all endpoints together, as a multiple of `rate`. At this demand, 95% of the requests are within
+    /// target with the static placement.
     pub full: f64,
 }
 
@@ -50,7 +50,7 @@
     full_speed_loads: u32,
 }
 
-/// Ijoko Seatworks: three availability zones in Lagos.
+/// Returns the deployment of Ijoko Seatworks, with three availability zones in Lagos.
 ///
 /// # Panics
 ///
@@ -77,7 +77,7 @@
     }
 }
 
-/// The Tussock Saleyard Pricing Consortium: three availability zones in Waikato.
+/// Returns the deployment of the Tussock Saleyard Pricing Consortium, with three availability zones in Waikato.
 ///
 /// # Panics
 ///
@@ -104,7 +104,7 @@
     }
 }
 
-/// Both deployments.
+/// Returns both deployments.
 #[must_use]
 pub fn all() -> [BenchDeployment; 2] {
     [ijoko(), tussock()]
@@ -135,7 +135,7 @@
     config
 }
 
-/// The classes of both deployments.
+/// Returns the request classes of both deployments.
 pub(crate) fn classes() -> IndexMap<ClassName, ClassSpec> {
     let stream = |first_ms, between_ms| ClassSpec {
         target: ClassTarget::Stream {
@@ -194,7 +194,7 @@
     ])
 }
 
-/// The configuration of the model at `index`.
+/// Returns the configuration of the model at `index`.
 pub(crate) fn model_spec(pool: &PoolName, index: usize) -> ModelSpec {
     let class = if index.is_multiple_of(3) {
         "explaining"
@@ -217,7 +217,7 @@
     }
 }
 
-/// The name of the model at `index`.
+/// Returns the name of the model at `index`.
 ///
 /// # Panics
 ///
@@ -227,7 +227,7 @@
     name(&format!("model-{index:03}"))
 }
 
-/// The name of the adapter at `index`.
+/// Returns the name of the adapter at `index`.
 ///
 /// # Panics
 ///
@@ -237,7 +237,7 @@
     name(&format!("adapter-{index:03}"))
 }
 
-/// A built-in name.
+/// Converts a built-in name.
 pub(crate) fn name<N>(raw: &str) -> N
 where
     N: for<'a> TryFrom<&'a str>,
--- a/crates/oatpier-bench/src/load/mod.rs
+++ b/crates/oatpier-bench/src/load/mod.rs
@@ -1,8 +1,7 @@
-//! What the benches put on the fleet: deployments of the brief's sizes, demand and faults.
+//! Inputs of the benches: deployments, demand and faults.
 //!
-//! A [`deployment::BenchDeployment`] gives the configuration; [`demand::DemandMaker`] turns it and
-//! a [`scenario::BenchScenario`] into a seeded list of arrivals; [`scenario::FaultPlan`] says what
-//! goes wrong and when.
+//! A [`deployment::BenchDeployment`] holds the configuration. From it, a [`scenario::BenchScenario`] and a seed,
+//! [`demand::DemandMaker`] generates the arrivals. A [`scenario::FaultPlan`] describes one fault and its time.
 
 pub mod demand;
 pub mod deployment;
--- a/crates/oatpier-bench/src/load/scenario.rs
+++ b/crates/oatpier-bench/src/load/scenario.rs
@@ -1,4 +1,4 @@
-//! What the demand does and what goes wrong, by name.
+//! Named scenarios of demand and faults.
 
 use std::time::Duration;
 
@@ -7,82 +7,83 @@
 
 use super::deployment::BenchDeployment;
 
-/// One scenario.
+/// Scenario of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum BenchScenario {
-    /// The demand stays as it is.
+    /// Constant demand.
     Steady,
-    /// The demand for some models moves tenfold, up and down (an hour, compressed).
+    /// Demand for some models rises and falls tenfold. The run compresses one hour.
     Burst,
-    /// Engines die, with their agents, and come back empty.
+    /// Engines and their agents fail and restart without weights.
     Deaths,
-    /// One engine freezes for a while; its agent lives.
+    /// One engine hangs for a while and its agent continues to run.
     Freeze,
-    /// Load reports and cache events are seconds late.
+    /// Load reports and cache events arrive seconds late.
     Lagging,
-    /// Callers ask again at once, up to three times, after each refusal or error.
+    /// Three times the demand, and callers retry up to three times, without backoff, after each refusal or error.
     RetryStorm,
-    /// As much demand as the fleet can serve: at about this rate the static placement is within
-    /// target for 95 in 100.
+    /// Demand equal to the capacity of the fleet. At about this rate, 95% of the requests are within target with the
+    /// static placement.
     Full,
-    /// Twice that.
+    /// Twice the demand of [`Self::Full`].
     Overload,
 }
 
-/// How long a run is.
+/// Duration of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunSpan {
-    /// How long its start is left out of the figures, while placements settle.
+    /// Time at the start that is excluded from the figures because placements are still settling.
     pub warm_up: Duration,
-    /// How long callers send requests, the warm-up included.
+    /// Time during which callers send requests, including the warm-up.
     pub length: Duration,
 }
 
 impl RunSpan {
-    /// Of the runs of reports.
+    /// Duration of the runs in reports.
     pub const WHOLE: Self = Self {
         warm_up: Duration::from_secs(20),
         length: Duration::from_mins(2),
     };
 
-    /// From when on requests count.
+    /// Returns the time from which requests are counted.
     #[must_use]
     pub fn counted_from(self) -> ClockTime {
         ClockTime::from_start(self.warm_up)
     }
 
-    /// When callers stop sending requests.
+    /// Returns the time at which callers stop sending requests.
     #[must_use]
     pub fn ends_at(self) -> ClockTime {
         ClockTime::from_start(self.length)
     }
 
-    /// The time in which requests count, in seconds.
+    /// Returns the length in seconds of the period in which requests are counted.
     #[must_use]
     pub fn counted_seconds(self) -> f64 {
         self.length.saturating_sub(self.warm_up).as_secs_f64()
     }
 }
 
-/// What a run is about.
+/// Input of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct BenchCase<'a> {
-    /// The deployment.
+    /// Deployment that is simulated.
     pub deployment: &'a BenchDeployment,
-    /// What the demand does and what goes wrong.
+    /// Scenario of demand and faults.
     pub scenario: BenchScenario,
-    /// How long.
+    /// Duration of the run.
     pub span: RunSpan,
 }
 
-/// How much faster the demand moves than in the brief: an hour takes two minutes. What the planner
-/// measures in minutes is divided by this; the times of loads, steps and messages are not.
+/// Factor by which changes of demand are accelerated: a run of two minutes stands for an hour.
+///
+/// Planner settings in minutes are divided by it. The times of loads, engine steps and messages are not.
 pub const COMPRESSION: u32 = 30;
 
 impl BenchScenario {
-    /// All scenarios, in the order of reports.
+    /// All scenarios, in the order in which reports list them.
     pub const ALL: [Self; 8] = [
         Self::Steady,
         Self::Burst,
@@ -94,7 +95,7 @@
         Self::Overload,
     ];
 
-    /// The word that reports use.
+    /// Returns the name that reports use.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// What the steady demand is multiplied by, where `full` is what the deployment can serve.
+    /// Returns the factor on the steady demand. `full` is the capacity of the deployment as such a factor.
     #[must_use]
     pub fn demand_factor(self, full: f64) -> f64 {
         match self {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// How often a caller asks again after a refusal or an error.
+    /// Returns how many times a caller retries after a refusal or an error.
     #[must_use]
     pub fn caller_retries(self) -> u32 {
         match self {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// How late load reports and cache events are.
+    /// Returns the delay of load reports and cache events.
     #[must_use]
     pub fn report_lag(self) -> Duration {
         match self {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// The faults, by time.
+    /// Returns the faults of the scenario, ordered by time.
     #[must_use]
     pub fn faults(self) -> Vec<FaultPlan> {
         match self {
@@ -164,37 +165,37 @@
     }
 }
 
-/// What goes wrong with an endpoint.
+/// Kind of a fault of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// It dies with its agent and comes back empty.
+    /// The endpoint and its agent fail and restart without weights.
     Death,
-    /// It makes no step; its agent lives.
+    /// The engine makes no progress and its agent continues to run.
     Freeze,
-    /// Entries and planner take it for gone, since its registration was lost; it lives.
+    /// The endpoint runs, but entries and planner treat it as gone because its registration was lost.
     Unregistered,
 }
 
-/// Whom a fault befalls.
+/// Endpoint that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultVictim {
-    /// The live endpoint at this rank by attempts on it when the fault begins.
+    /// The live endpoint at this rank by descending number of attempts when the fault begins.
     Busiest(usize),
     /// The first live endpoint that holds the only ready replica of a model.
     OnlyHolder,
-    /// The endpoint at this place in the configuration.
+    /// The endpoint at this index in the configuration.
     Place(usize),
 }
 
-/// One fault.
+/// Fault that a run injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// When it begins.
+    /// Start of the fault.
     pub at: ClockTime,
-    /// When it ends.
+    /// End of the fault.
     pub until: ClockTime,
-    /// Whom it befalls.
+    /// Affected endpoint.
     pub victim: FaultVictim,
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
 }
--- a/crates/oatpier-bench/src/plots.rs
+++ b/crates/oatpier-bench/src/plots.rs
@@ -1,5 +1,4 @@
-//! Plots for the docs, drawn from runs: attainment against load, moves over time, spread of a
-//! change.
+//! Plots for the documentation, drawn from bench runs: attainment against load, moves over time and spread of a change.
 
 use std::fmt;
 use std::fs;
@@ -16,58 +15,60 @@
 use crate::units::size_f64;
 
 const SIZE: (u32, u32) = (800, 480);
-/// Loads, as parts of what the deployment can serve.
+/// Loads, as fractions of the capacity of the deployment.
 const LOADS: [f64; 7] = [0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0];
 const LOAD_SPAN: RunSpan = RunSpan {
     warm_up: Duration::from_secs(10),
     length: Duration::from_secs(40),
 };
 
-/// Why a plot was not drawn.
+/// Error that prevented a plot from being drawn.
 #[derive(Debug)]
 pub enum PlotError {
-    /// The folder can't be made.
+    /// The output directory cannot be created.
     Folder(io::Error),
-    /// The plot can't be written.
+    /// The plot cannot be drawn or written.
     Drawing(String),
 }
 
 impl fmt::Display for PlotError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Folder(error) => write!(formatter, "the folder can't be made: {error}"),
-            Self::Drawing(error) => write!(formatter, "the plot can't be written: {error}"),
+            Self::Folder(error) => {
+                write!(formatter, "failed to create the output directory: {error}")
+            }
+            Self::Drawing(error) => write!(formatter, "failed to draw the plot: {error}"),
         }
     }
 }
 
 impl std::error::Error for PlotError {}
 
-/// One line of a plot.
+/// Line in a plot.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlotLine {
-    /// Its name.
+    /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as pairs of x and y values.
     pub points: Vec<(f64, f64)>,
 }
 
-/// One plot.
+/// Plot with one or more lines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LinePlot {
-    /// The file's name, without its ending.
+    /// File name without extension.
     pub file: &'static str,
-    /// The title.
+    /// Title of the plot.
     pub title: &'static str,
-    /// What the horizontal axis is.
+    /// Label of the horizontal axis.
     pub across: &'static str,
-    /// What the vertical axis is.
+    /// Label of the vertical axis.
     pub up: &'static str,
-    /// Its lines.
+    /// Lines of the plot.
     pub lines: Vec<PlotLine>,
 }
 
-/// Runs what the plots show and draws them into a folder; gives the files.
+/// Runs the benches that the plots show, draws the plots into a directory and returns the file paths.
 ///
 /// # Errors
 ///
@@ -78,7 +79,7 @@
     plots.iter().map(|plot| draw(plot, folder)).collect()
 }
 
-/// Draws one plot as SVG.
+/// Draws one plot as SVG and returns the file path.
 ///
 /// # Errors
 ///
@@ -126,7 +127,7 @@
     Ok(())
 }
 
-/// Attainment of each policy at parts and multiples of what the deployment can serve.
+/// Returns a plot of the attainment of each policy at fractions and multiples of the capacity.
 #[must_use]
 pub fn attainment_by_load() -> LinePlot {
     let deployments = LOADS.map(|load| {
@@ -162,7 +163,7 @@
     }
 }
 
-/// Moves under bursts, summed up over time.
+/// Returns a plot of the cumulative number of moves under bursts over time.
 #[must_use]
 pub fn moves_over_time() -> LinePlot {
     let deployment = ijoko();
@@ -191,7 +192,7 @@
     }
 }
 
-/// The share of processes that have a change in force, by the time since it was accepted.
+/// Returns a plot of the share of processes that apply a change, by the time since it was accepted.
 #[must_use]
 pub fn spread_of_change() -> LinePlot {
     let rows = spread::sizes()
--- a/crates/oatpier-bench/src/policy.rs
+++ b/crates/oatpier-bench/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policy bench: attainment per accelerator and moves, beside baselines in the same run.
+//! Policy bench: attainment per accelerator and moves, compared with baselines in the same report.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -22,26 +22,26 @@
 use crate::report::table::TextTable;
 use crate::units::as_f64;
 
-/// Entries of each deployment.
+/// Number of entries of each deployment.
 const ENTRIES: usize = 3;
-/// The seed of all runs.
+/// Seed of all runs.
 const SEED: u64 = 20_261_202;
 
-/// What serves the requests of a run.
+/// Policy that serves the requests of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BenchPolicy {
-    /// Everything.
+    /// All of oatpier's decisions: requests, admission and placement.
     Oatpier,
-    /// Oatpier's decisions about requests over a fixed placement.
+    /// Oatpier's request decisions with a fixed placement.
     Static,
-    /// Round robin over a greedy placement.
+    /// Round robin with a greedy placement.
     RoundRobin,
-    /// Least outstanding requests over a greedy placement.
+    /// Least outstanding requests with a greedy placement.
     LeastOutstanding,
 }
 
 impl BenchPolicy {
-    /// All, in the order of reports.
+    /// All policies, in the order in which reports list them.
     pub const ALL: [Self; 4] = [
         Self::Oatpier,
         Self::Static,
@@ -49,7 +49,7 @@
         Self::LeastOutstanding,
     ];
 
-    /// The word that reports use.
+    /// Returns the name that reports use.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -99,8 +99,9 @@
     }
 }
 
-/// The planner's settings for demand that moves [`COMPRESSION`] times as fast. The cost of a move
-/// is in seconds and is weighed against the gain over the horizon, so it shrinks alike.
+/// Returns planner settings for demand that changes [`COMPRESSION`] times as fast.
+///
+/// The cost of a move is in seconds and is compared with the gain over the horizon, so it is divided by the same factor.
 #[must_use]
 pub fn planner_settings() -> PlannerSettings {
     let settings = PlannerSettings::default();
@@ -113,51 +114,52 @@
     }
 }
 
-/// One run's line in the report.
+/// Row of the report for one run.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct PolicyRun {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// What served the requests.
+    /// Name of the policy.
     pub policy: String,
-    /// Requests of callers, after the warm-up.
+    /// Number of requests that callers sent after the warm-up.
     pub requests: u64,
-    /// The share of them that was delivered once, whole and within target.
+    /// Share of these that was delivered once, completely and within target.
     pub attainment: f64,
-    /// Accelerators that held weights, on average.
+    /// Mean number of accelerators that held weights.
     pub accelerators_used: f64,
-    /// Requests delivered once, whole and within target, a second and accelerator used.
+    /// Requests delivered once, completely and within target, per second and per accelerator used.
     pub attainment_per_accelerator: f64,
-    /// Loads, unloads and role changes.
+    /// Number of loads, unloads and role changes.
     pub moves: u64,
-    /// Breaches of what must always hold.
+    /// Violations of invariants.
     pub breaches: Vec<String>,
-    /// Answers that were not whole, by cause.
+    /// Number of incomplete answers by cause.
     pub refusals: IndexMap<String, u32>,
 }
 
-/// The whole report.
+/// Report of the policy bench.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct PolicyReport {
-    /// All runs.
+    /// Rows of all runs.
     pub runs: Vec<PolicyRun>,
 }
 
-/// One cell of the report.
+/// Case and policy of one run in the report.
 #[derive(Debug, Clone, Copy)]
 pub struct PolicyCell<'a> {
-    /// What it is about.
+    /// Deployment, scenario and duration.
     pub case: BenchCase<'a>,
-    /// What serves the requests.
+    /// Policy that serves the requests.
     pub policy: BenchPolicy,
 }
 
-/// Runs cells side by side. Each runs alone on its own clock, so the figures don't depend on how
-/// many run at once.
+/// Runs cells in parallel and returns their rows in the order of `cells`.
+///
+/// Each run has its own simulated clock, so the figures do not depend on the number of concurrent runs.
 ///
 /// # Panics
 ///
@@ -191,7 +193,7 @@
     line(cell, run_figures(cell))
 }
 
-/// What one cell's run showed, in full.
+/// Runs one cell and returns all figures of the run.
 #[must_use]
 pub fn run_figures(cell: &PolicyCell<'_>) -> RunFigures {
     let PolicyCell { case, policy } = *cell;
@@ -199,7 +201,7 @@
     FleetWorld::new(case, &arrivals, policy.brains(case.deployment)).run()
 }
 
-/// Runs oatpier on a case with other faults than its scenario's.
+/// Runs oatpier on a case with the given faults instead of those of its scenario.
 #[must_use]
 pub fn run_with_faults(case: BenchCase<'_>, faults: Vec<FaultPlan>) -> RunFigures {
     let arrivals = DemandMaker::new(case, SEED).arrivals(ENTRIES);
@@ -227,7 +229,7 @@
     }
 }
 
-/// The report as a table.
+/// Formats the report as a table.
 #[must_use]
 pub fn table(report: &PolicyReport) -> TextTable {
     let mut table = TextTable::new(&[
@@ -257,7 +259,7 @@
     table
 }
 
-/// The figures that bounds may name: oatpier's own, and how they stand to the baselines.
+/// Returns the figures that can have bounds: those of oatpier and their ratios to the baselines.
 #[must_use]
 pub fn figures(report: &PolicyReport) -> Vec<MeasuredFigure> {
     let own = report
@@ -283,7 +285,7 @@
     figures
 }
 
-/// Attainment per accelerator over that of the best baseline in the same scenario.
+/// Returns the ratio of the attainment per accelerator to that of the best baseline in the same scenario.
 fn against_best(report: &PolicyReport, own: &PolicyRun) -> f64 {
     let same = report.runs.iter().filter(|run| {
         run.policy != own.policy && run.deployment == own.deployment && run.scenario == own.scenario
@@ -294,7 +296,7 @@
     own.attainment_per_accelerator / best
 }
 
-/// Requests within target at twice what the deployment can serve, over those at once that.
+/// Returns the ratio of the goodput at twice the capacity of the deployment to the goodput at its capacity.
 fn against_full(report: &PolicyReport, own: &PolicyRun) -> f64 {
     let full = report.runs.iter().find(|run| {
         run.policy == own.policy
--- a/crates/oatpier-bench/src/report/bounds.rs
+++ b/crates/oatpier-bench/src/report/bounds.rs
@@ -1,7 +1,7 @@
-//! The committed bounds of every gating figure.
+//! Committed bounds of the checked figures.
 //!
-//! `bounds.toml` holds one entry a figure: its lowest and highest allowed value, and the commit
-//! that set it. Only deterministic figures are bounded; times of this machine are printed only.
+//! `bounds.toml` holds one entry for each figure: its lowest and highest allowed value, and the commit or release that
+//! set the bound. Only deterministic figures have bounds. Times that depend on the machine are only printed.
 
 use std::fmt;
 
@@ -10,29 +10,29 @@
 
 const BOUNDS_TEXT: &str = include_str!("../../bounds.toml");
 
-/// The bound of one figure.
+/// Bound of one figure.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FigureBound {
-    /// The lowest allowed value.
+    /// Lowest allowed value.
     pub min: Option<f64>,
-    /// The highest allowed value.
+    /// Highest allowed value.
     pub max: Option<f64>,
-    /// The commit, or the release, that set the bound.
+    /// Commit or release that set the bound.
     pub set_by: String,
 }
 
-/// A figure as measured.
+/// Measured figure.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MeasuredFigure {
-    /// Its name, as in `bounds.toml`.
+    /// Name, as in `bounds.toml`.
     pub name: String,
-    /// Its value.
+    /// Measured value.
     pub value: f64,
 }
 
-/// A figure outside its bound, or a bound whose figure was not measured.
+/// Violation of a bound: a figure outside its bound, or a bound whose figure was not measured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BoundBreach {
     name: String,
@@ -57,14 +57,14 @@
     }
 }
 
-/// All bounds of one bench.
+/// Bounds of one bench.
 #[derive(Debug, Clone, Default)]
 pub struct BoundBook {
     bounds: IndexMap<String, FigureBound>,
 }
 
 impl BoundBook {
-    /// The committed bounds of the bench named `bench`.
+    /// Returns the committed bounds of the bench named `bench`.
     ///
     /// # Panics
     ///
@@ -74,7 +74,7 @@
         Self::parse(BOUNDS_TEXT, bench).expect("bounds.toml is well-formed")
     }
 
-    /// The bounds of the bench named `bench` in a file's text.
+    /// Parses the bounds of the bench named `bench` from the text of a bounds file.
     ///
     /// # Errors
     ///
@@ -85,12 +85,12 @@
         Ok(Self { bounds })
     }
 
-    /// The names of the bounded figures.
+    /// Returns the names of the figures that have bounds.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.bounds.keys().map(String::as_str)
     }
 
-    /// What is out of bounds.
+    /// Returns the violated bounds.
     #[must_use]
     pub fn check(&self, figures: &[MeasuredFigure]) -> Vec<BoundBreach> {
         self.bounds
@@ -109,7 +109,7 @@
             .collect()
     }
 
-    /// Prints what is out of bounds on stderr. Gives whether everything is within.
+    /// Prints the violated bounds to stderr. Returns `true` if there are none.
     #[must_use]
     pub fn enforce(&self, figures: &[MeasuredFigure]) -> bool {
         let breaches = self.check(figures);
--- a/crates/oatpier-bench/src/report/cli.rs
+++ b/crates/oatpier-bench/src/report/cli.rs
@@ -1,4 +1,4 @@
-//! The command line that the benches share.
+//! Command line that the benches share.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 
 use super::bounds::{BoundBook, MeasuredFigure};
 
-/// The command of a bench: `--json` and `--check`.
+/// Creates the command of a bench, with the flags `--json` and `--check`.
 #[must_use]
 pub fn command(name: &'static str, about: &'static str) -> Command {
     Command::new(name)
@@ -20,7 +20,7 @@
         .arg(
             Arg::new("check")
                 .long("check")
-                .help("Fail if a figure is out of its committed bound, or was not measured")
+                .help("Fail if a figure is outside its committed bound or was not measured")
                 .action(ArgAction::SetTrue),
         )
         // Cargo passes this to every bench.
@@ -32,7 +32,7 @@
         )
 }
 
-/// Holds the figures to the committed bounds of a bench if `--check` asks for it.
+/// Checks the figures against the committed bounds of a bench if `--check` is given, and returns the exit code.
 #[must_use]
 pub fn finish(matches: &ArgMatches, bench: &str, figures: &[MeasuredFigure]) -> ExitCode {
     if !matches.get_flag("check") || BoundBook::of(bench).enforce(figures) {
--- a/crates/oatpier-bench/src/report/mod.rs
+++ b/crates/oatpier-bench/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What the benches print: one JSON document or an aligned table, and the committed bounds.
+//! Output of the benches as a JSON document or an aligned table, and the check of committed bounds.
 
 pub mod bounds;
 pub mod cli;
@@ -6,14 +6,14 @@
 
 use serde::Serialize;
 
-/// Prints a report as JSON or as the table that `rows` makes.
+/// Prints a report as JSON, or as the table that `rows` returns.
 ///
 /// # Panics
 ///
-/// Never: reports are plain data.
+/// Never: serializing a report to JSON cannot fail.
 pub fn print<R: Serialize>(report: &R, json: bool, rows: impl FnOnce(&R) -> table::TextTable) {
     if json {
-        let text = serde_json::to_string_pretty(report).expect("a report is plain data");
+        let text = serde_json::to_string_pretty(report).expect("reports serialize to JSON");
         println!("{text}");
     } else {
         print!("{}", rows(report));
--- a/crates/oatpier-bench/src/report/table.rs
+++ b/crates/oatpier-bench/src/report/table.rs
@@ -2,14 +2,14 @@
 
 use std::fmt;
 
-/// A table: the first column to the left, the others to the right.
+/// Table whose first column is aligned to the left and whose other columns are aligned to the right.
 #[derive(Debug, Clone, Default)]
 pub struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// A table with these headings.
+    /// Creates a table with the given headings.
     #[must_use]
     pub fn new(headings: &[&str]) -> Self {
         let mut table = Self::default();
--- a/crates/oatpier-bench/src/state/day.rs
+++ b/crates/oatpier-bench/src/state/day.rs
@@ -1,9 +1,9 @@
-//! Moves in a day of demand, for the product's planner, a greedy and a static one.
+//! Moves during a day of demand, for oatpier's planner, a greedy planner and a static one.
 //!
-//! No request is simulated here: in each step the endpoints that hold a model take as much of its
-//! demand as they have time for, so the attained share is an upper bound that leaves out queues
-//! and deadlines. In exchange the day is a whole one, with the planner's own times uncompressed.
-//! A load takes one step. `cargo bench-policy` has the shorter runs with every request.
+//! Single requests are not simulated. In each step, the endpoints that hold a model serve as much of its demand as they
+//! have capacity for. The attainment is therefore an upper bound that ignores queues and deadlines. In return, the run
+//! covers a whole day with uncompressed planner settings. A load takes one step. `cargo bench-policy` runs shorter
+//! periods in which every request is simulated.
 
 use std::f64::consts::TAU;
 use std::time::Duration;
@@ -30,39 +30,39 @@
 const SEED: u64 = 7;
 const STEP: Duration = Duration::from_secs(10);
 const DAY_STEPS: u32 = 8_640;
-/// The demand of a step is handed out in so many parts, one model after the other.
+/// Number of parts into which the demand of a step is split. Each round assigns one part of every model.
 const PARTS: u32 = 20;
-/// Tokens of a request.
+/// Prompt and output tokens of a request.
 const PROMPT: u32 = 400;
 const OUTPUT: u32 = 88;
-/// Time to read a prompt token, as an agent would say.
+/// Time to process one prompt token, as an agent would report it.
 const PROMPT_TOKEN_NS: u32 = 20_000;
-/// A model's demand is this much higher in a burst.
+/// Factor by which a model's demand is higher in a burst.
 const BURST_FACTOR: f64 = 10.0;
-/// Bursts of one model in a day, on average.
+/// Mean number of bursts of one model per day.
 const BURSTS_A_DAY: f64 = 3.0;
-/// Steps of a burst: ten to forty minutes.
+/// Length of a burst in steps, which is 10 to 40 minutes.
 const BURST_STEPS: std::ops::Range<u32> = 60..240;
 
-/// One row of the report.
+/// Row of the report for one deployment and planner.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct DayRow {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// The planner.
+    /// Name of the planner.
     pub planner: String,
-    /// An upper bound of the share of requests within target.
+    /// Upper bound of the share of requests within target.
     pub attainment: f64,
-    /// Accelerators that held weights, on average.
+    /// Mean number of accelerators that held weights.
     pub accelerators_used: f64,
-    /// The share over the accelerators.
+    /// `attainment` divided by `accelerators_used`.
     pub attainment_per_accelerator: f64,
-    /// Loads and unloads.
+    /// Number of loads and unloads.
     pub moves: u32,
 }
 
-/// A day for each planner.
+/// Runs a day with each planner.
 pub(super) fn run(deployment: &BenchDeployment) -> Vec<DayRow> {
     let planners: [Box<dyn FleetPlanner>; 3] = [
         Box::new(PlacementPlanner::new(PlannerSettings::default())),
@@ -88,7 +88,7 @@
     ledger: DemandLedger,
     bursts: Vec<u32>,
     weights: Vec<f64>,
-    /// What a model's demand leaves over from whole requests.
+    /// Fractional requests of each model that are carried over to the next step.
     carried: Vec<f64>,
     random: ChaCha8Rng,
 }
@@ -132,7 +132,9 @@
         }
     }
 
-    /// Requests of each model in one step: quiet at night, with bursts.
+    /// Records and returns the number of requests of each model in one step.
+    ///
+    /// The demand is low at night, and single models have bursts.
     fn ask(&mut self, step: u32) -> Vec<u32> {
         let hour = f64::from(step) / f64::from(DAY_STEPS);
         let daytime = 0.6 - 0.4 * (hour * TAU).cos();
@@ -168,7 +170,7 @@
         count
     }
 
-    /// What the ready replicas have time for, when each part goes to the one with most time.
+    /// Assigns each part of the demand to the least loaded replica and counts what the replicas have capacity for.
     fn serve(&self, counts: &[u32], totals: &mut DayTotals) {
         let holders: Vec<Vec<usize>> = (0..counts.len()).map(|model| self.holders(model)).collect();
         let capacity = capacity(self.deployment) * STEP.as_secs_f64();
@@ -229,7 +231,7 @@
     count.max(0.0) as u32
 }
 
-/// Requests that one endpoint serves in a second, as the policy bench measured it.
+/// Returns the number of requests per second that one endpoint can serve, from the capacity in the policy bench.
 fn capacity(deployment: &BenchDeployment) -> f64 {
     deployment.rate * deployment.full / size_f64(views(deployment).len())
 }
@@ -241,7 +243,7 @@
     }
 }
 
-/// The endpoints, empty, sorted by name.
+/// Returns the endpoints without weights, sorted by name.
 fn views(deployment: &BenchDeployment) -> Vec<EndpointView> {
     let pools = deployment.config.pools.iter();
     let engines = pools.filter(|(_, pool)| matches!(pool.kind, PoolKind::Engine { .. }));
@@ -268,7 +270,7 @@
     views
 }
 
-/// The time of a generation step that makes an endpoint serve just its capacity.
+/// Returns the duration of a generation step at which an endpoint serves exactly its capacity.
 fn step_us(deployment: &BenchDeployment, endpoints: usize) -> u32 {
     let rate = deployment.rate * deployment.full / size_f64(endpoints);
     let request_s = f64::from(ENGINE_SLOTS) / rate;
--- a/crates/oatpier-bench/src/state/mod.rs
+++ b/crates/oatpier-bench/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The state bench: spread of changes, recovery, moves, lost registrars and slopes of cost.
+//! State bench: spread of changes, recovery, moves, lost registrars and slopes of cost.
 
 pub mod day;
 pub mod recovery;
@@ -23,26 +23,28 @@
 use slopes::SlopeRow;
 use spread::SpreadRow;
 
-/// The whole report.
+/// Report of the state bench.
 #[derive(Debug, Clone, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct StateReport {
-    /// How long an accepted change takes to be in force everywhere.
+    /// Time until an accepted change is in force on all processes.
     pub spread: Vec<SpreadRow>,
-    /// How long a model is out of reach when its only replica's endpoint dies.
+    /// Time for which a model is unavailable after the endpoint with its only replica fails.
     pub recovery: Vec<RecoveryRow>,
-    /// A day of each planner.
+    /// A day of demand with each planner.
     pub moves: Vec<DayRow>,
-    /// What the death of a registrar costs.
+    /// Effect of the failure of a registrar.
     pub registrars: Vec<RegistrarRow>,
-    /// What control costs a process.
+    /// Cost of the control plane per process.
     pub slopes: Vec<SlopeRow>,
 }
 
-/// The parts of the report.
+/// Names of the parts of the report.
 pub const PARTS: [&str; 5] = ["spread", "recovery", "moves", "registrars", "slopes"];
 
-/// Runs the parts that `wanted` names, side by side where they don't measure this machine.
+/// Runs the parts for which `wanted` returns true.
+///
+/// The parts run in parallel, except `slopes`, which measures processor time.
 ///
 /// # Panics
 ///
@@ -84,7 +86,7 @@
     deployments.iter().flat_map(run).collect()
 }
 
-/// The report as one table after the other.
+/// Formats the parts of the report, one after the other.
 #[must_use]
 pub fn table(report: &StateReport) -> TextTable {
     let mut table = TextTable::default();
@@ -214,7 +216,7 @@
     words.iter().map(ToString::to_string).collect()
 }
 
-/// The figures that bounds may name; processor time is not among them.
+/// Returns the figures that can have bounds. Processor time is excluded because it depends on the machine.
 #[must_use]
 pub fn figures(report: &StateReport) -> Vec<MeasuredFigure> {
     let spread = report.spread.iter().flat_map(|row| {
--- a/crates/oatpier-bench/src/state/recovery.rs
+++ b/crates/oatpier-bench/src/state/recovery.rs
@@ -1,4 +1,4 @@
-//! How long a model is out of reach when the endpoint dies that holds its only replica.
+//! Time for which a model is unavailable after the endpoint with its only replica fails.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 use crate::policy;
 use crate::units::size_f64;
 
-/// Endpoints that die in one run, one after the other; none comes back.
+/// Number of endpoints that fail in one run, one after the other. None of them restarts.
 const DEATHS: u64 = 3;
 const FIRST_DEATH: ClockTime = ClockTime::from_millis(30_000);
 const DEATH_EVERY: Duration = Duration::from_secs(20);
 
-/// One row of the report.
+/// Row of the report for one deployment.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct RecoveryRow {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Models that lost their only replica.
+    /// Number of models that lost their only replica.
     pub models: usize,
-    /// Of these, not ready again within the run.
+    /// Number of these that were not ready again within the run.
     pub lost: usize,
-    /// The mean time until a replica was ready again.
+    /// Mean time until a replica was ready again, in seconds.
     pub mean_s: f64,
-    /// The longest.
+    /// Longest time until a replica was ready again, in seconds.
     pub max_s: f64,
-    /// The time until an entry counts a silent endpoint as gone, in which nothing can be done.
+    /// Time in seconds until an entry removes a silent endpoint. Recovery cannot start earlier.
     pub silence_s: f64,
 }
 
--- a/crates/oatpier-bench/src/state/registrars.rs
+++ b/crates/oatpier-bench/src/state/registrars.rs
@@ -1,8 +1,7 @@
-//! What the death of a registrar costs if its agents' rows are kept, and if they are dropped.
+//! Effect of the failure of a registrar if its agents' rows are kept, and if they are dropped.
 //!
-//! First the membership machines run: an entry dies, and another one's table tells which agents
-//! it counts as gone, and for how long. Then these endpoints go missing for as long, at the same
-//! time, in a run of the policy bench.
+//! First, the membership state machines run and an entry fails. The table of another entry shows which agents it counts
+//! as gone, and for how long. Then a run of the policy bench hides the endpoints of these agents for the same time.
 
 use std::time::Duration;
 
@@ -16,28 +15,28 @@
 use crate::policy;
 use crate::units::as_f64;
 
-/// When the registrar dies in the run of the policy bench.
+/// Time at which the registrar fails in the run of the policy bench.
 const DEATH_AT: ClockTime = ClockTime::from_millis(40_000);
-/// How long its loss is looked at.
+/// Time for which the effect of the failure is observed.
 const WATCHED: Duration = Duration::from_secs(40);
-/// Engines, and so agents of engines, of both deployments.
+/// Number of engines, and therefore of engine agents, in each deployment.
 const AGENTS: usize = 18;
 
-/// One row of the report.
+/// Row of the report for one deployment and one treatment of the rows.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct RegistrarRow {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// What is done with the agents of a registrar that died: `keep` or `drop`.
+    /// Treatment of the rows of agents whose registrar failed: `keep` or `drop`.
     pub lost_registrar: String,
-    /// Agents that another entry counted as gone.
+    /// Number of agents that another entry counted as gone.
     pub agents_gone: usize,
-    /// The longest time that one was.
+    /// Longest time for which an agent was counted as gone, in seconds.
     pub longest_s: f64,
-    /// The share of requests within target.
+    /// Share of requests within target.
     pub attainment: f64,
-    /// Loads, unloads and role changes.
+    /// Number of loads, unloads and role changes.
     pub moves: u64,
 }
 
@@ -68,7 +67,7 @@
     }
 }
 
-/// Which agents an entry counts as gone after another one died.
+/// Returns the periods in which an entry counts agents as gone after another entry failed, as faults.
 fn absences(lost_registrar: LostRegistrar) -> Vec<FaultPlan> {
     let size = SpreadSize {
         entries: 3,
--- a/crates/oatpier-bench/src/state/slopes.rs
+++ b/crates/oatpier-bench/src/state/slopes.rs
@@ -1,9 +1,8 @@
-//! What control costs a process: store calls, bytes and processor time, by what grows them.
+//! Cost of the control plane per process: store calls, bytes and processor time, and how they grow with the fleet.
 //!
-//! Each slope is the difference of two runs of the membership machines in which one count alone
-//! differs. Bytes are those of the message bodies and an allowance for HTTP headers, sent and
-//! received together. Processor time is of this machine, with the message loop's own share in
-//! it; it is printed and never held to a bound.
+//! Each slope is the difference between two runs of the membership state machines that differ in one count only. Bytes
+//! include message bodies and an allowance for HTTP headers, sent and received together. Processor time depends on the
+//! machine and includes the message loop itself, so it is printed and never checked against a bound.
 
 use std::time::{Duration, Instant};
 
@@ -13,36 +12,36 @@
 use super::spread::{MODELS, SpreadSize, run_busy, settled};
 use crate::units::{as_f64, size_f64};
 
-/// How long is measured, with one change of the configuration in it.
+/// Length of the measured period, in which the configuration changes once.
 const MEASURED: Duration = Duration::from_secs(16);
 
-/// One slope.
+/// Row of the report for one cost.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct SlopeRow {
-    /// Whose cost: `entry`, `agent` or `fleet` (all processes together).
+    /// Process with the cost: `entry`, `agent`, `process` (mean of all) or `fleet` (all processes together).
     pub role: String,
-    /// What it costs.
+    /// Resource that is used.
     pub resource: String,
-    /// What the value is for: the whole at the base size, or one more of something.
+    /// Reference of the value: the base size as a whole, or one additional daemon, endpoint or model.
     pub per: String,
-    /// The value.
+    /// Value of the cost.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: String,
 }
 
-/// What one run cost, in a second.
+/// Cost of one run per second.
 #[derive(Debug, Clone, Copy)]
 struct FleetCost {
     entry_bytes: f64,
     agent_bytes: f64,
     store_calls: f64,
-    /// Of one process.
+    /// Mean processor time of one process, in microseconds per second.
     processor_us: f64,
 }
 
-/// The size that slopes start from: a tenth of the one to design for.
+/// Returns the base size of the slopes, which is a tenth of the design target.
 fn base() -> SpreadSize {
     SpreadSize {
         entries: 34,
--- a/crates/oatpier-bench/src/state/spread.rs
+++ b/crates/oatpier-bench/src/state/spread.rs
@@ -1,4 +1,4 @@
-//! How long an accepted change takes to be in force everywhere.
+//! Time until an accepted change is in force on all processes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,53 +17,53 @@
 const SEED: u64 = 11;
 const LOSS: f64 = 0.1;
 const WARM_UP: Duration = Duration::from_secs(12);
-/// How long a change is looked at: a little more than it may take.
+/// Time for which a change is observed, which is a little more than it may take.
 const WATCHED: Duration = Duration::from_secs(6);
-/// How long an availability zone is cut off.
+/// Time for which an availability zone is partitioned from the others.
 const CUT: Duration = Duration::from_secs(5);
-/// Changes without, during and after the cut.
+/// Number of changes before, during and after the partition.
 const CHANGES: [u32; 3] = [1, 1, 1];
-/// Models in the configuration; each is a row, as each endpoint is.
+/// Number of models in the configuration. Each model is a row, as is each endpoint.
 pub(super) const MODELS: usize = 490;
 
-/// How many processes there are, and where.
+/// Number of processes and their distribution over availability zones.
 #[derive(Debug, Clone)]
 pub struct SpreadSize {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Agents.
+    /// Number of agents.
     pub agents: usize,
-    /// Availability zones of each region.
+    /// Number of availability zones in each region.
     pub zones_by_region: Vec<usize>,
-    /// Models in the configuration.
+    /// Number of models in the configuration.
     pub models: usize,
 }
 
-/// One row of the report.
+/// Row of the report for one fleet size and network state.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct SpreadRow {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Agents.
+    /// Number of agents.
     pub agents: usize,
-    /// The share of messages that are lost.
+    /// Share of messages that are lost.
     pub loss: f64,
-    /// What the network did: `whole`, `cut` (an availability zone was cut off when the change was
-    /// accepted; its processes count from the heal on) or `healed` (a change after that).
+    /// State of the network when the change was accepted: `whole`, `cut` (one availability zone was partitioned; the
+    /// times of its processes start when the partition ends) or `healed` (after the partition).
     pub network: String,
-    /// Half of the processes had it in force after so long.
+    /// Median time until a process had the change in force, in seconds.
     pub p50_s: f64,
-    /// 99 in 100.
+    /// 99th percentile of that time, in seconds.
     pub p99_s: f64,
-    /// All.
+    /// Maximum of that time, in seconds.
     pub max_s: f64,
-    /// The time of each process, in order; for plots.
+    /// Time of each process in ascending order, for plots.
     #[serde(skip)]
     pub times_s: Vec<f64>,
 }
 
-/// The sizes of the report.
+/// Returns the fleet sizes of the report.
 #[must_use]
 pub fn sizes() -> [SpreadSize; 3] {
     let size = |entries, agents, zones_by_region| SpreadSize {
@@ -79,7 +79,7 @@
     ]
 }
 
-/// A fleet with a configuration in force.
+/// Creates a fleet and runs it until a configuration is in force.
 pub(super) fn settled(size: &SpreadSize, loss: f64, limits: TableLimits) -> Fleet {
     let shape = Shape {
         zones_by_region: size.zones_by_region.clone(),
@@ -101,7 +101,7 @@
     format!("an endpoint or a model with its settings {row:05}")
 }
 
-/// Runs for whole seconds; each agent's queue moves in each.
+/// Runs for whole seconds and sends a new queue report of each agent in every second.
 pub(super) fn run_busy(fleet: &mut Fleet, span: Duration, sequence: &mut u64) {
     for _ in 0..span.as_secs() {
         *sequence += 1;
@@ -116,7 +116,7 @@
     }
 }
 
-/// Measures one size.
+/// Measures the spread of changes at one fleet size.
 #[must_use]
 pub fn run(size: &SpreadSize) -> Vec<SpreadRow> {
     let mut fleet = settled(size, LOSS, TableLimits::default());
--- a/crates/oatpier-bench/src/state/support/mod.rs
+++ b/crates/oatpier-bench/src/state/support/mod.rs
@@ -1,5 +1,6 @@
-//! The message loop that the tests of `oatpier-membership` drive its machines with: processes,
-//! delays, losses, cuts and one store. It is taken from there, so that there is only one.
+//! Message loop that drives the membership state machines: processes, delays, losses, partitions and one store.
+//!
+//! The modules are included from the tests of `oatpier-membership`, so that there is only one copy.
 
 #![allow(dead_code, clippy::pedantic)]
 
