--- a/crates/oatpier-bench/benches/cost.rs
+++ b/crates/oatpier-bench/benches/cost.rs
@@ -1,4 +1,4 @@
-//! `cargo bench-cost`: time and allocations of one decision, at three sizes of the fleet.
+//! `cargo bench-cost`: time and allocations of one decision, at three fleet sizes.
 
 use std::alloc::System;
 use std::process::ExitCode;
@@ -10,7 +10,7 @@
 #[global_allocator]
 static GLOBAL: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Counts what the whole program allocates; it has one thread.
+/// Counts the allocations of the whole process, which has a single thread.
 struct ProgramCounter;
 
 impl AllocationCounter for ProgramCounter {
--- a/crates/oatpier-bench/benches/plots.rs
+++ b/crates/oatpier-bench/benches/plots.rs
@@ -1,4 +1,4 @@
-//! `cargo plot --out DIR`: the main plots as SVG, drawn from runs.
+//! `cargo plot --out DIR`: draws the main plots as SVG from bench runs.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,16 +9,18 @@
 fn main() -> ExitCode {
     let out = Arg::new("out")
         .long("out")
-        .help("The folder for the plots")
+        .help("Directory for the plots")
         .value_parser(value_parser!(PathBuf))
         .default_value("target/plots");
     // Cargo passes this to every bench.
     let bench = Arg::new("bench").long("bench").hide(true);
     let matches = Command::new("plot")
-        .about("Draws the main plots as SVG, from runs")
+        .about("Draws the main plots as SVG from bench runs")
         .args([out, bench.action(ArgAction::SetTrue)])
         .get_matches();
-    let folder = matches.get_one::<PathBuf>("out").expect("it has a default");
+    let folder = matches
+        .get_one::<PathBuf>("out")
+        .expect("--out has a default value");
     match plots::draw_all(folder) {
         Ok(files) => {
             for file in files {
--- a/crates/oatpier-bench/benches/policy.rs
+++ b/crates/oatpier-bench/benches/policy.rs
@@ -1,4 +1,4 @@
-//! `cargo bench-policy`: attainment per accelerator and moves, beside baselines.
+//! `cargo bench-policy`: attainment per accelerator and moves, compared with baselines.
 
 use std::process::ExitCode;
 
@@ -13,7 +13,7 @@
 }
 
 fn main() -> ExitCode {
-    let about = "Attainment per accelerator and moves, beside baselines";
+    let about = "Attainment per accelerator and moves, compared with baselines";
     let matches = cli::command("bench-policy", about)
         .arg(only("scenario", "Run only this scenario"))
         .arg(only("deployment", "Run only this deployment"))
--- a/crates/oatpier-bench/src/policy.rs
+++ b/crates/oatpier-bench/src/policy.rs
@@ -101,7 +101,8 @@
 
 /// Returns planner settings for demand that changes [`COMPRESSION`] times as fast.
 ///
-/// The cost of a move is in seconds and is compared with the gain over the horizon, so it is divided by the same factor.
+/// The cost of a move is in seconds and is compared with the gain over the horizon, so it is divided by the same
+/// factor.
 #[must_use]
 pub fn planner_settings() -> PlannerSettings {
     let settings = PlannerSettings::default();
--- a/crates/oatpier-bench/tests/testsuite/bounds.rs
+++ b/crates/oatpier-bench/tests/testsuite/bounds.rs
@@ -1,10 +1,10 @@
-//! The committed bounds.
+//! Tests of the bounds of figures.
 
 use oatpier_bench::load::deployment;
 use oatpier_bench::load::scenario::BenchScenario;
 use oatpier_bench::report::bounds::{BoundBook, MeasuredFigure};
 
-const PLANTED: &str = r#"
+const SAMPLE_BOUNDS: &str = r#"
 [policy]
 "ijoko.burst.attainment" = { min = 0.95, set_by = "a test" }
 "ijoko.burst.moves" = { max = 10.0, set_by = "a test" }
@@ -15,8 +15,8 @@
     MeasuredFigure { name, value }
 }
 
-fn findings(figures: &[MeasuredFigure]) -> Vec<String> {
-    let book = BoundBook::parse(PLANTED, "policy").expect("well-formed");
+fn violations(figures: &[MeasuredFigure]) -> Vec<String> {
+    let book = BoundBook::parse(SAMPLE_BOUNDS, "policy").expect("well-formed");
     assert_eq!(book.enforce(figures), book.check(figures).is_empty());
     book.check(figures)
         .iter()
@@ -30,19 +30,19 @@
         figure("ijoko.burst.attainment", 0.95),
         figure("ijoko.burst.moves", 10.0),
     ];
-    assert_eq!(findings(&figures), Vec::<String>::new());
+    assert_eq!(violations(&figures), Vec::<String>::new());
 }
 
-/// A change makes callers wait longer and weights move more often.
-/// The bench must say which figure, by how much, and what set the bound, and must fail.
+/// Guards against a regression that passes the check or cannot be located. The report must name the figure, its value,
+/// its bound and what set the bound.
 #[test]
-fn a_planted_breach_fails_and_is_named() {
+fn a_figure_out_of_bounds_fails_and_is_named() {
     let figures = [
         figure("ijoko.burst.attainment", 0.9),
         figure("ijoko.burst.moves", 11.0),
     ];
     assert_eq!(
-        findings(&figures),
+        violations(&figures),
         [
             "ijoko.burst.attainment is 0.9000, at least 0.95 is wanted (set by a test)",
             "ijoko.burst.moves is 11.0000, at most 10 is allowed (set by a test)",
@@ -50,13 +50,13 @@
     );
 }
 
-/// A bench loses a scenario, or a figure divides by zero. Its bound must not pass for want of a
-/// number to compare.
+/// Guards against a bound that passes because there is no number to compare, for example after a scenario was removed
+/// or a figure was divided by zero.
 #[test]
-fn a_figure_that_is_missing_or_no_number_fails() {
+fn a_figure_that_is_missing_or_nan_fails() {
     let figures = [figure("ijoko.burst.attainment", f64::NAN)];
     assert_eq!(
-        findings(&figures),
+        violations(&figures),
         [
             "ijoko.burst.attainment is NaN, at least 0.95 is wanted (set by a test)",
             "ijoko.burst.moves was not measured, at most 10 is allowed (set by a test)",
--- a/crates/oatpier-bench/tests/testsuite/main.rs
+++ b/crates/oatpier-bench/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the benches: they are repeatable, and their bounds hold something.
+//! Tests that the benches are repeatable and that their bounds are enforced.
 
 mod bounds;
 mod policy;
--- a/crates/oatpier-bench/tests/testsuite/policy.rs
+++ b/crates/oatpier-bench/tests/testsuite/policy.rs
@@ -1,4 +1,4 @@
-//! The policy bench.
+//! Tests of the policy bench.
 
 use oatpier_bench::load::deployment::{ijoko, tussock};
 use oatpier_bench::load::scenario::BenchScenario;
@@ -7,12 +7,11 @@
 use crate::support::short_run;
 
 fn text(report: &PolicyReport) -> String {
-    serde_json::to_string(report).expect("plain data")
+    serde_json::to_string(report).expect("reports serialize to JSON")
 }
 
-/// A hash map's order, a clock of the machine or a cell that runs beside another one gets into a
-/// decision. The figures then differ between two runs of the same code, and a bound on them
-/// fails or passes by luck.
+/// Guards against decisions that depend on the order of a hash map, the system clock or a concurrent run. The figures
+/// would then differ between two runs of the same code, and checks of their bounds would pass or fail at random.
 #[test]
 fn equal_seeds_give_equal_reports_to_the_byte() {
     for deployment in [ijoko(), tussock()] {
@@ -25,7 +24,7 @@
 }
 
 #[test]
-fn oatpier_breaks_no_promise_in_a_short_storm() {
+fn oatpier_violates_no_invariant_in_a_short_retry_storm() {
     let policies = [BenchPolicy::Oatpier];
     let report = short_run(&ijoko(), BenchScenario::RetryStorm, &policies);
     assert_eq!(report.runs[0].breaches, Vec::<String>::new());
--- a/crates/oatpier-bench/tests/testsuite/state.rs
+++ b/crates/oatpier-bench/tests/testsuite/state.rs
@@ -1,9 +1,9 @@
-//! The state bench.
+//! Tests of the state bench.
 
 use oatpier_bench::state::spread;
 
-/// Bounds on the spread of a change mean something only if it is the same in every run, whatever
-/// a hash map's order is.
+/// Guards against times that depend on the order of a hash map. Bounds on the spread of a change require that it is the
+/// same in every run.
 #[test]
 fn equal_seeds_give_equal_times_of_spread() {
     let [small, _, _] = spread::sizes();
--- a/crates/oatpier-bench/tests/testsuite/support.rs
+++ b/crates/oatpier-bench/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Short runs.
+//! Short runs of the policy bench.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use oatpier_bench::load::scenario::{BenchCase, BenchScenario, RunSpan};
 use oatpier_bench::policy::{self, BenchPolicy, PolicyCell, PolicyReport};
 
-/// Long enough for a plan, a few loads and some thousand requests.
+/// Duration that is long enough for a plan, a few loads and over a thousand requests.
 pub const SHORT: RunSpan = RunSpan {
     warm_up: Duration::from_secs(2),
     length: Duration::from_secs(8),
