--- a/crates/oatpier-bench/src/cost/fleet.rs
+++ b/crates/oatpier-bench/src/cost/fleet.rs
@@ -60,8 +60,8 @@
 }
 
 /// Returns the name of the availability zone with this index.
-pub(super) fn zone(place: usize) -> ZoneName {
-    name(&format!("zone-{place}"))
+pub(super) fn zone(index: usize) -> ZoneName {
+    name(&format!("zone-{index}"))
 }
 
 fn endpoint(index: usize) -> EndpointName {
@@ -103,8 +103,8 @@
 }
 
 fn status(size: FleetSize, index: usize) -> EndpointStatus {
-    let ready = (0..MODELS_PER_ENDPOINT).map(|place| WeightsKey {
-        model: model_name((index * MODELS_PER_ENDPOINT + place) % size.models),
+    let ready = (0..MODELS_PER_ENDPOINT).map(|offset| WeightsKey {
+        model: model_name((index * MODELS_PER_ENDPOINT + offset) % size.models),
         adapter: None,
         version: name("v1"),
     });
--- a/crates/oatpier-bench/src/cost/requests.rs
+++ b/crates/oatpier-bench/src/cost/requests.rs
@@ -26,9 +26,9 @@
     output: 350,
 };
 /// Number of blocks in the prefix chain of a prompt.
-const BLOCKS: u64 = 6;
+const PREFIX_BLOCKS: u64 = 6;
 /// Interval between two requests at one entry at the design target (8,500 requests per second at 340 entries).
-const BETWEEN: Duration = Duration::from_millis(40);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
 pub(super) fn measure(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     routing(fleet, meter);
@@ -73,12 +73,12 @@
     let intakes: Vec<RequestIntake> = (0..fleet.size.models).map(intake).collect();
     meter.measure("entry-request", ROUNDS, || {
         number += 1;
-        now = now + BETWEEN;
+        now = now + REQUEST_INTERVAL;
         let request = RequestId(number);
-        let place = usize::try_from(number).unwrap_or(0) % intakes.len();
+        let index = usize::try_from(number).unwrap_or(0) % intakes.len();
         let intake = RequestIntake {
             request,
-            ..intakes[place].clone()
+            ..intakes[index].clone()
         };
         black_box(policy.start(intake, now));
         black_box(policy.handle(request, &EntryEvent::CallerGone, now));
@@ -99,7 +99,7 @@
     let mut number: u128 = 0;
     meter.measure("agent-admission", ROUNDS, || {
         number += 1;
-        now = now + BETWEEN;
+        now = now + REQUEST_INTERVAL;
         let attempt = AttemptId(number);
         let ticket = AdmissionTicket::of(&policy.queue_report(now));
         let goal = RequestGoal::Model {
@@ -134,7 +134,7 @@
 }
 
 fn prefixes(model: usize) -> PrefixChain {
-    (0..BLOCKS)
+    (0..PREFIX_BLOCKS)
         .map(|block| (model as u64) << 8 | block)
         .collect()
 }
--- a/crates/oatpier-bench/src/fleet/agent.rs
+++ b/crates/oatpier-bench/src/fleet/agent.rs
@@ -12,7 +12,7 @@
 use oatpier_types::verdict::RunVerdict;
 
 /// Makes the request decisions of one agent.
-pub trait AgentBrain {
+pub trait AgentDecider {
     /// Processes one event and returns the resulting actions.
     fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions;
     /// Returns when the next timer is due.
@@ -21,7 +21,7 @@
     fn queue_report(&mut self, now: ClockTime) -> QueueReport;
 }
 
-impl AgentBrain for AgentPolicy {
+impl AgentDecider for AgentPolicy {
     fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions {
         Self::step(self, event, now)
     }
@@ -36,14 +36,14 @@
 }
 
 /// Baseline agent that forwards every attempt to its engine in order of arrival.
-pub struct PlainAgent {
+pub struct BaselineAgent {
     boot: BootId,
     sequence: u64,
     ready: Vec<WeightsKey>,
     started: IndexMap<AttemptId, ()>,
 }
 
-impl PlainAgent {
+impl BaselineAgent {
     /// Creates an agent that has just started.
     #[must_use]
     pub fn new(boot: BootId) -> Self {
@@ -86,7 +86,7 @@
     }
 }
 
-impl AgentBrain for PlainAgent {
+impl AgentDecider for BaselineAgent {
     fn step(&mut self, event: AgentEvent, _now: ClockTime) -> AgentActions {
         match event {
             AgentEvent::Arrive { spec, .. } => {
--- a/crates/oatpier-bench/src/fleet/attempts.rs
+++ b/crates/oatpier-bench/src/fleet/attempts.rs
@@ -40,7 +40,7 @@
         let (request, attempt) = (spec.request, spec.attempt);
         if !self.nodes[node].alive {
             let event = EntryEvent::ConnectFailed { attempt };
-            self.tell_entry(node, entry, request, event);
+            self.send_to_entry(node, entry, request, event);
             return;
         }
         let Some(ticket) = ticket else {
@@ -51,7 +51,7 @@
             entry,
             spec: spec.clone(),
             weights: None,
-            begun: false,
+            has_output: false,
             unsent: 0,
         };
         self.nodes[node].attempts.0.insert(attempt, held);
@@ -69,7 +69,7 @@
         if !self.nodes[node].alive {
             let verdict = RunVerdict::MayHaveRun;
             let event = EntryEvent::CancelAnswered { attempt, verdict };
-            self.tell_entry(node, entry, request, event);
+            self.send_to_entry(node, entry, request, event);
             return;
         }
         let Some(ticket) = ticket else {
@@ -83,7 +83,7 @@
         if mode == CancelMode::SealOnly && running {
             let verdict = RunVerdict::MayHaveRun;
             let event = EntryEvent::CancelAnswered { attempt, verdict };
-            self.tell_entry(node, entry, request, event);
+            self.send_to_entry(node, entry, request, event);
             return;
         }
         self.agent_event_from(
@@ -101,10 +101,10 @@
         &mut self,
         node: usize,
         event: AgentEvent,
-        asker: Option<(usize, RequestId)>,
+        requester: Option<(usize, RequestId)>,
     ) {
-        let actions = self.nodes[node].brain.step(event, self.now);
-        self.agent_actions(node, actions, asker);
+        let actions = self.nodes[node].decider.step(event, self.now);
+        self.agent_actions(node, actions, requester);
         self.arm_agent(node);
     }
 
@@ -123,7 +123,7 @@
 
     fn arm_agent(&mut self, node: usize) {
         let state = &mut self.nodes[node];
-        let due = state.brain.next_timer().max(self.now);
+        let due = state.decider.next_timer().max(self.now);
         if due != ClockTime::NEVER && due < state.armed.agent {
             state.armed.agent = due;
             let boot = state.boot;
@@ -135,7 +135,7 @@
         &mut self,
         node: usize,
         actions: AgentActions,
-        asker: Option<(usize, RequestId)>,
+        requester: Option<(usize, RequestId)>,
     ) {
         for action in actions {
             match action {
@@ -149,9 +149,9 @@
                     if verdict == RunVerdict::NotRun {
                         self.nodes[node].attempts.0.swap_remove(&attempt);
                     }
-                    if let Some((entry, request)) = asker {
+                    if let Some((entry, request)) = requester {
                         let event = EntryEvent::CancelAnswered { attempt, verdict };
-                        self.tell_entry(node, entry, request, event);
+                        self.send_to_entry(node, entry, request, event);
                     }
                 }
                 AgentAction::CancelAtEndpoint { attempt } => {
@@ -183,7 +183,7 @@
             let verdict = RunVerdict::NotRun;
             self.agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
             let event = EntryEvent::Failed { attempt, verdict };
-            self.tell_entry(node, held.entry, held.spec.request, event);
+            self.send_to_entry(node, held.entry, held.spec.request, event);
             return;
         }
         self.arm_engine(node);
@@ -221,7 +221,7 @@
         let outputs = self.nodes[node].engine.advance(self.now);
         if outputs.is_empty() {
             // The set of weights may have changed. If there are outputs, the next `Moves` step detects the change.
-            self.note_ready(node);
+            self.update_ready(node);
         }
         for output in outputs {
             self.engine_output(node, &output);
@@ -234,8 +234,8 @@
         let Some(held) = self.nodes[node].attempts.0.get_mut(&attempt) else {
             return;
         };
-        let first = !held.begun;
-        held.begun = true;
+        let first = !held.has_output;
+        held.has_output = true;
         let route = AnswerRoute {
             node,
             entry: held.entry,
@@ -254,15 +254,15 @@
                 self.flush(route);
                 self.nodes[node].attempts.0.swap_remove(&attempt);
                 self.agent_event(node, AgentEvent::EndpointEnded { attempt });
-                let report = Some(self.nodes[node].brain.queue_report(self.now));
-                self.tell(route, EntryEvent::Ended { attempt, report });
+                let report = Some(self.nodes[node].decider.queue_report(self.now));
+                self.send_event(route, EntryEvent::Ended { attempt, report });
             }
             OutputKind::Cut => {
                 self.flush(route);
                 self.nodes[node].attempts.0.swap_remove(&attempt);
                 let verdict = RunVerdict::MayHaveRun;
                 self.agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
-                self.tell(route, EntryEvent::Failed { attempt, verdict });
+                self.send_event(route, EntryEvent::Failed { attempt, verdict });
             }
         }
     }
@@ -270,9 +270,9 @@
     fn first_token(&mut self, route: AnswerRoute) {
         let AnswerRoute { node, attempt, .. } = route;
         self.agent_event(node, AgentEvent::EndpointFirstToken { attempt });
-        let report = Some(self.nodes[node].brain.queue_report(self.now));
-        self.tell(route, EntryEvent::FirstFrame { attempt, report });
-        self.tell(route, EntryEvent::Piece { attempt, tokens: 1 });
+        let report = Some(self.nodes[node].decider.queue_report(self.now));
+        self.send_event(route, EntryEvent::FirstFrame { attempt, report });
+        self.send_event(route, EntryEvent::Piece { attempt, tokens: 1 });
     }
 
     /// Forwards the collected tokens.
@@ -289,16 +289,16 @@
             return;
         }
         let event = AgentEvent::EndpointPiece { attempt, tokens };
-        let actions = self.nodes[node].brain.step(event, self.now);
+        let actions = self.nodes[node].decider.step(event, self.now);
         if !actions.is_empty() {
             self.agent_actions(node, actions, None);
             self.arm_agent(node);
         }
-        self.tell(route, EntryEvent::Piece { attempt, tokens });
+        self.send_event(route, EntryEvent::Piece { attempt, tokens });
     }
 
-    fn tell(&mut self, route: AnswerRoute, event: EntryEvent) {
-        self.tell_entry(route.node, route.entry, route.request, event);
+    fn send_event(&mut self, route: AnswerRoute, event: EntryEvent) {
+        self.send_to_entry(route.node, route.entry, route.request, event);
     }
 
     fn refuse(
@@ -309,16 +309,16 @@
         attempt: AttemptId,
         refusal: Refusal,
     ) {
-        let report = Some(self.nodes[node].brain.queue_report(self.now));
+        let report = Some(self.nodes[node].decider.queue_report(self.now));
         let event = EntryEvent::Refused {
             attempt,
             refusal,
             report,
         };
-        self.tell_entry(node, entry, request, event);
+        self.send_to_entry(node, entry, request, event);
     }
 
-    pub(super) fn tell_entry(
+    pub(super) fn send_to_entry(
         &mut self,
         node: usize,
         entry: usize,
--- a/crates/oatpier-bench/src/fleet/caller.rs
+++ b/crates/oatpier-bench/src/fleet/caller.rs
@@ -32,12 +32,12 @@
     /// Whether a try was answered completely and within the target, measured from the first try.
     pub in_time: bool,
     /// Whether a try was answered completely.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// Record of all callers.
 #[derive(Default)]
-pub struct CallerBook {
+pub struct CallerRecorder {
     tries: IndexMap<RequestId, CallerTry>,
     arrivals: IndexMap<usize, ArrivalRecord>,
     events: Vec<LoggedEvent>,
@@ -46,18 +46,18 @@
 
 /// End of an answer as the entry reported it.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerSeen {
+pub struct AnswerOutcome {
     /// Whether the answer was complete.
-    pub whole: bool,
+    pub is_complete: bool,
     /// Verdict of the answer.
     pub verdict: RunVerdict,
     /// Cause of the end.
     pub cause: &'static str,
 }
 
-impl CallerBook {
+impl CallerRecorder {
     /// Records that a try was sent.
-    pub fn sent(
+    pub fn record_sent(
         &mut self,
         request: RequestId,
         arrival: usize,
@@ -68,7 +68,7 @@
         let record = ArrivalRecord {
             sent_at: now,
             in_time: false,
-            whole: false,
+            is_complete: false,
         };
         self.arrivals.entry(arrival).or_insert(record);
         self.tries.insert(
@@ -94,7 +94,7 @@
     }
 
     /// Records that tokens reached the caller.
-    pub fn tokens(&mut self, request: RequestId, tokens: u32, now: ClockTime) {
+    pub fn record_tokens(&mut self, request: RequestId, tokens: u32, now: ClockTime) {
         if let Some(caller) = self.tries.get_mut(&request) {
             caller.first_at.get_or_insert(now);
             caller.last_at = now;
@@ -109,22 +109,22 @@
     }
 
     /// Records the end of an answer. Returns the try if it was open.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         request: RequestId,
-        seen: AnswerSeen,
+        outcome: AnswerOutcome,
         target: ClassTarget,
         now: ClockTime,
     ) -> Option<CallerTry> {
         let caller = self.tries.swap_remove(&request)?;
         let record = self.arrivals.get_mut(&caller.arrival)?;
-        let in_time = seen.whole && is_in_time(&caller, record.sent_at, target);
-        record.whole |= seen.whole;
+        let in_time = outcome.is_complete && is_in_time(&caller, record.sent_at, target);
+        record.is_complete |= outcome.is_complete;
         record.in_time |= in_time;
-        if !seen.whole {
-            *self.refusals.entry(seen.cause).or_default() += 1;
+        if !outcome.is_complete {
+            *self.refusals.entry(outcome.cause).or_default() += 1;
         }
-        let end = if seen.whole {
+        let end = if outcome.is_complete {
             AnswerEnd::Whole
         } else {
             AnswerEnd::Error
@@ -133,9 +133,9 @@
             now,
             FleetEvent::AnswerEnded {
                 request,
-                content_of: seen.whole.then_some(request),
+                content_of: outcome.is_complete.then_some(request),
                 end,
-                verdict: seen.verdict,
+                verdict: outcome.verdict,
                 in_time,
             },
         );
@@ -178,9 +178,9 @@
 
 /// Returns whether an answer met its target.
 ///
-/// The target is measured from `asked_at`, when the first try was sent, because a retry does not reset it.
-fn is_in_time(caller: &CallerTry, asked_at: ClockTime, target: ClassTarget) -> bool {
-    debug_assert!(caller.sent_at >= asked_at);
+/// The target is measured from `first_sent_at`, when the first try was sent, because a retry does not reset it.
+fn is_in_time(caller: &CallerTry, first_sent_at: ClockTime, target: ClassTarget) -> bool {
+    debug_assert!(caller.sent_at >= first_sent_at);
     match target {
         ClassTarget::Stream {
             first_token,
@@ -189,8 +189,8 @@
             let first_at = caller.first_at.unwrap_or(caller.last_at);
             let gaps = caller.tokens.saturating_sub(1).max(1);
             let between: Duration = caller.last_at.since(first_at) / gaps;
-            first_at.since(asked_at) <= first_token && between <= between_tokens
+            first_at.since(first_sent_at) <= first_token && between <= between_tokens
         }
-        ClassTarget::Whole { answer } => caller.last_at.since(asked_at) <= answer,
+        ClassTarget::Whole { answer } => caller.last_at.since(first_sent_at) <= answer,
     }
 }
--- a/crates/oatpier-bench/src/fleet/entry.rs
+++ b/crates/oatpier-bench/src/fleet/entry.rs
@@ -18,7 +18,7 @@
 pub type FiredActions = Vec<(RequestId, EntryActions)>;
 
 /// Makes the request decisions of one entry.
-pub trait EntryBrain {
+pub trait EntryDecider {
     /// Processes an agent's full status of its endpoint.
     fn on_status(&mut self, status: &EndpointStatus, now: ClockTime);
     /// Processes an engine's load report, which may be outdated.
@@ -37,7 +37,7 @@
     fn fire_timers(&mut self, now: ClockTime, fired: &mut FiredActions);
 }
 
-impl EntryBrain for EntryPolicy {
+impl EntryDecider for EntryPolicy {
     fn on_status(&mut self, status: &EndpointStatus, now: ClockTime) {
         Self::on_status(self, status, now);
     }
@@ -73,7 +73,7 @@
 
 /// Method by which a baseline chooses an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlainChoice {
+pub enum BaselineChoice {
     /// Each endpoint in turn.
     RoundRobin,
     /// The endpoint with the fewest requests of this entry in flight.
@@ -81,9 +81,9 @@
 }
 
 /// Maximum number of tries of one request by a baseline, the first one included.
-const PLAIN_TRIES: u32 = 3;
+const MAX_BASELINE_TRIES: u32 = 3;
 
-struct PlainRequest {
+struct BaselineRequest {
     intake: RequestIntake,
     endpoint: EndpointName,
     attempt: AttemptId,
@@ -91,29 +91,29 @@
     relayed: u32,
 }
 
-struct PlainEndpoint {
+struct BaselineEndpoint {
     status: EndpointStatus,
     outstanding: u32,
 }
 
 /// Baseline entry: a conventional load balancer with health checks that retries failures before the first token.
-pub struct PlainEntry {
-    choice: PlainChoice,
+pub struct BaselineEntry {
+    choice: BaselineChoice,
     seed: u128,
-    made: u128,
+    created: u128,
     turn: usize,
-    endpoints: IndexMap<EndpointName, PlainEndpoint>,
-    requests: IndexMap<RequestId, PlainRequest>,
+    endpoints: IndexMap<EndpointName, BaselineEndpoint>,
+    requests: IndexMap<RequestId, BaselineRequest>,
 }
 
-impl PlainEntry {
+impl BaselineEntry {
     /// Creates a baseline entry. `seed` keeps the attempt ids of two entries distinct.
     #[must_use]
-    pub fn new(choice: PlainChoice, seed: u64) -> Self {
+    pub fn new(choice: BaselineChoice, seed: u64) -> Self {
         Self {
             choice,
             seed: u128::from(seed) << 64,
-            made: 0,
+            created: 0,
             turn: 0,
             endpoints: IndexMap::new(),
             requests: IndexMap::new(),
@@ -121,19 +121,19 @@
     }
 
     fn choose(&mut self, goal: &RequestGoal) -> Option<EndpointName> {
-        let able: Vec<&EndpointName> = self
+        let candidates: Vec<&EndpointName> = self
             .endpoints
             .iter()
             .filter(|(_, row)| can_serve(&row.status, goal))
             .map(|(name, _)| name)
             .collect();
-        if able.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         self.turn += 1;
         let chosen = match self.choice {
-            PlainChoice::RoundRobin => able[self.turn % able.len()],
-            PlainChoice::LeastOutstanding => able
+            BaselineChoice::RoundRobin => candidates[self.turn % candidates.len()],
+            BaselineChoice::LeastOutstanding => candidates
                 .into_iter()
                 .min_by_key(|name| self.endpoints[*name].outstanding)?,
         };
@@ -144,13 +144,13 @@
         let Some(endpoint) = self.choose(&intake.goal) else {
             return refuse();
         };
-        self.made += 1;
-        let attempt = AttemptId(self.seed | self.made);
+        self.created += 1;
+        let attempt = AttemptId(self.seed | self.created);
         let spec = spec_of(&intake, attempt);
         if let Some(row) = self.endpoints.get_mut(&endpoint) {
             row.outstanding += 1;
         }
-        let request = PlainRequest {
+        let request = BaselineRequest {
             endpoint: endpoint.clone(),
             attempt,
             tries,
@@ -162,37 +162,37 @@
         EntryActions::from_iter([EntryAction::Send { endpoint, spec }])
     }
 
-    fn release(&mut self, request: RequestId) -> Option<PlainRequest> {
-        let plain = self.requests.swap_remove(&request)?;
-        if let Some(row) = self.endpoints.get_mut(&plain.endpoint) {
+    fn release(&mut self, request: RequestId) -> Option<BaselineRequest> {
+        let open_request = self.requests.swap_remove(&request)?;
+        if let Some(row) = self.endpoints.get_mut(&open_request.endpoint) {
             row.outstanding = row.outstanding.saturating_sub(1);
         }
-        Some(plain)
+        Some(open_request)
     }
 
     fn retry(&mut self, request: RequestId) -> EntryActions {
-        let Some(plain) = self.release(request) else {
+        let Some(open_request) = self.release(request) else {
             return EntryActions::new();
         };
-        if plain.relayed > 0 || plain.tries + 1 >= PLAIN_TRIES {
+        if open_request.relayed > 0 || open_request.tries + 1 >= MAX_BASELINE_TRIES {
             return answer(FinalAnswer::failed(
                 FinalCause::Incomplete,
                 RunVerdict::MayHaveRun,
                 None,
             ));
         }
-        self.send(plain.intake, plain.tries + 1)
+        self.send(open_request.intake, open_request.tries + 1)
     }
 }
 
-impl EntryBrain for PlainEntry {
+impl EntryDecider for BaselineEntry {
     fn on_status(&mut self, status: &EndpointStatus, _now: ClockTime) {
         let outstanding = self
             .endpoints
             .get(&status.endpoint)
             .filter(|row| row.status.queue.boot == status.queue.boot)
             .map_or(0, |row| row.outstanding);
-        let row = PlainEndpoint {
+        let row = BaselineEndpoint {
             status: status.clone(),
             outstanding,
         };
@@ -212,15 +212,15 @@
     }
 
     fn handle(&mut self, request: RequestId, event: &EntryEvent, _now: ClockTime) -> EntryActions {
-        let Some(plain) = self.requests.get_mut(&request) else {
+        let Some(open_request) = self.requests.get_mut(&request) else {
             return EntryActions::new();
         };
-        if event.attempt() != Some(plain.attempt) {
+        if event.attempt() != Some(open_request.attempt) {
             return EntryActions::new();
         }
         match event {
             EntryEvent::Piece { attempt, tokens } => {
-                plain.relayed += tokens;
+                open_request.relayed += tokens;
                 EntryActions::from_iter([EntryAction::Relay { attempt: *attempt }])
             }
             EntryEvent::Ended { .. } => {
--- a/crates/oatpier-bench/src/fleet/faults.rs
+++ b/crates/oatpier-bench/src/fleet/faults.rs
@@ -7,12 +7,12 @@
 
 use super::step::FleetStep;
 use super::world::FleetWorld;
-use crate::load::scenario::{FaultKind, FaultVictim};
+use crate::load::scenario::{FaultKind, FaultTarget};
 
 impl FleetWorld<'_> {
     pub(super) fn fault_begins(&mut self, fault: usize) {
         let plan = self.faults[fault];
-        let Some(node) = self.victim(plan.victim) else {
+        let Some(node) = self.find_target(plan.target) else {
             return;
         };
         match plan.kind {
@@ -33,16 +33,16 @@
             FaultKind::Freeze => self.freeze(node, false),
             FaultKind::Unregistered => {
                 self.nodes[node].unregistered = false;
-                self.tell_entries(node);
+                self.broadcast_status(node);
             }
         }
     }
 
-    fn victim(&self, victim: FaultVictim) -> Option<usize> {
-        match victim {
-            FaultVictim::Busiest(rank) => self.busiest(rank),
-            FaultVictim::OnlyHolder => self.only_holder(),
-            FaultVictim::Place(node) => (node < self.nodes.len()).then_some(node),
+    fn find_target(&self, target: FaultTarget) -> Option<usize> {
+        match target {
+            FaultTarget::Busiest(rank) => self.busiest(rank),
+            FaultTarget::OnlyHolder => self.only_holder(),
+            FaultTarget::Index(node) => (node < self.nodes.len()).then_some(node),
         }
     }
 
@@ -77,7 +77,7 @@
         state.alive = false;
         let gone = std::mem::take(&mut state.ready);
         let attempts = std::mem::take(&mut state.attempts);
-        let name = DaemonName::try_from(state.place.endpoint.as_str()).expect("a valid name");
+        let name = DaemonName::try_from(state.identity.endpoint.as_str()).expect("a valid name");
         let event = FleetEvent::Ended {
             name,
             killed: true,
@@ -86,7 +86,7 @@
         self.callers.log(self.now, event);
         for (attempt, held) in attempts.0 {
             let event = EntryEvent::ConnectionLost { attempt };
-            self.tell_entry(node, held.entry, held.spec.request, event);
+            self.send_to_entry(node, held.entry, held.spec.request, event);
         }
         let models: Vec<_> = gone
             .into_iter()
@@ -96,8 +96,8 @@
     }
 
     fn revive(&mut self, node: usize) {
-        let place = self.nodes[node].place.clone();
-        let parts = self.parts(&place, Vec::new());
+        let identity = self.nodes[node].identity.clone();
+        let parts = self.parts(&identity, Vec::new());
         self.nodes[node].restart(parts, &self.deployment.config);
         self.begin_node(node);
     }
--- a/crates/oatpier-bench/src/fleet/moves.rs
+++ b/crates/oatpier-bench/src/fleet/moves.rs
@@ -20,23 +20,23 @@
 use super::world::FleetWorld;
 
 /// Duration of a store call.
-const STORE_CALL: Duration = Duration::from_millis(3);
+const STORE_CALL_TIME: Duration = Duration::from_millis(3);
 /// Delay until a new plan reaches the agents.
 const PLAN_DELAY: Duration = Duration::from_millis(100);
 /// Time that an agent estimates for a load.
-const LOAD_GUESS: Duration = Duration::from_secs(4);
+const LOAD_TIME_ESTIMATE: Duration = Duration::from_secs(4);
 
 impl FleetWorld<'_> {
     /// Starts a node's agent and engine.
     pub(super) fn begin_node(&mut self, node: usize) {
-        self.note_ready(node);
+        self.update_ready(node);
         let boot = self.nodes[node].boot;
         self.queue.push(self.now, FleetStep::Moves { node, boot });
         self.arm_engine(node);
     }
 
     /// Notifies the agent's decisions and the entries if the set of servable weights has changed.
-    pub(super) fn note_ready(&mut self, node: usize) {
+    pub(super) fn update_ready(&mut self, node: usize) {
         let ready = self.nodes[node].servable();
         if ready == self.nodes[node].ready && self.nodes[node].ready_sequence > 0 {
             return;
@@ -53,17 +53,18 @@
                 loading,
             },
         );
-        self.tell_entries(node);
+        self.broadcast_status(node);
         self.log_replicas(&changed);
     }
 
     fn changed_models(&self, node: usize, ready: &[WeightsKey]) -> Vec<WeightsKey> {
         let before = self.nodes[node].ready.iter();
-        let gone = before.filter(|weights| !ready.contains(weights));
-        let come = ready
+        let removed = before.filter(|weights| !ready.contains(weights));
+        let added = ready
             .iter()
             .filter(|weights| !self.nodes[node].ready.contains(weights));
-        gone.chain(come)
+        removed
+            .chain(added)
             .filter(|weights| weights.adapter.is_none())
             .cloned()
             .collect()
@@ -90,13 +91,13 @@
         }
         self.step_moves(node);
         self.commands(node);
-        self.note_ready(node);
+        self.update_ready(node);
         let at = self.now + STEP_EVERY;
         self.queue.push(at, FleetStep::Moves { node, boot });
     }
 
     fn step_moves(&mut self, node: usize) {
-        let others = OtherReplicas::seen(self, node);
+        let others = OtherReplicas::collect(self, node);
         let state = &mut self.nodes[node];
         let Some(plan) = state.plan.clone() else {
             return;
@@ -162,7 +163,7 @@
         let boot = self.nodes[node].boot;
         let answer = self.store_answer(node, call);
         let step = FleetStep::Stored { node, boot, answer };
-        self.queue.push(self.now + STORE_CALL, step);
+        self.queue.push(self.now + STORE_CALL_TIME, step);
     }
 
     fn store_answer(&mut self, node: usize, call: RecordCall) -> RecordAnswer {
@@ -250,13 +251,13 @@
     }
 
     fn view(&mut self, node: usize) -> EndpointView {
-        let report = self.nodes[node].brain.queue_report(self.now);
+        let report = self.nodes[node].decider.queue_report(self.now);
         let state = &self.nodes[node];
         let engine = state.state();
         EndpointView {
-            endpoint: state.place.endpoint.clone(),
-            pool: state.place.pool.clone(),
-            zone: state.place.zone.clone(),
+            endpoint: state.identity.endpoint.clone(),
+            pool: state.identity.pool.clone(),
+            zone: state.identity.zone.clone(),
             alive: state.alive && !state.unregistered,
             leaving: false,
             held: engine.held,
@@ -273,11 +274,11 @@
 }
 
 impl OtherReplicas {
-    fn seen(world: &FleetWorld<'_>, node: usize) -> Self {
+    fn collect(world: &FleetWorld<'_>, node: usize) -> Self {
         let others = world.nodes.iter().enumerate();
         let holders = others
             .filter(|(index, other)| *index != node && other.alive)
-            .map(|(_, other)| (other.place.endpoint.clone(), other.ready.clone()))
+            .map(|(_, other)| (other.identity.endpoint.clone(), other.ready.clone()))
             .collect();
         Self { holders }
     }
@@ -300,7 +301,7 @@
         .filter(|held| held.state == WeightsState::Loading)
         .map(|held| LoadingWeights {
             weights: held.weights.clone(),
-            ready_in: LOAD_GUESS,
+            ready_in: LOAD_TIME_ESTIMATE,
         })
         .collect()
 }
--- a/crates/oatpier-bench/src/fleet/node.rs
+++ b/crates/oatpier-bench/src/fleet/node.rs
@@ -19,11 +19,11 @@
 use oatpier_types::status::EndpointStatus;
 use smallvec::SmallVec;
 
-use super::agent::AgentBrain;
+use super::agent::AgentDecider;
 
 /// Fixed identity and location of a node.
 #[derive(Debug, Clone)]
-pub struct NodePlace {
+pub struct NodeIdentity {
     /// Name of its endpoint.
     pub endpoint: EndpointName,
     /// Name of its pool.
@@ -42,7 +42,7 @@
     /// Weights that serve it, or `None` until it is submitted to the engine.
     pub weights: Option<WeightsKey>,
     /// Whether the engine has produced output for it.
-    pub begun: bool,
+    pub has_output: bool,
     /// Number of tokens after the first that are not forwarded yet.
     pub unsent: u32,
 }
@@ -54,7 +54,7 @@
 /// State of one engine and its agent.
 pub struct EngineNode {
     /// Identity and location.
-    pub place: NodePlace,
+    pub identity: NodeIdentity,
     /// Identifier of the current start of the agent.
     pub boot: BootId,
     /// Whether engine and agent are running.
@@ -62,7 +62,7 @@
     /// Whether entries and planner have lost its registration.
     pub unregistered: bool,
     /// Request decisions of the agent.
-    pub brain: Box<dyn AgentBrain>,
+    pub decider: Box<dyn AgentDecider>,
     /// The engine.
     pub engine: EngineCore,
     /// Orders of the agent to the engine.
@@ -84,7 +84,7 @@
     /// Earliest queued wake-ups.
     pub armed: ArmedTimes,
     /// Sequence number of the last cache event that was read.
-    pub cache_seen: u64,
+    pub last_cache_sequence: u64,
 }
 
 /// Time of the earliest queued wake-up of each kind.
@@ -110,7 +110,7 @@
     /// Identifier of the start.
     pub boot: BootId,
     /// Request decisions of the agent.
-    pub brain: Box<dyn AgentBrain>,
+    pub decider: Box<dyn AgentDecider>,
     /// The engine.
     pub engine: EngineCore,
 }
@@ -118,18 +118,18 @@
 impl EngineNode {
     /// Creates a node that has just started.
     #[must_use]
-    pub fn new(place: NodePlace, parts: NodeParts, config: &FleetConfig) -> Self {
-        let settings = order_settings(&place, config);
+    pub fn new(identity: NodeIdentity, parts: NodeParts, config: &FleetConfig) -> Self {
+        let settings = order_settings(&identity, config);
         let seed = u64::try_from(parts.boot.0 & u128::from(u64::MAX)).unwrap_or(0);
         Self {
             keeper: OrderKeeper::new(settings, parts.boot),
             stepper: MoveStepper::new(),
-            releases: ReleaseKeeper::new(place.endpoint.clone(), parts.boot, seed),
-            place,
+            releases: ReleaseKeeper::new(identity.endpoint.clone(), parts.boot, seed),
+            identity,
             boot: parts.boot,
             alive: true,
             unregistered: false,
-            brain: parts.brain,
+            decider: parts.decider,
             engine: parts.engine,
             plan: None,
             record: None,
@@ -137,7 +137,7 @@
             ready: SmallVec::new(),
             ready_sequence: 0,
             armed: ArmedTimes::default(),
-            cache_seen: 0,
+            last_cache_sequence: 0,
         }
     }
 
@@ -145,7 +145,7 @@
     pub fn restart(&mut self, parts: NodeParts, config: &FleetConfig) {
         let record = self.record.take();
         let plan = self.plan.take();
-        *self = Self::new(self.place.clone(), parts, config);
+        *self = Self::new(self.identity.clone(), parts, config);
         self.record = record;
         self.plan = plan;
     }
@@ -166,13 +166,13 @@
     /// Returns the full status that the agent sends to the entries.
     pub fn status(&mut self, now: ClockTime) -> EndpointStatus {
         EndpointStatus {
-            endpoint: self.place.endpoint.clone(),
-            pool: self.place.pool.clone(),
-            zone: self.place.zone.clone(),
+            endpoint: self.identity.endpoint.clone(),
+            pool: self.identity.pool.clone(),
+            zone: self.identity.zone.clone(),
             ready: self.ready.clone(),
             ready_sequence: self.ready_sequence,
             generation: oatpier_types::ids::Generation(1),
-            queue: self.brain.queue_report(now),
+            queue: self.decider.queue_report(now),
         }
     }
 
@@ -199,8 +199,8 @@
     }
 }
 
-fn order_settings(place: &NodePlace, config: &FleetConfig) -> OrderSettings {
-    match config.pools.get(&place.pool).map(|pool| &pool.kind) {
+fn order_settings(identity: &NodeIdentity, config: &FleetConfig) -> OrderSettings {
+    match config.pools.get(&identity.pool).map(|pool| &pool.kind) {
         Some(PoolKind::Engine {
             memory_mib,
             checks_order_numbers,
@@ -213,17 +213,17 @@
 /// Creates an engine with the given weights preloaded.
 #[must_use]
 pub fn fresh_engine(
-    place: &NodePlace,
+    identity: &NodeIdentity,
     config: &FleetConfig,
     step: Duration,
     report_lag: Duration,
     store: &SharedWeights,
     preloaded: Vec<WeightsKey>,
 ) -> EngineCore {
-    let mut options = EngineOptions::named(place.endpoint.clone());
+    let mut options = EngineOptions::named(identity.endpoint.clone());
     if let Some(PoolKind::Engine {
         memory_mib, slots, ..
-    }) = config.pools.get(&place.pool).map(|pool| &pool.kind)
+    }) = config.pools.get(&identity.pool).map(|pool| &pool.kind)
     {
         options.memory_mib = *memory_mib;
         options.slots = *slots as usize;
--- a/crates/oatpier-bench/src/fleet/queue.rs
+++ b/crates/oatpier-bench/src/fleet/queue.rs
@@ -10,7 +10,7 @@
 struct QueueKey {
     at: ClockTime,
     number: u64,
-    place: usize,
+    slot: usize,
 }
 
 /// Queue of pending events.
@@ -18,7 +18,7 @@
     heap: BinaryHeap<Reverse<QueueKey>>,
     events: Vec<Option<E>>,
     free: Vec<usize>,
-    made: u64,
+    pushed: u64,
 }
 
 impl<E> Default for EventQueue<E> {
@@ -27,7 +27,7 @@
             heap: BinaryHeap::new(),
             events: Vec::new(),
             free: Vec::new(),
-            made: 0,
+            pushed: 0,
         }
     }
 }
@@ -35,27 +35,27 @@
 impl<E> EventQueue<E> {
     /// Adds an event that is due at `at`.
     pub fn push(&mut self, at: ClockTime, event: E) {
-        self.made += 1;
-        let place = self.keep(event);
+        self.pushed += 1;
+        let slot = self.store_event(event);
         self.heap.push(Reverse(QueueKey {
             at,
-            number: self.made,
-            place,
+            number: self.pushed,
+            slot,
         }));
     }
 
     /// Removes and returns the next event with its time.
     pub fn pop(&mut self) -> Option<(ClockTime, E)> {
         let Reverse(key) = self.heap.pop()?;
-        let event = self.events[key.place].take()?;
-        self.free.push(key.place);
+        let event = self.events[key.slot].take()?;
+        self.free.push(key.slot);
         Some((key.at, event))
     }
 
-    fn keep(&mut self, event: E) -> usize {
-        if let Some(place) = self.free.pop() {
-            self.events[place] = Some(event);
-            return place;
+    fn store_event(&mut self, event: E) -> usize {
+        if let Some(slot) = self.free.pop() {
+            self.events[slot] = Some(event);
+            return slot;
         }
         self.events.push(Some(event));
         self.events.len() - 1
--- a/crates/oatpier-bench/src/fleet/requests.rs
+++ b/crates/oatpier-bench/src/fleet/requests.rs
@@ -15,13 +15,13 @@
 use oatpier_types::status::{EndpointStatus, QueueReport};
 use oatpier_types::verdict::Repeat;
 
-use super::caller::{AnswerSeen, CallerTry};
+use super::caller::{AnswerOutcome, CallerTry};
 use super::entry::FiredActions;
 use super::step::FleetStep;
-use super::world::{FleetWorld, HEARTBEAT, SILENCE};
+use super::world::{FleetWorld, HEARTBEAT_INTERVAL, SILENCE_TIMEOUT};
 
 /// Time until a caller retries. Callers do not wait for the `retry_after` of the answer.
-const IMPATIENCE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl FleetWorld<'_> {
     pub(super) fn arrive(&mut self, arrival: usize, number: u32) {
@@ -51,12 +51,13 @@
             resumable: true,
         };
         let sent_at = self.now - self.deployment.to_callers;
-        self.callers.sent(request, arrival, number, entry, sent_at);
+        self.callers
+            .record_sent(request, arrival, number, entry, sent_at);
         self.prefixes.insert(request, source.prefixes.clone());
         let node = &mut self.entries[entry];
         node.demand
             .record(&key, intake.tokens.prompt, intake.tokens.output, self.now);
-        let actions = node.brain.start(intake, self.now);
+        let actions = node.decider.start(intake, self.now);
         self.entry_actions(entry, request, 0, actions);
     }
 
@@ -66,9 +67,9 @@
             _ => 0,
         };
         if let (Some(report), Some(attempt)) = (event.queue_report(), event.attempt()) {
-            self.note_queue_report(entry, attempt, *report);
+            self.record_queue_report(entry, attempt, *report);
         }
-        let actions = self.entries[entry].brain.handle(request, event, self.now);
+        let actions = self.entries[entry].decider.handle(request, event, self.now);
         self.entry_actions(entry, request, tokens, actions);
     }
 
@@ -79,7 +80,7 @@
         }
         node.armed = ClockTime::NEVER;
         let mut fired = FiredActions::new();
-        node.brain.fire_timers(self.now, &mut fired);
+        node.decider.fire_timers(self.now, &mut fired);
         for (request, actions) in fired {
             self.entry_actions(entry, request, 0, actions);
         }
@@ -88,7 +89,7 @@
 
     fn arm_entry(&mut self, entry: usize) {
         let node = &mut self.entries[entry];
-        let Some(due) = node.brain.next_timer() else {
+        let Some(due) = node.decider.next_timer() else {
             return;
         };
         let due = due.max(self.now);
@@ -133,7 +134,7 @@
                 }
                 EntryAction::Relay { .. } => {
                     let at = self.now + self.deployment.to_callers;
-                    self.callers.tokens(request, tokens, at);
+                    self.callers.record_tokens(request, tokens, at);
                 }
                 EntryAction::Answer(answer) => self.answer(request, &answer),
                 EntryAction::Claim { .. } | EntryAction::SettleClaim { .. } => {}
@@ -163,8 +164,8 @@
 
     fn answer(&mut self, request: RequestId, answer: &FinalAnswer) {
         self.prefixes.swap_remove(&request);
-        let seen = AnswerSeen {
-            whole: answer.cause == FinalCause::Complete,
+        let outcome = AnswerOutcome {
+            is_complete: answer.cause == FinalCause::Complete,
             verdict: answer.verdict,
             cause: answer.cause.as_str(),
         };
@@ -172,22 +173,22 @@
         let Some(target) = self.target_of(request) else {
             return;
         };
-        let Some(caller) = self.callers.ended(request, seen, target, at) else {
+        let Some(caller) = self.callers.record_end(request, outcome, target, at) else {
             return;
         };
-        if !seen.whole {
-            self.ask_again(&caller, answer.retry_after);
+        if !outcome.is_complete {
+            self.queue_retry(&caller, answer.retry_after);
         }
     }
 
     /// Queues a retry if the scenario has retries left. It ignores `retry_after`, as callers in a retry storm do.
-    fn ask_again(&mut self, caller: &CallerTry, _retry_after: Option<Duration>) {
+    fn queue_retry(&mut self, caller: &CallerTry, _retry_after: Option<Duration>) {
         if caller.number < self.scenario.caller_retries() {
             let step = FleetStep::Arrive {
                 arrival: caller.arrival,
                 number: caller.number + 1,
             };
-            self.queue.push(self.now + IMPATIENCE, step);
+            self.queue.push(self.now + RETRY_DELAY, step);
         }
     }
 
@@ -201,7 +202,7 @@
             .map(|class| class.target)
     }
 
-    fn note_queue_report(
+    fn record_queue_report(
         &mut self,
         entry: usize,
         attempt: oatpier_types::ids::AttemptId,
@@ -211,17 +212,17 @@
             return;
         };
         debug_assert!(self.entries[entry].tickets.contains_key(&attempt) || report.sequence > 0);
-        self.keep_queue_report(entry, &endpoint, report);
+        self.store_queue_report(entry, &endpoint, report);
     }
 
     fn endpoint_of(&self, boot: oatpier_types::ids::BootId) -> Option<EndpointName> {
         self.nodes
             .iter()
             .find(|node| node.boot == boot)
-            .map(|node| node.place.endpoint.clone())
+            .map(|node| node.identity.endpoint.clone())
     }
 
-    fn keep_queue_report(&mut self, entry: usize, endpoint: &EndpointName, report: QueueReport) {
+    fn store_queue_report(&mut self, entry: usize, endpoint: &EndpointName, report: QueueReport) {
         let reports = &mut self.entries[entry].reports;
         let newer = reports
             .get(endpoint)
@@ -232,8 +233,8 @@
     }
 
     pub(super) fn status_at(&mut self, entry: usize, status: &EndpointStatus) {
-        self.keep_queue_report(entry, &status.endpoint, status.queue);
-        self.entries[entry].brain.on_status(status, self.now);
+        self.store_queue_report(entry, &status.endpoint, status.queue);
+        self.entries[entry].decider.on_status(status, self.now);
     }
 
     pub(super) fn reports_at(
@@ -243,44 +244,49 @@
         load: &LoadReport,
         cache: &[CacheEvent],
     ) {
-        let endpoint = self.nodes[node].place.endpoint.clone();
-        let brain = &mut self.entries[entry].brain;
-        brain.on_report(&endpoint, load, self.now);
+        let endpoint = self.nodes[node].identity.endpoint.clone();
+        let decider = &mut self.entries[entry].decider;
+        decider.on_report(&endpoint, load, self.now);
         for event in cache {
-            brain.on_cache_event(&endpoint, event, self.now);
+            decider.on_cache_event(&endpoint, event, self.now);
         }
     }
 
-    /// Sends the status of each live agent to all entries. Removes nodes that have been silent for [`SILENCE`].
+    /// Sends the status of each live agent to all entries. Removes nodes that have been silent for [`SILENCE_TIMEOUT`].
     pub(super) fn heartbeats(&mut self) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].alive {
-                self.heard.insert(node, self.now);
-                self.tell_entries(node);
+                self.last_heartbeats.insert(node, self.now);
+                self.broadcast_status(node);
             } else {
                 self.forget_silent(node);
             }
         }
-        self.queue.push(self.now + HEARTBEAT, FleetStep::Heartbeats);
+        self.queue
+            .push(self.now + HEARTBEAT_INTERVAL, FleetStep::Heartbeats);
     }
 
     fn forget_silent(&mut self, node: usize) {
-        let heard = self.heard.get(&node).copied().unwrap_or(ClockTime::ZERO);
-        if self.now.since(heard) < SILENCE {
+        let last = self
+            .last_heartbeats
+            .get(&node)
+            .copied()
+            .unwrap_or(ClockTime::ZERO);
+        if self.now.since(last) < SILENCE_TIMEOUT {
             return;
         }
         self.forget(node);
     }
 
     pub(super) fn forget(&mut self, node: usize) {
-        let endpoint = self.nodes[node].place.endpoint.clone();
+        let endpoint = self.nodes[node].identity.endpoint.clone();
         for entry in &mut self.entries {
-            entry.brain.forget(&endpoint, self.now);
+            entry.decider.forget(&endpoint, self.now);
         }
     }
 
     /// Sends an agent's status to all entries.
-    pub(super) fn tell_entries(&mut self, node: usize) {
+    pub(super) fn broadcast_status(&mut self, node: usize) {
         if self.nodes[node].unregistered {
             return;
         }
@@ -298,9 +304,9 @@
             }
             let engine = &self.nodes[node].engine;
             let load = engine.load(self.now);
-            let cache = engine.cache_events(self.now, self.nodes[node].cache_seen);
+            let cache = engine.cache_events(self.now, self.nodes[node].last_cache_sequence);
             if let Some(last) = cache.last() {
-                self.nodes[node].cache_seen = last.sequence;
+                self.nodes[node].last_cache_sequence = last.sequence;
             }
             for entry in 0..self.entries.len() {
                 let cache = cache.clone();
--- a/crates/oatpier-bench/src/fleet/setup.rs
+++ b/crates/oatpier-bench/src/fleet/setup.rs
@@ -12,22 +12,22 @@
 use oatpier_types::ids::BootId;
 use oatpier_types::names::ZoneName;
 
-use super::agent::{AgentBrain, PlainAgent};
-use super::entry::EntryBrain;
-use super::node::{EngineNode, NodeParts, NodePlace, fresh_engine};
+use super::agent::{AgentDecider, BaselineAgent};
+use super::entry::EntryDecider;
+use super::node::{EngineNode, NodeIdentity, NodeParts, fresh_engine};
 use super::world::{EntryNode, FleetWorld};
 use crate::load::deployment::{
     ADAPTER_MEMORY_MIB, BenchDeployment, ENGINE_SLOTS, MODEL_MEMORY_MIB,
 };
 
 impl FleetWorld<'_> {
-    pub(super) fn add_entries(&mut self, brains: Vec<Box<dyn EntryBrain>>) {
+    pub(super) fn add_entries(&mut self, deciders: Vec<Box<dyn EntryDecider>>) {
         let zones = self.zones();
-        self.entries = brains
+        self.entries = deciders
             .into_iter()
             .enumerate()
-            .map(|(index, brain)| EntryNode {
-                brain,
+            .map(|(index, decider)| EntryNode {
+                decider,
                 zone: zones[index % zones.len()].clone(),
                 armed: ClockTime::NEVER,
                 demand: DemandLedger::new(),
@@ -43,11 +43,11 @@
     }
 
     pub(super) fn add_nodes(&mut self) {
-        for place in engine_places(self.deployment) {
-            let parts = self.parts(&place, Vec::new());
+        for identity in engine_identities(self.deployment) {
+            let parts = self.parts(&identity, Vec::new());
             let index = self.nodes.len();
-            self.indices.insert(place.endpoint.clone(), index);
-            let node = EngineNode::new(place, parts, &self.deployment.config);
+            self.indices.insert(identity.endpoint.clone(), index);
+            let node = EngineNode::new(identity, parts, &self.deployment.config);
             self.nodes.push(node);
         }
         self.preload();
@@ -60,28 +60,32 @@
             let Some(index) = self.indices.get(&row.endpoint).copied() else {
                 continue;
             };
-            let place = self.nodes[index].place.clone();
-            let parts = self.parts(&place, row.weights.to_vec());
-            let mut node = EngineNode::new(place, parts, &self.deployment.config);
+            let identity = self.nodes[index].identity.clone();
+            let parts = self.parts(&identity, row.weights.to_vec());
+            let mut node = EngineNode::new(identity, parts, &self.deployment.config);
             node.plan = Some(row.clone());
             self.nodes[index] = node;
         }
         self.plan = Some(plan);
     }
 
-    pub(super) fn parts(&mut self, place: &NodePlace, preloaded: Vec<WeightsKey>) -> NodeParts {
+    pub(super) fn parts(
+        &mut self,
+        identity: &NodeIdentity,
+        preloaded: Vec<WeightsKey>,
+    ) -> NodeParts {
         self.boots += 1;
         let boot = BootId(self.boots);
         NodeParts {
             boot,
-            brain: self.agent_brain(boot),
-            engine: self.engine(place, preloaded),
+            decider: self.agent_decider(boot),
+            engine: self.engine(identity, preloaded),
         }
     }
 
-    fn engine(&self, place: &NodePlace, preloaded: Vec<WeightsKey>) -> EngineCore {
+    fn engine(&self, identity: &NodeIdentity, preloaded: Vec<WeightsKey>) -> EngineCore {
         fresh_engine(
-            place,
+            identity,
             &self.deployment.config,
             self.deployment.step,
             self.scenario.report_lag(),
@@ -90,9 +94,9 @@
         )
     }
 
-    fn agent_brain(&self, boot: BootId) -> Box<dyn AgentBrain> {
+    fn agent_decider(&self, boot: BootId) -> Box<dyn AgentDecider> {
         if !self.admission {
-            return Box::new(PlainAgent::new(boot));
+            return Box::new(BaselineAgent::new(boot));
         }
         let limits = AdmissionLimits::for_slots(ENGINE_SLOTS);
         let mut policy = AgentPolicy::new(boot, limits);
@@ -126,7 +130,7 @@
     })
 }
 
-fn engine_places(deployment: &BenchDeployment) -> Vec<NodePlace> {
+fn engine_identities(deployment: &BenchDeployment) -> Vec<NodeIdentity> {
     let engines = deployment
         .config
         .pools
@@ -134,7 +138,7 @@
         .filter(|(_, pool)| matches!(pool.kind, PoolKind::Engine { .. }));
     engines
         .flat_map(|(name, pool)| {
-            pool.endpoints.iter().map(|(endpoint, zone)| NodePlace {
+            pool.endpoints.iter().map(|(endpoint, zone)| NodeIdentity {
                 endpoint: endpoint.clone(),
                 pool: name.clone(),
                 zone: zone.clone(),
--- a/crates/oatpier-bench/src/fleet/world.rs
+++ b/crates/oatpier-bench/src/fleet/world.rs
@@ -15,8 +15,8 @@
 use oatpier_types::request::PrefixChain;
 use oatpier_types::status::QueueReport;
 
-use super::caller::CallerBook;
-use super::entry::EntryBrain;
+use super::caller::CallerRecorder;
+use super::entry::EntryDecider;
 use super::figures::RunFigures;
 use super::node::EngineNode;
 use super::queue::EventQueue;
@@ -28,24 +28,24 @@
 use crate::units::size_f64;
 
 /// Interval at which agents send their status to the entries.
-pub(super) const HEARTBEAT: Duration = Duration::from_secs(1);
+pub(super) const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time without a heartbeat after which entries remove an endpoint.
-pub(crate) const SILENCE: Duration = Duration::from_secs(3);
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Interval at which the planner computes a plan.
-const PLAN_EVERY: Duration = Duration::from_secs(1);
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which the number of accelerators in use is sampled.
-const SAMPLE_EVERY: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval at which the engines' load reports and cache events are read.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// One-way latency within an availability zone.
-const WITHIN_ZONE: Duration = Duration::from_micros(250);
+const IN_ZONE_LATENCY: Duration = Duration::from_micros(250);
 /// Time for which a run continues after the end of the demand, so that open requests can end.
-const RUN_OUT: Duration = Duration::from_secs(30);
+const DRAIN_TIME: Duration = Duration::from_secs(30);
 
 /// Decision makers of a run.
-pub struct FleetBrains {
+pub struct FleetDeciders {
     /// Request decisions of each entry.
-    pub entries: Vec<Box<dyn EntryBrain>>,
+    pub entries: Vec<Box<dyn EntryDecider>>,
     /// Whether agents use oatpier's admission. Otherwise they forward every attempt.
     pub admission: bool,
     /// Planner that decides which endpoints hold which weights.
@@ -55,7 +55,7 @@
 }
 
 pub(super) struct EntryNode {
-    pub(super) brain: Box<dyn EntryBrain>,
+    pub(super) decider: Box<dyn EntryDecider>,
     pub(super) zone: ZoneName,
     pub(super) armed: ClockTime,
     pub(super) demand: DemandLedger,
@@ -74,7 +74,7 @@
     pub(super) entries: Vec<EntryNode>,
     pub(super) nodes: Vec<EngineNode>,
     pub(super) indices: IndexMap<EndpointName, usize>,
-    pub(super) callers: CallerBook,
+    pub(super) callers: CallerRecorder,
     pub(super) prefixes: IndexMap<RequestId, PrefixChain>,
     pub(super) store: SharedWeights,
     pub(super) planner: Box<dyn FleetPlanner>,
@@ -83,7 +83,7 @@
     pub(super) demand: DemandBook,
     pub(super) plan: Option<PlacementPlan>,
     pub(super) faults: Vec<FaultPlan>,
-    pub(super) heard: BTreeMap<usize, ClockTime>,
+    pub(super) last_heartbeats: BTreeMap<usize, ClockTime>,
     pub(super) boots: u128,
     pub(super) requests: u128,
     pub(super) move_times: Vec<ClockTime>,
@@ -93,7 +93,7 @@
 impl<'a> FleetWorld<'a> {
     /// Creates a fleet in which the weights of the planner's first plan are already loaded.
     #[must_use]
-    pub fn new(case: BenchCase<'a>, arrivals: &'a [BenchArrival], brains: FleetBrains) -> Self {
+    pub fn new(case: BenchCase<'a>, arrivals: &'a [BenchArrival], deciders: FleetDeciders) -> Self {
         let BenchCase {
             deployment,
             scenario,
@@ -109,22 +109,22 @@
             entries: Vec::new(),
             nodes: Vec::new(),
             indices: IndexMap::new(),
-            callers: CallerBook::default(),
+            callers: CallerRecorder::default(),
             prefixes: IndexMap::new(),
             store: weight_store(deployment),
-            planner: brains.planner,
-            replans: brains.replans,
-            admission: brains.admission,
+            planner: deciders.planner,
+            replans: deciders.replans,
+            admission: deciders.admission,
             demand: DemandBook::new(),
             plan: None,
             faults: scenario.faults(),
-            heard: BTreeMap::new(),
+            last_heartbeats: BTreeMap::new(),
             boots: 0,
             requests: 0,
             move_times: Vec::new(),
             used_samples: Vec::new(),
         };
-        world.add_entries(brains.entries);
+        world.add_entries(deciders.entries);
         world.add_nodes();
         world.start();
         world
@@ -136,7 +136,7 @@
         }
         self.queue.push(self.now, FleetStep::Heartbeats);
         self.queue.push(self.now, FleetStep::ReadReports);
-        self.queue.push(self.now + PLAN_EVERY, FleetStep::Plan);
+        self.queue.push(self.now + PLAN_INTERVAL, FleetStep::Plan);
         self.queue.push(self.now, FleetStep::Sample);
         self.queue_arrival(0);
     }
@@ -164,18 +164,18 @@
         for (index, fault) in self.faults.iter().enumerate() {
             self.queue.push(fault.at, FleetStep::FaultBegins(index));
         }
-        let end = self.span.ends_at() + RUN_OUT;
+        let end = self.span.ends_at() + DRAIN_TIME;
         while let Some((at, step)) = self.queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.take(step);
+            self.dispatch(step);
         }
         self.figures()
     }
 
-    fn take(&mut self, step: FleetStep) {
+    fn dispatch(&mut self, step: FleetStep) {
         match step {
             FleetStep::Arrive { arrival, number } => self.arrive(arrival, number),
             FleetStep::AtEntry {
@@ -215,8 +215,8 @@
             FleetStep::FaultBegins(fault) => self.fault_begins(fault),
             FleetStep::FaultEnds { fault, node } => self.fault_ends(fault, node),
             FleetStep::Heartbeats => self.heartbeats(),
-            FleetStep::ReadReports => self.read_reports(REPORT_EVERY),
-            FleetStep::Plan => self.plan_tick(PLAN_EVERY),
+            FleetStep::ReadReports => self.read_reports(REPORT_INTERVAL),
+            FleetStep::Plan => self.plan_tick(PLAN_INTERVAL),
             FleetStep::Sample => self.sample(),
         }
     }
@@ -227,7 +227,8 @@
             self.used_samples.push(size_f64(accelerators));
         }
         if self.now < self.span.ends_at() {
-            self.queue.push(self.now + SAMPLE_EVERY, FleetStep::Sample);
+            self.queue
+                .push(self.now + SAMPLE_INTERVAL, FleetStep::Sample);
         }
     }
 
@@ -237,8 +238,8 @@
 
     /// Returns the one-way latency between an entry and a node.
     pub(super) fn latency(&self, entry: usize, node: usize) -> Duration {
-        if self.entries[entry].zone == self.nodes[node].place.zone {
-            WITHIN_ZONE
+        if self.entries[entry].zone == self.nodes[node].identity.zone {
+            IN_ZONE_LATENCY
         } else {
             self.deployment.between_zones
         }
--- a/crates/oatpier-bench/src/load/demand.rs
+++ b/crates/oatpier-bench/src/load/demand.rs
@@ -45,13 +45,13 @@
 }
 
 /// Generates the arrivals of one run.
-pub struct DemandMaker<'a> {
+pub struct DemandGenerator<'a> {
     case: BenchCase<'a>,
     random: ChaCha8Rng,
     base_weights: Vec<f64>,
 }
 
-impl<'a> DemandMaker<'a> {
+impl<'a> DemandGenerator<'a> {
     /// Creates a generator for one run. Equal seeds give equal arrivals.
     #[must_use]
     pub fn new(case: BenchCase<'a>, seed: u64) -> Self {
@@ -69,12 +69,15 @@
     #[must_use]
     pub fn arrivals(mut self, entries: usize) -> Vec<BenchArrival> {
         let total: f64 = self.base_weights.iter().sum();
-        let unit = self.case.deployment.rate
-            * self.case.scenario.demand_factor(self.case.deployment.full)
+        let rate_scale = self.case.deployment.rate
+            * self
+                .case
+                .scenario
+                .demand_factor(self.case.deployment.capacity_factor)
             / total;
         let mut arrivals = Vec::new();
         for index in 0..self.base_weights.len() {
-            self.model_arrivals(index, unit, entries, &mut arrivals);
+            self.model_arrivals(index, rate_scale, entries, &mut arrivals);
         }
         arrivals.sort_by_key(|arrival| arrival.at);
         arrivals
@@ -86,11 +89,11 @@
     fn model_arrivals(
         &mut self,
         index: usize,
-        unit: f64,
+        rate_scale: f64,
         entries: usize,
         arrivals: &mut Vec<BenchArrival>,
     ) {
-        let base = self.base_weights[index] * unit;
+        let base = self.base_weights[index] * rate_scale;
         let highest = base * BURST_FACTOR;
         let mut at = 0.0;
         loop {
--- a/crates/oatpier-bench/src/load/deployment.rs
+++ b/crates/oatpier-bench/src/load/deployment.rs
@@ -37,7 +37,7 @@
     pub rate: f64,
     /// Capacity of all endpoints together, as a multiple of `rate`. At this demand, 95% of the requests are within
     /// target with the static placement.
-    pub full: f64,
+    pub capacity_factor: f64,
 }
 
 struct DeploymentShape {
@@ -73,7 +73,7 @@
         between_zones: Duration::from_micros(1_500),
         to_callers: Duration::from_millis(1),
         rate: 110.0,
-        full: 4.0,
+        capacity_factor: 4.0,
     }
 }
 
@@ -100,7 +100,7 @@
         between_zones: Duration::from_micros(1_500),
         to_callers: Duration::from_millis(1),
         rate: 110.0,
-        full: 5.3,
+        capacity_factor: 5.3,
     }
 }
 
--- a/crates/oatpier-bench/src/load/scenario.rs
+++ b/crates/oatpier-bench/src/load/scenario.rs
@@ -110,13 +110,13 @@
         }
     }
 
-    /// Returns the factor on the steady demand. `full` is the capacity of the deployment as such a factor.
+    /// Returns the factor on the steady demand. `capacity_factor` is the capacity of the deployment as such a factor.
     #[must_use]
-    pub fn demand_factor(self, full: f64) -> f64 {
+    pub fn demand_factor(self, capacity_factor: f64) -> f64 {
         match self {
             Self::RetryStorm => 3.0,
-            Self::Full => full,
-            Self::Overload => 2.0 * full,
+            Self::Full => capacity_factor,
+            Self::Overload => 2.0 * capacity_factor,
             _ => 1.0,
         }
     }
@@ -147,7 +147,7 @@
             Self::Freeze => vec![FaultPlan {
                 at: ClockTime::from_millis(50_000),
                 until: ClockTime::from_millis(70_000),
-                victim: FaultVictim::Busiest(0),
+                target: FaultTarget::Busiest(0),
                 kind: FaultKind::Freeze,
             }],
             _ => Vec::new(),
@@ -160,7 +160,7 @@
     FaultPlan {
         at,
         until: at + Duration::from_secs(15),
-        victim: FaultVictim::Busiest(usize::try_from(index).unwrap_or(0)),
+        target: FaultTarget::Busiest(usize::try_from(index).unwrap_or(0)),
         kind: FaultKind::Death,
     }
 }
@@ -178,13 +178,13 @@
 
 /// Endpoint that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum FaultVictim {
+pub enum FaultTarget {
     /// The live endpoint at this rank by descending number of attempts when the fault begins.
     Busiest(usize),
     /// The first live endpoint that holds the only ready replica of a model.
     OnlyHolder,
     /// The endpoint at this index in the configuration.
-    Place(usize),
+    Index(usize),
 }
 
 /// Fault that a run injects.
@@ -195,7 +195,7 @@
     /// End of the fault.
     pub until: ClockTime,
     /// Affected endpoint.
-    pub victim: FaultVictim,
+    pub target: FaultTarget,
     /// Kind of the fault.
     pub kind: FaultKind,
 }
--- a/crates/oatpier-bench/src/plots.rs
+++ b/crates/oatpier-bench/src/plots.rs
@@ -14,7 +14,7 @@
 use crate::state::spread;
 use crate::units::size_f64;
 
-const SIZE: (u32, u32) = (800, 480);
+const PLOT_SIZE_PIXELS: (u32, u32) = (800, 480);
 /// Loads, as fractions of the capacity of the deployment.
 const LOADS: [f64; 7] = [0.25, 0.5, 0.75, 1.0, 1.25, 1.5, 2.0];
 const LOAD_SPAN: RunSpan = RunSpan {
@@ -61,9 +61,9 @@
     /// Title of the plot.
     pub title: &'static str,
     /// Label of the horizontal axis.
-    pub across: &'static str,
+    pub x_label: &'static str,
     /// Label of the vertical axis.
-    pub up: &'static str,
+    pub y_label: &'static str,
     /// Lines of the plot.
     pub lines: Vec<PlotLine>,
 }
@@ -92,7 +92,7 @@
 }
 
 fn draw_lines(plot: &LinePlot, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, PLOT_SIZE_PIXELS).into_drawing_area();
     root.fill(&WHITE)?;
     let points = || plot.lines.iter().flat_map(|line| line.points.iter());
     let widest = points()
@@ -109,8 +109,8 @@
         .build_cartesian_2d(0.0..widest * 1.02, 0.0..highest * 1.08)?;
     chart
         .configure_mesh()
-        .x_desc(plot.across)
-        .y_desc(plot.up)
+        .x_desc(plot.x_label)
+        .y_desc(plot.y_label)
         .draw()?;
     for (index, line) in plot.lines.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
@@ -131,10 +131,10 @@
 #[must_use]
 pub fn attainment_by_load() -> LinePlot {
     let deployments = LOADS.map(|load| {
-        let whole = ijoko();
+        let base = ijoko();
         BenchDeployment {
-            full: whole.full * load,
-            ..whole
+            capacity_factor: base.capacity_factor * load,
+            ..base
         }
     });
     let cells: Vec<PolicyCell<'_>> = BenchPolicy::ALL
@@ -157,8 +157,8 @@
     LinePlot {
         file: "attainment-by-load",
         title: "Attainment against load (ijoko)",
-        across: "demand, as a multiple of what the fleet can serve",
-        up: "share of requests within target",
+        x_label: "demand, as a multiple of what the fleet can serve",
+        y_label: "share of requests within target",
         lines: lines.collect(),
     }
 }
@@ -186,8 +186,8 @@
     LinePlot {
         file: "moves-over-time",
         title: "Moves under bursts (ijoko, least-outstanding over the greedy planner)",
-        across: "seconds; two minutes stand for an hour",
-        up: "moves so far",
+        x_label: "seconds; two minutes stand for an hour",
+        y_label: "moves so far",
         lines: lines.to_vec(),
     }
 }
@@ -211,8 +211,8 @@
     LinePlot {
         file: "spread-of-change",
         title: "Spread of a change, a tenth of messages lost",
-        across: "seconds since it was accepted (cut off: since the heal)",
-        up: "share of processes with it in force",
+        x_label: "seconds since it was accepted (cut off: since the heal)",
+        y_label: "share of processes with it in force",
         lines: lines.collect(),
     }
 }
--- a/crates/oatpier-bench/src/policy.rs
+++ b/crates/oatpier-bench/src/policy.rs
@@ -12,10 +12,10 @@
 use oatpier_policy::entry::{EntryPolicy, EntrySettings};
 use serde::Serialize;
 
-use crate::fleet::entry::{EntryBrain, PlainChoice, PlainEntry};
+use crate::fleet::entry::{BaselineChoice, BaselineEntry, EntryDecider};
 use crate::fleet::figures::RunFigures;
-use crate::fleet::world::{FleetBrains, FleetWorld};
-use crate::load::demand::DemandMaker;
+use crate::fleet::world::{FleetDeciders, FleetWorld};
+use crate::load::demand::DemandGenerator;
 use crate::load::deployment::BenchDeployment;
 use crate::load::scenario::{BenchCase, BenchScenario, COMPRESSION, FaultPlan};
 use crate::report::bounds::MeasuredFigure;
@@ -60,7 +60,7 @@
         }
     }
 
-    fn brains(self, deployment: &BenchDeployment) -> FleetBrains {
+    fn deciders(self, deployment: &BenchDeployment) -> FleetDeciders {
         let entries = (0..ENTRIES)
             .map(|index| self.entry(deployment, index))
             .collect();
@@ -69,7 +69,7 @@
             Self::Static => Box::new(StaticPlanner::default()),
             Self::RoundRobin | Self::LeastOutstanding => Box::new(GreedyPlanner::default()),
         };
-        FleetBrains {
+        FleetDeciders {
             entries,
             admission: matches!(self, Self::Oatpier | Self::Static),
             planner,
@@ -77,11 +77,11 @@
         }
     }
 
-    fn entry(self, deployment: &BenchDeployment, index: usize) -> Box<dyn EntryBrain> {
+    fn entry(self, deployment: &BenchDeployment, index: usize) -> Box<dyn EntryDecider> {
         let seed = SEED + index as u64;
         let choice = match self {
-            Self::RoundRobin => PlainChoice::RoundRobin,
-            Self::LeastOutstanding => PlainChoice::LeastOutstanding,
+            Self::RoundRobin => BaselineChoice::RoundRobin,
+            Self::LeastOutstanding => BaselineChoice::LeastOutstanding,
             Self::Oatpier | Self::Static => {
                 let zones: Vec<_> = deployment
                     .config
@@ -95,7 +95,7 @@
                 return Box::new(policy);
             }
         };
-        Box::new(PlainEntry::new(choice, seed))
+        Box::new(BaselineEntry::new(choice, seed))
     }
 }
 
@@ -191,28 +191,28 @@
 /// Runs one cell of the report.
 #[must_use]
 pub fn run_cell(cell: &PolicyCell<'_>) -> PolicyRun {
-    line(cell, run_figures(cell))
+    to_row(cell, run_figures(cell))
 }
 
 /// Runs one cell and returns all figures of the run.
 #[must_use]
 pub fn run_figures(cell: &PolicyCell<'_>) -> RunFigures {
     let PolicyCell { case, policy } = *cell;
-    let arrivals = DemandMaker::new(case, SEED).arrivals(ENTRIES);
-    FleetWorld::new(case, &arrivals, policy.brains(case.deployment)).run()
+    let arrivals = DemandGenerator::new(case, SEED).arrivals(ENTRIES);
+    FleetWorld::new(case, &arrivals, policy.deciders(case.deployment)).run()
 }
 
 /// Runs oatpier on a case with the given faults instead of those of its scenario.
 #[must_use]
 pub fn run_with_faults(case: BenchCase<'_>, faults: Vec<FaultPlan>) -> RunFigures {
-    let arrivals = DemandMaker::new(case, SEED).arrivals(ENTRIES);
-    let brains = BenchPolicy::Oatpier.brains(case.deployment);
-    FleetWorld::new(case, &arrivals, brains)
+    let arrivals = DemandGenerator::new(case, SEED).arrivals(ENTRIES);
+    let deciders = BenchPolicy::Oatpier.deciders(case.deployment);
+    FleetWorld::new(case, &arrivals, deciders)
         .with_faults(faults)
         .run()
 }
 
-fn line(cell: &PolicyCell<'_>, figures: RunFigures) -> PolicyRun {
+fn to_row(cell: &PolicyCell<'_>, figures: RunFigures) -> PolicyRun {
     let case = cell.case;
     PolicyRun {
         deployment: case.deployment.name.to_owned(),
@@ -270,24 +270,24 @@
     let mut figures = Vec::new();
     for run in own {
         let name = format!("{}.{}", run.deployment, run.scenario);
-        let mut push = |what: &str, value: f64| {
-            let name = format!("{name}.{what}");
+        let mut push = |figure: &str, value: f64| {
+            let name = format!("{name}.{figure}");
             figures.push(MeasuredFigure { name, value });
         };
         push("attainment", run.attainment);
         push("attainment_per_accelerator", run.attainment_per_accelerator);
         push("moves", as_f64(run.moves));
         push("breaches", as_f64(run.breaches.len() as u64));
-        push("against_best_baseline", against_best(report, run));
+        push("against_best_baseline", ratio_to_best_baseline(report, run));
         if run.scenario == BenchScenario::Overload.as_str() {
-            push("goodput_against_full", against_full(report, run));
+            push("goodput_against_full", ratio_to_full_load(report, run));
         }
     }
     figures
 }
 
 /// Returns the ratio of the attainment per accelerator to that of the best baseline in the same scenario.
-fn against_best(report: &PolicyReport, own: &PolicyRun) -> f64 {
+fn ratio_to_best_baseline(report: &PolicyReport, own: &PolicyRun) -> f64 {
     let same = report.runs.iter().filter(|run| {
         run.policy != own.policy && run.deployment == own.deployment && run.scenario == own.scenario
     });
@@ -298,7 +298,7 @@
 }
 
 /// Returns the ratio of the goodput at twice the capacity of the deployment to the goodput at its capacity.
-fn against_full(report: &PolicyReport, own: &PolicyRun) -> f64 {
+fn ratio_to_full_load(report: &PolicyReport, own: &PolicyRun) -> f64 {
     let full = report.runs.iter().find(|run| {
         run.policy == own.policy
             && run.deployment == own.deployment
--- a/crates/oatpier-bench/src/report/bounds.rs
+++ b/crates/oatpier-bench/src/report/bounds.rs
@@ -34,13 +34,13 @@
 
 /// Violation of a bound: a figure outside its bound, or a bound whose figure was not measured.
 #[derive(Debug, Clone, PartialEq)]
-pub struct BoundBreach {
+pub struct BoundViolation {
     name: String,
     value: Option<f64>,
     bound: FigureBound,
 }
 
-impl fmt::Display for BoundBreach {
+impl fmt::Display for BoundViolation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { name, value, bound } = self;
         match value {
@@ -59,11 +59,11 @@
 
 /// Bounds of one bench.
 #[derive(Debug, Clone, Default)]
-pub struct BoundBook {
+pub struct BoundSet {
     bounds: IndexMap<String, FigureBound>,
 }
 
-impl BoundBook {
+impl BoundSet {
     /// Returns the committed bounds of the bench named `bench`.
     ///
     /// # Panics
@@ -92,7 +92,7 @@
 
     /// Returns the violated bounds.
     #[must_use]
-    pub fn check(&self, figures: &[MeasuredFigure]) -> Vec<BoundBreach> {
+    pub fn check(&self, figures: &[MeasuredFigure]) -> Vec<BoundViolation> {
         self.bounds
             .iter()
             .filter_map(|(name, bound)| {
@@ -100,7 +100,7 @@
                     .iter()
                     .find(|figure| figure.name == *name)
                     .map(|figure| figure.value);
-                (!is_within(bound, value)).then(|| BoundBreach {
+                (!is_within(bound, value)).then(|| BoundViolation {
                     name: name.clone(),
                     value,
                     bound: bound.clone(),
@@ -112,11 +112,11 @@
     /// Prints the violated bounds to stderr. Returns `true` if there are none.
     #[must_use]
     pub fn enforce(&self, figures: &[MeasuredFigure]) -> bool {
-        let breaches = self.check(figures);
-        for breach in &breaches {
-            eprintln!("error: {breach}");
+        let violations = self.check(figures);
+        for violation in &violations {
+            eprintln!("error: {violation}");
         }
-        breaches.is_empty()
+        violations.is_empty()
     }
 }
 
--- a/crates/oatpier-bench/src/report/cli.rs
+++ b/crates/oatpier-bench/src/report/cli.rs
@@ -4,7 +4,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
-use super::bounds::{BoundBook, MeasuredFigure};
+use super::bounds::{BoundSet, MeasuredFigure};
 
 /// Creates the command of a bench, with the flags `--json` and `--check`.
 #[must_use]
@@ -35,7 +35,7 @@
 /// Checks the figures against the committed bounds of a bench if `--check` is given, and returns the exit code.
 #[must_use]
 pub fn finish(matches: &ArgMatches, bench: &str, figures: &[MeasuredFigure]) -> ExitCode {
-    if !matches.get_flag("check") || BoundBook::of(bench).enforce(figures) {
+    if !matches.get_flag("check") || BoundSet::of(bench).enforce(figures) {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/oatpier-bench/src/state/day.rs
+++ b/crates/oatpier-bench/src/state/day.rs
@@ -31,10 +31,10 @@
 const STEP: Duration = Duration::from_secs(10);
 const DAY_STEPS: u32 = 8_640;
 /// Number of parts into which the demand of a step is split. Each round assigns one part of every model.
-const PARTS: u32 = 20;
+const DEMAND_PARTS: u32 = 20;
 /// Prompt and output tokens of a request.
-const PROMPT: u32 = 400;
-const OUTPUT: u32 = 88;
+const PROMPT_TOKENS: u32 = 400;
+const OUTPUT_TOKENS: u32 = 88;
 /// Time to process one prompt token, as an agent would report it.
 const PROMPT_TOKEN_NS: u32 = 20_000;
 /// Factor by which a model's demand is higher in a burst.
@@ -77,7 +77,7 @@
 struct DayTotals {
     moves: u32,
     endpoints: f64,
-    asked: f64,
+    requested: f64,
     served: f64,
 }
 
@@ -113,7 +113,7 @@
     fn run(mut self, mut planner: Box<dyn FleetPlanner>) -> DayRow {
         let mut totals = DayTotals::default();
         for step in 0..DAY_STEPS {
-            let counts = self.ask(step);
+            let counts = self.draw_demand(step);
             if step > 0 {
                 self.serve(&counts, &mut totals);
             }
@@ -121,7 +121,7 @@
         }
         let steps = f64::from(DAY_STEPS - 1);
         let accelerators_used = 4.0 * totals.endpoints / steps;
-        let attainment = totals.served / totals.asked;
+        let attainment = totals.served / totals.requested;
         DayRow {
             deployment: self.deployment.name.to_owned(),
             planner: planner.name().to_owned(),
@@ -135,17 +135,17 @@
     /// Records and returns the number of requests of each model in one step.
     ///
     /// The demand is low at night, and single models have bursts.
-    fn ask(&mut self, step: u32) -> Vec<u32> {
+    fn draw_demand(&mut self, step: u32) -> Vec<u32> {
         let hour = f64::from(step) / f64::from(DAY_STEPS);
         let daytime = 0.6 - 0.4 * (hour * TAU).cos();
         let all = self.deployment.rate * STEP.as_secs_f64() * daytime;
         let now = ClockTime::ZERO + STEP * step;
         (0..self.bursts.len())
-            .map(|model| self.ask_model(model, all, now))
+            .map(|model| self.draw_model_demand(model, all, now))
             .collect()
     }
 
-    fn ask_model(&mut self, model: usize, all: f64, now: ClockTime) -> u32 {
+    fn draw_model_demand(&mut self, model: usize, all: f64, now: ClockTime) -> u32 {
         let begins = BURSTS_A_DAY / f64::from(DAY_STEPS);
         if self.bursts[model] == 0 && self.random.random_bool(begins) {
             self.bursts[model] = self.random.random_range(BURST_STEPS);
@@ -165,7 +165,7 @@
             adapter: None,
         };
         for _ in 0..count {
-            self.ledger.record(&key, PROMPT, OUTPUT, now);
+            self.ledger.record(&key, PROMPT_TOKENS, OUTPUT_TOKENS, now);
         }
         count
     }
@@ -175,21 +175,21 @@
         let holders: Vec<Vec<usize>> = (0..counts.len()).map(|model| self.holders(model)).collect();
         let capacity = capacity(self.deployment) * STEP.as_secs_f64();
         let mut loads = vec![0.0_f64; self.views.len()];
-        for _ in 0..PARTS {
+        for _ in 0..DEMAND_PARTS {
             for (count, holders) in counts.iter().zip(&holders) {
-                let part = f64::from(*count) / f64::from(PARTS);
-                let free = holders
+                let part = f64::from(*count) / f64::from(DEMAND_PARTS);
+                let least_loaded = holders
                     .iter()
                     .min_by(|a, b| loads[**a].total_cmp(&loads[**b]));
-                let Some(free) = free else {
+                let Some(least_loaded) = least_loaded else {
                     continue;
                 };
-                let room = (1.0 - loads[*free]).max(0.0) * capacity;
-                totals.served += part.min(room);
-                loads[*free] += part / capacity;
+                let spare = (1.0 - loads[*least_loaded]).max(0.0) * capacity;
+                totals.served += part.min(spare);
+                loads[*least_loaded] += part / capacity;
             }
         }
-        totals.asked += counts.iter().copied().map(f64::from).sum::<f64>();
+        totals.requested += counts.iter().copied().map(f64::from).sum::<f64>();
         let used = self.views.iter().filter(|view| !view.held.is_empty());
         totals.endpoints += size_f64(used.count());
     }
@@ -233,7 +233,7 @@
 
 /// Returns the number of requests per second that one endpoint can serve, from the capacity in the policy bench.
 fn capacity(deployment: &BenchDeployment) -> f64 {
-    deployment.rate * deployment.full / size_f64(views(deployment).len())
+    deployment.rate * deployment.capacity_factor / size_f64(views(deployment).len())
 }
 
 fn ready(weights: &WeightsKey) -> HeldWeights {
@@ -272,8 +272,8 @@
 
 /// Returns the duration of a generation step at which an endpoint serves exactly its capacity.
 fn step_us(deployment: &BenchDeployment, endpoints: usize) -> u32 {
-    let rate = deployment.rate * deployment.full / size_f64(endpoints);
+    let rate = deployment.rate * deployment.capacity_factor / size_f64(endpoints);
     let request_s = f64::from(ENGINE_SLOTS) / rate;
-    let reading_s = f64::from(PROMPT) * f64::from(PROMPT_TOKEN_NS) / 1e9;
-    floor((request_s - reading_s) / f64::from(OUTPUT) * 1e6)
+    let reading_s = f64::from(PROMPT_TOKENS) * f64::from(PROMPT_TOKEN_NS) / 1e9;
+    floor((request_s - reading_s) / f64::from(OUTPUT_TOKENS) * 1e6)
 }
--- a/crates/oatpier-bench/src/state/mod.rs
+++ b/crates/oatpier-bench/src/state/mod.rs
@@ -56,10 +56,11 @@
     thread::scope(|scope| {
         let spread = wanted("spread").then(|| scope.spawn(run_spread));
         let each = &deployments;
-        let recovery =
-            wanted("recovery").then(|| scope.spawn(|| per(each, |one| vec![recovery::run(one)])));
-        let moves = wanted("moves").then(|| scope.spawn(|| per(each, day::run)));
-        let registrars = wanted("registrars").then(|| scope.spawn(|| per(each, registrars::run)));
+        let recovery = wanted("recovery")
+            .then(|| scope.spawn(|| run_each(each, |one| vec![recovery::run(one)])));
+        let moves = wanted("moves").then(|| scope.spawn(|| run_each(each, day::run)));
+        let registrars =
+            wanted("registrars").then(|| scope.spawn(|| run_each(each, registrars::run)));
         let join = "no run panicked";
         report.spread = spread
             .map(|run| run.join().expect(join))
@@ -82,7 +83,10 @@
     spread::sizes().iter().flat_map(spread::run).collect()
 }
 
-fn per<R>(deployments: &[BenchDeployment], run: impl Fn(&BenchDeployment) -> Vec<R>) -> Vec<R> {
+fn run_each<R>(
+    deployments: &[BenchDeployment],
+    run: impl Fn(&BenchDeployment) -> Vec<R>,
+) -> Vec<R> {
     deployments.iter().flat_map(run).collect()
 }
 
--- a/crates/oatpier-bench/src/state/recovery.rs
+++ b/crates/oatpier-bench/src/state/recovery.rs
@@ -6,14 +6,14 @@
 use serde::Serialize;
 
 use crate::load::deployment::BenchDeployment;
-use crate::load::scenario::{BenchCase, BenchScenario, FaultKind, FaultPlan, FaultVictim, RunSpan};
+use crate::load::scenario::{BenchCase, BenchScenario, FaultKind, FaultPlan, FaultTarget, RunSpan};
 use crate::policy;
 use crate::units::size_f64;
 
 /// Number of endpoints that fail in one run, one after the other. None of them restarts.
 const DEATHS: u64 = 3;
 const FIRST_DEATH: ClockTime = ClockTime::from_millis(30_000);
-const DEATH_EVERY: Duration = Duration::from_secs(20);
+const DEATH_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Row of the report for one deployment.
 #[derive(Debug, Clone, PartialEq)]
@@ -51,16 +51,16 @@
         lost: outages.len() - back.len(),
         mean_s: back.iter().sum::<f64>() / size_f64(back.len().max(1)),
         max_s: back.iter().copied().fold(0.0, f64::max),
-        silence_s: crate::fleet::world::SILENCE.as_secs_f64(),
+        silence_s: crate::fleet::world::SILENCE_TIMEOUT.as_secs_f64(),
     }
 }
 
 fn death(index: u64) -> FaultPlan {
-    let at = FIRST_DEATH + DEATH_EVERY * u32::try_from(index).unwrap_or(0);
+    let at = FIRST_DEATH + DEATH_INTERVAL * u32::try_from(index).unwrap_or(0);
     FaultPlan {
         at,
         until: ClockTime::NEVER,
-        victim: FaultVictim::OnlyHolder,
+        target: FaultTarget::OnlyHolder,
         kind: FaultKind::Death,
     }
 }
--- a/crates/oatpier-bench/src/state/registrars.rs
+++ b/crates/oatpier-bench/src/state/registrars.rs
@@ -9,16 +9,16 @@
 use oatpier_types::clock::ClockTime;
 use serde::Serialize;
 
-use super::spread::{SpreadSize, run_busy, settled};
+use super::spread::{SpreadSize, run_with_reports, settled_fleet};
 use crate::load::deployment::BenchDeployment;
-use crate::load::scenario::{BenchCase, BenchScenario, FaultKind, FaultPlan, FaultVictim, RunSpan};
+use crate::load::scenario::{BenchCase, BenchScenario, FaultKind, FaultPlan, FaultTarget, RunSpan};
 use crate::policy;
 use crate::units::as_f64;
 
 /// Time at which the registrar fails in the run of the policy bench.
 const DEATH_AT: ClockTime = ClockTime::from_millis(40_000);
 /// Time for which the effect of the failure is observed.
-const WATCHED: Duration = Duration::from_secs(40);
+const OBSERVATION_TIME: Duration = Duration::from_secs(40);
 /// Number of engines, and therefore of engine agents, in each deployment.
 const AGENTS: usize = 18;
 
@@ -42,11 +42,11 @@
 
 pub(super) fn run(deployment: &BenchDeployment) -> Vec<RegistrarRow> {
     let choices = [(LostRegistrar::Keep, "keep"), (LostRegistrar::Drop, "drop")];
-    let rows = choices.map(|(lost_registrar, word)| row(deployment, lost_registrar, word));
+    let rows = choices.map(|(lost_registrar, label)| row(deployment, lost_registrar, label));
     rows.to_vec()
 }
 
-fn row(deployment: &BenchDeployment, lost_registrar: LostRegistrar, word: &str) -> RegistrarRow {
+fn row(deployment: &BenchDeployment, lost_registrar: LostRegistrar, label: &str) -> RegistrarRow {
     let absences = absences(lost_registrar);
     let longest = absences.iter().map(|fault| fault.until.since(fault.at));
     let longest_s = longest.max().unwrap_or_default().as_secs_f64();
@@ -59,7 +59,7 @@
     let figures = policy::run_with_faults(case, absences);
     RegistrarRow {
         deployment: deployment.name.to_owned(),
-        lost_registrar: word.to_owned(),
+        lost_registrar: label.to_owned(),
         agents_gone,
         longest_s,
         attainment: as_f64(figures.delivered) / as_f64(figures.requests.max(1)),
@@ -79,10 +79,10 @@
         lost_registrar,
         ..TableLimits::default()
     };
-    let mut fleet = settled(&size, 0.0, limits);
+    let mut fleet = settled_fleet(&size, 0.0, limits);
     let died = fleet.now;
     fleet.kill(0);
-    run_busy(&mut fleet, WATCHED, &mut 2);
+    run_with_reports(&mut fleet, OBSERVATION_TIME, &mut 2);
     let seen = &fleet.processes[1].changes;
     let of_agents = (0..AGENTS).filter_map(|agent| {
         let daemon = &fleet.contact(size.entries + agent).daemon;
@@ -106,12 +106,12 @@
     let back = changes
         .iter()
         .find(|(at, change)| *at > gone.0 && change.before == MemberState::Gone);
-    let end = back.map_or(died + WATCHED, |(at, _)| *at);
+    let end = back.map_or(died + OBSERVATION_TIME, |(at, _)| *at);
     let shift = |at: ClockTime| DEATH_AT + at.since(died);
     Some(FaultPlan {
         at: shift(gone.0),
         until: shift(end),
-        victim: FaultVictim::Place(agent),
+        target: FaultTarget::Index(agent),
         kind: FaultKind::Unregistered,
     })
 }
--- a/crates/oatpier-bench/src/state/slopes.rs
+++ b/crates/oatpier-bench/src/state/slopes.rs
@@ -9,11 +9,11 @@
 use oatpier_membership::members::TableLimits;
 use serde::Serialize;
 
-use super::spread::{MODELS, SpreadSize, run_busy, settled};
+use super::spread::{MODELS, SpreadSize, run_with_reports, settled_fleet};
 use crate::units::{as_f64, size_f64};
 
 /// Length of the measured period, in which the configuration changes once.
-const MEASURED: Duration = Duration::from_secs(16);
+const MEASURED_TIME: Duration = Duration::from_secs(16);
 
 /// Row of the report for one cost.
 #[derive(Debug, Clone, PartialEq)]
@@ -54,8 +54,8 @@
 pub(super) fn run() -> Vec<SlopeRow> {
     let start = base();
     let first = cost(&start);
-    let mut rows = whole(&first);
-    let grown = [
+    let mut rows = base_rows(&first);
+    let variants = [
         (
             "daemon",
             SpreadSize {
@@ -81,23 +81,23 @@
             size_f64(MODELS),
         ),
     ];
-    for (per, size, more) in grown {
-        rows.extend(slope(per, more, first, cost(&size)));
+    for (per, size, added) in variants {
+        rows.extend(slope(per, added, first, cost(&size)));
     }
     rows
 }
 
 fn cost(size: &SpreadSize) -> FleetCost {
-    let mut fleet = settled(size, 0.0, TableLimits::default());
+    let mut fleet = settled_fleet(size, 0.0, TableLimits::default());
     fleet.measure = true;
     fleet.store.calls = 0;
-    let begun = Instant::now();
-    let half = MEASURED / 2;
-    run_busy(&mut fleet, half, &mut 2);
+    let started = Instant::now();
+    let half = MEASURED_TIME / 2;
+    run_with_reports(&mut fleet, half, &mut 2);
     fleet.accept(1, "an endpoint or a model with another setting");
-    run_busy(&mut fleet, half, &mut 1_000);
-    let took = begun.elapsed();
-    let seconds = MEASURED.as_secs_f64();
+    run_with_reports(&mut fleet, half, &mut 1_000);
+    let elapsed = started.elapsed();
+    let seconds = MEASURED_TIME.as_secs_f64();
     let mean = |from: usize, to: usize| {
         let bytes: u64 = fleet.processes[from..to].iter().map(|one| one.bytes).sum();
         as_f64(bytes) / size_f64(to - from) / seconds
@@ -107,22 +107,22 @@
         entry_bytes: mean(0, size.entries),
         agent_bytes: mean(size.entries, all),
         store_calls: as_f64(fleet.store.calls) / seconds,
-        processor_us: took.as_secs_f64() * 1e6 / size_f64(all) / seconds,
+        processor_us: elapsed.as_secs_f64() * 1e6 / size_f64(all) / seconds,
     }
 }
 
-fn whole(cost: &FleetCost) -> Vec<SlopeRow> {
-    rows("34 entries, 350 endpoints, 490 models", |pick| pick(cost))
+fn base_rows(cost: &FleetCost) -> Vec<SlopeRow> {
+    rows("34 entries, 350 endpoints, 490 models", |get| get(cost))
 }
 
-fn slope(per: &str, more: f64, from: FleetCost, to: FleetCost) -> Vec<SlopeRow> {
-    rows(per, |pick| (pick(&to) - pick(&from)) / more)
+fn slope(per: &str, added: f64, from: FleetCost, to: FleetCost) -> Vec<SlopeRow> {
+    rows(per, |get| (get(&to) - get(&from)) / added)
 }
 
-type CostPick = fn(&FleetCost) -> f64;
+type CostGetter = fn(&FleetCost) -> f64;
 
-fn rows(per: &str, value: impl Fn(CostPick) -> f64) -> Vec<SlopeRow> {
-    let parts: [(&str, &str, &str, CostPick); 4] = [
+fn rows(per: &str, value: impl Fn(CostGetter) -> f64) -> Vec<SlopeRow> {
+    let parts: [(&str, &str, &str, CostGetter); 4] = [
         ("entry", "network", "bytes/s", |cost| cost.entry_bytes),
         ("agent", "network", "bytes/s", |cost| cost.agent_bytes),
         ("fleet", "store calls", "calls/s", |cost| cost.store_calls),
@@ -132,11 +132,11 @@
     ];
     parts
         .into_iter()
-        .map(|(role, resource, unit, pick)| SlopeRow {
+        .map(|(role, resource, unit, get)| SlopeRow {
             role: role.to_owned(),
             resource: resource.to_owned(),
             per: per.to_owned(),
-            value: value(pick),
+            value: value(get),
             unit: unit.to_owned(),
         })
         .collect()
--- a/crates/oatpier-bench/src/state/spread.rs
+++ b/crates/oatpier-bench/src/state/spread.rs
@@ -18,9 +18,9 @@
 const LOSS: f64 = 0.1;
 const WARM_UP: Duration = Duration::from_secs(12);
 /// Time for which a change is observed, which is a little more than it may take.
-const WATCHED: Duration = Duration::from_secs(6);
+const OBSERVATION_TIME: Duration = Duration::from_secs(6);
 /// Time for which an availability zone is partitioned from the others.
-const CUT: Duration = Duration::from_secs(5);
+const CUT_TIME: Duration = Duration::from_secs(5);
 /// Number of changes before, during and after the partition.
 const CHANGES: [u32; 3] = [1, 1, 1];
 /// Number of models in the configuration. Each model is a row, as is each endpoint.
@@ -80,7 +80,7 @@
 }
 
 /// Creates a fleet and runs it until a configuration is in force.
-pub(super) fn settled(size: &SpreadSize, loss: f64, limits: TableLimits) -> Fleet {
+pub(super) fn settled_fleet(size: &SpreadSize, loss: f64, limits: TableLimits) -> Fleet {
     let shape = Shape {
         zones_by_region: size.zones_by_region.clone(),
         entries: size.entries,
@@ -102,7 +102,7 @@
 }
 
 /// Runs for whole seconds and sends a new queue report of each agent in every second.
-pub(super) fn run_busy(fleet: &mut Fleet, span: Duration, sequence: &mut u64) {
+pub(super) fn run_with_reports(fleet: &mut Fleet, span: Duration, sequence: &mut u64) {
     for _ in 0..span.as_secs() {
         *sequence += 1;
         for index in fleet.entries..fleet.processes.len() {
@@ -119,7 +119,7 @@
 /// Measures the spread of changes at one fleet size.
 #[must_use]
 pub fn run(size: &SpreadSize) -> Vec<SpreadRow> {
-    let mut fleet = settled(size, LOSS, TableLimits::default());
+    let mut fleet = settled_fleet(size, LOSS, TableLimits::default());
     let mut key = 0;
     let mut change = |fleet: &mut Fleet, cut: bool| {
         key += 1;
@@ -131,11 +131,11 @@
         let accepted = fleet.now;
         let mut healed = accepted;
         if cut {
-            fleet.run_for(CUT);
+            fleet.run_for(CUT_TIME);
             fleet.network.cuts.clear();
             healed = fleet.now;
         }
-        fleet.run_for(WATCHED);
+        fleet.run_for(OBSERVATION_TIME);
         times(fleet, generation, |index| {
             let inside = fleet.processes[index].contact.zone == zone;
             if inside { healed } else { accepted }
--- a/crates/oatpier-bench/tests/testsuite/bounds.rs
+++ b/crates/oatpier-bench/tests/testsuite/bounds.rs
@@ -2,7 +2,7 @@
 
 use oatpier_bench::load::deployment;
 use oatpier_bench::load::scenario::BenchScenario;
-use oatpier_bench::report::bounds::{BoundBook, MeasuredFigure};
+use oatpier_bench::report::bounds::{BoundSet, MeasuredFigure};
 
 const SAMPLE_BOUNDS: &str = r#"
 [policy]
@@ -16,7 +16,7 @@
 }
 
 fn violations(figures: &[MeasuredFigure]) -> Vec<String> {
-    let book = BoundBook::parse(SAMPLE_BOUNDS, "policy").expect("well-formed");
+    let book = BoundSet::parse(SAMPLE_BOUNDS, "policy").expect("well-formed");
     assert_eq!(book.enforce(figures), book.check(figures).is_empty());
     book.check(figures)
         .iter()
@@ -66,7 +66,7 @@
 
 #[test]
 fn every_run_of_the_policy_bench_has_a_committed_bound() {
-    let book = BoundBook::of("policy");
+    let book = BoundSet::of("policy");
     let names: Vec<&str> = book.names().collect();
     for deployment in deployment::all() {
         for scenario in BenchScenario::ALL {
@@ -82,7 +82,7 @@
         ("state", "spread.340.cut.max_s"),
         ("cost", "routing-choice.3500.allocations"),
     ] {
-        let book = BoundBook::of(bench);
+        let book = BoundSet::of(bench);
         assert!(book.names().any(|name| name == figure), "{figure}");
     }
 }
