--- a/crates/oatpier-bench/src/fleet/attempts.rs
+++ b/crates/oatpier-bench/src/fleet/attempts.rs
@@ -30,7 +30,7 @@
 }
 
 impl FleetWorld<'_> {
-    pub(super) fn attempt(
+    pub(super) fn handle_attempt(
         &mut self,
         node: usize,
         entry: usize,
@@ -58,7 +58,7 @@
         self.agent_event(node, AgentEvent::Arrive { spec, ticket });
     }
 
-    pub(super) fn cancel(
+    pub(super) fn handle_cancel(
         &mut self,
         node: usize,
         entry: usize,
@@ -104,7 +104,7 @@
         requester: Option<(usize, RequestId)>,
     ) {
         let actions = self.nodes[node].decider.step(event, self.now);
-        self.agent_actions(node, actions, requester);
+        self.apply_agent_actions(node, actions, requester);
         self.arm_agent(node);
     }
 
@@ -113,7 +113,7 @@
         self.nodes[node].boot == boot && self.nodes[node].alive
     }
 
-    pub(super) fn agent_timer(&mut self, node: usize, boot: BootId) {
+    pub(super) fn fire_agent_timer(&mut self, node: usize, boot: BootId) {
         if !self.is_current(node, boot) || self.nodes[node].armed.agent != self.now {
             return;
         }
@@ -131,7 +131,7 @@
         }
     }
 
-    fn agent_actions(
+    fn apply_agent_actions(
         &mut self,
         node: usize,
         actions: AgentActions,
@@ -172,7 +172,7 @@
             .get(&held.spec.request)
             .cloned()
             .unwrap_or_default();
-        let weights = self.serving(node, &held.spec.goal);
+        let weights = self.find_weights(node, &held.spec.goal);
         if let Some(kept) = self.nodes[node].attempts.0.get_mut(&attempt) {
             kept.weights = weights;
         }
@@ -189,7 +189,7 @@
         self.arm_engine(node);
     }
 
-    fn serving(&self, node: usize, goal: &RequestGoal) -> Option<WeightsKey> {
+    fn find_weights(&self, node: usize, goal: &RequestGoal) -> Option<WeightsKey> {
         let RequestGoal::Model { model, adapter } = goal else {
             return None;
         };
@@ -243,7 +243,7 @@
             attempt,
         };
         match output.kind {
-            OutputKind::Token(_) if first => self.first_token(route),
+            OutputKind::Token(_) if first => self.handle_first_token(route),
             OutputKind::Token(_) => {
                 held.unsent += 1;
                 if held.unsent == PIECE_TOKENS {
@@ -267,7 +267,7 @@
         }
     }
 
-    fn first_token(&mut self, route: AnswerRoute) {
+    fn handle_first_token(&mut self, route: AnswerRoute) {
         let AnswerRoute { node, attempt, .. } = route;
         self.agent_event(node, AgentEvent::EndpointFirstToken { attempt });
         let report = Some(self.nodes[node].decider.queue_report(self.now));
@@ -291,7 +291,7 @@
         let event = AgentEvent::EndpointPiece { attempt, tokens };
         let actions = self.nodes[node].decider.step(event, self.now);
         if !actions.is_empty() {
-            self.agent_actions(node, actions, None);
+            self.apply_agent_actions(node, actions, None);
             self.arm_agent(node);
         }
         self.send_event(route, EntryEvent::Piece { attempt, tokens });
--- a/crates/oatpier-bench/src/fleet/faults.rs
+++ b/crates/oatpier-bench/src/fleet/faults.rs
@@ -10,7 +10,7 @@
 use crate::load::scenario::{FaultKind, FaultTarget};
 
 impl FleetWorld<'_> {
-    pub(super) fn fault_begins(&mut self, fault: usize) {
+    pub(super) fn start_fault(&mut self, fault: usize) {
         let plan = self.faults[fault];
         let Some(node) = self.find_target(plan.target) else {
             return;
@@ -27,7 +27,7 @@
             .push(plan.until, FleetStep::FaultEnds { fault, node });
     }
 
-    pub(super) fn fault_ends(&mut self, fault: usize, node: usize) {
+    pub(super) fn end_fault(&mut self, fault: usize, node: usize) {
         match self.faults[fault].kind {
             FaultKind::Death => self.revive(node),
             FaultKind::Freeze => self.freeze(node, false),
@@ -99,7 +99,7 @@
         let identity = self.nodes[node].identity.clone();
         let parts = self.parts(&identity, Vec::new());
         self.nodes[node].restart(parts, &self.deployment.config);
-        self.begin_node(node);
+        self.start_node(node);
     }
 
     fn freeze(&mut self, node: usize, frozen: bool) {
--- a/crates/oatpier-bench/src/fleet/moves.rs
+++ b/crates/oatpier-bench/src/fleet/moves.rs
@@ -28,7 +28,7 @@
 
 impl FleetWorld<'_> {
     /// Starts a node's agent and engine.
-    pub(super) fn begin_node(&mut self, node: usize) {
+    pub(super) fn start_node(&mut self, node: usize) {
         self.update_ready(node);
         let boot = self.nodes[node].boot;
         self.queue.push(self.now, FleetStep::Moves { node, boot });
@@ -85,7 +85,7 @@
         }
     }
 
-    pub(super) fn moves_tick(&mut self, node: usize, boot: BootId) {
+    pub(super) fn run_placement_step(&mut self, node: usize, boot: BootId) {
         if !self.is_current(node, boot) {
             return;
         }
@@ -215,7 +215,7 @@
         }
     }
 
-    pub(super) fn plan_tick(&mut self, every: Duration) {
+    pub(super) fn run_planner(&mut self, every: Duration) {
         if self.replans {
             let plan = self.make_plan();
             let at = self.now + PLAN_DELAY;
--- a/crates/oatpier-bench/src/fleet/queue.rs
+++ b/crates/oatpier-bench/src/fleet/queue.rs
@@ -17,7 +17,7 @@
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<QueueKey>>,
     events: Vec<Option<E>>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
     pushed: u64,
 }
 
@@ -26,7 +26,7 @@
         Self {
             heap: BinaryHeap::new(),
             events: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             pushed: 0,
         }
     }
@@ -48,12 +48,12 @@
     pub fn pop(&mut self) -> Option<(ClockTime, E)> {
         let Reverse(key) = self.heap.pop()?;
         let event = self.events[key.slot].take()?;
-        self.free.push(key.slot);
+        self.free_slots.push(key.slot);
         Some((key.at, event))
     }
 
     fn store_event(&mut self, event: E) -> usize {
-        if let Some(slot) = self.free.pop() {
+        if let Some(slot) = self.free_slots.pop() {
             self.events[slot] = Some(event);
             return slot;
         }
--- a/crates/oatpier-bench/src/fleet/requests.rs
+++ b/crates/oatpier-bench/src/fleet/requests.rs
@@ -24,7 +24,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl FleetWorld<'_> {
-    pub(super) fn arrive(&mut self, arrival: usize, number: u32) {
+    pub(super) fn handle_arrival(&mut self, arrival: usize, number: u32) {
         if number == 0 {
             self.queue_arrival(arrival + 1);
         }
@@ -58,10 +58,15 @@
         node.demand
             .record(&key, intake.tokens.prompt, intake.tokens.output, self.now);
         let actions = node.decider.start(intake, self.now);
-        self.entry_actions(entry, request, 0, actions);
+        self.apply_entry_actions(entry, request, 0, actions);
     }
 
-    pub(super) fn at_entry(&mut self, entry: usize, request: RequestId, event: &EntryEvent) {
+    pub(super) fn handle_entry_event(
+        &mut self,
+        entry: usize,
+        request: RequestId,
+        event: &EntryEvent,
+    ) {
         let tokens = match event {
             EntryEvent::Piece { tokens, .. } => *tokens,
             _ => 0,
@@ -70,10 +75,10 @@
             self.record_queue_report(entry, attempt, *report);
         }
         let actions = self.entries[entry].decider.handle(request, event, self.now);
-        self.entry_actions(entry, request, tokens, actions);
+        self.apply_entry_actions(entry, request, tokens, actions);
     }
 
-    pub(super) fn entry_timer(&mut self, entry: usize) {
+    pub(super) fn fire_entry_timer(&mut self, entry: usize) {
         let node = &mut self.entries[entry];
         if node.armed != self.now {
             return;
@@ -82,7 +87,7 @@
         let mut fired = FiredActions::new();
         node.decider.fire_timers(self.now, &mut fired);
         for (request, actions) in fired {
-            self.entry_actions(entry, request, 0, actions);
+            self.apply_entry_actions(entry, request, 0, actions);
         }
         self.arm_entry(entry);
     }
@@ -99,7 +104,7 @@
         }
     }
 
-    fn entry_actions(
+    fn apply_entry_actions(
         &mut self,
         entry: usize,
         request: RequestId,
@@ -136,7 +141,7 @@
                     let at = self.now + self.deployment.to_callers;
                     self.callers.record_tokens(request, tokens, at);
                 }
-                EntryAction::Answer(answer) => self.answer(request, &answer),
+                EntryAction::Answer(answer) => self.send_answer(request, &answer),
                 EntryAction::Claim { .. } | EntryAction::SettleClaim { .. } => {}
             }
         }
@@ -162,7 +167,7 @@
         );
     }
 
-    fn answer(&mut self, request: RequestId, answer: &FinalAnswer) {
+    fn send_answer(&mut self, request: RequestId, answer: &FinalAnswer) {
         self.prefixes.swap_remove(&request);
         let outcome = AnswerOutcome {
             is_complete: answer.cause == FinalCause::Complete,
@@ -232,12 +237,12 @@
         }
     }
 
-    pub(super) fn status_at(&mut self, entry: usize, status: &EndpointStatus) {
+    pub(super) fn deliver_status(&mut self, entry: usize, status: &EndpointStatus) {
         self.store_queue_report(entry, &status.endpoint, status.queue);
         self.entries[entry].decider.on_status(status, self.now);
     }
 
-    pub(super) fn reports_at(
+    pub(super) fn deliver_reports(
         &mut self,
         entry: usize,
         node: usize,
@@ -253,7 +258,7 @@
     }
 
     /// Sends the status of each live agent to all entries. Removes nodes that have been silent for [`SILENCE_TIMEOUT`].
-    pub(super) fn heartbeats(&mut self) {
+    pub(super) fn send_heartbeats(&mut self) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].alive {
                 self.last_heartbeats.insert(node, self.now);
--- a/crates/oatpier-bench/src/fleet/world.rs
+++ b/crates/oatpier-bench/src/fleet/world.rs
@@ -132,7 +132,7 @@
 
     fn start(&mut self) {
         for index in 0..self.nodes.len() {
-            self.begin_node(index);
+            self.start_node(index);
         }
         self.queue.push(self.now, FleetStep::Heartbeats);
         self.queue.push(self.now, FleetStep::ReadReports);
@@ -177,26 +177,26 @@
 
     fn dispatch(&mut self, step: FleetStep) {
         match step {
-            FleetStep::Arrive { arrival, number } => self.arrive(arrival, number),
+            FleetStep::Arrive { arrival, number } => self.handle_arrival(arrival, number),
             FleetStep::AtEntry {
                 entry,
                 request,
                 event,
-            } => self.at_entry(entry, request, &event),
-            FleetStep::EntryTimer { entry } => self.entry_timer(entry),
-            FleetStep::Status { entry, status } => self.status_at(entry, &status),
+            } => self.handle_entry_event(entry, request, &event),
+            FleetStep::EntryTimer { entry } => self.fire_entry_timer(entry),
+            FleetStep::Status { entry, status } => self.deliver_status(entry, &status),
             FleetStep::Reports {
                 entry,
                 node,
                 load,
                 cache,
-            } => self.reports_at(entry, node, &load, &cache),
+            } => self.deliver_reports(entry, node, &load, &cache),
             FleetStep::Attempt {
                 node,
                 entry,
                 spec,
                 ticket,
-            } => self.attempt(node, entry, *spec, ticket),
+            } => self.handle_attempt(node, entry, *spec, ticket),
             FleetStep::Cancel {
                 node,
                 entry,
@@ -204,19 +204,19 @@
                 attempt,
                 ticket,
                 mode,
-            } => self.cancel(node, entry, (request, attempt), ticket, mode),
-            FleetStep::AgentTimer { node, boot } => self.agent_timer(node, boot),
+            } => self.handle_cancel(node, entry, (request, attempt), ticket, mode),
+            FleetStep::AgentTimer { node, boot } => self.fire_agent_timer(node, boot),
             FleetStep::Engine { node, boot } => self.engine_step(node, boot),
-            FleetStep::Moves { node, boot } => self.moves_tick(node, boot),
+            FleetStep::Moves { node, boot } => self.run_placement_step(node, boot),
             FleetStep::Stored { node, boot, answer } => self.stored(node, boot, answer),
             FleetStep::Ask { node, ask } => self.asked_release(node, ask),
             FleetStep::Asked { node, answer } => self.released(node, answer),
             FleetStep::Planned { node, row } => self.nodes[node].plan = Some(row),
-            FleetStep::FaultBegins(fault) => self.fault_begins(fault),
-            FleetStep::FaultEnds { fault, node } => self.fault_ends(fault, node),
-            FleetStep::Heartbeats => self.heartbeats(),
+            FleetStep::FaultBegins(fault) => self.start_fault(fault),
+            FleetStep::FaultEnds { fault, node } => self.end_fault(fault, node),
+            FleetStep::Heartbeats => self.send_heartbeats(),
             FleetStep::ReadReports => self.read_reports(REPORT_INTERVAL),
-            FleetStep::Plan => self.plan_tick(PLAN_INTERVAL),
+            FleetStep::Plan => self.run_planner(PLAN_INTERVAL),
             FleetStep::Sample => self.sample(),
         }
     }
--- a/crates/oatpier-bench/tests/testsuite/bounds.rs
+++ b/crates/oatpier-bench/tests/testsuite/bounds.rs
@@ -16,9 +16,10 @@
 }
 
 fn violations(figures: &[MeasuredFigure]) -> Vec<String> {
-    let book = BoundSet::parse(SAMPLE_BOUNDS, "policy").expect("well-formed");
-    assert_eq!(book.enforce(figures), book.check(figures).is_empty());
-    book.check(figures)
+    let bounds = BoundSet::parse(SAMPLE_BOUNDS, "policy").expect("well-formed");
+    assert_eq!(bounds.enforce(figures), bounds.check(figures).is_empty());
+    bounds
+        .check(figures)
         .iter()
         .map(ToString::to_string)
         .collect()
@@ -66,8 +67,8 @@
 
 #[test]
 fn every_run_of_the_policy_bench_has_a_committed_bound() {
-    let book = BoundSet::of("policy");
-    let names: Vec<&str> = book.names().collect();
+    let bounds = BoundSet::of("policy");
+    let names: Vec<&str> = bounds.names().collect();
     for deployment in deployment::all() {
         for scenario in BenchScenario::ALL {
             let name = format!("{}.{}.attainment", deployment.name, scenario.as_str());
@@ -82,7 +83,7 @@
         ("state", "spread.340.cut.max_s"),
         ("cost", "routing-choice.3500.allocations"),
     ] {
-        let book = BoundSet::of(bench);
-        assert!(book.names().any(|name| name == figure), "{figure}");
+        let bounds = BoundSet::of(bench);
+        assert!(bounds.names().any(|name| name == figure), "{figure}");
     }
 }
