--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -17,8 +17,8 @@
 use oatpier_membership::generation::ConfigContent;
 use oatpier_membership::members::MemberPhase;
 use oatpier_membership::messages::{ConfigAnswer, HeartbeatAnswer, PeerAnswer, PeerCall};
-use oatpier_membership::stops::StopWord;
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_membership::stops::StopRequest;
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_ports::store::{ExpectedValue, KeyStore};
 use oatpier_ports::vms::{VmDuty, VmRow, VmState};
 use oatpier_standin::store::{DownMode, LocalStore, StoreFaults};
@@ -53,7 +53,7 @@
 struct TestEntry {
     down: bool,
     generation: u64,
-    stop: Option<StopWord>,
+    stop: Option<StopRequest>,
     plan: Option<PlanRow>,
     heartbeats: u32,
     phases: Vec<MemberPhase>,
@@ -119,7 +119,7 @@
         std::future::ready(view).boxed()
     }
 
-    fn ask_release(&self, _: SocketAddr, _: ReleaseAsk) -> PeerFuture<Option<ReleaseAnswer>> {
+    fn ask_release(&self, _: SocketAddr, _: ReleaseRequest) -> PeerFuture<Option<ReleaseAnswer>> {
         std::future::ready(None).boxed()
     }
 }
@@ -370,7 +370,7 @@
         if by_list {
             member.vms.set_rows(vm_rows(VmState::Leaving));
         } else {
-            let word = StopWord {
+            let word = StopRequest {
                 revision: Revision(3),
                 withdrawn: false,
             };
--- a/crates/oatpier-bench/src/fleet/agent.rs
+++ b/crates/oatpier-bench/src/fleet/agent.rs
@@ -97,7 +97,7 @@
                 self.started.swap_remove(&attempt);
                 AgentActions::new()
             }
-            AgentEvent::ReadyChanged { ready, .. } => {
+            AgentEvent::WeightsChanged { ready, .. } => {
                 self.ready = ready;
                 AgentActions::new()
             }
--- a/crates/oatpier-bench/src/fleet/step.rs
+++ b/crates/oatpier-bench/src/fleet/step.rs
@@ -2,7 +2,7 @@
 
 use oatpier_admission::event::AdmissionTicket;
 use oatpier_placement::record::RecordAnswer;
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_policy::action::CancelMode;
 use oatpier_policy::event::EntryEvent;
 use oatpier_types::engine::{CacheEvent, LoadReport};
@@ -64,7 +64,7 @@
         answer: RecordAnswer,
     },
     /// A release request reaches an agent.
-    Ask { node: usize, ask: ReleaseAsk },
+    Ask { node: usize, ask: ReleaseRequest },
     /// The answer to a release request reaches an agent.
     Asked { node: usize, answer: ReleaseAnswer },
     /// All agents send heartbeats.
