--- a/crates/oatpier-bench/src/cost/requests.rs
+++ b/crates/oatpier-bench/src/cost/requests.rs
@@ -31,12 +31,12 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
 pub(super) fn measure(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
-    routing(fleet, meter);
-    entry_request(fleet, meter);
-    agent_admission(fleet, meter);
+    measure_routing(fleet, meter);
+    measure_entry_request(fleet, meter);
+    measure_agent_admission(fleet, meter);
 }
 
-fn routing(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+fn measure_routing(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let now = ClockTime::from_millis(1_000);
     let policy = entry(fleet, now);
     let mut router = RequestRouter::new(RouterSettings::default(), SEED);
@@ -66,7 +66,7 @@
 }
 
 /// Measures the start and end of a request: it arrives, its endpoint is chosen and its caller disconnects.
-fn entry_request(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+fn measure_entry_request(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let mut policy = entry(fleet, now);
     let mut number: u128 = 0;
@@ -86,7 +86,7 @@
 }
 
 /// Measures an attempt that arrives, starts immediately, produces its first token and ends.
-fn agent_admission(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+fn measure_agent_admission(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let boot = BootId(1);
     let mut policy = AgentPolicy::new(boot, AdmissionLimits::for_slots(ENGINE_SLOTS));
--- a/crates/oatpier-bench/src/cost/state.rs
+++ b/crates/oatpier-bench/src/cost/state.rs
@@ -33,14 +33,14 @@
 const RATE_PER_ENDPOINT: f64 = 8_500.0 / 3_500.0;
 
 pub(super) fn measure(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
-    ledger_check(fleet, meter);
-    membership_delta(fleet, meter);
-    heartbeat(fleet, meter);
-    plan_step(fleet, meter);
+    measure_ledger_check(fleet, meter);
+    measure_membership_delta(fleet, meter);
+    measure_heartbeat(fleet, meter);
+    measure_plan_step(fleet, meter);
 }
 
 /// Measures the check whether one more model fits beside all weights that an engine may hold.
-fn ledger_check(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+fn measure_ledger_check(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let now = ClockTime::from_millis(1_000);
     let mut ledger = MemoryLedger::new(ENGINE_MEMORY_MIB);
     let state = EngineState {
@@ -57,7 +57,7 @@
 }
 
 /// Measures merging a row from a peer that changes an agent's ready weights.
-fn membership_delta(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+fn measure_membership_delta(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let now = ClockTime::from_millis(1_000);
     let mut table = table(fleet, now);
     let mut rows: Vec<MemberRow> = (0..fleet.statuses.len())
@@ -78,29 +78,29 @@
 }
 
 /// Measures how a registrar processes a heartbeat that carries an agent's queue report.
-fn heartbeat(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+fn measure_heartbeat(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let mut table = table(fleet, now);
     let mut registrar = RegistrarTable::default();
-    let mut beats: Vec<AgentHeartbeat> = (0..fleet.statuses.len())
-        .map(|index| beat(fleet, index))
+    let mut messages: Vec<AgentHeartbeat> = (0..fleet.statuses.len())
+        .map(|index| heartbeat_message(fleet, index))
         .collect();
     let mut turn = 0;
     let mut sequence = 1;
     meter.measure("heartbeat", ROUNDS, || {
-        turn = (turn + 1) % beats.len();
+        turn = (turn + 1) % messages.len();
         sequence += 1;
         now = now + Duration::from_millis(1);
-        let beat = &mut beats[turn];
-        if let HeartbeatBody::QueueReport { report, .. } = &mut beat.body {
+        let message = &mut messages[turn];
+        if let HeartbeatBody::QueueReport { report, .. } = &mut message.body {
             report.sequence = sequence;
         }
-        black_box(registrar.handle_heartbeat(beat, &mut table, now));
+        black_box(registrar.handle_heartbeat(message, &mut table, now));
     });
 }
 
 /// Measures one planner step with a previous plan and changing demand.
-fn plan_step(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+fn measure_plan_step(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut planner = PlacementPlanner::new(PlannerSettings::default());
     let endpoints: Vec<EndpointView> = fleet.statuses.iter().map(view).collect();
     let mut previous: Option<PlacementPlan> = None;
@@ -216,7 +216,7 @@
     }
 }
 
-fn beat(fleet: &CostFleet, index: usize) -> AgentHeartbeat {
+fn heartbeat_message(fleet: &CostFleet, index: usize) -> AgentHeartbeat {
     let status = &fleet.statuses[index];
     AgentHeartbeat {
         daemon: agent(index),
--- a/crates/oatpier-bench/src/fleet/attempts.rs
+++ b/crates/oatpier-bench/src/fleet/attempts.rs
@@ -18,7 +18,7 @@
 /// Number of tokens that an agent collects before it forwards them. The first token is forwarded immediately and the
 /// last ones when the answer ends. One message per token would make a run take four times as long and would change no
 /// decision, because targets cover only the time to the first token and the mean time between tokens.
-const PIECE_TOKENS: u32 = 4;
+const CHUNK_TOKENS: u32 = 4;
 
 /// Source and destination of an answer.
 #[derive(Debug, Clone, Copy)]
@@ -55,7 +55,7 @@
             unsent: 0,
         };
         self.nodes[node].attempts.0.insert(attempt, held);
-        self.agent_event(node, AgentEvent::Arrive { spec, ticket });
+        self.handle_agent_event(node, AgentEvent::Arrive { spec, ticket });
     }
 
     pub(super) fn handle_cancel(
@@ -86,18 +86,18 @@
             self.send_to_entry(node, entry, request, event);
             return;
         }
-        self.agent_event_from(
+        self.handle_agent_event_from(
             node,
             AgentEvent::Cancel { attempt, ticket },
             Some((entry, request)),
         );
     }
 
-    pub(super) fn agent_event(&mut self, node: usize, event: AgentEvent) {
-        self.agent_event_from(node, event, None);
+    pub(super) fn handle_agent_event(&mut self, node: usize, event: AgentEvent) {
+        self.handle_agent_event_from(node, event, None);
     }
 
-    fn agent_event_from(
+    fn handle_agent_event_from(
         &mut self,
         node: usize,
         event: AgentEvent,
@@ -118,7 +118,7 @@
             return;
         }
         self.nodes[node].armed.agent = ClockTime::NEVER;
-        self.agent_event(node, AgentEvent::Timer);
+        self.handle_agent_event(node, AgentEvent::Timer);
     }
 
     fn arm_agent(&mut self, node: usize) {
@@ -181,7 +181,7 @@
         if submitted.is_err() {
             self.nodes[node].attempts.0.swap_remove(&attempt);
             let verdict = RunVerdict::NotRun;
-            self.agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
+            self.handle_agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
             let event = EntryEvent::Failed { attempt, verdict };
             self.send_to_entry(node, held.entry, held.spec.request, event);
             return;
@@ -246,14 +246,14 @@
             OutputKind::Token(_) if first => self.handle_first_token(route),
             OutputKind::Token(_) => {
                 held.unsent += 1;
-                if held.unsent == PIECE_TOKENS {
+                if held.unsent == CHUNK_TOKENS {
                     self.flush(route);
                 }
             }
             OutputKind::Done => {
                 self.flush(route);
                 self.nodes[node].attempts.0.swap_remove(&attempt);
-                self.agent_event(node, AgentEvent::EndpointEnded { attempt });
+                self.handle_agent_event(node, AgentEvent::EndpointEnded { attempt });
                 let report = Some(self.nodes[node].decider.queue_report(self.now));
                 self.send_event(route, EntryEvent::Ended { attempt, report });
             }
@@ -261,7 +261,7 @@
                 self.flush(route);
                 self.nodes[node].attempts.0.swap_remove(&attempt);
                 let verdict = RunVerdict::MayHaveRun;
-                self.agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
+                self.handle_agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
                 self.send_event(route, EntryEvent::Failed { attempt, verdict });
             }
         }
@@ -269,7 +269,7 @@
 
     fn handle_first_token(&mut self, route: AnswerRoute) {
         let AnswerRoute { node, attempt, .. } = route;
-        self.agent_event(node, AgentEvent::EndpointFirstToken { attempt });
+        self.handle_agent_event(node, AgentEvent::EndpointFirstToken { attempt });
         let report = Some(self.nodes[node].decider.queue_report(self.now));
         self.send_event(route, EntryEvent::FirstFrame { attempt, report });
         self.send_event(route, EntryEvent::Piece { attempt, tokens: 1 });
@@ -277,7 +277,7 @@
 
     /// Forwards the collected tokens.
     ///
-    /// The agent's timer is re-armed only if the agent returns actions: otherwise a piece only refines estimates, and
+    /// The agent's timer is re-armed only if the agent returns actions: otherwise a chunk only refines estimates, and
     /// a timer that fires early is armed again.
     fn flush(&mut self, route: AnswerRoute) {
         let AnswerRoute { node, attempt, .. } = route;
@@ -328,7 +328,7 @@
         let at = self.now + self.latency(entry, node);
         self.queue.push(
             at,
-            FleetStep::AtEntry {
+            FleetStep::RequestEvent {
                 entry,
                 request,
                 event,
--- a/crates/oatpier-bench/src/fleet/moves.rs
+++ b/crates/oatpier-bench/src/fleet/moves.rs
@@ -46,7 +46,7 @@
         state.ready.clone_from(&ready);
         state.ready_sequence += 1;
         let loading = loading_of(&state.state());
-        self.agent_event(
+        self.handle_agent_event(
             node,
             AgentEvent::WeightsChanged {
                 ready: ready.into_vec(),
@@ -90,7 +90,7 @@
             return;
         }
         self.step_moves(node);
-        self.commands(node);
+        self.run_commands(node);
         self.update_ready(node);
         let at = self.now + STEP_INTERVAL;
         self.queue.push(at, FleetStep::Moves { node, boot });
@@ -111,32 +111,35 @@
         let step = state
             .stepper
             .next_step(input, &mut state.keeper, &mut state.releases, self.now);
-        if let Ok(PlacementStep::RequestRelease { to, request: ask }) = step
+        if let Ok(PlacementStep::RequestRelease { to, request }) = step
             && let Some(holder) = self.indices.get(&to).copied()
         {
             let at = self.now + self.deployment.between_zones;
-            let step = FleetStep::Ask { node: holder, ask };
+            let step = FleetStep::ReleaseRequested {
+                node: holder,
+                request,
+            };
             self.queue.push(at, step);
         }
     }
 
-    fn commands(&mut self, node: usize) {
+    fn run_commands(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         let commands = state.keeper.commands(&self.deployment.config, self.now);
         for command in commands {
             match command {
                 OrderCommand::CallStore(call) => self.call_store(node, call),
-                OrderCommand::Send(order) => self.order(node, &order),
+                OrderCommand::Send(order) => self.send_order(node, &order),
                 OrderCommand::Poll(ticket) => {
                     let state = Box::new(self.nodes[node].engine.state());
-                    self.order_event(node, OrderEvent::Polled { ticket, state });
+                    self.apply_order_event(node, OrderEvent::Polled { ticket, state });
                 }
             }
         }
         self.send_replies(node);
     }
 
-    fn order(&mut self, node: usize, order: &EngineOrder) {
+    fn send_order(&mut self, node: usize, order: &EngineOrder) {
         if self.is_measured(self.now) {
             self.move_times.push(self.now);
         }
@@ -149,11 +152,11 @@
             Err(OrderError::Unknown { .. }) => OrderOutcome::Unknown,
         };
         let number = order.number;
-        self.order_event(node, OrderEvent::Answered { number, outcome });
+        self.apply_order_event(node, OrderEvent::Answered { number, outcome });
         self.arm_engine(node);
     }
 
-    fn order_event(&mut self, node: usize, event: OrderEvent) {
+    fn apply_order_event(&mut self, node: usize, event: OrderEvent) {
         self.nodes[node]
             .keeper
             .on_event(event, &self.deployment.config, self.now);
@@ -162,7 +165,7 @@
     fn call_store(&mut self, node: usize, call: RecordCall) {
         let boot = self.nodes[node].boot;
         let answer = self.store_answer(node, call);
-        let step = FleetStep::Stored { node, boot, answer };
+        let step = FleetStep::StoreAnswered { node, boot, answer };
         self.queue.push(self.now + STORE_CALL_TIME, step);
     }
 
@@ -182,20 +185,22 @@
         }
     }
 
-    pub(super) fn stored(&mut self, node: usize, boot: BootId, answer: RecordAnswer) {
+    pub(super) fn handle_store_answer(&mut self, node: usize, boot: BootId, answer: RecordAnswer) {
         if self.is_current(node, boot) {
-            self.order_event(node, OrderEvent::Record(answer));
-            self.commands(node);
+            self.apply_order_event(node, OrderEvent::Record(answer));
+            self.run_commands(node);
         }
     }
 
-    pub(super) fn asked_release(&mut self, node: usize, ask: ReleaseRequest) {
+    pub(super) fn handle_release_request(&mut self, node: usize, request: ReleaseRequest) {
         let state = &mut self.nodes[node];
         if !state.alive {
             return;
         }
-        state.releases.on_request(ask, &mut state.keeper, self.now);
-        self.commands(node);
+        state
+            .releases
+            .on_request(request, &mut state.keeper, self.now);
+        self.run_commands(node);
     }
 
     fn send_replies(&mut self, node: usize) {
@@ -204,12 +209,13 @@
         for reply in state.releases.replies(&state.keeper, self.now) {
             if let Some(node) = self.indices.get(&reply.to).copied() {
                 let answer = reply.answer;
-                self.queue.push(at, FleetStep::Asked { node, answer });
+                self.queue
+                    .push(at, FleetStep::ReleaseAnswered { node, answer });
             }
         }
     }
 
-    pub(super) fn released(&mut self, node: usize, answer: ReleaseAnswer) {
+    pub(super) fn handle_release_answer(&mut self, node: usize, answer: ReleaseAnswer) {
         if self.nodes[node].alive {
             self.nodes[node].releases.on_answer(answer, self.now);
         }
@@ -236,8 +242,9 @@
             self.demand.update(entry_name(index), summary, self.now);
         }
         let demand = self.demand.total(self.now);
-        let mut endpoints: Vec<EndpointView> =
-            (0..self.nodes.len()).map(|node| self.view(node)).collect();
+        let mut endpoints: Vec<EndpointView> = (0..self.nodes.len())
+            .map(|node| self.endpoint_view(node))
+            .collect();
         endpoints.sort_by(|left, right| left.endpoint.cmp(&right.endpoint));
         let input = PlannerInput {
             config: &self.deployment.config,
@@ -250,7 +257,7 @@
         self.planner.plan(&input, self.now).plan
     }
 
-    fn view(&mut self, node: usize) -> EndpointView {
+    fn endpoint_view(&mut self, node: usize) -> EndpointView {
         let report = self.nodes[node].decider.queue_report(self.now);
         let state = &self.nodes[node];
         let engine = state.state();
--- a/crates/oatpier-bench/src/fleet/step.rs
+++ b/crates/oatpier-bench/src/fleet/step.rs
@@ -32,7 +32,7 @@
         mode: CancelMode,
     },
     /// An event of a request reaches its entry.
-    AtEntry {
+    RequestEvent {
         entry: usize,
         request: RequestId,
         event: EntryEvent,
@@ -58,15 +58,18 @@
     /// An agent's placement step is due.
     Moves { node: usize, boot: BootId },
     /// The store's answer reaches an agent.
-    Stored {
+    StoreAnswered {
         node: usize,
         boot: BootId,
         answer: RecordAnswer,
     },
     /// A release request reaches an agent.
-    Ask { node: usize, ask: ReleaseRequest },
+    ReleaseRequested {
+        node: usize,
+        request: ReleaseRequest,
+    },
     /// The answer to a release request reaches an agent.
-    Asked { node: usize, answer: ReleaseAnswer },
+    ReleaseAnswered { node: usize, answer: ReleaseAnswer },
     /// All agents send heartbeats.
     Heartbeats,
     /// The engines' load reports and cache events are read.
--- a/crates/oatpier-bench/src/fleet/world.rs
+++ b/crates/oatpier-bench/src/fleet/world.rs
@@ -178,7 +178,7 @@
     fn dispatch(&mut self, step: FleetStep) {
         match step {
             FleetStep::Arrive { arrival, number } => self.handle_arrival(arrival, number),
-            FleetStep::AtEntry {
+            FleetStep::RequestEvent {
                 entry,
                 request,
                 event,
@@ -208,9 +208,13 @@
             FleetStep::AgentTimer { node, boot } => self.fire_agent_timer(node, boot),
             FleetStep::Engine { node, boot } => self.engine_step(node, boot),
             FleetStep::Moves { node, boot } => self.run_placement_step(node, boot),
-            FleetStep::Stored { node, boot, answer } => self.stored(node, boot, answer),
-            FleetStep::Ask { node, ask } => self.asked_release(node, ask),
-            FleetStep::Asked { node, answer } => self.released(node, answer),
+            FleetStep::StoreAnswered { node, boot, answer } => {
+                self.handle_store_answer(node, boot, answer);
+            }
+            FleetStep::ReleaseRequested { node, request } => {
+                self.handle_release_request(node, request);
+            }
+            FleetStep::ReleaseAnswered { node, answer } => self.handle_release_answer(node, answer),
             FleetStep::Planned { node, row } => self.nodes[node].plan = Some(row),
             FleetStep::FaultBegins(fault) => self.start_fault(fault),
             FleetStep::FaultEnds { fault, node } => self.end_fault(fault, node),
