--- a/crates/oatpier-bench/src/cost/state.rs
+++ b/crates/oatpier-bench/src/cost/state.rs
@@ -1,4 +1,4 @@
-//! Decisions about state: memory, membership and the plan.
+//! Cost of the decisions about state: memory, membership and the placement plan.
 
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -29,18 +29,18 @@
 
 const ROUNDS: u32 = 20_000;
 const PLAN_ROUNDS: u32 = 3;
-/// Requests a second of the whole fleet, for each endpoint.
+/// Requests per second in the whole fleet, per endpoint.
 const RATE_PER_ENDPOINT: f64 = 8_500.0 / 3_500.0;
 
 pub(super) fn measure(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
-    ledger_check(fleet, meter);
-    membership_delta(fleet, meter);
-    heartbeat(fleet, meter);
-    plan_step(fleet, meter);
+    measure_ledger_check(fleet, meter);
+    measure_membership_delta(fleet, meter);
+    measure_heartbeat(fleet, meter);
+    measure_plan_step(fleet, meter);
 }
 
-/// Whether one more model fits beside all that an engine may hold.
-fn ledger_check(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+/// Measures the check whether one more model fits beside all weights that an engine may hold.
+fn measure_ledger_check(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let now = ClockTime::from_millis(1_000);
     let mut ledger = MemoryLedger::new(ENGINE_MEMORY_MIB);
     let state = EngineState {
@@ -56,8 +56,8 @@
     });
 }
 
-/// A row with news of an agent's weights comes from a peer.
-fn membership_delta(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+/// Measures merging a row from a peer that changes an agent's ready weights.
+fn measure_membership_delta(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let now = ClockTime::from_millis(1_000);
     let mut table = table(fleet, now);
     let mut rows: Vec<MemberRow> = (0..fleet.statuses.len())
@@ -70,34 +70,37 @@
         if let MemberKind::Agent(status) = &mut row.facts.kind {
             status.ready_sequence += 1;
         }
-        assert!(table.merge(black_box(row), now), "the row has news");
+        assert!(
+            table.merge(black_box(row), now),
+            "the row is newer than the table"
+        );
     });
 }
 
-/// A heartbeat with an agent's queue comes to its registrar.
-fn heartbeat(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+/// Measures how a registrar processes a heartbeat that carries an agent's queue report.
+fn measure_heartbeat(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let mut table = table(fleet, now);
     let mut registrar = RegistrarTable::default();
-    let mut beats: Vec<AgentHeartbeat> = (0..fleet.statuses.len())
-        .map(|index| beat(fleet, index))
+    let mut messages: Vec<AgentHeartbeat> = (0..fleet.statuses.len())
+        .map(|index| heartbeat_message(fleet, index))
         .collect();
     let mut turn = 0;
     let mut sequence = 1;
     meter.measure("heartbeat", ROUNDS, || {
-        turn = (turn + 1) % beats.len();
+        turn = (turn + 1) % messages.len();
         sequence += 1;
         now = now + Duration::from_millis(1);
-        let beat = &mut beats[turn];
-        if let HeartbeatBody::QueueReport { report, .. } = &mut beat.body {
+        let message = &mut messages[turn];
+        if let HeartbeatBody::QueueReport { report, .. } = &mut message.body {
             report.sequence = sequence;
         }
-        black_box(registrar.handle_heartbeat(beat, &mut table, now));
+        black_box(registrar.handle_heartbeat(message, &mut table, now));
     });
 }
 
-/// One step of the planner with a plan in force and demand that moves.
-fn plan_step(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+/// Measures one planner step with a previous plan and changing demand.
+fn measure_plan_step(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut planner = PlacementPlanner::new(PlannerSettings::default());
     let endpoints: Vec<EndpointView> = fleet.statuses.iter().map(view).collect();
     let mut previous: Option<PlacementPlan> = None;
@@ -142,7 +145,8 @@
     }
 }
 
-/// One model in ten gets ten times the demand of the others, and others every ten steps.
+/// Returns demand in which one model in ten gets eleven times the demand of the others.
+/// The set of these models changes every ten steps.
 fn demand(fleet: &CostFleet, step: u32) -> DemandSummary {
     let all = RATE_PER_ENDPOINT * size_f64(fleet.size.endpoints);
     let mean = all / size_f64(fleet.size.models);
@@ -212,7 +216,7 @@
     }
 }
 
-fn beat(fleet: &CostFleet, index: usize) -> AgentHeartbeat {
+fn heartbeat_message(fleet: &CostFleet, index: usize) -> AgentHeartbeat {
     let status = &fleet.statuses[index];
     AgentHeartbeat {
         daemon: agent(index),
--- a/crates/oatpier-bench/src/state/day.rs
+++ b/crates/oatpier-bench/src/state/day.rs
@@ -1,9 +1,9 @@
-//! Moves in a day of demand, for the product's planner, a greedy and a static one.
+//! Moves during a day of demand, for oatpier's planner, a greedy planner and a static one.
 //!
-//! No request is simulated here: in each step the endpoints that hold a model take as much of its
-//! demand as they have time for, so the attained share is an upper bound that leaves out queues
-//! and deadlines. In exchange the day is a whole one, with the planner's own times uncompressed.
-//! A load takes one step. `cargo bench-policy` has the shorter runs with every request.
+//! Single requests are not simulated. In each step, the endpoints that hold a model serve as much of its demand as they
+//! have capacity for. The attainment is therefore an upper bound that ignores queues and deadlines. In return, the run
+//! covers a whole day with uncompressed planner settings. A load takes one step. `cargo bench-policy` runs shorter
+//! periods in which every request is simulated.
 
 use std::f64::consts::TAU;
 use std::time::Duration;
@@ -30,39 +30,39 @@
 const SEED: u64 = 7;
 const STEP: Duration = Duration::from_secs(10);
 const DAY_STEPS: u32 = 8_640;
-/// The demand of a step is handed out in so many parts, one model after the other.
-const PARTS: u32 = 20;
-/// Tokens of a request.
-const PROMPT: u32 = 400;
-const OUTPUT: u32 = 88;
-/// Time to read a prompt token, as an agent would say.
+/// Number of parts into which the demand of a step is split. Each round assigns one part of every model.
+const DEMAND_PARTS: u32 = 20;
+/// Prompt and output tokens of a request.
+const PROMPT_TOKENS: u32 = 400;
+const OUTPUT_TOKENS: u32 = 88;
+/// Time to process one prompt token, as an agent would report it.
 const PROMPT_TOKEN_NS: u32 = 20_000;
-/// A model's demand is this much higher in a burst.
+/// Factor by which a model's demand is higher in a burst.
 const BURST_FACTOR: f64 = 10.0;
-/// Bursts of one model in a day, on average.
+/// Mean number of bursts of one model per day.
 const BURSTS_A_DAY: f64 = 3.0;
-/// Steps of a burst: ten to forty minutes.
+/// Length of a burst in steps, which is 10 to 40 minutes.
 const BURST_STEPS: std::ops::Range<u32> = 60..240;
 
-/// One row of the report.
+/// Row of the report for one deployment and planner.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize)]
 pub struct DayRow {
-    /// The deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// The planner.
+    /// Name of the planner.
     pub planner: String,
-    /// An upper bound of the share of requests within target.
+    /// Upper bound of the share of requests within target.
     pub attainment: f64,
-    /// Accelerators that held weights, on average.
+    /// Mean number of accelerators that held weights.
     pub accelerators_used: f64,
-    /// The share over the accelerators.
+    /// `attainment` divided by `accelerators_used`.
     pub attainment_per_accelerator: f64,
-    /// Loads and unloads.
+    /// Number of loads and unloads.
     pub moves: u32,
 }
 
-/// A day for each planner.
+/// Runs a day with each planner.
 pub(super) fn run(deployment: &BenchDeployment) -> Vec<DayRow> {
     let planners: [Box<dyn FleetPlanner>; 3] = [
         Box::new(PlacementPlanner::new(PlannerSettings::default())),
@@ -77,7 +77,7 @@
 struct DayTotals {
     moves: u32,
     endpoints: f64,
-    asked: f64,
+    requested: f64,
     served: f64,
 }
 
@@ -88,7 +88,7 @@
     ledger: DemandLedger,
     bursts: Vec<u32>,
     weights: Vec<f64>,
-    /// What a model's demand leaves over from whole requests.
+    /// Fractional requests of each model that are carried over to the next step.
     carried: Vec<f64>,
     random: ChaCha8Rng,
 }
@@ -113,7 +113,7 @@
     fn run(mut self, mut planner: Box<dyn FleetPlanner>) -> DayRow {
         let mut totals = DayTotals::default();
         for step in 0..DAY_STEPS {
-            let counts = self.ask(step);
+            let counts = self.draw_demand(step);
             if step > 0 {
                 self.serve(&counts, &mut totals);
             }
@@ -121,7 +121,7 @@
         }
         let steps = f64::from(DAY_STEPS - 1);
         let accelerators_used = 4.0 * totals.endpoints / steps;
-        let attainment = totals.served / totals.asked;
+        let attainment = totals.served / totals.requested;
         DayRow {
             deployment: self.deployment.name.to_owned(),
             planner: planner.name().to_owned(),
@@ -132,18 +132,20 @@
         }
     }
 
-    /// Requests of each model in one step: quiet at night, with bursts.
-    fn ask(&mut self, step: u32) -> Vec<u32> {
+    /// Records and returns the number of requests of each model in one step.
+    ///
+    /// The demand is low at night, and single models have bursts.
+    fn draw_demand(&mut self, step: u32) -> Vec<u32> {
         let hour = f64::from(step) / f64::from(DAY_STEPS);
         let daytime = 0.6 - 0.4 * (hour * TAU).cos();
         let all = self.deployment.rate * STEP.as_secs_f64() * daytime;
         let now = ClockTime::ZERO + STEP * step;
         (0..self.bursts.len())
-            .map(|model| self.ask_model(model, all, now))
+            .map(|model| self.draw_model_demand(model, all, now))
             .collect()
     }
 
-    fn ask_model(&mut self, model: usize, all: f64, now: ClockTime) -> u32 {
+    fn draw_model_demand(&mut self, model: usize, all: f64, now: ClockTime) -> u32 {
         let begins = BURSTS_A_DAY / f64::from(DAY_STEPS);
         if self.bursts[model] == 0 && self.random.random_bool(begins) {
             self.bursts[model] = self.random.random_range(BURST_STEPS);
@@ -163,31 +165,31 @@
             adapter: None,
         };
         for _ in 0..count {
-            self.ledger.record(&key, PROMPT, OUTPUT, now);
+            self.ledger.record(&key, PROMPT_TOKENS, OUTPUT_TOKENS, now);
         }
         count
     }
 
-    /// What the ready replicas have time for, when each part goes to the one with most time.
+    /// Assigns each part of the demand to the least loaded replica and counts what the replicas have capacity for.
     fn serve(&self, counts: &[u32], totals: &mut DayTotals) {
         let holders: Vec<Vec<usize>> = (0..counts.len()).map(|model| self.holders(model)).collect();
         let capacity = capacity(self.deployment) * STEP.as_secs_f64();
         let mut loads = vec![0.0_f64; self.views.len()];
-        for _ in 0..PARTS {
+        for _ in 0..DEMAND_PARTS {
             for (count, holders) in counts.iter().zip(&holders) {
-                let part = f64::from(*count) / f64::from(PARTS);
-                let free = holders
+                let part = f64::from(*count) / f64::from(DEMAND_PARTS);
+                let least_loaded = holders
                     .iter()
                     .min_by(|a, b| loads[**a].total_cmp(&loads[**b]));
-                let Some(free) = free else {
+                let Some(least_loaded) = least_loaded else {
                     continue;
                 };
-                let room = (1.0 - loads[*free]).max(0.0) * capacity;
-                totals.served += part.min(room);
-                loads[*free] += part / capacity;
+                let spare = (1.0 - loads[*least_loaded]).max(0.0) * capacity;
+                totals.served += part.min(spare);
+                loads[*least_loaded] += part / capacity;
             }
         }
-        totals.asked += counts.iter().copied().map(f64::from).sum::<f64>();
+        totals.requested += counts.iter().copied().map(f64::from).sum::<f64>();
         let used = self.views.iter().filter(|view| !view.held.is_empty());
         totals.endpoints += size_f64(used.count());
     }
@@ -229,9 +231,9 @@
     count.max(0.0) as u32
 }
 
-/// Requests that one endpoint serves in a second, as the policy bench measured it.
+/// Returns the number of requests per second that one endpoint can serve, from the capacity in the policy bench.
 fn capacity(deployment: &BenchDeployment) -> f64 {
-    deployment.rate * deployment.full / size_f64(views(deployment).len())
+    deployment.rate * deployment.capacity_factor / size_f64(views(deployment).len())
 }
 
 fn ready(weights: &WeightsKey) -> HeldWeights {
@@ -241,7 +243,7 @@
     }
 }
 
-/// The endpoints, empty, sorted by name.
+/// Returns the endpoints without weights, sorted by name.
 fn views(deployment: &BenchDeployment) -> Vec<EndpointView> {
     let pools = deployment.config.pools.iter();
     let engines = pools.filter(|(_, pool)| matches!(pool.kind, PoolKind::Engine { .. }));
@@ -268,10 +270,10 @@
     views
 }
 
-/// The time of a generation step that makes an endpoint serve just its capacity.
+/// Returns the duration of a generation step at which an endpoint serves exactly its capacity.
 fn step_us(deployment: &BenchDeployment, endpoints: usize) -> u32 {
-    let rate = deployment.rate * deployment.full / size_f64(endpoints);
+    let rate = deployment.rate * deployment.capacity_factor / size_f64(endpoints);
     let request_s = f64::from(ENGINE_SLOTS) / rate;
-    let reading_s = f64::from(PROMPT) * f64::from(PROMPT_TOKEN_NS) / 1e9;
-    floor((request_s - reading_s) / f64::from(OUTPUT) * 1e6)
+    let reading_s = f64::from(PROMPT_TOKENS) * f64::from(PROMPT_TOKEN_NS) / 1e9;
+    floor((request_s - reading_s) / f64::from(OUTPUT_TOKENS) * 1e6)
 }
