--- a/crates/oatpier/src/commands/config/apply.rs
+++ b/crates/oatpier/src/commands/config/apply.rs
@@ -134,8 +134,8 @@
     let message = format!("generation {generation} (change {})", outcome.change);
     context.shell.status("Accepted", message);
     if !outcome.concurrent.is_empty() {
-        let message = format!("concurrent changes {}", outcome.concurrent.join(", "));
-        context.shell.status("Merged with", message);
+        let message = format!("changes {} of others", outcome.concurrent.join(", "));
+        context.shell.status("Beside", message);
     }
 }
 
