--- a/crates/oatpier-faults/benches/faults.rs
+++ b/crates/oatpier-faults/benches/faults.rs
@@ -1,4 +1,4 @@
-//! `cargo fault-matrix`: runs the cells and prints the grid.
+//! `cargo fault-matrix`: runs all cells and prints the matrix.
 
 use std::process::ExitCode;
 
@@ -6,16 +6,16 @@
 use oatpier_faults::matrix::run_matrix;
 use oatpier_faults::report::{MatrixDocument, OutcomeCounts, render};
 
-/// Runs of each cell.
+/// Default number of runs of each cell.
 const SEEDS: u64 = 20;
 
 fn command() -> Command {
     let json = Arg::new("json").long("json").action(ArgAction::SetTrue);
     let seeds = Arg::new("seeds").long("seeds").default_value("20");
-    // Cargo gives it to every bench target.
+    // Cargo passes this flag to every bench target.
     let bench = Arg::new("bench").long("bench").action(ArgAction::SetTrue);
     Command::new("fault-matrix")
-        .about("Runs every fault at every step and prints the grid")
+        .about("Runs every fault at every step and prints the matrix")
         .arg(json.help("Print one JSON document"))
         .arg(
             seeds
@@ -33,7 +33,7 @@
         match serde_json::to_string_pretty(&MatrixDocument { cells: &cells }) {
             Ok(text) => println!("{text}"),
             Err(error) => {
-                eprintln!("the grid can't be written as JSON: {error}");
+                eprintln!("failed to write the matrix as JSON: {error}");
                 return ExitCode::FAILURE;
             }
         }
--- a/crates/oatpier-faults/src/configuration/mod.rs
+++ b/crates/oatpier-faults/src/configuration/mod.rs
@@ -1,9 +1,9 @@
-//! Changes of the configuration: two operators against one store.
+//! Configuration changes: two operators write to one store.
 //!
-//! Each operator reads the record, merges its change, and writes by compare-and-swap until it
-//! knows; the merge is the real one. Seen from outside: generations that rise one by one, each
-//! accepted change in them exactly once, a clash that names the other, and no accepted change
-//! undone by another.
+//! Each operator reads the record, merges its change, and writes it by compare-and-swap until the
+//! outcome is known; the merge is the real one. The checks: generations increase one by one, each
+//! accepted change is in exactly one of them, a conflict names the other change, and no accepted
+//! change is undone by another.
 
 mod operators;
 mod store;
@@ -11,7 +11,7 @@
 use crate::run::{RunOrder, RunReport};
 use operators::OperatorBench;
 
-/// Runs two operators, each with two changes.
+/// Runs two operators, each with three changes.
 #[must_use]
 pub fn run(order: &RunOrder) -> RunReport {
     OperatorBench::new(order).run()
--- a/crates/oatpier-faults/src/configuration/operators.rs
+++ b/crates/oatpier-faults/src/configuration/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who change the configuration.
+//! Operators that change the configuration.
 
 use std::time::Duration;
 
@@ -21,18 +21,18 @@
 use crate::strike::StrikePlan;
 
 pub const OPERATORS: usize = 2;
-/// Changes of each operator.
+/// Number of changes of each operator.
 pub const CHANGES: u32 = 3;
-/// How long an operator's command tries.
+/// The end of the run; commands are retried until then.
 const LAST_MOMENT: ClockTime = ClockTime::from_millis(60_000);
-/// A command that has no answer to a call goes on without it.
+/// Time after which a command stops waiting for the answer to a call.
 const CALL_WITHIN: Duration = Duration::from_millis(800);
 
-/// One command of an operator.
+/// The state of an operator's command.
 pub struct Command {
     pub proposal: Option<ChangeProposal>,
     pub change: u32,
-    /// A call's number; answers to others are dropped.
+    /// The number of the open call; answers to others are dropped.
     pub call: u64,
     pub up: bool,
     pub awake_from: ClockTime,
@@ -178,7 +178,7 @@
         self.commands[operator].call == call && self.commands[operator].up
     }
 
-    /// The operator's next change: another class, or the same for both where they race.
+    /// Starts the operator's next change: a class of its own, or the same class for both operators if they race.
     fn begin(&mut self, operator: usize) {
         let command = &mut self.commands[operator];
         if command.change >= CHANGES {
@@ -259,7 +259,7 @@
             Err(MergeError::Conflict { other, .. }) => {
                 self.clashes += 1;
                 if other.is_none() {
-                    let text = "a clash does not name the other change".to_owned();
+                    let text = "a conflict does not name the other change".to_owned();
                     self.report.findings.push(text);
                 }
                 self.done(operator);
@@ -277,7 +277,7 @@
         self.commands[operator].call += 1;
         let call = self.commands[operator].call;
         let faults = self.pass(StepName::ConfigWrite, operator);
-        // A command that died may have sent its write before.
+        // A command that crashed may have sent its write before.
         if !self.commands[operator].up && self.random.random_bool(0.5) {
             return;
         }
@@ -322,7 +322,7 @@
         self.again(operator);
     }
 
-    /// Reads again after a while; until then no answer is awaited.
+    /// Reads again after a delay; answers to earlier calls are dropped.
     fn again(&mut self, operator: usize) {
         self.commands[operator].call += 1;
         let call = self.commands[operator].call;
@@ -348,7 +348,7 @@
         self.commands[operator].call += 1;
         self.commands[operator].up = false;
         let wait = if self.races {
-            // Both begin their next change at the same moment.
+            // Both operators start their next change at the same time.
             let second = 1_000_000;
             Duration::from_micros(second - self.now.as_micros() % second)
         } else {
--- a/crates/oatpier-faults/src/configuration/store.rs
+++ b/crates/oatpier-faults/src/configuration/store.rs
@@ -1,4 +1,4 @@
-//! The store of the operators' record, the faults, and what must be so at the end.
+//! The store of the configuration record, the injected faults, and the checks.
 
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
         self.post(operator, happening, takes);
     }
 
-    /// A write that takes effect makes the next generation, and keeps all that was accepted.
+    /// Checks that a successful write creates the next generation and keeps every accepted change.
     pub fn judge_step(&mut self, record: &ConfigRecord) {
         if record.generation != self.record.generation.next() {
             let text = format!(
@@ -80,21 +80,22 @@
                 .filter(|done| done.change == *change);
             let made: Vec<Generation> = made.map(|done| done.generation).collect();
             if made != [*generation] {
-                let text =
-                    format!("change {change} was accepted as {generation} and made {made:?}");
+                let text = format!(
+                    "change {change} was accepted as {generation}, but is recorded as {made:?}"
+                );
                 self.report.findings.push(text);
             }
         }
         let wanted = usize::try_from(CHANGES).unwrap_or(0) * OPERATORS;
         let ended = self.accepted.len() + self.clashes as usize;
         if ended != wanted {
-            let text = format!("{ended} of {wanted} changes came to an end");
+            let text = format!("{ended} of {wanted} changes were completed");
             self.report.findings.push(text);
         }
         if self.races && self.clashes == 0 && self.order.strikes.len() == 1 {
             self.report
                 .findings
-                .push("operators who raced never clashed".to_owned());
+                .push("racing operators never conflicted".to_owned());
         }
     }
 
@@ -110,7 +111,7 @@
         let span = self.millis(500, 5_000);
         let until = self.now + span;
         match fault {
-            // The command is run again with the same change id, as its message says.
+            // The command is run again with the same change id, as its message instructs the operator.
             FaultKind::Kill => self.run_again(operator, span),
             FaultKind::Restart => self.run_again(operator, Duration::from_millis(50)),
             FaultKind::Pause => self.commands[operator].awake_from = until,
@@ -133,7 +134,7 @@
         let command = &mut self.commands[operator];
         command.up = false;
         command.change -= 1;
-        // The next run tells that the id was tried, and by which generation at most.
+        // The next run reports that the id was tried before, and the highest generation that may contain it.
         self.post(operator, Happening::Begin, away);
     }
 
--- a/crates/oatpier-faults/src/fault.rs
+++ b/crates/oatpier-faults/src/fault.rs
@@ -1,45 +1,45 @@
-//! The faults.
+//! The kinds of faults.
 
 use std::fmt;
 
-/// One kind of fault. A run inflicts it at one step.
+/// A kind of fault, injected by a run at one step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FaultKind {
-    /// A process dies; another takes its place seconds later.
+    /// A process crashes and is started again seconds later.
     Kill,
-    /// A process dies and is there again at once, with nothing kept.
+    /// A process crashes and restarts at once, with no state kept.
     Restart,
-    /// A process stands still and goes on later.
+    /// A process is paused and resumes later.
     Pause,
-    /// Messages towards the peer don't come through for a while.
+    /// Messages to the peer are blocked for a while.
     CutTo,
-    /// Messages from the peer don't come through for a while.
+    /// Messages from the peer are blocked for a while.
     CutFrom,
-    /// No messages come through for a while.
+    /// Messages in both directions are blocked for a while.
     CutBoth,
     /// A message is lost.
     Lost,
-    /// A message comes late.
+    /// A message is delayed.
     Late,
-    /// A message comes twice.
+    /// A message is delivered twice.
     Doubled,
-    /// A message comes to another addressee as well, or two change places.
+    /// A message is misrouted to another receiver, or two messages are reordered.
     Crossed,
     /// The peer is slow for a while.
     SlowPeer,
-    /// The store does not answer, and does nothing.
+    /// The store is unavailable: calls fail and have no effect.
     StoreDown,
-    /// The store takes long for each call.
+    /// The store answers each call slowly.
     StoreSlow,
-    /// A write takes effect and its answer is lost.
+    /// A write takes effect, but its answer is lost.
     AnswerLost,
-    /// A holder is paused until another has taken its place, and goes on.
+    /// A lease holder is paused until another process has replaced it, then resumes.
     LeaseLapsed,
-    /// A watch stays open and tells nothing.
+    /// A watch stays open but reports no changes.
     WatchBroken,
-    /// The list of VMs calls a live one leaving.
+    /// The list of VMs reports a live VM as leaving.
     VmListWrong,
-    /// An engine's load report is old.
+    /// An engine's load report is stale.
     ReportStale,
     /// Cache events are lost.
     CacheGap,
@@ -50,7 +50,7 @@
 }
 
 impl FaultKind {
-    /// All, in the order of the grid.
+    /// All kinds of faults, in the order of the matrix rows.
     pub const ALL: [Self; 21] = [
         Self::Kill,
         Self::Restart,
@@ -75,7 +75,7 @@
         Self::ClockStep,
     ];
 
-    /// The word that the grid uses.
+    /// Returns the name of the fault in the matrix.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/oatpier-faults/src/lease/bench.rs
+++ b/crates/oatpier-faults/src/lease/bench.rs
@@ -1,4 +1,4 @@
-//! Planners against one store.
+//! Planners that compete for one lease, simulated in ticks.
 
 use std::time::Duration;
 
@@ -17,20 +17,20 @@
 use crate::step::StepName;
 use crate::strike::StrikePlan;
 
-/// Entries that want to plan.
+/// Number of entries that compete for the lease.
 pub const PLANNERS: usize = 3;
-/// The time between two looks at the clock.
+/// The time between two ticks of the simulation.
 const TICK: Duration = Duration::from_millis(100);
 /// The time between two plans.
 const PLAN_EVERY: Duration = Duration::from_secs(1);
-/// Faults strike the renewal and the plan from here on.
+/// Start of fault injection; only faults at the acquisition of the lease are injected earlier.
 pub const ARMED_FROM: ClockTime = ClockTime::from_millis(5_000);
-/// No fault lasts longer.
+/// No fault is injected after this time.
 pub const FAULTS_OVER: ClockTime = ClockTime::from_millis(30_000);
-/// The end; plans must be written anew by then.
+/// The end of the run; plans must be written again by then.
 const LAST_MOMENT: ClockTime = ClockTime::from_millis(60_000);
 
-/// The plan in the store: who made it, and which it is.
+/// The stored plan: its term, number and revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct StoredPlan {
     pub term: Term,
@@ -38,7 +38,7 @@
     pub revision: Revision,
 }
 
-/// A planner's write of a plan, from its reading on.
+/// A planner's pending write of a plan, with the stored plan that it read.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanWrite {
     pub term: Term,
@@ -56,13 +56,13 @@
 
 #[derive(Debug)]
 pub enum Happening {
-    /// A call of the lease comes to the store.
+    /// A lease call arrives at the store.
     Lease(LeaseAction),
-    /// Its answer.
+    /// The store's answer to a lease call arrives.
     Answer(LeaseEvent),
-    /// The planner reads the plan, then writes it.
+    /// The planner reads the plan, then sends its own.
     ReadPlan,
-    /// The write comes to the store.
+    /// The write of a plan arrives at the store.
     WritePlan(PlanWrite),
     /// The planner starts.
     Start,
@@ -86,7 +86,7 @@
     pub last_plan_at: ClockTime,
     pub down_until: ClockTime,
     pub slow_until: ClockTime,
-    /// Calls of these planners don't come through; answers to them neither.
+    /// Calls of these planners are blocked until then; `cut_from` blocks the answers to them.
     pub cut_to: [ClockTime; PLANNERS],
     pub cut_from: [ClockTime; PLANNERS],
     pub slow_planner: [ClockTime; PLANNERS],
@@ -197,7 +197,7 @@
         }
     }
 
-    /// A call of the lease's keeper to the store.
+    /// Sends a call of the lease keeper to the store.
     pub fn call(&mut self, place: usize, action: LeaseAction, step: Option<StepName>) {
         let is_write = matches!(action, LeaseAction::Write { .. });
         let faults = step.map(|step| self.pass(step, place)).unwrap_or_default();
@@ -247,7 +247,7 @@
         );
     }
 
-    /// A copy whose answer nobody waits for.
+    /// Posts a duplicate whose answer is dropped: no planner has boot 0.
     fn post_unheard(&mut self, planner: usize, what: Happening, after: Duration) {
         let boot = 0;
         self.queue.put(
@@ -299,7 +299,7 @@
         }
     }
 
-    /// The planner has read the plan: it writes its own over it, if its term allows.
+    /// Handles the read of the stored plan: the planner overwrites it if its own term allows.
     fn plan_read(&mut self, place: usize) {
         let Some(mut write) = self.planners[place].write else {
             return;
@@ -328,7 +328,7 @@
         } else {
             self.takes(place)
         };
-        // What a paused process was about to send goes out when it wakes.
+        // A paused process sends its pending write when it resumes.
         let wakes = self.planners[place].awake_from.since(self.now);
         let happening = Happening::WritePlan(write);
         if faults.contains(&FaultKind::Doubled) {
@@ -340,13 +340,13 @@
         }
     }
 
-    /// At no moment may two planners act.
+    /// Checks that at most one planner may act at a time.
     fn watch_holders(&mut self) {
         let now = self.now;
         let awake = (0..PLANNERS).filter(|place| self.is_awake(*place));
         let holders = awake.filter(|place| self.planners[*place].keeper.may_act(now).is_some());
         if holders.count() > 1 {
-            let text = format!("two planners may act at {now:?}");
+            let text = format!("two planners can act at {now:?}");
             self.report.findings.push(text);
         }
     }
--- a/crates/oatpier-faults/src/lease/mod.rs
+++ b/crates/oatpier-faults/src/lease/mod.rs
@@ -1,9 +1,9 @@
-//! The planner's lease and its plan: three entries that want to plan, one store.
+//! The planner's lease and its plan: three entries that compete for the lease, and one store.
 //!
-//! The lease keepers run as they are. Who holds the lease writes the plan again and again, by
-//! compare-and-swap and only over a term that is not later than its own. Seen from outside: at
-//! most one planner at a time, terms and plans that only rise, and plans again once the faults
-//! are over.
+//! The real lease keepers run unmodified. The lease holder writes the plan periodically, by
+//! compare-and-swap and only over a term that is not later than its own. The checks: at most one
+//! planner at a time, terms and plans that only increase, and new plans once the faults have
+//! ended.
 
 mod bench;
 mod store;
@@ -11,7 +11,7 @@
 use crate::run::{RunOrder, RunReport};
 use bench::LeaseBench;
 
-/// Runs planners for a minute.
+/// Runs the planners for one minute of simulated time.
 #[must_use]
 pub fn run(order: &RunOrder) -> RunReport {
     LeaseBench::new(order).run()
--- a/crates/oatpier-faults/src/lease/store.rs
+++ b/crates/oatpier-faults/src/lease/store.rs
@@ -1,4 +1,4 @@
-//! The store of the lease and of the plan, and the faults.
+//! The store of the lease and the plan, and the injected faults.
 
 use std::time::Duration;
 
@@ -64,7 +64,7 @@
         }
         let former = self.lease.as_ref().map(|stored| stored.lease.term);
         if former.is_some_and(|former| lease.term < former) {
-            let text = format!("the term went back from {former:?} to {:?}", lease.term);
+            let text = format!("the term decreased from {former:?} to {:?}", lease.term);
             self.report.findings.push(text);
         }
         let revision = current.unwrap_or_default().next();
@@ -76,14 +76,14 @@
         let Some(read) = write.read.filter(|_| self.down_until <= self.now) else {
             return;
         };
-        // Without the look at the term the write goes by a revision read just before it.
+        // Without the check of the term the revision check is skipped too, as if the planner had read the plan just before.
         let fresh = self.order.omits(Bypass::Term) || read.revision == self.stored.revision;
         if !fresh {
             return;
         }
         if write.term < self.stored.term {
             let text = format!(
-                "a plan of {:?} came over one of {:?}",
+                "a plan of {:?} overwrote one of {:?}",
                 write.term, self.stored.term
             );
             self.report.findings.push(text);
@@ -117,7 +117,7 @@
             FaultKind::Kill => self.end_planner(place, span),
             FaultKind::Restart => self.end_planner(place, Duration::from_millis(200)),
             FaultKind::Pause => self.planners[place].awake_from = until,
-            // Longer than the lease lasts: another takes it meanwhile.
+            // Longer than the lease lasts, so that another planner takes the lease meanwhile.
             FaultKind::LeaseLapsed => {
                 self.planners[place].awake_from = until + Duration::from_secs(8);
             }
--- a/crates/oatpier-faults/src/lib.rs
+++ b/crates/oatpier-faults/src/lib.rs
@@ -1,19 +1,20 @@
-//! The fault matrix: faults by steps, each cell a proof or a listed gap.
+//! Fault injection matrix: every fault at every step. A cell is either simulated, or listed with
+//! the reason why it is not.
 //!
-//! A cell runs a small scenario at the interfaces of the decision packages: the real state
-//! machines, joined by modelled messages, endpoints and a modelled store. One fault (or two)
-//! strikes when the scenario passes the cell's step; the seed moves the point. Afterwards the
-//! invariant checker judges what could be seen from outside, and the runner says whether
-//! everything came to its end. All time is the scenario's own; the same seed gives the same run.
+//! A cell simulates a small scenario at the interfaces of the decision packages: the real state
+//! machines, connected by modelled messages, endpoints and a modelled store. One or two faults
+//! are injected when the scenario reaches the cell's step; the seed selects at which occurrence.
+//! Afterwards the invariant checker checks the externally visible events, and the scenario reports
+//! whether all work completed. Time is simulated; the same seed gives the same run.
 //!
-//! - [`fault`], [`step`]: the rows and the columns.
-//! - [`strike`], [`run`]: when a fault strikes, and what a run tells.
+//! - [`fault`], [`step`]: the rows and the columns of the matrix.
+//! - [`injection`], [`run`]: when faults are injected, and the input and result of a run.
 //! - [`request`]: requests and planned stops.
-//! - [`orders`]: orders, moves and versions.
-//! - [`configuration`]: changes by operators.
+//! - [`orders`]: engine orders, weight moves and version changes.
+//! - [`configuration`]: configuration changes by operators.
 //! - [`lease`]: the planner's lease and plan.
-//! - [`membership`]: registration, and the spread of the configuration.
-//! - [`matrix`], [`report`]: the table and what is printed of it.
+//! - [`membership`]: registration, and the propagation of the configuration.
+//! - [`matrix`], [`report`]: the matrix and its output as text and JSON.
 
 pub mod configuration;
 pub mod fault;
--- a/crates/oatpier-faults/src/matrix/cell.rs
+++ b/crates/oatpier-faults/src/matrix/cell.rs
@@ -1,4 +1,4 @@
-//! One cell: what it is to show, and what it showed.
+//! One cell of the matrix: how it is run, and its result.
 
 use oatpier_checker::PromiseName;
 use serde::{Deserialize, Serialize};
@@ -10,23 +10,23 @@
 use crate::strike::FaultStrike;
 use crate::{configuration, lease, membership, orders, request};
 
-/// What runs a cell.
+/// The scenario that runs a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScenarioKind {
-    /// Requests, with a planned stop where the step is one of it.
+    /// Requests, with a planned stop if the step is part of one.
     Request,
-    /// Orders, moves and versions.
+    /// Engine orders, weight moves and version changes.
     Orders,
     /// Changes of the configuration by operators.
     Configuration,
     /// The planner's lease and its plan.
     Lease,
-    /// Registration, membership and the spread of the configuration.
+    /// Registration, membership and the propagation of the configuration.
     Membership,
 }
 
 impl ScenarioKind {
-    /// Runs it once.
+    /// Runs the scenario once.
     #[must_use]
     pub fn run(self, order: &RunOrder) -> RunReport {
         match self {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// What the column `test` says.
+    /// Returns the value of the column `test`.
     #[must_use]
     pub fn test(self) -> &'static str {
         match self {
@@ -51,54 +51,54 @@
     }
 }
 
-/// How a cell is filled.
+/// How a cell's outcome is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CellPlan {
-    /// By runs.
+    /// By running a scenario.
     Run(ScenarioKind),
-    /// Not at all, since the fault can't strike there.
+    /// Excluded for this reason: the fault can't occur at the step.
     CannotHappen(&'static str),
-    /// Not yet.
+    /// Not run yet, for this reason.
     NotRun(&'static str),
 }
 
-/// What a cell showed.
+/// The outcome of a cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CellOutcome {
-    /// All runs kept every promise and came to their end.
+    /// All runs kept every promise and completed.
     Passed,
-    /// A run did not.
+    /// A run broke a promise or did not complete.
     Failed,
-    /// A listed gap.
+    /// Not run yet.
     NotRun,
-    /// The fault can't strike there.
+    /// The fault can't occur at the step.
     CannotHappen,
 }
 
-/// One cell, filled.
+/// One cell with its result.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct MatrixCell {
-    /// The fault, or two.
+    /// The fault, or two joined by ` + `.
     pub fault: String,
-    /// The step.
+    /// The step, or two joined by ` + `.
     pub step: String,
-    /// The promise that the step is nearest to; every run checks all.
+    /// The promise most closely related to the step; every run checks all promises.
     pub promise: PromiseName,
-    /// What came of it.
+    /// The outcome.
     pub outcome: CellOutcome,
-    /// What ran it, or why nothing did.
+    /// The scenario that ran the cell, or the reason why none did.
     pub test: String,
-    /// Its runs.
+    /// The number of runs.
     pub runs: u64,
-    /// What went wrong, the first run first.
+    /// What went wrong, in the order of the seeds.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub findings: Vec<String>,
 }
 
-/// Runs one cell over some seeds.
+/// Runs one cell once for each seed below `seeds`.
 #[must_use]
 pub fn run_cell(fault: FaultKind, step: StepName, seeds: u64) -> MatrixCell {
     let empty = |outcome, reason: &str| MatrixCell {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Runs a scenario with these faults, which strike at other passages with each seed.
+/// Runs a scenario with these faults, injected at different occurrences of the step for each seed.
 pub(super) fn run_seeds(
     scenario: ScenarioKind,
     faults: &[(FaultKind, StepName)],
@@ -151,7 +151,7 @@
         .collect()
 }
 
-/// A run in which every fault struck: at an earlier passage if there are not so many.
+/// Runs a scenario so that every fault is injected: at an earlier occurrence if the step does not occur often enough.
 fn run_struck(scenario: ScenarioKind, faults: &[(FaultKind, StepName)], seed: u64) -> RunReport {
     let most = u32::try_from(seed % 6).unwrap_or(0);
     for skip in (0..=most).rev() {
@@ -169,7 +169,7 @@
         }
     }
     RunReport {
-        findings: vec!["a fault never struck: the run proves nothing".to_owned()],
+        findings: vec!["a fault was never injected: the run proves nothing".to_owned()],
         ..RunReport::default()
     }
 }
--- a/crates/oatpier-faults/src/matrix/mod.rs
+++ b/crates/oatpier-faults/src/matrix/mod.rs
@@ -1,4 +1,4 @@
-//! The table of faults by steps, and how its cells are run.
+//! The matrix of faults by steps, and how its cells are run.
 
 mod cell;
 mod pairs;
@@ -11,11 +11,12 @@
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
-/// Threads that run cells.
+/// Number of threads that run cells.
 const WORKERS: usize = 3;
 
-/// Runs every cell of the grid, then the pairs of faults. The order of the cells, and what comes
-/// of each, do not depend on which thread runs it.
+/// Runs every cell of the matrix, then the pairs of faults.
+///
+/// The order and the results of the cells do not depend on which thread runs them.
 #[must_use]
 pub fn run_matrix(seeds: u64) -> Vec<MatrixCell> {
     let grid = FaultKind::ALL.into_iter().flat_map(|fault| {
--- a/crates/oatpier-faults/src/matrix/pairs.rs
+++ b/crates/oatpier-faults/src/matrix/pairs.rs
@@ -1,22 +1,22 @@
-//! Pairs of faults, at the steps where one alone is most dangerous.
+//! Pairs of faults, at the steps where a single fault is most dangerous.
 
 use super::cell::{MatrixCell, ScenarioKind, run_seeds};
 use super::table::promise_of;
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
-/// Two faults of one run.
+/// Two faults injected in one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FaultPair {
-    /// What runs it.
+    /// The scenario that runs the pair.
     pub scenario: ScenarioKind,
-    /// The first, with its step.
+    /// The first fault and its step.
     pub first: (FaultKind, StepName),
-    /// The second, with its step.
+    /// The second fault and its step.
     pub second: (FaultKind, StepName),
 }
 
-/// All pairs.
+/// Returns all pairs.
 #[must_use]
 pub fn fault_pairs() -> Vec<FaultPair> {
     use FaultKind::{
@@ -89,7 +89,7 @@
         .collect()
 }
 
-/// Runs one pair over some seeds.
+/// Runs one pair once for each seed below `seeds`.
 #[must_use]
 pub fn run_pair(pair: &FaultPair, seeds: u64) -> MatrixCell {
     let (first, second) = (pair.first, pair.second);
--- a/crates/oatpier-faults/src/matrix/table.rs
+++ b/crates/oatpier-faults/src/matrix/table.rs
@@ -1,4 +1,4 @@
-//! Which cell is filled how.
+//! How each cell of the matrix is run, or why it is excluded.
 
 use oatpier_checker::PromiseName;
 
@@ -9,20 +9,19 @@
 const NO_MESSAGE: &str = "the step is a decision inside one process: no message is sent";
 const NO_STORE: &str = "the step makes no call to the store";
 const NO_WRITE: &str = "the step writes nothing to the store";
-const NO_LEASE: &str = "the step rests on no lease or ownership";
+const NO_LEASE: &str = "the step depends on no lease or ownership";
 const NO_WATCH: &str = "the step waits for no watch";
 const NO_VM_LIST: &str = "the step does not read the list of VMs";
 const NO_REPORT: &str = "only the choice of an endpoint reads load reports";
 const NO_CACHE: &str = "only the choice of an endpoint reads cache events";
 const NO_OPERATOR: &str = "the step changes nothing that operators write";
-const NO_WALL_CLOCK: &str =
-    "decisions read the runtime's monotonic clock only, which no step of the wall clock moves";
-const ONE_CONNECTION: &str = "the bytes of one call come over one connection, each once";
-const OWN_CONNECTION: &str = "an answer goes back over the connection that its request came on";
+const NO_WALL_CLOCK: &str = "decisions read the runtime's monotonic clock only, which a step of the wall clock does not change";
+const ONE_CONNECTION: &str = "the bytes of one call arrive over one connection, each once";
+const OWN_CONNECTION: &str = "an answer returns over the connection of its request";
 
-const STOP_ORDER: &str = "the way of a stop's order through the store, its watch and the list of VMs is not in a scenario yet: the scenario begins at the registrars' word";
+const STOP_ORDER: &str = "no scenario yet covers how a stop order passes through the store, its watch and the list of VMs: the scenario begins when the registrars announce the stop";
 
-/// How a cell is filled.
+/// Returns how a cell is run, or why it is not.
 #[must_use]
 pub fn plan_of(fault: FaultKind, step: StepName) -> CellPlan {
     if step == StepName::StopTold && comes_by_store(fault) {
@@ -65,7 +64,7 @@
     }
 }
 
-/// The promise that a step is nearest to.
+/// Returns the promise most closely related to a step.
 pub(super) fn promise_of(step: StepName) -> PromiseName {
     match step {
         StepName::Claim | StepName::SettleClaim | StepName::Run => PromiseName::AtMostOnce,
@@ -88,7 +87,7 @@
     }
 }
 
-/// Faults of the store, of its watch, of its operators and of the list of VMs.
+/// Returns whether a fault affects the store, its watches, its operators or the list of VMs.
 fn comes_by_store(fault: FaultKind) -> bool {
     matches!(
         fault,
@@ -101,7 +100,7 @@
     )
 }
 
-/// Steps within one process.
+/// Returns whether the step sends a message; the listed steps stay within one process.
 fn has_message(step: StepName) -> bool {
     !matches!(
         step,
@@ -115,7 +114,7 @@
     )
 }
 
-/// Steps during which a process talks to another, or waits for it.
+/// Returns whether a process communicates with another during the step, or waits for it.
 fn has_peer(step: StepName) -> bool {
     has_message(step) || matches!(step, StepName::Queue | StepName::StopDrain)
 }
@@ -135,7 +134,7 @@
     }
 }
 
-/// Steps that talk to the store alone.
+/// Returns whether the step communicates with the store only.
 fn is_store_step(step: StepName) -> bool {
     matches!(
         step,
@@ -210,7 +209,7 @@
     step.path() == StepPath::Config || step == StepName::StartConfig
 }
 
-/// The operator's stamp on a change is the only wall clock that anything keeps.
+/// Returns whether the step records a wall-clock time: only the operator's timestamp on a change is stored.
 fn has_stamp(step: StepName) -> bool {
     matches!(step, StepName::ConfigMerge | StepName::ConfigWrite)
 }
--- a/crates/oatpier-faults/src/membership/act.rs
+++ b/crates/oatpier-faults/src/membership/act.rs
@@ -1,4 +1,4 @@
-//! What the member machines ask for, and how calls travel.
+//! Executes the actions of the member state machines, and delivers their calls.
 
 use std::time::Duration;
 
@@ -128,14 +128,14 @@
             self.put(takes + again, target, None, deliver.clone());
         }
         if fate == CallFate::Crossed {
-            // Another process has taken the address over: it gets the call, and answers.
+            // Another process has taken over the address: it receives the call and answers it.
             let other = (target + 2) % PROCESSES;
             return self.put(takes, other, None, deliver);
         }
         self.put(takes, target, None, deliver);
     }
 
-    /// The steps that a call passes.
+    /// Returns the steps that a call is part of.
     fn steps_of(&mut self, from: usize, to: usize, body: &Call) -> SmallVec<[StepName; 2]> {
         let late = LATE.contains(&from) && self.now >= ARMED_FROM;
         let mut steps = SmallVec::new();
@@ -246,7 +246,7 @@
             content,
         });
         if self.order.omits(Bypass::Generation) && generation > Generation(1) {
-            // As if an older one that came late were taken over.
+            // Simulates that a delayed older configuration is applied.
             self.note(FleetEvent::ConfigInForce {
                 daemon,
                 generation: Generation(1),
@@ -265,7 +265,7 @@
         self.put(takes, index, boot, Happening::Store(Box::new(reply)));
     }
 
-    /// A change answers the watches.
+    /// Answers the waiting watches with the new configuration.
     pub fn tell_watches(&mut self) {
         let Some(stored) = self.store.stored.clone() else {
             return;
@@ -276,7 +276,7 @@
             }
             let fate = self.pass(StepName::ConfigWatch, watch.process, watch.process);
             if fate == CallFate::Lost || self.storeless[watch.process] > self.now {
-                // Its connection broke without a word: it ends by its own time.
+                // Its connection is lost without notice: the watch ends by its own timeout.
                 continue;
             }
             self.answer_watch(&watch, StoreReply::Value(stored.clone()), fate);
@@ -306,7 +306,7 @@
         self.put(late, watch.process, boot, happening);
     }
 
-    /// Watches end by their own time, or fail with the store.
+    /// Ends the watches whose timeout has passed, or all of them if the store is down.
     pub fn end_watches(&mut self) {
         let now = self.now;
         let down = self.store.down_until > now;
--- a/crates/oatpier-faults/src/membership/inflict.rs
+++ b/crates/oatpier-faults/src/membership/inflict.rs
@@ -1,4 +1,4 @@
-//! The faults of registration and spread.
+//! Injects faults into registration and configuration propagation.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
-/// How often the list of VMs is read.
+/// Interval at which the list of VMs is read.
 const LIST_EVERY: Duration = Duration::from_secs(5);
 
-/// What becomes of a call.
+/// How a call is delivered. If several faults apply to it, the greatest value wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum CallFate {
     #[default]
@@ -26,8 +26,8 @@
 }
 
 impl MemberWorld {
-    /// A step is passed by a call: inflicts the faults that strike. `to` is `from` where the call
-    /// goes to the store.
+    /// Injects the faults that are due when a call reaches `step`, and returns how it is delivered.
+    /// `to` equals `from` if the call goes to the store.
     pub fn pass(&mut self, step: StepName, from: usize, to: usize) -> CallFate {
         if self.now < ARMED_FROM {
             return CallFate::Kept;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Half of the cuts are of the one link, half of all that comes to the process.
+    /// Blocks messages to `to`: with equal probability those from `from` only, or from all processes.
     fn cut(&mut self, from: usize, to: usize, span: Duration) {
         let whole = self.random.random_bool(0.5);
         self.touch_cut(from, to, whole, span);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Half are of the one link, half of all that comes to the process and goes from it.
+    /// Blocks messages to and from `to`: with equal probability the link to `from` only, or all links.
     fn cut_both(&mut self, from: usize, to: usize, span: Duration) {
         let whole = self.random.random_bool(0.5);
         self.touch_cut(from, to, whole, span);
@@ -126,7 +126,8 @@
         self.put(span, to, None, Happening::FaultsOver);
     }
 
-    /// The list of VMs is read again and again. A wrong one calls some leaving, and names few.
+    /// Delivers the list of VMs, which is read periodically. A wrong list reports some VMs as leaving to the entries,
+    /// and names only two entries to the agents.
     pub fn list_vms(&mut self) {
         let wrong = self.wrong_list_until > self.now;
         if !wrong {
--- a/crates/oatpier-faults/src/membership/judge.rs
+++ b/crates/oatpier-faults/src/membership/judge.rs
@@ -1,4 +1,4 @@
-//! What must be so at the end, and within seconds on the way.
+//! Checks of the final state, and of the propagation time during the run.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use super::world::{ENTRIES, LATE, MemberNode, MemberWorld, PROCESSES};
 use crate::fault::FaultKind;
 
-/// How long a process that no fault touches may be without an accepted configuration.
+/// Maximum time until a process that no fault affects applies an accepted configuration.
 const SPREAD_WITHIN: Duration = Duration::from_secs(5);
 
 impl MemberWorld {
-    /// Every process is there, has the last configuration, and is known in its zone.
+    /// Checks that every process runs, has the last configuration, and is known to the entries of its availability zone.
     pub fn judge(&mut self) {
         let last = self.store.stored.as_ref().map(|stored| stored.generation);
         for index in 0..PROCESSES {
@@ -35,7 +35,7 @@
             for other in others {
                 let state = self.state(entry, other);
                 if state != Some(MemberState::Alive) {
-                    let text = format!("entry {entry} takes process {other} for {state:?}");
+                    let text = format!("entry {entry} lists process {other} as {state:?}");
                     self.report.findings.push(text);
                 }
             }
@@ -50,7 +50,8 @@
         Some(member.table().get(daemon)?.state)
     }
 
-    /// No entry may take a process of its availability zone for gone, if no fault touches either.
+    /// Records when an entry wrongly marks a process of its availability zone as gone, while no fault affects either of
+    /// them.
     pub fn watch_gone(&mut self, entry: usize, change: &MemberChange) {
         let other =
             (0..PROCESSES).find(|other| self.processes[*other].contact.daemon == change.daemon);
@@ -73,13 +74,13 @@
     fn note_gone(&mut self, entry: usize, other: usize, since: ClockTime) {
         let span = self.now.since(since);
         let text = format!(
-            "entry {entry} took process {other}, which serves, for gone for {span:?} at {since:?}"
+            "entry {entry} marked the running process {other} as gone for {span:?} at {since:?}"
         );
         self.report.findings.push(text);
     }
 
-    /// The checker counts from the end of the last fault. A process that no fault touches has no
-    /// such excuse, unless the store itself is down.
+    /// Checks the propagation time at processes that no fault affects. The checker counts from the end of the last
+    /// fault; these processes must be in time during the faults too, unless the store itself is down.
     fn judge_spread(&mut self) {
         let down = self
             .order
--- a/crates/oatpier-faults/src/membership/lagging.rs
+++ b/crates/oatpier-faults/src/membership/lagging.rs
@@ -1,7 +1,7 @@
-//! Configurations that come late, and what is in force as seen from outside.
+//! Delayed pushes of old configurations, and the check of the generation in force.
 //!
-//! A process says what comes into force only where the generation rose, so its own word can't show
-//! that it fell: the scenario looks for itself after each step.
+//! A process reports a configuration only when its generation has increased, so its own reports
+//! can't show a decrease. The scenario therefore inspects the process after each step.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,17 +16,17 @@
 
 use super::world::{ENTRIES, Happening, MemberNode, MemberWorld, PROCESSES};
 
-/// By then a change has come into force everywhere that no fault touches.
+/// Delay after which a change is in force at every process that no fault affects.
 const LAG: Duration = Duration::from_secs(3);
 
-/// A started process is offered what is old before its first answers can be there.
+/// Delay of the stale push to a started process: shorter than the time until its first answers arrive.
 const LAG_AT_START: Duration = Duration::from_micros(300);
 
-/// The answer goes to a process that has long given the call up.
+/// Number of a call that its sender no longer waits for.
 const FORGOTTEN_CALL: CallNumber = CallNumber(u64::MAX);
 
 impl MemberWorld {
-    /// The former configuration is still on its way to each process when a later one comes into
+    /// Schedules a delayed push of the previous configuration to each process, to arrive after the later one is in
     /// force.
     pub fn lag_behind(&mut self) {
         let Some(former) = self.store.former.clone() else {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The first that a restarted process hears of is a peer that is behind.
+    /// Schedules a push of the previous configuration as the first message that a restarted process receives.
     pub fn lag_at_start(&mut self, index: usize) {
         if let Some(former) = self.store.former.clone() {
             let lagging = Happening::Lagging(former);
@@ -61,7 +61,7 @@
         self.deliver(index, from, boot, FORGOTTEN_CALL, body);
     }
 
-    /// Looks at what is in force in a process, and logs what the process itself does not say.
+    /// Inspects the generation in force at a process, and logs a decrease, which the process itself does not report.
     pub fn watch_generation(&mut self, index: usize) {
         let Some(generation) = self.generation(index) else {
             return;
@@ -84,15 +84,16 @@
         });
     }
 
-    /// A process says that a generation is in force. After a restart it may be no older than
-    /// what was in force before.
+    /// Records a generation that a process reports as in force. After a restart it must not be older than the
+    /// generation that was in force before.
     pub fn see_generation(&mut self, index: usize, generation: Generation) {
         let process = &mut self.processes[index];
         let reached = process.reached;
         process.seen = generation;
         process.reached = reached.max(generation);
         if generation < reached {
-            let text = format!("process {index} started on {generation}, after {reached}");
+            let text =
+                format!("process {index} started on generation {generation}, after {reached}");
             self.report.findings.push(text);
         }
     }
--- a/crates/oatpier-faults/src/membership/mod.rs
+++ b/crates/oatpier-faults/src/membership/mod.rs
@@ -1,13 +1,13 @@
-//! Registration, membership and the spread of the configuration: eight entries and eight agents
-//! in two availability zones, one store.
+//! Registration, membership and the propagation of the configuration: eight entries and eight agents
+//! in two availability zones, and one store.
 //!
-//! The entries' and agents' member machines run as they are, with the real configuration as what
-//! is spread. Some seconds in, the configuration changes twice and two processes start; faults
-//! strike from there on. Where the step is the registration with a successor, a registrar dies
-//! first. Three seconds after each change the former configuration still comes to every process
-//! from a peer, and it is the first that a restarted process hears of. Seen from outside: the
-//! generation in force in every process, within seconds in those that no fault touches, and at
-//! the end every live process known and up to date.
+//! The real member state machines of the entries and agents run unmodified and propagate the real
+//! configuration type. After 15 seconds the configuration changes twice, two processes start, and
+//! fault injection begins. If the step is the registration with a successor, a registrar crashes
+//! first. Three seconds after each change every process still receives the previous configuration
+//! from a peer; a restarted process receives it as its first message. The checks: the generation in
+//! force at every process never decreases, it is reached within seconds at processes that no fault
+//! affects, and at the end every live process is known and up to date.
 
 mod act;
 mod inflict;
@@ -19,7 +19,7 @@
 use crate::run::{RunOrder, RunReport};
 use world::MemberWorld;
 
-/// Runs the two availability zones for a minute and a half.
+/// Runs the two availability zones for 75 seconds of simulated time.
 #[must_use]
 pub fn run(order: &RunOrder) -> RunReport {
     MemberWorld::new(order).run()
--- a/crates/oatpier-faults/src/membership/store.rs
+++ b/crates/oatpier-faults/src/membership/store.rs
@@ -1,4 +1,4 @@
-//! The store's configuration, with its watches.
+//! The stored configuration and its watches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use crate::request::name;
 
-/// A watch that waits.
+/// A watch that waits for a change.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingWatch {
     pub process: usize,
@@ -22,19 +22,19 @@
 #[derive(Debug, Default)]
 pub struct ConfigStore {
     pub stored: Option<StoredConfig<FleetConfig>>,
-    /// What was stored before.
+    /// The previously stored configuration.
     pub former: Option<StoredConfig<FleetConfig>>,
     pub watches: Vec<WaitingWatch>,
     pub down_until: ClockTime,
     pub slow_until: ClockTime,
-    /// Watches that began stay open and are never answered.
+    /// Until then watches stay open without an answer.
     pub hang_until: ClockTime,
-    /// Whose; none: all.
+    /// The process whose watches hang; `None` for all processes.
     pub hanging: Option<usize>,
 }
 
 impl ConfigStore {
-    /// Whether a process's watches tell nothing at the moment.
+    /// Returns whether the watches of a process currently report nothing.
     pub fn hangs(&self, process: usize, now: ClockTime) -> bool {
         self.hang_until > now && self.hanging.is_none_or(|hanging| hanging == process)
     }
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The reply to a watch, if it has one at once.
+    /// Registers a watch, or returns its reply if there is one at once.
     pub fn watch(
         &mut self,
         watch: WaitingWatch,
@@ -69,7 +69,7 @@
         None
     }
 
-    /// An operator's change is written.
+    /// Writes an operator's change and returns its generation.
     pub fn change(&mut self) -> Generation {
         let (revision, generation, mut value) = match &self.stored {
             Some(stored) => (stored.revision, stored.generation, (*stored.value).clone()),
--- a/crates/oatpier-faults/src/membership/world.rs
+++ b/crates/oatpier-faults/src/membership/world.rs
@@ -1,4 +1,4 @@
-//! The processes and what happens to them.
+//! The simulated processes and the events that they handle.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -26,24 +26,24 @@
 use crate::step::StepName;
 use crate::strike::StrikePlan;
 
-/// Entries.
+/// Number of entries.
 pub const ENTRIES: usize = 8;
-/// All processes.
+/// Number of processes: entries, then agents.
 pub const PROCESSES: usize = 16;
 /// An entry and an agent that start late.
 pub const LATE: [usize; 2] = [ENTRIES - 1, PROCESSES - 1];
-/// An entry that dies when the faults begin, and comes back later: agents need a successor.
+/// An entry that crashes when fault injection starts and restarts later, so that agents need a successor.
 const LOST_REGISTRAR: usize = 2;
 
-/// The first configuration is accepted.
+/// Time at which the first configuration is accepted.
 const FIRST_CHANGE: ClockTime = ClockTime::from_millis(1_000);
-/// Faults strike from here on.
+/// Start of fault injection.
 pub const ARMED_FROM: ClockTime = ClockTime::from_millis(15_000);
-/// From here on nothing is at fault.
+/// Time at which the end of the faults is logged.
 const FAULTS_OVER: ClockTime = ClockTime::from_millis(40_000);
-/// One more configuration is accepted, after the faults.
+/// Time at which one more configuration is accepted, after the faults.
 const LAST_CHANGE: ClockTime = ClockTime::from_millis(55_000);
-/// The end.
+/// End of the run.
 const LAST_MOMENT: ClockTime = ClockTime::from_millis(75_000);
 
 pub type Call = PeerCall<FleetConfig>;
@@ -64,13 +64,13 @@
     pub wake_at: ClockTime,
     pub paused_until: ClockTime,
     pub slow_until: ClockTime,
-    /// A fault has struck it.
+    /// Whether a fault has affected the process.
     pub touched: bool,
-    /// Whom an agent has sent heartbeats to before the faults.
+    /// Processes that an agent sent heartbeats to before fault injection started.
     pub known: Vec<usize>,
-    /// The generation in force, as looked at from outside after each step of this start.
+    /// The generation in force, as last observed by the scenario since the process started.
     pub seen: Generation,
-    /// The latest generation that was in force at any of its starts.
+    /// The highest generation that was in force since the first start.
     pub reached: Generation,
 }
 
@@ -92,7 +92,7 @@
     Change,
     KillRegistrar,
     ListVms,
-    /// A whole configuration that a peer sent before it learned a later one comes in.
+    /// A full configuration arrives from a peer that sent it before it received a later one.
     Lagging(StoredConfig<FleetConfig>),
     FaultsOver,
 }
@@ -112,11 +112,11 @@
     pub store: ConfigStore,
     pub queue: EventQueue<Queued>,
     pub blocked: BTreeMap<(usize, usize), ClockTime>,
-    /// Processes that can't reach the store until then.
+    /// By process: it can't reach the store until then.
     pub storeless: [ClockTime; PROCESSES],
-    /// The list of VMs is wrong until then.
+    /// The list of VMs is wrong until this time.
     pub wrong_list_until: ClockTime,
-    /// Which entry wrongly takes which process for gone, and since when.
+    /// Pairs of an entry and a process that the entry wrongly marks as gone, with the time since when.
     pub gone: BTreeMap<(usize, usize), ClockTime>,
     pub report: RunReport,
 }
@@ -198,7 +198,7 @@
         self.queue.put(self.now + after, Queued { to, boot, what });
     }
 
-    /// Starts a process with nothing kept.
+    /// Starts a process with no state kept.
     pub fn start(&mut self, index: usize) {
         let boot = self.processes[index].boot + 1;
         let id = BootId(u128::from(boot) * 64 + index as u128);
@@ -246,7 +246,7 @@
         });
     }
 
-    /// The process's own clock, from its start.
+    /// Returns the process's own clock, which counts from its start.
     pub fn local(&self, index: usize) -> ClockTime {
         ClockTime::from_start(self.now.since(self.processes[index].started))
     }
@@ -301,7 +301,7 @@
 
     fn change(&mut self, to: usize) {
         if self.store.down_until > self.now {
-            // The operator's command tries again.
+            // The operator's command retries.
             return self.put(Duration::from_millis(500), to, None, Happening::Change);
         }
         let before = self.store.stored.clone();
--- a/crates/oatpier-faults/src/orders/engine.rs
+++ b/crates/oatpier-faults/src/orders/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that does what it is told, and overcommits if it is told to.
+//! A modelled engine: it executes every order that it accepts, even if that overcommits its memory.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use oatpier_types::ids::OrderNumber;
 use oatpier_types::names::ModelName;
 
-/// The time that a load takes.
+/// Duration of a load.
 const LOAD_TIME: Duration = Duration::from_secs(2);
-/// The time that an unload takes.
+/// Duration of an unload.
 const UNLOAD_TIME: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Clone)]
@@ -107,13 +107,13 @@
         entry.is_some_and(|entry| entry.0 == WeightsState::Ready)
     }
 
-    /// Whether some version of the model is ready.
+    /// Returns whether any version of the model is ready.
     pub fn serves(&self, model: &ModelName) -> bool {
         let mut held = self.held.iter();
         held.any(|(weights, entry)| weights.model == *model && entry.0 == WeightsState::Ready)
     }
 
-    /// Whether it holds these weights and nothing else, all ready.
+    /// Returns whether the engine holds exactly these weights, all ready.
     pub fn holds_just(&self, wanted: &[WeightsKey]) -> bool {
         self.held.len() == wanted.len() && wanted.iter().all(|weights| self.is_ready(weights))
     }
--- a/crates/oatpier-faults/src/orders/inflict.rs
+++ b/crates/oatpier-faults/src/orders/inflict.rs
@@ -1,4 +1,4 @@
-//! The faults of orders and moves.
+//! Injects faults into orders and moves.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::request::name;
 use crate::step::StepName;
 
-/// What becomes of a message.
+/// How a message is delivered. If several faults apply to it, the greatest value wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum MessageFate {
     #[default]
@@ -25,7 +25,7 @@
 }
 
 impl OrderWorld {
-    /// A step is passed at an endpoint: inflicts the faults that strike.
+    /// Injects the faults that are due when an endpoint reaches `step`, and returns how its message is delivered.
     pub fn pass(&mut self, step: StepName, index: usize) -> MessageFate {
         if !self.is_armed(step) {
             return MessageFate::Kept;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// With some seeds the engine dies as well, and all that it held is gone.
+    /// Ends the agent. With a probability of 0.4 the engine crashes too and loses all weights.
     fn kill(&mut self, index: usize, away: Duration) {
         self.end_agent(index, away);
         if self.random.random_bool(0.4) {
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Its calls and orders may yet take effect.
+    /// Ends the current agent of an endpoint. Its calls and orders in flight may still take effect.
     fn end_agent(&mut self, index: usize, away: Duration) {
         let Some(boot) = self.current[index].take() else {
             return;
         };
         self.end_work(index);
-        // Removed at the end of the tick's loop would be later than its next command.
+        // Disabled here, since a removal at the end of the tick would come after its next command.
         if let Some(agent) = self.agents.iter_mut().find(|agent| agent.boot == boot) {
             agent.awake_from = oatpier_types::clock::ClockTime::NEVER;
             agent.boot = BootId(u128::MAX - agent.boot.0);
--- a/crates/oatpier-faults/src/orders/mod.rs
+++ b/crates/oatpier-faults/src/orders/mod.rs
@@ -1,9 +1,10 @@
-//! Orders, moves and versions: three agents, their engines, a store.
+//! Engine orders, weight moves and version changes: three agents, their engines, and a store.
 //!
-//! The agents' order keepers, release keepers and move steppers run as they are. Three plans
-//! follow each other: the second moves two models, takes a replica away and changes a version;
-//! the third takes the moves back, so that late orders of the second could do harm. Engines check
-//! order numbers with even seeds and ignore them with odd ones.
+//! The agents' real order keepers, release keepers and move steppers run unmodified. Three plans
+//! follow each other: the second moves two models, removes a replica and changes a version; the
+//! third reverts the moves, so that delayed orders of the second could cause damage. Engines check
+//! order numbers with even seeds and ignore them with odd ones. If a fault is injected at
+//! [`OrderIntent`](crate::step::StepName::OrderIntent) they never check them.
 
 mod engine;
 mod inflict;
@@ -15,7 +16,7 @@
 use crate::run::{RunOrder, RunReport};
 use world::OrderWorld;
 
-/// Runs the plans.
+/// Runs the three plans.
 #[must_use]
 pub fn run(order: &RunOrder) -> RunReport {
     OrderWorld::new(order).run()
--- a/crates/oatpier-faults/src/orders/network.rs
+++ b/crates/oatpier-faults/src/orders/network.rs
@@ -1,4 +1,4 @@
-//! The messages of agents, engines and the store.
+//! Delivers the messages between agents, engines and the store.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// How long an agent waits for an answer.
+/// Time that an agent waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl OrderWorld {
@@ -111,7 +111,7 @@
                 self.post(OrderMessage::Order(index, boot, order, false), late);
             }
             MessageFate::Crossed => {
-                // Overtaken by all that is sent in the next seconds, and answered then.
+                // Reordered: it arrives after later messages, up to 5 s late, and is answered then.
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
                 self.post(OrderMessage::Order(index, boot, order, true), late / 4);
             }
@@ -147,7 +147,7 @@
                 self.post(OrderMessage::Poll(index, boot, ticket), late);
             }
             MessageFate::Crossed => {
-                // The answer of another poll: this one's comes as a former one's.
+                // Answers crossed: the state arrives under the ticket of the previous poll, and this poll fails.
                 let state = Box::new(self.engines[index].state());
                 let former = PollTicket(ticket.0.saturating_sub(1));
                 let ticket_event = OrderEvent::Polled {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Sends an ask for a release, or its answer.
+    /// Sends a release request to another agent, or the answer to one.
     pub fn send_between(&mut self, message: OrderMessage) {
         let index = match &message {
             OrderMessage::Ask(index, _) => *index,
@@ -288,14 +288,14 @@
         if let OrderAction::Unload { weights } = &order.action
             && self.is_working(index, weights)
         {
-            let text = format!("{order:?} at {index} cut off what ran");
+            let text = format!("{order:?} at engine {index} cut off running requests");
             self.report.findings.push(text);
         }
         self.observe();
         outcome
     }
 
-    /// The agent, if it is awake; else the message waits for it.
+    /// Returns the agent if it is not paused. Otherwise the message is queued until it resumes.
     fn awake_agent(&mut self, boot: BootId, message: OrderMessage) -> Option<&mut OrderAgent> {
         let place = self.agents.iter().position(|agent| agent.boot == boot)?;
         let wake: ClockTime = self.agents[place].awake_from;
@@ -322,7 +322,7 @@
     }
 }
 
-/// The steps that an order passes on its way.
+/// Returns the steps that an order is part of.
 fn steps_of(order: &EngineOrder) -> SmallVec<[StepName; 3]> {
     let mut steps = SmallVec::from_slice(&[StepName::OrderSend]);
     let (step, weights) = match &order.action {
--- a/crates/oatpier-faults/src/orders/scenario.rs
+++ b/crates/oatpier-faults/src/orders/scenario.rs
@@ -1,4 +1,4 @@
-//! The fleet, and the plans.
+//! The fleet configuration and the plans.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 
 use crate::request::name;
 
-/// Engines.
+/// Number of engines.
 pub const ENGINES: usize = 3;
 /// Memory of an engine.
 pub const MEMORY_MIB: u64 = 400;
-/// Memory of a model: four fit.
+/// Memory of a model: four models fit in an engine.
 const MODEL_MIB: u64 = 100;
-/// The models.
+/// Names of the models.
 pub const MODELS: [&str; 4] = ["aisle", "bench", "chair", "dais"];
 
 pub fn endpoint(index: usize) -> EndpointName {
@@ -33,7 +33,7 @@
     }
 }
 
-/// The configuration; `chair` is in this version.
+/// Returns the configuration, with the model `chair` in the version of that name.
 pub fn config(chair: &str, checks_order_numbers: bool) -> FleetConfig {
     let mut config = FleetConfig::default();
     let zones = vec![name("ikeja")];
@@ -72,7 +72,7 @@
     config
 }
 
-/// The first plan.
+/// Returns the first plan.
 pub fn first_plan() -> Vec<EndpointPlan> {
     let rows = [
         vec![
@@ -90,8 +90,8 @@
     plan(rows)
 }
 
-/// The second: `aisle` and `dais` move to the last engine, `bench` loses a replica, `chair` gets
-/// another version.
+/// Returns the second plan: `aisle` and `dais` move to the last engine, `bench` loses a replica,
+/// `chair` gets another version.
 pub fn second_plan() -> Vec<EndpointPlan> {
     let rows = [
         vec![weights("bench", "v1")],
@@ -105,7 +105,7 @@
     plan(rows)
 }
 
-/// The third takes the moves back, and keeps the version.
+/// Returns the third plan, which reverts the moves and keeps the new version.
 pub fn third_plan() -> Vec<EndpointPlan> {
     let rows = [
         vec![
--- a/crates/oatpier-faults/src/orders/view.rs
+++ b/crates/oatpier-faults/src/orders/view.rs
@@ -1,4 +1,4 @@
-//! What an agent sees of the others' replicas, and of its own work.
+//! An agent's view of the replicas at other endpoints, and of its own running requests.
 
 use oatpier_placement::steps::{AttemptCount, ReplicaCount};
 use oatpier_types::clock::ClockTime;
@@ -6,7 +6,7 @@
 use oatpier_types::names::EndpointName;
 use smallvec::SmallVec;
 
-/// What an agent believes that the others have ready: a moment old.
+/// An agent's outdated view of the ready weights of all endpoints, and the index of its own.
 pub struct OldView<'a>(pub &'a [(EndpointName, Vec<WeightsKey>)], pub usize);
 
 impl ReplicaCount for OldView<'_> {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Requests that still run on weights of an endpoint.
+/// Requests that run on weights of an endpoint until a given time.
 #[derive(Debug, Clone)]
 pub struct RunningWork {
     pub index: usize,
@@ -36,7 +36,7 @@
     pub until: ClockTime,
 }
 
-/// What runs at one endpoint.
+/// The running requests, the index of one endpoint, and the current time.
 pub struct WorkCount<'a>(pub &'a [RunningWork], pub usize, pub ClockTime);
 
 impl AttemptCount for WorkCount<'_> {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Whether requests run on weights of an endpoint.
+/// Returns whether requests run on weights of an endpoint.
 pub fn runs_on(work: &[RunningWork], index: usize, weights: &WeightsKey, now: ClockTime) -> bool {
     let mut work = work.iter();
     work.any(|work| work.index == index && work.weights == *weights && work.until > now)
--- a/crates/oatpier-faults/src/orders/world.rs
+++ b/crates/oatpier-faults/src/orders/world.rs
@@ -1,4 +1,4 @@
-//! Agents, engines and a store, tick by tick.
+//! Agents, engines and a store, simulated in ticks.
 
 use std::time::Duration;
 
@@ -26,15 +26,15 @@
 use crate::strike::StrikePlan;
 
 pub const TICK: Duration = Duration::from_millis(50);
-/// The second plan comes into force; faults strike from here on.
+/// Time at which the second plan comes into force and fault injection starts.
 const SECOND_PLAN: ClockTime = ClockTime::from_millis(20_000);
-/// The third plan comes into force.
+/// Time at which the third plan comes into force.
 const THIRD_PLAN: ClockTime = ClockTime::from_millis(30_000);
-/// How long requests still run on what is to go.
+/// Time that requests still run on weights after a plan has changed.
 const DRAIN_SPAN: Duration = Duration::from_secs(2);
-/// The earliest end of a run: messages are under way until then.
+/// The earliest end of a run: messages may be in flight until then.
 const SETTLED_FROM: ClockTime = ClockTime::from_millis(60_000);
-/// The latest.
+/// The latest end of a run.
 const LAST_MOMENT: ClockTime = ClockTime::from_millis(400_000);
 
 #[derive(Debug, Clone)]
@@ -68,18 +68,18 @@
     rows: Vec<EndpointPlan>,
     pub engines: Vec<OrderedEngine>,
     pub agents: Vec<OrderAgent>,
-    /// The agent that each endpoint's peers reach.
+    /// By endpoint: the agent that its peers reach.
     pub current: Vec<Option<BootId>>,
     pub store: Vec<Option<StoredRecord>>,
     pub queue: EventQueue<OrderMessage>,
     pub store_down_until: ClockTime,
     pub store_slow_until: ClockTime,
     pub answers_to_lose: u32,
-    /// Messages between an agent and its engine are lost, by direction.
+    /// Messages between an agent and its engine are lost until then, by direction.
     pub cut_to: [ClockTime; ENGINES],
     pub cut_from: [ClockTime; ENGINES],
     pub slow_until: [ClockTime; ENGINES],
-    /// What runs since the plan changed.
+    /// Requests that run since the plan changed.
     work: Vec<RunningWork>,
     boots: u64,
     pub checks: bool,
@@ -90,7 +90,7 @@
 
 impl OrderWorld {
     pub fn new(order: &RunOrder) -> Self {
-        // An engine that checks numbers needs no intents in the store.
+        // With engines that check order numbers, agents write no intents to the store.
         let intents = order
             .strikes
             .iter()
@@ -148,7 +148,7 @@
             let held: Vec<_> = self.engines.iter().map(OrderedEngine::state).collect();
             self.report
                 .findings
-                .push(format!("the last plan is not carried out: {held:?}"));
+                .push(format!("the last plan was not completed: {held:?}"));
         }
         self.report.struck = self.plan.is_spent();
         self.report
@@ -173,12 +173,12 @@
         rows.all(|(row, engine)| engine.holds_just(&row.weights))
     }
 
-    /// Whether the faults of a step may strike yet.
+    /// Returns whether faults may be injected at a step yet.
     pub fn is_armed(&self, step: StepName) -> bool {
         step == StepName::StartEpoch || self.now >= SECOND_PLAN
     }
 
-    /// Requests run on all that takes new ones when a plan comes into force.
+    /// Starts requests on all weights that accept new ones when a plan comes into force.
     fn begin_work(&mut self) {
         let (now, until) = (self.now, self.now + DRAIN_SPAN);
         let current = &self.current;
@@ -200,12 +200,12 @@
             .collect();
     }
 
-    /// What runs at an endpoint ends with its agent.
+    /// Ends the requests at an endpoint, which end with its agent.
     pub fn end_work(&mut self, index: usize) {
         self.work.retain(|work| work.index != index);
     }
 
-    /// Whether requests run on weights of an endpoint.
+    /// Returns whether requests run on weights of an endpoint.
     pub fn is_working(&self, index: usize, weights: &WeightsKey) -> bool {
         runs_on(&self.work, index, weights, self.now)
     }
@@ -232,8 +232,8 @@
         });
     }
 
-    /// An agent that learns of a later one ends. Where it was the one that peers reach, the VM
-    /// starts it anew.
+    /// Removes the agents that a later one has superseded. If one of them was the agent that peers reach, the VM
+    /// restarts it.
     fn end_superseded(&mut self) {
         let ended = |agent: &OrderAgent| agent.keeper.epoch() == EpochState::Superseded;
         let current = self.current.clone();
@@ -335,7 +335,7 @@
         self.report.log.push(LoggedEvent { at, event });
     }
 
-    /// What can be seen from outside: memory and ready replicas.
+    /// Logs changes of what is externally visible: used memory and ready replicas.
     pub fn observe(&mut self) {
         for index in 0..ENGINES {
             let used_mib = self.engines[index].used_mib(&self.config);
--- a/crates/oatpier-faults/src/queue.rs
+++ b/crates/oatpier-faults/src/queue.rs
@@ -1,10 +1,10 @@
-//! What happens when, in one order.
+//! A queue of simulated events, ordered by time.
 
 use std::collections::BTreeMap;
 
 use oatpier_types::clock::ClockTime;
 
-/// Events by time; events of one time in the order in which they were put in.
+/// Events ordered by time. Events of the same time keep the order in which they were added.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     events: BTreeMap<(ClockTime, u64), E>,
@@ -21,13 +21,13 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Puts an event in.
+    /// Adds an event.
     pub fn put(&mut self, at: ClockTime, event: E) {
         self.sequence += 1;
         self.events.insert((at, self.sequence), event);
     }
 
-    /// Takes the next event out, if it is due by then.
+    /// Removes and returns the next event, if it is due by `until`.
     pub fn take(&mut self, until: ClockTime) -> Option<(ClockTime, E)> {
         let entry = self.events.first_entry()?;
         let at = entry.key().0;
--- a/crates/oatpier-faults/src/report.rs
+++ b/crates/oatpier-faults/src/report.rs
@@ -1,4 +1,4 @@
-//! The grid as text and as JSON.
+//! The matrix as text and as JSON.
 
 use std::fmt::Write;
 
@@ -8,29 +8,29 @@
 use crate::matrix::{CellOutcome, MatrixCell};
 use crate::step::{StepName, StepPath};
 
-/// The JSON document of a run.
+/// The JSON document of a matrix run.
 #[derive(Debug)]
 #[derive(Serialize)]
 pub struct MatrixDocument<'a> {
-    /// All cells.
+    /// All cells of the matrix and the pairs.
     pub cells: &'a [MatrixCell],
 }
 
-/// How many cells came out how.
+/// The number of cells by outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct OutcomeCounts {
-    /// Passed.
+    /// Cells that passed.
     pub passed: usize,
-    /// Failed.
+    /// Cells that failed.
     pub failed: usize,
-    /// Not run.
+    /// Cells that are not run yet.
     pub not_run: usize,
-    /// Cannot happen.
+    /// Cells whose fault can't occur at the step.
     pub cannot_happen: usize,
 }
 
 impl OutcomeCounts {
-    /// Counts cells.
+    /// Counts the cells by outcome.
     #[must_use]
     pub fn of(cells: &[MatrixCell]) -> Self {
         let count = |outcome| cells.iter().filter(|cell| cell.outcome == outcome).count();
@@ -43,7 +43,8 @@
     }
 }
 
-/// The grid as aligned text: a table for each path, the pairs, then failures, gaps and reasons.
+/// Renders the matrix as aligned text: a table for each path, the pairs of faults, the failures, then the cells
+/// that are not run or cannot happen, with their reasons.
 #[must_use]
 pub fn render(cells: &[MatrixCell]) -> String {
     let mut text = String::new();
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -1,4 +1,4 @@
-//! An agent: carries out what its decisions say.
+//! The simulated agent: executes the actions of the agent policy.
 
 use std::collections::BTreeMap;
 
@@ -19,10 +19,10 @@
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// Attempts that an endpoint runs at once: one, so that others wait.
+/// Attempts that an endpoint runs concurrently: one, so that others are queued.
 const SLOTS: u32 = 1;
 
-/// One attempt at the agent.
+/// An attempt that the agent holds.
 #[derive(Debug, Clone)]
 struct HeldAttempt {
     spec: Box<AttemptSpec>,
@@ -33,7 +33,7 @@
     entry: NodeId,
 }
 
-/// One start of an agent.
+/// The state of an agent since its last start.
 pub struct AgentNode {
     pub policy: AgentPolicy,
     pub told: bool,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Attempts at the endpoint.
+    /// Returns the number of attempts that run at the endpoint.
     pub fn running(&self) -> usize {
         self.held.values().filter(|held| held.running).count()
     }
@@ -187,7 +187,7 @@
         verdict
     }
 
-    /// What waits is given up, and an engine's work too; a call to a service goes on.
+    /// Cancels the attempt of an entry that is gone if it is queued or runs at an engine; a call to a service continues.
     fn take_entry_gone(&mut self, agent: NodeId, attempt: AttemptId) {
         if let Some(held) = self.agents[agent - FIRST_AGENT].held.get(&attempt) {
             let ticket = held.ticket;
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Sends a part of an answer to the attempt's entry.
+    /// Sends a part of an answer to the entry of the attempt.
     fn frame(&mut self, agent: NodeId, attempt: AttemptId, frame: AnswerFrame) {
         let node = &mut self.agents[agent - FIRST_AGENT];
         let Some(held) = node.held.get(&attempt) else {
@@ -281,7 +281,7 @@
                     self.answer_copy(agent, attempt, AnswerFrame::Refused(copy_refusal(), report));
                 }
                 AgentAction::CancelAtEndpoint { attempt } => self.stop_call(agent, attempt),
-                // A drained process exits once its last answer is on its way: see `watch_stop`.
+                // A drained process exits once its last answer was sent: see `watch_stop`.
                 AgentAction::Cancelled { .. } | AgentAction::Drained => {}
             }
         }
@@ -289,7 +289,8 @@
         self.wake_at(agent, next);
     }
 
-    /// The first copy, if it is still here, keeps its own way to the entry.
+    /// Answers a duplicate attempt over its connection. The first copy, if it is still held, keeps its own path to the
+    /// entry.
     fn answer_copy(&mut self, agent: NodeId, attempt: AttemptId, frame: AnswerFrame) {
         let Some(connection) = self.connections.get(&attempt).copied() else {
             return;
--- a/crates/oatpier-faults/src/request/caller.rs
+++ b/crates/oatpier-faults/src/request/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: they send, send again what was not answered whole, and see what they get.
+//! Callers: they send requests, retry those that were not answered completely, and record the answers.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use super::world::RequestWorld;
 use crate::step::StepName;
 
-/// Tries after which a caller gives up.
+/// Number of tries after which a caller gives up.
 const MOST_TRIES: u32 = 60;
 
-/// What a caller wants done.
+/// A unit of work of a caller, which may need several requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
     pub kind: JobKind,
@@ -27,15 +27,15 @@
     pub done: bool,
 }
 
-/// One request of a job, as its caller sees it.
+/// One request of a job, with the state of its answer at the caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Submission {
     pub job: usize,
     pub entry: NodeId,
     pub answered: bool,
-    /// Pieces that came in order.
+    /// Number of pieces that arrived in order.
     pub relayed: u32,
-    /// A piece came out of order, or another's.
+    /// Whether a piece arrived out of order, or belonged to another request.
     pub broken: bool,
     pub content: Option<RequestId>,
 }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// After the faults one request of each kind is served as if nothing had been.
+    /// Schedules one job of each kind after the faults: it must be served normally.
     pub fn plan_last_jobs(&mut self) {
         for kind in [JobKind::Change, JobKind::Stream, JobKind::Fetch] {
             self.plan_job(kind, Duration::from_millis(200), false);
@@ -102,7 +102,7 @@
         let treatment = self.pass(StepName::Intake, CALLERS, entry);
         self.submit_to(place, entry, treatment);
         if treatment == Treatment::Double {
-            // The caller, or the balancer before the entries, sends it twice.
+            // The caller, or the load balancer in front of the entries, sends the request twice.
             self.submit_to(place, sibling(entry), Treatment::Deliver);
         }
     }
@@ -150,7 +150,7 @@
         self.put_directly(CALLERS, entry, message, late);
     }
 
-    /// The request never came to its entry: the caller's connection ends.
+    /// Ends the caller's connection of a request that never arrived at its entry.
     pub fn submit_lost(&mut self, request: RequestId, after: Duration) {
         let open = self.submissions.get(&request);
         let Some(submission) = open.filter(|submission| !submission.answered) else {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// A piece is relayed to the caller.
+    /// Records a piece that is relayed to the caller.
     pub fn relayed(&mut self, request: RequestId, place: u32, content: RequestId) {
         let Some(submission) = self.submissions.get_mut(&request) else {
             return;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// The entry ends the request at its caller.
+    /// Records the final answer that the entry sends to the caller.
     pub fn final_answer(&mut self, request: RequestId, answer: &FinalAnswer) {
         let Some(submission) = self.submissions.get(&request) else {
             return;
@@ -211,7 +211,7 @@
         self.answered(request, end, answer.verdict, told);
     }
 
-    /// The caller has the end of its answer. `settled`: it does not ask again.
+    /// Records the end of an answer at its caller. If `settled` is true, the caller does not retry.
     pub fn answered(
         &mut self,
         request: RequestId,
--- a/crates/oatpier-faults/src/request/claims.rs
+++ b/crates/oatpier-faults/src/request/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: an entry's part, the claimer's, and the store's.
+//! Claims of idempotency keys: the roles of the entry, the claimer and the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,11 +24,11 @@
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// How long an entry waits for another's claimer before it asks its own.
+/// Time that an entry waits for the claimer of another entry before it asks its own.
 const ASK_AGAIN: Duration = Duration::from_millis(800);
-/// Claimers that are asked for one claim.
+/// Maximum number of claimers that are asked for one claim.
 const MOST_ASKS: u32 = 3;
-/// How often a settlement that is not recorded is sent again.
+/// Interval at which a settlement is sent again until it is recorded.
 const SETTLE_AGAIN: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy)]
@@ -45,12 +45,12 @@
     again_at: ClockTime,
 }
 
-/// An entry's claims, its claimer among them.
+/// The claims of an entry, and the claimer in the same process.
 pub struct EntryClaims {
     log: ClaimLog,
     asks: BTreeMap<RequestId, OpenAsk>,
     settlements: BTreeMap<RequestId, Settlement>,
-    /// Who asked the claimer here.
+    /// The nodes that asked the claimer in this process, by request.
     askers: BTreeMap<RequestId, NodeId>,
 }
 
@@ -70,13 +70,13 @@
         self.log.next_timer().min(asks.unwrap_or(ClockTime::NEVER))
     }
 
-    /// Whether every settlement is in the store.
+    /// Returns whether every settlement is recorded in the store.
     pub fn is_settled(&self) -> bool {
         self.settlements.is_empty()
     }
 }
 
-/// The store, as far as claims go.
+/// A modelled store that holds the segments of the claim log.
 #[derive(Debug, Default)]
 pub struct ModelStore {
     values: BTreeMap<String, (Vec<u8>, Revision)>,
@@ -84,7 +84,7 @@
     pub down_until: ClockTime,
     pub slow_until: ClockTime,
     pub answers_to_lose: u32,
-    /// The entry that is the claimer, as the entries believe.
+    /// The entry that the entries currently use as the claimer.
     pub claimer: NodeId,
 }
 
@@ -161,7 +161,7 @@
         self.say(StepName::Claim, entry, claimer, Message::Ask(ask));
     }
 
-    /// Says something to a claimer, which may be in the same process.
+    /// Sends a message between an entry and a claimer, which may be in the same process.
     fn say(&mut self, step: StepName, from: NodeId, to: NodeId, message: Message) {
         if from != to {
             return self.send(Some(step), from, to, message);
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: carries out what its decisions say.
+//! The simulated entry: executes the actions of the entry policy.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,7 @@
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// One start of an entry.
+/// The state of an entry since its last start.
 pub struct EntryNode {
     pub policy: EntryPolicy,
     pub claims: EntryClaims,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The piece that a step of a request may relay.
+/// The piece that an event of a request may relay, with the request that it belongs to.
 type RelayPiece = Option<(u32, RequestId)>;
 
 impl RequestWorld {
@@ -219,7 +219,7 @@
         let held = self.is_held(spec.repeat);
         let message = Message::Attempt { spec, ticket, key };
         if held {
-            // The cancel of a silent attempt goes past it.
+            // The cancel of the unanswered attempt overtakes the attempt.
             let late = self.draw_millis(700, 2_200);
             let treatment = self.pass(StepName::Send, entry, agent);
             debug_assert_eq!(treatment, Treatment::Deliver);
@@ -229,7 +229,8 @@
         }
     }
 
-    /// Runs of the cancel's faults hold some changes back, so that they are sealed.
+    /// Returns whether to delay an attempt. Runs with faults at the cancel step delay some early changes, so that they are
+    /// sealed.
     fn is_held(&mut self, repeat: Repeat) -> bool {
         let early = self.now < ClockTime::from_millis(2_500);
         let wanted = self.hits(StepName::Cancel) && !self.hits(StepName::Send);
@@ -272,7 +273,7 @@
         },
         AnswerFrame::Piece { place, .. } => EntryEvent::Piece {
             attempt,
-            // Services answer in bytes, not tokens; theirs have one piece.
+            // Services answer in bytes rather than tokens, in a single piece.
             tokens: u32::from(place < fleet::STREAM_PIECES),
         },
         AnswerFrame::End(report) => EntryEvent::Ended {
@@ -290,7 +291,7 @@
     }
 }
 
-/// The refusal of a copy.
+/// Returns the refusal of a duplicate attempt.
 pub fn copy_refusal() -> Refusal {
     Refusal {
         cause: RefusalCause::Duplicate,
--- a/crates/oatpier-faults/src/request/fleet.rs
+++ b/crates/oatpier-faults/src/request/fleet.rs
@@ -1,4 +1,4 @@
-//! The small fleet that requests run on.
+//! The fleet configuration of the request scenario.
 
 use std::time::Duration;
 
@@ -14,36 +14,36 @@
 
 use super::message::{AGENTS, ENTRIES, FIRST_AGENT, NodeId};
 
-/// Pieces of a streamed answer.
+/// Number of pieces of a streamed answer.
 pub const STREAM_PIECES: u32 = 6;
-/// The target of calls to plain services.
+/// Target time of the whole answer of a plain service.
 const WHOLE: Duration = Duration::from_secs(2);
-/// The target of streams.
+/// Target time of the first token of a stream.
 const FIRST_TOKEN: Duration = Duration::from_secs(2);
 
-/// A checked name of a literal.
+/// Converts a literal to a name.
 ///
 /// # Panics
 ///
-/// If it is not a name.
+/// Panics if the literal is not a valid name.
 pub fn name<N: for<'a> TryFrom<&'a str>>(raw: &str) -> N {
     let checked = N::try_from(raw);
-    checked.unwrap_or_else(|_| panic!("`{raw}` is not a name"))
+    checked.unwrap_or_else(|_| panic!("`{raw}` is not a valid name"))
 }
 
-/// What a request is.
+/// The kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobKind {
-    /// A streamed answer of a model.
+    /// A request to a model, with a streamed answer.
     Stream,
-    /// A call that may run again.
+    /// An idempotent call to a service.
     Fetch,
-    /// A call that must run at most once, under a key.
+    /// A call to a service that must run at most once, under an idempotency key.
     Change,
 }
 
 impl JobKind {
-    /// Pieces of its answer.
+    /// Returns the number of pieces of the answer.
     pub fn pieces(self) -> u32 {
         match self {
             Self::Stream => STREAM_PIECES,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The request as the entry takes it in.
+/// Returns the request as the entry receives it.
 pub fn intake(kind: JobKind, request: RequestId, key: u64) -> RequestIntake {
     let stream = kind == JobKind::Stream;
     let goal = if stream {
@@ -86,17 +86,17 @@
     }
 }
 
-/// Whether an agent stands beside an engine.
+/// Returns whether an agent's endpoint is an engine.
 pub fn is_engine(agent: NodeId) -> bool {
     agent - FIRST_AGENT < AGENTS / 2
 }
 
-/// An agent's endpoint.
+/// Returns the name of an agent's endpoint.
 pub fn endpoint(agent: NodeId) -> EndpointName {
     name(&format!("endpoint-{}", agent - FIRST_AGENT))
 }
 
-/// The agent of an endpoint.
+/// Returns the agent of an endpoint.
 pub fn agent_of(wanted: &EndpointName) -> NodeId {
     let mut agents = FIRST_AGENT..FIRST_AGENT + AGENTS;
     agents
@@ -104,7 +104,7 @@
         .unwrap_or(FIRST_AGENT)
 }
 
-/// An agent's pool.
+/// Returns the pool of an agent's endpoint.
 pub fn pool(agent: NodeId) -> PoolName {
     name(if is_engine(agent) {
         "seat-llm"
@@ -113,7 +113,7 @@
     })
 }
 
-/// The weights that engines have ready.
+/// Returns the weights that the engines have ready.
 pub fn weights() -> WeightsKey {
     WeightsKey {
         model: name("seat"),
@@ -122,7 +122,7 @@
     }
 }
 
-/// A node's availability zone.
+/// Returns a node's availability zone.
 pub fn zone(node: NodeId) -> ZoneName {
     name(if node.is_multiple_of(2) {
         "ikeja"
@@ -131,7 +131,7 @@
     })
 }
 
-/// The configuration.
+/// Returns the configuration.
 pub fn config() -> FleetConfig {
     let mut config = FleetConfig::default();
     let zones = (0..ENTRIES).map(zone).collect();
--- a/crates/oatpier-faults/src/request/inflict.rs
+++ b/crates/oatpier-faults/src/request/inflict.rs
@@ -1,4 +1,4 @@
-//! The faults themselves.
+//! Injects faults into requests and planned stops.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use crate::step::StepName;
 
 impl RequestWorld {
-    /// A step is passed by a message from one process to another: inflicts the faults that strike.
+    /// Injects the faults that are due when a message reaches `step`, and returns how it is delivered.
     pub fn pass(&mut self, step: StepName, from: NodeId, to: NodeId) -> Treatment {
         let mut treatment = Treatment::Deliver;
         for fault in self.plan.pass(step) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// One of the two processes; callers are none.
+    /// Selects one of the two processes at random; callers are never selected.
     fn victim(&mut self, from: NodeId, to: NodeId) -> NodeId {
         if self.random.random_bool(0.5) {
             process(from, to)
@@ -91,7 +91,7 @@
         self.blocked.insert((from, to), until);
     }
 
-    /// Ends a process; another starts after a while.
+    /// Crashes a process and schedules its restart.
     pub fn kill(&mut self, victim: NodeId, away: Duration) {
         if !self.nodes[victim].up {
             return;
@@ -131,7 +131,7 @@
     fn agent_gone(&mut self, agent: NodeId) {
         let silent = self.random.random_bool(0.3);
         for (attempt, _) in self.attempts_of(|connection| connection.agent == agent) {
-            // A VM that vanished closes nothing: its peers find out by time.
+            // A VM that vanished does not close its connections: its peers detect the loss by timeout.
             let after = if silent {
                 self.draw_millis(500, 3_000)
             } else {
@@ -162,7 +162,7 @@
         .collect()
     }
 
-    /// An endpoint ends or is there again.
+    /// Reports to the agent that its endpoint has ended or is up again, and fails all running calls.
     pub fn service_up(&mut self, node: NodeId, up: bool) {
         let agent = node - AGENTS;
         let soon = Duration::from_millis(2);
@@ -176,7 +176,7 @@
         self.put_directly(node, agent, Message::Word { attempt, word }, soon);
     }
 
-    /// The claimer stands still until the other entry has taken its place.
+    /// Pauses the claimer and makes the other entry the claimer.
     fn lapse(&mut self) {
         let paused = self.store.claimer;
         self.nodes[paused].paused_until = self.now + self.draw_millis(1_000, 4_000);
@@ -234,12 +234,12 @@
     }
 }
 
-/// A node's name in the log.
+/// Returns a node's name in the log.
 pub fn daemon(node: NodeId) -> DaemonName {
     fleet::name(&format!("node-{node}"))
 }
 
-/// The node, or the other where it is the callers.
+/// Returns `node`, or `other` if `node` stands for the callers.
 fn process(node: NodeId, other: NodeId) -> NodeId {
     if node == CALLERS { other } else { node }
 }
--- a/crates/oatpier-faults/src/request/message.rs
+++ b/crates/oatpier-faults/src/request/message.rs
@@ -1,4 +1,4 @@
-//! What the processes of a request say to each other.
+//! The messages between the processes of a request, and the simulated events.
 
 use oatpier_claims::event::{CallNumber, ClaimAction, StoreAnswer};
 use oatpier_claims::message::{ClaimAnswer, ClaimAsk};
@@ -11,17 +11,17 @@
 /// A process: an entry, an agent, an endpoint or the callers.
 pub type NodeId = usize;
 
-/// Entries.
+/// Number of entries.
 pub const ENTRIES: usize = 2;
-/// Agents: the first half beside engines, the others beside plain services.
+/// Number of agents: the first half serve engines, the others plain services.
 pub const AGENTS: usize = 4;
-/// The first agent's node.
+/// Node of the first agent.
 pub const FIRST_AGENT: NodeId = ENTRIES;
-/// The first endpoint's node.
+/// Node of the first endpoint.
 pub const FIRST_ENDPOINT: NodeId = FIRST_AGENT + AGENTS;
-/// All callers.
+/// Node that stands for all callers.
 pub const CALLERS: NodeId = FIRST_ENDPOINT + AGENTS;
-/// All nodes.
+/// Number of nodes.
 pub const NODES: usize = CALLERS + 1;
 
 /// A part of an answer.
@@ -37,18 +37,18 @@
     Failed(RunVerdict),
     /// The connection broke after the attempt was sent.
     Cut,
-    /// No connection came about.
+    /// No connection was established.
     NotConnected,
 }
 
 impl AnswerFrame {
-    /// Whether nothing follows.
+    /// Returns whether this is the last part of an answer.
     pub fn is_last(&self) -> bool {
         !matches!(self, Self::Head(_) | Self::Piece { .. })
     }
 }
 
-/// What an endpoint tells of a call.
+/// A report of an endpoint on a call.
 #[derive(Debug, Clone, Copy)]
 pub enum CallWord {
     Piece(u32),
@@ -57,69 +57,69 @@
     Up(bool),
 }
 
-/// A message.
+/// A message between two processes.
 #[derive(Debug, Clone)]
 pub enum Message {
     /// A caller sends its request.
     Submit(RequestId),
-    /// An attempt.
+    /// An entry sends an attempt to an agent.
     Attempt {
         spec: Box<AttemptSpec>,
         ticket: AdmissionTicket,
         key: Option<u64>,
     },
-    /// A part of its answer.
+    /// An agent sends a part of the answer to an attempt.
     Frame {
         request: RequestId,
         attempt: AttemptId,
         frame: AnswerFrame,
     },
-    /// A cancel.
+    /// An entry cancels an attempt.
     Cancel {
         request: RequestId,
         attempt: AttemptId,
         ticket: AdmissionTicket,
         seal_only: bool,
     },
-    /// Its answer.
+    /// The answer to a cancel.
     CancelAnswer {
         request: RequestId,
         attempt: AttemptId,
         verdict: RunVerdict,
     },
-    /// An ask for a key.
+    /// An entry asks a claimer for an idempotency key.
     Ask(ClaimAsk),
-    /// Its answer.
+    /// The answer to the claim.
     AskAnswer {
         request: RequestId,
         answer: ClaimAnswer,
     },
-    /// How a request under a key ended.
+    /// An entry reports how a request under a key ended.
     Settle {
         key: u64,
         request: RequestId,
         verdict: RunVerdict,
     },
-    /// That is in the store.
+    /// The settlement is recorded in the store.
     Recorded(RequestId),
-    /// An agent's word on its endpoint.
+    /// An agent reports the status of its endpoint.
     Status(Box<EndpointStatus>),
     /// An agent calls its endpoint.
     Call {
         spec: Box<AttemptSpec>,
         key: Option<u64>,
     },
-    /// What the endpoint tells of it.
+    /// An endpoint reports on a call.
     Word { attempt: AttemptId, word: CallWord },
     /// An agent cancels a call.
     StopCall(AttemptId),
-    /// The connection's other end, an entry, is gone.
+    /// The entry at the other end of the connection is gone.
     EntryGone(AttemptId),
     /// A process is told to stop.
     Leave,
 }
 
-/// What happens next.
+/// A simulated event.
 #[derive(Debug)]
 pub enum Happening {
     Deliver {
@@ -128,34 +128,34 @@
         boot: u64,
         message: Message,
     },
-    /// A process's timer.
+    /// A process's timer fires.
     Wake(NodeId),
     /// A process starts.
     Boot(NodeId),
-    /// A caller sends its request, or sends it again.
+    /// A caller sends a request of its job, for the first time or again.
     Submit(usize),
-    /// A caller goes away.
+    /// A caller disconnects.
     CallerGone(usize),
-    /// Agents tell their status; entries send what was not recorded.
+    /// Agents report their status; entries send settlements that are not recorded yet.
     Beat,
-    /// The store sees a call.
+    /// A call arrives at the store.
     StoreSees {
         entry: NodeId,
         boot: u64,
         call: CallNumber,
         action: ClaimAction,
     },
-    /// The store's answer comes; none: it is lost.
+    /// The store's answer arrives; `None` if it is lost.
     StoreAnswers {
         entry: NodeId,
         boot: u64,
         call: CallNumber,
         answer: Option<StoreAnswer>,
     },
-    /// A leaving endpoint that was not is taken back by the list of VMs.
+    /// The list of VMs no longer reports live endpoints as leaving.
     VmListRight,
-    /// The operator asks for the planned stop.
+    /// The operator requests the planned stop.
     AskStop,
-    /// No fault is left.
+    /// The faults are over.
     FaultsOver,
 }
--- a/crates/oatpier-faults/src/request/mod.rs
+++ b/crates/oatpier-faults/src/request/mod.rs
@@ -1,8 +1,8 @@
-//! Requests: two entries, two engines, two plain services, callers who ask again.
+//! Requests: two entries, two engines, two plain services, and callers that retry.
 //!
-//! The entries' and agents' decisions and the claims run as they are; connections, endpoints, the
-//! store and the callers are modelled, with what a transport does: the parts of one answer keep
-//! their order, and what is lost ends its connection sooner or later.
+//! The real decisions of entries and agents and the real claims run unmodified. Connections,
+//! endpoints, the store and the callers are modelled, with the properties of a transport: the parts
+//! of one answer keep their order, and a lost message ends its connection after a delay.
 
 mod agent;
 mod caller;
@@ -20,7 +20,7 @@
 pub(crate) use fleet::{name, weights};
 use world::RequestWorld;
 
-/// Runs requests, and a planned stop if a fault is to strike one.
+/// Runs requests, and a planned stop if a fault is to be injected into one.
 #[must_use]
 pub fn run(order: &RunOrder) -> RunReport {
     RequestWorld::new(order).run()
--- a/crates/oatpier-faults/src/request/network.rs
+++ b/crates/oatpier-faults/src/request/network.rs
@@ -1,4 +1,4 @@
-//! How messages travel, and what the faults do to them.
+//! Delivers messages, and applies faults to them.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use super::world::RequestWorld;
 use crate::step::StepName;
 
-/// What is done to one message.
+/// How a message is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Treatment {
     #[default]
@@ -25,7 +25,7 @@
 }
 
 impl RequestWorld {
-    /// Sends a message; the faults of `step` strike here.
+    /// Sends a message; faults at `step` are injected here.
     pub fn send(&mut self, step: Option<StepName>, from: NodeId, to: NodeId, message: Message) {
         let treatment = match step {
             Some(step) => self.pass(step, from, to),
@@ -67,7 +67,7 @@
             at = at + self.draw_millis(50, 400);
         }
         if let Some(until) = self.blocked_until(from, to) {
-            // Sent again by the transport after the cut, or given up with the connection.
+            // The transport retransmits the message after the cut, or drops it with the connection.
             if self.random.random_bool(0.5) {
                 self.lose(from, to, &message);
                 return;
@@ -92,7 +92,7 @@
         (*until > self.now).then_some(*until)
     }
 
-    /// The frames of an attempt keep their order, and end with the connection.
+    /// Returns the arrival time that keeps the frames of an attempt in order, or `None` if its connection is broken.
     fn in_stream(&mut self, message: &Message, at: ClockTime) -> Option<ClockTime> {
         let attempt = match message {
             Message::Frame { attempt, .. } => attempt,
@@ -113,7 +113,7 @@
         Some(connection.floor)
     }
 
-    /// The transport gives the message up, and its connection with it.
+    /// Drops a message, and breaks its connection.
     fn lose(&mut self, from: NodeId, to: NodeId, message: &Message) {
         let after = self.draw_millis(200, 3_000);
         let (attempt, entry, agent) = match message {
@@ -196,7 +196,7 @@
         self.put_directly(from, agent, Message::Word { attempt, word }, after);
     }
 
-    /// A word of the own transport: no fault touches it.
+    /// Sends a message without fault injection, as a notification of the local transport.
     pub fn put_directly(&mut self, from: NodeId, to: NodeId, message: Message, after: Duration) {
         let boot = self.nodes[to].boot;
         let happening = Happening::Deliver {
@@ -208,7 +208,7 @@
         self.queue.put(self.now + after, happening);
     }
 
-    /// Nobody listens: no byte was sent.
+    /// Refuses a connection to a process that is down; no byte was sent.
     fn refuse_connection(&mut self, from: NodeId, to: NodeId, message: Message) {
         let soon = Duration::from_millis(2);
         match message {
@@ -229,7 +229,7 @@
         }
     }
 
-    /// The process that it was sent to is gone.
+    /// Handles a message whose receiver is gone.
     pub fn undeliverable(&mut self, from: NodeId, to: NodeId, message: &Message) {
         let is_word = matches!(
             message,
@@ -240,8 +240,8 @@
         }
     }
 
-    /// A copy goes astray, to another process of the same kind or to another request. An attempt
-    /// comes to another agent instead, whose VM has taken the address over.
+    /// Misroutes a copy to another process of the same kind or to another request, and returns the receiver of the
+    /// message itself. An attempt arrives at another agent instead, whose VM has taken over the address.
     fn cross(&mut self, from: NodeId, to: NodeId, message: &Message) -> NodeId {
         let soon = self.draw_millis(0, 30);
         match message {
@@ -280,7 +280,7 @@
     }
 }
 
-/// Another process of the same kind.
+/// Returns another process of the same kind.
 pub fn sibling(node: NodeId) -> NodeId {
     match node {
         0..ENTRIES => (node + 1) % ENTRIES,
--- a/crates/oatpier-faults/src/request/service.rs
+++ b/crates/oatpier-faults/src/request/service.rs
@@ -1,4 +1,4 @@
-//! Endpoints: they run what they are given, and count.
+//! The simulated endpoints: they run calls and log each start.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use super::world::RequestWorld;
 use crate::step::StepName;
 
-/// The time until the first piece.
+/// Time until the first piece of an answer.
 const FIRST_AFTER: Duration = Duration::from_millis(15);
-/// The time between two pieces.
+/// Time between two pieces of an answer.
 const PIECE_AFTER: Duration = Duration::from_millis(8);
 
 #[derive(Debug, Clone)]
@@ -25,19 +25,19 @@
     due: ClockTime,
 }
 
-/// One endpoint.
+/// The state of an endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceNode {
     calls: Vec<RunningCall>,
 }
 
 impl ServiceNode {
-    /// Ends all calls at once.
+    /// Ends all calls and returns their attempts.
     pub fn end_all(&mut self) -> Vec<AttemptId> {
         self.calls.drain(..).map(|call| call.attempt).collect()
     }
 
-    /// Nobody waits for a call any more.
+    /// Removes a call whose answer is no longer needed.
     pub fn forget(&mut self, attempt: AttemptId) {
         self.calls.retain(|call| call.attempt != attempt);
     }
--- a/crates/oatpier-faults/src/request/stop.rs
+++ b/crates/oatpier-faults/src/request/stop.rs
@@ -17,13 +17,14 @@
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// The time until the balancer sends nothing more to an entry that is not ready.
+/// Time until the load balancer stops sending requests to an entry that is not ready.
 const BALANCER_LAG: Duration = Duration::from_millis(600);
-/// How long a process announces that it leaves before it exits: longer than others take to see.
+/// Minimum time between the start of a stop and the exit: longer than other processes need to detect that the process
+/// leaves.
 const ANNOUNCE_FOR: Duration = Duration::from_millis(800);
 
 impl RequestWorld {
-    /// The stop is in the store from now on; the process is told until it knows.
+    /// Requests the planned stop. The stop is in the store from now on, and is sent to the process until it is received.
     pub fn ask_stop(&mut self) {
         let Some(stop) = &mut self.stop else {
             return;
@@ -48,7 +49,8 @@
         if !self.nodes[stop.victim].up {
             return;
         }
-        // Its two registrars tell it, an entry the other one; the entries stand for that.
+        // The two registrars of an agent announce its stop, and an entry is told by the other entry. The entries act as
+        // registrars here.
         let turn = usize::try_from(self.now.as_micros() / 100_000).unwrap_or(0) % ENTRIES;
         let teller = if stop.victim < ENTRIES {
             sibling(stop.victim)
@@ -65,13 +67,15 @@
         }
     }
 
-    /// The balancer before the entries learns late that one is not ready.
+    /// Returns whether the load balancer in front of the entries has detected that an entry is stopping, which takes
+    /// [`BALANCER_LAG`].
     pub fn is_known_stopping(&self, entry: NodeId) -> bool {
         let known = |stop: super::world::PlannedStop| stop.taken_at + BALANCER_LAG <= self.now;
         self.entries[entry].stopping && self.stop.is_some_and(known)
     }
 
-    /// Where a refusal is to be struck, the entries hear late that the agent leaves.
+    /// Returns whether status reports of a leaving agent are suppressed. Runs with faults at the refusal step delay them, so
+    /// that entries still send attempts that the agent refuses.
     pub fn is_hushed(&self, agent: NodeId) -> bool {
         let early = |stop: super::world::PlannedStop| self.now < stop.taken_at + BALANCER_LAG;
         self.agents[agent - FIRST_AGENT].told
@@ -79,8 +83,8 @@
             && self.stop.is_some_and(early)
     }
 
-    /// A process that starts while its stop is planned learns it with its registration, before
-    /// it takes work.
+    /// Applies the planned stop to a process that starts while it is open: the process receives the stop with its
+    /// registration, before it accepts work.
     pub fn told_at_start(&mut self, node: NodeId) {
         let Some(stop) = &mut self.stop else {
             return;
@@ -112,7 +116,7 @@
         }
     }
 
-    /// Looks how far the stop is.
+    /// Checks the progress of the planned stop, and sends it again or ends the process.
     pub fn watch_stop(&mut self) {
         let Some(stop) = self.stop.filter(|stop| stop.asked && !stop.over) else {
             return;
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Its last request is over.
+    /// Ends a process whose last request has ended.
     fn drained(&mut self, node: NodeId) {
         let is_over = self
             .stop
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Callers whose answer is not over when their entry exits.
+    /// Cuts off the callers whose answer is not complete when their entry exits, and returns their number.
     fn cut_callers(&mut self, entry: NodeId) -> usize {
         let open = self.submissions.iter();
         let open = open.filter(|(_, submission)| submission.entry == entry && !submission.answered);
--- a/crates/oatpier-faults/src/request/world.rs
+++ b/crates/oatpier-faults/src/request/world.rs
@@ -1,4 +1,4 @@
-//! Everything that a request meets.
+//! The simulation of requests: processes, connections and the event loop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 use crate::step::{StepName, StepPath};
 use crate::strike::StrikePlan;
 
-/// From here on nothing is at fault.
+/// Time at which the end of the faults is logged.
 pub const FAULTS_OVER: ClockTime = ClockTime::from_millis(9_000);
-/// The end of a run that does not come to its end before.
+/// The latest end of a run.
 const LAST_MOMENT: ClockTime = ClockTime::from_millis(24_000);
-/// The time between two words of an agent on its endpoint.
+/// Interval between two status reports of an agent.
 const BEAT: Duration = Duration::from_millis(100);
 
-/// A process as the others meet it.
+/// The state of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeState {
     pub up: bool,
@@ -45,7 +45,7 @@
     pub request: RequestId,
     pub entry: NodeId,
     pub agent: NodeId,
-    /// Nothing on it comes before this.
+    /// The earliest arrival time of the next message, which keeps messages in order.
     pub floor: ClockTime,
     pub broken: bool,
 }
@@ -72,7 +72,7 @@
     pub agents: Vec<AgentNode>,
     pub services: Vec<ServiceNode>,
     pub connections: BTreeMap<AttemptId, Connection>,
-    /// Nothing of a call at an endpoint comes before this.
+    /// The earliest arrival time of the next report on a call, which keeps a call's reports in order.
     pub word_floors: BTreeMap<AttemptId, ClockTime>,
     pub store: ModelStore,
     pub jobs: Vec<Job>,
@@ -94,7 +94,7 @@
         let stops = order.strikes.iter();
         let stops = stops.map(|strike| strike.step.path());
         let is_stop = stops.clone().any(|path| path == StepPath::Stop);
-        // Beside a plain service more waits, so that there is something to refuse.
+        // The agent of a plain service has a longer queue, so that there are attempts to refuse.
         let victims = [0, FIRST_AGENT + AGENTS / 2];
         let victim = victims[usize::from(random.random_bool(0.5))];
         let stop = is_stop.then_some(PlannedStop {
@@ -161,14 +161,14 @@
         for (place, job) in self.jobs.iter().enumerate() {
             if !job.done {
                 let text = format!(
-                    "no end of job {place} ({:?}) after {} tries",
+                    "job {place} did not end ({:?}) after {} tries",
                     job.kind, job.tries
                 );
                 self.report.findings.push(text);
             }
         }
         if self.stop.is_some_and(|stop| !stop.over) {
-            let text = "the planned stop did not come to its end".to_owned();
+            let text = "the planned stop did not complete".to_owned();
             self.report.findings.push(text);
         }
     }
@@ -216,7 +216,7 @@
         }
     }
 
-    /// A message comes to its process, if that is there and awake.
+    /// Delivers a message to its process. If the process is paused, the message waits until it resumes.
     fn arrive(&mut self, from: NodeId, to: NodeId, boot: u64, message: Message) {
         let state = self.nodes[to];
         if !state.up || state.boot != boot {
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Sees to it that the process is woken at its next timer.
+    /// Schedules the wake-up of a process at its next timer.
     pub fn wake_at(&mut self, node: NodeId, at: ClockTime) {
         let state = &mut self.nodes[node];
         if at == ClockTime::NEVER || state.wake_at <= at {
@@ -300,7 +300,7 @@
         self.told_at_start(node);
     }
 
-    /// The calls of a path that is at fault are made slow enough to be hit.
+    /// Returns whether a fault of this run is injected at `step`. Such steps are prolonged so that the fault affects them.
     pub fn hits(&self, step: StepName) -> bool {
         self.order.strikes.iter().any(|strike| strike.step == step)
     }
--- a/crates/oatpier-faults/src/run.rs
+++ b/crates/oatpier-faults/src/run.rs
@@ -1,4 +1,4 @@
-//! What a runner is asked for, and what it tells.
+//! The input and the result of one run of a scenario.
 
 use oatpier_checker::{LogChecker, RuleBounds};
 use oatpier_types::event::LoggedEvent;
@@ -7,42 +7,42 @@
 
 use crate::strike::{FaultStrike, StrikePlan};
 
-/// A safeguard that a run leaves out, to see that its absence is caught.
+/// A safeguard that a run disables, to verify that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Bypass {
-    /// Requests are sent without their claim.
+    /// Requests are sent without claiming their idempotency key.
     Claim,
-    /// A cancel that comes before its attempt leaves no record.
+    /// A cancel that arrives before its attempt leaves no record.
     Tombstone,
-    /// An entry hands an answer to a request without looking whose it is.
+    /// An entry relays an answer to a request without comparing the attempt's id.
     AttemptMatch,
-    /// An agent that is told to leave is not.
+    /// An agent ignores the order to leave.
     Leave,
-    /// A stopping process exits before its last request is over.
+    /// A stopping process exits before its last request ends.
     Drain,
-    /// Orders of unknown outcome are taken as never sent.
+    /// Orders of unknown outcome are treated as never sent.
     UnknownOrders,
-    /// The last replica is unloaded without asking the other.
+    /// A replica is unloaded without asking the other agent to keep its own.
     Release,
-    /// A process takes over an older generation.
+    /// A process applies a configuration of an older generation.
     Generation,
-    /// A planner writes its plan without looking at the term that is there.
+    /// A planner writes its plan without comparing the term of the stored plan.
     Term,
 }
 
-/// One run of a scenario.
+/// The parameters of one run of a scenario.
 #[derive(Debug, Clone)]
 pub struct RunOrder {
-    /// The faults.
+    /// The faults to inject.
     pub strikes: Vec<FaultStrike>,
-    /// Decides timings, and who is struck.
+    /// The seed of all timings and of the choice of affected processes.
     pub seed: u64,
-    /// What is left out.
+    /// The safeguard that is disabled.
     pub bypass: Option<Bypass>,
 }
 
 impl RunOrder {
-    /// A run with these faults and every safeguard.
+    /// Creates a run with these faults and every safeguard.
     #[must_use]
     pub fn new(strikes: Vec<FaultStrike>, seed: u64) -> Self {
         Self {
@@ -52,38 +52,38 @@
         }
     }
 
-    /// The strikes of this run.
+    /// Returns the injection plan of this run.
     #[must_use]
     pub fn plan(&self) -> StrikePlan {
         StrikePlan::new(&self.strikes)
     }
 
-    /// The run's randomness.
+    /// Returns the run's random number generator.
     #[must_use]
     pub fn generator(&self) -> ChaCha8Rng {
         ChaCha8Rng::seed_from_u64(self.seed)
     }
 
-    /// Whether a safeguard is left out.
+    /// Returns whether a safeguard is disabled.
     #[must_use]
     pub fn omits(&self, bypass: Bypass) -> bool {
         self.bypass == Some(bypass)
     }
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Debug, Clone, Default)]
 pub struct RunReport {
-    /// What was seen from outside.
+    /// The externally visible events.
     pub log: Vec<LoggedEvent>,
-    /// Broken promises and missing progress that the runner itself saw.
+    /// Broken promises and missing progress that the scenario itself detected.
     pub findings: Vec<String>,
-    /// Whether every fault struck.
+    /// Whether every fault was injected.
     pub struck: bool,
 }
 
 impl RunReport {
-    /// All that went wrong: the checker's breaches, then the runner's findings.
+    /// Returns everything that went wrong: the checker's breaches, then the scenario's findings.
     #[must_use]
     pub fn faults_found(&self) -> Vec<String> {
         let checker = LogChecker::new(RuleBounds::default());
--- a/crates/oatpier-faults/src/step.rs
+++ b/crates/oatpier-faults/src/step.rs
@@ -1,17 +1,17 @@
-//! The steps at which faults strike.
+//! The steps at which faults are injected.
 
 use std::fmt;
 
-/// What a step belongs to.
+/// The operation that a step is part of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum StepPath {
     /// A caller's request.
     Request,
     /// An order to an engine.
     Order,
-    /// A move of weights.
+    /// A move of weights between engines.
     Move,
-    /// A change of a version.
+    /// A change of a model's version.
     Version,
     /// A change of the configuration.
     Config,
@@ -26,7 +26,7 @@
 }
 
 impl StepPath {
-    /// All, in the order of the grid.
+    /// All paths, in the order of the matrix.
     pub const ALL: [Self; 9] = [
         Self::Request,
         Self::Order,
@@ -39,7 +39,7 @@
         Self::Start,
     ];
 
-    /// The word that the grid uses.
+    /// Returns the name of the path in the matrix.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -58,17 +58,17 @@
 
 macro_rules! steps {
     ($($(#[$doc:meta])* $step:ident, $path:ident, $word:literal;)*) => {
-        /// One step.
+        /// A step of an operation, at which faults are injected.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum StepName {
             $($(#[$doc])* $step,)*
         }
 
         impl StepName {
-            /// All, in the order of the grid.
+            /// All steps, in the order of the matrix columns.
             pub const ALL: &'static [Self] = &[$(Self::$step,)*];
 
-            /// What it belongs to.
+            /// Returns the operation that the step is part of.
             #[must_use]
             pub fn path(self) -> StepPath {
                 match self {
@@ -76,7 +76,7 @@
                 }
             }
 
-            /// Its word within its path.
+            /// Returns the name of the step within its path.
             #[must_use]
             pub fn word(self) -> &'static str {
                 match self {
@@ -88,77 +88,77 @@
 }
 
 steps! {
-    /// The caller's request comes to an entry.
+    /// An entry receives the caller's request.
     Intake, Request, "intake";
     /// The idempotency key is claimed.
     Claim, Request, "claim";
     /// An endpoint is chosen.
     Choose, Request, "choose";
-    /// The attempt is on its way to the agent.
+    /// The attempt is sent to the agent.
     Send, Request, "send";
-    /// The agent admits or refuses it.
+    /// The agent admits or refuses the attempt.
     Admit, Request, "admit";
-    /// It waits at the agent.
+    /// The attempt is queued at the agent.
     Queue, Request, "queue";
-    /// It runs at the endpoint.
+    /// The attempt runs at the endpoint.
     Run, Request, "run";
-    /// Its answer is relayed.
+    /// The answer is relayed to the caller.
     Relay, Request, "relay";
-    /// The end is noted at the claim.
+    /// The outcome is recorded with the claim.
     SettleClaim, Request, "settle-claim";
-    /// It is cancelled, or sealed.
+    /// The attempt is cancelled, or sealed so that it can't start.
     Cancel, Request, "cancel";
     /// The intent is written to the store.
     OrderIntent, Order, "intent";
-    /// The order is on its way to the engine.
+    /// The order is sent to the engine.
     OrderSend, Order, "send";
-    /// The engine's state is asked.
+    /// The engine's state is polled.
     OrderPoll, Order, "poll";
     /// Another agent is asked whether it keeps the weights.
     MoveRelease, Move, "release";
-    /// What runs on the weights comes to its end.
+    /// Requests that run on the weights are drained.
     MoveDrain, Move, "drain";
     /// The weights are loaded.
     MoveLoad, Move, "load";
     /// The weights are unloaded.
     MoveUnload, Move, "unload";
-    /// The new version is loaded and the old one goes.
+    /// The new version is loaded and the old one is unloaded.
     VersionChange, Version, "change";
     /// An operator's change is merged.
     ConfigMerge, Config, "merge";
-    /// It is written by compare-and-swap.
+    /// The change is written by compare-and-swap.
     ConfigWrite, Config, "write";
-    /// A watching entry learns of it.
+    /// An entry's watch reports the change.
     ConfigWatch, Config, "watch";
-    /// It goes from entry to entry.
+    /// The change propagates between entries.
     ConfigSpread, Config, "spread";
-    /// An agent takes it over.
+    /// An agent applies the change.
     ConfigInForce, Config, "in-force";
-    /// The lease is taken.
+    /// The lease is acquired.
     LeaseTake, Lease, "take";
     /// The lease is renewed.
     LeaseRenew, Lease, "renew";
     /// The plan is written.
     PlanWrite, Lease, "plan-write";
-    /// An agent's heartbeat to its registrar.
+    /// An agent sends a heartbeat to its registrar.
     Heartbeat, Registration, "heartbeat";
-    /// Deltas between entries of an availability zone.
+    /// Entries of an availability zone exchange deltas.
     Delta, Registration, "delta";
-    /// Summaries between availability zones.
+    /// Availability zones exchange summaries.
     Summary, Registration, "summary";
     /// An agent registers with the successor of its registrar.
     Successor, Registration, "successor";
     /// The process is told to stop.
     StopTold, Stop, "told";
-    /// It refuses new work.
+    /// The process refuses new work.
     StopRefuse, Stop, "refuse";
-    /// It finishes what it has.
+    /// The process finishes its open work.
     StopDrain, Stop, "drain";
-    /// It exits.
+    /// The process exits.
     StopExit, Stop, "exit";
-    /// An agent takes its epoch.
+    /// An agent acquires its epoch.
     StartEpoch, Start, "epoch";
-    /// A process gets its first configuration.
+    /// A process receives its first configuration.
     StartConfig, Start, "configuration";
     /// A process registers.
     StartRegister, Start, "register";
--- a/crates/oatpier-faults/src/strike.rs
+++ b/crates/oatpier-faults/src/strike.rs
@@ -1,22 +1,22 @@
-//! When faults strike.
+//! When faults are injected.
 
 use smallvec::SmallVec;
 
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
-/// One fault at one step: it strikes at the passage after `skip` others.
+/// One fault at one step, injected at the occurrence of the step after `skip` others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FaultStrike {
-    /// What.
+    /// The fault.
     pub fault: FaultKind,
-    /// Where.
+    /// The step at which the fault is injected.
     pub step: StepName,
-    /// Passages of the step before it.
+    /// Occurrences of the step before the fault is injected.
     pub skip: u32,
 }
 
-/// The faults of one run.
+/// The faults of one run that are still to be injected.
 #[derive(Debug, Clone)]
 pub struct StrikePlan {
     waiting: SmallVec<[FaultStrike; 2]>,
@@ -24,7 +24,7 @@
 }
 
 impl StrikePlan {
-    /// A plan of these strikes.
+    /// Creates a plan of these injections.
     #[must_use]
     pub fn new(strikes: &[FaultStrike]) -> Self {
         Self {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The run passes a step: the faults that strike now.
+    /// Returns the faults that are due now that the run reaches `step`.
     pub fn pass(&mut self, step: StepName) -> SmallVec<[FaultKind; 2]> {
         let mut now = SmallVec::new();
         self.waiting.retain(|strike| {
@@ -49,13 +49,13 @@
         now
     }
 
-    /// Whether every fault has struck: a run where one did not proves nothing.
+    /// Returns whether every fault was injected. A run in which one was not proves nothing.
     #[must_use]
     pub fn is_spent(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Faults that struck.
+    /// Returns the number of faults injected so far.
     #[must_use]
     pub fn struck(&self) -> u32 {
         self.struck
--- a/crates/oatpier-faults/tests/testsuite/grid.rs
+++ b/crates/oatpier-faults/tests/testsuite/grid.rs
@@ -1,4 +1,4 @@
-//! The table is whole, and its runs are the same each time.
+//! The matrix is complete, and its runs are deterministic.
 
 use oatpier_faults::fault::FaultKind;
 use oatpier_faults::matrix::{CellOutcome, CellPlan, MatrixCell, ScenarioKind, plan_of, run_cell};
@@ -47,8 +47,8 @@
     }
 }
 
-/// Without a fault every scenario comes to its end and keeps every promise: what a cell shows is
-/// then the fault's doing.
+/// Without a fault every scenario completes and keeps every promise, so that a finding of a cell is
+/// caused by its fault.
 #[test]
 fn scenarios_without_a_fault_pass() {
     for scenario in SCENARIOS {
@@ -64,7 +64,7 @@
     }
 }
 
-/// Without a fault every request is answered whole, at the first try.
+/// Without a fault every request is answered completely, at the first attempt.
 #[test]
 fn requests_without_a_fault_are_answered_whole() {
     for seed in 0..8 {
@@ -107,7 +107,7 @@
     }
 }
 
-/// A run in which the fault never struck proves nothing, and must not pass.
+/// A run in which the fault was never injected proves nothing, and must not count as passed.
 #[test]
 fn a_fault_that_never_strikes_fails_its_cell() {
     let never = FaultStrike {
--- a/crates/oatpier-faults/tests/testsuite/planted.rs
+++ b/crates/oatpier-faults/tests/testsuite/planted.rs
@@ -1,4 +1,4 @@
-//! Each safeguard left out once: the same runs must then show the broken promise.
+//! Disables each safeguard in turn: the same runs must then report the broken promise.
 
 use oatpier_checker::PromiseName;
 use oatpier_faults::fault::FaultKind;
@@ -7,12 +7,12 @@
 use oatpier_faults::step::StepName;
 use oatpier_faults::strike::FaultStrike;
 
-/// Runs with the safeguard, in which nothing may be found.
+/// Number of runs with the safeguard, none of which may have a finding.
 const WHOLE_RUNS: u64 = 20;
-/// Runs without it at most, until its absence is seen.
+/// Maximum number of runs without the safeguard until its absence is detected.
 const BARE_RUNS: u64 = 300;
 
-/// What one run finds.
+/// Returns the findings of one run.
 fn findings(
     scenario: ScenarioKind,
     fault: FaultKind,
@@ -47,7 +47,7 @@
     };
     assert!(
         (0..BARE_RUNS).any(is_seen),
-        "{bypass:?} left out shows no `{expected}`"
+        "no finding `{expected}` with the safeguard {bypass:?} disabled"
     );
 }
 
@@ -61,8 +61,8 @@
     shows(scenario, fault, step, bypass, promise.as_str());
 }
 
-/// A caller sends its change twice, through two entries. Without the claim both entries send it
-/// to an endpoint, and the change is made twice.
+/// A caller sends its change twice, through two entries. Without the claim both entries send it to
+/// an endpoint, and the change is executed twice.
 #[test]
 fn without_the_claim_a_change_runs_twice() {
     breaks(
@@ -74,8 +74,8 @@
     );
 }
 
-/// An attempt is held up on its way, and its entry seals it to try elsewhere. Without a record
-/// of the cancel the attempt runs when it comes at last, after the second one.
+/// An attempt is delayed in transit, and its entry seals it to try another endpoint. Without a record
+/// of the cancel the attempt runs when it finally arrives, after the second one.
 #[test]
 fn without_the_tombstone_a_sealed_attempt_runs() {
     breaks(
@@ -87,8 +87,8 @@
     );
 }
 
-/// A part of one answer comes in on another request. An entry that does not look at the attempt's
-/// id relays it to a caller who asked for something else.
+/// A part of one answer arrives under another request. An entry that does not compare the attempt's
+/// id relays it to the wrong caller.
 #[test]
 fn without_the_match_of_attempts_answers_cross() {
     breaks(
@@ -100,7 +100,7 @@
     );
 }
 
-/// The stop is asked for and the agent goes on as before: its endpoint gets work seconds later.
+/// The stop is requested, but the agent continues as before: its endpoint gets work seconds later.
 #[test]
 fn without_the_leave_an_endpoint_gets_new_work() {
     breaks(
@@ -112,7 +112,7 @@
     );
 }
 
-/// A process that exits as soon as it is told cuts off what it has.
+/// A process that exits as soon as it is told to stop cuts off its open requests.
 #[test]
 fn without_the_drain_a_stop_cuts_requests_off() {
     breaks(
@@ -124,8 +124,8 @@
     );
 }
 
-/// An unload gets no answer and is taken as never sent. The weights are wanted again, and the
-/// other replica goes; then the unload comes, and the model is out of reach.
+/// An unload gets no answer and is treated as never sent. The weights are planned again, and the
+/// other replica is unloaded. Then the delayed unload arrives, and the model has no replica.
 #[test]
 fn without_the_charge_of_unknown_orders_a_late_one_does_harm() {
     breaks(
@@ -137,7 +137,7 @@
     );
 }
 
-/// Two agents each see the other's replica and both unload theirs.
+/// Two agents each see the other's replica, and both unload their own.
 #[test]
 fn without_the_release_the_last_replica_goes() {
     breaks(
@@ -149,7 +149,7 @@
     );
 }
 
-/// A process takes over a configuration that comes late, and goes back with it.
+/// A process applies a delayed configuration and reverts to an older generation.
 #[test]
 fn without_the_generation_a_configuration_reverts() {
     breaks(
@@ -161,8 +161,8 @@
     );
 }
 
-/// A planner is paused between its decision and its write, another takes the lease and plans,
-/// and the first one's plan comes over the later one.
+/// A planner is paused between its decision and its write, and another acquires the lease and writes
+/// a plan. Then the first planner's plan overwrites the later one.
 #[test]
 fn without_the_term_a_paused_planner_writes_over_its_successor() {
     shows(
