--- a/crates/oatpier-faults/src/configuration/mod.rs
+++ b/crates/oatpier-faults/src/configuration/mod.rs
@@ -8,11 +8,11 @@
 mod operators;
 mod store;
 
-use crate::run::{RunOrder, RunReport};
-use operators::OperatorBench;
+use crate::run::{RunReport, RunSpec};
+use operators::OperatorSimulation;
 
 /// Runs two operators, each with three changes.
 #[must_use]
-pub fn run(order: &RunOrder) -> RunReport {
-    OperatorBench::new(order).run()
+pub fn run(run_spec: &RunSpec) -> RunReport {
+    OperatorSimulation::new(run_spec).run()
 }
--- a/crates/oatpier-faults/src/configuration/operators.rs
+++ b/crates/oatpier-faults/src/configuration/operators.rs
@@ -14,19 +14,19 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fault::FaultKind;
+use crate::injection::InjectionPlan;
 use crate::queue::EventQueue;
 use crate::request::name;
-use crate::run::{RunOrder, RunReport};
+use crate::run::{RunReport, RunSpec};
 use crate::step::StepName;
-use crate::strike::StrikePlan;
 
 pub const OPERATORS: usize = 2;
 /// Number of changes of each operator.
 pub const CHANGES: u32 = 3;
 /// The end of the run; commands are retried until then.
-const LAST_MOMENT: ClockTime = ClockTime::from_millis(60_000);
+const RUN_END: ClockTime = ClockTime::from_millis(60_000);
 /// Time after which a command stops waiting for the answer to a call.
-const CALL_WITHIN: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The state of an operator's command.
 pub struct Command {
@@ -35,79 +35,79 @@
     /// The number of the open call; answers to others are dropped.
     pub call: u64,
     pub up: bool,
-    pub awake_from: ClockTime,
+    pub paused_until: ClockTime,
 }
 
-pub enum Happening {
+pub enum SimEvent {
     Begin,
-    SeeRead {
+    ReadArrives {
         call: u64,
     },
-    HaveRead {
+    ReadEnds {
         call: u64,
         record: Option<Box<(ConfigRecord, Revision)>>,
     },
-    SeeWrite {
+    WriteArrives {
         call: u64,
         record: Box<ConfigRecord>,
         expected: Revision,
     },
-    HaveWritten {
+    WriteEnds {
         call: u64,
         done: Option<bool>,
         generation: Generation,
     },
-    Overdue {
+    CallTimeout {
         call: u64,
         wrote: Option<Generation>,
     },
 }
 
-pub struct OperatorBench {
-    pub plan: StrikePlan,
-    pub order: RunOrder,
+pub struct OperatorSimulation {
+    pub plan: InjectionPlan,
+    pub run_spec: RunSpec,
     pub random: ChaCha8Rng,
     pub now: ClockTime,
     pub record: ConfigRecord,
     pub revision: Revision,
     pub commands: Vec<Command>,
     pub accepted: Vec<(ChangeId, Generation)>,
-    pub clashes: u32,
-    pub queue: EventQueue<(usize, Happening)>,
+    pub conflicts: u32,
+    pub queue: EventQueue<(usize, SimEvent)>,
     pub down_until: ClockTime,
     pub slow_until: ClockTime,
     pub slow_operator: [ClockTime; OPERATORS],
     pub cut_to: [ClockTime; OPERATORS],
     pub cut_from: [ClockTime; OPERATORS],
     pub answers_to_lose: u32,
-    pub races: bool,
-    pub stamp: u64,
+    pub is_race: bool,
+    pub timestamp: u64,
     pub report: RunReport,
 }
 
-impl OperatorBench {
-    pub fn new(order: &RunOrder) -> Self {
-        let races = order
-            .strikes
+impl OperatorSimulation {
+    pub fn new(run_spec: &RunSpec) -> Self {
+        let is_race = run_spec
+            .injections
             .iter()
-            .any(|strike| strike.fault == FaultKind::RacingOperators);
+            .any(|injection| injection.fault == FaultKind::RacingOperators);
         let commands = (0..OPERATORS).map(|_| Command {
             proposal: None,
             change: 0,
             call: 0,
             up: true,
-            awake_from: ClockTime::ZERO,
+            paused_until: ClockTime::ZERO,
         });
-        let mut bench = Self {
-            plan: order.plan(),
-            random: order.generator(),
-            order: order.clone(),
+        let mut simulation = Self {
+            plan: run_spec.plan(),
+            random: run_spec.generator(),
+            run_spec: run_spec.clone(),
             now: ClockTime::ZERO,
             record: ConfigRecord::default(),
             revision: Revision(1),
             commands: commands.collect(),
             accepted: Vec::new(),
-            clashes: 0,
+            conflicts: 0,
             queue: EventQueue::default(),
             down_until: ClockTime::ZERO,
             slow_until: ClockTime::ZERO,
@@ -115,66 +115,66 @@
             cut_to: [ClockTime::ZERO; OPERATORS],
             cut_from: [ClockTime::ZERO; OPERATORS],
             answers_to_lose: 0,
-            races,
-            stamp: 1_750_000_000,
+            is_race,
+            timestamp: 1_750_000_000,
             report: RunReport::default(),
         };
         for operator in 0..OPERATORS {
-            let late = bench.millis(1, 30);
-            let late = if races {
+            let late = simulation.random_millis(1, 30);
+            let late = if is_race {
                 Duration::from_millis(1)
             } else {
                 late
             };
-            bench.post(operator, Happening::Begin, late);
+            simulation.post(operator, SimEvent::Begin, late);
         }
-        bench
+        simulation
     }
 
     pub fn run(mut self) -> RunReport {
-        while let Some((at, (operator, happening))) = self.queue.take(LAST_MOMENT) {
+        while let Some((at, (operator, event))) = self.queue.take(RUN_END) {
             self.now = at;
             let command = &self.commands[operator];
             let at_store = matches!(
-                happening,
-                Happening::SeeRead { .. } | Happening::SeeWrite { .. }
+                event,
+                SimEvent::ReadArrives { .. } | SimEvent::WriteArrives { .. }
             );
-            if !at_store && command.awake_from > self.now {
-                self.queue.put(command.awake_from, (operator, happening));
+            if !at_store && command.paused_until > self.now {
+                self.queue.put(command.paused_until, (operator, event));
                 continue;
             }
-            self.happen(operator, happening);
+            self.handle_event(operator, event);
         }
-        self.judge();
-        self.report.struck = self.plan.is_spent();
+        self.check_end_state();
+        self.report.all_injected = self.plan.is_exhausted();
         self.report
     }
 
-    fn happen(&mut self, operator: usize, happening: Happening) {
-        match happening {
-            Happening::Begin => self.begin(operator),
-            Happening::SeeRead { call } => self.see_read(operator, call),
-            Happening::HaveRead { call, record } if self.awaits(operator, call) => {
-                self.have_read(operator, record);
+    fn handle_event(&mut self, operator: usize, event: SimEvent) {
+        match event {
+            SimEvent::Begin => self.begin(operator),
+            SimEvent::ReadArrives { call } => self.read_at_store(operator, call),
+            SimEvent::ReadEnds { call, record } if self.is_awaited(operator, call) => {
+                self.handle_read(operator, record);
             }
-            Happening::SeeWrite {
+            SimEvent::WriteArrives {
                 call,
                 record,
                 expected,
-            } => self.see_write(operator, call, *record, expected),
-            Happening::HaveWritten {
+            } => self.write_at_store(operator, call, *record, expected),
+            SimEvent::WriteEnds {
                 call,
                 done,
                 generation,
-            } if self.awaits(operator, call) => self.have_written(operator, done, generation),
-            Happening::Overdue { call, wrote } if self.awaits(operator, call) => {
-                self.answer_lost(operator, wrote);
+            } if self.is_awaited(operator, call) => self.handle_write(operator, done, generation),
+            SimEvent::CallTimeout { call, wrote } if self.is_awaited(operator, call) => {
+                self.handle_timeout(operator, wrote);
             }
             _ => {}
         }
     }
 
-    fn awaits(&self, operator: usize, call: u64) -> bool {
+    fn is_awaited(&self, operator: usize, call: u64) -> bool {
         self.commands[operator].call == call && self.commands[operator].up
     }
 
@@ -190,11 +190,11 @@
         self.read(operator);
     }
 
-    fn wanted(&self, operator: usize, base: &FleetConfig) -> Vec<ConfigEdit> {
+    fn proposed_edits(&self, operator: usize, base: &FleetConfig) -> Vec<ConfigEdit> {
         let number = self.commands[operator].change;
-        let owner = if self.races { 0 } else { operator };
+        let owner = if self.is_race { 0 } else { operator };
         let class: ClassName = name(&format!("class-{owner}-{number}"));
-        let millis = if self.races {
+        let millis = if self.is_race {
             1_000 + operator as u64
         } else {
             1_000
@@ -218,34 +218,34 @@
         let call = self.commands[operator].call;
         self.post(
             operator,
-            Happening::Overdue { call, wrote: None },
-            CALL_WITHIN,
+            SimEvent::CallTimeout { call, wrote: None },
+            CALL_TIMEOUT,
         );
         if self.cut_to[operator] <= self.now {
-            let takes = self.takes(operator);
-            self.post(operator, Happening::SeeRead { call }, takes);
+            let latency = self.latency(operator);
+            self.post(operator, SimEvent::ReadArrives { call }, latency);
         }
     }
 
-    fn have_read(&mut self, operator: usize, found: Option<Box<(ConfigRecord, Revision)>>) {
+    fn handle_read(&mut self, operator: usize, found: Option<Box<(ConfigRecord, Revision)>>) {
         let Some(found) = found else {
-            return self.again(operator);
+            return self.retry(operator);
         };
         let (record, revision) = *found;
         let change = Self::change_id(operator, self.commands[operator].change);
         if self.commands[operator].proposal.is_none() {
-            let edits = self.wanted(operator, &record.content);
+            let edits = self.proposed_edits(operator, &record.content);
             self.commands[operator].proposal = Some(ChangeProposal {
                 change,
                 base: record.generation,
                 edits,
                 operator: format!("operator-{operator}"),
-                at: self.stamp,
+                at: self.timestamp,
                 summary: String::new(),
                 unanswered: None,
             });
         }
-        self.pass(StepName::ConfigMerge, operator);
+        self.inject_at(StepName::ConfigMerge, operator);
         if !self.commands[operator].up {
             return;
         }
@@ -254,21 +254,21 @@
         };
         match record.merge(&proposal) {
             Ok(MergeOutcome::Accepted { generation }) => self.accept(operator, generation),
-            Ok(MergeOutcome::Unchanged { .. }) => self.done(operator),
+            Ok(MergeOutcome::Unchanged { .. }) => self.finish_change(operator),
             Ok(MergeOutcome::Write { record, .. }) => self.write(operator, record, revision),
             Err(MergeError::Conflict { other, .. }) => {
-                self.clashes += 1;
+                self.conflicts += 1;
                 if other.is_none() {
                     let text = "a conflict does not name the other change".to_owned();
                     self.report.findings.push(text);
                 }
-                self.done(operator);
+                self.finish_change(operator);
             }
             Err(error) => {
                 self.report
                     .findings
                     .push(format!("a change was refused: {error}"));
-                self.done(operator);
+                self.finish_change(operator);
             }
         }
     }
@@ -276,62 +276,66 @@
     fn write(&mut self, operator: usize, record: Box<ConfigRecord>, expected: Revision) {
         self.commands[operator].call += 1;
         let call = self.commands[operator].call;
-        let faults = self.pass(StepName::ConfigWrite, operator);
+        let faults = self.inject_at(StepName::ConfigWrite, operator);
         // A command that crashed may have sent its write before.
         if !self.commands[operator].up && self.random.random_bool(0.5) {
             return;
         }
         let wrote = Some(record.generation);
-        self.post(operator, Happening::Overdue { call, wrote }, CALL_WITHIN);
+        self.post(
+            operator,
+            SimEvent::CallTimeout { call, wrote },
+            CALL_TIMEOUT,
+        );
         if faults.contains(&FaultKind::Lost) || self.cut_to[operator] > self.now {
             return;
         }
-        let mut takes = self.takes(operator);
+        let mut latency = self.latency(operator);
         if faults.contains(&FaultKind::Late) {
-            takes += self.millis(500, 5_000);
+            latency += self.random_millis(500, 5_000);
         }
         if faults.contains(&FaultKind::Doubled) {
-            let again = self.millis(1, 4_000);
+            let again = self.random_millis(1, 4_000);
             let record = record.clone();
-            let copy = Happening::SeeWrite {
+            let copy = SimEvent::WriteArrives {
                 call: 0,
                 record,
                 expected,
             };
-            self.post(operator, copy, takes + again);
+            self.post(operator, copy, latency + again);
         }
-        let happening = Happening::SeeWrite {
+        let event = SimEvent::WriteArrives {
             call,
             record,
             expected,
         };
-        self.post(operator, happening, takes);
+        self.post(operator, event, latency);
     }
 
-    fn have_written(&mut self, operator: usize, done: Option<bool>, generation: Generation) {
+    fn handle_write(&mut self, operator: usize, done: Option<bool>, generation: Generation) {
         match done {
             Some(true) => self.accept(operator, generation),
-            Some(false) | None => self.again(operator),
+            Some(false) | None => self.retry(operator),
         }
     }
 
-    fn answer_lost(&mut self, operator: usize, wrote: Option<Generation>) {
+    fn handle_timeout(&mut self, operator: usize, wrote: Option<Generation>) {
         if let Some(proposal) = &mut self.commands[operator].proposal {
             proposal.unanswered = proposal.unanswered.max(wrote);
         }
-        self.again(operator);
+        self.retry(operator);
     }
 
     /// Reads again after a delay; answers to earlier calls are dropped.
-    fn again(&mut self, operator: usize) {
+    fn retry(&mut self, operator: usize) {
         self.commands[operator].call += 1;
         let call = self.commands[operator].call;
-        let wait = self.millis(20, 400);
-        let overdue = Happening::Overdue { call, wrote: None };
-        self.post(operator, overdue, wait + CALL_WITHIN);
+        let wait = self.random_millis(20, 400);
+        let timeout = SimEvent::CallTimeout { call, wrote: None };
+        self.post(operator, timeout, wait + CALL_TIMEOUT);
         if self.cut_to[operator] <= self.now + wait {
-            let takes = wait + self.takes(operator);
-            self.post(operator, Happening::SeeRead { call }, takes);
+            let latency = wait + self.latency(operator);
+            self.post(operator, SimEvent::ReadArrives { call }, latency);
         }
     }
 
@@ -341,19 +345,19 @@
         let at = self.now;
         let event = FleetEvent::ConfigAccepted { generation };
         self.report.log.push(LoggedEvent { at, event });
-        self.done(operator);
+        self.finish_change(operator);
     }
 
-    fn done(&mut self, operator: usize) {
+    fn finish_change(&mut self, operator: usize) {
         self.commands[operator].call += 1;
         self.commands[operator].up = false;
-        let wait = if self.races {
+        let wait = if self.is_race {
             // Both operators start their next change at the same time.
             let second = 1_000_000;
             Duration::from_micros(second - self.now.as_micros() % second)
         } else {
-            self.millis(5, 200)
+            self.random_millis(5, 200)
         };
-        self.post(operator, Happening::Begin, wait);
+        self.post(operator, SimEvent::Begin, wait);
     }
 }
--- a/crates/oatpier-faults/src/configuration/store.rs
+++ b/crates/oatpier-faults/src/configuration/store.rs
@@ -6,22 +6,22 @@
 use oatpier_types::ids::{Generation, Revision};
 use rand::RngExt;
 
-use super::operators::{CHANGES, Happening, OPERATORS, OperatorBench};
+use super::operators::{CHANGES, OPERATORS, OperatorSimulation, SimEvent};
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
-impl OperatorBench {
-    pub fn see_read(&mut self, operator: usize, call: u64) {
+impl OperatorSimulation {
+    pub fn read_at_store(&mut self, operator: usize, call: u64) {
         if self.cut_from[operator] > self.now {
             return;
         }
         let up = self.down_until <= self.now;
         let record = up.then(|| Box::new((self.record.clone(), self.revision)));
-        let takes = self.takes(operator);
-        self.post(operator, Happening::HaveRead { call, record }, takes);
+        let latency = self.latency(operator);
+        self.post(operator, SimEvent::ReadEnds { call, record }, latency);
     }
 
-    pub fn see_write(
+    pub fn write_at_store(
         &mut self,
         operator: usize,
         call: u64,
@@ -35,7 +35,7 @@
             Some(expected == self.revision)
         };
         if done == Some(true) {
-            self.judge_step(&record);
+            self.check_write(&record);
             self.record = record;
             self.revision = self.revision.next();
         }
@@ -46,17 +46,17 @@
         if loses || self.cut_from[operator] > self.now {
             return;
         }
-        let takes = self.takes(operator);
-        let happening = Happening::HaveWritten {
+        let latency = self.latency(operator);
+        let event = SimEvent::WriteEnds {
             call,
             done,
             generation,
         };
-        self.post(operator, happening, takes);
+        self.post(operator, event, latency);
     }
 
     /// Checks that a successful write creates the next generation and keeps every accepted change.
-    pub fn judge_step(&mut self, record: &ConfigRecord) {
+    pub fn check_write(&mut self, record: &ConfigRecord) {
         if record.generation != self.record.generation.next() {
             let text = format!(
                 "generation {} follows {}",
@@ -71,7 +71,7 @@
         }
     }
 
-    pub fn judge(&mut self) {
+    pub fn check_end_state(&mut self) {
         for (change, generation) in &self.accepted {
             let made = self
                 .record
@@ -87,34 +87,34 @@
             }
         }
         let wanted = usize::try_from(CHANGES).unwrap_or(0) * OPERATORS;
-        let ended = self.accepted.len() + self.clashes as usize;
+        let ended = self.accepted.len() + self.conflicts as usize;
         if ended != wanted {
             let text = format!("{ended} of {wanted} changes were completed");
             self.report.findings.push(text);
         }
-        if self.races && self.clashes == 0 && self.order.strikes.len() == 1 {
+        if self.is_race && self.conflicts == 0 && self.run_spec.injections.len() == 1 {
             self.report
                 .findings
                 .push("racing operators never conflicted".to_owned());
         }
     }
 
-    pub fn pass(&mut self, step: StepName, operator: usize) -> Vec<FaultKind> {
-        let faults = self.plan.pass(step).to_vec();
+    pub fn inject_at(&mut self, step: StepName, operator: usize) -> Vec<FaultKind> {
+        let faults = self.plan.take_due(step).to_vec();
         for fault in &faults {
-            self.inflict(*fault, operator);
+            self.inject(*fault, operator);
         }
         faults
     }
 
-    pub fn inflict(&mut self, fault: FaultKind, operator: usize) {
-        let span = self.millis(500, 5_000);
+    pub fn inject(&mut self, fault: FaultKind, operator: usize) {
+        let span = self.random_millis(500, 5_000);
         let until = self.now + span;
         match fault {
             // The command is run again with the same change id, as its message instructs the operator.
-            FaultKind::Kill => self.run_again(operator, span),
-            FaultKind::Restart => self.run_again(operator, Duration::from_millis(50)),
-            FaultKind::Pause => self.commands[operator].awake_from = until,
+            FaultKind::Kill => self.rerun_command(operator, span),
+            FaultKind::Restart => self.rerun_command(operator, Duration::from_millis(50)),
+            FaultKind::Pause => self.commands[operator].paused_until = until,
             FaultKind::CutTo => self.cut_to[operator] = until,
             FaultKind::CutFrom => self.cut_from[operator] = until,
             FaultKind::CutBoth => {
@@ -125,32 +125,32 @@
             FaultKind::StoreDown => self.down_until = until,
             FaultKind::StoreSlow => self.slow_until = until,
             FaultKind::AnswerLost => self.answers_to_lose = self.random.random_range(1..=2),
-            FaultKind::ClockStep => self.stamp = self.random.random_range(0..4_000_000_000),
+            FaultKind::ClockStep => self.timestamp = self.random.random_range(0..4_000_000_000),
             _ => {}
         }
     }
 
-    pub fn run_again(&mut self, operator: usize, away: Duration) {
+    pub fn rerun_command(&mut self, operator: usize, away: Duration) {
         let command = &mut self.commands[operator];
         command.up = false;
         command.change -= 1;
         // The next run reports that the id was tried before, and the highest generation that may contain it.
-        self.post(operator, Happening::Begin, away);
+        self.post(operator, SimEvent::Begin, away);
     }
 
-    pub fn takes(&mut self, operator: usize) -> Duration {
+    pub fn latency(&mut self, operator: usize) -> Duration {
         if self.slow_until > self.now || self.slow_operator[operator] > self.now {
-            self.millis(50, 700)
+            self.random_millis(50, 700)
         } else {
             Duration::from_millis(2)
         }
     }
 
-    pub fn millis(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(least..most))
+    pub fn random_millis(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(min..max))
     }
 
-    pub fn post(&mut self, operator: usize, happening: Happening, after: Duration) {
-        self.queue.put(self.now + after, (operator, happening));
+    pub fn post(&mut self, operator: usize, event: SimEvent, after: Duration) {
+        self.queue.put(self.now + after, (operator, event));
     }
 }
--- a/crates/oatpier-faults/src/strike.rs
+++ b/crates/oatpier-faults/src/injection.rs
@@ -7,7 +7,7 @@
 
 /// One fault at one step, injected at the occurrence of the step after `skip` others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FaultStrike {
+pub struct FaultInjection {
     /// The fault.
     pub fault: FaultKind,
     /// The step at which the fault is injected.
@@ -18,46 +18,46 @@
 
 /// The faults of one run that are still to be injected.
 #[derive(Debug, Clone)]
-pub struct StrikePlan {
-    waiting: SmallVec<[FaultStrike; 2]>,
-    struck: u32,
+pub struct InjectionPlan {
+    pending: SmallVec<[FaultInjection; 2]>,
+    injected: u32,
 }
 
-impl StrikePlan {
+impl InjectionPlan {
     /// Creates a plan of these injections.
     #[must_use]
-    pub fn new(strikes: &[FaultStrike]) -> Self {
+    pub fn new(injections: &[FaultInjection]) -> Self {
         Self {
-            waiting: SmallVec::from_slice(strikes),
-            struck: 0,
+            pending: SmallVec::from_slice(injections),
+            injected: 0,
         }
     }
 
     /// Returns the faults that are due now that the run reaches `step`.
-    pub fn pass(&mut self, step: StepName) -> SmallVec<[FaultKind; 2]> {
-        let mut now = SmallVec::new();
-        self.waiting.retain(|strike| {
-            let due = strike.step == step && strike.skip == 0;
+    pub fn take_due(&mut self, step: StepName) -> SmallVec<[FaultKind; 2]> {
+        let mut faults = SmallVec::new();
+        self.pending.retain(|injection| {
+            let due = injection.step == step && injection.skip == 0;
             if due {
-                now.push(strike.fault);
-            } else if strike.step == step {
-                strike.skip -= 1;
+                faults.push(injection.fault);
+            } else if injection.step == step {
+                injection.skip -= 1;
             }
             !due
         });
-        self.struck += u32::try_from(now.len()).unwrap_or(u32::MAX);
-        now
+        self.injected += u32::try_from(faults.len()).unwrap_or(u32::MAX);
+        faults
     }
 
     /// Returns whether every fault was injected. A run in which one was not proves nothing.
     #[must_use]
-    pub fn is_spent(&self) -> bool {
-        self.waiting.is_empty()
+    pub fn is_exhausted(&self) -> bool {
+        self.pending.is_empty()
     }
 
     /// Returns the number of faults injected so far.
     #[must_use]
-    pub fn struck(&self) -> u32 {
-        self.struck
+    pub fn injected_count(&self) -> u32 {
+        self.injected
     }
 }
--- a/crates/oatpier-faults/src/lease/mod.rs
+++ b/crates/oatpier-faults/src/lease/mod.rs
@@ -5,14 +5,14 @@
 //! planner at a time, terms and plans that only increase, and new plans once the faults have
 //! ended.
 
-mod bench;
+mod simulation;
 mod store;
 
-use crate::run::{RunOrder, RunReport};
-use bench::LeaseBench;
+use crate::run::{RunReport, RunSpec};
+use simulation::LeaseSimulation;
 
 /// Runs the planners for one minute of simulated time.
 #[must_use]
-pub fn run(order: &RunOrder) -> RunReport {
-    LeaseBench::new(order).run()
+pub fn run(run_spec: &RunSpec) -> RunReport {
+    LeaseSimulation::new(run_spec).run()
 }
--- a/crates/oatpier-faults/src/lease/bench.rs
+++ b/crates/oatpier-faults/src/lease/simulation.rs
@@ -11,24 +11,24 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::fault::FaultKind;
+use crate::injection::InjectionPlan;
 use crate::queue::EventQueue;
 use crate::request::name;
-use crate::run::{Bypass, RunOrder, RunReport};
+use crate::run::{Bypass, RunReport, RunSpec};
 use crate::step::StepName;
-use crate::strike::StrikePlan;
 
 /// Number of entries that compete for the lease.
 pub const PLANNERS: usize = 3;
 /// The time between two ticks of the simulation.
 const TICK: Duration = Duration::from_millis(100);
 /// The time between two plans.
-const PLAN_EVERY: Duration = Duration::from_secs(1);
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 /// Start of fault injection; only faults at the acquisition of the lease are injected earlier.
-pub const ARMED_FROM: ClockTime = ClockTime::from_millis(5_000);
+pub const INJECTION_START: ClockTime = ClockTime::from_millis(5_000);
 /// No fault is injected after this time.
-pub const FAULTS_OVER: ClockTime = ClockTime::from_millis(30_000);
+pub const FAULTS_END: ClockTime = ClockTime::from_millis(30_000);
 /// The end of the run; plans must be written again by then.
-const LAST_MOMENT: ClockTime = ClockTime::from_millis(60_000);
+const RUN_END: ClockTime = ClockTime::from_millis(60_000);
 
 /// The stored plan: its term, number and revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -49,13 +49,13 @@
     pub keeper: LeaseKeeper,
     pub boot: u64,
     pub up: bool,
-    pub awake_from: ClockTime,
+    pub paused_until: ClockTime,
     pub next_plan: ClockTime,
     pub write: Option<PlanWrite>,
 }
 
 #[derive(Debug)]
-pub enum Happening {
+pub enum SimEvent {
     /// A lease call arrives at the store.
     Lease(LeaseAction),
     /// The store's answer to a lease call arrives.
@@ -68,19 +68,19 @@
     Start,
 }
 
-pub struct Queued {
+pub struct QueuedEvent {
     pub planner: usize,
     pub boot: u64,
-    pub what: Happening,
+    pub event: SimEvent,
 }
 
-pub struct LeaseBench {
-    pub order: RunOrder,
-    pub plan: StrikePlan,
+pub struct LeaseSimulation {
+    pub run_spec: RunSpec,
+    pub plan: InjectionPlan,
     pub random: ChaCha8Rng,
     pub now: ClockTime,
     pub planners: Vec<Planner>,
-    pub queue: EventQueue<Queued>,
+    pub queue: EventQueue<QueuedEvent>,
     pub lease: Option<StoredLease>,
     pub stored: StoredPlan,
     pub last_plan_at: ClockTime,
@@ -94,12 +94,12 @@
     pub report: RunReport,
 }
 
-impl LeaseBench {
-    pub fn new(order: &RunOrder) -> Self {
-        let mut bench = Self {
-            plan: order.plan(),
-            random: order.generator(),
-            order: order.clone(),
+impl LeaseSimulation {
+    pub fn new(run_spec: &RunSpec) -> Self {
+        let mut simulation = Self {
+            plan: run_spec.plan(),
+            random: run_spec.generator(),
+            run_spec: run_spec.clone(),
             now: ClockTime::ZERO,
             planners: Vec::new(),
             queue: EventQueue::default(),
@@ -114,8 +114,10 @@
             answers_to_lose: 0,
             report: RunReport::default(),
         };
-        bench.planners = (0..PLANNERS).map(|place| bench.planner(place, 1)).collect();
-        bench
+        simulation.planners = (0..PLANNERS)
+            .map(|place| simulation.planner(place, 1))
+            .collect();
+        simulation
     }
 
     pub fn planner(&mut self, place: usize, boot: u64) -> Planner {
@@ -126,40 +128,40 @@
             keeper: LeaseKeeper::new(daemon, id, random, self.now),
             boot,
             up: true,
-            awake_from: self.now,
+            paused_until: self.now,
             next_plan: self.now,
             write: None,
         }
     }
 
     pub fn run(mut self) -> RunReport {
-        while self.now < LAST_MOMENT {
+        while self.now < RUN_END {
             self.now = self.now + TICK;
             while let Some((at, queued)) = self.queue.take(self.now) {
-                self.happen(at, queued);
+                self.handle_event(at, queued);
             }
             for place in 0..PLANNERS {
                 self.tick(place);
             }
-            self.watch_holders();
+            self.check_single_holder();
         }
-        if self.last_plan_at + PLAN_EVERY * 5 < self.now {
+        if self.last_plan_at + PLAN_INTERVAL * 5 < self.now {
             let text = format!("no plan since {:?}", self.last_plan_at);
             self.report.findings.push(text);
         }
-        self.report.struck = self.plan.is_spent();
+        self.report.all_injected = self.plan.is_exhausted();
         self.report
     }
 
     pub fn is_awake(&self, place: usize) -> bool {
-        self.planners[place].up && self.planners[place].awake_from <= self.now
+        self.planners[place].up && self.planners[place].paused_until <= self.now
     }
 
     fn tick(&mut self, place: usize) {
         if !self.is_awake(place) {
             return;
         }
-        self.tell(place, LeaseEvent::Tick);
+        self.handle_lease_event(place, LeaseEvent::Tick);
         let now = self.now;
         let planner = &mut self.planners[place];
         let Some(term) = planner.keeper.may_act(now) else {
@@ -167,13 +169,13 @@
             return;
         };
         if planner.write.is_none() && planner.next_plan <= now {
-            planner.next_plan = now + PLAN_EVERY;
+            planner.next_plan = now + PLAN_INTERVAL;
             planner.write = Some(PlanWrite { term, read: None });
-            self.post(place, Happening::ReadPlan, Duration::from_millis(2));
+            self.post(place, SimEvent::ReadPlan, Duration::from_millis(2));
         }
     }
 
-    pub fn tell(&mut self, place: usize, event: LeaseEvent) {
+    pub fn handle_lease_event(&mut self, place: usize, event: LeaseEvent) {
         let actions = self.planners[place].keeper.handle(event, self.now);
         for action in actions {
             match action {
@@ -183,10 +185,10 @@
                 }
                 LeaseAction::Read => self.call(place, LeaseAction::Read, None),
                 LeaseAction::Write { lease, expected } => {
-                    let takes = self.lease.as_ref().is_none_or(|stored| {
+                    let is_takeover = self.lease.as_ref().is_none_or(|stored| {
                         stored.lease.boot != lease.boot || stored.lease.holder != lease.holder
                     });
-                    let step = if takes {
+                    let step = if is_takeover {
                         StepName::LeaseTake
                     } else {
                         StepName::LeaseRenew
@@ -200,107 +202,109 @@
     /// Sends a call of the lease keeper to the store.
     pub fn call(&mut self, place: usize, action: LeaseAction, step: Option<StepName>) {
         let is_write = matches!(action, LeaseAction::Write { .. });
-        let faults = step.map(|step| self.pass(step, place)).unwrap_or_default();
-        let gone = self.cut_to[place] > self.now || faults.contains(&FaultKind::Lost);
-        if gone {
+        let faults = step
+            .map(|step| self.inject_at(step, place))
+            .unwrap_or_default();
+        let is_dropped = self.cut_to[place] > self.now || faults.contains(&FaultKind::Lost);
+        if is_dropped {
             let failed = if is_write {
                 LeaseEvent::Wrote(LeaseWrite::AnswerLost)
             } else {
                 LeaseEvent::Read(Err(()))
             };
-            return self.post(place, Happening::Answer(failed), Duration::from_millis(500));
+            return self.post(place, SimEvent::Answer(failed), Duration::from_millis(500));
         }
         let late = faults.contains(&FaultKind::Late);
-        let takes = if late {
-            self.millis(500, 4_000)
+        let latency = if late {
+            self.random_millis(500, 4_000)
         } else {
-            self.takes(place)
+            self.latency(place)
         };
         if faults.contains(&FaultKind::Doubled) {
-            let again = self.millis(10, 4_000);
-            self.post_unheard(place, Happening::Lease(action.clone()), again);
+            let again = self.random_millis(10, 4_000);
+            self.post_duplicate(place, SimEvent::Lease(action.clone()), again);
         }
-        self.post(place, Happening::Lease(action), takes);
+        self.post(place, SimEvent::Lease(action), latency);
     }
 
-    pub fn takes(&mut self, place: usize) -> Duration {
+    pub fn latency(&mut self, place: usize) -> Duration {
         if self.slow_until > self.now || self.slow_planner[place] > self.now {
-            self.millis(100, 1_200)
+            self.random_millis(100, 1_200)
         } else {
             Duration::from_millis(2)
         }
     }
 
-    pub fn millis(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(least..most))
+    pub fn random_millis(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(min..max))
     }
 
-    pub fn post(&mut self, planner: usize, what: Happening, after: Duration) {
+    pub fn post(&mut self, planner: usize, event: SimEvent, after: Duration) {
         let boot = self.planners[planner].boot;
         self.queue.put(
             self.now + after,
-            Queued {
+            QueuedEvent {
                 planner,
                 boot,
-                what,
+                event,
             },
         );
     }
 
     /// Posts a duplicate whose answer is dropped: no planner has boot 0.
-    fn post_unheard(&mut self, planner: usize, what: Happening, after: Duration) {
+    fn post_duplicate(&mut self, planner: usize, event: SimEvent, after: Duration) {
         let boot = 0;
         self.queue.put(
             self.now + after,
-            Queued {
+            QueuedEvent {
                 planner,
                 boot,
-                what,
+                event,
             },
         );
     }
 
-    fn happen(&mut self, at: ClockTime, queued: Queued) {
-        let Queued {
+    fn handle_event(&mut self, at: ClockTime, queued: QueuedEvent) {
+        let QueuedEvent {
             planner,
             boot,
-            what,
+            event,
         } = queued;
         let place = planner;
-        if let Happening::Start = what {
+        if let SimEvent::Start = event {
             let next = self.planners[place].boot;
             self.planners[place] = self.planner(place, next);
             return;
         }
-        let at_store = matches!(what, Happening::Lease(_) | Happening::WritePlan(_));
+        let at_store = matches!(event, SimEvent::Lease(_) | SimEvent::WritePlan(_));
         if at_store {
-            return self.store_takes(place, boot, what);
+            return self.handle_at_store(place, boot, event);
         }
         let state = &self.planners[place];
         if !state.up || state.boot != boot {
             return;
         }
-        if state.awake_from > self.now {
-            let wake = state.awake_from.max(at);
+        if state.paused_until > self.now {
+            let wake = state.paused_until.max(at);
             self.queue.put(
                 wake,
-                Queued {
+                QueuedEvent {
                     planner,
                     boot,
-                    what,
+                    event,
                 },
             );
             return;
         }
-        match what {
-            Happening::Answer(event) => self.tell(place, event),
-            Happening::ReadPlan => self.plan_read(place),
+        match event {
+            SimEvent::Answer(event) => self.handle_lease_event(place, event),
+            SimEvent::ReadPlan => self.handle_plan_read(place),
             _ => {}
         }
     }
 
     /// Handles the read of the stored plan: the planner overwrites it if its own term allows.
-    fn plan_read(&mut self, place: usize) {
+    fn handle_plan_read(&mut self, place: usize) {
         let Some(mut write) = self.planners[place].write else {
             return;
         };
@@ -311,37 +315,42 @@
             self.planners[place].write = None;
             return;
         }
-        let allowed = may_write(write.term, self.stored.term) || self.order.omits(Bypass::Term);
+        let allowed =
+            may_write(write.term, self.stored.term) || self.run_spec.bypasses(Bypass::Term);
         if !allowed {
             self.planners[place].write = None;
             return;
         }
         write.read = Some(self.stored);
-        let faults = self.pass(StepName::PlanWrite, place);
+        let faults = self.inject_at(StepName::PlanWrite, place);
         self.planners[place].write = None;
         if faults.contains(&FaultKind::Lost) {
             return;
         }
         let late = faults.contains(&FaultKind::Late);
-        let takes = if late {
-            self.millis(500, 9_000)
+        let latency = if late {
+            self.random_millis(500, 9_000)
         } else {
-            self.takes(place)
+            self.latency(place)
         };
         // A paused process sends its pending write when it resumes.
-        let wakes = self.planners[place].awake_from.since(self.now);
-        let happening = Happening::WritePlan(write);
+        let pause_left = self.planners[place].paused_until.since(self.now);
+        let scheduled = SimEvent::WritePlan(write);
         if faults.contains(&FaultKind::Doubled) {
-            let again = self.millis(10, 4_000);
-            self.post(place, Happening::WritePlan(write), takes + wakes + again);
+            let again = self.random_millis(10, 4_000);
+            self.post(
+                place,
+                SimEvent::WritePlan(write),
+                latency + pause_left + again,
+            );
         }
         if self.planners[place].up {
-            self.post(place, happening, takes + wakes);
+            self.post(place, scheduled, latency + pause_left);
         }
     }
 
     /// Checks that at most one planner may act at a time.
-    fn watch_holders(&mut self) {
+    fn check_single_holder(&mut self) {
         let now = self.now;
         let awake = (0..PLANNERS).filter(|place| self.is_awake(*place));
         let holders = awake.filter(|place| self.planners[*place].keeper.may_act(now).is_some());
--- a/crates/oatpier-faults/src/lease/store.rs
+++ b/crates/oatpier-faults/src/lease/store.rs
@@ -6,22 +6,24 @@
 use oatpier_types::ids::Revision;
 use rand::RngExt;
 
-use super::bench::{ARMED_FROM, FAULTS_OVER, Happening, LeaseBench, PlanWrite, StoredPlan};
+use super::simulation::{
+    FAULTS_END, INJECTION_START, LeaseSimulation, PlanWrite, SimEvent, StoredPlan,
+};
 use crate::fault::FaultKind;
 use crate::run::Bypass;
 use crate::step::StepName;
 
-impl LeaseBench {
-    pub fn store_takes(&mut self, place: usize, boot: u64, what: Happening) {
-        match what {
-            Happening::Lease(action) => {
+impl LeaseSimulation {
+    pub fn handle_at_store(&mut self, place: usize, boot: u64, event: SimEvent) {
+        match event {
+            SimEvent::Lease(action) => {
                 let answer = self.lease_answer(action);
-                let heard = self.planners[place].boot == boot;
-                if heard && let Some(answer) = answer {
+                let is_current = self.planners[place].boot == boot;
+                if is_current && let Some(answer) = answer {
                     self.answer(place, answer);
                 }
             }
-            Happening::WritePlan(write) => self.write_plan(place, write),
+            SimEvent::WritePlan(write) => self.write_plan(place, write),
             _ => {}
         }
     }
@@ -35,7 +37,7 @@
             LeaseEvent::Read(_) if lost => LeaseEvent::Read(Err(())),
             other => other,
         };
-        self.post(place, Happening::Answer(event), Duration::from_millis(2));
+        self.post(place, SimEvent::Answer(event), Duration::from_millis(2));
     }
 
     pub fn loses_answer(&mut self) -> bool {
@@ -77,7 +79,7 @@
             return;
         };
         // Without the check of the term the revision check is skipped too, as if the planner had read the plan just before.
-        let fresh = self.order.omits(Bypass::Term) || read.revision == self.stored.revision;
+        let fresh = self.run_spec.bypasses(Bypass::Term) || read.revision == self.stored.revision;
         if !fresh {
             return;
         }
@@ -98,28 +100,28 @@
         let _ = place;
     }
 
-    pub fn pass(&mut self, step: StepName, place: usize) -> Vec<FaultKind> {
-        let early = self.now < ARMED_FROM && step != StepName::LeaseTake;
-        if early || self.now > FAULTS_OVER {
+    pub fn inject_at(&mut self, step: StepName, place: usize) -> Vec<FaultKind> {
+        let early = self.now < INJECTION_START && step != StepName::LeaseTake;
+        if early || self.now > FAULTS_END {
             return Vec::new();
         }
-        let faults = self.plan.pass(step).to_vec();
+        let faults = self.plan.take_due(step).to_vec();
         for fault in &faults {
-            self.inflict(*fault, place);
+            self.inject(*fault, place);
         }
         faults
     }
 
-    pub fn inflict(&mut self, fault: FaultKind, place: usize) {
-        let span = self.millis(1_000, 12_000);
+    pub fn inject(&mut self, fault: FaultKind, place: usize) {
+        let span = self.random_millis(1_000, 12_000);
         let until = self.now + span;
         match fault {
-            FaultKind::Kill => self.end_planner(place, span),
-            FaultKind::Restart => self.end_planner(place, Duration::from_millis(200)),
-            FaultKind::Pause => self.planners[place].awake_from = until,
+            FaultKind::Kill => self.stop_planner(place, span),
+            FaultKind::Restart => self.stop_planner(place, Duration::from_millis(200)),
+            FaultKind::Pause => self.planners[place].paused_until = until,
             // Longer than the lease lasts, so that another planner takes the lease meanwhile.
             FaultKind::LeaseLapsed => {
-                self.planners[place].awake_from = until + Duration::from_secs(8);
+                self.planners[place].paused_until = until + Duration::from_secs(8);
             }
             FaultKind::CutTo => self.cut_to[place] = until,
             FaultKind::CutFrom => self.cut_from[place] = until,
@@ -135,9 +137,9 @@
         }
     }
 
-    pub fn end_planner(&mut self, place: usize, away: Duration) {
+    pub fn stop_planner(&mut self, place: usize, away: Duration) {
         self.planners[place].up = false;
         self.planners[place].boot += 1;
-        self.post(place, Happening::Start, away);
+        self.post(place, SimEvent::Start, away);
     }
 }
--- a/crates/oatpier-faults/src/lib.rs
+++ b/crates/oatpier-faults/src/lib.rs
@@ -18,6 +18,7 @@
 
 pub mod configuration;
 pub mod fault;
+pub mod injection;
 pub mod lease;
 pub mod matrix;
 pub mod membership;
@@ -27,4 +28,3 @@
 pub mod request;
 pub mod run;
 pub mod step;
-pub mod strike;
--- a/crates/oatpier-faults/src/matrix/cell.rs
+++ b/crates/oatpier-faults/src/matrix/cell.rs
@@ -3,11 +3,11 @@
 use oatpier_checker::PromiseName;
 use serde::{Deserialize, Serialize};
 
-use super::table::{plan_of, promise_of};
+use super::table::{cell_plan, related_promise};
 use crate::fault::FaultKind;
-use crate::run::{RunOrder, RunReport};
+use crate::injection::FaultInjection;
+use crate::run::{RunReport, RunSpec};
 use crate::step::StepName;
-use crate::strike::FaultStrike;
 use crate::{configuration, lease, membership, orders, request};
 
 /// The scenario that runs a cell.
@@ -28,19 +28,19 @@
 impl ScenarioKind {
     /// Runs the scenario once.
     #[must_use]
-    pub fn run(self, order: &RunOrder) -> RunReport {
+    pub fn run(self, run_spec: &RunSpec) -> RunReport {
         match self {
-            Self::Request => request::run(order),
-            Self::Orders => orders::run(order),
-            Self::Configuration => configuration::run(order),
-            Self::Lease => lease::run(order),
-            Self::Membership => membership::run(order),
+            Self::Request => request::run(run_spec),
+            Self::Orders => orders::run(run_spec),
+            Self::Configuration => configuration::run(run_spec),
+            Self::Lease => lease::run(run_spec),
+            Self::Membership => membership::run(run_spec),
         }
     }
 
     /// Returns the value of the column `test`.
     #[must_use]
-    pub fn test(self) -> &'static str {
+    pub fn test_name(self) -> &'static str {
         match self {
             Self::Request => "oatpier_faults::request",
             Self::Orders => "oatpier_faults::orders",
@@ -104,13 +104,13 @@
     let empty = |outcome, reason: &str| MatrixCell {
         fault: fault.to_string(),
         step: step.to_string(),
-        promise: promise_of(step),
+        promise: related_promise(step),
         outcome,
         test: reason.to_owned(),
         runs: 0,
         findings: Vec::new(),
     };
-    match plan_of(fault, step) {
+    match cell_plan(fault, step) {
         CellPlan::CannotHappen(reason) => empty(CellOutcome::CannotHappen, reason),
         CellPlan::NotRun(reason) => empty(CellOutcome::NotRun, reason),
         CellPlan::Run(scenario) => {
@@ -118,15 +118,15 @@
             MatrixCell {
                 runs: seeds,
                 findings,
-                ..empty(CellOutcome::Passed, scenario.test())
+                ..empty(CellOutcome::Passed, scenario.test_name())
             }
-            .judged()
+            .with_outcome()
         }
     }
 }
 
 impl MatrixCell {
-    pub(super) fn judged(self) -> Self {
+    pub(super) fn with_outcome(self) -> Self {
         let outcome = if self.findings.is_empty() {
             CellOutcome::Passed
         } else {
@@ -144,27 +144,27 @@
 ) -> Vec<String> {
     (0..seeds)
         .flat_map(|seed| {
-            let report = run_struck(scenario, faults, seed);
-            let found = report.faults_found().into_iter().take(3);
+            let report = run_injected(scenario, faults, seed);
+            let found = report.all_findings().into_iter().take(3);
             found.map(move |found| format!("seed {seed}: {found}"))
         })
         .collect()
 }
 
 /// Runs a scenario so that every fault is injected: at an earlier occurrence if the step does not occur often enough.
-fn run_struck(scenario: ScenarioKind, faults: &[(FaultKind, StepName)], seed: u64) -> RunReport {
-    let most = u32::try_from(seed % 6).unwrap_or(0);
-    for skip in (0..=most).rev() {
-        let strikes = faults
+fn run_injected(scenario: ScenarioKind, faults: &[(FaultKind, StepName)], seed: u64) -> RunReport {
+    let max_skip = u32::try_from(seed % 6).unwrap_or(0);
+    for skip in (0..=max_skip).rev() {
+        let injections = faults
             .iter()
             .enumerate()
-            .map(|(place, (fault, step))| FaultStrike {
+            .map(|(index, (fault, step))| FaultInjection {
                 fault: *fault,
                 step: *step,
-                skip: if place == 0 { skip } else { skip / 2 },
+                skip: if index == 0 { skip } else { skip / 2 },
             });
-        let report = scenario.run(&RunOrder::new(strikes.collect(), seed));
-        if report.struck {
+        let report = scenario.run(&RunSpec::new(injections.collect(), seed));
+        if report.all_injected {
             return report;
         }
     }
--- a/crates/oatpier-faults/src/matrix/mod.rs
+++ b/crates/oatpier-faults/src/matrix/mod.rs
@@ -6,13 +6,13 @@
 
 pub use cell::{CellOutcome, CellPlan, MatrixCell, ScenarioKind, run_cell};
 pub use pairs::{FaultPair, fault_pairs, run_pair};
-pub use table::plan_of;
+pub use table::cell_plan;
 
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
 /// Number of threads that run cells.
-const WORKERS: usize = 3;
+const WORKER_THREADS: usize = 3;
 
 /// Runs every cell of the matrix, then the pairs of faults.
 ///
@@ -25,15 +25,15 @@
     });
     let pairs = fault_pairs().into_iter().map(CellTask::Pair);
     let tasks: Vec<CellTask> = grid.chain(pairs).collect();
-    let mut filled: Vec<(usize, MatrixCell)> = std::thread::scope(|scope| {
+    let mut cells: Vec<(usize, MatrixCell)> = std::thread::scope(|scope| {
         let tasks = &tasks;
-        let work = |worker: usize| scope.spawn(move || run_share(tasks, worker, seeds));
-        let workers: Vec<_> = (0..WORKERS).map(work).collect();
-        let shares = workers.into_iter().filter_map(|worker| worker.join().ok());
-        shares.flatten().collect()
+        let work = |worker: usize| scope.spawn(move || run_worker_tasks(tasks, worker, seeds));
+        let workers: Vec<_> = (0..WORKER_THREADS).map(work).collect();
+        let results = workers.into_iter().filter_map(|worker| worker.join().ok());
+        results.flatten().collect()
     });
-    filled.sort_by_key(|(place, _)| *place);
-    filled.into_iter().map(|(_, cell)| cell).collect()
+    cells.sort_by_key(|(index, _)| *index);
+    cells.into_iter().map(|(_, cell)| cell).collect()
 }
 
 enum CellTask {
@@ -41,14 +41,19 @@
     Pair(FaultPair),
 }
 
-fn run_share(tasks: &[CellTask], worker: usize, seeds: u64) -> Vec<(usize, MatrixCell)> {
-    let own = tasks.iter().enumerate().skip(worker).step_by(WORKERS);
-    own.map(|(place, task)| {
-        let cell = match task {
-            CellTask::Single(fault, step) => run_cell(*fault, *step, seeds),
-            CellTask::Pair(pair) => run_pair(pair, seeds),
-        };
-        (place, cell)
-    })
-    .collect()
+fn run_worker_tasks(tasks: &[CellTask], worker: usize, seeds: u64) -> Vec<(usize, MatrixCell)> {
+    let worker_tasks = tasks
+        .iter()
+        .enumerate()
+        .skip(worker)
+        .step_by(WORKER_THREADS);
+    worker_tasks
+        .map(|(index, task)| {
+            let cell = match task {
+                CellTask::Single(fault, step) => run_cell(*fault, *step, seeds),
+                CellTask::Pair(pair) => run_pair(pair, seeds),
+            };
+            (index, cell)
+        })
+        .collect()
 }
--- a/crates/oatpier-faults/src/matrix/pairs.rs
+++ b/crates/oatpier-faults/src/matrix/pairs.rs
@@ -1,7 +1,7 @@
 //! Pairs of faults, at the steps where a single fault is most dangerous.
 
 use super::cell::{MatrixCell, ScenarioKind, run_seeds};
-use super::table::promise_of;
+use super::table::related_promise;
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
@@ -97,11 +97,11 @@
     MatrixCell {
         fault: format!("{} + {}", first.0, second.0),
         step: format!("{} + {}", first.1, second.1),
-        promise: promise_of(first.1),
+        promise: related_promise(first.1),
         outcome: super::cell::CellOutcome::Passed,
-        test: pair.scenario.test().to_owned(),
+        test: pair.scenario.test_name().to_owned(),
         runs: seeds,
         findings,
     }
-    .judged()
+    .with_outcome()
 }
--- a/crates/oatpier-faults/src/matrix/table.rs
+++ b/crates/oatpier-faults/src/matrix/table.rs
@@ -19,13 +19,13 @@
 const ONE_CONNECTION: &str = "the bytes of one call arrive over one connection, each once";
 const OWN_CONNECTION: &str = "an answer returns over the connection of its request";
 
-const STOP_ORDER: &str = "no scenario yet covers how a stop order passes through the store, its watch and the list of VMs: the scenario begins when the registrars announce the stop";
+const NO_STOP_DELIVERY: &str = "no scenario yet covers how a stop order passes through the store, its watch and the list of VMs: the scenario begins when the registrars announce the stop";
 
 /// Returns how a cell is run, or why it is not.
 #[must_use]
-pub fn plan_of(fault: FaultKind, step: StepName) -> CellPlan {
-    if step == StepName::StopTold && comes_by_store(fault) {
-        return CellPlan::NotRun(STOP_ORDER);
+pub fn cell_plan(fault: FaultKind, step: StepName) -> CellPlan {
+    if step == StepName::StopTold && involves_store(fault) {
+        return CellPlan::NotRun(NO_STOP_DELIVERY);
     }
     let reason = match fault {
         FaultKind::Kill | FaultKind::Restart | FaultKind::Pause => None,
@@ -33,17 +33,17 @@
             (!has_peer(step)).then_some(NO_MESSAGE)
         }
         FaultKind::Lost | FaultKind::Late => (!has_message(step)).then_some(NO_MESSAGE),
-        FaultKind::Doubled => doubled(step),
-        FaultKind::Crossed => crossed(step),
+        FaultKind::Doubled => duplication_exclusion(step),
+        FaultKind::Crossed => misrouting_exclusion(step),
         FaultKind::StoreDown | FaultKind::StoreSlow => (!calls_store(step)).then_some(NO_STORE),
         FaultKind::AnswerLost => (!writes_store(step)).then_some(NO_WRITE),
-        FaultKind::LeaseLapsed => (!rests_on_lease(step)).then_some(NO_LEASE),
+        FaultKind::LeaseLapsed => (!depends_on_lease(step)).then_some(NO_LEASE),
         FaultKind::WatchBroken => (!waits_for_watch(step)).then_some(NO_WATCH),
         FaultKind::VmListWrong => (!reads_vm_list(step)).then_some(NO_VM_LIST),
         FaultKind::ReportStale => (step != StepName::Choose).then_some(NO_REPORT),
         FaultKind::CacheGap => (step != StepName::Choose).then_some(NO_CACHE),
         FaultKind::RacingOperators => (!has_operators(step)).then_some(NO_OPERATOR),
-        FaultKind::ClockStep => (!has_stamp(step)).then_some(NO_WALL_CLOCK),
+        FaultKind::ClockStep => (!records_wall_clock(step)).then_some(NO_WALL_CLOCK),
     };
     match reason {
         Some(reason) => CellPlan::CannotHappen(reason),
@@ -65,7 +65,7 @@
 }
 
 /// Returns the promise most closely related to a step.
-pub(super) fn promise_of(step: StepName) -> PromiseName {
+pub(super) fn related_promise(step: StepName) -> PromiseName {
     match step {
         StepName::Claim | StepName::SettleClaim | StepName::Run => PromiseName::AtMostOnce,
         StepName::Intake | StepName::Choose | StepName::Relay => PromiseName::OwnAnswer,
@@ -88,7 +88,7 @@
 }
 
 /// Returns whether a fault affects the store, its watches, its operators or the list of VMs.
-fn comes_by_store(fault: FaultKind) -> bool {
+fn involves_store(fault: FaultKind) -> bool {
     matches!(
         fault,
         FaultKind::StoreDown
@@ -119,14 +119,14 @@
     has_message(step) || matches!(step, StepName::Queue | StepName::StopDrain)
 }
 
-fn doubled(step: StepName) -> Option<&'static str> {
+fn duplication_exclusion(step: StepName) -> Option<&'static str> {
     match step {
         StepName::Run | StepName::Relay => Some(ONE_CONNECTION),
         _ => (!has_message(step)).then_some(NO_MESSAGE),
     }
 }
 
-fn crossed(step: StepName) -> Option<&'static str> {
+fn misrouting_exclusion(step: StepName) -> Option<&'static str> {
     match step {
         StepName::Intake | StepName::ConfigWrite | StepName::ConfigWatch => Some(OWN_CONNECTION),
         _ if is_store_step(step) => Some(OWN_CONNECTION),
@@ -180,7 +180,7 @@
     others || is_store_step(step)
 }
 
-fn rests_on_lease(step: StepName) -> bool {
+fn depends_on_lease(step: StepName) -> bool {
     let claims = matches!(step, StepName::Claim | StepName::SettleClaim);
     let orders = matches!(
         step.path(),
@@ -210,6 +210,6 @@
 }
 
 /// Returns whether the step records a wall-clock time: only the operator's timestamp on a change is stored.
-fn has_stamp(step: StepName) -> bool {
+fn records_wall_clock(step: StepName) -> bool {
     matches!(step, StepName::ConfigMerge | StepName::ConfigWrite)
 }
--- a/crates/oatpier-faults/src/membership/act.rs
+++ b/crates/oatpier-faults/src/membership/actions.rs
@@ -12,22 +12,23 @@
 use oatpier_types::ids::Generation;
 use smallvec::SmallVec;
 
-use super::inflict::CallFate;
-use super::store::WaitingWatch;
-use super::world::{
-    ARMED_FROM, Answer, Call, ENTRIES, Happening, LATE, MemberNode, MemberWorld, PROCESSES,
+use super::inject::MessageDelivery;
+use super::simulation::{
+    Answer, Call, ENTRIES, INJECTION_START, LATE_STARTERS, MemberNode, MemberSimulation, PROCESSES,
+    SimEvent,
 };
+use super::store::WaitingWatch;
 use crate::run::Bypass;
 use crate::step::StepName;
 
-impl MemberWorld {
-    pub fn take(&mut self, to: usize, what: Happening) {
-        match what {
-            Happening::Wake => self.wake(to),
-            Happening::Store(reply) => self.tell_entry(to, EntryEvent::StoreEnded(*reply)),
-            Happening::End { call, answer } => self.end_call(to, call, answer),
-            Happening::Lagging(stored) => self.take_lagging(to, &stored),
-            Happening::Deliver {
+impl MemberSimulation {
+    pub fn take(&mut self, to: usize, event: SimEvent) {
+        match event {
+            SimEvent::Wake => self.wake(to),
+            SimEvent::Store(reply) => self.step_entry(to, EntryEvent::StoreEnded(*reply)),
+            SimEvent::End { call, answer } => self.end_call(to, call, answer),
+            SimEvent::StalePush(stored) => self.deliver_stale_push(to, &stored),
+            SimEvent::Deliver {
                 from,
                 from_boot,
                 call,
@@ -39,17 +40,17 @@
 
     fn wake(&mut self, index: usize) {
         if index < ENTRIES {
-            self.tell_entry(index, EntryEvent::Tick);
+            self.step_entry(index, EntryEvent::Tick);
         } else {
-            self.tell_agent(index, AgentEvent::Tick);
+            self.step_agent(index, AgentEvent::Tick);
         }
     }
 
     fn end_call(&mut self, index: usize, call: CallNumber, answer: Option<Box<Answer>>) {
         if index < ENTRIES {
-            self.tell_entry(index, EntryEvent::CallEnded { call, answer });
+            self.step_entry(index, EntryEvent::CallEnded { call, answer });
         } else {
-            self.tell_agent(index, AgentEvent::CallEnded { call, answer });
+            self.step_agent(index, AgentEvent::CallEnded { call, answer });
         }
     }
 
@@ -58,22 +59,22 @@
         let answer = match &mut self.processes[index].node {
             Some(MemberNode::Entry(entry)) => {
                 let (answer, actions) = entry.answer(body, local);
-                self.act_entry(index, actions);
+                self.execute_entry_actions(index, actions);
                 answer
             }
             Some(MemberNode::Agent(agent)) => {
                 let (answer, actions) = agent.answer(body, local);
-                self.act_agent(index, actions);
+                self.execute_agent_actions(index, actions);
                 answer
             }
             None => return,
         };
-        self.watch_generation(index);
+        self.check_generation(index);
         self.schedule(index);
         if !self.is_blocked(index, from) {
-            let takes = self.takes(index, from);
+            let latency = self.latency(index, from);
             let answer = Some(Box::new(answer));
-            self.put(takes, from, Some(boot), Happening::End { call, answer });
+            self.put(latency, from, Some(boot), SimEvent::End { call, answer });
         }
     }
 
@@ -83,12 +84,12 @@
             .is_some_and(|until| *until > self.now)
     }
 
-    fn takes(&mut self, from: usize, to: usize) -> Duration {
+    fn latency(&mut self, from: usize, to: usize) -> Duration {
         let slow = [from, to]
             .iter()
             .any(|index| self.processes[*index].slow_until > self.now);
         if slow {
-            return self.millis(30, 700);
+            return self.random_millis(30, 700);
         }
         if from % 2 == to % 2 {
             Duration::from_micros(700)
@@ -99,54 +100,54 @@
 
     fn send(&mut self, from: usize, to: &EntryContact, call: CallNumber, body: Call) {
         let boot = self.processes[from].boot;
-        let end = Happening::End { call, answer: None };
+        let end = SimEvent::End { call, answer: None };
         self.put(CALL_WITHIN, from, Some(boot), end);
         let target =
             (0..PROCESSES).find(|index| self.processes[*index].contact.daemon == to.daemon);
         let Some(target) = target else {
             return;
         };
-        let mut fate = CallFate::Kept;
+        let mut delivery = MessageDelivery::Normal;
         for step in self.steps_of(from, target, &body) {
-            fate = fate.max(self.pass(step, from, target));
+            delivery = delivery.max(self.inject_at(step, from, target));
         }
-        if fate == CallFate::Lost || self.is_blocked(from, target) {
+        if delivery == MessageDelivery::Dropped || self.is_blocked(from, target) {
             return;
         }
-        let mut takes = self.takes(from, target);
-        if fate == CallFate::Late {
-            takes += self.millis(100, 5_000);
+        let mut latency = self.latency(from, target);
+        if delivery == MessageDelivery::Delayed {
+            latency += self.random_millis(100, 5_000);
         }
-        let deliver = Happening::Deliver {
+        let deliver = SimEvent::Deliver {
             from,
             from_boot: boot,
             call,
             body: Box::new(body),
         };
-        if fate == CallFate::Doubled {
-            let again = self.millis(1, 5_000);
-            self.put(takes + again, target, None, deliver.clone());
+        if delivery == MessageDelivery::Duplicated {
+            let again = self.random_millis(1, 5_000);
+            self.put(latency + again, target, None, deliver.clone());
         }
-        if fate == CallFate::Crossed {
+        if delivery == MessageDelivery::Misrouted {
             // Another process has taken over the address: it receives the call and answers it.
             let other = (target + 2) % PROCESSES;
-            return self.put(takes, other, None, deliver);
+            return self.put(latency, other, None, deliver);
         }
-        self.put(takes, target, None, deliver);
+        self.put(latency, target, None, deliver);
     }
 
     /// Returns the steps that a call is part of.
     fn steps_of(&mut self, from: usize, to: usize, body: &Call) -> SmallVec<[StepName; 2]> {
-        let late = LATE.contains(&from) && self.now >= ARMED_FROM;
+        let late = LATE_STARTERS.contains(&from) && self.now >= INJECTION_START;
         let mut steps = SmallVec::new();
         match body {
             PeerCall::Heartbeat(_) => {
                 steps.push(StepName::Heartbeat);
-                let early = self.now < ARMED_FROM;
-                let known = &mut self.processes[from].known;
-                let is_new = !known.contains(&to);
+                let early = self.now < INJECTION_START;
+                let known_before = &mut self.processes[from].known_before;
+                let is_new = !known_before.contains(&to);
                 if early && is_new {
-                    known.push(to);
+                    known_before.push(to);
                 }
                 if late {
                     steps.push(StepName::StartRegister);
@@ -168,7 +169,7 @@
                 } else {
                     StepName::ConfigSpread
                 });
-                if late || LATE.contains(&to) {
+                if late || LATE_STARTERS.contains(&to) {
                     steps.push(StepName::StartConfig);
                 }
             }
@@ -176,7 +177,7 @@
         steps
     }
 
-    pub fn act_entry(&mut self, index: usize, actions: Vec<EntryAction<FleetConfig>>) {
+    pub fn execute_entry_actions(&mut self, index: usize, actions: Vec<EntryAction<FleetConfig>>) {
         for action in actions {
             if self.processes[index].node.is_none() {
                 return;
@@ -185,14 +186,14 @@
                 EntryAction::Call { call, to, body } => self.send(index, &to, call, body),
                 EntryAction::ReadConfig => self.read_config(index),
                 EntryAction::WatchConfig { after, wait } => {
-                    self.pass(StepName::ConfigWatch, index, index);
+                    self.inject_at(StepName::ConfigWatch, index, index);
                     let watch = WaitingWatch {
                         process: index,
                         boot: self.processes[index].boot,
                         after,
                         until: self.now + wait,
                     };
-                    let reply = if self.storeless[index] > self.now {
+                    let reply = if self.store_cut_until[index] > self.now {
                         Some(StoreReply::Failed)
                     } else {
                         self.store.watch(watch, self.now)
@@ -203,7 +204,7 @@
                 }
                 EntryAction::InForce(held) => self.in_force(index, &held),
                 EntryAction::Changed(change) => {
-                    self.watch_gone(index, &change);
+                    self.check_gone(index, &change);
                 }
                 EntryAction::Stop(_) => {}
             }
@@ -211,10 +212,10 @@
     }
 
     fn read_config(&mut self, index: usize) {
-        if LATE.contains(&index) {
-            self.pass(StepName::StartConfig, index, index);
+        if LATE_STARTERS.contains(&index) {
+            self.inject_at(StepName::StartConfig, index, index);
         }
-        let reply = if self.storeless[index] > self.now {
+        let reply = if self.store_cut_until[index] > self.now {
             StoreReply::Failed
         } else {
             self.store.read(self.now)
@@ -222,7 +223,7 @@
         self.end_store(index, reply);
     }
 
-    pub fn act_agent(&mut self, index: usize, actions: Vec<AgentAction<FleetConfig>>) {
+    pub fn execute_agent_actions(&mut self, index: usize, actions: Vec<AgentAction<FleetConfig>>) {
         for action in actions {
             if self.processes[index].node.is_none() {
                 return;
@@ -239,15 +240,15 @@
         let daemon = self.processes[index].contact.daemon.clone();
         let content = ConfigPayload::digest(&*held.value);
         let generation = held.generation;
-        self.see_generation(index, generation);
-        self.note(FleetEvent::ConfigInForce {
+        self.record_generation(index, generation);
+        self.log_event(FleetEvent::ConfigInForce {
             daemon: daemon.clone(),
             generation,
             content,
         });
-        if self.order.omits(Bypass::Generation) && generation > Generation(1) {
+        if self.run_spec.bypasses(Bypass::Generation) && generation > Generation(1) {
             // Simulates that a delayed older configuration is applied.
-            self.note(FleetEvent::ConfigInForce {
+            self.log_event(FleetEvent::ConfigInForce {
                 daemon,
                 generation: Generation(1),
                 content,
@@ -256,30 +257,32 @@
     }
 
     fn end_store(&mut self, index: usize, reply: StoreReply<FleetConfig>) {
-        let takes = if self.store.slow_until > self.now {
-            self.millis(100, 900)
+        let latency = if self.store.slow_until > self.now {
+            self.random_millis(100, 900)
         } else {
             Duration::from_millis(2)
         };
         let boot = Some(self.processes[index].boot);
-        self.put(takes, index, boot, Happening::Store(Box::new(reply)));
+        self.put(latency, index, boot, SimEvent::Store(Box::new(reply)));
     }
 
     /// Answers the waiting watches with the new configuration.
-    pub fn tell_watches(&mut self) {
+    pub fn notify_watches(&mut self) {
         let Some(stored) = self.store.stored.clone() else {
             return;
         };
         for watch in std::mem::take(&mut self.store.watches) {
-            if self.store.hangs(watch.process, self.now) {
+            if self.store.has_hung_watch(watch.process, self.now) {
                 continue;
             }
-            let fate = self.pass(StepName::ConfigWatch, watch.process, watch.process);
-            if fate == CallFate::Lost || self.storeless[watch.process] > self.now {
+            let delivery = self.inject_at(StepName::ConfigWatch, watch.process, watch.process);
+            if delivery == MessageDelivery::Dropped
+                || self.store_cut_until[watch.process] > self.now
+            {
                 // Its connection is lost without notice: the watch ends by its own timeout.
                 continue;
             }
-            self.answer_watch(&watch, StoreReply::Value(stored.clone()), fate);
+            self.answer_watch(&watch, StoreReply::Value(stored.clone()), delivery);
         }
     }
 
@@ -287,20 +290,20 @@
         &mut self,
         watch: &WaitingWatch,
         reply: StoreReply<FleetConfig>,
-        fate: CallFate,
+        delivery: MessageDelivery,
     ) {
         if self.processes[watch.process].boot != watch.boot {
             return;
         }
-        let late = if fate == CallFate::Late {
-            self.millis(500, 6_000)
+        let late = if delivery == MessageDelivery::Delayed {
+            self.random_millis(500, 6_000)
         } else {
             Duration::from_millis(2)
         };
         let boot = Some(watch.boot);
-        let happening = Happening::Store(Box::new(reply));
-        if fate == CallFate::Doubled {
-            let again = self.millis(10, 3_000);
+        let happening = SimEvent::Store(Box::new(reply));
+        if delivery == MessageDelivery::Duplicated {
+            let again = self.random_millis(10, 3_000);
             self.put(late + again, watch.process, boot, happening.clone());
         }
         self.put(late, watch.process, boot, happening);
@@ -316,7 +319,7 @@
             .partition(ended);
         self.store.watches = waiting;
         for watch in over {
-            if self.store.hangs(watch.process, now) {
+            if self.store.has_hung_watch(watch.process, now) {
                 continue;
             }
             let reply = if down {
@@ -324,7 +327,7 @@
             } else {
                 StoreReply::Unchanged
             };
-            self.answer_watch(&watch, reply, CallFate::Kept);
+            self.answer_watch(&watch, reply, MessageDelivery::Normal);
         }
     }
 }
--- a/crates/oatpier-faults/src/membership/judge.rs
+++ b/crates/oatpier-faults/src/membership/checks.rs
@@ -7,15 +7,15 @@
 use oatpier_types::event::FleetEvent;
 use oatpier_types::ids::Generation;
 
-use super::world::{ENTRIES, LATE, MemberNode, MemberWorld, PROCESSES};
+use super::simulation::{ENTRIES, LATE_STARTERS, MemberNode, MemberSimulation, PROCESSES};
 use crate::fault::FaultKind;
 
 /// Maximum time until a process that no fault affects applies an accepted configuration.
-const SPREAD_WITHIN: Duration = Duration::from_secs(5);
+const MAX_PROPAGATION: Duration = Duration::from_secs(5);
 
-impl MemberWorld {
+impl MemberSimulation {
     /// Checks that every process runs, has the last configuration, and is known to the entries of its availability zone.
-    pub fn judge(&mut self) {
+    pub fn check_end_state(&mut self) {
         let last = self.store.stored.as_ref().map(|stored| stored.generation);
         for index in 0..PROCESSES {
             if self.generation(index) != last {
@@ -26,9 +26,9 @@
                 self.report.findings.push(text);
             }
         }
-        self.judge_spread();
+        self.check_propagation();
         for ((entry, other), since) in std::mem::take(&mut self.gone) {
-            self.note_gone(entry, other, since);
+            self.report_gone(entry, other, since);
         }
         for entry in 0..ENTRIES {
             let others = (0..PROCESSES).filter(|other| other % 2 == entry % 2);
@@ -52,26 +52,26 @@
 
     /// Records when an entry wrongly marks a process of its availability zone as gone, while no fault affects either of
     /// them.
-    pub fn watch_gone(&mut self, entry: usize, change: &MemberChange) {
+    pub fn check_gone(&mut self, entry: usize, change: &MemberChange) {
         let other =
             (0..PROCESSES).find(|other| self.processes[*other].contact.daemon == change.daemon);
         let Some(other) = other.filter(|other| other % 2 == entry % 2) else {
             return;
         };
         if change.state == MemberState::Gone {
-            let whole = |index: usize| {
+            let is_unaffected = |index: usize| {
                 let process = &self.processes[index];
-                process.node.is_some() && !process.touched
+                process.node.is_some() && !process.is_affected
             };
-            if whole(other) && whole(entry) {
+            if is_unaffected(other) && is_unaffected(entry) {
                 self.gone.insert((entry, other), self.now);
             }
         } else if let Some(since) = self.gone.remove(&(entry, other)) {
-            self.note_gone(entry, other, since);
+            self.report_gone(entry, other, since);
         }
     }
 
-    fn note_gone(&mut self, entry: usize, other: usize, since: ClockTime) {
+    fn report_gone(&mut self, entry: usize, other: usize, since: ClockTime) {
         let span = self.now.since(since);
         let text = format!(
             "entry {entry} marked the running process {other} as gone for {span:?} at {since:?}"
@@ -81,12 +81,12 @@
 
     /// Checks the propagation time at processes that no fault affects. The checker counts from the end of the last
     /// fault; these processes must be in time during the faults too, unless the store itself is down.
-    fn judge_spread(&mut self) {
+    fn check_propagation(&mut self) {
         let down = self
-            .order
-            .strikes
+            .run_spec
+            .injections
             .iter()
-            .any(|strike| strike.fault == FaultKind::StoreDown);
+            .any(|injection| injection.fault == FaultKind::StoreDown);
         if down {
             return;
         }
@@ -99,15 +99,15 @@
                 _ => None,
             });
         let accepted: Vec<(ClockTime, Generation)> = accepted.collect();
-        let untouched = (0..PROCESSES).filter(|index| !LATE.contains(index));
-        let untouched = untouched.filter(|index| !self.processes[*index].touched);
+        let unaffected = (0..PROCESSES).filter(|index| !LATE_STARTERS.contains(index));
+        let unaffected = unaffected.filter(|index| !self.processes[*index].is_affected);
         let mut late = Vec::new();
-        for index in untouched {
+        for index in unaffected {
             for (at, generation) in &accepted {
                 let taken = self
                     .taken_at(index, *generation)
                     .unwrap_or(ClockTime::NEVER);
-                if taken.since(*at) > SPREAD_WITHIN {
+                if taken.since(*at) > MAX_PROPAGATION {
                     late.push(format!(
                         "process {index} got generation {generation} {:?} late",
                         taken.since(*at)
--- a/crates/oatpier-faults/src/membership/inflict.rs
+++ b/crates/oatpier-faults/src/membership/inject.rs
@@ -7,46 +7,46 @@
 use oatpier_membership::members::VmHint;
 use rand::RngExt;
 
-use super::world::{ARMED_FROM, ENTRIES, Happening, MemberWorld, PROCESSES};
+use super::simulation::{ENTRIES, INJECTION_START, MemberSimulation, PROCESSES, SimEvent};
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
 /// Interval at which the list of VMs is read.
-const LIST_EVERY: Duration = Duration::from_secs(5);
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How a call is delivered. If several faults apply to it, the greatest value wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub enum CallFate {
+pub enum MessageDelivery {
     #[default]
-    Kept,
-    Doubled,
-    Crossed,
-    Late,
-    Lost,
+    Normal,
+    Duplicated,
+    Misrouted,
+    Delayed,
+    Dropped,
 }
 
-impl MemberWorld {
+impl MemberSimulation {
     /// Injects the faults that are due when a call reaches `step`, and returns how it is delivered.
     /// `to` equals `from` if the call goes to the store.
-    pub fn pass(&mut self, step: StepName, from: usize, to: usize) -> CallFate {
-        if self.now < ARMED_FROM {
-            return CallFate::Kept;
+    pub fn inject_at(&mut self, step: StepName, from: usize, to: usize) -> MessageDelivery {
+        if self.now < INJECTION_START {
+            return MessageDelivery::Normal;
         }
-        let mut fate = CallFate::Kept;
-        for fault in self.plan.pass(step) {
+        let mut delivery = MessageDelivery::Normal;
+        for fault in self.plan.take_due(step) {
             match fault {
-                FaultKind::Lost => fate = CallFate::Lost,
-                FaultKind::Late => fate = CallFate::Late,
-                FaultKind::Doubled => fate = CallFate::Doubled,
-                FaultKind::Crossed => fate = CallFate::Crossed,
-                other => self.inflict(other, from, to),
+                FaultKind::Lost => delivery = MessageDelivery::Dropped,
+                FaultKind::Late => delivery = MessageDelivery::Delayed,
+                FaultKind::Doubled => delivery = MessageDelivery::Duplicated,
+                FaultKind::Crossed => delivery = MessageDelivery::Misrouted,
+                other => self.inject(other, from, to),
             }
         }
-        fate
+        delivery
     }
 
-    fn inflict(&mut self, fault: FaultKind, from: usize, to: usize) {
-        let span = self.millis(500, 9_000);
+    fn inject(&mut self, fault: FaultKind, from: usize, to: usize) {
+        let span = self.random_millis(500, 9_000);
         let until = self.now + span;
         let victim = if self.random.random_bool(0.5) {
             from
@@ -58,31 +58,31 @@
             FaultKind::Restart => self.end(victim, Duration::from_millis(30)),
             FaultKind::Pause => {
                 self.processes[victim].paused_until = until;
-                self.processes[victim].touched = true;
-                self.put(span, victim, None, Happening::FaultsOver);
+                self.processes[victim].is_affected = true;
+                self.put(span, victim, None, SimEvent::FaultsOver);
             }
             FaultKind::CutTo => self.cut(from, to, span),
             FaultKind::CutFrom => self.cut(to, from, span),
             FaultKind::CutBoth => self.cut_both(from, to, span),
             FaultKind::SlowPeer => {
                 self.processes[to].slow_until = until;
-                self.processes[to].touched = true;
+                self.processes[to].is_affected = true;
             }
             FaultKind::StoreDown => {
                 self.store.down_until = until;
-                self.put(span, from, None, Happening::FaultsOver);
+                self.put(span, from, None, SimEvent::FaultsOver);
             }
             FaultKind::StoreSlow => self.store.slow_until = until,
-            FaultKind::WatchBroken if self.order.seed.is_multiple_of(2) => {
-                self.store.hanging = Some(from);
-                self.store.hang_until = until + Duration::from_secs(10);
+            FaultKind::WatchBroken if self.run_spec.seed.is_multiple_of(2) => {
+                self.store.hung_process = Some(from);
+                self.store.hung_until = until + Duration::from_secs(10);
             }
             FaultKind::WatchBroken => {
-                self.store.hanging = None;
-                self.store.hang_until = until + Duration::from_secs(10);
+                self.store.hung_process = None;
+                self.store.hung_until = until + Duration::from_secs(10);
             }
             FaultKind::VmListWrong => {
-                self.wrong_list_until = until + LIST_EVERY;
+                self.wrong_list_until = until + VM_LIST_INTERVAL;
                 self.list_vms();
             }
             _ => {}
@@ -92,38 +92,38 @@
     fn end(&mut self, victim: usize, away: Duration) {
         if self.processes[victim].node.is_some() {
             self.kill(victim);
-            self.put(away, victim, None, Happening::Start);
+            self.put(away, victim, None, SimEvent::Start);
         }
     }
 
     /// Blocks messages to `to`: with equal probability those from `from` only, or from all processes.
     fn cut(&mut self, from: usize, to: usize, span: Duration) {
-        let whole = self.random.random_bool(0.5);
-        self.touch_cut(from, to, whole, span);
+        let all_links = self.random.random_bool(0.5);
+        self.mark_cut(from, to, all_links, span);
         let until = self.now + span;
-        for other in (0..PROCESSES).filter(|other| whole || *other == from) {
+        for other in (0..PROCESSES).filter(|other| all_links || *other == from) {
             self.blocked.insert((other, to), until);
         }
     }
 
     /// Blocks messages to and from `to`: with equal probability the link to `from` only, or all links.
     fn cut_both(&mut self, from: usize, to: usize, span: Duration) {
-        let whole = self.random.random_bool(0.5);
-        self.touch_cut(from, to, whole, span);
+        let all_links = self.random.random_bool(0.5);
+        self.mark_cut(from, to, all_links, span);
         let until = self.now + span;
-        for other in (0..PROCESSES).filter(|other| whole || *other == from) {
+        for other in (0..PROCESSES).filter(|other| all_links || *other == from) {
             self.blocked.insert((other, to), until);
             self.blocked.insert((to, other), until);
         }
     }
 
-    fn touch_cut(&mut self, from: usize, to: usize, whole: bool, span: Duration) {
-        self.processes[to].touched = true;
-        self.processes[from].touched |= !whole;
-        if whole || from == to {
-            self.storeless[to] = self.now + span;
+    fn mark_cut(&mut self, from: usize, to: usize, all_links: bool, span: Duration) {
+        self.processes[to].is_affected = true;
+        self.processes[from].is_affected |= !all_links;
+        if all_links || from == to {
+            self.store_cut_until[to] = self.now + span;
         }
-        self.put(span, to, None, Happening::FaultsOver);
+        self.put(span, to, None, SimEvent::FaultsOver);
     }
 
     /// Delivers the list of VMs, which is read periodically. A wrong list reports some VMs as leaving to the entries,
@@ -131,9 +131,9 @@
     pub fn list_vms(&mut self) {
         let wrong = self.wrong_list_until > self.now;
         if !wrong {
-            self.put(LIST_EVERY, 0, None, Happening::ListVms);
-        } else if self.now + LIST_EVERY >= self.wrong_list_until {
-            self.put(LIST_EVERY * 2, 0, None, Happening::ListVms);
+            self.put(VM_LIST_INTERVAL, 0, None, SimEvent::ListVms);
+        } else if self.now + VM_LIST_INTERVAL >= self.wrong_list_until {
+            self.put(VM_LIST_INTERVAL * 2, 0, None, SimEvent::ListVms);
         }
         let hint = |index: usize| VmHint {
             contact: self.processes[index].contact.clone(),
@@ -145,7 +145,7 @@
             .filter(|entry| self.is_awake(*entry))
             .collect::<Vec<_>>()
         {
-            self.tell_entry(entry, EntryEvent::Hints(hints.clone()));
+            self.step_entry(entry, EntryEvent::Hints(hints.clone()));
         }
         let named = if wrong { 2 } else { ENTRIES };
         let named: Vec<_> = (0..named)
@@ -155,7 +155,7 @@
             .filter(|agent| self.is_awake(*agent))
             .collect::<Vec<_>>()
         {
-            self.tell_agent(agent, AgentEvent::Hints(named.clone()));
+            self.step_agent(agent, AgentEvent::Hints(named.clone()));
         }
     }
 
@@ -164,7 +164,7 @@
         process.node.is_some() && process.paused_until <= self.now
     }
 
-    pub fn millis(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(least..most))
+    pub fn random_millis(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(min..max))
     }
 }
--- a/crates/oatpier-faults/src/membership/mod.rs
+++ b/crates/oatpier-faults/src/membership/mod.rs
@@ -6,21 +6,21 @@
 //! fault injection begins. If the step is the registration with a successor, a registrar crashes
 //! first. Three seconds after each change every process still receives the previous configuration
 //! from a peer; a restarted process receives it as its first message. The checks: the generation in
-//! force at every process never decreases, it is reached within seconds at processes that no fault
+//! force at every process never decreases, it is highest_generation within seconds at processes that no fault
 //! affects, and at the end every live process is known and up to date.
 
-mod act;
-mod inflict;
-mod judge;
-mod lagging;
+mod actions;
+mod checks;
+mod inject;
+mod simulation;
+mod stale_push;
 mod store;
-mod world;
 
-use crate::run::{RunOrder, RunReport};
-use world::MemberWorld;
+use crate::run::{RunReport, RunSpec};
+use simulation::MemberSimulation;
 
 /// Runs the two availability zones for 75 seconds of simulated time.
 #[must_use]
-pub fn run(order: &RunOrder) -> RunReport {
-    MemberWorld::new(order).run()
+pub fn run(run_spec: &RunSpec) -> RunReport {
+    MemberSimulation::new(run_spec).run()
 }
--- a/crates/oatpier-faults/src/membership/world.rs
+++ b/crates/oatpier-faults/src/membership/simulation.rs
@@ -20,31 +20,31 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::store::ConfigStore;
+use crate::injection::InjectionPlan;
 use crate::queue::EventQueue;
 use crate::request::name;
-use crate::run::{RunOrder, RunReport};
+use crate::run::{RunReport, RunSpec};
 use crate::step::StepName;
-use crate::strike::StrikePlan;
 
 /// Number of entries.
 pub const ENTRIES: usize = 8;
 /// Number of processes: entries, then agents.
 pub const PROCESSES: usize = 16;
 /// An entry and an agent that start late.
-pub const LATE: [usize; 2] = [ENTRIES - 1, PROCESSES - 1];
+pub const LATE_STARTERS: [usize; 2] = [ENTRIES - 1, PROCESSES - 1];
 /// An entry that crashes when fault injection starts and restarts later, so that agents need a successor.
-const LOST_REGISTRAR: usize = 2;
+const CRASHED_REGISTRAR: usize = 2;
 
 /// Time at which the first configuration is accepted.
 const FIRST_CHANGE: ClockTime = ClockTime::from_millis(1_000);
 /// Start of fault injection.
-pub const ARMED_FROM: ClockTime = ClockTime::from_millis(15_000);
+pub const INJECTION_START: ClockTime = ClockTime::from_millis(15_000);
 /// Time at which the end of the faults is logged.
-const FAULTS_OVER: ClockTime = ClockTime::from_millis(40_000);
+const FAULTS_END: ClockTime = ClockTime::from_millis(40_000);
 /// Time at which one more configuration is accepted, after the faults.
 const LAST_CHANGE: ClockTime = ClockTime::from_millis(55_000);
 /// End of the run.
-const LAST_MOMENT: ClockTime = ClockTime::from_millis(75_000);
+const RUN_END: ClockTime = ClockTime::from_millis(75_000);
 
 pub type Call = PeerCall<FleetConfig>;
 pub type Answer = PeerAnswer<FleetConfig>;
@@ -65,17 +65,17 @@
     pub paused_until: ClockTime,
     pub slow_until: ClockTime,
     /// Whether a fault has affected the process.
-    pub touched: bool,
+    pub is_affected: bool,
     /// Processes that an agent sent heartbeats to before fault injection started.
-    pub known: Vec<usize>,
+    pub known_before: Vec<usize>,
     /// The generation in force, as last observed by the scenario since the process started.
-    pub seen: Generation,
+    pub observed_generation: Generation,
     /// The highest generation that was in force since the first start.
-    pub reached: Generation,
+    pub highest_generation: Generation,
 }
 
 #[derive(Debug, Clone)]
-pub enum Happening {
+pub enum SimEvent {
     Wake,
     Start,
     Deliver {
@@ -93,27 +93,27 @@
     KillRegistrar,
     ListVms,
     /// A full configuration arrives from a peer that sent it before it received a later one.
-    Lagging(StoredConfig<FleetConfig>),
+    StalePush(StoredConfig<FleetConfig>),
     FaultsOver,
 }
 
-pub struct Queued {
+pub struct QueuedEvent {
     pub to: usize,
     pub boot: Option<u64>,
-    pub what: Happening,
+    pub event: SimEvent,
 }
 
-pub struct MemberWorld {
-    pub order: RunOrder,
-    pub plan: StrikePlan,
+pub struct MemberSimulation {
+    pub run_spec: RunSpec,
+    pub plan: InjectionPlan,
     pub random: ChaCha8Rng,
     pub now: ClockTime,
     pub processes: Vec<Process>,
     pub store: ConfigStore,
-    pub queue: EventQueue<Queued>,
+    pub queue: EventQueue<QueuedEvent>,
     pub blocked: BTreeMap<(usize, usize), ClockTime>,
     /// By process: it can't reach the store until then.
-    pub storeless: [ClockTime; PROCESSES],
+    pub store_cut_until: [ClockTime; PROCESSES],
     /// The list of VMs is wrong until this time.
     pub wrong_list_until: ClockTime,
     /// Pairs of an entry and a process that the entry wrongly marks as gone, with the time since when.
@@ -121,64 +121,64 @@
     pub report: RunReport,
 }
 
-impl MemberWorld {
-    pub fn new(order: &RunOrder) -> Self {
-        let mut world = Self {
-            plan: order.plan(),
-            random: order.generator(),
-            order: order.clone(),
+impl MemberSimulation {
+    pub fn new(run_spec: &RunSpec) -> Self {
+        let mut simulation = Self {
+            plan: run_spec.plan(),
+            random: run_spec.generator(),
+            run_spec: run_spec.clone(),
             now: ClockTime::ZERO,
             processes: (0..PROCESSES).map(process).collect(),
             store: ConfigStore::default(),
             queue: EventQueue::default(),
             blocked: BTreeMap::new(),
-            storeless: [ClockTime::ZERO; PROCESSES],
+            store_cut_until: [ClockTime::ZERO; PROCESSES],
             wrong_list_until: ClockTime::ZERO,
             gone: BTreeMap::new(),
             report: RunReport::default(),
         };
-        for index in (0..PROCESSES).filter(|index| !LATE.contains(index)) {
-            world.start(index);
+        for index in (0..PROCESSES).filter(|index| !LATE_STARTERS.contains(index)) {
+            simulation.start(index);
         }
-        world.plan_events();
-        world
+        simulation.schedule_events();
+        simulation
     }
 
-    fn plan_events(&mut self) {
+    fn schedule_events(&mut self) {
         let soon = Duration::from_millis(self.random.random_range(1..900));
-        let mut put = |at, to, what| {
+        let mut put = |at, to, event| {
             let boot = None;
-            self.queue.put(at, Queued { to, boot, what });
+            self.queue.put(at, QueuedEvent { to, boot, event });
         };
-        put(FIRST_CHANGE, 0, Happening::Change);
-        put(ClockTime::ZERO, 0, Happening::ListVms);
+        put(FIRST_CHANGE, 0, SimEvent::Change);
+        put(ClockTime::ZERO, 0, SimEvent::ListVms);
         if self
-            .order
-            .strikes
+            .run_spec
+            .injections
             .iter()
-            .any(|strike| strike.step == StepName::Successor)
+            .any(|injection| injection.step == StepName::Successor)
         {
-            put(ARMED_FROM, LOST_REGISTRAR, Happening::KillRegistrar);
+            put(INJECTION_START, CRASHED_REGISTRAR, SimEvent::KillRegistrar);
         }
-        put(ARMED_FROM + soon, 0, Happening::Change);
-        put(ARMED_FROM + soon * 2, 0, Happening::Change);
-        for late in LATE {
-            put(ARMED_FROM + soon, late, Happening::Start);
+        put(INJECTION_START + soon, 0, SimEvent::Change);
+        put(INJECTION_START + soon * 2, 0, SimEvent::Change);
+        for late in LATE_STARTERS {
+            put(INJECTION_START + soon, late, SimEvent::Start);
         }
-        put(FAULTS_OVER, 0, Happening::FaultsOver);
-        put(LAST_CHANGE, 0, Happening::Change);
+        put(FAULTS_END, 0, SimEvent::FaultsOver);
+        put(LAST_CHANGE, 0, SimEvent::Change);
     }
 
     pub fn run(mut self) -> RunReport {
-        while let Some((at, queued)) = self.queue.take(LAST_MOMENT) {
+        while let Some((at, queued)) = self.queue.take(RUN_END) {
             self.now = at;
             self.end_watches();
-            self.happen(queued);
+            self.handle_event(queued);
         }
-        self.now = LAST_MOMENT;
-        self.note(FleetEvent::FaultsOver);
-        self.judge();
-        self.report.struck = self.plan.is_spent();
+        self.now = RUN_END;
+        self.log_event(FleetEvent::FaultsOver);
+        self.check_end_state();
+        self.report.all_injected = self.plan.is_exhausted();
         self.report
     }
 
@@ -189,13 +189,14 @@
         }
     }
 
-    pub fn note(&mut self, event: FleetEvent) {
+    pub fn log_event(&mut self, event: FleetEvent) {
         let at = self.now;
         self.report.log.push(LoggedEvent { at, event });
     }
 
-    pub fn put(&mut self, after: Duration, to: usize, boot: Option<u64>, what: Happening) {
-        self.queue.put(self.now + after, Queued { to, boot, what });
+    pub fn put(&mut self, after: Duration, to: usize, boot: Option<u64>, event: SimEvent) {
+        self.queue
+            .put(self.now + after, QueuedEvent { to, boot, event });
     }
 
     /// Starts a process with no state kept.
@@ -226,20 +227,20 @@
         process.node = Some(node);
         process.wake_at = ClockTime::NEVER;
         process.paused_until = self.now;
-        process.seen = Generation(0);
+        process.observed_generation = Generation(0);
         self.schedule(index);
         if boot > 1 {
-            self.lag_at_start(index);
+            self.schedule_stale_push_at_start(index);
         }
     }
 
     pub fn kill(&mut self, index: usize) {
         let process = &mut self.processes[index];
         process.node = None;
-        process.touched = true;
+        process.is_affected = true;
         let name = process.contact.daemon.clone();
         self.store.watches.retain(|watch| watch.process != index);
-        self.note(FleetEvent::Ended {
+        self.log_event(FleetEvent::Ended {
             name,
             killed: true,
             cut_off: 0,
@@ -266,24 +267,24 @@
         if process.wake_at <= self.now || at < process.wake_at {
             process.wake_at = at;
             let (to, boot) = (index, Some(process.boot));
-            let what = Happening::Wake;
-            self.queue.put(at, Queued { to, boot, what });
+            let event = SimEvent::Wake;
+            self.queue.put(at, QueuedEvent { to, boot, event });
         }
     }
 
-    fn happen(&mut self, queued: Queued) {
-        let Queued { to, boot, what } = queued;
-        match what {
-            Happening::Start if self.processes[to].node.is_none() => return self.start(to),
-            Happening::Start => return,
-            Happening::Change => return self.change(to),
-            Happening::KillRegistrar => {
+    fn handle_event(&mut self, queued: QueuedEvent) {
+        let QueuedEvent { to, boot, event } = queued;
+        match event {
+            SimEvent::Start if self.processes[to].node.is_none() => return self.start(to),
+            SimEvent::Start => return,
+            SimEvent::Change => return self.change(to),
+            SimEvent::KillRegistrar => {
                 self.kill(to);
                 let away = Duration::from_millis(self.random.random_range(5_000..20_000));
-                return self.put(away, to, None, Happening::Start);
+                return self.put(away, to, None, SimEvent::Start);
             }
-            Happening::ListVms => return self.list_vms(),
-            Happening::FaultsOver => return self.note(FleetEvent::FaultsOver),
+            SimEvent::ListVms => return self.list_vms(),
+            SimEvent::FaultsOver => return self.log_event(FleetEvent::FaultsOver),
             _ => {}
         }
         let process = &self.processes[to];
@@ -293,42 +294,42 @@
         }
         if process.paused_until > self.now {
             let at = process.paused_until;
-            self.queue.put(at, Queued { to, boot, what });
+            self.queue.put(at, QueuedEvent { to, boot, event });
             return;
         }
-        self.take(to, what);
+        self.take(to, event);
     }
 
     fn change(&mut self, to: usize) {
         if self.store.down_until > self.now {
             // The operator's command retries.
-            return self.put(Duration::from_millis(500), to, None, Happening::Change);
+            return self.put(Duration::from_millis(500), to, None, SimEvent::Change);
         }
         let before = self.store.stored.clone();
         let generation = self.store.change();
-        self.store.former = before;
-        self.lag_behind();
-        self.note(FleetEvent::ConfigAccepted { generation });
-        self.tell_watches();
+        self.store.previous = before;
+        self.schedule_stale_pushes();
+        self.log_event(FleetEvent::ConfigAccepted { generation });
+        self.notify_watches();
     }
 
-    pub fn tell_entry(&mut self, index: usize, event: EntryEvent<FleetConfig>) {
+    pub fn step_entry(&mut self, index: usize, event: EntryEvent<FleetConfig>) {
         let local = self.local(index);
         if let Some(MemberNode::Entry(entry)) = &mut self.processes[index].node {
             let actions = entry.handle(event, local);
-            self.act_entry(index, actions);
+            self.execute_entry_actions(index, actions);
         }
-        self.watch_generation(index);
+        self.check_generation(index);
         self.schedule(index);
     }
 
-    pub fn tell_agent(&mut self, index: usize, event: AgentEvent<FleetConfig>) {
+    pub fn step_agent(&mut self, index: usize, event: AgentEvent<FleetConfig>) {
         let local = self.local(index);
         if let Some(MemberNode::Agent(agent)) = &mut self.processes[index].node {
             let actions = agent.handle(event, local);
-            self.act_agent(index, actions);
+            self.execute_agent_actions(index, actions);
         }
-        self.watch_generation(index);
+        self.check_generation(index);
         self.schedule(index);
     }
 }
@@ -356,10 +357,10 @@
         wake_at: ClockTime::NEVER,
         paused_until: ClockTime::ZERO,
         slow_until: ClockTime::ZERO,
-        touched: false,
-        known: Vec::new(),
-        seen: Generation(0),
-        reached: Generation(0),
+        is_affected: false,
+        known_before: Vec::new(),
+        observed_generation: Generation(0),
+        highest_generation: Generation(0),
     }
 }
 
--- a/crates/oatpier-faults/src/membership/lagging.rs
+++ b/crates/oatpier-faults/src/membership/stale_push.rs
@@ -14,39 +14,39 @@
 use oatpier_types::event::FleetEvent;
 use oatpier_types::ids::Generation;
 
-use super::world::{ENTRIES, Happening, MemberNode, MemberWorld, PROCESSES};
+use super::simulation::{ENTRIES, MemberNode, MemberSimulation, PROCESSES, SimEvent};
 
 /// Delay after which a change is in force at every process that no fault affects.
-const LAG: Duration = Duration::from_secs(3);
+const STALE_PUSH_DELAY: Duration = Duration::from_secs(3);
 
 /// Delay of the stale push to a started process: shorter than the time until its first answers arrive.
-const LAG_AT_START: Duration = Duration::from_micros(300);
+const START_STALE_PUSH_DELAY: Duration = Duration::from_micros(300);
 
 /// Number of a call that its sender no longer waits for.
-const FORGOTTEN_CALL: CallNumber = CallNumber(u64::MAX);
+const ABANDONED_CALL: CallNumber = CallNumber(u64::MAX);
 
-impl MemberWorld {
+impl MemberSimulation {
     /// Schedules a delayed push of the previous configuration to each process, to arrive after the later one is in
     /// force.
-    pub fn lag_behind(&mut self) {
-        let Some(former) = self.store.former.clone() else {
+    pub fn schedule_stale_pushes(&mut self) {
+        let Some(previous) = self.store.previous.clone() else {
             return;
         };
         for index in 0..PROCESSES {
-            let after = LAG + Duration::from_millis(17 * index as u64);
-            self.put(after, index, None, Happening::Lagging(former.clone()));
+            let after = STALE_PUSH_DELAY + Duration::from_millis(17 * index as u64);
+            self.put(after, index, None, SimEvent::StalePush(previous.clone()));
         }
     }
 
     /// Schedules a push of the previous configuration as the first message that a restarted process receives.
-    pub fn lag_at_start(&mut self, index: usize) {
-        if let Some(former) = self.store.former.clone() {
-            let lagging = Happening::Lagging(former);
-            self.put(LAG_AT_START, index, None, lagging);
+    pub fn schedule_stale_push_at_start(&mut self, index: usize) {
+        if let Some(previous) = self.store.previous.clone() {
+            let stale_push = SimEvent::StalePush(previous);
+            self.put(START_STALE_PUSH_DELAY, index, None, stale_push);
         }
     }
 
-    pub fn take_lagging(&mut self, index: usize, stored: &StoredConfig<FleetConfig>) {
+    pub fn deliver_stale_push(&mut self, index: usize, stored: &StoredConfig<FleetConfig>) {
         let from = (index + 2) % ENTRIES;
         let push = ConfigPush {
             daemon: self.processes[from].contact.daemon.clone(),
@@ -58,15 +58,15 @@
         };
         let body = PeerCall::Push(Arc::new(push));
         let boot = self.processes[from].boot;
-        self.deliver(index, from, boot, FORGOTTEN_CALL, body);
+        self.deliver(index, from, boot, ABANDONED_CALL, body);
     }
 
     /// Inspects the generation in force at a process, and logs a decrease, which the process itself does not report.
-    pub fn watch_generation(&mut self, index: usize) {
+    pub fn check_generation(&mut self, index: usize) {
         let Some(generation) = self.generation(index) else {
             return;
         };
-        if generation >= self.processes[index].seen {
+        if generation >= self.processes[index].observed_generation {
             return;
         }
         let held = match &self.processes[index].node {
@@ -76,8 +76,8 @@
         };
         let content = held.map_or(0, |held| ConfigPayload::digest(&*held.value));
         let daemon = self.processes[index].contact.daemon.clone();
-        self.processes[index].seen = generation;
-        self.note(FleetEvent::ConfigInForce {
+        self.processes[index].observed_generation = generation;
+        self.log_event(FleetEvent::ConfigInForce {
             daemon,
             generation,
             content,
@@ -86,14 +86,15 @@
 
     /// Records a generation that a process reports as in force. After a restart it must not be older than the
     /// generation that was in force before.
-    pub fn see_generation(&mut self, index: usize, generation: Generation) {
+    pub fn record_generation(&mut self, index: usize, generation: Generation) {
         let process = &mut self.processes[index];
-        let reached = process.reached;
-        process.seen = generation;
-        process.reached = reached.max(generation);
-        if generation < reached {
-            let text =
-                format!("process {index} started on generation {generation}, after {reached}");
+        let highest_generation = process.highest_generation;
+        process.observed_generation = generation;
+        process.highest_generation = highest_generation.max(generation);
+        if generation < highest_generation {
+            let text = format!(
+                "process {index} started on generation {generation}, after {highest_generation}"
+            );
             self.report.findings.push(text);
         }
     }
--- a/crates/oatpier-faults/src/membership/store.rs
+++ b/crates/oatpier-faults/src/membership/store.rs
@@ -23,20 +23,23 @@
 pub struct ConfigStore {
     pub stored: Option<StoredConfig<FleetConfig>>,
     /// The previously stored configuration.
-    pub former: Option<StoredConfig<FleetConfig>>,
+    pub previous: Option<StoredConfig<FleetConfig>>,
     pub watches: Vec<WaitingWatch>,
     pub down_until: ClockTime,
     pub slow_until: ClockTime,
     /// Until then watches stay open without an answer.
-    pub hang_until: ClockTime,
+    pub hung_until: ClockTime,
     /// The process whose watches hang; `None` for all processes.
-    pub hanging: Option<usize>,
+    pub hung_process: Option<usize>,
 }
 
 impl ConfigStore {
     /// Returns whether the watches of a process currently report nothing.
-    pub fn hangs(&self, process: usize, now: ClockTime) -> bool {
-        self.hang_until > now && self.hanging.is_none_or(|hanging| hanging == process)
+    pub fn has_hung_watch(&self, process: usize, now: ClockTime) -> bool {
+        self.hung_until > now
+            && self
+                .hung_process
+                .is_none_or(|hung_process| hung_process == process)
     }
 
     pub fn read(&self, now: ClockTime) -> StoreReply<FleetConfig> {
--- a/crates/oatpier-faults/src/orders/engine.rs
+++ b/crates/oatpier-faults/src/orders/engine.rs
@@ -56,8 +56,8 @@
 
     fn load(&mut self, weights: &WeightsKey, now: ClockTime) {
         let slow = now < self.slow_until;
-        let takes = if slow { LOAD_TIME * 4 } else { LOAD_TIME };
-        let until = now + takes;
+        let latency = if slow { LOAD_TIME * 4 } else { LOAD_TIME };
+        let until = now + latency;
         let entry = self.held.entry(weights.clone());
         let entry = entry.or_insert((WeightsState::Loading, until));
         if entry.0 == WeightsState::Unloading {
@@ -114,7 +114,7 @@
     }
 
     /// Returns whether the engine holds exactly these weights, all ready.
-    pub fn holds_just(&self, wanted: &[WeightsKey]) -> bool {
+    pub fn holds_exactly(&self, wanted: &[WeightsKey]) -> bool {
         self.held.len() == wanted.len() && wanted.iter().all(|weights| self.is_ready(weights))
     }
 }
--- a/crates/oatpier-faults/src/orders/inflict.rs
+++ b/crates/oatpier-faults/src/orders/inject.rs
@@ -8,47 +8,47 @@
 
 use super::engine::OrderedEngine;
 use super::scenario::MEMORY_MIB;
-use super::world::{OrderMessage, OrderWorld};
+use super::simulation::{OrderMessage, OrderSimulation};
 use crate::fault::FaultKind;
 use crate::request::name;
 use crate::step::StepName;
 
 /// How a message is delivered. If several faults apply to it, the greatest value wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub enum MessageFate {
+pub enum MessageDelivery {
     #[default]
-    Kept,
-    Doubled,
-    Crossed,
-    Late,
-    Lost,
+    Normal,
+    Duplicated,
+    Misrouted,
+    Delayed,
+    Dropped,
 }
 
-impl OrderWorld {
+impl OrderSimulation {
     /// Injects the faults that are due when an endpoint reaches `step`, and returns how its message is delivered.
-    pub fn pass(&mut self, step: StepName, index: usize) -> MessageFate {
-        if !self.is_armed(step) {
-            return MessageFate::Kept;
+    pub fn inject_at(&mut self, step: StepName, index: usize) -> MessageDelivery {
+        if !self.is_injectable(step) {
+            return MessageDelivery::Normal;
         }
-        let mut fate = MessageFate::Kept;
-        for fault in self.plan.pass(step) {
+        let mut delivery = MessageDelivery::Normal;
+        for fault in self.plan.take_due(step) {
             match fault {
-                FaultKind::Lost => fate = MessageFate::Lost,
-                FaultKind::Late => fate = MessageFate::Late,
-                FaultKind::Doubled => fate = MessageFate::Doubled,
-                FaultKind::Crossed => fate = MessageFate::Crossed,
-                other => self.inflict(other, index),
+                FaultKind::Lost => delivery = MessageDelivery::Dropped,
+                FaultKind::Late => delivery = MessageDelivery::Delayed,
+                FaultKind::Doubled => delivery = MessageDelivery::Duplicated,
+                FaultKind::Crossed => delivery = MessageDelivery::Misrouted,
+                other => self.inject(other, index),
             }
         }
-        fate
+        delivery
     }
 
-    fn inflict(&mut self, fault: FaultKind, index: usize) {
+    fn inject(&mut self, fault: FaultKind, index: usize) {
         let span = Duration::from_millis(self.random.random_range(1_000..9_000));
         let until = self.now + span;
         match fault {
             FaultKind::Kill => self.kill(index, span),
-            FaultKind::Restart => self.end_agent(index, Duration::from_millis(50)),
+            FaultKind::Restart => self.stop_agent(index, Duration::from_millis(50)),
             FaultKind::Pause => self.pause(index, span),
             FaultKind::LeaseLapsed => {
                 self.pause(index, span);
@@ -73,27 +73,27 @@
 
     /// Ends the agent. With a probability of 0.4 the engine crashes too and loses all weights.
     fn kill(&mut self, index: usize, away: Duration) {
-        self.end_agent(index, away);
+        self.stop_agent(index, away);
         if self.random.random_bool(0.4) {
-            self.note(FleetEvent::Ended {
+            self.log_event(FleetEvent::Ended {
                 name: name(&format!("engine-{index}")),
                 killed: true,
                 cut_off: 0,
             });
-            self.engines[index] = OrderedEngine::new(self.checks, MEMORY_MIB);
+            self.engines[index] = OrderedEngine::new(self.checks_numbers, MEMORY_MIB);
             self.observe();
         }
     }
 
     /// Ends the current agent of an endpoint. Its calls and orders in flight may still take effect.
-    fn end_agent(&mut self, index: usize, away: Duration) {
+    fn stop_agent(&mut self, index: usize, away: Duration) {
         let Some(boot) = self.current[index].take() else {
             return;
         };
-        self.end_work(index);
+        self.end_requests(index);
         // Disabled here, since a removal at the end of the tick would come after its next command.
         if let Some(agent) = self.agents.iter_mut().find(|agent| agent.boot == boot) {
-            agent.awake_from = oatpier_types::clock::ClockTime::NEVER;
+            agent.paused_until = oatpier_types::clock::ClockTime::NEVER;
             agent.boot = BootId(u128::MAX - agent.boot.0);
         }
         self.post(OrderMessage::Start(index), away);
@@ -107,7 +107,7 @@
             .iter_mut()
             .find(|agent| Some(agent.boot) == boot)
         {
-            agent.awake_from = wake;
+            agent.paused_until = wake;
         }
     }
 }
--- a/crates/oatpier-faults/src/orders/mod.rs
+++ b/crates/oatpier-faults/src/orders/mod.rs
@@ -7,17 +7,17 @@
 //! [`OrderIntent`](crate::step::StepName::OrderIntent) they never check them.
 
 mod engine;
-mod inflict;
+mod inject;
 mod network;
 mod scenario;
+mod simulation;
 mod view;
-mod world;
 
-use crate::run::{RunOrder, RunReport};
-use world::OrderWorld;
+use crate::run::{RunReport, RunSpec};
+use simulation::OrderSimulation;
 
 /// Runs the three plans.
 #[must_use]
-pub fn run(order: &RunOrder) -> RunReport {
-    OrderWorld::new(order).run()
+pub fn run(run_spec: &RunSpec) -> RunReport {
+    OrderSimulation::new(run_spec).run()
 }
--- a/crates/oatpier-faults/src/orders/network.rs
+++ b/crates/oatpier-faults/src/orders/network.rs
@@ -11,22 +11,22 @@
 use rand::RngExt;
 use smallvec::SmallVec;
 
-use super::inflict::MessageFate;
+use super::inject::MessageDelivery;
 use super::scenario;
-use super::world::{OrderAgent, OrderMessage, OrderWorld, TICK};
+use super::simulation::{OrderAgent, OrderMessage, OrderSimulation, TICK};
 use crate::run::Bypass;
 use crate::step::StepName;
 
 /// Time that an agent waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-impl OrderWorld {
-    pub fn carry_out(&mut self, place: usize, command: OrderCommand) {
+impl OrderSimulation {
+    pub fn execute_command(&mut self, place: usize, command: OrderCommand) {
         let Some(agent) = self.agents.get(place) else {
             return;
         };
         let OrderAgent { index, boot, .. } = *agent;
-        if agent.awake_from == ClockTime::NEVER {
+        if agent.paused_until == ClockTime::NEVER {
             return;
         }
         match command {
@@ -45,54 +45,57 @@
         } else {
             StepName::OrderIntent
         };
-        let fate = self.pass(step, index);
+        let delivery = self.inject_at(step, index);
         if self.store_down_until > self.now {
             let event = OrderEvent::Record(RecordAnswer::Unavailable);
             return self.post(OrderMessage::Event(boot, event), TICK);
         }
         let slow = self.store_slow_until > self.now;
-        let takes = if slow {
-            self.up_to(Duration::from_millis(800))
+        let latency = if slow {
+            self.random_up_to(Duration::from_millis(800))
         } else {
             TICK
         };
         let is_write = matches!(call, RecordCall::Write { .. });
-        let forgets = is_write && self.answers_to_lose > 0;
-        if forgets || fate == MessageFate::Lost || fate == MessageFate::Late {
-            self.answers_to_lose -= u32::from(forgets);
+        let loses_answer = is_write && self.answers_to_lose > 0;
+        if loses_answer
+            || delivery == MessageDelivery::Dropped
+            || delivery == MessageDelivery::Delayed
+        {
+            self.answers_to_lose -= u32::from(loses_answer);
             let event = OrderEvent::Record(RecordAnswer::AnswerLost);
             self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
-            let seen = fate != MessageFate::Lost || self.random.random_bool(0.5);
-            let late = if fate == MessageFate::Late {
-                self.up_to(Duration::from_secs(5))
+            let seen = delivery != MessageDelivery::Dropped || self.random.random_bool(0.5);
+            let late = if delivery == MessageDelivery::Delayed {
+                self.random_up_to(Duration::from_secs(5))
             } else {
-                takes
+                latency
             };
             if seen {
                 self.post(OrderMessage::StoreCall(index, boot, call, false), late);
             }
             return;
         }
-        if fate == MessageFate::Doubled {
-            let late = self.up_to(Duration::from_secs(5));
+        if delivery == MessageDelivery::Duplicated {
+            let late = self.random_up_to(Duration::from_secs(5));
             self.post(
                 OrderMessage::StoreCall(index, boot, call.clone(), false),
                 late,
             );
         }
-        self.post(OrderMessage::StoreCall(index, boot, call, true), takes);
+        self.post(OrderMessage::StoreCall(index, boot, call, true), latency);
     }
 
     fn send_order(&mut self, index: usize, boot: BootId, order: EngineOrder) {
-        let mut fate = MessageFate::Kept;
+        let mut delivery = MessageDelivery::Normal;
         for step in steps_of(&order) {
-            fate = fate.max(self.pass(step, index));
+            delivery = delivery.max(self.inject_at(step, index));
         }
         let number = order.number;
-        let late = self.up_to(Duration::from_secs(20));
+        let late = self.random_up_to(Duration::from_secs(20));
         let cut_to = self.cut_to[index] > self.now;
         let cut_from = self.cut_from[index] > self.now;
-        match fate {
+        match delivery {
             _ if cut_to => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
                 if self.random.random_bool(0.5) {
@@ -103,50 +106,50 @@
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
                 self.post(OrderMessage::Order(index, boot, order, false), TICK);
             }
-            MessageFate::Lost => {
+            MessageDelivery::Dropped => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
             }
-            MessageFate::Late => {
+            MessageDelivery::Delayed => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
                 self.post(OrderMessage::Order(index, boot, order, false), late);
             }
-            MessageFate::Crossed => {
+            MessageDelivery::Misrouted => {
                 // Reordered: it arrives after later messages, up to 5 s late, and is answered then.
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
                 self.post(OrderMessage::Order(index, boot, order, true), late / 4);
             }
-            MessageFate::Doubled => {
+            MessageDelivery::Duplicated => {
                 self.post(OrderMessage::Order(index, boot, order.clone(), false), late);
                 self.post(OrderMessage::Order(index, boot, order, true), TICK);
             }
-            MessageFate::Kept => {
-                let takes = self.takes(index);
-                self.post(OrderMessage::Order(index, boot, order, true), takes);
+            MessageDelivery::Normal => {
+                let latency = self.latency(index);
+                self.post(OrderMessage::Order(index, boot, order, true), latency);
             }
         }
     }
 
     fn poll(&mut self, index: usize, boot: BootId, ticket: PollTicket) {
-        let fate = self.pass(StepName::OrderPoll, index);
+        let delivery = self.inject_at(StepName::OrderPoll, index);
         let cut = self.cut_to[index] > self.now || self.cut_from[index] > self.now;
-        if cut || fate == MessageFate::Lost {
+        if cut || delivery == MessageDelivery::Dropped {
             let event = OrderEvent::PollFailed { ticket };
             return self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
         }
-        let takes = self.takes(index);
-        match fate {
-            MessageFate::Late => {
+        let latency = self.latency(index);
+        match delivery {
+            MessageDelivery::Delayed => {
                 let event = OrderEvent::PollFailed { ticket };
                 self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
-                let late = self.up_to(Duration::from_secs(6));
+                let late = self.random_up_to(Duration::from_secs(6));
                 self.post(OrderMessage::Poll(index, boot, ticket), late);
             }
-            MessageFate::Doubled => {
-                let late = self.up_to(Duration::from_secs(6));
-                self.post(OrderMessage::Poll(index, boot, ticket), takes);
+            MessageDelivery::Duplicated => {
+                let late = self.random_up_to(Duration::from_secs(6));
+                self.post(OrderMessage::Poll(index, boot, ticket), latency);
                 self.post(OrderMessage::Poll(index, boot, ticket), late);
             }
-            MessageFate::Crossed => {
+            MessageDelivery::Misrouted => {
                 // Answers crossed: the state arrives under the ticket of the previous poll, and this poll fails.
                 let state = Box::new(self.engines[index].state());
                 let former = PollTicket(ticket.0.saturating_sub(1));
@@ -154,18 +157,18 @@
                     ticket: former,
                     state,
                 };
-                self.post(OrderMessage::Event(boot, ticket_event), takes);
+                self.post(OrderMessage::Event(boot, ticket_event), latency);
                 let event = OrderEvent::PollFailed { ticket };
                 self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
             }
-            MessageFate::Kept | MessageFate::Lost => {
-                self.post(OrderMessage::Poll(index, boot, ticket), takes);
+            MessageDelivery::Normal | MessageDelivery::Dropped => {
+                self.post(OrderMessage::Poll(index, boot, ticket), latency);
             }
         }
     }
 
     /// Sends a release request to another agent, or the answer to one.
-    pub fn send_between(&mut self, message: OrderMessage) {
+    pub fn send_release(&mut self, message: OrderMessage) {
         let index = match &message {
             OrderMessage::Ask(index, _) => *index,
             OrderMessage::Answer(answer) => {
@@ -174,33 +177,33 @@
             }
             _ => 0,
         };
-        let fate = self.pass(StepName::MoveRelease, index);
+        let delivery = self.inject_at(StepName::MoveRelease, index);
         let cut = self.cut_to[index] > self.now || self.cut_from[index] > self.now;
-        if cut || fate == MessageFate::Lost {
+        if cut || delivery == MessageDelivery::Dropped {
             return;
         }
-        let late = self.up_to(Duration::from_secs(6));
-        let takes = self.takes(index);
-        match fate {
-            MessageFate::Late => self.post(message, late),
-            MessageFate::Doubled => {
-                self.post(message.clone(), takes);
+        let late = self.random_up_to(Duration::from_secs(6));
+        let latency = self.latency(index);
+        match delivery {
+            MessageDelivery::Delayed => self.post(message, late),
+            MessageDelivery::Duplicated => {
+                self.post(message.clone(), latency);
                 self.post(message, late);
             }
-            MessageFate::Crossed => {
+            MessageDelivery::Misrouted => {
                 if let OrderMessage::Ask(to, ask) = &message {
                     let other = (to + 1) % scenario::ENGINES;
-                    self.post(OrderMessage::Ask(other, ask.clone()), takes);
+                    self.post(OrderMessage::Ask(other, ask.clone()), latency);
                 }
-                self.post(message, takes);
+                self.post(message, latency);
             }
-            MessageFate::Kept | MessageFate::Lost => self.post(message, takes),
+            MessageDelivery::Normal | MessageDelivery::Dropped => self.post(message, latency),
         }
     }
 
-    fn takes(&mut self, index: usize) -> Duration {
+    fn latency(&mut self, index: usize) -> Duration {
         if self.slow_until[index] > self.now {
-            self.up_to(Duration::from_millis(900))
+            self.random_up_to(Duration::from_millis(900))
         } else {
             TICK
         }
@@ -213,9 +216,9 @@
         outcome: OrderOutcome,
         after: Duration,
     ) {
-        let forgets = self.order.omits(Bypass::UnknownOrders);
+        let loses_answer = self.run_spec.bypasses(Bypass::UnknownOrders);
         let outcome = match outcome {
-            OrderOutcome::Unknown if forgets => OrderOutcome::NotSent,
+            OrderOutcome::Unknown if loses_answer => OrderOutcome::NotSent,
             other => other,
         };
         let event = OrderEvent::Answered { number, outcome };
@@ -226,7 +229,7 @@
         self.queue.put(self.now + after, message);
     }
 
-    pub fn up_to(&mut self, span: Duration) -> Duration {
+    pub fn random_up_to(&mut self, span: Duration) -> Duration {
         span.mul_f64(self.random.random_range(0.0..1.0))
     }
 
@@ -280,13 +283,13 @@
         if outcome != OrderOutcome::Taken {
             return outcome;
         }
-        self.note(FleetEvent::OrderTaken {
+        self.log_event(FleetEvent::OrderTaken {
             endpoint: scenario::endpoint(index),
             number: order.number,
             action: order.action.clone(),
         });
         if let OrderAction::Unload { weights } = &order.action
-            && self.is_working(index, weights)
+            && self.has_requests(index, weights)
         {
             let text = format!("{order:?} at engine {index} cut off running requests");
             self.report.findings.push(text);
@@ -298,7 +301,7 @@
     /// Returns the agent if it is not paused. Otherwise the message is queued until it resumes.
     fn awake_agent(&mut self, boot: BootId, message: OrderMessage) -> Option<&mut OrderAgent> {
         let place = self.agents.iter().position(|agent| agent.boot == boot)?;
-        let wake: ClockTime = self.agents[place].awake_from;
+        let wake: ClockTime = self.agents[place].paused_until;
         if wake > self.now {
             self.queue.put(wake, message);
             return None;
--- a/crates/oatpier-faults/src/orders/world.rs
+++ b/crates/oatpier-faults/src/orders/simulation.rs
@@ -18,12 +18,12 @@
 
 use super::engine::OrderedEngine;
 use super::scenario::{self, ENGINES, MEMORY_MIB, MODELS};
-use super::view::{OldView, RunningWork, WorkCount, runs_on};
+use super::view::{RunningRequests, StaleView, WorkCount, has_requests_on};
+use crate::injection::InjectionPlan;
 use crate::queue::EventQueue;
 use crate::request::name;
-use crate::run::{Bypass, RunOrder, RunReport};
+use crate::run::{Bypass, RunReport, RunSpec};
 use crate::step::StepName;
-use crate::strike::StrikePlan;
 
 pub const TICK: Duration = Duration::from_millis(50);
 /// Time at which the second plan comes into force and fault injection starts.
@@ -31,11 +31,11 @@
 /// Time at which the third plan comes into force.
 const THIRD_PLAN: ClockTime = ClockTime::from_millis(30_000);
 /// Time that requests still run on weights after a plan has changed.
-const DRAIN_SPAN: Duration = Duration::from_secs(2);
+const REQUEST_DURATION: Duration = Duration::from_secs(2);
 /// The earliest end of a run: messages may be in flight until then.
-const SETTLED_FROM: ClockTime = ClockTime::from_millis(60_000);
+const EARLIEST_END: ClockTime = ClockTime::from_millis(60_000);
 /// The latest end of a run.
-const LAST_MOMENT: ClockTime = ClockTime::from_millis(400_000);
+const RUN_END: ClockTime = ClockTime::from_millis(400_000);
 
 #[derive(Debug, Clone)]
 pub enum OrderMessage {
@@ -54,14 +54,14 @@
     pub keeper: OrderKeeper,
     pub releases: ReleaseKeeper,
     pub stepper: MoveStepper,
-    pub awake_from: ClockTime,
+    pub paused_until: ClockTime,
     view: Vec<(EndpointName, Vec<WeightsKey>)>,
     view_until: ClockTime,
 }
 
-pub struct OrderWorld {
-    pub order: RunOrder,
-    pub plan: StrikePlan,
+pub struct OrderSimulation {
+    pub run_spec: RunSpec,
+    pub plan: InjectionPlan,
     pub random: ChaCha8Rng,
     pub now: ClockTime,
     pub config: FleetConfig,
@@ -80,30 +80,30 @@
     pub cut_from: [ClockTime; ENGINES],
     pub slow_until: [ClockTime; ENGINES],
     /// Requests that run since the plan changed.
-    work: Vec<RunningWork>,
+    work: Vec<RunningRequests>,
     boots: u64,
-    pub checks: bool,
-    served: Vec<u32>,
+    pub checks_numbers: bool,
+    ready_replicas: Vec<u32>,
     used: Vec<u64>,
     pub report: RunReport,
 }
 
-impl OrderWorld {
-    pub fn new(order: &RunOrder) -> Self {
+impl OrderSimulation {
+    pub fn new(run_spec: &RunSpec) -> Self {
         // With engines that check order numbers, agents write no intents to the store.
-        let intents = order
-            .strikes
+        let intents = run_spec
+            .injections
             .iter()
-            .any(|strike| strike.step == StepName::OrderIntent);
-        let checks = order.seed.is_multiple_of(2) && !intents;
-        let mut world = Self {
-            plan: order.plan(),
-            random: order.generator(),
-            order: order.clone(),
+            .any(|injection| injection.step == StepName::OrderIntent);
+        let checks_numbers = run_spec.seed.is_multiple_of(2) && !intents;
+        let mut simulation = Self {
+            plan: run_spec.plan(),
+            random: run_spec.generator(),
+            run_spec: run_spec.clone(),
             now: ClockTime::ZERO,
-            config: scenario::config("v1", checks),
+            config: scenario::config("v1", checks_numbers),
             rows: scenario::first_plan(),
-            engines: vec![OrderedEngine::new(checks, MEMORY_MIB); ENGINES],
+            engines: vec![OrderedEngine::new(checks_numbers, MEMORY_MIB); ENGINES],
             agents: Vec::new(),
             current: vec![None; ENGINES],
             store: vec![None; ENGINES],
@@ -116,31 +116,31 @@
             slow_until: [ClockTime::ZERO; ENGINES],
             work: Vec::new(),
             boots: 0,
-            checks,
-            served: vec![0; MODELS.len()],
+            checks_numbers,
+            ready_replicas: vec![0; MODELS.len()],
             used: vec![0; ENGINES],
             report: RunReport::default(),
         };
         for index in 0..ENGINES {
-            world.start_agent(index);
+            simulation.start_agent(index);
         }
-        world
+        simulation
     }
 
     pub fn run(mut self) -> RunReport {
-        while self.now < LAST_MOMENT {
+        while self.now < RUN_END {
             self.now = self.now + TICK;
             if self.now == SECOND_PLAN {
-                self.config = scenario::config("v2", self.checks);
+                self.config = scenario::config("v2", self.checks_numbers);
                 self.rows = scenario::second_plan();
-                self.begin_work();
+                self.start_requests();
             }
             if self.now == THIRD_PLAN {
                 self.rows = scenario::third_plan();
-                self.begin_work();
+                self.start_requests();
             }
             self.tick();
-            if self.now >= SETTLED_FROM && self.is_settled() {
+            if self.now >= EARLIEST_END && self.is_settled() {
                 break;
             }
         }
@@ -150,7 +150,7 @@
                 .findings
                 .push(format!("the last plan was not completed: {held:?}"));
         }
-        self.report.struck = self.plan.is_spent();
+        self.report.all_injected = self.plan.is_exhausted();
         self.report
     }
 
@@ -170,17 +170,17 @@
 
     fn is_settled(&self) -> bool {
         let mut rows = self.rows.iter().zip(&self.engines);
-        rows.all(|(row, engine)| engine.holds_just(&row.weights))
+        rows.all(|(row, engine)| engine.holds_exactly(&row.weights))
     }
 
     /// Returns whether faults may be injected at a step yet.
-    pub fn is_armed(&self, step: StepName) -> bool {
+    pub fn is_injectable(&self, step: StepName) -> bool {
         step == StepName::StartEpoch || self.now >= SECOND_PLAN
     }
 
     /// Starts requests on all weights that accept new ones when a plan comes into force.
-    fn begin_work(&mut self) {
-        let (now, until) = (self.now, self.now + DRAIN_SPAN);
+    fn start_requests(&mut self) {
+        let (now, until) = (self.now, self.now + REQUEST_DURATION);
         let current = &self.current;
         let present = self.agents.iter();
         let present = present.filter(|agent| current[agent.index] == Some(agent.boot));
@@ -191,7 +191,7 @@
                 let taken = held.filter(|weights| {
                     agent.stepper.takes_new(weights) && !agent.keeper.may_vanish(weights, now)
                 });
-                taken.map(|weights| RunningWork {
+                taken.map(|weights| RunningRequests {
                     index: agent.index,
                     weights,
                     until,
@@ -201,22 +201,22 @@
     }
 
     /// Ends the requests at an endpoint, which end with its agent.
-    pub fn end_work(&mut self, index: usize) {
+    pub fn end_requests(&mut self, index: usize) {
         self.work.retain(|work| work.index != index);
     }
 
     /// Returns whether requests run on weights of an endpoint.
-    pub fn is_working(&self, index: usize, weights: &WeightsKey) -> bool {
-        runs_on(&self.work, index, weights, self.now)
+    pub fn has_requests(&self, index: usize, weights: &WeightsKey) -> bool {
+        has_requests_on(&self.work, index, weights, self.now)
     }
 
     pub fn start_agent(&mut self, index: usize) {
-        self.end_work(index);
+        self.end_requests(index);
         self.boots += 1;
         let boot = BootId(u128::from(self.boots));
         self.current[index] = Some(boot);
-        let mut settings = OrderSettings::new(self.checks, MEMORY_MIB);
-        if self.order.omits(Bypass::UnknownOrders) {
+        let mut settings = OrderSettings::new(self.checks_numbers, MEMORY_MIB);
+        if self.run_spec.bypasses(Bypass::UnknownOrders) {
             settings.late_order_hold = Duration::ZERO;
         }
         let endpoint = scenario::endpoint(index);
@@ -224,9 +224,9 @@
             index,
             boot,
             keeper: OrderKeeper::new(settings, boot),
-            releases: ReleaseKeeper::new(endpoint, boot, self.order.seed + self.boots),
+            releases: ReleaseKeeper::new(endpoint, boot, self.run_spec.seed + self.boots),
             stepper: MoveStepper::new(),
-            awake_from: self.now,
+            paused_until: self.now,
             view: Vec::new(),
             view_until: ClockTime::ZERO,
         });
@@ -247,7 +247,7 @@
     }
 
     fn run_agent(&mut self, place: usize) {
-        if self.agents[place].awake_from > self.now {
+        if self.agents[place].paused_until > self.now {
             return;
         }
         self.refresh_view(place);
@@ -256,11 +256,11 @@
             keeper, releases, ..
         } = &mut self.agents[place];
         for reply in releases.replies(keeper, self.now) {
-            self.send_between(OrderMessage::Answer(reply.answer));
+            self.send_release(OrderMessage::Answer(reply.answer));
         }
         let commands = self.agents[place].keeper.commands(&self.config, self.now);
         for command in commands {
-            self.carry_out(place, command);
+            self.execute_command(place, command);
         }
     }
 
@@ -268,7 +268,7 @@
         for _ in 0..4 {
             let now = self.now;
             let agent = &mut self.agents[place];
-            let replicas = OldView(&agent.view, agent.index);
+            let replicas = StaleView(&agent.view, agent.index);
             let attempts = WorkCount(&self.work, agent.index, now);
             let input = StepInput {
                 plan: &self.rows[agent.index],
@@ -292,7 +292,7 @@
     fn take_step(&mut self, place: usize, step: PlacementStep) {
         match step {
             PlacementStep::AskRelease { to, ask } => {
-                if self.order.omits(Bypass::Release) {
+                if self.run_spec.bypasses(Bypass::Release) {
                     let answer = ReleaseAnswer {
                         boot: ask.boot,
                         sequence: ask.sequence,
@@ -303,12 +303,12 @@
                 }
                 let to = (0..ENGINES).find(|index| scenario::endpoint(*index) == to);
                 if let Some(to) = to {
-                    self.send_between(OrderMessage::Ask(to, ask));
+                    self.send_release(OrderMessage::Ask(to, ask));
                 }
             }
             PlacementStep::StartDrain(_) => {
                 let index = self.agents[place].index;
-                self.pass(StepName::MoveDrain, index);
+                self.inject_at(StepName::MoveDrain, index);
             }
             PlacementStep::Ordered(_) | PlacementStep::ResumeServing(_) => {}
         }
@@ -330,7 +330,7 @@
         self.agents[place].view_until = self.now + lag;
     }
 
-    pub fn note(&mut self, event: FleetEvent) {
+    pub fn log_event(&mut self, event: FleetEvent) {
         let at = self.now;
         self.report.log.push(LoggedEvent { at, event });
     }
@@ -340,7 +340,7 @@
         for index in 0..ENGINES {
             let used_mib = self.engines[index].used_mib(&self.config);
             if std::mem::replace(&mut self.used[index], used_mib) != used_mib {
-                self.note(FleetEvent::MemoryUsed {
+                self.log_event(FleetEvent::MemoryUsed {
                     endpoint: scenario::endpoint(index),
                     used_mib,
                     total_mib: MEMORY_MIB,
@@ -355,8 +355,8 @@
                 .filter(|engine| engine.serves(&model))
                 .count();
             let count = u32::try_from(serving).unwrap_or(u32::MAX);
-            if std::mem::replace(&mut self.served[place], count) != count {
-                self.note(FleetEvent::ReplicasReady { model, count });
+            if std::mem::replace(&mut self.ready_replicas[place], count) != count {
+                self.log_event(FleetEvent::ReplicasReady { model, count });
             }
         }
     }
--- a/crates/oatpier-faults/src/orders/view.rs
+++ b/crates/oatpier-faults/src/orders/view.rs
@@ -7,9 +7,9 @@
 use smallvec::SmallVec;
 
 /// An agent's outdated view of the ready weights of all endpoints, and the index of its own.
-pub struct OldView<'a>(pub &'a [(EndpointName, Vec<WeightsKey>)], pub usize);
+pub struct StaleView<'a>(pub &'a [(EndpointName, Vec<WeightsKey>)], pub usize);
 
-impl ReplicaCount for OldView<'_> {
+impl ReplicaCount for StaleView<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let others = self.0.iter().enumerate();
         let others =
@@ -30,23 +30,28 @@
 
 /// Requests that run on weights of an endpoint until a given time.
 #[derive(Debug, Clone)]
-pub struct RunningWork {
+pub struct RunningRequests {
     pub index: usize,
     pub weights: WeightsKey,
     pub until: ClockTime,
 }
 
 /// The running requests, the index of one endpoint, and the current time.
-pub struct WorkCount<'a>(pub &'a [RunningWork], pub usize, pub ClockTime);
+pub struct WorkCount<'a>(pub &'a [RunningRequests], pub usize, pub ClockTime);
 
 impl AttemptCount for WorkCount<'_> {
     fn in_flight(&self, weights: &WeightsKey) -> u32 {
-        u32::from(runs_on(self.0, self.1, weights, self.2))
+        u32::from(has_requests_on(self.0, self.1, weights, self.2))
     }
 }
 
 /// Returns whether requests run on weights of an endpoint.
-pub fn runs_on(work: &[RunningWork], index: usize, weights: &WeightsKey, now: ClockTime) -> bool {
+pub fn has_requests_on(
+    work: &[RunningRequests],
+    index: usize,
+    weights: &WeightsKey,
+    now: ClockTime,
+) -> bool {
     let mut work = work.iter();
     work.any(|work| work.index == index && work.weights == *weights && work.until > now)
 }
--- a/crates/oatpier-faults/src/report.rs
+++ b/crates/oatpier-faults/src/report.rs
@@ -69,7 +69,7 @@
     text
 }
 
-fn word(outcome: CellOutcome) -> &'static str {
+fn outcome_text(outcome: CellOutcome) -> &'static str {
     match outcome {
         CellOutcome::Passed => "passed",
         CellOutcome::Failed => "FAILED",
@@ -93,8 +93,8 @@
             let found = cells
                 .iter()
                 .find(|cell| cell.fault == fault.as_str() && cell.step == name);
-            let word = found.map_or("MISSING", |cell| word(cell.outcome));
-            let _ = write!(text, " {word:>13}");
+            let outcome = found.map_or("MISSING", |cell| outcome_text(cell.outcome));
+            let _ = write!(text, " {outcome:>13}");
         }
         text.push('\n');
     }
@@ -104,7 +104,7 @@
 fn render_pairs(text: &mut String, cells: &[MatrixCell]) {
     let _ = writeln!(text, "{:<50} {:<44} {:>8}", "two faults", "steps", "");
     for cell in cells.iter().filter(|cell| cell.fault.contains(" + ")) {
-        let outcome = word(cell.outcome);
+        let outcome = outcome_text(cell.outcome);
         let _ = writeln!(text, "{:<50} {:<44} {outcome:>8}", cell.fault, cell.step);
     }
     text.push('\n');
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -14,8 +14,8 @@
 
 use super::entry::copy_refusal;
 use super::fleet;
-use super::message::{AGENTS, AnswerFrame, CallWord, ENTRIES, FIRST_AGENT, Message, NodeId};
-use super::world::RequestWorld;
+use super::message::{AGENTS, AnswerFrame, CallUpdate, ENTRIES, FIRST_AGENT, Message, NodeId};
+use super::simulation::RequestSimulation;
 use crate::run::Bypass;
 use crate::step::StepName;
 
@@ -36,7 +36,7 @@
 /// The state of an agent since its last start.
 pub struct AgentNode {
     pub policy: AgentPolicy,
-    pub told: bool,
+    pub is_leaving: bool,
     held: BTreeMap<AttemptId, HeldAttempt>,
 }
 
@@ -44,7 +44,7 @@
     pub fn new(boot: BootId) -> Self {
         Self {
             policy: AgentPolicy::new(boot, AdmissionLimits::for_slots(SLOTS)),
-            told: false,
+            is_leaving: false,
             held: BTreeMap::new(),
         }
     }
@@ -55,7 +55,7 @@
     }
 }
 
-impl RequestWorld {
+impl RequestSimulation {
     pub fn set_up_agent(&mut self, agent: NodeId) {
         let boot = BootId(self.nodes[agent].boot.into());
         self.agents[agent - FIRST_AGENT] = AgentNode::new(boot);
@@ -70,12 +70,12 @@
         self.step_agent(agent, AgentEvent::ReadyChanged { ready, loading });
         let up = self.nodes[agent + AGENTS].up;
         self.step_agent(agent, AgentEvent::EndpointUp { up });
-        self.tell_status(agent);
+        self.send_status(agent);
     }
 
-    pub fn tell_status(&mut self, agent: NodeId) {
+    pub fn send_status(&mut self, agent: NodeId) {
         let state = self.nodes[agent];
-        if !state.up || state.paused_until > self.now || self.is_hushed(agent) {
+        if !state.up || state.paused_until > self.now || self.is_status_suppressed(agent) {
             return;
         }
         let now = self.now;
@@ -98,7 +98,7 @@
         }
     }
 
-    pub fn agent_takes(&mut self, agent: NodeId, from: NodeId, message: Message) {
+    pub fn handle_agent_message(&mut self, agent: NodeId, from: NodeId, message: Message) {
         match message {
             Message::Attempt { spec, ticket, key } => self.admit(agent, from, spec, ticket, key),
             Message::Cancel {
@@ -106,10 +106,12 @@
                 attempt,
                 ticket,
                 seal_only,
-            } => self.take_cancel(agent, from, request, attempt, ticket, seal_only),
-            Message::Word { attempt, word } => self.take_word(agent, attempt, word),
-            Message::EntryGone(attempt) => self.take_entry_gone(agent, attempt),
-            Message::Leave => self.take_leave(agent),
+            } => self.handle_cancel(agent, from, request, attempt, ticket, seal_only),
+            Message::CallUpdate { attempt, update } => {
+                self.handle_call_update(agent, attempt, update)
+            }
+            Message::EntryGone(attempt) => self.handle_entry_gone(agent, attempt),
+            Message::Leave => self.handle_leave(agent),
             _ => {}
         }
     }
@@ -138,14 +140,14 @@
         }
         let spec = *spec;
         self.step_agent(agent, AgentEvent::Arrive { spec, ticket });
-        self.pass(StepName::Admit, entry, agent);
+        self.inject_at(StepName::Admit, entry, agent);
         let held = self.agents[agent - FIRST_AGENT].held.get(&attempt);
         if self.nodes[agent].up && held.is_some_and(|held| !held.running) {
-            self.pass(StepName::Queue, entry, agent);
+            self.inject_at(StepName::Queue, entry, agent);
         }
     }
 
-    fn take_cancel(
+    fn handle_cancel(
         &mut self,
         agent: NodeId,
         entry: NodeId,
@@ -156,7 +158,7 @@
     ) {
         let held = self.agents[agent - FIRST_AGENT].held.get(&attempt);
         let running = held.is_some_and(|held| held.running);
-        let verdict = if held.is_none() && self.order.omits(Bypass::Tombstone) {
+        let verdict = if held.is_none() && self.run_spec.bypasses(Bypass::Tombstone) {
             RunVerdict::NotRun
         } else if running && seal_only {
             RunVerdict::MayHaveRun
@@ -183,28 +185,28 @@
         if verdict == RunVerdict::NotRun {
             self.agents[agent - FIRST_AGENT].held.remove(&attempt);
         }
-        self.carry_out(agent, actions);
+        self.execute_agent_actions(agent, actions);
         verdict
     }
 
     /// Cancels the attempt of an entry that is gone if it is queued or runs at an engine; a call to a service continues.
-    fn take_entry_gone(&mut self, agent: NodeId, attempt: AttemptId) {
+    fn handle_entry_gone(&mut self, agent: NodeId, attempt: AttemptId) {
         if let Some(held) = self.agents[agent - FIRST_AGENT].held.get(&attempt) {
             let ticket = held.ticket;
             self.cancel(agent, attempt, ticket);
         }
     }
 
-    fn take_word(&mut self, agent: NodeId, attempt: AttemptId, word: CallWord) {
+    fn handle_call_update(&mut self, agent: NodeId, attempt: AttemptId, update: CallUpdate) {
         let held = self.agents[agent - FIRST_AGENT].held.get_mut(&attempt);
         let request = held.as_ref().map(|held| held.spec.request);
         let first = held.is_some_and(|held| !std::mem::replace(&mut held.begun, true));
-        let event = match word {
-            CallWord::Up(up) => AgentEvent::EndpointUp { up },
-            CallWord::Piece(_) if first => AgentEvent::EndpointFirstToken { attempt },
-            CallWord::Piece(_) => AgentEvent::EndpointPiece { attempt, tokens: 1 },
-            CallWord::End => AgentEvent::EndpointEnded { attempt },
-            CallWord::Failed(verdict) => AgentEvent::EndpointFailed { attempt, verdict },
+        let event = match update {
+            CallUpdate::Up(up) => AgentEvent::EndpointUp { up },
+            CallUpdate::Piece(_) if first => AgentEvent::EndpointFirstToken { attempt },
+            CallUpdate::Piece(_) => AgentEvent::EndpointPiece { attempt, tokens: 1 },
+            CallUpdate::End => AgentEvent::EndpointEnded { attempt },
+            CallUpdate::Failed(verdict) => AgentEvent::EndpointFailed { attempt, verdict },
         };
         self.step_agent(agent, event);
         let Some(content) = request else {
@@ -213,16 +215,16 @@
         let report = self.agents[agent - FIRST_AGENT]
             .policy
             .queue_report(self.now);
-        match word {
-            CallWord::Piece(place) => {
+        match update {
+            CallUpdate::Piece(place) => {
                 if first {
                     self.frame(agent, attempt, AnswerFrame::Head(report));
                 }
                 self.frame(agent, attempt, AnswerFrame::Piece { place, content });
             }
-            CallWord::End => self.frame(agent, attempt, AnswerFrame::End(report)),
-            CallWord::Failed(verdict) => self.frame(agent, attempt, AnswerFrame::Failed(verdict)),
-            CallWord::Up(_) => {}
+            CallUpdate::End => self.frame(agent, attempt, AnswerFrame::End(report)),
+            CallUpdate::Failed(verdict) => self.frame(agent, attempt, AnswerFrame::Failed(verdict)),
+            CallUpdate::Up(_) => {}
         }
     }
 
@@ -254,14 +256,14 @@
     pub fn step_agent(&mut self, agent: NodeId, event: AgentEvent) {
         let now = self.now;
         let actions = self.agents[agent - FIRST_AGENT].policy.step(event, now);
-        self.carry_out(agent, actions);
+        self.execute_agent_actions(agent, actions);
     }
 
     pub fn wake_agent(&mut self, agent: NodeId) {
         self.step_agent(agent, AgentEvent::Timer);
     }
 
-    fn carry_out(&mut self, agent: NodeId, actions: AgentActions) {
+    fn execute_agent_actions(&mut self, agent: NodeId, actions: AgentActions) {
         for action in actions {
             if !self.nodes[agent].up {
                 return;
@@ -273,7 +275,7 @@
                 AgentAction::Start { attempt, .. } => self.start_call(agent, attempt),
                 AgentAction::Refuse { attempt, refusal } => {
                     if refusal.cause == RefusalCause::Leaving {
-                        self.pass(StepName::StopRefuse, 0, agent);
+                        self.inject_at(StepName::StopRefuse, 0, agent);
                     }
                     self.frame(agent, attempt, AnswerFrame::Refused(refusal, report));
                 }
@@ -281,7 +283,7 @@
                     self.answer_copy(agent, attempt, AnswerFrame::Refused(copy_refusal(), report));
                 }
                 AgentAction::CancelAtEndpoint { attempt } => self.stop_call(agent, attempt),
-                // A drained process exits once its last answer was sent: see `watch_stop`.
+                // A drained process exits once its last answer was sent: see `check_stop`.
                 AgentAction::Cancelled { .. } | AgentAction::Drained => {}
             }
         }
@@ -301,7 +303,7 @@
             frame,
         };
         if self.nodes[connection.entry].up {
-            self.put_directly(
+            self.post_directly(
                 agent,
                 connection.entry,
                 message,
--- a/crates/oatpier-faults/src/request/caller.rs
+++ b/crates/oatpier-faults/src/request/caller.rs
@@ -10,13 +10,13 @@
 use rand::RngExt;
 
 use super::fleet::JobKind;
-use super::message::{CALLERS, ENTRIES, Happening, Message, NodeId};
-use super::network::{Treatment, sibling};
-use super::world::RequestWorld;
+use super::message::{CALLERS, ENTRIES, Message, NodeId, SimEvent};
+use super::network::{MessageDelivery, sibling};
+use super::simulation::RequestSimulation;
 use crate::step::StepName;
 
 /// Number of tries after which a caller gives up.
-const MOST_TRIES: u32 = 60;
+const MAX_TRIES: u32 = 60;
 
 /// A unit of work of a caller, which may need several requests.
 #[derive(Debug, Clone, Copy)]
@@ -40,31 +40,31 @@
     pub content: Option<RequestId>,
 }
 
-impl RequestWorld {
-    pub fn plan_jobs(&mut self) {
-        let leaves = self.hits(StepName::Cancel);
+impl RequestSimulation {
+    pub fn schedule_jobs(&mut self) {
+        let leaves = self.targets(StepName::Cancel);
         for number in 0..9 {
             let kind = [JobKind::Change, JobKind::Stream, JobKind::Fetch][number % 3];
-            let late = self.draw_millis(0, 60);
+            let late = self.random_millis(0, 60);
             let gone = leaves && number < 3;
-            self.plan_job(kind, late, gone);
+            self.schedule_job(kind, late, gone);
         }
         let is_stop = self.stop.is_some();
         for number in 0..if is_stop { 45 } else { 0 } {
             let kind = [JobKind::Change, JobKind::Stream, JobKind::Fetch][number % 3];
-            let late = self.draw_millis(60, 1_500);
-            self.plan_job(kind, late, false);
+            let late = self.random_millis(60, 1_500);
+            self.schedule_job(kind, late, false);
         }
     }
 
     /// Schedules one job of each kind after the faults: it must be served normally.
-    pub fn plan_last_jobs(&mut self) {
+    pub fn schedule_final_jobs(&mut self) {
         for kind in [JobKind::Change, JobKind::Stream, JobKind::Fetch] {
-            self.plan_job(kind, Duration::from_millis(200), false);
+            self.schedule_job(kind, Duration::from_millis(200), false);
         }
     }
 
-    fn plan_job(&mut self, kind: JobKind, late: Duration, leaves: bool) {
+    fn schedule_job(&mut self, kind: JobKind, late: Duration, leaves: bool) {
         let place = self.jobs.len();
         self.jobs.push(Job {
             kind,
@@ -72,11 +72,10 @@
             tries: 0,
             done: false,
         });
-        self.queue.put(self.now + late, Happening::Submit(place));
+        self.queue.put(self.now + late, SimEvent::Submit(place));
         if leaves {
-            let gone = late + self.draw_millis(2, 60);
-            self.queue
-                .put(self.now + gone, Happening::CallerGone(place));
+            let gone = late + self.random_millis(2, 60);
+            self.queue.put(self.now + gone, SimEvent::CallerGone(place));
         }
     }
 
@@ -92,22 +91,22 @@
             .find(|entry| ready(*entry))
         else {
             let later = self.now + Duration::from_millis(100);
-            self.queue.put(later, Happening::Submit(place));
+            self.queue.put(later, SimEvent::Submit(place));
             return;
         };
         self.jobs[place].tries += 1;
-        if job.tries >= MOST_TRIES {
+        if job.tries >= MAX_TRIES {
             return;
         }
-        let treatment = self.pass(StepName::Intake, CALLERS, entry);
-        self.submit_to(place, entry, treatment);
-        if treatment == Treatment::Double {
+        let delivery = self.inject_at(StepName::Intake, CALLERS, entry);
+        self.submit_to(place, entry, delivery);
+        if delivery == MessageDelivery::Duplicated {
             // The caller, or the load balancer in front of the entries, sends the request twice.
-            self.submit_to(place, sibling(entry), Treatment::Deliver);
+            self.submit_to(place, sibling(entry), MessageDelivery::Normal);
         }
     }
 
-    fn submit_to(&mut self, place: usize, entry: NodeId, treatment: Treatment) {
+    fn submit_to(&mut self, place: usize, entry: NodeId, delivery: MessageDelivery) {
         let job = self.jobs[place];
         let request = RequestId(1 + self.submissions.len() as u128);
         let submission = Submission {
@@ -120,7 +119,7 @@
         };
         self.submissions.insert(request, submission);
         let once = job.kind == JobKind::Change;
-        self.note(FleetEvent::RequestSent {
+        self.log_event(FleetEvent::RequestSent {
             request,
             repeat: if once {
                 Repeat::AtMostOnce
@@ -130,12 +129,12 @@
             key: once.then_some(job.key),
         });
         let message = Message::Submit(request);
-        if !self.nodes[entry].up || treatment == Treatment::Lose {
-            let after = self.draw_millis(100, 1_500);
+        if !self.nodes[entry].up || delivery == MessageDelivery::Dropped {
+            let after = self.random_millis(100, 1_500);
             return self.submit_lost(request, after);
         }
-        let late = if treatment == Treatment::Delay {
-            self.draw_millis(50, 2_500)
+        let late = if delivery == MessageDelivery::Delayed {
+            self.random_millis(50, 2_500)
         } else {
             Duration::from_millis(1)
         };
@@ -144,10 +143,10 @@
             .get(&(CALLERS, entry))
             .is_some_and(|until| *until > self.now)
         {
-            let after = self.draw_millis(100, 1_500);
+            let after = self.random_millis(100, 1_500);
             return self.submit_lost(request, after);
         }
-        self.put_directly(CALLERS, entry, message, late);
+        self.post_directly(CALLERS, entry, message, late);
     }
 
     /// Ends the caller's connection of a request that never arrived at its entry.
@@ -158,7 +157,7 @@
         };
         let place = submission.job;
         self.answered(request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
-        self.queue.put(self.now + after, Happening::Submit(place));
+        self.queue.put(self.now + after, SimEvent::Submit(place));
     }
 
     pub fn caller_gone(&mut self, place: usize) {
@@ -169,7 +168,7 @@
             .map(|(request, submission)| (*request, submission.entry))
             .collect();
         for (request, entry) in open {
-            self.tell_request(
+            self.step_request(
                 entry,
                 request,
                 &oatpier_policy::event::EntryEvent::CallerGone,
@@ -204,11 +203,11 @@
             FinalCause::CallerGone => AnswerEnd::CallerGone,
             _ => AnswerEnd::Error,
         };
-        let told = matches!(
+        let settled = matches!(
             answer.cause,
             FinalCause::Complete | FinalCause::Refused(RefusalCause::KeyUsed)
         );
-        self.answered(request, end, answer.verdict, told);
+        self.answered(request, end, answer.verdict, settled);
     }
 
     /// Records the end of an answer at its caller. If `settled` is true, the caller does not retry.
@@ -224,7 +223,7 @@
         };
         submission.answered = true;
         let (place, content) = (submission.job, submission.content);
-        self.note(FleetEvent::AnswerEnded {
+        self.log_event(FleetEvent::AnswerEnded {
             request,
             content_of: content,
             end,
@@ -236,6 +235,6 @@
             return;
         }
         let wait = Duration::from_millis(self.random.random_range(150..500));
-        self.queue.put(self.now + wait, Happening::Submit(place));
+        self.queue.put(self.now + wait, SimEvent::Submit(place));
     }
 }
--- a/crates/oatpier-faults/src/request/claims.rs
+++ b/crates/oatpier-faults/src/request/claims.rs
@@ -17,32 +17,32 @@
 use oatpier_types::ids::{BootId, RequestId, Revision};
 use oatpier_types::verdict::RunVerdict;
 
-use super::inflict::daemon;
-use super::message::{CALLERS, Happening, Message, NodeId};
-use super::network::Treatment;
-use super::world::RequestWorld;
+use super::inject::daemon;
+use super::message::{CALLERS, Message, NodeId, SimEvent};
+use super::network::MessageDelivery;
+use super::simulation::RequestSimulation;
 use crate::run::Bypass;
 use crate::step::StepName;
 
 /// Time that an entry waits for the claimer of another entry before it asks its own.
-const ASK_AGAIN: Duration = Duration::from_millis(800);
+const ASK_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of claimers that are asked for one claim.
-const MOST_ASKS: u32 = 3;
+const MAX_ASKS: u32 = 3;
 /// Interval at which a settlement is sent again until it is recorded.
-const SETTLE_AGAIN: Duration = Duration::from_millis(500);
+const SETTLE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy)]
 struct OpenAsk {
     ask: ClaimAsk,
     tries: u32,
-    again_at: ClockTime,
+    retry_at: ClockTime,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Settlement {
     key: u64,
     verdict: RunVerdict,
-    again_at: ClockTime,
+    retry_at: ClockTime,
 }
 
 /// The claims of an entry, and the claimer in the same process.
@@ -66,7 +66,7 @@
     }
 
     pub fn next_timer(&self) -> ClockTime {
-        let asks = self.asks.values().map(|ask| ask.again_at).min();
+        let asks = self.asks.values().map(|ask| ask.retry_at).min();
         self.log.next_timer().min(asks.unwrap_or(ClockTime::NEVER))
     }
 
@@ -78,7 +78,7 @@
 
 /// A modelled store that holds the segments of the claim log.
 #[derive(Debug, Default)]
-pub struct ModelStore {
+pub struct SegmentStore {
     values: BTreeMap<String, (Vec<u8>, Revision)>,
     revision: Revision,
     pub down_until: ClockTime,
@@ -88,7 +88,7 @@
     pub claimer: NodeId,
 }
 
-impl ModelStore {
+impl SegmentStore {
     fn take(&mut self, action: &ClaimAction) -> StoreAnswer {
         match action {
             ClaimAction::WriteSegment {
@@ -137,10 +137,10 @@
     }
 }
 
-impl RequestWorld {
+impl RequestSimulation {
     pub fn claim(&mut self, entry: NodeId, request: RequestId, key: u64) {
-        if self.order.omits(Bypass::Claim) {
-            return self.tell_request(entry, request, &EntryEvent::ClaimGranted, None);
+        if self.run_spec.bypasses(Bypass::Claim) {
+            return self.step_request(entry, request, &EntryEvent::ClaimGranted, None);
         }
         let ask = ClaimAsk {
             key: KeyHash(key.into()),
@@ -155,20 +155,20 @@
         let open = OpenAsk {
             ask,
             tries,
-            again_at: self.now + ASK_AGAIN,
+            retry_at: self.now + ASK_TIMEOUT,
         };
         self.entries[entry].claims.asks.insert(ask.request, open);
-        self.say(StepName::Claim, entry, claimer, Message::Ask(ask));
+        self.send_to_claimer(StepName::Claim, entry, claimer, Message::Ask(ask));
     }
 
     /// Sends a message between an entry and a claimer, which may be in the same process.
-    fn say(&mut self, step: StepName, from: NodeId, to: NodeId, message: Message) {
+    fn send_to_claimer(&mut self, step: StepName, from: NodeId, to: NodeId, message: Message) {
         if from != to {
             return self.send(Some(step), from, to, message);
         }
-        let treatment = self.pass(step, from, to);
-        if treatment != Treatment::Lose && self.nodes[to].up {
-            self.put_directly(from, to, message, Duration::from_micros(10));
+        let delivery = self.inject_at(step, from, to);
+        if delivery != MessageDelivery::Dropped && self.nodes[to].up {
+            self.post_directly(from, to, message, Duration::from_micros(10));
         }
     }
 
@@ -178,7 +178,7 @@
         let settlement = Settlement {
             key,
             verdict,
-            again_at: self.now,
+            retry_at: self.now,
         };
         claims.settlements.insert(request, settlement);
         self.send_settlements(entry);
@@ -191,10 +191,10 @@
         }
         let now = self.now;
         let open = self.entries[entry].claims.settlements.iter_mut();
-        let due = open.filter(|(_, settlement)| settlement.again_at <= now);
+        let due = open.filter(|(_, settlement)| settlement.retry_at <= now);
         let due: Vec<(RequestId, Settlement)> = due
             .map(|(request, settlement)| {
-                settlement.again_at = now + SETTLE_AGAIN;
+                settlement.retry_at = now + SETTLE_RETRY_INTERVAL;
                 (*request, *settlement)
             })
             .collect();
@@ -210,11 +210,11 @@
                 request,
                 verdict,
             };
-            self.say(StepName::SettleClaim, entry, claimer, message);
+            self.send_to_claimer(StepName::SettleClaim, entry, claimer, message);
         }
     }
 
-    pub fn claims_take(&mut self, entry: NodeId, from: NodeId, message: Message) {
+    pub fn handle_claim_message(&mut self, entry: NodeId, from: NodeId, message: Message) {
         match message {
             Message::Ask(ask) => {
                 self.entries[entry].claims.askers.insert(ask.request, from);
@@ -245,7 +245,7 @@
             ClaimAnswer::Denied(denial) => EntryEvent::ClaimRefused {
                 earlier: denial.verdict(),
             },
-            ClaimAnswer::Moved { owner } if open.tries < MOST_ASKS => {
+            ClaimAnswer::Moved { owner } if open.tries < MAX_ASKS => {
                 let named = owner
                     .as_ref()
                     .and_then(|owner| (0..CALLERS).find(|node| daemon(*node) == *owner));
@@ -256,7 +256,7 @@
                 EntryEvent::ClaimUnavailable
             }
         };
-        self.tell_request(entry, request, &event, None);
+        self.step_request(entry, request, &event, None);
     }
 
     pub fn wake_claims(&mut self, entry: NodeId) {
@@ -265,15 +265,15 @@
             self.step_log(entry, ClaimEvent::Timer);
         }
         let asks = self.entries[entry].claims.asks.iter();
-        let overdue = asks.filter(|(_, open)| open.again_at <= now);
+        let overdue = asks.filter(|(_, open)| open.retry_at <= now);
         let overdue: Vec<OpenAsk> = overdue.map(|(_, open)| *open).collect();
         for open in overdue {
-            if open.tries < MOST_ASKS {
+            if open.tries < MAX_ASKS {
                 self.ask(entry, entry, open.ask, open.tries + 1);
             } else {
                 self.entries[entry].claims.asks.remove(&open.ask.request);
                 let event = EntryEvent::ClaimUnavailable;
-                self.tell_request(entry, open.ask.request, &event, None);
+                self.step_request(entry, open.ask.request, &event, None);
             }
         }
     }
@@ -281,11 +281,11 @@
     fn step_log(&mut self, entry: NodeId, event: ClaimEvent) {
         let now = self.now;
         let actions = self.entries[entry].claims.log.step(event, now);
-        self.carry_claims(entry, actions);
+        self.execute_claim_actions(entry, actions);
         self.schedule_entry(entry);
     }
 
-    fn carry_claims(&mut self, entry: NodeId, actions: ClaimActions) {
+    fn execute_claim_actions(&mut self, entry: NodeId, actions: ClaimActions) {
         for action in actions {
             match action {
                 ClaimAction::Answer {
@@ -293,12 +293,12 @@
                 } => {
                     let asker = self.entries[entry].claims.askers.get(&request).copied();
                     let message = Message::AskAnswer { request, answer };
-                    self.say(StepName::Claim, entry, asker.unwrap_or(entry), message);
+                    self.send_to_claimer(StepName::Claim, entry, asker.unwrap_or(entry), message);
                 }
                 ClaimAction::Recorded { request, .. } => {
                     let asker = self.entries[entry].claims.askers.get(&request).copied();
                     let message = Message::Recorded(request);
-                    self.say(
+                    self.send_to_claimer(
                         StepName::SettleClaim,
                         entry,
                         asker.unwrap_or(entry),
@@ -317,22 +317,28 @@
 
     fn call_store(&mut self, entry: NodeId, call: CallNumber, action: ClaimAction) {
         let slow = self.store.slow_until > self.now;
-        let takes = if slow {
-            self.draw_millis(100, 700)
+        let latency = if slow {
+            self.random_millis(100, 700)
         } else {
-            self.draw_millis(1, 4)
+            self.random_millis(1, 4)
         };
         let boot = self.nodes[entry].boot;
-        let happening = Happening::StoreSees {
+        let event = SimEvent::StoreCallArrives {
             entry,
             boot,
             call,
             action,
         };
-        self.queue.put(self.now + takes, happening);
+        self.queue.put(self.now + latency, event);
     }
 
-    pub fn store_sees(&mut self, entry: NodeId, boot: u64, call: CallNumber, action: &ClaimAction) {
+    pub fn call_at_store(
+        &mut self,
+        entry: NodeId,
+        boot: u64,
+        call: CallNumber,
+        action: &ClaimAction,
+    ) {
         let is_write = matches!(action, ClaimAction::WriteSegment { .. });
         let answer = if self.store.down_until > self.now {
             StoreAnswer::Unavailable
@@ -344,17 +350,17 @@
         if lost {
             self.store.answers_to_lose -= 1;
         }
-        let takes = self.draw_millis(1, if lost { 400 } else { 4 });
-        let happening = Happening::StoreAnswers {
+        let latency = self.random_millis(1, if lost { 400 } else { 4 });
+        let event = SimEvent::StoreCallEnds {
             entry,
             boot,
             call,
             answer: (!lost).then_some(answer),
         };
-        self.queue.put(self.now + takes, happening);
+        self.queue.put(self.now + latency, event);
     }
 
-    pub fn store_answers(
+    pub fn handle_store_answer(
         &mut self,
         entry: NodeId,
         boot: u64,
@@ -366,13 +372,13 @@
             return;
         }
         if state.paused_until > self.now {
-            let happening = Happening::StoreAnswers {
+            let event = SimEvent::StoreCallEnds {
                 entry,
                 boot,
                 call,
                 answer,
             };
-            self.queue.put(state.paused_until, happening);
+            self.queue.put(state.paused_until, event);
             return;
         }
         let event = match answer {
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -18,8 +18,8 @@
 use super::claims::EntryClaims;
 use super::fleet;
 use super::message::{AnswerFrame, Message, NodeId};
-use super::network::Treatment;
-use super::world::{Connection, RequestWorld};
+use super::network::MessageDelivery;
+use super::simulation::{Connection, RequestSimulation};
 use crate::run::Bypass;
 use crate::step::StepName;
 
@@ -60,22 +60,22 @@
 /// The piece that an event of a request may relay, with the request that it belongs to.
 type RelayPiece = Option<(u32, RequestId)>;
 
-impl RequestWorld {
-    pub fn entry_takes(&mut self, entry: NodeId, from: NodeId, message: Message) {
+impl RequestSimulation {
+    pub fn handle_entry_message(&mut self, entry: NodeId, from: NodeId, message: Message) {
         match message {
             Message::Submit(request) => self.start_request(entry, request),
             Message::Frame {
                 request,
                 attempt,
                 frame,
-            } => self.take_frame(entry, from, request, attempt, frame),
+            } => self.handle_frame(entry, from, request, attempt, frame),
             Message::CancelAnswer {
                 request,
                 attempt,
                 verdict,
             } => {
                 let event = EntryEvent::CancelAnswered { attempt, verdict };
-                self.tell_request(entry, request, &event, None);
+                self.step_request(entry, request, &event, None);
             }
             Message::Status(status) => {
                 let node = &mut self.entries[entry];
@@ -83,8 +83,8 @@
                 node.policy.on_status(&status, self.now);
                 node.note_queue_report(agent, &status.queue);
             }
-            Message::Leave => self.take_leave(entry),
-            other => self.claims_take(entry, from, other),
+            Message::Leave => self.handle_leave(entry),
+            other => self.handle_claim_message(entry, from, other),
         }
         self.schedule_entry(entry);
     }
@@ -93,7 +93,7 @@
         let mut fired = Vec::new();
         self.entries[entry].policy.fire_timers(self.now, &mut fired);
         for (request, actions) in fired {
-            self.act(entry, request, actions, None);
+            self.execute_entry_actions(entry, request, actions, None);
         }
         self.wake_claims(entry);
         self.schedule_entry(entry);
@@ -117,10 +117,10 @@
         let job = self.jobs[submission.job];
         let intake = fleet::intake(job.kind, request, job.key);
         let actions = self.entries[entry].policy.start(intake, self.now);
-        self.act(entry, request, actions, None);
+        self.execute_entry_actions(entry, request, actions, None);
     }
 
-    fn take_frame(
+    fn handle_frame(
         &mut self,
         entry: NodeId,
         from: NodeId,
@@ -129,7 +129,7 @@
         frame: AnswerFrame,
     ) {
         let mut attempt = attempt;
-        if self.order.omits(Bypass::AttemptMatch)
+        if self.run_spec.bypasses(Bypass::AttemptMatch)
             && let Some(live) = self.entries[entry].policy.live_attempt(request)
         {
             attempt = live;
@@ -142,10 +142,10 @@
         if let Some(report) = event.queue_report() {
             self.entries[entry].note_queue_report(from, report);
         }
-        self.tell_request(entry, request, &event, piece);
+        self.step_request(entry, request, &event, piece);
     }
 
-    pub fn tell_request(
+    pub fn step_request(
         &mut self,
         entry: NodeId,
         request: RequestId,
@@ -153,11 +153,17 @@
         piece: RelayPiece,
     ) {
         let actions = self.entries[entry].policy.handle(request, event, self.now);
-        self.act(entry, request, actions, piece);
+        self.execute_entry_actions(entry, request, actions, piece);
         self.schedule_entry(entry);
     }
 
-    fn act(&mut self, entry: NodeId, request: RequestId, actions: EntryActions, piece: RelayPiece) {
+    fn execute_entry_actions(
+        &mut self,
+        entry: NodeId,
+        request: RequestId,
+        actions: EntryActions,
+        piece: RelayPiece,
+    ) {
         for action in actions {
             if !self.nodes[entry].up {
                 return;
@@ -190,16 +196,16 @@
         if self.entries[entry].stopping
             && answer.cause == FinalCause::Refused(RefusalCause::Leaving)
         {
-            self.pass(StepName::StopRefuse, entry, super::message::CALLERS);
+            self.inject_at(StepName::StopRefuse, entry, super::message::CALLERS);
         }
-        if self.order.omits(Bypass::Drain) && self.entries[entry].stopping {
-            self.watch_stop();
+        if self.run_spec.bypasses(Bypass::Drain) && self.entries[entry].stopping {
+            self.check_stop();
         }
     }
 
     fn send_attempt(&mut self, entry: NodeId, endpoint: &EndpointName, spec: Box<AttemptSpec>) {
         let agent = fleet::agent_of(endpoint);
-        self.pass(StepName::Choose, entry, agent);
+        self.inject_at(StepName::Choose, entry, agent);
         if !self.nodes[entry].up {
             return;
         }
@@ -211,19 +217,19 @@
             request: spec.request,
             entry,
             agent,
-            floor: self.now,
+            earliest_arrival: self.now,
             broken: false,
         };
         self.connections.insert(spec.attempt, connection);
         let key = self.key_of(spec.request, spec.repeat);
-        let held = self.is_held(spec.repeat);
+        let held = self.is_delayed(spec.repeat);
         let message = Message::Attempt { spec, ticket, key };
         if held {
             // The cancel of the unanswered attempt overtakes the attempt.
-            let late = self.draw_millis(700, 2_200);
-            let treatment = self.pass(StepName::Send, entry, agent);
-            debug_assert_eq!(treatment, Treatment::Deliver);
-            self.put_directly(entry, agent, message, late);
+            let late = self.random_millis(700, 2_200);
+            let delivery = self.inject_at(StepName::Send, entry, agent);
+            debug_assert_eq!(delivery, MessageDelivery::Normal);
+            self.post_directly(entry, agent, message, late);
         } else {
             self.send(Some(StepName::Send), entry, agent, message);
         }
@@ -231,10 +237,13 @@
 
     /// Returns whether to delay an attempt. Runs with faults at the cancel step delay some early changes, so that they are
     /// sealed.
-    fn is_held(&mut self, repeat: Repeat) -> bool {
+    fn is_delayed(&mut self, repeat: Repeat) -> bool {
         let early = self.now < ClockTime::from_millis(2_500);
-        let wanted = self.hits(StepName::Cancel) && !self.hits(StepName::Send);
-        wanted && early && repeat == Repeat::AtMostOnce && self.draw_millis(0, 1) == Duration::ZERO
+        let wanted = self.targets(StepName::Cancel) && !self.targets(StepName::Send);
+        wanted
+            && early
+            && repeat == Repeat::AtMostOnce
+            && self.random_millis(0, 1) == Duration::ZERO
     }
 
     fn key_of(&self, request: RequestId, repeat: Repeat) -> Option<u64> {
--- a/crates/oatpier-faults/src/request/fleet.rs
+++ b/crates/oatpier-faults/src/request/fleet.rs
@@ -17,9 +17,9 @@
 /// Number of pieces of a streamed answer.
 pub const STREAM_PIECES: u32 = 6;
 /// Target time of the whole answer of a plain service.
-const WHOLE: Duration = Duration::from_secs(2);
+const WHOLE_ANSWER_TARGET: Duration = Duration::from_secs(2);
 /// Target time of the first token of a stream.
-const FIRST_TOKEN: Duration = Duration::from_secs(2);
+const FIRST_TOKEN_TARGET: Duration = Duration::from_secs(2);
 
 /// Converts a literal to a name.
 ///
@@ -137,10 +137,12 @@
     let zones = (0..ENTRIES).map(zone).collect();
     config.regions.insert(name("lagos"), RegionSpec { zones });
     let stream = ClassTarget::Stream {
-        first_token: FIRST_TOKEN,
+        first_token: FIRST_TOKEN_TARGET,
         between_tokens: Duration::from_millis(33),
     };
-    let whole = ClassTarget::Whole { answer: WHOLE };
+    let whole = ClassTarget::Whole {
+        answer: WHOLE_ANSWER_TARGET,
+    };
     for (class, target) in [("draft", stream), ("apply", whole)] {
         let attain = 0.95;
         config
--- a/crates/oatpier-faults/src/request/inflict.rs
+++ b/crates/oatpier-faults/src/request/inject.rs
@@ -11,44 +11,44 @@
 
 use super::fleet;
 use super::message::{
-    AGENTS, AnswerFrame, CALLERS, CallWord, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Happening,
-    Message, NodeId,
+    AGENTS, AnswerFrame, CALLERS, CallUpdate, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Message,
+    NodeId, SimEvent,
 };
-use super::network::Treatment;
-use super::world::RequestWorld;
+use super::network::MessageDelivery;
+use super::simulation::RequestSimulation;
 use crate::fault::FaultKind;
 use crate::step::StepName;
 
-impl RequestWorld {
+impl RequestSimulation {
     /// Injects the faults that are due when a message reaches `step`, and returns how it is delivered.
-    pub fn pass(&mut self, step: StepName, from: NodeId, to: NodeId) -> Treatment {
-        let mut treatment = Treatment::Deliver;
-        for fault in self.plan.pass(step) {
+    pub fn inject_at(&mut self, step: StepName, from: NodeId, to: NodeId) -> MessageDelivery {
+        let mut delivery = MessageDelivery::Normal;
+        for fault in self.plan.take_due(step) {
             match fault {
-                FaultKind::Lost => treatment = Treatment::Lose,
-                FaultKind::Late => treatment = Treatment::Delay,
-                FaultKind::Doubled => treatment = Treatment::Double,
-                FaultKind::Crossed => treatment = Treatment::Cross,
-                other => self.inflict(other, from, to),
+                FaultKind::Lost => delivery = MessageDelivery::Dropped,
+                FaultKind::Late => delivery = MessageDelivery::Delayed,
+                FaultKind::Doubled => delivery = MessageDelivery::Duplicated,
+                FaultKind::Crossed => delivery = MessageDelivery::Misrouted,
+                other => self.inject(other, from, to),
             }
         }
-        treatment
+        delivery
     }
 
-    fn inflict(&mut self, fault: FaultKind, from: NodeId, to: NodeId) {
+    fn inject(&mut self, fault: FaultKind, from: NodeId, to: NodeId) {
         match fault {
             FaultKind::Kill => {
-                let away = self.draw_millis(1_500, 4_000);
+                let away = self.random_millis(1_500, 4_000);
                 let victim = self.victim(from, to);
                 self.kill(victim, away);
             }
             FaultKind::Restart => {
-                let away = self.draw_millis(5, 100);
+                let away = self.random_millis(5, 100);
                 let victim = self.victim(from, to);
                 self.kill(victim, away);
             }
             FaultKind::Pause => {
-                let until = self.now + self.draw_millis(100, 4_000);
+                let until = self.now + self.random_millis(100, 4_000);
                 let victim = self.victim(from, to);
                 self.nodes[victim].paused_until = until;
             }
@@ -59,18 +59,18 @@
                 self.cut(to, from);
             }
             FaultKind::SlowPeer => {
-                let until = self.now + self.draw_millis(1_000, 4_000);
+                let until = self.now + self.random_millis(1_000, 4_000);
                 self.nodes[process(to, from)].slow_until = until;
             }
             FaultKind::StoreDown => {
-                self.store.down_until = self.now + self.draw_millis(1_000, 4_000);
+                self.store.down_until = self.now + self.random_millis(1_000, 4_000);
             }
             FaultKind::StoreSlow => {
-                self.store.slow_until = self.now + self.draw_millis(1_000, 4_000);
+                self.store.slow_until = self.now + self.random_millis(1_000, 4_000);
             }
             FaultKind::AnswerLost => self.store.answers_to_lose = self.random.random_range(1..=2),
-            FaultKind::LeaseLapsed => self.lapse(),
-            FaultKind::VmListWrong => self.vm_list_wrong(),
+            FaultKind::LeaseLapsed => self.replace_claimer(),
+            FaultKind::VmListWrong => self.corrupt_vm_list(),
             FaultKind::ReportStale => self.stale_reports(),
             FaultKind::CacheGap => self.cache_gap(),
             _ => {}
@@ -87,7 +87,7 @@
     }
 
     fn cut(&mut self, from: NodeId, to: NodeId) {
-        let until = self.now + self.draw_millis(300, 4_000);
+        let until = self.now + self.random_millis(300, 4_000);
         self.blocked.insert((from, to), until);
     }
 
@@ -98,24 +98,24 @@
         }
         self.nodes[victim].up = false;
         self.nodes[victim].boot += 1;
-        self.note(FleetEvent::Ended {
+        self.log_event(FleetEvent::Ended {
             name: daemon(victim),
             killed: true,
             cut_off: 0,
         });
         self.end_connections(victim);
-        self.queue.put(self.now + away, Happening::Boot(victim));
+        self.queue.put(self.now + away, SimEvent::Boot(victim));
     }
 
     fn end_connections(&mut self, victim: NodeId) {
         match victim {
-            0..ENTRIES => self.entry_gone(victim),
-            FIRST_AGENT..FIRST_ENDPOINT => self.agent_gone(victim),
-            _ => self.service_up(victim, false),
+            0..ENTRIES => self.end_entry_connections(victim),
+            FIRST_AGENT..FIRST_ENDPOINT => self.end_agent_connections(victim),
+            _ => self.set_endpoint_up(victim, false),
         }
     }
 
-    fn entry_gone(&mut self, entry: NodeId) {
+    fn end_entry_connections(&mut self, entry: NodeId) {
         let open = self.submissions.iter();
         let open = open.filter(|(_, submission)| submission.entry == entry && !submission.answered);
         let open: Vec<RequestId> = open.map(|(request, _)| *request).collect();
@@ -123,19 +123,19 @@
             self.answered(request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
         }
         for (attempt, agent) in self.attempts_of(|connection| connection.entry == entry) {
-            let after = self.draw_millis(1, 50);
-            self.put_directly(entry, agent, Message::EntryGone(attempt), after);
+            let after = self.random_millis(1, 50);
+            self.post_directly(entry, agent, Message::EntryGone(attempt), after);
         }
     }
 
-    fn agent_gone(&mut self, agent: NodeId) {
+    fn end_agent_connections(&mut self, agent: NodeId) {
         let silent = self.random.random_bool(0.3);
         for (attempt, _) in self.attempts_of(|connection| connection.agent == agent) {
             // A VM that vanished does not close its connections: its peers detect the loss by timeout.
             let after = if silent {
-                self.draw_millis(500, 3_000)
+                self.random_millis(500, 3_000)
             } else {
-                self.draw_millis(1, 20)
+                self.random_millis(1, 20)
             };
             let connection = self.connections[&attempt];
             let frame = AnswerFrame::Cut;
@@ -145,13 +145,13 @@
                 attempt,
                 frame,
             };
-            self.put_directly(agent, connection.entry, cut, after);
+            self.post_directly(agent, connection.entry, cut, after);
         }
     }
 
     fn attempts_of(
         &mut self,
-        wanted: impl Fn(&super::world::Connection) -> bool,
+        wanted: impl Fn(&super::simulation::Connection) -> bool,
     ) -> Vec<(oatpier_types::ids::AttemptId, NodeId)> {
         let open = self.connections.iter_mut();
         let open = open.filter(|(_, connection)| !connection.broken && wanted(connection));
@@ -163,41 +163,41 @@
     }
 
     /// Reports to the agent that its endpoint has ended or is up again, and fails all running calls.
-    pub fn service_up(&mut self, node: NodeId, up: bool) {
+    pub fn set_endpoint_up(&mut self, node: NodeId, up: bool) {
         let agent = node - AGENTS;
         let soon = Duration::from_millis(2);
         let running = self.services[node - FIRST_ENDPOINT].end_all();
         for attempt in running {
-            let word = CallWord::Failed(RunVerdict::MayHaveRun);
-            self.put_directly(node, agent, Message::Word { attempt, word }, soon);
+            let update = CallUpdate::Failed(RunVerdict::MayHaveRun);
+            self.post_directly(node, agent, Message::CallUpdate { attempt, update }, soon);
         }
-        let word = CallWord::Up(up);
+        let update = CallUpdate::Up(up);
         let attempt = oatpier_types::ids::AttemptId(0);
-        self.put_directly(node, agent, Message::Word { attempt, word }, soon);
+        self.post_directly(node, agent, Message::CallUpdate { attempt, update }, soon);
     }
 
     /// Pauses the claimer and makes the other entry the claimer.
-    fn lapse(&mut self) {
+    fn replace_claimer(&mut self) {
         let paused = self.store.claimer;
-        self.nodes[paused].paused_until = self.now + self.draw_millis(1_000, 4_000);
+        self.nodes[paused].paused_until = self.now + self.random_millis(1_000, 4_000);
         self.store.claimer = super::network::sibling(paused);
     }
 
-    fn vm_list_wrong(&mut self) {
+    fn corrupt_vm_list(&mut self) {
         let agents = 0..AGENTS;
         let wrong =
-            agents.filter(|agent| agent % 2 == usize::from(self.order.seed.is_multiple_of(2)));
+            agents.filter(|agent| agent % 2 == usize::from(self.run_spec.seed.is_multiple_of(2)));
         for agent in wrong.collect::<Vec<_>>() {
             let endpoint = fleet::endpoint(FIRST_AGENT + agent);
             for entry in &mut self.entries {
                 entry.policy.mark_leaving(&endpoint, self.now);
             }
         }
-        let until = self.now + self.draw_millis(500, 3_000);
-        self.queue.put(until, Happening::VmListRight);
+        let until = self.now + self.random_millis(500, 3_000);
+        self.queue.put(until, SimEvent::VmListCorrected);
     }
 
-    pub fn vm_list_right(&mut self) {
+    pub fn correct_vm_list(&mut self) {
         for agent in FIRST_AGENT..FIRST_AGENT + AGENTS {
             let endpoint = fleet::endpoint(agent);
             for entry in &mut self.entries {
--- a/crates/oatpier-faults/src/request/message.rs
+++ b/crates/oatpier-faults/src/request/message.rs
@@ -50,7 +50,7 @@
 
 /// A report of an endpoint on a call.
 #[derive(Debug, Clone, Copy)]
-pub enum CallWord {
+pub enum CallUpdate {
     Piece(u32),
     End,
     Failed(RunVerdict),
@@ -110,7 +110,10 @@
         key: Option<u64>,
     },
     /// An endpoint reports on a call.
-    Word { attempt: AttemptId, word: CallWord },
+    CallUpdate {
+        attempt: AttemptId,
+        update: CallUpdate,
+    },
     /// An agent cancels a call.
     StopCall(AttemptId),
     /// The entry at the other end of the connection is gone.
@@ -121,7 +124,7 @@
 
 /// A simulated event.
 #[derive(Debug)]
-pub enum Happening {
+pub enum SimEvent {
     Deliver {
         from: NodeId,
         to: NodeId,
@@ -137,25 +140,25 @@
     /// A caller disconnects.
     CallerGone(usize),
     /// Agents report their status; entries send settlements that are not recorded yet.
-    Beat,
+    StatusTick,
     /// A call arrives at the store.
-    StoreSees {
+    StoreCallArrives {
         entry: NodeId,
         boot: u64,
         call: CallNumber,
         action: ClaimAction,
     },
     /// The store's answer arrives; `None` if it is lost.
-    StoreAnswers {
+    StoreCallEnds {
         entry: NodeId,
         boot: u64,
         call: CallNumber,
         answer: Option<StoreAnswer>,
     },
     /// The list of VMs no longer reports live endpoints as leaving.
-    VmListRight,
+    VmListCorrected,
     /// The operator requests the planned stop.
-    AskStop,
+    RequestStop,
     /// The faults are over.
     FaultsOver,
 }
--- a/crates/oatpier-faults/src/request/mod.rs
+++ b/crates/oatpier-faults/src/request/mod.rs
@@ -9,19 +9,19 @@
 mod claims;
 mod entry;
 mod fleet;
-mod inflict;
+mod inject;
 mod message;
 mod network;
 mod service;
+mod simulation;
 mod stop;
-mod world;
 
-use crate::run::{RunOrder, RunReport};
+use crate::run::{RunReport, RunSpec};
 pub(crate) use fleet::{name, weights};
-use world::RequestWorld;
+use simulation::RequestSimulation;
 
 /// Runs requests, and a planned stop if a fault is to be injected into one.
 #[must_use]
-pub fn run(order: &RunOrder) -> RunReport {
-    RequestWorld::new(order).run()
+pub fn run(run_spec: &RunSpec) -> RunReport {
+    RequestSimulation::new(run_spec).run()
 }
