--- a/crates/oatpier-faults/src/request/network.rs
+++ b/crates/oatpier-faults/src/request/network.rs
@@ -7,29 +7,29 @@
 use rand::RngExt;
 
 use super::message::{
-    AGENTS, AnswerFrame, CALLERS, CallWord, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Happening,
-    Message, NodeId,
+    AGENTS, AnswerFrame, CALLERS, CallUpdate, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Message,
+    NodeId, SimEvent,
 };
-use super::world::RequestWorld;
+use super::simulation::RequestSimulation;
 use crate::step::StepName;
 
 /// How a message is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Treatment {
+pub enum MessageDelivery {
     #[default]
-    Deliver,
-    Lose,
-    Delay,
-    Double,
-    Cross,
+    Normal,
+    Dropped,
+    Delayed,
+    Duplicated,
+    Misrouted,
 }
 
-impl RequestWorld {
+impl RequestSimulation {
     /// Sends a message; faults at `step` are injected here.
     pub fn send(&mut self, step: Option<StepName>, from: NodeId, to: NodeId, message: Message) {
-        let treatment = match step {
-            Some(step) => self.pass(step, from, to),
-            None => Treatment::Deliver,
+        let delivery = match step {
+            Some(step) => self.inject_at(step, from, to),
+            None => MessageDelivery::Normal,
         };
         if !self.nodes[from].up {
             return;
@@ -38,19 +38,19 @@
             self.refuse_connection(from, to, message);
             return;
         }
-        match treatment {
-            Treatment::Deliver => self.post(from, to, message, Duration::ZERO),
-            Treatment::Lose => self.lose(from, to, &message),
-            Treatment::Delay => {
-                let late = self.draw_millis(50, 2_500);
+        match delivery {
+            MessageDelivery::Normal => self.post(from, to, message, Duration::ZERO),
+            MessageDelivery::Dropped => self.lose(from, to, &message),
+            MessageDelivery::Delayed => {
+                let late = self.random_millis(50, 2_500);
                 self.post(from, to, message, late);
             }
-            Treatment::Double => {
-                let late = self.draw_millis(1, 1_500);
+            MessageDelivery::Duplicated => {
+                let late = self.random_millis(1, 1_500);
                 self.post(from, to, message.clone(), Duration::ZERO);
                 self.post(from, to, message, late);
             }
-            Treatment::Cross => {
+            MessageDelivery::Misrouted => {
                 let to = self.cross(from, to, &message);
                 self.post(from, to, message, Duration::ZERO);
             }
@@ -64,7 +64,7 @@
             .iter()
             .any(|node| self.nodes[*node].slow_until > self.now);
         if slow {
-            at = at + self.draw_millis(50, 400);
+            at = at + self.random_millis(50, 400);
         }
         if let Some(until) = self.blocked_until(from, to) {
             // The transport retransmits the message after the cut, or drops it with the connection.
@@ -72,19 +72,19 @@
                 self.lose(from, to, &message);
                 return;
             }
-            at = at.max(until) + self.draw_millis(1, 200);
+            at = at.max(until) + self.random_millis(1, 200);
         }
-        let Some(at) = self.in_stream(&message, at) else {
+        let Some(at) = self.ordered_arrival(&message, at) else {
             return;
         };
         let boot = self.nodes[to].boot;
-        let happening = Happening::Deliver {
+        let event = SimEvent::Deliver {
             from,
             to,
             boot,
             message,
         };
-        self.queue.put(at, happening);
+        self.queue.put(at, event);
     }
 
     fn blocked_until(&self, from: NodeId, to: NodeId) -> Option<ClockTime> {
@@ -93,13 +93,13 @@
     }
 
     /// Returns the arrival time that keeps the frames of an attempt in order, or `None` if its connection is broken.
-    fn in_stream(&mut self, message: &Message, at: ClockTime) -> Option<ClockTime> {
+    fn ordered_arrival(&mut self, message: &Message, at: ClockTime) -> Option<ClockTime> {
         let attempt = match message {
             Message::Frame { attempt, .. } => attempt,
-            Message::Word { attempt, word } if !matches!(word, CallWord::Up(_)) => {
-                let floor = self.word_floors.entry(*attempt).or_insert(at);
-                *floor = at.max(*floor);
-                return Some(*floor);
+            Message::CallUpdate { attempt, update } if !matches!(update, CallUpdate::Up(_)) => {
+                let earliest_arrival = self.update_arrivals.entry(*attempt).or_insert(at);
+                *earliest_arrival = at.max(*earliest_arrival);
+                return Some(*earliest_arrival);
             }
             _ => return Some(at),
         };
@@ -109,13 +109,13 @@
         if connection.broken {
             return None;
         }
-        connection.floor = connection.floor.max(at);
-        Some(connection.floor)
+        connection.earliest_arrival = connection.earliest_arrival.max(at);
+        Some(connection.earliest_arrival)
     }
 
     /// Drops a message, and breaks its connection.
     fn lose(&mut self, from: NodeId, to: NodeId, message: &Message) {
-        let after = self.draw_millis(200, 3_000);
+        let after = self.random_millis(200, 3_000);
         let (attempt, entry, agent) = match message {
             Message::Attempt { spec, .. } => (spec.attempt, from, to),
             Message::Frame { attempt, .. } => (*attempt, to, from),
@@ -123,8 +123,8 @@
                 let attempt = spec.attempt;
                 return self.call_failed(from, attempt, RunVerdict::MayHaveRun, after);
             }
-            Message::Word { attempt, word } => {
-                if !matches!(word, CallWord::Up(_)) {
+            Message::CallUpdate { attempt, update } => {
+                if !matches!(update, CallUpdate::Up(_)) {
                     self.call_failed(to, *attempt, RunVerdict::MayHaveRun, after);
                     self.services[from - FIRST_ENDPOINT].forget(*attempt);
                 }
@@ -138,7 +138,7 @@
                     attempt: *attempt,
                     verdict: RunVerdict::MayHaveRun,
                 };
-                return self.put_directly(to, from, answer, after);
+                return self.post_directly(to, from, answer, after);
             }
             Message::CancelAnswer {
                 request, attempt, ..
@@ -148,7 +148,7 @@
                     attempt: *attempt,
                     verdict: RunVerdict::MayHaveRun,
                 };
-                return self.put_directly(from, to, answer, after);
+                return self.post_directly(from, to, answer, after);
             }
             Message::Submit(request) => {
                 let request = *request;
@@ -180,8 +180,8 @@
             attempt,
             frame,
         };
-        self.put_directly(agent, entry, cut, after);
-        self.put_directly(entry, agent, Message::EntryGone(attempt), after);
+        self.post_directly(agent, entry, cut, after);
+        self.post_directly(entry, agent, Message::EntryGone(attempt), after);
     }
 
     fn call_failed(
@@ -191,21 +191,21 @@
         verdict: RunVerdict,
         after: Duration,
     ) {
-        let word = CallWord::Failed(verdict);
+        let update = CallUpdate::Failed(verdict);
         let from = agent + AGENTS;
-        self.put_directly(from, agent, Message::Word { attempt, word }, after);
+        self.post_directly(from, agent, Message::CallUpdate { attempt, update }, after);
     }
 
     /// Sends a message without fault injection, as a notification of the local transport.
-    pub fn put_directly(&mut self, from: NodeId, to: NodeId, message: Message, after: Duration) {
+    pub fn post_directly(&mut self, from: NodeId, to: NodeId, message: Message, after: Duration) {
         let boot = self.nodes[to].boot;
-        let happening = Happening::Deliver {
+        let event = SimEvent::Deliver {
             from,
             to,
             boot,
             message,
         };
-        self.queue.put(self.now + after, happening);
+        self.queue.put(self.now + after, event);
     }
 
     /// Refuses a connection to a process that is down; no byte was sent.
@@ -215,12 +215,12 @@
             Message::Attempt { spec, .. } => {
                 let (request, attempt) = (spec.request, spec.attempt);
                 let frame = AnswerFrame::NotConnected;
-                let word = Message::Frame {
+                let update = Message::Frame {
                     request,
                     attempt,
                     frame,
                 };
-                self.put_directly(to, from, word, soon);
+                self.post_directly(to, from, update, soon);
             }
             Message::Call { spec, .. } => {
                 self.call_failed(from, spec.attempt, RunVerdict::NotRun, soon);
@@ -231,11 +231,11 @@
 
     /// Handles a message whose receiver is gone.
     pub fn undeliverable(&mut self, from: NodeId, to: NodeId, message: &Message) {
-        let is_word = matches!(
+        let is_notification = matches!(
             message,
-            Message::Frame { .. } | Message::CancelAnswer { .. } | Message::Word { .. }
+            Message::Frame { .. } | Message::CancelAnswer { .. } | Message::CallUpdate { .. }
         );
-        if !is_word {
+        if !is_notification {
             self.lose(from, to, message);
         }
     }
@@ -243,7 +243,7 @@
     /// Misroutes a copy to another process of the same kind or to another request, and returns the receiver of the
     /// message itself. An attempt arrives at another agent instead, whose VM has taken over the address.
     fn cross(&mut self, from: NodeId, to: NodeId, message: &Message) -> NodeId {
-        let soon = self.draw_millis(0, 30);
+        let soon = self.random_millis(0, 30);
         match message {
             Message::Frame {
                 request,
@@ -260,7 +260,7 @@
                         attempt: *attempt,
                         frame: *frame,
                     };
-                    self.put_directly(from, to, stray, soon);
+                    self.post_directly(from, to, stray, soon);
                 }
                 to
             }
@@ -273,7 +273,7 @@
             }
             Message::Call { .. } => to,
             other => {
-                self.put_directly(from, sibling(to), other.clone(), soon);
+                self.post_directly(from, sibling(to), other.clone(), soon);
                 to
             }
         }
--- a/crates/oatpier-faults/src/request/service.rs
+++ b/crates/oatpier-faults/src/request/service.rs
@@ -8,14 +8,14 @@
 use oatpier_types::request::RequestGoal;
 
 use super::fleet::{self, STREAM_PIECES};
-use super::message::{AGENTS, CallWord, FIRST_ENDPOINT, Message, NodeId};
-use super::world::RequestWorld;
+use super::message::{AGENTS, CallUpdate, FIRST_ENDPOINT, Message, NodeId};
+use super::simulation::RequestSimulation;
 use crate::step::StepName;
 
 /// Time until the first piece of an answer.
-const FIRST_AFTER: Duration = Duration::from_millis(15);
+const FIRST_PIECE_DELAY: Duration = Duration::from_millis(15);
 /// Time between two pieces of an answer.
-const PIECE_AFTER: Duration = Duration::from_millis(8);
+const PIECE_INTERVAL: Duration = Duration::from_millis(8);
 
 #[derive(Debug, Clone)]
 struct RunningCall {
@@ -43,32 +43,37 @@
     }
 }
 
-impl RequestWorld {
-    pub fn endpoint_takes(&mut self, node: NodeId, message: Message) {
+impl RequestSimulation {
+    pub fn handle_endpoint_message(&mut self, node: NodeId, message: Message) {
         match message {
             Message::Call { spec, key } => {
                 let stream = matches!(spec.goal, RequestGoal::Model { .. });
-                let first_after = if self.stop.is_some() {
-                    FIRST_AFTER * 4
+                let first_piece_delay = if self.stop.is_some() {
+                    FIRST_PIECE_DELAY * 4
                 } else {
-                    FIRST_AFTER
+                    FIRST_PIECE_DELAY
                 };
                 self.run_started(node, spec.request, spec.attempt, key);
                 let call = RunningCall {
                     attempt: spec.attempt,
                     next: spec.resume_after,
                     pieces: if stream { STREAM_PIECES } else { 1 },
-                    due: self.now + first_after,
+                    due: self.now + first_piece_delay,
                 };
                 self.services[node - FIRST_ENDPOINT].calls.push(call);
-                self.wake_at(node, self.now + first_after);
+                self.wake_at(node, self.now + first_piece_delay);
             }
             Message::StopCall(attempt) => {
                 let service = &mut self.services[node - FIRST_ENDPOINT];
                 if service.calls.iter().any(|call| call.attempt == attempt) {
                     service.forget(attempt);
-                    let word = CallWord::Failed(oatpier_types::verdict::RunVerdict::MayHaveRun);
-                    self.send(None, node, node - AGENTS, Message::Word { attempt, word });
+                    let update = CallUpdate::Failed(oatpier_types::verdict::RunVerdict::MayHaveRun);
+                    self.send(
+                        None,
+                        node,
+                        node - AGENTS,
+                        Message::CallUpdate { attempt, update },
+                    );
                 }
             }
             _ => {}
@@ -83,7 +88,7 @@
         key: Option<u64>,
     ) {
         let endpoint = fleet::endpoint(node - AGENTS);
-        self.note(FleetEvent::RunStarted {
+        self.log_event(FleetEvent::RunStarted {
             request,
             attempt,
             endpoint,
@@ -94,21 +99,21 @@
     pub fn wake_service(&mut self, node: NodeId) {
         let now = self.now;
         let service = &mut self.services[node - FIRST_ENDPOINT];
-        let mut words = Vec::new();
+        let mut updates = Vec::new();
         for call in service.calls.iter_mut().filter(|call| call.due <= now) {
             if call.next < call.pieces {
-                words.push((call.attempt, CallWord::Piece(call.next)));
+                updates.push((call.attempt, CallUpdate::Piece(call.next)));
                 call.next += 1;
-                call.due = now + PIECE_AFTER;
+                call.due = now + PIECE_INTERVAL;
             } else {
-                words.push((call.attempt, CallWord::End));
+                updates.push((call.attempt, CallUpdate::End));
                 call.due = ClockTime::NEVER;
             }
         }
         service.calls.retain(|call| call.due != ClockTime::NEVER);
         let next = service.calls.iter().map(|call| call.due).min();
-        for (attempt, word) in words {
-            let message = Message::Word { attempt, word };
+        for (attempt, update) in updates {
+            let message = Message::CallUpdate { attempt, update };
             self.send(Some(StepName::Run), node, node - AGENTS, message);
         }
         if let Some(next) = next {
--- a/crates/oatpier-faults/src/request/world.rs
+++ b/crates/oatpier-faults/src/request/simulation.rs
@@ -11,23 +11,23 @@
 
 use super::agent::AgentNode;
 use super::caller::{Job, Submission};
-use super::claims::ModelStore;
+use super::claims::SegmentStore;
 use super::entry::EntryNode;
 use super::message::{
-    AGENTS, CALLERS, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Happening, Message, NODES, NodeId,
+    AGENTS, CALLERS, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Message, NODES, NodeId, SimEvent,
 };
 use super::service::ServiceNode;
+use crate::injection::InjectionPlan;
 use crate::queue::EventQueue;
-use crate::run::{RunOrder, RunReport};
+use crate::run::{RunReport, RunSpec};
 use crate::step::{StepName, StepPath};
-use crate::strike::StrikePlan;
 
 /// Time at which the end of the faults is logged.
-pub const FAULTS_OVER: ClockTime = ClockTime::from_millis(9_000);
+pub const FAULTS_END: ClockTime = ClockTime::from_millis(9_000);
 /// The latest end of a run.
-const LAST_MOMENT: ClockTime = ClockTime::from_millis(24_000);
+const RUN_END: ClockTime = ClockTime::from_millis(24_000);
 /// Interval between two status reports of an agent.
-const BEAT: Duration = Duration::from_millis(100);
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The state of a process.
 #[derive(Debug, Clone, Copy)]
@@ -46,7 +46,7 @@
     pub entry: NodeId,
     pub agent: NodeId,
     /// The earliest arrival time of the next message, which keeps messages in order.
-    pub floor: ClockTime,
+    pub earliest_arrival: ClockTime,
     pub broken: bool,
 }
 
@@ -60,12 +60,12 @@
     pub over: bool,
 }
 
-pub struct RequestWorld {
-    pub order: RunOrder,
-    pub plan: StrikePlan,
+pub struct RequestSimulation {
+    pub run_spec: RunSpec,
+    pub plan: InjectionPlan,
     pub random: ChaCha8Rng,
     pub now: ClockTime,
-    pub queue: EventQueue<Happening>,
+    pub queue: EventQueue<SimEvent>,
     pub nodes: [NodeState; NODES],
     pub blocked: BTreeMap<(NodeId, NodeId), ClockTime>,
     pub entries: Vec<EntryNode>,
@@ -73,16 +73,16 @@
     pub services: Vec<ServiceNode>,
     pub connections: BTreeMap<AttemptId, Connection>,
     /// The earliest arrival time of the next report on a call, which keeps a call's reports in order.
-    pub word_floors: BTreeMap<AttemptId, ClockTime>,
-    pub store: ModelStore,
+    pub update_arrivals: BTreeMap<AttemptId, ClockTime>,
+    pub store: SegmentStore,
     pub jobs: Vec<Job>,
     pub submissions: BTreeMap<RequestId, Submission>,
     pub stop: Option<PlannedStop>,
     pub report: RunReport,
 }
 
-impl RequestWorld {
-    pub fn new(order: &RunOrder) -> Self {
+impl RequestSimulation {
+    pub fn new(run_spec: &RunSpec) -> Self {
         let state = NodeState {
             up: true,
             boot: 1,
@@ -90,9 +90,9 @@
             slow_until: ClockTime::ZERO,
             wake_at: ClockTime::NEVER,
         };
-        let mut random = order.generator();
-        let stops = order.strikes.iter();
-        let stops = stops.map(|strike| strike.step.path());
+        let mut random = run_spec.generator();
+        let stops = run_spec.injections.iter();
+        let stops = stops.map(|injection| injection.step.path());
         let is_stop = stops.clone().any(|path| path == StepPath::Stop);
         // The agent of a plain service has a longer queue, so that there are attempts to refuse.
         let victims = [0, FIRST_AGENT + AGENTS / 2];
@@ -104,9 +104,9 @@
             taken: false,
             over: false,
         });
-        let mut world = Self {
-            plan: order.plan(),
-            order: order.clone(),
+        let mut simulation = Self {
+            plan: run_spec.plan(),
+            run_spec: run_spec.clone(),
             random,
             now: ClockTime::from_millis(1_000),
             queue: EventQueue::default(),
@@ -116,40 +116,40 @@
             agents: (0..AGENTS).map(|_| AgentNode::new(BootId(1))).collect(),
             services: vec![ServiceNode::default(); AGENTS],
             connections: BTreeMap::new(),
-            word_floors: BTreeMap::new(),
-            store: ModelStore::default(),
+            update_arrivals: BTreeMap::new(),
+            store: SegmentStore::default(),
             jobs: Vec::new(),
             submissions: BTreeMap::new(),
             stop,
             report: RunReport::default(),
         };
-        world.begin();
-        world
+        simulation.begin();
+        simulation
     }
 
     fn begin(&mut self) {
         for agent in FIRST_AGENT..FIRST_AGENT + AGENTS {
             self.set_up_agent(agent);
         }
-        self.queue.put(self.now, Happening::Beat);
-        self.queue.put(FAULTS_OVER, Happening::FaultsOver);
+        self.queue.put(self.now, SimEvent::StatusTick);
+        self.queue.put(FAULTS_END, SimEvent::FaultsOver);
         if self.stop.is_some() {
             let at = self.now + Duration::from_millis(45);
-            self.queue.put(at, Happening::AskStop);
+            self.queue.put(at, SimEvent::RequestStop);
         }
-        self.plan_jobs();
+        self.schedule_jobs();
     }
 
     pub fn run(mut self) -> RunReport {
-        while let Some((at, happening)) = self.queue.take(LAST_MOMENT) {
+        while let Some((at, event)) = self.queue.take(RUN_END) {
             self.now = at;
-            self.happen(happening);
-            if self.now > FAULTS_OVER + Duration::from_secs(1) && self.is_quiet() {
+            self.handle_event(event);
+            if self.now > FAULTS_END + Duration::from_secs(1) && self.is_quiet() {
                 break;
             }
         }
-        self.judge_end();
-        self.report.struck = self.plan.is_spent();
+        self.check_end_state();
+        self.report.all_injected = self.plan.is_exhausted();
         self.report
     }
 
@@ -157,7 +157,7 @@
         self.jobs.iter().all(|job| job.done) && self.stop.is_none_or(|stop| stop.over)
     }
 
-    fn judge_end(&mut self) {
+    fn check_end_state(&mut self) {
         for (place, job) in self.jobs.iter().enumerate() {
             if !job.done {
                 let text = format!(
@@ -173,45 +173,45 @@
         }
     }
 
-    pub fn note(&mut self, event: FleetEvent) {
+    pub fn log_event(&mut self, event: FleetEvent) {
         let at = self.now;
         self.report.log.push(LoggedEvent { at, event });
     }
 
-    pub fn draw_millis(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(least..=most))
+    pub fn random_millis(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(min..=max))
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver {
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Deliver {
                 from,
                 to,
                 boot,
                 message,
             } => self.arrive(from, to, boot, message),
-            Happening::Wake(node) => self.wake(node),
-            Happening::Boot(node) => self.boot(node),
-            Happening::Submit(job) => self.submit(job),
-            Happening::CallerGone(job) => self.caller_gone(job),
-            Happening::Beat => self.beat(),
-            Happening::StoreSees {
+            SimEvent::Wake(node) => self.wake(node),
+            SimEvent::Boot(node) => self.boot(node),
+            SimEvent::Submit(job) => self.submit(job),
+            SimEvent::CallerGone(job) => self.caller_gone(job),
+            SimEvent::StatusTick => self.handle_status_tick(),
+            SimEvent::StoreCallArrives {
                 entry,
                 boot,
                 call,
                 action,
-            } => self.store_sees(entry, boot, call, &action),
-            Happening::StoreAnswers {
+            } => self.call_at_store(entry, boot, call, &action),
+            SimEvent::StoreCallEnds {
                 entry,
                 boot,
                 call,
                 answer,
-            } => self.store_answers(entry, boot, call, answer),
-            Happening::VmListRight => self.vm_list_right(),
-            Happening::AskStop => self.ask_stop(),
-            Happening::FaultsOver => {
-                self.note(FleetEvent::FaultsOver);
-                self.plan_last_jobs();
+            } => self.handle_store_answer(entry, boot, call, answer),
+            SimEvent::VmListCorrected => self.correct_vm_list(),
+            SimEvent::RequestStop => self.request_stop(),
+            SimEvent::FaultsOver => {
+                self.log_event(FleetEvent::FaultsOver);
+                self.schedule_final_jobs();
             }
         }
     }
@@ -224,19 +224,19 @@
             return;
         }
         if state.paused_until > self.now {
-            let happening = Happening::Deliver {
+            let event = SimEvent::Deliver {
                 from,
                 to,
                 boot,
                 message,
             };
-            self.queue.put(state.paused_until, happening);
+            self.queue.put(state.paused_until, event);
             return;
         }
         match to {
-            0..FIRST_AGENT => self.entry_takes(to, from, message),
-            FIRST_AGENT..FIRST_ENDPOINT => self.agent_takes(to, from, message),
-            FIRST_ENDPOINT..CALLERS => self.endpoint_takes(to, message),
+            0..FIRST_AGENT => self.handle_entry_message(to, from, message),
+            FIRST_AGENT..FIRST_ENDPOINT => self.handle_agent_message(to, from, message),
+            FIRST_ENDPOINT..CALLERS => self.handle_endpoint_message(to, message),
             _ => {}
         }
     }
@@ -249,7 +249,7 @@
         if state.paused_until > self.now {
             state.wake_at = state.paused_until;
             let at = state.paused_until;
-            self.queue.put(at, Happening::Wake(node));
+            self.queue.put(at, SimEvent::Wake(node));
             return;
         }
         state.wake_at = ClockTime::NEVER;
@@ -269,18 +269,19 @@
         }
         let at = at.max(self.now);
         state.wake_at = at;
-        self.queue.put(at, Happening::Wake(node));
+        self.queue.put(at, SimEvent::Wake(node));
     }
 
-    fn beat(&mut self) {
-        self.queue.put(self.now + BEAT, Happening::Beat);
+    fn handle_status_tick(&mut self) {
+        self.queue
+            .put(self.now + STATUS_INTERVAL, SimEvent::StatusTick);
         for agent in FIRST_AGENT..FIRST_AGENT + AGENTS {
-            self.tell_status(agent);
+            self.send_status(agent);
         }
         for entry in 0..ENTRIES {
             self.send_settlements(entry);
         }
-        self.watch_stop();
+        self.check_stop();
     }
 
     fn boot(&mut self, node: NodeId) {
@@ -295,13 +296,16 @@
                 self.agents[node - FIRST_AGENT] = AgentNode::new(BootId(u128::from(boot)));
                 self.set_up_agent(node);
             }
-            _ => self.service_up(node, true),
+            _ => self.set_endpoint_up(node, true),
         }
-        self.told_at_start(node);
+        self.apply_stop_at_start(node);
     }
 
     /// Returns whether a fault of this run is injected at `step`. Such steps are prolonged so that the fault affects them.
-    pub fn hits(&self, step: StepName) -> bool {
-        self.order.strikes.iter().any(|strike| strike.step == step)
+    pub fn targets(&self, step: StepName) -> bool {
+        self.run_spec
+            .injections
+            .iter()
+            .any(|injection| injection.step == step)
     }
 }
--- a/crates/oatpier-faults/src/request/stop.rs
+++ b/crates/oatpier-faults/src/request/stop.rs
@@ -10,10 +10,10 @@
 use oatpier_types::verdict::RunVerdict;
 
 use super::fleet;
-use super::inflict::daemon;
+use super::inject::daemon;
 use super::message::{ENTRIES, FIRST_AGENT, Message, NodeId};
 use super::network::sibling;
-use super::world::RequestWorld;
+use super::simulation::RequestSimulation;
 use crate::run::Bypass;
 use crate::step::StepName;
 
@@ -21,28 +21,28 @@
 const BALANCER_LAG: Duration = Duration::from_millis(600);
 /// Minimum time between the start of a stop and the exit: longer than other processes need to detect that the process
 /// leaves.
-const ANNOUNCE_FOR: Duration = Duration::from_millis(800);
+const MIN_ANNOUNCEMENT: Duration = Duration::from_millis(800);
 
-impl RequestWorld {
+impl RequestSimulation {
     /// Requests the planned stop. The stop is in the store from now on, and is sent to the process until it is received.
-    pub fn ask_stop(&mut self) {
+    pub fn request_stop(&mut self) {
         let Some(stop) = &mut self.stop else {
             return;
         };
         stop.asked = true;
         stop.taken_at = ClockTime::NEVER;
         let victim = stop.victim;
-        self.note(FleetEvent::StopStarted {
+        self.log_event(FleetEvent::StopStarted {
             daemon: daemon(victim),
         });
         if victim >= FIRST_AGENT {
             let endpoint = fleet::endpoint(victim);
-            self.note(FleetEvent::LeaveStarted { endpoint });
+            self.log_event(FleetEvent::LeaveStarted { endpoint });
         }
-        self.tell_stop();
+        self.send_stop();
     }
 
-    fn tell_stop(&mut self) {
+    fn send_stop(&mut self) {
         let Some(stop) = self.stop.filter(|stop| stop.asked && !stop.taken) else {
             return;
         };
@@ -52,15 +52,15 @@
         // The two registrars of an agent announce its stop, and an entry is told by the other entry. The entries act as
         // registrars here.
         let turn = usize::try_from(self.now.as_micros() / 100_000).unwrap_or(0) % ENTRIES;
-        let teller = if stop.victim < ENTRIES {
+        let sender = if stop.victim < ENTRIES {
             sibling(stop.victim)
         } else {
             turn
         };
-        if self.nodes[teller].up {
+        if self.nodes[sender].up {
             self.send(
                 Some(StepName::StopTold),
-                teller,
+                sender,
                 stop.victim,
                 Message::Leave,
             );
@@ -70,66 +70,66 @@
     /// Returns whether the load balancer in front of the entries has detected that an entry is stopping, which takes
     /// [`BALANCER_LAG`].
     pub fn is_known_stopping(&self, entry: NodeId) -> bool {
-        let known = |stop: super::world::PlannedStop| stop.taken_at + BALANCER_LAG <= self.now;
+        let known = |stop: super::simulation::PlannedStop| stop.taken_at + BALANCER_LAG <= self.now;
         self.entries[entry].stopping && self.stop.is_some_and(known)
     }
 
     /// Returns whether status reports of a leaving agent are suppressed. Runs with faults at the refusal step delay them, so
     /// that entries still send attempts that the agent refuses.
-    pub fn is_hushed(&self, agent: NodeId) -> bool {
-        let early = |stop: super::world::PlannedStop| self.now < stop.taken_at + BALANCER_LAG;
-        self.agents[agent - FIRST_AGENT].told
-            && self.hits(StepName::StopRefuse)
+    pub fn is_status_suppressed(&self, agent: NodeId) -> bool {
+        let early = |stop: super::simulation::PlannedStop| self.now < stop.taken_at + BALANCER_LAG;
+        self.agents[agent - FIRST_AGENT].is_leaving
+            && self.targets(StepName::StopRefuse)
             && self.stop.is_some_and(early)
     }
 
     /// Applies the planned stop to a process that starts while it is open: the process receives the stop with its
     /// registration, before it accepts work.
-    pub fn told_at_start(&mut self, node: NodeId) {
+    pub fn apply_stop_at_start(&mut self, node: NodeId) {
         let Some(stop) = &mut self.stop else {
             return;
         };
         if stop.victim == node && stop.asked && !stop.over {
             stop.taken = false;
-            self.take_leave(node);
+            self.handle_leave(node);
         }
     }
 
-    pub fn take_leave(&mut self, node: NodeId) {
+    pub fn handle_leave(&mut self, node: NodeId) {
         let Some(stop) = self.stop.as_mut().filter(|stop| stop.victim == node) else {
             return;
         };
         stop.taken_at = self.now;
-        if std::mem::replace(&mut stop.taken, true) || self.order.omits(Bypass::Leave) {
+        if std::mem::replace(&mut stop.taken, true) || self.run_spec.bypasses(Bypass::Leave) {
             return;
         }
         if node < ENTRIES {
             self.entries[node].stopping = true;
             self.entries[node].policy.begin_stop();
         } else {
-            self.agents[node - FIRST_AGENT].told = true;
+            self.agents[node - FIRST_AGENT].is_leaving = true;
             self.step_agent(node, AgentEvent::Leave);
         }
-        self.pass(StepName::StopDrain, sibling(node), node);
-        if self.order.omits(Bypass::Drain) {
+        self.inject_at(StepName::StopDrain, sibling(node), node);
+        if self.run_spec.bypasses(Bypass::Drain) {
             self.exit(node);
         }
     }
 
     /// Checks the progress of the planned stop, and sends it again or ends the process.
-    pub fn watch_stop(&mut self) {
+    pub fn check_stop(&mut self) {
         let Some(stop) = self.stop.filter(|stop| stop.asked && !stop.over) else {
             return;
         };
         if !stop.taken {
-            return self.tell_stop();
+            return self.send_stop();
         }
         let state = self.nodes[stop.victim];
-        if !state.up || state.paused_until > self.now || self.order.omits(Bypass::Leave) {
+        if !state.up || state.paused_until > self.now || self.run_spec.bypasses(Bypass::Leave) {
             return;
         }
-        self.pass(StepName::StopDrain, sibling(stop.victim), stop.victim);
-        let announced = stop.taken_at + ANNOUNCE_FOR <= self.now;
+        self.inject_at(StepName::StopDrain, sibling(stop.victim), stop.victim);
+        let announced = stop.taken_at + MIN_ANNOUNCEMENT <= self.now;
         if announced && self.nodes[stop.victim].up && self.is_drained(stop.victim) {
             self.drained(stop.victim);
         }
@@ -153,7 +153,7 @@
         if is_over {
             return;
         }
-        self.pass(StepName::StopExit, sibling(node), node);
+        self.inject_at(StepName::StopExit, sibling(node), node);
         let state = self.nodes[node];
         if state.up && state.paused_until <= self.now {
             self.exit(node);
@@ -166,7 +166,7 @@
         } else {
             self.agents[node - FIRST_AGENT].running()
         };
-        self.note(FleetEvent::Ended {
+        self.log_event(FleetEvent::Ended {
             name: daemon(node),
             killed: false,
             cut_off: u32::try_from(cut_off).unwrap_or(u32::MAX),
--- a/crates/oatpier-faults/src/run.rs
+++ b/crates/oatpier-faults/src/run.rs
@@ -5,7 +5,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::strike::{FaultStrike, StrikePlan};
+use crate::injection::{FaultInjection, InjectionPlan};
 
 /// A safeguard that a run disables, to verify that the checks detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -32,21 +32,21 @@
 
 /// The parameters of one run of a scenario.
 #[derive(Debug, Clone)]
-pub struct RunOrder {
+pub struct RunSpec {
     /// The faults to inject.
-    pub strikes: Vec<FaultStrike>,
+    pub injections: Vec<FaultInjection>,
     /// The seed of all timings and of the choice of affected processes.
     pub seed: u64,
     /// The safeguard that is disabled.
     pub bypass: Option<Bypass>,
 }
 
-impl RunOrder {
+impl RunSpec {
     /// Creates a run with these faults and every safeguard.
     #[must_use]
-    pub fn new(strikes: Vec<FaultStrike>, seed: u64) -> Self {
+    pub fn new(injections: Vec<FaultInjection>, seed: u64) -> Self {
         Self {
-            strikes,
+            injections,
             seed,
             bypass: None,
         }
@@ -54,8 +54,8 @@
 
     /// Returns the injection plan of this run.
     #[must_use]
-    pub fn plan(&self) -> StrikePlan {
-        StrikePlan::new(&self.strikes)
+    pub fn plan(&self) -> InjectionPlan {
+        InjectionPlan::new(&self.injections)
     }
 
     /// Returns the run's random number generator.
@@ -66,7 +66,7 @@
 
     /// Returns whether a safeguard is disabled.
     #[must_use]
-    pub fn omits(&self, bypass: Bypass) -> bool {
+    pub fn bypasses(&self, bypass: Bypass) -> bool {
         self.bypass == Some(bypass)
     }
 }
@@ -79,13 +79,13 @@
     /// Broken promises and missing progress that the scenario itself detected.
     pub findings: Vec<String>,
     /// Whether every fault was injected.
-    pub struck: bool,
+    pub all_injected: bool,
 }
 
 impl RunReport {
     /// Returns everything that went wrong: the checker's breaches, then the scenario's findings.
     #[must_use]
-    pub fn faults_found(&self) -> Vec<String> {
+    pub fn all_findings(&self) -> Vec<String> {
         let checker = LogChecker::new(RuleBounds::default());
         let breaches = checker.check(&self.log);
         let breaches = breaches.iter().map(ToString::to_string);
--- a/crates/oatpier-faults/tests/testsuite/grid.rs
+++ b/crates/oatpier-faults/tests/testsuite/grid.rs
@@ -1,11 +1,13 @@
 //! The matrix is complete, and its runs are deterministic.
 
 use oatpier_faults::fault::FaultKind;
-use oatpier_faults::matrix::{CellOutcome, CellPlan, MatrixCell, ScenarioKind, plan_of, run_cell};
+use oatpier_faults::injection::FaultInjection;
+use oatpier_faults::matrix::{
+    CellOutcome, CellPlan, MatrixCell, ScenarioKind, cell_plan, run_cell,
+};
 use oatpier_faults::report::{MatrixDocument, OutcomeCounts, render};
-use oatpier_faults::run::RunOrder;
+use oatpier_faults::run::RunSpec;
 use oatpier_faults::step::StepName;
-use oatpier_faults::strike::FaultStrike;
 use oatpier_types::event::{AnswerEnd, FleetEvent};
 
 const SCENARIOS: [ScenarioKind; 5] = [
@@ -17,10 +19,10 @@
 ];
 
 #[test]
-fn every_cell_is_run_or_says_why_not() {
+fn every_cell_is_run_or_has_a_reason() {
     for fault in FaultKind::ALL {
         for step in StepName::ALL {
-            match plan_of(fault, *step) {
+            match cell_plan(fault, *step) {
                 CellPlan::Run(_) => {}
                 CellPlan::CannotHappen(reason) | CellPlan::NotRun(reason) => {
                     assert!(!reason.is_empty(), "{fault} at {step}");
@@ -31,8 +33,8 @@
 }
 
 #[test]
-fn every_fault_strikes_somewhere_and_every_step_is_struck() {
-    let runs = |fault, step: &StepName| matches!(plan_of(fault, *step), CellPlan::Run(_));
+fn every_fault_and_every_step_has_a_run() {
+    let runs = |fault, step: &StepName| matches!(cell_plan(fault, *step), CellPlan::Run(_));
     for fault in FaultKind::ALL {
         assert!(
             StepName::ALL.iter().any(|step| runs(fault, step)),
@@ -53,9 +55,9 @@
 fn scenarios_without_a_fault_pass() {
     for scenario in SCENARIOS {
         for seed in 0..8 {
-            let report = scenario.run(&RunOrder::new(Vec::new(), seed));
+            let report = scenario.run(&RunSpec::new(Vec::new(), seed));
             assert_eq!(
-                report.faults_found(),
+                report.all_findings(),
                 Vec::<String>::new(),
                 "{scenario:?}, seed {seed}"
             );
@@ -68,7 +70,7 @@
 #[test]
 fn requests_without_a_fault_are_answered_whole() {
     for seed in 0..8 {
-        let report = ScenarioKind::Request.run(&RunOrder::new(Vec::new(), seed));
+        let report = ScenarioKind::Request.run(&RunSpec::new(Vec::new(), seed));
         let ends = report.log.iter().filter_map(|logged| match logged.event {
             FleetEvent::AnswerEnded { end, .. } => Some(end),
             _ => None,
@@ -80,7 +82,7 @@
 
 #[test]
 fn a_seed_gives_the_same_run_each_time() {
-    let strikes = [
+    let injections = [
         (ScenarioKind::Request, FaultKind::Kill, StepName::Relay),
         (ScenarioKind::Orders, FaultKind::Late, StepName::OrderSend),
         (
@@ -94,14 +96,14 @@
             StepName::Heartbeat,
         ),
     ];
-    for (scenario, fault, step) in strikes {
-        let strike = FaultStrike {
+    for (scenario, fault, step) in injections {
+        let injection = FaultInjection {
             fault,
             step,
             skip: 1,
         };
-        let order = RunOrder::new(vec![strike], 7);
-        let (first, second) = (scenario.run(&order), scenario.run(&order));
+        let run_spec = RunSpec::new(vec![injection], 7);
+        let (first, second) = (scenario.run(&run_spec), scenario.run(&run_spec));
         assert_eq!(first.log, second.log, "{scenario:?}");
         assert_eq!(first.findings, second.findings, "{scenario:?}");
     }
@@ -109,18 +111,18 @@
 
 /// A run in which the fault was never injected proves nothing, and must not count as passed.
 #[test]
-fn a_fault_that_never_strikes_fails_its_cell() {
-    let never = FaultStrike {
+fn a_fault_that_is_never_injected_is_reported() {
+    let injection = FaultInjection {
         fault: FaultKind::Kill,
         step: StepName::Claim,
         skip: 1_000_000,
     };
-    let report = ScenarioKind::Request.run(&RunOrder::new(vec![never], 1));
-    assert!(!report.struck);
+    let report = ScenarioKind::Request.run(&RunSpec::new(vec![injection], 1));
+    assert!(!report.all_injected);
 }
 
 #[test]
-fn the_grid_names_failures_gaps_and_reasons() {
+fn the_text_lists_failures_and_reasons() {
     let cell = |outcome, test: &str, findings: &[&str]| MatrixCell {
         fault: FaultKind::Kill.to_string(),
         step: StepName::Claim.to_string(),
--- a/crates/oatpier-faults/tests/testsuite/main.rs
+++ b/crates/oatpier-faults/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
 //! Tests of the fault matrix.
 
 mod grid;
-mod planted;
+mod safeguards;
--- a/crates/oatpier-faults/tests/testsuite/planted.rs
+++ b/crates/oatpier-faults/tests/testsuite/safeguards.rs
@@ -2,15 +2,15 @@
 
 use oatpier_checker::PromiseName;
 use oatpier_faults::fault::FaultKind;
+use oatpier_faults::injection::FaultInjection;
 use oatpier_faults::matrix::ScenarioKind;
-use oatpier_faults::run::{Bypass, RunOrder};
+use oatpier_faults::run::{Bypass, RunSpec};
 use oatpier_faults::step::StepName;
-use oatpier_faults::strike::FaultStrike;
 
 /// Number of runs with the safeguard, none of which may have a finding.
-const WHOLE_RUNS: u64 = 20;
+const SAFEGUARD_RUNS: u64 = 20;
 /// Maximum number of runs without the safeguard until its absence is detected.
-const BARE_RUNS: u64 = 300;
+const MAX_BYPASS_RUNS: u64 = 300;
 
 /// Returns the findings of one run.
 fn findings(
@@ -20,52 +20,58 @@
     bypass: Option<Bypass>,
     seed: u64,
 ) -> Vec<String> {
-    let strike = FaultStrike {
+    let injection = FaultInjection {
         fault,
         step,
         skip: u32::try_from(seed % 6).unwrap(),
     };
-    let order = RunOrder {
+    let run_spec = RunSpec {
         bypass,
-        ..RunOrder::new(vec![strike], seed)
+        ..RunSpec::new(vec![injection], seed)
     };
-    scenario.run(&order).faults_found()
+    scenario.run(&run_spec).all_findings()
 }
 
-fn shows(scenario: ScenarioKind, fault: FaultKind, step: StepName, bypass: Bypass, expected: &str) {
-    for seed in 0..WHOLE_RUNS {
-        let whole = findings(scenario, fault, step, None, seed);
+fn assert_bypass_is_found(
+    scenario: ScenarioKind,
+    fault: FaultKind,
+    step: StepName,
+    bypass: Bypass,
+    expected: &str,
+) {
+    for seed in 0..SAFEGUARD_RUNS {
+        let found = findings(scenario, fault, step, None, seed);
         assert_eq!(
-            whole,
+            found,
             Vec::<String>::new(),
             "seed {seed}, with the safeguard"
         );
     }
-    let is_seen = |seed| {
-        let bare = findings(scenario, fault, step, Some(bypass), seed);
-        bare.iter().any(|finding| finding.starts_with(expected))
+    let is_found = |seed| {
+        let found = findings(scenario, fault, step, Some(bypass), seed);
+        found.iter().any(|finding| finding.starts_with(expected))
     };
     assert!(
-        (0..BARE_RUNS).any(is_seen),
+        (0..MAX_BYPASS_RUNS).any(is_found),
         "no finding `{expected}` with the safeguard {bypass:?} disabled"
     );
 }
 
-fn breaks(
+fn assert_promise_is_broken(
     scenario: ScenarioKind,
     fault: FaultKind,
     step: StepName,
     bypass: Bypass,
     promise: PromiseName,
 ) {
-    shows(scenario, fault, step, bypass, promise.as_str());
+    assert_bypass_is_found(scenario, fault, step, bypass, promise.as_str());
 }
 
 /// A caller sends its change twice, through two entries. Without the claim both entries send it to
 /// an endpoint, and the change is executed twice.
 #[test]
 fn without_the_claim_a_change_runs_twice() {
-    breaks(
+    assert_promise_is_broken(
         ScenarioKind::Request,
         FaultKind::Doubled,
         StepName::Intake,
@@ -78,7 +84,7 @@
 /// of the cancel the attempt runs when it finally arrives, after the second one.
 #[test]
 fn without_the_tombstone_a_sealed_attempt_runs() {
-    breaks(
+    assert_promise_is_broken(
         ScenarioKind::Request,
         FaultKind::SlowPeer,
         StepName::Cancel,
@@ -90,8 +96,8 @@
 /// A part of one answer arrives under another request. An entry that does not compare the attempt's
 /// id relays it to the wrong caller.
 #[test]
-fn without_the_match_of_attempts_answers_cross() {
-    breaks(
+fn without_the_attempt_match_answers_are_misrouted() {
+    assert_promise_is_broken(
         ScenarioKind::Request,
         FaultKind::Crossed,
         StepName::Relay,
@@ -103,7 +109,7 @@
 /// The stop is requested, but the agent continues as before: its endpoint gets work seconds later.
 #[test]
 fn without_the_leave_an_endpoint_gets_new_work() {
-    breaks(
+    assert_promise_is_broken(
         ScenarioKind::Request,
         FaultKind::Doubled,
         StepName::StopTold,
@@ -115,7 +121,7 @@
 /// A process that exits as soon as it is told to stop cuts off its open requests.
 #[test]
 fn without_the_drain_a_stop_cuts_requests_off() {
-    breaks(
+    assert_promise_is_broken(
         ScenarioKind::Request,
         FaultKind::Late,
         StepName::StopTold,
@@ -127,8 +133,8 @@
 /// An unload gets no answer and is treated as never sent. The weights are planned again, and the
 /// other replica is unloaded. Then the delayed unload arrives, and the model has no replica.
 #[test]
-fn without_the_charge_of_unknown_orders_a_late_one_does_harm() {
-    breaks(
+fn without_unknown_orders_a_late_unload_removes_the_last_replica() {
+    assert_promise_is_broken(
         ScenarioKind::Orders,
         FaultKind::Late,
         StepName::MoveUnload,
@@ -139,8 +145,8 @@
 
 /// Two agents each see the other's replica, and both unload their own.
 #[test]
-fn without_the_release_the_last_replica_goes() {
-    breaks(
+fn without_the_release_the_last_replica_is_unloaded() {
+    assert_promise_is_broken(
         ScenarioKind::Orders,
         FaultKind::Late,
         StepName::MoveRelease,
@@ -152,7 +158,7 @@
 /// A process applies a delayed configuration and reverts to an older generation.
 #[test]
 fn without_the_generation_a_configuration_reverts() {
-    breaks(
+    assert_promise_is_broken(
         ScenarioKind::Membership,
         FaultKind::Late,
         StepName::ConfigSpread,
@@ -164,8 +170,8 @@
 /// A planner is paused between its decision and its write, and another acquires the lease and writes
 /// a plan. Then the first planner's plan overwrites the later one.
 #[test]
-fn without_the_term_a_paused_planner_writes_over_its_successor() {
-    shows(
+fn without_the_term_a_paused_planner_overwrites_its_successor() {
+    assert_bypass_is_found(
         ScenarioKind::Lease,
         FaultKind::LeaseLapsed,
         StepName::PlanWrite,
