--- a/crates/oatpier-faults/src/configuration/operators.rs
+++ b/crates/oatpier-faults/src/configuration/operators.rs
@@ -120,13 +120,13 @@
             report: RunReport::default(),
         };
         for operator in 0..OPERATORS {
-            let late = simulation.random_millis(1, 30);
-            let late = if is_race {
+            let delay = simulation.random_millis(1, 30);
+            let delay = if is_race {
                 Duration::from_millis(1)
             } else {
-                late
+                delay
             };
-            simulation.post(operator, SimEvent::Begin, late);
+            simulation.post(operator, SimEvent::Begin, delay);
         }
         simulation
     }
@@ -295,14 +295,14 @@
             latency += self.random_millis(500, 5_000);
         }
         if faults.contains(&FaultKind::Doubled) {
-            let again = self.random_millis(1, 4_000);
+            let duplicate_delay = self.random_millis(1, 4_000);
             let record = record.clone();
             let copy = SimEvent::WriteArrives {
                 call: 0,
                 record,
                 expected,
             };
-            self.post(operator, copy, latency + again);
+            self.post(operator, copy, latency + duplicate_delay);
         }
         let event = SimEvent::WriteArrives {
             call,
--- a/crates/oatpier-faults/src/configuration/store.rs
+++ b/crates/oatpier-faults/src/configuration/store.rs
@@ -108,11 +108,11 @@
     }
 
     pub fn inject(&mut self, fault: FaultKind, operator: usize) {
-        let span = self.random_millis(500, 5_000);
-        let until = self.now + span;
+        let duration = self.random_millis(500, 5_000);
+        let until = self.now + duration;
         match fault {
             // The command is run again with the same change id, as its message instructs the operator.
-            FaultKind::Kill => self.rerun_command(operator, span),
+            FaultKind::Kill => self.rerun_command(operator, duration),
             FaultKind::Restart => self.rerun_command(operator, Duration::from_millis(50)),
             FaultKind::Pause => self.commands[operator].paused_until = until,
             FaultKind::CutTo => self.cut_to[operator] = until,
@@ -130,12 +130,12 @@
         }
     }
 
-    pub fn rerun_command(&mut self, operator: usize, away: Duration) {
+    pub fn rerun_command(&mut self, operator: usize, downtime: Duration) {
         let command = &mut self.commands[operator];
         command.up = false;
         command.change -= 1;
         // The next run reports that the id was tried before, and the highest generation that may contain it.
-        self.post(operator, SimEvent::Begin, away);
+        self.post(operator, SimEvent::Begin, downtime);
     }
 
     pub fn latency(&mut self, operator: usize) -> Duration {
--- a/crates/oatpier-faults/src/lease/simulation.rs
+++ b/crates/oatpier-faults/src/lease/simulation.rs
@@ -115,15 +115,15 @@
             report: RunReport::default(),
         };
         simulation.planners = (0..PLANNERS)
-            .map(|place| simulation.planner(place, 1))
+            .map(|index| simulation.planner(index, 1))
             .collect();
         simulation
     }
 
-    pub fn planner(&mut self, place: usize, boot: u64) -> Planner {
-        let id = BootId(u128::from(boot) * 16 + place as u128);
+    pub fn planner(&mut self, index: usize, boot: u64) -> Planner {
+        let id = BootId(u128::from(boot) * 16 + index as u128);
         let random = ChaCha8Rng::from_rng(&mut self.random);
-        let daemon = name(&format!("entry-{place}"));
+        let daemon = name(&format!("entry-{index}"));
         Planner {
             keeper: LeaseKeeper::new(daemon, id, random, self.now),
             boot,
@@ -140,8 +140,8 @@
             while let Some((at, queued)) = self.queue.take(self.now) {
                 self.handle_event(at, queued);
             }
-            for place in 0..PLANNERS {
-                self.tick(place);
+            for index in 0..PLANNERS {
+                self.tick(index);
             }
             self.check_single_holder();
         }
@@ -153,17 +153,17 @@
         self.report
     }
 
-    pub fn is_awake(&self, place: usize) -> bool {
-        self.planners[place].up && self.planners[place].paused_until <= self.now
+    pub fn is_awake(&self, index: usize) -> bool {
+        self.planners[index].up && self.planners[index].paused_until <= self.now
     }
 
-    fn tick(&mut self, place: usize) {
-        if !self.is_awake(place) {
+    fn tick(&mut self, index: usize) {
+        if !self.is_awake(index) {
             return;
         }
-        self.handle_lease_event(place, LeaseEvent::Tick);
+        self.handle_lease_event(index, LeaseEvent::Tick);
         let now = self.now;
-        let planner = &mut self.planners[place];
+        let planner = &mut self.planners[index];
         let Some(term) = planner.keeper.may_act(now) else {
             planner.write = None;
             return;
@@ -171,19 +171,19 @@
         if planner.write.is_none() && planner.next_plan <= now {
             planner.next_plan = now + PLAN_INTERVAL;
             planner.write = Some(PlanWrite { term, read: None });
-            self.post(place, SimEvent::ReadPlan, Duration::from_millis(2));
+            self.post(index, SimEvent::ReadPlan, Duration::from_millis(2));
         }
     }
 
-    pub fn handle_lease_event(&mut self, place: usize, event: LeaseEvent) {
-        let actions = self.planners[place].keeper.handle(event, self.now);
+    pub fn handle_lease_event(&mut self, index: usize, event: LeaseEvent) {
+        let actions = self.planners[index].keeper.handle(event, self.now);
         for action in actions {
             match action {
                 LeaseAction::Gained(_) | LeaseAction::Lost(_) => {
-                    self.planners[place].next_plan = self.now;
-                    self.planners[place].write = None;
+                    self.planners[index].next_plan = self.now;
+                    self.planners[index].write = None;
                 }
-                LeaseAction::Read => self.call(place, LeaseAction::Read, None),
+                LeaseAction::Read => self.call(index, LeaseAction::Read, None),
                 LeaseAction::Write { lease, expected } => {
                     let is_takeover = self.lease.as_ref().is_none_or(|stored| {
                         stored.lease.boot != lease.boot || stored.lease.holder != lease.holder
@@ -193,42 +193,42 @@
                     } else {
                         StepName::LeaseRenew
                     };
-                    self.call(place, LeaseAction::Write { lease, expected }, Some(step));
+                    self.call(index, LeaseAction::Write { lease, expected }, Some(step));
                 }
             }
         }
     }
 
     /// Sends a call of the lease keeper to the store.
-    pub fn call(&mut self, place: usize, action: LeaseAction, step: Option<StepName>) {
+    pub fn call(&mut self, index: usize, action: LeaseAction, step: Option<StepName>) {
         let is_write = matches!(action, LeaseAction::Write { .. });
         let faults = step
-            .map(|step| self.inject_at(step, place))
+            .map(|step| self.inject_at(step, index))
             .unwrap_or_default();
-        let is_dropped = self.cut_to[place] > self.now || faults.contains(&FaultKind::Lost);
+        let is_dropped = self.cut_to[index] > self.now || faults.contains(&FaultKind::Lost);
         if is_dropped {
             let failed = if is_write {
                 LeaseEvent::Wrote(LeaseWrite::AnswerLost)
             } else {
                 LeaseEvent::Read(Err(()))
             };
-            return self.post(place, SimEvent::Answer(failed), Duration::from_millis(500));
+            return self.post(index, SimEvent::Answer(failed), Duration::from_millis(500));
         }
         let late = faults.contains(&FaultKind::Late);
         let latency = if late {
             self.random_millis(500, 4_000)
         } else {
-            self.latency(place)
+            self.latency(index)
         };
         if faults.contains(&FaultKind::Doubled) {
-            let again = self.random_millis(10, 4_000);
-            self.post_duplicate(place, SimEvent::Lease(action.clone()), again);
+            let duplicate_delay = self.random_millis(10, 4_000);
+            self.post_duplicate(index, SimEvent::Lease(action.clone()), duplicate_delay);
         }
-        self.post(place, SimEvent::Lease(action), latency);
+        self.post(index, SimEvent::Lease(action), latency);
     }
 
-    pub fn latency(&mut self, place: usize) -> Duration {
-        if self.slow_until > self.now || self.slow_planner[place] > self.now {
+    pub fn latency(&mut self, index: usize) -> Duration {
+        if self.slow_until > self.now || self.slow_planner[index] > self.now {
             self.random_millis(100, 1_200)
         } else {
             Duration::from_millis(2)
@@ -270,17 +270,17 @@
             boot,
             event,
         } = queued;
-        let place = planner;
+        let index = planner;
         if let SimEvent::Start = event {
-            let next = self.planners[place].boot;
-            self.planners[place] = self.planner(place, next);
+            let next = self.planners[index].boot;
+            self.planners[index] = self.planner(index, next);
             return;
         }
         let at_store = matches!(event, SimEvent::Lease(_) | SimEvent::WritePlan(_));
         if at_store {
-            return self.handle_at_store(place, boot, event);
+            return self.handle_at_store(index, boot, event);
         }
-        let state = &self.planners[place];
+        let state = &self.planners[index];
         if !state.up || state.boot != boot {
             return;
         }
@@ -297,33 +297,33 @@
             return;
         }
         match event {
-            SimEvent::Answer(event) => self.handle_lease_event(place, event),
-            SimEvent::ReadPlan => self.handle_plan_read(place),
+            SimEvent::Answer(event) => self.handle_lease_event(index, event),
+            SimEvent::ReadPlan => self.handle_plan_read(index),
             _ => {}
         }
     }
 
     /// Handles the read of the stored plan: the planner overwrites it if its own term allows.
-    fn handle_plan_read(&mut self, place: usize) {
-        let Some(mut write) = self.planners[place].write else {
+    fn handle_plan_read(&mut self, index: usize) {
+        let Some(mut write) = self.planners[index].write else {
             return;
         };
         if self.down_until > self.now
-            || self.cut_to[place] > self.now
-            || self.cut_from[place] > self.now
+            || self.cut_to[index] > self.now
+            || self.cut_from[index] > self.now
         {
-            self.planners[place].write = None;
+            self.planners[index].write = None;
             return;
         }
         let allowed =
             may_write(write.term, self.stored.term) || self.run_spec.bypasses(Bypass::Term);
         if !allowed {
-            self.planners[place].write = None;
+            self.planners[index].write = None;
             return;
         }
         write.read = Some(self.stored);
-        let faults = self.inject_at(StepName::PlanWrite, place);
-        self.planners[place].write = None;
+        let faults = self.inject_at(StepName::PlanWrite, index);
+        self.planners[index].write = None;
         if faults.contains(&FaultKind::Lost) {
             return;
         }
@@ -331,29 +331,29 @@
         let latency = if late {
             self.random_millis(500, 9_000)
         } else {
-            self.latency(place)
+            self.latency(index)
         };
         // A paused process sends its pending write when it resumes.
-        let pause_left = self.planners[place].paused_until.since(self.now);
+        let pause_left = self.planners[index].paused_until.since(self.now);
         let scheduled = SimEvent::WritePlan(write);
         if faults.contains(&FaultKind::Doubled) {
-            let again = self.random_millis(10, 4_000);
+            let duplicate_delay = self.random_millis(10, 4_000);
             self.post(
-                place,
+                index,
                 SimEvent::WritePlan(write),
-                latency + pause_left + again,
+                latency + pause_left + duplicate_delay,
             );
         }
-        if self.planners[place].up {
-            self.post(place, scheduled, latency + pause_left);
+        if self.planners[index].up {
+            self.post(index, scheduled, latency + pause_left);
         }
     }
 
     /// Checks that at most one planner may act at a time.
     fn check_single_holder(&mut self) {
         let now = self.now;
-        let awake = (0..PLANNERS).filter(|place| self.is_awake(*place));
-        let holders = awake.filter(|place| self.planners[*place].keeper.may_act(now).is_some());
+        let awake = (0..PLANNERS).filter(|index| self.is_awake(*index));
+        let holders = awake.filter(|index| self.planners[*index].keeper.may_act(now).is_some());
         if holders.count() > 1 {
             let text = format!("two planners can act at {now:?}");
             self.report.findings.push(text);
--- a/crates/oatpier-faults/src/lease/store.rs
+++ b/crates/oatpier-faults/src/lease/store.rs
@@ -14,22 +14,22 @@
 use crate::step::StepName;
 
 impl LeaseSimulation {
-    pub fn handle_at_store(&mut self, place: usize, boot: u64, event: SimEvent) {
+    pub fn handle_at_store(&mut self, index: usize, boot: u64, event: SimEvent) {
         match event {
             SimEvent::Lease(action) => {
                 let answer = self.lease_answer(action);
-                let is_current = self.planners[place].boot == boot;
+                let is_current = self.planners[index].boot == boot;
                 if is_current && let Some(answer) = answer {
-                    self.answer(place, answer);
+                    self.answer(index, answer);
                 }
             }
-            SimEvent::WritePlan(write) => self.write_plan(place, write),
+            SimEvent::WritePlan(write) => self.write_plan(index, write),
             _ => {}
         }
     }
 
-    pub fn answer(&mut self, place: usize, event: LeaseEvent) {
-        let lost = self.cut_from[place] > self.now;
+    pub fn answer(&mut self, index: usize, event: LeaseEvent) {
+        let lost = self.cut_from[index] > self.now;
         let event = match event {
             LeaseEvent::Wrote(LeaseWrite::Written(_)) if lost || self.loses_answer() => {
                 LeaseEvent::Wrote(LeaseWrite::AnswerLost)
@@ -37,7 +37,7 @@
             LeaseEvent::Read(_) if lost => LeaseEvent::Read(Err(())),
             other => other,
         };
-        self.post(place, SimEvent::Answer(event), Duration::from_millis(2));
+        self.post(index, SimEvent::Answer(event), Duration::from_millis(2));
     }
 
     pub fn loses_answer(&mut self) -> bool {
@@ -64,9 +64,9 @@
         if current != expected {
             return LeaseWrite::Conflict;
         }
-        let former = self.lease.as_ref().map(|stored| stored.lease.term);
-        if former.is_some_and(|former| lease.term < former) {
-            let text = format!("the term decreased from {former:?} to {:?}", lease.term);
+        let previous = self.lease.as_ref().map(|stored| stored.lease.term);
+        if previous.is_some_and(|previous| lease.term < previous) {
+            let text = format!("the term decreased from {previous:?} to {:?}", lease.term);
             self.report.findings.push(text);
         }
         let revision = current.unwrap_or_default().next();
@@ -74,7 +74,7 @@
         LeaseWrite::Written(revision)
     }
 
-    pub fn write_plan(&mut self, place: usize, write: PlanWrite) {
+    pub fn write_plan(&mut self, index: usize, write: PlanWrite) {
         let Some(read) = write.read.filter(|_| self.down_until <= self.now) else {
             return;
         };
@@ -97,39 +97,39 @@
         };
         self.last_plan_at = self.now;
         self.loses_answer();
-        let _ = place;
+        let _ = index;
     }
 
-    pub fn inject_at(&mut self, step: StepName, place: usize) -> Vec<FaultKind> {
+    pub fn inject_at(&mut self, step: StepName, index: usize) -> Vec<FaultKind> {
         let early = self.now < INJECTION_START && step != StepName::LeaseTake;
         if early || self.now > FAULTS_END {
             return Vec::new();
         }
         let faults = self.plan.take_due(step).to_vec();
         for fault in &faults {
-            self.inject(*fault, place);
+            self.inject(*fault, index);
         }
         faults
     }
 
-    pub fn inject(&mut self, fault: FaultKind, place: usize) {
-        let span = self.random_millis(1_000, 12_000);
-        let until = self.now + span;
+    pub fn inject(&mut self, fault: FaultKind, index: usize) {
+        let duration = self.random_millis(1_000, 12_000);
+        let until = self.now + duration;
         match fault {
-            FaultKind::Kill => self.stop_planner(place, span),
-            FaultKind::Restart => self.stop_planner(place, Duration::from_millis(200)),
-            FaultKind::Pause => self.planners[place].paused_until = until,
+            FaultKind::Kill => self.stop_planner(index, duration),
+            FaultKind::Restart => self.stop_planner(index, Duration::from_millis(200)),
+            FaultKind::Pause => self.planners[index].paused_until = until,
             // Longer than the lease lasts, so that another planner takes the lease meanwhile.
             FaultKind::LeaseLapsed => {
-                self.planners[place].paused_until = until + Duration::from_secs(8);
+                self.planners[index].paused_until = until + Duration::from_secs(8);
             }
-            FaultKind::CutTo => self.cut_to[place] = until,
-            FaultKind::CutFrom => self.cut_from[place] = until,
+            FaultKind::CutTo => self.cut_to[index] = until,
+            FaultKind::CutFrom => self.cut_from[index] = until,
             FaultKind::CutBoth => {
-                self.cut_to[place] = until;
-                self.cut_from[place] = until;
+                self.cut_to[index] = until;
+                self.cut_from[index] = until;
             }
-            FaultKind::SlowPeer => self.slow_planner[place] = until,
+            FaultKind::SlowPeer => self.slow_planner[index] = until,
             FaultKind::StoreDown => self.down_until = until,
             FaultKind::StoreSlow => self.slow_until = until,
             FaultKind::AnswerLost => self.answers_to_lose = self.random.random_range(1..=2),
@@ -137,9 +137,9 @@
         }
     }
 
-    pub fn stop_planner(&mut self, place: usize, away: Duration) {
-        self.planners[place].up = false;
-        self.planners[place].boot += 1;
-        self.post(place, SimEvent::Start, away);
+    pub fn stop_planner(&mut self, index: usize, downtime: Duration) {
+        self.planners[index].up = false;
+        self.planners[index].boot += 1;
+        self.post(index, SimEvent::Start, downtime);
     }
 }
--- a/crates/oatpier-faults/src/membership/actions.rs
+++ b/crates/oatpier-faults/src/membership/actions.rs
@@ -125,8 +125,8 @@
             body: Box::new(body),
         };
         if delivery == MessageDelivery::Duplicated {
-            let again = self.random_millis(1, 5_000);
-            self.put(latency + again, target, None, deliver.clone());
+            let duplicate_delay = self.random_millis(1, 5_000);
+            self.put(latency + duplicate_delay, target, None, deliver.clone());
         }
         if delivery == MessageDelivery::Misrouted {
             // Another process has taken over the address: it receives the call and answers it.
@@ -295,18 +295,18 @@
         if self.processes[watch.process].boot != watch.boot {
             return;
         }
-        let late = if delivery == MessageDelivery::Delayed {
+        let delay = if delivery == MessageDelivery::Delayed {
             self.random_millis(500, 6_000)
         } else {
             Duration::from_millis(2)
         };
         let boot = Some(watch.boot);
-        let happening = SimEvent::Store(Box::new(reply));
+        let event = SimEvent::Store(Box::new(reply));
         if delivery == MessageDelivery::Duplicated {
-            let again = self.random_millis(10, 3_000);
-            self.put(late + again, watch.process, boot, happening.clone());
+            let duplicate_delay = self.random_millis(10, 3_000);
+            self.put(delay + duplicate_delay, watch.process, boot, event.clone());
         }
-        self.put(late, watch.process, boot, happening);
+        self.put(delay, watch.process, boot, event);
     }
 
     /// Ends the watches whose timeout has passed, or all of them if the store is down.
--- a/crates/oatpier-faults/src/membership/checks.rs
+++ b/crates/oatpier-faults/src/membership/checks.rs
@@ -72,9 +72,9 @@
     }
 
     fn report_gone(&mut self, entry: usize, other: usize, since: ClockTime) {
-        let span = self.now.since(since);
+        let duration = self.now.since(since);
         let text = format!(
-            "entry {entry} marked the running process {other} as gone for {span:?} at {since:?}"
+            "entry {entry} marked the running process {other} as gone for {duration:?} at {since:?}"
         );
         self.report.findings.push(text);
     }
--- a/crates/oatpier-faults/src/membership/inject.rs
+++ b/crates/oatpier-faults/src/membership/inject.rs
@@ -46,31 +46,31 @@
     }
 
     fn inject(&mut self, fault: FaultKind, from: usize, to: usize) {
-        let span = self.random_millis(500, 9_000);
-        let until = self.now + span;
+        let duration = self.random_millis(500, 9_000);
+        let until = self.now + duration;
         let victim = if self.random.random_bool(0.5) {
             from
         } else {
             to
         };
         match fault {
-            FaultKind::Kill => self.end(victim, span),
+            FaultKind::Kill => self.end(victim, duration),
             FaultKind::Restart => self.end(victim, Duration::from_millis(30)),
             FaultKind::Pause => {
                 self.processes[victim].paused_until = until;
                 self.processes[victim].is_affected = true;
-                self.put(span, victim, None, SimEvent::FaultsOver);
+                self.put(duration, victim, None, SimEvent::FaultsOver);
             }
-            FaultKind::CutTo => self.cut(from, to, span),
-            FaultKind::CutFrom => self.cut(to, from, span),
-            FaultKind::CutBoth => self.cut_both(from, to, span),
+            FaultKind::CutTo => self.cut(from, to, duration),
+            FaultKind::CutFrom => self.cut(to, from, duration),
+            FaultKind::CutBoth => self.cut_both(from, to, duration),
             FaultKind::SlowPeer => {
                 self.processes[to].slow_until = until;
                 self.processes[to].is_affected = true;
             }
             FaultKind::StoreDown => {
                 self.store.down_until = until;
-                self.put(span, from, None, SimEvent::FaultsOver);
+                self.put(duration, from, None, SimEvent::FaultsOver);
             }
             FaultKind::StoreSlow => self.store.slow_until = until,
             FaultKind::WatchBroken if self.run_spec.seed.is_multiple_of(2) => {
@@ -89,41 +89,41 @@
         }
     }
 
-    fn end(&mut self, victim: usize, away: Duration) {
+    fn end(&mut self, victim: usize, downtime: Duration) {
         if self.processes[victim].node.is_some() {
             self.kill(victim);
-            self.put(away, victim, None, SimEvent::Start);
+            self.put(downtime, victim, None, SimEvent::Start);
         }
     }
 
     /// Blocks messages to `to`: with equal probability those from `from` only, or from all processes.
-    fn cut(&mut self, from: usize, to: usize, span: Duration) {
+    fn cut(&mut self, from: usize, to: usize, duration: Duration) {
         let all_links = self.random.random_bool(0.5);
-        self.mark_cut(from, to, all_links, span);
-        let until = self.now + span;
+        self.mark_cut(from, to, all_links, duration);
+        let until = self.now + duration;
         for other in (0..PROCESSES).filter(|other| all_links || *other == from) {
             self.blocked.insert((other, to), until);
         }
     }
 
     /// Blocks messages to and from `to`: with equal probability the link to `from` only, or all links.
-    fn cut_both(&mut self, from: usize, to: usize, span: Duration) {
+    fn cut_both(&mut self, from: usize, to: usize, duration: Duration) {
         let all_links = self.random.random_bool(0.5);
-        self.mark_cut(from, to, all_links, span);
-        let until = self.now + span;
+        self.mark_cut(from, to, all_links, duration);
+        let until = self.now + duration;
         for other in (0..PROCESSES).filter(|other| all_links || *other == from) {
             self.blocked.insert((other, to), until);
             self.blocked.insert((to, other), until);
         }
     }
 
-    fn mark_cut(&mut self, from: usize, to: usize, all_links: bool, span: Duration) {
+    fn mark_cut(&mut self, from: usize, to: usize, all_links: bool, duration: Duration) {
         self.processes[to].is_affected = true;
         self.processes[from].is_affected |= !all_links;
         if all_links || from == to {
-            self.store_cut_until[to] = self.now + span;
+            self.store_cut_until[to] = self.now + duration;
         }
-        self.put(span, to, None, SimEvent::FaultsOver);
+        self.put(duration, to, None, SimEvent::FaultsOver);
     }
 
     /// Delivers the list of VMs, which is read periodically. A wrong list reports some VMs as leaving to the entries,
--- a/crates/oatpier-faults/src/membership/mod.rs
+++ b/crates/oatpier-faults/src/membership/mod.rs
@@ -6,8 +6,8 @@
 //! fault injection begins. If the step is the registration with a successor, a registrar crashes
 //! first. Three seconds after each change every process still receives the previous configuration
 //! from a peer; a restarted process receives it as its first message. The checks: the generation in
-//! force at every process never decreases, it is highest_generation within seconds at processes that no fault
-//! affects, and at the end every live process is known and up to date.
+//! force never decreases at any process. Processes that no fault affects apply an accepted generation
+//! within seconds. At the end every live process is known and up to date.
 
 mod actions;
 mod checks;
--- a/crates/oatpier-faults/src/membership/simulation.rs
+++ b/crates/oatpier-faults/src/membership/simulation.rs
@@ -280,8 +280,8 @@
             SimEvent::Change => return self.change(to),
             SimEvent::KillRegistrar => {
                 self.kill(to);
-                let away = Duration::from_millis(self.random.random_range(5_000..20_000));
-                return self.put(away, to, None, SimEvent::Start);
+                let downtime = Duration::from_millis(self.random.random_range(5_000..20_000));
+                return self.put(downtime, to, None, SimEvent::Start);
             }
             SimEvent::ListVms => return self.list_vms(),
             SimEvent::FaultsOver => return self.log_event(FleetEvent::FaultsOver),
--- a/crates/oatpier-faults/src/orders/inject.rs
+++ b/crates/oatpier-faults/src/orders/inject.rs
@@ -44,14 +44,14 @@
     }
 
     fn inject(&mut self, fault: FaultKind, index: usize) {
-        let span = Duration::from_millis(self.random.random_range(1_000..9_000));
-        let until = self.now + span;
+        let duration = Duration::from_millis(self.random.random_range(1_000..9_000));
+        let until = self.now + duration;
         match fault {
-            FaultKind::Kill => self.kill(index, span),
+            FaultKind::Kill => self.kill(index, duration),
             FaultKind::Restart => self.stop_agent(index, Duration::from_millis(50)),
-            FaultKind::Pause => self.pause(index, span),
+            FaultKind::Pause => self.pause(index, duration),
             FaultKind::LeaseLapsed => {
-                self.pause(index, span);
+                self.pause(index, duration);
                 self.start_agent(index);
             }
             FaultKind::CutTo => self.cut_to[index] = until,
@@ -72,8 +72,8 @@
     }
 
     /// Ends the agent. With a probability of 0.4 the engine crashes too and loses all weights.
-    fn kill(&mut self, index: usize, away: Duration) {
-        self.stop_agent(index, away);
+    fn kill(&mut self, index: usize, downtime: Duration) {
+        self.stop_agent(index, downtime);
         if self.random.random_bool(0.4) {
             self.log_event(FleetEvent::Ended {
                 name: name(&format!("engine-{index}")),
@@ -86,7 +86,7 @@
     }
 
     /// Ends the current agent of an endpoint. Its calls and orders in flight may still take effect.
-    fn stop_agent(&mut self, index: usize, away: Duration) {
+    fn stop_agent(&mut self, index: usize, downtime: Duration) {
         let Some(boot) = self.current[index].take() else {
             return;
         };
@@ -96,12 +96,12 @@
             agent.paused_until = oatpier_types::clock::ClockTime::NEVER;
             agent.boot = BootId(u128::MAX - agent.boot.0);
         }
-        self.post(OrderMessage::Start(index), away);
+        self.post(OrderMessage::Start(index), downtime);
     }
 
-    fn pause(&mut self, index: usize, span: Duration) {
+    fn pause(&mut self, index: usize, duration: Duration) {
         let boot = self.current[index];
-        let wake = self.now + span;
+        let wake = self.now + duration;
         if let Some(agent) = self
             .agents
             .iter_mut()
--- a/crates/oatpier-faults/src/orders/network.rs
+++ b/crates/oatpier-faults/src/orders/network.rs
@@ -21,8 +21,8 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl OrderSimulation {
-    pub fn execute_command(&mut self, place: usize, command: OrderCommand) {
-        let Some(agent) = self.agents.get(place) else {
+    pub fn execute_command(&mut self, agent_index: usize, command: OrderCommand) {
+        let Some(agent) = self.agents.get(agent_index) else {
             return;
         };
         let OrderAgent { index, boot, .. } = *agent;
@@ -66,21 +66,21 @@
             let event = OrderEvent::Record(RecordAnswer::AnswerLost);
             self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
             let seen = delivery != MessageDelivery::Dropped || self.random.random_bool(0.5);
-            let late = if delivery == MessageDelivery::Delayed {
+            let delay = if delivery == MessageDelivery::Delayed {
                 self.random_up_to(Duration::from_secs(5))
             } else {
                 latency
             };
             if seen {
-                self.post(OrderMessage::StoreCall(index, boot, call, false), late);
+                self.post(OrderMessage::StoreCall(index, boot, call, false), delay);
             }
             return;
         }
         if delivery == MessageDelivery::Duplicated {
-            let late = self.random_up_to(Duration::from_secs(5));
+            let delay = self.random_up_to(Duration::from_secs(5));
             self.post(
                 OrderMessage::StoreCall(index, boot, call.clone(), false),
-                late,
+                delay,
             );
         }
         self.post(OrderMessage::StoreCall(index, boot, call, true), latency);
@@ -92,14 +92,14 @@
             delivery = delivery.max(self.inject_at(step, index));
         }
         let number = order.number;
-        let late = self.random_up_to(Duration::from_secs(20));
+        let delay = self.random_up_to(Duration::from_secs(20));
         let cut_to = self.cut_to[index] > self.now;
         let cut_from = self.cut_from[index] > self.now;
         match delivery {
             _ if cut_to => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
                 if self.random.random_bool(0.5) {
-                    self.post(OrderMessage::Order(index, boot, order, false), late);
+                    self.post(OrderMessage::Order(index, boot, order, false), delay);
                 }
             }
             _ if cut_from => {
@@ -111,15 +111,18 @@
             }
             MessageDelivery::Delayed => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
-                self.post(OrderMessage::Order(index, boot, order, false), late);
+                self.post(OrderMessage::Order(index, boot, order, false), delay);
             }
             MessageDelivery::Misrouted => {
                 // Reordered: it arrives after later messages, up to 5 s late, and is answered then.
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
-                self.post(OrderMessage::Order(index, boot, order, true), late / 4);
+                self.post(OrderMessage::Order(index, boot, order, true), delay / 4);
             }
             MessageDelivery::Duplicated => {
-                self.post(OrderMessage::Order(index, boot, order.clone(), false), late);
+                self.post(
+                    OrderMessage::Order(index, boot, order.clone(), false),
+                    delay,
+                );
                 self.post(OrderMessage::Order(index, boot, order, true), TICK);
             }
             MessageDelivery::Normal => {
@@ -141,20 +144,20 @@
             MessageDelivery::Delayed => {
                 let event = OrderEvent::PollFailed { ticket };
                 self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
-                let late = self.random_up_to(Duration::from_secs(6));
-                self.post(OrderMessage::Poll(index, boot, ticket), late);
+                let delay = self.random_up_to(Duration::from_secs(6));
+                self.post(OrderMessage::Poll(index, boot, ticket), delay);
             }
             MessageDelivery::Duplicated => {
-                let late = self.random_up_to(Duration::from_secs(6));
+                let delay = self.random_up_to(Duration::from_secs(6));
                 self.post(OrderMessage::Poll(index, boot, ticket), latency);
-                self.post(OrderMessage::Poll(index, boot, ticket), late);
+                self.post(OrderMessage::Poll(index, boot, ticket), delay);
             }
             MessageDelivery::Misrouted => {
                 // Answers crossed: the state arrives under the ticket of the previous poll, and this poll fails.
                 let state = Box::new(self.engines[index].state());
-                let former = PollTicket(ticket.0.saturating_sub(1));
+                let previous = PollTicket(ticket.0.saturating_sub(1));
                 let ticket_event = OrderEvent::Polled {
-                    ticket: former,
+                    ticket: previous,
                     state,
                 };
                 self.post(OrderMessage::Event(boot, ticket_event), latency);
@@ -182,13 +185,13 @@
         if cut || delivery == MessageDelivery::Dropped {
             return;
         }
-        let late = self.random_up_to(Duration::from_secs(6));
+        let delay = self.random_up_to(Duration::from_secs(6));
         let latency = self.latency(index);
         match delivery {
-            MessageDelivery::Delayed => self.post(message, late),
+            MessageDelivery::Delayed => self.post(message, delay),
             MessageDelivery::Duplicated => {
                 self.post(message.clone(), latency);
-                self.post(message, late);
+                self.post(message, delay);
             }
             MessageDelivery::Misrouted => {
                 if let OrderMessage::Ask(to, ask) = &message {
@@ -216,9 +219,9 @@
         outcome: OrderOutcome,
         after: Duration,
     ) {
-        let loses_answer = self.run_spec.bypasses(Bypass::UnknownOrders);
+        let is_bypassed = self.run_spec.bypasses(Bypass::UnknownOrders);
         let outcome = match outcome {
-            OrderOutcome::Unknown if loses_answer => OrderOutcome::NotSent,
+            OrderOutcome::Unknown if is_bypassed => OrderOutcome::NotSent,
             other => other,
         };
         let event = OrderEvent::Answered { number, outcome };
@@ -229,8 +232,8 @@
         self.queue.put(self.now + after, message);
     }
 
-    pub fn random_up_to(&mut self, span: Duration) -> Duration {
-        span.mul_f64(self.random.random_range(0.0..1.0))
+    pub fn random_up_to(&mut self, duration: Duration) -> Duration {
+        duration.mul_f64(self.random.random_range(0.0..1.0))
     }
 
     pub fn deliver(&mut self, message: OrderMessage) {
@@ -300,13 +303,13 @@
 
     /// Returns the agent if it is not paused. Otherwise the message is queued until it resumes.
     fn awake_agent(&mut self, boot: BootId, message: OrderMessage) -> Option<&mut OrderAgent> {
-        let place = self.agents.iter().position(|agent| agent.boot == boot)?;
-        let wake: ClockTime = self.agents[place].paused_until;
+        let agent_index = self.agents.iter().position(|agent| agent.boot == boot)?;
+        let wake: ClockTime = self.agents[agent_index].paused_until;
         if wake > self.now {
             self.queue.put(wake, message);
             return None;
         }
-        Some(&mut self.agents[place])
+        Some(&mut self.agents[agent_index])
     }
 
     fn store_answer(&mut self, index: usize, call: RecordCall) -> RecordAnswer {
--- a/crates/oatpier-faults/src/orders/simulation.rs
+++ b/crates/oatpier-faults/src/orders/simulation.rs
@@ -246,28 +246,30 @@
         }
     }
 
-    fn run_agent(&mut self, place: usize) {
-        if self.agents[place].paused_until > self.now {
+    fn run_agent(&mut self, agent_index: usize) {
+        if self.agents[agent_index].paused_until > self.now {
             return;
         }
-        self.refresh_view(place);
-        self.take_steps(place);
+        self.refresh_view(agent_index);
+        self.take_steps(agent_index);
         let OrderAgent {
             keeper, releases, ..
-        } = &mut self.agents[place];
+        } = &mut self.agents[agent_index];
         for reply in releases.replies(keeper, self.now) {
             self.send_release(OrderMessage::Answer(reply.answer));
         }
-        let commands = self.agents[place].keeper.commands(&self.config, self.now);
+        let commands = self.agents[agent_index]
+            .keeper
+            .commands(&self.config, self.now);
         for command in commands {
-            self.execute_command(place, command);
+            self.execute_command(agent_index, command);
         }
     }
 
-    fn take_steps(&mut self, place: usize) {
+    fn take_steps(&mut self, agent_index: usize) {
         for _ in 0..4 {
             let now = self.now;
-            let agent = &mut self.agents[place];
+            let agent = &mut self.agents[agent_index];
             let replicas = StaleView(&agent.view, agent.index);
             let attempts = WorkCount(&self.work, agent.index, now);
             let input = StepInput {
@@ -285,11 +287,11 @@
             let Ok(step) = stepper.next_step(input, keeper, releases, now) else {
                 return;
             };
-            self.take_step(place, step);
+            self.take_step(agent_index, step);
         }
     }
 
-    fn take_step(&mut self, place: usize, step: PlacementStep) {
+    fn take_step(&mut self, agent_index: usize, step: PlacementStep) {
         match step {
             PlacementStep::AskRelease { to, ask } => {
                 if self.run_spec.bypasses(Bypass::Release) {
@@ -298,7 +300,9 @@
                         sequence: ask.sequence,
                         granted: true,
                     };
-                    self.agents[place].releases.on_answer(answer, self.now);
+                    self.agents[agent_index]
+                        .releases
+                        .on_answer(answer, self.now);
                     return;
                 }
                 let to = (0..ENGINES).find(|index| scenario::endpoint(*index) == to);
@@ -307,15 +311,15 @@
                 }
             }
             PlacementStep::StartDrain(_) => {
-                let index = self.agents[place].index;
+                let index = self.agents[agent_index].index;
                 self.inject_at(StepName::MoveDrain, index);
             }
             PlacementStep::Ordered(_) | PlacementStep::ResumeServing(_) => {}
         }
     }
 
-    fn refresh_view(&mut self, place: usize) {
-        if self.now < self.agents[place].view_until {
+    fn refresh_view(&mut self, agent_index: usize) {
+        if self.now < self.agents[agent_index].view_until {
             return;
         }
         let lag = Duration::from_millis(self.random.random_range(0..2_000));
@@ -326,8 +330,8 @@
             (row.endpoint.clone(), ready)
         });
         let view = view.collect();
-        self.agents[place].view = view;
-        self.agents[place].view_until = self.now + lag;
+        self.agents[agent_index].view = view;
+        self.agents[agent_index].view_until = self.now + lag;
     }
 
     pub fn log_event(&mut self, event: FleetEvent) {
@@ -347,7 +351,7 @@
                 });
             }
         }
-        for (place, raw) in MODELS.into_iter().enumerate() {
+        for (model_index, raw) in MODELS.into_iter().enumerate() {
             let model: ModelName = name(raw);
             let serving = self
                 .engines
@@ -355,7 +359,7 @@
                 .filter(|engine| engine.serves(&model))
                 .count();
             let count = u32::try_from(serving).unwrap_or(u32::MAX);
-            if std::mem::replace(&mut self.ready_replicas[place], count) != count {
+            if std::mem::replace(&mut self.ready_replicas[model_index], count) != count {
                 self.log_event(FleetEvent::ReplicasReady { model, count });
             }
         }
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -108,7 +108,7 @@
                 seal_only,
             } => self.handle_cancel(agent, from, request, attempt, ticket, seal_only),
             Message::CallUpdate { attempt, update } => {
-                self.handle_call_update(agent, attempt, update)
+                self.handle_call_update(agent, attempt, update);
             }
             Message::EntryGone(attempt) => self.handle_entry_gone(agent, attempt),
             Message::Leave => self.handle_leave(agent),
@@ -216,20 +216,22 @@
             .policy
             .queue_report(self.now);
         match update {
-            CallUpdate::Piece(place) => {
+            CallUpdate::Piece(position) => {
                 if first {
-                    self.frame(agent, attempt, AnswerFrame::Head(report));
+                    self.send_frame(agent, attempt, AnswerFrame::Head(report));
                 }
-                self.frame(agent, attempt, AnswerFrame::Piece { place, content });
+                self.send_frame(agent, attempt, AnswerFrame::Piece { position, content });
+            }
+            CallUpdate::End => self.send_frame(agent, attempt, AnswerFrame::End(report)),
+            CallUpdate::Failed(verdict) => {
+                self.send_frame(agent, attempt, AnswerFrame::Failed(verdict));
             }
-            CallUpdate::End => self.frame(agent, attempt, AnswerFrame::End(report)),
-            CallUpdate::Failed(verdict) => self.frame(agent, attempt, AnswerFrame::Failed(verdict)),
             CallUpdate::Up(_) => {}
         }
     }
 
     /// Sends a part of an answer to the entry of the attempt.
-    fn frame(&mut self, agent: NodeId, attempt: AttemptId, frame: AnswerFrame) {
+    fn send_frame(&mut self, agent: NodeId, attempt: AttemptId, frame: AnswerFrame) {
         let node = &mut self.agents[agent - FIRST_AGENT];
         let Some(held) = node.held.get(&attempt) else {
             return;
@@ -277,7 +279,7 @@
                     if refusal.cause == RefusalCause::Leaving {
                         self.inject_at(StepName::StopRefuse, 0, agent);
                     }
-                    self.frame(agent, attempt, AnswerFrame::Refused(refusal, report));
+                    self.send_frame(agent, attempt, AnswerFrame::Refused(refusal, report));
                 }
                 AgentAction::AnswerCopy { attempt, .. } => {
                     self.answer_copy(agent, attempt, AnswerFrame::Refused(copy_refusal(), report));
--- a/crates/oatpier-faults/src/request/caller.rs
+++ b/crates/oatpier-faults/src/request/caller.rs
@@ -24,7 +24,7 @@
     pub kind: JobKind,
     pub key: u64,
     pub tries: u32,
-    pub done: bool,
+    pub is_done: bool,
 }
 
 /// One request of a job, with the state of its answer at the caller.
@@ -32,28 +32,28 @@
 pub struct Submission {
     pub job: usize,
     pub entry: NodeId,
-    pub answered: bool,
+    pub is_answered: bool,
     /// Number of pieces that arrived in order.
     pub relayed: u32,
     /// Whether a piece arrived out of order, or belonged to another request.
-    pub broken: bool,
+    pub is_broken: bool,
     pub content: Option<RequestId>,
 }
 
 impl RequestSimulation {
     pub fn schedule_jobs(&mut self) {
-        let leaves = self.targets(StepName::Cancel);
+        let has_disconnects = self.targets(StepName::Cancel);
         for number in 0..9 {
             let kind = [JobKind::Change, JobKind::Stream, JobKind::Fetch][number % 3];
-            let late = self.random_millis(0, 60);
-            let gone = leaves && number < 3;
-            self.schedule_job(kind, late, gone);
+            let delay = self.random_millis(0, 60);
+            let disconnects = has_disconnects && number < 3;
+            self.schedule_job(kind, delay, disconnects);
         }
         let is_stop = self.stop.is_some();
         for number in 0..if is_stop { 45 } else { 0 } {
             let kind = [JobKind::Change, JobKind::Stream, JobKind::Fetch][number % 3];
-            let late = self.random_millis(60, 1_500);
-            self.schedule_job(kind, late, false);
+            let delay = self.random_millis(60, 1_500);
+            self.schedule_job(kind, delay, false);
         }
     }
 
@@ -64,57 +64,59 @@
         }
     }
 
-    fn schedule_job(&mut self, kind: JobKind, late: Duration, leaves: bool) {
-        let place = self.jobs.len();
+    fn schedule_job(&mut self, kind: JobKind, delay: Duration, disconnects: bool) {
+        let job_index = self.jobs.len();
         self.jobs.push(Job {
             kind,
-            key: 1_000 + place as u64,
+            key: 1_000 + job_index as u64,
             tries: 0,
-            done: false,
+            is_done: false,
         });
-        self.queue.put(self.now + late, SimEvent::Submit(place));
-        if leaves {
-            let gone = late + self.random_millis(2, 60);
-            self.queue.put(self.now + gone, SimEvent::CallerGone(place));
+        self.queue
+            .put(self.now + delay, SimEvent::Submit(job_index));
+        if disconnects {
+            let disconnect_delay = delay + self.random_millis(2, 60);
+            self.queue
+                .put(self.now + disconnect_delay, SimEvent::CallerGone(job_index));
         }
     }
 
-    pub fn submit(&mut self, place: usize) {
-        let job = self.jobs[place];
-        if job.done {
+    pub fn submit(&mut self, job_index: usize) {
+        let job = self.jobs[job_index];
+        if job.is_done {
             return;
         }
-        let preferred = (place + job.tries as usize) % ENTRIES;
+        let preferred = (job_index + job.tries as usize) % ENTRIES;
         let ready = |entry: NodeId| self.nodes[entry].up && !self.is_known_stopping(entry);
         let Some(entry) = [preferred, sibling(preferred)]
             .into_iter()
             .find(|entry| ready(*entry))
         else {
             let later = self.now + Duration::from_millis(100);
-            self.queue.put(later, SimEvent::Submit(place));
+            self.queue.put(later, SimEvent::Submit(job_index));
             return;
         };
-        self.jobs[place].tries += 1;
+        self.jobs[job_index].tries += 1;
         if job.tries >= MAX_TRIES {
             return;
         }
         let delivery = self.inject_at(StepName::Intake, CALLERS, entry);
-        self.submit_to(place, entry, delivery);
+        self.submit_to(job_index, entry, delivery);
         if delivery == MessageDelivery::Duplicated {
             // The caller, or the load balancer in front of the entries, sends the request twice.
-            self.submit_to(place, sibling(entry), MessageDelivery::Normal);
+            self.submit_to(job_index, sibling(entry), MessageDelivery::Normal);
         }
     }
 
-    fn submit_to(&mut self, place: usize, entry: NodeId, delivery: MessageDelivery) {
-        let job = self.jobs[place];
+    fn submit_to(&mut self, job_index: usize, entry: NodeId, delivery: MessageDelivery) {
+        let job = self.jobs[job_index];
         let request = RequestId(1 + self.submissions.len() as u128);
         let submission = Submission {
-            job: place,
+            job: job_index,
             entry,
-            answered: false,
+            is_answered: false,
             relayed: 0,
-            broken: false,
+            is_broken: false,
             content: None,
         };
         self.submissions.insert(request, submission);
@@ -133,7 +135,7 @@
             let after = self.random_millis(100, 1_500);
             return self.submit_lost(request, after);
         }
-        let late = if delivery == MessageDelivery::Delayed {
+        let delay = if delivery == MessageDelivery::Delayed {
             self.random_millis(50, 2_500)
         } else {
             Duration::from_millis(1)
@@ -146,24 +148,26 @@
             let after = self.random_millis(100, 1_500);
             return self.submit_lost(request, after);
         }
-        self.post_directly(CALLERS, entry, message, late);
+        self.post_directly(CALLERS, entry, message, delay);
     }
 
     /// Ends the caller's connection of a request that never arrived at its entry.
     pub fn submit_lost(&mut self, request: RequestId, after: Duration) {
         let open = self.submissions.get(&request);
-        let Some(submission) = open.filter(|submission| !submission.answered) else {
+        let Some(submission) = open.filter(|submission| !submission.is_answered) else {
             return;
         };
-        let place = submission.job;
-        self.answered(request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
-        self.queue.put(self.now + after, SimEvent::Submit(place));
+        let job_index = submission.job;
+        self.record_answer_end(request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
+        self.queue
+            .put(self.now + after, SimEvent::Submit(job_index));
     }
 
-    pub fn caller_gone(&mut self, place: usize) {
-        self.jobs[place].done = true;
+    pub fn caller_gone(&mut self, job_index: usize) {
+        self.jobs[job_index].is_done = true;
         let open = self.submissions.iter();
-        let open = open.filter(|(_, submission)| submission.job == place && !submission.answered);
+        let open =
+            open.filter(|(_, submission)| submission.job == job_index && !submission.is_answered);
         let open: Vec<(RequestId, NodeId)> = open
             .map(|(request, submission)| (*request, submission.entry))
             .collect();
@@ -178,15 +182,15 @@
     }
 
     /// Records a piece that is relayed to the caller.
-    pub fn relayed(&mut self, request: RequestId, place: u32, content: RequestId) {
+    pub fn record_piece(&mut self, request: RequestId, position: u32, content: RequestId) {
         let Some(submission) = self.submissions.get_mut(&request) else {
             return;
         };
         submission.content = Some(content);
-        if submission.relayed == place && content == request {
+        if submission.relayed == position && content == request {
             submission.relayed += 1;
         } else {
-            submission.broken = true;
+            submission.is_broken = true;
         }
     }
 
@@ -196,7 +200,7 @@
             return;
         };
         let job = self.jobs[submission.job];
-        let complete = !submission.broken && submission.relayed == job.kind.pieces();
+        let complete = !submission.is_broken && submission.relayed == job.kind.pieces();
         let end = match answer.cause {
             FinalCause::Complete if complete => AnswerEnd::Whole,
             FinalCause::Complete => AnswerEnd::Cut,
@@ -207,11 +211,11 @@
             answer.cause,
             FinalCause::Complete | FinalCause::Refused(RefusalCause::KeyUsed)
         );
-        self.answered(request, end, answer.verdict, settled);
+        self.record_answer_end(request, end, answer.verdict, settled);
     }
 
     /// Records the end of an answer at its caller. If `settled` is true, the caller does not retry.
-    pub fn answered(
+    pub fn record_answer_end(
         &mut self,
         request: RequestId,
         end: AnswerEnd,
@@ -221,8 +225,8 @@
         let Some(submission) = self.submissions.get_mut(&request) else {
             return;
         };
-        submission.answered = true;
-        let (place, content) = (submission.job, submission.content);
+        submission.is_answered = true;
+        let (job_index, content) = (submission.job, submission.content);
         self.log_event(FleetEvent::AnswerEnded {
             request,
             content_of: content,
@@ -231,10 +235,10 @@
             in_time: false,
         });
         if settled {
-            self.jobs[place].done = true;
+            self.jobs[job_index].is_done = true;
             return;
         }
         let wait = Duration::from_millis(self.random.random_range(150..500));
-        self.queue.put(self.now + wait, SimEvent::Submit(place));
+        self.queue.put(self.now + wait, SimEvent::Submit(job_index));
     }
 }
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -111,7 +111,7 @@
         let Some(submission) = self.submissions.get(&request).copied() else {
             return;
         };
-        if submission.answered {
+        if submission.is_answered {
             return;
         }
         let job = self.jobs[submission.job];
@@ -135,7 +135,7 @@
             attempt = live;
         }
         let piece = match &frame {
-            AnswerFrame::Piece { place, content } => Some((*place, *content)),
+            AnswerFrame::Piece { position, content } => Some((*position, *content)),
             _ => None,
         };
         let event = event_of(attempt, frame);
@@ -182,8 +182,8 @@
                     mode,
                 } => self.send_cancel(entry, request, &endpoint, attempt, mode),
                 EntryAction::Relay { .. } => {
-                    if let Some((place, content)) = piece {
-                        self.relayed(request, place, content);
+                    if let Some((position, content)) = piece {
+                        self.record_piece(request, position, content);
                     }
                 }
                 EntryAction::Answer(answer) => self.end_request(entry, request, &answer),
@@ -218,7 +218,7 @@
             entry,
             agent,
             earliest_arrival: self.now,
-            broken: false,
+            is_broken: false,
         };
         self.connections.insert(spec.attempt, connection);
         let key = self.key_of(spec.request, spec.repeat);
@@ -226,10 +226,10 @@
         let message = Message::Attempt { spec, ticket, key };
         if held {
             // The cancel of the unanswered attempt overtakes the attempt.
-            let late = self.random_millis(700, 2_200);
+            let delay = self.random_millis(700, 2_200);
             let delivery = self.inject_at(StepName::Send, entry, agent);
             debug_assert_eq!(delivery, MessageDelivery::Normal);
-            self.post_directly(entry, agent, message, late);
+            self.post_directly(entry, agent, message, delay);
         } else {
             self.send(Some(StepName::Send), entry, agent, message);
         }
@@ -280,10 +280,10 @@
             attempt,
             report: Some(report),
         },
-        AnswerFrame::Piece { place, .. } => EntryEvent::Piece {
+        AnswerFrame::Piece { position, .. } => EntryEvent::Piece {
             attempt,
             // Services answer in bytes rather than tokens, in a single piece.
-            tokens: u32::from(place < fleet::STREAM_PIECES),
+            tokens: u32::from(position < fleet::STREAM_PIECES),
         },
         AnswerFrame::End(report) => EntryEvent::Ended {
             attempt,
--- a/crates/oatpier-faults/src/request/inject.rs
+++ b/crates/oatpier-faults/src/request/inject.rs
@@ -38,14 +38,14 @@
     fn inject(&mut self, fault: FaultKind, from: NodeId, to: NodeId) {
         match fault {
             FaultKind::Kill => {
-                let away = self.random_millis(1_500, 4_000);
+                let downtime = self.random_millis(1_500, 4_000);
                 let victim = self.victim(from, to);
-                self.kill(victim, away);
+                self.kill(victim, downtime);
             }
             FaultKind::Restart => {
-                let away = self.random_millis(5, 100);
+                let downtime = self.random_millis(5, 100);
                 let victim = self.victim(from, to);
-                self.kill(victim, away);
+                self.kill(victim, downtime);
             }
             FaultKind::Pause => {
                 let until = self.now + self.random_millis(100, 4_000);
@@ -92,7 +92,7 @@
     }
 
     /// Crashes a process and schedules its restart.
-    pub fn kill(&mut self, victim: NodeId, away: Duration) {
+    pub fn kill(&mut self, victim: NodeId, downtime: Duration) {
         if !self.nodes[victim].up {
             return;
         }
@@ -104,7 +104,7 @@
             cut_off: 0,
         });
         self.end_connections(victim);
-        self.queue.put(self.now + away, SimEvent::Boot(victim));
+        self.queue.put(self.now + downtime, SimEvent::Boot(victim));
     }
 
     fn end_connections(&mut self, victim: NodeId) {
@@ -117,10 +117,11 @@
 
     fn end_entry_connections(&mut self, entry: NodeId) {
         let open = self.submissions.iter();
-        let open = open.filter(|(_, submission)| submission.entry == entry && !submission.answered);
+        let open =
+            open.filter(|(_, submission)| submission.entry == entry && !submission.is_answered);
         let open: Vec<RequestId> = open.map(|(request, _)| *request).collect();
         for request in open {
-            self.answered(request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
+            self.record_answer_end(request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
         }
         for (attempt, agent) in self.attempts_of(|connection| connection.entry == entry) {
             let after = self.random_millis(1, 50);
@@ -154,9 +155,9 @@
         wanted: impl Fn(&super::simulation::Connection) -> bool,
     ) -> Vec<(oatpier_types::ids::AttemptId, NodeId)> {
         let open = self.connections.iter_mut();
-        let open = open.filter(|(_, connection)| !connection.broken && wanted(connection));
+        let open = open.filter(|(_, connection)| !connection.is_broken && wanted(connection));
         open.map(|(attempt, connection)| {
-            connection.broken = true;
+            connection.is_broken = true;
             (*attempt, connection.agent)
         })
         .collect()
@@ -165,15 +166,25 @@
     /// Reports to the agent that its endpoint has ended or is up again, and fails all running calls.
     pub fn set_endpoint_up(&mut self, node: NodeId, up: bool) {
         let agent = node - AGENTS;
-        let soon = Duration::from_millis(2);
+        let short_delay = Duration::from_millis(2);
         let running = self.services[node - FIRST_ENDPOINT].end_all();
         for attempt in running {
             let update = CallUpdate::Failed(RunVerdict::MayHaveRun);
-            self.post_directly(node, agent, Message::CallUpdate { attempt, update }, soon);
+            self.post_directly(
+                node,
+                agent,
+                Message::CallUpdate { attempt, update },
+                short_delay,
+            );
         }
         let update = CallUpdate::Up(up);
         let attempt = oatpier_types::ids::AttemptId(0);
-        self.post_directly(node, agent, Message::CallUpdate { attempt, update }, soon);
+        self.post_directly(
+            node,
+            agent,
+            Message::CallUpdate { attempt, update },
+            short_delay,
+        );
     }
 
     /// Pauses the claimer and makes the other entry the claimer.
--- a/crates/oatpier-faults/src/request/message.rs
+++ b/crates/oatpier-faults/src/request/message.rs
@@ -29,7 +29,7 @@
 pub enum AnswerFrame {
     Head(QueueReport),
     Piece {
-        place: u32,
+        position: u32,
         content: RequestId,
     },
     End(QueueReport),
--- a/crates/oatpier-faults/src/request/network.rs
+++ b/crates/oatpier-faults/src/request/network.rs
@@ -40,26 +40,26 @@
         }
         match delivery {
             MessageDelivery::Normal => self.post(from, to, message, Duration::ZERO),
-            MessageDelivery::Dropped => self.lose(from, to, &message),
+            MessageDelivery::Dropped => self.drop_message(from, to, &message),
             MessageDelivery::Delayed => {
-                let late = self.random_millis(50, 2_500);
-                self.post(from, to, message, late);
+                let delay = self.random_millis(50, 2_500);
+                self.post(from, to, message, delay);
             }
             MessageDelivery::Duplicated => {
-                let late = self.random_millis(1, 1_500);
+                let delay = self.random_millis(1, 1_500);
                 self.post(from, to, message.clone(), Duration::ZERO);
-                self.post(from, to, message, late);
+                self.post(from, to, message, delay);
             }
             MessageDelivery::Misrouted => {
-                let to = self.cross(from, to, &message);
+                let to = self.misroute(from, to, &message);
                 self.post(from, to, message, Duration::ZERO);
             }
         }
     }
 
-    fn post(&mut self, from: NodeId, to: NodeId, message: Message, late: Duration) {
+    fn post(&mut self, from: NodeId, to: NodeId, message: Message, delay: Duration) {
         let micros = self.random.random_range(500..2_500);
-        let mut at = self.now + Duration::from_micros(micros) + late;
+        let mut at = self.now + Duration::from_micros(micros) + delay;
         let slow = [from, to]
             .iter()
             .any(|node| self.nodes[*node].slow_until > self.now);
@@ -69,7 +69,7 @@
         if let Some(until) = self.blocked_until(from, to) {
             // The transport retransmits the message after the cut, or drops it with the connection.
             if self.random.random_bool(0.5) {
-                self.lose(from, to, &message);
+                self.drop_message(from, to, &message);
                 return;
             }
             at = at.max(until) + self.random_millis(1, 200);
@@ -106,7 +106,7 @@
         let Some(connection) = self.connections.get_mut(attempt) else {
             return Some(at);
         };
-        if connection.broken {
+        if connection.is_broken {
             return None;
         }
         connection.earliest_arrival = connection.earliest_arrival.max(at);
@@ -114,7 +114,7 @@
     }
 
     /// Drops a message, and breaks its connection.
-    fn lose(&mut self, from: NodeId, to: NodeId, message: &Message) {
+    fn drop_message(&mut self, from: NodeId, to: NodeId, message: &Message) {
         let after = self.random_millis(200, 3_000);
         let (attempt, entry, agent) = match message {
             Message::Attempt { spec, .. } => (spec.attempt, from, to),
@@ -169,10 +169,10 @@
         let Some(connection) = self.connections.get_mut(&attempt) else {
             return;
         };
-        if connection.broken {
+        if connection.is_broken {
             return;
         }
-        connection.broken = true;
+        connection.is_broken = true;
         let request = connection.request;
         let frame = AnswerFrame::Cut;
         let cut = Message::Frame {
@@ -210,20 +210,20 @@
 
     /// Refuses a connection to a process that is down; no byte was sent.
     fn refuse_connection(&mut self, from: NodeId, to: NodeId, message: Message) {
-        let soon = Duration::from_millis(2);
+        let short_delay = Duration::from_millis(2);
         match message {
             Message::Attempt { spec, .. } => {
                 let (request, attempt) = (spec.request, spec.attempt);
                 let frame = AnswerFrame::NotConnected;
-                let update = Message::Frame {
+                let refusal = Message::Frame {
                     request,
                     attempt,
                     frame,
                 };
-                self.post_directly(to, from, update, soon);
+                self.post_directly(to, from, refusal, short_delay);
             }
             Message::Call { spec, .. } => {
-                self.call_failed(from, spec.attempt, RunVerdict::NotRun, soon);
+                self.call_failed(from, spec.attempt, RunVerdict::NotRun, short_delay);
             }
             other => self.undeliverable(from, to, &other),
         }
@@ -236,14 +236,14 @@
             Message::Frame { .. } | Message::CancelAnswer { .. } | Message::CallUpdate { .. }
         );
         if !is_notification {
-            self.lose(from, to, message);
+            self.drop_message(from, to, message);
         }
     }
 
     /// Misroutes a copy to another process of the same kind or to another request, and returns the receiver of the
     /// message itself. An attempt arrives at another agent instead, whose VM has taken over the address.
-    fn cross(&mut self, from: NodeId, to: NodeId, message: &Message) -> NodeId {
-        let soon = self.random_millis(0, 30);
+    fn misroute(&mut self, from: NodeId, to: NodeId, message: &Message) -> NodeId {
+        let short_delay = self.random_millis(0, 30);
         match message {
             Message::Frame {
                 request,
@@ -252,7 +252,7 @@
             } => {
                 let others = self.submissions.iter();
                 let mut others = others.filter(|(other, submission)| {
-                    *other != request && submission.entry == to && !submission.answered
+                    *other != request && submission.entry == to && !submission.is_answered
                 });
                 if let Some(other) = others.next().map(|(other, _)| *other) {
                     let stray = Message::Frame {
@@ -260,7 +260,7 @@
                         attempt: *attempt,
                         frame: *frame,
                     };
-                    self.post_directly(from, to, stray, soon);
+                    self.post_directly(from, to, stray, short_delay);
                 }
                 to
             }
@@ -273,7 +273,7 @@
             }
             Message::Call { .. } => to,
             other => {
-                self.post_directly(from, sibling(to), other.clone(), soon);
+                self.post_directly(from, sibling(to), other.clone(), short_delay);
                 to
             }
         }
--- a/crates/oatpier-faults/src/request/simulation.rs
+++ b/crates/oatpier-faults/src/request/simulation.rs
@@ -47,17 +47,17 @@
     pub agent: NodeId,
     /// The earliest arrival time of the next message, which keeps messages in order.
     pub earliest_arrival: ClockTime,
-    pub broken: bool,
+    pub is_broken: bool,
 }
 
 /// The planned stop of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannedStop {
     pub victim: NodeId,
-    pub asked: bool,
-    pub taken_at: ClockTime,
-    pub taken: bool,
-    pub over: bool,
+    pub is_requested: bool,
+    pub received_at: ClockTime,
+    pub is_received: bool,
+    pub is_over: bool,
 }
 
 pub struct RequestSimulation {
@@ -99,10 +99,10 @@
         let victim = victims[usize::from(random.random_bool(0.5))];
         let stop = is_stop.then_some(PlannedStop {
             victim,
-            asked: false,
-            taken_at: ClockTime::NEVER,
-            taken: false,
-            over: false,
+            is_requested: false,
+            received_at: ClockTime::NEVER,
+            is_received: false,
+            is_over: false,
         });
         let mut simulation = Self {
             plan: run_spec.plan(),
@@ -154,20 +154,20 @@
     }
 
     fn is_quiet(&self) -> bool {
-        self.jobs.iter().all(|job| job.done) && self.stop.is_none_or(|stop| stop.over)
+        self.jobs.iter().all(|job| job.is_done) && self.stop.is_none_or(|stop| stop.is_over)
     }
 
     fn check_end_state(&mut self) {
-        for (place, job) in self.jobs.iter().enumerate() {
-            if !job.done {
+        for (job_index, job) in self.jobs.iter().enumerate() {
+            if !job.is_done {
                 let text = format!(
-                    "job {place} did not end ({:?}) after {} tries",
+                    "job {job_index} did not end ({:?}) after {} tries",
                     job.kind, job.tries
                 );
                 self.report.findings.push(text);
             }
         }
-        if self.stop.is_some_and(|stop| !stop.over) {
+        if self.stop.is_some_and(|stop| !stop.is_over) {
             let text = "the planned stop did not complete".to_owned();
             self.report.findings.push(text);
         }
--- a/crates/oatpier-faults/src/request/stop.rs
+++ b/crates/oatpier-faults/src/request/stop.rs
@@ -29,8 +29,8 @@
         let Some(stop) = &mut self.stop else {
             return;
         };
-        stop.asked = true;
-        stop.taken_at = ClockTime::NEVER;
+        stop.is_requested = true;
+        stop.received_at = ClockTime::NEVER;
         let victim = stop.victim;
         self.log_event(FleetEvent::StopStarted {
             daemon: daemon(victim),
@@ -43,7 +43,10 @@
     }
 
     fn send_stop(&mut self) {
-        let Some(stop) = self.stop.filter(|stop| stop.asked && !stop.taken) else {
+        let Some(stop) = self
+            .stop
+            .filter(|stop| stop.is_requested && !stop.is_received)
+        else {
             return;
         };
         if !self.nodes[stop.victim].up {
@@ -70,14 +73,16 @@
     /// Returns whether the load balancer in front of the entries has detected that an entry is stopping, which takes
     /// [`BALANCER_LAG`].
     pub fn is_known_stopping(&self, entry: NodeId) -> bool {
-        let known = |stop: super::simulation::PlannedStop| stop.taken_at + BALANCER_LAG <= self.now;
+        let known =
+            |stop: super::simulation::PlannedStop| stop.received_at + BALANCER_LAG <= self.now;
         self.entries[entry].stopping && self.stop.is_some_and(known)
     }
 
     /// Returns whether status reports of a leaving agent are suppressed. Runs with faults at the refusal step delay them, so
     /// that entries still send attempts that the agent refuses.
     pub fn is_status_suppressed(&self, agent: NodeId) -> bool {
-        let early = |stop: super::simulation::PlannedStop| self.now < stop.taken_at + BALANCER_LAG;
+        let early =
+            |stop: super::simulation::PlannedStop| self.now < stop.received_at + BALANCER_LAG;
         self.agents[agent - FIRST_AGENT].is_leaving
             && self.targets(StepName::StopRefuse)
             && self.stop.is_some_and(early)
@@ -89,8 +94,8 @@
         let Some(stop) = &mut self.stop else {
             return;
         };
-        if stop.victim == node && stop.asked && !stop.over {
-            stop.taken = false;
+        if stop.victim == node && stop.is_requested && !stop.is_over {
+            stop.is_received = false;
             self.handle_leave(node);
         }
     }
@@ -99,8 +104,8 @@
         let Some(stop) = self.stop.as_mut().filter(|stop| stop.victim == node) else {
             return;
         };
-        stop.taken_at = self.now;
-        if std::mem::replace(&mut stop.taken, true) || self.run_spec.bypasses(Bypass::Leave) {
+        stop.received_at = self.now;
+        if std::mem::replace(&mut stop.is_received, true) || self.run_spec.bypasses(Bypass::Leave) {
             return;
         }
         if node < ENTRIES {
@@ -118,10 +123,10 @@
 
     /// Checks the progress of the planned stop, and sends it again or ends the process.
     pub fn check_stop(&mut self) {
-        let Some(stop) = self.stop.filter(|stop| stop.asked && !stop.over) else {
+        let Some(stop) = self.stop.filter(|stop| stop.is_requested && !stop.is_over) else {
             return;
         };
-        if !stop.taken {
+        if !stop.is_received {
             return self.send_stop();
         }
         let state = self.nodes[stop.victim];
@@ -129,7 +134,7 @@
             return;
         }
         self.inject_at(StepName::StopDrain, sibling(stop.victim), stop.victim);
-        let announced = stop.taken_at + MIN_ANNOUNCEMENT <= self.now;
+        let announced = stop.received_at + MIN_ANNOUNCEMENT <= self.now;
         if announced && self.nodes[stop.victim].up && self.is_drained(stop.victim) {
             self.drained(stop.victim);
         }
@@ -149,7 +154,7 @@
     fn drained(&mut self, node: NodeId) {
         let is_over = self
             .stop
-            .is_none_or(|stop| stop.over || stop.victim != node);
+            .is_none_or(|stop| stop.is_over || stop.victim != node);
         if is_over {
             return;
         }
@@ -174,18 +179,19 @@
         self.nodes[node].up = false;
         self.nodes[node].boot += 1;
         if let Some(stop) = &mut self.stop {
-            stop.over = true;
+            stop.is_over = true;
         }
     }
 
     /// Cuts off the callers whose answer is not complete when their entry exits, and returns their number.
     fn cut_callers(&mut self, entry: NodeId) -> usize {
         let open = self.submissions.iter();
-        let open = open.filter(|(_, submission)| submission.entry == entry && !submission.answered);
+        let open =
+            open.filter(|(_, submission)| submission.entry == entry && !submission.is_answered);
         let open: Vec<RequestId> = open.map(|(request, _)| *request).collect();
         let accepted = open.len();
         for request in &open {
-            self.answered(*request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
+            self.record_answer_end(*request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
         }
         accepted
     }
