--- a/crates/oatpier-faults/src/lease/store.rs
+++ b/crates/oatpier-faults/src/lease/store.rs
@@ -78,9 +78,10 @@
         let Some(read) = write.read.filter(|_| self.down_until <= self.now) else {
             return;
         };
-        // Without the check of the term the revision check is skipped too, as if the planner had read the plan just before.
-        let fresh = self.run_spec.bypasses(Bypass::Term) || read.revision == self.stored.revision;
-        if !fresh {
+        // Without the check of the term the revision check is skipped too, as if the plan was read just before the write.
+        let is_current =
+            self.run_spec.bypasses(Bypass::Term) || read.revision == self.stored.revision;
+        if !is_current {
             return;
         }
         if write.term < self.stored.term {
--- a/crates/oatpier-faults/src/orders/network.rs
+++ b/crates/oatpier-faults/src/orders/network.rs
@@ -65,13 +65,13 @@
             self.answers_to_lose -= u32::from(loses_answer);
             let event = OrderEvent::Record(RecordAnswer::AnswerLost);
             self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
-            let seen = delivery != MessageDelivery::Dropped || self.random.random_bool(0.5);
+            let is_delivered = delivery != MessageDelivery::Dropped || self.random.random_bool(0.5);
             let delay = if delivery == MessageDelivery::Delayed {
                 self.random_up_to(Duration::from_secs(5))
             } else {
                 latency
             };
-            if seen {
+            if is_delivered {
                 self.post(OrderMessage::StoreCall(index, boot, call, false), delay);
             }
             return;
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -222,9 +222,9 @@
         };
         self.connections.insert(spec.attempt, connection);
         let key = self.key_of(spec.request, spec.repeat);
-        let held = self.is_delayed(spec.repeat);
+        let is_delayed = self.is_delayed(spec.repeat);
         let message = Message::Attempt { spec, ticket, key };
-        if held {
+        if is_delayed {
             // The cancel of the unanswered attempt overtakes the attempt.
             let delay = self.random_millis(700, 2_200);
             let delivery = self.inject_at(StepName::Send, entry, agent);
--- a/crates/oatpier-faults/tests/testsuite/safeguards.rs
+++ b/crates/oatpier-faults/tests/testsuite/safeguards.rs
@@ -133,7 +133,7 @@
 /// An unload gets no answer and is treated as never sent. The weights are planned again, and the
 /// other replica is unloaded. Then the delayed unload arrives, and the model has no replica.
 #[test]
-fn without_unknown_orders_a_late_unload_removes_the_last_replica() {
+fn without_tracking_unknown_orders_a_late_unload_removes_the_last_replica() {
     assert_promise_is_broken(
         ScenarioKind::Orders,
         FaultKind::Late,
