--- a/crates/oatpier-faults/src/orders/view.rs
+++ b/crates/oatpier-faults/src/orders/view.rs
@@ -1,6 +1,6 @@
 //! An agent's view of the replicas at other endpoints, and of its own running requests.
 
-use oatpier_placement::steps::{AttemptCount, ReplicaCount};
+use oatpier_placement::steps::{AttemptCount, ReplicaView};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::EndpointName;
@@ -9,7 +9,7 @@
 /// An agent's outdated view of the ready weights of all endpoints, and the index of its own.
 pub struct StaleView<'a>(pub &'a [(EndpointName, Vec<WeightsKey>)], pub usize);
 
-impl ReplicaCount for StaleView<'_> {
+impl ReplicaView for StaleView<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let others = self.0.iter().enumerate();
         let others =
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -67,7 +67,7 @@
             Vec::new()
         };
         let loading = Vec::new();
-        self.step_agent(agent, AgentEvent::ReadyChanged { ready, loading });
+        self.step_agent(agent, AgentEvent::WeightsChanged { ready, loading });
         let up = self.nodes[agent + AGENTS].up;
         self.step_agent(agent, AgentEvent::EndpointUp { up });
         self.send_status(agent);
@@ -204,7 +204,7 @@
         let event = match update {
             CallUpdate::Up(up) => AgentEvent::EndpointUp { up },
             CallUpdate::Piece(_) if first => AgentEvent::EndpointFirstToken { attempt },
-            CallUpdate::Piece(_) => AgentEvent::EndpointPiece { attempt, tokens: 1 },
+            CallUpdate::Piece(_) => AgentEvent::EndpointChunk { attempt, tokens: 1 },
             CallUpdate::End => AgentEvent::EndpointEnded { attempt },
             CallUpdate::Failed(verdict) => AgentEvent::EndpointFailed { attempt, verdict },
         };
--- a/crates/oatpier-faults/src/request/message.rs
+++ b/crates/oatpier-faults/src/request/message.rs
@@ -1,7 +1,7 @@
 //! The messages between the processes of a request, and the simulated events.
 
 use oatpier_claims::event::{CallNumber, ClaimAction, StoreAnswer};
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk};
+use oatpier_claims::message::{ClaimAnswer, ClaimQuery};
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::refusal::Refusal;
 use oatpier_types::request::AttemptSpec;
@@ -88,7 +88,7 @@
         verdict: RunVerdict,
     },
     /// An entry asks a claimer for an idempotency key.
-    Ask(ClaimAsk),
+    Ask(ClaimQuery),
     /// The answer to the claim.
     AskAnswer {
         request: RequestId,
