--- a/crates/oatpier-faults/src/orders/network.rs
+++ b/crates/oatpier-faults/src/orders/network.rs
@@ -173,10 +173,10 @@
     /// Sends a release request to another agent, or the answer to one.
     pub fn send_release(&mut self, message: OrderMessage) {
         let index = match &message {
-            OrderMessage::Ask(index, _) => *index,
-            OrderMessage::Answer(answer) => {
-                let asker = self.agents.iter().find(|agent| agent.boot == answer.boot);
-                asker.map_or(0, |agent| agent.index)
+            OrderMessage::ReleaseRequest(index, _) => *index,
+            OrderMessage::ReleaseAnswer(answer) => {
+                let requester = self.agents.iter().find(|agent| agent.boot == answer.boot);
+                requester.map_or(0, |agent| agent.index)
             }
             _ => 0,
         };
@@ -194,9 +194,12 @@
                 self.post(message, delay);
             }
             MessageDelivery::Misrouted => {
-                if let OrderMessage::Ask(to, ask) = &message {
+                if let OrderMessage::ReleaseRequest(to, request) = &message {
                     let other = (to + 1) % scenario::ENGINES;
-                    self.post(OrderMessage::Ask(other, ask.clone()), latency);
+                    self.post(
+                        OrderMessage::ReleaseRequest(other, request.clone()),
+                        latency,
+                    );
                 }
                 self.post(message, latency);
             }
@@ -262,16 +265,16 @@
                     agent.keeper.on_event(event, &config, now);
                 }
             }
-            OrderMessage::Ask(index, ref ask) => {
-                let (ask, now) = (ask.clone(), self.now);
+            OrderMessage::ReleaseRequest(index, ref request) => {
+                let (request, now) = (request.clone(), self.now);
                 let Some(boot) = self.current[index] else {
                     return;
                 };
                 if let Some(agent) = self.awake_agent(boot, message) {
-                    agent.releases.on_request(ask, &mut agent.keeper, now);
+                    agent.releases.on_request(request, &mut agent.keeper, now);
                 }
             }
-            OrderMessage::Answer(answer) => {
+            OrderMessage::ReleaseAnswer(answer) => {
                 let now = self.now;
                 if let Some(agent) = self.awake_agent(answer.boot, message) {
                     agent.releases.on_answer(answer, now);
--- a/crates/oatpier-faults/src/orders/simulation.rs
+++ b/crates/oatpier-faults/src/orders/simulation.rs
@@ -43,8 +43,8 @@
     StoreCall(usize, BootId, RecordCall, bool),
     Poll(usize, BootId, PollTicket),
     Event(BootId, OrderEvent),
-    Ask(usize, ReleaseRequest),
-    Answer(ReleaseAnswer),
+    ReleaseRequest(usize, ReleaseRequest),
+    ReleaseAnswer(ReleaseAnswer),
     Start(usize),
 }
 
@@ -257,7 +257,7 @@
             keeper, releases, ..
         } = &mut self.agents[agent_index];
         for reply in releases.replies(keeper, self.now) {
-            self.send_release(OrderMessage::Answer(reply.answer));
+            self.send_release(OrderMessage::ReleaseAnswer(reply.answer));
         }
         let commands = self.agents[agent_index]
             .keeper
@@ -294,11 +294,11 @@
 
     fn take_step(&mut self, agent_index: usize, step: PlacementStep) {
         match step {
-            PlacementStep::RequestRelease { to, request: ask } => {
+            PlacementStep::RequestRelease { to, request } => {
                 if self.run_spec.bypasses(Bypass::Release) {
                     let answer = ReleaseAnswer {
-                        boot: ask.boot,
-                        sequence: ask.sequence,
+                        boot: request.boot,
+                        sequence: request.sequence,
                         granted: true,
                     };
                     self.agents[agent_index]
@@ -308,7 +308,7 @@
                 }
                 let to = (0..ENGINES).find(|index| scenario::endpoint(*index) == to);
                 if let Some(to) = to {
-                    self.send_release(OrderMessage::Ask(to, ask));
+                    self.send_release(OrderMessage::ReleaseRequest(to, request));
                 }
             }
             PlacementStep::StartDrain(_) => {
--- a/crates/oatpier-faults/src/request/claims.rs
+++ b/crates/oatpier-faults/src/request/claims.rs
@@ -24,16 +24,16 @@
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// Time that an entry waits for the claimer of another entry before it asks its own.
-const ASK_TIMEOUT: Duration = Duration::from_millis(800);
-/// Maximum number of claimers that are asked for one claim.
-const MAX_ASKS: u32 = 3;
+/// Time that an entry waits for the claimer of another entry before it queries its own.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum number of claimers that are queried for one claim.
+const MAX_QUERIES: u32 = 3;
 /// Interval at which a settlement is sent again until it is recorded.
 const SETTLE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy)]
-struct OpenAsk {
-    ask: ClaimQuery,
+struct OpenQuery {
+    query: ClaimQuery,
     tries: u32,
     retry_at: ClockTime,
 }
@@ -48,10 +48,10 @@
 /// The claims of an entry, and the claimer in the same process.
 pub struct EntryClaims {
     log: ClaimLog,
-    asks: BTreeMap<RequestId, OpenAsk>,
+    queries: BTreeMap<RequestId, OpenQuery>,
     settlements: BTreeMap<RequestId, Settlement>,
-    /// The nodes that asked the claimer in this process, by request.
-    askers: BTreeMap<RequestId, NodeId>,
+    /// The nodes that queried the claimer in this process, by request.
+    queriers: BTreeMap<RequestId, NodeId>,
 }
 
 impl EntryClaims {
@@ -59,15 +59,17 @@
         let settings = ClaimSettings::default();
         Self {
             log: ClaimLog::new(PartitionId(0), daemon(node), boot, settings),
-            asks: BTreeMap::new(),
+            queries: BTreeMap::new(),
             settlements: BTreeMap::new(),
-            askers: BTreeMap::new(),
+            queriers: BTreeMap::new(),
         }
     }
 
     pub fn next_timer(&self) -> ClockTime {
-        let asks = self.asks.values().map(|ask| ask.retry_at).min();
-        self.log.next_timer().min(asks.unwrap_or(ClockTime::NEVER))
+        let queries = self.queries.values().map(|query| query.retry_at).min();
+        self.log
+            .next_timer()
+            .min(queries.unwrap_or(ClockTime::NEVER))
     }
 
     /// Returns whether every settlement is recorded in the store.
@@ -142,23 +144,26 @@
         if self.run_spec.bypasses(Bypass::Claim) {
             return self.step_request(entry, request, &EntryEvent::ClaimGranted, None);
         }
-        let ask = ClaimQuery {
+        let query = ClaimQuery {
             key: KeyHash(key.into()),
             fingerprint: RequestFingerprint(1),
             request,
         };
         let claimer = self.store.claimer;
-        self.ask(entry, claimer, ask, 1);
+        self.query(entry, claimer, query, 1);
     }
 
-    fn ask(&mut self, entry: NodeId, claimer: NodeId, ask: ClaimQuery, tries: u32) {
-        let open = OpenAsk {
-            ask,
+    fn query(&mut self, entry: NodeId, claimer: NodeId, query: ClaimQuery, tries: u32) {
+        let open = OpenQuery {
+            query,
             tries,
-            retry_at: self.now + ASK_TIMEOUT,
+            retry_at: self.now + QUERY_TIMEOUT,
         };
-        self.entries[entry].claims.asks.insert(ask.request, open);
-        self.send_to_claimer(StepName::Claim, entry, claimer, Message::Ask(ask));
+        self.entries[entry]
+            .claims
+            .queries
+            .insert(query.request, open);
+        self.send_to_claimer(StepName::Claim, entry, claimer, Message::ClaimQuery(query));
     }
 
     /// Sends a message between an entry and a claimer, which may be in the same process.
@@ -174,7 +179,7 @@
 
     pub fn settle(&mut self, entry: NodeId, request: RequestId, key: u64, verdict: RunVerdict) {
         let claims = &mut self.entries[entry].claims;
-        claims.asks.remove(&request);
+        claims.queries.remove(&request);
         let settlement = Settlement {
             key,
             verdict,
@@ -216,17 +221,22 @@
 
     pub fn handle_claim_message(&mut self, entry: NodeId, from: NodeId, message: Message) {
         match message {
-            Message::Ask(ask) => {
-                self.entries[entry].claims.askers.insert(ask.request, from);
-                self.step_log(entry, ClaimEvent::Queried(ask));
+            Message::ClaimQuery(query) => {
+                self.entries[entry]
+                    .claims
+                    .queriers
+                    .insert(query.request, from);
+                self.step_log(entry, ClaimEvent::Queried(query));
+            }
+            Message::ClaimAnswer { request, answer } => {
+                self.handle_claim_answer(entry, request, &answer);
             }
-            Message::AskAnswer { request, answer } => self.ask_answered(entry, request, &answer),
             Message::Settle {
                 key,
                 request,
                 verdict,
             } => {
-                self.entries[entry].claims.askers.insert(request, from);
+                self.entries[entry].claims.queriers.insert(request, from);
                 self.step_log(entry, settle_event(key, request, verdict));
             }
             Message::Recorded(request) => {
@@ -236,8 +246,8 @@
         }
     }
 
-    fn ask_answered(&mut self, entry: NodeId, request: RequestId, answer: &ClaimAnswer) {
-        let Some(open) = self.entries[entry].claims.asks.remove(&request) else {
+    fn handle_claim_answer(&mut self, entry: NodeId, request: RequestId, answer: &ClaimAnswer) {
+        let Some(open) = self.entries[entry].claims.queries.remove(&request) else {
             return;
         };
         let event = match answer {
@@ -245,12 +255,12 @@
             ClaimAnswer::Denied(denial) => EntryEvent::ClaimRefused {
                 earlier: denial.verdict(),
             },
-            ClaimAnswer::Moved { owner } if open.tries < MAX_ASKS => {
+            ClaimAnswer::Moved { owner } if open.tries < MAX_QUERIES => {
                 let named = owner
                     .as_ref()
                     .and_then(|owner| (0..CALLERS).find(|node| daemon(*node) == *owner));
                 let claimer = named.unwrap_or(entry);
-                return self.ask(entry, claimer, open.ask, open.tries + 1);
+                return self.query(entry, claimer, open.query, open.tries + 1);
             }
             ClaimAnswer::Unavailable { .. } | ClaimAnswer::Moved { .. } => {
                 EntryEvent::ClaimUnavailable
@@ -264,16 +274,19 @@
         if self.entries[entry].claims.log.next_timer() <= now {
             self.step_log(entry, ClaimEvent::Timer);
         }
-        let asks = self.entries[entry].claims.asks.iter();
-        let overdue = asks.filter(|(_, open)| open.retry_at <= now);
-        let overdue: Vec<OpenAsk> = overdue.map(|(_, open)| *open).collect();
+        let queries = self.entries[entry].claims.queries.iter();
+        let overdue = queries.filter(|(_, open)| open.retry_at <= now);
+        let overdue: Vec<OpenQuery> = overdue.map(|(_, open)| *open).collect();
         for open in overdue {
-            if open.tries < MAX_ASKS {
-                self.ask(entry, entry, open.ask, open.tries + 1);
+            if open.tries < MAX_QUERIES {
+                self.query(entry, entry, open.query, open.tries + 1);
             } else {
-                self.entries[entry].claims.asks.remove(&open.ask.request);
+                self.entries[entry]
+                    .claims
+                    .queries
+                    .remove(&open.query.request);
                 let event = EntryEvent::ClaimUnavailable;
-                self.step_request(entry, open.ask.request, &event, None);
+                self.step_request(entry, open.query.request, &event, None);
             }
         }
     }
@@ -291,17 +304,17 @@
                 ClaimAction::Answer {
                     request, answer, ..
                 } => {
-                    let asker = self.entries[entry].claims.askers.get(&request).copied();
-                    let message = Message::AskAnswer { request, answer };
-                    self.send_to_claimer(StepName::Claim, entry, asker.unwrap_or(entry), message);
+                    let querier = self.entries[entry].claims.queriers.get(&request).copied();
+                    let message = Message::ClaimAnswer { request, answer };
+                    self.send_to_claimer(StepName::Claim, entry, querier.unwrap_or(entry), message);
                 }
                 ClaimAction::Recorded { request, .. } => {
-                    let asker = self.entries[entry].claims.askers.get(&request).copied();
+                    let querier = self.entries[entry].claims.queriers.get(&request).copied();
                     let message = Message::Recorded(request);
                     self.send_to_claimer(
                         StepName::SettleClaim,
                         entry,
-                        asker.unwrap_or(entry),
+                        querier.unwrap_or(entry),
                         message,
                     );
                 }
--- a/crates/oatpier-faults/src/request/message.rs
+++ b/crates/oatpier-faults/src/request/message.rs
@@ -87,10 +87,10 @@
         attempt: AttemptId,
         verdict: RunVerdict,
     },
-    /// An entry asks a claimer for an idempotency key.
-    Ask(ClaimQuery),
+    /// An entry queries a claimer for an idempotency key.
+    ClaimQuery(ClaimQuery),
     /// The answer to the claim.
-    AskAnswer {
+    ClaimAnswer {
         request: RequestId,
         answer: ClaimAnswer,
     },
