--- a/crates/oatpier-faults/src/membership/judge.rs
+++ b/crates/oatpier-faults/src/membership/checks.rs
@@ -1,4 +1,4 @@
-//! What must be so at the end, and within seconds on the way.
+//! Checks of the final state, and of the propagation time during the run.
 
 use std::time::Duration;
 
@@ -7,15 +7,15 @@
 use oatpier_types::event::FleetEvent;
 use oatpier_types::ids::Generation;
 
-use super::world::{ENTRIES, LATE, MemberNode, MemberWorld, PROCESSES};
+use super::simulation::{ENTRIES, LATE_STARTERS, MemberNode, MemberSimulation, PROCESSES};
 use crate::fault::FaultKind;
 
-/// How long a process that no fault touches may be without an accepted configuration.
-const SPREAD_WITHIN: Duration = Duration::from_secs(5);
+/// Maximum time until a process that no fault affects applies an accepted configuration.
+const MAX_PROPAGATION: Duration = Duration::from_secs(5);
 
-impl MemberWorld {
-    /// Every process is there, has the last configuration, and is known in its zone.
-    pub fn judge(&mut self) {
+impl MemberSimulation {
+    /// Checks that every process runs, has the last configuration, and is known to the entries of its availability zone.
+    pub fn check_end_state(&mut self) {
         let last = self.store.stored.as_ref().map(|stored| stored.generation);
         for index in 0..PROCESSES {
             if self.generation(index) != last {
@@ -26,16 +26,16 @@
                 self.report.findings.push(text);
             }
         }
-        self.judge_spread();
+        self.check_propagation();
         for ((entry, other), since) in std::mem::take(&mut self.gone) {
-            self.note_gone(entry, other, since);
+            self.report_gone(entry, other, since);
         }
         for entry in 0..ENTRIES {
             let others = (0..PROCESSES).filter(|other| other % 2 == entry % 2);
             for other in others {
                 let state = self.state(entry, other);
                 if state != Some(MemberState::Alive) {
-                    let text = format!("entry {entry} takes process {other} for {state:?}");
+                    let text = format!("entry {entry} lists process {other} as {state:?}");
                     self.report.findings.push(text);
                 }
             }
@@ -50,42 +50,43 @@
         Some(member.table().get(daemon)?.state)
     }
 
-    /// No entry may take a process of its availability zone for gone, if no fault touches either.
-    pub fn watch_gone(&mut self, entry: usize, change: &MemberChange) {
+    /// Records when an entry wrongly marks a process of its availability zone as gone, while no fault affects either of
+    /// them.
+    pub fn check_gone(&mut self, entry: usize, change: &MemberChange) {
         let other =
             (0..PROCESSES).find(|other| self.processes[*other].contact.daemon == change.daemon);
         let Some(other) = other.filter(|other| other % 2 == entry % 2) else {
             return;
         };
         if change.state == MemberState::Gone {
-            let whole = |index: usize| {
+            let is_unaffected = |index: usize| {
                 let process = &self.processes[index];
-                process.node.is_some() && !process.touched
+                process.node.is_some() && !process.is_affected
             };
-            if whole(other) && whole(entry) {
+            if is_unaffected(other) && is_unaffected(entry) {
                 self.gone.insert((entry, other), self.now);
             }
         } else if let Some(since) = self.gone.remove(&(entry, other)) {
-            self.note_gone(entry, other, since);
+            self.report_gone(entry, other, since);
         }
     }
 
-    fn note_gone(&mut self, entry: usize, other: usize, since: ClockTime) {
-        let span = self.now.since(since);
+    fn report_gone(&mut self, entry: usize, other: usize, since: ClockTime) {
+        let duration = self.now.since(since);
         let text = format!(
-            "entry {entry} took process {other}, which serves, for gone for {span:?} at {since:?}"
+            "entry {entry} marked the running process {other} as gone for {duration:?} at {since:?}"
         );
         self.report.findings.push(text);
     }
 
-    /// The checker counts from the end of the last fault. A process that no fault touches has no
-    /// such excuse, unless the store itself is down.
-    fn judge_spread(&mut self) {
+    /// Checks the propagation time at processes that no fault affects. The checker counts from the end of the last
+    /// fault; these processes must be in time during the faults too, unless the store itself is down.
+    fn check_propagation(&mut self) {
         let down = self
-            .order
-            .strikes
+            .run_spec
+            .injections
             .iter()
-            .any(|strike| strike.fault == FaultKind::StoreDown);
+            .any(|injection| injection.fault == FaultKind::StoreDown);
         if down {
             return;
         }
@@ -98,15 +99,15 @@
                 _ => None,
             });
         let accepted: Vec<(ClockTime, Generation)> = accepted.collect();
-        let untouched = (0..PROCESSES).filter(|index| !LATE.contains(index));
-        let untouched = untouched.filter(|index| !self.processes[*index].touched);
+        let unaffected = (0..PROCESSES).filter(|index| !LATE_STARTERS.contains(index));
+        let unaffected = unaffected.filter(|index| !self.processes[*index].is_affected);
         let mut late = Vec::new();
-        for index in untouched {
+        for index in unaffected {
             for (at, generation) in &accepted {
                 let taken = self
                     .taken_at(index, *generation)
                     .unwrap_or(ClockTime::NEVER);
-                if taken.since(*at) > SPREAD_WITHIN {
+                if taken.since(*at) > MAX_PROPAGATION {
                     late.push(format!(
                         "process {index} got generation {generation} {:?} late",
                         taken.since(*at)
--- a/crates/oatpier-faults/src/orders/world.rs
+++ b/crates/oatpier-faults/src/orders/simulation.rs
@@ -1,4 +1,4 @@
-//! Agents, engines and a store, tick by tick.
+//! Agents, engines and a store, simulated in ticks.
 
 use std::time::Duration;
 
@@ -18,24 +18,24 @@
 
 use super::engine::OrderedEngine;
 use super::scenario::{self, ENGINES, MEMORY_MIB, MODELS};
-use super::view::{OldView, RunningWork, WorkCount, runs_on};
+use super::view::{RunningRequests, StaleView, WorkCount, has_requests_on};
+use crate::injection::InjectionPlan;
 use crate::queue::EventQueue;
 use crate::request::name;
-use crate::run::{Bypass, RunOrder, RunReport};
+use crate::run::{Bypass, RunReport, RunSpec};
 use crate::step::StepName;
-use crate::strike::StrikePlan;
 
 pub const TICK: Duration = Duration::from_millis(50);
-/// The second plan comes into force; faults strike from here on.
+/// Time at which the second plan comes into force and fault injection starts.
 const SECOND_PLAN: ClockTime = ClockTime::from_millis(20_000);
-/// The third plan comes into force.
+/// Time at which the third plan comes into force.
 const THIRD_PLAN: ClockTime = ClockTime::from_millis(30_000);
-/// How long requests still run on what is to go.
-const DRAIN_SPAN: Duration = Duration::from_secs(2);
-/// The earliest end of a run: messages are under way until then.
-const SETTLED_FROM: ClockTime = ClockTime::from_millis(60_000);
-/// The latest.
-const LAST_MOMENT: ClockTime = ClockTime::from_millis(400_000);
+/// Time that requests still run on weights after a plan has changed.
+const REQUEST_DURATION: Duration = Duration::from_secs(2);
+/// The earliest end of a run: messages may be in flight until then.
+const EARLIEST_END: ClockTime = ClockTime::from_millis(60_000);
+/// The latest end of a run.
+const RUN_END: ClockTime = ClockTime::from_millis(400_000);
 
 #[derive(Debug, Clone)]
 pub enum OrderMessage {
@@ -43,8 +43,8 @@
     StoreCall(usize, BootId, RecordCall, bool),
     Poll(usize, BootId, PollTicket),
     Event(BootId, OrderEvent),
-    Ask(usize, ReleaseRequest),
-    Answer(ReleaseAnswer),
+    ReleaseRequest(usize, ReleaseRequest),
+    ReleaseAnswer(ReleaseAnswer),
     Start(usize),
 }
 
@@ -54,56 +54,56 @@
     pub keeper: OrderKeeper,
     pub releases: ReleaseKeeper,
     pub stepper: MoveStepper,
-    pub awake_from: ClockTime,
+    pub paused_until: ClockTime,
     view: Vec<(EndpointName, Vec<WeightsKey>)>,
     view_until: ClockTime,
 }
 
-pub struct OrderWorld {
-    pub order: RunOrder,
-    pub plan: StrikePlan,
+pub struct OrderSimulation {
+    pub run_spec: RunSpec,
+    pub plan: InjectionPlan,
     pub random: ChaCha8Rng,
     pub now: ClockTime,
     pub config: FleetConfig,
     rows: Vec<EndpointPlan>,
     pub engines: Vec<OrderedEngine>,
     pub agents: Vec<OrderAgent>,
-    /// The agent that each endpoint's peers reach.
+    /// By endpoint: the agent that its peers reach.
     pub current: Vec<Option<BootId>>,
     pub store: Vec<Option<StoredRecord>>,
     pub queue: EventQueue<OrderMessage>,
     pub store_down_until: ClockTime,
     pub store_slow_until: ClockTime,
     pub answers_to_lose: u32,
-    /// Messages between an agent and its engine are lost, by direction.
+    /// Messages between an agent and its engine are lost until then, by direction.
     pub cut_to: [ClockTime; ENGINES],
     pub cut_from: [ClockTime; ENGINES],
     pub slow_until: [ClockTime; ENGINES],
-    /// What runs since the plan changed.
-    work: Vec<RunningWork>,
+    /// Requests that run since the plan changed.
+    work: Vec<RunningRequests>,
     boots: u64,
-    pub checks: bool,
-    served: Vec<u32>,
+    pub checks_numbers: bool,
+    ready_replicas: Vec<u32>,
     used: Vec<u64>,
     pub report: RunReport,
 }
 
-impl OrderWorld {
-    pub fn new(order: &RunOrder) -> Self {
-        // An engine that checks numbers needs no intents in the store.
-        let intents = order
-            .strikes
+impl OrderSimulation {
+    pub fn new(run_spec: &RunSpec) -> Self {
+        // With engines that check order numbers, agents write no intents to the store.
+        let intents = run_spec
+            .injections
             .iter()
-            .any(|strike| strike.step == StepName::OrderIntent);
-        let checks = order.seed.is_multiple_of(2) && !intents;
-        let mut world = Self {
-            plan: order.plan(),
-            random: order.generator(),
-            order: order.clone(),
+            .any(|injection| injection.step == StepName::OrderIntent);
+        let checks_numbers = run_spec.seed.is_multiple_of(2) && !intents;
+        let mut simulation = Self {
+            plan: run_spec.plan(),
+            random: run_spec.generator(),
+            run_spec: run_spec.clone(),
             now: ClockTime::ZERO,
-            config: scenario::config("v1", checks),
+            config: scenario::config("v1", checks_numbers),
             rows: scenario::first_plan(),
-            engines: vec![OrderedEngine::new(checks, MEMORY_MIB); ENGINES],
+            engines: vec![OrderedEngine::new(checks_numbers, MEMORY_MIB); ENGINES],
             agents: Vec::new(),
             current: vec![None; ENGINES],
             store: vec![None; ENGINES],
@@ -116,31 +116,31 @@
             slow_until: [ClockTime::ZERO; ENGINES],
             work: Vec::new(),
             boots: 0,
-            checks,
-            served: vec![0; MODELS.len()],
+            checks_numbers,
+            ready_replicas: vec![0; MODELS.len()],
             used: vec![0; ENGINES],
             report: RunReport::default(),
         };
         for index in 0..ENGINES {
-            world.start_agent(index);
+            simulation.start_agent(index);
         }
-        world
+        simulation
     }
 
     pub fn run(mut self) -> RunReport {
-        while self.now < LAST_MOMENT {
+        while self.now < RUN_END {
             self.now = self.now + TICK;
             if self.now == SECOND_PLAN {
-                self.config = scenario::config("v2", self.checks);
+                self.config = scenario::config("v2", self.checks_numbers);
                 self.rows = scenario::second_plan();
-                self.begin_work();
+                self.start_requests();
             }
             if self.now == THIRD_PLAN {
                 self.rows = scenario::third_plan();
-                self.begin_work();
+                self.start_requests();
             }
             self.tick();
-            if self.now >= SETTLED_FROM && self.is_settled() {
+            if self.now >= EARLIEST_END && self.is_settled() {
                 break;
             }
         }
@@ -148,9 +148,9 @@
             let held: Vec<_> = self.engines.iter().map(OrderedEngine::state).collect();
             self.report
                 .findings
-                .push(format!("the last plan is not carried out: {held:?}"));
+                .push(format!("the last plan was not completed: {held:?}"));
         }
-        self.report.struck = self.plan.is_spent();
+        self.report.all_injected = self.plan.is_exhausted();
         self.report
     }
 
@@ -170,17 +170,17 @@
 
     fn is_settled(&self) -> bool {
         let mut rows = self.rows.iter().zip(&self.engines);
-        rows.all(|(row, engine)| engine.holds_just(&row.weights))
+        rows.all(|(row, engine)| engine.holds_exactly(&row.weights))
     }
 
-    /// Whether the faults of a step may strike yet.
-    pub fn is_armed(&self, step: StepName) -> bool {
+    /// Returns whether faults may be injected at a step yet.
+    pub fn is_injectable(&self, step: StepName) -> bool {
         step == StepName::StartEpoch || self.now >= SECOND_PLAN
     }
 
-    /// Requests run on all that takes new ones when a plan comes into force.
-    fn begin_work(&mut self) {
-        let (now, until) = (self.now, self.now + DRAIN_SPAN);
+    /// Starts requests on all weights that accept new ones when a plan comes into force.
+    fn start_requests(&mut self) {
+        let (now, until) = (self.now, self.now + REQUEST_DURATION);
         let current = &self.current;
         let present = self.agents.iter();
         let present = present.filter(|agent| current[agent.index] == Some(agent.boot));
@@ -192,7 +192,7 @@
                     agent.stepper.accepts_new(weights)
                         && !agent.keeper.may_be_unloaded(weights, now)
                 });
-                taken.map(|weights| RunningWork {
+                taken.map(|weights| RunningRequests {
                     index: agent.index,
                     weights,
                     until,
@@ -201,23 +201,23 @@
             .collect();
     }
 
-    /// What runs at an endpoint ends with its agent.
-    pub fn end_work(&mut self, index: usize) {
+    /// Ends the requests at an endpoint, which end with its agent.
+    pub fn end_requests(&mut self, index: usize) {
         self.work.retain(|work| work.index != index);
     }
 
-    /// Whether requests run on weights of an endpoint.
-    pub fn is_working(&self, index: usize, weights: &WeightsKey) -> bool {
-        runs_on(&self.work, index, weights, self.now)
+    /// Returns whether requests run on weights of an endpoint.
+    pub fn has_requests(&self, index: usize, weights: &WeightsKey) -> bool {
+        has_requests_on(&self.work, index, weights, self.now)
     }
 
     pub fn start_agent(&mut self, index: usize) {
-        self.end_work(index);
+        self.end_requests(index);
         self.boots += 1;
         let boot = BootId(u128::from(self.boots));
         self.current[index] = Some(boot);
-        let mut settings = OrderSettings::new(self.checks, MEMORY_MIB);
-        if self.order.omits(Bypass::UnknownOrders) {
+        let mut settings = OrderSettings::new(self.checks_numbers, MEMORY_MIB);
+        if self.run_spec.bypasses(Bypass::UnknownOrders) {
             settings.late_order_hold = Duration::ZERO;
         }
         let endpoint = scenario::endpoint(index);
@@ -225,16 +225,16 @@
             index,
             boot,
             keeper: OrderKeeper::new(settings, boot),
-            releases: ReleaseKeeper::new(endpoint, boot, self.order.seed + self.boots),
+            releases: ReleaseKeeper::new(endpoint, boot, self.run_spec.seed + self.boots),
             stepper: MoveStepper::new(),
-            awake_from: self.now,
+            paused_until: self.now,
             view: Vec::new(),
             view_until: ClockTime::ZERO,
         });
     }
 
-    /// An agent that learns of a later one ends. Where it was the one that peers reach, the VM
-    /// starts it anew.
+    /// Removes the agents that a later one has superseded. If one of them was the agent that peers reach, the VM
+    /// restarts it.
     fn end_superseded(&mut self) {
         let ended = |agent: &OrderAgent| agent.keeper.epoch() == EpochState::Superseded;
         let current = self.current.clone();
@@ -247,29 +247,31 @@
         }
     }
 
-    fn run_agent(&mut self, place: usize) {
-        if self.agents[place].awake_from > self.now {
+    fn run_agent(&mut self, agent_index: usize) {
+        if self.agents[agent_index].paused_until > self.now {
             return;
         }
-        self.refresh_view(place);
-        self.take_steps(place);
+        self.refresh_view(agent_index);
+        self.take_steps(agent_index);
         let OrderAgent {
             keeper, releases, ..
-        } = &mut self.agents[place];
+        } = &mut self.agents[agent_index];
         for reply in releases.replies(keeper, self.now) {
-            self.send_between(OrderMessage::Answer(reply.answer));
+            self.send_release(OrderMessage::ReleaseAnswer(reply.answer));
         }
-        let commands = self.agents[place].keeper.commands(&self.config, self.now);
+        let commands = self.agents[agent_index]
+            .keeper
+            .commands(&self.config, self.now);
         for command in commands {
-            self.carry_out(place, command);
+            self.execute_command(agent_index, command);
         }
     }
 
-    fn take_steps(&mut self, place: usize) {
+    fn take_steps(&mut self, agent_index: usize) {
         for _ in 0..4 {
             let now = self.now;
-            let agent = &mut self.agents[place];
-            let replicas = OldView(&agent.view, agent.index);
+            let agent = &mut self.agents[agent_index];
+            let replicas = StaleView(&agent.view, agent.index);
             let attempts = WorkCount(&self.work, agent.index, now);
             let input = StepInput {
                 plan: &self.rows[agent.index],
@@ -286,37 +288,39 @@
             let Ok(step) = stepper.next_step(input, keeper, releases, now) else {
                 return;
             };
-            self.take_step(place, step);
+            self.take_step(agent_index, step);
         }
     }
 
-    fn take_step(&mut self, place: usize, step: PlacementStep) {
+    fn take_step(&mut self, agent_index: usize, step: PlacementStep) {
         match step {
-            PlacementStep::RequestRelease { to, request: ask } => {
-                if self.order.omits(Bypass::Release) {
+            PlacementStep::RequestRelease { to, request } => {
+                if self.run_spec.bypasses(Bypass::Release) {
                     let answer = ReleaseAnswer {
-                        boot: ask.boot,
-                        sequence: ask.sequence,
+                        boot: request.boot,
+                        sequence: request.sequence,
                         granted: true,
                     };
-                    self.agents[place].releases.on_answer(answer, self.now);
+                    self.agents[agent_index]
+                        .releases
+                        .on_answer(answer, self.now);
                     return;
                 }
                 let to = (0..ENGINES).find(|index| scenario::endpoint(*index) == to);
                 if let Some(to) = to {
-                    self.send_between(OrderMessage::Ask(to, ask));
+                    self.send_release(OrderMessage::ReleaseRequest(to, request));
                 }
             }
             PlacementStep::StartDrain(_) => {
-                let index = self.agents[place].index;
-                self.pass(StepName::MoveDrain, index);
+                let index = self.agents[agent_index].index;
+                self.inject_at(StepName::MoveDrain, index);
             }
             PlacementStep::Ordered(_) | PlacementStep::ResumeServing(_) => {}
         }
     }
 
-    fn refresh_view(&mut self, place: usize) {
-        if self.now < self.agents[place].view_until {
+    fn refresh_view(&mut self, agent_index: usize) {
+        if self.now < self.agents[agent_index].view_until {
             return;
         }
         let lag = Duration::from_millis(self.random.random_range(0..2_000));
@@ -327,28 +331,28 @@
             (row.endpoint.clone(), ready)
         });
         let view = view.collect();
-        self.agents[place].view = view;
-        self.agents[place].view_until = self.now + lag;
+        self.agents[agent_index].view = view;
+        self.agents[agent_index].view_until = self.now + lag;
     }
 
-    pub fn note(&mut self, event: FleetEvent) {
+    pub fn log_event(&mut self, event: FleetEvent) {
         let at = self.now;
         self.report.log.push(LoggedEvent { at, event });
     }
 
-    /// What can be seen from outside: memory and ready replicas.
+    /// Logs changes of what is externally visible: used memory and ready replicas.
     pub fn observe(&mut self) {
         for index in 0..ENGINES {
             let used_mib = self.engines[index].used_mib(&self.config);
             if std::mem::replace(&mut self.used[index], used_mib) != used_mib {
-                self.note(FleetEvent::MemoryUsed {
+                self.log_event(FleetEvent::MemoryUsed {
                     endpoint: scenario::endpoint(index),
                     used_mib,
                     total_mib: MEMORY_MIB,
                 });
             }
         }
-        for (place, raw) in MODELS.into_iter().enumerate() {
+        for (model_index, raw) in MODELS.into_iter().enumerate() {
             let model: ModelName = name(raw);
             let serving = self
                 .engines
@@ -356,8 +360,8 @@
                 .filter(|engine| engine.serves(&model))
                 .count();
             let count = u32::try_from(serving).unwrap_or(u32::MAX);
-            if std::mem::replace(&mut self.served[place], count) != count {
-                self.note(FleetEvent::ReplicasReady { model, count });
+            if std::mem::replace(&mut self.ready_replicas[model_index], count) != count {
+                self.log_event(FleetEvent::ReplicasReady { model, count });
             }
         }
     }
--- a/crates/oatpier-faults/src/orders/view.rs
+++ b/crates/oatpier-faults/src/orders/view.rs
@@ -1,4 +1,4 @@
-//! What an agent sees of the others' replicas, and of its own work.
+//! An agent's view of the replicas at other endpoints, and of its own running requests.
 
 use oatpier_placement::steps::{AttemptCount, ReplicaView};
 use oatpier_types::clock::ClockTime;
@@ -6,10 +6,10 @@
 use oatpier_types::names::EndpointName;
 use smallvec::SmallVec;
 
-/// What an agent believes that the others have ready: a moment old.
-pub struct OldView<'a>(pub &'a [(EndpointName, Vec<WeightsKey>)], pub usize);
+/// An agent's outdated view of the ready weights of all endpoints, and the index of its own.
+pub struct StaleView<'a>(pub &'a [(EndpointName, Vec<WeightsKey>)], pub usize);
 
-impl ReplicaView for OldView<'_> {
+impl ReplicaView for StaleView<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let others = self.0.iter().enumerate();
         let others =
@@ -28,25 +28,30 @@
     }
 }
 
-/// Requests that still run on weights of an endpoint.
+/// Requests that run on weights of an endpoint until a given time.
 #[derive(Debug, Clone)]
-pub struct RunningWork {
+pub struct RunningRequests {
     pub index: usize,
     pub weights: WeightsKey,
     pub until: ClockTime,
 }
 
-/// What runs at one endpoint.
-pub struct WorkCount<'a>(pub &'a [RunningWork], pub usize, pub ClockTime);
+/// The running requests, the index of one endpoint, and the current time.
+pub struct WorkCount<'a>(pub &'a [RunningRequests], pub usize, pub ClockTime);
 
 impl AttemptCount for WorkCount<'_> {
     fn in_flight(&self, weights: &WeightsKey) -> u32 {
-        u32::from(runs_on(self.0, self.1, weights, self.2))
+        u32::from(has_requests_on(self.0, self.1, weights, self.2))
     }
 }
 
-/// Whether requests run on weights of an endpoint.
-pub fn runs_on(work: &[RunningWork], index: usize, weights: &WeightsKey, now: ClockTime) -> bool {
+/// Returns whether requests run on weights of an endpoint.
+pub fn has_requests_on(
+    work: &[RunningRequests],
+    index: usize,
+    weights: &WeightsKey,
+    now: ClockTime,
+) -> bool {
     let mut work = work.iter();
     work.any(|work| work.index == index && work.weights == *weights && work.until > now)
 }
--- a/crates/oatpier-faults/src/request/entry.rs
+++ b/crates/oatpier-faults/src/request/entry.rs
@@ -1,4 +1,4 @@
-//! An entry: carries out what its decisions say.
+//! The simulated entry: executes the actions of the entry policy.
 
 use std::collections::BTreeMap;
 
@@ -18,12 +18,12 @@
 use super::claims::EntryClaims;
 use super::fleet;
 use super::message::{AnswerFrame, Message, NodeId};
-use super::network::Treatment;
-use super::world::{Connection, RequestWorld};
+use super::network::MessageDelivery;
+use super::simulation::{Connection, RequestSimulation};
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// One start of an entry.
+/// The state of an entry since its last start.
 pub struct EntryNode {
     pub policy: EntryPolicy,
     pub claims: EntryClaims,
@@ -57,25 +57,25 @@
     }
 }
 
-/// The piece that a step of a request may relay.
+/// The piece that an event of a request may relay, with the request that it belongs to.
 type RelayPiece = Option<(u32, RequestId)>;
 
-impl RequestWorld {
-    pub fn entry_takes(&mut self, entry: NodeId, from: NodeId, message: Message) {
+impl RequestSimulation {
+    pub fn handle_entry_message(&mut self, entry: NodeId, from: NodeId, message: Message) {
         match message {
             Message::Submit(request) => self.start_request(entry, request),
             Message::Frame {
                 request,
                 attempt,
                 frame,
-            } => self.take_frame(entry, from, request, attempt, frame),
+            } => self.handle_frame(entry, from, request, attempt, frame),
             Message::CancelAnswer {
                 request,
                 attempt,
                 verdict,
             } => {
                 let event = EntryEvent::CancelAnswered { attempt, verdict };
-                self.tell_request(entry, request, &event, None);
+                self.step_request(entry, request, &event, None);
             }
             Message::Status(status) => {
                 let node = &mut self.entries[entry];
@@ -83,8 +83,8 @@
                 node.policy.on_status(&status, self.now);
                 node.note_queue_report(agent, &status.queue);
             }
-            Message::Leave => self.take_leave(entry),
-            other => self.claims_take(entry, from, other),
+            Message::Leave => self.handle_leave(entry),
+            other => self.handle_claim_message(entry, from, other),
         }
         self.schedule_entry(entry);
     }
@@ -93,7 +93,7 @@
         let mut fired = Vec::new();
         self.entries[entry].policy.fire_timers(self.now, &mut fired);
         for (request, actions) in fired {
-            self.act(entry, request, actions, None);
+            self.execute_entry_actions(entry, request, actions, None);
         }
         self.wake_claims(entry);
         self.schedule_entry(entry);
@@ -111,16 +111,16 @@
         let Some(submission) = self.submissions.get(&request).copied() else {
             return;
         };
-        if submission.answered {
+        if submission.is_answered {
             return;
         }
         let job = self.jobs[submission.job];
         let intake = fleet::intake(job.kind, request, job.key);
         let actions = self.entries[entry].policy.start(intake, self.now);
-        self.act(entry, request, actions, None);
+        self.execute_entry_actions(entry, request, actions, None);
     }
 
-    fn take_frame(
+    fn handle_frame(
         &mut self,
         entry: NodeId,
         from: NodeId,
@@ -129,23 +129,23 @@
         frame: AnswerFrame,
     ) {
         let mut attempt = attempt;
-        if self.order.omits(Bypass::AttemptMatch)
+        if self.run_spec.bypasses(Bypass::AttemptMatch)
             && let Some(live) = self.entries[entry].policy.live_attempt(request)
         {
             attempt = live;
         }
         let piece = match &frame {
-            AnswerFrame::Piece { place, content } => Some((*place, *content)),
+            AnswerFrame::Piece { position, content } => Some((*position, *content)),
             _ => None,
         };
         let event = event_of(attempt, frame);
         if let Some(report) = event.queue_report() {
             self.entries[entry].note_queue_report(from, report);
         }
-        self.tell_request(entry, request, &event, piece);
+        self.step_request(entry, request, &event, piece);
     }
 
-    pub fn tell_request(
+    pub fn step_request(
         &mut self,
         entry: NodeId,
         request: RequestId,
@@ -153,11 +153,17 @@
         piece: RelayPiece,
     ) {
         let actions = self.entries[entry].policy.handle(request, event, self.now);
-        self.act(entry, request, actions, piece);
+        self.execute_entry_actions(entry, request, actions, piece);
         self.schedule_entry(entry);
     }
 
-    fn act(&mut self, entry: NodeId, request: RequestId, actions: EntryActions, piece: RelayPiece) {
+    fn execute_entry_actions(
+        &mut self,
+        entry: NodeId,
+        request: RequestId,
+        actions: EntryActions,
+        piece: RelayPiece,
+    ) {
         for action in actions {
             if !self.nodes[entry].up {
                 return;
@@ -176,8 +182,8 @@
                     mode,
                 } => self.send_cancel(entry, request, &endpoint, attempt, mode),
                 EntryAction::Relay { .. } => {
-                    if let Some((place, content)) = piece {
-                        self.relayed(request, place, content);
+                    if let Some((position, content)) = piece {
+                        self.record_piece(request, position, content);
                     }
                 }
                 EntryAction::Answer(answer) => self.end_request(entry, request, &answer),
@@ -190,16 +196,16 @@
         if self.entries[entry].stopping
             && answer.cause == FinalCause::Refused(RefusalCause::Leaving)
         {
-            self.pass(StepName::StopRefuse, entry, super::message::CALLERS);
+            self.inject_at(StepName::StopRefuse, entry, super::message::CALLERS);
         }
-        if self.order.omits(Bypass::Drain) && self.entries[entry].stopping {
-            self.watch_stop();
+        if self.run_spec.bypasses(Bypass::Drain) && self.entries[entry].stopping {
+            self.check_stop();
         }
     }
 
     fn send_attempt(&mut self, entry: NodeId, endpoint: &EndpointName, spec: Box<AttemptSpec>) {
         let agent = fleet::agent_of(endpoint);
-        self.pass(StepName::Choose, entry, agent);
+        self.inject_at(StepName::Choose, entry, agent);
         if !self.nodes[entry].up {
             return;
         }
@@ -211,29 +217,33 @@
             request: spec.request,
             entry,
             agent,
-            floor: self.now,
-            broken: false,
+            earliest_arrival: self.now,
+            is_broken: false,
         };
         self.connections.insert(spec.attempt, connection);
         let key = self.key_of(spec.request, spec.repeat);
-        let held = self.is_held(spec.repeat);
+        let is_delayed = self.is_delayed(spec.repeat);
         let message = Message::Attempt { spec, ticket, key };
-        if held {
-            // The cancel of a silent attempt goes past it.
-            let late = self.draw_millis(700, 2_200);
-            let treatment = self.pass(StepName::Send, entry, agent);
-            debug_assert_eq!(treatment, Treatment::Deliver);
-            self.put_directly(entry, agent, message, late);
+        if is_delayed {
+            // The cancel of the unanswered attempt overtakes the attempt.
+            let delay = self.random_millis(700, 2_200);
+            let delivery = self.inject_at(StepName::Send, entry, agent);
+            debug_assert_eq!(delivery, MessageDelivery::Normal);
+            self.post_directly(entry, agent, message, delay);
         } else {
             self.send(Some(StepName::Send), entry, agent, message);
         }
     }
 
-    /// Runs of the cancel's faults hold some changes back, so that they are sealed.
-    fn is_held(&mut self, repeat: Repeat) -> bool {
+    /// Returns whether to delay an attempt. Runs with faults at the cancel step delay some early changes, so that they are
+    /// sealed.
+    fn is_delayed(&mut self, repeat: Repeat) -> bool {
         let early = self.now < ClockTime::from_millis(2_500);
-        let wanted = self.hits(StepName::Cancel) && !self.hits(StepName::Send);
-        wanted && early && repeat == Repeat::AtMostOnce && self.draw_millis(0, 1) == Duration::ZERO
+        let wanted = self.targets(StepName::Cancel) && !self.targets(StepName::Send);
+        wanted
+            && early
+            && repeat == Repeat::AtMostOnce
+            && self.random_millis(0, 1) == Duration::ZERO
     }
 
     fn key_of(&self, request: RequestId, repeat: Repeat) -> Option<u64> {
@@ -270,10 +280,10 @@
             attempt,
             report: Some(report),
         },
-        AnswerFrame::Piece { place, .. } => EntryEvent::Piece {
+        AnswerFrame::Piece { position, .. } => EntryEvent::Piece {
             attempt,
-            // Services answer in bytes, not tokens; theirs have one piece.
-            tokens: u32::from(place < fleet::STREAM_PIECES),
+            // Services answer in bytes rather than tokens, in a single piece.
+            tokens: u32::from(position < fleet::STREAM_PIECES),
         },
         AnswerFrame::End(report) => EntryEvent::Ended {
             attempt,
@@ -290,7 +300,7 @@
     }
 }
 
-/// The refusal of a copy.
+/// Returns the refusal of a duplicate attempt.
 pub fn copy_refusal() -> Refusal {
     Refusal {
         cause: RefusalCause::Duplicate,
--- a/crates/oatpier-faults/src/request/world.rs
+++ b/crates/oatpier-faults/src/request/simulation.rs
@@ -1,4 +1,4 @@
-//! Everything that a request meets.
+//! The simulation of requests: processes, connections and the event loop.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,25 +11,25 @@
 
 use super::agent::AgentNode;
 use super::caller::{Job, Submission};
-use super::claims::ModelStore;
+use super::claims::SegmentStore;
 use super::entry::EntryNode;
 use super::message::{
-    AGENTS, CALLERS, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Happening, Message, NODES, NodeId,
+    AGENTS, CALLERS, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Message, NODES, NodeId, SimEvent,
 };
 use super::service::ServiceNode;
+use crate::injection::InjectionPlan;
 use crate::queue::EventQueue;
-use crate::run::{RunOrder, RunReport};
+use crate::run::{RunReport, RunSpec};
 use crate::step::{StepName, StepPath};
-use crate::strike::StrikePlan;
 
-/// From here on nothing is at fault.
-pub const FAULTS_OVER: ClockTime = ClockTime::from_millis(9_000);
-/// The end of a run that does not come to its end before.
-const LAST_MOMENT: ClockTime = ClockTime::from_millis(24_000);
-/// The time between two words of an agent on its endpoint.
-const BEAT: Duration = Duration::from_millis(100);
+/// Time at which the end of the faults is logged.
+pub const FAULTS_END: ClockTime = ClockTime::from_millis(9_000);
+/// The latest end of a run.
+const RUN_END: ClockTime = ClockTime::from_millis(24_000);
+/// Interval between two status reports of an agent.
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A process as the others meet it.
+/// The state of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeState {
     pub up: bool,
@@ -45,44 +45,44 @@
     pub request: RequestId,
     pub entry: NodeId,
     pub agent: NodeId,
-    /// Nothing on it comes before this.
-    pub floor: ClockTime,
-    pub broken: bool,
+    /// The earliest arrival time of the next message, which keeps messages in order.
+    pub earliest_arrival: ClockTime,
+    pub is_broken: bool,
 }
 
 /// The planned stop of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannedStop {
     pub victim: NodeId,
-    pub asked: bool,
-    pub taken_at: ClockTime,
-    pub taken: bool,
-    pub over: bool,
+    pub is_requested: bool,
+    pub received_at: ClockTime,
+    pub is_received: bool,
+    pub is_over: bool,
 }
 
-pub struct RequestWorld {
-    pub order: RunOrder,
-    pub plan: StrikePlan,
+pub struct RequestSimulation {
+    pub run_spec: RunSpec,
+    pub plan: InjectionPlan,
     pub random: ChaCha8Rng,
     pub now: ClockTime,
-    pub queue: EventQueue<Happening>,
+    pub queue: EventQueue<SimEvent>,
     pub nodes: [NodeState; NODES],
     pub blocked: BTreeMap<(NodeId, NodeId), ClockTime>,
     pub entries: Vec<EntryNode>,
     pub agents: Vec<AgentNode>,
     pub services: Vec<ServiceNode>,
     pub connections: BTreeMap<AttemptId, Connection>,
-    /// Nothing of a call at an endpoint comes before this.
-    pub word_floors: BTreeMap<AttemptId, ClockTime>,
-    pub store: ModelStore,
+    /// The earliest arrival time of the next report on a call, which keeps a call's reports in order.
+    pub update_arrivals: BTreeMap<AttemptId, ClockTime>,
+    pub store: SegmentStore,
     pub jobs: Vec<Job>,
     pub submissions: BTreeMap<RequestId, Submission>,
     pub stop: Option<PlannedStop>,
     pub report: RunReport,
 }
 
-impl RequestWorld {
-    pub fn new(order: &RunOrder) -> Self {
+impl RequestSimulation {
+    pub fn new(run_spec: &RunSpec) -> Self {
         let state = NodeState {
             up: true,
             boot: 1,
@@ -90,23 +90,23 @@
             slow_until: ClockTime::ZERO,
             wake_at: ClockTime::NEVER,
         };
-        let mut random = order.generator();
-        let stops = order.strikes.iter();
-        let stops = stops.map(|strike| strike.step.path());
+        let mut random = run_spec.generator();
+        let stops = run_spec.injections.iter();
+        let stops = stops.map(|injection| injection.step.path());
         let is_stop = stops.clone().any(|path| path == StepPath::Stop);
-        // Beside a plain service more waits, so that there is something to refuse.
+        // The agent of a plain service has a longer queue, so that there are attempts to refuse.
         let victims = [0, FIRST_AGENT + AGENTS / 2];
         let victim = victims[usize::from(random.random_bool(0.5))];
         let stop = is_stop.then_some(PlannedStop {
             victim,
-            asked: false,
-            taken_at: ClockTime::NEVER,
-            taken: false,
-            over: false,
+            is_requested: false,
+            received_at: ClockTime::NEVER,
+            is_received: false,
+            is_over: false,
         });
-        let mut world = Self {
-            plan: order.plan(),
-            order: order.clone(),
+        let mut simulation = Self {
+            plan: run_spec.plan(),
+            run_spec: run_spec.clone(),
             random,
             now: ClockTime::from_millis(1_000),
             queue: EventQueue::default(),
@@ -116,107 +116,107 @@
             agents: (0..AGENTS).map(|_| AgentNode::new(BootId(1))).collect(),
             services: vec![ServiceNode::default(); AGENTS],
             connections: BTreeMap::new(),
-            word_floors: BTreeMap::new(),
-            store: ModelStore::default(),
+            update_arrivals: BTreeMap::new(),
+            store: SegmentStore::default(),
             jobs: Vec::new(),
             submissions: BTreeMap::new(),
             stop,
             report: RunReport::default(),
         };
-        world.begin();
-        world
+        simulation.begin();
+        simulation
     }
 
     fn begin(&mut self) {
         for agent in FIRST_AGENT..FIRST_AGENT + AGENTS {
             self.set_up_agent(agent);
         }
-        self.queue.put(self.now, Happening::Beat);
-        self.queue.put(FAULTS_OVER, Happening::FaultsOver);
+        self.queue.put(self.now, SimEvent::StatusTick);
+        self.queue.put(FAULTS_END, SimEvent::FaultsOver);
         if self.stop.is_some() {
             let at = self.now + Duration::from_millis(45);
-            self.queue.put(at, Happening::AskStop);
+            self.queue.put(at, SimEvent::RequestStop);
         }
-        self.plan_jobs();
+        self.schedule_jobs();
     }
 
     pub fn run(mut self) -> RunReport {
-        while let Some((at, happening)) = self.queue.take(LAST_MOMENT) {
+        while let Some((at, event)) = self.queue.take(RUN_END) {
             self.now = at;
-            self.happen(happening);
-            if self.now > FAULTS_OVER + Duration::from_secs(1) && self.is_quiet() {
+            self.handle_event(event);
+            if self.now > FAULTS_END + Duration::from_secs(1) && self.is_quiet() {
                 break;
             }
         }
-        self.judge_end();
-        self.report.struck = self.plan.is_spent();
+        self.check_end_state();
+        self.report.all_injected = self.plan.is_exhausted();
         self.report
     }
 
     fn is_quiet(&self) -> bool {
-        self.jobs.iter().all(|job| job.done) && self.stop.is_none_or(|stop| stop.over)
+        self.jobs.iter().all(|job| job.is_done) && self.stop.is_none_or(|stop| stop.is_over)
     }
 
-    fn judge_end(&mut self) {
-        for (place, job) in self.jobs.iter().enumerate() {
-            if !job.done {
+    fn check_end_state(&mut self) {
+        for (job_index, job) in self.jobs.iter().enumerate() {
+            if !job.is_done {
                 let text = format!(
-                    "no end of job {place} ({:?}) after {} tries",
+                    "job {job_index} did not end ({:?}) after {} tries",
                     job.kind, job.tries
                 );
                 self.report.findings.push(text);
             }
         }
-        if self.stop.is_some_and(|stop| !stop.over) {
-            let text = "the planned stop did not come to its end".to_owned();
+        if self.stop.is_some_and(|stop| !stop.is_over) {
+            let text = "the planned stop did not complete".to_owned();
             self.report.findings.push(text);
         }
     }
 
-    pub fn note(&mut self, event: FleetEvent) {
+    pub fn log_event(&mut self, event: FleetEvent) {
         let at = self.now;
         self.report.log.push(LoggedEvent { at, event });
     }
 
-    pub fn draw_millis(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_millis(self.random.random_range(least..=most))
+    pub fn random_millis(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_millis(self.random.random_range(min..=max))
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver {
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Deliver {
                 from,
                 to,
                 boot,
                 message,
             } => self.arrive(from, to, boot, message),
-            Happening::Wake(node) => self.wake(node),
-            Happening::Boot(node) => self.boot(node),
-            Happening::Submit(job) => self.submit(job),
-            Happening::CallerGone(job) => self.caller_gone(job),
-            Happening::Beat => self.beat(),
-            Happening::StoreSees {
+            SimEvent::Wake(node) => self.wake(node),
+            SimEvent::Boot(node) => self.boot(node),
+            SimEvent::Submit(job) => self.submit(job),
+            SimEvent::CallerGone(job) => self.caller_gone(job),
+            SimEvent::StatusTick => self.handle_status_tick(),
+            SimEvent::StoreCallArrives {
                 entry,
                 boot,
                 call,
                 action,
-            } => self.store_sees(entry, boot, call, &action),
-            Happening::StoreAnswers {
+            } => self.call_at_store(entry, boot, call, &action),
+            SimEvent::StoreCallEnds {
                 entry,
                 boot,
                 call,
                 answer,
-            } => self.store_answers(entry, boot, call, answer),
-            Happening::VmListRight => self.vm_list_right(),
-            Happening::AskStop => self.ask_stop(),
-            Happening::FaultsOver => {
-                self.note(FleetEvent::FaultsOver);
-                self.plan_last_jobs();
+            } => self.handle_store_answer(entry, boot, call, answer),
+            SimEvent::VmListCorrected => self.correct_vm_list(),
+            SimEvent::RequestStop => self.request_stop(),
+            SimEvent::FaultsOver => {
+                self.log_event(FleetEvent::FaultsOver);
+                self.schedule_final_jobs();
             }
         }
     }
 
-    /// A message comes to its process, if that is there and awake.
+    /// Delivers a message to its process. If the process is paused, the message waits until it resumes.
     fn arrive(&mut self, from: NodeId, to: NodeId, boot: u64, message: Message) {
         let state = self.nodes[to];
         if !state.up || state.boot != boot {
@@ -224,19 +224,19 @@
             return;
         }
         if state.paused_until > self.now {
-            let happening = Happening::Deliver {
+            let event = SimEvent::Deliver {
                 from,
                 to,
                 boot,
                 message,
             };
-            self.queue.put(state.paused_until, happening);
+            self.queue.put(state.paused_until, event);
             return;
         }
         match to {
-            0..FIRST_AGENT => self.entry_takes(to, from, message),
-            FIRST_AGENT..FIRST_ENDPOINT => self.agent_takes(to, from, message),
-            FIRST_ENDPOINT..CALLERS => self.endpoint_takes(to, message),
+            0..FIRST_AGENT => self.handle_entry_message(to, from, message),
+            FIRST_AGENT..FIRST_ENDPOINT => self.handle_agent_message(to, from, message),
+            FIRST_ENDPOINT..CALLERS => self.handle_endpoint_message(to, message),
             _ => {}
         }
     }
@@ -249,7 +249,7 @@
         if state.paused_until > self.now {
             state.wake_at = state.paused_until;
             let at = state.paused_until;
-            self.queue.put(at, Happening::Wake(node));
+            self.queue.put(at, SimEvent::Wake(node));
             return;
         }
         state.wake_at = ClockTime::NEVER;
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Sees to it that the process is woken at its next timer.
+    /// Schedules the wake-up of a process at its next timer.
     pub fn wake_at(&mut self, node: NodeId, at: ClockTime) {
         let state = &mut self.nodes[node];
         if at == ClockTime::NEVER || state.wake_at <= at {
@@ -269,18 +269,19 @@
         }
         let at = at.max(self.now);
         state.wake_at = at;
-        self.queue.put(at, Happening::Wake(node));
+        self.queue.put(at, SimEvent::Wake(node));
     }
 
-    fn beat(&mut self) {
-        self.queue.put(self.now + BEAT, Happening::Beat);
+    fn handle_status_tick(&mut self) {
+        self.queue
+            .put(self.now + STATUS_INTERVAL, SimEvent::StatusTick);
         for agent in FIRST_AGENT..FIRST_AGENT + AGENTS {
-            self.tell_status(agent);
+            self.send_status(agent);
         }
         for entry in 0..ENTRIES {
             self.send_settlements(entry);
         }
-        self.watch_stop();
+        self.check_stop();
     }
 
     fn boot(&mut self, node: NodeId) {
@@ -295,13 +296,16 @@
                 self.agents[node - FIRST_AGENT] = AgentNode::new(BootId(u128::from(boot)));
                 self.set_up_agent(node);
             }
-            _ => self.service_up(node, true),
+            _ => self.set_endpoint_up(node, true),
         }
-        self.told_at_start(node);
+        self.apply_stop_at_start(node);
     }
 
-    /// The calls of a path that is at fault are made slow enough to be hit.
-    pub fn hits(&self, step: StepName) -> bool {
-        self.order.strikes.iter().any(|strike| strike.step == step)
+    /// Returns whether a fault of this run is injected at `step`. Such steps are prolonged so that the fault affects them.
+    pub fn targets(&self, step: StepName) -> bool {
+        self.run_spec
+            .injections
+            .iter()
+            .any(|injection| injection.step == step)
     }
 }
--- a/crates/oatpier-faults/src/request/stop.rs
+++ b/crates/oatpier-faults/src/request/stop.rs
@@ -10,122 +10,131 @@
 use oatpier_types::verdict::RunVerdict;
 
 use super::fleet;
-use super::inflict::daemon;
+use super::inject::daemon;
 use super::message::{ENTRIES, FIRST_AGENT, Message, NodeId};
 use super::network::sibling;
-use super::world::RequestWorld;
+use super::simulation::RequestSimulation;
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// The time until the balancer sends nothing more to an entry that is not ready.
+/// Time until the load balancer stops sending requests to an entry that is not ready.
 const BALANCER_LAG: Duration = Duration::from_millis(600);
-/// How long a process announces that it leaves before it exits: longer than others take to see.
-const ANNOUNCE_FOR: Duration = Duration::from_millis(800);
+/// Minimum time between the start of a stop and the exit: longer than other processes need to detect that the process
+/// leaves.
+const MIN_ANNOUNCEMENT: Duration = Duration::from_millis(800);
 
-impl RequestWorld {
-    /// The stop is in the store from now on; the process is told until it knows.
-    pub fn ask_stop(&mut self) {
+impl RequestSimulation {
+    /// Requests the planned stop. The stop is in the store from now on, and is sent to the process until it is received.
+    pub fn request_stop(&mut self) {
         let Some(stop) = &mut self.stop else {
             return;
         };
-        stop.asked = true;
-        stop.taken_at = ClockTime::NEVER;
+        stop.is_requested = true;
+        stop.received_at = ClockTime::NEVER;
         let victim = stop.victim;
-        self.note(FleetEvent::StopStarted {
+        self.log_event(FleetEvent::StopStarted {
             daemon: daemon(victim),
         });
         if victim >= FIRST_AGENT {
             let endpoint = fleet::endpoint(victim);
-            self.note(FleetEvent::LeaveStarted { endpoint });
+            self.log_event(FleetEvent::LeaveStarted { endpoint });
         }
-        self.tell_stop();
+        self.send_stop();
     }
 
-    fn tell_stop(&mut self) {
-        let Some(stop) = self.stop.filter(|stop| stop.asked && !stop.taken) else {
+    fn send_stop(&mut self) {
+        let Some(stop) = self
+            .stop
+            .filter(|stop| stop.is_requested && !stop.is_received)
+        else {
             return;
         };
         if !self.nodes[stop.victim].up {
             return;
         }
-        // Its two registrars tell it, an entry the other one; the entries stand for that.
+        // The two registrars of an agent announce its stop, and an entry is told by the other entry. The entries act as
+        // registrars here.
         let turn = usize::try_from(self.now.as_micros() / 100_000).unwrap_or(0) % ENTRIES;
-        let teller = if stop.victim < ENTRIES {
+        let sender = if stop.victim < ENTRIES {
             sibling(stop.victim)
         } else {
             turn
         };
-        if self.nodes[teller].up {
+        if self.nodes[sender].up {
             self.send(
                 Some(StepName::StopTold),
-                teller,
+                sender,
                 stop.victim,
                 Message::Leave,
             );
         }
     }
 
-    /// The balancer before the entries learns late that one is not ready.
+    /// Returns whether the load balancer in front of the entries has detected that an entry is stopping, which takes
+    /// [`BALANCER_LAG`].
     pub fn is_known_stopping(&self, entry: NodeId) -> bool {
-        let known = |stop: super::world::PlannedStop| stop.taken_at + BALANCER_LAG <= self.now;
+        let known =
+            |stop: super::simulation::PlannedStop| stop.received_at + BALANCER_LAG <= self.now;
         self.entries[entry].stopping && self.stop.is_some_and(known)
     }
 
-    /// Where a refusal is to be struck, the entries hear late that the agent leaves.
-    pub fn is_hushed(&self, agent: NodeId) -> bool {
-        let early = |stop: super::world::PlannedStop| self.now < stop.taken_at + BALANCER_LAG;
-        self.agents[agent - FIRST_AGENT].told
-            && self.hits(StepName::StopRefuse)
+    /// Returns whether status reports of a leaving agent are suppressed. Runs with faults at the refusal step delay them, so
+    /// that entries still send attempts that the agent refuses.
+    pub fn is_status_suppressed(&self, agent: NodeId) -> bool {
+        let early =
+            |stop: super::simulation::PlannedStop| self.now < stop.received_at + BALANCER_LAG;
+        self.agents[agent - FIRST_AGENT].is_leaving
+            && self.targets(StepName::StopRefuse)
             && self.stop.is_some_and(early)
     }
 
-    /// A process that starts while its stop is planned learns it with its registration, before
-    /// it takes work.
-    pub fn told_at_start(&mut self, node: NodeId) {
+    /// Applies the planned stop to a process that starts while it is open: the process receives the stop with its
+    /// registration, before it accepts work.
+    pub fn apply_stop_at_start(&mut self, node: NodeId) {
         let Some(stop) = &mut self.stop else {
             return;
         };
-        if stop.victim == node && stop.asked && !stop.over {
-            stop.taken = false;
-            self.take_leave(node);
+        if stop.victim == node && stop.is_requested && !stop.is_over {
+            stop.is_received = false;
+            self.handle_leave(node);
         }
     }
 
-    pub fn take_leave(&mut self, node: NodeId) {
+    pub fn handle_leave(&mut self, node: NodeId) {
         let Some(stop) = self.stop.as_mut().filter(|stop| stop.victim == node) else {
             return;
         };
-        stop.taken_at = self.now;
-        if std::mem::replace(&mut stop.taken, true) || self.order.omits(Bypass::Leave) {
+        stop.received_at = self.now;
+        if std::mem::replace(&mut stop.is_received, true) || self.run_spec.bypasses(Bypass::Leave) {
             return;
         }
         if node < ENTRIES {
             self.entries[node].stopping = true;
             self.entries[node].policy.begin_stop();
         } else {
-            self.agents[node - FIRST_AGENT].told = true;
+            self.agents[node - FIRST_AGENT].is_leaving = true;
             self.step_agent(node, AgentEvent::Leave);
         }
-        self.pass(StepName::StopDrain, sibling(node), node);
-        if self.order.omits(Bypass::Drain) {
+        self.inject_at(StepName::StopDrain, sibling(node), node);
+        if self.run_spec.bypasses(Bypass::Drain) {
             self.exit(node);
         }
     }
 
-    /// Looks how far the stop is.
-    pub fn watch_stop(&mut self) {
-        let Some(stop) = self.stop.filter(|stop| stop.asked && !stop.over) else {
+    /// Checks the progress of the planned stop, and sends it again or ends the process.
+    pub fn check_stop(&mut self) {
+        let Some(stop) = self.stop.filter(|stop| stop.is_requested && !stop.is_over) else {
             return;
         };
-        if !stop.taken {
-            return self.tell_stop();
+        if !stop.is_received {
+            return self.send_stop();
         }
         let state = self.nodes[stop.victim];
-        if !state.up || state.paused_until > self.now || self.order.omits(Bypass::Leave) {
+        if !state.up || state.paused_until > self.now || self.run_spec.bypasses(Bypass::Leave) {
             return;
         }
-        self.pass(StepName::StopDrain, sibling(stop.victim), stop.victim);
-        let announced = stop.taken_at + ANNOUNCE_FOR <= self.now;
+        self.inject_at(StepName::StopDrain, sibling(stop.victim), stop.victim);
+        let announced = stop.received_at + MIN_ANNOUNCEMENT <= self.now;
         if announced && self.nodes[stop.victim].up && self.is_drained(stop.victim) {
             self.drained(stop.victim);
         }
@@ -141,15 +150,15 @@
         }
     }
 
-    /// Its last request is over.
+    /// Ends a process whose last request has ended.
     fn drained(&mut self, node: NodeId) {
         let is_over = self
             .stop
-            .is_none_or(|stop| stop.over || stop.victim != node);
+            .is_none_or(|stop| stop.is_over || stop.victim != node);
         if is_over {
             return;
         }
-        self.pass(StepName::StopExit, sibling(node), node);
+        self.inject_at(StepName::StopExit, sibling(node), node);
         let state = self.nodes[node];
         if state.up && state.paused_until <= self.now {
             self.exit(node);
@@ -162,7 +171,7 @@
         } else {
             self.agents[node - FIRST_AGENT].running()
         };
-        self.note(FleetEvent::Ended {
+        self.log_event(FleetEvent::Ended {
             name: daemon(node),
             killed: false,
             cut_off: u32::try_from(cut_off).unwrap_or(u32::MAX),
@@ -170,18 +179,19 @@
         self.nodes[node].up = false;
         self.nodes[node].boot += 1;
         if let Some(stop) = &mut self.stop {
-            stop.over = true;
+            stop.is_over = true;
         }
     }
 
-    /// Callers whose answer is not over when their entry exits.
+    /// Cuts off the callers whose answer is not complete when their entry exits, and returns their number.
     fn cut_callers(&mut self, entry: NodeId) -> usize {
         let open = self.submissions.iter();
-        let open = open.filter(|(_, submission)| submission.entry == entry && !submission.answered);
+        let open =
+            open.filter(|(_, submission)| submission.entry == entry && !submission.is_answered);
         let open: Vec<RequestId> = open.map(|(request, _)| *request).collect();
         let accepted = open.len();
         for request in &open {
-            self.answered(*request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
+            self.record_answer_end(*request, AnswerEnd::Error, RunVerdict::MayHaveRun, false);
         }
         accepted
     }
