--- a/crates/oatpier-agent/src/attempt.rs
+++ b/crates/oatpier-agent/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at the agent: waits for its turn, runs at the endpoint, and tells its entry.
+//! The task of one attempt: waits in the queue, runs at the endpoint, and sends frames to the entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 use crate::core::{AgentCore, AttemptOrder, OrderReceiver};
 use oatpier_duty::observe::trace::{HopSpan, extract_parent};
 
-/// How long the rest of a finished stream is read, so that its connection can be used again.
+/// How long the remainder of a finished stream is read, so that its connection can be reused.
 const REST_WAIT: Duration = Duration::from_secs(1);
 
-/// An attempt that the policy has taken.
+/// An attempt that the policy has accepted.
 pub struct AttemptTask {
     core: Arc<AgentCore>,
     head: AttemptHead,
@@ -38,7 +38,7 @@
 type RunEnd = Result<(), CallError>;
 
 impl AttemptTask {
-    /// The task of an attempt whose frames go to `frames`.
+    /// Creates the task of an attempt that sends its frames to `frames`.
     #[must_use]
     pub fn new(
         core: Arc<AgentCore>,
@@ -62,7 +62,7 @@
         self.head.spec.attempt
     }
 
-    /// Works on the attempt to its end.
+    /// Runs the attempt until it ends.
     pub async fn run(mut self) {
         let parent = extract_parent(&self.trace_headers());
         let queue = self
@@ -102,8 +102,8 @@
         to_headers(pair.as_slice())
     }
 
-    /// Waits until the policy starts, refuses or drops the attempt. An entry that goes away
-    /// while the attempt waits gives it up.
+    /// Waits until the policy starts, refuses or drops the attempt. If the entry disconnects
+    /// while the attempt is queued, the attempt is cancelled.
     async fn wait_for_turn(&mut self) -> Option<AttemptOrder> {
         tokio::select! {
             biased;
@@ -112,7 +112,7 @@
                 self.entry_gone = true;
                 match self.core.cancel(self.attempt(), self.head.ticket) {
                     RunVerdict::NotRun => None,
-                    // The start crossed the cancel.
+                    // The attempt started before the cancel took effect.
                     RunVerdict::MayHaveRun | RunVerdict::Ran => self.orders.recv().await,
                 }
             }
@@ -161,20 +161,20 @@
         }
     }
 
-    /// Whether the endpoint can cancel a call. A plain service can't: its call goes on to its
-    /// end, so that its slot is not given away while it still works.
+    /// Returns whether the endpoint can cancel a call. A plain service can't: its call runs to
+    /// completion, so that its slot is not reassigned while the call is still running.
     fn is_engine(&self) -> bool {
         matches!(self.head.spec.goal, RequestGoal::Model { .. })
     }
 
-    /// Waits for the endpoint; `None` if the attempt was cancelled there meanwhile.
+    /// Waits for the endpoint. Returns `None` if the attempt is cancelled there first.
     async fn until_cancelled<T>(&mut self, waiting: impl Future<Output = T>) -> Option<T> {
         let mut waiting = std::pin::pin!(waiting);
         if self.cancelled && self.is_engine() {
             return None;
         }
         loop {
-            // The endpoint comes last: one that always has more ready must not hide a cancel.
+            // The endpoint is polled last: one that always has data ready must not starve a cancel.
             tokio::select! {
                 biased;
                 Some(AttemptOrder::Cancel) = self.orders.recv(), if !self.cancelled => {
@@ -186,7 +186,7 @@
                 }
                 () = self.frames.closed(), if !self.entry_gone => {
                     self.entry_gone = true;
-                    // Comes back as an order to cancel.
+                    // The policy responds with `AttemptOrder::Cancel`.
                     self.core.cancel(self.attempt(), self.head.ticket);
                 }
                 done = waiting.as_mut() => return Some(done),
@@ -224,9 +224,9 @@
         }
     }
 
-    /// Relays whole events. The stream is whole only with its last event: an HTTP body may end
-    /// cleanly after an engine that gave up half-way, and the caller would take a short answer
-    /// for a whole one.
+    /// Relays complete events. The stream is complete only with its last event: an HTTP body may
+    /// end cleanly although the engine stopped half-way, and the caller would then take a
+    /// truncated answer for a complete one.
     async fn relay_events(&mut self, mut answer: EndpointAnswer) -> RunEnd {
         let mut splitter = EventSplitter::new();
         let mut is_first = true;
@@ -292,21 +292,21 @@
         }
     }
 
-    /// Sends the last frame, which an entry that is gone does not need.
+    /// Sends the last frame. The error of a disconnected entry is ignored.
     async fn tell_last(&self, frame: AttemptFrame) {
         let _ = self.frames.send(frame).await;
     }
 
-    /// Sends a frame. While the entry reads slowly, nothing more is read from the endpoint; but
-    /// a cancel still gets through.
+    /// Sends a frame. While the entry reads slowly, nothing more is read from the endpoint, but
+    /// a cancel is still handled.
     async fn tell(&mut self, frame: AttemptFrame) {
         let frames = self.frames.clone();
-        // An entry that has gone is seen by `until_cancelled`, which gives the attempt up.
+        // `until_cancelled` detects a disconnected entry and cancels the attempt.
         self.until_cancelled(frames.send(frame)).await;
     }
 }
 
-/// All whole events that are here, as one piece, with the tokens in it.
+/// Takes all complete events from the splitter, as one piece with its number of tokens.
 fn take_events(splitter: &mut EventSplitter) -> Result<(Bytes, u32), CallError> {
     let mut taken = BytesMut::new();
     let mut tokens = 0;
@@ -320,7 +320,7 @@
     Ok((taken.freeze(), tokens))
 }
 
-/// Statuses by which an engine says that it did not take a request.
+/// Returns whether a status means that the engine did not accept the request.
 fn is_engine_refusal(status: StatusCode) -> bool {
     matches!(
         status,
--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the work duty share: the policy, and who waits for its actions.
+//! State that the tasks of the work duty share: the policy, and the tasks that wait for its actions.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -24,49 +24,49 @@
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 
-/// What the policy tells the task of one attempt.
+/// A decision of the policy for the task of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOrder {
-    /// Send it to the endpoint.
+    /// Send the attempt to the endpoint.
     Start {
-        /// For an engine: lower goes first.
+        /// Priority at an engine: lower values run first.
         priority: u32,
     },
-    /// Answer that it is refused.
+    /// Answer that the attempt is refused.
     Refuse {
-        /// Why.
+        /// Cause of the refusal.
         refusal: Refusal,
     },
-    /// Cancel it at the endpoint.
+    /// Cancel the attempt at the endpoint.
     Cancel,
 }
 
-/// Where the orders of an attempt come from.
+/// Receives the policy's orders for one attempt.
 pub type OrderReceiver = mpsc::UnboundedReceiver<AttemptOrder>;
 
-/// What became of an attempt's arrival.
+/// Result of [`AgentCore::arrive`].
 #[derive(Debug)]
 pub enum AttemptArrival {
-    /// It is on record; its orders will come.
+    /// The attempt is recorded, and its orders arrive on this channel.
     Taken(OrderReceiver),
-    /// It came before.
+    /// The attempt arrived before.
     Copy {
         /// Whether the first copy may have run.
         verdict: RunVerdict,
     },
-    /// The agent has no configuration yet. It is not on record, and nothing of it ran.
+    /// The agent has no configuration yet. The attempt is not recorded and did not run.
     NotReady,
 }
 
-/// The task of an attempt.
+/// What the core keeps of an attempt's task.
 struct TaskRow {
     orders: mpsc::UnboundedSender<AttemptOrder>,
     goal: RequestGoal,
     started: bool,
 }
 
-/// The state that the duty's tasks share. They run on one thread, so the lock is never waited
-/// for; it is held for a decision and never across an await.
+/// State shared by the duty's tasks. They run on one thread, so the lock is never contended.
+/// It is held for one decision and never across an await.
 struct CoreState {
     policy: Option<AgentPolicy>,
     tasks: HashMap<AttemptId, TaskRow>,
@@ -79,26 +79,26 @@
     leaving: bool,
 }
 
-/// The work duty's shared parts.
+/// Shared state of the work duty.
 pub struct AgentCore {
     state: Mutex<CoreState>,
     timer_changed: Notify,
     boot: BootId,
     stop: StopSignal,
-    /// The endpoint.
+    /// The agent's endpoint.
     pub identity: EndpointIdentity,
-    /// The endpoint's working side.
+    /// Clients for calls to the endpoint.
     pub works: EndpointWorks,
     /// The runtime's clock.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// Makes spans.
+    /// Creates spans.
     pub tracer: HopTracer,
 }
 
 impl AgentCore {
-    /// The shared parts of an agent that has no configuration yet.
+    /// Creates the shared state of an agent that has no configuration yet.
     #[must_use]
     pub fn new(
         identity: EndpointIdentity,
@@ -137,7 +137,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes news from another duty.
+    /// Applies an update from another duty.
     pub fn take_news(&self, news: AgentNews) {
         match news {
             AgentNews::Config { generation, config } => self.take_config(generation, &config),
@@ -162,7 +162,7 @@
         self.step(AgentEvent::ReadyChanged { ready, loading });
     }
 
-    /// What still runs on weights that are to go; none while nothing drains.
+    /// Returns the attempts that still run on draining weights, or `None` if no weights drain.
     #[must_use]
     pub fn drains(&self) -> Option<AsksNews> {
         let state = self.lock();
@@ -172,7 +172,7 @@
         })
     }
 
-    /// A generation only rises: an older one that comes late changes nothing.
+    /// Applies a configuration. Generations only increase: an older one that arrives late is ignored.
     fn take_config(&self, generation: Generation, config: &FleetConfig) {
         let mut state = self.lock();
         if generation <= state.generation {
@@ -185,8 +185,9 @@
             return;
         };
         if state.slots != Some(slots) {
-            // Entries keep the slots with the weights. Without a new number they would keep the
-            // word of an agent that had no configuration yet, and send it nothing.
+            // Entries cache the slots together with the weights. Without a new sequence number
+            // they would keep the status from before the configuration, which has no slots, and
+            // would send no attempts.
             state.slots = Some(slots);
             state.ready_sequence += 1;
         }
@@ -224,7 +225,7 @@
         }
     }
 
-    /// An attempt came.
+    /// Records an attempt that arrived, and passes it to the policy.
     pub fn arrive(&self, spec: AttemptSpec, ticket: AdmissionTicket) -> AttemptArrival {
         let (attempt, goal) = (spec.attempt, spec.goal.clone());
         let now = self.clock.now();
@@ -257,15 +258,15 @@
         AttemptArrival::Taken(receiver)
     }
 
-    /// An attempt is given up, unless it runs already; says whether it may have run.
+    /// Cancels an attempt unless it is running, and returns whether it may have run.
     ///
-    /// An entry seals an attempt that is late before it tries elsewhere. One that runs is not
-    /// to be cut off by that.
+    /// An entry seals a late attempt before it retries at another endpoint. Sealing must not
+    /// interrupt an attempt that is already running.
     pub fn seal(&self, attempt: AttemptId, ticket: AdmissionTicket) -> RunVerdict {
         self.give_up(attempt, AgentEvent::Seal { attempt, ticket })
     }
 
-    /// An attempt is given up; says whether it may have run.
+    /// Cancels an attempt, and returns whether it may have run.
     pub fn cancel(&self, attempt: AttemptId, ticket: AdmissionTicket) -> RunVerdict {
         self.give_up(attempt, AgentEvent::Cancel { attempt, ticket })
     }
@@ -274,7 +275,7 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let Some(policy) = state.policy.as_mut() else {
-            // Nothing was ever taken, but the attempt may still come: it can't be sealed yet.
+            // No attempt was ever accepted, but this one may still arrive, and can't be sealed yet.
             return RunVerdict::MayHaveRun;
         };
         let actions = policy.step(event, now);
@@ -287,7 +288,7 @@
         });
         self.dispatch(&mut state, actions);
         if verdict == Some(RunVerdict::NotRun) {
-            // Its task would wait for ever: no order comes for an attempt that is sealed.
+            // The policy sends no order for a sealed attempt, so its task would wait forever.
             state.tasks.remove(&attempt);
         }
         drop(state);
@@ -295,14 +296,14 @@
         verdict.unwrap_or(RunVerdict::MayHaveRun)
     }
 
-    /// Something happened at the endpoint or to the process.
+    /// Passes an event of the endpoint or the process to the policy.
     pub fn step(&self, event: AgentEvent) {
         let now = self.clock.now();
         let mut state = self.lock();
         if let AgentEvent::EndpointEnded { attempt } | AgentEvent::EndpointFailed { attempt, .. } =
             &event
         {
-            // Its entry may still read; the weights are free of it.
+            // The entry may still be reading the answer, but the attempt no longer uses the weights.
             state.drains.over(*attempt);
         }
         let Some(policy) = state.policy.as_mut() else {
@@ -314,7 +315,7 @@
         self.timer_changed.notify_one();
     }
 
-    /// The task of an attempt is over.
+    /// Removes the task of an attempt that ended.
     pub fn forget(&self, attempt: AttemptId) {
         let mut state = self.lock();
         state.tasks.remove(&attempt);
@@ -344,13 +345,13 @@
                     row.started = true;
                     drains.started(attempt, &row.goal);
                 }
-                // A task that has ended has told its end already.
+                // A task that ended has already reported its result.
                 let _ = row.orders.send(order);
             }
         }
     }
 
-    /// A fresh word on the queue; none without a configuration.
+    /// Returns a new report on the queue, or `None` without a configuration.
     #[must_use]
     pub fn queue_report(&self) -> Option<QueueReport> {
         let now = self.clock.now();
@@ -360,7 +361,7 @@
             .map(|policy| policy.queue_report(now))
     }
 
-    /// The whole word on the endpoint; none without a configuration.
+    /// Returns the full status of the endpoint, or `None` without a configuration.
     #[must_use]
     pub fn status(&self) -> Option<EndpointStatus> {
         let report = self.queue_report()?;
@@ -376,7 +377,7 @@
         })
     }
 
-    /// Gives the policy its timers for ever.
+    /// Passes timer events to the policy. Never returns.
     pub async fn run_timers(&self) {
         loop {
             let policy_timer = |state: &CoreState| {
--- a/crates/oatpier-agent/src/drains.rs
+++ b/crates/oatpier-agent/src/drains.rs
@@ -1,9 +1,10 @@
-//! Attempts that still run on weights which are to go.
+//! Attempts that still run on draining weights.
 //!
-//! From the word that weights drain, no new attempt starts on them: either they count as not
-//! ready, or the engine runs new attempts on another version. So it is enough to wait for the
-//! attempts that ran at that word. The exception is an older version that is to stay while the
-//! newer one goes: the engine would run new attempts on the newer one, and they count as well.
+//! After a drain is announced, no new attempt starts on its weights: either they count as not
+//! ready, or the engine runs new attempts on another version. It is therefore enough to wait for
+//! the attempts that were running at the announcement. The exception is a newer version that
+//! drains while an older one stays: the engine would run new attempts on the newer version, so
+//! these count as well.
 
 use indexmap::IndexMap;
 use oatpier_types::engine::WeightsKey;
@@ -12,14 +13,14 @@
 
 use crate::news::{DrainCount, DrainRound, DrainingWeights};
 
-/// One drain.
+/// The drain of one set of weights.
 #[derive(Debug, Clone)]
 struct Drain {
     preferred: bool,
     running: Vec<AttemptId>,
 }
 
-/// All drains of the endpoint.
+/// Tracks all drains of the endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct DrainBoard {
     round: DrainRound,
@@ -27,8 +28,8 @@
 }
 
 impl DrainBoard {
-    /// Takes the word on drains. `started` are the attempts that run now; the word comes before
-    /// any of the attempts that start after it.
+    /// Replaces the set of draining weights. `started` are the attempts that run now. The update
+    /// is applied before any attempt that starts after it.
     pub fn take<'a>(
         &mut self,
         round: DrainRound,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// An attempt starts.
+    /// Records that an attempt starts.
     pub fn started(&mut self, attempt: AttemptId, goal: &RequestGoal) {
         for (weights, drain) in &mut self.drains {
             if drain.preferred && runs_on(goal, weights) {
@@ -61,26 +62,26 @@
         }
     }
 
-    /// An attempt is over at the endpoint.
+    /// Records that an attempt ended at the endpoint.
     pub fn over(&mut self, attempt: AttemptId) {
         for drain in self.drains.values_mut() {
             drain.running.retain(|running| *running != attempt);
         }
     }
 
-    /// Whether any weights drain.
+    /// Returns whether no weights drain.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.drains.is_empty()
     }
 
-    /// The word that the counts are for.
+    /// Returns the round that the counts belong to.
     #[must_use]
     pub fn round(&self) -> DrainRound {
         self.round
     }
 
-    /// What still runs.
+    /// Returns the number of attempts that still run, for each of the draining weights.
     #[must_use]
     pub fn counts(&self) -> Vec<DrainCount> {
         let drains = self.drains.iter();
@@ -93,7 +94,8 @@
     }
 }
 
-/// Whether an attempt needs these weights in some version: an adapter needs its base model.
+/// Returns whether an attempt needs some version of these weights. An adapter also needs its base
+/// model.
 fn runs_on(goal: &RequestGoal, weights: &WeightsKey) -> bool {
     let RequestGoal::Model { model, adapter } = goal else {
         return false;
--- a/crates/oatpier-agent/src/endpoint.rs
+++ b/crates/oatpier-agent/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoint that an agent stands beside.
+//! The endpoint that an agent serves.
 
 use std::sync::Arc;
 
@@ -6,18 +6,18 @@
 use oatpier_types::names::{EndpointName, PoolName, ZoneName};
 use oatpier_types::request::RequestGoal;
 
-/// Which endpoint an agent stands beside.
+/// Identity of the endpoint that an agent serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointIdentity {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: EndpointName,
-    /// Its pool.
+    /// Pool of the endpoint.
     pub pool: PoolName,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneName,
 }
 
-/// The endpoint's working side, by what is asked of it.
+/// Clients for calls to the endpoint, by kind of request.
 #[derive(Clone)]
 pub struct EndpointWorks {
     /// For requests to models.
@@ -27,7 +27,7 @@
 }
 
 impl EndpointWorks {
-    /// The side that takes a goal.
+    /// Returns the client for requests with this goal.
     #[must_use]
     pub fn of(&self, goal: &RequestGoal) -> &Arc<dyn EndpointWork> {
         match goal {
--- a/crates/oatpier-agent/src/lib.rs
+++ b/crates/oatpier-agent/src/lib.rs
@@ -1,13 +1,13 @@
-//! An agent: the only way to its endpoint.
+//! The agent: all requests to its endpoint pass through it.
 //!
 //! | duty | module | owns |
 //! | --- | --- | --- |
 //! | work | [`work`] | the decisions about attempts ([`oatpier_admission`]) |
-//! | orders | [`orders`] | the control side of the endpoint |
-//! | membership | [`membership`] | the configuration in force, word to the entries |
-//! | observe | [`oatpier_duty::observe`] | metrics, health, export of spans |
+//! | orders | [`orders`] | control calls to the endpoint |
+//! | membership | [`membership`] | the active configuration, status reports to the entries |
+//! | observe | [`oatpier_duty::observe`] | metrics, health checks, span export |
 //!
-//! [`news`] lists the rings between them, with the rule of each.
+//! [`news`] lists the rings between them, and what happens when each is full.
 
 pub mod attempt;
 pub mod core;
@@ -39,20 +39,20 @@
 use oatpier_duty::observe::{ObserveInputs, observe};
 use oatpier_duty::settings::AgentSettings;
 
-/// How long one call to the endpoint's control side may take.
+/// Timeout of one control call to the endpoint.
 const CONTROL_WAIT: Duration = Duration::from_secs(2);
-/// How long one call to the key-value service may take.
+/// Timeout of one call to the key-value service or the list of VMs.
 const STORE_WAIT: Duration = Duration::from_secs(2);
-/// Messages in a ring between two duties; see [`news`] for the rules.
+/// Capacity of a ring between two duties, in messages. See [`news`] for what happens when it is full.
 const RING: usize = 64;
-/// Spans that wait to be written. Further ones are dropped: a trace is worth less than a request.
+/// Number of spans that can wait for export. More are dropped, as traces must not delay requests.
 const SPAN_RING: usize = 4096;
 
 /// Starts an agent's duties.
 ///
 /// # Errors
 ///
-/// An address that can't be listened on.
+/// Returns an error if a listen address can't be bound.
 pub fn start(settings: &AgentSettings) -> Result<DutyProcess, StartError> {
     let peer_listener = bind(settings.peer_listen, "entries")?;
     let address = peer_listener.local_addr().unwrap_or(settings.peer_listen);
--- a/crates/oatpier-agent/src/membership/fallback.rs
+++ b/crates/oatpier-agent/src/membership/fallback.rs
@@ -1,7 +1,8 @@
-//! What the agent reads from the store while no entry tells it of plan and configuration.
+//! Reads the plan and the configuration from the store while no entry answers.
 //!
-//! Thousands of agents that all read the store would use up its rate, so an agent turns to it
-//! only after a silence of all entries, spread at random, and less often the longer that lasts.
+//! If thousands of agents read the store at once, they would exceed its rate limit. An agent
+//! therefore reads it only after no entry has answered for some time, with random jitter, and
+//! less often the longer this lasts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,25 +19,25 @@
 use oatpier_duty::messages::plan_key;
 use oatpier_duty::placement::{PlanRow, PlanStamp};
 
-/// The longest wait of a started agent for an entry, before it reads the store.
+/// Maximum time that a starting agent waits for an entry before it reads the store.
 const START_WAIT: Duration = Duration::from_secs(2);
-/// The longest silence of all entries, before an agent reads the store.
+/// Maximum time without an answer of any entry before an agent reads the store.
 const SILENCE: Duration = Duration::from_secs(10);
-/// The first wait between two reads.
+/// Initial wait between two reads of the store.
 const AGAIN_FIRST: Duration = Duration::from_secs(5);
-/// The longest: 3,500 agents then make some 300 reads a second.
+/// Maximum wait between two reads of the store. With it, 3,500 agents make about 300 reads a second.
 const AGAIN_LONGEST: Duration = Duration::from_secs(15);
 
-/// What the store had.
+/// Configuration and plan as read from the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoreView {
-    /// The configuration.
+    /// The configuration, if it could be read.
     pub config: Option<Arc<ConfigRecord>>,
-    /// The endpoint's row of the plan.
+    /// The endpoint's row of the plan, if there is one.
     pub row: Option<PlanRow>,
 }
 
-/// When to read the store.
+/// Schedule of the reads of the store.
 #[derive(Debug, Clone)]
 pub struct FallbackTimer {
     next: ClockTime,
@@ -45,7 +46,7 @@
 }
 
 impl FallbackTimer {
-    /// The timer of an agent that starts now.
+    /// Creates the timer of an agent that starts now.
     pub fn new(generator: &mut ChaCha8Rng, now: ClockTime) -> Self {
         Self {
             next: now + jittered(START_WAIT, generator),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// When the next read is due.
+    /// Returns when the next read is due.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         if self.reading {
@@ -63,27 +64,27 @@
         self.next
     }
 
-    /// Whether to read now; the read is then under way.
+    /// Returns whether a read is due now, and if so marks it as started.
     pub fn begin(&mut self, now: ClockTime) -> bool {
         let due = !self.reading && now >= self.next;
         self.reading |= due;
         due
     }
 
-    /// The read has ended.
+    /// Records that the read ended, and schedules the next one.
     pub fn ended(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
         self.reading = false;
         self.next = self.backoff.failed(now, generator);
     }
 
-    /// An entry answered.
+    /// Records that an entry answered, and postpones the next read.
     pub fn heard(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
         self.backoff.succeeded();
         self.next = now + jittered(SILENCE, generator);
     }
 }
 
-/// Reads configuration and plan. What can't be read is left out.
+/// Reads the configuration and the plan. A value that can't be read is `None`.
 pub async fn read_store(
     store: Arc<dyn KeyStore>,
     zone: ZoneName,
@@ -102,11 +103,13 @@
         Ok(found) => {
             let found = found?;
             let read = serde_json::from_slice(&found.value);
-            read.inspect_err(|error| spdlog::error!("the value of {key} can't be read: {error}"))
-                .ok()
+            read.inspect_err(|error| {
+                spdlog::error!("failed to decode the value of {key} in the store: {error}")
+            })
+            .ok()
         }
         Err(error) => {
-            spdlog::warn!("{key} can't be read: {error}");
+            spdlog::warn!("failed to read {key} from the store: {error}");
             None
         }
     }
--- a/crates/oatpier-agent/src/membership/machine.rs
+++ b/crates/oatpier-agent/src/membership/machine.rs
@@ -1,4 +1,4 @@
-//! The decisions of the membership duty, with the calls that are under way.
+//! The decisions of the membership duty, and its pending calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,15 +29,15 @@
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
 use oatpier_duty::placement::{PlacementQuery, PlacementView};
 
-/// The longest time between two reads of the list of VMs. A planned stop is to be known within
-/// two seconds of the list's own word.
+/// Maximum time between two reads of the list of VMs. The agent must learn of a planned stop within
+/// two seconds after the list shows it.
 const HINTS_EVERY: Duration = Duration::from_millis(1_200);
-/// The longest time between two questions about plan and replicas.
+/// Maximum time between two queries for the plan and replicas.
 const PLACEMENT_EVERY: Duration = Duration::from_millis(1_200);
-/// How long an answer about plan and replicas is relied on.
+/// How long an answer about the plan and replicas stays valid.
 const PLACEMENT_LIFE: Duration = Duration::from_secs(6);
 
-/// The end of a call.
+/// Result of a call.
 pub(super) enum MemberDone {
     Call(CallNumber, Option<Box<FleetAnswer>>),
     Placement(Option<Box<PlacementView>>),
@@ -45,7 +45,7 @@
     Store(Box<StoreView>),
 }
 
-/// A thing that is done again and again, one at a time.
+/// Schedule of a periodic task of which at most one run is in progress.
 struct Repeat {
     every: Duration,
     next: ClockTime,
@@ -143,7 +143,7 @@
         .unwrap_or(ClockTime::NEVER)
     }
 
-    /// Does what is due, and tells the other duties.
+    /// Starts the calls that are due, and sends updates to the other duties.
     pub(super) async fn act(&mut self, inputs: &MembershipInputs) {
         self.now = inputs.clock.now();
         if inputs.stop.phase() >= StopPhase::Draining && !self.leaving {
@@ -168,17 +168,18 @@
             AgentAction::Call { call, to, body } => self.start_call(call, &to, body),
             AgentAction::InForce(held) => tell_config(held, inputs).await,
             AgentAction::Stop(word) if !word.withdrawn => {
-                spdlog::info!("a planned stop was asked for");
+                spdlog::info!("planned stop requested, draining");
                 inputs.stop.advance(StopPhase::Draining);
             }
-            // Said once in a silence of all entries, not again and again.
+            // Logged only while the last view of an entry is valid, so that an outage of all entries
+            // does not repeat it.
             AgentAction::RegistrarLost(lost) if self.view_until.is_some() => {
                 spdlog::warn!(
-                    "{} does not answer; another entry takes its place",
+                    "registrar {} does not answer and is replaced by another entry",
                     lost.daemon
                 );
             }
-            // What has begun to drain can't be taken back: entries send it no more work.
+            // A drain can't be reverted once it has begun, as entries send no more work to this agent.
             AgentAction::Stop(_) | AgentAction::RegistrarLost(_) => {}
         }
     }
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Asks the registrars in turn.
+    /// Queries the registrars in turn.
     fn begin_placement(&mut self, inputs: &MembershipInputs) {
         if !self.placement.begin(self.now) {
             return;
@@ -233,8 +234,8 @@
         }
     }
 
-    /// Word on replicas that is too old is worse than none: repair would take a model that is
-    /// served for one that is not.
+    /// Discards a view that is too old. Repair would otherwise use outdated replicas and take a
+    /// model that is served for one that is not.
     fn age_view(&mut self) {
         if self.view_until.is_some_and(|until| self.now >= until) {
             self.view_until = None;
@@ -265,7 +266,7 @@
 
     fn take_hints(&mut self, rows: Option<Vec<VmRow>>, inputs: &MembershipInputs) {
         self.hints.ended(&mut self.generator, self.now);
-        // The last list stays in use: it is only a hint.
+        // After a failed read the last list stays in use, as it is only a hint.
         let Some(rows) = rows else {
             return;
         };
@@ -278,7 +279,7 @@
             zone: row.zone,
             address: row.peer_address,
         });
-        // An address that an entry told itself goes before the list's, which lags.
+        // An address that an entry reported itself takes precedence over the list, which lags.
         let is_new = |contact: &EntryContact| {
             !known.iter().any(|known| known.daemon == contact.daemon) || self.view_until.is_none()
         };
@@ -297,7 +298,8 @@
         }
     }
 
-    /// The store's word goes the way of an entry's: the machine takes the later one.
+    /// Handles the stored configuration like one that an entry pushes: the member keeps the later
+    /// generation.
     fn offer_config(&mut self, record: &ConfigRecord) {
         let content = ConfigContent::Full {
             generation: record.generation,
@@ -325,11 +327,11 @@
         self.now = inputs.clock.now();
         let (answer, actions) = self.member.answer(call.call, self.now);
         self.actions.extend(actions);
-        // An entry that has gone pushes again.
+        // An entry that misses the answer pushes again.
         let _ = call.reply.send(answer);
     }
 
-    /// The process has ended: starts the last heartbeats.
+    /// Sends the last heartbeats, which tell the registrars that this process has left.
     pub(super) fn say_left(&mut self) {
         self.pending.clear();
         self.handle(AgentEvent::Phase(MemberPhase::Left));
@@ -356,7 +358,7 @@
     inputs.plan.send(plan).await;
 }
 
-/// The status of an agent that knows nothing of its endpoint yet, and takes no work.
+/// Returns the status of an agent that does not know its endpoint's state yet and accepts no work.
 fn empty_status(inputs: &MembershipInputs) -> EndpointStatus {
     let identity = &inputs.identity;
     EndpointStatus {
--- a/crates/oatpier-agent/src/membership/mod.rs
+++ b/crates/oatpier-agent/src/membership/mod.rs
@@ -1,9 +1,9 @@
-//! The membership duty: the configuration in force, and word to the entries.
+//! The membership duty: tracks the active configuration, and sends heartbeats to entries.
 //!
-//! It runs [`oatpier_membership::agent::AgentMember`]: heartbeats to two entries, the configuration
-//! from their answers.
-//! The list of VMs only hints where entries are, and whether this VM is about to be stopped. The
-//! store is read while no entry answers; see [`fallback`].
+//! It runs [`oatpier_membership::agent::AgentMember`], which sends heartbeats to two entries and
+//! takes the configuration from their answers. The list of VMs only gives hints: the addresses of
+//! entries, and whether this VM is about to be stopped. The store is read while no entry answers;
+//! see [`fallback`].
 
 pub mod fallback;
 mod machine;
@@ -24,44 +24,44 @@
 use machine::MemberMachine;
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
 
-/// How long an ended agent tries to tell its registrars so.
+/// How long a stopping agent tries to tell its registrars that it has left.
 const LAST_WORD: Duration = Duration::from_millis(300);
-/// How long a started agent waits for the list of VMs.
+/// How long a starting agent waits for the list of VMs.
 const FIRST_LIST: Duration = Duration::from_secs(1);
 
-/// What the membership duty works on.
+/// Inputs of the membership duty.
 pub struct MembershipInputs {
-    /// The process.
+    /// Name of this process.
     pub daemon: DaemonName,
-    /// Its endpoint.
+    /// Endpoint that the agent serves.
     pub identity: EndpointIdentity,
-    /// The agent's start.
+    /// Identifies this start of the agent.
     pub boot: BootId,
-    /// For random waits.
+    /// Seed of the random waits.
     pub seed: u64,
-    /// Where the agent listens for entries and other agents.
+    /// Address at which the agent listens for entries and other agents.
     pub address: SocketAddr,
     /// The platform's key-value service.
     pub store: Arc<dyn KeyStore>,
     /// The platform's list of VMs.
     pub vms: Arc<dyn VmList>,
-    /// Entries.
+    /// Calls to entries.
     pub peers: Arc<dyn AgentPeers>,
     /// The runtime's clock.
     pub clock: RuntimeClock,
-    /// Where news for the work duty go.
+    /// Sends updates to the work duty.
     pub news: RingSender<AgentNews>,
-    /// Where news for the orders duty go.
+    /// Sends updates to the orders duty.
     pub plan: RingSender<PlanNews>,
-    /// What the other duties say of the endpoint.
+    /// Updates on the endpoint from the other duties.
     pub status: RingReceiver<StatusNews>,
-    /// Calls of entries.
+    /// Calls from entries.
     pub calls: RingReceiver<MembershipCall>,
-    /// Tells to stop.
+    /// Signals the phases of a stop.
     pub stop: StopSignal,
 }
 
-/// Keeps in touch with the entries until the process ends.
+/// Runs the membership duty until the process ends.
 pub async fn membership(mut inputs: MembershipInputs) {
     inputs.address = own_address(&inputs).await;
     let mut machine = MemberMachine::new(&inputs);
@@ -71,12 +71,12 @@
     }
     machine.say_left();
     let last = async { while machine.pending.next().await.is_some() {} };
-    // Whoever does not hear it finds out from the refused connection.
+    // A registrar that misses this message detects the stop when its connection is refused.
     let _ = tokio::time::timeout(LAST_WORD, last).await;
 }
 
-/// The address by which others reach this agent. One that listens on all addresses learns its
-/// own from the list of VMs.
+/// Returns the address at which other processes reach this agent. An agent that listens on all
+/// addresses looks its own address up in the list of VMs.
 async fn own_address(inputs: &MembershipInputs) -> SocketAddr {
     if !inputs.address.ip().is_unspecified() {
         return inputs.address;
@@ -102,7 +102,7 @@
     }
 }
 
-/// Whether the list says that a process is about to be stopped.
+/// Returns whether the list says that a process is about to be stopped.
 fn is_leaving(rows: &[VmRow], daemon: &DaemonName) -> bool {
     let mut own = rows.iter().filter(|row| row.daemon == *daemon);
     own.any(|row| row.state == VmState::Leaving)
--- a/crates/oatpier-agent/src/news.rs
+++ b/crates/oatpier-agent/src/news.rs
@@ -1,15 +1,15 @@
-//! What the duties of an agent tell each other.
+//! Messages between the duties of an agent.
 //!
 //! | ring | from | to | when it is full |
 //! | --- | --- | --- | --- |
 //! | `news` | membership, orders | work | the sender waits: no later message repeats it |
 //! | `plan` | membership | orders | the sender waits: no later message repeats a configuration |
-//! | `asks` | work | orders | the message is dropped: whoever asks for a release asks again, and counts of a drain are sent again |
-//! | `status` | work | membership | the message is dropped: the next one makes it good |
-//! | `calls` | work | membership | the call is answered "unavailable": entries push again |
+//! | `asks` | work | orders | the message is dropped: release requests are retried, and drain counts are sent again |
+//! | `status` | work | membership | the message is dropped: the next one replaces it |
+//! | `calls` | work | membership | the call is answered "unavailable": entries retry it |
 //!
-//! Each ring counts how often it was full. No duty that waits is waited for by its receiver, so
-//! no two can wait for each other: work never waits, and nothing waits for membership.
+//! Each ring counts how often it was full. The rings can't deadlock: no receiver waits for a duty
+//! that waits to send to it. The work duty never waits, and no duty waits for membership.
 
 use std::sync::Arc;
 
@@ -24,104 +24,105 @@
 
 use oatpier_duty::placement::{PlacementView, PlanRow};
 
-/// Counts the words on drains, so that a count of attempts can be matched with them.
+/// Number of a drain announcement, which matches counts of attempts with the announcement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct DrainRound(pub u64);
 
-/// Weights that are to go.
+/// Weights that take no new attempts before they are unloaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainingWeights {
-    /// Which.
+    /// The weights.
     pub weights: WeightsKey,
-    /// Whether the engine would run new attempts on them although another version is ready: an
-    /// engine takes the version that was loaded last, and a request names none.
+    /// Whether the engine would run new attempts on them although another version is ready. An
+    /// engine uses the version that was loaded last, as requests name no version.
     pub preferred: bool,
 }
 
-/// All weights of the endpoint, as callers may use them.
+/// Availability of all weights of the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct WeightsNews {
-    /// All that callers may get.
+    /// Weights that requests may use.
     pub ready: Vec<WeightsKey>,
-    /// All that are being loaded.
+    /// Weights that are being loaded.
     pub loading: Vec<LoadingWeights>,
-    /// Ready weights that take no new attempts, since they are to go.
+    /// Loaded weights that take no new attempts, since they will be unloaded.
     pub draining: Vec<DrainingWeights>,
-    /// Which word on drains this is.
+    /// Round of this drain announcement.
     pub round: DrainRound,
 }
 
-/// News for the work duty.
+/// Update for the work duty.
 #[derive(Debug, Clone)]
 pub enum AgentNews {
-    /// A configuration is in force.
+    /// A configuration became active.
     Config {
-        /// Its generation.
+        /// Generation of the configuration.
         generation: Generation,
-        /// Its content.
+        /// Content of the configuration.
         config: Arc<FleetConfig>,
     },
-    /// The weights in the endpoint changed.
+    /// The availability of the endpoint's weights changed.
     Weights(Box<WeightsNews>),
-    /// The agent is to leave.
+    /// The agent must drain and stop.
     Leave,
 }
 
-/// Attempts that still run on weights that are to go.
+/// Number of attempts that still run on draining weights.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainCount {
-    /// The weights.
+    /// The draining weights.
     pub weights: WeightsKey,
-    /// Attempts that began before the drain and run.
+    /// Attempts that began before the drain and still run. For preferred weights, later attempts count as
+    /// well.
     pub running: u32,
 }
 
-/// What the orders duty hears from membership.
+/// Update from membership for the orders duty.
 #[derive(Debug, Clone)]
 pub enum PlanNews {
-    /// A configuration is in force.
+    /// A configuration became active.
     Config(Arc<FleetConfig>),
-    /// An entry answered: fresh word on plan and replicas.
+    /// An entry answered with the current plan and replicas.
     View(Box<PlacementView>),
-    /// No entry answers, and the store has this row.
+    /// No entry answers, and the store has this row of the plan.
     Row(Box<PlanRow>),
-    /// No entry answers: what is known of replicas is of no use any more.
+    /// No entry answers, and the known replicas are too old to use.
     Silent,
 }
 
-/// What the orders duty hears from the work duty.
+/// Message from the work duty to the orders duty.
 #[derive(Debug)]
 pub enum AsksNews {
-    /// Another agent asks for a release.
+    /// Another agent requests a release.
     Release {
-        /// What it asks.
+        /// The request.
         ask: ReleaseAsk,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: oneshot::Sender<ReleaseAnswer>,
     },
-    /// What still runs on the draining weights.
+    /// Attempts that still run on the draining weights.
     Drains {
-        /// The word on drains that the counts are for.
+        /// Round that the counts belong to.
         round: DrainRound,
-        /// A count for each.
+        /// One count for each of the draining weights.
         counts: Vec<DrainCount>,
     },
 }
 
-/// A membership call that came to the agent.
+/// A membership call that the agent received.
 #[derive(Debug)]
 pub struct MembershipCall {
     /// The call.
     pub call: FleetCall,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub reply: oneshot::Sender<FleetAnswer>,
 }
 
-/// What the membership duty hears from the other duties.
+/// Update from the other duties for membership.
 #[derive(Debug, Clone)]
 pub enum StatusNews {
-    /// The work duty's whole word on the endpoint.
+    /// Full status of the endpoint, from the work duty.
     Status(Box<EndpointStatus>),
-    /// The weights that the orders duty holds or wants.
+    /// Weights that are loaded or planned, from the orders duty.
     Weights(Vec<WeightsKey>),
 }
--- a/crates/oatpier-agent/src/orders/io.rs
+++ b/crates/oatpier-agent/src/orders/io.rs
@@ -1,4 +1,4 @@
-//! Calls of the orders duty to the engine, the store and other agents.
+//! Calls from the orders duty to the engine, the store and other agents.
 
 use std::sync::Arc;
 
@@ -16,20 +16,20 @@
 use super::state::{OrdersDone, OrdersTask};
 use crate::peers::{AgentPeers, PeerFuture};
 
-/// Starts the calls that the decisions ask for.
+/// Starts the calls of [`OrdersTask`]s.
 pub struct OrdersIo {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: EndpointName,
-    /// The engine's control side.
+    /// Control interface of the engine.
     pub control: Arc<dyn EngineControl>,
     /// The platform's key-value service.
     pub store: Arc<dyn KeyStore>,
-    /// Other agents.
+    /// Calls to other agents.
     pub peers: Arc<dyn AgentPeers>,
 }
 
 impl OrdersIo {
-    /// The call of a task; gives what became of it.
+    /// Returns a future that makes the call of a task and yields its result.
     #[must_use]
     pub fn start(&self, task: OrdersTask) -> PeerFuture<OrdersDone> {
         match task {
@@ -62,7 +62,7 @@
         Ok(()) => OrderOutcome::Taken,
         Err(OrderError::Stale { highest }) => OrderOutcome::Stale { highest },
         Err(OrderError::Refused { cause }) => {
-            spdlog::warn!("the engine refused an order: {cause}");
+            spdlog::warn!("engine refused an order: {cause}");
             OrderOutcome::Refused
         }
         Err(OrderError::NotSent { .. }) => OrderOutcome::NotSent,
@@ -113,9 +113,9 @@
             record,
             revision: found.revision,
         })),
-        // To write over what can't be read could drop another agent's intents.
+        // Overwriting an unreadable record could discard intents of another agent.
         Err(error) => {
-            spdlog::error!("the record of the endpoint in the store can't be read: {error}");
+            spdlog::error!("failed to decode the endpoint's record in the store: {error}");
             RecordAnswer::Unavailable
         }
     }
--- a/crates/oatpier-agent/src/orders/knowledge.rs
+++ b/crates/oatpier-agent/src/orders/knowledge.rs
@@ -1,4 +1,4 @@
-//! What the orders duty knows from elsewhere: the plan, other replicas, attempts that run.
+//! State that the orders duty gets from elsewhere: the plan, other replicas, running attempts.
 
 use std::net::SocketAddr;
 
@@ -12,8 +12,8 @@
 use crate::news::{DrainCount, DrainRound};
 use oatpier_duty::placement::{HolderContact, PlacementView, PlanRow};
 
-/// What entries say of plan and replicas. It may be stale: what it says never decides alone
-/// whether a replica may go.
+/// The plan and replicas as last reported by entries. They may be stale, so they are never
+/// sufficient on their own to unload a replica.
 #[derive(Debug, Clone)]
 pub struct PlacementKnowledge {
     own: EndpointName,
@@ -25,7 +25,7 @@
 }
 
 impl PlacementKnowledge {
-    /// What an agent knows at its start: nothing.
+    /// Creates the empty state of an agent that starts.
     #[must_use]
     pub fn new(own: EndpointName) -> Self {
         Self {
@@ -38,26 +38,27 @@
         }
     }
 
-    /// The plan's row.
+    /// Returns the endpoint's row of the plan.
     #[must_use]
     pub fn plan(&self) -> Option<&EndpointPlan> {
         self.plan.as_ref().map(|plan| &plan.row)
     }
 
-    /// Live endpoints of the pool, as far as something is unserved.
+    /// Returns the live endpoints of the pool. Entries report them only while some weights are
+    /// unserved.
     #[must_use]
     pub fn live(&self) -> &[EndpointName] {
         &self.live
     }
 
-    /// Whether an entry has answered of late. Without that, weights that nobody is known to
-    /// hold may be held by many.
+    /// Returns whether an entry has answered recently. Otherwise weights without a known replica
+    /// may still have many.
     #[must_use]
     pub fn is_heard(&self) -> bool {
         self.heard
     }
 
-    /// Takes an entry's answer.
+    /// Applies an entry's answer.
     pub fn take_view(&mut self, view: PlacementView) {
         if let Some(row) = view.plan {
             self.take_row(row);
@@ -69,7 +70,8 @@
         self.heard = true;
     }
 
-    /// Takes a row. One of an earlier plan comes from an entry that is behind.
+    /// Applies a row of the plan. A row of an earlier plan is ignored: it comes from an entry that
+    /// lags behind.
     pub fn take_row(&mut self, row: PlanRow) {
         let known = self.plan.as_ref().map(|plan| plan.stamp);
         if known.is_none_or(|known| known <= row.stamp) {
@@ -77,7 +79,7 @@
         }
     }
 
-    /// No entry answers any more. The plan stays in force.
+    /// Discards the replicas when entries no longer answer. The plan stays in effect.
     pub fn fall_silent(&mut self) {
         self.holders.clear();
         self.unserved.clear();
@@ -85,7 +87,7 @@
         self.heard = false;
     }
 
-    /// Where the agent of an endpoint listens.
+    /// Returns the address of an endpoint's agent.
     #[must_use]
     pub fn address_of(&self, endpoint: &EndpointName) -> Option<SocketAddr> {
         let mut contacts = self.holders.values().flatten();
@@ -93,8 +95,8 @@
         Some(contact.address)
     }
 
-    /// Other replicas as repair looks at them: all configured weights are served but those that
-    /// the entry named.
+    /// Returns the replicas for use by repair, which assumes that all configured weights are
+    /// served except those that the entry reported as unserved.
     #[must_use]
     pub fn for_repair(&self) -> RepairReplicas<'_> {
         RepairReplicas(self)
@@ -122,7 +124,7 @@
     }
 }
 
-/// See [`PlacementKnowledge::for_repair`].
+/// Replicas for use by repair. See [`PlacementKnowledge::for_repair`].
 pub struct RepairReplicas<'a>(&'a PlacementKnowledge);
 
 impl ReplicaCount for RepairReplicas<'_> {
@@ -131,7 +133,7 @@
         if known.holders.contains_key(weights) || known.unserved.contains(weights) {
             return known.names_of(weights);
         }
-        // Somebody serves them, and repair does not ask who: the own name stands for it.
+        // Some endpoint serves them. Repair does not need to know which, so the own name stands in.
         std::iter::once(known.own.clone()).collect()
     }
 
@@ -140,7 +142,7 @@
     }
 }
 
-/// What the work duty says of attempts on weights that are to go.
+/// Counts of attempts on draining weights, as reported by the work duty.
 #[derive(Debug, Clone, Default)]
 pub struct DrainCounts {
     wanted: DrainRound,
@@ -149,18 +151,18 @@
 }
 
 impl DrainCounts {
-    /// The present word on drains.
+    /// Returns the current drain round.
     #[must_use]
     pub fn round(&self) -> DrainRound {
         self.wanted
     }
 
-    /// A drain began or ended.
+    /// Starts a new round, since a drain began or ended.
     pub fn next_round(&mut self) {
         self.wanted.0 += 1;
     }
 
-    /// Takes counts. Older ones that come late change nothing.
+    /// Applies counts. Counts of an older round that arrive late are ignored.
     pub fn take(&mut self, round: DrainRound, counts: Vec<DrainCount>) {
         if round >= self.counted {
             self.counted = round;
@@ -170,8 +172,9 @@
 }
 
 impl AttemptCount for DrainCounts {
-    /// Until the work duty has answered the newest word, it may still start attempts on the
-    /// weights: an unload then would cut them off. So one is taken to run.
+    /// Returns the number of running attempts. Until the work duty has reported counts of the
+    /// current round, it may still start attempts on the weights, and an unload would interrupt
+    /// them. One attempt is assumed to run until then.
     fn in_flight(&self, weights: &WeightsKey) -> u32 {
         if self.counted < self.wanted {
             return 1;
--- a/crates/oatpier-agent/src/orders/mod.rs
+++ b/crates/oatpier-agent/src/orders/mod.rs
@@ -1,10 +1,10 @@
-//! The orders duty: the control side of the endpoint.
+//! The orders duty: controls which weights and role the endpoint's engine has.
 //!
-//! It turns what arrives into events of `oatpier-placement` and carries out what comes back. It
-//! is the only one that gives orders to the engine.
+//! It converts messages and results of calls into events of `oatpier-placement`, and executes the
+//! commands that these return. No other part of the process sends orders to the engine.
 //!
-//! - [`state`]: the decisions put together, without I/O.
-//! - [`knowledge`]: what entries say of plan and replicas.
+//! - [`state`]: the decisions, without I/O.
+//! - [`knowledge`]: the plan, the replicas and the drain counts that other processes and duties report.
 //! - [`io`]: calls to the engine, the store and other agents.
 
 pub mod io;
@@ -31,39 +31,39 @@
 use oatpier_duty::observe::trace::HopTracer;
 use state::{OrdersDone, OrdersState};
 
-/// What the orders duty works on.
+/// Inputs of the orders duty.
 pub struct OrdersInputs {
-    /// The endpoint.
+    /// Endpoint that the agent serves.
     pub identity: EndpointIdentity,
-    /// The agent's start.
+    /// Identifies this start of the agent.
     pub boot: BootId,
-    /// For random waits.
+    /// Seed of the random waits.
     pub seed: u64,
-    /// The engine's control side.
+    /// Control interface of the engine.
     pub control: Arc<dyn EngineControl>,
     /// The platform's key-value service.
     pub store: Arc<dyn KeyStore>,
-    /// Other agents.
+    /// Calls to other agents.
     pub peers: Arc<dyn AgentPeers>,
     /// The runtime's clock.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// Makes spans.
+    /// Creates spans.
     pub tracer: HopTracer,
-    /// Where news of the weights go.
+    /// Sends updates on the weights to the work duty.
     pub news: RingSender<AgentNews>,
-    /// Where the weights in question go.
+    /// Sends the weights to query entries about to the membership duty.
     pub status: RingSender<StatusNews>,
-    /// What membership says.
+    /// Updates from membership.
     pub plan: RingReceiver<PlanNews>,
-    /// What the work duty says.
+    /// Messages from the work duty.
     pub asks: RingReceiver<AsksNews>,
-    /// Tells to stop.
+    /// Signals the phases of a stop.
     pub stop: StopSignal,
 }
 
-/// Gives orders until the process ends.
+/// Runs the orders duty until the process ends.
 pub async fn orders(inputs: OrdersInputs) {
     let ended = inputs.stop.clone();
     let duty = OrdersDuty::new(inputs);
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Does what is due, and tells the others of it.
+    /// Starts the calls that are due, and sends updates to the other duties.
     async fn act(&mut self) {
         let now = self.inputs.clock.now();
         if self.inputs.stop.phase() >= StopPhase::Draining {
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Tells membership what to ask entries about; what finds the ring full is said again with
-    /// the next look.
+    /// Tells membership which weights to query entries about. If the ring is full, the message is
+    /// retried in the next iteration.
     fn tell_question(&mut self) {
         let weights = self.state.weights_in_question();
         if weights != self.asked {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Waits for the next thing that happens.
+    /// Waits for the next event, and applies it.
     async fn hear(&mut self) {
         let wake = self.state.next_wake(self.inputs.clock.now());
         let wake = self.inputs.clock.instant(wake);
@@ -166,7 +166,8 @@
     }
 }
 
-/// Whether there is something to tell. How long a load still takes counts down by itself.
+/// Returns whether the update differs from the last one sent. The remaining time of a load is not
+/// compared, since it always decreases.
 fn differs(news: &WeightsNews, told: &WeightsNews) -> bool {
     let loading = |news: &WeightsNews| -> Vec<_> {
         let rows = news.loading.iter();
--- a/crates/oatpier-agent/src/orders/outlook.rs
+++ b/crates/oatpier-agent/src/orders/outlook.rs
@@ -1,4 +1,4 @@
-//! The weights of the endpoint as callers may use them.
+//! Availability of the endpoint's weights.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 
 use crate::news::{DrainingWeights, WeightsNews};
 
-/// How long a load is taken to last while nothing better is known.
+/// Assumed duration of a load, as the actual one is not known in advance.
 const ASSUMED_LOAD: Duration = Duration::from_secs(4);
 
-/// What is ready, what soon will be, and what is to go.
+/// Tracks when loads began, and determines which weights are ready, loading or draining.
 #[derive(Debug, Clone, Default)]
 pub struct WeightsOutlook {
     loading_since: IndexMap<WeightsKey, ClockTime>,
 }
 
 impl WeightsOutlook {
-    /// Notes when loads began.
+    /// Records when loads began.
     pub fn observe(&mut self, keeper: &OrderKeeper, now: ClockTime) {
         let loading: Vec<WeightsKey> = loading(keeper).cloned().collect();
         self.loading_since
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Fills in the weights. Those that an order could take away at any moment count as neither
-    /// ready nor loading: what ran on them would be cut off.
+    /// Sets the ready, loading and draining weights. Weights that an order may unload at any moment
+    /// count as neither ready nor draining: attempts on them would be interrupted.
     pub fn fill(
         &self,
         news: &mut WeightsNews,
@@ -71,8 +71,8 @@
         .map(|(weights, _)| weights)
 }
 
-/// Whether no version of the same weights was loaded after these, as far as known: the ledger
-/// keeps the order of loads.
+/// Returns whether no version of the same weights is known to have been loaded after these. The
+/// ledger keeps the order of loads.
 fn is_newest(keeper: &OrderKeeper, weights: &WeightsKey) -> bool {
     let is_sibling =
         |other: &&WeightsKey| other.model == weights.model && other.adapter == weights.adapter;
--- a/crates/oatpier-agent/src/orders/spans.rs
+++ b/crates/oatpier-agent/src/orders/spans.rs
@@ -1,4 +1,4 @@
-//! A span and a count for each move of weights or roles.
+//! A span and a counter for each move: a load or unload of weights, or a change of role.
 
 use oatpier_duty::observe::metrics::{MetricSet, MoveLabels};
 use oatpier_duty::observe::trace::{HopSpan, HopTracer};
@@ -6,17 +6,17 @@
 use opentelemetry::Context;
 use opentelemetry::trace::SpanKind;
 
-/// Why a move is made.
+/// Reason for a move.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MoveCause {
-    /// The plan asks for it.
+    /// The plan requires it.
     Plan,
     /// No live replica was left.
     Repair,
 }
 
 impl MoveCause {
-    /// The word that metrics and spans use.
+    /// Returns the value that metrics and spans use.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The moves that have no known end.
+/// Spans of the moves that are not known to have ended.
 pub struct MoveSpans {
     tracer: HopTracer,
     metrics: MetricSet,
@@ -34,7 +34,7 @@
 }
 
 impl MoveSpans {
-    /// No moves yet.
+    /// Creates an empty set of spans.
     #[must_use]
     pub fn new(tracer: HopTracer, metrics: MetricSet) -> Self {
         Self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A move was ordered.
+    /// Starts the span of a move that was ordered, and counts the move.
     pub fn begin(&mut self, action: &OrderAction, cause: MoveCause) {
         let kind = kind_of(action);
         let labels = MoveLabels {
@@ -59,17 +59,17 @@
         if let Some(weights) = weights_of(action) {
             span.set_attribute("weights", text_of(weights));
         }
-        spdlog::info!("a move began", kv: { kind, cause = cause.as_str() });
+        spdlog::info!("move started", kv: { kind, cause = cause.as_str() });
         self.open.push((action.clone(), span));
     }
 
-    /// Ends the spans of moves that `is_moving` no longer knows.
+    /// Ends the spans of the moves for which `is_moving` returns false.
     pub fn end(&mut self, is_moving: impl Fn(&OrderAction) -> bool) {
         self.open.retain(|(action, _)| is_moving(action));
     }
 }
 
-/// The weights that an order is about.
+/// Returns the weights that an order loads or unloads.
 #[must_use]
 pub fn weights_of(action: &OrderAction) -> Option<&WeightsKey> {
     match action {
--- a/crates/oatpier-agent/src/orders/state.rs
+++ b/crates/oatpier-agent/src/orders/state.rs
@@ -1,4 +1,4 @@
-//! The decisions of the orders duty put together, without I/O.
+//! The decisions of the orders duty, without I/O.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,44 +23,44 @@
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 
-/// Steps that are taken at once. The rest comes with the next look.
+/// Maximum number of steps in one call of `step`. Further steps follow in the next call.
 const STEPS_AT_ONCE: usize = 4;
 
-/// A call that the duty is to make.
+/// A call that the duty must make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrdersTask {
     /// Call the store about the endpoint's record.
     Record(RecordCall),
-    /// Give the engine an order.
+    /// Send an order to the engine.
     Send(EngineOrder),
-    /// Ask the engine's state.
+    /// Query the engine's state.
     Poll(PollTicket),
-    /// Ask another agent for a release.
+    /// Request a release from another agent.
     AskRelease {
-        /// Where it listens.
+        /// Address of the other agent.
         to: SocketAddr,
-        /// The ask.
+        /// The request.
         ask: ReleaseAsk,
     },
 }
 
-/// What became of a task.
+/// Result of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrdersDone {
-    /// A word of the engine or the store.
+    /// An event of the engine or the store.
     Order(OrderEvent),
-    /// Another agent's answer; none: lost.
+    /// Another agent's answer, or `None` if the answer was lost.
     Released(Option<ReleaseAnswer>),
 }
 
-/// A release that another agent waits for.
+/// A release request of another agent that is not answered yet.
 struct WaitingAsk {
     boot: BootId,
     sequence: u64,
     reply: oneshot::Sender<ReleaseAnswer>,
 }
 
-/// The decisions of the orders duty.
+/// State and decisions of the orders duty.
 pub struct OrdersState {
     identity: EndpointIdentity,
     boot: BootId,
@@ -79,7 +79,7 @@
 }
 
 impl OrdersState {
-    /// The state of an agent that knows nothing yet.
+    /// Creates the state of an agent that has no configuration and no plan yet.
     #[must_use]
     pub fn new(
         identity: EndpointIdentity,
@@ -107,20 +107,20 @@
         }
     }
 
-    /// The agent leaves: it begins no more moves and grants no release, as its replicas go. What
-    /// was ordered is still brought to its end.
+    /// Makes the agent leave: it starts no more moves, and grants no release, since its own
+    /// replicas go away. Moves that were already ordered are still completed.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// When to look again if nothing happens before.
+    /// Returns when `step` must be called again if no event occurs before.
     #[must_use]
     pub fn next_wake(&self, now: ClockTime) -> ClockTime {
         let wake = self.keeper.as_ref().map(|keeper| keeper.next_wake(now));
         wake.map_or(ClockTime::NEVER, |wake| wake.min(now + STEP_EVERY))
     }
 
-    /// Takes what became of a task.
+    /// Applies the result of a task.
     pub fn done(&mut self, done: OrdersDone, now: ClockTime) {
         match done {
             OrdersDone::Order(event) => {
@@ -128,13 +128,13 @@
                     keeper.on_event(event, config, now);
                 }
             }
-            // Given up when its time is over; a later answer is ignored.
+            // The request times out by itself, and a later answer is ignored.
             OrdersDone::Released(None) => {}
             OrdersDone::Released(Some(answer)) => self.releases.on_answer(answer, now),
         }
     }
 
-    /// Takes what membership says.
+    /// Applies an update from membership.
     pub fn hear_plan(&mut self, news: PlanNews, _now: ClockTime) {
         match news {
             PlanNews::Config(config) => self.take_config(config),
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Takes what the work duty says.
+    /// Handles a message from the work duty.
     pub fn hear_ask(&mut self, news: AsksNews, now: ClockTime) {
         match news {
             AsksNews::Drains { round, counts } => self.drains.take(round, counts),
@@ -161,7 +161,7 @@
         self.config = Some(config);
     }
 
-    /// None for a plain service, which takes no orders, and for an endpoint that is not
+    /// Returns `None` for a plain service, which takes no orders, and for an endpoint that is not
     /// configured.
     fn settings(&self, config: &FleetConfig) -> Option<OrderSettings> {
         let (_, pool) = config.pool_of(&self.identity.endpoint)?;
@@ -180,7 +180,7 @@
         let keeper = self.keeper.as_mut().filter(|_| !self.leaving);
         let Some(keeper) = keeper else {
             let granted = false;
-            // An agent that has given its ask up needs no answer.
+            // The error is ignored: an agent that has abandoned its request needs no answer.
             let _ = reply.send(ReleaseAnswer {
                 boot,
                 sequence,
@@ -196,7 +196,7 @@
         });
     }
 
-    /// Takes the steps that can be taken, and says which calls to make.
+    /// Takes the steps that are possible now, and returns the calls to make.
     pub fn step(&mut self, now: ClockTime) -> Vec<OrdersTask> {
         let mut tasks = Vec::new();
         let (Some(mut keeper), Some(config)) = (self.keeper.take(), self.config.clone()) else {
@@ -244,7 +244,7 @@
         }
     }
 
-    /// What the endpoint is to hold; none: leave it as it is.
+    /// Returns the weights and role that the endpoint should have, or `None` to leave it unchanged.
     fn row(
         &mut self,
         keeper: &OrderKeeper,
@@ -266,7 +266,8 @@
         if plan.is_some() {
             return Some(row);
         }
-        // Nobody asked for anything to go, so what a former agent began to load stays as well.
+        // Without a plan nothing is to be unloaded, so weights that a previous agent began to load
+        // stay as well.
         self.repair.taken().next()?;
         let there = keeper.ledger().charges();
         let there = there.filter(|(_, charge)| charge.held.is_some() || charge.ordered);
@@ -313,7 +314,7 @@
 
     fn answer_ask(&mut self, reply: &ReleaseReply) {
         let mut answer = reply.answer;
-        // It may have begun to leave since the ask came.
+        // This agent may have begun to leave since the request arrived.
         answer.granted &= !self.leaving;
         let is_it = |ask: &WaitingAsk| (ask.boot, ask.sequence) == (answer.boot, answer.sequence);
         if let Some(place) = self.asks.iter().position(is_it) {
@@ -332,7 +333,7 @@
         self.outlook.observe(keeper, now);
     }
 
-    /// The weights as callers may use them.
+    /// Returns the availability of the endpoint's weights.
     #[must_use]
     pub fn weights_news(&self, now: ClockTime) -> WeightsNews {
         let mut news = WeightsNews {
@@ -345,8 +346,8 @@
         news
     }
 
-    /// The weights that an entry is to be asked about: all that could be in memory, and all that
-    /// are planned.
+    /// Returns the weights to query entries about: all that may be in memory, and all that are
+    /// planned.
     #[must_use]
     pub fn weights_in_question(&self) -> Vec<WeightsKey> {
         let charges = self.keeper.iter().flat_map(|keeper| {
@@ -363,13 +364,13 @@
         weights
     }
 
-    /// The decisions about orders; none before a configuration, or for a plain service.
+    /// Returns the keeper of orders, or `None` without a configuration or for a plain service.
     #[must_use]
     pub fn keeper(&self) -> Option<&OrderKeeper> {
         self.keeper.as_ref()
     }
 
-    /// The engine's role, as it last said.
+    /// Returns the role that the engine last reported.
     #[must_use]
     pub fn role(&self) -> Option<EngineRole> {
         self.keeper.as_ref().and_then(OrderKeeper::role)
--- a/crates/oatpier-agent/src/peers.rs
+++ b/crates/oatpier-agent/src/peers.rs
@@ -1,4 +1,4 @@
-//! Calls of an agent to entries and other agents.
+//! Calls from an agent to entries and other agents.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,33 +13,33 @@
 use crate::messages::RELEASE_PATH;
 use oatpier_duty::placement::{PLACEMENT_PATH, PlacementQuery, PlacementView};
 
-/// How long an entry may take to answer. Shorter than the time after which a heartbeat counts as
-/// lost.
+/// Timeout of a call to an entry. Shorter than the time after which a heartbeat counts as lost.
 const ENTRY_WAIT: Duration = Duration::from_millis(700);
-/// How long another agent may take: it waits for a proof from its engine or the store. As long
-/// as an ask stands.
+/// Timeout of a call to another agent, which waits for a confirmation from its engine or the
+/// store. As long as a release request is valid.
 const RELEASE_WAIT: Duration = Duration::from_secs(2);
 
-/// A future that may go to another task.
+/// A boxed future that can be moved to another task.
 pub type PeerFuture<T> = BoxFuture<'static, T>;
 
-/// Calls to other processes. None says that no answer came; all calls may be repeated.
+/// Calls to other processes. `None` means that no answer arrived. All calls may be repeated.
 pub trait AgentPeers: Send + Sync {
     /// Calls an entry about membership or configuration.
     fn call(&self, entry: SocketAddr, call: FleetCall) -> PeerFuture<Option<FleetAnswer>>;
 
-    /// Asks an entry about plan and replicas.
+    /// Queries an entry for the plan and replicas.
     fn ask_placement(
         &self,
         entry: SocketAddr,
         ask: PlacementQuery,
     ) -> PeerFuture<Option<PlacementView>>;
 
-    /// Asks another agent for a release.
+    /// Requests a release from another agent.
     fn ask_release(&self, agent: SocketAddr, ask: ReleaseAsk) -> PeerFuture<Option<ReleaseAnswer>>;
 }
 
-/// The calls over HTTP. Belongs to one duty's runtime, as its connections do.
+/// Implements the calls over HTTP. Its connections belong to the runtime of one duty, so an
+/// instance must not be shared between duties.
 #[derive(Clone)]
 pub struct HttpPeers {
     client: PeerClient,
--- a/crates/oatpier-agent/src/work.rs
+++ b/crates/oatpier-agent/src/work.rs
@@ -1,4 +1,4 @@
-//! The work duty: takes attempts, and owns the decisions about them.
+//! The work duty: accepts attempts, and owns the decisions about them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,42 +29,42 @@
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 use oatpier_duty::messages::{PEER_PATH, STATUS_PATH};
 
-/// Frames of an attempt that wait for its entry.
+/// Maximum number of frames of an attempt that are buffered for its entry.
 const WAITING_FRAMES: usize = 16;
-/// How often the membership duty gets the whole word on the endpoint.
+/// Interval at which the full status of the endpoint is sent to the membership duty.
 const STATUS_PERIOD: Duration = Duration::from_millis(500);
-/// How often the orders duty gets the counts of a drain.
+/// Interval at which the counts of a drain are sent to the orders duty.
 const DRAIN_PERIOD: Duration = Duration::from_millis(100);
-/// How long another duty may take to answer a call. As long as an ask for a release stands.
+/// Timeout of a call that is forwarded to another duty. As long as a release request is valid.
 const PASSED_WAIT: Duration = Duration::from_secs(2);
-/// How often the endpoint is asked whether it answers.
+/// Interval of the endpoint's health probes.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the work duty works on.
+/// Inputs of the work duty.
 pub struct WorkInputs {
-    /// The decisions and what they share.
+    /// Shared state of the work duty.
     pub core: Arc<AgentCore>,
-    /// Where entries connect.
+    /// Listener for connections of entries and other agents.
     pub listener: std::net::TcpListener,
-    /// Limits on entries.
+    /// Limits on connections and requests.
     pub limits: ServerLimits,
-    /// News of the other duties.
+    /// Updates from the other duties.
     pub news: RingReceiver<AgentNews>,
-    /// Where asks and counts for the orders duty go.
+    /// Sends release requests and drain counts to the orders duty.
     pub asks: RingSender<AsksNews>,
-    /// Where word on the endpoint goes, for the membership duty.
+    /// Sends the endpoint's status to the membership duty.
     pub status: RingSender<StatusNews>,
-    /// Where membership calls go.
+    /// Sends membership calls to the membership duty.
     pub calls: RingSender<MembershipCall>,
-    /// Tells to stop.
+    /// Signals the phases of a stop.
     pub stop: StopSignal,
 }
 
-/// Serves entries until the process drains and the last attempt is over.
+/// Serves entries until the process has drained and the last attempt has ended.
 ///
 /// # Panics
 ///
-/// Panics if it runs on no runtime, or the runtime does not take the socket.
+/// Panics if called outside a Tokio runtime, or if the runtime can't register the socket.
 pub async fn work(inputs: WorkInputs) {
     let WorkInputs {
         core,
@@ -76,16 +76,16 @@
         calls,
         stop,
     } = inputs;
-    let listener =
-        tokio::net::TcpListener::from_std(listener).expect("the runtime takes the socket");
+    let listener = tokio::net::TcpListener::from_std(listener)
+        .expect("listener must be registered with the Tokio runtime");
     let handler = Arc::new(WorkHandler {
         core: Arc::clone(&core),
         asks: asks.clone(),
         calls,
     });
     let teller = WorkTeller { core, asks, status };
-    // The listener stays open until the last attempt is over: a refusal of a leaving agent is
-    // a word, a closed port is only silence.
+    // The listener stays open until the last attempt has ended, so that a leaving agent can
+    // refuse attempts explicitly. A closed port would give entries no answer.
     let ended = stop.clone();
     let closing = async move { ended.reached(StopPhase::Ended).await };
     let serving = server::serve(listener, handler, limits, Arc::default(), closing);
@@ -95,19 +95,19 @@
     }
 }
 
-/// The work duty without its entries: takes news, and tells the other duties of the endpoint.
-/// Nothing here waits for them.
+/// The part of the work duty that serves no connections: applies updates, and reports the endpoint's
+/// status to the other duties. It never waits for them.
 pub struct WorkTeller {
-    /// The decisions and what they share.
+    /// Shared state of the work duty.
     pub core: Arc<AgentCore>,
-    /// Where counts of drains go.
+    /// Sends drain counts to the orders duty.
     pub asks: RingSender<AsksNews>,
-    /// Where word on the endpoint goes.
+    /// Sends the endpoint's status to the membership duty.
     pub status: RingSender<StatusNews>,
 }
 
 impl WorkTeller {
-    /// Never ends.
+    /// Runs all periodic tasks. Never returns.
     pub async fn run(&self, news: &RingReceiver<AgentNews>, stop: &StopSignal) {
         tokio::select! {
             () = self.take_news(news) => {}
@@ -144,14 +144,14 @@
 
     fn offer_status(&self) {
         if let Some(status) = self.core.status() {
-            // Dropped when full: the next one says the same and more.
+            // Dropped if the ring is full: the next status replaces this one.
             let _ = self.status.try_send(StatusNews::Status(Box::new(status)));
         }
     }
 
     fn offer_drains(&self) {
         if let Some(drains) = self.core.drains() {
-            // Dropped when full: told again until the drain is over.
+            // Dropped if the ring is full: the counts are sent again until the drain ends.
             let _ = self.asks.try_send(drains);
         }
     }
@@ -163,14 +163,14 @@
     std::future::pending::<()>().await;
 }
 
-/// Tells the policy when the endpoint begins or ceases to answer.
+/// Probes the endpoint, and tells the policy when it becomes reachable or unreachable.
 async fn probe(core: &AgentCore) {
     let mut was_up = true;
     loop {
         let up = core.works.engine.probe().await;
         if up != was_up {
             core.step(AgentEvent::EndpointUp { up });
-            spdlog::warn!("the endpoint answers: {up}");
+            spdlog::warn!("endpoint reachability changed: up={up}");
             was_up = up;
         }
         tokio::time::sleep(PROBE_PERIOD).await;
@@ -198,7 +198,7 @@
 }
 
 impl WorkHandler {
-    /// Passes another agent's ask on to the orders duty, and its answer back.
+    /// Forwards a release request of another agent to the orders duty, and returns the answer.
     fn take_release(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
         let decoded = decode_message(body);
         let asks = self.asks.clone();
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Passes an entry's call on to the membership duty, and its answer back.
+    /// Forwards an entry's call to the membership duty, and returns the answer.
     fn take_call(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
         let decoded = decode_message(body);
         let calls = self.calls.clone();
@@ -227,8 +227,8 @@
     }
 }
 
-/// Passes a call to another duty. A full ring or a late answer is told as "unavailable", and
-/// whoever called calls again.
+/// Forwards a call to another duty. A full ring or a late answer is reported as "unavailable", and
+/// the caller retries.
 async fn pass_on<T, A: Serialize>(
     ring: &RingSender<T>,
     message: T,
@@ -261,8 +261,8 @@
     match core.arrive(head.spec.clone(), head.ticket) {
         AttemptArrival::Taken(orders) => {
             let task = AttemptTask::new(Arc::clone(core), head, body, orders, frames);
-            // A task of its own: it outlives the entry's connection, since a call that runs must
-            // be told to the policy to its end.
+            // A separate task outlives the entry's connection: the policy must be notified when
+            // a running call ends.
             tokio::spawn(task.run());
         }
         AttemptArrival::Copy { verdict } => tell_copy(core, verdict, &frames),
@@ -275,7 +275,7 @@
     attempt::build_response(attempt, frames)
 }
 
-/// The answer while there is no configuration. It says "not run" to an entry.
+/// Returns the answer while there is no configuration. Entries take it as "not run".
 fn not_ready() -> Reply {
     let text = "this agent has no configuration yet\n";
     reply::text(StatusCode::SERVICE_UNAVAILABLE, text)
@@ -290,7 +290,7 @@
         cause: "a copy of this attempt came before".to_owned(),
         report,
     };
-    // The channel is new and has room.
+    // The channel is new, so it has capacity.
     let _ = frames.try_send(frame);
 }
 
--- a/crates/oatpier-agent/tests/testsuite/attempt.rs
+++ b/crates/oatpier-agent/tests/testsuite/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt as its entry sees it.
+//! Sends an attempt to an agent as an entry does.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use oatpier_wire::attempt::{AttemptFrame, AttemptHead};
 use tokio::sync::mpsc;
 
-/// One attempt as its entry holds it.
+/// An attempt from the entry's side.
 pub struct TestAttempt {
     core: Arc<AgentCore>,
     pub spec: AttemptSpec,
@@ -22,7 +22,7 @@
 }
 
 impl TestAttempt {
-    /// The attempt with a number of its own at an agent.
+    /// Creates an attempt with a unique number for an agent.
     pub fn new(core: Arc<AgentCore>, number: u128, model: &str, tokens: u32) -> Self {
         let report = core.queue_report().unwrap();
         let spec = AttemptSpec {
@@ -54,7 +54,7 @@
         self.spec.attempt
     }
 
-    /// The attempt arrives; gives its frames. None: it is a copy.
+    /// Sends the attempt and returns its frames, or `None` if it is a duplicate.
     pub fn arrive(&self) -> Option<mpsc::Receiver<AttemptFrame>> {
         let arrival = self.core.arrive(self.spec.clone(), self.ticket);
         let AttemptArrival::Taken(orders) = arrival else {
@@ -82,14 +82,14 @@
     }
 }
 
-/// The last frame of an attempt, with the tokens before it.
+/// Returns the last frame of an attempt, and the number of tokens before it.
 pub async fn last_frame(frames: &mut mpsc::Receiver<AttemptFrame>) -> (u32, AttemptFrame) {
     let mut sum = 0;
     loop {
         match frames
             .recv()
             .await
-            .expect("an attempt ends with a last frame")
+            .expect("an attempt must end with a last frame")
         {
             AttemptFrame::Started { .. } => {}
             AttemptFrame::Piece { tokens, .. } => sum += tokens,
--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -1,5 +1,5 @@
-//! Agents beside stand-in engines, in one paused runtime. Their calls to each other and to
-//! entries go through [`TestPeers`].
+//! A fleet of agents and stand-in engines in one runtime with a paused clock. Calls between agents
+//! and to entries go through [`TestPeers`].
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
-/// Calls between the agents of a test. Entries don't exist.
+/// Calls between the agents of a test. Calls to entries get no answer.
 #[derive(Default)]
 pub struct TestPeers {
     asks: Mutex<HashMap<SocketAddr, RingSender<AsksNews>>>,
@@ -76,7 +76,7 @@
 }
 
 impl Drop for TestAgent {
-    /// A killed agent: nothing that it had under way goes on.
+    /// Kills the agent: its tasks are aborted.
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -93,12 +93,13 @@
     peers: Arc<TestPeers>,
     next_id: AtomicU64,
     sequence: u64,
-    /// Whether an entry tells the agents of plan and replicas.
+    /// Whether an entry sends the agents the plan and replicas. Otherwise they get only the plan, as
+    /// from the store.
     pub heard: bool,
 }
 
 impl Fleet {
-    /// Engines that hold `preloaded` each, with their agents.
+    /// Starts engines that all hold `preloaded`, and their agents.
     pub fn start(shape: FleetShape, preloaded: &[&str]) -> Self {
         let clock = StandinClock::start();
         let options = WeightsOptions {
@@ -210,14 +211,14 @@
         &self.engines[usize::from(number) - 1]
     }
 
-    /// Kills an agent and starts another beside the same engine.
+    /// Kills an agent and starts another for the same engine.
     pub fn restart_agent(&mut self, number: u16) {
         let place = usize::from(number) - 1;
         self.agents[place] = None;
         self.agents[place] = Some(self.start_agent(number));
     }
 
-    /// Plans what an endpoint is to hold.
+    /// Sets the planned models of an endpoint.
     pub fn plan(&mut self, number: u16, models: &[&str]) {
         self.sequence += 1;
         self.rows[usize::from(number) - 1] = Some(EndpointPlan {
@@ -227,12 +228,12 @@
         });
     }
 
-    /// Lets time pass, while an entry tells all agents of plan and replicas.
+    /// Lets time pass, and regularly sends the plan to all agents.
     pub async fn pass(&self, span: Duration) {
         self.watch(span, || {}).await;
     }
 
-    /// As [`Fleet::pass`], and looks at the fleet every 20 ms.
+    /// Does the same as [`Fleet::pass`], and calls `look` every 20 ms.
     pub async fn watch(&self, span: Duration, mut look: impl FnMut()) {
         let end = tokio::time::Instant::now() + span;
         let mut beat = 0_u32;
@@ -249,7 +250,11 @@
         }
     }
 
-    /// Passes time until something is so.
+    /// Lets time pass until a condition holds.
+    ///
+    /// # Panics
+    ///
+    /// Panics if it does not hold within 30 minutes.
     pub async fn until(&self, what: &str, so: impl Fn() -> bool) {
         for _ in 0..18_000 {
             if so() {
@@ -257,17 +262,17 @@
             }
             self.pass(Duration::from_millis(100)).await;
         }
-        panic!("it never came about that {what}");
+        panic!("condition not reached: {what}");
     }
 
-    /// Whether an engine says that it has exactly these models ready.
+    /// Returns whether an engine has exactly these models ready.
     pub fn holds(&self, number: u16, models: &[&str]) -> bool {
         let mut names = self.engine(number).with_core(|core, _| core.served_names());
         names.sort();
         names == models
     }
 
-    /// Whether an agent takes requests for exactly these models.
+    /// Returns whether an agent accepts requests for exactly these models.
     pub fn serves(&self, number: u16, models: &[&str]) -> bool {
         let status = self.agent(number).core.status().unwrap();
         let mut names: Vec<_> = status.ready.iter().map(|key| key.model.as_str()).collect();
@@ -275,7 +280,7 @@
         names == models
     }
 
-    /// As an entry tells it, or as the agents read it from the store.
+    /// Sends the plan as an entry does, or as the agents read it from the store.
     fn tell_plan(&self) {
         if self.heard {
             return self.tell_views();
@@ -347,7 +352,7 @@
         view
     }
 
-    /// What an entry would send for a prompt.
+    /// Creates the attempt that an entry would send for a prompt.
     pub fn attempt(&self, number: u16, model: &str, tokens: u32) -> TestAttempt {
         let core = Arc::clone(&self.agent(number).core);
         TestAttempt::new(core, self.id(), model, tokens)
--- a/crates/oatpier-agent/tests/testsuite/leave.rs
+++ b/crates/oatpier-agent/tests/testsuite/leave.rs
@@ -1,4 +1,4 @@
-//! Planned stops of an agent.
+//! Tests of planned stops of an agent.
 
 use std::time::Duration;
 
@@ -17,14 +17,14 @@
     models: &["seats", "tables"],
 };
 
-/// An agent is told to stop with two attempts at its engine and one that waits. New ones are
-/// refused from that moment, and the waiting one as well, all truly "not run"; the two end whole,
-/// and only then the process is at its end.
+/// An agent must stop while two attempts run at its engine and one is queued. New attempts and the
+/// queued one are refused, and the engine runs none of them. The two running attempts complete, and
+/// only then the process ends.
 #[tokio::test(start_paused = true)]
-async fn a_leaving_agent_finishes_what_runs_and_refuses_the_rest() {
+async fn a_leaving_agent_finishes_running_attempts_and_refuses_others() {
     let fleet = Fleet::start(ONE, &["seats"]);
     fleet
-        .until("it is served", || fleet.serves(1, &["seats"]))
+        .until("the model is served", || fleet.serves(1, &["seats"]))
         .await;
     let mut running: Vec<_> = (0..2)
         .map(|_| fleet.attempt(1, "seats", 1_000).arrive().unwrap())
@@ -53,19 +53,19 @@
     assert_eq!(runs, 2);
 }
 
-/// A leaving agent begins no move: a load would be cut off by its end.
+/// A leaving agent starts no move: its end would interrupt a load.
 #[tokio::test(start_paused = true)]
-async fn a_leaving_agent_begins_no_move() {
+async fn a_leaving_agent_starts_no_move() {
     let mut fleet = Fleet::start(ONE, &["seats"]);
     fleet
-        .until("it is served", || fleet.serves(1, &["seats"]))
+        .until("the model is served", || fleet.serves(1, &["seats"]))
         .await;
     let mut frames = fleet.attempt(1, "seats", 2_000).arrive().unwrap();
     let reading = tokio::spawn(async move { last_frame(&mut frames).await });
     fleet.agent(1).stop.advance(StopPhase::Draining);
     fleet.plan(1, &["seats", "tables"]);
     fleet
-        .until("the answer is over", || reading.is_finished())
+        .until("the answer has ended", || reading.is_finished())
         .await;
     fleet.pass(Duration::from_secs(10)).await;
     assert!(fleet.holds(1, &["seats"]));
--- a/crates/oatpier-agent/tests/testsuite/main.rs
+++ b/crates/oatpier-agent/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of an agent's duties, on a paused clock and without sockets.
+//! Tests of the agent's duties, with a paused clock and without sockets.
 
 mod attempt;
 mod drain;
--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! In touch with the entries: heartbeats, configuration, planned stops.
+//! Tests of the membership duty: heartbeats, configuration, planned stops.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// What one entry says and heard.
+/// State of one entry: its answers, and the heartbeats that it received.
 #[derive(Default)]
 struct TestEntry {
     down: bool,
@@ -222,7 +222,7 @@
             .is_some_and(|news| matches!(news, PlanNews::Silent))
     }
 
-    /// The entries that got heartbeats since the last look.
+    /// Returns the entries that received heartbeats since the last call.
     fn registrars(&self) -> Vec<u16> {
         let heard = |port: &u16| {
             let count = |entry: &mut TestEntry| std::mem::take(&mut entry.heartbeats);
@@ -260,10 +260,10 @@
     tokio::time::sleep(Duration::from_secs(seconds)).await;
 }
 
-/// One of the two entries that an agent sends its heartbeats to dies. A third takes its place,
-/// and the configuration that is in force stays: the agent restarts nothing.
+/// One of the two entries that receive an agent's heartbeats fails. A third entry replaces it. The
+/// active configuration stays, and the agent restarts nothing.
 #[tokio::test(start_paused = true)]
-async fn a_registrar_that_dies_is_replaced_and_nothing_is_torn_down() {
+async fn a_failed_registrar_is_replaced_without_reconfiguration() {
     let member = TestMember::start();
     for port in 1..=3 {
         member.entries.with(port, |entry| entry.generation = 4);
@@ -284,10 +284,10 @@
     assert_eq!(member.store.calls().gets, 0);
 }
 
-/// An entry has a later configuration, and then is replaced by one that is behind. The agent
-/// pulls the later one and never goes back.
+/// The entries have a later configuration, and then an older one, as from an entry that lags behind.
+/// The agent pulls the later one and never goes back.
 #[tokio::test(start_paused = true)]
-async fn a_later_configuration_is_pulled_and_an_older_one_never() {
+async fn a_later_configuration_is_pulled_and_an_older_one_is_not() {
     let member = TestMember::start();
     for port in 1..=3 {
         member.entries.with(port, |entry| entry.generation = 4);
@@ -304,10 +304,10 @@
     assert_eq!(member.generations(), [4, 6]);
 }
 
-/// No entry lives when an agent starts. It learns configuration and plan from the store, and
-/// later changes as well, with few calls.
+/// No entry is reachable when an agent starts. The agent reads the configuration, the plan and later
+/// changes from the store, with few calls.
 #[tokio::test(start_paused = true)]
-async fn without_entries_the_store_is_read_now_and_then() {
+async fn without_entries_the_store_is_read_at_a_low_rate() {
     let member = TestMember::start();
     for port in 1..=3 {
         member.entries.with(port, |entry| entry.down = true);
@@ -337,14 +337,14 @@
     member.store_config(5).await;
     pass(20).await;
     assert_eq!(member.generations(), [5]);
-    // A read of each of the two keys, at most every 7.5 seconds.
+    // One read of each of the two keys, at most every 7.5 seconds.
     assert!(member.store.calls().gets <= 2 * 44);
 }
 
-/// Entries tell the plan's row. When they fall silent, what they said of replicas is too old to
-/// repair by, and the orders duty is told so.
+/// Entries send the plan's row and then stop answering. Their view of the replicas becomes too old
+/// for repair, and the orders duty is notified of this.
 #[tokio::test(start_paused = true)]
-async fn a_view_that_is_too_old_is_called_back() {
+async fn an_outdated_view_is_withdrawn() {
     let member = TestMember::start();
     for port in 1..=3 {
         member
@@ -360,10 +360,11 @@
     assert!(member.is_silent());
 }
 
-/// A planned stop reaches the agent by a registrar's answer, or by the list of VMs. Either way it
-/// begins to drain, and its registrars hear that it leaves, and in the end that it has left.
+/// A planned stop reaches the agent in a registrar's answer or through the list of VMs. In both cases
+/// the agent begins to drain. It notifies its registrars that it is leaving, and at the end that it
+/// has left.
 #[tokio::test(start_paused = true)]
-async fn a_planned_stop_drains_and_the_registrars_are_told() {
+async fn a_planned_stop_drains_and_notifies_the_registrars() {
     for by_list in [true, false] {
         let member = TestMember::start();
         pass(5).await;
--- a/crates/oatpier-agent/tests/testsuite/orders.rs
+++ b/crates/oatpier-agent/tests/testsuite/orders.rs
@@ -1,4 +1,4 @@
-//! Orders under faults: memory is never overcommitted, and the plan is reached in the end.
+//! Tests of orders under faults: memory is never overcommitted, and the plan is eventually reached.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// One engine with room for one model beside another.
+/// One engine with memory for two models.
 const TIGHT: FleetShape = FleetShape {
     engines: 1,
     memory_mib: 2_000,
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_plan_is_carried_out_and_served() {
+async fn a_plan_is_executed_and_served() {
     for checks_numbers in [true, false] {
         let shape = FleetShape {
             checks_numbers,
@@ -45,13 +45,13 @@
     }
 }
 
-/// The plan is changed and the former weights are no longer configured to stay, while each order
-/// is lost, late, doubled or loses its answer, in turn. The engine's own record says that it was
-/// never given more than it has room for, and ends with what is planned. Engines that ignore
-/// order numbers carry a late copy out whenever it comes, so the memory of a load stays charged
-/// until no copy can come any more.
+/// The plan changes and no longer includes one of the loaded weights, while orders are lost, late,
+/// duplicated or lose their answer. The engine's own record must show that it was never given more
+/// than fits into its memory, and it must end with the planned weights. Engines that ignore order
+/// numbers execute a late duplicate whenever it arrives, so the memory of a load stays charged until
+/// no duplicate can arrive any more.
 #[tokio::test(start_paused = true)]
-async fn lost_late_and_doubled_orders_never_overcommit() {
+async fn lost_late_and_duplicate_orders_never_overcommit() {
     let plain = EngineFaults::default();
     let faults = [
         EngineFaults {
@@ -88,7 +88,9 @@
         fleet.pass(SECOND).await;
         fleet.engine(1).set_faults(faults);
         fleet
-            .until("both are held", || fleet.holds(1, &["meals", "seats"]))
+            .until("both models are held", || {
+                fleet.holds(1, &["meals", "seats"])
+            })
             .await;
         fleet.engine(1).set_faults(faults);
         fleet.plan(1, &["meals", "tables"]);
@@ -105,9 +107,9 @@
     }
 }
 
-/// An agent dies just after it has ordered a load, and the order is late. Its successor wants
-/// other weights, for which there is room only without the former order's. Whatever the engine
-/// still does with that order, both together must never be ordered into it.
+/// An agent dies just after it has ordered a load, and the order is late. Its successor plans other
+/// weights, which fit into memory only without those of the earlier order. Whether or not the engine
+/// executes that order, it must never be ordered to hold both.
 #[tokio::test(start_paused = true)]
 async fn an_agent_restarted_during_a_load_never_overcommits() {
     for checks_numbers in [true, false] {
@@ -130,16 +132,16 @@
             fleet.restart_agent(1);
             fleet.plan(1, &["tables"]);
             fleet.pass(400 * SECOND).await;
-            // The only replica of `meals` may stay in the way.
+            // `meals` may stay loaded, as it is the only replica, and leave no memory for `tables`.
             let held = fleet.holds(1, &["meals"]) || fleet.holds(1, &["tables"]);
             assert!(held, "{checks_numbers} {late_ms} {:?}", loads(&fleet));
         }
     }
 }
 
-/// The store goes away between two moves. An engine that checks numbers needs no word of the
-/// store for its next order. For one that does not, a successor could not learn of the order, so
-/// none is given until the store is back; what is held stays and serves.
+/// The store fails between two moves. For an engine that checks order numbers, the next order needs no
+/// write to the store. For one that does not, a successor could not learn of the order, so none is
+/// sent until the store is back. Loaded weights stay and are served.
 #[tokio::test(start_paused = true)]
 async fn a_move_in_a_store_outage_waits_only_where_numbers_are_ignored() {
     for checks_numbers in [true, false] {
@@ -167,10 +169,10 @@
     }
 }
 
-/// An agent starts while the store is away. It gives no order, as it has no epoch, and serves
-/// what the engine holds.
+/// An agent starts during an outage of the store. It sends no order, as it has no epoch, and serves
+/// the weights that the engine holds.
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_starts_in_a_store_outage_serves_what_is_there() {
+async fn an_agent_that_starts_in_a_store_outage_serves_loaded_weights() {
     let mut fleet = Fleet::start(TIGHT, &["seats"]);
     fleet.heard = false;
     fleet.store.set_faults(StoreFaults {
--- a/crates/oatpier-agent/tests/testsuite/release.rs
+++ b/crates/oatpier-agent/tests/testsuite/release.rs
@@ -1,4 +1,5 @@
-//! The last ready replica stays; a lost one is replaced without planner and store.
+//! Tests of releases and repair: the last ready replica is kept, and a lost one is replaced without
+//! planner and store.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -16,10 +17,10 @@
     models: &["seats"],
 };
 
-/// Two endpoints hold the same model, and a wrong plan wants it from both. Each sees the other's
-/// replica and could unload its own; then callers would find none. One may go, the other stays.
+/// Two endpoints hold the same model, and a wrong plan removes it from both. Each sees the other's
+/// replica and could unload its own, which would leave none for callers. Only one may be unloaded.
 #[tokio::test(start_paused = true)]
-async fn two_holders_that_are_both_to_unload_keep_one() {
+async fn two_replicas_planned_for_unload_keep_one() {
     for checks_numbers in [true, false] {
         let shape = FleetShape {
             checks_numbers,
@@ -39,14 +40,14 @@
     }
 }
 
-/// The only holder is told to unload, with no other replica anywhere.
+/// The plan removes a model from the only endpoint that holds it. No other replica exists.
 #[tokio::test(start_paused = true)]
 async fn the_only_replica_is_not_unloaded() {
     let mut fleet = Fleet::start(PAIR, &[]);
     fleet.plan(1, &["seats"]);
     fleet.plan(2, &[]);
     fleet
-        .until("it is loaded", || fleet.serves(1, &["seats"]))
+        .until("the model is loaded", || fleet.serves(1, &["seats"]))
         .await;
     fleet.plan(1, &[]);
     let look = || assert!(fleet.holds(1, &["seats"]));
@@ -54,7 +55,8 @@
     assert!(fleet.serves(1, &["seats"]));
 }
 
-/// A leaving agent's replica is as good as gone. It grants no release, however ready it is.
+/// The replica of a leaving agent goes away soon. The agent grants no release although the replica is
+/// ready.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_agent_grants_no_release() {
     let mut fleet = Fleet::start(PAIR, &["seats"]);
@@ -71,10 +73,10 @@
     fleet.watch(Duration::from_secs(30), look).await;
 }
 
-/// The engine that alone held a model dies, with no plan and the store away. The endpoint that
-/// is left takes the model on by itself, within its own memory.
+/// The only engine that holds a model dies, without a plan and during an outage of the store. The
+/// remaining endpoint loads the model on its own, within its memory.
 #[tokio::test(start_paused = true)]
-async fn a_lost_model_is_taken_on_without_planner_and_store() {
+async fn a_lost_model_is_reloaded_without_planner_and_store() {
     let shape = FleetShape {
         memory_mib: 3_000,
         models: &["meals", "seats", "tables"],
--- a/crates/oatpier-agent/tests/testsuite/requests.rs
+++ b/crates/oatpier-agent/tests/testsuite/requests.rs
@@ -1,4 +1,4 @@
-//! Attempts that are given up, copied, cut or left by their entry.
+//! Tests of attempts that are cancelled, duplicated, interrupted or abandoned by their entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 async fn serving() -> Fleet {
     let fleet = Fleet::start(ONE, &["seats"]);
     fleet
-        .until("it is served", || fleet.serves(1, &["seats"]))
+        .until("the model is served", || fleet.serves(1, &["seats"]))
         .await;
     fleet
 }
@@ -38,10 +38,10 @@
     fleet.agent(1).core.queue_report().unwrap().running
 }
 
-/// An entry gives an attempt up which has not arrived yet, is told "not run", and tries
-/// elsewhere. The first attempt then arrives after all. If it ran, the request would run twice.
+/// An entry cancels an attempt that has not arrived yet, gets the answer "not run", and retries at
+/// another endpoint. The first attempt then arrives late. If it ran, the request would run twice.
 #[tokio::test(start_paused = true)]
-async fn an_attempt_that_comes_after_its_cancel_is_refused() {
+async fn an_attempt_that_arrives_after_its_cancel_is_refused() {
     for seal_only in [true, false] {
         let fleet = serving().await;
         let attempt = fleet.attempt(1, "seats", 5);
@@ -62,10 +62,10 @@
     }
 }
 
-/// An attempt waits behind two that run, when its entry gives it up over another connection. It
+/// An attempt is queued behind two running ones, and its entry seals it over another connection. It
 /// never runs, and its task ends at once although its own connection stays open.
 #[tokio::test(start_paused = true)]
-async fn a_waiting_attempt_that_is_sealed_never_runs_and_ends() {
+async fn a_sealed_queued_attempt_ends_without_running() {
     let fleet = serving().await;
     let mut before: Vec<_> = (0..2)
         .map(|_| fleet.attempt(1, "seats", 20).arrive().unwrap())
@@ -75,7 +75,7 @@
     let verdict = fleet.agent(1).core.seal(waiting.id(), waiting.ticket);
     assert_eq!(verdict, RunVerdict::NotRun);
     let ended = tokio::time::timeout(MILLI, last_frame(&mut frames)).await;
-    let last = ended.expect("the attempt ends at once").1;
+    let last = ended.expect("attempt must end at once").1;
     let verdict = RunVerdict::NotRun;
     assert!(matches!(last, AttemptFrame::Failed { verdict: told, .. } if told == verdict));
     for frames in &mut before {
@@ -86,10 +86,10 @@
     assert_eq!(runs(&fleet), 2);
 }
 
-/// An attempt runs when its entry seals it, since it was late. It is told that it may have run,
-/// and the answer goes on to its end. A cancel ends it at the engine.
+/// An entry seals a late attempt that is already running. The entry gets the answer that it may have
+/// run, and the attempt runs to completion. A cancel stops a running attempt at the engine.
 #[tokio::test(start_paused = true)]
-async fn a_seal_leaves_a_running_attempt_and_a_cancel_ends_it() {
+async fn a_cancel_stops_a_running_attempt_and_a_seal_does_not() {
     let fleet = serving().await;
     let core = &fleet.agent(1).core;
     let sealed = fleet.attempt(1, "seats", 200);
@@ -108,14 +108,14 @@
     let (tokens, last) = last_frame(&mut sealed_frames).await;
     assert_eq!(tokens, 200);
     assert!(matches!(last, AttemptFrame::Ended { .. }));
-    // A word on an attempt that is over is the truth about it.
+    // Sealing an attempt that has ended returns what happened to it.
     assert_eq!(core.seal(sealed.id(), sealed.ticket), RunVerdict::Ran);
 }
 
-/// The same attempt comes twice, since its connection was doubled on the way. The second copy
-/// learns that the first may run; the engine sees one.
+/// The same attempt arrives twice, as when the network duplicates its connection. The second copy is
+/// answered that the first may have run, and the engine gets only one.
 #[tokio::test(start_paused = true)]
-async fn a_copy_of_an_attempt_does_not_run() {
+async fn a_duplicate_attempt_does_not_run() {
     let fleet = serving().await;
     let attempt = fleet.attempt(1, "seats", 20);
     let mut frames = attempt.arrive().unwrap();
@@ -126,9 +126,9 @@
     assert_eq!(runs(&fleet), 1);
 }
 
-/// An entry dies while an answer is on its way. The engine's slot is free again at once.
+/// An entry dies during an answer. The engine's slot is free again at once.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_goes_away_cancels_its_attempt_at_the_engine() {
+async fn a_disconnected_entry_cancels_its_attempt_at_the_engine() {
     let fleet = serving().await;
     let frames = fleet.attempt(1, "seats", 40_000).arrive().unwrap();
     fleet.pass(100 * MILLI).await;
@@ -140,9 +140,9 @@
     assert_eq!(done, 0);
 }
 
-/// One entry does not read its answer. Its attempt waits; one beside it runs to its end.
+/// An entry does not read its answer. Its attempt stalls, and another one runs to completion.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_does_not_read_holds_up_no_other() {
+async fn an_entry_that_does_not_read_blocks_no_other() {
     let fleet = serving().await;
     let _unread = fleet.attempt(1, "seats", 5_000).arrive().unwrap();
     let mut frames = fleet.attempt(1, "seats", 500).arrive().unwrap();
@@ -151,10 +151,10 @@
     assert!(matches!(last, AttemptFrame::Ended { .. }));
 }
 
-/// The engine's connection breaks in the middle of an answer. What came looks like a short
-/// answer; the entry is told that it is not whole.
+/// The engine's connection breaks in the middle of an answer. The part that was received looks like a
+/// short answer, so the entry must get a frame that says that it is incomplete.
 #[tokio::test(start_paused = true)]
-async fn a_cut_answer_is_told_as_failed() {
+async fn an_interrupted_answer_is_reported_as_failed() {
     let fleet = serving().await;
     fleet.engine(1).set_faults(EngineFaults {
         cut_streams: 1,
@@ -174,8 +174,8 @@
     assert_eq!(report.running, 0);
 }
 
-/// Operators raise and then lower the slots. What waits starts at once on a higher number; a lower
-/// one cuts nothing off, and holds for what comes after.
+/// The number of slots is raised and then lowered. After the increase, queued attempts start at once.
+/// The decrease interrupts nothing and applies to later attempts.
 #[tokio::test(start_paused = true)]
 async fn slots_change_with_the_configuration() {
     let fleet = serving().await;
@@ -193,10 +193,10 @@
     let before = sequence();
     change(2, 3);
     assert_eq!(running(&fleet), 3);
-    // Entries keep the slots with the rest of the status, until it has another number.
+    // Entries cache the slots with the rest of the status until its sequence number changes.
     assert!(sequence() > before);
     change(3, 1);
-    // An older generation that comes late changes nothing.
+    // An older generation that arrives late is ignored.
     change(2, 9);
     assert_eq!(running(&fleet), 3);
     for frames in &mut frames {
--- a/crates/oatpier-agent/tests/testsuite/shape.rs
+++ b/crates/oatpier-agent/tests/testsuite/shape.rs
@@ -1,4 +1,4 @@
-//! What a fleet is like.
+//! Configuration of a test fleet.
 
 use oatpier_agent::endpoint::EndpointIdentity;
 use oatpier_types::config::FleetConfig;
@@ -8,13 +8,13 @@
 /// Size of each model's weights, in MiB.
 pub const MODEL_MIB: u64 = 1_000;
 
-/// What a fleet's engines are like.
+/// Number, memory and models of a fleet's engines.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetShape {
     pub engines: u16,
     pub memory_mib: u64,
     pub checks_numbers: bool,
-    /// All configured models. Those that nobody holds are taken on by repair.
+    /// All configured models. Repair loads those that no engine holds.
     pub models: &'static [&'static str],
 }
 
@@ -48,7 +48,7 @@
         shape.checks_numbers,
         names.join(", "),
     );
-    FleetConfig::try_from(text.as_str()).expect("the configuration is right")
+    FleetConfig::try_from(text.as_str()).expect("test configuration must be valid")
 }
 
 pub fn weights(model: &str) -> WeightsKey {
