--- a/crates/oatpier-agent/src/attempt.rs
+++ b/crates/oatpier-agent/src/attempt.rs
@@ -21,7 +21,7 @@
 use oatpier_duty::observe::trace::{HopSpan, extract_parent};
 
 /// How long the remainder of a finished stream is read, so that its connection can be reused.
-const REST_WAIT: Duration = Duration::from_secs(1);
+const BODY_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An attempt that the policy has accepted.
 pub struct AttemptTask {
@@ -30,8 +30,8 @@
     body: Bytes,
     orders: OrderReceiver,
     frames: mpsc::Sender<AttemptFrame>,
-    entry_gone: bool,
-    cancelled: bool,
+    is_entry_gone: bool,
+    is_cancelled: bool,
 }
 
 /// How an attempt ended at the endpoint.
@@ -53,8 +53,8 @@
             body,
             orders,
             frames,
-            entry_gone: false,
-            cancelled: false,
+            is_entry_gone: false,
+            is_cancelled: false,
         }
     }
 
@@ -82,13 +82,13 @@
             }
             Some(AttemptOrder::Refuse { refusal }) => {
                 if let Some(report) = self.core.queue_report() {
-                    self.tell_last(AttemptFrame::Refused { refusal, report })
+                    self.send_last(AttemptFrame::Refused { refusal, report })
                         .await;
                 }
             }
             Some(AttemptOrder::Cancel) | None => {
                 let cause = "the attempt was given up while it waited";
-                self.tell_failed(RunVerdict::NotRun, cause.to_owned()).await;
+                self.send_failed(RunVerdict::NotRun, cause.to_owned()).await;
             }
         }
         self.core.forget(self.attempt());
@@ -109,7 +109,7 @@
             biased;
             order = self.orders.recv() => order,
             () = self.frames.closed() => {
-                self.entry_gone = true;
+                self.is_entry_gone = true;
                 match self.core.cancel(self.attempt(), self.head.ticket) {
                     RunVerdict::NotRun => None,
                     // The attempt started before the cancel took effect.
@@ -122,18 +122,18 @@
     async fn run_at_endpoint(&mut self, priority: u32, span: &HopSpan) {
         let attempt = self.attempt();
         let call = self.endpoint_call(priority, span);
-        let work = Arc::clone(self.core.works.of(&self.head.spec.goal));
+        let work = Arc::clone(self.core.clients.for_goal(&self.head.spec.goal));
         let ended = match self.until_cancelled(work.run(call)).await {
             Some(Ok(answer)) => self.relay(answer).await,
             Some(Err(error)) => Err(error),
-            None => Err(cancelled()),
+            None => Err(cancelled_error()),
         };
         match ended {
             Ok(()) => {
                 self.core.step(AgentEvent::EndpointEnded { attempt });
                 self.core.metrics.count_attempt(RunVerdict::Ran);
                 if let Some(report) = self.core.queue_report() {
-                    self.tell_last(AttemptFrame::Ended { report }).await;
+                    self.send_last(AttemptFrame::Ended { report }).await;
                 }
             }
             Err(error) => {
@@ -142,7 +142,7 @@
                     .step(AgentEvent::EndpointFailed { attempt, verdict });
                 self.core.metrics.count_attempt(verdict);
                 span.set_attribute("failed", error.cause.clone());
-                self.tell_failed(verdict, error.cause).await;
+                self.send_failed(verdict, error.cause).await;
             }
         }
     }
@@ -170,22 +170,22 @@
     /// Waits for the endpoint. Returns `None` if the attempt is cancelled there first.
     async fn until_cancelled<T>(&mut self, waiting: impl Future<Output = T>) -> Option<T> {
         let mut waiting = std::pin::pin!(waiting);
-        if self.cancelled && self.is_engine() {
+        if self.is_cancelled && self.is_engine() {
             return None;
         }
         loop {
             // The endpoint is polled last: one that always has data ready must not starve a cancel.
             tokio::select! {
                 biased;
-                Some(AttemptOrder::Cancel) = self.orders.recv(), if !self.cancelled => {
-                    self.cancelled = true;
+                Some(AttemptOrder::Cancel) = self.orders.recv(), if !self.is_cancelled => {
+                    self.is_cancelled = true;
                     if self.is_engine() {
-                        self.core.works.engine.cancel(self.attempt()).await;
+                        self.core.clients.engine.cancel(self.attempt()).await;
                         return None;
                     }
                 }
-                () = self.frames.closed(), if !self.entry_gone => {
-                    self.entry_gone = true;
+                () = self.frames.closed(), if !self.is_entry_gone => {
+                    self.is_entry_gone = true;
                     // The policy responds with `AttemptOrder::Cancel`.
                     self.core.cancel(self.attempt(), self.head.ticket);
                 }
@@ -206,7 +206,7 @@
             .get(CONTENT_TYPE)
             .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
         let headers = std::mem::take(&mut answer.headers);
-        self.tell_started(answer.status, &headers).await;
+        self.send_started(answer.status, &headers).await;
         if is_events && self.is_engine() {
             return self.relay_events(answer).await;
         }
@@ -214,12 +214,12 @@
         loop {
             match self.until_cancelled(answer.body.next()).await {
                 Some(Some(Ok(bytes))) => {
-                    self.tell_piece(bytes, 0, is_first).await;
+                    self.send_piece(bytes, 0, is_first).await;
                     is_first = false;
                 }
                 Some(Some(Err(error))) => return Err(error),
                 Some(None) => return Ok(()),
-                None => return Err(cancelled()),
+                None => return Err(cancelled_error()),
             }
         }
     }
@@ -234,16 +234,18 @@
             match self.until_cancelled(answer.body.next()).await {
                 Some(Some(Ok(bytes))) => splitter.push(&bytes),
                 Some(Some(Err(error))) => return Err(error),
-                Some(None) => return Err(cut("the stream ended without its last event")),
-                None => return Err(cancelled()),
+                Some(None) => {
+                    return Err(incomplete_error("the stream ended without its last event"));
+                }
+                None => return Err(cancelled_error()),
             }
             let (bytes, tokens) = take_events(&mut splitter)?;
             if !bytes.is_empty() {
-                self.tell_piece(bytes, tokens, is_first).await;
+                self.send_piece(bytes, tokens, is_first).await;
                 is_first = false;
             }
             if splitter.is_done() {
-                tokio::spawn(tokio::time::timeout(REST_WAIT, async move {
+                tokio::spawn(tokio::time::timeout(BODY_DRAIN_TIMEOUT, async move {
                     while answer.body.next().await.is_some() {}
                 }));
                 return Ok(());
@@ -251,7 +253,7 @@
         }
     }
 
-    async fn tell_started(&mut self, status: StatusCode, headers: &HeaderMap) {
+    async fn send_started(&mut self, status: StatusCode, headers: &HeaderMap) {
         let Some(report) = self.core.queue_report() else {
             return;
         };
@@ -263,7 +265,7 @@
                 value: Bytes::copy_from_slice(value.as_bytes()),
             })
             .collect();
-        self.tell(AttemptFrame::Started {
+        self.send_frame(AttemptFrame::Started {
             status: status.as_u16(),
             headers,
             report,
@@ -271,19 +273,19 @@
         .await;
     }
 
-    async fn tell_piece(&mut self, bytes: Bytes, tokens: u32, is_first: bool) {
+    async fn send_piece(&mut self, bytes: Bytes, tokens: u32, is_first: bool) {
         let attempt = self.attempt();
         if is_first {
             self.core.step(AgentEvent::EndpointFirstToken { attempt });
         }
         self.core
             .step(AgentEvent::EndpointPiece { attempt, tokens });
-        self.tell(AttemptFrame::Piece { bytes, tokens }).await;
+        self.send_frame(AttemptFrame::Piece { bytes, tokens }).await;
     }
 
-    async fn tell_failed(&mut self, verdict: RunVerdict, cause: String) {
+    async fn send_failed(&mut self, verdict: RunVerdict, cause: String) {
         if let Some(report) = self.core.queue_report() {
-            self.tell_last(AttemptFrame::Failed {
+            self.send_last(AttemptFrame::Failed {
                 verdict,
                 cause,
                 report,
@@ -293,13 +295,13 @@
     }
 
     /// Sends the last frame. The error of a disconnected entry is ignored.
-    async fn tell_last(&self, frame: AttemptFrame) {
+    async fn send_last(&self, frame: AttemptFrame) {
         let _ = self.frames.send(frame).await;
     }
 
     /// Sends a frame. While the entry reads slowly, nothing more is read from the endpoint, but
     /// a cancel is still handled.
-    async fn tell(&mut self, frame: AttemptFrame) {
+    async fn send_frame(&mut self, frame: AttemptFrame) {
         let frames = self.frames.clone();
         // `until_cancelled` detects a disconnected entry and cancels the attempt.
         self.until_cancelled(frames.send(frame)).await;
@@ -312,7 +314,7 @@
     let mut tokens = 0;
     while let Some(event) = splitter
         .next_event()
-        .map_err(|error| cut(&error.to_string()))?
+        .map_err(|error| incomplete_error(&error.to_string()))?
     {
         tokens += u32::from(event.kind == EventKind::Token);
         taken.extend_from_slice(&event.bytes);
@@ -328,13 +330,13 @@
     )
 }
 
-fn cut(cause: &str) -> CallError {
+fn incomplete_error(cause: &str) -> CallError {
     CallError {
         verdict: RunVerdict::MayHaveRun,
         cause: cause.to_owned(),
     }
 }
 
-fn cancelled() -> CallError {
-    cut("the attempt was cancelled at the endpoint")
+fn cancelled_error() -> CallError {
+    incomplete_error("the attempt was cancelled at the endpoint")
 }
--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -17,9 +17,9 @@
 use oatpier_types::verdict::RunVerdict;
 use tokio::sync::{Notify, mpsc};
 
-use crate::drains::DrainBoard;
-use crate::endpoint::{EndpointIdentity, EndpointWorks};
-use crate::news::{AgentNews, AsksNews, WeightsNews};
+use crate::drains::DrainTracker;
+use crate::endpoint::{EndpointClients, EndpointIdentity};
+use crate::news::{OrdersMessage, WeightsUpdate, WorkUpdate};
 use oatpier_duty::duty::{RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
@@ -48,10 +48,10 @@
 #[derive(Debug)]
 pub enum AttemptArrival {
     /// The attempt is recorded, and its orders arrive on this channel.
-    Taken(OrderReceiver),
+    Accepted(OrderReceiver),
     /// The attempt arrived before.
-    Copy {
-        /// Whether the first copy may have run.
+    Duplicate {
+        /// Whether the first duplicate may have run.
         verdict: RunVerdict,
     },
     /// The agent has no configuration yet. The attempt is not recorded and did not run.
@@ -62,7 +62,7 @@
 struct TaskRow {
     orders: mpsc::UnboundedSender<AttemptOrder>,
     goal: RequestGoal,
-    started: bool,
+    is_started: bool,
 }
 
 /// State shared by the duty's tasks. They run on one thread, so the lock is never contended.
@@ -73,7 +73,7 @@
     ready: Vec<WeightsKey>,
     loading: Vec<LoadingWeights>,
     ready_sequence: u64,
-    drains: DrainBoard,
+    drains: DrainTracker,
     generation: Generation,
     slots: Option<u32>,
     leaving: bool,
@@ -88,7 +88,7 @@
     /// The agent's endpoint.
     pub identity: EndpointIdentity,
     /// Clients for calls to the endpoint.
-    pub works: EndpointWorks,
+    pub clients: EndpointClients,
     /// The runtime's clock.
     pub clock: RuntimeClock,
     /// Metrics of the process.
@@ -103,7 +103,7 @@
     pub fn new(
         identity: EndpointIdentity,
         boot: BootId,
-        works: EndpointWorks,
+        clients: EndpointClients,
         clock: RuntimeClock,
         metrics: MetricSet,
         tracer: HopTracer,
@@ -115,7 +115,7 @@
             ready: Vec::new(),
             loading: Vec::new(),
             ready_sequence: 0,
-            drains: DrainBoard::default(),
+            drains: DrainTracker::default(),
             generation: Generation(0),
             slots: None,
             leaving: false,
@@ -126,7 +126,7 @@
             boot,
             stop,
             identity,
-            works,
+            clients,
             clock,
             metrics,
             tracer,
@@ -138,20 +138,20 @@
     }
 
     /// Applies an update from another duty.
-    pub fn take_news(&self, news: AgentNews) {
+    pub fn apply_update(&self, news: WorkUpdate) {
         match news {
-            AgentNews::Config { generation, config } => self.take_config(generation, &config),
-            AgentNews::Weights(news) => self.take_weights(*news),
-            AgentNews::Leave => self.leave(),
+            WorkUpdate::Config { generation, config } => self.apply_config(generation, &config),
+            WorkUpdate::Weights(news) => self.apply_weights(*news),
+            WorkUpdate::Leave => self.leave(),
         }
     }
 
-    fn take_weights(&self, news: WeightsNews) {
+    fn apply_weights(&self, news: WeightsUpdate) {
         let mut state = self.lock();
         let CoreState { drains, tasks, .. } = &mut *state;
-        let started = tasks.iter().filter(|(_, row)| row.started);
+        let started = tasks.iter().filter(|(_, row)| row.is_started);
         let started = started.map(|(attempt, row)| (*attempt, &row.goal));
-        drains.take(news.round, &news.draining, &started);
+        drains.update(news.round, &news.draining, &started);
         if state.ready != news.ready {
             state.ready.clone_from(&news.ready);
             state.ready_sequence += 1;
@@ -164,16 +164,16 @@
 
     /// Returns the attempts that still run on draining weights, or `None` if no weights drain.
     #[must_use]
-    pub fn drains(&self) -> Option<AsksNews> {
+    pub fn drains(&self) -> Option<OrdersMessage> {
         let state = self.lock();
-        (!state.drains.is_empty()).then(|| AsksNews::Drains {
+        (!state.drains.is_empty()).then(|| OrdersMessage::Drains {
             round: state.drains.round(),
             counts: state.drains.counts(),
         })
     }
 
     /// Applies a configuration. Generations only increase: an older one that arrives late is ignored.
-    fn take_config(&self, generation: Generation, config: &FleetConfig) {
+    fn apply_config(&self, generation: Generation, config: &FleetConfig) {
         let mut state = self.lock();
         if generation <= state.generation {
             return;
@@ -234,28 +234,28 @@
             return AttemptArrival::NotReady;
         };
         let actions = policy.step(AgentEvent::Arrive { spec, ticket }, now);
-        let copy = actions.iter().find_map(|action| match action {
+        let duplicate = actions.iter().find_map(|action| match action {
             AgentAction::AnswerCopy {
-                attempt: copied,
+                attempt: duplicated,
                 verdict,
-            } if *copied == attempt => Some(*verdict),
+            } if *duplicated == attempt => Some(*verdict),
             _ => None,
         });
-        if let Some(verdict) = copy {
+        if let Some(verdict) = duplicate {
             self.dispatch(&mut state, actions);
-            return AttemptArrival::Copy { verdict };
+            return AttemptArrival::Duplicate { verdict };
         }
         let (orders, receiver) = mpsc::unbounded_channel();
         let row = TaskRow {
             orders,
             goal,
-            started: false,
+            is_started: false,
         };
         state.tasks.insert(attempt, row);
         self.dispatch(&mut state, actions);
         drop(state);
         self.timer_changed.notify_one();
-        AttemptArrival::Taken(receiver)
+        AttemptArrival::Accepted(receiver)
     }
 
     /// Cancels an attempt unless it is running, and returns whether it may have run.
@@ -263,15 +263,15 @@
     /// An entry seals a late attempt before it retries at another endpoint. Sealing must not
     /// interrupt an attempt that is already running.
     pub fn seal(&self, attempt: AttemptId, ticket: AdmissionTicket) -> RunVerdict {
-        self.give_up(attempt, AgentEvent::Seal { attempt, ticket })
+        self.cancel_with(attempt, AgentEvent::Seal { attempt, ticket })
     }
 
     /// Cancels an attempt, and returns whether it may have run.
     pub fn cancel(&self, attempt: AttemptId, ticket: AdmissionTicket) -> RunVerdict {
-        self.give_up(attempt, AgentEvent::Cancel { attempt, ticket })
+        self.cancel_with(attempt, AgentEvent::Cancel { attempt, ticket })
     }
 
-    fn give_up(&self, attempt: AttemptId, event: AgentEvent) -> RunVerdict {
+    fn cancel_with(&self, attempt: AttemptId, event: AgentEvent) -> RunVerdict {
         let now = self.clock.now();
         let mut state = self.lock();
         let Some(policy) = state.policy.as_mut() else {
@@ -304,7 +304,7 @@
             &event
         {
             // The entry may still be reading the answer, but the attempt no longer uses the weights.
-            state.drains.over(*attempt);
+            state.drains.finish(*attempt);
         }
         let Some(policy) = state.policy.as_mut() else {
             return;
@@ -319,7 +319,7 @@
     pub fn forget(&self, attempt: AttemptId) {
         let mut state = self.lock();
         state.tasks.remove(&attempt);
-        state.drains.over(attempt);
+        state.drains.finish(attempt);
     }
 
     fn dispatch(&self, state: &mut CoreState, actions: AgentActions) {
@@ -342,8 +342,8 @@
             let CoreState { tasks, drains, .. } = &mut *state;
             if let Some(row) = tasks.get_mut(&attempt) {
                 if matches!(order, AttemptOrder::Start { .. }) {
-                    row.started = true;
-                    drains.started(attempt, &row.goal);
+                    row.is_started = true;
+                    drains.start(attempt, &row.goal);
                 }
                 // A task that ended has already reported its result.
                 let _ = row.orders.send(order);
--- a/crates/oatpier-agent/src/drains.rs
+++ b/crates/oatpier-agent/src/drains.rs
@@ -22,15 +22,15 @@
 
 /// Tracks all drains of the endpoint.
 #[derive(Debug, Clone, Default)]
-pub struct DrainBoard {
+pub struct DrainTracker {
     round: DrainRound,
     drains: IndexMap<WeightsKey, Drain>,
 }
 
-impl DrainBoard {
+impl DrainTracker {
     /// Replaces the set of draining weights. `started` are the attempts that run now. The update
     /// is applied before any attempt that starts after it.
-    pub fn take<'a>(
+    pub fn update<'a>(
         &mut self,
         round: DrainRound,
         draining: &[DrainingWeights],
@@ -45,7 +45,7 @@
                 preferred: row.preferred,
                 running: started
                     .clone()
-                    .filter(|(_, goal)| runs_on(goal, &row.weights))
+                    .filter(|(_, goal)| uses_weights(goal, &row.weights))
                     .map(|(attempt, _)| attempt)
                     .collect(),
             });
@@ -54,16 +54,16 @@
     }
 
     /// Records that an attempt starts.
-    pub fn started(&mut self, attempt: AttemptId, goal: &RequestGoal) {
+    pub fn start(&mut self, attempt: AttemptId, goal: &RequestGoal) {
         for (weights, drain) in &mut self.drains {
-            if drain.preferred && runs_on(goal, weights) {
+            if drain.preferred && uses_weights(goal, weights) {
                 drain.running.push(attempt);
             }
         }
     }
 
     /// Records that an attempt ended at the endpoint.
-    pub fn over(&mut self, attempt: AttemptId) {
+    pub fn finish(&mut self, attempt: AttemptId) {
         for drain in self.drains.values_mut() {
             drain.running.retain(|running| *running != attempt);
         }
@@ -96,7 +96,7 @@
 
 /// Returns whether an attempt needs some version of these weights. An adapter also needs its base
 /// model.
-fn runs_on(goal: &RequestGoal, weights: &WeightsKey) -> bool {
+fn uses_weights(goal: &RequestGoal, weights: &WeightsKey) -> bool {
     let RequestGoal::Model { model, adapter } = goal else {
         return false;
     };
--- a/crates/oatpier-agent/src/endpoint.rs
+++ b/crates/oatpier-agent/src/endpoint.rs
@@ -19,17 +19,17 @@
 
 /// Clients for calls to the endpoint, by kind of request.
 #[derive(Clone)]
-pub struct EndpointWorks {
+pub struct EndpointClients {
     /// For requests to models.
     pub engine: Arc<dyn EndpointWork>,
     /// For calls to a plain service.
     pub service: Arc<dyn EndpointWork>,
 }
 
-impl EndpointWorks {
+impl EndpointClients {
     /// Returns the client for requests with this goal.
     #[must_use]
-    pub fn of(&self, goal: &RequestGoal) -> &Arc<dyn EndpointWork> {
+    pub fn for_goal(&self, goal: &RequestGoal) -> &Arc<dyn EndpointWork> {
         match goal {
             RequestGoal::Model { .. } => &self.engine,
             RequestGoal::Service { .. } => &self.service,
--- a/crates/oatpier-agent/src/lib.rs
+++ b/crates/oatpier-agent/src/lib.rs
@@ -28,7 +28,7 @@
 use oatpier_types::ids::BootId;
 
 use crate::core::AgentCore;
-use crate::endpoint::{EndpointIdentity, EndpointWorks};
+use crate::endpoint::{EndpointClients, EndpointIdentity};
 use crate::membership::MembershipInputs;
 use crate::orders::OrdersInputs;
 use crate::peers::HttpPeers;
@@ -40,13 +40,13 @@
 use oatpier_duty::settings::AgentSettings;
 
 /// Timeout of one control call to the endpoint.
-const CONTROL_WAIT: Duration = Duration::from_secs(2);
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of one call to the key-value service or the list of VMs.
-const STORE_WAIT: Duration = Duration::from_secs(2);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Capacity of a ring between two duties, in messages. See [`news`] for what happens when it is full.
-const RING: usize = 64;
+const RING_CAPACITY: usize = 64;
 /// Number of spans that can wait for export. More are dropped, as traces must not delay requests.
-const SPAN_RING: usize = 4096;
+const SPAN_RING_CAPACITY: usize = 4096;
 
 /// Starts an agent's duties.
 ///
@@ -60,12 +60,12 @@
     let mut process = DutyProcess::default();
     let metrics = MetricSet::default();
     let clock = RuntimeClock::start();
-    let (span_sender, spans) = ring(SPAN_RING, RingRule::Drop, metrics.ring("spans"));
-    let (news_sender, news) = ring(RING, RingRule::Wait, metrics.ring("news"));
-    let (plan_sender, plan) = ring(RING, RingRule::Wait, metrics.ring("plan"));
-    let (asks_sender, asks) = ring(RING, RingRule::Drop, metrics.ring("asks"));
-    let (status_sender, status) = ring(RING, RingRule::Drop, metrics.ring("status"));
-    let (calls_sender, calls) = ring(RING, RingRule::Drop, metrics.ring("calls"));
+    let (span_sender, spans) = ring(SPAN_RING_CAPACITY, RingRule::Drop, metrics.ring("spans"));
+    let (news_sender, news) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("news"));
+    let (plan_sender, plan) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("plan"));
+    let (asks_sender, asks) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("asks"));
+    let (status_sender, status) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("status"));
+    let (calls_sender, calls) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("calls"));
     let tracer = HopTracer::new(&settings.name, span_sender);
     let observe_inputs = ObserveInputs {
         listener: observe_listener,
@@ -78,9 +78,9 @@
     process.spawn("observe", || observe(observe_inputs));
     let boot = BootId(rand::random());
     let core = Arc::new(AgentCore::new(
-        identity_of(settings),
+        build_identity(settings),
         boot,
-        works_of(settings),
+        build_clients(settings),
         clock,
         metrics.clone(),
         tracer.clone(),
@@ -98,11 +98,11 @@
     };
     process.spawn("work", || work::work(work_inputs));
     let orders_inputs = OrdersInputs {
-        identity: identity_of(settings),
+        identity: build_identity(settings),
         boot,
         seed: rand::random(),
-        control: Arc::new(HttpEngine::new(settings.endpoint_address, CONTROL_WAIT)),
-        store: Arc::new(HttpStore::new(settings.store, STORE_WAIT)),
+        control: Arc::new(HttpEngine::new(settings.endpoint_address, CONTROL_TIMEOUT)),
+        store: Arc::new(HttpStore::new(settings.store, STORE_TIMEOUT)),
         peers: Arc::new(HttpPeers::default()),
         clock,
         metrics,
@@ -116,12 +116,12 @@
     process.spawn("orders", || orders::orders(orders_inputs));
     let membership_inputs = MembershipInputs {
         daemon: settings.name.clone(),
-        identity: identity_of(settings),
+        identity: build_identity(settings),
         boot,
         seed: rand::random(),
         address,
-        store: Arc::new(HttpStore::new(settings.store, STORE_WAIT)),
-        vms: Arc::new(HttpVmList::new(settings.vm_list, STORE_WAIT)),
+        store: Arc::new(HttpStore::new(settings.store, STORE_TIMEOUT)),
+        vms: Arc::new(HttpVmList::new(settings.vm_list, STORE_TIMEOUT)),
         peers: Arc::new(HttpPeers::default()),
         clock,
         news: news_sender,
@@ -134,7 +134,7 @@
     Ok(process)
 }
 
-fn identity_of(settings: &AgentSettings) -> EndpointIdentity {
+fn build_identity(settings: &AgentSettings) -> EndpointIdentity {
     EndpointIdentity {
         endpoint: settings.endpoint.clone(),
         pool: settings.pool.clone(),
@@ -142,9 +142,15 @@
     }
 }
 
-fn works_of(settings: &AgentSettings) -> EndpointWorks {
-    let work = |kind| Arc::new(HttpWork::new(settings.endpoint_address, kind, CONTROL_WAIT));
-    EndpointWorks {
+fn build_clients(settings: &AgentSettings) -> EndpointClients {
+    let work = |kind| {
+        Arc::new(HttpWork::new(
+            settings.endpoint_address,
+            kind,
+            CONTROL_TIMEOUT,
+        ))
+    };
+    EndpointClients {
         engine: work(EndpointKind::Engine),
         service: work(EndpointKind::Service),
     }
--- a/crates/oatpier-agent/src/membership/fallback.rs
+++ b/crates/oatpier-agent/src/membership/fallback.rs
@@ -20,13 +20,13 @@
 use oatpier_duty::placement::{PlanRow, PlanStamp};
 
 /// Maximum time that a starting agent waits for an entry before it reads the store.
-const START_WAIT: Duration = Duration::from_secs(2);
+const MAX_START_WAIT: Duration = Duration::from_secs(2);
 /// Maximum time without an answer of any entry before an agent reads the store.
-const SILENCE: Duration = Duration::from_secs(10);
+const MAX_ENTRY_SILENCE: Duration = Duration::from_secs(10);
 /// Initial wait between two reads of the store.
-const AGAIN_FIRST: Duration = Duration::from_secs(5);
+const INITIAL_READ_WAIT: Duration = Duration::from_secs(5);
 /// Maximum wait between two reads of the store. With it, 3,500 agents make about 300 reads a second.
-const AGAIN_LONGEST: Duration = Duration::from_secs(15);
+const MAX_READ_WAIT: Duration = Duration::from_secs(15);
 
 /// Configuration and plan as read from the store.
 #[derive(Debug, Clone, PartialEq)]
@@ -42,23 +42,23 @@
 pub struct FallbackTimer {
     next: ClockTime,
     backoff: RetryBackoff,
-    reading: bool,
+    is_reading: bool,
 }
 
 impl FallbackTimer {
     /// Creates the timer of an agent that starts now.
     pub fn new(generator: &mut ChaCha8Rng, now: ClockTime) -> Self {
         Self {
-            next: now + jittered(START_WAIT, generator),
-            backoff: RetryBackoff::new(AGAIN_FIRST, AGAIN_LONGEST),
-            reading: false,
+            next: now + jittered(MAX_START_WAIT, generator),
+            backoff: RetryBackoff::new(INITIAL_READ_WAIT, MAX_READ_WAIT),
+            is_reading: false,
         }
     }
 
     /// Returns when the next read is due.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
-        if self.reading {
+        if self.is_reading {
             return ClockTime::NEVER;
         }
         self.next
@@ -66,21 +66,21 @@
 
     /// Returns whether a read is due now, and if so marks it as started.
     pub fn begin(&mut self, now: ClockTime) -> bool {
-        let due = !self.reading && now >= self.next;
-        self.reading |= due;
+        let due = !self.is_reading && now >= self.next;
+        self.is_reading |= due;
         due
     }
 
     /// Records that the read ended, and schedules the next one.
     pub fn ended(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
-        self.reading = false;
+        self.is_reading = false;
         self.next = self.backoff.failed(now, generator);
     }
 
     /// Records that an entry answered, and postpones the next read.
-    pub fn heard(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
+    pub fn entry_answered(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
         self.backoff.succeeded();
-        self.next = now + jittered(SILENCE, generator);
+        self.next = now + jittered(MAX_ENTRY_SILENCE, generator);
     }
 }
 
@@ -94,7 +94,7 @@
     let plan: Option<PlacementPlan> = read(store.as_ref(), &plan_key(&zone)).await;
     StoreView {
         config: config.map(Arc::new),
-        row: plan.and_then(|plan| row_of(plan, &endpoint)),
+        row: plan.and_then(|plan| find_row(plan, &endpoint)),
     }
 }
 
@@ -115,7 +115,7 @@
     }
 }
 
-fn row_of(plan: PlacementPlan, endpoint: &EndpointName) -> Option<PlanRow> {
+fn find_row(plan: PlacementPlan, endpoint: &EndpointName) -> Option<PlanRow> {
     let stamp = PlanStamp {
         term: plan.term,
         sequence: plan.sequence,
--- a/crates/oatpier-agent/src/membership/machine.rs
+++ b/crates/oatpier-agent/src/membership/machine.rs
@@ -23,7 +23,7 @@
 
 use super::fallback::{FallbackTimer, StoreView, read_store};
 use super::{MembershipInputs, is_entry, is_leaving};
-use crate::news::{AgentNews, MembershipCall, PlanNews, StatusNews};
+use crate::news::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use crate::peers::PeerFuture;
 use oatpier_duty::duty::StopPhase;
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
@@ -31,14 +31,14 @@
 
 /// Maximum time between two reads of the list of VMs. The agent must learn of a planned stop within
 /// two seconds after the list shows it.
-const HINTS_EVERY: Duration = Duration::from_millis(1_200);
+const HINTS_PERIOD: Duration = Duration::from_millis(1_200);
 /// Maximum time between two queries for the plan and replicas.
-const PLACEMENT_EVERY: Duration = Duration::from_millis(1_200);
+const PLACEMENT_PERIOD: Duration = Duration::from_millis(1_200);
 /// How long an answer about the plan and replicas stays valid.
-const PLACEMENT_LIFE: Duration = Duration::from_secs(6);
+const VIEW_MAX_AGE: Duration = Duration::from_secs(6);
 
 /// Result of a call.
-pub(super) enum MemberDone {
+pub(super) enum CallResult {
     Call(CallNumber, Option<Box<FleetAnswer>>),
     Placement(Option<Box<PlacementView>>),
     Hints(Option<Vec<VmRow>>),
@@ -46,23 +46,23 @@
 }
 
 /// Schedule of a periodic task of which at most one run is in progress.
-struct Repeat {
+struct PeriodicCall {
     every: Duration,
     next: ClockTime,
-    busy: bool,
+    is_running: bool,
 }
 
-impl Repeat {
+impl PeriodicCall {
     fn new(every: Duration, now: ClockTime) -> Self {
         Self {
             every,
             next: now,
-            busy: false,
+            is_running: false,
         }
     }
 
     fn wake(&self) -> ClockTime {
-        if self.busy {
+        if self.is_running {
             ClockTime::NEVER
         } else {
             self.next
@@ -70,13 +70,13 @@
     }
 
     fn begin(&mut self, now: ClockTime) -> bool {
-        let due = !self.busy && now >= self.next;
-        self.busy |= due;
+        let due = !self.is_running && now >= self.next;
+        self.is_running |= due;
         due
     }
 
     fn ended(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
-        self.busy = false;
+        self.is_running = false;
         self.next = now + jittered(self.every, generator);
     }
 }
@@ -85,17 +85,17 @@
     daemon: DaemonName,
     member: AgentMember<FleetConfig>,
     generator: ChaCha8Rng,
-    pub(super) pending: FuturesUnordered<PeerFuture<MemberDone>>,
+    pub(super) pending: FuturesUnordered<PeerFuture<CallResult>>,
     peers: Arc<dyn crate::peers::AgentPeers>,
     actions: Vec<AgentAction<FleetConfig>>,
-    plan_news: Vec<PlanNews>,
+    plan_news: Vec<PlanUpdate>,
     weights: Vec<WeightsKey>,
-    hints: Repeat,
-    placement: Repeat,
-    turn: usize,
+    hints: PeriodicCall,
+    placement: PeriodicCall,
+    next_registrar: usize,
     view_until: Option<ClockTime>,
     fallback: FallbackTimer,
-    leaving: bool,
+    is_leaving: bool,
     now: ClockTime,
 }
 
@@ -120,11 +120,11 @@
             actions: Vec::new(),
             plan_news: Vec::new(),
             weights: Vec::new(),
-            hints: Repeat::new(HINTS_EVERY, now),
-            placement: Repeat::new(PLACEMENT_EVERY, now),
-            turn: 0,
+            hints: PeriodicCall::new(HINTS_PERIOD, now),
+            placement: PeriodicCall::new(PLACEMENT_PERIOD, now),
+            next_registrar: 0,
             view_until: None,
-            leaving: false,
+            is_leaving: false,
             now,
         }
     }
@@ -146,27 +146,27 @@
     /// Starts the calls that are due, and sends updates to the other duties.
     pub(super) async fn act(&mut self, inputs: &MembershipInputs) {
         self.now = inputs.clock.now();
-        if inputs.stop.phase() >= StopPhase::Draining && !self.leaving {
-            self.leaving = true;
+        if inputs.stop.phase() >= StopPhase::Draining && !self.is_leaving {
+            self.is_leaving = true;
             self.handle(AgentEvent::Phase(MemberPhase::Leaving));
         }
         self.handle(AgentEvent::Tick);
         self.begin_hints(inputs);
         self.begin_placement(inputs);
         self.begin_fallback(inputs);
-        self.age_view();
+        self.expire_view();
         for action in std::mem::take(&mut self.actions) {
-            self.carry_out(action, inputs).await;
+            self.execute(action, inputs).await;
         }
         for news in std::mem::take(&mut self.plan_news) {
             inputs.plan.send(news).await;
         }
     }
 
-    async fn carry_out(&mut self, action: AgentAction<FleetConfig>, inputs: &MembershipInputs) {
+    async fn execute(&mut self, action: AgentAction<FleetConfig>, inputs: &MembershipInputs) {
         match action {
             AgentAction::Call { call, to, body } => self.start_call(call, &to, body),
-            AgentAction::InForce(held) => tell_config(held, inputs).await,
+            AgentAction::InForce(held) => send_config(held, inputs).await,
             AgentAction::Stop(word) if !word.withdrawn => {
                 spdlog::info!("planned stop requested, draining");
                 inputs.stop.advance(StopPhase::Draining);
@@ -186,14 +186,14 @@
 
     fn start_call(&mut self, call: CallNumber, to: &EntryContact, body: FleetCall) {
         let calling = self.peers.call(to.address, body);
-        let done = calling.map(move |answer| MemberDone::Call(call, answer.map(Box::new)));
+        let done = calling.map(move |answer| CallResult::Call(call, answer.map(Box::new)));
         self.pending.push(done.boxed());
     }
 
     fn begin_hints(&mut self, inputs: &MembershipInputs) {
         if self.hints.begin(self.now) {
             let vms = Arc::clone(&inputs.vms);
-            let listing = async move { MemberDone::Hints(vms.list().await.ok()) };
+            let listing = async move { CallResult::Hints(vms.list().await.ok()) };
             self.pending.push(listing.boxed());
         }
     }
@@ -204,12 +204,12 @@
             return;
         }
         let registrars: Vec<_> = self.member.heartbeats().registrars().collect();
-        let to = registrars.get(self.turn % registrars.len().max(1));
+        let to = registrars.get(self.next_registrar % registrars.len().max(1));
         let Some(address) = to.map(|to| to.address) else {
             self.placement.ended(&mut self.generator, self.now);
             return;
         };
-        self.turn += 1;
+        self.next_registrar += 1;
         let ask = PlacementQuery {
             daemon: self.daemon.clone(),
             endpoint: inputs.identity.endpoint.clone(),
@@ -217,7 +217,7 @@
             weights: self.weights.clone(),
         };
         let asking = self.peers.ask_placement(address, ask);
-        let done = asking.map(|view| MemberDone::Placement(view.map(Box::new)));
+        let done = asking.map(|view| CallResult::Placement(view.map(Box::new)));
         self.pending.push(done.boxed());
     }
 
@@ -228,7 +228,7 @@
             let reading = read_store(Arc::clone(&inputs.store), zone, endpoint);
             self.pending.push(
                 reading
-                    .map(|view| MemberDone::Store(Box::new(view)))
+                    .map(|view| CallResult::Store(Box::new(view)))
                     .boxed(),
             );
         }
@@ -236,27 +236,27 @@
 
     /// Discards a view that is too old. Repair would otherwise use outdated replicas and take a
     /// model that is served for one that is not.
-    fn age_view(&mut self) {
+    fn expire_view(&mut self) {
         if self.view_until.is_some_and(|until| self.now >= until) {
             self.view_until = None;
-            self.plan_news.push(PlanNews::Silent);
+            self.plan_news.push(PlanUpdate::ViewExpired);
         }
     }
 
-    pub(super) fn done(&mut self, done: MemberDone, inputs: &MembershipInputs) {
+    pub(super) fn apply_result(&mut self, done: CallResult, inputs: &MembershipInputs) {
         self.now = inputs.clock.now();
         match done {
-            MemberDone::Call(call, answer) => self.end_call(call, answer),
-            MemberDone::Placement(view) => {
+            CallResult::Call(call, answer) => self.end_call(call, answer),
+            CallResult::Placement(view) => {
                 self.placement.ended(&mut self.generator, self.now);
                 if let Some(view) = view {
-                    self.fallback.heard(&mut self.generator, self.now);
-                    self.view_until = Some(self.now + PLACEMENT_LIFE);
-                    self.plan_news.push(PlanNews::View(view));
+                    self.fallback.entry_answered(&mut self.generator, self.now);
+                    self.view_until = Some(self.now + VIEW_MAX_AGE);
+                    self.plan_news.push(PlanUpdate::View(view));
                 }
             }
-            MemberDone::Hints(rows) => self.take_hints(rows, inputs),
-            MemberDone::Store(view) => self.take_store(*view),
+            CallResult::Hints(rows) => self.apply_hints(rows, inputs),
+            CallResult::Store(view) => self.apply_store_view(*view),
         }
     }
 
@@ -264,7 +264,7 @@
         self.handle(AgentEvent::CallEnded { call, answer });
     }
 
-    fn take_hints(&mut self, rows: Option<Vec<VmRow>>, inputs: &MembershipInputs) {
+    fn apply_hints(&mut self, rows: Option<Vec<VmRow>>, inputs: &MembershipInputs) {
         self.hints.ended(&mut self.generator, self.now);
         // After a failed read the last list stays in use, as it is only a hint.
         let Some(rows) = rows else {
@@ -289,10 +289,10 @@
         }
     }
 
-    fn take_store(&mut self, view: StoreView) {
+    fn apply_store_view(&mut self, view: StoreView) {
         self.fallback.ended(&mut self.generator, self.now);
         let row = view.row.map(Box::new);
-        self.plan_news.extend(row.map(PlanNews::Row));
+        self.plan_news.extend(row.map(PlanUpdate::Row));
         if let Some(record) = view.config {
             self.offer_config(&record);
         }
@@ -315,11 +315,11 @@
         self.actions.extend(actions);
     }
 
-    pub(super) fn hear_status(&mut self, status: StatusNews, inputs: &MembershipInputs) {
+    pub(super) fn apply_status(&mut self, status: StatusUpdate, inputs: &MembershipInputs) {
         self.now = inputs.clock.now();
         match status {
-            StatusNews::Status(status) => self.handle(AgentEvent::Status(status)),
-            StatusNews::Weights(weights) => self.weights = weights,
+            StatusUpdate::Status(status) => self.handle(AgentEvent::Status(status)),
+            StatusUpdate::Weights(weights) => self.weights = weights,
         }
     }
 
@@ -332,7 +332,7 @@
     }
 
     /// Sends the last heartbeats, which tell the registrars that this process has left.
-    pub(super) fn say_left(&mut self) {
+    pub(super) fn announce_left(&mut self) {
         self.pending.clear();
         self.handle(AgentEvent::Phase(MemberPhase::Left));
         for action in std::mem::take(&mut self.actions) {
@@ -348,12 +348,12 @@
     }
 }
 
-async fn tell_config(held: HeldConfig<FleetConfig>, inputs: &MembershipInputs) {
+async fn send_config(held: HeldConfig<FleetConfig>, inputs: &MembershipInputs) {
     let (generation, config) = (held.generation, held.value);
-    let plan = PlanNews::Config(Arc::clone(&config));
+    let plan = PlanUpdate::Config(Arc::clone(&config));
     inputs
         .news
-        .send(AgentNews::Config { generation, config })
+        .send(WorkUpdate::Config { generation, config })
         .await;
     inputs.plan.send(plan).await;
 }
--- a/crates/oatpier-agent/src/membership/mod.rs
+++ b/crates/oatpier-agent/src/membership/mod.rs
@@ -19,15 +19,15 @@
 use oatpier_types::names::DaemonName;
 
 use crate::endpoint::EndpointIdentity;
-use crate::news::{AgentNews, MembershipCall, PlanNews, StatusNews};
+use crate::news::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use crate::peers::AgentPeers;
 use machine::MemberMachine;
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
 
 /// How long a stopping agent tries to tell its registrars that it has left.
-const LAST_WORD: Duration = Duration::from_millis(300);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a starting agent waits for the list of VMs.
-const FIRST_LIST: Duration = Duration::from_secs(1);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Inputs of the membership duty.
 pub struct MembershipInputs {
@@ -50,11 +50,11 @@
     /// The runtime's clock.
     pub clock: RuntimeClock,
     /// Sends updates to the work duty.
-    pub news: RingSender<AgentNews>,
+    pub news: RingSender<WorkUpdate>,
     /// Sends updates to the orders duty.
-    pub plan: RingSender<PlanNews>,
+    pub plan: RingSender<PlanUpdate>,
     /// Updates on the endpoint from the other duties.
-    pub status: RingReceiver<StatusNews>,
+    pub status: RingReceiver<StatusUpdate>,
     /// Calls from entries.
     pub calls: RingReceiver<MembershipCall>,
     /// Signals the phases of a stop.
@@ -69,10 +69,10 @@
         () = run(&inputs, &mut machine) => {}
         () = inputs.stop.reached(StopPhase::Ended) => {}
     }
-    machine.say_left();
+    machine.announce_left();
     let last = async { while machine.pending.next().await.is_some() {} };
     // A registrar that misses this message detects the stop when its connection is refused.
-    let _ = tokio::time::timeout(LAST_WORD, last).await;
+    let _ = tokio::time::timeout(LEAVE_TIMEOUT, last).await;
 }
 
 /// Returns the address at which other processes reach this agent. An agent that listens on all
@@ -81,7 +81,7 @@
     if !inputs.address.ip().is_unspecified() {
         return inputs.address;
     }
-    let listed = tokio::time::timeout(FIRST_LIST, inputs.vms.list()).await;
+    let listed = tokio::time::timeout(FIRST_LIST_TIMEOUT, inputs.vms.list()).await;
     let rows = listed.ok().and_then(Result::ok).unwrap_or_default();
     let own = rows.iter().find(|row| row.daemon == inputs.daemon);
     own.map_or(inputs.address, |row| row.peer_address)
@@ -93,8 +93,8 @@
         let wake = inputs.clock.instant(machine.next_wake());
         let serving = inputs.stop.phase() == StopPhase::Serving;
         tokio::select! {
-            Some(done) = machine.pending.next() => machine.done(done, inputs),
-            Some(status) = inputs.status.receive() => machine.hear_status(status, inputs),
+            Some(done) = machine.pending.next() => machine.apply_result(done, inputs),
+            Some(status) = inputs.status.receive() => machine.apply_status(status, inputs),
             Some(call) = inputs.calls.receive() => machine.answer(call, inputs),
             () = inputs.stop.reached(StopPhase::Draining), if serving => {}
             () = tokio::time::sleep_until(wake) => {}
--- a/crates/oatpier-agent/src/news.rs
+++ b/crates/oatpier-agent/src/news.rs
@@ -40,7 +40,7 @@
 
 /// Availability of all weights of the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct WeightsNews {
+pub struct WeightsUpdate {
     /// Weights that requests may use.
     pub ready: Vec<WeightsKey>,
     /// Weights that are being loaded.
@@ -53,7 +53,7 @@
 
 /// Update for the work duty.
 #[derive(Debug, Clone)]
-pub enum AgentNews {
+pub enum WorkUpdate {
     /// A configuration became active.
     Config {
         /// Generation of the configuration.
@@ -62,7 +62,7 @@
         config: Arc<FleetConfig>,
     },
     /// The availability of the endpoint's weights changed.
-    Weights(Box<WeightsNews>),
+    Weights(Box<WeightsUpdate>),
     /// The agent must drain and stop.
     Leave,
 }
@@ -79,7 +79,7 @@
 
 /// Update from membership for the orders duty.
 #[derive(Debug, Clone)]
-pub enum PlanNews {
+pub enum PlanUpdate {
     /// A configuration became active.
     Config(Arc<FleetConfig>),
     /// An entry answered with the current plan and replicas.
@@ -87,12 +87,12 @@
     /// No entry answers, and the store has this row of the plan.
     Row(Box<PlanRow>),
     /// No entry answers, and the known replicas are too old to use.
-    Silent,
+    ViewExpired,
 }
 
 /// Message from the work duty to the orders duty.
 #[derive(Debug)]
-pub enum AsksNews {
+pub enum OrdersMessage {
     /// Another agent requests a release.
     Release {
         /// The request.
@@ -120,7 +120,7 @@
 
 /// Update from the other duties for membership.
 #[derive(Debug, Clone)]
-pub enum StatusNews {
+pub enum StatusUpdate {
     /// Full status of the endpoint, from the work duty.
     Status(Box<EndpointStatus>),
     /// Weights that are loaded or planned, from the orders duty.
--- a/crates/oatpier-agent/src/orders/io.rs
+++ b/crates/oatpier-agent/src/orders/io.rs
@@ -13,7 +13,7 @@
 use oatpier_types::engine::EngineOrder;
 use oatpier_types::names::EndpointName;
 
-use super::state::{OrdersDone, OrdersTask};
+use super::state::{OrdersTask, TaskResult};
 use crate::peers::{AgentPeers, PeerFuture};
 
 /// Starts the calls of [`OrdersTask`]s.
@@ -31,27 +31,27 @@
 impl OrdersIo {
     /// Returns a future that makes the call of a task and yields its result.
     #[must_use]
-    pub fn start(&self, task: OrdersTask) -> PeerFuture<OrdersDone> {
+    pub fn start(&self, task: OrdersTask) -> PeerFuture<TaskResult> {
         match task {
             OrdersTask::Record(call) => {
                 let (store, endpoint) = (Arc::clone(&self.store), self.endpoint.clone());
                 async move {
                     let answer = call_record(store.as_ref(), &endpoint, call).await;
-                    OrdersDone::Order(OrderEvent::Record(answer))
+                    TaskResult::Order(OrderEvent::Record(answer))
                 }
                 .boxed()
             }
             OrdersTask::Send(order) => {
                 let control = Arc::clone(&self.control);
-                async move { OrdersDone::Order(send(control.as_ref(), order).await) }.boxed()
+                async move { TaskResult::Order(send(control.as_ref(), order).await) }.boxed()
             }
             OrdersTask::Poll(ticket) => {
                 let control = Arc::clone(&self.control);
-                async move { OrdersDone::Order(poll(control.as_ref(), ticket).await) }.boxed()
+                async move { TaskResult::Order(poll(control.as_ref(), ticket).await) }.boxed()
             }
             OrdersTask::AskRelease { to, ask } => {
                 let asking = self.peers.ask_release(to, ask);
-                asking.map(OrdersDone::Released).boxed()
+                asking.map(TaskResult::Released).boxed()
             }
         }
     }
@@ -99,7 +99,7 @@
             };
             let expected = expected.map_or(ExpectedValue::Absent, ExpectedValue::At);
             let written = store.put(&key, Bytes::from(value), expected, None).await;
-            written.map_or_else(|error| answer_of(&error), RecordAnswer::Written)
+            written.map_or_else(|error| to_record_answer(&error), RecordAnswer::Written)
         }
     }
 }
@@ -121,7 +121,7 @@
     }
 }
 
-fn answer_of(error: &StoreError) -> RecordAnswer {
+fn to_record_answer(error: &StoreError) -> RecordAnswer {
     match error {
         StoreError::Conflict { .. } => RecordAnswer::Conflict,
         StoreError::AnswerLost { .. } => RecordAnswer::AnswerLost,
--- a/crates/oatpier-agent/src/orders/knowledge.rs
+++ b/crates/oatpier-agent/src/orders/knowledge.rs
@@ -15,16 +15,16 @@
 /// The plan and replicas as last reported by entries. They may be stale, so they are never
 /// sufficient on their own to unload a replica.
 #[derive(Debug, Clone)]
-pub struct PlacementKnowledge {
+pub struct PlacementCache {
     own: EndpointName,
     plan: Option<PlanRow>,
     holders: IndexMap<WeightsKey, SmallVec<[HolderContact; 4]>>,
     unserved: Vec<WeightsKey>,
     live: Vec<EndpointName>,
-    heard: bool,
+    has_replica_view: bool,
 }
 
-impl PlacementKnowledge {
+impl PlacementCache {
     /// Creates the empty state of an agent that starts.
     #[must_use]
     pub fn new(own: EndpointName) -> Self {
@@ -34,7 +34,7 @@
             holders: IndexMap::new(),
             unserved: Vec::new(),
             live: Vec::new(),
-            heard: false,
+            has_replica_view: false,
         }
     }
 
@@ -54,25 +54,25 @@
     /// Returns whether an entry has answered recently. Otherwise weights without a known replica
     /// may still have many.
     #[must_use]
-    pub fn is_heard(&self) -> bool {
-        self.heard
+    pub fn has_replica_view(&self) -> bool {
+        self.has_replica_view
     }
 
     /// Applies an entry's answer.
-    pub fn take_view(&mut self, view: PlacementView) {
+    pub fn apply_view(&mut self, view: PlacementView) {
         if let Some(row) = view.plan {
-            self.take_row(row);
+            self.apply_row(row);
         }
         let holders = view.holders.into_iter();
         self.holders = holders.map(|row| (row.weights, row.holders)).collect();
         self.unserved = view.unserved;
         self.live = view.live;
-        self.heard = true;
+        self.has_replica_view = true;
     }
 
     /// Applies a row of the plan. A row of an earlier plan is ignored: it comes from an entry that
     /// lags behind.
-    pub fn take_row(&mut self, row: PlanRow) {
+    pub fn apply_row(&mut self, row: PlanRow) {
         let known = self.plan.as_ref().map(|plan| plan.stamp);
         if known.is_none_or(|known| known <= row.stamp) {
             self.plan = Some(row);
@@ -80,11 +80,11 @@
     }
 
     /// Discards the replicas when entries no longer answer. The plan stays in effect.
-    pub fn fall_silent(&mut self) {
+    pub fn clear_replicas(&mut self) {
         self.holders.clear();
         self.unserved.clear();
         self.live.clear();
-        self.heard = false;
+        self.has_replica_view = false;
     }
 
     /// Returns the address of an endpoint's agent.
@@ -102,15 +102,15 @@
         RepairReplicas(self)
     }
 
-    fn names_of(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
+    fn holder_names(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let contacts = self.holders.get(weights).into_iter().flatten();
         contacts.map(|contact| contact.endpoint.clone()).collect()
     }
 }
 
-impl ReplicaCount for PlacementKnowledge {
+impl ReplicaCount for PlacementCache {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
-        self.names_of(weights)
+        self.holder_names(weights)
     }
 
     fn other_versions(&self, weights: &WeightsKey) -> SmallVec<[WeightsKey; 2]> {
@@ -124,14 +124,14 @@
     }
 }
 
-/// Replicas for use by repair. See [`PlacementKnowledge::for_repair`].
-pub struct RepairReplicas<'a>(&'a PlacementKnowledge);
+/// Replicas for use by repair. See [`PlacementCache::for_repair`].
+pub struct RepairReplicas<'a>(&'a PlacementCache);
 
 impl ReplicaCount for RepairReplicas<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let known = self.0;
         if known.holders.contains_key(weights) || known.unserved.contains(weights) {
-            return known.names_of(weights);
+            return known.holder_names(weights);
         }
         // Some endpoint serves them. Repair does not need to know which, so the own name stands in.
         std::iter::once(known.own.clone()).collect()
@@ -163,7 +163,7 @@
     }
 
     /// Applies counts. Counts of an older round that arrive late are ignored.
-    pub fn take(&mut self, round: DrainRound, counts: Vec<DrainCount>) {
+    pub fn update(&mut self, round: DrainRound, counts: Vec<DrainCount>) {
         if round >= self.counted {
             self.counted = round;
             self.counts = counts;
--- a/crates/oatpier-agent/src/orders/mod.rs
+++ b/crates/oatpier-agent/src/orders/mod.rs
@@ -23,13 +23,13 @@
 use oatpier_types::ids::BootId;
 
 use crate::endpoint::EndpointIdentity;
-use crate::news::{AgentNews, AsksNews, PlanNews, StatusNews, WeightsNews};
+use crate::news::{OrdersMessage, PlanUpdate, StatusUpdate, WeightsUpdate, WorkUpdate};
 use crate::peers::{AgentPeers, PeerFuture};
 use io::OrdersIo;
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
-use state::{OrdersDone, OrdersState};
+use state::{OrdersState, TaskResult};
 
 /// Inputs of the orders duty.
 pub struct OrdersInputs {
@@ -52,13 +52,13 @@
     /// Creates spans.
     pub tracer: HopTracer,
     /// Sends updates on the weights to the work duty.
-    pub news: RingSender<AgentNews>,
+    pub news: RingSender<WorkUpdate>,
     /// Sends the weights to query entries about to the membership duty.
-    pub status: RingSender<StatusNews>,
+    pub status: RingSender<StatusUpdate>,
     /// Updates from membership.
-    pub plan: RingReceiver<PlanNews>,
+    pub plan: RingReceiver<PlanUpdate>,
     /// Messages from the work duty.
-    pub asks: RingReceiver<AsksNews>,
+    pub asks: RingReceiver<OrdersMessage>,
     /// Signals the phases of a stop.
     pub stop: StopSignal,
 }
@@ -77,9 +77,9 @@
     inputs: OrdersInputs,
     state: OrdersState,
     io: OrdersIo,
-    pending: FuturesUnordered<PeerFuture<OrdersDone>>,
-    told: WeightsNews,
-    asked: Vec<WeightsKey>,
+    pending: FuturesUnordered<PeerFuture<TaskResult>>,
+    last_sent: WeightsUpdate,
+    queried: Vec<WeightsKey>,
 }
 
 impl OrdersDuty {
@@ -102,15 +102,15 @@
             state,
             io,
             pending: FuturesUnordered::new(),
-            told: WeightsNews::default(),
-            asked: Vec::new(),
+            last_sent: WeightsUpdate::default(),
+            queried: Vec::new(),
         }
     }
 
     async fn run(mut self) {
         loop {
             self.act().await;
-            self.hear().await;
+            self.wait_for_event().await;
         }
     }
 
@@ -123,58 +123,58 @@
         for task in self.state.step(now) {
             self.pending.push(self.io.start(task));
         }
-        self.tell_question();
+        self.send_queried_weights();
         let news = self.state.weights_news(now);
-        if differs(&news, &self.told) {
-            self.told.clone_from(&news);
-            let news = AgentNews::Weights(Box::new(news));
+        if has_changed(&news, &self.last_sent) {
+            self.last_sent.clone_from(&news);
+            let news = WorkUpdate::Weights(Box::new(news));
             self.inputs.news.send(news).await;
         }
     }
 
     /// Tells membership which weights to query entries about. If the ring is full, the message is
     /// retried in the next iteration.
-    fn tell_question(&mut self) {
-        let weights = self.state.weights_in_question();
-        if weights != self.asked {
-            let news = StatusNews::Weights(weights.clone());
+    fn send_queried_weights(&mut self) {
+        let weights = self.state.weights_to_query();
+        if weights != self.queried {
+            let news = StatusUpdate::Weights(weights.clone());
             if self.inputs.status.try_send(news).is_ok() {
-                self.asked = weights;
+                self.queried = weights;
             }
         }
     }
 
     /// Waits for the next event, and applies it.
-    async fn hear(&mut self) {
+    async fn wait_for_event(&mut self) {
         let wake = self.state.next_wake(self.inputs.clock.now());
         let wake = self.inputs.clock.instant(wake);
         tokio::select! {
             Some(done) = self.pending.next() => {
                 let now = self.inputs.clock.now();
-                self.state.done(done, now);
+                self.state.apply_result(done, now);
             }
             Some(news) = self.inputs.plan.receive() => {
                 let now = self.inputs.clock.now();
-                self.state.hear_plan(news, now);
+                self.state.apply_plan_update(news, now);
             }
             Some(news) = self.inputs.asks.receive() => {
                 let now = self.inputs.clock.now();
-                self.state.hear_ask(news, now);
+                self.state.handle_message(news, now);
             }
             () = tokio::time::sleep_until(wake) => {}
         }
     }
 }
 
-/// Returns whether the update differs from the last one sent. The remaining time of a load is not
+/// Returns whether the update has_changed from the last one sent. The remaining time of a load is not
 /// compared, since it always decreases.
-fn differs(news: &WeightsNews, told: &WeightsNews) -> bool {
-    let loading = |news: &WeightsNews| -> Vec<_> {
+fn has_changed(news: &WeightsUpdate, last_sent: &WeightsUpdate) -> bool {
+    let loading = |news: &WeightsUpdate| -> Vec<_> {
         let rows = news.loading.iter();
         rows.map(|row| row.weights.clone()).collect()
     };
-    news.ready != told.ready
-        || news.draining != told.draining
-        || news.round != told.round
-        || loading(news) != loading(told)
+    news.ready != last_sent.ready
+        || news.draining != last_sent.draining
+        || news.round != last_sent.round
+        || loading(news) != loading(last_sent)
 }
--- a/crates/oatpier-agent/src/orders/outlook.rs
+++ b/crates/oatpier-agent/src/orders/outlook.rs
@@ -9,18 +9,18 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::{WeightsKey, WeightsState};
 
-use crate::news::{DrainingWeights, WeightsNews};
+use crate::news::{DrainingWeights, WeightsUpdate};
 
 /// Assumed duration of a load, as the actual one is not known in advance.
 const ASSUMED_LOAD: Duration = Duration::from_secs(4);
 
 /// Tracks when loads began, and determines which weights are ready, loading or draining.
 #[derive(Debug, Clone, Default)]
-pub struct WeightsOutlook {
+pub struct LoadTracker {
     loading_since: IndexMap<WeightsKey, ClockTime>,
 }
 
-impl WeightsOutlook {
+impl LoadTracker {
     /// Records when loads began.
     pub fn observe(&mut self, keeper: &OrderKeeper, now: ClockTime) {
         let loading: Vec<WeightsKey> = loading(keeper).cloned().collect();
@@ -35,14 +35,14 @@
     /// count as neither ready nor draining: attempts on them would be interrupted.
     pub fn fill(
         &self,
-        news: &mut WeightsNews,
+        news: &mut WeightsUpdate,
         keeper: &OrderKeeper,
         stepper: &MoveStepper,
         now: ClockTime,
     ) {
-        let there = keeper.ledger().ready();
-        let there = there.filter(|weights| !keeper.may_vanish(weights, now));
-        let (ready, leaving): (Vec<_>, Vec<_>) = there
+        let loaded = keeper.ledger().ready();
+        let loaded = loaded.filter(|weights| !keeper.may_vanish(weights, now));
+        let (ready, leaving): (Vec<_>, Vec<_>) = loaded
             .cloned()
             .partition(|weights| stepper.takes_new(weights));
         let draining = leaving.into_iter().map(|weights| DrainingWeights {
@@ -51,14 +51,14 @@
         });
         let loading = loading(keeper).map(|weights| LoadingWeights {
             weights: weights.clone(),
-            ready_in: self.load_left(weights, now),
+            ready_in: self.remaining_load(weights, now),
         });
         news.ready = ready;
         news.loading = loading.collect();
         news.draining = draining.collect();
     }
 
-    fn load_left(&self, weights: &WeightsKey, now: ClockTime) -> Duration {
+    fn remaining_load(&self, weights: &WeightsKey, now: ClockTime) -> Duration {
         let since = self.loading_since.get(weights).copied().unwrap_or(now);
         ASSUMED_LOAD.saturating_sub(now.since(since))
     }
--- a/crates/oatpier-agent/src/orders/spans.rs
+++ b/crates/oatpier-agent/src/orders/spans.rs
@@ -46,7 +46,7 @@
 
     /// Starts the span of a move that was ordered, and counts the move.
     pub fn begin(&mut self, action: &OrderAction, cause: MoveCause) {
-        let kind = kind_of(action);
+        let kind = move_kind(action);
         let labels = MoveLabels {
             kind,
             cause: cause.as_str(),
@@ -56,8 +56,8 @@
         let span = self.tracer.start("agent.move", SpanKind::Internal, &parent);
         span.set_attribute("kind", kind);
         span.set_attribute("cause", cause.as_str());
-        if let Some(weights) = weights_of(action) {
-            span.set_attribute("weights", text_of(weights));
+        if let Some(weights) = order_weights(action) {
+            span.set_attribute("weights", format_weights(weights));
         }
         spdlog::info!("move started", kv: { kind, cause = cause.as_str() });
         self.open.push((action.clone(), span));
@@ -71,14 +71,14 @@
 
 /// Returns the weights that an order loads or unloads.
 #[must_use]
-pub fn weights_of(action: &OrderAction) -> Option<&WeightsKey> {
+pub fn order_weights(action: &OrderAction) -> Option<&WeightsKey> {
     match action {
         OrderAction::Load { weights } | OrderAction::Unload { weights } => Some(weights),
         OrderAction::SetRole { .. } => None,
     }
 }
 
-fn kind_of(action: &OrderAction) -> &'static str {
+fn move_kind(action: &OrderAction) -> &'static str {
     match action {
         OrderAction::Load { .. } => "load",
         OrderAction::Unload { .. } => "unload",
@@ -86,7 +86,7 @@
     }
 }
 
-fn text_of(weights: &WeightsKey) -> String {
+fn format_weights(weights: &WeightsKey) -> String {
     let name = match &weights.adapter {
         Some(adapter) => adapter.as_str(),
         None => weights.model.as_str(),
--- a/crates/oatpier-agent/src/orders/state.rs
+++ b/crates/oatpier-agent/src/orders/state.rs
@@ -15,16 +15,16 @@
 use oatpier_types::plan::EndpointPlan;
 use tokio::sync::oneshot;
 
-use super::knowledge::{DrainCounts, PlacementKnowledge};
-use super::outlook::WeightsOutlook;
-use super::spans::{MoveCause, MoveSpans, weights_of};
+use super::knowledge::{DrainCounts, PlacementCache};
+use super::outlook::LoadTracker;
+use super::spans::{MoveCause, MoveSpans, order_weights};
 use crate::endpoint::EndpointIdentity;
-use crate::news::{AsksNews, PlanNews, WeightsNews};
+use crate::news::{OrdersMessage, PlanUpdate, WeightsUpdate};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 
 /// Maximum number of steps in one call of `step`. Further steps follow in the next call.
-const STEPS_AT_ONCE: usize = 4;
+const MAX_STEPS: usize = 4;
 
 /// A call that the duty must make.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 
 /// Result of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrdersDone {
+pub enum TaskResult {
     /// An event of the engine or the store.
     Order(OrderEvent),
     /// Another agent's answer, or `None` if the answer was lost.
@@ -54,7 +54,7 @@
 }
 
 /// A release request of another agent that is not answered yet.
-struct WaitingAsk {
+struct PendingRelease {
     boot: BootId,
     sequence: u64,
     reply: oneshot::Sender<ReleaseAnswer>,
@@ -69,11 +69,11 @@
     releases: ReleaseKeeper,
     repair: RepairKeeper,
     config: Option<Arc<FleetConfig>>,
-    knowledge: PlacementKnowledge,
+    placement: PlacementCache,
     drains: DrainCounts,
-    asks: Vec<WaitingAsk>,
-    outlook: WeightsOutlook,
-    leaving: bool,
+    asks: Vec<PendingRelease>,
+    loads: LoadTracker,
+    is_leaving: bool,
     spans: MoveSpans,
     metrics: MetricSet,
 }
@@ -92,7 +92,7 @@
         Self {
             releases: ReleaseKeeper::new(endpoint.clone(), boot, seed),
             repair: RepairKeeper::new(RepairSettings::default(), endpoint.clone(), pool),
-            knowledge: PlacementKnowledge::new(endpoint),
+            placement: PlacementCache::new(endpoint),
             identity,
             boot,
             keeper: None,
@@ -100,8 +100,8 @@
             config: None,
             drains: DrainCounts::default(),
             asks: Vec::new(),
-            outlook: WeightsOutlook::default(),
-            leaving: false,
+            loads: LoadTracker::default(),
+            is_leaving: false,
             spans: MoveSpans::new(tracer, metrics.clone()),
             metrics,
         }
@@ -110,7 +110,7 @@
     /// Makes the agent leave: it starts no more moves, and grants no release, since its own
     /// replicas go away. Moves that were already ordered are still completed.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.is_leaving = true;
     }
 
     /// Returns when `step` must be called again if no event occurs before.
@@ -121,38 +121,38 @@
     }
 
     /// Applies the result of a task.
-    pub fn done(&mut self, done: OrdersDone, now: ClockTime) {
+    pub fn apply_result(&mut self, done: TaskResult, now: ClockTime) {
         match done {
-            OrdersDone::Order(event) => {
+            TaskResult::Order(event) => {
                 if let (Some(keeper), Some(config)) = (&mut self.keeper, &self.config) {
                     keeper.on_event(event, config, now);
                 }
             }
             // The request times out by itself, and a later answer is ignored.
-            OrdersDone::Released(None) => {}
-            OrdersDone::Released(Some(answer)) => self.releases.on_answer(answer, now),
+            TaskResult::Released(None) => {}
+            TaskResult::Released(Some(answer)) => self.releases.on_answer(answer, now),
         }
     }
 
     /// Applies an update from membership.
-    pub fn hear_plan(&mut self, news: PlanNews, _now: ClockTime) {
+    pub fn apply_plan_update(&mut self, news: PlanUpdate, _now: ClockTime) {
         match news {
-            PlanNews::Config(config) => self.take_config(config),
-            PlanNews::View(view) => self.knowledge.take_view(*view),
-            PlanNews::Row(row) => self.knowledge.take_row(*row),
-            PlanNews::Silent => self.knowledge.fall_silent(),
+            PlanUpdate::Config(config) => self.apply_config(config),
+            PlanUpdate::View(view) => self.placement.apply_view(*view),
+            PlanUpdate::Row(row) => self.placement.apply_row(*row),
+            PlanUpdate::ViewExpired => self.placement.clear_replicas(),
         }
     }
 
     /// Handles a message from the work duty.
-    pub fn hear_ask(&mut self, news: AsksNews, now: ClockTime) {
+    pub fn handle_message(&mut self, news: OrdersMessage, now: ClockTime) {
         match news {
-            AsksNews::Drains { round, counts } => self.drains.take(round, counts),
-            AsksNews::Release { ask, reply } => self.take_ask(ask, reply, now),
+            OrdersMessage::Drains { round, counts } => self.drains.update(round, counts),
+            OrdersMessage::Release { ask, reply } => self.handle_release(ask, reply, now),
         }
     }
 
-    fn take_config(&mut self, config: Arc<FleetConfig>) {
+    fn apply_config(&mut self, config: Arc<FleetConfig>) {
         if self.keeper.is_none() {
             self.keeper = self
                 .settings(&config)
@@ -175,9 +175,14 @@
         }
     }
 
-    fn take_ask(&mut self, ask: ReleaseAsk, reply: oneshot::Sender<ReleaseAnswer>, now: ClockTime) {
+    fn handle_release(
+        &mut self,
+        ask: ReleaseAsk,
+        reply: oneshot::Sender<ReleaseAnswer>,
+        now: ClockTime,
+    ) {
         let (boot, sequence) = (ask.boot, ask.sequence);
-        let keeper = self.keeper.as_mut().filter(|_| !self.leaving);
+        let keeper = self.keeper.as_mut().filter(|_| !self.is_leaving);
         let Some(keeper) = keeper else {
             let granted = false;
             // The error is ignored: an agent that has abandoned its request needs no answer.
@@ -189,7 +194,7 @@
             return;
         };
         self.releases.on_ask(ask, keeper, now);
-        self.asks.push(WaitingAsk {
+        self.asks.push(PendingRelease {
             boot,
             sequence,
             reply,
@@ -202,7 +207,7 @@
         let (Some(mut keeper), Some(config)) = (self.keeper.take(), self.config.clone()) else {
             return tasks;
         };
-        if !self.leaving {
+        if !self.is_leaving {
             self.take_steps(&mut keeper, &config, now, &mut tasks);
         }
         let commands = keeper.commands(&config, now);
@@ -212,7 +217,7 @@
             OrderCommand::Poll(ticket) => OrdersTask::Poll(ticket),
         }));
         self.answer_asks(&keeper, now);
-        self.note(&keeper, now);
+        self.update_metrics(&keeper, now);
         self.keeper = Some(keeper);
         tasks
     }
@@ -227,11 +232,11 @@
         let Some(row) = self.row(keeper, config, now) else {
             return;
         };
-        for _ in 0..STEPS_AT_ONCE {
+        for _ in 0..MAX_STEPS {
             let input = StepInput {
                 plan: &row,
                 config,
-                replicas: &self.knowledge,
+                replicas: &self.placement,
                 attempts: &self.drains,
             };
             let step = self
@@ -251,14 +256,14 @@
         config: &FleetConfig,
         now: ClockTime,
     ) -> Option<EndpointPlan> {
-        let plan = self.knowledge.plan();
-        if !self.knowledge.is_heard() {
+        let plan = self.placement.plan();
+        if !self.placement.has_replica_view() {
             return plan.cloned();
         }
-        let replicas = self.knowledge.for_repair();
+        let replicas = self.placement.for_repair();
         let input = RepairInput {
             config,
-            live: self.knowledge.live(),
+            live: self.placement.live(),
             replicas: &replicas,
             plan,
         };
@@ -269,9 +274,9 @@
         // Without a plan nothing is to be unloaded, so weights that a previous agent began to load
         // stay as well.
         self.repair.taken().next()?;
-        let there = keeper.ledger().charges();
-        let there = there.filter(|(_, charge)| charge.held.is_some() || charge.ordered);
-        for (weights, _) in there {
+        let loaded = keeper.ledger().charges();
+        let loaded = loaded.filter(|(_, charge)| charge.held.is_some() || charge.ordered);
+        for (weights, _) in loaded {
             if !row.weights.contains(weights) {
                 row.weights.push(weights.clone());
             }
@@ -282,11 +287,11 @@
     fn take_step(&mut self, step: PlacementStep, tasks: &mut Vec<OrdersTask>) {
         match step {
             PlacementStep::Ordered(action) => {
-                let cause = self.cause_of(&action);
+                let cause = self.move_cause(&action);
                 self.spans.begin(&action, cause);
             }
             PlacementStep::AskRelease { to, ask } => {
-                let address = self.knowledge.address_of(&to);
+                let address = self.placement.address_of(&to);
                 tasks.extend(address.map(|to| OrdersTask::AskRelease { to, ask }));
             }
             PlacementStep::StartDrain(_) | PlacementStep::ResumeServing(_) => {
@@ -295,8 +300,8 @@
         }
     }
 
-    fn cause_of(&self, action: &OrderAction) -> MoveCause {
-        let repaired = weights_of(action)
+    fn move_cause(&self, action: &OrderAction) -> MoveCause {
+        let repaired = order_weights(action)
             .is_some_and(|weights| self.repair.taken().any(|taken| taken == weights));
         if repaired {
             MoveCause::Repair
@@ -315,33 +320,34 @@
     fn answer_ask(&mut self, reply: &ReleaseReply) {
         let mut answer = reply.answer;
         // This agent may have begun to leave since the request arrived.
-        answer.granted &= !self.leaving;
-        let is_it = |ask: &WaitingAsk| (ask.boot, ask.sequence) == (answer.boot, answer.sequence);
-        if let Some(place) = self.asks.iter().position(is_it) {
-            let _ = self.asks.swap_remove(place).reply.send(answer);
+        answer.granted &= !self.is_leaving;
+        let is_match =
+            |ask: &PendingRelease| (ask.boot, ask.sequence) == (answer.boot, answer.sequence);
+        if let Some(index) = self.asks.iter().position(is_match) {
+            let _ = self.asks.swap_remove(index).reply.send(answer);
         }
     }
 
-    fn note(&mut self, keeper: &OrderKeeper, now: ClockTime) {
-        self.spans.end(|action| match weights_of(action) {
+    fn update_metrics(&mut self, keeper: &OrderKeeper, now: ClockTime) {
+        self.spans.end(|action| match order_weights(action) {
             Some(weights) => keeper.is_moving(weights),
             None => keeper.is_role_moving(),
         });
         let charged = keeper.ledger().charged_mib(now);
         let charged = i64::try_from(charged).unwrap_or(i64::MAX);
         self.metrics.charged_mib.set(charged);
-        self.outlook.observe(keeper, now);
+        self.loads.observe(keeper, now);
     }
 
     /// Returns the availability of the endpoint's weights.
     #[must_use]
-    pub fn weights_news(&self, now: ClockTime) -> WeightsNews {
-        let mut news = WeightsNews {
+    pub fn weights_news(&self, now: ClockTime) -> WeightsUpdate {
+        let mut news = WeightsUpdate {
             round: self.drains.round(),
-            ..WeightsNews::default()
+            ..WeightsUpdate::default()
         };
         if let Some(keeper) = &self.keeper {
-            self.outlook.fill(&mut news, keeper, &self.stepper, now);
+            self.loads.fill(&mut news, keeper, &self.stepper, now);
         }
         news
     }
@@ -349,13 +355,13 @@
     /// Returns the weights to query entries about: all that may be in memory, and all that are
     /// planned.
     #[must_use]
-    pub fn weights_in_question(&self) -> Vec<WeightsKey> {
+    pub fn weights_to_query(&self) -> Vec<WeightsKey> {
         let charges = self.keeper.iter().flat_map(|keeper| {
             let charges = keeper.ledger().charges();
             charges.map(|(weights, _)| weights.clone())
         });
         let mut weights: Vec<WeightsKey> = charges.collect();
-        let planned = self.knowledge.plan().into_iter();
+        let planned = self.placement.plan().into_iter();
         for planned in planned.flat_map(|row| &row.weights) {
             if !weights.contains(planned) {
                 weights.push(planned.clone());
--- a/crates/oatpier-agent/src/peers.rs
+++ b/crates/oatpier-agent/src/peers.rs
@@ -14,10 +14,10 @@
 use oatpier_duty::placement::{PLACEMENT_PATH, PlacementQuery, PlacementView};
 
 /// Timeout of a call to an entry. Shorter than the time after which a heartbeat counts as lost.
-const ENTRY_WAIT: Duration = Duration::from_millis(700);
+const ENTRY_TIMEOUT: Duration = Duration::from_millis(700);
 /// Timeout of a call to another agent, which waits for a confirmation from its engine or the
 /// store. As long as a release request is valid.
-const RELEASE_WAIT: Duration = Duration::from_secs(2);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A boxed future that can be moved to another task.
 pub type PeerFuture<T> = BoxFuture<'static, T>;
@@ -57,7 +57,7 @@
     fn call(&self, entry: SocketAddr, call: FleetCall) -> PeerFuture<Option<FleetAnswer>> {
         let client = self.client.clone();
         async move {
-            let answer = client.call(entry, PEER_PATH, &call, ENTRY_WAIT);
+            let answer = client.call(entry, PEER_PATH, &call, ENTRY_TIMEOUT);
             answer.await.ok()
         }
         .boxed()
@@ -70,7 +70,7 @@
     ) -> PeerFuture<Option<PlacementView>> {
         let client = self.client.clone();
         async move {
-            let answer = client.call(entry, PLACEMENT_PATH, &ask, ENTRY_WAIT);
+            let answer = client.call(entry, PLACEMENT_PATH, &ask, ENTRY_TIMEOUT);
             answer.await.ok()
         }
         .boxed()
@@ -79,7 +79,7 @@
     fn ask_release(&self, agent: SocketAddr, ask: ReleaseAsk) -> PeerFuture<Option<ReleaseAnswer>> {
         let client = self.client.clone();
         async move {
-            let answer = client.call(agent, RELEASE_PATH, &ask, RELEASE_WAIT);
+            let answer = client.call(agent, RELEASE_PATH, &ask, RELEASE_TIMEOUT);
             answer.await.ok()
         }
         .boxed()
--- a/crates/oatpier-agent/src/work.rs
+++ b/crates/oatpier-agent/src/work.rs
@@ -25,18 +25,18 @@
 use crate::attempt::AttemptTask;
 use crate::core::{AgentCore, AttemptArrival};
 use crate::messages::RELEASE_PATH;
-use crate::news::{AgentNews, AsksNews, MembershipCall, StatusNews};
+use crate::news::{MembershipCall, OrdersMessage, StatusUpdate, WorkUpdate};
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 use oatpier_duty::messages::{PEER_PATH, STATUS_PATH};
 
 /// Maximum number of frames of an attempt that are buffered for its entry.
-const WAITING_FRAMES: usize = 16;
+const MAX_BUFFERED_FRAMES: usize = 16;
 /// Interval at which the full status of the endpoint is sent to the membership duty.
 const STATUS_PERIOD: Duration = Duration::from_millis(500);
 /// Interval at which the counts of a drain are sent to the orders duty.
 const DRAIN_PERIOD: Duration = Duration::from_millis(100);
 /// Timeout of a call that is forwarded to another duty. As long as a release request is valid.
-const PASSED_WAIT: Duration = Duration::from_secs(2);
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval of the endpoint's health probes.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
 
@@ -49,11 +49,11 @@
     /// Limits on connections and requests.
     pub limits: ServerLimits,
     /// Updates from the other duties.
-    pub news: RingReceiver<AgentNews>,
+    pub news: RingReceiver<WorkUpdate>,
     /// Sends release requests and drain counts to the orders duty.
-    pub asks: RingSender<AsksNews>,
+    pub asks: RingSender<OrdersMessage>,
     /// Sends the endpoint's status to the membership duty.
-    pub status: RingSender<StatusNews>,
+    pub status: RingSender<StatusUpdate>,
     /// Sends membership calls to the membership duty.
     pub calls: RingSender<MembershipCall>,
     /// Signals the phases of a stop.
@@ -83,7 +83,7 @@
         asks: asks.clone(),
         calls,
     });
-    let teller = WorkTeller { core, asks, status };
+    let reporter = WorkReporter { core, asks, status };
     // The listener stays open until the last attempt has ended, so that a leaving agent can
     // refuse attempts explicitly. A closed port would give entries no answer.
     let ended = stop.clone();
@@ -91,65 +91,65 @@
     let serving = server::serve(listener, handler, limits, Arc::default(), closing);
     tokio::select! {
         () = serving => {}
-        () = teller.run(&news, &stop) => {}
+        () = reporter.run(&news, &stop) => {}
     }
 }
 
 /// The part of the work duty that serves no connections: applies updates, and reports the endpoint's
 /// status to the other duties. It never waits for them.
-pub struct WorkTeller {
+pub struct WorkReporter {
     /// Shared state of the work duty.
     pub core: Arc<AgentCore>,
     /// Sends drain counts to the orders duty.
-    pub asks: RingSender<AsksNews>,
+    pub asks: RingSender<OrdersMessage>,
     /// Sends the endpoint's status to the membership duty.
-    pub status: RingSender<StatusNews>,
+    pub status: RingSender<StatusUpdate>,
 }
 
-impl WorkTeller {
+impl WorkReporter {
     /// Runs all periodic tasks. Never returns.
-    pub async fn run(&self, news: &RingReceiver<AgentNews>, stop: &StopSignal) {
+    pub async fn run(&self, news: &RingReceiver<WorkUpdate>, stop: &StopSignal) {
         tokio::select! {
-            () = self.take_news(news) => {}
-            () = self.tell_status() => {}
-            () = self.tell_drains() => {}
+            () = self.apply_update(news) => {}
+            () = self.report_status() => {}
+            () = self.report_drains() => {}
             () = self.core.run_timers() => {}
-            () = leave_when_told(&self.core, stop) => {}
+            () = leave_on_stop(&self.core, stop) => {}
             () = probe(&self.core) => {}
         }
     }
 
-    async fn take_news(&self, news: &RingReceiver<AgentNews>) {
+    async fn apply_update(&self, news: &RingReceiver<WorkUpdate>) {
         while let Some(news) = news.receive().await {
-            self.core.take_news(news);
-            self.offer_drains();
-            self.offer_status();
+            self.core.apply_update(news);
+            self.send_drains();
+            self.send_status();
         }
         std::future::pending::<()>().await;
     }
 
-    async fn tell_status(&self) {
+    async fn report_status(&self) {
         loop {
-            self.offer_status();
+            self.send_status();
             tokio::time::sleep(STATUS_PERIOD).await;
         }
     }
 
-    async fn tell_drains(&self) {
+    async fn report_drains(&self) {
         loop {
-            self.offer_drains();
+            self.send_drains();
             tokio::time::sleep(DRAIN_PERIOD).await;
         }
     }
 
-    fn offer_status(&self) {
+    fn send_status(&self) {
         if let Some(status) = self.core.status() {
             // Dropped if the ring is full: the next status replaces this one.
-            let _ = self.status.try_send(StatusNews::Status(Box::new(status)));
+            let _ = self.status.try_send(StatusUpdate::Status(Box::new(status)));
         }
     }
 
-    fn offer_drains(&self) {
+    fn send_drains(&self) {
         if let Some(drains) = self.core.drains() {
             // Dropped if the ring is full: the counts are sent again until the drain ends.
             let _ = self.asks.try_send(drains);
@@ -157,9 +157,9 @@
     }
 }
 
-async fn leave_when_told(core: &AgentCore, stop: &StopSignal) {
+async fn leave_on_stop(core: &AgentCore, stop: &StopSignal) {
     stop.reached(StopPhase::Draining).await;
-    core.take_news(AgentNews::Leave);
+    core.apply_update(WorkUpdate::Leave);
     std::future::pending::<()>().await;
 }
 
@@ -167,7 +167,7 @@
 async fn probe(core: &AgentCore) {
     let mut was_up = true;
     loop {
-        let up = core.works.engine.probe().await;
+        let up = core.clients.engine.probe().await;
         if up != was_up {
             core.step(AgentEvent::EndpointUp { up });
             spdlog::warn!("endpoint reachability changed: up={up}");
@@ -179,18 +179,18 @@
 
 struct WorkHandler {
     core: Arc<AgentCore>,
-    asks: RingSender<AsksNews>,
+    asks: RingSender<OrdersMessage>,
     calls: RingSender<MembershipCall>,
 }
 
 impl RequestHandler for WorkHandler {
     fn handle(&self, request: Request<Bytes>, _: SocketAddr) -> BoxFuture<'_, Reply> {
         let reply = match request.uri().path() {
-            ATTEMPT_PATH => take_attempt(&self.core, request.into_body()),
+            ATTEMPT_PATH => accept_attempt(&self.core, request.into_body()),
             CANCEL_PATH => cancel(&self.core, request.body()),
             STATUS_PATH => status(&self.core),
-            RELEASE_PATH => return self.take_release(request.body()).boxed(),
-            PEER_PATH => return self.take_call(request.body()).boxed(),
+            RELEASE_PATH => return self.forward_release(request.body()).boxed(),
+            PEER_PATH => return self.forward_call(request.body()).boxed(),
             _ => reply::text(StatusCode::NOT_FOUND, "no such path\n"),
         };
         std::future::ready(reply).boxed()
@@ -199,7 +199,7 @@
 
 impl WorkHandler {
     /// Forwards a release request of another agent to the orders duty, and returns the answer.
-    fn take_release(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
+    fn forward_release(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
         let decoded = decode_message(body);
         let asks = self.asks.clone();
         async move {
@@ -208,12 +208,12 @@
                 Err(error) => return bad_request(&error),
             };
             let (reply, answer) = oneshot::channel();
-            pass_on(&asks, AsksNews::Release { ask, reply }, answer).await
+            forward(&asks, OrdersMessage::Release { ask, reply }, answer).await
         }
     }
 
     /// Forwards an entry's call to the membership duty, and returns the answer.
-    fn take_call(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
+    fn forward_call(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
         let decoded = decode_message(body);
         let calls = self.calls.clone();
         async move {
@@ -222,20 +222,20 @@
                 Err(error) => return bad_request(&error),
             };
             let (reply, answer) = oneshot::channel();
-            pass_on(&calls, MembershipCall { call, reply }, answer).await
+            forward(&calls, MembershipCall { call, reply }, answer).await
         }
     }
 }
 
 /// Forwards a call to another duty. A full ring or a late answer is reported as "unavailable", and
 /// the caller retries.
-async fn pass_on<T, A: Serialize>(
+async fn forward<T, A: Serialize>(
     ring: &RingSender<T>,
     message: T,
     answer: oneshot::Receiver<A>,
 ) -> Reply {
     if ring.try_send(message).is_ok()
-        && let Ok(Ok(answer)) = tokio::time::timeout(PASSED_WAIT, answer).await
+        && let Ok(Ok(answer)) = tokio::time::timeout(FORWARD_TIMEOUT, answer).await
     {
         return reply::message(&answer);
     }
@@ -246,7 +246,7 @@
     reply::text(StatusCode::BAD_REQUEST, error.to_string())
 }
 
-fn take_attempt(core: &Arc<AgentCore>, body: Bytes) -> Reply {
+fn accept_attempt(core: &Arc<AgentCore>, body: Bytes) -> Reply {
     let (head, body) = match decode_request(body) {
         Ok(decoded) => decoded,
         Err(error) => return reply::text(StatusCode::BAD_REQUEST, error.to_string()),
@@ -257,15 +257,15 @@
         return reply::text(StatusCode::NOT_FOUND, "this endpoint is of another pool\n");
     }
     let attempt = head.spec.attempt;
-    let (frames, receiver) = mpsc::channel(WAITING_FRAMES);
+    let (frames, receiver) = mpsc::channel(MAX_BUFFERED_FRAMES);
     match core.arrive(head.spec.clone(), head.ticket) {
-        AttemptArrival::Taken(orders) => {
+        AttemptArrival::Accepted(orders) => {
             let task = AttemptTask::new(Arc::clone(core), head, body, orders, frames);
             // A separate task outlives the entry's connection: the policy must be notified when
             // a running call ends.
             tokio::spawn(task.run());
         }
-        AttemptArrival::Copy { verdict } => tell_copy(core, verdict, &frames),
+        AttemptArrival::Duplicate { verdict } => send_duplicate(core, verdict, &frames),
         AttemptArrival::NotReady => return not_ready(),
     }
     let frames = stream::unfold(receiver, |mut receiver| async move {
@@ -281,7 +281,7 @@
     reply::text(StatusCode::SERVICE_UNAVAILABLE, text)
 }
 
-fn tell_copy(core: &AgentCore, verdict: RunVerdict, frames: &mpsc::Sender<AttemptFrame>) {
+fn send_duplicate(core: &AgentCore, verdict: RunVerdict, frames: &mpsc::Sender<AttemptFrame>) {
     let Some(report) = core.queue_report() else {
         return;
     };
--- a/crates/oatpier-agent/tests/testsuite/attempt.rs
+++ b/crates/oatpier-agent/tests/testsuite/attempt.rs
@@ -57,7 +57,7 @@
     /// Sends the attempt and returns its frames, or `None` if it is a duplicate.
     pub fn arrive(&self) -> Option<mpsc::Receiver<AttemptFrame>> {
         let arrival = self.core.arrive(self.spec.clone(), self.ticket);
-        let AttemptArrival::Taken(orders) = arrival else {
+        let AttemptArrival::Accepted(orders) = arrival else {
             return None;
         };
         let (frames, receiver) = mpsc::channel(16);
--- a/crates/oatpier-agent/tests/testsuite/drain.rs
+++ b/crates/oatpier-agent/tests/testsuite/drain.rs
@@ -8,7 +8,7 @@
 use crate::fleet::Fleet;
 use crate::shape::FleetShape;
 
-const PAIR: FleetShape = FleetShape {
+const TWO_ENGINES: FleetShape = FleetShape {
     engines: 2,
     memory_mib: 2_000,
     checks_numbers: true,
@@ -23,7 +23,7 @@
     for checks_numbers in [true, false] {
         let shape = FleetShape {
             checks_numbers,
-            ..PAIR
+            ..TWO_ENGINES
         };
         let mut fleet = Fleet::start(shape, &["seats"]);
         fleet
@@ -62,7 +62,7 @@
 /// The plan includes draining weights again. They take new attempts again and are not unloaded.
 #[tokio::test(start_paused = true)]
 async fn a_drain_ends_when_the_plan_includes_the_weights_again() {
-    let mut fleet = Fleet::start(PAIR, &["seats"]);
+    let mut fleet = Fleet::start(TWO_ENGINES, &["seats"]);
     fleet
         .until("the model is served", || fleet.serves(1, &["seats"]))
         .await;
--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -9,11 +9,11 @@
 
 use futures::FutureExt;
 use oatpier_agent::core::AgentCore;
-use oatpier_agent::endpoint::EndpointWorks;
-use oatpier_agent::news::{AgentNews, AsksNews, PlanNews};
+use oatpier_agent::endpoint::EndpointClients;
+use oatpier_agent::news::{OrdersMessage, PlanUpdate, WorkUpdate};
 use oatpier_agent::orders::{OrdersInputs, orders};
 use oatpier_agent::peers::{AgentPeers, PeerFuture};
-use oatpier_agent::work::WorkTeller;
+use oatpier_agent::work::WorkReporter;
 use oatpier_duty::duty::{RingReceiver, RingRule, RingSender, RuntimeClock, StopSignal, ring};
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
 use oatpier_duty::observe::metrics::MetricSet;
@@ -44,7 +44,7 @@
 /// Calls between the agents of a test. Calls to entries get no answer.
 #[derive(Default)]
 pub struct TestPeers {
-    asks: Mutex<HashMap<SocketAddr, RingSender<AsksNews>>>,
+    asks: Mutex<HashMap<SocketAddr, RingSender<OrdersMessage>>>,
 }
 
 impl AgentPeers for TestPeers {
@@ -60,7 +60,7 @@
         let asks = self.asks.lock().unwrap().get(&agent).cloned();
         async move {
             let (reply, answer) = oneshot::channel();
-            asks?.try_send(AsksNews::Release { ask, reply }).ok()?;
+            asks?.try_send(OrdersMessage::Release { ask, reply }).ok()?;
             answer.await.ok()
         }
         .boxed()
@@ -71,7 +71,7 @@
 pub struct TestAgent {
     pub core: Arc<AgentCore>,
     pub stop: StopSignal,
-    plan: RingSender<PlanNews>,
+    plan: RingSender<PlanUpdate>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -95,7 +95,7 @@
     sequence: u64,
     /// Whether an entry sends the agents the plan and replicas. Otherwise they get only the plan, as
     /// from the store.
-    pub heard: bool,
+    pub has_entry: bool,
 }
 
 impl Fleet {
@@ -125,7 +125,7 @@
             peers: Arc::default(),
             next_id: AtomicU64::new(1),
             sequence: 0,
-            heard: true,
+            has_entry: true,
         };
         for number in 1..=shape.engines {
             let agent = fleet.start_agent(number);
@@ -150,7 +150,7 @@
         let core = Arc::new(AgentCore::new(
             identity(number),
             boot,
-            EndpointWorks {
+            EndpointClients {
                 engine: work.clone(),
                 service: work,
             },
@@ -166,11 +166,11 @@
         let config = Arc::new(config(self.shape));
         let generation = Generation(1);
         let news_config = Arc::clone(&config);
-        core.take_news(AgentNews::Config {
+        core.apply_update(WorkUpdate::Config {
             generation,
             config: news_config,
         });
-        assert!(plan_sender.try_send(PlanNews::Config(config)).is_ok());
+        assert!(plan_sender.try_send(PlanUpdate::Config(config)).is_ok());
         let mut peers = self.peers.asks.lock().unwrap();
         peers.insert(address(number), asks_sender.clone());
         let orders_inputs = OrdersInputs {
@@ -189,12 +189,12 @@
             asks,
             stop: stop.clone(),
         };
-        let teller = WorkTeller {
+        let reporter = WorkReporter {
             core: Arc::clone(&core),
             asks: asks_sender,
             status,
         };
-        let work = run_work(teller, news, stop.clone());
+        let work = run_work(reporter, news, stop.clone());
         TestAgent {
             core,
             stop,
@@ -236,12 +236,12 @@
     /// Does the same as [`Fleet::pass`], and calls `look` every 20 ms.
     pub async fn watch(&self, span: Duration, mut look: impl FnMut()) {
         let end = tokio::time::Instant::now() + span;
-        let mut beat = 0_u32;
+        let mut tick = 0_u32;
         while tokio::time::Instant::now() < end {
-            if beat.is_multiple_of(25) {
-                self.tell_plan();
+            if tick.is_multiple_of(25) {
+                self.send_plan();
             }
-            beat += 1;
+            tick += 1;
             tokio::time::sleep(Duration::from_millis(20)).await;
             look();
             for engine in &self.engines {
@@ -255,9 +255,9 @@
     /// # Panics
     ///
     /// Panics if it does not hold within 30 minutes.
-    pub async fn until(&self, what: &str, so: impl Fn() -> bool) {
+    pub async fn until(&self, what: &str, is_met: impl Fn() -> bool) {
         for _ in 0..18_000 {
-            if so() {
+            if is_met() {
                 return;
             }
             self.pass(Duration::from_millis(100)).await;
@@ -281,14 +281,14 @@
     }
 
     /// Sends the plan as an entry does, or as the agents read it from the store.
-    fn tell_plan(&self) {
-        if self.heard {
-            return self.tell_views();
+    fn send_plan(&self) {
+        if self.has_entry {
+            return self.send_views();
         }
         for (agent, row) in self.agents.iter().zip(&self.rows) {
             if let (Some(agent), Some(row)) = (agent, row) {
                 let row = Box::new(self.plan_row(row.clone()));
-                let _ = agent.plan.try_send(PlanNews::Row(row));
+                let _ = agent.plan.try_send(PlanUpdate::Row(row));
             }
         }
     }
@@ -301,7 +301,7 @@
         PlanRow { stamp, row }
     }
 
-    fn tell_views(&self) {
+    fn send_views(&self) {
         let ready: Vec<_> = self
             .agents
             .iter()
@@ -310,7 +310,7 @@
         for number in 1..=self.shape.engines {
             let view = self.view(number, &ready);
             if let Some(agent) = &self.agents[usize::from(number) - 1] {
-                let _ = agent.plan.try_send(PlanNews::View(Box::new(view)));
+                let _ = agent.plan.try_send(PlanUpdate::View(Box::new(view)));
             }
         }
     }
@@ -359,6 +359,6 @@
     }
 }
 
-async fn run_work(teller: WorkTeller, news: RingReceiver<AgentNews>, stop: StopSignal) {
-    teller.run(&news, &stop).await;
+async fn run_work(reporter: WorkReporter, news: RingReceiver<WorkUpdate>, stop: StopSignal) {
+    reporter.run(&news, &stop).await;
 }
--- a/crates/oatpier-agent/tests/testsuite/leave.rs
+++ b/crates/oatpier-agent/tests/testsuite/leave.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::shape::FleetShape;
 
-const ONE: FleetShape = FleetShape {
+const ONE_ENGINE: FleetShape = FleetShape {
     engines: 1,
     memory_mib: 2_000,
     checks_numbers: true,
@@ -22,7 +22,7 @@
 /// only then the process ends.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_agent_finishes_running_attempts_and_refuses_others() {
-    let fleet = Fleet::start(ONE, &["seats"]);
+    let fleet = Fleet::start(ONE_ENGINE, &["seats"]);
     fleet
         .until("the model is served", || fleet.serves(1, &["seats"]))
         .await;
@@ -56,7 +56,7 @@
 /// A leaving agent starts no move: its end would interrupt a load.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_agent_starts_no_move() {
-    let mut fleet = Fleet::start(ONE, &["seats"]);
+    let mut fleet = Fleet::start(ONE_ENGINE, &["seats"]);
     fleet
         .until("the model is served", || fleet.serves(1, &["seats"]))
         .await;
--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -7,7 +7,7 @@
 
 use futures::FutureExt;
 use oatpier_agent::membership::{MembershipInputs, membership};
-use oatpier_agent::news::{AgentNews, MembershipCall, PlanNews, StatusNews};
+use oatpier_agent::news::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use oatpier_agent::peers::{AgentPeers, PeerFuture};
 use oatpier_duty::duty::{
     RingReceiver, RingRule, RingSender, RuntimeClock, StopPhase, StopSignal, ring,
@@ -129,10 +129,10 @@
     store: Arc<LocalStore>,
     vms: Arc<LocalVms>,
     stop: StopSignal,
-    news: RingReceiver<AgentNews>,
-    plan: RingReceiver<PlanNews>,
+    news: RingReceiver<WorkUpdate>,
+    plan: RingReceiver<PlanUpdate>,
     duty: tokio::task::JoinHandle<()>,
-    _status: RingSender<StatusNews>,
+    _status: RingSender<StatusUpdate>,
     _calls: RingSender<MembershipCall>,
 }
 
@@ -199,7 +199,7 @@
     fn generations(&self) -> Vec<u64> {
         let news = std::iter::from_fn(|| self.news.try_receive());
         news.filter_map(|news| match news {
-            AgentNews::Config { generation, .. } => Some(generation.0),
+            WorkUpdate::Config { generation, .. } => Some(generation.0),
             _ => None,
         })
         .collect()
@@ -208,27 +208,27 @@
     fn stamps(&self) -> Vec<(u64, u64)> {
         let news = std::iter::from_fn(|| self.plan.try_receive());
         let rows = news.filter_map(|news| match news {
-            PlanNews::View(view) => view.plan,
-            PlanNews::Row(row) => Some(*row),
-            PlanNews::Config(_) | PlanNews::Silent => None,
+            PlanUpdate::View(view) => view.plan,
+            PlanUpdate::Row(row) => Some(*row),
+            PlanUpdate::Config(_) | PlanUpdate::ViewExpired => None,
         });
         rows.map(|row| (row.stamp.term.0, row.stamp.sequence))
             .collect()
     }
 
-    fn is_silent(&self) -> bool {
+    fn is_view_expired(&self) -> bool {
         let news = std::iter::from_fn(|| self.plan.try_receive());
         news.last()
-            .is_some_and(|news| matches!(news, PlanNews::Silent))
+            .is_some_and(|news| matches!(news, PlanUpdate::ViewExpired))
     }
 
     /// Returns the entries that received heartbeats since the last call.
     fn registrars(&self) -> Vec<u16> {
-        let heard = |port: &u16| {
+        let received = |port: &u16| {
             let count = |entry: &mut TestEntry| std::mem::take(&mut entry.heartbeats);
             self.entries.with(*port, count) > 0
         };
-        (1..=3).filter(heard).collect()
+        (1..=3).filter(received).collect()
     }
 
     async fn store_config(&self, generation: u64) {
@@ -357,7 +357,7 @@
         member.entries.with(port, |entry| entry.down = true);
     }
     pass(8).await;
-    assert!(member.is_silent());
+    assert!(member.is_view_expired());
 }
 
 /// A planned stop reaches the agent in a registrar's answer or through the list of VMs. In both cases
@@ -381,18 +381,18 @@
         }
         pass(3).await;
         assert_eq!(member.stop.phase(), StopPhase::Draining);
-        let told = |phase| {
-            let heard = |port| {
+        let notified = |phase| {
+            let received = |port| {
                 member
                     .entries
                     .with(port, |entry| entry.phases.contains(&phase))
             };
-            (1..=3).filter(|port| heard(*port)).count()
+            (1..=3).filter(|port| received(*port)).count()
         };
-        assert_eq!(told(MemberPhase::Leaving), 2);
+        assert_eq!(notified(MemberPhase::Leaving), 2);
         member.stop.advance(StopPhase::Ended);
         pass(1).await;
-        assert_eq!(told(MemberPhase::Left), 2);
+        assert_eq!(notified(MemberPhase::Left), 2);
         assert!(member.duty.is_finished());
     }
 }
--- a/crates/oatpier-agent/tests/testsuite/orders.rs
+++ b/crates/oatpier-agent/tests/testsuite/orders.rs
@@ -11,7 +11,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// One engine with memory for two models.
-const TIGHT: FleetShape = FleetShape {
+const TIGHT_MEMORY: FleetShape = FleetShape {
     engines: 1,
     memory_mib: 2_000,
     checks_numbers: true,
@@ -32,7 +32,7 @@
     for checks_numbers in [true, false] {
         let shape = FleetShape {
             checks_numbers,
-            ..TIGHT
+            ..TIGHT_MEMORY
         };
         let mut fleet = Fleet::start(shape, &[]);
         fleet.plan(1, &["meals", "tables"]);
@@ -80,7 +80,7 @@
         let shape = FleetShape {
             engines: 2,
             checks_numbers,
-            ..TIGHT
+            ..TIGHT_MEMORY
         };
         let mut fleet = Fleet::start(shape, &["seats"]);
         fleet.plan(1, &["meals", "seats"]);
@@ -117,10 +117,10 @@
             let shape = FleetShape {
                 checks_numbers,
                 memory_mib: 1_500,
-                ..TIGHT
+                ..TIGHT_MEMORY
             };
             let mut fleet = Fleet::start(shape, &[]);
-            fleet.heard = false;
+            fleet.has_entry = false;
             fleet.pass(3 * SECOND).await;
             fleet.engine(1).set_faults(EngineFaults {
                 late_orders: u32::from(late_ms > 0),
@@ -147,10 +147,10 @@
     for checks_numbers in [true, false] {
         let shape = FleetShape {
             checks_numbers,
-            ..TIGHT
+            ..TIGHT_MEMORY
         };
         let mut fleet = Fleet::start(shape, &["seats"]);
-        fleet.heard = false;
+        fleet.has_entry = false;
         fleet.pass(8 * SECOND).await;
         for down in [DownMode::Refuse, DownMode::Drop] {
             fleet.store.set_faults(StoreFaults {
@@ -173,8 +173,8 @@
 /// the weights that the engine holds.
 #[tokio::test(start_paused = true)]
 async fn an_agent_that_starts_in_a_store_outage_serves_loaded_weights() {
-    let mut fleet = Fleet::start(TIGHT, &["seats"]);
-    fleet.heard = false;
+    let mut fleet = Fleet::start(TIGHT_MEMORY, &["seats"]);
+    fleet.has_entry = false;
     fleet.store.set_faults(StoreFaults {
         down: Some(DownMode::Drop),
         ..StoreFaults::default()
--- a/crates/oatpier-agent/tests/testsuite/release.rs
+++ b/crates/oatpier-agent/tests/testsuite/release.rs
@@ -10,7 +10,7 @@
 use crate::fleet::Fleet;
 use crate::shape::FleetShape;
 
-const PAIR: FleetShape = FleetShape {
+const TWO_ENGINES: FleetShape = FleetShape {
     engines: 2,
     memory_mib: 2_000,
     checks_numbers: true,
@@ -24,7 +24,7 @@
     for checks_numbers in [true, false] {
         let shape = FleetShape {
             checks_numbers,
-            ..PAIR
+            ..TWO_ENGINES
         };
         let mut fleet = Fleet::start(shape, &["seats"]);
         fleet.pass(Duration::from_secs(5)).await;
@@ -43,7 +43,7 @@
 /// The plan removes a model from the only endpoint that holds it. No other replica exists.
 #[tokio::test(start_paused = true)]
 async fn the_only_replica_is_not_unloaded() {
-    let mut fleet = Fleet::start(PAIR, &[]);
+    let mut fleet = Fleet::start(TWO_ENGINES, &[]);
     fleet.plan(1, &["seats"]);
     fleet.plan(2, &[]);
     fleet
@@ -59,7 +59,7 @@
 /// ready.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_agent_grants_no_release() {
-    let mut fleet = Fleet::start(PAIR, &["seats"]);
+    let mut fleet = Fleet::start(TWO_ENGINES, &["seats"]);
     fleet.pass(Duration::from_secs(5)).await;
     let attempt = fleet.attempt(2, "seats", 50_000);
     let _frames = attempt.arrive().unwrap();
@@ -80,7 +80,7 @@
     let shape = FleetShape {
         memory_mib: 3_000,
         models: &["meals", "seats", "tables"],
-        ..PAIR
+        ..TWO_ENGINES
     };
     let mut fleet = Fleet::start(shape, &["seats"]);
     let served = |model: &str| (1..=2).any(|number| serves_one(&fleet, number, model));
--- a/crates/oatpier-agent/tests/testsuite/requests.rs
+++ b/crates/oatpier-agent/tests/testsuite/requests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oatpier_agent::news::AgentNews;
+use oatpier_agent::news::WorkUpdate;
 use oatpier_standin::engine::EngineFaults;
 use oatpier_types::ids::Generation;
 use oatpier_types::refusal::RefusalCause;
@@ -14,7 +14,7 @@
 use crate::fleet::Fleet;
 use crate::shape::{FleetShape, config_with_slots};
 
-const ONE: FleetShape = FleetShape {
+const ONE_ENGINE: FleetShape = FleetShape {
     engines: 1,
     memory_mib: 2_000,
     checks_numbers: true,
@@ -23,7 +23,7 @@
 const MILLI: Duration = Duration::from_millis(1);
 
 async fn serving() -> Fleet {
-    let fleet = Fleet::start(ONE, &["seats"]);
+    let fleet = Fleet::start(ONE_ENGINE, &["seats"]);
     fleet
         .until("the model is served", || fleet.serves(1, &["seats"]))
         .await;
@@ -77,7 +77,7 @@
     let ended = tokio::time::timeout(MILLI, last_frame(&mut frames)).await;
     let last = ended.expect("attempt must end at once").1;
     let verdict = RunVerdict::NotRun;
-    assert!(matches!(last, AttemptFrame::Failed { verdict: told, .. } if told == verdict));
+    assert!(matches!(last, AttemptFrame::Failed { verdict: reported, .. } if reported == verdict));
     for frames in &mut before {
         let last = last_frame(frames).await.1;
         assert!(matches!(last, AttemptFrame::Ended { .. }));
@@ -103,7 +103,7 @@
     assert_eq!(cancel, RunVerdict::MayHaveRun);
     let last = last_frame(&mut cancelled_frames).await.1;
     let verdict = RunVerdict::MayHaveRun;
-    assert!(matches!(last, AttemptFrame::Failed { verdict: told, .. } if told == verdict));
+    assert!(matches!(last, AttemptFrame::Failed { verdict: reported, .. } if reported == verdict));
     assert_eq!(running(&fleet), 1);
     let (tokens, last) = last_frame(&mut sealed_frames).await;
     assert_eq!(tokens, 200);
@@ -184,9 +184,9 @@
         .collect();
     assert_eq!(running(&fleet), 2);
     let change = |generation, slots| {
-        fleet.agent(1).core.take_news(AgentNews::Config {
+        fleet.agent(1).core.apply_update(WorkUpdate::Config {
             generation: Generation(generation),
-            config: Arc::new(config_with_slots(ONE, slots)),
+            config: Arc::new(config_with_slots(ONE_ENGINE, slots)),
         });
     };
     let sequence = || fleet.agent(1).core.status().unwrap().ready_sequence;
