--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -51,7 +51,7 @@
     Accepted(OrderReceiver),
     /// The attempt arrived before.
     Duplicate {
-        /// Whether the first duplicate may have run.
+        /// Whether the first copy may have run.
         verdict: RunVerdict,
     },
     /// The agent has no configuration yet. The attempt is not recorded and did not run.
@@ -138,27 +138,27 @@
     }
 
     /// Applies an update from another duty.
-    pub fn apply_update(&self, news: WorkUpdate) {
-        match news {
+    pub fn apply_update(&self, update: WorkUpdate) {
+        match update {
             WorkUpdate::Config { generation, config } => self.apply_config(generation, &config),
-            WorkUpdate::Weights(news) => self.apply_weights(*news),
+            WorkUpdate::Weights(update) => self.apply_weights(*update),
             WorkUpdate::Leave => self.leave(),
         }
     }
 
-    fn apply_weights(&self, news: WeightsUpdate) {
+    fn apply_weights(&self, update: WeightsUpdate) {
         let mut state = self.lock();
         let CoreState { drains, tasks, .. } = &mut *state;
         let started = tasks.iter().filter(|(_, row)| row.is_started);
         let started = started.map(|(attempt, row)| (*attempt, &row.goal));
-        drains.update(news.round, &news.draining, &started);
-        if state.ready != news.ready {
-            state.ready.clone_from(&news.ready);
+        drains.update(update.round, &update.draining, &started);
+        if state.ready != update.ready {
+            state.ready.clone_from(&update.ready);
             state.ready_sequence += 1;
         }
-        state.loading.clone_from(&news.loading);
+        state.loading.clone_from(&update.loading);
         drop(state);
-        let (ready, loading) = (news.ready, news.loading);
+        let (ready, loading) = (update.ready, update.loading);
         self.step(AgentEvent::ReadyChanged { ready, loading });
     }
 
--- a/crates/oatpier-agent/src/lib.rs
+++ b/crates/oatpier-agent/src/lib.rs
@@ -61,7 +61,7 @@
     let metrics = MetricSet::default();
     let clock = RuntimeClock::start();
     let (span_sender, spans) = ring(SPAN_RING_CAPACITY, RingRule::Drop, metrics.ring("spans"));
-    let (news_sender, news) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("news"));
+    let (update_sender, updates) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("news"));
     let (plan_sender, plan) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("plan"));
     let (asks_sender, asks) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("asks"));
     let (status_sender, status) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("status"));
@@ -90,7 +90,7 @@
         core,
         listener: peer_listener,
         limits: settings.limits.server_limits(),
-        news,
+        updates,
         asks: asks_sender,
         status: status_sender.clone(),
         calls: calls_sender,
@@ -107,7 +107,7 @@
         clock,
         metrics,
         tracer,
-        news: news_sender.clone(),
+        updates: update_sender.clone(),
         status: status_sender,
         plan,
         asks,
@@ -124,7 +124,7 @@
         vms: Arc::new(HttpVmList::new(settings.vm_list, STORE_TIMEOUT)),
         peers: Arc::new(HttpPeers::default()),
         clock,
-        news: news_sender,
+        updates: update_sender,
         plan: plan_sender,
         status,
         calls,
--- a/crates/oatpier-agent/src/membership/machine.rs
+++ b/crates/oatpier-agent/src/membership/machine.rs
@@ -88,7 +88,7 @@
     pub(super) pending: FuturesUnordered<PeerFuture<CallResult>>,
     peers: Arc<dyn crate::peers::AgentPeers>,
     actions: Vec<AgentAction<FleetConfig>>,
-    plan_news: Vec<PlanUpdate>,
+    plan_updates: Vec<PlanUpdate>,
     weights: Vec<WeightsKey>,
     hints: PeriodicCall,
     placement: PeriodicCall,
@@ -118,7 +118,7 @@
             pending: FuturesUnordered::new(),
             peers: Arc::clone(&inputs.peers),
             actions: Vec::new(),
-            plan_news: Vec::new(),
+            plan_updates: Vec::new(),
             weights: Vec::new(),
             hints: PeriodicCall::new(HINTS_PERIOD, now),
             placement: PeriodicCall::new(PLACEMENT_PERIOD, now),
@@ -158,8 +158,8 @@
         for action in std::mem::take(&mut self.actions) {
             self.execute(action, inputs).await;
         }
-        for news in std::mem::take(&mut self.plan_news) {
-            inputs.plan.send(news).await;
+        for update in std::mem::take(&mut self.plan_updates) {
+            inputs.plan.send(update).await;
         }
     }
 
@@ -239,7 +239,7 @@
     fn expire_view(&mut self) {
         if self.view_until.is_some_and(|until| self.now >= until) {
             self.view_until = None;
-            self.plan_news.push(PlanUpdate::ViewExpired);
+            self.plan_updates.push(PlanUpdate::ViewExpired);
         }
     }
 
@@ -252,7 +252,7 @@
                 if let Some(view) = view {
                     self.fallback.entry_answered(&mut self.generator, self.now);
                     self.view_until = Some(self.now + VIEW_MAX_AGE);
-                    self.plan_news.push(PlanUpdate::View(view));
+                    self.plan_updates.push(PlanUpdate::View(view));
                 }
             }
             CallResult::Hints(rows) => self.apply_hints(rows, inputs),
@@ -292,7 +292,7 @@
     fn apply_store_view(&mut self, view: StoreView) {
         self.fallback.ended(&mut self.generator, self.now);
         let row = view.row.map(Box::new);
-        self.plan_news.extend(row.map(PlanUpdate::Row));
+        self.plan_updates.extend(row.map(PlanUpdate::Row));
         if let Some(record) = view.config {
             self.offer_config(&record);
         }
@@ -352,7 +352,7 @@
     let (generation, config) = (held.generation, held.value);
     let plan = PlanUpdate::Config(Arc::clone(&config));
     inputs
-        .news
+        .updates
         .send(WorkUpdate::Config { generation, config })
         .await;
     inputs.plan.send(plan).await;
--- a/crates/oatpier-agent/src/membership/mod.rs
+++ b/crates/oatpier-agent/src/membership/mod.rs
@@ -50,7 +50,7 @@
     /// The runtime's clock.
     pub clock: RuntimeClock,
     /// Sends updates to the work duty.
-    pub news: RingSender<WorkUpdate>,
+    pub updates: RingSender<WorkUpdate>,
     /// Sends updates to the orders duty.
     pub plan: RingSender<PlanUpdate>,
     /// Updates on the endpoint from the other duties.
--- a/crates/oatpier-agent/src/orders/mod.rs
+++ b/crates/oatpier-agent/src/orders/mod.rs
@@ -52,7 +52,7 @@
     /// Creates spans.
     pub tracer: HopTracer,
     /// Sends updates on the weights to the work duty.
-    pub news: RingSender<WorkUpdate>,
+    pub updates: RingSender<WorkUpdate>,
     /// Sends the weights to query entries about to the membership duty.
     pub status: RingSender<StatusUpdate>,
     /// Updates from membership.
@@ -124,11 +124,11 @@
             self.pending.push(self.io.start(task));
         }
         self.send_queried_weights();
-        let news = self.state.weights_news(now);
-        if has_changed(&news, &self.last_sent) {
-            self.last_sent.clone_from(&news);
-            let news = WorkUpdate::Weights(Box::new(news));
-            self.inputs.news.send(news).await;
+        let update = self.state.weights_update(now);
+        if has_changed(&update, &self.last_sent) {
+            self.last_sent.clone_from(&update);
+            let update = WorkUpdate::Weights(Box::new(update));
+            self.inputs.updates.send(update).await;
         }
     }
 
@@ -137,8 +137,8 @@
     fn send_queried_weights(&mut self) {
         let weights = self.state.weights_to_query();
         if weights != self.queried {
-            let news = StatusUpdate::Weights(weights.clone());
-            if self.inputs.status.try_send(news).is_ok() {
+            let update = StatusUpdate::Weights(weights.clone());
+            if self.inputs.status.try_send(update).is_ok() {
                 self.queried = weights;
             }
         }
@@ -153,28 +153,28 @@
                 let now = self.inputs.clock.now();
                 self.state.apply_result(done, now);
             }
-            Some(news) = self.inputs.plan.receive() => {
+            Some(update) = self.inputs.plan.receive() => {
                 let now = self.inputs.clock.now();
-                self.state.apply_plan_update(news, now);
+                self.state.apply_plan_update(update, now);
             }
-            Some(news) = self.inputs.asks.receive() => {
+            Some(message) = self.inputs.asks.receive() => {
                 let now = self.inputs.clock.now();
-                self.state.handle_message(news, now);
+                self.state.handle_message(message, now);
             }
             () = tokio::time::sleep_until(wake) => {}
         }
     }
 }
 
-/// Returns whether the update has_changed from the last one sent. The remaining time of a load is not
+/// Returns whether the update differs from the last one sent. The remaining time of a load is not
 /// compared, since it always decreases.
-fn has_changed(news: &WeightsUpdate, last_sent: &WeightsUpdate) -> bool {
-    let loading = |news: &WeightsUpdate| -> Vec<_> {
-        let rows = news.loading.iter();
+fn has_changed(update: &WeightsUpdate, last_sent: &WeightsUpdate) -> bool {
+    let loading = |update: &WeightsUpdate| -> Vec<_> {
+        let rows = update.loading.iter();
         rows.map(|row| row.weights.clone()).collect()
     };
-    news.ready != last_sent.ready
-        || news.draining != last_sent.draining
-        || news.round != last_sent.round
-        || loading(news) != loading(last_sent)
+    update.ready != last_sent.ready
+        || update.draining != last_sent.draining
+        || update.round != last_sent.round
+        || loading(update) != loading(last_sent)
 }
--- a/crates/oatpier-agent/src/orders/outlook.rs
+++ b/crates/oatpier-agent/src/orders/outlook.rs
@@ -35,7 +35,7 @@
     /// count as neither ready nor draining: attempts on them would be interrupted.
     pub fn fill(
         &self,
-        news: &mut WeightsUpdate,
+        update: &mut WeightsUpdate,
         keeper: &OrderKeeper,
         stepper: &MoveStepper,
         now: ClockTime,
@@ -53,9 +53,9 @@
             weights: weights.clone(),
             ready_in: self.remaining_load(weights, now),
         });
-        news.ready = ready;
-        news.loading = loading.collect();
-        news.draining = draining.collect();
+        update.ready = ready;
+        update.loading = loading.collect();
+        update.draining = draining.collect();
     }
 
     fn remaining_load(&self, weights: &WeightsKey, now: ClockTime) -> Duration {
--- a/crates/oatpier-agent/src/orders/state.rs
+++ b/crates/oatpier-agent/src/orders/state.rs
@@ -135,8 +135,8 @@
     }
 
     /// Applies an update from membership.
-    pub fn apply_plan_update(&mut self, news: PlanUpdate, _now: ClockTime) {
-        match news {
+    pub fn apply_plan_update(&mut self, update: PlanUpdate, _now: ClockTime) {
+        match update {
             PlanUpdate::Config(config) => self.apply_config(config),
             PlanUpdate::View(view) => self.placement.apply_view(*view),
             PlanUpdate::Row(row) => self.placement.apply_row(*row),
@@ -145,8 +145,8 @@
     }
 
     /// Handles a message from the work duty.
-    pub fn handle_message(&mut self, news: OrdersMessage, now: ClockTime) {
-        match news {
+    pub fn handle_message(&mut self, message: OrdersMessage, now: ClockTime) {
+        match message {
             OrdersMessage::Drains { round, counts } => self.drains.update(round, counts),
             OrdersMessage::Release { ask, reply } => self.handle_release(ask, reply, now),
         }
@@ -341,15 +341,15 @@
 
     /// Returns the availability of the endpoint's weights.
     #[must_use]
-    pub fn weights_news(&self, now: ClockTime) -> WeightsUpdate {
-        let mut news = WeightsUpdate {
+    pub fn weights_update(&self, now: ClockTime) -> WeightsUpdate {
+        let mut update = WeightsUpdate {
             round: self.drains.round(),
             ..WeightsUpdate::default()
         };
         if let Some(keeper) = &self.keeper {
-            self.loads.fill(&mut news, keeper, &self.stepper, now);
+            self.loads.fill(&mut update, keeper, &self.stepper, now);
         }
-        news
+        update
     }
 
     /// Returns the weights to query entries about: all that may be in memory, and all that are
--- a/crates/oatpier-agent/src/work.rs
+++ b/crates/oatpier-agent/src/work.rs
@@ -49,7 +49,7 @@
     /// Limits on connections and requests.
     pub limits: ServerLimits,
     /// Updates from the other duties.
-    pub news: RingReceiver<WorkUpdate>,
+    pub updates: RingReceiver<WorkUpdate>,
     /// Sends release requests and drain counts to the orders duty.
     pub asks: RingSender<OrdersMessage>,
     /// Sends the endpoint's status to the membership duty.
@@ -70,7 +70,7 @@
         core,
         listener,
         limits,
-        news,
+        updates,
         asks,
         status,
         calls,
@@ -91,7 +91,7 @@
     let serving = server::serve(listener, handler, limits, Arc::default(), closing);
     tokio::select! {
         () = serving => {}
-        () = reporter.run(&news, &stop) => {}
+        () = reporter.run(&updates, &stop) => {}
     }
 }
 
@@ -108,9 +108,9 @@
 
 impl WorkReporter {
     /// Runs all periodic tasks. Never returns.
-    pub async fn run(&self, news: &RingReceiver<WorkUpdate>, stop: &StopSignal) {
+    pub async fn run(&self, updates: &RingReceiver<WorkUpdate>, stop: &StopSignal) {
         tokio::select! {
-            () = self.apply_update(news) => {}
+            () = self.apply_updates(updates) => {}
             () = self.report_status() => {}
             () = self.report_drains() => {}
             () = self.core.run_timers() => {}
@@ -119,9 +119,9 @@
         }
     }
 
-    async fn apply_update(&self, news: &RingReceiver<WorkUpdate>) {
-        while let Some(news) = news.receive().await {
-            self.core.apply_update(news);
+    async fn apply_updates(&self, updates: &RingReceiver<WorkUpdate>) {
+        while let Some(update) = updates.receive().await {
+            self.core.apply_update(update);
             self.send_drains();
             self.send_status();
         }
--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -159,16 +159,16 @@
             tracer.clone(),
             stop.clone(),
         ));
-        let (news_sender, news) = ring(64, RingRule::Wait, metrics.ring("news"));
+        let (update_sender, updates) = ring(64, RingRule::Wait, metrics.ring("news"));
         let (plan_sender, plan) = ring(64, RingRule::Wait, metrics.ring("plan"));
         let (asks_sender, asks) = ring(64, RingRule::Drop, metrics.ring("asks"));
         let (status, _) = ring(1, RingRule::Drop, metrics.ring("status"));
         let config = Arc::new(config(self.shape));
         let generation = Generation(1);
-        let news_config = Arc::clone(&config);
+        let core_config = Arc::clone(&config);
         core.apply_update(WorkUpdate::Config {
             generation,
-            config: news_config,
+            config: core_config,
         });
         assert!(plan_sender.try_send(PlanUpdate::Config(config)).is_ok());
         let mut peers = self.peers.asks.lock().unwrap();
@@ -183,7 +183,7 @@
             clock,
             metrics,
             tracer,
-            news: news_sender,
+            updates: update_sender,
             status: status.clone(),
             plan,
             asks,
@@ -194,7 +194,7 @@
             asks: asks_sender,
             status,
         };
-        let work = run_work(reporter, news, stop.clone());
+        let work = run_work(reporter, updates, stop.clone());
         TestAgent {
             core,
             stop,
@@ -359,6 +359,6 @@
     }
 }
 
-async fn run_work(reporter: WorkReporter, news: RingReceiver<WorkUpdate>, stop: StopSignal) {
-    reporter.run(&news, &stop).await;
+async fn run_work(reporter: WorkReporter, updates: RingReceiver<WorkUpdate>, stop: StopSignal) {
+    reporter.run(&updates, &stop).await;
 }
--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -129,7 +129,7 @@
     store: Arc<LocalStore>,
     vms: Arc<LocalVms>,
     stop: StopSignal,
-    news: RingReceiver<WorkUpdate>,
+    updates: RingReceiver<WorkUpdate>,
     plan: RingReceiver<PlanUpdate>,
     duty: tokio::task::JoinHandle<()>,
     _status: RingSender<StatusUpdate>,
@@ -163,7 +163,7 @@
         let (entries, stop) = (Arc::new(TestEntries::default()), StopSignal::default());
         let (store, vms) = (Arc::new(LocalStore::new()), Arc::new(LocalVms::new()));
         vms.set_rows(vm_rows(VmState::Live));
-        let (news_sender, news) = ring(64, RingRule::Wait, Counter::default());
+        let (update_sender, updates) = ring(64, RingRule::Wait, Counter::default());
         let (plan_sender, plan) = ring(4_096, RingRule::Wait, Counter::default());
         let (status_sender, status) = ring(64, RingRule::Drop, Counter::default());
         let (calls_sender, calls) = ring(64, RingRule::Drop, Counter::default());
@@ -177,7 +177,7 @@
             vms: vms.clone(),
             peers: entries.clone(),
             clock: RuntimeClock::start(),
-            news: news_sender,
+            updates: update_sender,
             plan: plan_sender,
             status,
             calls,
@@ -188,7 +188,7 @@
             store,
             vms,
             stop,
-            news,
+            updates,
             plan,
             duty: tokio::spawn(membership(inputs)),
             _status: status_sender,
@@ -197,17 +197,18 @@
     }
 
     fn generations(&self) -> Vec<u64> {
-        let news = std::iter::from_fn(|| self.news.try_receive());
-        news.filter_map(|news| match news {
-            WorkUpdate::Config { generation, .. } => Some(generation.0),
-            _ => None,
-        })
-        .collect()
+        let updates = std::iter::from_fn(|| self.updates.try_receive());
+        updates
+            .filter_map(|update| match update {
+                WorkUpdate::Config { generation, .. } => Some(generation.0),
+                _ => None,
+            })
+            .collect()
     }
 
     fn stamps(&self) -> Vec<(u64, u64)> {
-        let news = std::iter::from_fn(|| self.plan.try_receive());
-        let rows = news.filter_map(|news| match news {
+        let updates = std::iter::from_fn(|| self.plan.try_receive());
+        let rows = updates.filter_map(|update| match update {
             PlanUpdate::View(view) => view.plan,
             PlanUpdate::Row(row) => Some(*row),
             PlanUpdate::Config(_) | PlanUpdate::ViewExpired => None,
@@ -217,9 +218,10 @@
     }
 
     fn is_view_expired(&self) -> bool {
-        let news = std::iter::from_fn(|| self.plan.try_receive());
-        news.last()
-            .is_some_and(|news| matches!(news, PlanUpdate::ViewExpired))
+        let updates = std::iter::from_fn(|| self.plan.try_receive());
+        updates
+            .last()
+            .is_some_and(|update| matches!(update, PlanUpdate::ViewExpired))
     }
 
     /// Returns the entries that received heartbeats since the last call.
--- a/crates/oatpier-standin/examples/standin.rs
+++ b/crates/oatpier-standin/examples/standin.rs
@@ -1,6 +1,6 @@
-//! Serves one stand-in of the platform, for tests with separate processes.
+//! Serves one stand-in for a platform service, for tests with separate processes.
 //!
-//! It prints one JSON line, `{"listening": "127.0.0.1:PORT"}`, and serves until it is killed.
+//! It prints one JSON line, `{"listening": "127.0.0.1:PORT"}`, and serves until the process is killed.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use oatpier_types::names::{AdapterName, EndpointName, ModelName, NameError, VersionName};
 use serde::Serialize;
 
-/// Weights as a flag gives them: `MODEL[+ADAPTER][:VERSION][:MIB]`.
+/// Weights in the format of a flag: `MODEL[+ADAPTER][:VERSION][:MIB]`.
 #[derive(Debug, Clone)]
 struct WeightsFlag {
     weights: WeightsKey,
--- a/crates/oatpier-standin/src/clock.rs
+++ b/crates/oatpier-standin/src/clock.rs
@@ -1,16 +1,16 @@
-//! The runtime's clock as the cores see it.
+//! The runtime's clock, converted to the time type of the cores.
 
 use oatpier_types::clock::ClockTime;
 use tokio::time::Instant;
 
-/// Counts from the stand-in's own start on the runtime's clock.
+/// Clock that counts from its own start, on the runtime's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct StandinClock {
     start: Instant,
 }
 
 impl StandinClock {
-    /// Starts to count now.
+    /// Creates a clock that starts now.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -18,13 +18,13 @@
         }
     }
 
-    /// The present point.
+    /// Returns the current time.
     #[must_use]
     pub fn now(&self) -> ClockTime {
         ClockTime::from_start(self.start.elapsed())
     }
 
-    /// The runtime's instant of a point; none for a point that never comes.
+    /// Returns the runtime's instant of a point in time, or `None` for [`ClockTime::NEVER`].
     #[must_use]
     pub fn instant(&self, point: ClockTime) -> Option<Instant> {
         if point == ClockTime::NEVER {
@@ -33,7 +33,7 @@
         Some(self.start + point.since(ClockTime::ZERO))
     }
 
-    /// Sleeps until a point; forever if it never comes.
+    /// Sleeps until a point in time. Never returns for [`ClockTime::NEVER`].
     pub async fn sleep_until(&self, point: ClockTime) {
         match self.instant(point) {
             Some(instant) => tokio::time::sleep_until(instant).await,
--- a/crates/oatpier-standin/src/engine/cache.rs
+++ b/crates/oatpier-standin/src/engine/cache.rs
@@ -6,10 +6,10 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::CacheEvent;
 
-/// Events that are kept for readers; older ones become a gap.
+/// Number of events that are kept for readers. Older ones are lost and become a gap.
 const KEPT_EVENTS: usize = 4_096;
 
-/// The blocks of prompts that an engine needs not read again, the least recently used go first.
+/// Blocks of prompts that an engine need not read again. The least recently used block is evicted first.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     capacity: usize,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// How many leading blocks of `prefix` are there.
+    /// Returns how many leading blocks of `prefix` are cached.
     pub(super) fn cached_blocks(&self, prefix: &[u64]) -> usize {
         prefix
             .iter()
@@ -44,7 +44,7 @@
             .count()
     }
 
-    /// Puts all blocks of a prompt in, or marks them as used.
+    /// Inserts all blocks of a prompt, or marks them as used.
     pub(super) fn insert(&mut self, now: ClockTime, prefix: &[u64]) {
         for block in prefix.iter().take(self.capacity) {
             self.touch(now, *block);
@@ -89,11 +89,11 @@
         }
     }
 
-    /// The events after a number that may be seen by now.
+    /// Returns the events after a sequence number that are visible at `now`.
     pub(super) fn events(&self, now: ClockTime, after: u64) -> Vec<CacheEvent> {
         self.events
             .iter()
-            .take_while(|(seen, _)| *seen <= now)
+            .take_while(|(visible, _)| *visible <= now)
             .filter(|(_, event)| event.sequence > after)
             .map(|(_, event)| event.clone())
             .collect()
--- a/crates/oatpier-standin/src/engine/completion.rs
+++ b/crates/oatpier-standin/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! The usual interface of completions, as far as tests need it.
+//! The subset of the OpenAI-compatible completion API that tests need.
 
 use bytes::Bytes;
 use futures::{StreamExt, stream};
@@ -13,10 +13,10 @@
 use crate::answer::{prompt_hash, prompt_tokens, token_text};
 use crate::serve::{Answer, AnswerBody, CallerIds, DropConnection, WholeRequest, json, with_body};
 
-/// Tokens of an answer whose request names no number.
+/// Tokens of an answer whose request sets no maximum.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// The body of a request for a completion; other members are ignored.
+/// Body of a request for a completion. Other members are ignored.
 #[derive(Debug)]
 #[derive(Deserialize)]
 pub(super) struct CompletionBody {
@@ -37,9 +37,9 @@
     content: String,
 }
 
-/// What is needed to write an answer's text.
+/// Data of a request that is needed to format its answer.
 #[derive(Debug)]
-pub(super) struct AnswerPlace {
+pub(super) struct AnswerFormat {
     id: String,
     model: String,
     chat: bool,
@@ -77,7 +77,7 @@
 }
 
 impl CompletionBody {
-    /// The prompt: the text, or the contents of the messages, one a line.
+    /// Returns the prompt: the text, or the contents of the messages, one per line.
     fn prompt(&self, chat: bool) -> String {
         if !chat {
             return self.prompt.clone();
@@ -94,13 +94,13 @@
         self,
         request: &WholeRequest,
         chat: bool,
-    ) -> (EngineRequest, AnswerPlace) {
+    ) -> (EngineRequest, AnswerFormat) {
         let ids = CallerIds::of(request);
         let prompt = self.prompt(chat);
         let max_tokens = self.max_tokens.or(self.max_completion_tokens);
         let max_tokens = max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
         let number = |name| request.header(name).and_then(|value| value.parse().ok());
-        let place = AnswerPlace {
+        let format = AnswerFormat {
             id: ids.attempt.to_string(),
             model: self.model.clone(),
             chat,
@@ -112,7 +112,7 @@
             attempt: ids.attempt,
             request: ids.request,
             key: request.header("idempotency-key").map(str::to_owned),
-            prompt_hash: place.prompt_hash,
+            prompt_hash: format.prompt_hash,
             prompt_tokens: prompt_tokens(&prompt),
             prefix: prefix_chain(&self.model, &prompt),
             target: self.model,
@@ -120,11 +120,11 @@
             priority: number("x-priority").unwrap_or(0),
             resume_after: number("x-resume-after").unwrap_or(0),
         };
-        (engine_request, place)
+        (engine_request, format)
     }
 }
 
-impl AnswerPlace {
+impl AnswerFormat {
     fn completion(&self, object: &'static str, choice: CompletionChoice) -> Completion<'_> {
         Completion {
             id: &self.id,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// One token as a server-sent event. The last token says that the answer ends there.
+    /// Returns one token as a server-sent event. The event of the last token has a finish reason.
     fn token_event(&self, index: u32) -> String {
         let text = token_text(self.prompt_hash, index);
         let mut choice = self.choice(text, true);
@@ -167,19 +167,19 @@
     }
 }
 
-/// An answer of server-sent events, one token an event.
-pub(super) fn stream_answer(place: AnswerPlace, run: RunStream) -> Response<AnswerBody> {
-    let frames = stream::unfold(Some((place, run)), |state| async move {
-        let (place, mut run) = state?;
+/// Creates an answer of server-sent events, with one token per event.
+pub(super) fn streamed_answer(format: AnswerFormat, run: RunStream) -> Response<AnswerBody> {
+    let frames = stream::unfold(Some((format, run)), |state| async move {
+        let (format, mut run) = state?;
         match run.next().await {
             Some(OutputKind::Token(index)) => {
-                let event = place.token_event(index);
-                Some((Ok(data(event)), Some((place, run))))
+                let event = format.token_event(index);
+                Some((Ok(data(event)), Some((format, run))))
             }
             Some(OutputKind::Done) => Some((Ok(data("data: [DONE]\n\n")), None)),
             Some(OutputKind::Cut) | None => {
-                // The server drops what it has not yet flushed when a body fails. A pending body
-                // makes it flush, so that the tokens before the cut arrive.
+                // When a body fails, the server discards data that it has not yet flushed. A pending
+                // body makes it flush, so that the tokens before the interruption arrive.
                 tokio::task::yield_now().await;
                 Some((Err(DropConnection), None))
             }
@@ -193,22 +193,22 @@
     Frame::data(text.into())
 }
 
-/// An answer in one piece.
-pub(super) async fn whole_answer(place: AnswerPlace, mut run: RunStream) -> Answer {
+/// Creates an answer that is not streamed.
+pub(super) async fn full_answer(format: AnswerFormat, mut run: RunStream) -> Answer {
     let mut text = String::new();
     loop {
         match run.next().await {
-            Some(OutputKind::Token(index)) => text += &token_text(place.prompt_hash, index),
+            Some(OutputKind::Token(index)) => text += &token_text(format.prompt_hash, index),
             Some(OutputKind::Done) => break,
             Some(OutputKind::Cut) | None => return Err(DropConnection),
         }
     }
-    let mut choice = place.choice(text, false);
+    let mut choice = format.choice(text, false);
     choice.finish_reason = Some("length");
-    let object = if place.chat {
+    let object = if format.chat {
         "chat.completion"
     } else {
         "text_completion"
     };
-    Ok(json(StatusCode::OK, &place.completion(object, choice)))
+    Ok(json(StatusCode::OK, &format.completion(object, choice)))
 }
--- a/crates/oatpier-standin/src/engine/core.rs
+++ b/crates/oatpier-standin/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The engine as a plain struct that does its steps when told to advance.
+//! The engine without I/O. Its steps run in [`EngineCore::advance`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,10 +25,10 @@
     order: EngineOrder,
 }
 
-/// An engine that batches continuously.
+/// An engine with continuous batching.
 ///
-/// Call [`EngineCore::advance`] at or after
-/// [`EngineCore::next_time`]; what was due before is done with the times at which it was due.
+/// Call [`EngineCore::advance`] at or after [`EngineCore::next_time`]. Work that was due earlier is
+/// processed with the times at which it was due.
 #[derive(Debug)]
 pub struct EngineCore {
     pub(super) options: EngineOptions,
@@ -50,7 +50,7 @@
 }
 
 impl EngineCore {
-    /// An engine at the start of its life.
+    /// Creates an engine that has just started.
     #[must_use]
     pub fn new(options: EngineOptions, store: SharedWeights) -> Self {
         let mut core = Self {
@@ -75,19 +75,19 @@
         core
     }
 
-    /// What it is like.
+    /// Returns the options of the engine.
     #[must_use]
     pub fn options(&self) -> &EngineOptions {
         &self.options
     }
 
-    /// The fault switches, with what is left of the counts.
+    /// Returns the current faults, with the remaining counts.
     #[must_use]
     pub fn faults(&self) -> EngineFaults {
         self.faults
     }
 
-    /// Replaces all fault switches.
+    /// Replaces all faults.
     pub fn set_faults(&mut self, now: ClockTime, faults: EngineFaults) {
         self.faults = faults;
         if faults.frozen {
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Takes a request, which waits for a slot.
+    /// Accepts a request, which waits for a slot.
     ///
     /// # Errors
     ///
-    /// See [`SubmitError`].
+    /// Returns a [`SubmitError`] if the request is refused.
     pub fn submit(
         &mut self,
         now: ClockTime,
@@ -131,68 +131,68 @@
         Ok(number)
     }
 
-    /// Ends all runs of an attempt. Says whether there was one.
+    /// Ends all runs of an attempt. Returns whether there was one.
     pub fn cancel(&mut self, now: ClockTime, attempt: AttemptId) -> bool {
-        self.cut(now, |run| run.request.attempt == attempt)
+        self.end_runs(now, |run| run.request.attempt == attempt)
     }
 
-    /// Ends one run.
+    /// Ends one run. Returns whether it existed.
     pub fn cancel_run(&mut self, now: ClockTime, number: RunNumber) -> bool {
-        self.cut(now, |run| run.number == number)
+        self.end_runs(now, |run| run.number == number)
     }
 
-    fn cut(&mut self, now: ClockTime, ends: impl Fn(&EngineRun) -> bool) -> bool {
+    fn end_runs(&mut self, now: ClockTime, ends: impl Fn(&EngineRun) -> bool) -> bool {
         let waiting: Vec<(u32, RunNumber)> = self
             .waiting
             .iter()
             .filter(|(_, run)| ends(run))
-            .map(|(place, _)| *place)
+            .map(|(key, _)| *key)
             .collect();
-        let mut gone: Vec<EngineRun> = self.running.extract_if(.., |run| ends(run)).collect();
-        for place in waiting {
-            gone.extend(self.take_waiting(place));
+        let mut ended: Vec<EngineRun> = self.running.extract_if(.., |run| ends(run)).collect();
+        for key in waiting {
+            ended.extend(self.take_waiting(key));
         }
-        let cuts = gone.iter().map(|run| run.output(now, OutputKind::Cut));
-        self.outputs.extend(cuts);
+        let outputs = ended.iter().map(|run| run.output(now, OutputKind::Cut));
+        self.outputs.extend(outputs);
         self.report_load(now);
-        !gone.is_empty()
+        !ended.is_empty()
     }
 
-    pub(super) fn take_waiting(&mut self, place: (u32, RunNumber)) -> Option<EngineRun> {
-        let run = self.waiting.remove(&place)?;
+    pub(super) fn take_waiting(&mut self, key: (u32, RunNumber)) -> Option<EngineRun> {
+        let run = self.waiting.remove(&key)?;
         self.waiting_tokens -= run.request.prompt_tokens;
         Some(run)
     }
 
-    /// Takes an order, or what the fault switches make of it.
+    /// Executes an order, with the injected faults applied.
     ///
     /// # Errors
     ///
-    /// [`OrderError::Stale`] and [`OrderError::Refused`]: it has no effect.
-    /// [`OrderError::Unknown`]: a fault switch took the answer.
+    /// Returns [`OrderError::Stale`] or [`OrderError::Refused`] if the order has no effect, and
+    /// [`OrderError::Unknown`] if an injected fault suppresses the answer.
     pub fn order(&mut self, now: ClockTime, order: &EngineOrder) -> Result<(), OrderError> {
         let late = LateOrder {
             due: now + Duration::from_millis(self.faults.late_ms),
             order: order.clone(),
         };
-        if take_one(&mut self.faults.lose_orders) {
-            return Err(no_answer());
+        if use_fault(&mut self.faults.lose_orders) {
+            return Err(answer_lost());
         }
-        if take_one(&mut self.faults.late_orders) {
+        if use_fault(&mut self.faults.late_orders) {
             self.late_orders.push(late);
-            return Err(no_answer());
+            return Err(answer_lost());
         }
-        if take_one(&mut self.faults.double_orders) {
+        if use_fault(&mut self.faults.double_orders) {
             self.late_orders.push(late);
         }
-        let result = self.carry_out(now, order);
-        if take_one(&mut self.faults.lose_order_answers) {
-            return Err(no_answer());
+        let result = self.execute(now, order);
+        if use_fault(&mut self.faults.lose_order_answers) {
+            return Err(answer_lost());
         }
         result
     }
 
-    fn carry_out(&mut self, now: ClockTime, order: &EngineOrder) -> Result<(), OrderError> {
+    fn execute(&mut self, now: ClockTime, order: &EngineOrder) -> Result<(), OrderError> {
         if let Some(highest) = self.highest.filter(|highest| order.number < *highest) {
             return Err(OrderError::Stale { highest });
         }
@@ -201,7 +201,7 @@
         }
         let before = self.memory.used_mib();
         self.memory
-            .carry_out(now, &self.options, &order.action)
+            .execute(now, &self.options, &order.action)
             .map_err(|cause| OrderError::Refused { cause })?;
         if self.options.record {
             let endpoint = self.options.endpoint.clone();
@@ -216,14 +216,14 @@
             self.log_memory(now);
         }
         if let OrderAction::Unload { weights } = &order.action {
-            self.cut_unloaded(now, weights);
+            self.end_unloaded_runs(now, weights);
         }
         Ok(())
     }
 
-    fn cut_unloaded(&mut self, now: ClockTime, weights: &WeightsKey) {
+    fn end_unloaded_runs(&mut self, now: ClockTime, weights: &WeightsKey) {
         if self.memory.state_of(weights) != Some(WeightsState::Ready) {
-            self.cut(now, |run| run.weights == *weights);
+            self.end_runs(now, |run| run.weights == *weights);
         }
     }
 
@@ -239,7 +239,7 @@
         self.events.push(LoggedEvent { at: now, event });
     }
 
-    /// When there is next something to do.
+    /// Returns when [`EngineCore::advance`] must be called next.
     #[must_use]
     pub fn next_time(&self) -> ClockTime {
         if !self.outputs.is_empty() {
@@ -260,25 +260,25 @@
             .unwrap_or(ClockTime::NEVER)
     }
 
-    /// Does all that is due by `now` and gives what came out, oldest first.
+    /// Processes all work that is due by `now` and returns its outputs, oldest first.
     pub fn advance(&mut self, now: ClockTime) -> Vec<EngineOutput> {
         loop {
             let due = self.next_due();
             if due > now || due == ClockTime::NEVER {
                 return std::mem::take(&mut self.outputs);
             }
-            self.do_due(due);
+            self.process_due(due);
         }
     }
 
-    fn do_due(&mut self, due: ClockTime) {
+    fn process_due(&mut self, due: ClockTime) {
         let late: Vec<LateOrder> = self
             .late_orders
             .extract_if(.., |late| late.due <= due)
             .collect();
         for late in late {
-            // Nobody waits for the answer to a late order.
-            let _ = self.carry_out(due, &late.order);
+            // The result is ignored, as the sender of a late order no longer waits for the answer.
+            let _ = self.execute(due, &late.order);
         }
         if self.memory.finish(due) {
             self.log_memory(due);
@@ -300,7 +300,7 @@
         self.loads.push(now, report);
     }
 
-    /// What it holds now, not lagged.
+    /// Returns the current state, without lag.
     #[must_use]
     pub fn state(&self) -> EngineState {
         EngineState {
@@ -311,72 +311,72 @@
         }
     }
 
-    /// The names of models and adapters that it serves now.
+    /// Returns the names of the models and adapters that the engine serves now.
     #[must_use]
     pub fn served_names(&self) -> Vec<String> {
         self.memory.served_names()
     }
 
-    /// Memory for weights in use, in MiB.
+    /// Returns the memory that weights use, in MiB.
     #[must_use]
     pub fn used_mib(&self) -> u64 {
         self.memory.used_mib()
     }
 
-    /// How often a load went past the memory there is.
+    /// Returns how often a load exceeded the memory.
     #[must_use]
     pub fn overcommits(&self) -> u64 {
         self.memory.overcommits
     }
 
-    /// The load, lagged.
+    /// Returns the load, with its lag.
     #[must_use]
     pub fn load(&self, now: ClockTime) -> LoadReport {
         self.loads.read(now)
     }
 
-    /// The cache events after a number, late and with gaps.
+    /// Returns the cache events after a sequence number, with their lag and gaps.
     #[must_use]
     pub fn cache_events(&self, now: ClockTime, after: u64) -> Vec<CacheEvent> {
         self.cache.events(now, after)
     }
 
-    /// Answers that came to their end.
+    /// Returns the number of complete answers.
     #[must_use]
     pub fn completed(&self) -> u64 {
         self.completed
     }
 
-    /// The requests that began to run.
+    /// Returns the requests that began to run.
     #[must_use]
     pub fn runs(&self) -> &[RunRecord] {
         &self.runs
     }
 
-    /// The events so far.
+    /// Returns the events recorded so far.
     #[must_use]
     pub fn events(&self) -> &[LoggedEvent] {
         &self.events
     }
 
-    /// Takes the events so far, and leaves none.
+    /// Removes and returns the events recorded so far.
     pub fn take_events(&mut self) -> Vec<LoggedEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Whether the next stream is to be cut, and after how many tokens.
+    /// Returns after how many tokens the next stream must break off, if that fault is injected.
     pub(super) fn take_cut(&mut self) -> Option<u32> {
-        take_one(&mut self.faults.cut_streams).then_some(self.faults.cut_after)
+        use_fault(&mut self.faults.cut_streams).then_some(self.faults.cut_after)
     }
 }
 
-fn take_one(count: &mut u32) -> bool {
-    let there = *count > 0;
+fn use_fault(count: &mut u32) -> bool {
+    let is_active = *count > 0;
     *count = count.saturating_sub(1);
-    there
+    is_active
 }
 
-fn no_answer() -> OrderError {
+fn answer_lost() -> OrderError {
     OrderError::Unknown {
         cause: "the connection broke".to_owned(),
     }
--- a/crates/oatpier-standin/src/engine/http.rs
+++ b/crates/oatpier-standin/src/engine/http.rs
@@ -11,7 +11,7 @@
 use oatpier_types::ids::{AttemptId, OrderNumber};
 use serde::Serialize;
 
-use super::completion::{CompletionBody, stream_answer, whole_answer};
+use super::completion::{CompletionBody, full_answer, streamed_answer};
 use super::{EngineOptions, LocalEngine, SubmitError};
 use crate::clock::StandinClock;
 use crate::serve::{
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_engine(
     address: SocketAddr,
     options: EngineOptions,
@@ -137,11 +137,11 @@
         Ok(body) => body,
         Err(response) => return Ok(*response),
     };
-    let (engine_request, place) = body.into_request(request, chat);
-    let streamed = place.stream;
+    let (engine_request, format) = body.into_request(request, chat);
+    let streamed = format.stream;
     match engine.submit(engine_request) {
-        Ok(stream) if streamed => Ok(stream_answer(place, stream)),
-        Ok(stream) => whole_answer(place, stream).await,
+        Ok(stream) if streamed => Ok(streamed_answer(format, stream)),
+        Ok(stream) => full_answer(format, stream).await,
         Err(error) => Ok(refusal(error)),
     }
 }
--- a/crates/oatpier-standin/src/engine/local.rs
+++ b/crates/oatpier-standin/src/engine/local.rs
@@ -31,7 +31,7 @@
             let Some(stream) = self.streams.get(&output.run) else {
                 continue;
             };
-            // A stream whose reader went away cancels its run by itself.
+            // An error is ignored: a stream that is dropped by its reader cancels its run.
             let _ = stream.send(output.kind);
             if !matches!(output.kind, OutputKind::Token(_)) {
                 self.streams.remove(&output.run);
@@ -40,12 +40,11 @@
     }
 }
 
-/// An engine inside the process. A task of the current runtime does its steps, until the engine
-/// is dropped.
+/// In-process engine. A task of the current runtime runs its steps until the engine is dropped.
 pub struct LocalEngine {
     clock: StandinClock,
     shared: Mutex<LocalShared>,
-    /// Says that there may be something to do earlier than the task thinks.
+    /// Notifies the task that work may be due earlier than scheduled.
     wake: Arc<Notify>,
 }
 
@@ -56,7 +55,7 @@
 }
 
 impl LocalEngine {
-    /// Starts an engine on the current runtime. Engines that share a weight store share a clock.
+    /// Starts an engine on the current runtime. Engines that share a weight store must share a clock.
     #[must_use]
     pub fn start(options: EngineOptions, store: SharedWeights, clock: StandinClock) -> Arc<Self> {
         let engine = Arc::new(Self {
@@ -67,7 +66,7 @@
             }),
             wake: Arc::new(Notify::new()),
         });
-        tokio::spawn(drive(Arc::downgrade(&engine), Arc::clone(&engine.wake)));
+        tokio::spawn(run_steps(Arc::downgrade(&engine), Arc::clone(&engine.wake)));
         engine
     }
 
@@ -75,7 +74,7 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Uses the core at the present time, after what is due by now.
+    /// Calls a function with the core and the current time, after processing all work that is due.
     pub fn with_core<T>(&self, call: impl FnOnce(&mut EngineCore, ClockTime) -> T) -> T {
         let now = self.clock.now();
         let mut shared = self.lock();
@@ -87,16 +86,16 @@
         result
     }
 
-    /// Replaces all fault switches.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.with_core(|core, now| core.set_faults(now, faults));
     }
 
-    /// Starts a run and gives its stream.
+    /// Starts a run and returns its stream.
     ///
     /// # Errors
     ///
-    /// See [`SubmitError`].
+    /// Returns a [`SubmitError`] if the request is refused.
     pub fn submit(self: &Arc<Self>, request: EngineRequest) -> Result<RunStream, SubmitError> {
         let (sender, receiver) = mpsc::unbounded_channel();
         let now = self.clock.now();
@@ -116,12 +115,12 @@
         })
     }
 
-    /// Cancels an attempt. Says whether it ran or waited.
+    /// Cancels an attempt. Returns whether it was running or queued.
     pub fn cancel_attempt(&self, attempt: AttemptId) -> bool {
         self.with_core(|core, now| core.cancel(now, attempt))
     }
 
-    /// Does what is due and gives when there is more.
+    /// Processes all work that is due, and returns when more is due.
     fn advance(&self) -> (StandinClock, ClockTime) {
         let mut shared = self.lock();
         let outputs = shared.core.advance(self.clock.now());
@@ -130,7 +129,7 @@
     }
 }
 
-async fn drive(engine: Weak<LocalEngine>, wake: Arc<Notify>) {
+async fn run_steps(engine: Weak<LocalEngine>, wake: Arc<Notify>) {
     while let Some(engine) = engine.upgrade() {
         let (clock, next) = engine.advance();
         drop(engine);
@@ -141,7 +140,7 @@
     }
 }
 
-/// What comes out of one run. Dropping it cancels the run.
+/// Outputs of one run. Dropping the stream cancels the run.
 pub struct RunStream {
     engine: Arc<LocalEngine>,
     run: RunNumber,
@@ -150,7 +149,7 @@
 }
 
 impl RunStream {
-    /// The next output; none after [`OutputKind::Done`] or [`OutputKind::Cut`].
+    /// Returns the next output. The last one is [`OutputKind::Done`] or [`OutputKind::Cut`].
     pub async fn next(&mut self) -> Option<OutputKind> {
         match &mut self.cut_after {
             Some(0) => return Some(OutputKind::Cut),
@@ -204,7 +203,7 @@
 }
 
 impl LocalEngine {
-    /// Fails while the engine is down.
+    /// Returns an error while the engine is down.
     pub(super) fn check_up(&self) -> Result<(), ReportError> {
         if self.lock().core.faults().down {
             let cause = "the connection broke".to_owned();
--- a/crates/oatpier-standin/src/engine/memory.rs
+++ b/crates/oatpier-standin/src/engine/memory.rs
@@ -1,4 +1,4 @@
-//! The weights of an engine and the memory that they take.
+//! Weights of an engine, and the memory that they use.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::{EngineRole, HeldWeights, OrderAction, WeightsKey, WeightsState};
@@ -15,14 +15,15 @@
     done: ClockTime,
 }
 
-/// What an engine holds. Memory is counted from the start of a load to the end of an unload.
+/// Weights and role of an engine. Memory is counted from the start of a load to the end of an
+/// unload.
 #[derive(Debug)]
 pub(super) struct EngineMemory {
     store: SharedWeights,
     held: Vec<HeldEntry>,
     role: EngineRole,
     next_role: Option<(ClockTime, EngineRole)>,
-    /// How often a load went past the memory there is.
+    /// How often a load exceeded the memory.
     pub(super) overcommits: u64,
 }
 
@@ -84,8 +85,8 @@
             .collect()
     }
 
-    /// The ready weights that serve a model or an adapter of this name; those that were loaded
-    /// last, if there are several versions.
+    /// Returns the ready weights that serve a model or an adapter with this name. Of several
+    /// versions, the one that was loaded last.
     pub(super) fn serving(&self, name: &str) -> Option<&WeightsKey> {
         self.held
             .iter()
@@ -95,7 +96,7 @@
             .find(|weights| served_name(weights) == name)
     }
 
-    /// The names that can be served now.
+    /// Returns the names of the models and adapters that can be served now.
     pub(super) fn served_names(&self) -> Vec<String> {
         let mut names: Vec<String> = self
             .held
@@ -108,8 +109,8 @@
         names
     }
 
-    /// Carries out an order, or says why not. Weights that it begins to unload stop serving.
-    pub(super) fn carry_out(
+    /// Executes an order, or returns why it is refused. Weights stop serving when their unload begins.
+    pub(super) fn execute(
         &mut self,
         now: ClockTime,
         options: &EngineOptions,
@@ -167,7 +168,7 @@
         Ok(())
     }
 
-    /// Whether adapters are held that would be left without their base model.
+    /// Returns whether an unload would leave held adapters without their base model.
     fn is_last_base(&self, weights: &WeightsKey) -> bool {
         let same_model = |entry: &&HeldEntry| entry.weights.model == weights.model;
         let is_other_base = |entry: &HeldEntry| {
@@ -188,7 +189,7 @@
             .map(|entry| entry.state)
     }
 
-    /// When the next load, unload or change of role is done.
+    /// Returns when the next load, unload or change of role ends.
     pub(super) fn next_time(&self) -> ClockTime {
         let role = self.next_role.map(|(at, _)| at);
         self.held
@@ -199,7 +200,8 @@
             .unwrap_or(ClockTime::NEVER)
     }
 
-    /// Finishes what is done by now. Says whether the memory in use changed.
+    /// Completes all loads, unloads and changes of role that end by `now`. Returns whether the memory
+    /// in use changed.
     pub(super) fn finish(&mut self, now: ClockTime) -> bool {
         if let Some((_, role)) = self.next_role.take_if(|(at, _)| *at <= now) {
             self.role = role;
--- a/crates/oatpier-standin/src/engine/mod.rs
+++ b/crates/oatpier-standin/src/engine/mod.rs
@@ -1,7 +1,7 @@
-//! A stand-in of a model engine with continuous batching.
+//! A stand-in for a model engine with continuous batching.
 //!
-//! - [`EngineCore`]: the engine as a plain struct; takes the time as an argument and does its
-//!   steps when told to advance. A bench drives it directly.
+//! - [`EngineCore`]: the engine without I/O. It takes the time as an argument and runs its steps in
+//!   [`EngineCore::advance`]. Benchmarks use it directly.
 //! - [`LocalEngine`]: the core on the runtime's clock, with streams.
 //! - [`start_engine`]: the HTTP server around a [`LocalEngine`].
 
--- a/crates/oatpier-standin/src/engine/options.rs
+++ b/crates/oatpier-standin/src/engine/options.rs
@@ -1,4 +1,4 @@
-//! What an engine is like, and what goes wrong with it.
+//! Options and injected faults of an engine.
 
 use std::time::Duration;
 
@@ -6,49 +6,49 @@
 use oatpier_types::names::EndpointName;
 use serde::{Deserialize, Serialize};
 
-/// What an engine is like.
+/// Options of an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineOptions {
-    /// Its name in events.
+    /// Name of the engine in events.
     pub endpoint: EndpointName,
     /// Memory for weights, in MiB.
     pub memory_mib: u64,
-    /// Requests that it generates for at once.
+    /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// Requests that may wait inside it; more are refused.
+    /// Maximum number of queued requests. Further requests are refused.
     pub queue: usize,
-    /// Time of a step without its requests.
+    /// Base duration of a step, without its requests.
     pub step: Duration,
     /// Time that each running request adds to a step.
     pub step_per_request: Duration,
     /// Time that each prompt token adds to the step that reads it.
     pub prompt_token: Duration,
-    /// Prompt tokens that one step reads at most.
+    /// Maximum number of prompt tokens that one step reads.
     pub chunk_tokens: u32,
-    /// Blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// How late cache events come.
+    /// Delay of cache events.
     pub cache_lag: Duration,
-    /// Each so-manieth cache event is never published; 0: all are.
+    /// Interval of cache events that are never published: 16 drops every 16th event, 0 drops none.
     pub cache_gap: u64,
-    /// How late load reports are.
+    /// Delay of load reports.
     pub load_lag: Duration,
-    /// Time of an unload.
+    /// Duration of an unload.
     pub unload: Duration,
-    /// Time of a change of role.
+    /// Duration of a change of role.
     pub role_change: Duration,
-    /// Whether it refuses an order with an old number.
+    /// Whether the engine refuses an order with an old number.
     pub checks_order_numbers: bool,
-    /// Its role at the start.
+    /// Role at the start.
     pub role: EngineRole,
     /// Weights that are ready at the start, base models before their adapters.
     pub preloaded: Vec<WeightsKey>,
-    /// Whether it keeps [`RunRecord`](super::RunRecord)s and events.
+    /// Whether the engine keeps [`RunRecord`](super::RunRecord)s and events.
     pub record: bool,
 }
 
 impl EngineOptions {
-    /// A small engine of this name, empty at the start.
+    /// Returns the options of a small engine with this name that is empty at the start.
     #[must_use]
     pub fn named(endpoint: EndpointName) -> Self {
         Self {
@@ -74,29 +74,29 @@
     }
 }
 
-/// An engine's fault switches. The default is an engine without faults.
+/// Faults that an engine injects. The default is none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct EngineFaults {
-    /// Drops each connection without an answer; steps go on.
+    /// Drops each connection without an answer. Steps continue.
     pub down: bool,
-    /// Takes no step, finishes no load and carries out no late order.
+    /// Runs no step, finishes no load and executes no late order.
     pub frozen: bool,
-    /// Steps take so many percent longer.
+    /// Percentage by which steps take longer.
     pub slower_percent: u32,
-    /// So many of the next orders are lost: no answer and no effect.
+    /// Number of next orders that are lost: no answer and no effect.
     pub lose_orders: u32,
-    /// So many of the next orders take effect and lose their answer.
+    /// Number of next orders that take effect and lose their answer.
     pub lose_order_answers: u32,
-    /// So many of the next orders give no answer and take effect after `late-ms`.
+    /// Number of next orders that get no answer and take effect after `late-ms`.
     pub late_orders: u32,
-    /// So many of the next orders take effect at once and again after `late-ms`.
+    /// Number of next orders that take effect at once and again after `late-ms`.
     pub double_orders: u32,
-    /// How late late and doubled orders are, in milliseconds.
+    /// Delay of late orders and of the second execution of doubled orders, in milliseconds.
     pub late_ms: u64,
-    /// So many of the next streams are cut after `cut-after` tokens.
+    /// Number of next streams that break off after `cut-after` tokens.
     pub cut_streams: u32,
-    /// Tokens that a cut stream gives.
+    /// Number of tokens of a stream that breaks off.
     pub cut_after: u32,
 }
--- a/crates/oatpier-standin/src/engine/reports.rs
+++ b/crates/oatpier-standin/src/engine/reports.rs
@@ -1,4 +1,4 @@
-//! What an engine records of itself, and its lagged load reports.
+//! Records of an engine's runs, and its delayed load reports.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use oatpier_types::engine::LoadReport;
 use serde::{Deserialize, Serialize};
 
-/// A request that began to run, for checks that it ran at most once.
+/// Record of a request that began to run, used to check that it ran at most once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct RunRecord {
@@ -17,15 +17,15 @@
     pub request: String,
     /// The caller's idempotency key.
     pub key: Option<String>,
-    /// The model or adapter that was asked for.
+    /// The requested model or adapter.
     pub target: String,
     /// The hash of the prompt.
     pub prompt_hash: u64,
-    /// Tokens that it resumed after.
+    /// Number of tokens after which the answer was resumed.
     pub resume_after: u32,
 }
 
-/// The load of the recent past, so that a reader gets it late.
+/// Recent load reports, which readers get after a delay.
 #[derive(Debug, Default)]
 pub(super) struct LoadHistory {
     lag: Duration,
@@ -45,20 +45,20 @@
             return;
         }
         self.reports.push_back((now, report));
-        self.forget(now);
+        self.prune(now);
     }
 
-    fn forget(&mut self, now: ClockTime) {
-        let seen = now - self.lag;
-        while self.reports.get(1).is_some_and(|(at, _)| *at <= seen) {
+    fn prune(&mut self, now: ClockTime) {
+        let visible = now - self.lag;
+        while self.reports.get(1).is_some_and(|(at, _)| *at <= visible) {
             self.reports.pop_front();
         }
     }
 
-    /// The load as it was one lag ago.
+    /// Returns the load as it was one lag ago.
     pub(super) fn read(&self, now: ClockTime) -> LoadReport {
-        let seen = now - self.lag;
-        let past = self.reports.iter().rev().find(|(at, _)| *at <= seen);
+        let visible = now - self.lag;
+        let past = self.reports.iter().rev().find(|(at, _)| *at <= visible);
         LoadReport {
             age_ms: u32::try_from(self.lag.as_millis()).unwrap_or(u32::MAX),
             ..past.map(|(_, report)| *report).unwrap_or_default()
--- a/crates/oatpier-standin/src/engine/run.rs
+++ b/crates/oatpier-standin/src/engine/run.rs
@@ -1,71 +1,71 @@
-//! A request to an engine, and what comes out of it.
+//! Requests to an engine, and the outputs of their runs.
 
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::request::PrefixChain;
 
-/// The engine's own number of a run; two runs of one attempt differ in it.
+/// Number that the engine assigns to a run. Two runs of one attempt have different numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RunNumber(pub u64);
 
 /// A request to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineRequest {
-    /// The attempt; a cancel names it.
+    /// The attempt, by which the request can be cancelled.
     pub attempt: AttemptId,
-    /// The request that it belongs to.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The caller's idempotency key.
     pub key: Option<String>,
     /// The model or adapter.
     pub target: String,
-    /// The hash of the prompt, which settles the answer.
+    /// The hash of the prompt, which determines the answer.
     pub prompt_hash: u64,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
     /// The prompt's blocks, for the prefix cache.
     pub prefix: PrefixChain,
-    /// Tokens of the whole answer.
+    /// Number of tokens of the complete answer.
     pub max_tokens: u32,
-    /// Lower goes first.
+    /// Priority: lower values run first.
     pub priority: u32,
-    /// Tokens that are not generated again.
+    /// Number of leading tokens that are not generated again.
     pub resume_after: u32,
 }
 
-/// Why an engine doesn't take a request. It did not run.
+/// Reason why an engine refuses a request. The request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitError {
     /// The model or adapter is not ready.
     NotReady,
-    /// Too many requests wait.
+    /// The queue is full.
     QueueFull,
-    /// The engine's role is to read prompts only.
+    /// The engine's role is to process prompts only.
     PrefillOnly,
 }
 
-/// What comes out of a run.
+/// Kind of an output of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutputKind {
-    /// A token, by its place in the whole answer.
+    /// A token, by its index in the complete answer.
     Token(u32),
-    /// The answer is whole.
+    /// The answer is complete.
     Done,
-    /// The run ended before its end: cancelled, or its weights were unloaded.
+    /// The run ended early: it was cancelled, or its weights were unloaded.
     Cut,
 }
 
-/// Something that came out of a run.
+/// An output of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineOutput {
-    /// When.
+    /// Time of the output.
     pub at: ClockTime,
     /// The run.
     pub run: RunNumber,
     /// The run's attempt.
     pub attempt: AttemptId,
-    /// What.
+    /// Kind of the output.
     pub kind: OutputKind,
 }
 
--- a/crates/oatpier-standin/src/engine/step.rs
+++ b/crates/oatpier-standin/src/engine/step.rs
@@ -1,4 +1,4 @@
-//! The steps of an engine: fill the slots, read prompts, generate a token for each.
+//! Steps of an engine: fill the slots, read prompts, generate one token per running request.
 
 use std::time::Duration;
 
@@ -22,19 +22,19 @@
         }
         let read = self.read_prompts(now);
         let decoding = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
-        let whole = self.options.step
+        let total = self.options.step
             + self.options.step_per_request * decoding
             + self.options.prompt_token * read;
-        let slow = whole * (100 + self.faults.slower_percent) / 100;
-        self.step_end = Some(now + slow.max(Duration::from_micros(1)));
+        let duration = total * (100 + self.faults.slower_percent) / 100;
+        self.step_end = Some(now + duration.max(Duration::from_micros(1)));
     }
 
     fn fill_slots(&mut self, now: ClockTime) {
         while self.running.len() < self.options.slots {
-            let Some(place) = self.waiting.keys().next().copied() else {
+            let Some(key) = self.waiting.keys().next().copied() else {
                 return;
             };
-            if let Some(run) = self.take_waiting(place) {
+            if let Some(run) = self.take_waiting(key) {
                 self.start_run(now, run);
             }
         }
@@ -44,8 +44,8 @@
         let request = &run.request;
         let cached = self.cache.cached_blocks(&request.prefix);
         let cached = u32::try_from(cached).unwrap_or(0) * BLOCK_TOKENS;
-        let whole = request.prompt_tokens + request.resume_after;
-        run.prefill_left = whole.saturating_sub(cached).max(1);
+        let total = request.prompt_tokens + request.resume_after;
+        run.prefill_left = total.saturating_sub(cached).max(1);
         self.record_run(now, &run.request);
         self.running.push(run);
     }
@@ -71,7 +71,7 @@
         self.events.push(LoggedEvent { at: now, event });
     }
 
-    /// Reads a chunk of the prompts that are not read yet, the most urgent first.
+    /// Reads a chunk of the unread prompts in order of priority. Returns the number of tokens read.
     fn read_prompts(&mut self, now: ClockTime) -> u32 {
         self.running
             .sort_by_key(|run| (run.request.priority, run.number));
--- a/crates/oatpier-standin/src/lib.rs
+++ b/crates/oatpier-standin/src/lib.rs
@@ -1,20 +1,21 @@
-//! Small stand-ins of the platform, for tests and the quickstart only.
+//! Small stand-ins for the platform's services, for tests and the quickstart only.
 //!
-//! Each stand-in has three layers: a plain core that takes the time as an argument, an in-process
-//! form on the runtime's clock that implements the trait of `oatpier-ports` (a test that pauses
-//! the clock uses this one), and an HTTP server around the in-process form. Faults are switched on
-//! in the in-process form or by `POST /standin/faults`, so that all ways in meet the same faults.
+//! Each stand-in has three layers: a core that takes the time as an argument, an in-process
+//! implementation of the trait of `oatpier-ports` on the runtime's clock (used by tests that pause
+//! the clock), and an HTTP server around the in-process implementation. Faults are injected through
+//! the in-process implementation or with `POST /standin/faults`, so that they apply to both kinds
+//! of callers.
 //!
-//! Not for use: a stand-in keeps everything in memory, trusts its callers and never forgets what
-//! it recorded.
+//! Not for production use: a stand-in keeps everything in memory, trusts its callers and never
+//! discards its records.
 //!
 //! - [`store`]: the key-value service.
-//! - [`vms`]: the lagging list of VMs.
+//! - [`vms`]: the list of VMs, which lags.
 //! - [`weights`]: the weight store, limited in rate and concurrency.
 //! - [`engine`]: a model engine with continuous batching.
 //! - [`service`]: a plain service.
-//! - [`answer`]: which answer belongs to which prompt.
-//! - [`serve`]: the HTTP server that they share.
+//! - [`answer`]: the answer to a prompt.
+//! - [`serve`]: the HTTP server that the stand-ins share.
 //! - [`work`]: an engine or plain service as an `EndpointWork`, without sockets.
 
 pub mod answer;
--- a/crates/oatpier-standin/src/serve.rs
+++ b/crates/oatpier-standin/src/serve.rs
@@ -18,10 +18,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, JoinSet};
 
-/// The largest body that a stand-in reads, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The connection is to be dropped without an answer, or in the middle of one.
+/// Error that makes the server drop the connection, without an answer or in the middle of one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DropConnection;
 
@@ -33,20 +33,20 @@
 
 impl std::error::Error for DropConnection {}
 
-/// The body of an answer. An `Err` cuts the connection.
+/// Body of an answer. An `Err` closes the connection.
 pub type AnswerBody = UnsyncBoxBody<Bytes, DropConnection>;
 
-/// An answer, or none at all.
+/// An answer, or an error that drops the connection without one.
 pub type Answer = Result<Response<AnswerBody>, DropConnection>;
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Debug, Default)]
 pub struct WholeRequest {
     /// The method, in capitals.
     pub method: String,
-    /// The path, as it was sent.
+    /// The path, not decoded.
     pub path: String,
-    /// The query, without its question mark.
+    /// The query, without the question mark.
     pub query: String,
     /// The headers.
     pub headers: HeaderMap,
@@ -55,7 +55,7 @@
 }
 
 impl WholeRequest {
-    /// The path with its query, as it was sent.
+    /// Returns the path with the query, not decoded.
     #[must_use]
     pub fn path_and_query(&self) -> String {
         if self.query.is_empty() {
@@ -64,7 +64,7 @@
         format!("{}?{}", self.path, self.query)
     }
 
-    /// A parameter of the query, as it was sent.
+    /// Returns a parameter of the query, not decoded.
     #[must_use]
     pub fn parameter(&self, name: &str) -> Option<&str> {
         self.query
@@ -74,7 +74,7 @@
             .map(|(_, value)| value)
     }
 
-    /// A numeric parameter of the query; 0 if it is absent or not a number.
+    /// Returns a numeric parameter of the query, or 0 if it is absent or not a number.
     #[must_use]
     pub fn number(&self, name: &str) -> u64 {
         self.parameter(name)
@@ -82,7 +82,7 @@
             .unwrap_or(0)
     }
 
-    /// A header's value, if it is text.
+    /// Returns the value of a header, if it is text.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
@@ -92,24 +92,24 @@
     ///
     /// # Errors
     ///
-    /// A `400` answer that says what is wrong.
+    /// Returns a `400` answer with the decoding error.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Box<Response<AnswerBody>>> {
         serde_json::from_slice(&self.body)
             .map_err(|error| Box::new(plain(StatusCode::BAD_REQUEST, error.to_string())))
     }
 }
 
-/// What answers the requests of one stand-in.
+/// Handler of the requests to one stand-in.
 pub trait RequestHandler: Send + Sync + 'static {
     /// Answers one request.
     fn handle(self: Arc<Self>, request: WholeRequest) -> BoxFuture<'static, Answer>;
 }
 
-/// A stand-in that serves. Dropping it closes its port and cuts its connections.
+/// A running server of a stand-in. Dropping it closes the port and the connections.
 pub struct Running<H> {
     /// The bound address.
     pub address: SocketAddr,
-    /// The stand-in, for faults and records.
+    /// The stand-in, to inject faults and read records.
     pub handle: Arc<H>,
     task: JoinHandle<()>,
 }
@@ -121,7 +121,7 @@
 }
 
 impl<H> Running<H> {
-    /// Serves until the process ends.
+    /// Waits forever while the server runs.
     pub async fn forever(mut self) {
         let _ = (&mut self.task).await;
     }
@@ -131,7 +131,7 @@
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start<H: RequestHandler>(
     address: SocketAddr,
     handler: Arc<H>,
@@ -161,10 +161,10 @@
 }
 
 async fn serve_connection<H: RequestHandler>(stream: TcpStream, handler: Arc<H>) {
-    // Without this a streamed token waits for the acknowledgement of the one before.
+    // Without this, a streamed token is delayed until the previous one is acknowledged.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| answer(request, Arc::clone(&handler)));
-    // An error here is a cut connection, and the caller has seen it.
+    // An error means that the connection was closed, which the caller has detected.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
@@ -192,12 +192,12 @@
         .boxed_unsync()
 }
 
-/// An answer of plain text.
+/// Creates an answer of plain text.
 pub fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<AnswerBody> {
     with_body(status, "text/plain", full(text.into()))
 }
 
-/// An answer of JSON.
+/// Creates an answer of JSON.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<AnswerBody> {
     match serde_json::to_vec(value) {
         Ok(bytes) => with_body(status, "application/json", full(bytes.into())),
@@ -205,7 +205,7 @@
     }
 }
 
-/// An answer without a body.
+/// Creates an answer without a body.
 #[must_use]
 pub fn empty(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(full(Bytes::new()));
@@ -213,7 +213,7 @@
     response
 }
 
-/// An answer with a body of some type.
+/// Creates an answer with a body of the given content type.
 #[must_use]
 pub fn with_body(
     status: StatusCode,
@@ -227,23 +227,23 @@
     response
 }
 
-/// The answer to a path that the stand-in doesn't serve.
+/// Creates the answer to a path that the stand-in doesn't serve.
 #[must_use]
 pub fn not_found() -> Response<AnswerBody> {
     plain(StatusCode::NOT_FOUND, "no such path")
 }
 
-/// Who asks, from the headers of a request to an endpoint.
+/// Ids of the attempt and the request, from the headers of a call to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerIds {
-    /// From `x-request-id`; 0 if there is none.
+    /// The attempt from `x-request-id`, or 0 without that header.
     pub attempt: AttemptId,
-    /// The trace id of `traceparent`, else the attempt.
+    /// The trace id of `traceparent`, or the attempt without that header.
     pub request: RequestId,
 }
 
 impl CallerIds {
-    /// Reads the headers.
+    /// Reads the ids from the headers.
     #[must_use]
     pub fn of(request: &WholeRequest) -> Self {
         let hex = |text: &str| u128::from_str_radix(text, 16).ok();
--- a/crates/oatpier-standin/src/service.rs
+++ b/crates/oatpier-standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in of a plain service, which records each call.
+//! A stand-in for a plain service, which records each call.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,13 +18,13 @@
     json, not_found, start,
 };
 
-/// A call that the service acted on.
+/// A call that the service executed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct ServiceCall {
-    /// Its place among the calls, from 1.
+    /// Sequence number of the call, starting at 1.
     pub number: u64,
-    /// The method, in capitals.
+    /// The method, in upper case.
     pub method: String,
     /// The path, with the query.
     pub path: String,
@@ -36,18 +36,18 @@
     pub key: Option<String>,
 }
 
-/// The service's fault switches.
+/// Faults that the service injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct ServiceFaults {
-    /// Drops each connection, and acts on nothing.
+    /// Drops each connection, and executes no call.
     pub down: bool,
-    /// Time between acting on a call and answering it, in milliseconds.
+    /// Time between executing a call and answering it, in milliseconds.
     pub delay_ms: u64,
-    /// So many of the next calls are acted on and lose their answer.
+    /// Number of next calls that are executed and lose their answer.
     pub lose_answers: u32,
-    /// Answers `500` after it has acted.
+    /// Answers `500` after executing a call.
     pub fail: bool,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl LocalService {
-    /// A service of this name.
+    /// Creates a service with this name.
     #[must_use]
     pub fn new(endpoint: EndpointName, clock: StandinClock) -> Self {
         Self {
@@ -81,24 +81,24 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces the fault switches.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: ServiceFaults) {
         self.lock().faults = faults;
     }
 
-    /// The calls that it acted on.
+    /// Returns the calls that were executed.
     #[must_use]
     pub fn calls(&self) -> Vec<ServiceCall> {
         self.lock().calls.clone()
     }
 
-    /// The events so far.
+    /// Returns the events recorded so far.
     #[must_use]
     pub fn events(&self) -> Vec<LoggedEvent> {
         self.lock().events.clone()
     }
 
-    fn act(&self, request: &WholeRequest) -> ServiceCall {
+    fn execute(&self, request: &WholeRequest) -> ServiceCall {
         let ids = CallerIds::of(request);
         let key = request.header("idempotency-key");
         let event = FleetEvent::RunStarted {
@@ -129,15 +129,15 @@
         if request.path == "/health" {
             return Ok(empty(StatusCode::OK));
         }
-        let call = self.act(request);
-        let (faults, loses) = {
+        let call = self.execute(request);
+        let (faults, is_answer_lost) = {
             let mut shared = self.lock();
-            let loses = shared.faults.lose_answers > 0;
+            let is_answer_lost = shared.faults.lose_answers > 0;
             shared.faults.lose_answers = shared.faults.lose_answers.saturating_sub(1);
-            (shared.faults, loses)
+            (shared.faults, is_answer_lost)
         };
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
-        if loses {
+        if is_answer_lost {
             return Err(DropConnection);
         }
         let status = if faults.fail {
@@ -180,7 +180,7 @@
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_service(
     address: SocketAddr,
     endpoint: EndpointName,
--- a/crates/oatpier-standin/src/store/core.rs
+++ b/crates/oatpier-standin/src/store/core.rs
@@ -10,8 +10,8 @@
 
 use super::MAX_VALUE_BYTES;
 
-/// The last change of a key. A removed key keeps its place, so that a watch that was away
-/// still learns of the removal.
+/// Last change of a key. The entry of a removed key is kept, so that a later watch still returns
+/// the removal.
 #[derive(Debug)]
 struct KeyEntry {
     revision: Revision,
@@ -25,10 +25,10 @@
     lapses: ClockTime,
 }
 
-/// The keys and leases of one store. Each call first drops the leases that have lapsed.
+/// Keys and leases of one store. Each call first removes the leases that have lapsed.
 ///
-/// A watch gets the last change of each key, not each change: two writes to one key between two
-/// looks are seen as one.
+/// A watch returns only the last change of each key: two writes to one key between two calls are
+/// returned as one change.
 #[derive(Debug, Default)]
 pub struct StoreCore {
     revision: Revision,
@@ -38,26 +38,26 @@
 }
 
 impl StoreCore {
-    /// An empty store.
+    /// Creates an empty store.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The revision of the last change of any key.
+    /// Returns the revision of the last change of any key.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// When the next lease lapses if it isn't renewed.
+    /// Returns when the next lease lapses if it isn't renewed.
     #[must_use]
     pub fn next_lapse(&self) -> ClockTime {
         let lapses = self.leases.values().map(|lease| lease.lapses);
         lapses.min().unwrap_or(ClockTime::NEVER)
     }
 
-    /// Drops the leases that have lapsed, and the values bound to them.
+    /// Removes the leases that have lapsed, and the values bound to them.
     pub fn expire(&mut self, now: ClockTime) {
         while let Some(lease) = self.lapsed_lease(now) {
             self.drop_lease(lease);
@@ -105,23 +105,26 @@
     /// Reads all values under a prefix, sorted by key.
     pub fn list(&mut self, now: ClockTime, prefix: &str) -> Vec<StoredValue> {
         self.expire(now);
-        self.under(prefix)
+        self.entries_under(prefix)
             .filter_map(|(key, entry)| stored(key, entry))
             .collect()
     }
 
-    fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a String, &'a KeyEntry)> {
+    fn entries_under<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> impl Iterator<Item = (&'a String, &'a KeyEntry)> {
         self.keys
             .range(prefix.to_owned()..)
             .take_while(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// Writes a value if what is there is as expected.
+    /// Writes a value if the current state of the key is as expected.
     ///
     /// # Errors
     ///
-    /// [`StoreError::TooLarge`], [`StoreError::LeaseLapsed`] or [`StoreError::Conflict`], and
-    /// then nothing was written.
+    /// Returns [`StoreError::TooLarge`], [`StoreError::LeaseLapsed`] or [`StoreError::Conflict`].
+    /// Nothing is written then.
     pub fn put(
         &mut self,
         now: ClockTime,
@@ -141,11 +144,11 @@
         Ok(self.change(key.to_owned(), Some(value), lease))
     }
 
-    /// Removes a key if what is there is as expected.
+    /// Removes a key if its current state is as expected.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`], and then nothing was removed.
+    /// Returns [`StoreError::Conflict`]. Nothing is removed then.
     pub fn delete(
         &mut self,
         now: ClockTime,
@@ -169,19 +172,19 @@
 
     fn check(&self, key: &str, expected: ExpectedValue) -> Result<(), StoreError> {
         let current = self.current(key);
-        let as_expected = match expected {
+        let is_expected = match expected {
             ExpectedValue::Any => true,
             ExpectedValue::Absent => current == Revision(0),
             ExpectedValue::At(revision) => current == revision,
         };
-        if as_expected {
+        if is_expected {
             Ok(())
         } else {
             Err(StoreError::Conflict { current })
         }
     }
 
-    /// Makes a lease.
+    /// Grants a lease.
     pub fn grant_lease(&mut self, now: ClockTime, ttl: Duration) -> LeaseId {
         self.last_lease += 1;
         let lapses = now + ttl;
@@ -194,7 +197,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::LeaseLapsed`].
+    /// Returns [`StoreError::LeaseLapsed`] if the lease has lapsed.
     pub fn renew_lease(&mut self, now: ClockTime, lease: LeaseId) -> Result<(), StoreError> {
         self.expire(now);
         let entry = self
@@ -205,17 +208,17 @@
         Ok(())
     }
 
-    /// Ends a lease, and the values bound to it.
+    /// Removes a lease, and the values bound to it.
     pub fn revoke_lease(&mut self, now: ClockTime, lease: LeaseId) {
         self.expire(now);
         self.drop_lease(lease);
     }
 
-    /// The last changes of keys under `prefix` that are later than `after`, oldest first.
+    /// Returns the last changes of keys under `prefix` that are later than `after`, oldest first.
     pub fn changes(&mut self, now: ClockTime, prefix: &str, after: Revision) -> Vec<KeyChange> {
         self.expire(now);
         let mut changes: Vec<KeyChange> = self
-            .under(prefix)
+            .entries_under(prefix)
             .filter(|(_, entry)| entry.revision > after)
             .map(|(key, entry)| KeyChange {
                 key: key.clone(),
--- a/crates/oatpier-standin/src/store/http.rs
+++ b/crates/oatpier-standin/src/store/http.rs
@@ -20,12 +20,12 @@
     not_found, plain, start, with_body,
 };
 
-/// A value or a change as it goes over the wire.
+/// A value or a change in an answer.
 #[derive(Serialize)]
 struct ValueRow {
     key: String,
     revision: u64,
-    /// In base64; `null` if the key was removed.
+    /// The value in base64, or `null` if the key was removed.
     value: Option<String>,
 }
 
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_store(address: SocketAddr) -> std::io::Result<Running<LocalStore>> {
     start(address, Arc::new(LocalStore::new())).await
 }
@@ -75,7 +75,7 @@
     result.or_else(|error| refusal(&error))
 }
 
-/// A path with its percent-encoded bytes decoded; what is no such byte stays as it is.
+/// Decodes the percent-encoded bytes of a path. Invalid encodings stay unchanged.
 fn decode_path(path: &str) -> String {
     let mut pieces = path.split('%');
     let mut bytes = pieces.next().unwrap_or("").as_bytes().to_vec();
@@ -112,9 +112,9 @@
     response
 }
 
-type Handled = Result<Response<AnswerBody>, StoreError>;
+type HandlerResult = Result<Response<AnswerBody>, StoreError>;
 
-async fn get(store: &LocalStore, key: &str) -> Handled {
+async fn get(store: &LocalStore, key: &str) -> HandlerResult {
     let Some(found) = store.get(key).await? else {
         return Ok(plain(StatusCode::NOT_FOUND, "no such key"));
     };
@@ -123,7 +123,7 @@
     Ok(with_revision(response, found.revision))
 }
 
-async fn put(store: &LocalStore, key: &str, request: &WholeRequest) -> Handled {
+async fn put(store: &LocalStore, key: &str, request: &WholeRequest) -> HandlerResult {
     let Some(expected) = expected(request) else {
         return Ok(bad_expect());
     };
@@ -136,7 +136,7 @@
     Ok(with_revision(empty(StatusCode::OK), revision))
 }
 
-async fn delete(store: &LocalStore, key: &str, request: &WholeRequest) -> Handled {
+async fn delete(store: &LocalStore, key: &str, request: &WholeRequest) -> HandlerResult {
     let Some(expected) = expected(request) else {
         return Ok(bad_expect());
     };
@@ -144,7 +144,7 @@
     Ok(empty(StatusCode::NO_CONTENT))
 }
 
-async fn list(store: &LocalStore, prefix: &str) -> Handled {
+async fn list(store: &LocalStore, prefix: &str) -> HandlerResult {
     let rows: Vec<ValueRow> = store
         .list(prefix)
         .await?
@@ -154,7 +154,7 @@
     Ok(json(StatusCode::OK, &rows))
 }
 
-async fn watch(store: &LocalStore, prefix: &str, request: &WholeRequest) -> Handled {
+async fn watch(store: &LocalStore, prefix: &str, request: &WholeRequest) -> HandlerResult {
     let after = Revision(request.number("after"));
     let wait = Duration::from_millis(request.number("wait_ms"));
     let rows: Vec<ValueRow> = store
@@ -166,7 +166,7 @@
     Ok(json(StatusCode::OK, &rows))
 }
 
-async fn lease(store: &LocalStore, rest: &str, request: &WholeRequest) -> Handled {
+async fn lease(store: &LocalStore, rest: &str, request: &WholeRequest) -> HandlerResult {
     let (id, verb) = rest.split_once('/').unwrap_or((rest, ""));
     let id = id.parse().map(LeaseId);
     match (request.method.as_str(), id, verb) {
--- a/crates/oatpier-standin/src/store/local.rs
+++ b/crates/oatpier-standin/src/store/local.rs
@@ -1,4 +1,4 @@
-//! The store on the runtime's clock, with watches, accounting and faults.
+//! The store on the runtime's clock, with watches, counts of calls and faults.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -14,37 +14,37 @@
 use super::StoreCore;
 use crate::clock::StandinClock;
 
-/// How a store that is down behaves.
+/// Behaviour of a store that is down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DownMode {
-    /// It answers `503`: nothing was done, and the caller knows it.
+    /// It answers `503`: the call had no effect, and the caller knows it.
     Refuse,
-    /// It drops the connection: nothing was done, and the caller doesn't know it.
+    /// It drops the connection: the call had no effect, but the caller doesn't know it.
     Drop,
 }
 
-/// The store's fault switches. The default is a store without faults.
+/// Faults that the store injects. The default is none.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct StoreFaults {
-    /// Whether it is down. A call that waits when it goes down fails as well.
+    /// Whether and how the store is down. Calls that wait when it goes down fail as well.
     pub down: Option<DownMode>,
     /// Delay before each call takes effect, in milliseconds.
     pub slow_ms: u64,
-    /// So many of the next writes (puts and deletes) take effect and lose their answer.
+    /// Number of next writes (puts and deletes) that take effect and lose their answer.
     pub lose_answers: u32,
-    /// So many of the next writes are lost before they take effect.
+    /// Number of next writes that are lost before they take effect.
     pub lose_writes: u32,
-    /// Only writes to keys with this prefix are lost.
+    /// Prefix of the keys whose writes or answers are lost.
     pub lose_prefix: String,
-    /// Watches break, those that wait included.
+    /// Makes watches fail, including those that wait.
     pub break_watches: bool,
 }
 
-/// Calls that the store has counted, by kind. A call that it refused counts.
+/// Numbers of calls to the store, by kind. Refused calls are counted too.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct StoreCalls {
@@ -58,18 +58,18 @@
     pub deletes: u64,
     /// Leases granted, renewed and revoked.
     pub leases: u64,
-    /// Watches, each once however long it waits.
+    /// Watches. Each counts once, however long it waits.
     pub watches: u64,
 }
 
 impl StoreCalls {
-    /// Calls that count against the read rate.
+    /// Returns the number of calls that count towards the read rate.
     #[must_use]
     pub fn reads(&self) -> u64 {
         self.gets + self.lists + self.watches
     }
 
-    /// Calls that count against the write rate.
+    /// Returns the number of calls that count towards the write rate.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.puts + self.deletes + self.leases
@@ -83,13 +83,13 @@
     calls: StoreCalls,
 }
 
-/// A key-value service inside the process, on the runtime's clock.
+/// In-process key-value service, on the runtime's clock.
 #[derive(Debug)]
 pub struct LocalStore {
     clock: StandinClock,
     shared: Mutex<StoreShared>,
-    /// Counts changes of keys and faults, so that waiting watches look again.
-    wakes: watch::Sender<u64>,
+    /// Counts changes of keys, leases and faults, so that waiting watches check again.
+    changes_count: watch::Sender<u64>,
 }
 
 impl Default for LocalStore {
@@ -98,22 +98,22 @@
     }
 }
 
-/// What the fault switches make of a write.
+/// Effect of the injected faults on a write.
 #[derive(PartialEq)]
-enum WriteFate {
-    Whole,
+enum WriteOutcome {
+    Complete,
     AnswerLost,
     WriteLost,
 }
 
 impl LocalStore {
-    /// An empty store without faults, whose clock starts now.
+    /// Creates an empty store without faults, whose clock starts now.
     #[must_use]
     pub fn new() -> Self {
         Self {
             clock: StandinClock::start(),
             shared: Mutex::default(),
-            wakes: watch::Sender::new(0),
+            changes_count: watch::Sender::new(0),
         }
     }
 
@@ -121,29 +121,29 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces all fault switches.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.lock().faults = faults;
-        self.wake();
+        self.wake_watches();
     }
 
-    /// The fault switches as they stand now, with what is left of the counts.
+    /// Returns the current faults, with the remaining counts.
     #[must_use]
     pub fn faults(&self) -> StoreFaults {
         self.lock().faults.clone()
     }
 
-    /// The calls counted so far.
+    /// Returns the calls counted so far.
     #[must_use]
     pub fn calls(&self) -> StoreCalls {
         self.lock().calls
     }
 
-    fn wake(&self) {
-        self.wakes.send_modify(|count| *count += 1);
+    fn wake_watches(&self) {
+        self.changes_count.send_modify(|count| *count += 1);
     }
 
-    async fn admit(&self, count: fn(&mut StoreCalls) -> &mut u64) -> Result<(), StoreError> {
+    async fn begin_call(&self, count: fn(&mut StoreCalls) -> &mut u64) -> Result<(), StoreError> {
         let slow = {
             let mut shared = self.lock();
             *count(&mut shared.calls) += 1;
@@ -155,29 +155,29 @@
         check_down(&self.lock().faults)
     }
 
-    /// Does a write as the fault switches have it.
+    /// Executes a write, with the injected faults applied.
     fn write<T>(
         &self,
         key: &str,
         effect: impl FnOnce(&mut StoreCore) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
-        let (fate, result) = {
+        let (outcome, result) = {
             let mut shared = self.lock();
-            let fate = write_fate(&mut shared.faults, key);
-            if fate == WriteFate::WriteLost {
+            let outcome = write_outcome(&mut shared.faults, key);
+            if outcome == WriteOutcome::WriteLost {
                 return Err(answer_lost());
             }
-            (fate, effect(&mut shared.core))
+            (outcome, effect(&mut shared.core))
         };
-        self.wake();
-        match fate {
-            WriteFate::Whole => result,
-            WriteFate::AnswerLost | WriteFate::WriteLost => Err(answer_lost()),
+        self.wake_watches();
+        match outcome {
+            WriteOutcome::Complete => result,
+            WriteOutcome::AnswerLost | WriteOutcome::WriteLost => Err(answer_lost()),
         }
     }
 
-    /// One look of a watch: the changes so far, or none and when the next lease lapses.
-    fn look(
+    /// Returns the changes after a revision, and when the next lease lapses.
+    fn poll_changes(
         &self,
         prefix: &str,
         after: Revision,
@@ -200,16 +200,16 @@
         wait: Duration,
     ) -> Result<Vec<KeyChange>, StoreError> {
         let deadline = tokio::time::Instant::now() + wait;
-        let mut wakes = self.wakes.subscribe();
+        let mut changes_count = self.changes_count.subscribe();
         loop {
-            wakes.mark_unchanged();
-            let (changes, lapse) = self.look(prefix, after)?;
+            changes_count.mark_unchanged();
+            let (changes, lapse) = self.poll_changes(prefix, after)?;
             if !changes.is_empty() || tokio::time::Instant::now() >= deadline {
                 return Ok(changes);
             }
             let until = lapse.map_or(deadline, |lapse| lapse.min(deadline));
             tokio::select! {
-                _ = wakes.changed() => {}
+                _ = changes_count.changed() => {}
                 () = tokio::time::sleep_until(until) => {}
             }
         }
@@ -226,19 +226,19 @@
     }
 }
 
-fn write_fate(faults: &mut StoreFaults, key: &str) -> WriteFate {
+fn write_outcome(faults: &mut StoreFaults, key: &str) -> WriteOutcome {
     if !key.starts_with(&faults.lose_prefix) {
-        return WriteFate::Whole;
+        return WriteOutcome::Complete;
     }
     if faults.lose_writes > 0 {
         faults.lose_writes -= 1;
-        return WriteFate::WriteLost;
+        return WriteOutcome::WriteLost;
     }
     if faults.lose_answers > 0 {
         faults.lose_answers -= 1;
-        return WriteFate::AnswerLost;
+        return WriteOutcome::AnswerLost;
     }
-    WriteFate::Whole
+    WriteOutcome::Complete
 }
 
 fn answer_lost() -> StoreError {
@@ -250,7 +250,7 @@
 impl KeyStore for LocalStore {
     fn get<'a>(&'a self, key: &'a str) -> BoxFuture<'a, Result<Option<StoredValue>, StoreError>> {
         async move {
-            self.admit(|calls| &mut calls.gets).await?;
+            self.begin_call(|calls| &mut calls.gets).await?;
             Ok(self.lock().core.get(self.clock.now(), key))
         }
         .boxed()
@@ -258,7 +258,7 @@
 
     fn list<'a>(&'a self, prefix: &'a str) -> BoxFuture<'a, Result<Vec<StoredValue>, StoreError>> {
         async move {
-            self.admit(|calls| &mut calls.lists).await?;
+            self.begin_call(|calls| &mut calls.lists).await?;
             Ok(self.lock().core.list(self.clock.now(), prefix))
         }
         .boxed()
@@ -272,7 +272,7 @@
         lease: Option<LeaseId>,
     ) -> BoxFuture<'a, Result<Revision, StoreError>> {
         async move {
-            self.admit(|calls| &mut calls.puts).await?;
+            self.begin_call(|calls| &mut calls.puts).await?;
             let now = self.clock.now();
             self.write(key, |core| core.put(now, key, value, expected, lease))
         }
@@ -285,7 +285,7 @@
         expected: ExpectedValue,
     ) -> BoxFuture<'a, Result<(), StoreError>> {
         async move {
-            self.admit(|calls| &mut calls.deletes).await?;
+            self.begin_call(|calls| &mut calls.deletes).await?;
             let now = self.clock.now();
             self.write(key, |core| core.delete(now, key, expected))
         }
@@ -294,10 +294,10 @@
 
     fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
         async move {
-            self.admit(|calls| &mut calls.leases).await?;
+            self.begin_call(|calls| &mut calls.leases).await?;
             let lease = self.lock().core.grant_lease(self.clock.now(), ttl);
-            // A waiting watch must learn of the new time at which it has to look again.
-            self.wake();
+            // A waiting watch must recompute the time of its next check.
+            self.wake_watches();
             Ok(lease)
         }
         .boxed()
@@ -305,7 +305,7 @@
 
     fn renew_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
         async move {
-            self.admit(|calls| &mut calls.leases).await?;
+            self.begin_call(|calls| &mut calls.leases).await?;
             self.lock().core.renew_lease(self.clock.now(), lease)
         }
         .boxed()
@@ -313,9 +313,9 @@
 
     fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
         async move {
-            self.admit(|calls| &mut calls.leases).await?;
+            self.begin_call(|calls| &mut calls.leases).await?;
             self.lock().core.revoke_lease(self.clock.now(), lease);
-            self.wake();
+            self.wake_watches();
             Ok(())
         }
         .boxed()
@@ -328,7 +328,7 @@
         wait: Duration,
     ) -> BoxFuture<'a, Result<Vec<KeyChange>, StoreError>> {
         async move {
-            self.admit(|calls| &mut calls.watches).await?;
+            self.begin_call(|calls| &mut calls.watches).await?;
             self.wait_for_changes(prefix, after, wait).await
         }
         .boxed()
--- a/crates/oatpier-standin/src/vms.rs
+++ b/crates/oatpier-standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's lagging list of VMs.
+//! A stand-in for the platform's list of VMs, which lags.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,25 +17,25 @@
     Answer, DropConnection, RequestHandler, Running, WholeRequest, empty, json, not_found, start,
 };
 
-/// The list's fault switches.
+/// Faults that the list injects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct VmsFaults {
     /// Drops each connection without an answer.
     pub down: bool,
-    /// How old the rows are that a reader gets, in milliseconds.
+    /// Age of the rows that readers get, in milliseconds.
     pub lag_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct VmsShared {
     faults: VmsFaults,
-    /// The rows as they were set, oldest first.
+    /// All versions of the rows, oldest first.
     history: VecDeque<(ClockTime, Vec<VmRow>)>,
 }
 
-/// A list of VMs inside the process, on the runtime's clock.
+/// In-process list of VMs, on the runtime's clock.
 #[derive(Debug)]
 pub struct LocalVms {
     clock: StandinClock,
@@ -49,7 +49,7 @@
 }
 
 impl LocalVms {
-    /// An empty list, whose clock starts now.
+    /// Creates an empty list, whose clock starts now.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -62,7 +62,7 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces all rows; readers see it one lag later. The first rows are seen at once.
+    /// Replaces all rows. Readers get them one lag later, except the first rows, which they get at once.
     pub fn set_rows(&self, rows: Vec<VmRow>) {
         let now = self.clock.now();
         let mut shared = self.lock();
@@ -74,18 +74,18 @@
         shared.history.push_back((at, rows));
     }
 
-    /// Replaces the fault switches.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: VmsFaults) {
         self.lock().faults = faults;
     }
 
-    /// The rows as a reader gets them now.
+    /// Returns the rows that a reader gets now.
     #[must_use]
     pub fn rows(&self) -> Vec<VmRow> {
         let shared = self.lock();
-        let seen = self.clock.now() - Duration::from_millis(shared.faults.lag_ms);
+        let visible = self.clock.now() - Duration::from_millis(shared.faults.lag_ms);
         let mut history = shared.history.iter().rev();
-        let rows = history.find(|(at, _)| *at <= seen);
+        let rows = history.find(|(at, _)| *at <= visible);
         rows.map(|(_, rows)| rows.clone()).unwrap_or_default()
     }
 
@@ -133,7 +133,7 @@
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_vms(address: SocketAddr) -> std::io::Result<Running<LocalVms>> {
     start(address, Arc::new(LocalVms::new())).await
 }
--- a/crates/oatpier-standin/src/weights.rs
+++ b/crates/oatpier-standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the weight store: how large weights are, and how long loading them takes.
+//! A stand-in for the weight store: sizes of weights, and durations of loads.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -7,18 +7,18 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::WeightsKey;
 
-/// What the weight store holds and allows.
+/// Sizes of the weights and limits of the weight store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightsOptions {
     /// Sizes of weights, in MiB.
     pub sizes: BTreeMap<WeightsKey, u64>,
     /// Size of weights that `sizes` doesn't name, in MiB.
     pub default_mib: u64,
-    /// Loads that may start in a second; more wait their turn.
+    /// Number of loads that may start in a second. Further loads start later.
     pub loads_per_second: f64,
-    /// Loads that run at full speed at once; beyond them each one that starts is slower.
+    /// Number of concurrent loads that run at full speed. Beyond it, each load that starts is slower.
     pub full_speed_loads: u32,
-    /// MiB that one load gets in a second at full speed.
+    /// Speed of one load at full speed, in MiB per second.
     pub mib_per_second: u64,
 }
 
@@ -34,20 +34,20 @@
     }
 }
 
-/// The weight store of a group of engines. Its limits hold for all of them together.
+/// Weight store of a group of engines. Its limits apply to all of them together.
 #[derive(Debug)]
 pub struct WeightStore {
     options: WeightsOptions,
     next_start: ClockTime,
-    /// When the loads that may still run are done.
+    /// When each load ends, for loads that may still run.
     running: Vec<ClockTime>,
 }
 
-/// A weight store that several engines share.
+/// Weight store that several engines share.
 pub type SharedWeights = Arc<Mutex<WeightStore>>;
 
 impl WeightStore {
-    /// A weight store that several engines may share.
+    /// Creates a weight store that several engines may share.
     #[must_use]
     pub fn shared(options: WeightsOptions) -> SharedWeights {
         Arc::new(Mutex::new(Self {
@@ -57,20 +57,20 @@
         }))
     }
 
-    /// The size of weights, in MiB.
+    /// Returns the size of weights, in MiB.
     #[must_use]
     pub fn size_mib(&self, weights: &WeightsKey) -> u64 {
         let size = self.options.sizes.get(weights).copied();
         size.unwrap_or(self.options.default_mib)
     }
 
-    /// Says how large weights are from now on.
+    /// Sets the size of weights, in MiB, for later loads.
     pub fn set_size(&mut self, weights: WeightsKey, mib: u64) {
         self.options.sizes.insert(weights, mib);
     }
 
-    /// Starts a load and says when it is done. The speed is settled at the start: a load doesn't
-    /// get faster when another one ends.
+    /// Starts a load and returns when it ends. The speed is fixed at the start: a load doesn't
+    /// become faster when another one ends.
     pub fn begin_load(&mut self, now: ClockTime, weights: &WeightsKey) -> ClockTime {
         let start = now.max(self.next_start);
         self.next_start = start + Duration::from_secs_f64(1.0 / self.options.loads_per_second);
--- a/crates/oatpier-standin/src/work.rs
+++ b/crates/oatpier-standin/src/work.rs
@@ -14,33 +14,33 @@
 use crate::serve::{Answer, DropConnection, RequestHandler, WholeRequest};
 use crate::service::LocalService;
 
-/// Calls a stand-in inside the process in place of its HTTP server, so that a test on a paused
-/// clock meets the same answers and faults. A dropped connection reads as "may have run", also
-/// where the stand-in did nothing.
+/// Calls a stand-in in process instead of through its HTTP server, so that a test with a paused
+/// clock gets the same answers and faults. A dropped connection is reported as "may have run", also
+/// if the stand-in did nothing.
 pub struct LocalWork<H> {
     handler: Arc<H>,
-    /// Whether the endpoint knows cancels; a plain service would take one for a call.
-    cancels: bool,
+    /// Whether the endpoint supports cancels. A plain service would treat a cancel as a call.
+    supports_cancel: bool,
 }
 
 impl LocalWork<LocalEngine> {
-    /// The working side of an engine.
+    /// Creates an [`EndpointWork`] that calls an engine.
     #[must_use]
     pub fn engine(engine: Arc<LocalEngine>) -> Self {
         Self {
             handler: engine,
-            cancels: true,
+            supports_cancel: true,
         }
     }
 }
 
 impl LocalWork<LocalService> {
-    /// The working side of a plain service.
+    /// Creates an [`EndpointWork`] that calls a plain service.
     #[must_use]
     pub fn service(service: Arc<LocalService>) -> Self {
         Self {
             handler: service,
-            cancels: false,
+            supports_cancel: false,
         }
     }
 }
@@ -56,7 +56,7 @@
     }
 }
 
-fn whole_request(call: EndpointCall) -> WholeRequest {
+fn to_request(call: EndpointCall) -> WholeRequest {
     let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
     let mut headers = call.headers;
     headers.insert("x-priority", HeaderValue::from(call.priority));
@@ -82,7 +82,7 @@
 
 impl<H: RequestHandler> EndpointWork for LocalWork<H> {
     fn run(&self, call: EndpointCall) -> BoxFuture<'_, Result<EndpointAnswer, CallError>> {
-        let answer = Arc::clone(&self.handler).handle(whole_request(call));
+        let answer = Arc::clone(&self.handler).handle(to_request(call));
         async move {
             let (parts, body) = answer.await.map_err(call_error)?.into_parts();
             let pieces = body.into_data_stream();
@@ -96,7 +96,7 @@
     }
 
     fn cancel(&self, attempt: AttemptId) -> BoxFuture<'_, ()> {
-        if !self.cancels {
+        if !self.supports_cancel {
             return futures::future::ready(()).boxed();
         }
         let answer = self.send("DELETE", &format!("/v1/requests/{attempt}"));
--- a/crates/oatpier-standin/tests/testsuite/engine_core.rs
+++ b/crates/oatpier-standin/tests/testsuite/engine_core.rs
@@ -1,4 +1,4 @@
-//! The engine as a plain struct: steps, priorities, prefix cache, lagged reports.
+//! Tests of the engine without I/O: steps, priorities, prefix cache, delayed reports.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 
 const START: ClockTime = ClockTime::ZERO;
 
-/// Advances until nothing is left to do.
-fn run_out(core: &mut EngineCore) -> Vec<EngineOutput> {
+/// Advances until no work is left.
+fn run_to_end(core: &mut EngineCore) -> Vec<EngineOutput> {
     let mut outputs = Vec::new();
     while core.next_time() != ClockTime::NEVER {
         outputs.extend(core.advance(core.next_time()));
@@ -26,14 +26,15 @@
 }
 
 #[test]
-fn an_answer_comes_token_by_token() {
+fn an_answer_is_produced_token_by_token() {
     let mut core = core(options());
     core.submit(START, engine_request(1)).unwrap();
-    let outputs = run_out(&mut core);
+    let outputs = run_to_end(&mut core);
     let kinds: Vec<OutputKind> = outputs.iter().map(|output| output.kind).collect();
     let tokens = (0..4).map(OutputKind::Token);
     assert_eq!(kinds, tokens.chain([OutputKind::Done]).collect::<Vec<_>>());
-    // 4.5 ms, 50 us for the request and 100 prompt tokens of 5 us; then without the prompt.
+    // The first step takes 4.5 ms, 50 us for the request and 5 us for each of 100 prompt tokens. The
+    // second one reads no prompt.
     assert_eq!(outputs[0].at, ClockTime::from_micros(5_050));
     assert_eq!(outputs[1].at, ClockTime::from_micros(5_050 + 4_550));
 }
@@ -49,13 +50,13 @@
         request.priority = priority;
         core.submit(START, request).unwrap();
     }
-    let outputs = run_out(&mut core);
+    let outputs = run_to_end(&mut core);
     assert!(first_token(&outputs, 1) < first_token(&outputs, 3));
     assert!(first_token(&outputs, 3) < first_token(&outputs, 2));
 }
 
 #[test]
-fn a_long_prompt_is_read_in_chunks_beside_the_others() {
+fn long_prompts_are_read_in_chunks_in_order_of_priority() {
     let mut core = core(options());
     let mut long = engine_request(1);
     long.prompt_tokens = 3 * 2_048;
@@ -63,7 +64,7 @@
     let mut short = engine_request(2);
     short.priority = 0;
     core.submit(START, short).unwrap();
-    let outputs = run_out(&mut core);
+    let outputs = run_to_end(&mut core);
     assert!(first_token(&outputs, 2) > first_token(&outputs, 1));
 
     let mut urgent = engine_request(3);
@@ -74,7 +75,7 @@
     let now = ClockTime::from_millis(10_000);
     core.submit(now, long).unwrap();
     core.submit(now, urgent).unwrap();
-    let outputs = run_out(&mut core);
+    let outputs = run_to_end(&mut core);
     assert!(first_token(&outputs, 3) < first_token(&outputs, 4));
 }
 
@@ -92,12 +93,12 @@
         request.prompt_tokens = 130;
         request.prefix = prefix.into_iter().collect();
         core.submit(now, request).unwrap();
-        first_tokens.push(run_out(&mut core)[0].at.since(now));
+        first_tokens.push(run_to_end(&mut core)[0].at.since(now));
     }
     assert!(first_tokens[1] < first_tokens[0]);
     assert_eq!(first_tokens[3], first_tokens[0]);
 
-    // Events come 200 ms late, and each second one is missing.
+    // Events are delayed by 200 ms, and every second one is missing.
     let lag = Duration::from_millis(200);
     let first_seen = ClockTime::from_millis(1_000) + lag;
     assert!(
@@ -128,10 +129,10 @@
     assert_eq!((report.waiting_tokens, report.age_ms), (100, 500));
 }
 
-/// An engine freezes in the middle of a stream: it takes calls and gives nothing. When it wakes it
-/// goes on where it was, and not in one burst.
+/// An engine freezes in the middle of a stream: it accepts calls and produces no output. Afterwards it
+/// continues where it stopped, and does not produce the missed tokens at once.
 #[test]
-fn a_frozen_engine_goes_on_where_it_was() {
+fn a_frozen_engine_continues_where_it_stopped() {
     let mut core = core(options());
     core.submit(START, engine_request(1)).unwrap();
     let first = core.advance(ClockTime::from_millis(6));
@@ -143,7 +144,7 @@
     core.set_faults(ClockTime::from_millis(6), frozen);
     assert!(core.advance(ClockTime::from_millis(60_000)).is_empty());
     core.set_faults(ClockTime::from_millis(60_000), EngineFaults::default());
-    let outputs = run_out(&mut core);
+    let outputs = run_to_end(&mut core);
     assert_eq!(outputs.len(), 4);
     assert_eq!(outputs[0].at, ClockTime::from_micros(60_004_550));
 }
--- a/crates/oatpier-standin/tests/testsuite/engine_http.rs
+++ b/crates/oatpier-standin/tests/testsuite/engine_http.rs
@@ -1,4 +1,5 @@
-//! The engine over HTTP and in process: whole answers, resume, cancel, cuts, records.
+//! Tests of the engine over HTTP and in process: complete and resumed answers, cancels,
+//! interrupted streams, records.
 
 use std::time::Duration;
 
@@ -19,7 +20,7 @@
 
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Tokens of an answer that doesn't end while a test looks at it.
+/// Tokens of an answer that doesn't end during a test.
 const ENDLESS: u32 = 4_000;
 
 async fn serve(options: EngineOptions) -> (Running<LocalEngine>, HttpWork) {
@@ -66,10 +67,10 @@
     assert!(work.probe().await);
 }
 
-/// A stream is cut in the middle. The reader gets an error, and never a short answer that looks
-/// whole.
+/// A stream breaks off in the middle. The reader must get an error, and not a short answer that looks
+/// complete.
 #[tokio::test]
-async fn a_cut_stream_is_seen_as_cut() {
+async fn an_interrupted_stream_returns_an_error() {
     let (running, work) = serve(options()).await;
     let cut = EngineFaults {
         cut_streams: 1,
@@ -86,8 +87,8 @@
     assert_eq!(streamed_text(&events), answer_text("a prompt", 5));
 }
 
-/// A caller cancels, another one just closes its connection. Both free their slots, which the
-/// next request needs.
+/// One caller cancels, and another one only closes its connection. Both must free their slots, which
+/// the next request needs.
 #[tokio::test]
 async fn cancelled_and_abandoned_streams_free_their_slots() {
     let (running, work) = serve(EngineOptions {
@@ -111,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn orders_and_reports_go_over_http() {
+async fn orders_and_reports_work_over_http() {
     let (running, _) = serve(options()).await;
     let engine = HttpEngine::new(running.address, TIMEOUT);
     engine.order(&load(2, 1, "m2")).await.unwrap();
@@ -132,9 +133,9 @@
     assert!(matches!(lost, Err(OrderError::Unknown { .. })), "{lost:?}");
 }
 
-/// The events of a run name it by its request and attempt, and its idempotency key by a hash.
+/// The events of a run contain its request and attempt, and a hash of its idempotency key.
 #[tokio::test(start_paused = true)]
-async fn events_name_the_run() {
+async fn events_identify_the_run() {
     let store = WeightStore::shared(WeightsOptions::default());
     let engine = LocalEngine::start(options(), store, StandinClock::start());
     let mut call = completion(1, "one", 5);
--- a/crates/oatpier-standin/tests/testsuite/main.rs
+++ b/crates/oatpier-standin/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of what other tests rely on in the stand-ins.
+//! Tests of the behaviour of the stand-ins that other tests rely on.
 
 mod engine_core;
 mod engine_http;
--- a/crates/oatpier-standin/tests/testsuite/orders.rs
+++ b/crates/oatpier-standin/tests/testsuite/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, its memory and the weight store.
+//! Tests of orders to an engine, its memory and the weight store.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_load_takes_time_and_then_serves() {
+fn loaded_weights_serve_after_the_load_time() {
     let mut core = core(options());
     core.order(START, &load(1, 1, "m2")).unwrap();
     assert_eq!(core.state().held[1].state, WeightsState::Loading);
@@ -41,8 +41,8 @@
     assert_eq!(core.overcommits(), 0);
 }
 
-/// A third model is ordered into memory for two. The engine takes the order as a real one would
-/// try to; the record is what an invariant check goes by.
+/// A third model is ordered into memory for two. The engine accepts the order, as a real one would
+/// try to execute it. Invariant checks rely on the recorded overcommit.
 #[test]
 fn overcommitted_memory_is_recorded() {
     let mut core = core(options());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_unload_holds_its_memory_until_it_is_done_and_cuts_its_runs() {
+fn an_unload_holds_its_memory_until_it_ends_and_interrupts_its_runs() {
     let mut core = core(options());
     core.submit(START, engine_request(1)).unwrap();
     core.order(START, &unload(1, 1, "m1")).unwrap();
@@ -68,8 +68,8 @@
     assert_eq!(core.used_mib(), 0);
 }
 
-/// A former agent's order arrives after its successor's. An engine that checks numbers refuses
-/// it; one that ignores them carries it out.
+/// An order of a former agent arrives after one of its successor. An engine that checks order numbers
+/// refuses it, and one that ignores them executes it.
 #[test]
 fn an_old_number_is_refused_only_where_numbers_are_checked() {
     let mut checks = core(options());
@@ -92,8 +92,8 @@
     assert_eq!(ignores.state().held[0].state, WeightsState::Unloading);
 }
 
-/// An order gets no answer. It was lost, or was carried out, or will be carried out later: the
-/// sender sees the same in all three.
+/// An order gets no answer. It may have been lost, have been executed, or be executed later. The
+/// sender can't distinguish the three cases.
 #[test]
 fn an_order_without_an_answer_may_have_any_outcome() {
     let faults = [
@@ -134,10 +134,10 @@
     }
 }
 
-/// An order to load is doubled on its way, and its copy arrives after the unload that followed.
-/// Without number checks the model is back, which nobody ordered.
+/// The network duplicates an order to load, and the duplicate arrives after the unload that followed.
+/// Without number checks, the model is loaded again although no agent ordered it.
 #[test]
-fn a_doubled_order_comes_again() {
+fn a_duplicated_order_is_executed_again_without_number_checks() {
     for checks_order_numbers in [true, false] {
         let mut core = core(EngineOptions {
             checks_order_numbers,
@@ -184,6 +184,6 @@
     let first = store.begin_load(START, &weights("m1"));
     let second = store.begin_load(START, &weights("m2"));
     assert_eq!(first, START + Duration::from_secs(1));
-    // It starts half a second later, beside the first one, and so at half the speed.
+    // It starts half a second later, while the first one still runs, and so at half the speed.
     assert_eq!(second, START + Duration::from_millis(2_500));
 }
--- a/crates/oatpier-standin/tests/testsuite/service.rs
+++ b/crates/oatpier-standin/tests/testsuite/service.rs
@@ -1,4 +1,4 @@
-//! The plain service.
+//! Tests of the plain service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,25 +14,28 @@
 
 use crate::support::{ANY_PORT, call, endpoint, read_body};
 
-/// The service acts on a call and its answer is lost: the sender learns only that the call may
-/// have run, and the record shows that it did.
+/// The service executes a call and its answer is lost. The sender learns only that the call may have
+/// run, and the record shows that it did.
 async fn check_calls(work: &dyn EndpointWork, service: &LocalService) {
     let seats = || call(7, "/seats/1?day=2", "{}".to_owned());
     let answer = work.run(seats()).await.unwrap();
     assert_eq!(answer.status, StatusCode::OK);
     let (body, _) = read_body(answer).await;
-    let told: ServiceCall = serde_json::from_str(&body).unwrap();
-    assert_eq!(told.path, "/seats/1?day=2");
-    assert_eq!((told.method.as_str(), told.body.as_str()), ("POST", "{}"));
-    assert_eq!(told.attempt, AttemptId(7).to_string());
-    assert_eq!(told.key.as_deref(), Some("key-1"));
+    let recorded: ServiceCall = serde_json::from_str(&body).unwrap();
+    assert_eq!(recorded.path, "/seats/1?day=2");
+    assert_eq!(
+        (recorded.method.as_str(), recorded.body.as_str()),
+        ("POST", "{}")
+    );
+    assert_eq!(recorded.attempt, AttemptId(7).to_string());
+    assert_eq!(recorded.key.as_deref(), Some("key-1"));
 
     service.set_faults(ServiceFaults {
         lose_answers: 1,
         ..ServiceFaults::default()
     });
     let Err(lost) = work.run(seats()).await else {
-        panic!("the answer was to be lost");
+        panic!("the answer must be lost");
     };
     assert_eq!(lost.verdict, RunVerdict::MayHaveRun);
     work.cancel(AttemptId(7)).await;
--- a/crates/oatpier-standin/tests/testsuite/store.rs
+++ b/crates/oatpier-standin/tests/testsuite/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service.
+//! Tests of the key-value service.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,8 +34,8 @@
     matches!(result, Err(StoreError::AnswerLost { .. }))
 }
 
-/// Two writers expect the same revision. The second one to come writes nothing and is told the
-/// first one's revision. The in-process store and the HTTP server must agree on that.
+/// Two writers expect the same revision. The second write has no effect and returns the revision of
+/// the first. The in-process store and the HTTP server must both behave like this.
 async fn check_compare_and_swap(store: &dyn KeyStore) {
     let key = "config/a b%c";
     let first = put(store, key, "1", ExpectedValue::Absent).await.unwrap();
@@ -62,8 +62,8 @@
     assert_eq!((changes[0].key.as_str(), &changes[0].value), (key, &None));
 }
 
-/// The answer of a write is lost: once after it took effect, once before. The writer can't tell
-/// the two apart but by reading.
+/// The answer to a write is lost, once after the write took effect and once before. The writer can
+/// distinguish the two only by reading.
 async fn check_lost_answers(store: &dyn KeyStore, faults: impl AsyncFn(StoreFaults)) {
     let lose = |lose_answers, lose_writes| StoreFaults {
         lose_answers,
@@ -99,24 +99,24 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_local_store_keeps_the_contract() {
+async fn a_local_store_fulfils_the_contract() {
     let store = LocalStore::new();
     check_compare_and_swap(&store).await;
     check_lost_answers(&store, async |faults| store.set_faults(faults)).await;
 }
 
 #[tokio::test]
-async fn a_served_store_keeps_the_contract() {
+async fn a_served_store_fulfils_the_contract() {
     let running = start_store(ANY_PORT).await.unwrap();
     let store = HttpStore::new(running.address, LONG);
     check_compare_and_swap(&store).await;
     check_lost_answers(&store, async |faults| running.handle.set_faults(faults)).await;
 }
 
-/// A holder is paused and does not renew its lease. The value bound to it goes at the lapse, a
-/// watcher that waits learns of it then, and the holder's late write is refused.
+/// A lease holder is paused and does not renew its lease. When the lease lapses, the value bound to it
+/// is removed, and a waiting watch returns the removal. The holder's late write is refused.
 #[tokio::test(start_paused = true)]
-async fn a_lapsed_lease_takes_its_values_along() {
+async fn a_lapsed_lease_removes_its_values() {
     let store = LocalStore::new();
     let start = Instant::now();
     let ttl = Duration::from_millis(100);
@@ -135,10 +135,10 @@
     assert_eq!(store.renew_lease(lease).await, Err(StoreError::LeaseLapsed));
 }
 
-/// A watch waits, and the store's connections break. The watcher must get an error at once and
-/// not sit out its time; however long it waited, it counts as one call.
+/// The store's connections break while a watch waits. The watch must fail at once instead of waiting
+/// for its timeout. It counts as one call, however long it waited.
 #[tokio::test(start_paused = true)]
-async fn a_waiting_watch_breaks_and_counts_once() {
+async fn a_waiting_watch_fails_and_counts_once() {
     let store = Arc::new(LocalStore::new());
     let start = Instant::now();
     let watcher = Arc::clone(&store);
--- a/crates/oatpier-standin/tests/testsuite/support.rs
+++ b/crates/oatpier-standin/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! What several tests need.
+//! Helpers shared by the tests.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// An engine with `m1` ready and room for two models.
+/// Returns the options of an engine with `m1` ready and memory for two models.
 pub fn options() -> EngineOptions {
     EngineOptions {
         memory_mib: 2_048,
@@ -73,7 +73,7 @@
     order(epoch, sequence, OrderAction::Unload { weights })
 }
 
-/// A streamed completion of `m1`.
+/// Returns a call for a streamed completion by `m1`.
 pub fn completion(attempt: u128, prompt: &str, tokens: u32) -> EndpointCall {
     let body =
         format!(r#"{{"model":"m1","prompt":"{prompt}","max_tokens":{tokens},"stream":true}}"#);
@@ -94,7 +94,7 @@
     }
 }
 
-/// The body as text, and the error that cut it.
+/// Returns the body as text, and the error that interrupted it.
 pub async fn read_body(mut answer: EndpointAnswer) -> (String, Option<CallError>) {
     let mut text = String::new();
     loop {
@@ -106,7 +106,7 @@
     }
 }
 
-/// The words of a streamed answer, put together.
+/// Returns the concatenated tokens of a streamed answer.
 pub fn streamed_text(events: &str) -> String {
     events
         .split("\"text\":\"")
--- a/crates/oatpier-standin/tests/testsuite/vms.rs
+++ b/crates/oatpier-standin/tests/testsuite/vms.rs
@@ -1,4 +1,4 @@
-//! The lagging list of VMs.
+//! Tests of the list of VMs and its lag.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_reader_gets_old_rows() {
+async fn a_reader_gets_rows_after_the_lag() {
     let vms = LocalVms::new();
     vms.set_faults(VmsFaults {
         lag_ms: 1_000,
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn the_list_goes_over_http() {
+async fn the_list_works_over_http() {
     let running = start_vms(ANY_PORT).await.unwrap();
     let list = HttpVmList::new(running.address, Duration::from_mins(1));
     running.handle.set_rows(vec![row(VmState::Live)]);
