--- a/crates/oatpier-agent/src/membership/fallback.rs
+++ b/crates/oatpier-agent/src/membership/fallback.rs
@@ -103,10 +103,8 @@
         Ok(found) => {
             let found = found?;
             let read = serde_json::from_slice(&found.value);
-            read.inspect_err(|error| {
-                spdlog::error!("failed to decode the value of {key} in the store: {error}")
-            })
-            .ok()
+            read.inspect_err(|error| spdlog::error!("failed to decode stored {key}: {error}"))
+                .ok()
         }
         Err(error) => {
             spdlog::warn!("failed to read {key} from the store: {error}");
