--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -159,7 +159,7 @@
         state.loading.clone_from(&update.loading);
         drop(state);
         let (ready, loading) = (update.ready, update.loading);
-        self.step(AgentEvent::ReadyChanged { ready, loading });
+        self.step(AgentEvent::WeightsChanged { ready, loading });
     }
 
     /// Returns the attempts that still run on draining weights, or `None` if no weights drain.
@@ -201,7 +201,7 @@
         self.step(AgentEvent::SlotsChanged { slots });
         let classes = config.classes.clone();
         self.step(AgentEvent::ClassesChanged { classes });
-        self.step(AgentEvent::ReadyChanged { ready, loading });
+        self.step(AgentEvent::WeightsChanged { ready, loading });
         if leaving {
             self.step(AgentEvent::Leave);
         }
--- a/crates/oatpier-agent/src/endpoint.rs
+++ b/crates/oatpier-agent/src/endpoint.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use oatpier_ports::work::EndpointWork;
+use oatpier_ports::endpoint::EndpointClient;
 use oatpier_types::names::{EndpointName, PoolName, ZoneName};
 use oatpier_types::request::RequestGoal;
 
@@ -21,15 +21,15 @@
 #[derive(Clone)]
 pub struct EndpointClients {
     /// For requests to models.
-    pub engine: Arc<dyn EndpointWork>,
+    pub engine: Arc<dyn EndpointClient>,
     /// For calls to a plain service.
-    pub service: Arc<dyn EndpointWork>,
+    pub service: Arc<dyn EndpointClient>,
 }
 
 impl EndpointClients {
     /// Returns the client for requests with this goal.
     #[must_use]
-    pub fn for_goal(&self, goal: &RequestGoal) -> &Arc<dyn EndpointWork> {
+    pub fn for_goal(&self, goal: &RequestGoal) -> &Arc<dyn EndpointClient> {
         match goal {
             RequestGoal::Model { .. } => &self.engine,
             RequestGoal::Service { .. } => &self.service,
--- a/crates/oatpier-agent/src/lib.rs
+++ b/crates/oatpier-agent/src/lib.rs
@@ -24,7 +24,7 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-use oatpier_ports::http::{EndpointKind, HttpEngine, HttpStore, HttpVmList, HttpWork};
+use oatpier_ports::http::{EndpointKind, HttpEndpoint, HttpEngine, HttpStore, HttpVmList};
 use oatpier_types::ids::BootId;
 
 use crate::core::AgentCore;
@@ -144,7 +144,7 @@
 
 fn build_clients(settings: &AgentSettings) -> EndpointClients {
     let work = |kind| {
-        Arc::new(HttpWork::new(
+        Arc::new(HttpEndpoint::new(
             settings.endpoint_address,
             kind,
             CONTROL_TIMEOUT,
--- a/crates/oatpier-agent/src/membership/fallback.rs
+++ b/crates/oatpier-agent/src/membership/fallback.rs
@@ -74,12 +74,12 @@
     /// Records that the read ended, and schedules the next one.
     pub fn ended(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
         self.is_reading = false;
-        self.next = self.backoff.failed(now, generator);
+        self.next = self.backoff.record_failure(now, generator);
     }
 
     /// Records that an entry answered, and postpones the next read.
     pub fn entry_answered(&mut self, generator: &mut ChaCha8Rng, now: ClockTime) {
-        self.backoff.succeeded();
+        self.backoff.record_success();
         self.next = now + jittered(MAX_ENTRY_SILENCE, generator);
     }
 }
--- a/crates/oatpier-agent/src/news.rs
+++ b/crates/oatpier-agent/src/news.rs
@@ -15,7 +15,7 @@
 
 use oatpier_admission::event::LoadingWeights;
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_types::config::FleetConfig;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::Generation;
@@ -96,7 +96,7 @@
     /// Another agent requests a release.
     Release {
         /// The request.
-        ask: ReleaseAsk,
+        ask: ReleaseRequest,
         /// Receives the answer.
         reply: oneshot::Sender<ReleaseAnswer>,
     },
--- a/crates/oatpier-agent/src/orders/knowledge.rs
+++ b/crates/oatpier-agent/src/orders/knowledge.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use indexmap::IndexMap;
-use oatpier_placement::steps::{AttemptCount, ReplicaCount};
+use oatpier_placement::steps::{AttemptCount, ReplicaView};
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::EndpointName;
 use oatpier_types::plan::EndpointPlan;
@@ -108,7 +108,7 @@
     }
 }
 
-impl ReplicaCount for PlacementCache {
+impl ReplicaView for PlacementCache {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         self.holder_names(weights)
     }
@@ -127,7 +127,7 @@
 /// Replicas for use by repair. See [`PlacementCache::for_repair`].
 pub struct RepairReplicas<'a>(&'a PlacementCache);
 
-impl ReplicaCount for RepairReplicas<'_> {
+impl ReplicaView for RepairReplicas<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let known = self.0;
         if known.holders.contains_key(weights) || known.unserved.contains(weights) {
--- a/crates/oatpier-agent/src/orders/outlook.rs
+++ b/crates/oatpier-agent/src/orders/outlook.rs
@@ -41,10 +41,10 @@
         now: ClockTime,
     ) {
         let loaded = keeper.ledger().ready();
-        let loaded = loaded.filter(|weights| !keeper.may_vanish(weights, now));
+        let loaded = loaded.filter(|weights| !keeper.may_be_unloaded(weights, now));
         let (ready, leaving): (Vec<_>, Vec<_>) = loaded
             .cloned()
-            .partition(|weights| stepper.takes_new(weights));
+            .partition(|weights| stepper.accepts_new(weights));
         let draining = leaving.into_iter().map(|weights| DrainingWeights {
             preferred: is_newest(keeper, &weights),
             weights,
--- a/crates/oatpier-agent/src/orders/state.rs
+++ b/crates/oatpier-agent/src/orders/state.rs
@@ -5,9 +5,9 @@
 
 use oatpier_placement::orders::{OrderCommand, OrderEvent, OrderKeeper, OrderSettings, PollTicket};
 use oatpier_placement::record::RecordCall;
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk, ReleaseKeeper, ReleaseReply};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseKeeper, ReleaseReply, ReleaseRequest};
 use oatpier_placement::repair::{RepairInput, RepairKeeper, RepairSettings};
-use oatpier_placement::steps::{MoveStepper, PlacementStep, STEP_EVERY, StepInput};
+use oatpier_placement::steps::{MoveStepper, PlacementStep, STEP_INTERVAL, StepInput};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::config::{FleetConfig, PoolKind};
 use oatpier_types::engine::{EngineOrder, EngineRole, OrderAction, WeightsKey};
@@ -40,7 +40,7 @@
         /// Address of the other agent.
         to: SocketAddr,
         /// The request.
-        ask: ReleaseAsk,
+        ask: ReleaseRequest,
     },
 }
 
@@ -117,7 +117,7 @@
     #[must_use]
     pub fn next_wake(&self, now: ClockTime) -> ClockTime {
         let wake = self.keeper.as_ref().map(|keeper| keeper.next_wake(now));
-        wake.map_or(ClockTime::NEVER, |wake| wake.min(now + STEP_EVERY))
+        wake.map_or(ClockTime::NEVER, |wake| wake.min(now + STEP_INTERVAL))
     }
 
     /// Applies the result of a task.
@@ -177,7 +177,7 @@
 
     fn handle_release(
         &mut self,
-        ask: ReleaseAsk,
+        ask: ReleaseRequest,
         reply: oneshot::Sender<ReleaseAnswer>,
         now: ClockTime,
     ) {
@@ -193,7 +193,7 @@
             });
             return;
         };
-        self.releases.on_ask(ask, keeper, now);
+        self.releases.on_request(ask, keeper, now);
         self.asks.push(PendingRelease {
             boot,
             sequence,
@@ -273,9 +273,9 @@
         }
         // Without a plan nothing is to be unloaded, so weights that a previous agent began to load
         // stay as well.
-        self.repair.taken().next()?;
+        self.repair.repaired_weights().next()?;
         let loaded = keeper.ledger().charges();
-        let loaded = loaded.filter(|(_, charge)| charge.held.is_some() || charge.ordered);
+        let loaded = loaded.filter(|(_, charge)| charge.held.is_some() || charge.is_ordered);
         for (weights, _) in loaded {
             if !row.weights.contains(weights) {
                 row.weights.push(weights.clone());
@@ -290,7 +290,7 @@
                 let cause = self.move_cause(&action);
                 self.spans.begin(&action, cause);
             }
-            PlacementStep::AskRelease { to, ask } => {
+            PlacementStep::RequestRelease { to, request: ask } => {
                 let address = self.placement.address_of(&to);
                 tasks.extend(address.map(|to| OrdersTask::AskRelease { to, ask }));
             }
@@ -302,7 +302,7 @@
 
     fn move_cause(&self, action: &OrderAction) -> MoveCause {
         let repaired = order_weights(action)
-            .is_some_and(|weights| self.repair.taken().any(|taken| taken == weights));
+            .is_some_and(|weights| self.repair.repaired_weights().any(|taken| taken == weights));
         if repaired {
             MoveCause::Repair
         } else {
@@ -330,8 +330,8 @@
 
     fn update_metrics(&mut self, keeper: &OrderKeeper, now: ClockTime) {
         self.spans.end(|action| match order_weights(action) {
-            Some(weights) => keeper.is_moving(weights),
-            None => keeper.is_role_moving(),
+            Some(weights) => keeper.has_pending_order(weights),
+            None => keeper.has_pending_role_order(),
         });
         let charged = keeper.ledger().charged_mib(now);
         let charged = i64::try_from(charged).unwrap_or(i64::MAX);
--- a/crates/oatpier-standin/src/lib.rs
+++ b/crates/oatpier-standin/src/lib.rs
@@ -16,7 +16,7 @@
 //! - [`service`]: a plain service.
 //! - [`answer`]: the answer to a prompt.
 //! - [`serve`]: the HTTP server that the stand-ins share.
-//! - [`work`]: an engine or plain service as an `EndpointWork`, without sockets.
+//! - [`work`]: an engine or plain service as an `EndpointClient`, without sockets.
 
 pub mod answer;
 pub mod clock;
