--- a/crates/oatpier-agent/src/news.rs
+++ b/crates/oatpier-agent/src/channels.rs
@@ -96,7 +96,7 @@
     /// Another agent requests a release.
     Release {
         /// The request.
-        ask: ReleaseRequest,
+        request: ReleaseRequest,
         /// Receives the answer.
         reply: oneshot::Sender<ReleaseAnswer>,
     },
--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -17,9 +17,9 @@
 use oatpier_types::verdict::RunVerdict;
 use tokio::sync::{Notify, mpsc};
 
+use crate::channels::{OrdersMessage, WeightsUpdate, WorkUpdate};
 use crate::drains::DrainTracker;
 use crate::endpoint::{EndpointClients, EndpointIdentity};
-use crate::news::{OrdersMessage, WeightsUpdate, WorkUpdate};
 use oatpier_duty::duty::{RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
--- a/crates/oatpier-agent/src/drains.rs
+++ b/crates/oatpier-agent/src/drains.rs
@@ -11,7 +11,7 @@
 use oatpier_types::ids::AttemptId;
 use oatpier_types::request::RequestGoal;
 
-use crate::news::{DrainCount, DrainRound, DrainingWeights};
+use crate::channels::{DrainCount, DrainRound, DrainingWeights};
 
 /// The drain of one set of weights.
 #[derive(Debug, Clone)]
--- a/crates/oatpier-agent/src/lib.rs
+++ b/crates/oatpier-agent/src/lib.rs
@@ -7,15 +7,15 @@
 //! | membership | [`membership`] | the active configuration, status reports to the entries |
 //! | observe | [`oatpier_duty::observe`] | metrics, health checks, span export |
 //!
-//! [`news`] lists the rings between them, and what happens when each is full.
+//! [`channels`] lists the rings between them, and what happens when each is full.
 
 pub mod attempt;
+pub mod channels;
 pub mod core;
 pub mod drains;
 pub mod endpoint;
 pub mod membership;
 pub mod messages;
-pub mod news;
 pub mod orders;
 pub mod peers;
 pub mod work;
@@ -43,7 +43,7 @@
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of one call to the key-value service or the list of VMs.
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Capacity of a ring between two duties, in messages. See [`news`] for what happens when it is full.
+/// Capacity of a ring between two duties, in messages. See [`channels`] for what happens when it is full.
 const RING_CAPACITY: usize = 64;
 /// Number of spans that can wait for export. More are dropped, as traces must not delay requests.
 const SPAN_RING_CAPACITY: usize = 4096;
@@ -63,7 +63,7 @@
     let (span_sender, spans) = ring(SPAN_RING_CAPACITY, RingRule::Drop, metrics.ring("spans"));
     let (update_sender, updates) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("news"));
     let (plan_sender, plan) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("plan"));
-    let (asks_sender, asks) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("asks"));
+    let (message_sender, messages) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("asks"));
     let (status_sender, status) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("status"));
     let (calls_sender, calls) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("calls"));
     let tracer = HopTracer::new(&settings.name, span_sender);
@@ -91,7 +91,7 @@
         listener: peer_listener,
         limits: settings.limits.server_limits(),
         updates,
-        asks: asks_sender,
+        messages: message_sender,
         status: status_sender.clone(),
         calls: calls_sender,
         stop: process.stop.clone(),
@@ -110,7 +110,7 @@
         updates: update_sender.clone(),
         status: status_sender,
         plan,
-        asks,
+        messages,
         stop: process.stop.clone(),
     };
     process.spawn("orders", || orders::orders(orders_inputs));
--- a/crates/oatpier-agent/src/membership/machine.rs
+++ b/crates/oatpier-agent/src/membership/machine.rs
@@ -23,7 +23,7 @@
 
 use super::fallback::{FallbackTimer, StoreView, read_store};
 use super::{MembershipInputs, is_entry, is_leaving};
-use crate::news::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
+use crate::channels::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use crate::peers::PeerFuture;
 use oatpier_duty::duty::StopPhase;
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
@@ -210,13 +210,13 @@
             return;
         };
         self.next_registrar += 1;
-        let ask = PlacementQuery {
+        let request = PlacementQuery {
             daemon: self.daemon.clone(),
             endpoint: inputs.identity.endpoint.clone(),
             pool: inputs.identity.pool.clone(),
             weights: self.weights.clone(),
         };
-        let asking = self.peers.ask_placement(address, ask);
+        let asking = self.peers.query_placement(address, request);
         let done = asking.map(|view| CallResult::Placement(view.map(Box::new)));
         self.pending.push(done.boxed());
     }
--- a/crates/oatpier-agent/src/membership/mod.rs
+++ b/crates/oatpier-agent/src/membership/mod.rs
@@ -18,8 +18,8 @@
 use oatpier_types::ids::BootId;
 use oatpier_types::names::DaemonName;
 
+use crate::channels::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use crate::endpoint::EndpointIdentity;
-use crate::news::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use crate::peers::AgentPeers;
 use machine::MemberMachine;
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
--- a/crates/oatpier-agent/src/orders/io.rs
+++ b/crates/oatpier-agent/src/orders/io.rs
@@ -49,8 +49,8 @@
                 let control = Arc::clone(&self.control);
                 async move { TaskResult::Order(poll(control.as_ref(), ticket).await) }.boxed()
             }
-            OrdersTask::AskRelease { to, ask } => {
-                let asking = self.peers.ask_release(to, ask);
+            OrdersTask::RequestRelease { to, request } => {
+                let asking = self.peers.request_release(to, request);
                 asking.map(TaskResult::Released).boxed()
             }
         }
--- a/crates/oatpier-agent/src/orders/outlook.rs
+++ b/crates/oatpier-agent/src/orders/loads.rs
@@ -9,7 +9,7 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::{WeightsKey, WeightsState};
 
-use crate::news::{DrainingWeights, WeightsUpdate};
+use crate::channels::{DrainingWeights, WeightsUpdate};
 
 /// Assumed duration of a load, as the actual one is not known in advance.
 const ASSUMED_LOAD: Duration = Duration::from_secs(4);
--- a/crates/oatpier-agent/src/orders/mod.rs
+++ b/crates/oatpier-agent/src/orders/mod.rs
@@ -4,12 +4,12 @@
 //! commands that these return. No other part of the process sends orders to the engine.
 //!
 //! - [`state`]: the decisions, without I/O.
-//! - [`knowledge`]: the plan, the replicas and the drain counts that other processes and duties report.
+//! - [`placement`]: the plan, the replicas and the drain counts that other processes and duties report.
 //! - [`io`]: calls to the engine, the store and other agents.
 
 pub mod io;
-pub mod knowledge;
-pub mod outlook;
+pub mod loads;
+pub mod placement;
 pub mod spans;
 pub mod state;
 
@@ -22,8 +22,8 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::BootId;
 
+use crate::channels::{OrdersMessage, PlanUpdate, StatusUpdate, WeightsUpdate, WorkUpdate};
 use crate::endpoint::EndpointIdentity;
-use crate::news::{OrdersMessage, PlanUpdate, StatusUpdate, WeightsUpdate, WorkUpdate};
 use crate::peers::{AgentPeers, PeerFuture};
 use io::OrdersIo;
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
@@ -58,7 +58,7 @@
     /// Updates from membership.
     pub plan: RingReceiver<PlanUpdate>,
     /// Messages from the work duty.
-    pub asks: RingReceiver<OrdersMessage>,
+    pub messages: RingReceiver<OrdersMessage>,
     /// Signals the phases of a stop.
     pub stop: StopSignal,
 }
@@ -157,7 +157,7 @@
                 let now = self.inputs.clock.now();
                 self.state.apply_plan_update(update, now);
             }
-            Some(message) = self.inputs.asks.receive() => {
+            Some(message) = self.inputs.messages.receive() => {
                 let now = self.inputs.clock.now();
                 self.state.handle_message(message, now);
             }
--- a/crates/oatpier-agent/src/orders/knowledge.rs
+++ b/crates/oatpier-agent/src/orders/placement.rs
@@ -9,7 +9,7 @@
 use oatpier_types::plan::EndpointPlan;
 use smallvec::SmallVec;
 
-use crate::news::{DrainCount, DrainRound};
+use crate::channels::{DrainCount, DrainRound};
 use oatpier_duty::placement::{HolderContact, PlacementView, PlanRow};
 
 /// The plan and replicas as last reported by entries. They may be stale, so they are never
--- a/crates/oatpier-agent/src/orders/state.rs
+++ b/crates/oatpier-agent/src/orders/state.rs
@@ -15,11 +15,11 @@
 use oatpier_types::plan::EndpointPlan;
 use tokio::sync::oneshot;
 
-use super::knowledge::{DrainCounts, PlacementCache};
-use super::outlook::LoadTracker;
+use super::loads::LoadTracker;
+use super::placement::{DrainCounts, PlacementCache};
 use super::spans::{MoveCause, MoveSpans, order_weights};
+use crate::channels::{OrdersMessage, PlanUpdate, WeightsUpdate};
 use crate::endpoint::EndpointIdentity;
-use crate::news::{OrdersMessage, PlanUpdate, WeightsUpdate};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 
@@ -36,11 +36,11 @@
     /// Query the engine's state.
     Poll(PollTicket),
     /// Request a release from another agent.
-    AskRelease {
+    RequestRelease {
         /// Address of the other agent.
         to: SocketAddr,
         /// The request.
-        ask: ReleaseRequest,
+        request: ReleaseRequest,
     },
 }
 
@@ -71,7 +71,7 @@
     config: Option<Arc<FleetConfig>>,
     placement: PlacementCache,
     drains: DrainCounts,
-    asks: Vec<PendingRelease>,
+    requests: Vec<PendingRelease>,
     loads: LoadTracker,
     is_leaving: bool,
     spans: MoveSpans,
@@ -99,7 +99,7 @@
             stepper: MoveStepper::new(),
             config: None,
             drains: DrainCounts::default(),
-            asks: Vec::new(),
+            requests: Vec::new(),
             loads: LoadTracker::default(),
             is_leaving: false,
             spans: MoveSpans::new(tracer, metrics.clone()),
@@ -148,7 +148,7 @@
     pub fn handle_message(&mut self, message: OrdersMessage, now: ClockTime) {
         match message {
             OrdersMessage::Drains { round, counts } => self.drains.update(round, counts),
-            OrdersMessage::Release { ask, reply } => self.handle_release(ask, reply, now),
+            OrdersMessage::Release { request, reply } => self.handle_release(request, reply, now),
         }
     }
 
@@ -177,11 +177,11 @@
 
     fn handle_release(
         &mut self,
-        ask: ReleaseRequest,
+        request: ReleaseRequest,
         reply: oneshot::Sender<ReleaseAnswer>,
         now: ClockTime,
     ) {
-        let (boot, sequence) = (ask.boot, ask.sequence);
+        let (boot, sequence) = (request.boot, request.sequence);
         let keeper = self.keeper.as_mut().filter(|_| !self.is_leaving);
         let Some(keeper) = keeper else {
             let granted = false;
@@ -193,8 +193,8 @@
             });
             return;
         };
-        self.releases.on_request(ask, keeper, now);
-        self.asks.push(PendingRelease {
+        self.releases.on_request(request, keeper, now);
+        self.requests.push(PendingRelease {
             boot,
             sequence,
             reply,
@@ -216,7 +216,7 @@
             OrderCommand::Send(order) => OrdersTask::Send(order),
             OrderCommand::Poll(ticket) => OrdersTask::Poll(ticket),
         }));
-        self.answer_asks(&keeper, now);
+        self.answer_requests(&keeper, now);
         self.update_metrics(&keeper, now);
         self.keeper = Some(keeper);
         tasks
@@ -290,9 +290,9 @@
                 let cause = self.move_cause(&action);
                 self.spans.begin(&action, cause);
             }
-            PlacementStep::RequestRelease { to, request: ask } => {
+            PlacementStep::RequestRelease { to, request } => {
                 let address = self.placement.address_of(&to);
-                tasks.extend(address.map(|to| OrdersTask::AskRelease { to, ask }));
+                tasks.extend(address.map(|to| OrdersTask::RequestRelease { to, request }));
             }
             PlacementStep::StartDrain(_) | PlacementStep::ResumeServing(_) => {
                 self.drains.next_round();
@@ -310,21 +310,22 @@
         }
     }
 
-    fn answer_asks(&mut self, keeper: &OrderKeeper, now: ClockTime) {
+    fn answer_requests(&mut self, keeper: &OrderKeeper, now: ClockTime) {
         for reply in self.releases.replies(keeper, now) {
-            self.answer_ask(&reply);
+            self.answer_request(&reply);
         }
-        self.asks.retain(|ask| !ask.reply.is_closed());
+        self.requests.retain(|request| !request.reply.is_closed());
     }
 
-    fn answer_ask(&mut self, reply: &ReleaseReply) {
+    fn answer_request(&mut self, reply: &ReleaseReply) {
         let mut answer = reply.answer;
         // This agent may have begun to leave since the request arrived.
         answer.granted &= !self.is_leaving;
-        let is_match =
-            |ask: &PendingRelease| (ask.boot, ask.sequence) == (answer.boot, answer.sequence);
-        if let Some(index) = self.asks.iter().position(is_match) {
-            let _ = self.asks.swap_remove(index).reply.send(answer);
+        let is_match = |request: &PendingRelease| {
+            (request.boot, request.sequence) == (answer.boot, answer.sequence)
+        };
+        if let Some(index) = self.requests.iter().position(is_match) {
+            let _ = self.requests.swap_remove(index).reply.send(answer);
         }
     }
 
--- a/crates/oatpier-agent/src/peers.rs
+++ b/crates/oatpier-agent/src/peers.rs
@@ -28,17 +28,17 @@
     fn call(&self, entry: SocketAddr, call: FleetCall) -> PeerFuture<Option<FleetAnswer>>;
 
     /// Queries an entry for the plan and replicas.
-    fn ask_placement(
+    fn query_placement(
         &self,
         entry: SocketAddr,
-        ask: PlacementQuery,
+        request: PlacementQuery,
     ) -> PeerFuture<Option<PlacementView>>;
 
     /// Requests a release from another agent.
-    fn ask_release(
+    fn request_release(
         &self,
         agent: SocketAddr,
-        ask: ReleaseRequest,
+        request: ReleaseRequest,
     ) -> PeerFuture<Option<ReleaseAnswer>>;
 }
 
@@ -67,27 +67,27 @@
         .boxed()
     }
 
-    fn ask_placement(
+    fn query_placement(
         &self,
         entry: SocketAddr,
-        ask: PlacementQuery,
+        request: PlacementQuery,
     ) -> PeerFuture<Option<PlacementView>> {
         let client = self.client.clone();
         async move {
-            let answer = client.call(entry, PLACEMENT_PATH, &ask, ENTRY_TIMEOUT);
+            let answer = client.call(entry, PLACEMENT_PATH, &request, ENTRY_TIMEOUT);
             answer.await.ok()
         }
         .boxed()
     }
 
-    fn ask_release(
+    fn request_release(
         &self,
         agent: SocketAddr,
-        ask: ReleaseRequest,
+        request: ReleaseRequest,
     ) -> PeerFuture<Option<ReleaseAnswer>> {
         let client = self.client.clone();
         async move {
-            let answer = client.call(agent, RELEASE_PATH, &ask, RELEASE_TIMEOUT);
+            let answer = client.call(agent, RELEASE_PATH, &request, RELEASE_TIMEOUT);
             answer.await.ok()
         }
         .boxed()
--- a/crates/oatpier-agent/src/work.rs
+++ b/crates/oatpier-agent/src/work.rs
@@ -23,9 +23,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::attempt::AttemptTask;
+use crate::channels::{MembershipCall, OrdersMessage, StatusUpdate, WorkUpdate};
 use crate::core::{AgentCore, AttemptArrival};
 use crate::messages::RELEASE_PATH;
-use crate::news::{MembershipCall, OrdersMessage, StatusUpdate, WorkUpdate};
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 use oatpier_duty::messages::{PEER_PATH, STATUS_PATH};
 
@@ -51,7 +51,7 @@
     /// Updates from the other duties.
     pub updates: RingReceiver<WorkUpdate>,
     /// Sends release requests and drain counts to the orders duty.
-    pub asks: RingSender<OrdersMessage>,
+    pub messages: RingSender<OrdersMessage>,
     /// Sends the endpoint's status to the membership duty.
     pub status: RingSender<StatusUpdate>,
     /// Sends membership calls to the membership duty.
@@ -71,7 +71,7 @@
         listener,
         limits,
         updates,
-        asks,
+        messages,
         status,
         calls,
         stop,
@@ -80,10 +80,14 @@
         .expect("listener must be registered with the Tokio runtime");
     let handler = Arc::new(WorkHandler {
         core: Arc::clone(&core),
-        asks: asks.clone(),
+        messages: messages.clone(),
         calls,
     });
-    let reporter = WorkReporter { core, asks, status };
+    let reporter = WorkReporter {
+        core,
+        messages,
+        status,
+    };
     // The listener stays open until the last attempt has ended, so that a leaving agent can
     // refuse attempts explicitly. A closed port would give entries no answer.
     let ended = stop.clone();
@@ -101,7 +105,7 @@
     /// Shared state of the work duty.
     pub core: Arc<AgentCore>,
     /// Sends drain counts to the orders duty.
-    pub asks: RingSender<OrdersMessage>,
+    pub messages: RingSender<OrdersMessage>,
     /// Sends the endpoint's status to the membership duty.
     pub status: RingSender<StatusUpdate>,
 }
@@ -152,7 +156,7 @@
     fn send_drains(&self) {
         if let Some(drains) = self.core.drains() {
             // Dropped if the ring is full: the counts are sent again until the drain ends.
-            let _ = self.asks.try_send(drains);
+            let _ = self.messages.try_send(drains);
         }
     }
 }
@@ -179,7 +183,7 @@
 
 struct WorkHandler {
     core: Arc<AgentCore>,
-    asks: RingSender<OrdersMessage>,
+    messages: RingSender<OrdersMessage>,
     calls: RingSender<MembershipCall>,
 }
 
@@ -201,14 +205,14 @@
     /// Forwards a release request of another agent to the orders duty, and returns the answer.
     fn forward_release(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
         let decoded = decode_message(body);
-        let asks = self.asks.clone();
+        let messages = self.messages.clone();
         async move {
-            let ask = match decoded {
-                Ok(ask) => ask,
+            let request = match decoded {
+                Ok(request) => request,
                 Err(error) => return bad_request(&error),
             };
             let (reply, answer) = oneshot::channel();
-            forward(&asks, OrdersMessage::Release { ask, reply }, answer).await
+            forward(&messages, OrdersMessage::Release { request, reply }, answer).await
         }
     }
 
--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use futures::FutureExt;
+use oatpier_agent::channels::{OrdersMessage, PlanUpdate, WorkUpdate};
 use oatpier_agent::core::AgentCore;
 use oatpier_agent::endpoint::EndpointClients;
-use oatpier_agent::news::{OrdersMessage, PlanUpdate, WorkUpdate};
 use oatpier_agent::orders::{OrdersInputs, orders};
 use oatpier_agent::peers::{AgentPeers, PeerFuture};
 use oatpier_agent::work::WorkReporter;
@@ -26,7 +26,7 @@
 use oatpier_standin::engine::{EngineOptions, LocalEngine};
 use oatpier_standin::store::LocalStore;
 use oatpier_standin::weights::{SharedWeights, WeightStore, WeightsOptions};
-use oatpier_standin::work::LocalWork;
+use oatpier_standin::work::LocalEndpoint;
 use oatpier_types::engine::EngineRole;
 use oatpier_types::ids::{BootId, Generation, Term};
 use oatpier_types::names::DaemonName;
@@ -44,7 +44,7 @@
 /// Calls between the agents of a test. Calls to entries get no answer.
 #[derive(Default)]
 pub struct TestPeers {
-    asks: Mutex<HashMap<SocketAddr, RingSender<OrdersMessage>>>,
+    messages: Mutex<HashMap<SocketAddr, RingSender<OrdersMessage>>>,
 }
 
 impl AgentPeers for TestPeers {
@@ -52,19 +52,25 @@
         std::future::ready(None).boxed()
     }
 
-    fn ask_placement(&self, _: SocketAddr, _: PlacementQuery) -> PeerFuture<Option<PlacementView>> {
+    fn query_placement(
+        &self,
+        _: SocketAddr,
+        _: PlacementQuery,
+    ) -> PeerFuture<Option<PlacementView>> {
         std::future::ready(None).boxed()
     }
 
-    fn ask_release(
+    fn request_release(
         &self,
         agent: SocketAddr,
-        ask: ReleaseRequest,
+        request: ReleaseRequest,
     ) -> PeerFuture<Option<ReleaseAnswer>> {
-        let asks = self.asks.lock().unwrap().get(&agent).cloned();
+        let messages = self.messages.lock().unwrap().get(&agent).cloned();
         async move {
             let (reply, answer) = oneshot::channel();
-            asks?.try_send(OrdersMessage::Release { ask, reply }).ok()?;
+            messages?
+                .try_send(OrdersMessage::Release { request, reply })
+                .ok()?;
             answer.await.ok()
         }
         .boxed()
@@ -150,7 +156,7 @@
         let (spans, _) = ring(1, RingRule::Drop, metrics.ring("spans"));
         let daemon = DaemonName::try_from(format!("agent-{number}").as_str()).unwrap();
         let tracer = HopTracer::new(&daemon, spans);
-        let work = Arc::new(LocalWork::engine(Arc::clone(&engine)));
+        let work = Arc::new(LocalEndpoint::engine(Arc::clone(&engine)));
         let core = Arc::new(AgentCore::new(
             identity(number),
             boot,
@@ -165,7 +171,7 @@
         ));
         let (update_sender, updates) = ring(64, RingRule::Wait, metrics.ring("news"));
         let (plan_sender, plan) = ring(64, RingRule::Wait, metrics.ring("plan"));
-        let (asks_sender, asks) = ring(64, RingRule::Drop, metrics.ring("asks"));
+        let (message_sender, messages) = ring(64, RingRule::Drop, metrics.ring("asks"));
         let (status, _) = ring(1, RingRule::Drop, metrics.ring("status"));
         let config = Arc::new(config(self.shape));
         let generation = Generation(1);
@@ -175,8 +181,8 @@
             config: core_config,
         });
         assert!(plan_sender.try_send(PlanUpdate::Config(config)).is_ok());
-        let mut peers = self.peers.asks.lock().unwrap();
-        peers.insert(address(number), asks_sender.clone());
+        let mut peers = self.peers.messages.lock().unwrap();
+        peers.insert(address(number), message_sender.clone());
         let orders_inputs = OrdersInputs {
             identity: identity(number),
             boot,
@@ -190,12 +196,12 @@
             updates: update_sender,
             status: status.clone(),
             plan,
-            asks,
+            messages,
             stop: stop.clone(),
         };
         let reporter = WorkReporter {
             core: Arc::clone(&core),
-            asks: asks_sender,
+            messages: message_sender,
             status,
         };
         let work = run_work(reporter, updates, stop.clone());
--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use futures::FutureExt;
+use oatpier_agent::channels::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use oatpier_agent::membership::{MembershipInputs, membership};
-use oatpier_agent::news::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use oatpier_agent::peers::{AgentPeers, PeerFuture};
 use oatpier_duty::duty::{
     RingReceiver, RingRule, RingSender, RuntimeClock, StopPhase, StopSignal, ring,
@@ -104,7 +104,7 @@
         std::future::ready(self.answer(entry.port(), call)).boxed()
     }
 
-    fn ask_placement(
+    fn query_placement(
         &self,
         entry: SocketAddr,
         _: PlacementQuery,
@@ -119,7 +119,11 @@
         std::future::ready(view).boxed()
     }
 
-    fn ask_release(&self, _: SocketAddr, _: ReleaseRequest) -> PeerFuture<Option<ReleaseAnswer>> {
+    fn request_release(
+        &self,
+        _: SocketAddr,
+        _: ReleaseRequest,
+    ) -> PeerFuture<Option<ReleaseAnswer>> {
         std::future::ready(None).boxed()
     }
 }
--- a/crates/oatpier-agent/tests/testsuite/requests.rs
+++ b/crates/oatpier-agent/tests/testsuite/requests.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use oatpier_agent::news::WorkUpdate;
+use oatpier_agent::channels::WorkUpdate;
 use oatpier_standin::engine::EngineFaults;
 use oatpier_types::ids::Generation;
 use oatpier_types::refusal::RefusalCause;
--- a/crates/oatpier-bench/src/fleet/attempts.rs
+++ b/crates/oatpier-bench/src/fleet/attempts.rs
@@ -257,7 +257,7 @@
                 let report = Some(self.nodes[node].brain.queue_report(self.now));
                 self.tell(route, EntryEvent::Ended { attempt, report });
             }
-            OutputKind::Cut => {
+            OutputKind::Interrupted => {
                 self.flush(route);
                 self.nodes[node].attempts.0.swap_remove(&attempt);
                 let verdict = RunVerdict::MayHaveRun;
--- a/crates/oatpier-entry/tests/testsuite/whole.rs
+++ b/crates/oatpier-entry/tests/testsuite/whole.rs
@@ -8,7 +8,7 @@
 use oatpier_duty::duty::{DutyProcess, StopPhase};
 use oatpier_duty::settings::{EntrySettings, SettingsText};
 use oatpier_ports::store::{ExpectedValue, KeyStore};
-use oatpier_standin::serve::Running;
+use oatpier_standin::serve::RunningServer;
 use oatpier_standin::store::{LocalStore, start_store};
 use oatpier_standin::vms::{LocalVms, start_vms};
 use oatpier_types::config::FleetConfig;
@@ -28,8 +28,8 @@
     process: DutyProcess,
     peers: SocketAddr,
     client: HttpClient,
-    _store: Running<LocalStore>,
-    _vms: Running<LocalVms>,
+    _store: RunningServer<LocalStore>,
+    _vms: RunningServer<LocalVms>,
 }
 
 async fn free_address() -> SocketAddr {
--- a/crates/oatpier-standin/examples/standin.rs
+++ b/crates/oatpier-standin/examples/standin.rs
@@ -11,7 +11,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use oatpier_standin::clock::StandinClock;
 use oatpier_standin::engine::{EngineOptions, start_engine};
-use oatpier_standin::serve::{RequestHandler, Running};
+use oatpier_standin::serve::{RequestHandler, RunningServer};
 use oatpier_standin::service::start_service;
 use oatpier_standin::store::start_store;
 use oatpier_standin::vms::start_vms;
@@ -138,12 +138,12 @@
     }
 }
 
-async fn announce<H: RequestHandler>(running: Running<H>) -> Result<(), Box<dyn Error>> {
+async fn announce<H: RequestHandler>(running: RunningServer<H>) -> Result<(), Box<dyn Error>> {
     let line = ListeningLine {
         listening: running.address,
     };
     println!("{}", serde_json::to_string(&line)?);
-    running.forever().await;
+    running.run_forever().await;
     Ok(())
 }
 
--- a/crates/oatpier-standin/src/engine/completion.rs
+++ b/crates/oatpier-standin/src/engine/completion.rs
@@ -11,7 +11,9 @@
 use oatpier_types::prefix::prefix_chain;
 
 use crate::answer::{prompt_hash, prompt_tokens, token_text};
-use crate::serve::{Answer, AnswerBody, CallerIds, DropConnection, WholeRequest, json, with_body};
+use crate::serve::{
+    Answer, AnswerBody, BufferedRequest, CallerIds, DropConnection, json, with_body,
+};
 
 /// Tokens of an answer whose request sets no maximum.
 const DEFAULT_MAX_TOKENS: u32 = 16;
@@ -92,7 +94,7 @@
 
     pub(super) fn into_request(
         self,
-        request: &WholeRequest,
+        request: &BufferedRequest,
         chat: bool,
     ) -> (EngineRequest, AnswerFormat) {
         let ids = CallerIds::of(request);
@@ -177,7 +179,7 @@
                 Some((Ok(data(event)), Some((format, run))))
             }
             Some(OutputKind::Done) => Some((Ok(data("data: [DONE]\n\n")), None)),
-            Some(OutputKind::Cut) | None => {
+            Some(OutputKind::Interrupted) | None => {
                 // When a body fails, the server discards data that it has not yet flushed. A pending
                 // body makes it flush, so that the tokens before the interruption arrive.
                 tokio::task::yield_now().await;
@@ -200,7 +202,7 @@
         match run.next().await {
             Some(OutputKind::Token(index)) => text += &token_text(format.prompt_hash, index),
             Some(OutputKind::Done) => break,
-            Some(OutputKind::Cut) | None => return Err(DropConnection),
+            Some(OutputKind::Interrupted) | None => return Err(DropConnection),
         }
     }
     let mut choice = format.choice(text, false);
--- a/crates/oatpier-standin/src/engine/core.rs
+++ b/crates/oatpier-standin/src/engine/core.rs
@@ -152,7 +152,9 @@
         for key in waiting {
             ended.extend(self.take_waiting(key));
         }
-        let outputs = ended.iter().map(|run| run.output(now, OutputKind::Cut));
+        let outputs = ended
+            .iter()
+            .map(|run| run.output(now, OutputKind::Interrupted));
         self.outputs.extend(outputs);
         self.report_load(now);
         !ended.is_empty()
@@ -365,7 +367,7 @@
     }
 
     /// Returns after how many tokens the next stream must break off, if that fault is injected.
-    pub(super) fn take_cut(&mut self) -> Option<u32> {
+    pub(super) fn take_interruption(&mut self) -> Option<u32> {
         use_fault(&mut self.faults.cut_streams).then_some(self.faults.cut_after)
     }
 }
--- a/crates/oatpier-standin/src/engine/http.rs
+++ b/crates/oatpier-standin/src/engine/http.rs
@@ -15,8 +15,8 @@
 use super::{EngineOptions, LocalEngine, SubmitError};
 use crate::clock::StandinClock;
 use crate::serve::{
-    Answer, AnswerBody, DropConnection, RequestHandler, Running, WholeRequest, empty, json,
-    not_found, plain, start,
+    Answer, AnswerBody, BufferedRequest, DropConnection, RequestHandler, RunningServer, empty,
+    json, not_found, plain, start,
 };
 use crate::weights::SharedWeights;
 
@@ -54,17 +54,17 @@
     options: EngineOptions,
     store: SharedWeights,
     clock: StandinClock,
-) -> std::io::Result<Running<LocalEngine>> {
+) -> std::io::Result<RunningServer<LocalEngine>> {
     start(address, LocalEngine::start(options, store, clock)).await
 }
 
 impl RequestHandler for LocalEngine {
-    fn handle(self: Arc<Self>, request: WholeRequest) -> BoxFuture<'static, Answer> {
+    fn handle(self: Arc<Self>, request: BufferedRequest) -> BoxFuture<'static, Answer> {
         async move { answer(&self, &request).await }.boxed()
     }
 }
 
-async fn answer(engine: &Arc<LocalEngine>, request: &WholeRequest) -> Answer {
+async fn answer(engine: &Arc<LocalEngine>, request: &BufferedRequest) -> Answer {
     if let Some(rest) = request.path.strip_prefix("/standin/") {
         return Ok(control(engine, rest, request));
     }
@@ -79,7 +79,7 @@
     }
 }
 
-fn report(engine: &LocalEngine, request: &WholeRequest) -> Response<AnswerBody> {
+fn report(engine: &LocalEngine, request: &BufferedRequest) -> Response<AnswerBody> {
     engine.with_core(|core, now| match request.path.as_str() {
         "/health" => empty(StatusCode::OK),
         "/state" => json(StatusCode::OK, &core.state()),
@@ -117,7 +117,7 @@
     }
 }
 
-fn order(engine: &LocalEngine, request: &WholeRequest) -> Answer {
+fn order(engine: &LocalEngine, request: &BufferedRequest) -> Answer {
     let order: EngineOrder = match request.json() {
         Ok(order) => order,
         Err(response) => return Ok(*response),
@@ -132,7 +132,7 @@
     }
 }
 
-async fn complete(engine: &Arc<LocalEngine>, request: &WholeRequest, chat: bool) -> Answer {
+async fn complete(engine: &Arc<LocalEngine>, request: &BufferedRequest, chat: bool) -> Answer {
     let body: CompletionBody = match request.json() {
         Ok(body) => body,
         Err(response) => return Ok(*response),
@@ -154,7 +154,7 @@
     }
 }
 
-fn control(engine: &LocalEngine, rest: &str, request: &WholeRequest) -> Response<AnswerBody> {
+fn control(engine: &LocalEngine, rest: &str, request: &BufferedRequest) -> Response<AnswerBody> {
     match (request.method.as_str(), rest) {
         ("POST", "faults") => match request.json() {
             Ok(faults) => {
--- a/crates/oatpier-standin/src/engine/local.rs
+++ b/crates/oatpier-standin/src/engine/local.rs
@@ -103,7 +103,7 @@
         let outputs = shared.core.advance(now);
         shared.route(outputs);
         let run = shared.core.submit(now, request)?;
-        let cut_after = shared.core.take_cut();
+        let cut_after = shared.core.take_interruption();
         shared.streams.insert(run, sender);
         drop(shared);
         self.wake.notify_one();
@@ -149,10 +149,10 @@
 }
 
 impl RunStream {
-    /// Returns the next output. The last one is [`OutputKind::Done`] or [`OutputKind::Cut`].
+    /// Returns the next output. The last one is [`OutputKind::Done`] or [`OutputKind::Interrupted`].
     pub async fn next(&mut self) -> Option<OutputKind> {
         match &mut self.cut_after {
-            Some(0) => return Some(OutputKind::Cut),
+            Some(0) => return Some(OutputKind::Interrupted),
             Some(left) => *left -= 1,
             None => {}
         }
--- a/crates/oatpier-standin/src/engine/run.rs
+++ b/crates/oatpier-standin/src/engine/run.rs
@@ -53,7 +53,7 @@
     /// The answer is complete.
     Done,
     /// The run ended early: it was cancelled, or its weights were unloaded.
-    Cut,
+    Interrupted,
 }
 
 /// An output of a run.
--- a/crates/oatpier-standin/src/serve.rs
+++ b/crates/oatpier-standin/src/serve.rs
@@ -41,7 +41,7 @@
 
 /// A request with its complete body.
 #[derive(Debug, Default)]
-pub struct WholeRequest {
+pub struct BufferedRequest {
     /// The method, in capitals.
     pub method: String,
     /// The path, not decoded.
@@ -54,7 +54,7 @@
     pub body: Bytes,
 }
 
-impl WholeRequest {
+impl BufferedRequest {
     /// Returns the path with the query, not decoded.
     #[must_use]
     pub fn path_and_query(&self) -> String {
@@ -102,11 +102,11 @@
 /// Handler of the requests to one stand-in.
 pub trait RequestHandler: Send + Sync + 'static {
     /// Answers one request.
-    fn handle(self: Arc<Self>, request: WholeRequest) -> BoxFuture<'static, Answer>;
+    fn handle(self: Arc<Self>, request: BufferedRequest) -> BoxFuture<'static, Answer>;
 }
 
 /// A running server of a stand-in. Dropping it closes the port and the connections.
-pub struct Running<H> {
+pub struct RunningServer<H> {
     /// The bound address.
     pub address: SocketAddr,
     /// The stand-in, to inject faults and read records.
@@ -114,15 +114,15 @@
     task: JoinHandle<()>,
 }
 
-impl<H> Drop for Running<H> {
+impl<H> Drop for RunningServer<H> {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl<H> Running<H> {
+impl<H> RunningServer<H> {
     /// Waits forever while the server runs.
-    pub async fn forever(mut self) {
+    pub async fn run_forever(mut self) {
         let _ = (&mut self.task).await;
     }
 }
@@ -135,11 +135,11 @@
 pub async fn start<H: RequestHandler>(
     address: SocketAddr,
     handler: Arc<H>,
-) -> std::io::Result<Running<H>> {
+) -> std::io::Result<RunningServer<H>> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     let task = tokio::spawn(accept(listener, Arc::clone(&handler)));
-    Ok(Running {
+    Ok(RunningServer {
         address,
         handle: handler,
         task,
@@ -176,7 +176,7 @@
         let text = "the body is too large";
         return Ok(plain(StatusCode::PAYLOAD_TOO_LARGE, text));
     };
-    let whole = WholeRequest {
+    let whole = BufferedRequest {
         method: parts.method.as_str().to_owned(),
         path: parts.uri.path().to_owned(),
         query: parts.uri.query().unwrap_or("").to_owned(),
@@ -245,7 +245,7 @@
 impl CallerIds {
     /// Reads the ids from the headers.
     #[must_use]
-    pub fn of(request: &WholeRequest) -> Self {
+    pub fn of(request: &BufferedRequest) -> Self {
         let hex = |text: &str| u128::from_str_radix(text, 16).ok();
         let attempt = request.header("x-request-id").and_then(hex).unwrap_or(0);
         let trace = request
--- a/crates/oatpier-standin/src/service.rs
+++ b/crates/oatpier-standin/src/service.rs
@@ -14,8 +14,8 @@
 use crate::answer::key_hash;
 use crate::clock::StandinClock;
 use crate::serve::{
-    Answer, AnswerBody, CallerIds, DropConnection, RequestHandler, Running, WholeRequest, empty,
-    json, not_found, start,
+    Answer, AnswerBody, BufferedRequest, CallerIds, DropConnection, RequestHandler, RunningServer,
+    empty, json, not_found, start,
 };
 
 /// A call that the service executed.
@@ -98,7 +98,7 @@
         self.lock().events.clone()
     }
 
-    fn execute(&self, request: &WholeRequest) -> ServiceCall {
+    fn execute(&self, request: &BufferedRequest) -> ServiceCall {
         let ids = CallerIds::of(request);
         let key = request.header("idempotency-key");
         let event = FleetEvent::RunStarted {
@@ -122,7 +122,7 @@
         call
     }
 
-    async fn call(&self, request: &WholeRequest) -> Answer {
+    async fn call(&self, request: &BufferedRequest) -> Answer {
         if self.lock().faults.down {
             return Err(DropConnection);
         }
@@ -148,7 +148,7 @@
         Ok(json(status, &call))
     }
 
-    fn control(&self, rest: &str, request: &WholeRequest) -> Response<AnswerBody> {
+    fn control(&self, rest: &str, request: &BufferedRequest) -> Response<AnswerBody> {
         match (request.method.as_str(), rest) {
             ("GET", "calls") => json(StatusCode::OK, &self.calls()),
             ("GET", "events") => json(StatusCode::OK, &self.events()),
@@ -165,7 +165,7 @@
 }
 
 impl RequestHandler for LocalService {
-    fn handle(self: Arc<Self>, request: WholeRequest) -> BoxFuture<'static, Answer> {
+    fn handle(self: Arc<Self>, request: BufferedRequest) -> BoxFuture<'static, Answer> {
         async move {
             match request.path.strip_prefix("/standin/") {
                 Some(rest) => Ok(self.control(rest, &request)),
@@ -185,6 +185,6 @@
     address: SocketAddr,
     endpoint: EndpointName,
     clock: StandinClock,
-) -> std::io::Result<Running<LocalService>> {
+) -> std::io::Result<RunningServer<LocalService>> {
     start(address, Arc::new(LocalService::new(endpoint, clock))).await
 }
--- a/crates/oatpier-standin/src/store/http.rs
+++ b/crates/oatpier-standin/src/store/http.rs
@@ -16,8 +16,8 @@
 
 use super::LocalStore;
 use crate::serve::{
-    Answer, AnswerBody, DropConnection, RequestHandler, Running, WholeRequest, empty, json,
-    not_found, plain, start, with_body,
+    Answer, AnswerBody, BufferedRequest, DropConnection, RequestHandler, RunningServer, empty,
+    json, not_found, plain, start, with_body,
 };
 
 /// A value or a change in an answer.
@@ -49,17 +49,17 @@
 /// # Errors
 ///
 /// Returns an error if the address can't be bound.
-pub async fn start_store(address: SocketAddr) -> std::io::Result<Running<LocalStore>> {
+pub async fn start_store(address: SocketAddr) -> std::io::Result<RunningServer<LocalStore>> {
     start(address, Arc::new(LocalStore::new())).await
 }
 
 impl RequestHandler for LocalStore {
-    fn handle(self: Arc<Self>, request: WholeRequest) -> BoxFuture<'static, Answer> {
+    fn handle(self: Arc<Self>, request: BufferedRequest) -> BoxFuture<'static, Answer> {
         async move { answer(&self, &request).await }.boxed()
     }
 }
 
-async fn answer(store: &LocalStore, request: &WholeRequest) -> Answer {
+async fn answer(store: &LocalStore, request: &BufferedRequest) -> Answer {
     let path = decode_path(request.path.trim_start_matches('/'));
     let (service, rest) = path.split_once('/').unwrap_or((&path, ""));
     let result = match (request.method.as_str(), service) {
@@ -123,7 +123,7 @@
     Ok(with_revision(response, found.revision))
 }
 
-async fn put(store: &LocalStore, key: &str, request: &WholeRequest) -> HandlerResult {
+async fn put(store: &LocalStore, key: &str, request: &BufferedRequest) -> HandlerResult {
     let Some(expected) = expected(request) else {
         return Ok(bad_expect());
     };
@@ -136,7 +136,7 @@
     Ok(with_revision(empty(StatusCode::OK), revision))
 }
 
-async fn delete(store: &LocalStore, key: &str, request: &WholeRequest) -> HandlerResult {
+async fn delete(store: &LocalStore, key: &str, request: &BufferedRequest) -> HandlerResult {
     let Some(expected) = expected(request) else {
         return Ok(bad_expect());
     };
@@ -154,7 +154,7 @@
     Ok(json(StatusCode::OK, &rows))
 }
 
-async fn watch(store: &LocalStore, prefix: &str, request: &WholeRequest) -> HandlerResult {
+async fn watch(store: &LocalStore, prefix: &str, request: &BufferedRequest) -> HandlerResult {
     let after = Revision(request.number("after"));
     let wait = Duration::from_millis(request.number("wait_ms"));
     let rows: Vec<ValueRow> = store
@@ -166,7 +166,7 @@
     Ok(json(StatusCode::OK, &rows))
 }
 
-async fn lease(store: &LocalStore, rest: &str, request: &WholeRequest) -> HandlerResult {
+async fn lease(store: &LocalStore, rest: &str, request: &BufferedRequest) -> HandlerResult {
     let (id, verb) = rest.split_once('/').unwrap_or((rest, ""));
     let id = id.parse().map(LeaseId);
     match (request.method.as_str(), id, verb) {
@@ -187,7 +187,7 @@
     }
 }
 
-fn control(store: &LocalStore, rest: &str, request: &WholeRequest) -> Response<AnswerBody> {
+fn control(store: &LocalStore, rest: &str, request: &BufferedRequest) -> Response<AnswerBody> {
     match (request.method.as_str(), rest) {
         ("GET", "calls") => json(StatusCode::OK, &store.calls()),
         ("GET", "faults") => json(StatusCode::OK, &store.faults()),
@@ -202,7 +202,7 @@
     }
 }
 
-fn expected(request: &WholeRequest) -> Option<ExpectedValue> {
+fn expected(request: &BufferedRequest) -> Option<ExpectedValue> {
     match request.parameter("expect")? {
         "any" => Some(ExpectedValue::Any),
         "absent" => Some(ExpectedValue::Absent),
--- a/crates/oatpier-standin/src/vms.rs
+++ b/crates/oatpier-standin/src/vms.rs
@@ -14,7 +14,8 @@
 
 use crate::clock::StandinClock;
 use crate::serve::{
-    Answer, DropConnection, RequestHandler, Running, WholeRequest, empty, json, not_found, start,
+    Answer, BufferedRequest, DropConnection, RequestHandler, RunningServer, empty, json, not_found,
+    start,
 };
 
 /// Faults that the list injects.
@@ -108,13 +109,13 @@
 }
 
 impl RequestHandler for LocalVms {
-    fn handle(self: Arc<Self>, request: WholeRequest) -> BoxFuture<'static, Answer> {
+    fn handle(self: Arc<Self>, request: BufferedRequest) -> BoxFuture<'static, Answer> {
         async move { self.answer(&request) }.boxed()
     }
 }
 
 impl LocalVms {
-    fn answer(&self, request: &WholeRequest) -> Answer {
+    fn answer(&self, request: &BufferedRequest) -> Answer {
         let set = match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/vms") if self.is_down() => return Err(DropConnection),
             ("GET", "/vms") => return Ok(json(StatusCode::OK, &self.rows())),
@@ -134,6 +135,6 @@
 /// # Errors
 ///
 /// Returns an error if the address can't be bound.
-pub async fn start_vms(address: SocketAddr) -> std::io::Result<Running<LocalVms>> {
+pub async fn start_vms(address: SocketAddr) -> std::io::Result<RunningServer<LocalVms>> {
     start(address, Arc::new(LocalVms::new())).await
 }
--- a/crates/oatpier-standin/src/work.rs
+++ b/crates/oatpier-standin/src/work.rs
@@ -11,19 +11,19 @@
 use oatpier_types::verdict::RunVerdict;
 
 use crate::engine::LocalEngine;
-use crate::serve::{Answer, DropConnection, RequestHandler, WholeRequest};
+use crate::serve::{Answer, BufferedRequest, DropConnection, RequestHandler};
 use crate::service::LocalService;
 
 /// Calls a stand-in in process instead of through its HTTP server, so that a test with a paused
 /// clock gets the same answers and faults. A dropped connection is reported as "may have run", also
 /// if the stand-in did nothing.
-pub struct LocalWork<H> {
+pub struct LocalEndpoint<H> {
     handler: Arc<H>,
     /// Whether the endpoint supports cancels. A plain service would treat a cancel as a call.
     supports_cancel: bool,
 }
 
-impl LocalWork<LocalEngine> {
+impl LocalEndpoint<LocalEngine> {
     /// Creates an [`EndpointClient`] that calls an engine.
     #[must_use]
     pub fn engine(engine: Arc<LocalEngine>) -> Self {
@@ -34,7 +34,7 @@
     }
 }
 
-impl LocalWork<LocalService> {
+impl LocalEndpoint<LocalService> {
     /// Creates an [`EndpointClient`] that calls a plain service.
     #[must_use]
     pub fn service(service: Arc<LocalService>) -> Self {
@@ -45,18 +45,18 @@
     }
 }
 
-impl<H: RequestHandler> LocalWork<H> {
+impl<H: RequestHandler> LocalEndpoint<H> {
     fn send(&self, method: &str, path: &str) -> BoxFuture<'static, Answer> {
-        let request = WholeRequest {
+        let request = BufferedRequest {
             method: method.to_owned(),
             path: path.to_owned(),
-            ..WholeRequest::default()
+            ..BufferedRequest::default()
         };
         Arc::clone(&self.handler).handle(request)
     }
 }
 
-fn to_request(call: EndpointCall) -> WholeRequest {
+fn to_request(call: EndpointCall) -> BufferedRequest {
     let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
     let mut headers = call.headers;
     headers.insert("x-priority", HeaderValue::from(call.priority));
@@ -64,7 +64,7 @@
     if let Ok(attempt) = HeaderValue::try_from(call.attempt.to_string()) {
         headers.insert("x-request-id", attempt);
     }
-    WholeRequest {
+    BufferedRequest {
         method: call.method.as_str().to_owned(),
         path: path.to_owned(),
         query: query.to_owned(),
@@ -80,7 +80,7 @@
     }
 }
 
-impl<H: RequestHandler> EndpointClient for LocalWork<H> {
+impl<H: RequestHandler> EndpointClient for LocalEndpoint<H> {
     fn run(&self, call: EndpointCall) -> BoxFuture<'_, Result<EndpointAnswer, CallError>> {
         let answer = Arc::clone(&self.handler).handle(to_request(call));
         async move {
--- a/crates/oatpier-standin/tests/testsuite/engine_http.rs
+++ b/crates/oatpier-standin/tests/testsuite/engine_http.rs
@@ -10,9 +10,9 @@
 use oatpier_standin::answer::answer_text;
 use oatpier_standin::clock::StandinClock;
 use oatpier_standin::engine::{EngineFaults, EngineOptions, LocalEngine, start_engine};
-use oatpier_standin::serve::Running;
+use oatpier_standin::serve::RunningServer;
 use oatpier_standin::weights::{WeightStore, WeightsOptions};
-use oatpier_standin::work::LocalWork;
+use oatpier_standin::work::LocalEndpoint;
 use oatpier_types::event::FleetEvent;
 use oatpier_types::ids::AttemptId;
 
@@ -23,7 +23,7 @@
 /// Tokens of an answer that doesn't end during a test.
 const ENDLESS: u32 = 4_000;
 
-async fn serve(options: EngineOptions) -> (Running<LocalEngine>, HttpEndpoint) {
+async fn serve(options: EngineOptions) -> (RunningServer<LocalEngine>, HttpEndpoint) {
     let store = WeightStore::shared(WeightsOptions::default());
     let clock = StandinClock::start();
     let running = start_engine(ANY_PORT, options, store, clock).await.unwrap();
@@ -62,7 +62,7 @@
 async fn a_local_engine_streams_whole_and_resumed_answers() {
     let store = WeightStore::shared(WeightsOptions::default());
     let engine = LocalEngine::start(options(), store, StandinClock::start());
-    let work = LocalWork::engine(engine);
+    let work = LocalEndpoint::engine(engine);
     check_whole_and_resumed(&work).await;
     assert!(work.probe().await);
 }
@@ -141,7 +141,7 @@
     let mut call = completion(1, "one", 5);
     let trace = "00-000000000000000000000000000000aa-00000000000000bb-01";
     call.headers.insert("traceparent", trace.parse().unwrap());
-    let work = LocalWork::engine(engine.clone());
+    let work = LocalEndpoint::engine(engine.clone());
     read_body(work.run(call).await.unwrap()).await;
     let events = engine.with_core(|core, _| core.take_events());
     let started = events.iter().find_map(|logged| match logged.event {
--- a/crates/oatpier-standin/tests/testsuite/orders.rs
+++ b/crates/oatpier-standin/tests/testsuite/orders.rs
@@ -63,7 +63,7 @@
     core.order(START, &unload(1, 1, "m1")).unwrap();
     assert_eq!(core.used_mib(), 1_024);
     let outputs = core.advance(START);
-    assert_eq!(outputs[0].kind, OutputKind::Cut);
+    assert_eq!(outputs[0].kind, OutputKind::Interrupted);
     core.advance(ClockTime::from_millis(100));
     assert_eq!(core.used_mib(), 0);
 }
--- a/crates/oatpier-standin/tests/testsuite/service.rs
+++ b/crates/oatpier-standin/tests/testsuite/service.rs
@@ -8,7 +8,7 @@
 use oatpier_ports::http::{EndpointKind, HttpEndpoint};
 use oatpier_standin::clock::StandinClock;
 use oatpier_standin::service::{LocalService, ServiceCall, ServiceFaults, start_service};
-use oatpier_standin::work::LocalWork;
+use oatpier_standin::work::LocalEndpoint;
 use oatpier_types::ids::AttemptId;
 use oatpier_types::verdict::RunVerdict;
 
@@ -55,6 +55,6 @@
 #[tokio::test(start_paused = true)]
 async fn a_local_service_records_each_call() {
     let service = Arc::new(LocalService::new(endpoint(), StandinClock::start()));
-    let work = LocalWork::service(Arc::clone(&service));
+    let work = LocalEndpoint::service(Arc::clone(&service));
     check_calls(&work, &service).await;
 }
--- a/crates/oatpier/tests/testsuite/fixture.rs
+++ b/crates/oatpier/tests/testsuite/fixture.rs
@@ -8,7 +8,7 @@
 
 use futures::FutureExt;
 use futures::future::BoxFuture;
-use oatpier_standin::serve::{Answer, RequestHandler, WholeRequest, json, not_found, start};
+use oatpier_standin::serve::{Answer, BufferedRequest, RequestHandler, json, not_found, start};
 use oatpier_standin::store::{LocalStore, StoreFaults, start_store};
 use serde_json::Value;
 use tempfile::TempDir;
@@ -73,7 +73,7 @@
 }
 
 impl RequestHandler for FakeEntry {
-    fn handle(self: Arc<Self>, request: WholeRequest) -> BoxFuture<'static, Answer> {
+    fn handle(self: Arc<Self>, request: BufferedRequest) -> BoxFuture<'static, Answer> {
         let found = self.answers.lock().unwrap().get(&request.path).cloned();
         let answer = found.map_or_else(not_found, |value| json(http::StatusCode::OK, &value));
         async move { Ok(answer) }.boxed()
--- a/crates/oatpierd/examples/quickstart/fleet.rs
+++ b/crates/oatpierd/examples/quickstart/fleet.rs
@@ -11,7 +11,7 @@
 use oatpier_ports::vms::{VmDuty, VmRow, VmState};
 use oatpier_standin::clock::StandinClock;
 use oatpier_standin::engine::{EngineOptions, LocalEngine, start_engine};
-use oatpier_standin::serve::Running;
+use oatpier_standin::serve::RunningServer;
 use oatpier_standin::service::{LocalService, start_service};
 use oatpier_standin::store::{LocalStore, start_store};
 use oatpier_standin::vms::{LocalVms, start_vms};
@@ -41,12 +41,12 @@
 
 /// Stand-ins of the platform and its endpoints. Dropping it stops them.
 pub struct Platform {
-    store: Running<LocalStore>,
-    vms: Running<LocalVms>,
+    store: RunningServer<LocalStore>,
+    vms: RunningServer<LocalVms>,
     /// The engines.
-    pub engines: Vec<Running<LocalEngine>>,
+    pub engines: Vec<RunningServer<LocalEngine>>,
     /// The plain service.
-    pub service: Running<LocalService>,
+    pub service: RunningServer<LocalService>,
 }
 
 impl Platform {
@@ -79,7 +79,7 @@
     name: &str,
     weights: &SharedWeights,
     clock: StandinClock,
-) -> Result<Running<LocalEngine>, AnyError> {
+) -> Result<RunningServer<LocalEngine>, AnyError> {
     let tables = WeightsKey {
         model: ModelName::try_from("tables")?,
         adapter: None,
