--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -23,10 +23,10 @@
 };
 use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_standin::clock::StandinClock;
+use oatpier_standin::endpoint::LocalEndpoint;
 use oatpier_standin::engine::{EngineOptions, LocalEngine};
 use oatpier_standin::store::LocalStore;
 use oatpier_standin::weights::{SharedWeights, WeightStore, WeightsOptions};
-use oatpier_standin::work::LocalEndpoint;
 use oatpier_types::engine::EngineRole;
 use oatpier_types::ids::{BootId, Generation, Term};
 use oatpier_types::names::DaemonName;
--- a/crates/oatpier-standin/src/lib.rs
+++ b/crates/oatpier-standin/src/lib.rs
@@ -16,14 +16,14 @@
 //! - [`service`]: a plain service.
 //! - [`answer`]: the answer to a prompt.
 //! - [`serve`]: the HTTP server that the stand-ins share.
-//! - [`work`]: an engine or plain service as an `EndpointClient`, without sockets.
+//! - [`endpoint`]: an engine or plain service as an `EndpointClient`, without sockets.
 
 pub mod answer;
 pub mod clock;
+pub mod endpoint;
 pub mod engine;
 pub mod serve;
 pub mod service;
 pub mod store;
 pub mod vms;
 pub mod weights;
-pub mod work;
--- a/crates/oatpier-standin/tests/testsuite/engine_http.rs
+++ b/crates/oatpier-standin/tests/testsuite/engine_http.rs
@@ -9,10 +9,10 @@
 use oatpier_ports::http::{EndpointKind, HttpEndpoint, HttpEngine};
 use oatpier_standin::answer::answer_text;
 use oatpier_standin::clock::StandinClock;
+use oatpier_standin::endpoint::LocalEndpoint;
 use oatpier_standin::engine::{EngineFaults, EngineOptions, LocalEngine, start_engine};
 use oatpier_standin::serve::RunningServer;
 use oatpier_standin::weights::{WeightStore, WeightsOptions};
-use oatpier_standin::work::LocalEndpoint;
 use oatpier_types::event::FleetEvent;
 use oatpier_types::ids::AttemptId;
 
--- a/crates/oatpier-standin/tests/testsuite/service.rs
+++ b/crates/oatpier-standin/tests/testsuite/service.rs
@@ -7,8 +7,8 @@
 use oatpier_ports::endpoint::EndpointClient;
 use oatpier_ports::http::{EndpointKind, HttpEndpoint};
 use oatpier_standin::clock::StandinClock;
+use oatpier_standin::endpoint::LocalEndpoint;
 use oatpier_standin::service::{LocalService, ServiceCall, ServiceFaults, start_service};
-use oatpier_standin::work::LocalEndpoint;
 use oatpier_types::ids::AttemptId;
 use oatpier_types::verdict::RunVerdict;
 
