--- a/crates/oatpier-bench/src/fleet/agent.rs
+++ b/crates/oatpier-bench/src/fleet/agent.rs
@@ -1,4 +1,4 @@
-//! What decides about requests at an agent: oatpier's policy or a baseline, behind one trait.
+//! Request decisions at an agent: one trait for oatpier's policy and the baseline.
 
 use indexmap::IndexMap;
 use oatpier_admission::event::{AgentAction, AgentActions, AgentEvent};
@@ -11,17 +11,17 @@
 use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 
-/// Decides about requests at one agent.
-pub trait AgentBrain {
-    /// Takes one event and says what to do.
+/// Makes the request decisions of one agent.
+pub trait AgentDecider {
+    /// Processes one event and returns the resulting actions.
     fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions;
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     fn next_timer(&self) -> ClockTime;
-    /// A fresh queue report.
+    /// Creates a new queue report.
     fn queue_report(&mut self, now: ClockTime) -> QueueReport;
 }
 
-impl AgentBrain for AgentPolicy {
+impl AgentDecider for AgentPolicy {
     fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions {
         Self::step(self, event, now)
     }
@@ -35,16 +35,16 @@
     }
 }
 
-/// A baseline agent: passes everything on to its engine, in the order in which it came.
-pub struct PlainAgent {
+/// Baseline agent that forwards every attempt to its engine in order of arrival.
+pub struct BaselineAgent {
     boot: BootId,
     sequence: u64,
     ready: Vec<WeightsKey>,
     started: IndexMap<AttemptId, ()>,
 }
 
-impl PlainAgent {
-    /// An agent that has just started.
+impl BaselineAgent {
+    /// Creates an agent that has just started.
     #[must_use]
     pub fn new(boot: BootId) -> Self {
         Self {
@@ -86,7 +86,7 @@
     }
 }
 
-impl AgentBrain for PlainAgent {
+impl AgentDecider for BaselineAgent {
     fn step(&mut self, event: AgentEvent, _now: ClockTime) -> AgentActions {
         match event {
             AgentEvent::Arrive { spec, .. } => {
--- a/crates/oatpier-bench/src/fleet/faults.rs
+++ b/crates/oatpier-bench/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of engines.
+//! Injection of engine faults.
 
 use oatpier_policy::event::EntryEvent;
 use oatpier_standin::engine::EngineFaults;
@@ -7,12 +7,12 @@
 
 use super::step::FleetStep;
 use super::world::FleetWorld;
-use crate::load::scenario::{FaultKind, FaultVictim};
+use crate::load::scenario::{FaultKind, FaultTarget};
 
 impl FleetWorld<'_> {
-    pub(super) fn fault_begins(&mut self, fault: usize) {
+    pub(super) fn start_fault(&mut self, fault: usize) {
         let plan = self.faults[fault];
-        let Some(node) = self.victim(plan.victim) else {
+        let Some(node) = self.find_target(plan.target) else {
             return;
         };
         match plan.kind {
@@ -27,22 +27,22 @@
             .push(plan.until, FleetStep::FaultEnds { fault, node });
     }
 
-    pub(super) fn fault_ends(&mut self, fault: usize, node: usize) {
+    pub(super) fn end_fault(&mut self, fault: usize, node: usize) {
         match self.faults[fault].kind {
             FaultKind::Death => self.revive(node),
             FaultKind::Freeze => self.freeze(node, false),
             FaultKind::Unregistered => {
                 self.nodes[node].unregistered = false;
-                self.tell_entries(node);
+                self.broadcast_status(node);
             }
         }
     }
 
-    fn victim(&self, victim: FaultVictim) -> Option<usize> {
-        match victim {
-            FaultVictim::Busiest(rank) => self.busiest(rank),
-            FaultVictim::OnlyHolder => self.only_holder(),
-            FaultVictim::Place(node) => (node < self.nodes.len()).then_some(node),
+    fn find_target(&self, target: FaultTarget) -> Option<usize> {
+        match target {
+            FaultTarget::Busiest(rank) => self.busiest(rank),
+            FaultTarget::OnlyHolder => self.only_holder(),
+            FaultTarget::Index(node) => (node < self.nodes.len()).then_some(node),
         }
     }
 
@@ -61,7 +61,7 @@
             && ready.any(|weights| weights.adapter.is_none() && weights.model == *model)
     }
 
-    /// The live node at this rank by attempts on it.
+    /// Returns the live node at this rank, ordered by descending number of attempts.
     fn busiest(&self, rank: usize) -> Option<usize> {
         let mut live: Vec<usize> = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].alive)
@@ -77,7 +77,7 @@
         state.alive = false;
         let gone = std::mem::take(&mut state.ready);
         let attempts = std::mem::take(&mut state.attempts);
-        let name = DaemonName::try_from(state.place.endpoint.as_str()).expect("a valid name");
+        let name = DaemonName::try_from(state.identity.endpoint.as_str()).expect("a valid name");
         let event = FleetEvent::Ended {
             name,
             killed: true,
@@ -86,7 +86,7 @@
         self.callers.log(self.now, event);
         for (attempt, held) in attempts.0 {
             let event = EntryEvent::ConnectionLost { attempt };
-            self.tell_entry(node, held.entry, held.spec.request, event);
+            self.send_to_entry(node, held.entry, held.spec.request, event);
         }
         let models: Vec<_> = gone
             .into_iter()
@@ -96,10 +96,10 @@
     }
 
     fn revive(&mut self, node: usize) {
-        let place = self.nodes[node].place.clone();
-        let parts = self.parts(&place, Vec::new());
+        let identity = self.nodes[node].identity.clone();
+        let parts = self.parts(&identity, Vec::new());
         self.nodes[node].restart(parts, &self.deployment.config);
-        self.begin_node(node);
+        self.start_node(node);
     }
 
     fn freeze(&mut self, node: usize, frozen: bool) {
--- a/crates/oatpier-bench/src/fleet/moves.rs
+++ b/crates/oatpier-bench/src/fleet/moves.rs
@@ -1,4 +1,4 @@
-//! What happens about memory: the planner's plans and the agents' moves.
+//! Handling of the planner's plans and of the agents' moves of weights.
 
 use std::time::Duration;
 
@@ -19,24 +19,24 @@
 use super::step::FleetStep;
 use super::world::FleetWorld;
 
-/// Time of a store call.
-const STORE_CALL: Duration = Duration::from_millis(3);
-/// Until a new plan reaches the agents.
+/// Duration of a store call.
+const STORE_CALL_TIME: Duration = Duration::from_millis(3);
+/// Delay until a new plan reaches the agents.
 const PLAN_DELAY: Duration = Duration::from_millis(100);
-/// What an agent's guess is of a load's time.
-const LOAD_GUESS: Duration = Duration::from_secs(4);
+/// Time that an agent estimates for a load.
+const LOAD_TIME_ESTIMATE: Duration = Duration::from_secs(4);
 
 impl FleetWorld<'_> {
-    /// A node's agent and engine begin.
-    pub(super) fn begin_node(&mut self, node: usize) {
-        self.note_ready(node);
+    /// Starts a node's agent and engine.
+    pub(super) fn start_node(&mut self, node: usize) {
+        self.update_ready(node);
         let boot = self.nodes[node].boot;
         self.queue.push(self.now, FleetStep::Moves { node, boot });
         self.arm_engine(node);
     }
 
-    /// Tells the agent's decisions, and the entries, when what callers may get has changed.
-    pub(super) fn note_ready(&mut self, node: usize) {
+    /// Notifies the agent's decisions and the entries if the set of servable weights has changed.
+    pub(super) fn update_ready(&mut self, node: usize) {
         let ready = self.nodes[node].servable();
         if ready == self.nodes[node].ready && self.nodes[node].ready_sequence > 0 {
             return;
@@ -46,24 +46,25 @@
         state.ready.clone_from(&ready);
         state.ready_sequence += 1;
         let loading = loading_of(&state.state());
-        self.agent_event(
+        self.handle_agent_event(
             node,
             AgentEvent::WeightsChanged {
                 ready: ready.into_vec(),
                 loading,
             },
         );
-        self.tell_entries(node);
+        self.broadcast_status(node);
         self.log_replicas(&changed);
     }
 
     fn changed_models(&self, node: usize, ready: &[WeightsKey]) -> Vec<WeightsKey> {
         let before = self.nodes[node].ready.iter();
-        let gone = before.filter(|weights| !ready.contains(weights));
-        let come = ready
+        let removed = before.filter(|weights| !ready.contains(weights));
+        let added = ready
             .iter()
             .filter(|weights| !self.nodes[node].ready.contains(weights));
-        gone.chain(come)
+        removed
+            .chain(added)
             .filter(|weights| weights.adapter.is_none())
             .cloned()
             .collect()
@@ -84,19 +85,19 @@
         }
     }
 
-    pub(super) fn moves_tick(&mut self, node: usize, boot: BootId) {
+    pub(super) fn run_placement_step(&mut self, node: usize, boot: BootId) {
         if !self.is_current(node, boot) {
             return;
         }
         self.step_moves(node);
-        self.commands(node);
-        self.note_ready(node);
+        self.run_commands(node);
+        self.update_ready(node);
         let at = self.now + STEP_INTERVAL;
         self.queue.push(at, FleetStep::Moves { node, boot });
     }
 
     fn step_moves(&mut self, node: usize) {
-        let others = OtherReplicas::seen(self, node);
+        let others = OtherReplicas::collect(self, node);
         let state = &mut self.nodes[node];
         let Some(plan) = state.plan.clone() else {
             return;
@@ -110,32 +111,35 @@
         let step = state
             .stepper
             .next_step(input, &mut state.keeper, &mut state.releases, self.now);
-        if let Ok(PlacementStep::RequestRelease { to, request: ask }) = step
+        if let Ok(PlacementStep::RequestRelease { to, request }) = step
             && let Some(holder) = self.indices.get(&to).copied()
         {
             let at = self.now + self.deployment.between_zones;
-            let step = FleetStep::Ask { node: holder, ask };
+            let step = FleetStep::ReleaseRequested {
+                node: holder,
+                request,
+            };
             self.queue.push(at, step);
         }
     }
 
-    fn commands(&mut self, node: usize) {
+    fn run_commands(&mut self, node: usize) {
         let state = &mut self.nodes[node];
         let commands = state.keeper.commands(&self.deployment.config, self.now);
         for command in commands {
             match command {
                 OrderCommand::CallStore(call) => self.call_store(node, call),
-                OrderCommand::Send(order) => self.order(node, &order),
+                OrderCommand::Send(order) => self.send_order(node, &order),
                 OrderCommand::Poll(ticket) => {
                     let state = Box::new(self.nodes[node].engine.state());
-                    self.order_event(node, OrderEvent::Polled { ticket, state });
+                    self.apply_order_event(node, OrderEvent::Polled { ticket, state });
                 }
             }
         }
         self.send_replies(node);
     }
 
-    fn order(&mut self, node: usize, order: &EngineOrder) {
+    fn send_order(&mut self, node: usize, order: &EngineOrder) {
         if self.is_measured(self.now) {
             self.move_times.push(self.now);
         }
@@ -148,11 +152,11 @@
             Err(OrderError::Unknown { .. }) => OrderOutcome::Unknown,
         };
         let number = order.number;
-        self.order_event(node, OrderEvent::Answered { number, outcome });
+        self.apply_order_event(node, OrderEvent::Answered { number, outcome });
         self.arm_engine(node);
     }
 
-    fn order_event(&mut self, node: usize, event: OrderEvent) {
+    fn apply_order_event(&mut self, node: usize, event: OrderEvent) {
         self.nodes[node]
             .keeper
             .on_event(event, &self.deployment.config, self.now);
@@ -161,8 +165,8 @@
     fn call_store(&mut self, node: usize, call: RecordCall) {
         let boot = self.nodes[node].boot;
         let answer = self.store_answer(node, call);
-        let step = FleetStep::Stored { node, boot, answer };
-        self.queue.push(self.now + STORE_CALL, step);
+        let step = FleetStep::StoreAnswered { node, boot, answer };
+        self.queue.push(self.now + STORE_CALL_TIME, step);
     }
 
     fn store_answer(&mut self, node: usize, call: RecordCall) -> RecordAnswer {
@@ -181,20 +185,22 @@
         }
     }
 
-    pub(super) fn stored(&mut self, node: usize, boot: BootId, answer: RecordAnswer) {
+    pub(super) fn handle_store_answer(&mut self, node: usize, boot: BootId, answer: RecordAnswer) {
         if self.is_current(node, boot) {
-            self.order_event(node, OrderEvent::Record(answer));
-            self.commands(node);
+            self.apply_order_event(node, OrderEvent::Record(answer));
+            self.run_commands(node);
         }
     }
 
-    pub(super) fn asked_release(&mut self, node: usize, ask: ReleaseRequest) {
+    pub(super) fn handle_release_request(&mut self, node: usize, request: ReleaseRequest) {
         let state = &mut self.nodes[node];
         if !state.alive {
             return;
         }
-        state.releases.on_request(ask, &mut state.keeper, self.now);
-        self.commands(node);
+        state
+            .releases
+            .on_request(request, &mut state.keeper, self.now);
+        self.run_commands(node);
     }
 
     fn send_replies(&mut self, node: usize) {
@@ -203,18 +209,19 @@
         for reply in state.releases.replies(&state.keeper, self.now) {
             if let Some(node) = self.indices.get(&reply.to).copied() {
                 let answer = reply.answer;
-                self.queue.push(at, FleetStep::Asked { node, answer });
+                self.queue
+                    .push(at, FleetStep::ReleaseAnswered { node, answer });
             }
         }
     }
 
-    pub(super) fn released(&mut self, node: usize, answer: ReleaseAnswer) {
+    pub(super) fn handle_release_answer(&mut self, node: usize, answer: ReleaseAnswer) {
         if self.nodes[node].alive {
             self.nodes[node].releases.on_answer(answer, self.now);
         }
     }
 
-    pub(super) fn plan_tick(&mut self, every: Duration) {
+    pub(super) fn run_planner(&mut self, every: Duration) {
         if self.replans {
             let plan = self.make_plan();
             let at = self.now + PLAN_DELAY;
@@ -235,8 +242,9 @@
             self.demand.update(entry_name(index), summary, self.now);
         }
         let demand = self.demand.total(self.now);
-        let mut endpoints: Vec<EndpointView> =
-            (0..self.nodes.len()).map(|node| self.view(node)).collect();
+        let mut endpoints: Vec<EndpointView> = (0..self.nodes.len())
+            .map(|node| self.endpoint_view(node))
+            .collect();
         endpoints.sort_by(|left, right| left.endpoint.cmp(&right.endpoint));
         let input = PlannerInput {
             config: &self.deployment.config,
@@ -249,14 +257,14 @@
         self.planner.plan(&input, self.now).plan
     }
 
-    fn view(&mut self, node: usize) -> EndpointView {
-        let report = self.nodes[node].brain.queue_report(self.now);
+    fn endpoint_view(&mut self, node: usize) -> EndpointView {
+        let report = self.nodes[node].decider.queue_report(self.now);
         let state = &self.nodes[node];
         let engine = state.state();
         EndpointView {
-            endpoint: state.place.endpoint.clone(),
-            pool: state.place.pool.clone(),
-            zone: state.place.zone.clone(),
+            endpoint: state.identity.endpoint.clone(),
+            pool: state.identity.pool.clone(),
+            zone: state.identity.zone.clone(),
             alive: state.alive && !state.unregistered,
             leaving: false,
             held: engine.held,
@@ -267,17 +275,17 @@
     }
 }
 
-/// What an agent hears of other replicas through its registrars.
+/// Replicas on other endpoints, as an agent knows them through its registrars.
 struct OtherReplicas {
     holders: Vec<(EndpointName, SmallVec<[WeightsKey; 8]>)>,
 }
 
 impl OtherReplicas {
-    fn seen(world: &FleetWorld<'_>, node: usize) -> Self {
+    fn collect(world: &FleetWorld<'_>, node: usize) -> Self {
         let others = world.nodes.iter().enumerate();
         let holders = others
             .filter(|(index, other)| *index != node && other.alive)
-            .map(|(_, other)| (other.place.endpoint.clone(), other.ready.clone()))
+            .map(|(_, other)| (other.identity.endpoint.clone(), other.ready.clone()))
             .collect();
         Self { holders }
     }
@@ -300,7 +308,7 @@
         .filter(|held| held.state == WeightsState::Loading)
         .map(|held| LoadingWeights {
             weights: held.weights.clone(),
-            ready_in: LOAD_GUESS,
+            ready_in: LOAD_TIME_ESTIMATE,
         })
         .collect()
 }
--- a/crates/oatpier-bench/src/fleet/queue.rs
+++ b/crates/oatpier-bench/src/fleet/queue.rs
@@ -1,24 +1,24 @@
-//! Events in the order of their time; equal times in the order of their making.
+//! Event queue ordered by time; events with equal times keep the order in which they were added.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use oatpier_types::clock::ClockTime;
 
-/// The place of an event in time. Only these small keys are sorted; events stay where they are.
+/// Sort key of an event. Only these small keys are moved in the heap; the events stay in their slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     at: ClockTime,
     number: u64,
-    place: usize,
+    slot: usize,
 }
 
-/// The events that are yet to come.
+/// Queue of pending events.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Reverse<QueueKey>>,
     events: Vec<Option<E>>,
-    free: Vec<usize>,
-    made: u64,
+    free_slots: Vec<usize>,
+    pushed: u64,
 }
 
 impl<E> Default for EventQueue<E> {
@@ -26,36 +26,36 @@
         Self {
             heap: BinaryHeap::new(),
             events: Vec::new(),
-            free: Vec::new(),
-            made: 0,
+            free_slots: Vec::new(),
+            pushed: 0,
         }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event.
+    /// Adds an event that is due at `at`.
     pub fn push(&mut self, at: ClockTime, event: E) {
-        self.made += 1;
-        let place = self.keep(event);
+        self.pushed += 1;
+        let slot = self.store_event(event);
         self.heap.push(Reverse(QueueKey {
             at,
-            number: self.made,
-            place,
+            number: self.pushed,
+            slot,
         }));
     }
 
-    /// Takes the next event with its time.
+    /// Removes and returns the next event with its time.
     pub fn pop(&mut self) -> Option<(ClockTime, E)> {
         let Reverse(key) = self.heap.pop()?;
-        let event = self.events[key.place].take()?;
-        self.free.push(key.place);
+        let event = self.events[key.slot].take()?;
+        self.free_slots.push(key.slot);
         Some((key.at, event))
     }
 
-    fn keep(&mut self, event: E) -> usize {
-        if let Some(place) = self.free.pop() {
-            self.events[place] = Some(event);
-            return place;
+    fn store_event(&mut self, event: E) -> usize {
+        if let Some(slot) = self.free_slots.pop() {
+            self.events[slot] = Some(event);
+            return slot;
         }
         self.events.push(Some(event));
         self.events.len() - 1
--- a/crates/oatpier-entry/src/core.rs
+++ b/crates/oatpier-entry/src/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the callers duty share.
+//! State shared by the tasks of the callers duty.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,41 +20,41 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::claims::ClaimCommand;
-use crate::decisions::EntryDecisions;
 use crate::history::RequestHistory;
-use crate::news::{CallersQuestion, CallersStanding, DirectoryNews, EntryNews};
-use crate::peers::{PathNews, evidence_of};
+use crate::peers::{PathReport, evidence_of};
+use crate::policy::RequestPolicy;
+use crate::updates::{CallersQuery, CallersStatus, CallersUpdate, DirectoryUpdate};
 use oatpier_duty::duty::{RingSender, RuntimeClock};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 
-/// Where timer actions of a request go.
+/// Channel for the timer actions of a request.
 pub type TimerSender = mpsc::UnboundedSender<EntryActions>;
 
-/// The least time between two words to the peers duty that an agent answers.
-const ANSWERED_EVERY: Duration = Duration::from_secs(1);
+/// Minimum interval between two reports to the peers duty that an agent answers.
+const ANSWERED_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How an agent is reached.
+/// Address and last known state of an agent.
 #[derive(Debug, Clone)]
 pub struct AgentContact {
-    /// The agent.
+    /// Name of the agent.
     pub daemon: DaemonName,
-    /// Where it listens.
+    /// Address the agent listens on.
     pub address: SocketAddr,
-    /// The newest queue report seen, which an attempt carries.
+    /// Newest queue report received, sent along with each attempt.
     pub ticket: AdmissionTicket,
-    /// How many weights are ready there.
+    /// Number of weights that are ready on the agent.
     pub replicas: usize,
-    /// Whether it takes work, as it last said.
+    /// Whether the agent accepts work, according to its newest report.
     pub accepting: bool,
-    /// When the peers duty was last told that it answers.
-    answered: Option<ClockTime>,
+    /// Time of the last report to the peers duty that the agent answers.
+    last_answered: Option<ClockTime>,
 }
 
-/// The state that the duty's tasks share. They run on one thread, so the lock is never waited
-/// for; it is held for a decision and never across an await.
+/// State shared by the duty's tasks. All of them run on one thread, so the lock is never contended.
+/// It is held for one decision and never across an await.
 struct CoreState {
-    policy: Box<dyn EntryDecisions>,
+    policy: Box<dyn RequestPolicy>,
     config: Option<Arc<FleetConfig>>,
     generation: Generation,
     agents: HashMap<EndpointName, AgentContact>,
@@ -63,37 +63,37 @@
     history: RequestHistory,
 }
 
-/// The ways from the callers duty to the others.
+/// Channels from the callers duty to the other duties.
 #[derive(Clone)]
 pub struct CoreRings {
-    /// Evidence of the data path, for the peers duty. A full ring drops it: the next attempt
-    /// tells the same.
-    pub paths: RingSender<PathNews>,
-    /// Claims, for the claims duty. A full ring turns an ask back as "unavailable", which is
-    /// true; a settlement waits.
+    /// Data path evidence for the peers duty. A full ring drops it: the next attempt produces the
+    /// same evidence.
+    pub paths: RingSender<PathReport>,
+    /// Commands for the claims duty. If the ring is full, a query is answered "unavailable", which
+    /// is correct; a settlement waits.
     pub claims: RingSender<ClaimCommand>,
 }
 
-/// The callers duty's shared parts.
+/// Shared state of the callers duty.
 pub struct EntryCore {
     rings: CoreRings,
     state: Mutex<CoreState>,
     timer_changed: Notify,
-    /// The runtime's clock.
+    /// Clock of the runtime.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// Makes spans.
+    /// Creates spans.
     pub tracer: HopTracer,
-    /// Calls agents.
+    /// Client for calls to agents.
     pub peers: PeerClient,
 }
 
 impl EntryCore {
-    /// The shared parts around a policy.
+    /// Creates the shared state around a policy.
     #[must_use]
     pub fn new(
-        policy: Box<dyn EntryDecisions>,
+        policy: Box<dyn RequestPolicy>,
         clock: RuntimeClock,
         metrics: MetricSet,
         tracer: HopTracer,
@@ -124,74 +124,75 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     #[must_use]
     pub fn config(&self) -> Option<Arc<FleetConfig>> {
         self.lock().config.clone()
     }
 
-    /// How an endpoint's agent is reached.
+    /// Returns the contact of an endpoint's agent.
     #[must_use]
     pub fn contact(&self, endpoint: &EndpointName) -> Option<AgentContact> {
         self.lock().agents.get(endpoint).cloned()
     }
 
-    /// Requests without a final answer.
+    /// Returns the number of requests without a final answer.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lock().policy.in_flight()
     }
 
-    /// Takes news from another duty.
-    pub fn take_news(&self, news: EntryNews) {
-        match news {
-            EntryNews::Config { generation, config } => self.take_config(generation, config),
-            EntryNews::Directory(news) => self.take_directory(news),
-            EntryNews::Question(question) => self.answer(question),
+    /// Applies an update from another duty.
+    pub fn apply_update(&self, update: CallersUpdate) {
+        match update {
+            CallersUpdate::Config { generation, config } => self.apply_config(generation, config),
+            CallersUpdate::Directory(update) => self.apply_directory_update(update),
+            CallersUpdate::Query(query) => self.answer_query(query),
         }
     }
 
-    /// Answers a question; one who no longer waits gets no answer.
-    fn answer(&self, question: CallersQuestion) {
-        match question {
-            CallersQuestion::Standing { reply } => {
-                let _ = reply.send(self.standing());
+    /// Answers a query. The answer is discarded if the sender of the query no longer waits.
+    fn answer_query(&self, query: CallersQuery) {
+        match query {
+            CallersQuery::Status { reply } => {
+                let _ = reply.send(self.callers_status());
             }
-            CallersQuestion::Request { request, reply } => {
+            CallersQuery::Request { request, reply } => {
                 let _ = reply.send(self.lock().history.get(request));
             }
         }
     }
 
-    fn standing(&self) -> CallersStanding {
+    fn callers_status(&self) -> CallersStatus {
         let now = self.clock.now();
         let state = self.lock();
         let Some(config) = &state.config else {
-            return CallersStanding::default();
+            return CallersStatus::default();
         };
-        state.policy.standing(config, now)
+        state.policy.callers_status(config, now)
     }
 
-    /// The demand of this entry's callers.
+    /// Returns the demand of this entry's callers.
     #[must_use]
     pub fn demand(&self) -> DemandSummary {
         let now = self.clock.now();
         self.lock().demand.summary(now)
     }
 
-    /// Remembers what became of a request.
-    pub fn remember(&self, explained: ExplainRequest) {
+    /// Records the outcome of a request.
+    pub fn record_outcome(&self, explained: ExplainRequest) {
         self.lock().history.push(explained);
     }
 
-    /// The way to the claims duty.
+    /// Returns the channel to the claims duty.
     #[must_use]
     pub fn claims(&self) -> &RingSender<ClaimCommand> {
         &self.rings.claims
     }
 
-    /// A generation only rises: an older one that comes late changes nothing.
-    fn take_config(&self, generation: Generation, config: Arc<FleetConfig>) {
+    /// Applies a configuration. Generations only increase: an older one that arrives late is
+    /// ignored.
+    fn apply_config(&self, generation: Generation, config: Arc<FleetConfig>) {
         let mut state = self.lock();
         if generation <= state.generation {
             return;
@@ -199,15 +200,15 @@
         state.policy.apply_config(&config);
         state.generation = generation;
         state.config = Some(config);
-        let shown = i64::try_from(generation.0).unwrap_or(i64::MAX);
-        self.metrics.generation.set(shown);
+        let value = i64::try_from(generation.0).unwrap_or(i64::MAX);
+        self.metrics.generation.set(value);
     }
 
-    fn take_directory(&self, news: DirectoryNews) {
+    fn apply_directory_update(&self, update: DirectoryUpdate) {
         let now = self.clock.now();
         let mut state = self.lock();
-        match news {
-            DirectoryNews::Status {
+        match update {
+            DirectoryUpdate::Status {
                 daemon,
                 address,
                 status,
@@ -218,47 +219,49 @@
                     ticket: AdmissionTicket::of(&status.queue),
                     replicas: status.ready.len(),
                     accepting: status.queue.accepting,
-                    answered: None,
+                    last_answered: None,
                 };
-                state.take_contact(&status.endpoint, contact);
+                state.update_contact(&status.endpoint, contact);
                 state.policy.on_status(&status, now);
             }
-            DirectoryNews::QueueReport { endpoint, report } => {
-                state.renew_ticket(&endpoint, &report);
+            DirectoryUpdate::QueueReport { endpoint, report } => {
+                state.update_ticket(&endpoint, &report);
                 state.policy.on_queue_report(&endpoint, &report, now);
             }
-            DirectoryNews::Leaving(endpoint) => state.policy.mark_leaving(&endpoint, now),
-            DirectoryNews::Staying(endpoint) => state.policy.clear_leaving(&endpoint),
-            DirectoryNews::Gone(endpoint) => {
+            DirectoryUpdate::Leaving(endpoint) => state.policy.mark_leaving(&endpoint, now),
+            DirectoryUpdate::NotLeaving(endpoint) => state.policy.clear_leaving(&endpoint),
+            DirectoryUpdate::Gone(endpoint) => {
                 state.agents.remove(&endpoint);
                 state.policy.forget(&endpoint, now);
             }
         }
-        self.show_directory(&state);
+        self.update_gauges(&state);
         drop(state);
         self.timer_changed.notify_one();
     }
 
-    fn show_directory(&self, state: &CoreState) {
+    fn update_gauges(&self, state: &CoreState) {
         let open = || state.agents.values().filter(|contact| contact.accepting);
         let replicas = open().map(|contact| contact.replicas).sum();
-        self.metrics.endpoints_known.set(shown(open().count()));
-        self.metrics.replicas_known.set(shown(replicas));
+        self.metrics
+            .endpoints_known
+            .set(gauge_value(open().count()));
+        self.metrics.replicas_known.set(gauge_value(replicas));
     }
 
-    /// A request came in; actions of its timers will go to `timers`.
+    /// Starts a request. Actions of its timers are sent to `timers`.
     pub fn start(&self, intake: RequestIntake, timers: TimerSender) -> EntryActions {
         let now = self.clock.now();
         let mut state = self.lock();
         state.timers.insert(intake.request, timers);
-        state.count_demand(&intake, now);
+        state.record_demand(&intake, now);
         let actions = state.policy.start(intake, now);
         drop(state);
         self.timer_changed.notify_one();
         actions
     }
 
-    /// Something happened to a request; `endpoint` is where, if at one.
+    /// Handles an event of a request; `endpoint` is set if the event comes from an endpoint.
     pub fn handle(
         &self,
         request: RequestId,
@@ -268,30 +271,30 @@
         let now = self.clock.now();
         let mut state = self.lock();
         if let (Some(endpoint), Some(report)) = (endpoint, event.queue_report()) {
-            state.renew_ticket(endpoint, report);
+            state.update_ticket(endpoint, report);
         }
-        let news = endpoint.and_then(|endpoint| state.path_news(endpoint, event, now));
+        let report = endpoint.and_then(|endpoint| state.path_report(endpoint, event, now));
         let actions = state.policy.handle(request, event, now);
         drop(state);
-        if let Some(news) = news {
-            // Counted by the ring if it is full.
-            let _ = self.rings.paths.try_send(news);
+        if let Some(report) = report {
+            // The ring counts events dropped because it is full.
+            let _ = self.rings.paths.try_send(report);
         }
         self.timer_changed.notify_one();
         actions
     }
 
-    /// A request is over.
+    /// Removes the timer channel of a finished request.
     pub fn finish(&self, request: RequestId) {
         self.lock().timers.remove(&request);
     }
 
-    /// New requests are refused from now on.
+    /// Refuses new requests from now on.
     pub fn begin_stop(&self) {
         self.lock().policy.begin_stop();
     }
 
-    /// Fires timers for ever.
+    /// Fires timers until the future is dropped.
     pub async fn run_timers(&self) {
         loop {
             let next = self.lock().policy.next_timer();
@@ -315,20 +318,20 @@
         state.policy.fire_timers(now, &mut fired);
         for (request, actions) in fired {
             if let Some(timers) = state.timers.get(&request) {
-                // A request whose task has ended needs no more actions.
+                // The task of the request may have ended; its actions are no longer needed.
                 let _ = timers.send(actions);
             }
         }
     }
 }
 
-fn shown(count: usize) -> i64 {
+fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
 impl CoreState {
-    /// Takes an agent's contact; a ticket that is later than the one that came stays.
-    fn take_contact(&mut self, endpoint: &EndpointName, fresh: AgentContact) {
+    /// Stores an agent's contact, but keeps the known ticket if it is newer than the received one.
+    fn update_contact(&mut self, endpoint: &EndpointName, fresh: AgentContact) {
         let known = self.agents.get(endpoint);
         let known = known.filter(|known| known.ticket.boot == fresh.ticket.boot);
         let contact = match known {
@@ -342,7 +345,7 @@
         self.agents.insert(endpoint.clone(), contact);
     }
 
-    fn renew_ticket(&mut self, endpoint: &EndpointName, report: &QueueReport) {
+    fn update_ticket(&mut self, endpoint: &EndpointName, report: &QueueReport) {
         let Some(contact) = self.agents.get_mut(endpoint) else {
             return;
         };
@@ -355,7 +358,7 @@
         }
     }
 
-    fn count_demand(&mut self, intake: &RequestIntake, now: ClockTime) {
+    fn record_demand(&mut self, intake: &RequestIntake, now: ClockTime) {
         let RequestGoal::Model { model, adapter } = &intake.goal else {
             return;
         };
@@ -367,24 +370,24 @@
         self.demand.record(&key, tokens.prompt, tokens.output, now);
     }
 
-    /// What an event tells of whether the agent is there, if the peers duty is to know.
-    fn path_news(
+    /// Returns the reachability evidence of an event if the peers duty needs it.
+    fn path_report(
         &mut self,
         endpoint: &EndpointName,
         event: &EntryEvent,
         now: ClockTime,
-    ) -> Option<PathNews> {
+    ) -> Option<PathReport> {
         let evidence = evidence_of(event)?;
         let contact = self.agents.get_mut(endpoint)?;
-        let is_known = evidence == PathEvidence::Answered
+        let is_recent = evidence == PathEvidence::Answered
             && contact
-                .answered
-                .is_some_and(|at| now.since(at) < ANSWERED_EVERY);
-        if is_known {
+                .last_answered
+                .is_some_and(|at| now.since(at) < ANSWERED_INTERVAL);
+        if is_recent {
             return None;
         }
-        contact.answered = (evidence == PathEvidence::Answered).then_some(now);
-        Some(PathNews {
+        contact.last_answered = (evidence == PathEvidence::Answered).then_some(now);
+        Some(PathReport {
             daemon: contact.daemon.clone(),
             evidence,
             report: event.queue_report().copied(),
--- a/crates/oatpier-entry/src/peers/driver.rs
+++ b/crates/oatpier-entry/src/peers/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the membership machine: hands it what happens, and carries its actions out.
+//! Drives the membership state machine: passes events to it and executes its actions.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,48 +21,50 @@
 use tokio::sync::Notify;
 
 use super::PeersRings;
-use super::directory::{self, Outgoing};
-use super::stops::StopGate;
-use crate::configuration::StoreOrder;
+use super::directory::{self, DutyMessage};
+use super::stops::StopQueue;
+use crate::configuration::StoreRequest;
 use crate::links::EntryLinks;
-use crate::planner::FleetPicture;
+use crate::planner::FleetSnapshot;
 
-/// After this long the agents and entries that live have been heard. What is not in the table
-/// before that may be missing only because this entry has just started.
+/// Time after start by which all live agents and entries have sent a heartbeat. A member missing
+/// from the table before that may be missing only because this entry has just started.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// After this long it is settled even if the list of VMs names agents that were never heard.
-const SETTLE_LONGEST: Duration = Duration::from_secs(30);
+/// Time after start from which the table counts as settled even if the list of VMs names unknown
+/// agents.
+const MAX_SETTLE_TIME: Duration = Duration::from_secs(30);
 
-/// Members beyond twice the table's of whom it is known when they were heard.
-const HEARD_MARGIN: usize = 64;
+/// Number of entries in `last_heard` beyond twice the table's size before unknown members are removed.
+const LAST_HEARD_MARGIN: usize = 64;
 
-/// The state that the duty's tasks share. They run on one thread, so the lock is never waited
-/// for; it is held for a decision and never across an await.
+/// State shared by the duty's tasks. All of them run on one thread, so the lock is never contended.
+/// It is held for one decision and never across an await.
 pub(super) struct DriverState {
     pub(super) member: EntryMember<FleetConfig>,
-    pub(super) stops: StopGate,
-    /// When each member was last heard of.
-    pub(super) heard: HashMap<DaemonName, ClockTime>,
-    /// Members of which the callers duty is to be told anew. Bounded by the table.
+    pub(super) stops: StopQueue,
+    /// Time of the last heartbeat or row update of each member.
+    pub(super) last_heard: HashMap<DaemonName, ClockTime>,
+    /// Members whose state has to be sent to the callers duty. Bounded by the table.
     pub(super) dirty: IndexSet<DaemonName>,
-    /// Queues that the callers duty is to be told; a later word replaces an earlier one.
+    /// Queue reports to send to the callers duty; a later report replaces an earlier one.
     pub(super) reports: IndexMap<EndpointName, QueueReport>,
-    /// The call to the store that the machine wants; it wants one at a time.
-    pub(super) order: Option<StoreOrder>,
-    /// The generation that the callers duty was told.
-    pub(super) told: Generation,
-    /// Agents that the list of VMs names and the table lacks; none before the list was read.
+    /// The store call that the state machine requests; there is at most one at a time.
+    pub(super) store_request: Option<StoreRequest>,
+    /// Generation last sent to the callers duty.
+    pub(super) sent_generation: Generation,
+    /// Number of agents that are in the list of VMs but not in the table; `None` before the first
+    /// list.
     pub(super) unknown_agents: Option<usize>,
-    /// The entries that the claims duty was told.
-    pub(super) told_entries: Vec<EntryContact>,
+    /// Entries last sent to the claims duty.
+    pub(super) sent_entries: Vec<EntryContact>,
     mark: u64,
     leaving_hints: IndexSet<DaemonName>,
 }
 
-/// Drives the membership machine.
+/// Drives the membership state machine.
 pub(super) struct MemberDriver {
     state: Mutex<DriverState>,
-    /// There is something to publish, or another time to wake at.
+    /// Notified when there may be something to publish.
     changed: Notify,
     woken: Notify,
     stop: StopSignal,
@@ -86,14 +88,14 @@
         let member = EntryMember::new(own.clone(), boot, Vec::new(), limits, &mut generator, now);
         let state = DriverState {
             member,
-            stops: StopGate::default(),
-            heard: HashMap::new(),
+            stops: StopQueue::default(),
+            last_heard: HashMap::new(),
             dirty: IndexSet::new(),
             reports: IndexMap::new(),
-            order: None,
-            told: Generation(0),
+            store_request: None,
+            sent_generation: Generation(0),
             unknown_agents: None,
-            told_entries: Vec::new(),
+            sent_entries: Vec::new(),
             mark: 0,
             leaving_hints: IndexSet::new(),
         };
@@ -113,12 +115,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Hands an event to the machine.
-    pub(super) fn hear(self: &Arc<Self>, event: EntryEvent<FleetConfig>) {
+    /// Passes an event to the state machine.
+    pub(super) fn handle_event(self: &Arc<Self>, event: EntryEvent<FleetConfig>) {
         let now = self.clock.now();
         let mut state = self.lock();
         let actions = state.member.handle(event, now);
-        self.carry_out(&mut state, actions, now);
+        self.execute(&mut state, actions, now);
     }
 
     /// Answers a call of another process.
@@ -126,46 +128,46 @@
         let now = self.clock.now();
         let mut state = self.lock();
         if let PeerCall::Heartbeat(heartbeat) = &call {
-            state.heard.insert(heartbeat.daemon.clone(), now);
-            state.note_queue_report(&heartbeat.daemon, &heartbeat.body);
+            state.last_heard.insert(heartbeat.daemon.clone(), now);
+            state.record_queue_report(&heartbeat.daemon, &heartbeat.body);
         }
         let (answer, actions) = state.member.answer(call, now);
-        self.carry_out(&mut state, actions, now);
+        self.execute(&mut state, actions, now);
         answer
     }
 
-    /// The whole list of planned stops was read.
-    pub(super) fn take_stops(self: &Arc<Self>, stops: Vec<NamedStop>) {
+    /// Applies the complete list of planned stops.
+    pub(super) fn apply_stop_list(self: &Arc<Self>, stops: Vec<NamedStop>) {
         let now = self.clock.now();
         let mut state = self.lock();
         let DriverState {
-            stops: gate,
+            stops: queue,
             member,
             ..
         } = &mut *state;
-        let passed = gate.take_list(stops, member, now);
+        let released = queue.apply_list(stops, member, now);
         drop(state);
-        self.hear(EntryEvent::StopsListed(passed));
+        self.handle_event(EntryEvent::StopsListed(released));
     }
 
-    /// One planned stop was asked for or withdrawn.
-    pub(super) fn take_stop(self: &Arc<Self>, stop: NamedStop) {
+    /// Applies one planned stop that was requested or withdrawn.
+    pub(super) fn apply_stop(self: &Arc<Self>, stop: NamedStop) {
         let now = self.clock.now();
         let mut state = self.lock();
         let DriverState {
-            stops: gate,
+            stops: queue,
             member,
             ..
         } = &mut *state;
-        let passed = gate.take_one(stop, member, now);
+        let released = queue.apply(stop, member, now);
         drop(state);
-        if let Some(stop) = passed {
-            self.hear(EntryEvent::StopChanged(stop));
+        if let Some(stop) = released {
+            self.handle_event(EntryEvent::StopChanged(stop));
         }
     }
 
-    /// The list of VMs was read.
-    pub(super) fn take_hints(self: &Arc<Self>, hints: Vec<VmHint>) {
+    /// Applies a new list of VMs.
+    pub(super) fn apply_vm_list(self: &Arc<Self>, hints: Vec<VmHint>) {
         let leaving = hints.iter().filter(|hint| hint.leaving);
         let leaving: IndexSet<DaemonName> =
             leaving.map(|hint| hint.contact.daemon.clone()).collect();
@@ -175,10 +177,10 @@
         let changed: Vec<DaemonName> = changed.cloned().collect();
         state.dirty.extend(changed);
         drop(state);
-        self.hear(EntryEvent::Hints(hints));
+        self.handle_event(EntryEvent::Hints(hints));
     }
 
-    fn carry_out(
+    fn execute(
         self: &Arc<Self>,
         state: &mut DriverState,
         actions: Vec<EntryAction<FleetConfig>>,
@@ -189,28 +191,28 @@
                 EntryAction::Call { call, to, body } => {
                     tokio::spawn(make_call(Arc::clone(self), call, to, body));
                 }
-                EntryAction::ReadConfig => state.order = Some(StoreOrder::Read),
+                EntryAction::ReadConfig => state.store_request = Some(StoreRequest::Read),
                 EntryAction::WatchConfig { after, wait } => {
-                    state.order = Some(StoreOrder::Watch { after, wait });
+                    state.store_request = Some(StoreRequest::Watch { after, wait });
                 }
                 EntryAction::InForce(held) => state.set_scope(&held.value, now),
                 EntryAction::Changed(change) => {
                     log_change(&change);
                     state.dirty.insert(change.daemon);
                 }
-                // A stop that is withdrawn after the process began to drain comes too late.
-                EntryAction::Stop(word) if !word.withdrawn => {
+                // Withdrawing a stop has no effect once the process has begun to drain.
+                EntryAction::Stop(request) if !request.withdrawn => {
                     self.stop.advance(StopPhase::Draining);
                 }
                 EntryAction::Stop(_) => {}
             }
         }
-        state.note_deltas(now);
+        state.mark_changed_members(now);
         self.changed.notify_one();
         self.woken.notify_one();
     }
 
-    /// Gives the machine its ticks for ever.
+    /// Sends ticks to the state machine until the future is dropped.
     pub(super) async fn run_timers(self: &Arc<Self>) {
         loop {
             let wake = self.lock().member.next_wake();
@@ -225,32 +227,33 @@
         let now = self.clock.now();
         let mut state = self.lock();
         let DriverState { stops, member, .. } = &mut *state;
-        let due = stops.due(member, now);
+        let due = stops.take_due(member, now);
         drop(state);
         for stop in due {
-            self.hear(EntryEvent::StopChanged(stop));
+            self.handle_event(EntryEvent::StopChanged(stop));
         }
-        self.hear(EntryEvent::Tick);
+        self.handle_event(EntryEvent::Tick);
     }
 
-    /// Tells the other duties what changed, for ever. What is to be told is kept by member, not
-    /// by event, so that a duty that is slow for a while gets the latest word and no backlog.
-    pub(super) async fn publish(&self, rings: &PeersRings, able: &AtomicBool) {
+    /// Sends changes to the other duties until the future is dropped. Pending changes are kept per
+    /// member and not per event. A duty that is slow for a while thus receives the latest state and
+    /// no backlog.
+    pub(super) async fn publish(&self, rings: &PeersRings, can_serve: &AtomicBool) {
         loop {
             self.changed.notified().await;
             loop {
-                let news = directory::take(&mut self.lock());
-                if news.is_empty() {
+                let messages = directory::collect_messages(&mut self.lock());
+                if messages.is_empty() {
                     break;
                 }
-                for outgoing in news {
-                    send(outgoing, rings, able).await;
+                for message in messages {
+                    send(message, rings, can_serve).await;
                 }
             }
         }
     }
 
-    /// Live entries and agents that are known.
+    /// Returns the numbers of live entries and usable agents, at least one each.
     pub(super) fn counts(&self) -> (u32, u32) {
         let state = self.lock();
         let table = state.member.table();
@@ -260,30 +263,32 @@
         (count(entries), count(agents))
     }
 
-    /// Whether what the table lacks is likely not to be there: it has had time to fill since the
-    /// start, and knows every agent that the list of VMs names, or has waited long for that.
+    /// Returns whether members missing from the table are likely not to exist. This holds once the
+    /// table had time to fill since the start and contains every agent in the list of VMs, or after
+    /// [`MAX_SETTLE_TIME`].
     pub(super) fn is_settled(&self) -> bool {
         let waited = self.clock.now().since(self.started);
-        let is_full = self.lock().unknown_agents == Some(0);
-        waited >= SETTLE_LONGEST || (is_full && waited >= SETTLE_TIME)
+        let is_complete = self.lock().unknown_agents == Some(0);
+        waited >= MAX_SETTLE_TIME || (is_complete && waited >= SETTLE_TIME)
     }
 
-    /// What the planner is to plan on; none before the table is filled. A plan that is made on a
-    /// half-empty table would have weights loaded that are there already, and unloaded from the
-    /// endpoints that were not known.
-    pub(super) fn settled_picture(&self) -> Option<FleetPicture> {
-        self.picture().filter(|_| self.is_settled())
+    /// Returns the fleet state for the planner, or `None` before the table has settled. A plan
+    /// computed from an incomplete table would load weights that are already loaded elsewhere and
+    /// unload them from the endpoints missing from the table.
+    pub(super) fn settled_snapshot(&self) -> Option<FleetSnapshot> {
+        self.snapshot().filter(|_| self.is_settled())
     }
 
-    /// What there is; none without a configuration.
-    pub(super) fn picture(&self) -> Option<FleetPicture> {
-        directory::picture(&self.lock(), &self.own.zone)
+    /// Returns the fleet state, or `None` without a configuration.
+    pub(super) fn snapshot(&self) -> Option<FleetSnapshot> {
+        directory::fleet_snapshot(&self.lock(), &self.own.zone)
     }
 }
 
 impl DriverState {
-    /// A full word may change nothing of the row but the queue, so its queue is told as well.
-    fn note_queue_report(&mut self, daemon: &DaemonName, body: &HeartbeatBody) {
+    /// Records the queue report of a heartbeat. A full heartbeat may change only the queue of the
+    /// row, so its queue report is recorded as well.
+    fn record_queue_report(&mut self, daemon: &DaemonName, body: &HeartbeatBody) {
         match body {
             HeartbeatBody::Full(status) => {
                 self.reports.insert(status.endpoint.clone(), status.queue);
@@ -302,7 +307,7 @@
         let endpoints = config.pools.values().map(|pool| pool.endpoints.len());
         let scope = ExchangeScope::for_fleet(endpoints.sum());
         let actions = self.member.handle(EntryEvent::Scope(scope), now);
-        // A scope asks for nothing at once but states that change, which `dirty` takes.
+        // A change of scope triggers only state changes, which go into `dirty`.
         for action in actions {
             if let EntryAction::Changed(change) = action {
                 self.dirty.insert(change.daemon);
@@ -311,14 +316,14 @@
     }
 
     /// Marks the members whose rows changed.
-    fn note_deltas(&mut self, now: ClockTime) {
+    fn mark_changed_members(&mut self, now: ClockTime) {
         let table = self.member.table();
         if table.mark() == self.mark {
             return;
         }
         if let Some(deltas) = table.deltas_since(self.mark) {
             for row in deltas.rows {
-                self.heard.insert(row.facts.daemon.clone(), now);
+                self.last_heard.insert(row.facts.daemon.clone(), now);
                 self.dirty.insert(row.facts.daemon);
             }
         } else {
@@ -326,13 +331,14 @@
             self.dirty.extend(all);
         }
         self.mark = table.mark();
-        // The table forgets members that are long gone, and so does this.
-        if self.heard.len() > HEARD_MARGIN + 2 * table.members().count() {
-            self.heard.retain(|daemon, _| table.get(daemon).is_some());
+        // The table removes members that are long gone; their times are removed here.
+        if self.last_heard.len() > LAST_HEARD_MARGIN + 2 * table.members().count() {
+            self.last_heard
+                .retain(|daemon, _| table.get(daemon).is_some());
         }
     }
 
-    /// Live entries, the own among them.
+    /// Returns the live entries including this one.
     pub(super) fn entries(&self) -> Vec<EntryContact> {
         let live = self.member.table().live_entries();
         let mut entries: Vec<EntryContact> = live.map(MemberFacts::contact).collect();
@@ -353,17 +359,17 @@
 async fn make_call(driver: Arc<MemberDriver>, call: CallNumber, to: EntryContact, body: FleetCall) {
     let answer = driver.links.call(to.address, body).await;
     let answer = answer.map(Box::new);
-    driver.hear(EntryEvent::CallEnded { call, answer });
+    driver.handle_event(EntryEvent::CallEnded { call, answer });
 }
 
-async fn send(outgoing: Outgoing, rings: &PeersRings, able: &AtomicBool) {
-    match outgoing {
-        Outgoing::Config(news) => {
-            rings.news.send(news).await;
-            able.store(true, Ordering::Relaxed);
+async fn send(message: DutyMessage, rings: &PeersRings, can_serve: &AtomicBool) {
+    match message {
+        DutyMessage::Config(update) => {
+            rings.updates.send(update).await;
+            can_serve.store(true, Ordering::Relaxed);
         }
-        Outgoing::News(news) => rings.news.send(news).await,
-        Outgoing::Order(order) => rings.orders.send(order).await,
-        Outgoing::Claims(command) => rings.claims.send(command).await,
+        DutyMessage::Update(update) => rings.updates.send(update).await,
+        DutyMessage::StoreRequest(request) => rings.store_requests.send(request).await,
+        DutyMessage::Claims(command) => rings.claims.send(command).await,
     }
 }
--- a/crates/oatpier-entry/src/peers/mod.rs
+++ b/crates/oatpier-entry/src/peers/mod.rs
@@ -1,7 +1,8 @@
-//! The peers duty: what is known of agents and other entries, and their ways in.
+//! The peers duty: membership of agents and other entries, and the listener for their calls.
 //!
-//! [`oatpier_membership`] decides; this duty serves the peer listener, makes the calls, and tells
-//! the other duties what follows. The list of VMs is a hint of whom to turn to and who leaves.
+//! [`oatpier_membership`] decides; this duty serves the peer listener, makes the calls, and sends
+//! the resulting updates to the other duties. The list of VMs is a hint for initial contacts and
+//! for VMs that leave.
 
 mod directory;
 mod driver;
@@ -27,31 +28,31 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::claims::ClaimCommand;
-use crate::configuration::{StoreNews, StoreOrder};
+use crate::configuration::{StoreRequest, StoreUpdate};
 use crate::links::EntryLinks;
-use crate::news::EntryNews;
-use crate::planner::{PlannerBoard, PlannerNews};
-use crate::store::StoreGate;
+use crate::planner::{PlanCache, PlannerUpdate};
+use crate::store::StoreClient;
+use crate::updates::CallersUpdate;
 use driver::MemberDriver;
 use handler::PeerHandler;
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 
-/// How often the planner gets a picture of the fleet.
-const PICTURE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which the planner receives the fleet state.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the data path told of an agent.
+/// Reachability evidence of an agent from the data path.
 #[derive(Debug, Clone)]
-pub struct PathNews {
-    /// The agent.
+pub struct PathReport {
+    /// Name of the agent.
     pub daemon: DaemonName,
-    /// Whether it is there.
+    /// Whether the agent answered.
     pub evidence: PathEvidence,
-    /// Its queue, if it said.
+    /// Queue report of the agent, if the event contained one.
     pub report: Option<QueueReport>,
 }
 
-/// What an event of an attempt tells of whether its agent is there.
+/// Returns the reachability evidence in an event of an attempt.
 pub(crate) fn evidence_of(event: &RequestEvent) -> Option<PathEvidence> {
     match event {
         RequestEvent::FirstFrame { .. }
@@ -64,63 +65,63 @@
     }
 }
 
-/// The ways from and to the other duties.
+/// Channels to and from the other duties.
 pub struct PeersRings {
-    /// News for the callers duty.
-    pub news: RingSender<EntryNews>,
-    /// Orders for the configuration duty.
-    pub orders: RingSender<StoreOrder>,
-    /// What the store said.
-    pub store_news: RingReceiver<StoreNews>,
-    /// What the data path told.
-    pub paths: RingReceiver<PathNews>,
-    /// News for the planner duty.
-    pub planner: RingSender<PlannerNews>,
+    /// Updates for the callers duty.
+    pub updates: RingSender<CallersUpdate>,
+    /// Requested store calls for the configuration duty.
+    pub store_requests: RingSender<StoreRequest>,
+    /// Results of store calls.
+    pub store_updates: RingReceiver<StoreUpdate>,
+    /// Data path evidence.
+    pub paths: RingReceiver<PathReport>,
+    /// Updates for the planner duty.
+    pub planner: RingSender<PlannerUpdate>,
     /// Commands for the claims duty.
     pub claims: RingSender<ClaimCommand>,
 }
 
-/// What the peers duty works on.
+/// Inputs of the peers duty.
 pub struct PeersInputs {
-    /// Where agents, other entries and operators connect.
+    /// Listener for agents, other entries and operators.
     pub listener: std::net::TcpListener,
-    /// Limits on them.
+    /// Limits on connections and requests.
     pub limits: ServerLimits,
-    /// How others reach this entry.
+    /// Name and address of this entry.
     pub own: EntryContact,
-    /// The own start.
+    /// Boot ID of this process.
     pub boot: BootId,
-    /// The platform's list of VMs.
+    /// List of VMs of the platform.
     pub vms: Arc<dyn VmList>,
-    /// Calls other processes.
+    /// Client for calls to other processes.
     pub links: Arc<dyn EntryLinks>,
-    /// The way to the store, for what operators ask.
-    pub gate: Arc<StoreGate>,
-    /// What the planner duty knows.
-    pub board: Arc<PlannerBoard>,
-    /// The ways to the other duties.
+    /// Access to the store, for operator queries.
+    pub client: Arc<StoreClient>,
+    /// Planner state for operators and agents.
+    pub cache: Arc<PlanCache>,
+    /// Channels to and from the other duties.
     pub rings: PeersRings,
     /// Set once a configuration is known.
-    pub able: Arc<AtomicBool>,
-    /// The runtime's clock.
+    pub can_serve: Arc<AtomicBool>,
+    /// Clock of the runtime.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// For all random choices.
+    /// Source of all random choices.
     pub generator: ChaCha8Rng,
-    /// Tells to stop.
+    /// Signals the process to stop.
     pub stop: StopSignal,
 }
 
-/// Keeps up with the other processes until this one ends.
+/// Runs the peers duty until the process ends.
 ///
 /// # Panics
 ///
-/// Panics if it runs on no runtime, or the runtime does not take the socket.
-pub async fn peers(inputs: PeersInputs) {
+/// Panics if called outside a runtime or if the runtime can't register the socket.
+pub async fn run_peers(inputs: PeersInputs) {
     let stop = inputs.stop.clone();
-    let listener =
-        tokio::net::TcpListener::from_std(inputs.listener).expect("the runtime takes the socket");
+    let listener = tokio::net::TcpListener::from_std(inputs.listener)
+        .expect("the runtime registers the socket");
     let driver = Arc::new(MemberDriver::new(
         inputs.own,
         inputs.boot,
@@ -131,11 +132,11 @@
     ));
     let handler = Arc::new(PeerHandler {
         driver: Arc::clone(&driver),
-        news: inputs.rings.news.clone(),
+        updates: inputs.rings.updates.clone(),
         planner: inputs.rings.planner.clone(),
         claims: inputs.rings.claims.clone(),
-        gate: Arc::clone(&inputs.gate),
-        board: inputs.board,
+        client: Arc::clone(&inputs.client),
+        cache: inputs.cache,
     });
     let ended = stop.clone();
     let closing = async move { ended.reached(StopPhase::Ended).await };
@@ -143,57 +144,61 @@
     tokio::select! {
         () = server::serve(listener, handler, inputs.limits, Arc::default(), closing) => {}
         () = driver.run_timers() => {}
-        () = driver.publish(&rings, &inputs.able) => {}
-        () = hints::follow(&driver, inputs.vms.as_ref(), &rings.news, &inputs.metrics) => {}
-        () = take_store_news(&driver, &rings.store_news) => {}
-        () = take_paths(&driver, &rings.paths) => {}
-        () = draw_pictures(&driver, &rings.planner, &inputs.gate) => {}
-        () = leave_when_told(&driver, &stop) => {}
+        () = driver.publish(&rings, &inputs.can_serve) => {}
+        () = hints::poll_vm_list(&driver, inputs.vms.as_ref(), &rings.updates, &inputs.metrics) => {}
+        () = handle_store_updates(&driver, &rings.store_updates) => {}
+        () = handle_path_reports(&driver, &rings.paths) => {}
+        () = send_snapshots(&driver, &rings.planner, &inputs.client) => {}
+        () = leave_on_drain(&driver, &stop) => {}
     }
 }
 
-async fn take_store_news(driver: &Arc<MemberDriver>, news: &RingReceiver<StoreNews>) {
-    while let Some(news) = news.receive().await {
-        match news {
-            StoreNews::Config(reply) => driver.hear(EntryEvent::StoreEnded(reply)),
-            StoreNews::Stops(stops) => driver.take_stops(stops),
-            StoreNews::Stop(stop) => driver.take_stop(stop),
+async fn handle_store_updates(driver: &Arc<MemberDriver>, updates: &RingReceiver<StoreUpdate>) {
+    while let Some(update) = updates.receive().await {
+        match update {
+            StoreUpdate::Config(reply) => driver.handle_event(EntryEvent::StoreEnded(reply)),
+            StoreUpdate::Stops(stops) => driver.apply_stop_list(stops),
+            StoreUpdate::Stop(stop) => driver.apply_stop(stop),
         }
     }
     std::future::pending::<()>().await;
 }
 
-async fn take_paths(driver: &Arc<MemberDriver>, paths: &RingReceiver<PathNews>) {
-    while let Some(news) = paths.receive().await {
-        let PathNews {
+async fn handle_path_reports(driver: &Arc<MemberDriver>, paths: &RingReceiver<PathReport>) {
+    while let Some(report) = paths.receive().await {
+        let PathReport {
             daemon,
             evidence,
             report,
-        } = news;
+        } = report;
         if let Some(report) = report {
             let daemon = daemon.clone();
-            driver.hear(EntryEvent::QueueReport { daemon, report });
+            driver.handle_event(EntryEvent::QueueReport { daemon, report });
         }
-        driver.hear(EntryEvent::Path { daemon, evidence });
+        driver.handle_event(EntryEvent::Path { daemon, evidence });
     }
     std::future::pending::<()>().await;
 }
 
-/// Gives the planner a picture of the fleet now and then; one that does not fit into the ring is
-/// dropped, as the next one says it all.
-async fn draw_pictures(driver: &MemberDriver, planner: &RingSender<PlannerNews>, gate: &StoreGate) {
+/// Sends the fleet state to the planner periodically. If the ring is full it is dropped, because
+/// the next one replaces it.
+async fn send_snapshots(
+    driver: &MemberDriver,
+    planner: &RingSender<PlannerUpdate>,
+    client: &StoreClient,
+) {
     loop {
-        tokio::time::sleep(PICTURE_PERIOD).await;
+        tokio::time::sleep(SNAPSHOT_INTERVAL).await;
         let (entries, agents) = driver.counts();
-        gate.set_fleet(entries, agents);
-        if let Some(picture) = driver.settled_picture() {
-            let _ = planner.try_send(PlannerNews::Fleet(Box::new(picture)));
+        client.set_fleet_size(entries, agents);
+        if let Some(snapshot) = driver.settled_snapshot() {
+            let _ = planner.try_send(PlannerUpdate::Fleet(Box::new(snapshot)));
         }
     }
 }
 
-async fn leave_when_told(driver: &Arc<MemberDriver>, stop: &StopSignal) {
+async fn leave_on_drain(driver: &Arc<MemberDriver>, stop: &StopSignal) {
     stop.reached(StopPhase::Draining).await;
-    driver.hear(EntryEvent::Phase(MemberPhase::Leaving));
+    driver.handle_event(EntryEvent::Phase(MemberPhase::Leaving));
     std::future::pending::<()>().await;
 }
--- a/crates/oatpier-entry/src/store.rs
+++ b/crates/oatpier-entry/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's key-value service, within the process's share of its rates.
+//! Calls to the platform's key-value store, limited to this process's share of the call rate.
 
 use std::future::Future;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,27 +14,29 @@
 use oatpier_types::operator::StoreRow;
 use rand_chacha::ChaCha8Rng;
 
-/// The longest that a call waits for a token of the budget.
-const LONGEST_HOLD: Duration = Duration::from_millis(250);
+/// Maximum time a call waits for a token of the budget.
+const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
 
-/// The state that the duties' threads share; locked for a few instructions at a time.
-struct GateState {
+/// State shared by the duties' threads; locked only for a few instructions at a time.
+struct ClientState {
     budget: StoreBudget,
     available: bool,
-    answered: Option<ClockTime>,
+    last_answered: Option<ClockTime>,
 }
 
-/// The one way of an entry's duties to the store. Each call takes a token of the process's
-/// budget; one that gets none soon fails as "unavailable", which is true: it had no effect.
-pub struct StoreGate {
+/// The only access of an entry's duties to the store. Each call takes a token of the process's
+/// budget. A call that gets no token in time fails as "unavailable", which is correct: it had no
+/// effect.
+pub struct StoreClient {
     store: Arc<dyn KeyStore>,
     clock: RuntimeClock,
     metrics: MetricSet,
-    state: Mutex<GateState>,
+    state: Mutex<ClientState>,
 }
 
-impl StoreGate {
-    /// A gate before a store, with the share of a fleet of one until [`Self::set_fleet`].
+impl StoreClient {
+    /// Creates the access to a store. The rates are those of a fleet with one entry until
+    /// [`Self::set_fleet_size`] is called.
     #[must_use]
     pub fn new(
         store: Arc<dyn KeyStore>,
@@ -43,10 +45,10 @@
         generator: ChaCha8Rng,
     ) -> Self {
         let rates = StoreShare::default().entry();
-        let state = GateState {
+        let state = ClientState {
             budget: StoreBudget::new(rates, generator, clock.now()),
             available: false,
-            answered: None,
+            last_answered: None,
         };
         Self {
             store,
@@ -56,12 +58,12 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, GateState> {
+    fn lock(&self) -> MutexGuard<'_, ClientState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the share by the processes that are known.
-    pub fn set_fleet(&self, entries: u32, agents: u32) {
+    /// Sets this process's share from the numbers of known processes.
+    pub fn set_fleet_size(&self, entries: u32, agents: u32) {
         let share = StoreShare {
             entries,
             agents,
@@ -71,15 +73,15 @@
         self.lock().budget.set_rates(share.entry(), now);
     }
 
-    /// How the store stands, for operators.
+    /// Returns the status of the store for operators.
     #[must_use]
     pub fn row(&self) -> StoreRow {
         let now = self.clock.now();
         let state = self.lock();
-        let answered = state.answered.map(|at| now.since(at).as_millis());
+        let last_answered = state.last_answered.map(|at| now.since(at).as_millis());
         StoreRow {
             available: state.available,
-            answered_ms: answered.and_then(|span| u64::try_from(span).ok()),
+            answered_ms: last_answered.and_then(|span| u64::try_from(span).ok()),
         }
     }
 
@@ -87,27 +89,27 @@
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn get(&self, kind: CallKind, key: &str) -> Result<Option<StoredValue>, StoreError> {
         let call = self.store.get(key);
         self.run(kind, CallMode::Read, call).await
     }
 
-    /// Reads all values under a prefix.
+    /// Reads all values with a key prefix.
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn list(&self, kind: CallKind, prefix: &str) -> Result<Vec<StoredValue>, StoreError> {
         let call = self.store.list(prefix);
         self.run(kind, CallMode::Read, call).await
     }
 
-    /// Writes a value if what is there is as expected.
+    /// Writes a value if the current value is as expected.
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn put(
         &self,
         kind: CallKind,
@@ -119,21 +121,21 @@
         self.run(kind, CallMode::Write, call).await
     }
 
-    /// Removes a key, whatever is there.
+    /// Deletes a key regardless of its current value.
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn delete(&self, kind: CallKind, key: &str) -> Result<(), StoreError> {
         let call = self.store.delete(key, ExpectedValue::Any);
         self.run(kind, CallMode::Write, call).await
     }
 
-    /// Waits for changes under a prefix.
+    /// Waits for changes of keys with a prefix.
     ///
     /// # Errors
     ///
-    /// Of the store, or "unavailable" if the budget is used up.
+    /// Returns the store's error, or "unavailable" if the budget is exhausted.
     pub async fn watch(
         &self,
         kind: CallKind,
@@ -151,9 +153,9 @@
         mode: CallMode,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        if !self.admit(kind, mode).await {
-            self.metrics.count_store_call(kind_word(kind), "held-back");
-            let cause = "this process's share of calls is used up".to_owned();
+        if !self.acquire_token(kind, mode).await {
+            self.metrics.count_store_call(kind_label(kind), "held-back");
+            let cause = "this process has exhausted its share of store calls".to_owned();
             return Err(StoreError::Unavailable { cause });
         }
         let answer = call.await;
@@ -161,14 +163,15 @@
             answer,
             Err(StoreError::Unavailable { .. } | StoreError::AnswerLost { .. })
         );
-        self.note(kind, failed);
+        self.record_result(kind, failed);
         answer
     }
 
-    /// Takes a token, and waits a short while for one: a claimer that takes a partition over makes
-    /// several calls at once, and to refuse its claims for that would help nobody.
-    async fn admit(&self, kind: CallKind, mode: CallMode) -> bool {
-        let until = self.clock.now() + LONGEST_HOLD;
+    /// Takes a token, waiting a short time for one if necessary. A claimer that takes over a
+    /// partition makes several calls at once; refusing its claims because of that burst would be
+    /// pointless.
+    async fn acquire_token(&self, kind: CallKind, mode: CallMode) -> bool {
+        let until = self.clock.now() + MAX_TOKEN_WAIT;
         loop {
             let taken = self.lock().budget.take(kind, mode, self.clock.now());
             match taken {
@@ -181,7 +184,7 @@
         }
     }
 
-    fn note(&self, kind: CallKind, failed: bool) {
+    fn record_result(&self, kind: CallKind, failed: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.available = !failed;
@@ -189,15 +192,15 @@
             state.budget.store_failed();
         } else {
             state.budget.store_answered(now);
-            state.answered = Some(now);
+            state.last_answered = Some(now);
         }
         drop(state);
         let end = if failed { "failed" } else { "answered" };
-        self.metrics.count_store_call(kind_word(kind), end);
+        self.metrics.count_store_call(kind_label(kind), end);
     }
 }
 
-fn kind_word(kind: CallKind) -> &'static str {
+fn kind_label(kind: CallKind) -> &'static str {
     match kind {
         CallKind::ConfigWatch => "config-watch",
         CallKind::PlannerLease => "planner-lease",
--- a/crates/oatpier-entry/tests/testsuite/stops.rs
+++ b/crates/oatpier-entry/tests/testsuite/stops.rs
@@ -1,8 +1,8 @@
-//! Planned stops wait for replacements.
+//! Planned stops are delayed until replacements are ready.
 
 use std::time::Duration;
 
-use oatpier_entry::peers::stops::StopGate;
+use oatpier_entry::peers::stops::StopQueue;
 use oatpier_membership::entry::{EntryEvent, EntryMember};
 use oatpier_membership::members::{MemberPhase, TableLimits};
 use oatpier_membership::messages::{AgentHeartbeat, HeartbeatBody, NamedStop, PeerCall};
@@ -41,11 +41,11 @@
     }
 }
 
-/// An entry that registers agents.
+/// Entry with which agents are registered.
 struct Registrar {
     member: EntryMember<FleetConfig>,
     now: ClockTime,
-    beats: u64,
+    heartbeats: u64,
 }
 
 impl Registrar {
@@ -58,16 +58,16 @@
         Self {
             member,
             now,
-            beats: 0,
+            heartbeats: 0,
         }
     }
 
-    /// An agent says that it has these models ready.
-    fn beat(&mut self, number: u16, models: &[&str]) {
-        self.beats += 1;
+    /// Receives a heartbeat of an agent that has these models ready.
+    fn heartbeat(&mut self, number: u16, models: &[&str]) {
+        self.heartbeats += 1;
         let report = QueueReport {
             boot: BootId(number.into()),
-            sequence: self.beats,
+            sequence: self.heartbeats,
             queued: 0,
             running: 0,
             slots: 16,
@@ -84,7 +84,7 @@
                 .iter()
                 .map(|model| weights(model))
                 .collect::<SmallVec<_>>(),
-            ready_sequence: self.beats,
+            ready_sequence: self.heartbeats,
             generation: Generation(1),
             queue: report,
         };
@@ -103,73 +103,77 @@
         let _ = self.member.answer(call, self.now);
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         self.now = self.now + span;
     }
 }
 
-/// An operator plans the stop of the only holder of a model. Its agent is not told before another
-/// endpoint has the model ready: told at once, it would leave, and callers would be refused while
-/// the model is being loaded elsewhere.
+/// An operator requests the stop of the only holder of a model. Its agent must not be told before
+/// another endpoint has the model ready: otherwise it would leave, and requests would be refused
+/// while the model is being loaded elsewhere.
 #[test]
-fn the_only_holder_is_told_once_there_is_a_replacement() {
+fn stop_of_the_only_holder_is_released_once_a_replacement_is_ready() {
     let mut registrar = Registrar::new();
-    registrar.beat(1, &["tables", "halls"]);
-    registrar.beat(2, &["halls"]);
-    let mut gate = StopGate::default();
+    registrar.heartbeat(1, &["tables", "halls"]);
+    registrar.heartbeat(2, &["halls"]);
+    let mut queue = StopQueue::default();
     let now = registrar.now;
-    assert_eq!(gate.take_one(stop(1, false), &registrar.member, now), None);
+    assert_eq!(queue.apply(stop(1, false), &registrar.member, now), None);
     assert!(
-        gate.holds(&agent(1)),
-        "the planner is to know of it meanwhile"
+        queue.contains(&agent(1)),
+        "the planner needs to know of the delayed stop"
     );
-    assert_eq!(gate.due(&registrar.member, now), []);
-    registrar.beat(2, &["halls", "tables"]);
-    assert_eq!(gate.due(&registrar.member, now), [stop(1, false)]);
-    assert!(!gate.holds(&agent(1)));
+    assert_eq!(queue.take_due(&registrar.member, now), []);
+    registrar.heartbeat(2, &["halls", "tables"]);
+    assert_eq!(queue.take_due(&registrar.member, now), [stop(1, false)]);
+    assert!(!queue.contains(&agent(1)));
 }
 
-/// Both holders of a model are to stop at once. Each would count as the other's replacement, and
-/// the model would be gone: neither is told until a third has it.
+/// Both holders of a model are to stop at once. If each counted as the other's replacement, the
+/// model would be gone. The second holder must not be told until a third one has the model.
 #[test]
-fn two_that_stop_are_no_replacement_for_each_other() {
+fn two_stopping_holders_do_not_replace_each_other() {
     let mut registrar = Registrar::new();
-    registrar.beat(1, &["tables"]);
-    registrar.beat(2, &["tables"]);
-    let mut gate = StopGate::default();
+    registrar.heartbeat(1, &["tables"]);
+    registrar.heartbeat(2, &["tables"]);
+    let mut queue = StopQueue::default();
     let now = registrar.now;
     let listed = vec![stop(1, false), stop(2, false)];
-    let told = gate.take_list(listed, &registrar.member, now);
-    // The first may go, as the second still serves; the second has to stay for now.
-    assert_eq!(told, [stop(1, false)]);
+    let released = queue.apply_list(listed, &registrar.member, now);
+    // The first may stop, because the second still serves; the second has to stay for now.
+    assert_eq!(released, [stop(1, false)]);
     let _ = registrar
         .member
-        .handle(EntryEvent::StopsListed(told), registrar.now);
-    assert_eq!(gate.due(&registrar.member, now), []);
-    registrar.beat(3, &["tables"]);
-    assert_eq!(gate.due(&registrar.member, now), [stop(2, false)]);
+        .handle(EntryEvent::StopsListed(released), registrar.now);
+    assert_eq!(queue.take_due(&registrar.member, now), []);
+    registrar.heartbeat(3, &["tables"]);
+    assert_eq!(queue.take_due(&registrar.member, now), [stop(2, false)]);
 }
 
-/// No replacement ever comes, as there is no memory for one, which the operator was told before.
-/// The stop is not put off for ever. One that is withdrawn meanwhile is not told at all.
+/// No replacement ever becomes ready, because there is no memory for one, as the operator was
+/// warned. The stop is not delayed forever. A stop that is withdrawn in the meantime is never
+/// released as a stop.
 #[test]
-fn a_stop_without_replacement_is_told_in_the_end_and_a_withdrawn_one_never() {
+fn a_stop_without_replacement_is_released_after_the_maximum_delay_unless_withdrawn() {
     let mut registrar = Registrar::new();
-    registrar.beat(1, &["tables"]);
-    registrar.beat(2, &["halls"]);
-    let mut gate = StopGate::default();
+    registrar.heartbeat(1, &["tables"]);
+    registrar.heartbeat(2, &["halls"]);
+    let mut queue = StopQueue::default();
     for number in [1, 2] {
         let now = registrar.now;
         assert_eq!(
-            gate.take_one(stop(number, false), &registrar.member, now),
+            queue.apply(stop(number, false), &registrar.member, now),
             None
         );
     }
     let now = registrar.now;
-    let withdrawn = gate.take_one(stop(2, true), &registrar.member, now);
+    let withdrawn = queue.apply(stop(2, true), &registrar.member, now);
     assert_eq!(withdrawn, Some(stop(2, true)));
-    registrar.pass(Duration::from_mins(1));
-    assert_eq!(gate.due(&registrar.member, registrar.now), []);
-    registrar.pass(Duration::from_mins(1));
-    assert_eq!(gate.due(&registrar.member, registrar.now), [stop(1, false)]);
+    registrar.advance(Duration::from_mins(1));
+    assert_eq!(queue.take_due(&registrar.member, registrar.now), []);
+    registrar.advance(Duration::from_mins(1));
+    assert_eq!(
+        queue.take_due(&registrar.member, registrar.now),
+        [stop(1, false)]
+    );
 }
--- a/crates/oatpier-entry/tests/testsuite/support.rs
+++ b/crates/oatpier-entry/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! Entries without sockets: their duties as tasks, and calls between them through memory.
+//! Entries without sockets: their duties run as tasks, and calls between them are passed in memory.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use oatpier_duty::duty::{RingRule, RingSender, RuntimeClock, StopSignal, ring};
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
 use oatpier_duty::observe::metrics::MetricSet;
-use oatpier_entry::claims::{ClaimCommand, ClaimsInputs, claims};
+use oatpier_entry::claims::{ClaimCommand, ClaimsInputs, run_claims};
 use oatpier_entry::links::{EntryLinks, LinkFuture};
-use oatpier_entry::messages::{ClaimCall, ClaimReply, DemandWord, GenerationRows};
-use oatpier_entry::store::StoreGate;
+use oatpier_entry::messages::{ClaimCall, ClaimReply, DemandReport, GenerationRows};
+use oatpier_entry::store::StoreClient;
 use oatpier_membership::messages::EntryContact;
 use oatpier_standin::store::LocalStore;
 use oatpier_types::ids::{BootId, RequestId};
@@ -25,11 +25,11 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// How long another entry may take in a test.
-const CALL_WAIT: Duration = Duration::from_millis(800);
+/// Timeout of a call to another entry in a test.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long settlements may take to be in the store, on the paused clock.
-const FLUSH_WAIT: Duration = Duration::from_mins(1);
+/// Timeout until settlements are in the store, on the paused clock.
+const FLUSH_TIMEOUT: Duration = Duration::from_mins(1);
 
 pub fn daemon(number: u16) -> DaemonName {
     DaemonName::try_from(format!("entry-{number}")).unwrap()
@@ -43,13 +43,13 @@
     }
 }
 
-pub fn gate(store: &Arc<LocalStore>, clock: RuntimeClock, seed: u64) -> Arc<StoreGate> {
+pub fn client(store: &Arc<LocalStore>, clock: RuntimeClock, seed: u64) -> Arc<StoreClient> {
     let generator = ChaCha8Rng::seed_from_u64(seed);
     let metrics = MetricSet::default();
-    Arc::new(StoreGate::new(store.clone(), clock, metrics, generator))
+    Arc::new(StoreClient::new(store.clone(), clock, metrics, generator))
 }
 
-/// Calls between the entries of a test; one that is dead or cut off does not answer.
+/// Calls between the entries of a test; a killed entry does not answer.
 #[derive(Default)]
 pub struct TestLinks {
     claimers: Mutex<HashMap<SocketAddr, RingSender<ClaimCommand>>>,
@@ -67,20 +67,20 @@
             claimer?
                 .try_send(ClaimCommand::Remote { call, reply })
                 .ok()?;
-            tokio::time::timeout(CALL_WAIT, answer).await.ok()?.ok()
+            tokio::time::timeout(CALL_TIMEOUT, answer).await.ok()?.ok()
         }
         .boxed()
     }
 
-    fn tell_demand(&self, _: SocketAddr, _: DemandWord) -> LinkFuture<()> {
+    fn send_demand(&self, _: SocketAddr, _: DemandReport) -> LinkFuture<()> {
         std::future::ready(None).boxed()
     }
 
-    fn ask_generations(&self, _: SocketAddr) -> LinkFuture<GenerationRows> {
+    fn fetch_generations(&self, _: SocketAddr) -> LinkFuture<GenerationRows> {
         std::future::ready(None).boxed()
     }
 
-    fn ask_status(&self, _: SocketAddr) -> LinkFuture<EndpointStatus> {
+    fn fetch_status(&self, _: SocketAddr) -> LinkFuture<EndpointStatus> {
         std::future::ready(None).boxed()
     }
 }
@@ -90,7 +90,7 @@
     task: JoinHandle<()>,
 }
 
-/// Entries that claim keys with one store.
+/// Entries that claim keys in one shared store.
 pub struct ClaimFleet {
     pub store: Arc<LocalStore>,
     links: Arc<TestLinks>,
@@ -98,7 +98,7 @@
 }
 
 impl ClaimFleet {
-    /// Entries that know of each other.
+    /// Starts entries that know each other.
     pub async fn start(count: u16) -> Self {
         let mut fleet = Self {
             store: Arc::new(LocalStore::new()),
@@ -124,7 +124,7 @@
         let inputs = ClaimsInputs {
             own: daemon(number),
             boot: BootId(u128::from(number) + 1),
-            gate: gate(&self.store, clock, number.into()),
+            client: client(&self.store, clock, number.into()),
             links,
             clock,
             metrics,
@@ -134,26 +134,26 @@
         let address = contact(number).address;
         let mut claimers = self.links.claimers.lock().unwrap();
         claimers.insert(address, commands.clone());
-        let task = tokio::spawn(claims(inputs));
+        let task = tokio::spawn(run_claims(inputs));
         self.entries.push(ClaimingEntry { commands, task });
     }
 
-    /// An entry dies: it answers nobody any more.
+    /// Kills an entry: it no longer answers calls.
     pub fn kill(&self, number: u16) {
         self.entries[usize::from(number)].task.abort();
         let address = contact(number).address;
         self.links.claimers.lock().unwrap().remove(&address);
     }
 
-    /// A request at an entry asks for a key.
-    pub async fn ask(&self, entry: u16, key: u128, request: u128) -> ClaimAnswer {
-        let ask = ClaimQuery {
+    /// Queries a key for a request at an entry.
+    pub async fn query(&self, entry: u16, key: u128, request: u128) -> ClaimAnswer {
+        let query = ClaimQuery {
             key: KeyHash(key),
             fingerprint: RequestFingerprint(1),
             request: RequestId(request),
         };
         let (reply, answer) = oneshot::channel();
-        let command = ClaimCommand::Ask { ask, reply };
+        let command = ClaimCommand::Query { query, reply };
         self.entries[usize::from(entry)]
             .commands
             .send(command)
@@ -161,7 +161,7 @@
         answer.await.unwrap()
     }
 
-    /// A request at an entry is over.
+    /// Settles the key of a request at an entry.
     pub async fn settle(&self, entry: u16, key: u128, request: u128, verdict: RunVerdict) {
         let command = ClaimCommand::Settle {
             key: KeyHash(key),
@@ -174,7 +174,7 @@
             .await;
     }
 
-    /// Waits until all that an entry settled is in the store.
+    /// Waits until all settlements of an entry are in the store.
     pub async fn flush(&self, entry: u16) {
         let (reply, flushed) = oneshot::channel();
         let command = ClaimCommand::Flush { reply };
@@ -182,7 +182,10 @@
             .commands
             .send(command)
             .await;
-        let flushed = tokio::time::timeout(FLUSH_WAIT, flushed);
-        flushed.await.expect("all is in the store").unwrap();
+        let flushed = tokio::time::timeout(FLUSH_TIMEOUT, flushed);
+        flushed
+            .await
+            .expect("all settlements are in the store")
+            .unwrap();
     }
 }
