--- a/crates/oatpier-agent/src/core.rs
+++ b/crates/oatpier-agent/src/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the work duty share: the policy, and who waits for its actions.
+//! State that the tasks of the work duty share: the policy, and the tasks that wait for its actions.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -17,93 +17,93 @@
 use oatpier_types::verdict::RunVerdict;
 use tokio::sync::{Notify, mpsc};
 
-use crate::drains::DrainBoard;
-use crate::endpoint::{EndpointIdentity, EndpointWorks};
-use crate::news::{AgentNews, AsksNews, WeightsNews};
+use crate::channels::{OrdersMessage, WeightsUpdate, WorkUpdate};
+use crate::drains::DrainTracker;
+use crate::endpoint::{EndpointClients, EndpointIdentity};
 use oatpier_duty::duty::{RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 
-/// What the policy tells the task of one attempt.
+/// A decision of the policy for the task of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOrder {
-    /// Send it to the endpoint.
+    /// Send the attempt to the endpoint.
     Start {
-        /// For an engine: lower goes first.
+        /// Priority at an engine: lower values run first.
         priority: u32,
     },
-    /// Answer that it is refused.
+    /// Answer that the attempt is refused.
     Refuse {
-        /// Why.
+        /// Cause of the refusal.
         refusal: Refusal,
     },
-    /// Cancel it at the endpoint.
+    /// Cancel the attempt at the endpoint.
     Cancel,
 }
 
-/// Where the orders of an attempt come from.
+/// Receives the policy's orders for one attempt.
 pub type OrderReceiver = mpsc::UnboundedReceiver<AttemptOrder>;
 
-/// What became of an attempt's arrival.
+/// Result of [`AgentCore::arrive`].
 #[derive(Debug)]
 pub enum AttemptArrival {
-    /// It is on record; its orders will come.
-    Taken(OrderReceiver),
-    /// It came before.
-    Copy {
+    /// The attempt is recorded, and its orders arrive on this channel.
+    Accepted(OrderReceiver),
+    /// The attempt arrived before.
+    Duplicate {
         /// Whether the first copy may have run.
         verdict: RunVerdict,
     },
-    /// The agent has no configuration yet. It is not on record, and nothing of it ran.
+    /// The agent has no configuration yet. The attempt is not recorded and did not run.
     NotReady,
 }
 
-/// The task of an attempt.
+/// What the core keeps of an attempt's task.
 struct TaskRow {
     orders: mpsc::UnboundedSender<AttemptOrder>,
     goal: RequestGoal,
-    started: bool,
+    is_started: bool,
 }
 
-/// The state that the duty's tasks share. They run on one thread, so the lock is never waited
-/// for; it is held for a decision and never across an await.
+/// State shared by the duty's tasks. They run on one thread, so the lock is never contended.
+/// It is held for one decision and never across an await.
 struct CoreState {
     policy: Option<AgentPolicy>,
     tasks: HashMap<AttemptId, TaskRow>,
     ready: Vec<WeightsKey>,
     loading: Vec<LoadingWeights>,
     ready_sequence: u64,
-    drains: DrainBoard,
+    drains: DrainTracker,
     generation: Generation,
     slots: Option<u32>,
     leaving: bool,
 }
 
-/// The work duty's shared parts.
+/// Shared state of the work duty.
 pub struct AgentCore {
     state: Mutex<CoreState>,
     timer_changed: Notify,
     boot: BootId,
     stop: StopSignal,
-    /// The endpoint.
+    /// The agent's endpoint.
     pub identity: EndpointIdentity,
-    /// The endpoint's working side.
-    pub works: EndpointWorks,
+    /// Clients for calls to the endpoint.
+    pub clients: EndpointClients,
     /// The runtime's clock.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// Makes spans.
+    /// Creates spans.
     pub tracer: HopTracer,
 }
 
 impl AgentCore {
-    /// The shared parts of an agent that has no configuration yet.
+    /// Creates the shared state of an agent that has no configuration yet.
     #[must_use]
     pub fn new(
         identity: EndpointIdentity,
         boot: BootId,
-        works: EndpointWorks,
+        clients: EndpointClients,
         clock: RuntimeClock,
         metrics: MetricSet,
         tracer: HopTracer,
@@ -115,7 +115,7 @@
             ready: Vec::new(),
             loading: Vec::new(),
             ready_sequence: 0,
-            drains: DrainBoard::default(),
+            drains: DrainTracker::default(),
             generation: Generation(0),
             slots: None,
             leaving: false,
@@ -126,7 +126,7 @@
             boot,
             stop,
             identity,
-            works,
+            clients,
             clock,
             metrics,
             tracer,
@@ -137,43 +137,43 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes news from another duty.
-    pub fn take_news(&self, news: AgentNews) {
-        match news {
-            AgentNews::Config { generation, config } => self.take_config(generation, &config),
-            AgentNews::Weights(news) => self.take_weights(*news),
-            AgentNews::Leave => self.leave(),
+    /// Applies an update from another duty.
+    pub fn apply_update(&self, update: WorkUpdate) {
+        match update {
+            WorkUpdate::Config { generation, config } => self.apply_config(generation, &config),
+            WorkUpdate::Weights(update) => self.apply_weights(*update),
+            WorkUpdate::Leave => self.leave(),
         }
     }
 
-    fn take_weights(&self, news: WeightsNews) {
+    fn apply_weights(&self, update: WeightsUpdate) {
         let mut state = self.lock();
         let CoreState { drains, tasks, .. } = &mut *state;
-        let started = tasks.iter().filter(|(_, row)| row.started);
+        let started = tasks.iter().filter(|(_, row)| row.is_started);
         let started = started.map(|(attempt, row)| (*attempt, &row.goal));
-        drains.take(news.round, &news.draining, &started);
-        if state.ready != news.ready {
-            state.ready.clone_from(&news.ready);
+        drains.update(update.round, &update.draining, &started);
+        if state.ready != update.ready {
+            state.ready.clone_from(&update.ready);
             state.ready_sequence += 1;
         }
-        state.loading.clone_from(&news.loading);
+        state.loading.clone_from(&update.loading);
         drop(state);
-        let (ready, loading) = (news.ready, news.loading);
+        let (ready, loading) = (update.ready, update.loading);
         self.step(AgentEvent::WeightsChanged { ready, loading });
     }
 
-    /// What still runs on weights that are to go; none while nothing drains.
+    /// Returns the attempts that still run on draining weights, or `None` if no weights drain.
     #[must_use]
-    pub fn drains(&self) -> Option<AsksNews> {
+    pub fn drains(&self) -> Option<OrdersMessage> {
         let state = self.lock();
-        (!state.drains.is_empty()).then(|| AsksNews::Drains {
+        (!state.drains.is_empty()).then(|| OrdersMessage::Drains {
             round: state.drains.round(),
             counts: state.drains.counts(),
         })
     }
 
-    /// A generation only rises: an older one that comes late changes nothing.
-    fn take_config(&self, generation: Generation, config: &FleetConfig) {
+    /// Applies a configuration. Generations only increase: an older one that arrives late is ignored.
+    fn apply_config(&self, generation: Generation, config: &FleetConfig) {
         let mut state = self.lock();
         if generation <= state.generation {
             return;
@@ -185,8 +185,9 @@
             return;
         };
         if state.slots != Some(slots) {
-            // Entries keep the slots with the weights. Without a new number they would keep the
-            // word of an agent that had no configuration yet, and send it nothing.
+            // Entries cache the slots together with the weights. Without a new sequence number
+            // they would keep the status from before the configuration, which has no slots, and
+            // would send no attempts.
             state.slots = Some(slots);
             state.ready_sequence += 1;
         }
@@ -224,7 +225,7 @@
         }
     }
 
-    /// An attempt came.
+    /// Records an attempt that arrived, and passes it to the policy.
     pub fn arrive(&self, spec: AttemptSpec, ticket: AdmissionTicket) -> AttemptArrival {
         let (attempt, goal) = (spec.attempt, spec.goal.clone());
         let now = self.clock.now();
@@ -233,48 +234,48 @@
             return AttemptArrival::NotReady;
         };
         let actions = policy.step(AgentEvent::Arrive { spec, ticket }, now);
-        let copy = actions.iter().find_map(|action| match action {
+        let duplicate = actions.iter().find_map(|action| match action {
             AgentAction::AnswerCopy {
-                attempt: copied,
+                attempt: duplicated,
                 verdict,
-            } if *copied == attempt => Some(*verdict),
+            } if *duplicated == attempt => Some(*verdict),
             _ => None,
         });
-        if let Some(verdict) = copy {
+        if let Some(verdict) = duplicate {
             self.dispatch(&mut state, actions);
-            return AttemptArrival::Copy { verdict };
+            return AttemptArrival::Duplicate { verdict };
         }
         let (orders, receiver) = mpsc::unbounded_channel();
         let row = TaskRow {
             orders,
             goal,
-            started: false,
+            is_started: false,
         };
         state.tasks.insert(attempt, row);
         self.dispatch(&mut state, actions);
         drop(state);
         self.timer_changed.notify_one();
-        AttemptArrival::Taken(receiver)
+        AttemptArrival::Accepted(receiver)
     }
 
-    /// An attempt is given up, unless it runs already; says whether it may have run.
+    /// Cancels an attempt unless it is running, and returns whether it may have run.
     ///
-    /// An entry seals an attempt that is late before it tries elsewhere. One that runs is not
-    /// to be cut off by that.
+    /// An entry seals a late attempt before it retries at another endpoint. Sealing must not
+    /// interrupt an attempt that is already running.
     pub fn seal(&self, attempt: AttemptId, ticket: AdmissionTicket) -> RunVerdict {
-        self.give_up(attempt, AgentEvent::Seal { attempt, ticket })
+        self.cancel_with(attempt, AgentEvent::Seal { attempt, ticket })
     }
 
-    /// An attempt is given up; says whether it may have run.
+    /// Cancels an attempt, and returns whether it may have run.
     pub fn cancel(&self, attempt: AttemptId, ticket: AdmissionTicket) -> RunVerdict {
-        self.give_up(attempt, AgentEvent::Cancel { attempt, ticket })
+        self.cancel_with(attempt, AgentEvent::Cancel { attempt, ticket })
     }
 
-    fn give_up(&self, attempt: AttemptId, event: AgentEvent) -> RunVerdict {
+    fn cancel_with(&self, attempt: AttemptId, event: AgentEvent) -> RunVerdict {
         let now = self.clock.now();
         let mut state = self.lock();
         let Some(policy) = state.policy.as_mut() else {
-            // Nothing was ever taken, but the attempt may still come: it can't be sealed yet.
+            // No attempt was ever accepted, but this one may still arrive, and can't be sealed yet.
             return RunVerdict::MayHaveRun;
         };
         let actions = policy.step(event, now);
@@ -287,7 +288,7 @@
         });
         self.dispatch(&mut state, actions);
         if verdict == Some(RunVerdict::NotRun) {
-            // Its task would wait for ever: no order comes for an attempt that is sealed.
+            // The policy sends no order for a sealed attempt, so its task would wait forever.
             state.tasks.remove(&attempt);
         }
         drop(state);
@@ -295,15 +296,15 @@
         verdict.unwrap_or(RunVerdict::MayHaveRun)
     }
 
-    /// Something happened at the endpoint or to the process.
+    /// Passes an event of the endpoint or the process to the policy.
     pub fn step(&self, event: AgentEvent) {
         let now = self.clock.now();
         let mut state = self.lock();
         if let AgentEvent::EndpointEnded { attempt } | AgentEvent::EndpointFailed { attempt, .. } =
             &event
         {
-            // Its entry may still read; the weights are free of it.
-            state.drains.over(*attempt);
+            // The entry may still be reading the answer, but the attempt no longer uses the weights.
+            state.drains.finish(*attempt);
         }
         let Some(policy) = state.policy.as_mut() else {
             return;
@@ -314,11 +315,11 @@
         self.timer_changed.notify_one();
     }
 
-    /// The task of an attempt is over.
+    /// Removes the task of an attempt that ended.
     pub fn forget(&self, attempt: AttemptId) {
         let mut state = self.lock();
         state.tasks.remove(&attempt);
-        state.drains.over(attempt);
+        state.drains.finish(attempt);
     }
 
     fn dispatch(&self, state: &mut CoreState, actions: AgentActions) {
@@ -341,16 +342,16 @@
             let CoreState { tasks, drains, .. } = &mut *state;
             if let Some(row) = tasks.get_mut(&attempt) {
                 if matches!(order, AttemptOrder::Start { .. }) {
-                    row.started = true;
-                    drains.started(attempt, &row.goal);
+                    row.is_started = true;
+                    drains.start(attempt, &row.goal);
                 }
-                // A task that has ended has told its end already.
+                // A task that ended has already reported its result.
                 let _ = row.orders.send(order);
             }
         }
     }
 
-    /// A fresh word on the queue; none without a configuration.
+    /// Returns a new report on the queue, or `None` without a configuration.
     #[must_use]
     pub fn queue_report(&self) -> Option<QueueReport> {
         let now = self.clock.now();
@@ -360,7 +361,7 @@
             .map(|policy| policy.queue_report(now))
     }
 
-    /// The whole word on the endpoint; none without a configuration.
+    /// Returns the full status of the endpoint, or `None` without a configuration.
     #[must_use]
     pub fn status(&self) -> Option<EndpointStatus> {
         let report = self.queue_report()?;
@@ -376,7 +377,7 @@
         })
     }
 
-    /// Gives the policy its timers for ever.
+    /// Passes timer events to the policy. Never returns.
     pub async fn run_timers(&self) {
         loop {
             let policy_timer = |state: &CoreState| {
--- a/crates/oatpier-agent/src/orders/outlook.rs
+++ b/crates/oatpier-agent/src/orders/loads.rs
@@ -1,4 +1,4 @@
-//! The weights of the endpoint as callers may use them.
+//! Availability of the endpoint's weights.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::{WeightsKey, WeightsState};
 
-use crate::news::{DrainingWeights, WeightsNews};
+use crate::channels::{DrainingWeights, WeightsUpdate};
 
-/// How long a load is taken to last while nothing better is known.
+/// Assumed duration of a load, as the actual one is not known in advance.
 const ASSUMED_LOAD: Duration = Duration::from_secs(4);
 
-/// What is ready, what soon will be, and what is to go.
+/// Tracks when loads began, and determines which weights are ready, loading or draining.
 #[derive(Debug, Clone, Default)]
-pub struct WeightsOutlook {
+pub struct LoadTracker {
     loading_since: IndexMap<WeightsKey, ClockTime>,
 }
 
-impl WeightsOutlook {
-    /// Notes when loads began.
+impl LoadTracker {
+    /// Records when loads began.
     pub fn observe(&mut self, keeper: &OrderKeeper, now: ClockTime) {
         let loading: Vec<WeightsKey> = loading(keeper).cloned().collect();
         self.loading_since
@@ -31,18 +31,18 @@
         }
     }
 
-    /// Fills in the weights. Those that an order could take away at any moment count as neither
-    /// ready nor loading: what ran on them would be cut off.
+    /// Sets the ready, loading and draining weights. Weights that an order may unload at any moment
+    /// count as neither ready nor draining: attempts on them would be interrupted.
     pub fn fill(
         &self,
-        news: &mut WeightsNews,
+        update: &mut WeightsUpdate,
         keeper: &OrderKeeper,
         stepper: &MoveStepper,
         now: ClockTime,
     ) {
-        let there = keeper.ledger().ready();
-        let there = there.filter(|weights| !keeper.may_be_unloaded(weights, now));
-        let (ready, leaving): (Vec<_>, Vec<_>) = there
+        let loaded = keeper.ledger().ready();
+        let loaded = loaded.filter(|weights| !keeper.may_be_unloaded(weights, now));
+        let (ready, leaving): (Vec<_>, Vec<_>) = loaded
             .cloned()
             .partition(|weights| stepper.accepts_new(weights));
         let draining = leaving.into_iter().map(|weights| DrainingWeights {
@@ -51,14 +51,14 @@
         });
         let loading = loading(keeper).map(|weights| LoadingWeights {
             weights: weights.clone(),
-            ready_in: self.load_left(weights, now),
+            ready_in: self.remaining_load(weights, now),
         });
-        news.ready = ready;
-        news.loading = loading.collect();
-        news.draining = draining.collect();
+        update.ready = ready;
+        update.loading = loading.collect();
+        update.draining = draining.collect();
     }
 
-    fn load_left(&self, weights: &WeightsKey, now: ClockTime) -> Duration {
+    fn remaining_load(&self, weights: &WeightsKey, now: ClockTime) -> Duration {
         let since = self.loading_since.get(weights).copied().unwrap_or(now);
         ASSUMED_LOAD.saturating_sub(now.since(since))
     }
@@ -71,8 +71,8 @@
         .map(|(weights, _)| weights)
 }
 
-/// Whether no version of the same weights was loaded after these, as far as known: the ledger
-/// keeps the order of loads.
+/// Returns whether no version of the same weights is known to have been loaded after these. The
+/// ledger keeps the order of loads.
 fn is_newest(keeper: &OrderKeeper, weights: &WeightsKey) -> bool {
     let is_sibling =
         |other: &&WeightsKey| other.model == weights.model && other.adapter == weights.adapter;
--- a/crates/oatpier-agent/src/orders/mod.rs
+++ b/crates/oatpier-agent/src/orders/mod.rs
@@ -1,15 +1,15 @@
-//! The orders duty: the control side of the endpoint.
+//! The orders duty: controls which weights and role the endpoint's engine has.
 //!
-//! It turns what arrives into events of `oatpier-placement` and carries out what comes back. It
-//! is the only one that gives orders to the engine.
+//! It converts messages and results of calls into events of `oatpier-placement`, and executes the
+//! commands that these return. No other part of the process sends orders to the engine.
 //!
-//! - [`state`]: the decisions put together, without I/O.
-//! - [`knowledge`]: what entries say of plan and replicas.
+//! - [`state`]: the decisions, without I/O.
+//! - [`placement`]: the plan, the replicas and the drain counts that other processes and duties report.
 //! - [`io`]: calls to the engine, the store and other agents.
 
 pub mod io;
-pub mod knowledge;
-pub mod outlook;
+pub mod loads;
+pub mod placement;
 pub mod spans;
 pub mod state;
 
@@ -22,48 +22,48 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::BootId;
 
+use crate::channels::{OrdersMessage, PlanUpdate, StatusUpdate, WeightsUpdate, WorkUpdate};
 use crate::endpoint::EndpointIdentity;
-use crate::news::{AgentNews, AsksNews, PlanNews, StatusNews, WeightsNews};
 use crate::peers::{AgentPeers, PeerFuture};
 use io::OrdersIo;
 use oatpier_duty::duty::{RingReceiver, RingSender, RuntimeClock, StopPhase, StopSignal};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
-use state::{OrdersDone, OrdersState};
+use state::{OrdersState, TaskResult};
 
-/// What the orders duty works on.
+/// Inputs of the orders duty.
 pub struct OrdersInputs {
-    /// The endpoint.
+    /// Endpoint that the agent serves.
     pub identity: EndpointIdentity,
-    /// The agent's start.
+    /// Identifies this start of the agent.
     pub boot: BootId,
-    /// For random waits.
+    /// Seed of the random waits.
     pub seed: u64,
-    /// The engine's control side.
+    /// Control interface of the engine.
     pub control: Arc<dyn EngineControl>,
     /// The platform's key-value service.
     pub store: Arc<dyn KeyStore>,
-    /// Other agents.
+    /// Calls to other agents.
     pub peers: Arc<dyn AgentPeers>,
     /// The runtime's clock.
     pub clock: RuntimeClock,
-    /// The process's metrics.
+    /// Metrics of the process.
     pub metrics: MetricSet,
-    /// Makes spans.
+    /// Creates spans.
     pub tracer: HopTracer,
-    /// Where news of the weights go.
-    pub news: RingSender<AgentNews>,
-    /// Where the weights in question go.
-    pub status: RingSender<StatusNews>,
-    /// What membership says.
-    pub plan: RingReceiver<PlanNews>,
-    /// What the work duty says.
-    pub asks: RingReceiver<AsksNews>,
-    /// Tells to stop.
+    /// Sends updates on the weights to the work duty.
+    pub updates: RingSender<WorkUpdate>,
+    /// Sends the weights to query entries about to the membership duty.
+    pub status: RingSender<StatusUpdate>,
+    /// Updates from membership.
+    pub plan: RingReceiver<PlanUpdate>,
+    /// Messages from the work duty.
+    pub messages: RingReceiver<OrdersMessage>,
+    /// Signals the phases of a stop.
     pub stop: StopSignal,
 }
 
-/// Gives orders until the process ends.
+/// Runs the orders duty until the process ends.
 pub async fn orders(inputs: OrdersInputs) {
     let ended = inputs.stop.clone();
     let duty = OrdersDuty::new(inputs);
@@ -77,9 +77,9 @@
     inputs: OrdersInputs,
     state: OrdersState,
     io: OrdersIo,
-    pending: FuturesUnordered<PeerFuture<OrdersDone>>,
-    told: WeightsNews,
-    asked: Vec<WeightsKey>,
+    pending: FuturesUnordered<PeerFuture<TaskResult>>,
+    last_sent: WeightsUpdate,
+    queried: Vec<WeightsKey>,
 }
 
 impl OrdersDuty {
@@ -102,19 +102,19 @@
             state,
             io,
             pending: FuturesUnordered::new(),
-            told: WeightsNews::default(),
-            asked: Vec::new(),
+            last_sent: WeightsUpdate::default(),
+            queried: Vec::new(),
         }
     }
 
     async fn run(mut self) {
         loop {
             self.act().await;
-            self.hear().await;
+            self.wait_for_event().await;
         }
     }
 
-    /// Does what is due, and tells the others of it.
+    /// Starts the calls that are due, and sends updates to the other duties.
     async fn act(&mut self) {
         let now = self.inputs.clock.now();
         if self.inputs.stop.phase() >= StopPhase::Draining {
@@ -123,57 +123,58 @@
         for task in self.state.step(now) {
             self.pending.push(self.io.start(task));
         }
-        self.tell_question();
-        let news = self.state.weights_news(now);
-        if differs(&news, &self.told) {
-            self.told.clone_from(&news);
-            let news = AgentNews::Weights(Box::new(news));
-            self.inputs.news.send(news).await;
+        self.send_queried_weights();
+        let update = self.state.weights_update(now);
+        if has_changed(&update, &self.last_sent) {
+            self.last_sent.clone_from(&update);
+            let update = WorkUpdate::Weights(Box::new(update));
+            self.inputs.updates.send(update).await;
         }
     }
 
-    /// Tells membership what to ask entries about; what finds the ring full is said again with
-    /// the next look.
-    fn tell_question(&mut self) {
-        let weights = self.state.weights_in_question();
-        if weights != self.asked {
-            let news = StatusNews::Weights(weights.clone());
-            if self.inputs.status.try_send(news).is_ok() {
-                self.asked = weights;
+    /// Tells membership which weights to query entries about. If the ring is full, the message is
+    /// retried in the next iteration.
+    fn send_queried_weights(&mut self) {
+        let weights = self.state.weights_to_query();
+        if weights != self.queried {
+            let update = StatusUpdate::Weights(weights.clone());
+            if self.inputs.status.try_send(update).is_ok() {
+                self.queried = weights;
             }
         }
     }
 
-    /// Waits for the next thing that happens.
-    async fn hear(&mut self) {
+    /// Waits for the next event, and applies it.
+    async fn wait_for_event(&mut self) {
         let wake = self.state.next_wake(self.inputs.clock.now());
         let wake = self.inputs.clock.instant(wake);
         tokio::select! {
             Some(done) = self.pending.next() => {
                 let now = self.inputs.clock.now();
-                self.state.done(done, now);
+                self.state.apply_result(done, now);
             }
-            Some(news) = self.inputs.plan.receive() => {
+            Some(update) = self.inputs.plan.receive() => {
                 let now = self.inputs.clock.now();
-                self.state.hear_plan(news, now);
+                self.state.apply_plan_update(update, now);
             }
-            Some(news) = self.inputs.asks.receive() => {
+            Some(message) = self.inputs.messages.receive() => {
                 let now = self.inputs.clock.now();
-                self.state.hear_ask(news, now);
+                self.state.handle_message(message, now);
             }
             () = tokio::time::sleep_until(wake) => {}
         }
     }
 }
 
-/// Whether there is something to tell. How long a load still takes counts down by itself.
-fn differs(news: &WeightsNews, told: &WeightsNews) -> bool {
-    let loading = |news: &WeightsNews| -> Vec<_> {
-        let rows = news.loading.iter();
+/// Returns whether the update differs from the last one sent. The remaining time of a load is not
+/// compared, since it always decreases.
+fn has_changed(update: &WeightsUpdate, last_sent: &WeightsUpdate) -> bool {
+    let loading = |update: &WeightsUpdate| -> Vec<_> {
+        let rows = update.loading.iter();
         rows.map(|row| row.weights.clone()).collect()
     };
-    news.ready != told.ready
-        || news.draining != told.draining
-        || news.round != told.round
-        || loading(news) != loading(told)
+    update.ready != last_sent.ready
+        || update.draining != last_sent.draining
+        || update.round != last_sent.round
+        || loading(update) != loading(last_sent)
 }
--- a/crates/oatpier-agent/src/orders/state.rs
+++ b/crates/oatpier-agent/src/orders/state.rs
@@ -1,4 +1,4 @@
-//! The decisions of the orders duty put together, without I/O.
+//! The decisions of the orders duty, without I/O.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,52 +15,52 @@
 use oatpier_types::plan::EndpointPlan;
 use tokio::sync::oneshot;
 
-use super::knowledge::{DrainCounts, PlacementKnowledge};
-use super::outlook::WeightsOutlook;
-use super::spans::{MoveCause, MoveSpans, weights_of};
+use super::loads::LoadTracker;
+use super::placement::{DrainCounts, PlacementCache};
+use super::spans::{MoveCause, MoveSpans, order_weights};
+use crate::channels::{OrdersMessage, PlanUpdate, WeightsUpdate};
 use crate::endpoint::EndpointIdentity;
-use crate::news::{AsksNews, PlanNews, WeightsNews};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 
-/// Steps that are taken at once. The rest comes with the next look.
-const STEPS_AT_ONCE: usize = 4;
+/// Maximum number of steps in one call of `step`. Further steps follow in the next call.
+const MAX_STEPS: usize = 4;
 
-/// A call that the duty is to make.
+/// A call that the duty must make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrdersTask {
     /// Call the store about the endpoint's record.
     Record(RecordCall),
-    /// Give the engine an order.
+    /// Send an order to the engine.
     Send(EngineOrder),
-    /// Ask the engine's state.
+    /// Query the engine's state.
     Poll(PollTicket),
-    /// Ask another agent for a release.
-    AskRelease {
-        /// Where it listens.
+    /// Request a release from another agent.
+    RequestRelease {
+        /// Address of the other agent.
         to: SocketAddr,
-        /// The ask.
-        ask: ReleaseRequest,
+        /// The request.
+        request: ReleaseRequest,
     },
 }
 
-/// What became of a task.
+/// Result of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum OrdersDone {
-    /// A word of the engine or the store.
+pub enum TaskResult {
+    /// An event of the engine or the store.
     Order(OrderEvent),
-    /// Another agent's answer; none: lost.
+    /// Another agent's answer, or `None` if the answer was lost.
     Released(Option<ReleaseAnswer>),
 }
 
-/// A release that another agent waits for.
-struct WaitingAsk {
+/// A release request of another agent that is not answered yet.
+struct PendingRelease {
     boot: BootId,
     sequence: u64,
     reply: oneshot::Sender<ReleaseAnswer>,
 }
 
-/// The decisions of the orders duty.
+/// State and decisions of the orders duty.
 pub struct OrdersState {
     identity: EndpointIdentity,
     boot: BootId,
@@ -69,17 +69,17 @@
     releases: ReleaseKeeper,
     repair: RepairKeeper,
     config: Option<Arc<FleetConfig>>,
-    knowledge: PlacementKnowledge,
+    placement: PlacementCache,
     drains: DrainCounts,
-    asks: Vec<WaitingAsk>,
-    outlook: WeightsOutlook,
-    leaving: bool,
+    requests: Vec<PendingRelease>,
+    loads: LoadTracker,
+    is_leaving: bool,
     spans: MoveSpans,
     metrics: MetricSet,
 }
 
 impl OrdersState {
-    /// The state of an agent that knows nothing yet.
+    /// Creates the state of an agent that has no configuration and no plan yet.
     #[must_use]
     pub fn new(
         identity: EndpointIdentity,
@@ -92,67 +92,67 @@
         Self {
             releases: ReleaseKeeper::new(endpoint.clone(), boot, seed),
             repair: RepairKeeper::new(RepairSettings::default(), endpoint.clone(), pool),
-            knowledge: PlacementKnowledge::new(endpoint),
+            placement: PlacementCache::new(endpoint),
             identity,
             boot,
             keeper: None,
             stepper: MoveStepper::new(),
             config: None,
             drains: DrainCounts::default(),
-            asks: Vec::new(),
-            outlook: WeightsOutlook::default(),
-            leaving: false,
+            requests: Vec::new(),
+            loads: LoadTracker::default(),
+            is_leaving: false,
             spans: MoveSpans::new(tracer, metrics.clone()),
             metrics,
         }
     }
 
-    /// The agent leaves: it begins no more moves and grants no release, as its replicas go. What
-    /// was ordered is still brought to its end.
+    /// Makes the agent leave: it starts no more moves, and grants no release, since its own
+    /// replicas go away. Moves that were already ordered are still completed.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.is_leaving = true;
     }
 
-    /// When to look again if nothing happens before.
+    /// Returns when `step` must be called again if no event occurs before.
     #[must_use]
     pub fn next_wake(&self, now: ClockTime) -> ClockTime {
         let wake = self.keeper.as_ref().map(|keeper| keeper.next_wake(now));
         wake.map_or(ClockTime::NEVER, |wake| wake.min(now + STEP_INTERVAL))
     }
 
-    /// Takes what became of a task.
-    pub fn done(&mut self, done: OrdersDone, now: ClockTime) {
+    /// Applies the result of a task.
+    pub fn apply_result(&mut self, done: TaskResult, now: ClockTime) {
         match done {
-            OrdersDone::Order(event) => {
+            TaskResult::Order(event) => {
                 if let (Some(keeper), Some(config)) = (&mut self.keeper, &self.config) {
                     keeper.on_event(event, config, now);
                 }
             }
-            // Given up when its time is over; a later answer is ignored.
-            OrdersDone::Released(None) => {}
-            OrdersDone::Released(Some(answer)) => self.releases.on_answer(answer, now),
+            // The request times out by itself, and a later answer is ignored.
+            TaskResult::Released(None) => {}
+            TaskResult::Released(Some(answer)) => self.releases.on_answer(answer, now),
         }
     }
 
-    /// Takes what membership says.
-    pub fn hear_plan(&mut self, news: PlanNews, _now: ClockTime) {
-        match news {
-            PlanNews::Config(config) => self.take_config(config),
-            PlanNews::View(view) => self.knowledge.take_view(*view),
-            PlanNews::Row(row) => self.knowledge.take_row(*row),
-            PlanNews::Silent => self.knowledge.fall_silent(),
+    /// Applies an update from membership.
+    pub fn apply_plan_update(&mut self, update: PlanUpdate, _now: ClockTime) {
+        match update {
+            PlanUpdate::Config(config) => self.apply_config(config),
+            PlanUpdate::View(view) => self.placement.apply_view(*view),
+            PlanUpdate::Row(row) => self.placement.apply_row(*row),
+            PlanUpdate::ViewExpired => self.placement.clear_replicas(),
         }
     }
 
-    /// Takes what the work duty says.
-    pub fn hear_ask(&mut self, news: AsksNews, now: ClockTime) {
-        match news {
-            AsksNews::Drains { round, counts } => self.drains.take(round, counts),
-            AsksNews::Release { ask, reply } => self.take_ask(ask, reply, now),
+    /// Handles a message from the work duty.
+    pub fn handle_message(&mut self, message: OrdersMessage, now: ClockTime) {
+        match message {
+            OrdersMessage::Drains { round, counts } => self.drains.update(round, counts),
+            OrdersMessage::Release { request, reply } => self.handle_release(request, reply, now),
         }
     }
 
-    fn take_config(&mut self, config: Arc<FleetConfig>) {
+    fn apply_config(&mut self, config: Arc<FleetConfig>) {
         if self.keeper.is_none() {
             self.keeper = self
                 .settings(&config)
@@ -161,7 +161,7 @@
         self.config = Some(config);
     }
 
-    /// None for a plain service, which takes no orders, and for an endpoint that is not
+    /// Returns `None` for a plain service, which takes no orders, and for an endpoint that is not
     /// configured.
     fn settings(&self, config: &FleetConfig) -> Option<OrderSettings> {
         let (_, pool) = config.pool_of(&self.identity.endpoint)?;
@@ -175,17 +175,17 @@
         }
     }
 
-    fn take_ask(
+    fn handle_release(
         &mut self,
-        ask: ReleaseRequest,
+        request: ReleaseRequest,
         reply: oneshot::Sender<ReleaseAnswer>,
         now: ClockTime,
     ) {
-        let (boot, sequence) = (ask.boot, ask.sequence);
-        let keeper = self.keeper.as_mut().filter(|_| !self.leaving);
+        let (boot, sequence) = (request.boot, request.sequence);
+        let keeper = self.keeper.as_mut().filter(|_| !self.is_leaving);
         let Some(keeper) = keeper else {
             let granted = false;
-            // An agent that has given its ask up needs no answer.
+            // The error is ignored: an agent that has abandoned its request needs no answer.
             let _ = reply.send(ReleaseAnswer {
                 boot,
                 sequence,
@@ -193,21 +193,21 @@
             });
             return;
         };
-        self.releases.on_request(ask, keeper, now);
-        self.asks.push(WaitingAsk {
+        self.releases.on_request(request, keeper, now);
+        self.requests.push(PendingRelease {
             boot,
             sequence,
             reply,
         });
     }
 
-    /// Takes the steps that can be taken, and says which calls to make.
+    /// Takes the steps that are possible now, and returns the calls to make.
     pub fn step(&mut self, now: ClockTime) -> Vec<OrdersTask> {
         let mut tasks = Vec::new();
         let (Some(mut keeper), Some(config)) = (self.keeper.take(), self.config.clone()) else {
             return tasks;
         };
-        if !self.leaving {
+        if !self.is_leaving {
             self.take_steps(&mut keeper, &config, now, &mut tasks);
         }
         let commands = keeper.commands(&config, now);
@@ -216,8 +216,8 @@
             OrderCommand::Send(order) => OrdersTask::Send(order),
             OrderCommand::Poll(ticket) => OrdersTask::Poll(ticket),
         }));
-        self.answer_asks(&keeper, now);
-        self.note(&keeper, now);
+        self.answer_requests(&keeper, now);
+        self.update_metrics(&keeper, now);
         self.keeper = Some(keeper);
         tasks
     }
@@ -232,11 +232,11 @@
         let Some(row) = self.row(keeper, config, now) else {
             return;
         };
-        for _ in 0..STEPS_AT_ONCE {
+        for _ in 0..MAX_STEPS {
             let input = StepInput {
                 plan: &row,
                 config,
-                replicas: &self.knowledge,
+                replicas: &self.placement,
                 attempts: &self.drains,
             };
             let step = self
@@ -249,21 +249,21 @@
         }
     }
 
-    /// What the endpoint is to hold; none: leave it as it is.
+    /// Returns the weights and role that the endpoint should have, or `None` to leave it unchanged.
     fn row(
         &mut self,
         keeper: &OrderKeeper,
         config: &FleetConfig,
         now: ClockTime,
     ) -> Option<EndpointPlan> {
-        let plan = self.knowledge.plan();
-        if !self.knowledge.is_heard() {
+        let plan = self.placement.plan();
+        if !self.placement.has_replica_view() {
             return plan.cloned();
         }
-        let replicas = self.knowledge.for_repair();
+        let replicas = self.placement.for_repair();
         let input = RepairInput {
             config,
-            live: self.knowledge.live(),
+            live: self.placement.live(),
             replicas: &replicas,
             plan,
         };
@@ -271,11 +271,12 @@
         if plan.is_some() {
             return Some(row);
         }
-        // Nobody asked for anything to go, so what a former agent began to load stays as well.
+        // Without a plan nothing is to be unloaded, so weights that a previous agent began to load
+        // stay as well.
         self.repair.repaired_weights().next()?;
-        let there = keeper.ledger().charges();
-        let there = there.filter(|(_, charge)| charge.held.is_some() || charge.is_ordered);
-        for (weights, _) in there {
+        let loaded = keeper.ledger().charges();
+        let loaded = loaded.filter(|(_, charge)| charge.held.is_some() || charge.is_ordered);
+        for (weights, _) in loaded {
             if !row.weights.contains(weights) {
                 row.weights.push(weights.clone());
             }
@@ -286,12 +287,12 @@
     fn take_step(&mut self, step: PlacementStep, tasks: &mut Vec<OrdersTask>) {
         match step {
             PlacementStep::Ordered(action) => {
-                let cause = self.cause_of(&action);
+                let cause = self.move_cause(&action);
                 self.spans.begin(&action, cause);
             }
-            PlacementStep::RequestRelease { to, request: ask } => {
-                let address = self.knowledge.address_of(&to);
-                tasks.extend(address.map(|to| OrdersTask::AskRelease { to, ask }));
+            PlacementStep::RequestRelease { to, request } => {
+                let address = self.placement.address_of(&to);
+                tasks.extend(address.map(|to| OrdersTask::RequestRelease { to, request }));
             }
             PlacementStep::StartDrain(_) | PlacementStep::ResumeServing(_) => {
                 self.drains.next_round();
@@ -299,8 +300,8 @@
         }
     }
 
-    fn cause_of(&self, action: &OrderAction) -> MoveCause {
-        let repaired = weights_of(action)
+    fn move_cause(&self, action: &OrderAction) -> MoveCause {
+        let repaired = order_weights(action)
             .is_some_and(|weights| self.repair.repaired_weights().any(|taken| taken == weights));
         if repaired {
             MoveCause::Repair
@@ -309,57 +310,59 @@
         }
     }
 
-    fn answer_asks(&mut self, keeper: &OrderKeeper, now: ClockTime) {
+    fn answer_requests(&mut self, keeper: &OrderKeeper, now: ClockTime) {
         for reply in self.releases.replies(keeper, now) {
-            self.answer_ask(&reply);
+            self.answer_request(&reply);
         }
-        self.asks.retain(|ask| !ask.reply.is_closed());
+        self.requests.retain(|request| !request.reply.is_closed());
     }
 
-    fn answer_ask(&mut self, reply: &ReleaseReply) {
+    fn answer_request(&mut self, reply: &ReleaseReply) {
         let mut answer = reply.answer;
-        // It may have begun to leave since the ask came.
-        answer.granted &= !self.leaving;
-        let is_it = |ask: &WaitingAsk| (ask.boot, ask.sequence) == (answer.boot, answer.sequence);
-        if let Some(place) = self.asks.iter().position(is_it) {
-            let _ = self.asks.swap_remove(place).reply.send(answer);
+        // This agent may have begun to leave since the request arrived.
+        answer.granted &= !self.is_leaving;
+        let is_match = |request: &PendingRelease| {
+            (request.boot, request.sequence) == (answer.boot, answer.sequence)
+        };
+        if let Some(index) = self.requests.iter().position(is_match) {
+            let _ = self.requests.swap_remove(index).reply.send(answer);
         }
     }
 
-    fn note(&mut self, keeper: &OrderKeeper, now: ClockTime) {
-        self.spans.end(|action| match weights_of(action) {
+    fn update_metrics(&mut self, keeper: &OrderKeeper, now: ClockTime) {
+        self.spans.end(|action| match order_weights(action) {
             Some(weights) => keeper.has_pending_order(weights),
             None => keeper.has_pending_role_order(),
         });
         let charged = keeper.ledger().charged_mib(now);
         let charged = i64::try_from(charged).unwrap_or(i64::MAX);
         self.metrics.charged_mib.set(charged);
-        self.outlook.observe(keeper, now);
+        self.loads.observe(keeper, now);
     }
 
-    /// The weights as callers may use them.
+    /// Returns the availability of the endpoint's weights.
     #[must_use]
-    pub fn weights_news(&self, now: ClockTime) -> WeightsNews {
-        let mut news = WeightsNews {
+    pub fn weights_update(&self, now: ClockTime) -> WeightsUpdate {
+        let mut update = WeightsUpdate {
             round: self.drains.round(),
-            ..WeightsNews::default()
+            ..WeightsUpdate::default()
         };
         if let Some(keeper) = &self.keeper {
-            self.outlook.fill(&mut news, keeper, &self.stepper, now);
+            self.loads.fill(&mut update, keeper, &self.stepper, now);
         }
-        news
+        update
     }
 
-    /// The weights that an entry is to be asked about: all that could be in memory, and all that
-    /// are planned.
+    /// Returns the weights to query entries about: all that may be in memory, and all that are
+    /// planned.
     #[must_use]
-    pub fn weights_in_question(&self) -> Vec<WeightsKey> {
+    pub fn weights_to_query(&self) -> Vec<WeightsKey> {
         let charges = self.keeper.iter().flat_map(|keeper| {
             let charges = keeper.ledger().charges();
             charges.map(|(weights, _)| weights.clone())
         });
         let mut weights: Vec<WeightsKey> = charges.collect();
-        let planned = self.knowledge.plan().into_iter();
+        let planned = self.placement.plan().into_iter();
         for planned in planned.flat_map(|row| &row.weights) {
             if !weights.contains(planned) {
                 weights.push(planned.clone());
@@ -368,13 +371,13 @@
         weights
     }
 
-    /// The decisions about orders; none before a configuration, or for a plain service.
+    /// Returns the keeper of orders, or `None` without a configuration or for a plain service.
     #[must_use]
     pub fn keeper(&self) -> Option<&OrderKeeper> {
         self.keeper.as_ref()
     }
 
-    /// The engine's role, as it last said.
+    /// Returns the role that the engine last reported.
     #[must_use]
     pub fn role(&self) -> Option<EngineRole> {
         self.keeper.as_ref().and_then(OrderKeeper::role)
--- a/crates/oatpier-agent/src/work.rs
+++ b/crates/oatpier-agent/src/work.rs
@@ -1,4 +1,4 @@
-//! The work duty: takes attempts, and owns the decisions about them.
+//! The work duty: accepts attempts, and owns the decisions about them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,154 +23,158 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::attempt::AttemptTask;
+use crate::channels::{MembershipCall, OrdersMessage, StatusUpdate, WorkUpdate};
 use crate::core::{AgentCore, AttemptArrival};
 use crate::messages::RELEASE_PATH;
-use crate::news::{AgentNews, AsksNews, MembershipCall, StatusNews};
 use oatpier_duty::duty::{RingReceiver, RingSender, StopPhase, StopSignal};
 use oatpier_duty::messages::{PEER_PATH, STATUS_PATH};
 
-/// Frames of an attempt that wait for its entry.
-const WAITING_FRAMES: usize = 16;
-/// How often the membership duty gets the whole word on the endpoint.
+/// Maximum number of frames of an attempt that are buffered for its entry.
+const MAX_BUFFERED_FRAMES: usize = 16;
+/// Interval at which the full status of the endpoint is sent to the membership duty.
 const STATUS_PERIOD: Duration = Duration::from_millis(500);
-/// How often the orders duty gets the counts of a drain.
+/// Interval at which the counts of a drain are sent to the orders duty.
 const DRAIN_PERIOD: Duration = Duration::from_millis(100);
-/// How long another duty may take to answer a call. As long as an ask for a release stands.
-const PASSED_WAIT: Duration = Duration::from_secs(2);
-/// How often the endpoint is asked whether it answers.
+/// Timeout of a call that is forwarded to another duty. As long as a release request is valid.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval of the endpoint's health probes.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the work duty works on.
+/// Inputs of the work duty.
 pub struct WorkInputs {
-    /// The decisions and what they share.
+    /// Shared state of the work duty.
     pub core: Arc<AgentCore>,
-    /// Where entries connect.
+    /// Listener for connections of entries and other agents.
     pub listener: std::net::TcpListener,
-    /// Limits on entries.
+    /// Limits on connections and requests.
     pub limits: ServerLimits,
-    /// News of the other duties.
-    pub news: RingReceiver<AgentNews>,
-    /// Where asks and counts for the orders duty go.
-    pub asks: RingSender<AsksNews>,
-    /// Where word on the endpoint goes, for the membership duty.
-    pub status: RingSender<StatusNews>,
-    /// Where membership calls go.
+    /// Updates from the other duties.
+    pub updates: RingReceiver<WorkUpdate>,
+    /// Sends release requests and drain counts to the orders duty.
+    pub messages: RingSender<OrdersMessage>,
+    /// Sends the endpoint's status to the membership duty.
+    pub status: RingSender<StatusUpdate>,
+    /// Sends membership calls to the membership duty.
     pub calls: RingSender<MembershipCall>,
-    /// Tells to stop.
+    /// Signals the phases of a stop.
     pub stop: StopSignal,
 }
 
-/// Serves entries until the process drains and the last attempt is over.
+/// Serves entries until the process has drained and the last attempt has ended.
 ///
 /// # Panics
 ///
-/// Panics if it runs on no runtime, or the runtime does not take the socket.
+/// Panics if called outside a Tokio runtime, or if the runtime can't register the socket.
 pub async fn work(inputs: WorkInputs) {
     let WorkInputs {
         core,
         listener,
         limits,
-        news,
-        asks,
+        updates,
+        messages,
         status,
         calls,
         stop,
     } = inputs;
-    let listener =
-        tokio::net::TcpListener::from_std(listener).expect("the runtime takes the socket");
+    let listener = tokio::net::TcpListener::from_std(listener)
+        .expect("listener must be registered with the Tokio runtime");
     let handler = Arc::new(WorkHandler {
         core: Arc::clone(&core),
-        asks: asks.clone(),
+        messages: messages.clone(),
         calls,
     });
-    let teller = WorkTeller { core, asks, status };
-    // The listener stays open until the last attempt is over: a refusal of a leaving agent is
-    // a word, a closed port is only silence.
+    let reporter = WorkReporter {
+        core,
+        messages,
+        status,
+    };
+    // The listener stays open until the last attempt has ended, so that a leaving agent can
+    // refuse attempts explicitly. A closed port would give entries no answer.
     let ended = stop.clone();
     let closing = async move { ended.reached(StopPhase::Ended).await };
     let serving = server::serve(listener, handler, limits, Arc::default(), closing);
     tokio::select! {
         () = serving => {}
-        () = teller.run(&news, &stop) => {}
+        () = reporter.run(&updates, &stop) => {}
     }
 }
 
-/// The work duty without its entries: takes news, and tells the other duties of the endpoint.
-/// Nothing here waits for them.
-pub struct WorkTeller {
-    /// The decisions and what they share.
+/// The part of the work duty that serves no connections: applies updates, and reports the endpoint's
+/// status to the other duties. It never waits for them.
+pub struct WorkReporter {
+    /// Shared state of the work duty.
     pub core: Arc<AgentCore>,
-    /// Where counts of drains go.
-    pub asks: RingSender<AsksNews>,
-    /// Where word on the endpoint goes.
-    pub status: RingSender<StatusNews>,
+    /// Sends drain counts to the orders duty.
+    pub messages: RingSender<OrdersMessage>,
+    /// Sends the endpoint's status to the membership duty.
+    pub status: RingSender<StatusUpdate>,
 }
 
-impl WorkTeller {
-    /// Never ends.
-    pub async fn run(&self, news: &RingReceiver<AgentNews>, stop: &StopSignal) {
+impl WorkReporter {
+    /// Runs all periodic tasks. Never returns.
+    pub async fn run(&self, updates: &RingReceiver<WorkUpdate>, stop: &StopSignal) {
         tokio::select! {
-            () = self.take_news(news) => {}
-            () = self.tell_status() => {}
-            () = self.tell_drains() => {}
+            () = self.apply_updates(updates) => {}
+            () = self.report_status() => {}
+            () = self.report_drains() => {}
             () = self.core.run_timers() => {}
-            () = leave_when_told(&self.core, stop) => {}
+            () = leave_on_stop(&self.core, stop) => {}
             () = probe(&self.core) => {}
         }
     }
 
-    async fn take_news(&self, news: &RingReceiver<AgentNews>) {
-        while let Some(news) = news.receive().await {
-            self.core.take_news(news);
-            self.offer_drains();
-            self.offer_status();
+    async fn apply_updates(&self, updates: &RingReceiver<WorkUpdate>) {
+        while let Some(update) = updates.receive().await {
+            self.core.apply_update(update);
+            self.send_drains();
+            self.send_status();
         }
         std::future::pending::<()>().await;
     }
 
-    async fn tell_status(&self) {
+    async fn report_status(&self) {
         loop {
-            self.offer_status();
+            self.send_status();
             tokio::time::sleep(STATUS_PERIOD).await;
         }
     }
 
-    async fn tell_drains(&self) {
+    async fn report_drains(&self) {
         loop {
-            self.offer_drains();
+            self.send_drains();
             tokio::time::sleep(DRAIN_PERIOD).await;
         }
     }
 
-    fn offer_status(&self) {
+    fn send_status(&self) {
         if let Some(status) = self.core.status() {
-            // Dropped when full: the next one says the same and more.
-            let _ = self.status.try_send(StatusNews::Status(Box::new(status)));
+            // Dropped if the ring is full: the next status replaces this one.
+            let _ = self.status.try_send(StatusUpdate::Status(Box::new(status)));
         }
     }
 
-    fn offer_drains(&self) {
+    fn send_drains(&self) {
         if let Some(drains) = self.core.drains() {
-            // Dropped when full: told again until the drain is over.
-            let _ = self.asks.try_send(drains);
+            // Dropped if the ring is full: the counts are sent again until the drain ends.
+            let _ = self.messages.try_send(drains);
         }
     }
 }
 
-async fn leave_when_told(core: &AgentCore, stop: &StopSignal) {
+async fn leave_on_stop(core: &AgentCore, stop: &StopSignal) {
     stop.reached(StopPhase::Draining).await;
-    core.take_news(AgentNews::Leave);
+    core.apply_update(WorkUpdate::Leave);
     std::future::pending::<()>().await;
 }
 
-/// Tells the policy when the endpoint begins or ceases to answer.
+/// Probes the endpoint, and tells the policy when it becomes reachable or unreachable.
 async fn probe(core: &AgentCore) {
     let mut was_up = true;
     loop {
-        let up = core.works.engine.probe().await;
+        let up = core.clients.engine.probe().await;
         if up != was_up {
             core.step(AgentEvent::EndpointUp { up });
-            spdlog::warn!("the endpoint answers: {up}");
+            spdlog::warn!("endpoint reachability changed: up={up}");
             was_up = up;
         }
         tokio::time::sleep(PROBE_PERIOD).await;
@@ -179,18 +183,18 @@
 
 struct WorkHandler {
     core: Arc<AgentCore>,
-    asks: RingSender<AsksNews>,
+    messages: RingSender<OrdersMessage>,
     calls: RingSender<MembershipCall>,
 }
 
 impl RequestHandler for WorkHandler {
     fn handle(&self, request: Request<Bytes>, _: SocketAddr) -> BoxFuture<'_, Reply> {
         let reply = match request.uri().path() {
-            ATTEMPT_PATH => take_attempt(&self.core, request.into_body()),
+            ATTEMPT_PATH => accept_attempt(&self.core, request.into_body()),
             CANCEL_PATH => cancel(&self.core, request.body()),
             STATUS_PATH => status(&self.core),
-            RELEASE_PATH => return self.take_release(request.body()).boxed(),
-            PEER_PATH => return self.take_call(request.body()).boxed(),
+            RELEASE_PATH => return self.forward_release(request.body()).boxed(),
+            PEER_PATH => return self.forward_call(request.body()).boxed(),
             _ => reply::text(StatusCode::NOT_FOUND, "no such path\n"),
         };
         std::future::ready(reply).boxed()
@@ -198,22 +202,22 @@
 }
 
 impl WorkHandler {
-    /// Passes another agent's ask on to the orders duty, and its answer back.
-    fn take_release(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
+    /// Forwards a release request of another agent to the orders duty, and returns the answer.
+    fn forward_release(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
         let decoded = decode_message(body);
-        let asks = self.asks.clone();
+        let messages = self.messages.clone();
         async move {
-            let ask = match decoded {
-                Ok(ask) => ask,
+            let request = match decoded {
+                Ok(request) => request,
                 Err(error) => return bad_request(&error),
             };
             let (reply, answer) = oneshot::channel();
-            pass_on(&asks, AsksNews::Release { ask, reply }, answer).await
+            forward(&messages, OrdersMessage::Release { request, reply }, answer).await
         }
     }
 
-    /// Passes an entry's call on to the membership duty, and its answer back.
-    fn take_call(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
+    /// Forwards an entry's call to the membership duty, and returns the answer.
+    fn forward_call(&self, body: &[u8]) -> impl Future<Output = Reply> + use<> {
         let decoded = decode_message(body);
         let calls = self.calls.clone();
         async move {
@@ -222,20 +226,20 @@
                 Err(error) => return bad_request(&error),
             };
             let (reply, answer) = oneshot::channel();
-            pass_on(&calls, MembershipCall { call, reply }, answer).await
+            forward(&calls, MembershipCall { call, reply }, answer).await
         }
     }
 }
 
-/// Passes a call to another duty. A full ring or a late answer is told as "unavailable", and
-/// whoever called calls again.
-async fn pass_on<T, A: Serialize>(
+/// Forwards a call to another duty. A full ring or a late answer is reported as "unavailable", and
+/// the caller retries.
+async fn forward<T, A: Serialize>(
     ring: &RingSender<T>,
     message: T,
     answer: oneshot::Receiver<A>,
 ) -> Reply {
     if ring.try_send(message).is_ok()
-        && let Ok(Ok(answer)) = tokio::time::timeout(PASSED_WAIT, answer).await
+        && let Ok(Ok(answer)) = tokio::time::timeout(FORWARD_TIMEOUT, answer).await
     {
         return reply::message(&answer);
     }
@@ -246,7 +250,7 @@
     reply::text(StatusCode::BAD_REQUEST, error.to_string())
 }
 
-fn take_attempt(core: &Arc<AgentCore>, body: Bytes) -> Reply {
+fn accept_attempt(core: &Arc<AgentCore>, body: Bytes) -> Reply {
     let (head, body) = match decode_request(body) {
         Ok(decoded) => decoded,
         Err(error) => return reply::text(StatusCode::BAD_REQUEST, error.to_string()),
@@ -257,15 +261,15 @@
         return reply::text(StatusCode::NOT_FOUND, "this endpoint is of another pool\n");
     }
     let attempt = head.spec.attempt;
-    let (frames, receiver) = mpsc::channel(WAITING_FRAMES);
+    let (frames, receiver) = mpsc::channel(MAX_BUFFERED_FRAMES);
     match core.arrive(head.spec.clone(), head.ticket) {
-        AttemptArrival::Taken(orders) => {
+        AttemptArrival::Accepted(orders) => {
             let task = AttemptTask::new(Arc::clone(core), head, body, orders, frames);
-            // A task of its own: it outlives the entry's connection, since a call that runs must
-            // be told to the policy to its end.
+            // A separate task outlives the entry's connection: the policy must be notified when
+            // a running call ends.
             tokio::spawn(task.run());
         }
-        AttemptArrival::Copy { verdict } => tell_copy(core, verdict, &frames),
+        AttemptArrival::Duplicate { verdict } => send_duplicate(core, verdict, &frames),
         AttemptArrival::NotReady => return not_ready(),
     }
     let frames = stream::unfold(receiver, |mut receiver| async move {
@@ -275,13 +279,13 @@
     attempt::build_response(attempt, frames)
 }
 
-/// The answer while there is no configuration. It says "not run" to an entry.
+/// Returns the answer while there is no configuration. Entries take it as "not run".
 fn not_ready() -> Reply {
     let text = "this agent has no configuration yet\n";
     reply::text(StatusCode::SERVICE_UNAVAILABLE, text)
 }
 
-fn tell_copy(core: &AgentCore, verdict: RunVerdict, frames: &mpsc::Sender<AttemptFrame>) {
+fn send_duplicate(core: &AgentCore, verdict: RunVerdict, frames: &mpsc::Sender<AttemptFrame>) {
     let Some(report) = core.queue_report() else {
         return;
     };
@@ -290,7 +294,7 @@
         cause: "a copy of this attempt came before".to_owned(),
         report,
     };
-    // The channel is new and has room.
+    // The channel is new, so it has capacity.
     let _ = frames.try_send(frame);
 }
 
--- a/crates/oatpier-agent/tests/testsuite/membership.rs
+++ b/crates/oatpier-agent/tests/testsuite/membership.rs
@@ -1,4 +1,4 @@
-//! In touch with the entries: heartbeats, configuration, planned stops.
+//! Tests of the membership duty: heartbeats, configuration, planned stops.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use futures::FutureExt;
+use oatpier_agent::channels::{MembershipCall, PlanUpdate, StatusUpdate, WorkUpdate};
 use oatpier_agent::membership::{MembershipInputs, membership};
-use oatpier_agent::news::{AgentNews, MembershipCall, PlanNews, StatusNews};
 use oatpier_agent::peers::{AgentPeers, PeerFuture};
 use oatpier_duty::duty::{
     RingReceiver, RingRule, RingSender, RuntimeClock, StopPhase, StopSignal, ring,
@@ -48,7 +48,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// What one entry says and heard.
+/// State of one entry: its answers, and the heartbeats that it received.
 #[derive(Default)]
 struct TestEntry {
     down: bool,
@@ -104,7 +104,7 @@
         std::future::ready(self.answer(entry.port(), call)).boxed()
     }
 
-    fn ask_placement(
+    fn query_placement(
         &self,
         entry: SocketAddr,
         _: PlacementQuery,
@@ -119,7 +119,11 @@
         std::future::ready(view).boxed()
     }
 
-    fn ask_release(&self, _: SocketAddr, _: ReleaseRequest) -> PeerFuture<Option<ReleaseAnswer>> {
+    fn request_release(
+        &self,
+        _: SocketAddr,
+        _: ReleaseRequest,
+    ) -> PeerFuture<Option<ReleaseAnswer>> {
         std::future::ready(None).boxed()
     }
 }
@@ -129,10 +133,10 @@
     store: Arc<LocalStore>,
     vms: Arc<LocalVms>,
     stop: StopSignal,
-    news: RingReceiver<AgentNews>,
-    plan: RingReceiver<PlanNews>,
+    updates: RingReceiver<WorkUpdate>,
+    plan: RingReceiver<PlanUpdate>,
     duty: tokio::task::JoinHandle<()>,
-    _status: RingSender<StatusNews>,
+    _status: RingSender<StatusUpdate>,
     _calls: RingSender<MembershipCall>,
 }
 
@@ -163,7 +167,7 @@
         let (entries, stop) = (Arc::new(TestEntries::default()), StopSignal::default());
         let (store, vms) = (Arc::new(LocalStore::new()), Arc::new(LocalVms::new()));
         vms.set_rows(vm_rows(VmState::Live));
-        let (news_sender, news) = ring(64, RingRule::Wait, Counter::default());
+        let (update_sender, updates) = ring(64, RingRule::Wait, Counter::default());
         let (plan_sender, plan) = ring(4_096, RingRule::Wait, Counter::default());
         let (status_sender, status) = ring(64, RingRule::Drop, Counter::default());
         let (calls_sender, calls) = ring(64, RingRule::Drop, Counter::default());
@@ -177,7 +181,7 @@
             vms: vms.clone(),
             peers: entries.clone(),
             clock: RuntimeClock::start(),
-            news: news_sender,
+            updates: update_sender,
             plan: plan_sender,
             status,
             calls,
@@ -188,7 +192,7 @@
             store,
             vms,
             stop,
-            news,
+            updates,
             plan,
             duty: tokio::spawn(membership(inputs)),
             _status: status_sender,
@@ -197,38 +201,40 @@
     }
 
     fn generations(&self) -> Vec<u64> {
-        let news = std::iter::from_fn(|| self.news.try_receive());
-        news.filter_map(|news| match news {
-            AgentNews::Config { generation, .. } => Some(generation.0),
-            _ => None,
-        })
-        .collect()
+        let updates = std::iter::from_fn(|| self.updates.try_receive());
+        updates
+            .filter_map(|update| match update {
+                WorkUpdate::Config { generation, .. } => Some(generation.0),
+                _ => None,
+            })
+            .collect()
     }
 
     fn stamps(&self) -> Vec<(u64, u64)> {
-        let news = std::iter::from_fn(|| self.plan.try_receive());
-        let rows = news.filter_map(|news| match news {
-            PlanNews::View(view) => view.plan,
-            PlanNews::Row(row) => Some(*row),
-            PlanNews::Config(_) | PlanNews::Silent => None,
+        let updates = std::iter::from_fn(|| self.plan.try_receive());
+        let rows = updates.filter_map(|update| match update {
+            PlanUpdate::View(view) => view.plan,
+            PlanUpdate::Row(row) => Some(*row),
+            PlanUpdate::Config(_) | PlanUpdate::ViewExpired => None,
         });
         rows.map(|row| (row.stamp.term.0, row.stamp.sequence))
             .collect()
     }
 
-    fn is_silent(&self) -> bool {
-        let news = std::iter::from_fn(|| self.plan.try_receive());
-        news.last()
-            .is_some_and(|news| matches!(news, PlanNews::Silent))
+    fn is_view_expired(&self) -> bool {
+        let updates = std::iter::from_fn(|| self.plan.try_receive());
+        updates
+            .last()
+            .is_some_and(|update| matches!(update, PlanUpdate::ViewExpired))
     }
 
-    /// The entries that got heartbeats since the last look.
+    /// Returns the entries that received heartbeats since the last call.
     fn registrars(&self) -> Vec<u16> {
-        let heard = |port: &u16| {
+        let received = |port: &u16| {
             let count = |entry: &mut TestEntry| std::mem::take(&mut entry.heartbeats);
             self.entries.with(*port, count) > 0
         };
-        (1..=3).filter(heard).collect()
+        (1..=3).filter(received).collect()
     }
 
     async fn store_config(&self, generation: u64) {
@@ -260,10 +266,10 @@
     tokio::time::sleep(Duration::from_secs(seconds)).await;
 }
 
-/// One of the two entries that an agent sends its heartbeats to dies. A third takes its place,
-/// and the configuration that is in force stays: the agent restarts nothing.
+/// One of the two entries that receive an agent's heartbeats fails. A third entry replaces it. The
+/// active configuration stays, and the agent restarts nothing.
 #[tokio::test(start_paused = true)]
-async fn a_registrar_that_dies_is_replaced_and_nothing_is_torn_down() {
+async fn a_failed_registrar_is_replaced_without_reconfiguration() {
     let member = TestMember::start();
     for port in 1..=3 {
         member.entries.with(port, |entry| entry.generation = 4);
@@ -284,10 +290,10 @@
     assert_eq!(member.store.calls().gets, 0);
 }
 
-/// An entry has a later configuration, and then is replaced by one that is behind. The agent
-/// pulls the later one and never goes back.
+/// The entries have a later configuration, and then an older one, as from an entry that lags behind.
+/// The agent pulls the later one and never goes back.
 #[tokio::test(start_paused = true)]
-async fn a_later_configuration_is_pulled_and_an_older_one_never() {
+async fn a_later_configuration_is_pulled_and_an_older_one_is_not() {
     let member = TestMember::start();
     for port in 1..=3 {
         member.entries.with(port, |entry| entry.generation = 4);
@@ -304,10 +310,10 @@
     assert_eq!(member.generations(), [4, 6]);
 }
 
-/// No entry lives when an agent starts. It learns configuration and plan from the store, and
-/// later changes as well, with few calls.
+/// No entry is reachable when an agent starts. The agent reads the configuration, the plan and later
+/// changes from the store, with few calls.
 #[tokio::test(start_paused = true)]
-async fn without_entries_the_store_is_read_now_and_then() {
+async fn without_entries_the_store_is_read_at_a_low_rate() {
     let member = TestMember::start();
     for port in 1..=3 {
         member.entries.with(port, |entry| entry.down = true);
@@ -337,14 +343,14 @@
     member.store_config(5).await;
     pass(20).await;
     assert_eq!(member.generations(), [5]);
-    // A read of each of the two keys, at most every 7.5 seconds.
+    // One read of each of the two keys, at most every 7.5 seconds.
     assert!(member.store.calls().gets <= 2 * 44);
 }
 
-/// Entries tell the plan's row. When they fall silent, what they said of replicas is too old to
-/// repair by, and the orders duty is told so.
+/// Entries send the plan's row and then stop answering. Their view of the replicas becomes too old
+/// for repair, and the orders duty is notified of this.
 #[tokio::test(start_paused = true)]
-async fn a_view_that_is_too_old_is_called_back() {
+async fn an_outdated_view_is_withdrawn() {
     let member = TestMember::start();
     for port in 1..=3 {
         member
@@ -357,13 +363,14 @@
         member.entries.with(port, |entry| entry.down = true);
     }
     pass(8).await;
-    assert!(member.is_silent());
+    assert!(member.is_view_expired());
 }
 
-/// A planned stop reaches the agent by a registrar's answer, or by the list of VMs. Either way it
-/// begins to drain, and its registrars hear that it leaves, and in the end that it has left.
+/// A planned stop reaches the agent in a registrar's answer or through the list of VMs. In both cases
+/// the agent begins to drain. It notifies its registrars that it is leaving, and at the end that it
+/// has left.
 #[tokio::test(start_paused = true)]
-async fn a_planned_stop_drains_and_the_registrars_are_told() {
+async fn a_planned_stop_drains_and_notifies_the_registrars() {
     for by_list in [true, false] {
         let member = TestMember::start();
         pass(5).await;
@@ -380,18 +387,18 @@
         }
         pass(3).await;
         assert_eq!(member.stop.phase(), StopPhase::Draining);
-        let told = |phase| {
-            let heard = |port| {
+        let notified = |phase| {
+            let received = |port| {
                 member
                     .entries
                     .with(port, |entry| entry.phases.contains(&phase))
             };
-            (1..=3).filter(|port| heard(*port)).count()
+            (1..=3).filter(|port| received(*port)).count()
         };
-        assert_eq!(told(MemberPhase::Leaving), 2);
+        assert_eq!(notified(MemberPhase::Leaving), 2);
         member.stop.advance(StopPhase::Ended);
         pass(1).await;
-        assert_eq!(told(MemberPhase::Left), 2);
+        assert_eq!(notified(MemberPhase::Left), 2);
         assert!(member.duty.is_finished());
     }
 }
--- a/crates/oatpier-standin/examples/standin.rs
+++ b/crates/oatpier-standin/examples/standin.rs
@@ -1,6 +1,6 @@
-//! Serves one stand-in of the platform, for tests with separate processes.
+//! Serves one stand-in for a platform service, for tests with separate processes.
 //!
-//! It prints one JSON line, `{"listening": "127.0.0.1:PORT"}`, and serves until it is killed.
+//! It prints one JSON line, `{"listening": "127.0.0.1:PORT"}`, and serves until the process is killed.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use oatpier_standin::clock::StandinClock;
 use oatpier_standin::engine::{EngineOptions, start_engine};
-use oatpier_standin::serve::{RequestHandler, Running};
+use oatpier_standin::serve::{RequestHandler, RunningServer};
 use oatpier_standin::service::start_service;
 use oatpier_standin::store::start_store;
 use oatpier_standin::vms::start_vms;
@@ -20,7 +20,7 @@
 use oatpier_types::names::{AdapterName, EndpointName, ModelName, NameError, VersionName};
 use serde::Serialize;
 
-/// Weights as a flag gives them: `MODEL[+ADAPTER][:VERSION][:MIB]`.
+/// Weights in the format of a flag: `MODEL[+ADAPTER][:VERSION][:MIB]`.
 #[derive(Debug, Clone)]
 struct WeightsFlag {
     weights: WeightsKey,
@@ -138,12 +138,12 @@
     }
 }
 
-async fn announce<H: RequestHandler>(running: Running<H>) -> Result<(), Box<dyn Error>> {
+async fn announce<H: RequestHandler>(running: RunningServer<H>) -> Result<(), Box<dyn Error>> {
     let line = ListeningLine {
         listening: running.address,
     };
     println!("{}", serde_json::to_string(&line)?);
-    running.forever().await;
+    running.run_forever().await;
     Ok(())
 }
 
--- a/crates/oatpier-standin/src/work.rs
+++ b/crates/oatpier-standin/src/endpoint.rs
@@ -11,52 +11,52 @@
 use oatpier_types::verdict::RunVerdict;
 
 use crate::engine::LocalEngine;
-use crate::serve::{Answer, DropConnection, RequestHandler, WholeRequest};
+use crate::serve::{Answer, BufferedRequest, DropConnection, RequestHandler};
 use crate::service::LocalService;
 
-/// Calls a stand-in inside the process in place of its HTTP server, so that a test on a paused
-/// clock meets the same answers and faults. A dropped connection reads as "may have run", also
-/// where the stand-in did nothing.
-pub struct LocalWork<H> {
+/// Calls a stand-in in process instead of through its HTTP server, so that a test with a paused
+/// clock gets the same answers and faults. A dropped connection is reported as "may have run", also
+/// if the stand-in did nothing.
+pub struct LocalEndpoint<H> {
     handler: Arc<H>,
-    /// Whether the endpoint knows cancels; a plain service would take one for a call.
-    cancels: bool,
+    /// Whether the endpoint supports cancels. A plain service would treat a cancel as a call.
+    supports_cancel: bool,
 }
 
-impl LocalWork<LocalEngine> {
-    /// The working side of an engine.
+impl LocalEndpoint<LocalEngine> {
+    /// Creates an [`EndpointClient`] that calls an engine.
     #[must_use]
     pub fn engine(engine: Arc<LocalEngine>) -> Self {
         Self {
             handler: engine,
-            cancels: true,
+            supports_cancel: true,
         }
     }
 }
 
-impl LocalWork<LocalService> {
-    /// The working side of a plain service.
+impl LocalEndpoint<LocalService> {
+    /// Creates an [`EndpointClient`] that calls a plain service.
     #[must_use]
     pub fn service(service: Arc<LocalService>) -> Self {
         Self {
             handler: service,
-            cancels: false,
+            supports_cancel: false,
         }
     }
 }
 
-impl<H: RequestHandler> LocalWork<H> {
+impl<H: RequestHandler> LocalEndpoint<H> {
     fn send(&self, method: &str, path: &str) -> BoxFuture<'static, Answer> {
-        let request = WholeRequest {
+        let request = BufferedRequest {
             method: method.to_owned(),
             path: path.to_owned(),
-            ..WholeRequest::default()
+            ..BufferedRequest::default()
         };
         Arc::clone(&self.handler).handle(request)
     }
 }
 
-fn whole_request(call: EndpointCall) -> WholeRequest {
+fn to_request(call: EndpointCall) -> BufferedRequest {
     let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
     let mut headers = call.headers;
     headers.insert("x-priority", HeaderValue::from(call.priority));
@@ -64,7 +64,7 @@
     if let Ok(attempt) = HeaderValue::try_from(call.attempt.to_string()) {
         headers.insert("x-request-id", attempt);
     }
-    WholeRequest {
+    BufferedRequest {
         method: call.method.as_str().to_owned(),
         path: path.to_owned(),
         query: query.to_owned(),
@@ -80,9 +80,9 @@
     }
 }
 
-impl<H: RequestHandler> EndpointClient for LocalWork<H> {
+impl<H: RequestHandler> EndpointClient for LocalEndpoint<H> {
     fn run(&self, call: EndpointCall) -> BoxFuture<'_, Result<EndpointAnswer, CallError>> {
-        let answer = Arc::clone(&self.handler).handle(whole_request(call));
+        let answer = Arc::clone(&self.handler).handle(to_request(call));
         async move {
             let (parts, body) = answer.await.map_err(call_error)?.into_parts();
             let pieces = body.into_data_stream();
@@ -96,7 +96,7 @@
     }
 
     fn cancel(&self, attempt: AttemptId) -> BoxFuture<'_, ()> {
-        if !self.cancels {
+        if !self.supports_cancel {
             return futures::future::ready(()).boxed();
         }
         let answer = self.send("DELETE", &format!("/v1/requests/{attempt}"));
--- a/crates/oatpier-standin/src/engine/http.rs
+++ b/crates/oatpier-standin/src/engine/http.rs
@@ -11,12 +11,12 @@
 use oatpier_types::ids::{AttemptId, OrderNumber};
 use serde::Serialize;
 
-use super::completion::{CompletionBody, stream_answer, whole_answer};
+use super::completion::{CompletionBody, full_answer, streamed_answer};
 use super::{EngineOptions, LocalEngine, SubmitError};
 use crate::clock::StandinClock;
 use crate::serve::{
-    Answer, AnswerBody, DropConnection, RequestHandler, Running, WholeRequest, empty, json,
-    not_found, plain, start,
+    Answer, AnswerBody, BufferedRequest, DropConnection, RequestHandler, RunningServer, empty,
+    json, not_found, plain, start,
 };
 use crate::weights::SharedWeights;
 
@@ -48,23 +48,23 @@
 ///
 /// # Errors
 ///
-/// The address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start_engine(
     address: SocketAddr,
     options: EngineOptions,
     store: SharedWeights,
     clock: StandinClock,
-) -> std::io::Result<Running<LocalEngine>> {
+) -> std::io::Result<RunningServer<LocalEngine>> {
     start(address, LocalEngine::start(options, store, clock)).await
 }
 
 impl RequestHandler for LocalEngine {
-    fn handle(self: Arc<Self>, request: WholeRequest) -> BoxFuture<'static, Answer> {
+    fn handle(self: Arc<Self>, request: BufferedRequest) -> BoxFuture<'static, Answer> {
         async move { answer(&self, &request).await }.boxed()
     }
 }
 
-async fn answer(engine: &Arc<LocalEngine>, request: &WholeRequest) -> Answer {
+async fn answer(engine: &Arc<LocalEngine>, request: &BufferedRequest) -> Answer {
     if let Some(rest) = request.path.strip_prefix("/standin/") {
         return Ok(control(engine, rest, request));
     }
@@ -79,7 +79,7 @@
     }
 }
 
-fn report(engine: &LocalEngine, request: &WholeRequest) -> Response<AnswerBody> {
+fn report(engine: &LocalEngine, request: &BufferedRequest) -> Response<AnswerBody> {
     engine.with_core(|core, now| match request.path.as_str() {
         "/health" => empty(StatusCode::OK),
         "/state" => json(StatusCode::OK, &core.state()),
@@ -117,7 +117,7 @@
     }
 }
 
-fn order(engine: &LocalEngine, request: &WholeRequest) -> Answer {
+fn order(engine: &LocalEngine, request: &BufferedRequest) -> Answer {
     let order: EngineOrder = match request.json() {
         Ok(order) => order,
         Err(response) => return Ok(*response),
@@ -132,16 +132,16 @@
     }
 }
 
-async fn complete(engine: &Arc<LocalEngine>, request: &WholeRequest, chat: bool) -> Answer {
+async fn complete(engine: &Arc<LocalEngine>, request: &BufferedRequest, chat: bool) -> Answer {
     let body: CompletionBody = match request.json() {
         Ok(body) => body,
         Err(response) => return Ok(*response),
     };
-    let (engine_request, place) = body.into_request(request, chat);
-    let streamed = place.stream;
+    let (engine_request, format) = body.into_request(request, chat);
+    let streamed = format.stream;
     match engine.submit(engine_request) {
-        Ok(stream) if streamed => Ok(stream_answer(place, stream)),
-        Ok(stream) => whole_answer(place, stream).await,
+        Ok(stream) if streamed => Ok(streamed_answer(format, stream)),
+        Ok(stream) => full_answer(format, stream).await,
         Err(error) => Ok(refusal(error)),
     }
 }
@@ -154,7 +154,7 @@
     }
 }
 
-fn control(engine: &LocalEngine, rest: &str, request: &WholeRequest) -> Response<AnswerBody> {
+fn control(engine: &LocalEngine, rest: &str, request: &BufferedRequest) -> Response<AnswerBody> {
     match (request.method.as_str(), rest) {
         ("POST", "faults") => match request.json() {
             Ok(faults) => {
