--- a/crates/oatpier-soak/src/run.rs
+++ b/crates/oatpier-soak/src/run.rs
@@ -63,14 +63,15 @@
     pub rows: Vec<HistoryRow>,
     /// The injected faults.
     pub steps: Vec<FaultStep>,
-    /// The folder of the processes' settings and logs. Dropping it deletes the folder, so callers keep it after a breach.
+    /// The folder of the processes' settings and logs. Dropping it deletes the folder, so callers keep it after
+    /// a breach.
     pub folder: tempfile::TempDir,
 }
 
 impl SoakReport {
     /// Returns the number of calls that ended with a complete response whose status `wanted` accepts.
     #[must_use]
-    pub fn answered(&self, wanted: impl Fn(u16) -> bool) -> usize {
+    pub fn count_responses(&self, wanted: impl Fn(u16) -> bool) -> usize {
         let is_wanted = |row: &&HistoryRow| {
             matches!(&row.event, ObservedEvent::Ended { end: CallEnd::Complete { status, .. }, .. }
                 if wanted(*status))
--- a/crates/oatpierd/benches/soak.rs
+++ b/crates/oatpierd/benches/soak.rs
@@ -89,9 +89,9 @@
 }
 
 fn print_report(seed: u64, report: SoakReport) -> bool {
-    let served = report.answered(|status| status == 200);
-    let refused = report.answered(|status| status == 503);
-    let other = report.answered(|status| !matches!(status, 200 | 503));
+    let served = report.count_responses(|status| status == 200);
+    let refused = report.count_responses(|status| status == 503);
+    let other = report.count_responses(|status| !matches!(status, 200 | 503));
     let faults = report.steps.len();
     println!("seed {seed}: {faults} faults; {served} served, {refused} refused, {other} otherwise");
     if report.breaches.is_empty() {
--- a/crates/oatpierd/tests/testsuite/soak.rs
+++ b/crates/oatpierd/tests/testsuite/soak.rs
@@ -28,7 +28,7 @@
     let report = runtime.block_on(run::run(&settings)).unwrap();
     let breaches: Vec<String> = report.breaches.iter().map(ToString::to_string).collect();
     assert!(breaches.is_empty(), "{breaches:#?}\n{:#?}", report.steps);
-    assert!(report.answered(|status| status == 200) > 0);
+    assert!(report.count_responses(|status| status == 200) > 0);
 }
 
 #[test]
