--- a/crates/oatpier-serving/examples/limit_costs.rs
+++ b/crates/oatpier-serving/examples/limit_costs.rs
@@ -68,7 +68,7 @@
         slack: 7_500.0,
     };
     let part = PartIndex(0);
-    let terms = bounds.bucket_params(&RULE);
+    let params = bounds.bucket_params(&RULE);
     let mut holder = PartHolder::default();
     holder.add_part(part, PartStart::Full, ClockTime::ZERO);
     let mut grants = GrantCache::default();
@@ -83,13 +83,20 @@
             need: 900,
             ahead: 0,
         };
-        let answer = holder.grant_units(part, &rule.name, &terms, wanted, now);
-        let ask = UnitsQuery {
+        let answer = holder.grant_units(part, &rule.name, &params, wanted, now);
+        let query = UnitsQuery {
             part,
             holder: own,
             wanted,
         };
-        grants.apply_answer(&rule.name, &ask, answer, now, bounds.grant_lifetime(), now);
+        grants.apply_answer(
+            &rule.name,
+            &query,
+            answer,
+            now,
+            bounds.grant_lifetime(),
+            now,
+        );
         let step = grants.step(&rule.name, 900, &QueriedParts::default(), now);
         assert!(matches!(black_box(step), GrantStep::Taken(_)));
     }
--- a/crates/oatpier-serving/src/crashes/broken_attempts.rs
+++ b/crates/oatpier-serving/src/crashes/broken_attempts.rs
@@ -23,9 +23,9 @@
 /// State of an endpoint after the connection to it broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointOutcome {
-    /// The process ended, or another one has its address.
+    /// The incarnation ended, or another one has its address.
     Ended,
-    /// The same process is still running.
+    /// The same incarnation is still running.
     Alive,
     /// Nothing has been received since.
     Unknown,
@@ -38,9 +38,9 @@
     pub fingerprint: RequestFingerprint,
     /// Owner of the request.
     pub origin: RequestOrigin,
-    /// Endpoint process that the request was sent to.
+    /// Incarnation of the endpoint that the request was sent to.
     pub site: CrashSite,
-    /// Index of that process in the directory.
+    /// Index of that incarnation in the directory.
     pub index: EndpointIndex,
     /// Time at which the connection broke.
     pub at: ClockTime,
@@ -78,14 +78,14 @@
             .count()
     }
 
-    /// Checks the endpoint of each broken attempt with `fate`. Returns the crashes that are now certain.
+    /// Checks the endpoint of each broken attempt with `find_outcome`. Returns the crashes that are now certain.
     pub fn resolve(
         &mut self,
         now: ClockTime,
-        fate: impl Fn(&BrokenAttempt) -> EndpointOutcome,
+        find_outcome: impl Fn(&BrokenAttempt) -> EndpointOutcome,
     ) -> Vec<CrashRecord> {
         let mut crashes = Vec::new();
-        self.attempts.retain(|attempt| match fate(attempt) {
+        self.attempts.retain(|attempt| match find_outcome(attempt) {
             EndpointOutcome::Ended => {
                 crashes.push(attempt.to_crash_record());
                 false
--- a/crates/oatpier-serving/src/crashes/mod.rs
+++ b/crates/oatpier-serving/src/crashes/mod.rs
@@ -25,18 +25,18 @@
 use crate::engine::StartTime;
 use crate::fingerprint::RequestFingerprint;
 
-/// Endpoint process that crashed.
+/// Crashed incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct CrashSite {
     /// Name of the endpoint.
     pub endpoint: EndpointName,
-    /// Start time of the process, in Unix milliseconds. An endpoint may restart under the same name.
+    /// Start time of the incarnation, in Unix milliseconds. An endpoint may restart under the same name.
     pub started_ms: Option<u64>,
 }
 
 impl CrashSite {
-    /// Creates the site for a process of an endpoint.
+    /// Creates the site for an incarnation of an endpoint.
     #[must_use]
     pub fn new(endpoint: EndpointName, start: Option<StartTime>) -> Self {
         Self {
@@ -84,7 +84,7 @@
     pub fingerprint: RequestFingerprint,
     /// Origin of the request.
     pub origin: RequestOrigin,
-    /// Endpoint process that crashed.
+    /// Crashed incarnation of an endpoint.
     pub site: CrashSite,
     /// Time of the crash in Unix milliseconds, by the wall clock of the gateway that detected it. It is only shown to
     /// operators. Wall clocks of VMs differ and may jump, so no decision depends on it.
--- a/crates/oatpier-serving/src/crashes/suspects.rs
+++ b/crates/oatpier-serving/src/crashes/suspects.rs
@@ -256,7 +256,7 @@
         suspect.map_or_else(Vec::new, |suspect| suspect.records(*fingerprint))
     }
 
-    /// Removes suspects that are too old, and returns their crashes. Barred requests stay.
+    /// Removes expired suspects, and returns their crashes. Barred requests stay.
     pub fn expire(&mut self, now: ClockTime) -> Vec<CrashRecord> {
         let is_old = |suspect: &Suspect| {
             suspect.crashes.len() < CRASHES_TO_BAR && now.since(suspect.seen_at) >= SUSPECT_TTL
--- a/crates/oatpier-serving/src/directory/liveness.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -10,7 +10,7 @@
 use crate::crashes::CrashSite;
 use crate::crashes::broken_attempts::EndpointOutcome;
 
-/// Maximum age on arrival of a sidecar's report that its engine responds.
+/// Maximum age on arrival of a sidecar's status update that states that its engine responds.
 ///
 /// The sidecar reads the engine's report several times a second and relays forward updates within 100 ms.
 /// An update that arrives later than this after the break was produced after it.
--- a/crates/oatpier-serving/src/directory/notices.rs
+++ b/crates/oatpier-serving/src/directory/notices.rs
@@ -126,8 +126,8 @@
             .apply_answer(holders, part, answer, limit.rate, now)
     }
 
-    /// Records that a request is sent to an endpoint, which uses up one probe if the endpoint has asked for
-    /// rest.
+    /// Records that a request is sent to an endpoint, which uses up one probe if the endpoint has asked for a
+    /// rest period.
     pub fn note_rest_probe(&mut self, name: &EndpointName, now: ClockTime) {
         let row = self.rows.get_mut(name);
         if let Some(rest) = row.and_then(|row| row.rest.as_mut()) {
@@ -150,7 +150,7 @@
         self.rows.values().filter(|row| row.is_leaving).count()
     }
 
-    /// Returns the number of endpoints that have currently asked this gateway to send no requests.
+    /// Returns the number of endpoints that are currently in a rest period that they asked this gateway for.
     #[must_use]
     pub fn resting_count(&self, now: ClockTime) -> usize {
         let rows = self.rows.values();
--- a/crates/oatpier-serving/src/message/limits.rs
+++ b/crates/oatpier-serving/src/message/limits.rs
@@ -66,7 +66,7 @@
 pub struct LeavingReport {
     /// Endpoint that is leaving.
     pub endpoint: EndpointName,
-    /// Start time of its process, if it reports one.
+    /// Start time of its incarnation, if it reports one.
     pub start: Option<StartTime>,
 }
 
@@ -76,7 +76,7 @@
 pub struct LimitReport {
     /// Endpoint that sent the response.
     pub endpoint: EndpointName,
-    /// Start time of its process, if it reports one.
+    /// Start time of its incarnation, if it reports one.
     pub start: Option<StartTime>,
     /// Stated limit; `None` if the response stated none.
     pub rate: Option<RequestRate>,
--- a/crates/oatpier-serving/src/message/mod.rs
+++ b/crates/oatpier-serving/src/message/mod.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Returns the sequence number among the sidecar's reports.
+    /// Returns the sequence number among the sidecar's status updates.
     #[must_use]
     pub fn number(&self) -> MessageNumber {
         match self {
@@ -169,7 +169,7 @@
     pub service: Option<PoolName>,
     /// Present instance of the engine, once its sidecar has queried it.
     pub instance: Option<EndpointName>,
-    /// Start time of the engine's present process, if it reports one.
+    /// Start time of the engine's present incarnation, if it reports one.
     pub start: Option<StartTime>,
     /// Whether the engine responds to its sidecar.
     pub answers: bool,
--- a/crates/oatpier-serving/src/notice.rs
+++ b/crates/oatpier-serving/src/notice.rs
@@ -1,7 +1,7 @@
 //! State that endpoints report in the headers of their responses.
 //!
 //! The registry and sidecars report the same state seconds later, or not at all if a gateway is cut off from them. A
-//! header is valid for the endpoint process that sent it, from the time of the response on.
+//! header is valid for the incarnation of the endpoint that sent it, from the time of the response on.
 
 use std::time::Duration;
 
--- a/crates/oatpier-serving/src/quota/holder.rs
+++ b/crates/oatpier-serving/src/quota/holder.rs
@@ -81,21 +81,21 @@
 }
 
 impl PartBucket {
-    fn refill(&mut self, terms: &BucketParams, now: ClockTime) {
-        let gained = now.since(self.at).as_secs_f64() * terms.rate;
-        self.level = (self.level + gained).min(terms.capacity);
+    fn refill(&mut self, params: &BucketParams, now: ClockTime) {
+        let gained = now.since(self.at).as_secs_f64() * params.rate;
+        self.level = (self.level + gained).min(params.capacity);
         self.at = now;
     }
 
-    fn grant(&mut self, terms: &BucketParams, wanted: UnitsWanted, now: ClockTime) -> PartAnswer {
-        self.refill(terms, now);
+    fn grant(&mut self, params: &BucketParams, wanted: UnitsWanted, now: ClockTime) -> PartAnswer {
+        self.refill(params, now);
         let need = to_float(wanted.need);
         // A request larger than the capacity and the debt is granted once the bucket is full. Otherwise it would never
         // be granted.
-        let required = need.min(terms.capacity + terms.max_debt);
-        if self.level + terms.max_debt < required {
+        let required = need.min(params.capacity + params.max_debt);
+        if self.level + params.max_debt < required {
             self.recent_usage.refused += wanted.need;
-            return PartAnswer::Later(self.return_delay(terms, required, now));
+            return PartAnswer::Later(self.return_delay(params, required, now));
         }
         self.level -= need;
         let ahead = (self.level * MAX_PREFETCH_FRACTION).clamp(0.0, to_float(wanted.ahead));
@@ -107,12 +107,12 @@
 
     /// Returns the delay for a refused caller, in milliseconds. The delays are staggered at the part's rate, so that
     /// callers return one after the other.
-    fn return_delay(&mut self, terms: &BucketParams, required: f64, now: ClockTime) -> u32 {
-        let missing = required - self.level - terms.max_debt;
-        let available_at = now + bounded_delay(missing / terms.rate);
+    fn return_delay(&mut self, params: &BucketParams, required: f64, now: ClockTime) -> u32 {
+        let missing = required - self.level - params.max_debt;
+        let available_at = now + bounded_delay(missing / params.rate);
         let return_at = available_at.max(self.returns_until);
         let latest = now + MAX_RETURN_DELAY;
-        self.returns_until = (return_at + bounded_delay(required / terms.rate)).min(latest);
+        self.returns_until = (return_at + bounded_delay(required / params.rate)).min(latest);
         let after = return_at.min(latest).since(now);
         u32::try_from(after.as_millis()).unwrap_or(u32::MAX)
     }
@@ -161,7 +161,7 @@
         &mut self,
         part: PartIndex,
         workspace: &WorkspaceName,
-        terms: &BucketParams,
+        params: &BucketParams,
         wanted: UnitsWanted,
         now: ClockTime,
     ) -> PartAnswer {
@@ -170,7 +170,7 @@
         };
         let fresh = PartBucket {
             level: match held.start {
-                PartStart::Full => terms.capacity,
+                PartStart::Full => params.capacity,
                 PartStart::Empty => 0.0,
             },
             at: held.at,
@@ -178,7 +178,7 @@
             recent_usage: UnitsUse::default(),
         };
         let bucket = held.buckets.entry(workspace.clone()).or_insert(fresh);
-        bucket.grant(terms, wanted, now)
+        bucket.grant(params, wanted, now)
     }
 
     /// Grants a turn at an endpoint that accepts `rate` requests per second from all gateways together.
--- a/crates/oatpier-serving/src/quota/turns.rs
+++ b/crates/oatpier-serving/src/quota/turns.rs
@@ -1,9 +1,10 @@
 //! Turns, which are reserved send times at an endpoint that limits the requests of all gateways together.
 //!
 //! The limit is divided like those of workspaces. Each part is held by one gateway, and only that gateway grants its
-//! turns, spaced at the part's rate. A turn may be in the future, so that requests wait in the order in which they
-//! asked and need to ask only once. A gateway that reaches no holder sends no requests to such an endpoint. A share
-//! that it computed by itself would depend on the number of gateways, which is unknown during a network partition.
+//! turns, spaced at the part's rate. A turn may be in the future, so that requests wait in the order of their
+//! queries, and one query for each is enough. A gateway that reaches no holder sends no requests to such an endpoint. A
+//! share that it computed by itself would depend on the number of gateways, which is unknown during a network
+//! partition.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,7 +25,7 @@
 /// once.
 pub const TURN_VALIDITY: Duration = Duration::from_millis(300);
 
-/// How far a turn may lie in the past, where nobody asked for it in time. It covers the delay between two queries.
+/// How far a turn may lie in the past, where no gateway requested it in time. It covers the delay between two queries.
 const MAX_TURN_AGE: Duration = Duration::from_millis(100);
 
 /// Delay before an endpoint is tried again after no holder responded.
--- a/crates/oatpier-serving/src/relays.rs
+++ b/crates/oatpier-serving/src/relays.rs
@@ -23,8 +23,8 @@
 
 use crate::message::{EngineUpdate, MessageNumber};
 
-/// Number of relays of a sidecar in each zone. A relay that was killed sends no more subscriptions and is
-/// dropped after some seconds. Until then the updates arrive through the other one.
+/// Number of relays of a sidecar in each zone. A relay that was killed sends no more subscriptions and
+/// expires after some seconds. Until then the updates arrive through the other one.
 const RELAYS_PER_ZONE: usize = 2;
 
 /// Maximum number of full status updates per datagram. Each takes about 400 bytes, and a datagram of
--- a/crates/oatpier-serving/tests/testsuite/choice.rs
+++ b/crates/oatpier-serving/tests/testsuite/choice.rs
@@ -120,9 +120,9 @@
 #[test]
 fn endpoint_that_was_sent_the_request_is_excluded() {
     let directory = directory(&[(&["m1"], 0), (&["m1"], 5)], at(0));
-    let verdict = choose(&directory, "m1", &[endpoint("e1")]);
+    let outcome = choose(&directory, "m1", &[endpoint("e1")]);
     assert!(
-        matches!(verdict, ChoiceOutcome::Endpoint(choice) if choice.endpoint == endpoint("e2"))
+        matches!(outcome, ChoiceOutcome::Endpoint(choice) if choice.endpoint == endpoint("e2"))
     );
 }
 
--- a/crates/oatpier-serving/tests/testsuite/crashes.rs
+++ b/crates/oatpier-serving/tests/testsuite/crashes.rs
@@ -70,8 +70,8 @@
     );
 }
 
-/// Several gateways and the store report the same crash, which counts once. A crash of a later process with the same
-/// endpoint name counts again.
+/// Several gateways and the store report the same crash, which counts once. A crash of a later incarnation with the
+/// same endpoint name counts again.
 #[test]
 fn a_crash_counts_once_however_often_it_is_reported() {
     let mut table = SuspectTable::default();
@@ -204,14 +204,14 @@
             .resolve(at(100), |_| EndpointOutcome::Unknown)
             .is_empty()
     );
-    let fate = |attempt: &BrokenAttempt| {
+    let find_outcome = |attempt: &BrokenAttempt| {
         if attempt.at == at(0) {
             EndpointOutcome::Alive
         } else {
             EndpointOutcome::Ended
         }
     };
-    assert_eq!(watch.resolve(at(100), fate), vec![crash("x", 1)]);
+    assert_eq!(watch.resolve(at(100), find_outcome), vec![crash("x", 1)]);
     assert!(watch.is_empty());
     watch.add(broken_attempt("x", 200));
     watch.resolve(at(8_200), |_| EndpointOutcome::Unknown);
--- a/crates/oatpier-serving/tests/testsuite/directory.rs
+++ b/crates/oatpier-serving/tests/testsuite/directory.rs
@@ -182,7 +182,7 @@
 }
 
 /// The registry still lists the previous incarnation and its models after the sidecar has reported the next
-/// one. The sidecar's report is newer.
+/// one. The sidecar's status update is newer.
 #[test]
 fn old_entry_does_not_restore_an_earlier_incarnation() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
--- a/crates/oatpier-serving/tests/testsuite/failures.rs
+++ b/crates/oatpier-serving/tests/testsuite/failures.rs
@@ -48,7 +48,7 @@
             ..status(1, &["m1"], 2)
         };
         directory.apply_status(update, at(10));
-        let verdict = choice::choose(
+        let outcome = choice::choose(
             &directory,
             &ChoiceQuery {
                 service: &service(),
@@ -60,7 +60,7 @@
             },
             at(100),
         );
-        match verdict {
+        match outcome {
             ChoiceOutcome::Endpoint(choice) => choice.endpoint.to_string(),
             other => panic!("no endpoint was chosen: {other:?}"),
         }
--- a/crates/oatpier-serving/tests/testsuite/fleet.rs
+++ b/crates/oatpier-serving/tests/testsuite/fleet.rs
@@ -166,9 +166,9 @@
         if !self.leases.holds(query.part, at(now)) {
             return PartAnswer::NotHeld;
         }
-        let terms = self.bounds.bucket_params(&RULE);
+        let params = self.bounds.bucket_params(&RULE);
         self.holder
-            .grant_units(query.part, &workspace(), &terms, query.wanted, at(now))
+            .grant_units(query.part, &workspace(), &params, query.wanted, at(now))
     }
 }
 
@@ -318,14 +318,14 @@
                 let Some(pending) = waiting.and_then(|request| request.pending.take()) else {
                     return;
                 };
-                let life = gateway.bounds.grant_lifetime();
+                let lifetime = gateway.bounds.grant_lifetime();
                 let asked_at = at(pending.sent_ms);
                 gateway.grants.apply_answer(
                     &workspace(),
                     &pending.query,
                     answer.answer,
                     asked_at,
-                    life,
+                    lifetime,
                     at(now),
                 );
             }
@@ -372,13 +372,13 @@
                     request.queried.add(query.part);
                     if query.holder == address(gateway.number) {
                         let answer = gateway.grant(&query, now);
-                        let life = gateway.bounds.grant_lifetime();
+                        let lifetime = gateway.bounds.grant_lifetime();
                         gateway.grants.apply_answer(
                             &workspace(),
                             &query,
                             answer,
                             at(now),
-                            life,
+                            lifetime,
                             at(now),
                         );
                         continue;
--- a/crates/oatpier-serving/tests/testsuite/notices.rs
+++ b/crates/oatpier-serving/tests/testsuite/notices.rs
@@ -149,7 +149,7 @@
     row.rest_left(at(now_ms)).as_millis()
 }
 
-/// A second response requests less rest or arrives late. The endpoint still enforces the longer period.
+/// A second response asks for a shorter rest period or arrives late. The endpoint still enforces the longer period.
 #[test]
 fn rest_period_is_never_shortened() {
     let mut directory = directory(&[(&["m1"], 0)], at(0));
@@ -171,7 +171,7 @@
     assert_eq!(rest_left(&directory, 0), 3_600_000);
 }
 
-/// The duration is unreadable, but it is known that rest is requested. If it were ignored, the endpoint
+/// The duration is unreadable, but it is known that a rest period is requested. If it were ignored, the endpoint
 /// would receive the next request immediately.
 #[test]
 fn unreadable_rest_period_counts_as_one_second() {
--- a/crates/oatpier-serving/tests/testsuite/reads.rs
+++ b/crates/oatpier-serving/tests/testsuite/reads.rs
@@ -13,11 +13,11 @@
 const PERIOD: Duration = Duration::from_millis(1_800);
 
 /// Simulates the gateways of a zone in steps of 10 ms. A gateway whose read is due reads, and those that
-/// receive its message do so 20 ms later. Counts the reads and the longest time for which any gateway had
-/// no news of the store.
+/// receive its message do so 20 ms later. Counts the reads and the longest time for which any gateway received
+/// no data from the store.
 struct ZoneRun {
     schedules: Vec<ReadSchedule>,
-    news_at: Vec<u64>,
+    updated_at: Vec<u64>,
     reads: u32,
     longest_ms: u64,
 }
@@ -26,13 +26,13 @@
     fn new(gateways: u64) -> Self {
         let mut run = Self {
             schedules: (0..gateways).map(ReadSchedule::new).collect(),
-            news_at: Vec::new(),
+            updated_at: Vec::new(),
             reads: 0,
             longest_ms: 0,
         };
         for schedule in &mut run.schedules {
             schedule.note_read(at(0), PERIOD);
-            run.news_at.push(0);
+            run.updated_at.push(0);
         }
         run
     }
@@ -50,18 +50,20 @@
     fn read(&mut self, reader: usize, now: u64, receives: &impl Fn(usize, usize) -> bool) {
         self.reads += 1;
         self.schedules[reader].note_read(at(now), PERIOD);
-        self.note_news(reader, now);
+        self.note_update(reader, now);
         for other in 0..self.schedules.len() {
             if other != reader && receives(reader, other) {
                 self.schedules[other].note_peer_read(PERIOD, at(now + 20));
-                self.note_news(other, now + 20);
+                self.note_update(other, now + 20);
             }
         }
     }
 
-    fn note_news(&mut self, index: usize, now: u64) {
-        self.longest_ms = self.longest_ms.max(now.saturating_sub(self.news_at[index]));
-        self.news_at[index] = now;
+    fn note_update(&mut self, index: usize, now: u64) {
+        self.longest_ms = self
+            .longest_ms
+            .max(now.saturating_sub(self.updated_at[index]));
+        self.updated_at[index] = now;
     }
 }
 
