--- a/crates/oatpier-gateway/src/config_share.rs
+++ b/crates/oatpier-gateway/src/config_share.rs
@@ -43,7 +43,7 @@
     /// The configuration in force.
     pub config: ConfigFeed,
     /// Gateways that have a newer configuration.
-    pub wanted: RingReceiver<SocketAddr>,
+    pub sources: RingReceiver<SocketAddr>,
     /// Receives the fetched configurations.
     pub fetched: RingSender<Arc<SiteConfig>>,
     /// Stop signal of the process.
@@ -55,13 +55,13 @@
     let ConfigShareInputs {
         listener,
         config,
-        wanted,
+        sources,
         fetched,
         stop,
     } = inputs;
     tokio::select! {
         () = serve_config(listener, config) => {}
-        () = fetch_in_loop(&wanted, &fetched) => {}
+        () = fetch_in_loop(&sources, &fetched) => {}
         () = stop.reached(StopPhase::Ended) => {}
     }
 }
@@ -111,9 +111,9 @@
     server::serve(listener, handler, limits, Arc::default(), never).await;
 }
 
-async fn fetch_in_loop(wanted: &RingReceiver<SocketAddr>, fetched: &RingSender<Arc<SiteConfig>>) {
+async fn fetch_in_loop(sources: &RingReceiver<SocketAddr>, fetched: &RingSender<Arc<SiteConfig>>) {
     let client = HttpClient::new(ClientLimits::default());
-    while let Some(from) = wanted.receive().await {
+    while let Some(from) = sources.receive().await {
         if let Some(config) = fetch(&client, from).await {
             fetched.send(Arc::new(config)).await;
         }
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -232,15 +232,15 @@
     if !core.may_send(&endpoint, placed.turn.take()) {
         return Err(AttemptFailure::HeldBack);
     }
-    let left = context.deadline.since(core.clock.now());
-    let terms = ForwardOptions {
+    let remaining = context.deadline.since(core.clock.now());
+    let options = ForwardOptions {
         instance: &endpoint,
-        remaining: left,
+        remaining,
         last_event_id: after_event,
         workspace: context.identity.workspace_name(),
         removes_key: context.identity.keeps_key(),
     };
-    let request = build_request(message, terms);
+    let request = build_request(message, options);
     let guard = AttemptGuard::begin(core, context, &endpoint, placed.permit.take());
     match core.client.send(placed.address, request).await {
         Ok(response) => check_head(core, context, response, guard),
@@ -248,7 +248,7 @@
     }
 }
 
-fn build_request(message: &CallerMessage, terms: ForwardOptions<'_>) -> Request<Bytes> {
+fn build_request(message: &CallerMessage, options: ForwardOptions<'_>) -> Request<Bytes> {
     let mut request = Request::new(message.body.clone());
     *request.method_mut() = message.head.method.clone();
     *request.uri_mut() = message
@@ -257,7 +257,7 @@
         .path_and_query()
         .and_then(|path| path.as_str().parse().ok())
         .unwrap_or_default();
-    *request.headers_mut() = headers::build_request_headers(&message.head.headers, terms);
+    *request.headers_mut() = headers::build_request_headers(&message.head.headers, options);
     request
 }
 
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -268,7 +268,7 @@
         } = &mut *state;
         let changes = directory.apply_registry(endpoints, now);
         holder.retain_endpoints(|endpoint| directory.row(endpoint).is_some());
-        let is_able = state.config.is_some();
+        let can_serve = state.config.is_some();
         drop(state);
         self.metrics.endpoints.set(gauge_value(count));
         self.metrics.store_age_ms.set(0);
@@ -277,7 +277,7 @@
             self.log.write(line.with("change", format!("{change:?}")));
         }
         self.resolve_broken_attempts();
-        self.can_serve.store(is_able, Ordering::Relaxed);
+        self.can_serve.store(can_serve, Ordering::Relaxed);
         if !changes.is_empty() {
             self.endpoints_appeared.notify_one();
             self.changed.notify_waiters();
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -59,7 +59,7 @@
         self.resolve_broken_attempts();
     }
 
-    /// Checks whether the endpoints of attempts that were cut off have ended.
+    /// Checks whether the endpoints of broken attempts have ended.
     pub(super) fn resolve_broken_attempts(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -67,12 +67,12 @@
             return;
         }
         let CoreState {
-            broken_attempts: cuts,
+            broken_attempts,
             directory,
             ..
         } = &mut *state;
-        let found = cuts.resolve(now, |cut| {
-            directory.liveness(&cut.site.endpoint, cut.index, cut.at, now)
+        let found = broken_attempts.resolve(now, |attempt| {
+            directory.liveness(&attempt.site.endpoint, attempt.index, attempt.at, now)
         });
         if found.is_empty() {
             return;
--- a/crates/oatpier-gateway/src/gateway/messaging.rs
+++ b/crates/oatpier-gateway/src/gateway/messaging.rs
@@ -17,8 +17,8 @@
 use crate::parts_writer::ClaimResult;
 use crate::store_reader::StoreEvent;
 
-/// The interval at which reports of sidecars are relayed. A relay receives reports from about twenty engines in
-/// that time, which fit into one or two packets.
+/// The interval at which status updates of sidecars are relayed. A relay receives updates from about twenty
+/// engines in that time, which fit into one or two packets.
 const RELAY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// The interval at which the parts of limits are checked; renewals are seconds apart.
@@ -27,10 +27,10 @@
 /// The interval at which the use of the locally held parts by workspaces is counted.
 const USAGE_COUNT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the other duties of the process send to this one.
+/// Inputs from the other threads of the process.
 pub struct MessagingInputs {
     /// The results of reading the store.
-    pub news: RingReceiver<StoreEvent>,
+    pub events: RingReceiver<StoreEvent>,
     /// The results of claiming parts of limits.
     pub claims: RingReceiver<ClaimResult>,
     /// Configurations fetched from other gateways.
@@ -47,10 +47,10 @@
     let reporter = PeerReporter::new(&core, stop);
     tokio::join!(
         receive_messages(&core, socket),
-        apply_store_news(&core, &inputs.news, stop),
+        apply_store_events(&core, &inputs.events, stop),
         apply_fetched_configs(&core, &inputs.fetched),
         subscribe(&core),
-        relay_reports(&core),
+        relay_updates(&core),
         report(reporter),
         plan(&core, stop),
         maintain_parts(&core, &inputs.claims, stop),
@@ -92,9 +92,13 @@
     }
 }
 
-async fn apply_store_news(core: &GatewayCore, news: &RingReceiver<StoreEvent>, stop: &StopSignal) {
-    while let Some(news) = news.receive().await {
-        match news {
+async fn apply_store_events(
+    core: &GatewayCore,
+    events: &RingReceiver<StoreEvent>,
+    stop: &StopSignal,
+) {
+    while let Some(event) = events.receive().await {
+        match event {
             StoreEvent::Read {
                 config,
                 endpoints,
@@ -128,8 +132,8 @@
     std::future::pending::<()>().await;
 }
 
-/// Relays the reports of sidecars to the other gateways of the availability zone.
-async fn relay_reports(core: &GatewayCore) {
+/// Relays the status updates of sidecars to the other gateways of the availability zone.
+async fn relay_updates(core: &GatewayCore) {
     let mut ticks = interval(RELAY_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/crates/oatpier-gateway/src/gateway/mod.rs
+++ b/crates/oatpier-gateway/src/gateway/mod.rs
@@ -157,12 +157,12 @@
         ring(CLAIM_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (result_sender, claims) = ring(CLAIM_RING, RingRule::Wait, node.metrics.ring_full.clone());
     let (shared_config, config_feed) = watch::channel(None);
-    let (wanted_sender, wanted) = ring(FETCH_RING, RingRule::Drop, node.metrics.ring_full.clone());
+    let (source_sender, sources) = ring(FETCH_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (fetched_sender, fetched) =
         ring(FETCH_RING, RingRule::Wait, node.metrics.ring_full.clone());
     let core = CoreInputs {
         shared_config,
-        config_sources: wanted_sender,
+        config_sources: source_sender,
         claims: claim_sender,
         clock: RuntimeClock::start(),
         metrics: node.metrics.clone(),
@@ -182,7 +182,7 @@
     let share_inputs = ConfigShareInputs {
         listener: bind(inner, "the configuration, for other gateways")?,
         config: config_feed,
-        wanted,
+        sources,
         fetched: fetched_sender,
         stop: stop.clone(),
     };
@@ -232,7 +232,7 @@
     let outlet: Arc<dyn MessageOutlet> = Arc::clone(&socket) as Arc<dyn MessageOutlet>;
     let core = Arc::new(GatewayCore::new(inputs.settings, inputs.core, outlet));
     let exchange_inputs = MessagingInputs {
-        news: inputs.events,
+        events: inputs.events,
         claims: inputs.claims,
         fetched: inputs.fetched,
     };
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -85,10 +85,10 @@
     }
 }
 
-/// Creates the log line for a change of what is known about an endpoint. Invalid values have a low weight, because
-/// every response may contain one.
+/// Creates the log line for a change of what is known about an endpoint. Invalid values have a low priority,
+/// because every response may contain one.
 fn notice_line(state: &CoreState, endpoint: &EndpointName, change: NoticeChange) -> DecisionLine {
-    let weight = match change {
+    let priority = match change {
         NoticeChange::RateUnusable | NoticeChange::LeavingUnusable | NoticeChange::RestUnusable => {
             LinePriority::Routine
         }
@@ -106,7 +106,7 @@
         _ => None,
     };
     let row = state.directory.row(endpoint);
-    DecisionLine::new(weight, "endpoint says")
+    DecisionLine::new(priority, "endpoint says")
         .with("endpoint", endpoint.as_str())
         .with(
             "start",
--- a/crates/oatpier-gateway/src/gateway/permits.rs
+++ b/crates/oatpier-gateway/src/gateway/permits.rs
@@ -100,8 +100,8 @@
 /// Returns how long a request may still wait to be in time, in milliseconds.
 fn due_in_ms(core: &GatewayCore, context: &RequestContext) -> u32 {
     let waited = core.clock.now().since(context.arrived);
-    let left = admission::max_timely_wait(&context.route).saturating_sub(waited);
-    u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
+    let remaining = admission::max_timely_wait(&context.route).saturating_sub(waited);
+    u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX)
 }
 
 /// Waits for a permit to send a prompt to an engine. Plain services have no prefill, and an engine whose sidecar is
--- a/crates/oatpier-gateway/src/gateway/placement.rs
+++ b/crates/oatpier-gateway/src/gateway/placement.rs
@@ -154,7 +154,7 @@
     pub address: SocketAddr,
     /// The number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// The age of the last report of the endpoint's sidecar, or `None` without one.
+    /// The age of the last status update of the endpoint's sidecar, or `None` without one.
     pub load_age: Option<Duration>,
     /// The turn, if the endpoint has a rate limit.
     pub turn: Option<HeldTurn>,
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -25,7 +25,7 @@
 use crate::parts_writer::{ClaimResult, DueClaim};
 
 /// Timeout for a holder's answer: a few times the network latency between availability zones plus the scheduling delay
-/// of a busy processor. After that another holder is asked.
+/// of a busy processor. After that another holder is queried.
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Retry interval of a request that waits for units while no holder is known, as after a start.
@@ -44,7 +44,7 @@
     route.target.mul_f64(WAIT_SHARE).min(MAX_WAIT)
 }
 
-/// Retry time where no holder could be asked; the next try reaches another gateway.
+/// Retry time where no holder could be queried; the next try reaches another gateway.
 const UNREACHABLE_RETRY: Duration = Duration::from_millis(250);
 
 /// Units that a request was charged. They are returned when this is dropped before the request may have run.
@@ -124,11 +124,14 @@
     units: u64,
     max_wait: Duration,
 ) -> Result<UnitsCharge, LocalResponse> {
-    let mut asked = QueriedParts::default();
+    let mut queried = QueriedParts::default();
     let until = core.clock.now() + max_wait;
     loop {
         let now = core.clock.now();
-        let step = core.lock().grants.step(&workspace.name, units, &asked, now);
+        let step = core
+            .lock()
+            .grants
+            .step(&workspace.name, units, &queried, now);
         match step {
             GrantStep::Taken(grant) => {
                 return Ok(UnitsCharge {
@@ -138,18 +141,18 @@
                     is_spent: false,
                 });
             }
-            GrantStep::Query(ask) => {
-                asked.add(ask.part);
-                ask_holder(core, &workspace.name, &ask).await;
+            GrantStep::Query(query) => {
+                queried.add(query.part);
+                query_holder(core, &workspace.name, &query).await;
             }
             GrantStep::Exhausted(after) if now + after < until => {
                 sleep(after.max(RETRY_INTERVAL)).await;
-                asked = QueriedParts::default();
+                queried = QueriedParts::default();
             }
             GrantStep::Exhausted(after) => return Err(core.over_limit(after)),
             GrantStep::NoHolder if now + RETRY_INTERVAL < until => {
                 sleep(RETRY_INTERVAL).await;
-                asked = QueriedParts::default();
+                queried = QueriedParts::default();
             }
             GrantStep::NoHolder => return Err(core.limit_unknown()),
         }
@@ -169,12 +172,12 @@
     Ok(())
 }
 
-async fn ask_holder(core: &Arc<GatewayCore>, workspace: &WorkspaceName, ask: &UnitsQuery) {
+async fn query_holder(core: &Arc<GatewayCore>, workspace: &WorkspaceName, query: &UnitsQuery) {
     let asked_at = core.clock.now();
-    let answer = if ask.holder == core.settings.borrow().inner_address() {
-        Some(core.grant_units(ask.part, workspace, ask.wanted))
+    let answer = if query.holder == core.settings.borrow().inner_address() {
+        Some(core.grant_units(query.part, workspace, query.wanted))
     } else {
-        ask_remote_holder(core, workspace, ask).await
+        query_remote_holder(core, workspace, query).await
     };
     let now = core.clock.now();
     let lifetime = core.settings.borrow().bounds.quota.grant_lifetime();
@@ -182,25 +185,25 @@
     match answer {
         Some(answer) => {
             let grants = &mut state.grants;
-            grants.apply_answer(workspace, ask, answer, asked_at, lifetime, now);
+            grants.apply_answer(workspace, query, answer, asked_at, lifetime, now);
         }
-        None => state.grants.holders_mut().note_timeout(ask.part, now),
+        None => state.grants.holders_mut().note_timeout(query.part, now),
     }
 }
 
-async fn ask_remote_holder(
+async fn query_remote_holder(
     core: &GatewayCore,
     workspace: &WorkspaceName,
-    ask: &UnitsQuery,
+    query: &UnitsQuery,
 ) -> Option<PartAnswer> {
     let send = |id| {
         let message = InnerMessage::QuotaAsk(QuotaAsk {
             id,
-            part: ask.part,
+            part: query.part,
             workspace: workspace.clone(),
-            wanted: ask.wanted,
+            wanted: query.wanted,
         });
-        core.outlet.send(ask.holder, &message);
+        core.outlet.send(query.holder, &message);
     };
     core.quota_asks.ask(ANSWER_TIMEOUT, send).await
 }
@@ -241,10 +244,10 @@
         if !state.leases.holds(part, now) {
             return PartAnswer::NotHeld;
         }
-        let terms = bounds.bucket_params(&rule);
+        let params = bounds.bucket_params(&rule);
         state
             .holder
-            .grant_units(part, workspace, &terms, wanted, now)
+            .grant_units(part, workspace, &params, wanted, now)
     }
 
     /// Applies the holders of the limit parts as read from the store.
@@ -312,7 +315,7 @@
         }
     }
 
-    /// Claims and renews parts that are due; gives them back if this gateway is leaving.
+    /// Claims and renews parts that are due; releases them if this gateway is leaving.
     pub(super) fn maintain_parts(&self, is_leaving: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
--- a/crates/oatpier-gateway/src/gateway/run_log.rs
+++ b/crates/oatpier-gateway/src/gateway/run_log.rs
@@ -27,7 +27,7 @@
         self.core.log.write(line);
     }
 
-    /// Logs a stream that broke off after its first piece.
+    /// Logs a stream that broke off after its first chunk.
     pub(super) fn log_broken_stream(
         &self,
         endpoint: &EndpointName,
@@ -84,12 +84,12 @@
 
     /// Logs a response that an endpoint sent.
     pub(super) fn log_response(&self, status: StatusCode) {
-        let (outcome, weight) = if status.is_success() {
+        let (outcome, priority) = if status.is_success() {
             ("answered", LinePriority::Routine)
         } else {
             ("endpoint-error", LinePriority::Notable)
         };
-        let line = self.answer_line(weight, outcome);
+        let line = self.answer_line(priority, outcome);
         self.core.log.write(line.with("status", status.as_u16()));
         self.core
             .metrics
@@ -136,10 +136,10 @@
             .count_request(self.context.route.name.as_str(), response.as_str());
     }
 
-    fn answer_line(&self, weight: LinePriority, outcome: &'static str) -> DecisionLine {
+    fn answer_line(&self, priority: LinePriority, outcome: &'static str) -> DecisionLine {
         let context = &self.context;
         let waited = self.core.clock.now().since(context.arrived);
-        DecisionLine::new(weight, "answer")
+        DecisionLine::new(priority, "answer")
             .with("request", context.request.id.as_str())
             .with("route", context.route.name.as_str())
             .with("outcome", outcome)
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -60,11 +60,11 @@
     turn: HeldTurn,
 ) -> bool {
     loop {
-        let left = turn.at.since(core.clock.now());
-        if left.is_zero() {
+        let remaining = turn.at.since(core.clock.now());
+        if remaining.is_zero() {
             return true;
         }
-        sleep(left.min(STOP_CHECK_INTERVAL)).await;
+        sleep(remaining.min(STOP_CHECK_INTERVAL)).await;
         if core.is_closed() || !core.is_accepting(endpoint) {
             return false;
         }
--- a/crates/oatpier-gateway/src/lib.rs
+++ b/crates/oatpier-gateway/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! | process | thread | module | purpose |
 //! | --- | --- | --- | --- |
-//! | gateway | callers | [`gateway`] | accepts requests, sends them to endpoints and answers; receives status updates and reports, plans loads |
+//! | gateway | callers | [`gateway`] | forwards and answers requests, receives statuses and reports, plans loads |
 //! | gateway | records | [`store_reader`] | reads configuration and registry from the store |
-//! | gateway | crashes | [`crash_writer`] | writes to the store which requests were running at endpoints when these ended |
+//! | gateway | crashes | [`crash_writer`] | writes to the store which requests ran at endpoints when these ended |
 //! | gateway | config | [`config_share`] | shares the configuration with gateways that can't read the store |
 //! | gateway | parts | [`parts_writer`] | claims and renews parts of workspaces' limits in the store |
 //! | sidecar | engine | [`sidecar`] | reads its engine's report, sends it orders, sends status updates |
@@ -12,8 +12,8 @@
 //! | both | logs | [`decisions`] | writes decision lines without blocking the other threads |
 //! | both | observe | [`observe`] | serves metrics and readiness |
 //!
-//! [`node_process`] starts the threads that both have. Decisions are made in `oatpier-serving`; names and formats of the
-//! users' platform are in `platform/`.
+//! [`node_process`] starts the threads that both have. Decisions are made in `oatpier-serving`; names and formats of
+//! the users' platform are in `platform/`.
 
 pub mod config_share;
 pub mod crash_writer;
--- a/crates/oatpier-gateway/src/sidecar/mod.rs
+++ b/crates/oatpier-gateway/src/sidecar/mod.rs
@@ -342,7 +342,7 @@
         }
     }
 
-    /// Asks another engine's sidecar for its right to load, if nothing else prevents a load.
+    /// Requests the right to load from another engine's sidecar, if nothing else prevents a load.
     fn request_load_right(&mut self) {
         let ask = self
             .residency
--- a/crates/oatpier-gateway/tests/testsuite/forwarding.rs
+++ b/crates/oatpier-gateway/tests/testsuite/forwarding.rs
@@ -52,11 +52,11 @@
         .send(request(&[("x-oatpier-deadline-ms", "3000")]))
         .await;
     let sent = &endpoint.requests()[0];
-    let left = sent
+    let remaining = sent
         .lines()
         .find_map(|line| line.strip_prefix("x-oatpier-deadline-ms: "))
         .unwrap();
-    assert!(left.trim().parse::<u32>().unwrap() <= 3_000);
+    assert!(remaining.trim().parse::<u32>().unwrap() <= 3_000);
 }
 
 #[tokio::test]
--- a/crates/oatpier-gateway/tests/testsuite/keys.rs
+++ b/crates/oatpier-gateway/tests/testsuite/keys.rs
@@ -175,8 +175,8 @@
     ]));
     let revoking = async {
         tokio::time::sleep(Duration::from_millis(60)).await;
-        let left = vec![workspace("two", &["k2"])];
-        let config = config_with_keys(2, route(stream, 1), left);
+        let remaining = vec![workspace("two", &["k2"])];
+        let config = config_with_keys(2, route(stream, 1), remaining);
         let records = vec![record(1, endpoint.address)];
         gateway.core.apply_records(Some(Arc::new(config)), records);
     };
@@ -204,17 +204,17 @@
     let neighbour = listener.local_addr().unwrap();
     let metrics = ServingMetrics::default();
     let full = metrics.ring_full.clone();
-    let (wanted_sender, wanted) = ring(2, RingRule::Drop, full.clone());
+    let (source_sender, sources) = ring(2, RingRule::Drop, full.clone());
     let (fetched_sender, fetched) = ring(2, RingRule::Wait, full);
     let (_shared, feed) = watch::channel(Some(Arc::new(newer)));
     let sharing = tokio::spawn(share_config(ConfigShareInputs {
         listener,
         config: feed,
-        wanted,
+        sources,
         fetched: fetched_sender,
         stop: StopSignal::default(),
     }));
-    assert!(wanted_sender.try_send(neighbour).is_ok());
+    assert!(source_sender.try_send(neighbour).is_ok());
     let config = fetched.receive().await.unwrap();
     gateway.core.apply_fetched_config(config);
     let refused = gateway
@@ -243,19 +243,19 @@
     };
     report(&gateway, 4);
     assert!(
-        gateway.config_wanted.try_receive().is_none(),
+        gateway.config_sources.try_receive().is_none(),
         "its own read is recent"
     );
     tokio::time::advance(Duration::from_secs(2)).await;
     report(&gateway, 2);
     assert!(
-        gateway.config_wanted.try_receive().is_none(),
+        gateway.config_sources.try_receive().is_none(),
         "the reported version is older"
     );
     report(&gateway, 4);
     report(&gateway, 4);
-    assert_eq!(gateway.config_wanted.try_receive(), Some(peer));
-    assert!(gateway.config_wanted.try_receive().is_none());
+    assert_eq!(gateway.config_sources.try_receive(), Some(peer));
+    assert!(gateway.config_sources.try_receive().is_none());
     // A peer that confirms the same version against the store is as good as an own read.
     tokio::time::advance(Duration::from_secs(2)).await;
     assert!(!gateway.core.is_config_current());
--- a/crates/oatpier-gateway/tests/testsuite/main.rs
+++ b/crates/oatpier-gateway/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the duties of gateways, with requests to scripted endpoints over loopback connections.
+//! Tests of gateways, with requests to scripted endpoints over loopback connections.
 
 mod crashes;
 mod exchange;
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -210,7 +210,7 @@
     /// The changes of crash records that the gateway queues for the store.
     pub crash_changes: RingReceiver<CrashChange>,
     /// The addresses of gateways with a newer configuration.
-    pub config_wanted: RingReceiver<SocketAddr>,
+    pub config_sources: RingReceiver<SocketAddr>,
     handler: GatewayHandler,
 }
 
@@ -222,7 +222,7 @@
         let (log, lines) = DecisionLog::new("gateway", &metrics);
         let full = metrics.ring_full.clone();
         let (crash_changes, written) = ring(64, RingRule::Drop, full.clone());
-        let (wanted_sender, config_wanted) = ring(2, RingRule::Drop, full.clone());
+        let (source_sender, config_sources) = ring(2, RingRule::Drop, full.clone());
         let inputs = CoreInputs {
             clock: RuntimeClock::start(),
             metrics,
@@ -231,7 +231,7 @@
             store_deltas: ring(8, RingRule::Drop, full).0,
             crash_changes,
             shared_config: watch::channel(None).0,
-            config_sources: wanted_sender,
+            config_sources: source_sender,
             claims: ring(8, RingRule::Drop, ServingMetrics::default().ring_full).0,
         };
         let (_, feed) = watch::channel(Arc::new(settings()));
@@ -243,7 +243,7 @@
             outlet,
             lines,
             crash_changes: written,
-            config_wanted,
+            config_sources,
         }
     }
 
