--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -81,7 +81,7 @@
     pub(super) allowance: RetryAllowance,
     /// Requests that were running at endpoints when these ended.
     pub(super) suspects: SuspectTable,
-    /// Attempts that were cut off, kept until it is known whether their endpoint ended.
+    /// Broken attempts, kept until it is known whether their endpoint ended.
     pub(super) broken_attempts: AttemptWatch,
     pub(super) peers: PeerTable,
     /// Intervals between subscriptions to sidecars without a current status update.
@@ -94,7 +94,7 @@
     pub(super) holder: PartHolder,
     /// Units that were granted to this gateway.
     pub(super) grants: GrantCache,
-    /// Engine updates from sidecars, to pass on as a relay of this availability zone.
+    /// Status updates from sidecars, to pass on as a relay of this availability zone.
     pub(super) relayed: RelayQueue,
     pub(super) planner: LoadPlanner,
     pub(super) admission: AdmissionController,
@@ -336,13 +336,13 @@
         self.apply_engine_update(EngineUpdate::Status(Box::new(status)));
     }
 
-    /// Applies an engine update from a sidecar, and queues it for the other gateways of the availability zone.
+    /// Applies a status update from a sidecar, and queues it for the other gateways of the availability zone.
     pub fn relay_update(&self, update: EngineUpdate) {
         self.lock().relayed.push(update.clone());
         self.apply_engine_update(update);
     }
 
-    /// Applies engine updates that a relay passed on.
+    /// Applies status updates that a relay passed on.
     pub fn apply_relayed(&self, updates: Vec<EngineUpdate>) {
         for update in updates {
             self.lock().relayed.note_forwarded(&update);
--- a/crates/oatpier-serving/src/message/mod.rs
+++ b/crates/oatpier-serving/src/message/mod.rs
@@ -339,7 +339,7 @@
     pub is_behind: bool,
     /// Whether it is shutting down and should not plan.
     pub leaving: bool,
-    /// Number of engines whose sidecars it receives reports from.
+    /// Number of engines whose sidecars it receives status updates from.
     pub engines_heard: u32,
     /// Version of its configuration.
     pub config: ConfigStatus,
