--- a/crates/oatpier-agent/src/attempt.rs
+++ b/crates/oatpier-agent/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at the agent: waits for its turn, runs at the endpoint, and tells its entry.
+//! The task of one attempt: waits in the queue, runs at the endpoint, and sends frames to the entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use http::header::CONTENT_TYPE;
 use http::{HeaderMap, Method, StatusCode};
 use oatpier_admission::event::AgentEvent;
-use oatpier_ports::work::{CallError, EndpointAnswer, EndpointCall};
+use oatpier_ports::endpoint::{CallError, EndpointAnswer, EndpointCall};
 use oatpier_types::ids::AttemptId;
 use oatpier_types::request::RequestGoal;
 use oatpier_types::verdict::RunVerdict;
@@ -18,27 +18,27 @@
 use tokio::sync::mpsc;
 
 use crate::core::{AgentCore, AttemptOrder, OrderReceiver};
-use oatpier_duty::observe::trace::{HopSpan, parent_of};
+use oatpier_duty::observe::trace::{HopSpan, extract_parent};
 
-/// How long the rest of a finished stream is read, so that its connection can be used again.
-const REST_WAIT: Duration = Duration::from_secs(1);
+/// How long the remainder of a finished stream is read, so that its connection can be reused.
+const BODY_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An attempt that the policy has taken.
+/// An attempt that the policy has accepted.
 pub struct AttemptTask {
     core: Arc<AgentCore>,
     head: AttemptHead,
     body: Bytes,
     orders: OrderReceiver,
     frames: mpsc::Sender<AttemptFrame>,
-    entry_gone: bool,
-    cancelled: bool,
+    is_entry_gone: bool,
+    is_cancelled: bool,
 }
 
 /// How an attempt ended at the endpoint.
 type RunEnd = Result<(), CallError>;
 
 impl AttemptTask {
-    /// The task of an attempt whose frames go to `frames`.
+    /// Creates the task of an attempt that sends its frames to `frames`.
     #[must_use]
     pub fn new(
         core: Arc<AgentCore>,
@@ -53,8 +53,8 @@
             body,
             orders,
             frames,
-            entry_gone: false,
-            cancelled: false,
+            is_entry_gone: false,
+            is_cancelled: false,
         }
     }
 
@@ -62,14 +62,14 @@
         self.head.spec.attempt
     }
 
-    /// Works on the attempt to its end.
+    /// Runs the attempt until it ends.
     pub async fn run(mut self) {
-        let parent = parent_of(&self.trace_headers());
+        let parent = extract_parent(&self.trace_headers());
         let queue = self
             .core
             .tracer
             .start("agent.queue", SpanKind::Server, &parent);
-        queue.set("endpoint", self.core.identity.endpoint.to_string());
+        queue.set_attribute("endpoint", self.core.identity.endpoint.to_string());
         let order = self.wait_for_turn().await;
         drop(queue);
         match order {
@@ -81,14 +81,14 @@
                 self.run_at_endpoint(priority, &span).await;
             }
             Some(AttemptOrder::Refuse { refusal }) => {
-                if let Some(pulse) = self.core.pulse() {
-                    self.tell_last(AttemptFrame::Refused { refusal, pulse })
+                if let Some(report) = self.core.queue_report() {
+                    self.send_last(AttemptFrame::Refused { refusal, report })
                         .await;
                 }
             }
             Some(AttemptOrder::Cancel) | None => {
                 let cause = "the attempt was given up while it waited";
-                self.tell_failed(RunVerdict::NotRun, cause.to_owned()).await;
+                self.send_failed(RunVerdict::NotRun, cause.to_owned()).await;
             }
         }
         self.core.forget(self.attempt());
@@ -102,17 +102,17 @@
         to_headers(pair.as_slice())
     }
 
-    /// Waits until the policy starts, refuses or drops the attempt. An entry that goes away
-    /// while the attempt waits gives it up.
+    /// Waits until the policy starts, refuses or drops the attempt. If the entry disconnects
+    /// while the attempt is queued, the attempt is cancelled.
     async fn wait_for_turn(&mut self) -> Option<AttemptOrder> {
         tokio::select! {
             biased;
             order = self.orders.recv() => order,
             () = self.frames.closed() => {
-                self.entry_gone = true;
+                self.is_entry_gone = true;
                 match self.core.cancel(self.attempt(), self.head.ticket) {
                     RunVerdict::NotRun => None,
-                    // The start crossed the cancel.
+                    // The attempt started before the cancel took effect.
                     RunVerdict::MayHaveRun | RunVerdict::Ran => self.orders.recv().await,
                 }
             }
@@ -122,27 +122,27 @@
     async fn run_at_endpoint(&mut self, priority: u32, span: &HopSpan) {
         let attempt = self.attempt();
         let call = self.endpoint_call(priority, span);
-        let work = Arc::clone(self.core.works.of(&self.head.spec.goal));
+        let work = Arc::clone(self.core.clients.for_goal(&self.head.spec.goal));
         let ended = match self.until_cancelled(work.run(call)).await {
             Some(Ok(answer)) => self.relay(answer).await,
             Some(Err(error)) => Err(error),
-            None => Err(cancelled()),
+            None => Err(cancelled_error()),
         };
         match ended {
             Ok(()) => {
                 self.core.step(AgentEvent::EndpointEnded { attempt });
-                self.core.metrics.attempted(RunVerdict::Ran);
-                if let Some(pulse) = self.core.pulse() {
-                    self.tell_last(AttemptFrame::Ended { pulse }).await;
+                self.core.metrics.count_attempt(RunVerdict::Ran);
+                if let Some(report) = self.core.queue_report() {
+                    self.send_last(AttemptFrame::Ended { report }).await;
                 }
             }
             Err(error) => {
                 let verdict = error.verdict;
                 self.core
                     .step(AgentEvent::EndpointFailed { attempt, verdict });
-                self.core.metrics.attempted(verdict);
-                span.set("failed", error.cause.clone());
-                self.tell_failed(verdict, error.cause).await;
+                self.core.metrics.count_attempt(verdict);
+                span.set_attribute("failed", error.cause.clone());
+                self.send_failed(verdict, error.cause).await;
             }
         }
     }
@@ -161,32 +161,32 @@
         }
     }
 
-    /// Whether the endpoint can cancel a call. A plain service can't: its call goes on to its
-    /// end, so that its slot is not given away while it still works.
+    /// Returns whether the endpoint can cancel a call. A plain service can't: its call runs to
+    /// completion, so that its slot is not reassigned while the call is still running.
     fn is_engine(&self) -> bool {
         matches!(self.head.spec.goal, RequestGoal::Model { .. })
     }
 
-    /// Waits for the endpoint; `None` if the attempt was cancelled there meanwhile.
+    /// Waits for the endpoint. Returns `None` if the attempt is cancelled there first.
     async fn until_cancelled<T>(&mut self, waiting: impl Future<Output = T>) -> Option<T> {
         let mut waiting = std::pin::pin!(waiting);
-        if self.cancelled && self.is_engine() {
+        if self.is_cancelled && self.is_engine() {
             return None;
         }
         loop {
-            // The endpoint comes last: one that always has more ready must not hide a cancel.
+            // The endpoint is polled last: one that always has data ready must not starve a cancel.
             tokio::select! {
                 biased;
-                Some(AttemptOrder::Cancel) = self.orders.recv(), if !self.cancelled => {
-                    self.cancelled = true;
+                Some(AttemptOrder::Cancel) = self.orders.recv(), if !self.is_cancelled => {
+                    self.is_cancelled = true;
                     if self.is_engine() {
-                        self.core.works.engine.cancel(self.attempt()).await;
+                        self.core.clients.engine.cancel(self.attempt()).await;
                         return None;
                     }
                 }
-                () = self.frames.closed(), if !self.entry_gone => {
-                    self.entry_gone = true;
-                    // Comes back as an order to cancel.
+                () = self.frames.closed(), if !self.is_entry_gone => {
+                    self.is_entry_gone = true;
+                    // The policy responds with `AttemptOrder::Cancel`.
                     self.core.cancel(self.attempt(), self.head.ticket);
                 }
                 done = waiting.as_mut() => return Some(done),
@@ -206,7 +206,7 @@
             .get(CONTENT_TYPE)
             .is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"));
         let headers = std::mem::take(&mut answer.headers);
-        self.tell_started(answer.status, &headers).await;
+        self.send_started(answer.status, &headers).await;
         if is_events && self.is_engine() {
             return self.relay_events(answer).await;
         }
@@ -214,19 +214,19 @@
         loop {
             match self.until_cancelled(answer.body.next()).await {
                 Some(Some(Ok(bytes))) => {
-                    self.tell_piece(bytes, 0, is_first).await;
+                    self.send_piece(bytes, 0, is_first).await;
                     is_first = false;
                 }
                 Some(Some(Err(error))) => return Err(error),
                 Some(None) => return Ok(()),
-                None => return Err(cancelled()),
+                None => return Err(cancelled_error()),
             }
         }
     }
 
-    /// Relays whole events. The stream is whole only with its last event: an HTTP body may end
-    /// cleanly after an engine that gave up half-way, and the caller would take a short answer
-    /// for a whole one.
+    /// Relays complete events. The stream is complete only with its last event: an HTTP body may
+    /// end cleanly although the engine stopped half-way, and the caller would then take a
+    /// truncated answer for a complete one.
     async fn relay_events(&mut self, mut answer: EndpointAnswer) -> RunEnd {
         let mut splitter = EventSplitter::new();
         let mut is_first = true;
@@ -234,16 +234,18 @@
             match self.until_cancelled(answer.body.next()).await {
                 Some(Some(Ok(bytes))) => splitter.push(&bytes),
                 Some(Some(Err(error))) => return Err(error),
-                Some(None) => return Err(cut("the stream ended without its last event")),
-                None => return Err(cancelled()),
+                Some(None) => {
+                    return Err(incomplete_error("the stream ended without its last event"));
+                }
+                None => return Err(cancelled_error()),
             }
             let (bytes, tokens) = take_events(&mut splitter)?;
             if !bytes.is_empty() {
-                self.tell_piece(bytes, tokens, is_first).await;
+                self.send_piece(bytes, tokens, is_first).await;
                 is_first = false;
             }
             if splitter.is_done() {
-                tokio::spawn(tokio::time::timeout(REST_WAIT, async move {
+                tokio::spawn(tokio::time::timeout(BODY_DRAIN_TIMEOUT, async move {
                     while answer.body.next().await.is_some() {}
                 }));
                 return Ok(());
@@ -251,8 +253,8 @@
         }
     }
 
-    async fn tell_started(&mut self, status: StatusCode, headers: &HeaderMap) {
-        let Some(pulse) = self.core.pulse() else {
+    async fn send_started(&mut self, status: StatusCode, headers: &HeaderMap) {
+        let Some(report) = self.core.queue_report() else {
             return;
         };
         let headers = headers
@@ -263,56 +265,56 @@
                 value: Bytes::copy_from_slice(value.as_bytes()),
             })
             .collect();
-        self.tell(AttemptFrame::Started {
+        self.send_frame(AttemptFrame::Started {
             status: status.as_u16(),
             headers,
-            pulse,
+            report,
         })
         .await;
     }
 
-    async fn tell_piece(&mut self, bytes: Bytes, tokens: u32, is_first: bool) {
+    async fn send_piece(&mut self, bytes: Bytes, tokens: u32, is_first: bool) {
         let attempt = self.attempt();
         if is_first {
             self.core.step(AgentEvent::EndpointFirstToken { attempt });
         }
         self.core
-            .step(AgentEvent::EndpointPiece { attempt, tokens });
-        self.tell(AttemptFrame::Piece { bytes, tokens }).await;
+            .step(AgentEvent::EndpointChunk { attempt, tokens });
+        self.send_frame(AttemptFrame::Piece { bytes, tokens }).await;
     }
 
-    async fn tell_failed(&mut self, verdict: RunVerdict, cause: String) {
-        if let Some(pulse) = self.core.pulse() {
-            self.tell_last(AttemptFrame::Failed {
+    async fn send_failed(&mut self, verdict: RunVerdict, cause: String) {
+        if let Some(report) = self.core.queue_report() {
+            self.send_last(AttemptFrame::Failed {
                 verdict,
                 cause,
-                pulse,
+                report,
             })
             .await;
         }
     }
 
-    /// Sends the last frame, which an entry that is gone does not need.
-    async fn tell_last(&self, frame: AttemptFrame) {
+    /// Sends the last frame. The error of a disconnected entry is ignored.
+    async fn send_last(&self, frame: AttemptFrame) {
         let _ = self.frames.send(frame).await;
     }
 
-    /// Sends a frame. While the entry reads slowly, nothing more is read from the endpoint; but
-    /// a cancel still gets through.
-    async fn tell(&mut self, frame: AttemptFrame) {
+    /// Sends a frame. While the entry reads slowly, nothing more is read from the endpoint, but
+    /// a cancel is still handled.
+    async fn send_frame(&mut self, frame: AttemptFrame) {
         let frames = self.frames.clone();
-        // An entry that has gone is seen by `until_cancelled`, which gives the attempt up.
+        // `until_cancelled` detects a disconnected entry and cancels the attempt.
         self.until_cancelled(frames.send(frame)).await;
     }
 }
 
-/// All whole events that are here, as one piece, with the tokens in it.
+/// Takes all complete events from the splitter, as one piece with its number of tokens.
 fn take_events(splitter: &mut EventSplitter) -> Result<(Bytes, u32), CallError> {
     let mut taken = BytesMut::new();
     let mut tokens = 0;
     while let Some(event) = splitter
         .next_event()
-        .map_err(|error| cut(&error.to_string()))?
+        .map_err(|error| incomplete_error(&error.to_string()))?
     {
         tokens += u32::from(event.kind == EventKind::Token);
         taken.extend_from_slice(&event.bytes);
@@ -320,7 +322,7 @@
     Ok((taken.freeze(), tokens))
 }
 
-/// Statuses by which an engine says that it did not take a request.
+/// Returns whether a status means that the engine did not accept the request.
 fn is_engine_refusal(status: StatusCode) -> bool {
     matches!(
         status,
@@ -328,13 +330,13 @@
     )
 }
 
-fn cut(cause: &str) -> CallError {
+fn incomplete_error(cause: &str) -> CallError {
     CallError {
         verdict: RunVerdict::MayHaveRun,
         cause: cause.to_owned(),
     }
 }
 
-fn cancelled() -> CallError {
-    cut("the attempt was cancelled at the endpoint")
+fn cancelled_error() -> CallError {
+    incomplete_error("the attempt was cancelled at the endpoint")
 }
--- a/crates/oatpier-agent/src/endpoint.rs
+++ b/crates/oatpier-agent/src/endpoint.rs
@@ -1,35 +1,35 @@
-//! The endpoint that an agent stands beside.
+//! The endpoint that an agent serves.
 
 use std::sync::Arc;
 
-use oatpier_ports::work::EndpointWork;
+use oatpier_ports::endpoint::EndpointClient;
 use oatpier_types::names::{EndpointName, PoolName, ZoneName};
 use oatpier_types::request::RequestGoal;
 
-/// Which endpoint an agent stands beside.
+/// Identity of the endpoint that an agent serves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointIdentity {
-    /// Its name.
+    /// Name of the endpoint.
     pub endpoint: EndpointName,
-    /// Its pool.
+    /// Pool of the endpoint.
     pub pool: PoolName,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: ZoneName,
 }
 
-/// The endpoint's working side, by what is asked of it.
+/// Clients for calls to the endpoint, by kind of request.
 #[derive(Clone)]
-pub struct EndpointWorks {
+pub struct EndpointClients {
     /// For requests to models.
-    pub engine: Arc<dyn EndpointWork>,
+    pub engine: Arc<dyn EndpointClient>,
     /// For calls to a plain service.
-    pub service: Arc<dyn EndpointWork>,
+    pub service: Arc<dyn EndpointClient>,
 }
 
-impl EndpointWorks {
-    /// The side that takes a goal.
+impl EndpointClients {
+    /// Returns the client for requests with this goal.
     #[must_use]
-    pub fn of(&self, goal: &RequestGoal) -> &Arc<dyn EndpointWork> {
+    pub fn for_goal(&self, goal: &RequestGoal) -> &Arc<dyn EndpointClient> {
         match goal {
             RequestGoal::Model { .. } => &self.engine,
             RequestGoal::Service { .. } => &self.service,
--- a/crates/oatpier-agent/src/lib.rs
+++ b/crates/oatpier-agent/src/lib.rs
@@ -1,21 +1,21 @@
-//! An agent: the only way to its endpoint.
+//! The agent: all requests to its endpoint pass through it.
 //!
 //! | duty | module | owns |
 //! | --- | --- | --- |
 //! | work | [`work`] | the decisions about attempts ([`oatpier_admission`]) |
-//! | orders | [`orders`] | the control side of the endpoint |
-//! | membership | [`membership`] | the configuration in force, word to the entries |
-//! | observe | [`oatpier_duty::observe`] | metrics, health, export of spans |
+//! | orders | [`orders`] | control calls to the endpoint |
+//! | membership | [`membership`] | the active configuration, status reports to the entries |
+//! | observe | [`oatpier_duty::observe`] | metrics, health checks, span export |
 //!
-//! [`news`] lists the rings between them, with the rule of each.
+//! [`channels`] lists the rings between them, and what happens when each is full.
 
 pub mod attempt;
+pub mod channels;
 pub mod core;
 pub mod drains;
 pub mod endpoint;
 pub mod membership;
 pub mod messages;
-pub mod news;
 pub mod orders;
 pub mod peers;
 pub mod work;
@@ -24,11 +24,11 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-use oatpier_ports::http::{EndpointKind, HttpEngine, HttpStore, HttpVmList, HttpWork};
+use oatpier_ports::http::{EndpointKind, HttpEndpoint, HttpEngine, HttpStore, HttpVmList};
 use oatpier_types::ids::BootId;
 
 use crate::core::AgentCore;
-use crate::endpoint::{EndpointIdentity, EndpointWorks};
+use crate::endpoint::{EndpointClients, EndpointIdentity};
 use crate::membership::MembershipInputs;
 use crate::orders::OrdersInputs;
 use crate::peers::HttpPeers;
@@ -39,20 +39,20 @@
 use oatpier_duty::observe::{ObserveInputs, observe};
 use oatpier_duty::settings::AgentSettings;
 
-/// How long one call to the endpoint's control side may take.
-const CONTROL_WAIT: Duration = Duration::from_secs(2);
-/// How long one call to the key-value service may take.
-const STORE_WAIT: Duration = Duration::from_secs(2);
-/// Messages in a ring between two duties; see [`news`] for the rules.
-const RING: usize = 64;
-/// Spans that wait to be written. Further ones are dropped: a trace is worth less than a request.
-const SPAN_RING: usize = 4096;
+/// Timeout of one control call to the endpoint.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of one call to the key-value service or the list of VMs.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Capacity of a ring between two duties, in messages. See [`channels`] for what happens when it is full.
+const RING_CAPACITY: usize = 64;
+/// Number of spans that can wait for export. More are dropped, as traces must not delay requests.
+const SPAN_RING_CAPACITY: usize = 4096;
 
 /// Starts an agent's duties.
 ///
 /// # Errors
 ///
-/// An address that can't be listened on.
+/// Returns an error if a listen address can't be bound.
 pub fn start(settings: &AgentSettings) -> Result<DutyProcess, StartError> {
     let peer_listener = bind(settings.peer_listen, "entries")?;
     let address = peer_listener.local_addr().unwrap_or(settings.peer_listen);
@@ -60,17 +60,17 @@
     let mut process = DutyProcess::default();
     let metrics = MetricSet::default();
     let clock = RuntimeClock::start();
-    let (span_sender, spans) = ring(SPAN_RING, RingRule::Drop, metrics.ring("spans"));
-    let (news_sender, news) = ring(RING, RingRule::Wait, metrics.ring("news"));
-    let (plan_sender, plan) = ring(RING, RingRule::Wait, metrics.ring("plan"));
-    let (asks_sender, asks) = ring(RING, RingRule::Drop, metrics.ring("asks"));
-    let (status_sender, status) = ring(RING, RingRule::Drop, metrics.ring("status"));
-    let (calls_sender, calls) = ring(RING, RingRule::Drop, metrics.ring("calls"));
+    let (span_sender, spans) = ring(SPAN_RING_CAPACITY, RingRule::Drop, metrics.ring("spans"));
+    let (update_sender, updates) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("news"));
+    let (plan_sender, plan) = ring(RING_CAPACITY, RingRule::Wait, metrics.ring("plan"));
+    let (message_sender, messages) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("asks"));
+    let (status_sender, status) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("status"));
+    let (calls_sender, calls) = ring(RING_CAPACITY, RingRule::Drop, metrics.ring("calls"));
     let tracer = HopTracer::new(&settings.name, span_sender);
     let observe_inputs = ObserveInputs {
         listener: observe_listener,
         metrics: metrics.clone(),
-        able: Arc::new(AtomicBool::new(true)),
+        can_serve: Arc::new(AtomicBool::new(true)),
         spans,
         output: Box::new(std::io::stdout()),
         stop: process.stop.clone(),
@@ -78,9 +78,9 @@
     process.spawn("observe", || observe(observe_inputs));
     let boot = BootId(rand::random());
     let core = Arc::new(AgentCore::new(
-        identity_of(settings),
+        build_identity(settings),
         boot,
-        works_of(settings),
+        build_clients(settings),
         clock,
         metrics.clone(),
         tracer.clone(),
@@ -90,41 +90,41 @@
         core,
         listener: peer_listener,
         limits: settings.limits.server_limits(),
-        news,
-        asks: asks_sender,
+        updates,
+        messages: message_sender,
         status: status_sender.clone(),
         calls: calls_sender,
         stop: process.stop.clone(),
     };
     process.spawn("work", || work::work(work_inputs));
     let orders_inputs = OrdersInputs {
-        identity: identity_of(settings),
+        identity: build_identity(settings),
         boot,
         seed: rand::random(),
-        control: Arc::new(HttpEngine::new(settings.endpoint_address, CONTROL_WAIT)),
-        store: Arc::new(HttpStore::new(settings.store, STORE_WAIT)),
+        control: Arc::new(HttpEngine::new(settings.endpoint_address, CONTROL_TIMEOUT)),
+        store: Arc::new(HttpStore::new(settings.store, STORE_TIMEOUT)),
         peers: Arc::new(HttpPeers::default()),
         clock,
         metrics,
         tracer,
-        news: news_sender.clone(),
+        updates: update_sender.clone(),
         status: status_sender,
         plan,
-        asks,
+        messages,
         stop: process.stop.clone(),
     };
     process.spawn("orders", || orders::orders(orders_inputs));
     let membership_inputs = MembershipInputs {
         daemon: settings.name.clone(),
-        identity: identity_of(settings),
+        identity: build_identity(settings),
         boot,
         seed: rand::random(),
         address,
-        store: Arc::new(HttpStore::new(settings.store, STORE_WAIT)),
-        vms: Arc::new(HttpVmList::new(settings.vm_list, STORE_WAIT)),
+        store: Arc::new(HttpStore::new(settings.store, STORE_TIMEOUT)),
+        vms: Arc::new(HttpVmList::new(settings.vm_list, STORE_TIMEOUT)),
         peers: Arc::new(HttpPeers::default()),
         clock,
-        news: news_sender,
+        updates: update_sender,
         plan: plan_sender,
         status,
         calls,
@@ -134,7 +134,7 @@
     Ok(process)
 }
 
-fn identity_of(settings: &AgentSettings) -> EndpointIdentity {
+fn build_identity(settings: &AgentSettings) -> EndpointIdentity {
     EndpointIdentity {
         endpoint: settings.endpoint.clone(),
         pool: settings.pool.clone(),
@@ -142,9 +142,15 @@
     }
 }
 
-fn works_of(settings: &AgentSettings) -> EndpointWorks {
-    let work = |kind| Arc::new(HttpWork::new(settings.endpoint_address, kind, CONTROL_WAIT));
-    EndpointWorks {
+fn build_clients(settings: &AgentSettings) -> EndpointClients {
+    let work = |kind| {
+        Arc::new(HttpEndpoint::new(
+            settings.endpoint_address,
+            kind,
+            CONTROL_TIMEOUT,
+        ))
+    };
+    EndpointClients {
         engine: work(EndpointKind::Engine),
         service: work(EndpointKind::Service),
     }
--- a/crates/oatpier-agent/src/orders/io.rs
+++ b/crates/oatpier-agent/src/orders/io.rs
@@ -1,4 +1,4 @@
-//! Calls of the orders duty to the engine, the store and other agents.
+//! Calls from the orders duty to the engine, the store and other agents.
 
 use std::sync::Arc;
 
@@ -13,45 +13,45 @@
 use oatpier_types::engine::EngineOrder;
 use oatpier_types::names::EndpointName;
 
-use super::state::{OrdersDone, OrdersTask};
+use super::state::{OrdersTask, TaskResult};
 use crate::peers::{AgentPeers, PeerFuture};
 
-/// Starts the calls that the decisions ask for.
+/// Starts the calls of [`OrdersTask`]s.
 pub struct OrdersIo {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: EndpointName,
-    /// The engine's control side.
+    /// Control interface of the engine.
     pub control: Arc<dyn EngineControl>,
     /// The platform's key-value service.
     pub store: Arc<dyn KeyStore>,
-    /// Other agents.
+    /// Calls to other agents.
     pub peers: Arc<dyn AgentPeers>,
 }
 
 impl OrdersIo {
-    /// The call of a task; gives what became of it.
+    /// Returns a future that makes the call of a task and yields its result.
     #[must_use]
-    pub fn start(&self, task: OrdersTask) -> PeerFuture<OrdersDone> {
+    pub fn start(&self, task: OrdersTask) -> PeerFuture<TaskResult> {
         match task {
             OrdersTask::Record(call) => {
                 let (store, endpoint) = (Arc::clone(&self.store), self.endpoint.clone());
                 async move {
                     let answer = call_record(store.as_ref(), &endpoint, call).await;
-                    OrdersDone::Order(OrderEvent::Record(answer))
+                    TaskResult::Order(OrderEvent::Record(answer))
                 }
                 .boxed()
             }
             OrdersTask::Send(order) => {
                 let control = Arc::clone(&self.control);
-                async move { OrdersDone::Order(send(control.as_ref(), order).await) }.boxed()
+                async move { TaskResult::Order(send(control.as_ref(), order).await) }.boxed()
             }
             OrdersTask::Poll(ticket) => {
                 let control = Arc::clone(&self.control);
-                async move { OrdersDone::Order(poll(control.as_ref(), ticket).await) }.boxed()
+                async move { TaskResult::Order(poll(control.as_ref(), ticket).await) }.boxed()
             }
-            OrdersTask::AskRelease { to, ask } => {
-                let asking = self.peers.ask_release(to, ask);
-                asking.map(OrdersDone::Released).boxed()
+            OrdersTask::RequestRelease { to, request } => {
+                let asking = self.peers.request_release(to, request);
+                asking.map(TaskResult::Released).boxed()
             }
         }
     }
@@ -59,11 +59,11 @@
 
 async fn send(control: &dyn EngineControl, order: EngineOrder) -> OrderEvent {
     let outcome = match control.order(&order).await {
-        Ok(()) => OrderOutcome::Taken,
+        Ok(()) => OrderOutcome::Accepted,
         Err(OrderError::Stale { highest }) => OrderOutcome::Stale { highest },
         Err(OrderError::Refused { cause }) => {
-            spdlog::warn!("the engine refused an order: {cause}");
-            OrderOutcome::Refused
+            spdlog::warn!("engine refused an order: {cause}");
+            OrderOutcome::Rejected
         }
         Err(OrderError::NotSent { .. }) => OrderOutcome::NotSent,
         Err(OrderError::Unknown { .. }) => OrderOutcome::Unknown,
@@ -99,7 +99,7 @@
             };
             let expected = expected.map_or(ExpectedValue::Absent, ExpectedValue::At);
             let written = store.put(&key, Bytes::from(value), expected, None).await;
-            written.map_or_else(|error| answer_of(&error), RecordAnswer::Written)
+            written.map_or_else(|error| to_record_answer(&error), RecordAnswer::Written)
         }
     }
 }
@@ -113,15 +113,15 @@
             record,
             revision: found.revision,
         })),
-        // To write over what can't be read could drop another agent's intents.
+        // Overwriting an unreadable record could discard intents of another agent.
         Err(error) => {
-            spdlog::error!("the record of the endpoint in the store can't be read: {error}");
+            spdlog::error!("failed to decode the endpoint's record in the store: {error}");
             RecordAnswer::Unavailable
         }
     }
 }
 
-fn answer_of(error: &StoreError) -> RecordAnswer {
+fn to_record_answer(error: &StoreError) -> RecordAnswer {
     match error {
         StoreError::Conflict { .. } => RecordAnswer::Conflict,
         StoreError::AnswerLost { .. } => RecordAnswer::AnswerLost,
--- a/crates/oatpier-agent/src/orders/knowledge.rs
+++ b/crates/oatpier-agent/src/orders/placement.rs
@@ -1,31 +1,31 @@
-//! What the orders duty knows from elsewhere: the plan, other replicas, attempts that run.
+//! State that the orders duty gets from elsewhere: the plan, other replicas, running attempts.
 
 use std::net::SocketAddr;
 
 use indexmap::IndexMap;
-use oatpier_placement::steps::{AttemptCount, ReplicaCount};
+use oatpier_placement::steps::{AttemptCount, ReplicaView};
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::names::EndpointName;
 use oatpier_types::plan::EndpointPlan;
 use smallvec::SmallVec;
 
-use crate::news::{DrainCount, DrainRound};
+use crate::channels::{DrainCount, DrainRound};
 use oatpier_duty::placement::{HolderContact, PlacementView, PlanRow};
 
-/// What entries say of plan and replicas. It may be stale: what it says never decides alone
-/// whether a replica may go.
+/// The plan and replicas as last reported by entries. They may be stale, so they are never
+/// sufficient on their own to unload a replica.
 #[derive(Debug, Clone)]
-pub struct PlacementKnowledge {
+pub struct PlacementCache {
     own: EndpointName,
     plan: Option<PlanRow>,
     holders: IndexMap<WeightsKey, SmallVec<[HolderContact; 4]>>,
     unserved: Vec<WeightsKey>,
     live: Vec<EndpointName>,
-    heard: bool,
+    has_replica_view: bool,
 }
 
-impl PlacementKnowledge {
-    /// What an agent knows at its start: nothing.
+impl PlacementCache {
+    /// Creates the empty state of an agent that starts.
     #[must_use]
     pub fn new(own: EndpointName) -> Self {
         Self {
@@ -34,58 +34,60 @@
             holders: IndexMap::new(),
             unserved: Vec::new(),
             live: Vec::new(),
-            heard: false,
+            has_replica_view: false,
         }
     }
 
-    /// The plan's row.
+    /// Returns the endpoint's row of the plan.
     #[must_use]
     pub fn plan(&self) -> Option<&EndpointPlan> {
         self.plan.as_ref().map(|plan| &plan.row)
     }
 
-    /// Live endpoints of the pool, as far as something is unserved.
+    /// Returns the live endpoints of the pool. Entries report them only while some weights are
+    /// unserved.
     #[must_use]
     pub fn live(&self) -> &[EndpointName] {
         &self.live
     }
 
-    /// Whether an entry has answered of late. Without that, weights that nobody is known to
-    /// hold may be held by many.
+    /// Returns whether an entry has answered recently. Otherwise weights without a known replica
+    /// may still have many.
     #[must_use]
-    pub fn is_heard(&self) -> bool {
-        self.heard
+    pub fn has_replica_view(&self) -> bool {
+        self.has_replica_view
     }
 
-    /// Takes an entry's answer.
-    pub fn take_view(&mut self, view: PlacementView) {
+    /// Applies an entry's answer.
+    pub fn apply_view(&mut self, view: PlacementView) {
         if let Some(row) = view.plan {
-            self.take_row(row);
+            self.apply_row(row);
         }
         let holders = view.holders.into_iter();
         self.holders = holders.map(|row| (row.weights, row.holders)).collect();
         self.unserved = view.unserved;
         self.live = view.live;
-        self.heard = true;
+        self.has_replica_view = true;
     }
 
-    /// Takes a row. One of an earlier plan comes from an entry that is behind.
-    pub fn take_row(&mut self, row: PlanRow) {
+    /// Applies a row of the plan. A row of an earlier plan is ignored: it comes from an entry that
+    /// lags behind.
+    pub fn apply_row(&mut self, row: PlanRow) {
         let known = self.plan.as_ref().map(|plan| plan.stamp);
         if known.is_none_or(|known| known <= row.stamp) {
             self.plan = Some(row);
         }
     }
 
-    /// No entry answers any more. The plan stays in force.
-    pub fn fall_silent(&mut self) {
+    /// Discards the replicas when entries no longer answer. The plan stays in effect.
+    pub fn clear_replicas(&mut self) {
         self.holders.clear();
         self.unserved.clear();
         self.live.clear();
-        self.heard = false;
+        self.has_replica_view = false;
     }
 
-    /// Where the agent of an endpoint listens.
+    /// Returns the address of an endpoint's agent.
     #[must_use]
     pub fn address_of(&self, endpoint: &EndpointName) -> Option<SocketAddr> {
         let mut contacts = self.holders.values().flatten();
@@ -93,22 +95,22 @@
         Some(contact.address)
     }
 
-    /// Other replicas as repair looks at them: all configured weights are served but those that
-    /// the entry named.
+    /// Returns the replicas for use by repair, which assumes that all configured weights are
+    /// served except those that the entry reported as unserved.
     #[must_use]
     pub fn for_repair(&self) -> RepairReplicas<'_> {
         RepairReplicas(self)
     }
 
-    fn names_of(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
+    fn holder_names(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let contacts = self.holders.get(weights).into_iter().flatten();
         contacts.map(|contact| contact.endpoint.clone()).collect()
     }
 }
 
-impl ReplicaCount for PlacementKnowledge {
+impl ReplicaView for PlacementCache {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
-        self.names_of(weights)
+        self.holder_names(weights)
     }
 
     fn other_versions(&self, weights: &WeightsKey) -> SmallVec<[WeightsKey; 2]> {
@@ -122,16 +124,16 @@
     }
 }
 
-/// See [`PlacementKnowledge::for_repair`].
-pub struct RepairReplicas<'a>(&'a PlacementKnowledge);
+/// Replicas for use by repair. See [`PlacementCache::for_repair`].
+pub struct RepairReplicas<'a>(&'a PlacementCache);
 
-impl ReplicaCount for RepairReplicas<'_> {
+impl ReplicaView for RepairReplicas<'_> {
     fn ready_elsewhere(&self, weights: &WeightsKey) -> SmallVec<[EndpointName; 4]> {
         let known = self.0;
         if known.holders.contains_key(weights) || known.unserved.contains(weights) {
-            return known.names_of(weights);
+            return known.holder_names(weights);
         }
-        // Somebody serves them, and repair does not ask who: the own name stands for it.
+        // Some endpoint serves them. Repair does not need to know which, so the own name stands in.
         std::iter::once(known.own.clone()).collect()
     }
 
@@ -140,7 +142,7 @@
     }
 }
 
-/// What the work duty says of attempts on weights that are to go.
+/// Counts of attempts on draining weights, as reported by the work duty.
 #[derive(Debug, Clone, Default)]
 pub struct DrainCounts {
     wanted: DrainRound,
@@ -149,19 +151,19 @@
 }
 
 impl DrainCounts {
-    /// The present word on drains.
+    /// Returns the current drain round.
     #[must_use]
     pub fn round(&self) -> DrainRound {
         self.wanted
     }
 
-    /// A drain began or ended.
+    /// Starts a new round, since a drain began or ended.
     pub fn next_round(&mut self) {
         self.wanted.0 += 1;
     }
 
-    /// Takes counts. Older ones that come late change nothing.
-    pub fn take(&mut self, round: DrainRound, counts: Vec<DrainCount>) {
+    /// Applies counts. Counts of an older round that arrive late are ignored.
+    pub fn update(&mut self, round: DrainRound, counts: Vec<DrainCount>) {
         if round >= self.counted {
             self.counted = round;
             self.counts = counts;
@@ -170,8 +172,9 @@
 }
 
 impl AttemptCount for DrainCounts {
-    /// Until the work duty has answered the newest word, it may still start attempts on the
-    /// weights: an unload then would cut them off. So one is taken to run.
+    /// Returns the number of running attempts. Until the work duty has reported counts of the
+    /// current round, it may still start attempts on the weights, and an unload would interrupt
+    /// them. One attempt is assumed to run until then.
     fn in_flight(&self, weights: &WeightsKey) -> u32 {
         if self.counted < self.wanted {
             return 1;
--- a/crates/oatpier-agent/tests/testsuite/fleet.rs
+++ b/crates/oatpier-agent/tests/testsuite/fleet.rs
@@ -1,5 +1,5 @@
-//! Agents beside stand-in engines, in one paused runtime. Their calls to each other and to
-//! entries go through [`TestPeers`].
+//! A fleet of agents and stand-in engines in one runtime with a paused clock. Calls between agents
+//! and to entries go through [`TestPeers`].
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,25 +8,25 @@
 use std::time::Duration;
 
 use futures::FutureExt;
+use oatpier_agent::channels::{OrdersMessage, PlanUpdate, WorkUpdate};
 use oatpier_agent::core::AgentCore;
-use oatpier_agent::endpoint::EndpointWorks;
-use oatpier_agent::news::{AgentNews, AsksNews, PlanNews};
+use oatpier_agent::endpoint::EndpointClients;
 use oatpier_agent::orders::{OrdersInputs, orders};
 use oatpier_agent::peers::{AgentPeers, PeerFuture};
-use oatpier_agent::work::WorkTeller;
+use oatpier_agent::work::WorkReporter;
 use oatpier_duty::duty::{RingReceiver, RingRule, RingSender, RuntimeClock, StopSignal, ring};
 use oatpier_duty::messages::{FleetAnswer, FleetCall};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::HopTracer;
 use oatpier_duty::placement::{
-    HolderContact, PlacementAsk, PlacementView, PlanRow, PlanStamp, WeightsHolders,
+    HolderContact, PlacementQuery, PlacementView, PlanRow, PlanStamp, WeightsHolders,
 };
-use oatpier_placement::release::{ReleaseAnswer, ReleaseAsk};
+use oatpier_placement::release::{ReleaseAnswer, ReleaseRequest};
 use oatpier_standin::clock::StandinClock;
+use oatpier_standin::endpoint::LocalEndpoint;
 use oatpier_standin::engine::{EngineOptions, LocalEngine};
 use oatpier_standin::store::LocalStore;
 use oatpier_standin::weights::{SharedWeights, WeightStore, WeightsOptions};
-use oatpier_standin::work::LocalWork;
 use oatpier_types::engine::EngineRole;
 use oatpier_types::ids::{BootId, Generation, Term};
 use oatpier_types::names::DaemonName;
@@ -41,10 +41,10 @@
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
-/// Calls between the agents of a test. Entries don't exist.
+/// Calls between the agents of a test. Calls to entries get no answer.
 #[derive(Default)]
 pub struct TestPeers {
-    asks: Mutex<HashMap<SocketAddr, RingSender<AsksNews>>>,
+    messages: Mutex<HashMap<SocketAddr, RingSender<OrdersMessage>>>,
 }
 
 impl AgentPeers for TestPeers {
@@ -52,15 +52,25 @@
         std::future::ready(None).boxed()
     }
 
-    fn ask_placement(&self, _: SocketAddr, _: PlacementAsk) -> PeerFuture<Option<PlacementView>> {
+    fn query_placement(
+        &self,
+        _: SocketAddr,
+        _: PlacementQuery,
+    ) -> PeerFuture<Option<PlacementView>> {
         std::future::ready(None).boxed()
     }
 
-    fn ask_release(&self, agent: SocketAddr, ask: ReleaseAsk) -> PeerFuture<Option<ReleaseAnswer>> {
-        let asks = self.asks.lock().unwrap().get(&agent).cloned();
+    fn request_release(
+        &self,
+        agent: SocketAddr,
+        request: ReleaseRequest,
+    ) -> PeerFuture<Option<ReleaseAnswer>> {
+        let messages = self.messages.lock().unwrap().get(&agent).cloned();
         async move {
             let (reply, answer) = oneshot::channel();
-            asks?.offer(AsksNews::Release { ask, reply }).ok()?;
+            messages?
+                .try_send(OrdersMessage::Release { request, reply })
+                .ok()?;
             answer.await.ok()
         }
         .boxed()
@@ -71,12 +81,12 @@
 pub struct TestAgent {
     pub core: Arc<AgentCore>,
     pub stop: StopSignal,
-    plan: RingSender<PlanNews>,
+    plan: RingSender<PlanUpdate>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Drop for TestAgent {
-    /// A killed agent: nothing that it had under way goes on.
+    /// Kills the agent: its tasks are aborted.
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
@@ -93,12 +103,13 @@
     peers: Arc<TestPeers>,
     next_id: AtomicU64,
     sequence: u64,
-    /// Whether an entry tells the agents of plan and replicas.
-    pub heard: bool,
+    /// Whether an entry sends the agents the plan and replicas. Otherwise they get only the plan, as
+    /// from the store.
+    pub has_entry: bool,
 }
 
 impl Fleet {
-    /// Engines that hold `preloaded` each, with their agents.
+    /// Starts engines that all hold `preloaded`, and their agents.
     pub fn start(shape: FleetShape, preloaded: &[&str]) -> Self {
         let clock = StandinClock::start();
         let options = WeightsOptions {
@@ -124,7 +135,7 @@
             peers: Arc::default(),
             next_id: AtomicU64::new(1),
             sequence: 0,
-            heard: true,
+            has_entry: true,
         };
         for number in 1..=shape.engines {
             let agent = fleet.start_agent(number);
@@ -145,11 +156,11 @@
         let (spans, _) = ring(1, RingRule::Drop, metrics.ring("spans"));
         let daemon = DaemonName::try_from(format!("agent-{number}").as_str()).unwrap();
         let tracer = HopTracer::new(&daemon, spans);
-        let work = Arc::new(LocalWork::engine(Arc::clone(&engine)));
+        let work = Arc::new(LocalEndpoint::engine(Arc::clone(&engine)));
         let core = Arc::new(AgentCore::new(
             identity(number),
             boot,
-            EndpointWorks {
+            EndpointClients {
                 engine: work.clone(),
                 service: work,
             },
@@ -158,20 +169,20 @@
             tracer.clone(),
             stop.clone(),
         ));
-        let (news_sender, news) = ring(64, RingRule::Wait, metrics.ring("news"));
+        let (update_sender, updates) = ring(64, RingRule::Wait, metrics.ring("news"));
         let (plan_sender, plan) = ring(64, RingRule::Wait, metrics.ring("plan"));
-        let (asks_sender, asks) = ring(64, RingRule::Drop, metrics.ring("asks"));
+        let (message_sender, messages) = ring(64, RingRule::Drop, metrics.ring("asks"));
         let (status, _) = ring(1, RingRule::Drop, metrics.ring("status"));
         let config = Arc::new(config(self.shape));
         let generation = Generation(1);
-        let news_config = Arc::clone(&config);
-        core.take_news(AgentNews::Config {
+        let core_config = Arc::clone(&config);
+        core.apply_update(WorkUpdate::Config {
             generation,
-            config: news_config,
+            config: core_config,
         });
-        assert!(plan_sender.offer(PlanNews::Config(config)).is_ok());
-        let mut peers = self.peers.asks.lock().unwrap();
-        peers.insert(address(number), asks_sender.clone());
+        assert!(plan_sender.try_send(PlanUpdate::Config(config)).is_ok());
+        let mut peers = self.peers.messages.lock().unwrap();
+        peers.insert(address(number), message_sender.clone());
         let orders_inputs = OrdersInputs {
             identity: identity(number),
             boot,
@@ -182,18 +193,18 @@
             clock,
             metrics,
             tracer,
-            news: news_sender,
+            updates: update_sender,
             status: status.clone(),
             plan,
-            asks,
+            messages,
             stop: stop.clone(),
         };
-        let teller = WorkTeller {
+        let reporter = WorkReporter {
             core: Arc::clone(&core),
-            asks: asks_sender,
+            messages: message_sender,
             status,
         };
-        let work = run_work(teller, news, stop.clone());
+        let work = run_work(reporter, updates, stop.clone());
         TestAgent {
             core,
             stop,
@@ -210,14 +221,14 @@
         &self.engines[usize::from(number) - 1]
     }
 
-    /// Kills an agent and starts another beside the same engine.
+    /// Kills an agent and starts another for the same engine.
     pub fn restart_agent(&mut self, number: u16) {
         let place = usize::from(number) - 1;
         self.agents[place] = None;
         self.agents[place] = Some(self.start_agent(number));
     }
 
-    /// Plans what an endpoint is to hold.
+    /// Sets the planned models of an endpoint.
     pub fn plan(&mut self, number: u16, models: &[&str]) {
         self.sequence += 1;
         self.rows[usize::from(number) - 1] = Some(EndpointPlan {
@@ -227,20 +238,20 @@
         });
     }
 
-    /// Lets time pass, while an entry tells all agents of plan and replicas.
+    /// Lets time pass, and regularly sends the plan to all agents.
     pub async fn pass(&self, span: Duration) {
         self.watch(span, || {}).await;
     }
 
-    /// As [`Fleet::pass`], and looks at the fleet every 20 ms.
+    /// Does the same as [`Fleet::pass`], and calls `look` every 20 ms.
     pub async fn watch(&self, span: Duration, mut look: impl FnMut()) {
         let end = tokio::time::Instant::now() + span;
-        let mut beat = 0_u32;
+        let mut tick = 0_u32;
         while tokio::time::Instant::now() < end {
-            if beat.is_multiple_of(25) {
-                self.tell_plan();
+            if tick.is_multiple_of(25) {
+                self.send_plan();
             }
-            beat += 1;
+            tick += 1;
             tokio::time::sleep(Duration::from_millis(20)).await;
             look();
             for engine in &self.engines {
@@ -249,25 +260,29 @@
         }
     }
 
-    /// Passes time until something is so.
-    pub async fn until(&self, what: &str, so: impl Fn() -> bool) {
+    /// Lets time pass until a condition holds.
+    ///
+    /// # Panics
+    ///
+    /// Panics if it does not hold within 30 minutes.
+    pub async fn until(&self, what: &str, is_met: impl Fn() -> bool) {
         for _ in 0..18_000 {
-            if so() {
+            if is_met() {
                 return;
             }
             self.pass(Duration::from_millis(100)).await;
         }
-        panic!("it never came about that {what}");
+        panic!("condition not reached: {what}");
     }
 
-    /// Whether an engine says that it has exactly these models ready.
+    /// Returns whether an engine has exactly these models ready.
     pub fn holds(&self, number: u16, models: &[&str]) -> bool {
         let mut names = self.engine(number).with_core(|core, _| core.served_names());
         names.sort();
         names == models
     }
 
-    /// Whether an agent takes requests for exactly these models.
+    /// Returns whether an agent accepts requests for exactly these models.
     pub fn serves(&self, number: u16, models: &[&str]) -> bool {
         let status = self.agent(number).core.status().unwrap();
         let mut names: Vec<_> = status.ready.iter().map(|key| key.model.as_str()).collect();
@@ -275,15 +290,15 @@
         names == models
     }
 
-    /// As an entry tells it, or as the agents read it from the store.
-    fn tell_plan(&self) {
-        if self.heard {
-            return self.tell_views();
+    /// Sends the plan as an entry does, or as the agents read it from the store.
+    fn send_plan(&self) {
+        if self.has_entry {
+            return self.send_views();
         }
         for (agent, row) in self.agents.iter().zip(&self.rows) {
             if let (Some(agent), Some(row)) = (agent, row) {
                 let row = Box::new(self.plan_row(row.clone()));
-                let _ = agent.plan.offer(PlanNews::Row(row));
+                let _ = agent.plan.try_send(PlanUpdate::Row(row));
             }
         }
     }
@@ -296,7 +311,7 @@
         PlanRow { stamp, row }
     }
 
-    fn tell_views(&self) {
+    fn send_views(&self) {
         let ready: Vec<_> = self
             .agents
             .iter()
@@ -305,7 +320,7 @@
         for number in 1..=self.shape.engines {
             let view = self.view(number, &ready);
             if let Some(agent) = &self.agents[usize::from(number) - 1] {
-                let _ = agent.plan.offer(PlanNews::View(Box::new(view)));
+                let _ = agent.plan.try_send(PlanUpdate::View(Box::new(view)));
             }
         }
     }
@@ -313,7 +328,7 @@
     fn view(
         &self,
         number: u16,
-        ready: &[Option<oatpier_types::pulse::EndpointStatus>],
+        ready: &[Option<oatpier_types::status::EndpointStatus>],
     ) -> PlacementView {
         let mut view = PlacementView::default();
         for model in self.shape.models {
@@ -347,13 +362,13 @@
         view
     }
 
-    /// What an entry would send for a prompt.
+    /// Creates the attempt that an entry would send for a prompt.
     pub fn attempt(&self, number: u16, model: &str, tokens: u32) -> TestAttempt {
         let core = Arc::clone(&self.agent(number).core);
         TestAttempt::new(core, self.id(), model, tokens)
     }
 }
 
-async fn run_work(teller: WorkTeller, news: RingReceiver<AgentNews>, stop: StopSignal) {
-    teller.run(&news, &stop).await;
+async fn run_work(reporter: WorkReporter, updates: RingReceiver<WorkUpdate>, stop: StopSignal) {
+    reporter.run(&updates, &stop).await;
 }
--- a/crates/oatpier-bench/src/cost/requests.rs
+++ b/crates/oatpier-bench/src/cost/requests.rs
@@ -1,4 +1,4 @@
-//! Decisions about requests: an entry's and an agent's.
+//! Cost of the decisions that entries and agents make about requests.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -20,23 +20,23 @@
 
 const SEED: u64 = 3;
 const ROUNDS: u32 = 20_000;
-/// The size of every request.
+/// Token counts of every request.
 const TOKENS: TokenDemand = TokenDemand {
     prompt: 400,
     output: 350,
 };
-/// Blocks in the prefix chain of a prompt.
-const BLOCKS: u64 = 6;
-/// Between two requests of one entry at the size to design for (8,500 a second at 340 entries).
-const BETWEEN: Duration = Duration::from_millis(40);
+/// Number of blocks in the prefix chain of a prompt.
+const PREFIX_BLOCKS: u64 = 6;
+/// Interval between two requests at one entry at the design target (8,500 requests per second at 340 entries).
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
 
 pub(super) fn measure(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
-    routing(fleet, meter);
-    entry_request(fleet, meter);
-    agent_admission(fleet, meter);
+    measure_routing(fleet, meter);
+    measure_entry_request(fleet, meter);
+    measure_agent_admission(fleet, meter);
 }
 
-fn routing(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+fn measure_routing(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let now = ClockTime::from_millis(1_000);
     let policy = entry(fleet, now);
     let mut router = RequestRouter::new(RouterSettings::default(), SEED);
@@ -56,7 +56,7 @@
             goal: goals[turn],
             tokens: TOKENS,
             prefixes: &prefixes,
-            whole: false,
+            is_whole_answer: false,
             remaining: Duration::from_millis(320),
             excluded: &[],
             may_probe: true,
@@ -65,28 +65,28 @@
     });
 }
 
-/// A request comes, its endpoint is chosen, and its caller goes away: start and end of a request.
-fn entry_request(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+/// Measures the start and end of a request: it arrives, its endpoint is chosen and its caller disconnects.
+fn measure_entry_request(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let mut policy = entry(fleet, now);
     let mut number: u128 = 0;
     let intakes: Vec<RequestIntake> = (0..fleet.size.models).map(intake).collect();
     meter.measure("entry-request", ROUNDS, || {
         number += 1;
-        now = now + BETWEEN;
+        now = now + REQUEST_INTERVAL;
         let request = RequestId(number);
-        let place = usize::try_from(number).unwrap_or(0) % intakes.len();
+        let index = usize::try_from(number).unwrap_or(0) % intakes.len();
         let intake = RequestIntake {
             request,
-            ..intakes[place].clone()
+            ..intakes[index].clone()
         };
         black_box(policy.start(intake, now));
         black_box(policy.handle(request, &EntryEvent::CallerGone, now));
     });
 }
 
-/// An attempt comes, is started at once, gives its first token and ends.
-fn agent_admission(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
+/// Measures an attempt that arrives, starts immediately, produces its first token and ends.
+fn measure_agent_admission(fleet: &CostFleet, meter: &mut CostMeter<'_>) {
     let mut now = ClockTime::from_millis(1_000);
     let boot = BootId(1);
     let mut policy = AgentPolicy::new(boot, AdmissionLimits::for_slots(ENGINE_SLOTS));
@@ -95,13 +95,13 @@
     let ready = fleet.statuses[0].ready.to_vec();
     let model = ready[0].model.clone();
     let loading = Vec::new();
-    policy.step(AgentEvent::ReadyChanged { ready, loading }, now);
+    policy.step(AgentEvent::WeightsChanged { ready, loading }, now);
     let mut number: u128 = 0;
     meter.measure("agent-admission", ROUNDS, || {
         number += 1;
-        now = now + BETWEEN;
+        now = now + REQUEST_INTERVAL;
         let attempt = AttemptId(number);
-        let ticket = AdmissionTicket::of(&policy.pulse(now));
+        let ticket = AdmissionTicket::of(&policy.queue_report(now));
         let goal = RequestGoal::Model {
             model: model.clone(),
             adapter: None,
@@ -134,7 +134,7 @@
 }
 
 fn prefixes(model: usize) -> PrefixChain {
-    (0..BLOCKS)
+    (0..PREFIX_BLOCKS)
         .map(|block| (model as u64) << 8 | block)
         .collect()
 }
--- a/crates/oatpier-bench/src/fleet/agent.rs
+++ b/crates/oatpier-bench/src/fleet/agent.rs
@@ -1,4 +1,4 @@
-//! What decides about requests at an agent: oatpier's policy or a baseline, behind one trait.
+//! Request decisions at an agent: one trait for oatpier's policy and the baseline.
 
 use indexmap::IndexMap;
 use oatpier_admission::event::{AgentAction, AgentActions, AgentEvent};
@@ -6,22 +6,22 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{AttemptId, BootId};
-use oatpier_types::pulse::AgentPulse;
 use oatpier_types::refusal::{Refusal, RefusalCause};
 use oatpier_types::request::RequestGoal;
+use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 
-/// Decides about requests at one agent.
-pub trait AgentBrain {
-    /// Takes one event and says what to do.
+/// Makes the request decisions of one agent.
+pub trait AgentDecider {
+    /// Processes one event and returns the resulting actions.
     fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions;
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     fn next_timer(&self) -> ClockTime;
-    /// A fresh pulse.
-    fn pulse(&mut self, now: ClockTime) -> AgentPulse;
+    /// Creates a new queue report.
+    fn queue_report(&mut self, now: ClockTime) -> QueueReport;
 }
 
-impl AgentBrain for AgentPolicy {
+impl AgentDecider for AgentPolicy {
     fn step(&mut self, event: AgentEvent, now: ClockTime) -> AgentActions {
         Self::step(self, event, now)
     }
@@ -30,21 +30,21 @@
         Self::next_timer(self)
     }
 
-    fn pulse(&mut self, now: ClockTime) -> AgentPulse {
-        Self::pulse(self, now)
+    fn queue_report(&mut self, now: ClockTime) -> QueueReport {
+        Self::queue_report(self, now)
     }
 }
 
-/// A baseline agent: passes everything on to its engine, in the order in which it came.
-pub struct PlainAgent {
+/// Baseline agent that forwards every attempt to its engine in order of arrival.
+pub struct BaselineAgent {
     boot: BootId,
     sequence: u64,
     ready: Vec<WeightsKey>,
     started: IndexMap<AttemptId, ()>,
 }
 
-impl PlainAgent {
-    /// An agent that has just started.
+impl BaselineAgent {
+    /// Creates an agent that has just started.
     #[must_use]
     pub fn new(boot: BootId) -> Self {
         Self {
@@ -86,7 +86,7 @@
     }
 }
 
-impl AgentBrain for PlainAgent {
+impl AgentDecider for BaselineAgent {
     fn step(&mut self, event: AgentEvent, _now: ClockTime) -> AgentActions {
         match event {
             AgentEvent::Arrive { spec, .. } => {
@@ -97,7 +97,7 @@
                 self.started.swap_remove(&attempt);
                 AgentActions::new()
             }
-            AgentEvent::ReadyChanged { ready, .. } => {
+            AgentEvent::WeightsChanged { ready, .. } => {
                 self.ready = ready;
                 AgentActions::new()
             }
@@ -109,9 +109,9 @@
         ClockTime::NEVER
     }
 
-    fn pulse(&mut self, _now: ClockTime) -> AgentPulse {
+    fn queue_report(&mut self, _now: ClockTime) -> QueueReport {
         self.sequence += 1;
-        AgentPulse {
+        QueueReport {
             boot: self.boot,
             sequence: self.sequence,
             queued: 0,
--- a/crates/oatpier-bench/src/fleet/attempts.rs
+++ b/crates/oatpier-bench/src/fleet/attempts.rs
@@ -1,4 +1,4 @@
-//! What happens at agents and engines: attempts.
+//! Handling of attempts at agents and engines.
 
 use oatpier_admission::event::{AdmissionTicket, AgentAction, AgentActions, AgentEvent};
 use oatpier_policy::action::CancelMode;
@@ -15,12 +15,12 @@
 use super::step::FleetStep;
 use super::world::FleetWorld;
 
-/// Tokens that an agent gathers before it passes them on, but for the first token and the last
-/// ones. A token a message would make the run four times as long and change no decision: targets
-/// are about the first token and about the mean time between tokens.
-const PIECE_TOKENS: u32 = 4;
+/// Number of tokens that an agent collects before it forwards them. The first token is forwarded immediately and the
+/// last ones when the answer ends. One message per token would make a run take four times as long and would change no
+/// decision, because targets cover only the time to the first token and the mean time between tokens.
+const CHUNK_TOKENS: u32 = 4;
 
-/// Where an answer comes from and goes to.
+/// Source and destination of an answer.
 #[derive(Debug, Clone, Copy)]
 struct AnswerRoute {
     node: usize,
@@ -30,7 +30,7 @@
 }
 
 impl FleetWorld<'_> {
-    pub(super) fn attempt(
+    pub(super) fn handle_attempt(
         &mut self,
         node: usize,
         entry: usize,
@@ -40,7 +40,7 @@
         let (request, attempt) = (spec.request, spec.attempt);
         if !self.nodes[node].alive {
             let event = EntryEvent::ConnectFailed { attempt };
-            self.tell_entry(node, entry, request, event);
+            self.send_to_entry(node, entry, request, event);
             return;
         }
         let Some(ticket) = ticket else {
@@ -51,14 +51,14 @@
             entry,
             spec: spec.clone(),
             weights: None,
-            begun: false,
+            has_output: false,
             unsent: 0,
         };
         self.nodes[node].attempts.0.insert(attempt, held);
-        self.agent_event(node, AgentEvent::Arrive { spec, ticket });
+        self.handle_agent_event(node, AgentEvent::Arrive { spec, ticket });
     }
 
-    pub(super) fn cancel(
+    pub(super) fn handle_cancel(
         &mut self,
         node: usize,
         entry: usize,
@@ -69,7 +69,7 @@
         if !self.nodes[node].alive {
             let verdict = RunVerdict::MayHaveRun;
             let event = EntryEvent::CancelAnswered { attempt, verdict };
-            self.tell_entry(node, entry, request, event);
+            self.send_to_entry(node, entry, request, event);
             return;
         }
         let Some(ticket) = ticket else {
@@ -83,47 +83,47 @@
         if mode == CancelMode::SealOnly && running {
             let verdict = RunVerdict::MayHaveRun;
             let event = EntryEvent::CancelAnswered { attempt, verdict };
-            self.tell_entry(node, entry, request, event);
+            self.send_to_entry(node, entry, request, event);
             return;
         }
-        self.agent_event_from(
+        self.handle_agent_event_from(
             node,
             AgentEvent::Cancel { attempt, ticket },
             Some((entry, request)),
         );
     }
 
-    pub(super) fn agent_event(&mut self, node: usize, event: AgentEvent) {
-        self.agent_event_from(node, event, None);
+    pub(super) fn handle_agent_event(&mut self, node: usize, event: AgentEvent) {
+        self.handle_agent_event_from(node, event, None);
     }
 
-    fn agent_event_from(
+    fn handle_agent_event_from(
         &mut self,
         node: usize,
         event: AgentEvent,
-        asker: Option<(usize, RequestId)>,
+        requester: Option<(usize, RequestId)>,
     ) {
-        let actions = self.nodes[node].brain.step(event, self.now);
-        self.agent_actions(node, actions, asker);
+        let actions = self.nodes[node].decider.step(event, self.now);
+        self.apply_agent_actions(node, actions, requester);
         self.arm_agent(node);
     }
 
-    /// Whether a node lives, and is the one that an event was meant for.
+    /// Returns whether a node is alive and still the incarnation (`boot`) to which an event was addressed.
     pub(super) fn is_current(&self, node: usize, boot: BootId) -> bool {
         self.nodes[node].boot == boot && self.nodes[node].alive
     }
 
-    pub(super) fn agent_timer(&mut self, node: usize, boot: BootId) {
+    pub(super) fn fire_agent_timer(&mut self, node: usize, boot: BootId) {
         if !self.is_current(node, boot) || self.nodes[node].armed.agent != self.now {
             return;
         }
         self.nodes[node].armed.agent = ClockTime::NEVER;
-        self.agent_event(node, AgentEvent::Timer);
+        self.handle_agent_event(node, AgentEvent::Timer);
     }
 
     fn arm_agent(&mut self, node: usize) {
         let state = &mut self.nodes[node];
-        let due = state.brain.next_timer().max(self.now);
+        let due = state.decider.next_timer().max(self.now);
         if due != ClockTime::NEVER && due < state.armed.agent {
             state.armed.agent = due;
             let boot = state.boot;
@@ -131,11 +131,11 @@
         }
     }
 
-    fn agent_actions(
+    fn apply_agent_actions(
         &mut self,
         node: usize,
         actions: AgentActions,
-        asker: Option<(usize, RequestId)>,
+        requester: Option<(usize, RequestId)>,
     ) {
         for action in actions {
             match action {
@@ -149,9 +149,9 @@
                     if verdict == RunVerdict::NotRun {
                         self.nodes[node].attempts.0.swap_remove(&attempt);
                     }
-                    if let Some((entry, request)) = asker {
+                    if let Some((entry, request)) = requester {
                         let event = EntryEvent::CancelAnswered { attempt, verdict };
-                        self.tell_entry(node, entry, request, event);
+                        self.send_to_entry(node, entry, request, event);
                     }
                 }
                 AgentAction::CancelAtEndpoint { attempt } => {
@@ -172,7 +172,7 @@
             .get(&held.spec.request)
             .cloned()
             .unwrap_or_default();
-        let weights = self.serving(node, &held.spec.goal);
+        let weights = self.find_weights(node, &held.spec.goal);
         if let Some(kept) = self.nodes[node].attempts.0.get_mut(&attempt) {
             kept.weights = weights;
         }
@@ -181,15 +181,15 @@
         if submitted.is_err() {
             self.nodes[node].attempts.0.swap_remove(&attempt);
             let verdict = RunVerdict::NotRun;
-            self.agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
+            self.handle_agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
             let event = EntryEvent::Failed { attempt, verdict };
-            self.tell_entry(node, held.entry, held.spec.request, event);
+            self.send_to_entry(node, held.entry, held.spec.request, event);
             return;
         }
         self.arm_engine(node);
     }
 
-    fn serving(&self, node: usize, goal: &RequestGoal) -> Option<WeightsKey> {
+    fn find_weights(&self, node: usize, goal: &RequestGoal) -> Option<WeightsKey> {
         let RequestGoal::Model { model, adapter } = goal else {
             return None;
         };
@@ -213,15 +213,15 @@
 
     pub(super) fn engine_step(&mut self, node: usize, boot: BootId) {
         if !self.is_current(node, boot) || self.nodes[node].armed.engine != self.now {
-            // A wake-up that an earlier one took the place of. Were it to arm the next one too,
-            // there would be two from here on, and more with each such step.
+            // An earlier wake-up replaced this one. If it armed a successor as well, two wake-ups would stay queued,
+            // and each further replacement would add another.
             return;
         }
         self.nodes[node].armed.engine = ClockTime::NEVER;
         let outputs = self.nodes[node].engine.advance(self.now);
         if outputs.is_empty() {
-            // Weights came or went; with outputs in the way, the next moves tick sees it.
-            self.note_ready(node);
+            // The set of weights may have changed. If there are outputs, the next `Moves` step detects the change.
+            self.update_ready(node);
         }
         for output in outputs {
             self.engine_output(node, &output);
@@ -234,8 +234,8 @@
         let Some(held) = self.nodes[node].attempts.0.get_mut(&attempt) else {
             return;
         };
-        let first = !held.begun;
-        held.begun = true;
+        let first = !held.has_output;
+        held.has_output = true;
         let route = AnswerRoute {
             node,
             entry: held.entry,
@@ -243,40 +243,42 @@
             attempt,
         };
         match output.kind {
-            OutputKind::Token(_) if first => self.first_token(route),
+            OutputKind::Token(_) if first => self.handle_first_token(route),
             OutputKind::Token(_) => {
                 held.unsent += 1;
-                if held.unsent == PIECE_TOKENS {
+                if held.unsent == CHUNK_TOKENS {
                     self.flush(route);
                 }
             }
             OutputKind::Done => {
                 self.flush(route);
                 self.nodes[node].attempts.0.swap_remove(&attempt);
-                self.agent_event(node, AgentEvent::EndpointEnded { attempt });
-                let pulse = Some(self.nodes[node].brain.pulse(self.now));
-                self.tell(route, EntryEvent::Ended { attempt, pulse });
+                self.handle_agent_event(node, AgentEvent::EndpointEnded { attempt });
+                let report = Some(self.nodes[node].decider.queue_report(self.now));
+                self.send_event(route, EntryEvent::Ended { attempt, report });
             }
-            OutputKind::Cut => {
+            OutputKind::Interrupted => {
                 self.flush(route);
                 self.nodes[node].attempts.0.swap_remove(&attempt);
                 let verdict = RunVerdict::MayHaveRun;
-                self.agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
-                self.tell(route, EntryEvent::Failed { attempt, verdict });
+                self.handle_agent_event(node, AgentEvent::EndpointFailed { attempt, verdict });
+                self.send_event(route, EntryEvent::Failed { attempt, verdict });
             }
         }
     }
 
-    fn first_token(&mut self, route: AnswerRoute) {
+    fn handle_first_token(&mut self, route: AnswerRoute) {
         let AnswerRoute { node, attempt, .. } = route;
-        self.agent_event(node, AgentEvent::EndpointFirstToken { attempt });
-        let pulse = Some(self.nodes[node].brain.pulse(self.now));
-        self.tell(route, EntryEvent::FirstFrame { attempt, pulse });
-        self.tell(route, EntryEvent::Piece { attempt, tokens: 1 });
+        self.handle_agent_event(node, AgentEvent::EndpointFirstToken { attempt });
+        let report = Some(self.nodes[node].decider.queue_report(self.now));
+        self.send_event(route, EntryEvent::FirstFrame { attempt, report });
+        self.send_event(route, EntryEvent::Piece { attempt, tokens: 1 });
     }
 
-    /// Passes on the tokens that were gathered. The agent's timer is left as it is: a piece only
-    /// refines estimates, and a timer that fires early is armed anew.
+    /// Forwards the collected tokens.
+    ///
+    /// The agent's timer is re-armed only if the agent returns actions: otherwise a chunk only refines estimates, and
+    /// a timer that fires early is armed again.
     fn flush(&mut self, route: AnswerRoute) {
         let AnswerRoute { node, attempt, .. } = route;
         let Some(held) = self.nodes[node].attempts.0.get_mut(&attempt) else {
@@ -286,17 +288,17 @@
         if tokens == 0 {
             return;
         }
-        let event = AgentEvent::EndpointPiece { attempt, tokens };
-        let actions = self.nodes[node].brain.step(event, self.now);
+        let event = AgentEvent::EndpointChunk { attempt, tokens };
+        let actions = self.nodes[node].decider.step(event, self.now);
         if !actions.is_empty() {
-            self.agent_actions(node, actions, None);
+            self.apply_agent_actions(node, actions, None);
             self.arm_agent(node);
         }
-        self.tell(route, EntryEvent::Piece { attempt, tokens });
+        self.send_event(route, EntryEvent::Piece { attempt, tokens });
     }
 
-    fn tell(&mut self, route: AnswerRoute, event: EntryEvent) {
-        self.tell_entry(route.node, route.entry, route.request, event);
+    fn send_event(&mut self, route: AnswerRoute, event: EntryEvent) {
+        self.send_to_entry(route.node, route.entry, route.request, event);
     }
 
     fn refuse(
@@ -307,16 +309,16 @@
         attempt: AttemptId,
         refusal: Refusal,
     ) {
-        let pulse = Some(self.nodes[node].brain.pulse(self.now));
+        let report = Some(self.nodes[node].decider.queue_report(self.now));
         let event = EntryEvent::Refused {
             attempt,
             refusal,
-            pulse,
+            report,
         };
-        self.tell_entry(node, entry, request, event);
+        self.send_to_entry(node, entry, request, event);
     }
 
-    pub(super) fn tell_entry(
+    pub(super) fn send_to_entry(
         &mut self,
         node: usize,
         entry: usize,
@@ -326,7 +328,7 @@
         let at = self.now + self.latency(entry, node);
         self.queue.push(
             at,
-            FleetStep::AtEntry {
+            FleetStep::RequestEvent {
                 entry,
                 request,
                 event,
--- a/crates/oatpier-bench/src/fleet/requests.rs
+++ b/crates/oatpier-bench/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! What happens at entries: callers' requests, and what agents say.
+//! Handling of callers' requests and agents' status at the entries.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use oatpier_types::engine::{CacheEvent, LoadReport};
 use oatpier_types::ids::RequestId;
 use oatpier_types::names::{CallerName, EndpointName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
 use oatpier_types::request::{AttemptSpec, RequestGoal};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use oatpier_types::verdict::Repeat;
 
-use super::caller::{AnswerSeen, CallerTry};
+use super::caller::{AnswerOutcome, CallerTry};
 use super::entry::FiredActions;
 use super::step::FleetStep;
-use super::world::{FleetWorld, HEARTBEAT, SILENCE};
+use super::world::{FleetWorld, HEARTBEAT_INTERVAL, SILENCE_TIMEOUT};
 
-/// How long a refused caller waits that got no word on when to come back.
-const IMPATIENCE: Duration = Duration::from_millis(50);
+/// Time until a caller retries. Callers do not wait for the `retry_after` of the answer.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 impl FleetWorld<'_> {
-    pub(super) fn arrive(&mut self, arrival: usize, number: u32) {
+    pub(super) fn handle_arrival(&mut self, arrival: usize, number: u32) {
         if number == 0 {
             self.queue_arrival(arrival + 1);
         }
@@ -51,44 +51,50 @@
             resumable: true,
         };
         let sent_at = self.now - self.deployment.to_callers;
-        self.callers.sent(request, arrival, number, entry, sent_at);
+        self.callers
+            .record_sent(request, arrival, number, entry, sent_at);
         self.prefixes.insert(request, source.prefixes.clone());
         let node = &mut self.entries[entry];
         node.demand
             .record(&key, intake.tokens.prompt, intake.tokens.output, self.now);
-        let actions = node.brain.start(intake, self.now);
-        self.entry_actions(entry, request, 0, actions);
+        let actions = node.decider.start(intake, self.now);
+        self.apply_entry_actions(entry, request, 0, actions);
     }
 
-    pub(super) fn at_entry(&mut self, entry: usize, request: RequestId, event: &EntryEvent) {
+    pub(super) fn handle_entry_event(
+        &mut self,
+        entry: usize,
+        request: RequestId,
+        event: &EntryEvent,
+    ) {
         let tokens = match event {
             EntryEvent::Piece { tokens, .. } => *tokens,
             _ => 0,
         };
-        if let (Some(pulse), Some(attempt)) = (event.pulse(), event.attempt()) {
-            self.note_pulse(entry, attempt, *pulse);
+        if let (Some(report), Some(attempt)) = (event.queue_report(), event.attempt()) {
+            self.record_queue_report(entry, attempt, *report);
         }
-        let actions = self.entries[entry].brain.handle(request, event, self.now);
-        self.entry_actions(entry, request, tokens, actions);
+        let actions = self.entries[entry].decider.handle(request, event, self.now);
+        self.apply_entry_actions(entry, request, tokens, actions);
     }
 
-    pub(super) fn entry_timer(&mut self, entry: usize) {
+    pub(super) fn fire_entry_timer(&mut self, entry: usize) {
         let node = &mut self.entries[entry];
         if node.armed != self.now {
             return;
         }
         node.armed = ClockTime::NEVER;
         let mut fired = FiredActions::new();
-        node.brain.fire_timers(self.now, &mut fired);
+        node.decider.fire_timers(self.now, &mut fired);
         for (request, actions) in fired {
-            self.entry_actions(entry, request, 0, actions);
+            self.apply_entry_actions(entry, request, 0, actions);
         }
         self.arm_entry(entry);
     }
 
     fn arm_entry(&mut self, entry: usize) {
         let node = &mut self.entries[entry];
-        let Some(due) = node.brain.next_timer() else {
+        let Some(due) = node.decider.next_timer() else {
             return;
         };
         let due = due.max(self.now);
@@ -98,7 +104,7 @@
         }
     }
 
-    fn entry_actions(
+    fn apply_entry_actions(
         &mut self,
         entry: usize,
         request: RequestId,
@@ -133,9 +139,9 @@
                 }
                 EntryAction::Relay { .. } => {
                     let at = self.now + self.deployment.to_callers;
-                    self.callers.tokens(request, tokens, at);
+                    self.callers.record_tokens(request, tokens, at);
                 }
-                EntryAction::Answer(answer) => self.answer(request, &answer),
+                EntryAction::Answer(answer) => self.send_answer(request, &answer),
                 EntryAction::Claim { .. } | EntryAction::SettleClaim { .. } => {}
             }
         }
@@ -147,7 +153,7 @@
             return;
         };
         let from = &mut self.entries[entry];
-        let ticket = from.pulses.get(endpoint).map(AdmissionTicket::of);
+        let ticket = from.reports.get(endpoint).map(AdmissionTicket::of);
         from.tickets.insert(spec.attempt, ticket);
         let at = self.now + self.latency(entry, node);
         self.queue.push(
@@ -161,10 +167,10 @@
         );
     }
 
-    fn answer(&mut self, request: RequestId, answer: &FinalAnswer) {
+    fn send_answer(&mut self, request: RequestId, answer: &FinalAnswer) {
         self.prefixes.swap_remove(&request);
-        let seen = AnswerSeen {
-            whole: answer.cause == FinalCause::Whole,
+        let outcome = AnswerOutcome {
+            is_complete: answer.cause == FinalCause::Complete,
             verdict: answer.verdict,
             cause: answer.cause.as_str(),
         };
@@ -172,22 +178,22 @@
         let Some(target) = self.target_of(request) else {
             return;
         };
-        let Some(caller) = self.callers.ended(request, seen, target, at) else {
+        let Some(caller) = self.callers.record_end(request, outcome, target, at) else {
             return;
         };
-        if !seen.whole {
-            self.ask_again(&caller, answer.retry_after);
+        if !outcome.is_complete {
+            self.queue_retry(&caller, answer.retry_after);
         }
     }
 
-    /// A caller in a storm comes back at once, whatever it was told.
-    fn ask_again(&mut self, caller: &CallerTry, _retry_after: Option<Duration>) {
+    /// Queues a retry if the scenario has retries left. It ignores `retry_after`, as callers in a retry storm do.
+    fn queue_retry(&mut self, caller: &CallerTry, _retry_after: Option<Duration>) {
         if caller.number < self.scenario.caller_retries() {
             let step = FleetStep::Arrive {
                 arrival: caller.arrival,
                 number: caller.number + 1,
             };
-            self.queue.push(self.now + IMPATIENCE, step);
+            self.queue.push(self.now + RETRY_DELAY, step);
         }
     }
 
@@ -201,86 +207,91 @@
             .map(|class| class.target)
     }
 
-    fn note_pulse(
+    fn record_queue_report(
         &mut self,
         entry: usize,
         attempt: oatpier_types::ids::AttemptId,
-        pulse: AgentPulse,
+        report: QueueReport,
     ) {
-        let Some(endpoint) = self.endpoint_of(pulse.boot) else {
+        let Some(endpoint) = self.endpoint_of(report.boot) else {
             return;
         };
-        debug_assert!(self.entries[entry].tickets.contains_key(&attempt) || pulse.sequence > 0);
-        self.keep_pulse(entry, &endpoint, pulse);
+        debug_assert!(self.entries[entry].tickets.contains_key(&attempt) || report.sequence > 0);
+        self.store_queue_report(entry, &endpoint, report);
     }
 
     fn endpoint_of(&self, boot: oatpier_types::ids::BootId) -> Option<EndpointName> {
         self.nodes
             .iter()
             .find(|node| node.boot == boot)
-            .map(|node| node.place.endpoint.clone())
+            .map(|node| node.identity.endpoint.clone())
     }
 
-    fn keep_pulse(&mut self, entry: usize, endpoint: &EndpointName, pulse: AgentPulse) {
-        let pulses = &mut self.entries[entry].pulses;
-        let newer = pulses
+    fn store_queue_report(&mut self, entry: usize, endpoint: &EndpointName, report: QueueReport) {
+        let reports = &mut self.entries[entry].reports;
+        let newer = reports
             .get(endpoint)
-            .is_none_or(|kept| kept.boot != pulse.boot || kept.sequence < pulse.sequence);
+            .is_none_or(|kept| kept.boot != report.boot || kept.sequence < report.sequence);
         if newer {
-            pulses.insert(endpoint.clone(), pulse);
+            reports.insert(endpoint.clone(), report);
         }
     }
 
-    pub(super) fn status_at(&mut self, entry: usize, status: &EndpointStatus) {
-        self.keep_pulse(entry, &status.endpoint, status.pulse);
-        self.entries[entry].brain.on_status(status, self.now);
+    pub(super) fn deliver_status(&mut self, entry: usize, status: &EndpointStatus) {
+        self.store_queue_report(entry, &status.endpoint, status.queue);
+        self.entries[entry].decider.on_status(status, self.now);
     }
 
-    pub(super) fn reports_at(
+    pub(super) fn deliver_reports(
         &mut self,
         entry: usize,
         node: usize,
         load: &LoadReport,
         cache: &[CacheEvent],
     ) {
-        let endpoint = self.nodes[node].place.endpoint.clone();
-        let brain = &mut self.entries[entry].brain;
-        brain.on_report(&endpoint, load, self.now);
+        let endpoint = self.nodes[node].identity.endpoint.clone();
+        let decider = &mut self.entries[entry].decider;
+        decider.on_report(&endpoint, load, self.now);
         for event in cache {
-            brain.on_cache_event(&endpoint, event, self.now);
+            decider.on_cache_event(&endpoint, event, self.now);
         }
     }
 
-    /// Each live agent tells all entries of itself; what was silent for long is forgotten.
-    pub(super) fn heartbeats(&mut self) {
+    /// Sends the status of each live agent to all entries. Removes nodes that have been silent for [`SILENCE_TIMEOUT`].
+    pub(super) fn send_heartbeats(&mut self) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].alive {
-                self.heard.insert(node, self.now);
-                self.tell_entries(node);
+                self.last_heartbeats.insert(node, self.now);
+                self.broadcast_status(node);
             } else {
                 self.forget_silent(node);
             }
         }
-        self.queue.push(self.now + HEARTBEAT, FleetStep::Heartbeats);
+        self.queue
+            .push(self.now + HEARTBEAT_INTERVAL, FleetStep::Heartbeats);
     }
 
     fn forget_silent(&mut self, node: usize) {
-        let heard = self.heard.get(&node).copied().unwrap_or(ClockTime::ZERO);
-        if self.now.since(heard) < SILENCE {
+        let last = self
+            .last_heartbeats
+            .get(&node)
+            .copied()
+            .unwrap_or(ClockTime::ZERO);
+        if self.now.since(last) < SILENCE_TIMEOUT {
             return;
         }
         self.forget(node);
     }
 
     pub(super) fn forget(&mut self, node: usize) {
-        let endpoint = self.nodes[node].place.endpoint.clone();
+        let endpoint = self.nodes[node].identity.endpoint.clone();
         for entry in &mut self.entries {
-            entry.brain.forget(&endpoint, self.now);
+            entry.decider.forget(&endpoint, self.now);
         }
     }
 
-    /// Sends an agent's word to all entries.
-    pub(super) fn tell_entries(&mut self, node: usize) {
+    /// Sends an agent's status to all entries.
+    pub(super) fn broadcast_status(&mut self, node: usize) {
         if self.nodes[node].unregistered {
             return;
         }
@@ -298,9 +309,9 @@
             }
             let engine = &self.nodes[node].engine;
             let load = engine.load(self.now);
-            let cache = engine.cache_events(self.now, self.nodes[node].cache_seen);
+            let cache = engine.cache_events(self.now, self.nodes[node].last_cache_sequence);
             if let Some(last) = cache.last() {
-                self.nodes[node].cache_seen = last.sequence;
+                self.nodes[node].last_cache_sequence = last.sequence;
             }
             for entry in 0..self.entries.len() {
                 let cache = cache.clone();
--- a/crates/oatpier-bench/src/state/support/mod.rs
+++ b/crates/oatpier-bench/src/state/support/mod.rs
@@ -1,5 +1,6 @@
-//! The message loop that the tests of `oatpier-membership` drive its machines with: processes,
-//! delays, losses, cuts and one store. It is taken from there, so that there is only one.
+//! Message loop that drives the membership state machines: processes, delays, losses, partitions and one store.
+//!
+//! The modules are included from the tests of `oatpier-membership`, so that there is only one copy.
 
 #![allow(dead_code, clippy::pedantic)]
 
@@ -19,7 +20,7 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::ZoneName;
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -41,8 +42,8 @@
     }
 }
 
-pub fn pulse(boot: BootId, sequence: u64) -> AgentPulse {
-    AgentPulse {
+pub fn queue_report(boot: BootId, sequence: u64) -> QueueReport {
+    QueueReport {
         boot,
         sequence,
         queued: 0,
@@ -68,6 +69,6 @@
         ready: ready.collect(),
         ready_sequence: 1,
         generation: Generation(0),
-        pulse: pulse(boot, 1),
+        queue: queue_report(boot, 1),
     }
 }
--- a/crates/oatpier-checker/src/rules/configuration.rs
+++ b/crates/oatpier-checker/src/rules/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Checks that an accepted configuration is active everywhere within seconds and is never reverted.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// What one process acts on.
-struct ForceRecord {
+/// The generation that is active in one process.
+struct ActiveRecord {
     generation: Generation,
     since: ClockTime,
 }
 
-/// Follows the generation in force in each process.
+/// A rule that tracks the active generation of each process.
 pub(super) struct ConfigRule {
     bound: Duration,
     accepted: Vec<(ClockTime, Generation)>,
-    in_force: IndexMap<DaemonName, ForceRecord>,
+    active: IndexMap<DaemonName, ActiveRecord>,
     contents: IndexMap<Generation, u64>,
-    faults_until: ClockTime,
+    faults_ended_at: ClockTime,
     now: ClockTime,
 }
 
@@ -32,14 +32,14 @@
         Self {
             bound,
             accepted: Vec::new(),
-            in_force: IndexMap::new(),
+            active: IndexMap::new(),
             contents: IndexMap::new(),
-            faults_until: ClockTime::ZERO,
+            faults_ended_at: ClockTime::ZERO,
             now: ClockTime::ZERO,
         }
     }
 
-    fn in_force(
+    fn activate(
         &mut self,
         daemon: &DaemonName,
         generation: Generation,
@@ -47,44 +47,52 @@
     ) -> Vec<String> {
         let mut findings = Vec::new();
         if *self.contents.entry(generation).or_insert(content) != content {
-            findings.push(format!("generation {generation} has two contents"));
+            findings.push(format!(
+                "generation {generation} has two different contents"
+            ));
         }
-        if let Some(record) = self.in_force.get(daemon) {
+        if let Some(record) = self.active.get(daemon) {
             if generation < record.generation {
                 findings.push(format!(
-                    "{daemon} went back from generation {} to {generation}",
+                    "{daemon} reverted from generation {} to {generation}",
                     record.generation
                 ));
             }
-            findings.extend(self.overdue(daemon, record, self.now));
+            findings.extend(self.find_overdue(daemon, record, self.now));
         }
-        let record = ForceRecord {
+        let record = ActiveRecord {
             generation,
             since: self.now,
         };
-        self.in_force.insert(daemon.clone(), record);
+        self.active.insert(daemon.clone(), record);
         findings
     }
 
-    /// The first accepted generation that the process took up too late, seen at `until`.
-    fn overdue(
+    /// Returns a finding for the first accepted generation that was still not active in the process at `until`, after
+    /// the time bound.
+    fn find_overdue(
         &self,
         daemon: &DaemonName,
-        record: &ForceRecord,
+        record: &ActiveRecord,
         until: ClockTime,
     ) -> Option<String> {
         self.accepted
             .iter()
             .filter(|(_, generation)| *generation > record.generation)
-            .map(|(at, generation)| ((*at).max(record.since).max(self.faults_until), *generation))
+            .map(|(at, generation)| {
+                (
+                    (*at).max(record.since).max(self.faults_ended_at),
+                    *generation,
+                )
+            })
             .find(|(due_from, _)| until.since(*due_from) > self.bound)
             .map(|(due_from, generation)| {
                 let late = until.since(due_from);
-                format!("{daemon} was still without generation {generation} after {late:?}")
+                format!("{daemon} had not activated generation {generation} after {late:?}")
             })
     }
 
-    fn report(&self, findings: Vec<String>, breaches: &mut Vec<RuleBreach>) {
+    fn report_findings(&self, findings: Vec<String>, breaches: &mut Vec<RuleBreach>) {
         breaches.extend(findings.into_iter().map(|finding| RuleBreach {
             promise: PromiseName::Configuration,
             at: self.now,
@@ -105,23 +113,23 @@
                 generation,
                 content,
             } => {
-                let findings = self.in_force(daemon, *generation, *content);
-                self.report(findings, breaches);
+                let findings = self.activate(daemon, *generation, *content);
+                self.report_findings(findings, breaches);
             }
             FleetEvent::Ended { name, .. } => {
-                self.in_force.swap_remove(name);
+                self.active.swap_remove(name);
             }
-            FleetEvent::FaultsOver => self.faults_until = logged.at,
+            FleetEvent::FaultsOver => self.faults_ended_at = logged.at,
             _ => {}
         }
     }
 
     fn finish(&mut self, breaches: &mut Vec<RuleBreach>) {
         let findings = self
-            .in_force
+            .active
             .iter()
-            .filter_map(|(daemon, record)| self.overdue(daemon, record, self.now))
+            .filter_map(|(daemon, record)| self.find_overdue(daemon, record, self.now))
             .collect();
-        self.report(findings, breaches);
+        self.report_findings(findings, breaches);
     }
 }
--- a/crates/oatpier-checker/src/rules/mod.rs
+++ b/crates/oatpier-checker/src/rules/mod.rs
@@ -1,12 +1,12 @@
-//! One rule a promise.
+//! The rules, one per promise.
 
-mod answers;
 mod configuration;
-mod leaving;
 mod memory;
 mod once;
-mod reach;
+mod reachability;
 mod refusals;
+mod responses;
+mod shutdown;
 mod stops;
 
 use oatpier_types::event::LoggedEvent;
@@ -14,26 +14,26 @@
 use crate::bounds::RuleBounds;
 use crate::breach::RuleBreach;
 
-/// Folds over a log in time order and reports what breaks its promise.
+/// A rule that folds over a log in time order and reports breaches of its promise.
 pub trait PromiseRule {
-    /// Takes the next event.
+    /// Processes the next event.
     fn observe(&mut self, logged: &LoggedEvent, breaches: &mut Vec<RuleBreach>);
 
-    /// Judges what only the end of the log shows.
+    /// Reports breaches that only the end of the log shows.
     fn finish(&mut self, _breaches: &mut Vec<RuleBreach>) {}
 }
 
-/// All rules, fresh.
+/// Returns all rules in their initial state.
 #[must_use]
 pub fn all_rules(bounds: RuleBounds) -> Vec<Box<dyn PromiseRule>> {
     vec![
         Box::new(memory::MemoryRule),
-        Box::new(reach::ReachRule::new(bounds.reach)),
-        Box::new(answers::AnswerRule::default()),
+        Box::new(reachability::ReachabilityRule::new(bounds.recovery)),
+        Box::new(responses::ResponseRule::default()),
         Box::new(refusals::RefusalRule::default()),
         Box::new(once::OnceRule::default()),
-        Box::new(leaving::LeaveRule::new(bounds.leave)),
+        Box::new(shutdown::ShutdownRule::new(bounds.shutdown)),
         Box::new(stops::StopRule),
-        Box::new(configuration::ConfigRule::new(bounds.spread)),
+        Box::new(configuration::ConfigRule::new(bounds.activation)),
     ]
 }
--- a/crates/oatpier-checker/src/rules/answers.rs
+++ b/crates/oatpier-checker/src/rules/responses.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request and no other, and gets it once.
+//! Checks that a caller gets the complete response to its own request, no other response, and only once.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -8,40 +8,44 @@
 use super::PromiseRule;
 use crate::breach::{PromiseName, RuleBreach};
 
-/// Matches each answer with the request that it was sent for.
+/// A rule that matches each response with its request.
 #[derive(Default)]
-pub(super) struct AnswerRule {
-    open: IndexMap<RequestId, ClockTime>,
+pub(super) struct ResponseRule {
+    unanswered: IndexMap<RequestId, ClockTime>,
     answered: IndexMap<RequestId, ()>,
 }
 
-impl AnswerRule {
-    fn ended(
+impl ResponseRule {
+    fn check_response(
         &mut self,
         request: RequestId,
         content_of: Option<RequestId>,
         end: AnswerEnd,
     ) -> Option<String> {
-        self.open.swap_remove(&request);
+        self.unanswered.swap_remove(&request);
         if self.answered.insert(request, ()).is_some() {
             return Some(format!("request {request} was answered twice"));
         }
         match (end, content_of) {
-            (AnswerEnd::Cut, _) => Some(format!("the answer to {request} just stopped")),
-            (AnswerEnd::Whole, None) => Some(format!("the whole answer to {request} was empty")),
-            (_, Some(content)) if content != request => {
-                Some(format!("request {request} got the answer to {content}"))
-            }
+            (AnswerEnd::Cut, _) => Some(format!(
+                "the response to request {request} was cut off without an error"
+            )),
+            (AnswerEnd::Whole, None) => Some(format!(
+                "the complete response to request {request} was empty"
+            )),
+            (_, Some(content)) if content != request => Some(format!(
+                "request {request} got the response to request {content}"
+            )),
             _ => None,
         }
     }
 }
 
-impl PromiseRule for AnswerRule {
+impl PromiseRule for ResponseRule {
     fn observe(&mut self, logged: &LoggedEvent, breaches: &mut Vec<RuleBreach>) {
         let finding = match &logged.event {
             FleetEvent::RequestSent { request, .. } => {
-                self.open.insert(*request, logged.at);
+                self.unanswered.insert(*request, logged.at);
                 None
             }
             FleetEvent::AnswerEnded {
@@ -49,7 +53,7 @@
                 content_of,
                 end,
                 ..
-            } => self.ended(*request, *content_of, *end),
+            } => self.check_response(*request, *content_of, *end),
             _ => None,
         };
         breaches.extend(finding.map(|finding| RuleBreach {
@@ -60,7 +64,7 @@
     }
 
     fn finish(&mut self, breaches: &mut Vec<RuleBreach>) {
-        breaches.extend(self.open.iter().map(|(request, sent_at)| RuleBreach {
+        breaches.extend(self.unanswered.iter().map(|(request, sent_at)| RuleBreach {
             promise: PromiseName::OwnAnswer,
             at: *sent_at,
             finding: format!("request {request} was never answered"),
--- a/crates/oatpier-claims/examples/claim_costs.rs
+++ b/crates/oatpier-claims/examples/claim_costs.rs
@@ -1,5 +1,5 @@
-//! Counts what claims cost the store, at several loads of one partition, for over an hour of
-//! simulated time on a model of the store. `cargo run --release -p oatpier-claims --example
+//! Counts the cost of claims to the store at several loads of one partition, over 75 minutes of
+//! simulated time with a model of the store. `cargo run --release -p oatpier-claims --example
 //! claim_costs`.
 
 use std::collections::{BTreeMap, VecDeque};
@@ -10,7 +10,7 @@
     ClaimAction, ClaimEvent, ClaimSettings, ExpectedSegment, SegmentValue, StoreAnswer,
 };
 use oatpier_claims::log::ClaimLog;
-use oatpier_claims::message::{ClaimAsk, ClaimFinish, KeyHash, RequestFingerprint};
+use oatpier_claims::message::{ClaimFinish, ClaimQuery, KeyHash, RequestFingerprint};
 use oatpier_claims::partition::PartitionId;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, RequestId, Revision};
@@ -19,13 +19,13 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Simulated time of a run: the retention and a quarter, so that removal goes on.
+/// Simulated time of a run: 1.25 times the retention, so that removal takes place.
 const RUN_TIME: Duration = Duration::from_mins(75);
 
-/// From a call of the store to its answer.
+/// Time from a store call to its answer.
 const STORE_DELAY: Duration = Duration::from_millis(4);
 
-/// From a grant to the word that the request ran.
+/// Time from a grant to the finish of its request.
 const SERVICE_TIME: Duration = Duration::from_millis(400);
 
 struct CostRun {
@@ -41,7 +41,7 @@
 
 impl CostRun {
     fn new() -> Self {
-        let name = DaemonName::try_from("entry-0").expect("a name");
+        let name = DaemonName::try_from("entry-0").expect("valid daemon name");
         let settings = ClaimSettings::default();
         Self {
             log: ClaimLog::new(PartitionId(0), name, BootId(1), settings),
@@ -51,13 +51,13 @@
             answers: VecDeque::new(),
             finishes: VecDeque::new(),
             asked: VecDeque::new(),
-            waits: Histogram::new(3).expect("three digits"),
+            waits: Histogram::new(3).expect("valid precision"),
         }
     }
 
-    fn run(&mut self, asks_per_second: f64) {
+    fn run(&mut self, queries_per_second: f64) {
         let mut rng = ChaCha8Rng::seed_from_u64(1);
-        let mut next_ask = ClockTime::ZERO;
+        let mut next_query = ClockTime::ZERO;
         let end = ClockTime::from_start(RUN_TIME);
         while self.now < end {
             let answer = self.answers.front().map_or(ClockTime::NEVER, |(at, _)| *at);
@@ -66,17 +66,17 @@
                 .front()
                 .map_or(ClockTime::NEVER, |(at, _)| *at);
             let timer = self.log.next_timer();
-            self.now = next_ask.min(answer).min(finish).min(timer).max(self.now);
+            self.now = next_query.min(answer).min(finish).min(timer).max(self.now);
             if self.now == answer {
                 let event = self.answers.pop_front().map(|(_, event)| event);
                 if let Some(event) = event {
                     self.step(event);
                 }
-            } else if self.now == next_ask {
+            } else if self.now == next_query {
                 let uniform: f64 = rng.random();
-                let gap = -(1.0 - uniform).ln() / asks_per_second;
-                next_ask = next_ask + Duration::from_secs_f64(gap);
-                self.ask(&mut rng);
+                let gap = -(1.0 - uniform).ln() / queries_per_second;
+                next_query = next_query + Duration::from_secs_f64(gap);
+                self.query(&mut rng);
             } else if self.now == finish {
                 let finish = self.finishes.pop_front().map(|(_, finish)| finish);
                 if let Some(finish) = finish {
@@ -88,32 +88,32 @@
         }
     }
 
-    fn ask(&mut self, rng: &mut ChaCha8Rng) {
-        let ask = ClaimAsk {
+    fn query(&mut self, rng: &mut ChaCha8Rng) {
+        let query = ClaimQuery {
             key: KeyHash(rng.random()),
             fingerprint: RequestFingerprint(rng.random()),
             request: RequestId(rng.random()),
         };
-        self.asked.push_back((ask.request, self.now));
-        self.step(ClaimEvent::Asked(ask));
+        self.asked.push_back((query.request, self.now));
+        self.step(ClaimEvent::Queried(query));
     }
 
     fn step(&mut self, event: ClaimEvent) {
         for action in self.log.step(event, self.now) {
             match action {
-                ClaimAction::Answer { key, request, .. } => self.answered(key, request),
+                ClaimAction::Answer { key, request, .. } => self.record_answer(key, request),
                 ClaimAction::Recorded { .. } => {}
                 call => self.call(call),
             }
         }
     }
 
-    fn answered(&mut self, key: KeyHash, request: RequestId) {
-        let place = self.asked.iter().position(|(asked, _)| *asked == request);
-        if let Some((_, since)) = place.and_then(|place| self.asked.remove(place)) {
+    fn record_answer(&mut self, key: KeyHash, request: RequestId) {
+        let index = self.asked.iter().position(|(asked, _)| *asked == request);
+        if let Some((_, since)) = index.and_then(|index| self.asked.remove(index)) {
             let wait = self.now.since(since).as_micros();
             let wait = u64::try_from(wait).unwrap_or(u64::MAX);
-            self.waits.record(wait).expect("a histogram that grows");
+            self.waits.record(wait).expect("auto-resizing histogram");
         }
         let finish = ClaimFinish {
             key,
@@ -173,14 +173,14 @@
             .collect()
     }
 
-    fn print(&self, asks_per_second: f64) {
+    fn print(&self, queries_per_second: f64) {
         let seconds = RUN_TIME.as_secs();
         let counters = self.log.counters();
         let stored: usize = self.values.values().map(|(value, _)| value.len()).sum();
         let largest = self.values.values().map(|(value, _)| value.len()).max();
         println!(
-            "{asks_per_second:6.1} asks/s: granted {}, writes {}.{:02}/s, reads {} in all, \
-             written {} B/s, {} B a claim; wait p50 {} p99 {} max {} us; \
+            "{queries_per_second:6.1} queries/s: granted {}, writes {}.{:02}/s, reads {} in total, \
+             written {} B/s, {} B per claim; wait p50 {} p99 {} max {} us; \
              store holds {} values, {} B, largest {} B; table {} keys, {} B reserved",
             counters.granted,
             counters.writes / seconds,
@@ -201,9 +201,9 @@
 }
 
 fn main() {
-    for asks_per_second in [0.2, 5.0, 53.1, 212.5] {
+    for queries_per_second in [0.2, 5.0, 53.1, 212.5] {
         let mut run = CostRun::new();
-        run.run(asks_per_second);
-        run.print(asks_per_second);
+        run.run(queries_per_second);
+        run.print(queries_per_second);
     }
 }
--- a/crates/oatpier-entry/src/attempt.rs
+++ b/crates/oatpier-entry/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an agent, as a task that reports what happens to it.
+//! Runs one attempt on an agent in its own task and reports its events.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use oatpier_policy::event::EntryEvent;
 use oatpier_types::ids::{AttemptId, RequestId};
 use oatpier_types::names::EndpointName;
-use oatpier_types::pulse::AgentPulse;
+use oatpier_types::status::QueueReport;
 use oatpier_types::verdict::RunVerdict;
 use oatpier_wire::attempt::{
-    AttemptFrame, AttemptHead, AttemptStream, CancelAttempt, CancelReach, to_headers,
+    AttemptFrame, AttemptHead, AttemptStream, CancelAttempt, CancelScope, to_headers,
 };
 use oatpier_wire::client::{SendError, SendStage};
 use oatpier_wire::peer::PeerClient;
@@ -21,44 +21,44 @@
 use crate::core::AgentContact;
 use crate::sink::AnswerHead;
 
-/// How long an agent's answer to a cancel is waited for.
-const CANCEL_WAIT: Duration = Duration::from_secs(2);
-/// The largest answer that is held until it is whole, in bytes.
-const MAX_HELD_BYTES: usize = 16 << 20;
+/// Timeout of an agent's response to a cancellation.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of a buffered non-streaming answer, in bytes.
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
-/// What happened to an attempt, with what the decision does not need to see.
+/// An event of an attempt, with the data that the policy does not need.
 #[derive(Debug)]
 pub struct AttemptSignal {
-    /// At whose agent.
+    /// Endpoint that runs the attempt.
     pub endpoint: EndpointName,
-    /// What happened.
+    /// The event.
     pub event: EntryEvent,
-    /// The head, with a first frame.
+    /// Head of the answer, set with the first frame.
     pub head: Option<AnswerHead>,
-    /// The bytes, with a piece.
+    /// Bytes of the answer, set with a piece.
     pub bytes: Bytes,
 }
 
-/// Where the signals of a request's attempts go. Bounded: an attempt whose caller is slow waits
-/// here, and its agent and engine behind it.
+/// Channel for the signals of a request's attempts. It is bounded for backpressure: if the caller
+/// is slow, the attempt waits here, and so do its agent and engine.
 pub type SignalSender = mpsc::Sender<AttemptSignal>;
 
-/// One attempt to be run.
+/// An attempt to run.
 pub struct AttemptRun {
-    /// At whose agent.
+    /// Endpoint to run the attempt on.
     pub endpoint: EndpointName,
-    /// Where the agent listens.
+    /// Address the agent listens on.
     pub address: SocketAddr,
-    /// What is to be run.
+    /// Description of the attempt.
     pub head: AttemptHead,
-    /// The caller's body.
+    /// Request body of the caller.
     pub body: Bytes,
-    /// Where its signals go.
+    /// Channel for the signals of the attempt.
     pub signals: SignalSender,
 }
 
 impl AttemptRun {
-    /// Runs the attempt to its end.
+    /// Runs the attempt until it ends.
     pub async fn run(self, peers: PeerClient) {
         let attempt = self.head.spec.attempt;
         let opened = peers
@@ -66,78 +66,78 @@
             .await;
         let event = match opened {
             Ok(stream) => self.relay(stream).await,
-            Err(error) => event_of(attempt, &error),
+            Err(error) => error_event(attempt, &error),
         };
         self.signal(event).await;
     }
 
-    /// Passes the frames on, and returns the last one's event.
+    /// Relays the frames and returns the event of the last one.
     async fn relay(&self, mut stream: AttemptStream) -> EntryEvent {
         let attempt = self.head.spec.attempt;
-        let mut held = None;
+        let mut buffer = None;
         loop {
             let Ok(frame) = stream.next().await else {
-                return EntryEvent::Cut { attempt };
+                return EntryEvent::ConnectionLost { attempt };
             };
             match frame {
                 AttemptFrame::Started {
                     status,
                     headers,
-                    pulse,
+                    report,
                 } => {
                     let answer_head = AnswerHead {
                         status: StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY),
                         headers: to_headers(&headers),
                     };
-                    held = (!answer_head.is_stream()).then(BytesMut::new);
-                    self.signal_head(answer_head, pulse).await;
+                    buffer = (!answer_head.is_stream()).then(BytesMut::new);
+                    self.signal_head(answer_head, report).await;
                 }
-                AttemptFrame::Piece { bytes, tokens } => match &mut held {
+                AttemptFrame::Piece { bytes, tokens } => match &mut buffer {
                     None => self.signal_piece(bytes, tokens).await,
-                    Some(held) if held.len() + bytes.len() > MAX_HELD_BYTES => {
+                    Some(buffer) if buffer.len() + bytes.len() > MAX_BUFFERED_BYTES => {
                         return failed(attempt, RunVerdict::MayHaveRun);
                     }
-                    Some(held) => held.extend_from_slice(&bytes),
+                    Some(buffer) => buffer.extend_from_slice(&bytes),
                 },
-                last => return self.end(last, held).await,
+                last => return self.finish(last, buffer).await,
             }
         }
     }
 
-    /// The event of the last frame, after what was held until then.
-    async fn end(&self, last: AttemptFrame, held: Option<BytesMut>) -> EntryEvent {
+    /// Sends the buffered answer, then returns the event of the last frame.
+    async fn finish(&self, last: AttemptFrame, buffer: Option<BytesMut>) -> EntryEvent {
         let attempt = self.head.spec.attempt;
         match last {
-            AttemptFrame::Ended { pulse } => {
-                if let Some(held) = held.filter(|held| !held.is_empty()) {
-                    self.signal_piece(held.freeze(), 0).await;
+            AttemptFrame::Ended { report } => {
+                if let Some(buffer) = buffer.filter(|buffer| !buffer.is_empty()) {
+                    self.signal_piece(buffer.freeze(), 0).await;
                 }
-                let pulse = Some(pulse);
-                EntryEvent::Ended { attempt, pulse }
+                let report = Some(report);
+                EntryEvent::Ended { attempt, report }
             }
-            AttemptFrame::Refused { refusal, pulse } => EntryEvent::Refused {
+            AttemptFrame::Refused { refusal, report } => EntryEvent::Refused {
                 attempt,
                 refusal,
-                pulse: Some(pulse),
+                report: Some(report),
             },
             AttemptFrame::Failed { verdict, .. } => failed(attempt, verdict),
             AttemptFrame::Started { .. } | AttemptFrame::Piece { .. } => {
-                EntryEvent::Cut { attempt }
+                EntryEvent::ConnectionLost { attempt }
             }
         }
     }
 
-    async fn signal_head(&self, head: AnswerHead, pulse: AgentPulse) {
+    async fn signal_head(&self, head: AnswerHead, report: QueueReport) {
         let signal = AttemptSignal {
             endpoint: self.endpoint.clone(),
             event: EntryEvent::FirstFrame {
                 attempt: self.head.spec.attempt,
-                pulse: Some(pulse),
+                report: Some(report),
             },
             head: Some(head),
             bytes: Bytes::new(),
         };
-        // A request that is over needs no more signals.
+        // The request may have ended; its signals are no longer needed.
         let _ = self.signals.send(signal).await;
     }
 
@@ -167,16 +167,16 @@
     EntryEvent::Failed { attempt, verdict }
 }
 
-fn event_of(attempt: AttemptId, error: &SendError) -> EntryEvent {
+fn error_event(attempt: AttemptId, error: &SendError) -> EntryEvent {
     match (error.stage, error.verdict) {
         (SendStage::Connect | SendStage::Queue, _) => EntryEvent::ConnectFailed { attempt },
-        (SendStage::Answer, RunVerdict::NotRun) => failed(attempt, RunVerdict::NotRun),
-        (SendStage::Answer, _) => EntryEvent::Cut { attempt },
+        (SendStage::Response, RunVerdict::NotRun) => failed(attempt, RunVerdict::NotRun),
+        (SendStage::Response, _) => EntryEvent::ConnectionLost { attempt },
     }
 }
 
-/// Cancels an attempt and returns what the agent says of it. A cancel whose answer is lost
-/// leaves the attempt unknown.
+/// Cancels an attempt and returns the agent's verdict. If the response is lost, the attempt may
+/// have run.
 pub async fn cancel(
     peers: &PeerClient,
     contact: Option<AgentContact>,
@@ -191,12 +191,12 @@
         attempt,
         request,
         ticket: contact.ticket,
-        reach: match mode {
-            CancelMode::SealOnly => CancelReach::SealOnly,
-            CancelMode::Abort => CancelReach::Abort,
+        scope: match mode {
+            CancelMode::SealOnly => CancelScope::SealOnly,
+            CancelMode::Abort => CancelScope::Abort,
         },
     };
-    let answer = peers.cancel_attempt(contact.address, &cancel, CANCEL_WAIT);
+    let answer = peers.cancel_attempt(contact.address, &cancel, CANCEL_TIMEOUT);
     let answer = answer.await;
     answer.map_or(RunVerdict::MayHaveRun, |answer| answer.verdict)
 }
--- a/crates/oatpier-entry/src/claims/claimer.rs
+++ b/crates/oatpier-entry/src/claims/claimer.rs
@@ -1,10 +1,10 @@
-//! The claimers of this entry, one for each partition, and who waits for their answers.
+//! The local claimers, one per partition, and the waiters for their answers.
 
 use std::collections::HashMap;
 
 use oatpier_claims::event::{ClaimAction, ClaimEvent, ClaimSettings};
 use oatpier_claims::log::ClaimLog;
-use oatpier_claims::message::{ClaimAnswer, ClaimAsk, KeyHash};
+use oatpier_claims::message::{ClaimAnswer, ClaimQuery, KeyHash};
 use oatpier_claims::partition::PartitionId;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, RequestId};
@@ -12,51 +12,51 @@
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
-use super::OpenAsk;
+use super::PendingQuery;
 use super::outbox::Settlement;
-use super::storing::StoreCall;
+use super::store_calls::StoreCall;
 use crate::messages::ClaimReply;
 
-/// Who waits for the answer to an ask.
+/// Recipient of the answer to a query.
 #[derive(Debug)]
-pub(super) enum AskWaiter {
+pub(super) enum QueryWaiter {
     /// A request of this entry.
-    Own(OpenAsk),
+    Own(PendingQuery),
     /// Another entry.
     Peer(oneshot::Sender<ClaimReply>),
 }
 
-impl AskWaiter {
+impl QueryWaiter {
     fn is_closed(&self) -> bool {
         match self {
-            Self::Own(open) => open.reply.is_closed(),
+            Self::Own(pending) => pending.reply.is_closed(),
             Self::Peer(reply) => reply.is_closed(),
         }
     }
 }
 
-/// What a claimer's step asks of the duty.
+/// Result of a claimer's step that the duty has to process.
 pub(super) enum ClaimerOutput {
-    /// A call to the store.
+    /// A store call to make.
     Store(StoreCall),
-    /// The answer to an ask of this entry.
+    /// The answer to a query of this entry.
     Answered {
-        /// The ask.
-        open: OpenAsk,
+        /// The query.
+        pending: PendingQuery,
         /// Its answer.
         answer: ClaimAnswer,
     },
-    /// A settlement is in the store.
+    /// A settlement is recorded in the store.
     Recorded(Settlement),
 }
 
-type WaitKey = (KeyHash, RequestId);
+type WaiterKey = (KeyHash, RequestId);
 
 /// The claimers of this entry.
 pub(super) struct LocalClaimer {
     logs: Vec<ClaimLog>,
-    asks: HashMap<WaitKey, SmallVec<[AskWaiter; 1]>>,
-    settles: HashMap<WaitKey, SmallVec<[oneshot::Sender<ClaimReply>; 1]>>,
+    queries: HashMap<WaiterKey, SmallVec<[QueryWaiter; 1]>>,
+    settlements: HashMap<WaiterKey, SmallVec<[oneshot::Sender<ClaimReply>; 1]>>,
 }
 
 impl LocalClaimer {
@@ -64,32 +64,35 @@
         let log = |partition| ClaimLog::new(partition, own.clone(), boot, ClaimSettings::default());
         Self {
             logs: PartitionId::all().map(log).collect(),
-            asks: HashMap::new(),
-            settles: HashMap::new(),
+            queries: HashMap::new(),
+            settlements: HashMap::new(),
         }
     }
 
-    pub(super) fn wait(&mut self, ask: ClaimAsk, waiter: AskWaiter) {
-        let waiters = self.asks.entry((ask.key, ask.request)).or_default();
+    pub(super) fn add_query_waiter(&mut self, query: ClaimQuery, waiter: QueryWaiter) {
+        let waiters = self.queries.entry((query.key, query.request)).or_default();
         waiters.push(waiter);
     }
 
-    pub(super) fn wait_settled(
+    pub(super) fn add_settle_waiter(
         &mut self,
         key: KeyHash,
         request: RequestId,
         waiter: oneshot::Sender<ClaimReply>,
     ) {
-        self.settles.entry((key, request)).or_default().push(waiter);
+        self.settlements
+            .entry((key, request))
+            .or_default()
+            .push(waiter);
     }
 
-    /// Forgets those who no longer wait.
-    pub(super) fn forget_closed(&mut self) {
-        self.asks.retain(|_, waiters| {
+    /// Removes waiters that no longer wait.
+    pub(super) fn remove_closed(&mut self) {
+        self.queries.retain(|_, waiters| {
             waiters.retain(|waiter| !waiter.is_closed());
             !waiters.is_empty()
         });
-        self.settles.retain(|_, waiters| {
+        self.settlements.retain(|_, waiters| {
             waiters.retain(|waiter| !waiter.is_closed());
             !waiters.is_empty()
         });
@@ -125,7 +128,7 @@
                     request,
                     verdict,
                 } => {
-                    for waiter in self.settles.remove(&(key, request)).unwrap_or_default() {
+                    for waiter in self.settlements.remove(&(key, request)).unwrap_or_default() {
                         let _ = waiter.send(ClaimReply::Recorded);
                     }
                     outputs.push(ClaimerOutput::Recorded(Settlement {
@@ -140,13 +143,15 @@
         outputs
     }
 
-    fn answer(&mut self, key: WaitKey, answer: &ClaimAnswer, outputs: &mut Vec<ClaimerOutput>) {
-        for waiter in self.asks.remove(&key).unwrap_or_default() {
+    fn answer(&mut self, key: WaiterKey, answer: &ClaimAnswer, outputs: &mut Vec<ClaimerOutput>) {
+        for waiter in self.queries.remove(&key).unwrap_or_default() {
             let answer = answer.clone();
             match waiter {
-                AskWaiter::Own(open) => outputs.push(ClaimerOutput::Answered { open, answer }),
-                AskWaiter::Peer(reply) => {
-                    // It asks again if it still wants to know.
+                QueryWaiter::Own(pending) => {
+                    outputs.push(ClaimerOutput::Answered { pending, answer });
+                }
+                QueryWaiter::Peer(reply) => {
+                    // The peer queries again if it still needs the answer.
                     let _ = reply.send(ClaimReply::Answer(answer));
                 }
             }
--- a/crates/oatpier-entry/src/links.rs
+++ b/crates/oatpier-entry/src/links.rs
@@ -1,4 +1,4 @@
-//! Calls of an entry to other entries and to agents, attempts aside.
+//! Calls of an entry to other entries and to agents, except for attempts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,50 +6,50 @@
 use futures::FutureExt;
 use futures::future::BoxFuture;
 use oatpier_duty::messages::{FleetAnswer, FleetCall, PEER_PATH, STATUS_PATH};
-use oatpier_membership::spread::CALL_WITHIN;
-use oatpier_types::pulse::EndpointStatus;
+use oatpier_membership::spread::CALL_TIMEOUT;
+use oatpier_types::status::EndpointStatus;
 use oatpier_wire::client::ClientLimits;
 use oatpier_wire::peer::PeerClient;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use crate::messages::{
-    CLAIM_PATH, ClaimCall, ClaimReply, DEMAND_PATH, DemandWord, GENERATIONS_PATH, GenerationRows,
+    CLAIM_PATH, ClaimCall, ClaimReply, DEMAND_PATH, DemandReport, GENERATIONS_PATH, GenerationRows,
 };
 
-/// How long a claimer in another entry may take over an ask: longer than it holds one itself.
-pub const CLAIM_WAIT: Duration = Duration::from_millis(800);
-/// How long it may take over a settlement, which waits for a write of other claims.
-pub const SETTLE_WAIT: Duration = Duration::from_millis(1600);
-/// How long a demand word may take.
-const DEMAND_WAIT: Duration = Duration::from_millis(500);
-/// How long an entry may take to say who is on which generation.
-const GENERATIONS_WAIT: Duration = Duration::from_millis(500);
-/// How long one agent may take to say its status.
-const STATUS_WAIT: Duration = Duration::from_millis(400);
-
-/// A call that may go to another task; none: no answer came.
+/// Timeout of a query to a claimer in another entry. Longer than a claimer itself holds a query.
+pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of a settlement, which waits for a write of other claims.
+pub const SETTLE_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Timeout of a demand report.
+const DEMAND_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a query for configuration generations.
+const GENERATIONS_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout of a status query to an agent.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// A call that can be moved to another task; `None` if no answer was received.
 pub type LinkFuture<T> = BoxFuture<'static, Option<T>>;
 
-/// Calls to other processes. All may be repeated.
+/// Calls to other processes. All of them may be repeated.
 pub trait EntryLinks: Send + Sync {
-    /// Calls about membership or configuration.
+    /// Makes a membership or configuration call.
     fn call(&self, to: SocketAddr, call: FleetCall) -> LinkFuture<FleetAnswer>;
 
-    /// Turns to the claimer in another entry.
+    /// Calls the claimer in another entry.
     fn claim(&self, to: SocketAddr, call: ClaimCall) -> LinkFuture<ClaimReply>;
 
-    /// Tells an entry that may plan what is asked for here.
-    fn tell_demand(&self, to: SocketAddr, word: DemandWord) -> LinkFuture<()>;
+    /// Sends this entry's demand to a planner candidate.
+    fn send_demand(&self, to: SocketAddr, report: DemandReport) -> LinkFuture<()>;
 
-    /// Asks an entry who is on which generation.
-    fn ask_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows>;
+    /// Queries an entry for configuration generations.
+    fn fetch_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows>;
 
-    /// Asks an agent for its status.
-    fn ask_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus>;
+    /// Queries an agent for its status.
+    fn fetch_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus>;
 }
 
-/// The calls over HTTP. Belongs to one duty's runtime, as its connections do.
+/// Calls over HTTP. An instance belongs to one duty's runtime, because its connections do.
 #[derive(Clone)]
 pub struct HttpLinks {
     client: PeerClient,
@@ -64,44 +64,44 @@
 }
 
 impl HttpLinks {
-    fn ask<Q, A>(
+    fn call_path<Q, A>(
         &self,
         to: SocketAddr,
         path: &'static str,
-        question: Q,
-        within: Duration,
+        request: Q,
+        timeout: Duration,
     ) -> LinkFuture<A>
     where
         Q: Serialize + Send + Sync + 'static,
         A: DeserializeOwned + Send + 'static,
     {
         let client = self.client.clone();
-        async move { client.call(to, path, &question, within).await.ok() }.boxed()
+        async move { client.call(to, path, &request, timeout).await.ok() }.boxed()
     }
 }
 
 impl EntryLinks for HttpLinks {
     fn call(&self, to: SocketAddr, call: FleetCall) -> LinkFuture<FleetAnswer> {
-        self.ask(to, PEER_PATH, call, CALL_WITHIN)
+        self.call_path(to, PEER_PATH, call, CALL_TIMEOUT)
     }
 
     fn claim(&self, to: SocketAddr, call: ClaimCall) -> LinkFuture<ClaimReply> {
-        let within = match call {
-            ClaimCall::Ask(_) => CLAIM_WAIT,
-            ClaimCall::Release(_) | ClaimCall::Finish(_) => SETTLE_WAIT,
+        let timeout = match call {
+            ClaimCall::Query(_) => CLAIM_TIMEOUT,
+            ClaimCall::Release(_) | ClaimCall::Finish(_) => SETTLE_TIMEOUT,
         };
-        self.ask(to, CLAIM_PATH, call, within)
+        self.call_path(to, CLAIM_PATH, call, timeout)
     }
 
-    fn tell_demand(&self, to: SocketAddr, word: DemandWord) -> LinkFuture<()> {
-        self.ask(to, DEMAND_PATH, word, DEMAND_WAIT)
+    fn send_demand(&self, to: SocketAddr, report: DemandReport) -> LinkFuture<()> {
+        self.call_path(to, DEMAND_PATH, report, DEMAND_TIMEOUT)
     }
 
-    fn ask_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows> {
-        self.ask(to, GENERATIONS_PATH, (), GENERATIONS_WAIT)
+    fn fetch_generations(&self, to: SocketAddr) -> LinkFuture<GenerationRows> {
+        self.call_path(to, GENERATIONS_PATH, (), GENERATIONS_TIMEOUT)
     }
 
-    fn ask_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus> {
-        self.ask(to, STATUS_PATH, (), STATUS_WAIT)
+    fn fetch_status(&self, to: SocketAddr) -> LinkFuture<EndpointStatus> {
+        self.call_path(to, STATUS_PATH, (), STATUS_TIMEOUT)
     }
 }
--- a/crates/oatpier-entry/src/rings.rs
+++ b/crates/oatpier-entry/src/rings.rs
@@ -1,58 +1,59 @@
-//! The rings between an entry's duties, each with its rule for when it is full. All are counted.
+//! The rings between an entry's duties, each with its overflow rule. Overflows are counted in the
+//! metrics.
 
 use oatpier_duty::duty::{RingReceiver, RingRule, RingSender, ring};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_duty::observe::trace::SpanLine;
 
 use crate::claims::ClaimCommand;
-use crate::configuration::{StoreNews, StoreOrder};
-use crate::news::EntryNews;
-use crate::peers::PathNews;
-use crate::planner::PlannerNews;
+use crate::configuration::{StoreRequest, StoreUpdate};
+use crate::peers::PathReport;
+use crate::planner::PlannerUpdate;
+use crate::updates::CallersUpdate;
 
-/// News for the callers duty. The sender waits: each says something that no later one repeats.
-/// What is to be said meanwhile is kept by member, so that nothing piles up behind it.
-const NEWS_RING: usize = 1024;
-/// Evidence of the data path for the peers duty. Further pieces are dropped: the next attempt
-/// tells the same.
-const PATHS_RING: usize = 256;
-/// Calls to the store for the configuration duty. The sender waits; there is one at a time.
-const ORDERS_RING: usize = 4;
-/// What the store said, for the peers duty. The sender waits: a change is told once.
-const STORE_NEWS_RING: usize = 64;
-/// Commands for the claims duty. An ask that does not fit is answered "unavailable", a peer's
-/// with 503; a settlement and the list of entries wait.
-const CLAIMS_RING: usize = 1024;
-/// News for the planner duty. Further ones are dropped: each is said anew within seconds.
-const PLANNER_RING: usize = 64;
-/// Spans that wait to be written. Further ones are dropped: a trace is worth less than a request.
-const SPAN_RING: usize = 4096;
+/// Updates for the callers duty. The sender waits: no later update repeats an earlier one. Pending
+/// updates are merged per member, so the backlog is bounded.
+const UPDATES_CAPACITY: usize = 1024;
+/// Data path evidence for the peers duty. Overflow is dropped: the next attempt produces the same
+/// evidence.
+const PATHS_CAPACITY: usize = 256;
+/// Store calls for the configuration duty. The sender waits; there is one call at a time.
+const STORE_REQUESTS_CAPACITY: usize = 4;
+/// Store results for the peers duty. The sender waits: a change is sent only once.
+const STORE_UPDATES_CAPACITY: usize = 64;
+/// Commands for the claims duty. If the ring is full, a query is answered "unavailable", and one
+/// from a peer with status 503. Settlements and the list of entries wait.
+const CLAIMS_CAPACITY: usize = 1024;
+/// Updates for the planner duty. Overflow is dropped: each update is sent again within seconds.
+const PLANNER_CAPACITY: usize = 64;
+/// Spans that wait to be written. Overflow is dropped: serving requests has priority over traces.
+const SPAN_CAPACITY: usize = 4096;
 
-/// Both ends of a ring.
+/// Sender and receiver of a ring.
 type RingPair<T> = (RingSender<T>, RingReceiver<T>);
 
 /// All rings of an entry.
 pub(crate) struct EntryRings {
-    pub(crate) news: RingPair<EntryNews>,
-    pub(crate) paths: RingPair<PathNews>,
-    pub(crate) orders: RingPair<StoreOrder>,
-    pub(crate) store_news: RingPair<StoreNews>,
+    pub(crate) updates: RingPair<CallersUpdate>,
+    pub(crate) paths: RingPair<PathReport>,
+    pub(crate) store_requests: RingPair<StoreRequest>,
+    pub(crate) store_updates: RingPair<StoreUpdate>,
     pub(crate) claims: RingPair<ClaimCommand>,
-    pub(crate) planner: RingPair<PlannerNews>,
+    pub(crate) planner: RingPair<PlannerUpdate>,
     pub(crate) spans: RingPair<SpanLine>,
 }
 
 impl EntryRings {
     pub(crate) fn new(metrics: &MetricSet) -> Self {
-        let (wait, shed) = (RingRule::Wait, RingRule::Drop);
+        let (wait, discard) = (RingRule::Wait, RingRule::Drop);
         Self {
-            news: ring(NEWS_RING, wait, metrics.ring("news")),
-            paths: ring(PATHS_RING, shed, metrics.ring("paths")),
-            orders: ring(ORDERS_RING, wait, metrics.ring("orders")),
-            store_news: ring(STORE_NEWS_RING, wait, metrics.ring("store-news")),
-            claims: ring(CLAIMS_RING, wait, metrics.ring("claims")),
-            planner: ring(PLANNER_RING, shed, metrics.ring("planner")),
-            spans: ring(SPAN_RING, shed, metrics.ring("spans")),
+            updates: ring(UPDATES_CAPACITY, wait, metrics.ring("news")),
+            paths: ring(PATHS_CAPACITY, discard, metrics.ring("paths")),
+            store_requests: ring(STORE_REQUESTS_CAPACITY, wait, metrics.ring("orders")),
+            store_updates: ring(STORE_UPDATES_CAPACITY, wait, metrics.ring("store-news")),
+            claims: ring(CLAIMS_CAPACITY, wait, metrics.ring("claims")),
+            planner: ring(PLANNER_CAPACITY, discard, metrics.ring("planner")),
+            spans: ring(SPAN_CAPACITY, discard, metrics.ring("spans")),
         }
     }
 }
--- a/crates/oatpier-entry/tests/testsuite/planner.rs
+++ b/crates/oatpier-entry/tests/testsuite/planner.rs
@@ -1,4 +1,4 @@
-//! The planner's lease and the plans in the store.
+//! The planner lease and the plans in the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use oatpier_duty::messages::{decode_plan, plan_key};
 use oatpier_duty::observe::metrics::MetricSet;
 use oatpier_entry::planner::{
-    EndpointView, FleetPicture, PlanGroup, PlannerBoard, PlannerInputs, PlannerNews, planner,
+    EndpointView, FleetSnapshot, PlanCache, PlanGroup, PlannerInputs, PlannerUpdate, run_planner,
 };
 use oatpier_ports::store::KeyStore;
 use oatpier_standin::store::{DownMode, LocalStore, StoreFaults};
@@ -21,7 +21,7 @@
 use smallvec::SmallVec;
 use tokio::task::JoinHandle;
 
-use crate::support::{TestLinks, contact, daemon, gate};
+use crate::support::{TestLinks, client, contact, daemon};
 
 pub const CONFIG: &str = r#"
 [weight_store]
@@ -61,13 +61,13 @@
     ZoneName::try_from(name).unwrap()
 }
 
-/// Two live endpoints, one in each availability zone, that hold nothing.
-fn picture() -> FleetPicture {
-    picture_of(CONFIG)
+/// Two live endpoints without weights, one in each availability zone.
+fn snapshot() -> FleetSnapshot {
+    snapshot_of(CONFIG)
 }
 
-/// All endpoints of a configuration, live and empty.
-pub fn picture_of(config: &str) -> FleetPicture {
+/// All endpoints of a configuration, live and without weights.
+pub fn snapshot_of(config: &str) -> FleetSnapshot {
     let config = FleetConfig::try_from(config).unwrap();
     let pools = config.pools.iter();
     let endpoints = pools.flat_map(|(pool, spec)| {
@@ -83,7 +83,7 @@
             step_us: 0,
         })
     });
-    FleetPicture {
+    FleetSnapshot {
         generation: Generation(1),
         endpoints: endpoints.collect(),
         config: Arc::new(config),
@@ -93,45 +93,45 @@
 }
 
 pub struct PlanningEntry {
-    news: RingSender<PlannerNews>,
-    board: Arc<PlannerBoard>,
+    updates: RingSender<PlannerUpdate>,
+    cache: Arc<PlanCache>,
     stop: StopSignal,
     task: JoinHandle<()>,
 }
 
 impl PlanningEntry {
     async fn start(number: u16, store: &Arc<LocalStore>) -> Self {
-        Self::start_after(number, store, picture(), Duration::ZERO).await
+        Self::start_after(number, store, snapshot(), Duration::ZERO).await
     }
 
-    /// An entry that sees the fleet some time after its start.
+    /// Starts an entry that receives the fleet state some time after its start.
     pub async fn start_after(
         number: u16,
         store: &Arc<LocalStore>,
-        picture: FleetPicture,
-        waits: Duration,
+        snapshot: FleetSnapshot,
+        delay: Duration,
     ) -> Self {
         let clock = RuntimeClock::start();
         let metrics = MetricSet::default();
-        let (news, receiver) = ring(64, RingRule::Drop, metrics.ring("planner"));
-        let (board, stop) = (Arc::<PlannerBoard>::default(), StopSignal::default());
+        let (updates, receiver) = ring(64, RingRule::Drop, metrics.ring("planner"));
+        let (cache, stop) = (Arc::<PlanCache>::default(), StopSignal::default());
         let inputs = PlannerInputs {
             own: daemon(number),
             boot: BootId(u128::from(number) + 1),
-            gate: gate(store, clock, number.into()),
+            client: client(store, clock, number.into()),
             links: Arc::<TestLinks>::default(),
-            board: Arc::clone(&board),
-            news: receiver,
+            cache: Arc::clone(&cache),
+            updates: receiver,
             clock,
             generator: ChaCha8Rng::seed_from_u64(number.into()),
             stop: stop.clone(),
         };
-        let task = tokio::spawn(planner(inputs));
-        tokio::time::sleep(waits).await;
-        news.send(PlannerNews::Fleet(Box::new(picture))).await;
+        let task = tokio::spawn(run_planner(inputs));
+        tokio::time::sleep(delay).await;
+        updates.send(PlannerUpdate::Fleet(Box::new(snapshot))).await;
         Self {
-            news,
-            board,
+            updates,
+            cache,
             stop,
             task,
         }
@@ -143,18 +143,18 @@
     stored.map(|stored| decode_plan(&stored.value).unwrap())
 }
 
-pub async fn pass(seconds: u64) {
+pub async fn advance(seconds: u64) {
     tokio::time::sleep(Duration::from_secs(seconds)).await;
 }
 
-/// Two entries could plan. One does: each availability zone's plan is in the store under its
-/// term, both models are placed, and both entries know the plans, for the agents that ask them.
+/// Only one of two candidates plans: the plan of each availability zone is in the store under its
+/// term, both models are placed, and both entries know the plans, which agents query from either.
 #[tokio::test(start_paused = true)]
 async fn one_entry_plans_and_all_know_the_plan() {
     let store = Arc::new(LocalStore::new());
     let first = PlanningEntry::start(0, &store).await;
     let second = PlanningEntry::start(1, &store).await;
-    pass(20).await;
+    advance(20).await;
     let plans = [
         stored_plan(&store, "ikeja").await.unwrap(),
         stored_plan(&store, "lekki").await.unwrap(),
@@ -164,83 +164,84 @@
     for plan in &plans {
         assert_eq!(plan.term, Term(1));
         for entry in [&first, &second] {
-            let row = entry.board.row(&plan.endpoints[0].endpoint).unwrap();
+            let row = entry.cache.row(&plan.endpoints[0].endpoint).unwrap();
             assert_eq!(row.row, plan.endpoints[0]);
         }
     }
 }
 
-/// The planner dies. Nobody releases its lease, so the other entry waits until it is over, and
-/// then plans under the next term. The plans are written anew under it at once: a late write of
-/// the dead one would meet another revision.
+/// The planner fails without releasing its lease, so the other entry waits until the lease expires
+/// and then plans under the next term. It writes the plans under that term immediately: a late
+/// write of the failed planner would find another revision.
 #[tokio::test(start_paused = true)]
-async fn the_next_entry_plans_after_the_planner_died() {
+async fn the_next_entry_plans_after_the_planner_failed() {
     let store = Arc::new(LocalStore::new());
     let first = PlanningEntry::start(0, &store).await;
-    pass(10).await;
+    advance(10).await;
     let before = stored_plan(&store, "ikeja").await.unwrap();
     assert_eq!(before.term, Term(1));
     first.task.abort();
     let _second = PlanningEntry::start(1, &store).await;
-    pass(20).await;
+    advance(20).await;
     let after = stored_plan(&store, "ikeja").await.unwrap();
     assert_eq!(after.term, Term(2));
     assert!(after.sequence > before.sequence);
     assert_eq!(
         after.endpoints, before.endpoints,
-        "no move for a new planner"
+        "a new planner moves no replicas"
     );
 }
 
-/// A planner that stops gives its lease back: the next one plans within seconds, before the lease
-/// would have run out, and while the first still finishes its requests.
+/// A planner that stops releases its lease: the next one plans within seconds, before the lease
+/// would have expired, and while the first still finishes its requests.
 #[tokio::test(start_paused = true)]
-async fn a_stopping_planner_hands_over_at_once() {
+async fn a_stopping_planner_releases_its_lease() {
     let store = Arc::new(LocalStore::new());
     let first = PlanningEntry::start(0, &store).await;
-    pass(10).await;
+    advance(10).await;
     assert_eq!(stored_plan(&store, "ikeja").await.unwrap().term, Term(1));
     let _second = PlanningEntry::start(1, &store).await;
-    pass(5).await;
+    advance(5).await;
     assert_eq!(stored_plan(&store, "ikeja").await.unwrap().term, Term(1));
     first.stop.advance(StopPhase::Draining);
-    pass(5).await;
+    advance(5).await;
     assert_eq!(stored_plan(&store, "ikeja").await.unwrap().term, Term(2));
     assert!(!first.task.is_finished());
 }
 
-/// The store is away for longer than the lease lasts. The planner must not plan on, since another
-/// could hold the lease; once the store is back there is a planner again, and no plan was lost.
+/// The store is unavailable for longer than the lease lasts. The planner must stop planning,
+/// because another one could hold the lease. After the outage there is a planner again, and no plan
+/// was lost.
 #[tokio::test(start_paused = true)]
 async fn an_outage_ends_planning_and_keeps_the_plan() {
     let store = Arc::new(LocalStore::new());
     let entry = PlanningEntry::start(0, &store).await;
-    pass(10).await;
+    advance(10).await;
     let before = stored_plan(&store, "lekki").await.unwrap();
     store.set_faults(StoreFaults {
         down: Some(DownMode::Drop),
         ..StoreFaults::default()
     });
-    pass(30).await;
+    advance(30).await;
     let clock = RuntimeClock::start();
     assert_eq!(
-        entry.board.plan_age_ms(clock.now()),
+        entry.cache.plan_age_ms(clock.now()),
         None,
-        "it plans no more"
+        "the entry is no longer the planner"
     );
-    let kept = entry.board.row(&before.endpoints[0].endpoint);
+    let kept = entry.cache.row(&before.endpoints[0].endpoint);
     assert_eq!(kept.unwrap().row, before.endpoints[0]);
     store.set_faults(StoreFaults::default());
     entry
-        .news
-        .send(PlannerNews::Fleet(Box::new(picture())))
+        .updates
+        .send(PlannerUpdate::Fleet(Box::new(snapshot())))
         .await;
-    pass(30).await;
+    advance(30).await;
     let after = stored_plan(&store, "lekki").await.unwrap();
     assert_eq!(after.endpoints, before.endpoints);
     assert!(after.term >= before.term);
     assert!(
-        entry.board.plan_age_ms(clock.now()).is_some(),
-        "it plans again"
+        entry.cache.plan_age_ms(clock.now()).is_some(),
+        "the entry is the planner again"
     );
 }
--- a/crates/oatpier-entry/tests/testsuite/whole.rs
+++ b/crates/oatpier-entry/tests/testsuite/whole.rs
@@ -1,4 +1,4 @@
-//! A whole entry, as operators and its VM see it.
+//! A complete entry process, as seen by operators and by its VM.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use oatpier_duty::duty::{DutyProcess, StopPhase};
 use oatpier_duty::settings::{EntrySettings, SettingsText};
 use oatpier_ports::store::{ExpectedValue, KeyStore};
-use oatpier_standin::serve::Running;
+use oatpier_standin::serve::RunningServer;
 use oatpier_standin::store::{LocalStore, start_store};
 use oatpier_standin::vms::{LocalVms, start_vms};
 use oatpier_types::config::FleetConfig;
@@ -21,15 +21,15 @@
 use crate::planner::CONFIG;
 
 const WAIT: Duration = Duration::from_secs(20);
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
-const LOOK_TRIES: usize = 400;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_POLLS: usize = 400;
 
-struct WholeEntry {
+struct EntryProcess {
     process: DutyProcess,
     peers: SocketAddr,
     client: HttpClient,
-    _store: Running<LocalStore>,
-    _vms: Running<LocalVms>,
+    _store: RunningServer<LocalStore>,
+    _vms: RunningServer<LocalVms>,
 }
 
 async fn free_address() -> SocketAddr {
@@ -38,7 +38,7 @@
     listener.local_addr().unwrap()
 }
 
-impl WholeEntry {
+impl EntryProcess {
     async fn start() -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let store = start_store(any).await.unwrap();
@@ -82,22 +82,22 @@
         fetched.await.unwrap()
     }
 
-    async fn ask<A: DeserializeOwned>(&self, path: &str) -> A {
+    async fn get_json<A: DeserializeOwned>(&self, path: &str) -> A {
         let answer = self.get(path).await;
         assert_eq!(answer.status(), StatusCode::OK, "{path}");
         serde_json::from_slice(answer.body()).unwrap()
     }
 }
 
-/// Operators ask an entry that stands alone. It tells of itself, of the generation in force, of
-/// who plans, and of a model that is nowhere; what it does not know it says so.
+/// Operators query an entry that runs alone. It reports itself, the active generation, the planner,
+/// and a model without replicas. Unknown names are answered with 404.
 #[tokio::test]
-async fn an_entry_tells_operators_what_it_sees_and_ends_when_told() {
-    let entry = WholeEntry::start().await;
+async fn an_entry_answers_operators_and_ends_when_drained() {
+    let entry = EntryProcess::start().await;
     let mut tries = 0;
     loop {
-        let config: ConfigAnswer = entry.ask("/operator/config").await;
-        let status: StatusAnswer = entry.ask("/operator/status").await;
+        let config: ConfigAnswer = entry.get_json("/operator/config").await;
+        let status: StatusAnswer = entry.get_json("/operator/status").await;
         if config.newest == Generation(7) && status.planner.holder.is_some() {
             assert_eq!(config.daemons.len(), 1);
             assert_eq!(status.daemons[0].duty, DaemonDuty::Entry);
@@ -107,10 +107,13 @@
             break;
         }
         tries += 1;
-        assert!(tries < LOOK_TRIES, "it never came about: {status:?}");
-        tokio::time::sleep(LOOK_PERIOD).await;
+        assert!(
+            tries < MAX_POLLS,
+            "the entry reported no planner and configuration in time: {status:?}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    let explained: ExplainModel = entry.ask("/operator/explain/model/tables").await;
+    let explained: ExplainModel = entry.get_json("/operator/explain/model/tables").await;
     assert_eq!(explained.replicas, []);
     for unknown in ["model/nothing", "request/12"] {
         let answer = entry.get(&format!("/operator/explain/{unknown}")).await;
--- a/crates/oatpier-faults/src/matrix/table.rs
+++ b/crates/oatpier-faults/src/matrix/table.rs
@@ -1,4 +1,4 @@
-//! Which cell is filled how.
+//! How each cell of the matrix is run, or why it is excluded.
 
 use oatpier_checker::PromiseName;
 
@@ -9,24 +9,23 @@
 const NO_MESSAGE: &str = "the step is a decision inside one process: no message is sent";
 const NO_STORE: &str = "the step makes no call to the store";
 const NO_WRITE: &str = "the step writes nothing to the store";
-const NO_LEASE: &str = "the step rests on no lease or ownership";
+const NO_LEASE: &str = "the step depends on no lease or ownership";
 const NO_WATCH: &str = "the step waits for no watch";
 const NO_VM_LIST: &str = "the step does not read the list of VMs";
 const NO_REPORT: &str = "only the choice of an endpoint reads load reports";
 const NO_CACHE: &str = "only the choice of an endpoint reads cache events";
 const NO_OPERATOR: &str = "the step changes nothing that operators write";
-const NO_WALL_CLOCK: &str =
-    "decisions read the runtime's monotonic clock only, which no step of the wall clock moves";
-const ONE_CONNECTION: &str = "the bytes of one call come over one connection, each once";
-const OWN_CONNECTION: &str = "an answer goes back over the connection that its request came on";
+const NO_WALL_CLOCK: &str = "decisions read the runtime's monotonic clock only, which a step of the wall clock does not change";
+const ONE_CONNECTION: &str = "the bytes of one call arrive over one connection, each once";
+const OWN_CONNECTION: &str = "an answer returns over the connection of its request";
 
-const STOP_ORDER: &str = "the way of a stop's order through the store, its watch and the list of VMs is not in a scenario yet: the scenario begins at the registrars' word";
+const NO_STOP_DELIVERY: &str = "no scenario yet covers how a stop order passes through the store, its watch and the list of VMs: the scenario begins when the registrars announce the stop";
 
-/// How a cell is filled.
+/// Returns how a cell is run, or why it is not.
 #[must_use]
-pub fn plan_of(fault: FaultKind, step: StepName) -> CellPlan {
-    if step == StepName::StopTold && comes_by_store(fault) {
-        return CellPlan::NotRun(STOP_ORDER);
+pub fn cell_plan(fault: FaultKind, step: StepName) -> CellPlan {
+    if step == StepName::StopTold && involves_store(fault) {
+        return CellPlan::NotRun(NO_STOP_DELIVERY);
     }
     let reason = match fault {
         FaultKind::Kill | FaultKind::Restart | FaultKind::Pause => None,
@@ -34,17 +33,17 @@
             (!has_peer(step)).then_some(NO_MESSAGE)
         }
         FaultKind::Lost | FaultKind::Late => (!has_message(step)).then_some(NO_MESSAGE),
-        FaultKind::Doubled => doubled(step),
-        FaultKind::Crossed => crossed(step),
+        FaultKind::Doubled => duplication_exclusion(step),
+        FaultKind::Crossed => misrouting_exclusion(step),
         FaultKind::StoreDown | FaultKind::StoreSlow => (!calls_store(step)).then_some(NO_STORE),
         FaultKind::AnswerLost => (!writes_store(step)).then_some(NO_WRITE),
-        FaultKind::LeaseLapsed => (!rests_on_lease(step)).then_some(NO_LEASE),
+        FaultKind::LeaseLapsed => (!depends_on_lease(step)).then_some(NO_LEASE),
         FaultKind::WatchBroken => (!waits_for_watch(step)).then_some(NO_WATCH),
         FaultKind::VmListWrong => (!reads_vm_list(step)).then_some(NO_VM_LIST),
         FaultKind::ReportStale => (step != StepName::Choose).then_some(NO_REPORT),
         FaultKind::CacheGap => (step != StepName::Choose).then_some(NO_CACHE),
         FaultKind::RacingOperators => (!has_operators(step)).then_some(NO_OPERATOR),
-        FaultKind::ClockStep => (!has_stamp(step)).then_some(NO_WALL_CLOCK),
+        FaultKind::ClockStep => (!records_wall_clock(step)).then_some(NO_WALL_CLOCK),
     };
     match reason {
         Some(reason) => CellPlan::CannotHappen(reason),
@@ -65,8 +64,8 @@
     }
 }
 
-/// The promise that a step is nearest to.
-pub(super) fn promise_of(step: StepName) -> PromiseName {
+/// Returns the promise most closely related to a step.
+pub(super) fn related_promise(step: StepName) -> PromiseName {
     match step {
         StepName::Claim | StepName::SettleClaim | StepName::Run => PromiseName::AtMostOnce,
         StepName::Intake | StepName::Choose | StepName::Relay => PromiseName::OwnAnswer,
@@ -88,8 +87,8 @@
     }
 }
 
-/// Faults of the store, of its watch, of its operators and of the list of VMs.
-fn comes_by_store(fault: FaultKind) -> bool {
+/// Returns whether a fault affects the store, its watches, its operators or the list of VMs.
+fn involves_store(fault: FaultKind) -> bool {
     matches!(
         fault,
         FaultKind::StoreDown
@@ -101,7 +100,7 @@
     )
 }
 
-/// Steps within one process.
+/// Returns whether the step sends a message; the listed steps stay within one process.
 fn has_message(step: StepName) -> bool {
     !matches!(
         step,
@@ -115,19 +114,19 @@
     )
 }
 
-/// Steps during which a process talks to another, or waits for it.
+/// Returns whether a process communicates with another during the step, or waits for it.
 fn has_peer(step: StepName) -> bool {
     has_message(step) || matches!(step, StepName::Queue | StepName::StopDrain)
 }
 
-fn doubled(step: StepName) -> Option<&'static str> {
+fn duplication_exclusion(step: StepName) -> Option<&'static str> {
     match step {
         StepName::Run | StepName::Relay => Some(ONE_CONNECTION),
         _ => (!has_message(step)).then_some(NO_MESSAGE),
     }
 }
 
-fn crossed(step: StepName) -> Option<&'static str> {
+fn misrouting_exclusion(step: StepName) -> Option<&'static str> {
     match step {
         StepName::Intake | StepName::ConfigWrite | StepName::ConfigWatch => Some(OWN_CONNECTION),
         _ if is_store_step(step) => Some(OWN_CONNECTION),
@@ -135,7 +134,7 @@
     }
 }
 
-/// Steps that talk to the store alone.
+/// Returns whether the step communicates with the store only.
 fn is_store_step(step: StepName) -> bool {
     matches!(
         step,
@@ -181,7 +180,7 @@
     others || is_store_step(step)
 }
 
-fn rests_on_lease(step: StepName) -> bool {
+fn depends_on_lease(step: StepName) -> bool {
     let claims = matches!(step, StepName::Claim | StepName::SettleClaim);
     let orders = matches!(
         step.path(),
@@ -210,7 +209,7 @@
     step.path() == StepPath::Config || step == StepName::StartConfig
 }
 
-/// The operator's stamp on a change is the only wall clock that anything keeps.
-fn has_stamp(step: StepName) -> bool {
+/// Returns whether the step records a wall-clock time: only the operator's timestamp on a change is stored.
+fn records_wall_clock(step: StepName) -> bool {
     matches!(step, StepName::ConfigMerge | StepName::ConfigWrite)
 }
--- a/crates/oatpier-faults/src/orders/network.rs
+++ b/crates/oatpier-faults/src/orders/network.rs
@@ -1,4 +1,4 @@
-//! The messages of agents, engines and the store.
+//! Delivers the messages between agents, engines and the store.
 
 use std::time::Duration;
 
@@ -11,27 +11,27 @@
 use rand::RngExt;
 use smallvec::SmallVec;
 
-use super::inflict::MessageFate;
+use super::inject::MessageDelivery;
 use super::scenario;
-use super::world::{OrderAgent, OrderMessage, OrderWorld, TICK};
+use super::simulation::{OrderAgent, OrderMessage, OrderSimulation, TICK};
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// How long an agent waits for an answer.
+/// Time that an agent waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-impl OrderWorld {
-    pub fn carry_out(&mut self, place: usize, command: OrderCommand) {
-        let Some(agent) = self.agents.get(place) else {
+impl OrderSimulation {
+    pub fn execute_command(&mut self, agent_index: usize, command: OrderCommand) {
+        let Some(agent) = self.agents.get(agent_index) else {
             return;
         };
         let OrderAgent { index, boot, .. } = *agent;
-        if agent.awake_from == ClockTime::NEVER {
+        if agent.paused_until == ClockTime::NEVER {
             return;
         }
         match command {
             OrderCommand::CallStore(call) => {
-                let taking = agent.keeper.epoch() == EpochState::Taking;
+                let taking = agent.keeper.epoch() == EpochState::Acquiring;
                 self.call_store(index, boot, call, taking);
             }
             OrderCommand::Send(order) => self.send_order(index, boot, order),
@@ -45,162 +45,171 @@
         } else {
             StepName::OrderIntent
         };
-        let fate = self.pass(step, index);
+        let delivery = self.inject_at(step, index);
         if self.store_down_until > self.now {
             let event = OrderEvent::Record(RecordAnswer::Unavailable);
             return self.post(OrderMessage::Event(boot, event), TICK);
         }
         let slow = self.store_slow_until > self.now;
-        let takes = if slow {
-            self.up_to(Duration::from_millis(800))
+        let latency = if slow {
+            self.random_up_to(Duration::from_millis(800))
         } else {
             TICK
         };
         let is_write = matches!(call, RecordCall::Write { .. });
-        let forgets = is_write && self.answers_to_lose > 0;
-        if forgets || fate == MessageFate::Lost || fate == MessageFate::Late {
-            self.answers_to_lose -= u32::from(forgets);
+        let loses_answer = is_write && self.answers_to_lose > 0;
+        if loses_answer
+            || delivery == MessageDelivery::Dropped
+            || delivery == MessageDelivery::Delayed
+        {
+            self.answers_to_lose -= u32::from(loses_answer);
             let event = OrderEvent::Record(RecordAnswer::AnswerLost);
             self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
-            let seen = fate != MessageFate::Lost || self.random.random_bool(0.5);
-            let late = if fate == MessageFate::Late {
-                self.up_to(Duration::from_secs(5))
+            let is_delivered = delivery != MessageDelivery::Dropped || self.random.random_bool(0.5);
+            let delay = if delivery == MessageDelivery::Delayed {
+                self.random_up_to(Duration::from_secs(5))
             } else {
-                takes
+                latency
             };
-            if seen {
-                self.post(OrderMessage::StoreCall(index, boot, call, false), late);
+            if is_delivered {
+                self.post(OrderMessage::StoreCall(index, boot, call, false), delay);
             }
             return;
         }
-        if fate == MessageFate::Doubled {
-            let late = self.up_to(Duration::from_secs(5));
+        if delivery == MessageDelivery::Duplicated {
+            let delay = self.random_up_to(Duration::from_secs(5));
             self.post(
                 OrderMessage::StoreCall(index, boot, call.clone(), false),
-                late,
+                delay,
             );
         }
-        self.post(OrderMessage::StoreCall(index, boot, call, true), takes);
+        self.post(OrderMessage::StoreCall(index, boot, call, true), latency);
     }
 
     fn send_order(&mut self, index: usize, boot: BootId, order: EngineOrder) {
-        let mut fate = MessageFate::Kept;
+        let mut delivery = MessageDelivery::Normal;
         for step in steps_of(&order) {
-            fate = fate.max(self.pass(step, index));
+            delivery = delivery.max(self.inject_at(step, index));
         }
         let number = order.number;
-        let late = self.up_to(Duration::from_secs(20));
+        let delay = self.random_up_to(Duration::from_secs(20));
         let cut_to = self.cut_to[index] > self.now;
         let cut_from = self.cut_from[index] > self.now;
-        match fate {
+        match delivery {
             _ if cut_to => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
                 if self.random.random_bool(0.5) {
-                    self.post(OrderMessage::Order(index, boot, order, false), late);
+                    self.post(OrderMessage::Order(index, boot, order, false), delay);
                 }
             }
             _ if cut_from => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
                 self.post(OrderMessage::Order(index, boot, order, false), TICK);
             }
-            MessageFate::Lost => {
+            MessageDelivery::Dropped => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
             }
-            MessageFate::Late => {
+            MessageDelivery::Delayed => {
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
-                self.post(OrderMessage::Order(index, boot, order, false), late);
+                self.post(OrderMessage::Order(index, boot, order, false), delay);
             }
-            MessageFate::Crossed => {
-                // Overtaken by all that is sent in the next seconds, and answered then.
+            MessageDelivery::Misrouted => {
+                // Reordered: it arrives after later messages, up to 5 s late, and is answered then.
                 self.post_outcome(boot, number, OrderOutcome::Unknown, ANSWER_TIMEOUT);
-                self.post(OrderMessage::Order(index, boot, order, true), late / 4);
+                self.post(OrderMessage::Order(index, boot, order, true), delay / 4);
             }
-            MessageFate::Doubled => {
-                self.post(OrderMessage::Order(index, boot, order.clone(), false), late);
+            MessageDelivery::Duplicated => {
+                self.post(
+                    OrderMessage::Order(index, boot, order.clone(), false),
+                    delay,
+                );
                 self.post(OrderMessage::Order(index, boot, order, true), TICK);
             }
-            MessageFate::Kept => {
-                let takes = self.takes(index);
-                self.post(OrderMessage::Order(index, boot, order, true), takes);
+            MessageDelivery::Normal => {
+                let latency = self.latency(index);
+                self.post(OrderMessage::Order(index, boot, order, true), latency);
             }
         }
     }
 
     fn poll(&mut self, index: usize, boot: BootId, ticket: PollTicket) {
-        let fate = self.pass(StepName::OrderPoll, index);
+        let delivery = self.inject_at(StepName::OrderPoll, index);
         let cut = self.cut_to[index] > self.now || self.cut_from[index] > self.now;
-        if cut || fate == MessageFate::Lost {
+        if cut || delivery == MessageDelivery::Dropped {
             let event = OrderEvent::PollFailed { ticket };
             return self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
         }
-        let takes = self.takes(index);
-        match fate {
-            MessageFate::Late => {
+        let latency = self.latency(index);
+        match delivery {
+            MessageDelivery::Delayed => {
                 let event = OrderEvent::PollFailed { ticket };
                 self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
-                let late = self.up_to(Duration::from_secs(6));
-                self.post(OrderMessage::Poll(index, boot, ticket), late);
+                let delay = self.random_up_to(Duration::from_secs(6));
+                self.post(OrderMessage::Poll(index, boot, ticket), delay);
             }
-            MessageFate::Doubled => {
-                let late = self.up_to(Duration::from_secs(6));
-                self.post(OrderMessage::Poll(index, boot, ticket), takes);
-                self.post(OrderMessage::Poll(index, boot, ticket), late);
+            MessageDelivery::Duplicated => {
+                let delay = self.random_up_to(Duration::from_secs(6));
+                self.post(OrderMessage::Poll(index, boot, ticket), latency);
+                self.post(OrderMessage::Poll(index, boot, ticket), delay);
             }
-            MessageFate::Crossed => {
-                // The answer of another poll: this one's comes as a former one's.
+            MessageDelivery::Misrouted => {
+                // Answers crossed: the state arrives under the ticket of the previous poll, and this poll fails.
                 let state = Box::new(self.engines[index].state());
-                let former = PollTicket(ticket.0.saturating_sub(1));
+                let previous = PollTicket(ticket.0.saturating_sub(1));
                 let ticket_event = OrderEvent::Polled {
-                    ticket: former,
+                    ticket: previous,
                     state,
                 };
-                self.post(OrderMessage::Event(boot, ticket_event), takes);
+                self.post(OrderMessage::Event(boot, ticket_event), latency);
                 let event = OrderEvent::PollFailed { ticket };
                 self.post(OrderMessage::Event(boot, event), ANSWER_TIMEOUT);
             }
-            MessageFate::Kept | MessageFate::Lost => {
-                self.post(OrderMessage::Poll(index, boot, ticket), takes);
+            MessageDelivery::Normal | MessageDelivery::Dropped => {
+                self.post(OrderMessage::Poll(index, boot, ticket), latency);
             }
         }
     }
 
-    /// Sends an ask for a release, or its answer.
-    pub fn send_between(&mut self, message: OrderMessage) {
+    /// Sends a release request to another agent, or the answer to one.
+    pub fn send_release(&mut self, message: OrderMessage) {
         let index = match &message {
-            OrderMessage::Ask(index, _) => *index,
-            OrderMessage::Answer(answer) => {
-                let asker = self.agents.iter().find(|agent| agent.boot == answer.boot);
-                asker.map_or(0, |agent| agent.index)
+            OrderMessage::ReleaseRequest(index, _) => *index,
+            OrderMessage::ReleaseAnswer(answer) => {
+                let requester = self.agents.iter().find(|agent| agent.boot == answer.boot);
+                requester.map_or(0, |agent| agent.index)
             }
             _ => 0,
         };
-        let fate = self.pass(StepName::MoveRelease, index);
+        let delivery = self.inject_at(StepName::MoveRelease, index);
         let cut = self.cut_to[index] > self.now || self.cut_from[index] > self.now;
-        if cut || fate == MessageFate::Lost {
+        if cut || delivery == MessageDelivery::Dropped {
             return;
         }
-        let late = self.up_to(Duration::from_secs(6));
-        let takes = self.takes(index);
-        match fate {
-            MessageFate::Late => self.post(message, late),
-            MessageFate::Doubled => {
-                self.post(message.clone(), takes);
-                self.post(message, late);
+        let delay = self.random_up_to(Duration::from_secs(6));
+        let latency = self.latency(index);
+        match delivery {
+            MessageDelivery::Delayed => self.post(message, delay),
+            MessageDelivery::Duplicated => {
+                self.post(message.clone(), latency);
+                self.post(message, delay);
             }
-            MessageFate::Crossed => {
-                if let OrderMessage::Ask(to, ask) = &message {
+            MessageDelivery::Misrouted => {
+                if let OrderMessage::ReleaseRequest(to, request) = &message {
                     let other = (to + 1) % scenario::ENGINES;
-                    self.post(OrderMessage::Ask(other, ask.clone()), takes);
+                    self.post(
+                        OrderMessage::ReleaseRequest(other, request.clone()),
+                        latency,
+                    );
                 }
-                self.post(message, takes);
+                self.post(message, latency);
             }
-            MessageFate::Kept | MessageFate::Lost => self.post(message, takes),
+            MessageDelivery::Normal | MessageDelivery::Dropped => self.post(message, latency),
         }
     }
 
-    fn takes(&mut self, index: usize) -> Duration {
+    fn latency(&mut self, index: usize) -> Duration {
         if self.slow_until[index] > self.now {
-            self.up_to(Duration::from_millis(900))
+            self.random_up_to(Duration::from_millis(900))
         } else {
             TICK
         }
@@ -213,9 +222,9 @@
         outcome: OrderOutcome,
         after: Duration,
     ) {
-        let forgets = self.order.omits(Bypass::UnknownOrders);
+        let is_bypassed = self.run_spec.bypasses(Bypass::UnknownOrders);
         let outcome = match outcome {
-            OrderOutcome::Unknown if forgets => OrderOutcome::NotSent,
+            OrderOutcome::Unknown if is_bypassed => OrderOutcome::NotSent,
             other => other,
         };
         let event = OrderEvent::Answered { number, outcome };
@@ -226,8 +235,8 @@
         self.queue.put(self.now + after, message);
     }
 
-    pub fn up_to(&mut self, span: Duration) -> Duration {
-        span.mul_f64(self.random.random_range(0.0..1.0))
+    pub fn random_up_to(&mut self, duration: Duration) -> Duration {
+        duration.mul_f64(self.random.random_range(0.0..1.0))
     }
 
     pub fn deliver(&mut self, message: OrderMessage) {
@@ -256,16 +265,16 @@
                     agent.keeper.on_event(event, &config, now);
                 }
             }
-            OrderMessage::Ask(index, ref ask) => {
-                let (ask, now) = (ask.clone(), self.now);
+            OrderMessage::ReleaseRequest(index, ref request) => {
+                let (request, now) = (request.clone(), self.now);
                 let Some(boot) = self.current[index] else {
                     return;
                 };
                 if let Some(agent) = self.awake_agent(boot, message) {
-                    agent.releases.on_ask(ask, &mut agent.keeper, now);
+                    agent.releases.on_request(request, &mut agent.keeper, now);
                 }
             }
-            OrderMessage::Answer(answer) => {
+            OrderMessage::ReleaseAnswer(answer) => {
                 let now = self.now;
                 if let Some(agent) = self.awake_agent(answer.boot, message) {
                     agent.releases.on_answer(answer, now);
@@ -277,33 +286,33 @@
 
     fn take_order(&mut self, index: usize, order: &EngineOrder) -> OrderOutcome {
         let outcome = self.engines[index].take(order, self.now);
-        if outcome != OrderOutcome::Taken {
+        if outcome != OrderOutcome::Accepted {
             return outcome;
         }
-        self.note(FleetEvent::OrderTaken {
+        self.log_event(FleetEvent::OrderTaken {
             endpoint: scenario::endpoint(index),
             number: order.number,
             action: order.action.clone(),
         });
         if let OrderAction::Unload { weights } = &order.action
-            && self.is_working(index, weights)
+            && self.has_requests(index, weights)
         {
-            let text = format!("{order:?} at {index} cut off what ran");
+            let text = format!("{order:?} at engine {index} cut off running requests");
             self.report.findings.push(text);
         }
         self.observe();
         outcome
     }
 
-    /// The agent, if it is awake; else the message waits for it.
+    /// Returns the agent if it is not paused. Otherwise the message is queued until it resumes.
     fn awake_agent(&mut self, boot: BootId, message: OrderMessage) -> Option<&mut OrderAgent> {
-        let place = self.agents.iter().position(|agent| agent.boot == boot)?;
-        let wake: ClockTime = self.agents[place].awake_from;
+        let agent_index = self.agents.iter().position(|agent| agent.boot == boot)?;
+        let wake: ClockTime = self.agents[agent_index].paused_until;
         if wake > self.now {
             self.queue.put(wake, message);
             return None;
         }
-        Some(&mut self.agents[place])
+        Some(&mut self.agents[agent_index])
     }
 
     fn store_answer(&mut self, index: usize, call: RecordCall) -> RecordAnswer {
@@ -322,7 +331,7 @@
     }
 }
 
-/// The steps that an order passes on its way.
+/// Returns the steps that an order is part of.
 fn steps_of(order: &EngineOrder) -> SmallVec<[StepName; 3]> {
     let mut steps = SmallVec::from_slice(&[StepName::OrderSend]);
     let (step, weights) = match &order.action {
--- a/crates/oatpier-faults/src/request/agent.rs
+++ b/crates/oatpier-faults/src/request/agent.rs
@@ -1,4 +1,4 @@
-//! An agent: carries out what its decisions say.
+//! The simulated agent: executes the actions of the agent policy.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +7,22 @@
 };
 use oatpier_admission::policy::AgentPolicy;
 use oatpier_types::ids::{AttemptId, BootId, Generation, RequestId};
-use oatpier_types::pulse::EndpointStatus;
 use oatpier_types::refusal::RefusalCause;
 use oatpier_types::request::{AttemptSpec, RequestGoal};
+use oatpier_types::status::EndpointStatus;
 use oatpier_types::verdict::RunVerdict;
 
 use super::entry::copy_refusal;
 use super::fleet;
-use super::message::{AGENTS, AnswerFrame, CallWord, ENTRIES, FIRST_AGENT, Message, NodeId};
-use super::world::RequestWorld;
+use super::message::{AGENTS, AnswerFrame, CallUpdate, ENTRIES, FIRST_AGENT, Message, NodeId};
+use super::simulation::RequestSimulation;
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// Attempts that an endpoint runs at once: one, so that others wait.
+/// Attempts that an endpoint runs concurrently: one, so that others are queued.
 const SLOTS: u32 = 1;
 
-/// One attempt at the agent.
+/// An attempt that the agent holds.
 #[derive(Debug, Clone)]
 struct HeldAttempt {
     spec: Box<AttemptSpec>,
@@ -33,10 +33,10 @@
     entry: NodeId,
 }
 
-/// One start of an agent.
+/// The state of an agent since its last start.
 pub struct AgentNode {
     pub policy: AgentPolicy,
-    pub told: bool,
+    pub is_leaving: bool,
     held: BTreeMap<AttemptId, HeldAttempt>,
 }
 
@@ -44,18 +44,18 @@
     pub fn new(boot: BootId) -> Self {
         Self {
             policy: AgentPolicy::new(boot, AdmissionLimits::for_slots(SLOTS)),
-            told: false,
+            is_leaving: false,
             held: BTreeMap::new(),
         }
     }
 
-    /// Attempts at the endpoint.
+    /// Returns the number of attempts that run at the endpoint.
     pub fn running(&self) -> usize {
         self.held.values().filter(|held| held.running).count()
     }
 }
 
-impl RequestWorld {
+impl RequestSimulation {
     pub fn set_up_agent(&mut self, agent: NodeId) {
         let boot = BootId(self.nodes[agent].boot.into());
         self.agents[agent - FIRST_AGENT] = AgentNode::new(boot);
@@ -67,19 +67,19 @@
             Vec::new()
         };
         let loading = Vec::new();
-        self.step_agent(agent, AgentEvent::ReadyChanged { ready, loading });
+        self.step_agent(agent, AgentEvent::WeightsChanged { ready, loading });
         let up = self.nodes[agent + AGENTS].up;
         self.step_agent(agent, AgentEvent::EndpointUp { up });
-        self.tell_status(agent);
+        self.send_status(agent);
     }
 
-    pub fn tell_status(&mut self, agent: NodeId) {
+    pub fn send_status(&mut self, agent: NodeId) {
         let state = self.nodes[agent];
-        if !state.up || state.paused_until > self.now || self.is_hushed(agent) {
+        if !state.up || state.paused_until > self.now || self.is_status_suppressed(agent) {
             return;
         }
         let now = self.now;
-        let pulse = self.agents[agent - FIRST_AGENT].policy.pulse(now);
+        let report = self.agents[agent - FIRST_AGENT].policy.queue_report(now);
         let engine = fleet::is_engine(agent);
         let status = EndpointStatus {
             endpoint: fleet::endpoint(agent),
@@ -88,7 +88,7 @@
             ready: engine.then(fleet::weights).into_iter().collect(),
             ready_sequence: 1,
             generation: Generation(1),
-            pulse,
+            queue: report,
         };
         for entry in 0..ENTRIES {
             if self.nodes[entry].up {
@@ -98,7 +98,7 @@
         }
     }
 
-    pub fn agent_takes(&mut self, agent: NodeId, from: NodeId, message: Message) {
+    pub fn handle_agent_message(&mut self, agent: NodeId, from: NodeId, message: Message) {
         match message {
             Message::Attempt { spec, ticket, key } => self.admit(agent, from, spec, ticket, key),
             Message::Cancel {
@@ -106,10 +106,12 @@
                 attempt,
                 ticket,
                 seal_only,
-            } => self.take_cancel(agent, from, request, attempt, ticket, seal_only),
-            Message::Word { attempt, word } => self.take_word(agent, attempt, word),
-            Message::EntryGone(attempt) => self.take_entry_gone(agent, attempt),
-            Message::Leave => self.take_leave(agent),
+            } => self.handle_cancel(agent, from, request, attempt, ticket, seal_only),
+            Message::CallUpdate { attempt, update } => {
+                self.handle_call_update(agent, attempt, update);
+            }
+            Message::EntryGone(attempt) => self.handle_entry_gone(agent, attempt),
+            Message::Leave => self.handle_leave(agent),
             _ => {}
         }
     }
@@ -138,14 +140,14 @@
         }
         let spec = *spec;
         self.step_agent(agent, AgentEvent::Arrive { spec, ticket });
-        self.pass(StepName::Admit, entry, agent);
+        self.inject_at(StepName::Admit, entry, agent);
         let held = self.agents[agent - FIRST_AGENT].held.get(&attempt);
         if self.nodes[agent].up && held.is_some_and(|held| !held.running) {
-            self.pass(StepName::Queue, entry, agent);
+            self.inject_at(StepName::Queue, entry, agent);
         }
     }
 
-    fn take_cancel(
+    fn handle_cancel(
         &mut self,
         agent: NodeId,
         entry: NodeId,
@@ -156,7 +158,7 @@
     ) {
         let held = self.agents[agent - FIRST_AGENT].held.get(&attempt);
         let running = held.is_some_and(|held| held.running);
-        let verdict = if held.is_none() && self.order.omits(Bypass::Tombstone) {
+        let verdict = if held.is_none() && self.run_spec.bypasses(Bypass::Tombstone) {
             RunVerdict::NotRun
         } else if running && seal_only {
             RunVerdict::MayHaveRun
@@ -183,49 +185,53 @@
         if verdict == RunVerdict::NotRun {
             self.agents[agent - FIRST_AGENT].held.remove(&attempt);
         }
-        self.carry_out(agent, actions);
+        self.execute_agent_actions(agent, actions);
         verdict
     }
 
-    /// What waits is given up, and an engine's work too; a call to a service goes on.
-    fn take_entry_gone(&mut self, agent: NodeId, attempt: AttemptId) {
+    /// Cancels the attempt of an entry that is gone if it is queued or runs at an engine; a call to a service continues.
+    fn handle_entry_gone(&mut self, agent: NodeId, attempt: AttemptId) {
         if let Some(held) = self.agents[agent - FIRST_AGENT].held.get(&attempt) {
             let ticket = held.ticket;
             self.cancel(agent, attempt, ticket);
         }
     }
 
-    fn take_word(&mut self, agent: NodeId, attempt: AttemptId, word: CallWord) {
+    fn handle_call_update(&mut self, agent: NodeId, attempt: AttemptId, update: CallUpdate) {
         let held = self.agents[agent - FIRST_AGENT].held.get_mut(&attempt);
         let request = held.as_ref().map(|held| held.spec.request);
         let first = held.is_some_and(|held| !std::mem::replace(&mut held.begun, true));
-        let event = match word {
-            CallWord::Up(up) => AgentEvent::EndpointUp { up },
-            CallWord::Piece(_) if first => AgentEvent::EndpointFirstToken { attempt },
-            CallWord::Piece(_) => AgentEvent::EndpointPiece { attempt, tokens: 1 },
-            CallWord::End => AgentEvent::EndpointEnded { attempt },
-            CallWord::Failed(verdict) => AgentEvent::EndpointFailed { attempt, verdict },
+        let event = match update {
+            CallUpdate::Up(up) => AgentEvent::EndpointUp { up },
+            CallUpdate::Piece(_) if first => AgentEvent::EndpointFirstToken { attempt },
+            CallUpdate::Piece(_) => AgentEvent::EndpointChunk { attempt, tokens: 1 },
+            CallUpdate::End => AgentEvent::EndpointEnded { attempt },
+            CallUpdate::Failed(verdict) => AgentEvent::EndpointFailed { attempt, verdict },
         };
         self.step_agent(agent, event);
         let Some(content) = request else {
             return;
         };
-        let pulse = self.agents[agent - FIRST_AGENT].policy.pulse(self.now);
-        match word {
-            CallWord::Piece(place) => {
+        let report = self.agents[agent - FIRST_AGENT]
+            .policy
+            .queue_report(self.now);
+        match update {
+            CallUpdate::Piece(position) => {
                 if first {
-                    self.frame(agent, attempt, AnswerFrame::Head(pulse));
+                    self.send_frame(agent, attempt, AnswerFrame::Head(report));
                 }
-                self.frame(agent, attempt, AnswerFrame::Piece { place, content });
+                self.send_frame(agent, attempt, AnswerFrame::Piece { position, content });
+            }
+            CallUpdate::End => self.send_frame(agent, attempt, AnswerFrame::End(report)),
+            CallUpdate::Failed(verdict) => {
+                self.send_frame(agent, attempt, AnswerFrame::Failed(verdict));
             }
-            CallWord::End => self.frame(agent, attempt, AnswerFrame::End(pulse)),
-            CallWord::Failed(verdict) => self.frame(agent, attempt, AnswerFrame::Failed(verdict)),
-            CallWord::Up(_) => {}
+            CallUpdate::Up(_) => {}
         }
     }
 
-    /// Sends a part of an answer to the attempt's entry.
-    fn frame(&mut self, agent: NodeId, attempt: AttemptId, frame: AnswerFrame) {
+    /// Sends a part of an answer to the entry of the attempt.
+    fn send_frame(&mut self, agent: NodeId, attempt: AttemptId, frame: AnswerFrame) {
         let node = &mut self.agents[agent - FIRST_AGENT];
         let Some(held) = node.held.get(&attempt) else {
             return;
@@ -252,32 +258,34 @@
     pub fn step_agent(&mut self, agent: NodeId, event: AgentEvent) {
         let now = self.now;
         let actions = self.agents[agent - FIRST_AGENT].policy.step(event, now);
-        self.carry_out(agent, actions);
+        self.execute_agent_actions(agent, actions);
     }
 
     pub fn wake_agent(&mut self, agent: NodeId) {
         self.step_agent(agent, AgentEvent::Timer);
     }
 
-    fn carry_out(&mut self, agent: NodeId, actions: AgentActions) {
+    fn execute_agent_actions(&mut self, agent: NodeId, actions: AgentActions) {
         for action in actions {
             if !self.nodes[agent].up {
                 return;
             }
-            let pulse = self.agents[agent - FIRST_AGENT].policy.pulse(self.now);
+            let report = self.agents[agent - FIRST_AGENT]
+                .policy
+                .queue_report(self.now);
             match action {
                 AgentAction::Start { attempt, .. } => self.start_call(agent, attempt),
                 AgentAction::Refuse { attempt, refusal } => {
                     if refusal.cause == RefusalCause::Leaving {
-                        self.pass(StepName::StopRefuse, 0, agent);
+                        self.inject_at(StepName::StopRefuse, 0, agent);
                     }
-                    self.frame(agent, attempt, AnswerFrame::Refused(refusal, pulse));
+                    self.send_frame(agent, attempt, AnswerFrame::Refused(refusal, report));
                 }
                 AgentAction::AnswerCopy { attempt, .. } => {
-                    self.answer_copy(agent, attempt, AnswerFrame::Refused(copy_refusal(), pulse));
+                    self.answer_copy(agent, attempt, AnswerFrame::Refused(copy_refusal(), report));
                 }
                 AgentAction::CancelAtEndpoint { attempt } => self.stop_call(agent, attempt),
-                // A drained process exits once its last answer is on its way: see `watch_stop`.
+                // A drained process exits once its last answer was sent: see `check_stop`.
                 AgentAction::Cancelled { .. } | AgentAction::Drained => {}
             }
         }
@@ -285,7 +293,8 @@
         self.wake_at(agent, next);
     }
 
-    /// The first copy, if it is still here, keeps its own way to the entry.
+    /// Answers a duplicate attempt over its connection. The first copy, if it is still held, keeps its own path to the
+    /// entry.
     fn answer_copy(&mut self, agent: NodeId, attempt: AttemptId, frame: AnswerFrame) {
         let Some(connection) = self.connections.get(&attempt).copied() else {
             return;
@@ -296,7 +305,7 @@
             frame,
         };
         if self.nodes[connection.entry].up {
-            self.put_directly(
+            self.post_directly(
                 agent,
                 connection.entry,
                 message,
--- a/crates/oatpier-faults/src/request/claims.rs
+++ b/crates/oatpier-faults/src/request/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys: an entry's part, the claimer's, and the store's.
+//! Claims of idempotency keys: the roles of the entry, the claimer and the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 };
 use oatpier_claims::log::ClaimLog;
 use oatpier_claims::message::{
-    ClaimAnswer, ClaimAsk, ClaimFinish, ClaimRelease, KeyHash, RequestFingerprint,
+    ClaimAnswer, ClaimFinish, ClaimQuery, ClaimRelease, KeyHash, RequestFingerprint,
 };
 use oatpier_claims::partition::PartitionId;
 use oatpier_policy::event::EntryEvent;
@@ -17,41 +17,41 @@
 use oatpier_types::ids::{BootId, RequestId, Revision};
 use oatpier_types::verdict::RunVerdict;
 
-use super::inflict::daemon;
-use super::message::{CALLERS, Happening, Message, NodeId};
-use super::network::Treatment;
-use super::world::RequestWorld;
+use super::inject::daemon;
+use super::message::{CALLERS, Message, NodeId, SimEvent};
+use super::network::MessageDelivery;
+use super::simulation::RequestSimulation;
 use crate::run::Bypass;
 use crate::step::StepName;
 
-/// How long an entry waits for another's claimer before it asks its own.
-const ASK_AGAIN: Duration = Duration::from_millis(800);
-/// Claimers that are asked for one claim.
-const MOST_ASKS: u32 = 3;
-/// How often a settlement that is not recorded is sent again.
-const SETTLE_AGAIN: Duration = Duration::from_millis(500);
+/// Time that an entry waits for the claimer of another entry before it queries its own.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum number of claimers that are queried for one claim.
+const MAX_QUERIES: u32 = 3;
+/// Interval at which a settlement is sent again until it is recorded.
+const SETTLE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy)]
-struct OpenAsk {
-    ask: ClaimAsk,
+struct OpenQuery {
+    query: ClaimQuery,
     tries: u32,
-    again_at: ClockTime,
+    retry_at: ClockTime,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Settlement {
     key: u64,
     verdict: RunVerdict,
-    again_at: ClockTime,
+    retry_at: ClockTime,
 }
 
-/// An entry's claims, its claimer among them.
+/// The claims of an entry, and the claimer in the same process.
 pub struct EntryClaims {
     log: ClaimLog,
-    asks: BTreeMap<RequestId, OpenAsk>,
+    queries: BTreeMap<RequestId, OpenQuery>,
     settlements: BTreeMap<RequestId, Settlement>,
-    /// Who asked the claimer here.
-    askers: BTreeMap<RequestId, NodeId>,
+    /// The nodes that queried the claimer in this process, by request.
+    queriers: BTreeMap<RequestId, NodeId>,
 }
 
 impl EntryClaims {
@@ -59,36 +59,38 @@
         let settings = ClaimSettings::default();
         Self {
             log: ClaimLog::new(PartitionId(0), daemon(node), boot, settings),
-            asks: BTreeMap::new(),
+            queries: BTreeMap::new(),
             settlements: BTreeMap::new(),
-            askers: BTreeMap::new(),
+            queriers: BTreeMap::new(),
         }
     }
 
     pub fn next_timer(&self) -> ClockTime {
-        let asks = self.asks.values().map(|ask| ask.again_at).min();
-        self.log.next_timer().min(asks.unwrap_or(ClockTime::NEVER))
+        let queries = self.queries.values().map(|query| query.retry_at).min();
+        self.log
+            .next_timer()
+            .min(queries.unwrap_or(ClockTime::NEVER))
     }
 
-    /// Whether every settlement is in the store.
+    /// Returns whether every settlement is recorded in the store.
     pub fn is_settled(&self) -> bool {
         self.settlements.is_empty()
     }
 }
 
-/// The store, as far as claims go.
+/// A modelled store that holds the segments of the claim log.
 #[derive(Debug, Default)]
-pub struct ModelStore {
+pub struct SegmentStore {
     values: BTreeMap<String, (Vec<u8>, Revision)>,
     revision: Revision,
     pub down_until: ClockTime,
     pub slow_until: ClockTime,
     pub answers_to_lose: u32,
-    /// The entry that is the claimer, as the entries believe.
+    /// The entry that the entries currently use as the claimer.
     pub claimer: NodeId,
 }
 
-impl ModelStore {
+impl SegmentStore {
     fn take(&mut self, action: &ClaimAction) -> StoreAnswer {
         match action {
             ClaimAction::WriteSegment {
@@ -137,48 +139,51 @@
     }
 }
 
-impl RequestWorld {
+impl RequestSimulation {
     pub fn claim(&mut self, entry: NodeId, request: RequestId, key: u64) {
-        if self.order.omits(Bypass::Claim) {
-            return self.tell_request(entry, request, &EntryEvent::ClaimGranted, None);
+        if self.run_spec.bypasses(Bypass::Claim) {
+            return self.step_request(entry, request, &EntryEvent::ClaimGranted, None);
         }
-        let ask = ClaimAsk {
+        let query = ClaimQuery {
             key: KeyHash(key.into()),
             fingerprint: RequestFingerprint(1),
             request,
         };
         let claimer = self.store.claimer;
-        self.ask(entry, claimer, ask, 1);
+        self.query(entry, claimer, query, 1);
     }
 
-    fn ask(&mut self, entry: NodeId, claimer: NodeId, ask: ClaimAsk, tries: u32) {
-        let open = OpenAsk {
-            ask,
+    fn query(&mut self, entry: NodeId, claimer: NodeId, query: ClaimQuery, tries: u32) {
+        let open = OpenQuery {
+            query,
             tries,
-            again_at: self.now + ASK_AGAIN,
+            retry_at: self.now + QUERY_TIMEOUT,
         };
-        self.entries[entry].claims.asks.insert(ask.request, open);
-        self.say(StepName::Claim, entry, claimer, Message::Ask(ask));
+        self.entries[entry]
+            .claims
+            .queries
+            .insert(query.request, open);
+        self.send_to_claimer(StepName::Claim, entry, claimer, Message::ClaimQuery(query));
     }
 
-    /// Says something to a claimer, which may be in the same process.
-    fn say(&mut self, step: StepName, from: NodeId, to: NodeId, message: Message) {
+    /// Sends a message between an entry and a claimer, which may be in the same process.
+    fn send_to_claimer(&mut self, step: StepName, from: NodeId, to: NodeId, message: Message) {
         if from != to {
             return self.send(Some(step), from, to, message);
         }
-        let treatment = self.pass(step, from, to);
-        if treatment != Treatment::Lose && self.nodes[to].up {
-            self.put_directly(from, to, message, Duration::from_micros(10));
+        let delivery = self.inject_at(step, from, to);
+        if delivery != MessageDelivery::Dropped && self.nodes[to].up {
+            self.post_directly(from, to, message, Duration::from_micros(10));
         }
     }
 
     pub fn settle(&mut self, entry: NodeId, request: RequestId, key: u64, verdict: RunVerdict) {
         let claims = &mut self.entries[entry].claims;
-        claims.asks.remove(&request);
+        claims.queries.remove(&request);
         let settlement = Settlement {
             key,
             verdict,
-            again_at: self.now,
+            retry_at: self.now,
         };
         claims.settlements.insert(request, settlement);
         self.send_settlements(entry);
@@ -191,10 +196,10 @@
         }
         let now = self.now;
         let open = self.entries[entry].claims.settlements.iter_mut();
-        let due = open.filter(|(_, settlement)| settlement.again_at <= now);
+        let due = open.filter(|(_, settlement)| settlement.retry_at <= now);
         let due: Vec<(RequestId, Settlement)> = due
             .map(|(request, settlement)| {
-                settlement.again_at = now + SETTLE_AGAIN;
+                settlement.retry_at = now + SETTLE_RETRY_INTERVAL;
                 (*request, *settlement)
             })
             .collect();
@@ -210,23 +215,28 @@
                 request,
                 verdict,
             };
-            self.say(StepName::SettleClaim, entry, claimer, message);
+            self.send_to_claimer(StepName::SettleClaim, entry, claimer, message);
         }
     }
 
-    pub fn claims_take(&mut self, entry: NodeId, from: NodeId, message: Message) {
+    pub fn handle_claim_message(&mut self, entry: NodeId, from: NodeId, message: Message) {
         match message {
-            Message::Ask(ask) => {
-                self.entries[entry].claims.askers.insert(ask.request, from);
-                self.step_log(entry, ClaimEvent::Asked(ask));
+            Message::ClaimQuery(query) => {
+                self.entries[entry]
+                    .claims
+                    .queriers
+                    .insert(query.request, from);
+                self.step_log(entry, ClaimEvent::Queried(query));
+            }
+            Message::ClaimAnswer { request, answer } => {
+                self.handle_claim_answer(entry, request, &answer);
             }
-            Message::AskAnswer { request, answer } => self.ask_answered(entry, request, &answer),
             Message::Settle {
                 key,
                 request,
                 verdict,
             } => {
-                self.entries[entry].claims.askers.insert(request, from);
+                self.entries[entry].claims.queriers.insert(request, from);
                 self.step_log(entry, settle_event(key, request, verdict));
             }
             Message::Recorded(request) => {
@@ -236,8 +246,8 @@
         }
     }
 
-    fn ask_answered(&mut self, entry: NodeId, request: RequestId, answer: &ClaimAnswer) {
-        let Some(open) = self.entries[entry].claims.asks.remove(&request) else {
+    fn handle_claim_answer(&mut self, entry: NodeId, request: RequestId, answer: &ClaimAnswer) {
+        let Some(open) = self.entries[entry].claims.queries.remove(&request) else {
             return;
         };
         let event = match answer {
@@ -245,18 +255,18 @@
             ClaimAnswer::Denied(denial) => EntryEvent::ClaimRefused {
                 earlier: denial.verdict(),
             },
-            ClaimAnswer::Moved { owner } if open.tries < MOST_ASKS => {
+            ClaimAnswer::Moved { owner } if open.tries < MAX_QUERIES => {
                 let named = owner
                     .as_ref()
                     .and_then(|owner| (0..CALLERS).find(|node| daemon(*node) == *owner));
                 let claimer = named.unwrap_or(entry);
-                return self.ask(entry, claimer, open.ask, open.tries + 1);
+                return self.query(entry, claimer, open.query, open.tries + 1);
             }
             ClaimAnswer::Unavailable { .. } | ClaimAnswer::Moved { .. } => {
                 EntryEvent::ClaimUnavailable
             }
         };
-        self.tell_request(entry, request, &event, None);
+        self.step_request(entry, request, &event, None);
     }
 
     pub fn wake_claims(&mut self, entry: NodeId) {
@@ -264,16 +274,19 @@
         if self.entries[entry].claims.log.next_timer() <= now {
             self.step_log(entry, ClaimEvent::Timer);
         }
-        let asks = self.entries[entry].claims.asks.iter();
-        let overdue = asks.filter(|(_, open)| open.again_at <= now);
-        let overdue: Vec<OpenAsk> = overdue.map(|(_, open)| *open).collect();
+        let queries = self.entries[entry].claims.queries.iter();
+        let overdue = queries.filter(|(_, open)| open.retry_at <= now);
+        let overdue: Vec<OpenQuery> = overdue.map(|(_, open)| *open).collect();
         for open in overdue {
-            if open.tries < MOST_ASKS {
-                self.ask(entry, entry, open.ask, open.tries + 1);
+            if open.tries < MAX_QUERIES {
+                self.query(entry, entry, open.query, open.tries + 1);
             } else {
-                self.entries[entry].claims.asks.remove(&open.ask.request);
+                self.entries[entry]
+                    .claims
+                    .queries
+                    .remove(&open.query.request);
                 let event = EntryEvent::ClaimUnavailable;
-                self.tell_request(entry, open.ask.request, &event, None);
+                self.step_request(entry, open.query.request, &event, None);
             }
         }
     }
@@ -281,27 +294,27 @@
     fn step_log(&mut self, entry: NodeId, event: ClaimEvent) {
         let now = self.now;
         let actions = self.entries[entry].claims.log.step(event, now);
-        self.carry_claims(entry, actions);
+        self.execute_claim_actions(entry, actions);
         self.schedule_entry(entry);
     }
 
-    fn carry_claims(&mut self, entry: NodeId, actions: ClaimActions) {
+    fn execute_claim_actions(&mut self, entry: NodeId, actions: ClaimActions) {
         for action in actions {
             match action {
                 ClaimAction::Answer {
                     request, answer, ..
                 } => {
-                    let asker = self.entries[entry].claims.askers.get(&request).copied();
-                    let message = Message::AskAnswer { request, answer };
-                    self.say(StepName::Claim, entry, asker.unwrap_or(entry), message);
+                    let querier = self.entries[entry].claims.queriers.get(&request).copied();
+                    let message = Message::ClaimAnswer { request, answer };
+                    self.send_to_claimer(StepName::Claim, entry, querier.unwrap_or(entry), message);
                 }
                 ClaimAction::Recorded { request, .. } => {
-                    let asker = self.entries[entry].claims.askers.get(&request).copied();
+                    let querier = self.entries[entry].claims.queriers.get(&request).copied();
                     let message = Message::Recorded(request);
-                    self.say(
+                    self.send_to_claimer(
                         StepName::SettleClaim,
                         entry,
-                        asker.unwrap_or(entry),
+                        querier.unwrap_or(entry),
                         message,
                     );
                 }
@@ -317,22 +330,28 @@
 
     fn call_store(&mut self, entry: NodeId, call: CallNumber, action: ClaimAction) {
         let slow = self.store.slow_until > self.now;
-        let takes = if slow {
-            self.draw_millis(100, 700)
+        let latency = if slow {
+            self.random_millis(100, 700)
         } else {
-            self.draw_millis(1, 4)
+            self.random_millis(1, 4)
         };
         let boot = self.nodes[entry].boot;
-        let happening = Happening::StoreSees {
+        let event = SimEvent::StoreCallArrives {
             entry,
             boot,
             call,
             action,
         };
-        self.queue.put(self.now + takes, happening);
+        self.queue.put(self.now + latency, event);
     }
 
-    pub fn store_sees(&mut self, entry: NodeId, boot: u64, call: CallNumber, action: &ClaimAction) {
+    pub fn call_at_store(
+        &mut self,
+        entry: NodeId,
+        boot: u64,
+        call: CallNumber,
+        action: &ClaimAction,
+    ) {
         let is_write = matches!(action, ClaimAction::WriteSegment { .. });
         let answer = if self.store.down_until > self.now {
             StoreAnswer::Unavailable
@@ -344,17 +363,17 @@
         if lost {
             self.store.answers_to_lose -= 1;
         }
-        let takes = self.draw_millis(1, if lost { 400 } else { 4 });
-        let happening = Happening::StoreAnswers {
+        let latency = self.random_millis(1, if lost { 400 } else { 4 });
+        let event = SimEvent::StoreCallEnds {
             entry,
             boot,
             call,
             answer: (!lost).then_some(answer),
         };
-        self.queue.put(self.now + takes, happening);
+        self.queue.put(self.now + latency, event);
     }
 
-    pub fn store_answers(
+    pub fn handle_store_answer(
         &mut self,
         entry: NodeId,
         boot: u64,
@@ -366,13 +385,13 @@
             return;
         }
         if state.paused_until > self.now {
-            let happening = Happening::StoreAnswers {
+            let event = SimEvent::StoreCallEnds {
                 entry,
                 boot,
                 call,
                 answer,
             };
-            self.queue.put(state.paused_until, happening);
+            self.queue.put(state.paused_until, event);
             return;
         }
         let event = match answer {
