--- a/crates/oatpier-faults/src/request/network.rs
+++ b/crates/oatpier-faults/src/request/network.rs
@@ -1,4 +1,4 @@
-//! How messages travel, and what the faults do to them.
+//! Delivers messages, and applies faults to them.
 
 use std::time::Duration;
 
@@ -7,29 +7,29 @@
 use rand::RngExt;
 
 use super::message::{
-    AGENTS, AnswerFrame, CALLERS, CallWord, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Happening,
-    Message, NodeId,
+    AGENTS, AnswerFrame, CALLERS, CallUpdate, ENTRIES, FIRST_AGENT, FIRST_ENDPOINT, Message,
+    NodeId, SimEvent,
 };
-use super::world::RequestWorld;
+use super::simulation::RequestSimulation;
 use crate::step::StepName;
 
-/// What is done to one message.
+/// How a message is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Treatment {
+pub enum MessageDelivery {
     #[default]
-    Deliver,
-    Lose,
-    Delay,
-    Double,
-    Cross,
+    Normal,
+    Dropped,
+    Delayed,
+    Duplicated,
+    Misrouted,
 }
 
-impl RequestWorld {
-    /// Sends a message; the faults of `step` strike here.
+impl RequestSimulation {
+    /// Sends a message; faults at `step` are injected here.
     pub fn send(&mut self, step: Option<StepName>, from: NodeId, to: NodeId, message: Message) {
-        let treatment = match step {
-            Some(step) => self.pass(step, from, to),
-            None => Treatment::Deliver,
+        let delivery = match step {
+            Some(step) => self.inject_at(step, from, to),
+            None => MessageDelivery::Normal,
         };
         if !self.nodes[from].up {
             return;
@@ -38,53 +38,53 @@
             self.refuse_connection(from, to, message);
             return;
         }
-        match treatment {
-            Treatment::Deliver => self.post(from, to, message, Duration::ZERO),
-            Treatment::Lose => self.lose(from, to, &message),
-            Treatment::Delay => {
-                let late = self.draw_millis(50, 2_500);
-                self.post(from, to, message, late);
+        match delivery {
+            MessageDelivery::Normal => self.post(from, to, message, Duration::ZERO),
+            MessageDelivery::Dropped => self.drop_message(from, to, &message),
+            MessageDelivery::Delayed => {
+                let delay = self.random_millis(50, 2_500);
+                self.post(from, to, message, delay);
             }
-            Treatment::Double => {
-                let late = self.draw_millis(1, 1_500);
+            MessageDelivery::Duplicated => {
+                let delay = self.random_millis(1, 1_500);
                 self.post(from, to, message.clone(), Duration::ZERO);
-                self.post(from, to, message, late);
+                self.post(from, to, message, delay);
             }
-            Treatment::Cross => {
-                let to = self.cross(from, to, &message);
+            MessageDelivery::Misrouted => {
+                let to = self.misroute(from, to, &message);
                 self.post(from, to, message, Duration::ZERO);
             }
         }
     }
 
-    fn post(&mut self, from: NodeId, to: NodeId, message: Message, late: Duration) {
+    fn post(&mut self, from: NodeId, to: NodeId, message: Message, delay: Duration) {
         let micros = self.random.random_range(500..2_500);
-        let mut at = self.now + Duration::from_micros(micros) + late;
+        let mut at = self.now + Duration::from_micros(micros) + delay;
         let slow = [from, to]
             .iter()
             .any(|node| self.nodes[*node].slow_until > self.now);
         if slow {
-            at = at + self.draw_millis(50, 400);
+            at = at + self.random_millis(50, 400);
         }
         if let Some(until) = self.blocked_until(from, to) {
-            // Sent again by the transport after the cut, or given up with the connection.
+            // The transport retransmits the message after the cut, or drops it with the connection.
             if self.random.random_bool(0.5) {
-                self.lose(from, to, &message);
+                self.drop_message(from, to, &message);
                 return;
             }
-            at = at.max(until) + self.draw_millis(1, 200);
+            at = at.max(until) + self.random_millis(1, 200);
         }
-        let Some(at) = self.in_stream(&message, at) else {
+        let Some(at) = self.ordered_arrival(&message, at) else {
             return;
         };
         let boot = self.nodes[to].boot;
-        let happening = Happening::Deliver {
+        let event = SimEvent::Deliver {
             from,
             to,
             boot,
             message,
         };
-        self.queue.put(at, happening);
+        self.queue.put(at, event);
     }
 
     fn blocked_until(&self, from: NodeId, to: NodeId) -> Option<ClockTime> {
@@ -92,30 +92,30 @@
         (*until > self.now).then_some(*until)
     }
 
-    /// The frames of an attempt keep their order, and end with the connection.
-    fn in_stream(&mut self, message: &Message, at: ClockTime) -> Option<ClockTime> {
+    /// Returns the arrival time that keeps the frames of an attempt in order, or `None` if its connection is broken.
+    fn ordered_arrival(&mut self, message: &Message, at: ClockTime) -> Option<ClockTime> {
         let attempt = match message {
             Message::Frame { attempt, .. } => attempt,
-            Message::Word { attempt, word } if !matches!(word, CallWord::Up(_)) => {
-                let floor = self.word_floors.entry(*attempt).or_insert(at);
-                *floor = at.max(*floor);
-                return Some(*floor);
+            Message::CallUpdate { attempt, update } if !matches!(update, CallUpdate::Up(_)) => {
+                let earliest_arrival = self.update_arrivals.entry(*attempt).or_insert(at);
+                *earliest_arrival = at.max(*earliest_arrival);
+                return Some(*earliest_arrival);
             }
             _ => return Some(at),
         };
         let Some(connection) = self.connections.get_mut(attempt) else {
             return Some(at);
         };
-        if connection.broken {
+        if connection.is_broken {
             return None;
         }
-        connection.floor = connection.floor.max(at);
-        Some(connection.floor)
+        connection.earliest_arrival = connection.earliest_arrival.max(at);
+        Some(connection.earliest_arrival)
     }
 
-    /// The transport gives the message up, and its connection with it.
-    fn lose(&mut self, from: NodeId, to: NodeId, message: &Message) {
-        let after = self.draw_millis(200, 3_000);
+    /// Drops a message, and breaks its connection.
+    fn drop_message(&mut self, from: NodeId, to: NodeId, message: &Message) {
+        let after = self.random_millis(200, 3_000);
         let (attempt, entry, agent) = match message {
             Message::Attempt { spec, .. } => (spec.attempt, from, to),
             Message::Frame { attempt, .. } => (*attempt, to, from),
@@ -123,8 +123,8 @@
                 let attempt = spec.attempt;
                 return self.call_failed(from, attempt, RunVerdict::MayHaveRun, after);
             }
-            Message::Word { attempt, word } => {
-                if !matches!(word, CallWord::Up(_)) {
+            Message::CallUpdate { attempt, update } => {
+                if !matches!(update, CallUpdate::Up(_)) {
                     self.call_failed(to, *attempt, RunVerdict::MayHaveRun, after);
                     self.services[from - FIRST_ENDPOINT].forget(*attempt);
                 }
@@ -138,7 +138,7 @@
                     attempt: *attempt,
                     verdict: RunVerdict::MayHaveRun,
                 };
-                return self.put_directly(to, from, answer, after);
+                return self.post_directly(to, from, answer, after);
             }
             Message::CancelAnswer {
                 request, attempt, ..
@@ -148,7 +148,7 @@
                     attempt: *attempt,
                     verdict: RunVerdict::MayHaveRun,
                 };
-                return self.put_directly(from, to, answer, after);
+                return self.post_directly(from, to, answer, after);
             }
             Message::Submit(request) => {
                 let request = *request;
@@ -169,10 +169,10 @@
         let Some(connection) = self.connections.get_mut(&attempt) else {
             return;
         };
-        if connection.broken {
+        if connection.is_broken {
             return;
         }
-        connection.broken = true;
+        connection.is_broken = true;
         let request = connection.request;
         let frame = AnswerFrame::Cut;
         let cut = Message::Frame {
@@ -180,8 +180,8 @@
             attempt,
             frame,
         };
-        self.put_directly(agent, entry, cut, after);
-        self.put_directly(entry, agent, Message::EntryGone(attempt), after);
+        self.post_directly(agent, entry, cut, after);
+        self.post_directly(entry, agent, Message::EntryGone(attempt), after);
     }
 
     fn call_failed(
@@ -191,59 +191,59 @@
         verdict: RunVerdict,
         after: Duration,
     ) {
-        let word = CallWord::Failed(verdict);
+        let update = CallUpdate::Failed(verdict);
         let from = agent + AGENTS;
-        self.put_directly(from, agent, Message::Word { attempt, word }, after);
+        self.post_directly(from, agent, Message::CallUpdate { attempt, update }, after);
     }
 
-    /// A word of the own transport: no fault touches it.
-    pub fn put_directly(&mut self, from: NodeId, to: NodeId, message: Message, after: Duration) {
+    /// Sends a message without fault injection, as a notification of the local transport.
+    pub fn post_directly(&mut self, from: NodeId, to: NodeId, message: Message, after: Duration) {
         let boot = self.nodes[to].boot;
-        let happening = Happening::Deliver {
+        let event = SimEvent::Deliver {
             from,
             to,
             boot,
             message,
         };
-        self.queue.put(self.now + after, happening);
+        self.queue.put(self.now + after, event);
     }
 
-    /// Nobody listens: no byte was sent.
+    /// Refuses a connection to a process that is down; no byte was sent.
     fn refuse_connection(&mut self, from: NodeId, to: NodeId, message: Message) {
-        let soon = Duration::from_millis(2);
+        let short_delay = Duration::from_millis(2);
         match message {
             Message::Attempt { spec, .. } => {
                 let (request, attempt) = (spec.request, spec.attempt);
                 let frame = AnswerFrame::NotConnected;
-                let word = Message::Frame {
+                let refusal = Message::Frame {
                     request,
                     attempt,
                     frame,
                 };
-                self.put_directly(to, from, word, soon);
+                self.post_directly(to, from, refusal, short_delay);
             }
             Message::Call { spec, .. } => {
-                self.call_failed(from, spec.attempt, RunVerdict::NotRun, soon);
+                self.call_failed(from, spec.attempt, RunVerdict::NotRun, short_delay);
             }
             other => self.undeliverable(from, to, &other),
         }
     }
 
-    /// The process that it was sent to is gone.
+    /// Handles a message whose receiver is gone.
     pub fn undeliverable(&mut self, from: NodeId, to: NodeId, message: &Message) {
-        let is_word = matches!(
+        let is_notification = matches!(
             message,
-            Message::Frame { .. } | Message::CancelAnswer { .. } | Message::Word { .. }
+            Message::Frame { .. } | Message::CancelAnswer { .. } | Message::CallUpdate { .. }
         );
-        if !is_word {
-            self.lose(from, to, message);
+        if !is_notification {
+            self.drop_message(from, to, message);
         }
     }
 
-    /// A copy goes astray, to another process of the same kind or to another request. An attempt
-    /// comes to another agent instead, whose VM has taken the address over.
-    fn cross(&mut self, from: NodeId, to: NodeId, message: &Message) -> NodeId {
-        let soon = self.draw_millis(0, 30);
+    /// Misroutes a copy to another process of the same kind or to another request, and returns the receiver of the
+    /// message itself. An attempt arrives at another agent instead, whose VM has taken over the address.
+    fn misroute(&mut self, from: NodeId, to: NodeId, message: &Message) -> NodeId {
+        let short_delay = self.random_millis(0, 30);
         match message {
             Message::Frame {
                 request,
@@ -252,7 +252,7 @@
             } => {
                 let others = self.submissions.iter();
                 let mut others = others.filter(|(other, submission)| {
-                    *other != request && submission.entry == to && !submission.answered
+                    *other != request && submission.entry == to && !submission.is_answered
                 });
                 if let Some(other) = others.next().map(|(other, _)| *other) {
                     let stray = Message::Frame {
@@ -260,7 +260,7 @@
                         attempt: *attempt,
                         frame: *frame,
                     };
-                    self.put_directly(from, to, stray, soon);
+                    self.post_directly(from, to, stray, short_delay);
                 }
                 to
             }
@@ -273,14 +273,14 @@
             }
             Message::Call { .. } => to,
             other => {
-                self.put_directly(from, sibling(to), other.clone(), soon);
+                self.post_directly(from, sibling(to), other.clone(), short_delay);
                 to
             }
         }
     }
 }
 
-/// Another process of the same kind.
+/// Returns another process of the same kind.
 pub fn sibling(node: NodeId) -> NodeId {
     match node {
         0..ENTRIES => (node + 1) % ENTRIES,
--- a/crates/oatpier-gateway/src/gateway/accounts.rs
+++ b/crates/oatpier-gateway/src/gateway/accounting.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use oatpier_serving::choice;
-use oatpier_serving::directory::EndpointOutcome;
+use oatpier_serving::directory::RequestOutcome;
 use oatpier_serving::engine::EndpointLoad;
 use oatpier_serving::failures::EngineFailure;
 use oatpier_serving::message::InnerMessage;
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 
@@ -20,14 +20,14 @@
     /// Records the arrival of a request.
     pub fn record_arrival(&self, context: &RequestContext) {
         if let Some(workspace) = context.identity.workspace_name() {
-            self.metrics.workspaces.asked(workspace, "taken");
+            self.metrics.workspaces.count_request(workspace, "taken");
         }
         let mut state = self.lock();
         state
             .allowance
             .note_request(&context.service, context.arrived);
         if let Some(weights) = &context.request.weights {
-            state.demand.note_asked(weights, context.arrived);
+            state.demand.note_arrival(weights, context.arrived);
         }
     }
 
@@ -44,9 +44,9 @@
         }
         if let Some(weights) = &context.request.weights {
             state.demand.note_unserved(&weights.model, now);
-            if !state.urgent {
-                state.urgent = true;
-                self.pressed.notify_one();
+            if !state.has_unserved_demand {
+                state.has_unserved_demand = true;
+                self.demand_unserved.notify_one();
             }
         }
     }
@@ -57,21 +57,22 @@
         let chain = choice::prefix_chain(&context.request);
         let mut state = self.lock();
         let weights = context.request.weights.as_ref();
-        state.crashes.begin(context.fingerprint);
+        state.suspects.begin_run(context.fingerprint);
         state.directory.note_sent(endpoint, weights);
-        state.directory.note_try(endpoint, now);
+        state.directory.note_rest_probe(endpoint, now);
         let Some(weights) = weights else {
             return state.directory.sent_without_prompt(endpoint);
         };
-        let unread = choice::unread_at(&state.directory, endpoint, &context.request, now);
-        state.directory.note_prompt(endpoint, &chain, now);
+        let uncached =
+            choice::uncached_tokens_at(&state.directory, endpoint, &context.request, now);
+        state.directory.note_cached_prompt(endpoint, &chain, now);
         state.demand.note_sent(&weights.model, now);
-        state.directory.note_reading(endpoint, weights, unread)
+        state.directory.note_prefill(endpoint, weights, uncached)
     }
 
     /// Records that an endpoint has finished the prefill of a request's prompt, or will not start it.
     pub fn record_prefill_end(&self, endpoint: &EndpointName, prompt: &SentPrompt) {
-        self.lock().directory.note_read(endpoint, prompt);
+        self.lock().directory.note_prefill_end(endpoint, prompt);
     }
 
     /// Records the end of a request at an endpoint.
@@ -80,7 +81,7 @@
         context: &RequestContext,
         endpoint: &EndpointName,
         sent: &SentPrompt,
-        outcome: EndpointOutcome,
+        outcome: RequestOutcome,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
@@ -92,9 +93,10 @@
             state.demand.note_ended(&weights.model, now);
         }
         self.report_failure(&state, context, endpoint, outcome);
-        let greeting = makes_room.then(|| self.greeting(&mut state, &context.service, endpoint));
+        let subscription =
+            makes_room.then(|| self.subscription(&mut state, &context.service, endpoint));
         drop(state);
-        if let Some(due) = greeting.flatten() {
+        if let Some(due) = subscription.flatten() {
             due.send(self);
         }
         self.record_suspect_end(context, endpoint, sent, outcome);
@@ -107,11 +109,11 @@
         state: &CoreState,
         context: &RequestContext,
         endpoint: &EndpointName,
-        outcome: EndpointOutcome,
+        outcome: RequestOutcome,
     ) {
         let failure = match outcome {
-            EndpointOutcome::Broken => EngineFailure::Broken,
-            EndpointOutcome::ServerError => EngineFailure::ServerError,
+            RequestOutcome::Broken => EngineFailure::Broken,
+            RequestOutcome::ServerError => EngineFailure::ServerError,
             _ => return,
         };
         let row = state.directory.row(endpoint);
@@ -136,12 +138,12 @@
         let mut state = self.lock();
         state
             .directory
-            .note_first(endpoint, weights, prompt, took, now);
+            .note_first_chunk(endpoint, weights, prompt, took, now);
     }
 
     /// Records the load that an endpoint reported in a response.
     pub fn record_load(&self, endpoint: &EndpointName, load: EndpointLoad) {
-        self.lock().directory.take_load(endpoint, load);
+        self.lock().directory.apply_load(endpoint, load);
     }
 
     /// Records that nothing arrived from an endpoint since `since`.
@@ -156,6 +158,6 @@
         let mut state = self.lock();
         state.directory.note_replaced(endpoint, successor, now);
         drop(state);
-        self.settle_cuts();
+        self.resolve_broken_attempts();
     }
 }
--- a/crates/oatpier-gateway/src/gateway/attempt.rs
+++ b/crates/oatpier-gateway/src/gateway/attempt.rs
@@ -6,14 +6,14 @@
 use http::request::Parts;
 use http::{HeaderMap, Request, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
-use oatpier_platform::headers::{self, AnswerHead, AnswerKind, SendTerms};
-use oatpier_serving::directory::{EndpointOutcome, HeardNotice};
+use oatpier_platform::headers::{self, ForwardOptions, ResponseHead, ResponseKind};
+use oatpier_serving::directory::{ReceivedNotice, RequestOutcome};
 use oatpier_serving::notice::EndpointNotice;
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
 use oatpier_types::verdict::RunVerdict;
-use oatpier_wire::client::{AnswerBody, SendError, SendStage};
+use oatpier_wire::client::{ResponseBody, SendError, SendStage};
 
 use super::core::GatewayCore;
 use super::permits::HeldPermit;
@@ -39,7 +39,7 @@
     /// The response headers for the caller.
     pub headers: HeaderMap,
     /// The body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
     /// Records the end of the attempt.
     pub guard: AttemptGuard,
 }
@@ -54,7 +54,7 @@
     /// The endpoint reported that it did not run the request.
     Refused,
     /// After the request was placed, the endpoint reported that it does not accept it now: it is leaving, in a
-    /// back-off period, or has a rate limit.
+    /// rest period, or has a rate limit.
     HeldBack,
     /// Another endpoint now uses the address and did not run the request.
     Replaced,
@@ -133,7 +133,7 @@
     /// Whether the prefill of the prompt has not finished yet.
     is_prefill_pending: bool,
     permit: Option<HeldPermit>,
-    outcome: EndpointOutcome,
+    outcome: RequestOutcome,
 }
 
 impl AttemptGuard {
@@ -154,7 +154,7 @@
             sent,
             is_prefill_pending: context.request.weights.is_some(),
             permit,
-            outcome: EndpointOutcome::Abandoned,
+            outcome: RequestOutcome::Abandoned,
         }
     }
 
@@ -166,14 +166,14 @@
 
     /// Records what the response head reports about the endpoint.
     fn record_notice(&self, notice: EndpointNotice, was_taken: bool) {
-        let heard = HeardNotice {
+        let received = ReceivedNotice {
             notice,
-            was_taken,
+            was_accepted: was_taken,
             sent: &self.sent,
             sent_at: self.sent_at,
         };
         let request = &self.context.request.id;
-        self.core.record_notice(&self.endpoint, &heard, request);
+        self.core.record_notice(&self.endpoint, &received, request);
     }
 
     /// Records that the first chunk of the response was received.
@@ -186,7 +186,7 @@
         let route = self.context.route.name.as_str();
         self.core
             .metrics
-            .first_after(route, now.since(self.context.arrived));
+            .observe_first_chunk(route, now.since(self.context.arrived));
     }
 
     fn end_prefill(&mut self) {
@@ -199,11 +199,11 @@
     /// Ends the attempt with a complete response.
     pub fn finish_whole(mut self) {
         let held = self.core.clock.now().since(self.sent_at);
-        self.outcome = EndpointOutcome::Whole { held };
+        self.outcome = RequestOutcome::Whole { held };
     }
 
     /// Ends the attempt with another outcome.
-    pub fn finish(mut self, outcome: EndpointOutcome) {
+    pub fn finish(mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
 }
@@ -232,15 +232,15 @@
     if !core.may_send(&endpoint, placed.turn.take()) {
         return Err(AttemptFailure::HeldBack);
     }
-    let left = context.deadline.since(core.clock.now());
-    let terms = SendTerms {
+    let remaining = context.deadline.since(core.clock.now());
+    let options = ForwardOptions {
         instance: &endpoint,
-        left,
-        after_event,
+        remaining,
+        last_event_id: after_event,
         workspace: context.identity.workspace_name(),
-        keeps_key: context.identity.keeps_key(),
+        removes_key: context.identity.keeps_key(),
     };
-    let request = build_request(message, terms);
+    let request = build_request(message, options);
     let guard = AttemptGuard::begin(core, context, &endpoint, placed.permit.take());
     match core.client.send(placed.address, request).await {
         Ok(response) => check_head(core, context, response, guard),
@@ -248,7 +248,7 @@
     }
 }
 
-fn build_request(message: &CallerMessage, terms: SendTerms<'_>) -> Request<Bytes> {
+fn build_request(message: &CallerMessage, options: ForwardOptions<'_>) -> Request<Bytes> {
     let mut request = Request::new(message.body.clone());
     *request.method_mut() = message.head.method.clone();
     *request.uri_mut() = message
@@ -257,21 +257,21 @@
         .path_and_query()
         .and_then(|path| path.as_str().parse().ok())
         .unwrap_or_default();
-    *request.headers_mut() = headers::outgoing(&message.head.headers, terms);
+    *request.headers_mut() = headers::build_request_headers(&message.head.headers, options);
     request
 }
 
 fn finish_failed_send(error: &SendError, guard: AttemptGuard) -> AttemptFailure {
     let (failure, outcome) = match error.stage {
         SendStage::Connect if error.timed_out => {
-            (AttemptFailure::Unreachable, EndpointOutcome::Unreachable)
+            (AttemptFailure::Unreachable, RequestOutcome::Unreachable)
         }
         SendStage::Connect => (
             AttemptFailure::Unreachable,
-            EndpointOutcome::ConnectionRefused,
+            RequestOutcome::ConnectionRefused,
         ),
-        SendStage::Queue => (AttemptFailure::Unsent, EndpointOutcome::Abandoned),
-        SendStage::Answer => (AttemptFailure::Cut, EndpointOutcome::Broken),
+        SendStage::Queue => (AttemptFailure::Unsent, RequestOutcome::Abandoned),
+        SendStage::Response => (AttemptFailure::Cut, RequestOutcome::Broken),
     };
     guard.finish(outcome);
     failure
@@ -281,26 +281,26 @@
 fn check_head(
     core: &Arc<GatewayCore>,
     context: &RequestContext,
-    response: Response<AnswerBody>,
+    response: Response<ResponseBody>,
     guard: AttemptGuard,
 ) -> Result<OpenResponse, AttemptFailure> {
     let (parts, body) = response.into_parts();
-    let head = headers::decode_answer(parts.status.as_u16(), &parts.headers, &context.request.id);
+    let head = headers::decode_response(parts.status.as_u16(), &parts.headers, &context.request.id);
     if let Some(load) = head.load {
         core.record_load(&guard.endpoint, load);
     }
     if is_from_endpoint(&head, &guard.endpoint) {
-        guard.record_notice(head.notice, head.kind == AnswerKind::Own);
+        guard.record_notice(head.notice, head.kind == ResponseKind::Matching);
     }
     match head.kind {
-        AnswerKind::NotRun => Err(finish_refused(core, parts.status, &head, guard)),
-        AnswerKind::Spoilt => {
-            guard.finish(EndpointOutcome::Broken);
+        ResponseKind::NotRun => Err(finish_refused(core, parts.status, &head, guard)),
+        ResponseKind::Untrusted => {
+            guard.finish(RequestOutcome::Broken);
             Err(AttemptFailure::Spoilt)
         }
-        AnswerKind::Own => Ok(OpenResponse {
+        ResponseKind::Matching => Ok(OpenResponse {
             status: parts.status,
-            headers: headers::returned(&parts.headers),
+            headers: headers::build_response_headers(&parts.headers),
             body,
             guard,
         }),
@@ -309,19 +309,19 @@
 
 /// Returns whether a response comes from the endpoint itself, so that its statements about the endpoint can be
 /// trusted.
-fn is_from_endpoint(head: &AnswerHead, endpoint: &EndpointName) -> bool {
+fn is_from_endpoint(head: &ResponseHead, endpoint: &EndpointName) -> bool {
     let is_other = head.instance.as_ref().is_some_and(|name| name != endpoint);
-    head.kind != AnswerKind::Spoilt && !is_other
+    head.kind != ResponseKind::Untrusted && !is_other
 }
 
 fn finish_refused(
     core: &GatewayCore,
     status: StatusCode,
-    head: &AnswerHead,
+    head: &ResponseHead,
     guard: AttemptGuard,
 ) -> AttemptFailure {
     if status != StatusCode::MISDIRECTED_REQUEST {
-        guard.finish(EndpointOutcome::Refused);
+        guard.finish(RequestOutcome::Refused);
         return AttemptFailure::Refused;
     }
     let is_other = head
@@ -330,10 +330,10 @@
         .is_some_and(|name| *name != guard.endpoint);
     if is_other {
         core.record_replaced(&guard.endpoint, head.instance.as_ref());
-        guard.finish(EndpointOutcome::Abandoned);
+        guard.finish(RequestOutcome::Abandoned);
         return AttemptFailure::Replaced;
     }
-    guard.finish(EndpointOutcome::Abandoned);
+    guard.finish(RequestOutcome::Abandoned);
     AttemptFailure::WeightsMissing
 }
 
@@ -354,11 +354,11 @@
         .collect()
         .await
     else {
-        guard.finish(EndpointOutcome::Broken);
+        guard.finish(RequestOutcome::Broken);
         return Err(AttemptFailure::Cut);
     };
     if status.is_server_error() {
-        guard.finish(EndpointOutcome::ServerError);
+        guard.finish(RequestOutcome::ServerError);
     } else {
         guard.finish_whole();
     }
--- a/crates/oatpier-gateway/src/gateway/core.rs
+++ b/crates/oatpier-gateway/src/gateway/core.rs
@@ -7,24 +7,24 @@
 use std::time::Duration;
 
 use oatpier_duty::duty::{RingSender, RuntimeClock};
-use oatpier_serving::admission::AdmissionJudge;
+use oatpier_serving::admission::AdmissionController;
 use oatpier_serving::budget::RetryAllowance;
-use oatpier_serving::crashes::book::CrashBook;
+use oatpier_serving::crashes::broken_attempts::AttemptWatch;
 use oatpier_serving::crashes::changes::CrashChange;
-use oatpier_serving::crashes::cuts::CutWatch;
-use oatpier_serving::demand::DemandBook;
+use oatpier_serving::crashes::suspects::SuspectTable;
+use oatpier_serving::demand::DemandTracker;
 use oatpier_serving::directory::{EndpointDirectory, EndpointRecord};
-use oatpier_serving::greetings::GreetingPaces;
-use oatpier_serving::message::{EnginePulse, EngineWord, InnerMessage};
-use oatpier_serving::peers::PeerBook;
+use oatpier_serving::message::{EngineStatus, EngineUpdate, InnerMessage};
+use oatpier_serving::peers::PeerTable;
 use oatpier_serving::planner::LoadPlanner;
-use oatpier_serving::quota::grants::GrantBook;
+use oatpier_serving::quota::grants::GrantCache;
 use oatpier_serving::quota::holder::{PartAnswer, PartHolder};
-use oatpier_serving::quota::tenure::{PartTenure, StoreEra, TenureIdentity};
+use oatpier_serving::quota::lease::{HolderIdentity, PartLeases, StoreEra};
 use oatpier_serving::quota::turns::TurnAnswer;
-use oatpier_serving::reads::StoreWord;
+use oatpier_serving::reads::StoreDelta;
 use oatpier_serving::relays::RelayQueue;
 use oatpier_serving::site::{RouteRule, SiteConfig};
+use oatpier_serving::subscriptions::SubscriptionSchedule;
 use oatpier_serving::workspace::quota::QuotaRule;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{DaemonName, PoolName, WorkspaceName, ZoneName};
@@ -34,7 +34,7 @@
 use tokio::sync::{Notify, watch};
 
 use super::pending_calls::PendingCalls;
-use crate::decisions::{DecisionLine, DecisionLog, LineWeight};
+use crate::decisions::{DecisionLine, DecisionLog, LinePriority};
 use crate::exchange::MessageOutlet;
 use crate::metrics::ServingMetrics;
 use crate::parts_writer::DueClaim;
@@ -59,15 +59,15 @@
     /// The decision log.
     pub log: DecisionLog,
     /// Readiness flag: whether the process can serve.
-    pub able: Arc<AtomicBool>,
+    pub can_serve: Arc<AtomicBool>,
     /// Queue of store deltas from other gateways, read by the thread that reads the store.
-    pub words: RingSender<StoreWord>,
+    pub store_deltas: RingSender<StoreDelta>,
     /// Queue of crash records to write, read by the thread that writes crashes.
     pub crash_changes: RingSender<CrashChange>,
     /// Publishes the configuration in force.
     pub shared_config: watch::Sender<Option<Arc<SiteConfig>>>,
     /// Queue of gateways that have a newer configuration, read by the thread that fetches configurations.
-    pub config_wanted: RingSender<SocketAddr>,
+    pub config_sources: RingSender<SocketAddr>,
     /// Queue of due claims of limit parts, read by the thread that claims parts.
     pub claims: RingSender<DueClaim>,
 }
@@ -77,27 +77,27 @@
 pub(super) struct CoreState {
     pub(super) config: Option<Arc<SiteConfig>>,
     pub(super) directory: EndpointDirectory,
-    pub(super) demand: DemandBook,
+    pub(super) demand: DemandTracker,
     pub(super) allowance: RetryAllowance,
     /// Requests that were running at endpoints when these ended.
-    pub(super) crashes: CrashBook,
-    /// Attempts that were cut off, kept until it is known whether their endpoint ended.
-    pub(super) cuts: CutWatch,
-    pub(super) peers: PeerBook,
-    /// Intervals between greetings to sidecars without a current pulse.
-    pub(super) greeting_schedule: GreetingPaces,
+    pub(super) suspects: SuspectTable,
+    /// Broken attempts, kept until it is known whether their endpoint ended.
+    pub(super) broken_attempts: AttemptWatch,
+    pub(super) peers: PeerTable,
+    /// Intervals between subscriptions to sidecars without a current status update.
+    pub(super) subscription_schedule: SubscriptionSchedule,
     /// Quota rules of the workspaces that have limits.
     pub(super) limits: HashMap<WorkspaceName, QuotaRule>,
     /// Which gateway holds which part of the limits.
-    pub(super) tenure: PartTenure,
+    pub(super) leases: PartLeases,
     /// Units of the limit parts that this gateway holds.
     pub(super) holder: PartHolder,
     /// Units that were granted to this gateway.
-    pub(super) grants: GrantBook,
-    /// Engine updates from sidecars, to pass on as a relay of this availability zone.
+    pub(super) grants: GrantCache,
+    /// Status updates from sidecars, to pass on as a relay of this availability zone.
     pub(super) relayed: RelayQueue,
     pub(super) planner: LoadPlanner,
-    pub(super) judge: AdmissionJudge,
+    pub(super) admission: AdmissionController,
     pub(super) store_read_at: Option<ClockTime>,
     /// When the configuration was last known to match the store, from an own read or from another gateway.
     pub(super) config_known_at: Option<ClockTime>,
@@ -106,7 +106,7 @@
     /// Era of the store at the last read; it changes when the store is restored from an older copy.
     pub(super) store_era: Option<StoreEra>,
     /// Whether demand that can't be served has arrived since the last report to peers.
-    pub(super) urgent: bool,
+    pub(super) has_unserved_demand: bool,
 }
 
 /// Shared state of a gateway.
@@ -114,10 +114,10 @@
     state: Mutex<CoreState>,
     /// Wakes waiting requests after a change of weights or endpoints.
     pub(super) changed: Notify,
-    /// Wakes the greeting loop after endpoints have appeared.
+    /// Wakes the subscription loop after endpoints have appeared.
     pub(super) endpoints_appeared: Notify,
     /// Wakes the reporting loop when demand can't be served.
-    pub(super) pressed: Notify,
+    pub(super) demand_unserved: Notify,
     pub(super) zone: ZoneName,
     pub(super) inner_port: u16,
     /// The settings in force.
@@ -138,11 +138,11 @@
     pub(super) turn_asks: PendingCalls<TurnAnswer>,
     pub(super) claims: RingSender<DueClaim>,
     pub(super) shared_config: watch::Sender<Option<Arc<SiteConfig>>>,
-    pub(super) config_wanted: RingSender<SocketAddr>,
+    pub(super) config_sources: RingSender<SocketAddr>,
     /// HTTP client for endpoints.
     pub client: HttpClient,
-    able: Arc<AtomicBool>,
-    words: RingSender<StoreWord>,
+    can_serve: Arc<AtomicBool>,
+    store_deltas: RingSender<StoreDelta>,
     pub(super) crash_changes: RingSender<CrashChange>,
     closed: AtomicBool,
     behind: AtomicBool,
@@ -157,39 +157,39 @@
         let state = CoreState {
             config: None,
             directory: EndpointDirectory::default(),
-            demand: DemandBook::default(),
+            demand: DemandTracker::default(),
             allowance: RetryAllowance::new(
                 bounds.retry_ratio,
                 bounds.retry_slack,
                 bounds.retry_window,
             ),
-            crashes: CrashBook::default(),
-            cuts: CutWatch::default(),
-            peers: PeerBook::new(settings.inner_address(), settings.processor),
-            greeting_schedule: GreetingPaces::default(),
+            suspects: SuspectTable::default(),
+            broken_attempts: AttemptWatch::default(),
+            peers: PeerTable::new(settings.inner_address(), settings.processor),
+            subscription_schedule: SubscriptionSchedule::default(),
             limits: HashMap::new(),
-            tenure: PartTenure::new(TenureIdentity {
+            leases: PartLeases::new(HolderIdentity {
                 address: settings.inner_address(),
                 boot: rand::random(),
                 started_at: ClockTime::ZERO,
-                first_start: settings.first_start,
+                is_first_start: settings.is_first_start,
             }),
             holder: PartHolder::default(),
-            grants: GrantBook::default(),
+            grants: GrantCache::default(),
             config_known_at: None,
             config_requested_at: None,
             store_era: None,
             relayed: RelayQueue::default(),
             planner: LoadPlanner::default(),
-            judge: AdmissionJudge::new(rand::random()),
+            admission: AdmissionController::new(rand::random()),
             store_read_at: None,
-            urgent: false,
+            has_unserved_demand: false,
         };
         Self {
             state: Mutex::new(state),
             changed: Notify::new(),
             endpoints_appeared: Notify::new(),
-            pressed: Notify::new(),
+            demand_unserved: Notify::new(),
             zone: settings.zone.clone(),
             inner_port: settings.inner_port,
             name: settings.name.clone(),
@@ -203,15 +203,15 @@
             turn_asks: PendingCalls::default(),
             claims: inputs.claims,
             shared_config: inputs.shared_config,
-            config_wanted: inputs.config_wanted,
+            config_sources: inputs.config_sources,
             client: HttpClient::new(ClientLimits {
-                connect: CONNECT_TIMEOUT,
-                idle: IDLE_TIMEOUT,
-                idle_per_address: MAX_IDLE_PER_ENDPOINT,
+                connect_timeout: CONNECT_TIMEOUT,
+                idle_timeout: IDLE_TIMEOUT,
+                max_idle_per_address: MAX_IDLE_PER_ENDPOINT,
                 discard_on_close: true,
             }),
-            able: inputs.able,
-            words: inputs.words,
+            can_serve: inputs.can_serve,
+            store_deltas: inputs.store_deltas,
             crash_changes: inputs.crash_changes,
             closed: AtomicBool::new(false),
             behind: AtomicBool::new(false),
@@ -225,7 +225,7 @@
     /// Records whether the timers of this process fire late.
     pub fn set_behind(&self, behind: bool) {
         if self.behind.swap(behind, Ordering::Relaxed) != behind {
-            let line = DecisionLine::new(LineWeight::Notable, "processor");
+            let line = DecisionLine::new(LinePriority::Notable, "processor");
             self.log.write(line.with("behind", behind));
         }
     }
@@ -254,7 +254,7 @@
     }
 
     /// Applies the result of a store read. A configuration is never replaced by an older version.
-    pub fn take_records(&self, config: Option<Arc<SiteConfig>>, endpoints: Vec<EndpointRecord>) {
+    pub fn apply_records(&self, config: Option<Arc<SiteConfig>>, endpoints: Vec<EndpointRecord>) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.store_read_at = Some(now);
@@ -268,16 +268,16 @@
         } = &mut *state;
         let changes = directory.apply_registry(endpoints, now);
         holder.retain_endpoints(|endpoint| directory.row(endpoint).is_some());
-        let is_able = state.config.is_some();
+        let can_serve = state.config.is_some();
         drop(state);
         self.metrics.endpoints.set(gauge_value(count));
         self.metrics.store_age_ms.set(0);
         for change in &changes {
-            let line = DecisionLine::new(LineWeight::Notable, "directory");
+            let line = DecisionLine::new(LinePriority::Notable, "directory");
             self.log.write(line.with("change", format!("{change:?}")));
         }
-        self.settle_cuts();
-        self.able.store(is_able, Ordering::Relaxed);
+        self.resolve_broken_attempts();
+        self.can_serve.store(can_serve, Ordering::Relaxed);
         if !changes.is_empty() {
             self.endpoints_appeared.notify_one();
             self.changed.notify_waiters();
@@ -292,8 +292,9 @@
         let known = state.store_era.replace(era);
         let is_restored = known.is_some_and(|known| known != era);
         if is_restored {
-            state.directory.note_store_return(now);
-            let line = DecisionLine::new(LineWeight::Notable, "store came back from an older copy");
+            state.directory.note_store_restored(now);
+            let line =
+                DecisionLine::new(LinePriority::Notable, "store came back from an older copy");
             self.log.write(line.with("era", era));
         }
         is_restored
@@ -301,7 +302,7 @@
 
     /// Sends the changes found in the store to the other gateways of the availability zone, so that they need not
     /// read it.
-    pub fn tell_word(&self, delta: StoreWord) {
+    pub fn broadcast_store_delta(&self, delta: StoreDelta) {
         let now = self.clock.now();
         let peers: Vec<SocketAddr> = self.lock().peers.in_zone(&self.zone, now).collect();
         let message = InnerMessage::StoreSeen(Box::new(delta));
@@ -311,13 +312,13 @@
     }
 
     /// Queues a store delta from another gateway of the availability zone.
-    pub fn take_store_word(&self, delta: StoreWord) {
+    pub fn queue_store_delta(&self, delta: StoreDelta) {
         // A full ring counts what it drops. The store is then read at the usual time, as without the delta.
-        let _ = self.words.offer(delta);
+        let _ = self.store_deltas.try_send(delta);
     }
 
     /// Records that the store still holds what is known here.
-    pub fn note_store_same(&self) {
+    pub fn note_store_unchanged(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
         state.store_read_at = Some(now);
@@ -330,40 +331,40 @@
         self.lock().directory.note_store_failure(now);
     }
 
-    /// Applies a sidecar's pulse.
-    pub fn take_pulse(&self, pulse: EnginePulse) {
-        self.apply_engine_update(EngineWord::Pulse(Box::new(pulse)));
+    /// Applies a sidecar's status update.
+    pub fn apply_status(&self, status: EngineStatus) {
+        self.apply_engine_update(EngineUpdate::Status(Box::new(status)));
     }
 
-    /// Applies an engine update from a sidecar, and queues it for the other gateways of the availability zone.
-    pub fn take_spread(&self, update: EngineWord) {
-        self.lock().relayed.take(update.clone());
+    /// Applies a status update from a sidecar, and queues it for the other gateways of the availability zone.
+    pub fn relay_update(&self, update: EngineUpdate) {
+        self.lock().relayed.push(update.clone());
         self.apply_engine_update(update);
     }
 
-    /// Applies engine updates that a relay passed on.
-    pub fn take_relayed(&self, updates: Vec<EngineWord>) {
+    /// Applies status updates that a relay passed on.
+    pub fn apply_relayed(&self, updates: Vec<EngineUpdate>) {
         for update in updates {
-            self.lock().relayed.note_passed_on(&update);
+            self.lock().relayed.note_forwarded(&update);
             self.apply_engine_update(update);
         }
     }
 
-    fn apply_engine_update(&self, update: EngineWord) {
+    fn apply_engine_update(&self, update: EngineUpdate) {
         let now = self.clock.now();
         let mut state = self.lock();
         let changed = match update {
-            EngineWord::Pulse(pulse) => {
-                state.peers.note_named(&pulse.gateways, now);
-                state.directory.take_pulse(*pulse, now)
+            EngineUpdate::Status(status) => {
+                state.peers.note_named(&status.gateways, now);
+                state.directory.apply_status(*status, now)
             }
-            EngineWord::Load(load) => {
-                state.directory.take_load_pulse(&load, now);
+            EngineUpdate::Load(load) => {
+                state.directory.apply_load_status(&load, now);
                 false
             }
         };
         drop(state);
-        self.settle_cuts();
+        self.resolve_broken_attempts();
         if changed {
             self.changed.notify_waiters();
         }
@@ -391,7 +392,7 @@
 
     /// Returns a refusal whose retry time is randomly spread.
     pub fn refusal(&self, cause: RefusalCause, after: Duration) -> Refusal {
-        self.lock().judge.refusal(cause, after)
+        self.lock().admission.refusal(cause, after)
     }
 }
 
--- a/crates/oatpier-gateway/src/gateway/crashes.rs
+++ b/crates/oatpier-gateway/src/gateway/crashes.rs
@@ -7,31 +7,31 @@
 
 use std::net::SocketAddr;
 
-use oatpier_serving::crashes::book::{CrashBook, SuspectStanding, SuspectVerdict};
+use oatpier_serving::crashes::broken_attempts::BrokenAttempt;
 use oatpier_serving::crashes::changes::CrashChange;
-use oatpier_serving::crashes::cuts::CutAttempt;
+use oatpier_serving::crashes::suspects::{SuspectStatus, SuspectTable, SuspectVerdict};
 use oatpier_serving::crashes::{CrashRecord, RequestOrigin};
-use oatpier_serving::directory::EndpointOutcome;
+use oatpier_serving::directory::RequestOutcome;
 use oatpier_serving::fingerprint::RequestFingerprint;
 use oatpier_serving::message::InnerMessage;
-use oatpier_serving::reading::SentPrompt;
+use oatpier_serving::prefill::SentPrompt;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::{EndpointName, WorkspaceName};
 
 use super::core::{CoreState, GatewayCore};
 use super::placement::RequestContext;
-use crate::decisions::{DecisionLine, LineWeight, wall_clock_ms};
+use crate::decisions::{DecisionLine, LinePriority, wall_clock_ms};
 
 /// The number of crashes in one datagram; at about 150 bytes each they fit into a packet.
 const CRASHES_PER_MESSAGE: usize = 8;
 
 impl GatewayCore {
-    /// Decides whether a request may be sent, based on the fate of the endpoints that ran it before.
+    /// Decides whether a request may be sent, based on the liveness of the endpoints that ran it before.
     pub(super) fn suspect_verdict(&self, context: &RequestContext) -> SuspectVerdict {
         let now = self.clock.now();
         let state = self.lock();
-        let open = state.cuts.open(&context.fingerprint);
-        state.crashes.judge(&context.fingerprint, open, now)
+        let open = state.broken_attempts.count_unresolved(&context.fingerprint);
+        state.suspects.evaluate(&context.fingerprint, open, now)
     }
 
     /// Records what the end of an attempt reveals about its request, and about others that were cut off at the same
@@ -41,47 +41,49 @@
         context: &RequestContext,
         endpoint: &EndpointName,
         sent: &SentPrompt,
-        outcome: EndpointOutcome,
+        outcome: RequestOutcome,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.crashes.end(&context.fingerprint);
+        state.suspects.end_run(&context.fingerprint);
         match outcome {
-            EndpointOutcome::Broken => {
+            RequestOutcome::Broken => {
                 record_broken_attempt(&mut state, context, endpoint, sent, now);
             }
-            EndpointOutcome::Whole { .. } => {
+            RequestOutcome::Whole { .. } => {
                 self.clear_suspect(&mut state, &context.fingerprint, now);
             }
             _ => {}
         }
         drop(state);
-        self.settle_cuts();
+        self.resolve_broken_attempts();
     }
 
-    /// Checks whether the endpoints of attempts that were cut off have ended.
-    pub(super) fn settle_cuts(&self) {
+    /// Checks whether the endpoints of broken attempts have ended.
+    pub(super) fn resolve_broken_attempts(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
-        if state.cuts.is_empty() {
+        if state.broken_attempts.is_empty() {
             return;
         }
         let CoreState {
-            cuts, directory, ..
+            broken_attempts,
+            directory,
+            ..
         } = &mut *state;
-        let found = cuts.settle(now, |cut| {
-            directory.fate(&cut.site.endpoint, cut.index, cut.at, now)
+        let found = broken_attempts.resolve(now, |attempt| {
+            directory.liveness(&attempt.site.endpoint, attempt.index, attempt.at, now)
         });
         if found.is_empty() {
             return;
         }
         for record in &found {
-            if let Some(standing) = state.crashes.note_crash(record, now) {
-                self.log_suspect(record, &standing, "seen");
+            if let Some(status) = state.suspects.note_crash(record, now) {
+                self.log_suspect(record, &status, "seen");
             }
             self.queue_store_change(CrashChange::Put(record.clone()));
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
         let peers: Vec<SocketAddr> = state.peers.known(now).collect();
         drop(state);
         for records in found.chunks(CRASHES_PER_MESSAGE) {
@@ -94,14 +96,14 @@
         let now = self.clock.now();
         let mut state = self.lock();
         for record in records {
-            let standing = state.crashes.note_crash(record, now);
+            let status = state.suspects.note_crash(record, now);
             // The gateway that saw the crash has logged the suspicion already; every other gateway would log it
             // again.
-            if let Some(standing) = standing.filter(|standing| standing.is_barred) {
-                self.log_suspect(record, &standing, "told");
+            if let Some(status) = status.filter(|status| status.is_barred) {
+                self.log_suspect(record, &status, "told");
             }
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
     }
 
     /// Handles a read of the store, which lists these crashes and no others. If `has_returned` is set, the store
@@ -109,23 +111,23 @@
     pub fn apply_stored_crashes(&self, records: &[CrashRecord], has_returned: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let barred_before = state.crashes.barred(now);
+        let barred_before = state.suspects.barred(now);
         if has_returned {
-            let lost = state.crashes.take_returned(records, now);
+            let lost = state.suspects.apply_restored(records, now);
             for record in lost {
                 self.queue_store_change(CrashChange::Put(record));
             }
         } else {
-            state.crashes.take_stored(records, now);
+            state.suspects.apply_stored(records, now);
         }
-        let barred = state.crashes.barred(now);
+        let barred = state.suspects.barred(now);
         if barred != barred_before {
-            let line = DecisionLine::new(LineWeight::Notable, "crashes read")
-                .with("suspects", state.crashes.suspects())
+            let line = DecisionLine::new(LinePriority::Notable, "crashes read")
+                .with("suspects", state.suspects.suspects())
                 .with("barred", barred);
             self.log.write(line);
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
     }
 
     /// Handles a report of another gateway that these requests completed.
@@ -133,9 +135,9 @@
         let now = self.clock.now();
         let mut state = self.lock();
         for fingerprint in fingerprints {
-            state.crashes.clear(fingerprint);
+            state.suspects.clear(fingerprint);
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
     }
 
     /// Expires old suspicions, here and in the store. The gateway that runs the planner expires them for all
@@ -143,17 +145,17 @@
     pub(super) fn expire_suspects(&self) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let evicted = state.crashes.take_pushed_out();
+        let evicted = state.suspects.take_evicted();
         if !evicted.is_empty() {
-            let line = DecisionLine::new(LineWeight::Notable, "suspects pushed out")
+            let line = DecisionLine::new(LinePriority::Notable, "suspects pushed out")
                 .with("crashes", evicted.len());
             self.log.write(line);
         }
         if !state.peers.is_planner(now) {
             return;
         }
-        let expired = state.crashes.expire(now);
-        self.update_suspect_metrics(&state.crashes, now);
+        let expired = state.suspects.expire(now);
+        self.update_suspect_metrics(&state.suspects, now);
         for record in expired.into_iter().chain(evicted) {
             self.queue_store_change(CrashChange::Remove(record));
         }
@@ -165,29 +167,29 @@
         fingerprint: &RequestFingerprint,
         now: ClockTime,
     ) {
-        let records = state.crashes.clear(fingerprint);
+        let records = state.suspects.clear(fingerprint);
         if records.is_empty() {
             return;
         }
-        let line = DecisionLine::new(LineWeight::Notable, "request cleared")
+        let line = DecisionLine::new(LinePriority::Notable, "request cleared")
             .with("fingerprint", fingerprint.to_string())
             .with("crashes", records.len());
         self.log.write(line);
         for record in records {
             self.queue_store_change(CrashChange::Remove(record));
         }
-        self.update_suspect_metrics(&state.crashes, now);
+        self.update_suspect_metrics(&state.suspects, now);
         let peers: Vec<SocketAddr> = state.peers.known(now).collect();
         self.send_to_peers(&peers, &InnerMessage::CrashesCleared(vec![*fingerprint]));
     }
 
-    fn log_suspect(&self, record: &CrashRecord, standing: &SuspectStanding, source: &'static str) {
-        let decision = if standing.is_barred {
+    fn log_suspect(&self, record: &CrashRecord, status: &SuspectStatus, source: &'static str) {
+        let decision = if status.is_barred {
             "request barred"
         } else {
             "request suspected"
         };
-        let line = DecisionLine::new(LineWeight::Notable, decision)
+        let line = DecisionLine::new(LinePriority::Notable, decision)
             .with("fingerprint", record.fingerprint.to_string())
             .with("host", &*record.origin.host)
             .with(
@@ -196,20 +198,20 @@
             )
             .with("route", record.origin.route.as_str())
             .with("endpoint", record.site.to_string())
-            .with("crashes", standing.crashes)
+            .with("crashes", status.crashes)
             .with("source", source);
         self.log.write(line);
     }
 
-    fn update_suspect_metrics(&self, book: &CrashBook, now: ClockTime) {
+    fn update_suspect_metrics(&self, table: &SuspectTable, now: ClockTime) {
         self.metrics
-            .note_suspects(book.suspects(), book.barred(now));
+            .note_suspects(table.suspects(), table.barred(now));
     }
 
     fn queue_store_change(&self, change: CrashChange) {
         // A full ring counts what it drops. Running gateways were informed already; only gateways that start later
         // will not know of the change.
-        let _ = self.crash_changes.offer(change);
+        let _ = self.crash_changes.try_send(change);
     }
 
     fn send_to_peers(&self, peers: &[SocketAddr], message: &InnerMessage) {
@@ -227,10 +229,13 @@
     sent: &SentPrompt,
     now: ClockTime,
 ) {
-    let Some((site, index)) = state.directory.staying_start(endpoint, sent.start, now) else {
+    let Some((site, index)) = state
+        .directory
+        .staying_incarnation(endpoint, sent.start, now)
+    else {
         return;
     };
-    state.cuts.note(CutAttempt {
+    state.broken_attempts.add(BrokenAttempt {
         fingerprint: context.fingerprint,
         origin: RequestOrigin {
             host: context.route.host.clone(),
--- a/crates/oatpier-gateway/src/gateway/handler.rs
+++ b/crates/oatpier-gateway/src/gateway/handler.rs
@@ -20,14 +20,14 @@
 use oatpier_wire::reply::Reply;
 use oatpier_wire::server::RequestHandler;
 
-use super::answers::OwnAnswer;
 use super::attempt::CallerMessage;
 use super::core::GatewayCore;
 use super::identity::CallerIdentity;
+use super::local_responses::LocalResponse;
 use super::placement::RequestContext;
 use super::quota::{self, ChargeCell};
 use super::run::RequestRun;
-use crate::decisions::{DecisionLine, LineWeight};
+use crate::decisions::{DecisionLine, LinePriority};
 
 /// The `Retry-After` of an overloaded gateway; the next attempt reaches another one.
 const OVERLOADED_RETRY_AFTER: Duration = Duration::from_millis(60);
@@ -63,24 +63,24 @@
     let (head, body) = request.into_parts();
     if core.is_behind() {
         let refusal = core.refusal(RefusalCause::QueueFull, OVERLOADED_RETRY_AFTER);
-        return reject_early(core, &head, OwnAnswer::Refused(refusal));
+        return reject_early(core, &head, LocalResponse::Refused(refusal));
     }
     if core.is_closed() {
         let refusal = core.refusal(RefusalCause::Leaving, Duration::ZERO);
-        return reject_early(core, &head, OwnAnswer::Refused(refusal));
+        return reject_early(core, &head, LocalResponse::Refused(refusal));
     }
     let Some(config) = core.config() else {
-        return reject_early(core, &head, OwnAnswer::NoConfiguration);
+        return reject_early(core, &head, LocalResponse::NoConfiguration);
     };
     let Some(route) = find_route(&config, &head) else {
-        return reject_early(core, &head, core.or_outdated(OwnAnswer::NoRoute));
+        return reject_early(core, &head, core.or_outdated(LocalResponse::NoRoute));
     };
     let identity = match core.identify(&config, &route, &head.headers) {
         Ok(identity) => identity,
         Err(response) => return reject_early(core, &head, response),
     };
     if body.len() > config.limits.body_bytes {
-        return reject_early(core, &head, OwnAnswer::TooLarge);
+        return reject_early(core, &head, LocalResponse::TooLarge);
     }
     let message = CallerMessage {
         head: Arc::new(head),
@@ -89,8 +89,9 @@
     let mut context = match build_context(core, route, identity, &message, arrived) {
         Ok(context) => context,
         Err(error) => {
-            core.metrics.answered("", OwnAnswer::Malformed.as_str());
-            return OwnAnswer::Malformed.reply_with_text("", &error.to_string());
+            core.metrics
+                .count_request("", LocalResponse::Malformed.as_str());
+            return LocalResponse::Malformed.reply_with_text("", &error.to_string());
         }
     };
     if let Err(response) = charge(core, &mut context).await {
@@ -103,7 +104,10 @@
 }
 
 /// Charges the request to its workspace if the workspace has a limit.
-async fn charge(core: &Arc<GatewayCore>, context: &mut RequestContext) -> Result<(), OwnAnswer> {
+async fn charge(
+    core: &Arc<GatewayCore>,
+    context: &mut RequestContext,
+) -> Result<(), LocalResponse> {
     let Some(workspace) = context.identity.workspace() else {
         return Ok(());
     };
@@ -111,7 +115,7 @@
         return Ok(());
     };
     let units = rule.cost(&context.request);
-    let max_wait = quota::unit_patience(&context.route);
+    let max_wait = quota::max_unit_wait(&context.route);
     let charge = quota::charge(core, workspace, units, max_wait).await?;
     context.charge = ChargeCell::new(Some(charge));
     Ok(())
@@ -137,21 +141,25 @@
     })
 }
 
-fn reject_early(core: &GatewayCore, head: &Parts, response: OwnAnswer) -> Reply {
+fn reject_early(core: &GatewayCore, head: &Parts, response: LocalResponse) -> Reply {
     let id = headers::decode_request(&head.headers).map_or(String::new(), |call| call.id);
-    let line = DecisionLine::new(LineWeight::Notable, "answer")
+    let line = DecisionLine::new(LinePriority::Notable, "answer")
         .with("request", id.as_str())
         .with("outcome", response.as_str())
         .with("path", head.uri.path());
     core.log.write(line);
-    core.metrics.answered("", response.as_str());
+    core.metrics.count_request("", response.as_str());
     response.reply(&id)
 }
 
 /// Responds to a request that exceeds, or may exceed, the limit of its workspace.
-fn reject_over_limit(core: &GatewayCore, context: &RequestContext, response: OwnAnswer) -> Reply {
+fn reject_over_limit(
+    core: &GatewayCore,
+    context: &RequestContext,
+    response: LocalResponse,
+) -> Reply {
     let id = context.request.id.as_str();
-    let mut line = DecisionLine::new(LineWeight::Notable, "answer")
+    let mut line = DecisionLine::new(LinePriority::Notable, "answer")
         .with("request", id)
         .with("outcome", response.as_str())
         .with("route", context.route.name.as_str());
@@ -164,11 +172,11 @@
             .with("burst", limit.map(|rule| rule.burst));
         core.metrics
             .workspaces
-            .asked(&workspace.name, response.as_str());
+            .count_request(&workspace.name, response.as_str());
     }
     core.log.write(line);
     core.metrics
-        .answered(context.route.name.as_str(), response.as_str());
+        .count_request(context.route.name.as_str(), response.as_str());
     response.reply(id)
 }
 
@@ -181,7 +189,7 @@
 ) -> Result<RequestContext, HeaderError> {
     let request = headers::decode_request(&message.head.headers)?;
     let service = core.pick_service(&route);
-    let timeout = request.patience.unwrap_or(route.timeout);
+    let timeout = request.caller_timeout.unwrap_or(route.timeout);
     Ok(RequestContext {
         deadline: arrived + timeout.min(route.timeout),
         route,
--- a/crates/oatpier-gateway/src/gateway/identity.rs
+++ b/crates/oatpier-gateway/src/gateway/identity.rs
@@ -12,8 +12,8 @@
 use oatpier_serving::workspace::{WorkspaceRule, WorkspaceTable};
 use oatpier_types::names::WorkspaceName;
 
-use super::answers::OwnAnswer;
 use super::core::GatewayCore;
+use super::local_responses::LocalResponse;
 
 /// The identity of a caller, as far as the configuration requires one.
 #[derive(Debug, Clone)]
@@ -64,7 +64,7 @@
         config: &SiteConfig,
         route: &RouteRule,
         request_headers: &HeaderMap,
-    ) -> Result<CallerIdentity, OwnAnswer> {
+    ) -> Result<CallerIdentity, LocalResponse> {
         let anonymous = CallerIdentity {
             key: None,
             workspace: None,
@@ -75,26 +75,26 @@
             return Ok(anonymous);
         };
         match (headers::caller_key(request_headers), route.is_public) {
-            (CallerKey::Given(key), _) if table.holder(&key).is_some() => Ok(CallerIdentity {
+            (CallerKey::Given(key), _) if table.find_by_key(&key).is_some() => Ok(CallerIdentity {
                 key: Some(key),
-                workspace: table.holder(&key).cloned(),
+                workspace: table.find_by_key(&key).cloned(),
                 ..anonymous
             }),
             (_, true) => Ok(anonymous),
             // No configuration can make this a valid key.
-            (CallerKey::Absent | CallerKey::Unusable, false) => Err(OwnAnswer::NoKey),
-            (CallerKey::Given(_), false) => Err(self.or_outdated(OwnAnswer::UnknownKey)),
+            (CallerKey::Absent | CallerKey::Unusable, false) => Err(LocalResponse::NoKey),
+            (CallerKey::Given(_), false) => Err(self.or_outdated(LocalResponse::UnknownKey)),
         }
     }
 
-    /// Returns `response`, which says that the configuration does not contain something, or [`OwnAnswer::Outdated`]
+    /// Returns `response`, which says that the configuration does not contain something, or [`LocalResponse::Outdated`]
     /// if a newer configuration may contain it. The response is final for the caller, so it is given only if this
     /// gateway would know a configuration that contains it by now. Otherwise the next gateway may know it.
-    pub(super) fn or_outdated(&self, response: OwnAnswer) -> OwnAnswer {
-        if self.is_current() {
+    pub(super) fn or_outdated(&self, response: LocalResponse) -> LocalResponse {
+        if self.is_config_current() {
             response
         } else {
-            OwnAnswer::Outdated
+            LocalResponse::Outdated
         }
     }
 
@@ -107,7 +107,9 @@
             return true;
         }
         let holds = |table: &WorkspaceTable| {
-            let holder = identity.key.and_then(|key| table.holder(&key).cloned());
+            let holder = identity
+                .key
+                .and_then(|key| table.find_by_key(&key).cloned());
             holder.is_some_and(|holder| Some(&holder.name) == identity.workspace_name())
         };
         config.workspaces.as_ref().is_none_or(holds)
--- a/crates/oatpier-gateway/src/gateway/answers.rs
+++ b/crates/oatpier-gateway/src/gateway/local_responses.rs
@@ -12,7 +12,7 @@
 
 /// A response that the gateway generates itself, by its cause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnAnswer {
+pub enum LocalResponse {
     /// The request was refused and did not run.
     Refused(Refusal),
     /// The gateway has no configuration yet.
@@ -62,7 +62,7 @@
 /// The `Retry-After` of a gateway that has no configuration yet.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_millis(600);
 
-impl OwnAnswer {
+impl LocalResponse {
     /// Returns the status.
     #[must_use]
     pub fn status(self) -> StatusCode {
@@ -134,7 +134,7 @@
     pub fn reply_with_text(self, id: &str, text: &str) -> Reply {
         let mut reply = reply::text(self.status(), format!("{text}\n"));
         let headers = reply.headers_mut();
-        headers::mark_answer(headers, id);
+        headers::set_request_id(headers, id);
         if self.status() == StatusCode::UNAUTHORIZED {
             headers.insert(WWW_AUTHENTICATE, HeaderValue::from_static("Bearer"));
         }
--- a/crates/oatpier-gateway/src/gateway/mod.rs
+++ b/crates/oatpier-gateway/src/gateway/mod.rs
@@ -5,47 +5,47 @@
 //! - [`handler`]: entry point of incoming requests.
 //! - `run`: the course of one request, from placement to the final answer.
 //! - [`placement`]: a request in progress and the next action for it.
-//! - `placing`: choice of the endpoint for a request.
+//! - `placement_decision`: choice of the endpoint for a request.
 //! - [`attempt`]: one attempt at one endpoint.
 //! - [`permits`]: requests to sidecars for permits to send prompts to their engines.
 //! - [`pauses`]: causes of late streams.
 //! - [`relay`]: answers forwarded as a stream of events.
-//! - [`answers`]: answers that the gateway itself generates.
+//! - [`local_responses`]: answers that the gateway itself generates.
 //! - `pending_calls`: calls to other processes that wait for an answer.
 //! - `run_log`: decision lines about requests.
-//! - `accounts`: bookkeeping of request outcomes.
+//! - `accounting`: bookkeeping of request outcomes.
 //! - `crashes`: requests that make the endpoints running them end.
 //! - `notices`: what endpoints report about themselves in answer headers.
 //! - [`identity`]: authentication of requests, and the workspace they belong to.
 //! - [`quota`]: units of workspaces' limits.
-//! - `greetings`: greetings to sidecars, which make them send pulses.
-//! - [`exchanges`]: messages between gateways and sidecars.
+//! - `subscriptions`: subscriptions to sidecars' status updates.
+//! - [`messaging`]: messages between gateways and sidecars.
 //! - `turns`: turns at endpoints that limit the requests of all gateways together.
 //! - `reports`: reports between gateways.
 //! - `planning`: rounds of the load planner.
 
-mod accounts;
-pub mod answers;
+mod accounting;
 pub mod attempt;
 mod configuration;
 pub mod core;
 mod crashes;
-pub mod exchanges;
-mod greetings;
 pub mod handler;
 pub mod identity;
+pub mod local_responses;
+pub mod messaging;
 mod notices;
 pub mod pauses;
 mod pending_calls;
 pub mod permits;
 pub mod placement;
-mod placing;
+mod placement_decision;
 mod planning;
 pub mod quota;
 pub mod relay;
 mod reports;
 mod run;
 mod run_log;
+mod subscriptions;
 mod turns;
 
 use std::net::{TcpListener, UdpSocket};
@@ -64,15 +64,15 @@
 
 use crate::config_share::{ConfigShareInputs, share_config};
 use crate::crash_writer::{CrashWriterInputs, write_crashes};
-use crate::exchange::{InnerSocket, MessageOutlet};
+use crate::exchange::{MessageOutlet, MessageSocket};
 use crate::node_process::{NodeProcess, ProcessInputs};
 use crate::parts_writer::{ClaimResult, PartsWriterInputs, write_parts};
-use crate::records::{ReaderInputs, StoreNews, read_store};
 use crate::reload::{SettingsFeed, SettingsSource};
+use crate::store_reader::{ReaderInputs, StoreEvent, read_store};
 
 use self::core::{CoreInputs, GatewayCore};
-use self::exchanges::ExchangeInputs;
 use self::handler::GatewayHandler;
+use self::messaging::MessagingInputs;
 
 /// Capacity of the queue of store reads that wait to be applied. When it is full, the reader waits.
 const EVENT_RING: usize = 4;
@@ -112,7 +112,7 @@
     listener: TcpListener,
     socket: UdpSocket,
     core: CoreInputs,
-    news: RingReceiver<StoreNews>,
+    events: RingReceiver<StoreEvent>,
     claims: RingReceiver<ClaimResult>,
     fetched: RingReceiver<Arc<SiteConfig>>,
     stop: StopSignal,
@@ -140,35 +140,35 @@
         purpose: "gateways and sidecars",
         cause,
     })?;
-    let able = Arc::default();
+    let can_serve = Arc::default();
     let process_inputs = ProcessInputs {
         source,
         metrics_listener,
         readiness_listener,
-        can_serve: Arc::clone(&able),
+        can_serve: Arc::clone(&can_serve),
     };
     let mut node = NodeProcess::start(settings, process_inputs);
     let stop = node.process.stop.clone();
-    let (news_sender, news) = ring(EVENT_RING, RingRule::Wait, node.metrics.ring_full.clone());
-    let (word_sender, words) = ring(DELTA_RING, RingRule::Drop, node.metrics.ring_full.clone());
+    let (event_sender, events) = ring(EVENT_RING, RingRule::Wait, node.metrics.ring_full.clone());
+    let (delta_sender, deltas) = ring(DELTA_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (crash_sender, crash_changes) =
         ring(CRASH_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (claim_sender, due_claims) =
         ring(CLAIM_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (result_sender, claims) = ring(CLAIM_RING, RingRule::Wait, node.metrics.ring_full.clone());
     let (shared_config, config_feed) = watch::channel(None);
-    let (wanted_sender, wanted) = ring(FETCH_RING, RingRule::Drop, node.metrics.ring_full.clone());
+    let (source_sender, sources) = ring(FETCH_RING, RingRule::Drop, node.metrics.ring_full.clone());
     let (fetched_sender, fetched) =
         ring(FETCH_RING, RingRule::Wait, node.metrics.ring_full.clone());
     let core = CoreInputs {
         shared_config,
-        config_wanted: wanted_sender,
+        config_sources: source_sender,
         claims: claim_sender,
         clock: RuntimeClock::start(),
         metrics: node.metrics.clone(),
         log: node.log,
-        able,
-        words: word_sender,
+        can_serve,
+        store_deltas: delta_sender,
         crash_changes: crash_sender,
     };
     let writer_inputs = CrashWriterInputs {
@@ -182,7 +182,7 @@
     let share_inputs = ConfigShareInputs {
         listener: bind(inner, "the configuration, for other gateways")?,
         config: config_feed,
-        wanted,
+        sources,
         fetched: fetched_sender,
         stop: stop.clone(),
     };
@@ -197,8 +197,8 @@
     node.process.spawn("parts", || write_parts(parts_inputs));
     let reader_inputs = ReaderInputs {
         settings: node.settings.clone(),
-        news: news_sender,
-        words,
+        events: event_sender,
+        deltas,
         metrics: node.metrics,
         stop: stop.clone(),
     };
@@ -208,7 +208,7 @@
         listener,
         socket,
         core,
-        news,
+        events,
         claims,
         fetched,
         stop,
@@ -221,7 +221,7 @@
 /// Serves callers until, after a stop, the last request is answered.
 async fn run_callers(inputs: CallersInputs) {
     let stop = inputs.stop.clone();
-    let socket = match InnerSocket::new(inputs.socket, inputs.core.metrics.clone()) {
+    let socket = match MessageSocket::new(inputs.socket, inputs.core.metrics.clone()) {
         Ok(socket) => Arc::new(socket),
         Err(error) => {
             spdlog::critical!("failed to register the socket with the runtime", kv: { error: = error.to_string() });
@@ -231,8 +231,8 @@
     };
     let outlet: Arc<dyn MessageOutlet> = Arc::clone(&socket) as Arc<dyn MessageOutlet>;
     let core = Arc::new(GatewayCore::new(inputs.settings, inputs.core, outlet));
-    let exchange_inputs = ExchangeInputs {
-        news: inputs.news,
+    let exchange_inputs = MessagingInputs {
+        events: inputs.events,
         claims: inputs.claims,
         fetched: inputs.fetched,
     };
@@ -241,7 +241,7 @@
         () = serving => {}
         () = refuse_after_stop(&core, &stop) => {}
         () = watch_timer_delay(&core) => {}
-        () = exchanges::run(Arc::clone(&core), &socket, exchange_inputs, &stop) => {}
+        () = messaging::run(Arc::clone(&core), &socket, exchange_inputs, &stop) => {}
     }
     stop.advance(StopPhase::Ended);
 }
--- a/crates/oatpier-gateway/src/gateway/notices.rs
+++ b/crates/oatpier-gateway/src/gateway/notices.rs
@@ -2,13 +2,13 @@
 
 use std::net::SocketAddr;
 
-use oatpier_serving::directory::HeardNotice;
-use oatpier_serving::message::{InnerMessage, LeavingWord};
+use oatpier_serving::directory::ReceivedNotice;
+use oatpier_serving::message::{InnerMessage, LeavingReport};
 use oatpier_serving::notice::NoticeChange;
 use oatpier_types::names::EndpointName;
 
 use super::core::{CoreState, GatewayCore};
-use crate::decisions::{DecisionLine, LineWeight};
+use crate::decisions::{DecisionLine, LinePriority};
 use crate::notice_metrics::NoticeCounts;
 
 impl GatewayCore {
@@ -16,12 +16,12 @@
     pub(super) fn record_notice(
         &self,
         endpoint: &EndpointName,
-        heard: &HeardNotice<'_>,
+        received: &ReceivedNotice<'_>,
         request: &str,
     ) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let changes = state.directory.take_notice(endpoint, heard, now);
+        let changes = state.directory.apply_notice(endpoint, received, now);
         for change in &changes {
             self.log_notice(&state, endpoint, *change, Some(request));
         }
@@ -30,10 +30,10 @@
             .row(endpoint)
             .and_then(|row| row.record.start);
         drop(state);
-        self.broadcast_limit(endpoint, &changes, heard.sent_at);
+        self.broadcast_limit(endpoint, &changes, received.sent_at);
         if changes.contains(&NoticeChange::Leaving) {
             self.changed.notify_waiters();
-            self.broadcast(&InnerMessage::LeavingSeen(LeavingWord {
+            self.broadcast(&InnerMessage::LeavingSeen(LeavingReport {
                 endpoint: endpoint.clone(),
                 start,
             }));
@@ -41,9 +41,9 @@
     }
 
     /// Handles a report of another gateway that an endpoint is leaving.
-    pub fn apply_leaving_report(&self, report: &LeavingWord) {
+    pub fn apply_leaving_report(&self, report: &LeavingReport) {
         let mut state = self.lock();
-        let change = state.directory.take_leaving_word(report);
+        let change = state.directory.apply_leaving_report(report);
         if let Some(change) = change {
             self.log_notice(&state, &report.endpoint, change, None);
             self.changed.notify_waiters();
@@ -68,34 +68,34 @@
         change: NoticeChange,
         request: Option<&str>,
     ) {
-        self.metrics.notices.noticed(change.as_str());
+        self.metrics.notices.count_notice(change.as_str());
         self.log
             .write(notice_line(state, endpoint, change).with("request", request));
     }
 
     /// Updates the metrics of the numbers of endpoints with each kind of notice.
-    pub(super) fn show_notices(&self, state: &CoreState) {
+    pub(super) fn update_notice_metrics(&self, state: &CoreState) {
         let now = self.clock.now();
         let directory = &state.directory;
-        self.metrics.notices.note_counts(NoticeCounts {
-            limited: directory.limited(),
-            leaving: directory.said_leaving(),
-            resting: directory.resting(now),
+        self.metrics.notices.set_counts(NoticeCounts {
+            limited: directory.limited_count(),
+            leaving: directory.leaving_count(),
+            resting: directory.resting_count(now),
         });
     }
 }
 
-/// Creates the log line for a change of what is known about an endpoint. Invalid values have a low weight, because
-/// every response may contain one.
+/// Creates the log line for a change of what is known about an endpoint. Invalid values have a low priority,
+/// because every response may contain one.
 fn notice_line(state: &CoreState, endpoint: &EndpointName, change: NoticeChange) -> DecisionLine {
-    let weight = match change {
+    let priority = match change {
         NoticeChange::RateUnusable | NoticeChange::LeavingUnusable | NoticeChange::RestUnusable => {
-            LineWeight::Calm
+            LinePriority::Routine
         }
         NoticeChange::RateNamed(_)
         | NoticeChange::RateEnded
         | NoticeChange::Leaving
-        | NoticeChange::Rests(_) => LineWeight::Notable,
+        | NoticeChange::Rests(_) => LinePriority::Notable,
     };
     let rate = match change {
         NoticeChange::RateNamed(rate) => Some(rate.per_second()),
@@ -106,7 +106,7 @@
         _ => None,
     };
     let row = state.directory.row(endpoint);
-    DecisionLine::new(weight, "endpoint says")
+    DecisionLine::new(priority, "endpoint says")
         .with("endpoint", endpoint.as_str())
         .with(
             "start",
--- a/crates/oatpier-gateway/src/gateway/permits.rs
+++ b/crates/oatpier-gateway/src/gateway/permits.rs
@@ -60,7 +60,9 @@
     fn begin(core: &Arc<GatewayCore>, placed: &PlacedSend, ask: PermitAsk) -> Self {
         let endpoint = placed.choice.endpoint.clone();
         let sidecar = SocketAddr::new(placed.address.ip(), core.inner_port);
-        core.lock().directory.note_asked(&endpoint, ask.reading());
+        core.lock()
+            .directory
+            .note_permit_wait(&endpoint, ask.reading());
         Self {
             core: Arc::clone(core),
             endpoint,
@@ -87,19 +89,19 @@
 
 impl Drop for PendingPermit {
     fn drop(&mut self) {
-        self.core.permits.close(self.ask.id);
+        self.core.permits.remove(self.ask.id);
         let mut state = self.core.lock();
         state
             .directory
-            .note_permitted(&self.endpoint, self.ask.reading());
+            .note_permit_wait_end(&self.endpoint, self.ask.reading());
     }
 }
 
 /// Returns how long a request may still wait to be in time, in milliseconds.
 fn due_in_ms(core: &GatewayCore, context: &RequestContext) -> u32 {
     let waited = core.clock.now().since(context.arrived);
-    let left = admission::latest_wait(&context.route).saturating_sub(waited);
-    u32::try_from(left.as_millis()).unwrap_or(u32::MAX)
+    let remaining = admission::max_timely_wait(&context.route).saturating_sub(waited);
+    u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX)
 }
 
 /// Waits for a permit to send a prompt to an engine. Plain services have no prefill, and an engine whose sidecar is
@@ -119,7 +121,7 @@
     if placed.load_age.is_none() {
         return PermitVerdict::NotNeeded;
     }
-    let prefill = match placed.choice.own_reading {
+    let prefill = match placed.choice.own_prefill {
         Duration::ZERO => pause,
         known => known,
     };
@@ -132,7 +134,7 @@
         is_urgent: admission::is_urgent(&context.route, context.priority()),
         priority: context.priority(),
     };
-    let mut answer = core.permits.open(ask.id);
+    let mut answer = core.permits.register(ask.id);
     let mut pending = PendingPermit::begin(core, placed, ask);
     loop {
         pending.send(context);
@@ -150,8 +152,8 @@
 
 impl GatewayCore {
     /// Accepts a permit that a sidecar granted.
-    pub fn take_permit(&self, grant: PermitGrant) {
-        self.permits.take(grant.id, ());
+    pub fn apply_permit(&self, grant: PermitGrant) {
+        self.permits.complete(grant.id, ());
     }
 
     /// Returns whether a request that waits for a permit at a full engine would find a free slot at another one.
@@ -173,6 +175,6 @@
         };
         let weights = context.request.weights.as_ref();
         let holds = weights.is_none_or(|weights| row.holds(&weights.model, now));
-        holds && row.is_open(now) && row.is_rested(now) && !row.is_overdue(now)
+        holds && row.is_open(now) && row.allows_request(now) && !row.is_overdue(now)
     }
 }
--- a/crates/oatpier-gateway/src/gateway/placement.rs
+++ b/crates/oatpier-gateway/src/gateway/placement.rs
@@ -7,9 +7,9 @@
 
 use oatpier_serving::admission;
 use oatpier_serving::call::CallerRequest;
-use oatpier_serving::choice::{EndpointChoice, HeldService};
+use oatpier_serving::choice::{EndpointChoice, ThrottledService};
 use oatpier_serving::fingerprint::RequestFingerprint;
-use oatpier_serving::quota::turns::{HeldTurn, MOST_AHEAD};
+use oatpier_serving::quota::turns::{HeldTurn, MAX_TURN_ADVANCE};
 use oatpier_serving::site::{RouteKind, RouteRule};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::PoolName;
@@ -76,18 +76,18 @@
 
     /// Returns whether the request has waited for an endpoint for the maximum time.
     pub(super) fn has_exceeded_wait(&self, now: ClockTime) -> bool {
-        let max_wait = admission::longest_wait(&self.route, self.first_chunk_timeout());
+        let max_wait = admission::max_wait(&self.route, self.first_chunk_timeout());
         now.since(self.arrived) > max_wait
     }
 
     /// Returns how much longer the request can wait for a turn at a rate-limited endpoint.
     pub(super) fn max_turn_wait(&self, now: ClockTime) -> Duration {
-        self.remaining_wait(now).min(MOST_AHEAD)
+        self.remaining_wait(now).min(MAX_TURN_ADVANCE)
     }
 
     /// Returns how much longer the request may wait for an endpoint.
     pub(super) fn remaining_wait(&self, now: ClockTime) -> Duration {
-        let max_wait = admission::longest_wait(&self.route, self.first_chunk_timeout());
+        let max_wait = admission::max_wait(&self.route, self.first_chunk_timeout());
         max_wait.saturating_sub(now.since(self.arrived))
     }
 
@@ -123,8 +123,8 @@
     pub refusal: Refusal,
     /// The best endpoint, if there is one; it is overloaded.
     pub best: Option<EndpointChoice>,
-    /// Why no endpoint can be used, if all are throttled: they asked for a back-off or are over their rate limit.
-    pub throttled: Option<HeldService>,
+    /// Why no endpoint can be used, if all are throttled: they asked for a rest period or are over their rate limit.
+    pub throttled: Option<ThrottledService>,
 }
 
 impl PlacementRefusal {
@@ -136,7 +136,7 @@
         })
     }
 
-    pub(super) fn throttled(refusal: Refusal, throttled: HeldService) -> Placement {
+    pub(super) fn throttled(refusal: Refusal, throttled: ThrottledService) -> Placement {
         Placement::Refuse(Self {
             refusal,
             best: None,
@@ -154,7 +154,7 @@
     pub address: SocketAddr,
     /// The number of requests that the endpoint runs concurrently.
     pub slots: u32,
-    /// The age of the last report of the endpoint's sidecar, or `None` without one.
+    /// The age of the last status update of the endpoint's sidecar, or `None` without one.
     pub load_age: Option<Duration>,
     /// The turn, if the endpoint has a rate limit.
     pub turn: Option<HeldTurn>,
--- a/crates/oatpier-gateway/src/gateway/placing.rs
+++ b/crates/oatpier-gateway/src/gateway/placement_decision.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use oatpier_serving::admission::{AdmissionQuery, AdmissionVerdict};
+use oatpier_serving::admission::{AdmissionDecision, AdmissionQuery};
 use oatpier_serving::call::WeightsKey;
-use oatpier_serving::choice::{self, ChoiceQuery, ChoiceVerdict, EndpointChoice, HeldService};
-use oatpier_serving::message::{AdapterWish, InnerMessage};
+use oatpier_serving::choice::{self, ChoiceOutcome, ChoiceQuery, EndpointChoice, ThrottledService};
+use oatpier_serving::message::{AdapterRequest, InnerMessage};
 use oatpier_serving::site::{EngineRule, SiteConfig};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
@@ -34,15 +34,15 @@
 /// The interval at which a request that waits for a model is placed again if no change is reported.
 const MODEL_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// After a back-off, waiting requests retry the endpoint in the order of their remaining wait time: each is delayed
+/// After a rest period, waiting requests retry the endpoint in the order of their remaining wait time: each is delayed
 /// by its remaining time divided by this number.
-const BACKOFF_SPREAD_DIVISOR: u32 = 100;
+const REST_SPREAD_DIVISOR: u32 = 100;
 
 /// The longest time for which a waiting request does not check whether its gateway is being stopped.
 pub(super) const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest delay of a request after a back-off ends.
-const MAX_BACKOFF_SPREAD: Duration = Duration::from_millis(30);
+/// The longest delay of a request after a rest period ends.
+const MAX_REST_SPREAD: Duration = Duration::from_millis(30);
 
 impl GatewayCore {
     /// Decides what to do with a request now.
@@ -52,45 +52,45 @@
         let config = state.config.clone();
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, excluded, engine, now) {
-            ChoiceVerdict::Endpoint(choice) => {
-                let verdict = state.judge.judge(&AdmissionQuery {
+            ChoiceOutcome::Endpoint(choice) => {
+                let decision = state.admission.decide(&AdmissionQuery {
                     choice: &choice,
                     route: &context.route,
                     priority: context.priority(),
                     waited: now.since(context.arrived),
-                    patience: context.first_chunk_timeout(),
+                    first_chunk_timeout: context.first_chunk_timeout(),
                 });
-                if verdict != AdmissionVerdict::Send {
+                if decision != AdmissionDecision::Send {
                     self.record_unserved(&mut state, context, now);
                 }
                 let waits_at_sidecar = waits_at_sidecar(&state, context, &choice, now);
-                match verdict {
-                    AdmissionVerdict::Refuse(refusal) => Placement::Refuse(PlacementRefusal {
+                match decision {
+                    AdmissionDecision::Refuse(refusal) => Placement::Refuse(PlacementRefusal {
                         refusal,
                         best: Some(choice),
                         throttled: None,
                     }),
-                    AdmissionVerdict::Wait(max_wait) if !waits_at_sidecar => {
+                    AdmissionDecision::Wait(max_wait) if !waits_at_sidecar => {
                         Placement::Sleep(max_wait)
                     }
-                    AdmissionVerdict::Send | AdmissionVerdict::Wait(_) => {
+                    AdmissionDecision::Send | AdmissionDecision::Wait(_) => {
                         let slots = engine.map_or(0, |rule| rule.adapter_slots);
                         self.place_at(&mut state, context, choice, slots, now)
                     }
                 }
             }
-            ChoiceVerdict::NoModel { ready_in, load } => {
+            ChoiceOutcome::NoModel { ready_in, load } => {
                 self.record_unserved(&mut state, context, now);
                 let pending = PendingModel { ready_in, load };
                 place_without_model(&mut state, context, pending, now)
             }
-            ChoiceVerdict::Held(throttled) => {
+            ChoiceOutcome::Throttled(throttled) => {
                 self.record_unserved(&mut state, context, now);
                 place_throttled(&mut state, context, throttled, now)
             }
-            ChoiceVerdict::NoEndpoint => {
+            ChoiceOutcome::NoEndpoint => {
                 let refusal = state
-                    .judge
+                    .admission
                     .refusal(RefusalCause::NoEndpoint, NO_ENDPOINT_RETRY_AFTER);
                 PlacementRefusal::without_endpoint(refusal)
             }
@@ -103,27 +103,29 @@
         let config = state.config.clone();
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, &[], engine, self.clock.now()) {
-            ChoiceVerdict::Endpoint(choice) => Some(choice),
-            ChoiceVerdict::NoModel { .. } | ChoiceVerdict::Held(_) | ChoiceVerdict::NoEndpoint => {
-                None
-            }
+            ChoiceOutcome::Endpoint(choice) => Some(choice),
+            ChoiceOutcome::NoModel { .. }
+            | ChoiceOutcome::Throttled(_)
+            | ChoiceOutcome::NoEndpoint => None,
         }
     }
 
-    /// Returns the refusal of a request whose possible endpoints are all throttled: they asked for a back-off or
+    /// Returns the refusal of a request whose possible endpoints are all throttled: they asked for a rest period or
     /// are over their rate limit.
     pub(super) fn refusal_if_throttled(
         &self,
         context: &RequestContext,
-    ) -> Option<(Refusal, HeldService)> {
+    ) -> Option<(Refusal, ThrottledService)> {
         let mut state = self.lock();
         let config = state.config.clone();
         let engine = engine_rule(config.as_deref(), context);
         match self.choose(&state, context, &[], engine, self.clock.now()) {
-            ChoiceVerdict::Held(throttled) => Some((state.judge.held(&throttled), throttled)),
-            ChoiceVerdict::Endpoint(_)
-            | ChoiceVerdict::NoModel { .. }
-            | ChoiceVerdict::NoEndpoint => None,
+            ChoiceOutcome::Throttled(throttled) => {
+                Some((state.admission.refuse_throttled(&throttled), throttled))
+            }
+            ChoiceOutcome::Endpoint(_)
+            | ChoiceOutcome::NoModel { .. }
+            | ChoiceOutcome::NoEndpoint => None,
         }
     }
 
@@ -134,14 +136,14 @@
         excluded: &[EndpointName],
         engine: Option<&EngineRule>,
         now: ClockTime,
-    ) -> ChoiceVerdict {
+    ) -> ChoiceOutcome {
         let query = ChoiceQuery {
             service: &context.service,
             request: &context.request,
             zone: &self.zone,
             excluded,
             engine,
-            turn_patience: context.max_turn_wait(now),
+            max_turn_wait: context.max_turn_wait(now),
         };
         choice::choose(&state.directory, &query, now)
     }
@@ -149,7 +151,7 @@
     /// Returns the refusal of a request that has waited for the maximum time.
     pub(super) fn refusal_if_wait_exceeded(&self, context: &RequestContext) -> Option<Refusal> {
         let has_exceeded_wait = context.has_exceeded_wait(self.clock.now());
-        has_exceeded_wait.then(|| self.lock().judge.too_late(Duration::ZERO))
+        has_exceeded_wait.then(|| self.lock().admission.refuse_late(Duration::ZERO))
     }
 
     fn place_at(
@@ -165,12 +167,12 @@
         };
         let address = row.record.address;
         let slots = row.record.slots;
-        let load_age = row.pulse_age(now);
+        let load_age = row.status_age(now);
         if choice.needs_adapter {
             if now.since(context.arrived) > context.max_adapter_wait() {
                 self.record_unserved(state, context, now);
                 let refusal = state
-                    .judge
+                    .admission
                     .refusal(RefusalCause::WeightsMissing, ADAPTER_RETRY_AFTER);
                 return Placement::Refuse(PlacementRefusal {
                     refusal,
@@ -195,7 +197,7 @@
 
     fn request_adapter(&self, weights: Option<&WeightsKey>, sidecar: SocketAddr, slots: usize) {
         if let Some(key) = weights.and_then(WeightsKey::adapter_key) {
-            let request = AdapterWish {
+            let request = AdapterRequest {
                 key,
                 slots: u32::try_from(slots).unwrap_or(u32::MAX),
             };
@@ -223,25 +225,27 @@
     now: ClockTime,
 ) -> bool {
     let row = state.directory.row(&choice.endpoint);
-    let is_reporting = row.is_some_and(|row| row.pulse(now).is_some());
-    context.route.kind.is_stream() && choice.batches && !choice.memory_full && is_reporting
+    let is_reporting = row.is_some_and(|row| row.status(now).is_some());
+    context.route.kind.is_stream() && choice.is_batched && !choice.is_memory_full && is_reporting
 }
 
-/// Places a request whose endpoints are all throttled: they asked for a back-off or are over their rate limit. It
+/// Places a request whose endpoints are all throttled: they asked for a rest period or are over their rate limit. It
 /// waits if one of them accepts requests again in time; otherwise it is refused at once with a `Retry-After`.
 /// Requests whose callers time out first retry first.
 fn place_throttled(
     state: &mut CoreState,
     context: &RequestContext,
-    throttled: HeldService,
+    throttled: ThrottledService,
     now: ClockTime,
 ) -> Placement {
-    let spare_wait = context.remaining_wait(now).saturating_sub(throttled.left);
+    let spare_wait = context
+        .remaining_wait(now)
+        .saturating_sub(throttled.remaining);
     if spare_wait.is_zero() {
-        let refusal = state.judge.held(&throttled);
+        let refusal = state.admission.refuse_throttled(&throttled);
         return PlacementRefusal::throttled(refusal, throttled);
     }
-    let delay = throttled.left + (spare_wait / BACKOFF_SPREAD_DIVISOR).min(MAX_BACKOFF_SPREAD);
+    let delay = throttled.remaining + (spare_wait / REST_SPREAD_DIVISOR).min(MAX_REST_SPREAD);
     Placement::Sleep(delay.min(STOP_CHECK_INTERVAL))
 }
 
@@ -286,7 +290,7 @@
         return Placement::WaitForChange(MODEL_POLL_INTERVAL);
     }
     let refusal = state
-        .judge
+        .admission
         .refusal(RefusalCause::WeightsMissing, pending.time_until_ready());
     PlacementRefusal::without_endpoint(refusal)
 }
--- a/crates/oatpier-gateway/src/gateway/planning.rs
+++ b/crates/oatpier-gateway/src/gateway/planning.rs
@@ -11,8 +11,8 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
 use super::core::GatewayCore;
-use super::greetings::engine_services;
-use crate::decisions::{DecisionLine, LineWeight};
+use super::subscriptions::engine_services;
+use crate::decisions::{DecisionLine, LinePriority};
 
 /// Interval between planning rounds while nothing changes.
 const PLAN_INTERVAL: Duration = Duration::from_millis(150);
@@ -81,8 +81,8 @@
         return PlannedRound::default();
     };
     let own = state.demand.summary(now);
-    let models = state.peers.total(&own, now);
-    let uses = state.peers.uses(&state.directory.model_uses(), now);
+    let models = state.peers.total_demand(&own, now);
+    let uses = state.peers.fleet_uses(&state.directory.model_uses(), now);
     let demand = FleetDemand {
         models: &models,
         uses: &uses,
@@ -111,13 +111,13 @@
 
 fn log_blocked(core: &GatewayCore, blocked: &[BlockedLoad]) {
     for load in blocked {
-        let line = DecisionLine::new(LineWeight::Notable, "load not possible")
+        let line = DecisionLine::new(LinePriority::Notable, "load not possible")
             .with("model", load.model.as_str())
             .with("reason", load.reason.as_str())
             .with("want", (load.want * 100.0).round() / 100.0)
             .with("holders", load.holders)
             .with("rate_spent", load.rate_spent)
-            .with("rests", load.rests)
+            .with("rests", load.is_backed_off)
             .with("busy", load.busy)
             .with("paced", load.paced)
             .with("full", load.full)
@@ -149,12 +149,12 @@
         let adapters = held.adapters.len();
         format!("{}+{adapters}", held.model)
     });
-    DecisionLine::new(LineWeight::Notable, "engine seen")
+    DecisionLine::new(LinePriority::Notable, "engine seen")
         .with("endpoint", row.record.name.as_str())
-        .with("requests", row.present())
+        .with("requests", row.request_count())
         .with("waiting", row.waiting())
-        .with("hold_ms", row.hold.mean_ms().round())
-        .with("first_ms", row.first.mean_ms().round())
+        .with("hold_ms", row.slot_time.mean_ms().round())
+        .with("first_ms", row.first_chunk.mean_ms().round())
         .with("memory", (row.memory_share(0, now) * 100.0).round())
         .with("failures", (row.failure_share(now) * 100.0).round())
         .with("limit", row.limit().map(|limit| limit.rate.per_second()))
@@ -164,7 +164,7 @@
 fn log_plan(core: &GatewayCore, planned: &PlannedLoad) {
     let reason = planned.reason.as_str();
     let unload = planned.advice.unload.iter().map(ToString::to_string);
-    let line = DecisionLine::new(LineWeight::Notable, "load advised")
+    let line = DecisionLine::new(LinePriority::Notable, "load advised")
         .with("endpoint", planned.endpoint.as_str())
         .with("model", planned.advice.load.as_str())
         .with("unload", unload.collect::<Vec<_>>())
--- a/crates/oatpier-gateway/src/gateway/quota.rs
+++ b/crates/oatpier-gateway/src/gateway/quota.rs
@@ -10,23 +10,23 @@
 
 use oatpier_serving::message::{InnerMessage, QuotaAnswer, QuotaAsk};
 use oatpier_serving::quota::PartIndex;
-use oatpier_serving::quota::grants::{AskedParts, GrantStep, PartAsk, UnitsLot};
+use oatpier_serving::quota::grants::{GrantStep, QueriedParts, UnitsGrant, UnitsQuery};
 use oatpier_serving::quota::holder::{PartAnswer, UnitsWanted};
-use oatpier_serving::quota::tenure::{ClaimStanding, PartEntry, StoreEra, TenureChange};
+use oatpier_serving::quota::lease::{ClaimPriority, LeaseChange, PartEntry, StoreEra};
 use oatpier_serving::site::RouteRule;
 use oatpier_serving::workspace::WorkspaceRule;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::WorkspaceName;
 use tokio::time::sleep;
 
-use super::answers::OwnAnswer;
 use super::core::{CoreState, GatewayCore};
-use crate::decisions::{DecisionLine, LineWeight};
+use super::local_responses::LocalResponse;
+use crate::decisions::{DecisionLine, LinePriority};
 use crate::parts_writer::{ClaimResult, DueClaim};
 
 /// Timeout for a holder's answer: a few times the network latency between availability zones plus the scheduling delay
-/// of a busy processor. After that another holder is asked.
-pub(super) const ANSWER_WAIT: Duration = Duration::from_millis(40);
+/// of a busy processor. After that another holder is queried.
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// Retry interval of a request that waits for units while no holder is known, as after a start.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -40,18 +40,18 @@
 const MAX_WAIT: Duration = Duration::from_millis(250);
 
 /// Returns how long a request of a route may wait for units.
-pub(super) fn unit_patience(route: &RouteRule) -> Duration {
+pub(super) fn max_unit_wait(route: &RouteRule) -> Duration {
     route.target.mul_f64(WAIT_SHARE).min(MAX_WAIT)
 }
 
-/// Retry time where no holder could be asked; the next try reaches another gateway.
+/// Retry time where no holder could be queried; the next try reaches another gateway.
 const UNREACHABLE_RETRY: Duration = Duration::from_millis(250);
 
 /// Units that a request was charged. They are returned when this is dropped before the request may have run.
 pub struct UnitsCharge {
     core: Arc<GatewayCore>,
     workspace: Arc<WorkspaceRule>,
-    lot: UnitsLot,
+    grant: UnitsGrant,
     is_spent: bool,
 }
 
@@ -60,7 +60,9 @@
         if !self.is_spent {
             let now = self.core.clock.now();
             let mut state = self.core.lock();
-            state.grants.put_back(&self.workspace.name, self.lot, now);
+            state
+                .grants
+                .return_units(&self.workspace.name, self.grant, now);
         }
     }
 }
@@ -73,7 +75,7 @@
 
 impl std::fmt::Debug for ChargeCell {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let units = self.lock().as_ref().map(|charge| charge.lot.units);
+        let units = self.lock().as_ref().map(|charge| charge.grant.units);
         formatter.debug_tuple("ChargeCell").field(&units).finish()
     }
 }
@@ -98,8 +100,8 @@
     fn expired(&self, now: ClockTime) -> Option<(Arc<WorkspaceRule>, u64)> {
         let charge = self.lock();
         let charge = charge.as_ref()?;
-        let is_expired = !charge.is_spent && charge.lot.until <= now;
-        is_expired.then(|| (Arc::clone(&charge.workspace), charge.lot.units))
+        let is_expired = !charge.is_spent && charge.grant.expires_at <= now;
+        is_expired.then(|| (Arc::clone(&charge.workspace), charge.grant.units))
     }
 
     fn renew(&self, charge: UnitsCharge) {
@@ -121,35 +123,38 @@
     workspace: &Arc<WorkspaceRule>,
     units: u64,
     max_wait: Duration,
-) -> Result<UnitsCharge, OwnAnswer> {
-    let mut asked = AskedParts::default();
+) -> Result<UnitsCharge, LocalResponse> {
+    let mut queried = QueriedParts::default();
     let until = core.clock.now() + max_wait;
     loop {
         let now = core.clock.now();
-        let step = core.lock().grants.step(&workspace.name, units, &asked, now);
+        let step = core
+            .lock()
+            .grants
+            .step(&workspace.name, units, &queried, now);
         match step {
-            GrantStep::Taken(lot) => {
+            GrantStep::Taken(grant) => {
                 return Ok(UnitsCharge {
                     core: Arc::clone(core),
                     workspace: Arc::clone(workspace),
-                    lot,
+                    grant,
                     is_spent: false,
                 });
             }
-            GrantStep::Ask(ask) => {
-                asked.add(ask.part);
-                ask_holder(core, &workspace.name, &ask).await;
+            GrantStep::Query(query) => {
+                queried.add(query.part);
+                query_holder(core, &workspace.name, &query).await;
             }
-            GrantStep::Spent(after) if now + after < until => {
+            GrantStep::Exhausted(after) if now + after < until => {
                 sleep(after.max(RETRY_INTERVAL)).await;
-                asked = AskedParts::default();
+                queried = QueriedParts::default();
             }
-            GrantStep::Spent(after) => return Err(core.over_limit(after)),
-            GrantStep::Nobody if now + RETRY_INTERVAL < until => {
+            GrantStep::Exhausted(after) => return Err(core.over_limit(after)),
+            GrantStep::NoHolder if now + RETRY_INTERVAL < until => {
                 sleep(RETRY_INTERVAL).await;
-                asked = AskedParts::default();
+                queried = QueriedParts::default();
             }
-            GrantStep::Nobody => return Err(core.limit_unknown()),
+            GrantStep::NoHolder => return Err(core.limit_unknown()),
         }
     }
 }
@@ -159,7 +164,7 @@
     core: &Arc<GatewayCore>,
     cell: &ChargeCell,
     max_wait: Duration,
-) -> Result<(), OwnAnswer> {
+) -> Result<(), LocalResponse> {
     let Some((workspace, units)) = cell.expired(core.clock.now()) else {
         return Ok(());
     };
@@ -167,61 +172,61 @@
     Ok(())
 }
 
-async fn ask_holder(core: &Arc<GatewayCore>, workspace: &WorkspaceName, ask: &PartAsk) {
+async fn query_holder(core: &Arc<GatewayCore>, workspace: &WorkspaceName, query: &UnitsQuery) {
     let asked_at = core.clock.now();
-    let answer = if ask.holder == core.settings.borrow().inner_address() {
-        Some(core.grant_units(ask.part, workspace, ask.wanted))
+    let answer = if query.holder == core.settings.borrow().inner_address() {
+        Some(core.grant_units(query.part, workspace, query.wanted))
     } else {
-        ask_remote_holder(core, workspace, ask).await
+        query_remote_holder(core, workspace, query).await
     };
     let now = core.clock.now();
-    let lifetime = core.settings.borrow().bounds.quota.grant_life();
+    let lifetime = core.settings.borrow().bounds.quota.grant_lifetime();
     let mut state = core.lock();
     match answer {
         Some(answer) => {
             let grants = &mut state.grants;
-            grants.take_answer(workspace, ask, answer, asked_at, lifetime, now);
+            grants.apply_answer(workspace, query, answer, asked_at, lifetime, now);
         }
-        None => state.grants.holders_mut().note_silence(ask.part, now),
+        None => state.grants.holders_mut().note_timeout(query.part, now),
     }
 }
 
-async fn ask_remote_holder(
+async fn query_remote_holder(
     core: &GatewayCore,
     workspace: &WorkspaceName,
-    ask: &PartAsk,
+    query: &UnitsQuery,
 ) -> Option<PartAnswer> {
     let send = |id| {
         let message = InnerMessage::QuotaAsk(QuotaAsk {
             id,
-            part: ask.part,
+            part: query.part,
             workspace: workspace.clone(),
-            wanted: ask.wanted,
+            wanted: query.wanted,
         });
-        core.outlet.send(ask.holder, &message);
+        core.outlet.send(query.holder, &message);
     };
-    core.quota_asks.ask(ANSWER_WAIT, send).await
+    core.quota_asks.ask(ANSWER_TIMEOUT, send).await
 }
 
 impl GatewayCore {
-    fn over_limit(&self, after: Duration) -> OwnAnswer {
-        OwnAnswer::OverLimit(self.lock().judge.spread(after))
+    fn over_limit(&self, after: Duration) -> LocalResponse {
+        LocalResponse::OverLimit(self.lock().admission.jitter(after))
     }
 
-    fn limit_unknown(&self) -> OwnAnswer {
-        OwnAnswer::LimitUnknown(self.lock().judge.spread(UNREACHABLE_RETRY))
+    fn limit_unknown(&self) -> LocalResponse {
+        LocalResponse::LimitUnknown(self.lock().admission.jitter(UNREACHABLE_RETRY))
     }
 
     /// Answers another gateway's request for units of a part that this gateway holds.
-    pub fn take_quota_ask(&self, from: SocketAddr, ask: &QuotaAsk) {
+    pub fn answer_quota_ask(&self, from: SocketAddr, ask: &QuotaAsk) {
         let answer = self.grant_units(ask.part, &ask.workspace, ask.wanted);
         let message = InnerMessage::QuotaAnswer(QuotaAnswer { id: ask.id, answer });
         self.outlet.send(from, &message);
     }
 
     /// Handles a holder's answer to a request for units.
-    pub fn take_quota_answer(&self, answer: QuotaAnswer) {
-        self.quota_asks.take(answer.id, answer.answer);
+    pub fn complete_quota_ask(&self, answer: QuotaAnswer) {
+        self.quota_asks.complete(answer.id, answer.answer);
     }
 
     fn grant_units(
@@ -236,57 +241,59 @@
         let Some(rule) = state.limits.get(workspace).copied() else {
             return PartAnswer::NotHeld;
         };
-        if !state.tenure.holds(part, now) {
+        if !state.leases.holds(part, now) {
             return PartAnswer::NotHeld;
         }
-        let terms = bounds.part(&rule);
-        state.holder.hand_out(part, workspace, &terms, wanted, now)
+        let params = bounds.bucket_params(&rule);
+        state
+            .holder
+            .grant_units(part, workspace, &params, wanted, now)
     }
 
     /// Applies the holders of the limit parts as read from the store.
-    pub fn take_parts(&self, parts: &[PartEntry], era: StoreEra) {
+    pub fn apply_parts(&self, parts: &[PartEntry], era: StoreEra) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let changes = state.tenure.take_read(parts, era, now);
+        let changes = state.leases.apply_read(parts, era, now);
         self.apply_lease_changes(&mut state, changes);
     }
 
     /// Applies the result of a claim.
-    pub fn take_claim(&self, result: ClaimResult) {
+    pub fn apply_claim(&self, result: ClaimResult) {
         let now = self.clock.now();
         let mut state = self.lock();
         let ClaimResult { due, outcome } = result;
         let change = state
-            .tenure
-            .take_outcome(&due.claim, outcome, due.sent_at, now);
+            .leases
+            .apply_outcome(&due.claim, outcome, due.sent_at, now);
         self.apply_lease_changes(&mut state, change);
     }
 
     fn apply_lease_changes(
         &self,
         state: &mut CoreState,
-        changes: impl IntoIterator<Item = TenureChange>,
+        changes: impl IntoIterator<Item = LeaseChange>,
     ) {
         for change in changes {
             match change {
-                TenureChange::Begun(begin) => {
+                LeaseChange::Begun(begin) => {
                     state
                         .holder
-                        .begin(begin.part, begin.start, begin.free_since);
+                        .add_part(begin.part, begin.start, begin.free_since);
                 }
-                TenureChange::Ended(part) => state.holder.end(part),
+                LeaseChange::Ended(part) => state.holder.remove_part(part),
             }
-            let line = DecisionLine::new(LineWeight::Notable, "limit part");
+            let line = DecisionLine::new(LinePriority::Notable, "limit part");
             self.log.write(line.with("change", format!("{change:?}")));
         }
-        let holders = state.tenure.holders();
+        let holders = state.leases.holders();
         state.grants.holders_mut().set(holders);
     }
 
     /// Counts and logs the units that workspaces requested from the parts held here. Writes one line for each
     /// workspace that was refused units.
-    pub(super) fn count_limit_use(&self) {
-        let uses = self.lock().holder.count_use();
+    pub(super) fn report_limit_use(&self) {
+        let uses = self.lock().holder.take_use_counts();
         for used in uses {
             let workspace = &used.workspace;
             let units = used.units;
@@ -299,7 +306,7 @@
             self.metrics
                 .workspaces
                 .count_units(workspace, "refused", units.refused);
-            let line = DecisionLine::new(LineWeight::Notable, "limit use")
+            let line = DecisionLine::new(LinePriority::Notable, "limit use")
                 .with("workspace", workspace.as_str())
                 .with("granted", units.granted)
                 .with("refused", units.refused)
@@ -308,30 +315,30 @@
         }
     }
 
-    /// Claims and renews parts that are due; gives them back if this gateway is leaving.
-    pub(super) fn tend_parts(&self, is_leaving: bool) {
+    /// Claims and renews parts that are due; releases them if this gateway is leaving.
+    pub(super) fn maintain_parts(&self, is_leaving: bool) {
         let now = self.clock.now();
         let mut state = self.lock();
-        let priority = ClaimStanding {
+        let priority = ClaimPriority {
             rank: state.peers.rank(now),
-            is_wanted: !is_leaving,
+            is_eligible: !is_leaving,
         };
         let released = if is_leaving {
-            state.tenure.release(now)
+            state.leases.release(now)
         } else {
             Vec::new()
         };
         for claim in &released {
-            state.holder.end(claim.record.part);
+            state.holder.remove_part(claim.record.part);
         }
         let mut claims = released;
-        while let Some(claim) = state.tenure.due(priority, now) {
+        while let Some(claim) = state.leases.next_claim(priority, now) {
             claims.push(claim);
         }
         drop(state);
         for claim in claims {
             // A full ring counts what it drops, and the claim is due again a moment later.
-            let _ = self.claims.offer(DueClaim {
+            let _ = self.claims.try_send(DueClaim {
                 claim,
                 sent_at: now,
             });
--- a/crates/oatpier-gateway/src/gateway/relay.rs
+++ b/crates/oatpier-gateway/src/gateway/relay.rs
@@ -13,11 +13,11 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 use oatpier_platform::headers;
-use oatpier_serving::directory::EndpointOutcome;
+use oatpier_serving::directory::RequestOutcome;
 use oatpier_serving::site::RouteKind;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::EndpointName;
-use oatpier_wire::client::AnswerBody;
+use oatpier_wire::client::ResponseBody;
 use oatpier_wire::reply::{BoxError, Reply};
 use oatpier_wire::sse::EventSplitter;
 use tokio::time::timeout_at;
@@ -39,7 +39,7 @@
 /// A stream that is being relayed.
 struct StreamRelay {
     run: RequestRun,
-    body: AnswerBody,
+    body: ResponseBody,
     guard: Option<AttemptGuard>,
     /// Splits a resumable stream into events.
     splitter: Option<EventSplitter>,
@@ -265,7 +265,7 @@
 
     fn finish_broken(&mut self) {
         if let Some(guard) = self.guard.take() {
-            guard.finish(EndpointOutcome::Broken);
+            guard.finish(RequestOutcome::Broken);
         }
     }
 
@@ -302,7 +302,7 @@
             .await
             .map_err(|_| AttemptFailure::Silent)??;
         if !response.status.is_success() {
-            response.guard.finish(EndpointOutcome::ServerError);
+            response.guard.finish(RequestOutcome::ServerError);
             return Err(AttemptFailure::ServerError);
         }
         self.body = response.body;
--- a/crates/oatpier-gateway/src/gateway/reports.rs
+++ b/crates/oatpier-gateway/src/gateway/reports.rs
@@ -5,7 +5,7 @@
 
 use oatpier_duty::duty::{StopPhase, StopSignal};
 use oatpier_serving::message::{InnerMessage, MessageNumber, PeerReport};
-use oatpier_serving::peers::PeerStanding;
+use oatpier_serving::peers::PlannerCandidate;
 use oatpier_types::clock::ClockTime;
 use tokio::time::{MissedTickBehavior, interval, sleep};
 
@@ -53,10 +53,10 @@
         let now = self.core.clock.now();
         let mut state = self.core.lock();
         let demand = state.demand.summary(now);
-        state.urgent = false;
+        state.has_unserved_demand = false;
         let uses = state.directory.model_uses();
         let peers = state.peers.addresses(&self.core.zone, now);
-        let receives_demand = state.peers.is_reader(now);
+        let receives_demand = state.peers.receives_demand(now);
         self.update_own(&mut state, now);
         let own = state.peers.own();
         drop(state);
@@ -85,8 +85,8 @@
     fn send_unserved(&mut self) {
         let now = self.core.clock.now();
         let mut state = self.core.lock();
-        state.urgent = false;
-        let demand = state.demand.pressed_summary(now);
+        state.has_unserved_demand = false;
+        let demand = state.demand.unserved_summary(now);
         let peers = state.peers.addresses(&self.core.zone, now);
         let own = state.peers.own();
         drop(state);
@@ -100,24 +100,24 @@
 
     /// Updates this gateway's fitness to plan and its share of the retry budget.
     fn update_own(&self, state: &mut CoreState, now: ClockTime) {
-        let engines_heard = state.directory.engines_heard(now);
-        state.peers.note_own(engines_heard, self.core.is_behind());
+        let engines_heard = state.directory.reporting_engines(now);
+        state.peers.set_own(engines_heard, self.core.is_behind());
         let count = state.peers.count(now);
         let bounds = self.core.settings.borrow().bounds;
         state
             .allowance
             .set_bounds(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window);
-        state.allowance.share_among(count);
+        state.allowance.set_gateways(count);
         let store_age = now.since(state.store_read_at.unwrap_or_default());
         let store_age = i64::try_from(store_age.as_millis()).unwrap_or(i64::MAX);
         self.core.metrics.store_age_ms.set(store_age);
-        self.core.show_notices(state);
+        self.core.update_notice_metrics(state);
         let count = i64::try_from(count).unwrap_or(i64::MAX);
         self.core.metrics.gateways.set(count);
     }
 
     /// Builds a report without demand, for receivers that get one every `ticks` ticks.
-    fn report(&mut self, own: PeerStanding, ticks: u32) -> PeerReport {
+    fn report(&mut self, own: PlannerCandidate, ticks: u32) -> PeerReport {
         self.number.number += 1;
         let every_ms = REPORT_INTERVAL.as_millis();
         PeerReport {
@@ -155,7 +155,7 @@
                 number = number.wrapping_add(1);
                 reporter.send_full(number);
             }
-            () = reporter.core.pressed.notified() => {
+            () = reporter.core.demand_unserved.notified() => {
                 sleep(UNSERVED_DELAY).await;
                 reporter.send_unserved();
             }
--- a/crates/oatpier-gateway/src/gateway/turns.rs
+++ b/crates/oatpier-gateway/src/gateway/turns.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use oatpier_serving::directory::EndpointRow;
-use oatpier_serving::message::{InnerMessage, LimitWord, TurnAsk, TurnReply};
+use oatpier_serving::message::{InnerMessage, LimitReport, TurnAsk, TurnReply};
 use oatpier_serving::notice::NoticeChange;
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::turns::{HeldTurn, TurnAnswer, TurnQuery, TurnStep};
@@ -17,8 +17,8 @@
 use tokio::time::sleep;
 
 use super::core::{CoreState, GatewayCore};
-use super::placing::STOP_CHECK_INTERVAL;
-use super::quota::ANSWER_WAIT;
+use super::placement_decision::STOP_CHECK_INTERVAL;
+use super::quota::ANSWER_TIMEOUT;
 
 /// The outcome of a turn request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,8 +43,8 @@
         let query = match core.turn_step(endpoint, max_wait) {
             None => return TurnVerdict::NotNeeded,
             Some(TurnStep::Later(_)) => return TurnVerdict::TooLate,
-            Some(TurnStep::Nobody) => return TurnVerdict::NoHolder,
-            Some(TurnStep::Ask(query)) => query,
+            Some(TurnStep::NoHolder) => return TurnVerdict::NoHolder,
+            Some(TurnStep::Query(query)) => query,
         };
         if let Some(turn) = core.request_turn(endpoint, &query).await {
             return TurnVerdict::Granted(turn);
@@ -60,11 +60,11 @@
     turn: HeldTurn,
 ) -> bool {
     loop {
-        let left = turn.at.since(core.clock.now());
-        if left.is_zero() {
+        let remaining = turn.at.since(core.clock.now());
+        if remaining.is_zero() {
             return true;
         }
-        sleep(left.min(STOP_CHECK_INTERVAL)).await;
+        sleep(remaining.min(STOP_CHECK_INTERVAL)).await;
         if core.is_closed() || !core.is_accepting(endpoint) {
             return false;
         }
@@ -78,39 +78,43 @@
         let CoreState {
             directory, grants, ..
         } = &mut *state;
-        directory.turn_step(endpoint, grants.holders(), max_wait, now)
+        directory.next_turn_step(endpoint, grants.holders(), max_wait, now)
     }
 
     async fn request_turn(&self, endpoint: &EndpointName, query: &TurnQuery) -> Option<HeldTurn> {
         let limit = self.limit_report(endpoint, None)?;
         let answer = if query.holder == self.settings.borrow().inner_address() {
-            Some(self.grant_turn(query.part, &limit, query.most_wait))
+            Some(self.grant_turn(query.part, &limit, query.max_wait))
         } else {
             self.request_remote_turn(query, limit).await
         };
         let now = self.clock.now();
         let mut state = self.lock();
         let Some(answer) = answer else {
-            state.grants.holders_mut().note_silence(query.part, now);
+            state.grants.holders_mut().note_timeout(query.part, now);
             return None;
         };
         let CoreState {
             directory, grants, ..
         } = &mut *state;
-        directory.take_turn_answer(endpoint, grants.holders_mut(), query.part, answer, now)
+        directory.apply_turn_answer(endpoint, grants.holders_mut(), query.part, answer, now)
     }
 
-    async fn request_remote_turn(&self, query: &TurnQuery, limit: LimitWord) -> Option<TurnAnswer> {
+    async fn request_remote_turn(
+        &self,
+        query: &TurnQuery,
+        limit: LimitReport,
+    ) -> Option<TurnAnswer> {
         let send = |id| {
             let ask = TurnAsk {
                 id,
                 part: query.part,
-                most_wait_ms: u32::try_from(query.most_wait.as_millis()).unwrap_or(u32::MAX),
+                most_wait_ms: u32::try_from(query.max_wait.as_millis()).unwrap_or(u32::MAX),
                 limit,
             };
             self.outlet.send(query.holder, &InnerMessage::TurnAsk(ask));
         };
-        self.turn_asks.ask(ANSWER_WAIT, send).await
+        self.turn_asks.ask(ANSWER_TIMEOUT, send).await
     }
 
     /// Handles the request of another gateway for a turn of a part that this gateway holds.
@@ -123,11 +127,11 @@
 
     /// Handles the answer of the holder of a part to a turn request.
     pub fn complete_turn_ask(&self, reply: TurnReply) {
-        self.turn_asks.take(reply.id, reply.answer);
+        self.turn_asks.complete(reply.id, reply.answer);
     }
 
     /// Grants a turn according to the newest report of the limit, which may come with the request.
-    fn grant_turn(&self, part: PartIndex, limit: &LimitWord, max_wait: Duration) -> TurnAnswer {
+    fn grant_turn(&self, part: PartIndex, limit: &LimitReport, max_wait: Duration) -> TurnAnswer {
         let now = self.clock.now();
         self.apply_limit_report(limit);
         let mut state = self.lock();
@@ -136,28 +140,28 @@
         let Some(rate) = known.or(limit.rate) else {
             return TurnAnswer::NotHeld;
         };
-        if !state.tenure.holds(part, now) {
+        if !state.leases.holds(part, now) {
             return TurnAnswer::NotHeld;
         }
         state
             .holder
-            .give_turn(part, &limit.endpoint, rate, max_wait, now)
+            .grant_turn(part, &limit.endpoint, rate, max_wait, now)
     }
 
     fn limit_report(
         &self,
         endpoint: &EndpointName,
         sent_at: Option<ClockTime>,
-    ) -> Option<LimitWord> {
+    ) -> Option<LimitReport> {
         let now = self.clock.now();
-        self.lock().directory.limit_word(endpoint, sent_at, now)
+        self.lock().directory.limit_report(endpoint, sent_at, now)
     }
 
     /// Handles the report of another gateway about the rate limit of an endpoint.
-    pub fn apply_limit_report(&self, report: &LimitWord) {
+    pub fn apply_limit_report(&self, report: &LimitReport) {
         let now = self.clock.now();
         let mut state = self.lock();
-        if let Some(change) = state.directory.take_limit_word(report, now) {
+        if let Some(change) = state.directory.apply_limit_report(report, now) {
             self.log_notice(&state, &report.endpoint, change, None);
         }
     }
@@ -190,12 +194,12 @@
         row.is_some_and(|row| row.limit().is_some())
     }
 
-    /// Returns whether an endpoint is neither leaving nor in a back-off period.
+    /// Returns whether an endpoint is neither leaving nor in a rest period.
     fn is_accepting(&self, endpoint: &EndpointName) -> bool {
         let now = self.clock.now();
         let state = self.lock();
         let row = state.directory.row(endpoint);
-        row.is_some_and(|row| row.is_open(now) && row.is_rested(now))
+        row.is_some_and(|row| row.is_open(now) && row.allows_request(now))
     }
 
     /// Returns whether a request with this turn may be sent to an endpoint now, as far as is known.
--- a/crates/oatpier-gateway/src/sidecar/mod.rs
+++ b/crates/oatpier-gateway/src/sidecar/mod.rs
@@ -1,13 +1,13 @@
 //! A sidecar: the only process that sends orders to its engine.
 //!
 //! - [`engine_link`]: calls to the engine.
-//! - [`pulses`]: status messages to gateways, and when they are sent.
+//! - [`statuses`]: status updates to gateways, and when they are sent.
 //!
 //! One loop reads the engine's report, receives messages from gateways, sends the orders that
-//! [`oatpier_serving::residency`] decides on, and sends pulses.
+//! [`oatpier_serving::residency`] decides on, and sends status updates.
 
 pub mod engine_link;
-pub mod pulses;
+pub mod statuses;
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -19,18 +19,18 @@
 use oatpier_serving::failures::FailureCount;
 use oatpier_serving::message::InnerMessage;
 use oatpier_serving::node::NodeSettings;
-use oatpier_serving::permits::PermitDesk;
-use oatpier_serving::residency::{EngineResidency, LoadPace, NumberedOrder};
+use oatpier_serving::permits::PermitIssuer;
+use oatpier_serving::residency::{EngineResidency, LoadPace, SequencedOrder};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep_until};
 
-use crate::decisions::{DecisionLine, DecisionLog, LineWeight};
-use crate::exchange::{InnerSocket, MessageOutlet};
+use crate::decisions::{DecisionLine, DecisionLog, LinePriority};
+use crate::exchange::{MessageOutlet, MessageSocket};
 use crate::metrics::ServingMetrics;
 use crate::node_process::{NodeProcess, ProcessInputs};
 use crate::reload::{SettingsFeed, SettingsSource};
 
 use self::engine_link::EngineLink;
-use self::pulses::PulseSender;
+use self::statuses::StatusSender;
 
 /// Interval between reads of the engine's report. Reading it on the same VM costs next to nothing. Gateways place
 /// requests by it, so it should be fresher than the time to a first token.
@@ -55,7 +55,7 @@
 const DEFAULT_PACE: LoadPace = LoadPace {
     loads: 1,
     engines: 64,
-    place: u32::MAX,
+    index: u32::MAX,
     window: Duration::from_secs(5),
 };
 
@@ -108,7 +108,7 @@
     let stop = inputs.stop.clone();
     let settings = Arc::clone(&inputs.settings.borrow());
     let address = settings.engine;
-    let socket = InnerSocket::new(inputs.socket, inputs.metrics.clone());
+    let socket = MessageSocket::new(inputs.socket, inputs.metrics.clone());
     let (Some(address), Ok(socket)) = (address, socket) else {
         spdlog::critical!(
             "the settings name no engine, or the socket could not be registered with the runtime"
@@ -122,11 +122,11 @@
         ..DEFAULT_PACE
     };
     let mut sidecar = EngineSidecar {
-        residency: EngineResidency::new(pace, settings.first_start, clock.now()),
-        permits: PermitDesk::default(),
+        residency: EngineResidency::new(pace, settings.is_first_start, clock.now()),
+        permits: PermitIssuer::default(),
         failures: FailureCount::default(),
         link: EngineLink::new(address, settings.name.clone()),
-        pulses: PulseSender::new(address, settings.service.clone()),
+        status_sender: StatusSender::new(address, settings.service.clone()),
         socket,
         clock,
         metrics: inputs.metrics,
@@ -146,12 +146,12 @@
 /// State of the loop that manages one engine.
 struct EngineSidecar {
     residency: EngineResidency,
-    permits: PermitDesk,
+    permits: PermitIssuer,
     /// Counts of the engine's requests and of those that failed.
     failures: FailureCount,
     link: EngineLink,
-    pulses: PulseSender,
-    socket: InnerSocket,
+    status_sender: StatusSender,
+    socket: MessageSocket,
     clock: RuntimeClock,
     metrics: ServingMetrics,
     log: DecisionLog,
@@ -178,16 +178,17 @@
             }
             self.send_orders().await;
             let now = self.clock.now();
-            self.pulses.set_waiting(&self.permits);
+            self.status_sender.set_waiting(&self.permits);
             let failing = self.failures.share_percent(self.clock.now());
-            self.pulses.set_failing(failing);
-            self.pulses.send_due(&self.socket, &self.residency, now);
+            self.status_sender.set_failing(failing);
+            self.status_sender
+                .send_due(&self.socket, &self.residency, now);
         }
     }
 
     /// Returns a future that completes when a waiting permit can be granted.
     fn next_permit(&self) -> impl Future<Output = ()> + use<> {
-        let at = self.permits.next_at();
+        let at = self.permits.next_expiry();
         let at = at.map(|at| self.clock.instant(at));
         async move {
             match at {
@@ -198,7 +199,7 @@
     }
 
     fn send_permits(&mut self) {
-        for due in self.permits.due(self.clock.now()) {
+        for due in self.permits.issue_due(self.clock.now()) {
             self.failures.note_request(self.clock.now());
             let message = InnerMessage::Permit(due.grant);
             MessageOutlet::send(&self.socket, due.to, &message);
@@ -208,25 +209,26 @@
     fn handle_message(&mut self, from: SocketAddr, message: InnerMessage) {
         let now = self.clock.now();
         match message {
-            InnerMessage::Greeting(greeting) => {
-                self.pulses.take_greeting(from, &greeting, now);
-                self.health_path = Some(Arc::clone(&greeting.health_path));
-                self.residency.take_greeting(from, &greeting, now);
+            InnerMessage::Subscription(subscription) => {
+                self.status_sender
+                    .apply_subscription(from, &subscription, now);
+                self.health_path = Some(Arc::clone(&subscription.health_path));
+                self.residency.apply_subscription(from, &subscription, now);
             }
-            InnerMessage::AdapterWanted(wish) => {
-                self.pulses.note_requester(from, now);
-                self.residency.take_wish(wish, now);
+            InnerMessage::AdapterWanted(request) => {
+                self.status_sender.note_requester(from, now);
+                self.residency.request_adapter(request, now);
             }
             InnerMessage::Advice(advice) => {
-                let line = DecisionLine::new(LineWeight::Notable, "advice heard")
+                let line = DecisionLine::new(LinePriority::Notable, "advice heard")
                     .with("model", advice.load.as_str())
                     .with("from", from.to_string());
                 self.log.write(line);
-                self.residency.take_advice(advice, now);
+                self.residency.accept_advice(advice, now);
             }
             InnerMessage::RightAsk(right) => {
-                let is_lent = self.residency.lend(now);
-                let line = DecisionLine::new(LineWeight::Notable, "right asked")
+                let is_lent = self.residency.lend_right(now);
+                let line = DecisionLine::new(LinePriority::Notable, "right asked")
                     .with("from", from.to_string())
                     .with("outcome", if is_lent { "lent" } else { "kept" });
                 self.log.write(line);
@@ -234,18 +236,18 @@
                     MessageOutlet::send(&self.socket, from, &InnerMessage::Right(right));
                 }
             }
-            InnerMessage::Right(right) => self.residency.take_right(right),
+            InnerMessage::Right(right) => self.residency.accept_right(right),
             InnerMessage::PermitAsk(ask) => {
-                self.permits.take_ask(from, ask, now);
+                self.permits.add_request(from, ask, now);
                 self.send_permits();
             }
             InnerMessage::PermitDone(permit) => {
-                self.permits.take_back(permit.id);
+                self.permits.release(permit.id);
                 self.send_permits();
             }
             InnerMessage::AttemptFailed(failure) => self.failures.note_failure(failure, now),
             // Addressed to gateways.
-            InnerMessage::Pulse(_)
+            InnerMessage::Status(_)
             | InnerMessage::Spread(_)
             | InnerMessage::Relayed(_)
             | InnerMessage::Peer(_)
@@ -272,17 +274,17 @@
                     self.log_engine("engine restarted");
                     self.forget_engine();
                 }
-                if !self.pulses.set_answering(true) {
+                if !self.status_sender.set_answering(true) {
                     self.log_engine("engine answers");
                 }
                 self.permits.note_load(report.load, self.clock.now());
-                self.residency.take_report(report);
+                self.residency.apply_report(report);
                 self.send_permits();
                 self.identify().await;
             }
             Err(cause) => {
-                if self.pulses.set_answering(false) {
-                    let line = DecisionLine::new(LineWeight::Notable, "engine lost");
+                if self.status_sender.set_answering(false) {
+                    let line = DecisionLine::new(LinePriority::Notable, "engine lost");
                     self.log.write(line.with("cause", cause));
                 }
                 self.forget_engine();
@@ -295,7 +297,7 @@
         self.permits.forget_load();
         self.residency.forget_engine(self.clock.now());
         self.link.forget_instance();
-        self.pulses.set_instance(None);
+        self.status_sender.set_instance(None);
     }
 
     /// Asks the engine for its instance, unless it is known. Without it, each gateway would send the engine one request
@@ -309,10 +311,10 @@
         match self.link.identify(&path).await {
             Ok(()) => {
                 self.log_engine("engine named");
-                self.pulses.set_instance(self.link.instance());
+                self.status_sender.set_instance(self.link.instance());
             }
             Err(cause) => {
-                let line = DecisionLine::new(LineWeight::Notable, "engine not named");
+                let line = DecisionLine::new(LinePriority::Notable, "engine not named");
                 self.log.write(line.with("cause", cause));
             }
         }
@@ -320,7 +322,7 @@
 
     fn log_engine(&self, decision: &'static str) {
         let instance = self.link.instance().map(ToString::to_string);
-        let line = DecisionLine::new(LineWeight::Notable, decision);
+        let line = DecisionLine::new(LinePriority::Notable, decision);
         self.log.write(line.with("instance", instance));
     }
 
@@ -340,18 +342,18 @@
         }
     }
 
-    /// Asks another engine's sidecar for its right to load, if nothing else prevents a load.
+    /// Requests the right to load from another engine's sidecar, if nothing else prevents a load.
     fn request_load_right(&mut self) {
         let ask = self
             .residency
-            .ask_for_right(rand::random(), self.clock.now());
+            .request_right(rand::random(), self.clock.now());
         if let Some(ask) = ask {
             let message = InnerMessage::RightAsk(ask.right);
             MessageOutlet::send(&self.socket, ask.lender, &message);
         }
     }
 
-    async fn send_order(&mut self, order: &NumberedOrder) {
+    async fn send_order(&mut self, order: &SequencedOrder) {
         let answer = self.link.order(order).await;
         match answer {
             OrderAnswer::Unknown => self.paused_until = Instant::now() + UNANSWERED_PAUSE,
@@ -367,7 +369,7 @@
         self.log_order(order, answer);
     }
 
-    fn log_order(&self, order: &NumberedOrder, answer: OrderAnswer) {
+    fn log_order(&self, order: &SequencedOrder, answer: OrderAnswer) {
         let (operation, weights) = match &order.order {
             EngineOrder::LoadModel(model) => ("load model", model.to_string()),
             EngineOrder::UnloadModel(model) => ("unload model", model.to_string()),
@@ -385,7 +387,7 @@
             OrderAnswer::Rejected => "rejected",
             OrderAnswer::Unknown => "unanswered",
         };
-        let line = DecisionLine::new(LineWeight::Notable, "order")
+        let line = DecisionLine::new(LinePriority::Notable, "order")
             .with("operation", operation)
             .with("weights", weights)
             .with("expect", order.expect)
--- a/crates/oatpier-gateway/tests/testsuite/crashes.rs
+++ b/crates/oatpier-gateway/tests/testsuite/crashes.rs
@@ -10,13 +10,14 @@
 use oatpier_serving::crashes::changes::CrashChange;
 use oatpier_serving::directory::EndpointRecord;
 use oatpier_serving::fingerprint::{RequestContent, RequestFingerprint};
-use oatpier_serving::message::EnginePulse;
+use oatpier_serving::message::EngineStatus;
 use oatpier_serving::site::RouteKind;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, own_answer, pulse, read_request, record, request,
+    EndpointStep, ScriptedEndpoint, TestGateway, endpoint_response, read_request, record, request,
+    status,
 };
 
 /// The body that crashes an endpoint.
@@ -61,7 +62,7 @@
 }
 
 async fn answer(stream: &mut TcpStream) {
-    let bytes = own_answer("200 OK", "world");
+    let bytes = endpoint_response("200 OK", "world");
     stream.write_all(bytes.as_bytes()).await.unwrap();
 }
 
@@ -76,7 +77,7 @@
 impl FragileFleet {
     async fn start() -> Self {
         let endpoint = FragileEndpoint::start().await;
-        let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[]);
+        let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[]);
         let fleet = Self {
             gateway,
             endpoint,
@@ -89,7 +90,7 @@
 
     fn register(&self) {
         let listed = record(self.started, self.endpoint.address);
-        self.gateway.core.take_records(None, vec![listed]);
+        self.gateway.core.apply_records(None, vec![listed]);
     }
 
     /// Sends a request, and replaces the endpoint if the request crashed it.
@@ -135,7 +136,7 @@
 }
 
 fn queued_crashes(gateway: &TestGateway) -> Vec<CrashRecord> {
-    std::iter::from_fn(|| gateway.written.poll())
+    std::iter::from_fn(|| gateway.crash_changes.try_receive())
         .filter_map(|change| match change {
             CrashChange::Put(record) => Some(record),
             CrashChange::Remove(_) => None,
@@ -213,7 +214,8 @@
     }
     fleet.gateway.core.apply_stored_crashes(&crashes, false);
     assert_eq!(fleet.send(request(&[])).await.status(), StatusCode::OK);
-    let removed: Vec<CrashChange> = std::iter::from_fn(|| fleet.gateway.written.poll()).collect();
+    let removed: Vec<CrashChange> =
+        std::iter::from_fn(|| fleet.gateway.crash_changes.try_receive()).collect();
     let expected: Vec<CrashChange> = crashes.into_iter().map(CrashChange::Remove).collect();
     assert_eq!(removed, expected);
 }
@@ -223,10 +225,10 @@
 /// it happens.
 #[tokio::test]
 async fn a_request_that_is_cut_off_at_a_running_endpoint_is_not_suspect() {
-    let complete = || EndpointStep::Answer(own_answer("200 OK", "world"));
+    let complete = || EndpointStep::Answer(endpoint_response("200 OK", "world"));
     let steps = (0..8).flat_map(|_| [EndpointStep::Close, complete()]);
     let endpoint = ScriptedEndpoint::start(steps.collect()).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     for _ in 0..8 {
         let cut = gateway.send(crashing_request("a1")).await;
         assert_eq!(cut.status(), StatusCode::BAD_GATEWAY);
@@ -243,12 +245,12 @@
     let fleet = FragileFleet::start().await;
     let core = &fleet.gateway.core;
     let engine = fleet.endpoint.address;
-    core.take_pulse(pulse(1, engine, Vec::new()));
+    core.apply_status(status(1, engine, Vec::new()));
     fleet.gateway.send(crashing_request("a1")).await;
     assert!(queued_crashes(&fleet.gateway).is_empty());
-    core.take_pulse(EnginePulse {
+    core.apply_status(EngineStatus {
         answers: false,
-        ..pulse(2, engine, Vec::new())
+        ..status(2, engine, Vec::new())
     });
     assert_eq!(queued_crashes(&fleet.gateway).len(), 1);
 }
@@ -258,7 +260,7 @@
 #[tokio::test]
 async fn the_end_of_a_leaving_endpoint_makes_no_request_suspect() {
     let silent = ScriptedEndpoint::start(vec![EndpointStep::Silence]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&silent]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&silent]);
     let leaving = EndpointRecord {
         draining: true,
         ..record(1, silent.address)
@@ -268,11 +270,11 @@
         while silent.requests().is_empty() {
             tokio::task::yield_now().await;
         }
-        gateway.core.take_records(None, vec![leaving]);
+        gateway.core.apply_records(None, vec![leaving]);
         silent.end();
     };
     let (answer, ()) = tokio::join!(reply, leave);
     assert_eq!(answer.status(), StatusCode::BAD_GATEWAY);
-    gateway.core.take_records(None, Vec::new());
+    gateway.core.apply_records(None, Vec::new());
     assert!(queued_crashes(&gateway).is_empty());
 }
--- a/crates/oatpier-gateway/tests/testsuite/keys.rs
+++ b/crates/oatpier-gateway/tests/testsuite/keys.rs
@@ -8,7 +8,7 @@
 use oatpier_duty::duty::{RingRule, StopSignal, ring};
 use oatpier_gateway::config_share::{ConfigShareInputs, share_config};
 use oatpier_gateway::metrics::ServingMetrics;
-use oatpier_serving::message::ConfigStanding;
+use oatpier_serving::message::ConfigStatus;
 use oatpier_serving::site::{RouteKind, RouteRule, SiteConfig};
 use oatpier_serving::workspace::keys::KeyDigest;
 use oatpier_serving::workspace::{DeclaredWorkspace, WorkspaceRule, WorkspaceTable};
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, config, own_answer, record, request, route,
+    EndpointStep, ScriptedEndpoint, TestGateway, config, endpoint_response, record, request, route,
 };
 
 fn workspace(name: &str, keys: &[&str]) -> DeclaredWorkspace {
@@ -49,12 +49,12 @@
 fn configured_gateway(config: SiteConfig, endpoint: &ScriptedEndpoint) -> TestGateway {
     let gateway = TestGateway::unconfigured();
     let records = vec![record(1, endpoint.address)];
-    gateway.core.take_records(Some(Arc::new(config)), records);
+    gateway.core.apply_records(Some(Arc::new(config)), records);
     gateway
 }
 
 fn ok_answers(count: usize) -> Vec<EndpointStep> {
-    vec![EndpointStep::Answer(own_answer("200 OK", "done")); count]
+    vec![EndpointStep::Answer(endpoint_response("200 OK", "done")); count]
 }
 
 #[tokio::test]
@@ -150,7 +150,7 @@
     assert!(answer.headers().contains_key("retry-after"));
     let no_key = gateway.send(request(&[])).await;
     assert_eq!(no_key.status(), StatusCode::UNAUTHORIZED);
-    gateway.core.note_store_same();
+    gateway.core.note_store_unchanged();
     assert_eq!(
         gateway.send(unknown()).await.status(),
         StatusCode::UNAUTHORIZED
@@ -175,10 +175,10 @@
     ]));
     let revoking = async {
         tokio::time::sleep(Duration::from_millis(60)).await;
-        let left = vec![workspace("two", &["k2"])];
-        let config = config_with_keys(2, route(stream, 1), left);
+        let remaining = vec![workspace("two", &["k2"])];
+        let config = config_with_keys(2, route(stream, 1), remaining);
         let records = vec![record(1, endpoint.address)];
-        gateway.core.take_records(Some(Arc::new(config)), records);
+        gateway.core.apply_records(Some(Arc::new(config)), records);
     };
     let (answer, ()) = tokio::join!(waiting, revoking);
     assert_eq!(answer.status(), StatusCode::UNAUTHORIZED);
@@ -204,19 +204,19 @@
     let neighbour = listener.local_addr().unwrap();
     let metrics = ServingMetrics::default();
     let full = metrics.ring_full.clone();
-    let (wanted_sender, wanted) = ring(2, RingRule::Drop, full.clone());
+    let (source_sender, sources) = ring(2, RingRule::Drop, full.clone());
     let (fetched_sender, fetched) = ring(2, RingRule::Wait, full);
     let (_shared, feed) = watch::channel(Some(Arc::new(newer)));
     let sharing = tokio::spawn(share_config(ConfigShareInputs {
         listener,
         config: feed,
-        wanted,
+        sources,
         fetched: fetched_sender,
         stop: StopSignal::default(),
     }));
-    assert!(wanted_sender.offer(neighbour).is_ok());
+    assert!(source_sender.try_send(neighbour).is_ok());
     let config = fetched.receive().await.unwrap();
-    gateway.core.take_passed_config(config);
+    gateway.core.apply_fetched_config(config);
     let refused = gateway
         .send(request(&[("authorization", "Bearer k1")]))
         .await;
@@ -235,30 +235,30 @@
     let config = config_with_keys(3, route(RouteKind::Unsafe, 1), Vec::new());
     gateway
         .core
-        .take_records(Some(Arc::new(config)), Vec::new());
+        .apply_records(Some(Arc::new(config)), Vec::new());
     let peer = SocketAddr::from(([10, 0, 0, 9], 7380));
     let report = |gateway: &TestGateway, version| {
-        let standing = ConfigStanding { version, age_ms: 0 };
-        gateway.core.take_config_standing(peer, standing);
+        let status = ConfigStatus { version, age_ms: 0 };
+        gateway.core.apply_config_status(peer, status);
     };
     report(&gateway, 4);
     assert!(
-        gateway.config_wanted.poll().is_none(),
+        gateway.config_sources.try_receive().is_none(),
         "its own read is recent"
     );
     tokio::time::advance(Duration::from_secs(2)).await;
     report(&gateway, 2);
     assert!(
-        gateway.config_wanted.poll().is_none(),
+        gateway.config_sources.try_receive().is_none(),
         "the reported version is older"
     );
     report(&gateway, 4);
     report(&gateway, 4);
-    assert_eq!(gateway.config_wanted.poll(), Some(peer));
-    assert!(gateway.config_wanted.poll().is_none());
+    assert_eq!(gateway.config_sources.try_receive(), Some(peer));
+    assert!(gateway.config_sources.try_receive().is_none());
     // A peer that confirms the same version against the store is as good as an own read.
     tokio::time::advance(Duration::from_secs(2)).await;
-    assert!(!gateway.core.is_current());
+    assert!(!gateway.core.is_config_current());
     report(&gateway, 3);
-    assert!(gateway.core.is_current());
+    assert!(gateway.core.is_config_current());
 }
--- a/crates/oatpier-gateway/tests/testsuite/main.rs
+++ b/crates/oatpier-gateway/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the duties of gateways, with requests to scripted endpoints over loopback connections.
+//! Tests of gateways, with requests to scripted endpoints over loopback connections.
 
 mod crashes;
 mod exchange;
@@ -8,13 +8,13 @@
 mod leaving;
 mod observing;
 mod permits;
-mod pulses;
 mod quota;
 mod rate_limits;
 mod records;
 mod refusals;
 mod relayed;
 mod rests;
+mod statuses;
 mod stops;
 mod streams;
 mod support;
--- a/crates/oatpier-gateway/tests/testsuite/observing.rs
+++ b/crates/oatpier-gateway/tests/testsuite/observing.rs
@@ -1,6 +1,6 @@
 //! The decision log and the metrics.
 
-use oatpier_gateway::decisions::{DecisionLine, DecisionLog, LineWeight};
+use oatpier_gateway::decisions::{DecisionLine, DecisionLog, LinePriority};
 use oatpier_gateway::metrics::ServingMetrics;
 use oatpier_serving::message::TurnAsk;
 use oatpier_serving::quota::turns::TurnAnswer;
@@ -8,7 +8,7 @@
 use oatpier_types::names::WorkspaceName;
 
 use crate::support::{
-    EndpointStep, ScriptedEndpoint, TestGateway, own_answer, request, with_headers,
+    EndpointStep, ScriptedEndpoint, TestGateway, endpoint_response, request, with_headers,
 };
 
 #[tokio::test(start_paused = true)]
@@ -16,10 +16,10 @@
     let metrics = ServingMetrics::default();
     let (log, lines) = DecisionLog::new("gateway", &metrics);
     for _ in 0..60 {
-        log.write(DecisionLine::new(LineWeight::Calm, "answer"));
+        log.write(DecisionLine::new(LinePriority::Routine, "answer"));
     }
-    log.write(DecisionLine::new(LineWeight::Notable, "answer").with("request", "r1"));
-    let written: Vec<String> = std::iter::from_fn(|| lines.poll()).collect();
+    log.write(DecisionLine::new(LinePriority::Notable, "answer").with("request", "r1"));
+    let written: Vec<String> = std::iter::from_fn(|| lines.try_receive()).collect();
     assert_eq!(written.len(), 41);
     assert!(written[40].contains("\"request\":\"r1\""));
     assert_eq!(metrics.lines_left_out.get(), 20);
@@ -30,11 +30,11 @@
     let metrics = ServingMetrics::default();
     let (log, lines) = DecisionLog::new("gateway", &metrics);
     for _ in 0..45 {
-        log.write(DecisionLine::new(LineWeight::Calm, "answer"));
+        log.write(DecisionLine::new(LinePriority::Routine, "answer"));
     }
     tokio::time::advance(std::time::Duration::from_secs(1)).await;
-    log.write(DecisionLine::new(LineWeight::Calm, "answer"));
-    let written: Vec<String> = std::iter::from_fn(|| lines.poll()).collect();
+    log.write(DecisionLine::new(LinePriority::Routine, "answer"));
+    let written: Vec<String> = std::iter::from_fn(|| lines.try_receive()).collect();
     let omitted = written.iter().find(|line| line.contains("lines left out"));
     assert!(omitted.unwrap().contains("\"lines\":5"));
 }
@@ -42,19 +42,23 @@
 /// Engineers look these names up in docs/OPERATIONS.md.
 #[tokio::test]
 async fn every_metric_named_in_the_operations_page_is_served() {
-    let answer = EndpointStep::Answer(own_answer("200 OK", ""));
+    let answer = EndpointStep::Answer(endpoint_response("200 OK", ""));
     let endpoint = ScriptedEndpoint::start(vec![answer]).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.send(request(&[])).await;
     gateway.core.metrics.count_store_read("answered");
     gateway.core.metrics.count_store_write("answered");
     gateway.core.metrics.count_order("taken");
     gateway.core.metrics.count_advice("busy");
     gateway.core.metrics.count_message("pulse", "sent", 400);
-    gateway.core.metrics.attempted("cut");
-    gateway.core.metrics.notices.noticed("limit-named");
+    gateway.core.metrics.count_attempt("cut");
+    gateway.core.metrics.notices.count_notice("limit-named");
     let workspace = WorkspaceName::try_from("one").unwrap();
-    gateway.core.metrics.workspaces.asked(&workspace, "taken");
+    gateway
+        .core
+        .metrics
+        .workspaces
+        .count_request(&workspace, "taken");
     gateway
         .core
         .metrics
@@ -76,15 +80,17 @@
 /// count; the repetition gives none.
 #[tokio::test]
 async fn a_change_of_an_endpoints_limit_is_logged_and_counted_once() {
-    let plain = own_answer("200 OK", "");
+    let plain = endpoint_response("200 OK", "");
     let limited = with_headers(&plain, &[("Server-Limit", "2.5")]);
     let steps = [&limited, &limited, &plain].map(|answer| EndpointStep::Answer(answer.clone()));
     let endpoint = ScriptedEndpoint::start(steps.to_vec()).await;
-    let gateway = TestGateway::before(RouteKind::Unsafe, 1, &[&endpoint]);
+    let gateway = TestGateway::with_endpoints(RouteKind::Unsafe, 1, &[&endpoint]);
     gateway.hold_parts_elsewhere();
     let now = |_: &TurnAsk| TurnAnswer::In(0);
     gateway.send(request(&[])).await;
-    gateway.with_turns(gateway.send(request(&[])), now).await;
+    gateway
+        .with_turn_answers(gateway.send(request(&[])), now)
+        .await;
     let lines = gateway.logged("endpoint says");
     assert_eq!(lines.len(), 1, "{lines:?}");
     for part in [
@@ -95,7 +101,9 @@
     ] {
         assert!(lines[0].contains(part), "{part} in {}", lines[0]);
     }
-    gateway.with_turns(gateway.send(request(&[])), now).await;
+    gateway
+        .with_turn_answers(gateway.send(request(&[])), now)
+        .await;
     assert_eq!(gateway.logged("endpoint says").len(), 1);
     let text = gateway.core.metrics.encode();
     assert!(text.contains("endpoint_notices_total{cause=\"limit-named\"} 1"));
@@ -110,7 +118,7 @@
     let metrics = ServingMetrics::default();
     for number in 0..1_000 {
         let workspace = WorkspaceName::try_from(format!("w{number}")).unwrap();
-        metrics.workspaces.asked(&workspace, "taken");
+        metrics.workspaces.count_request(&workspace, "taken");
     }
     let text = metrics.encode();
     let series = |text: &str| text.matches("workspace_requests_total{").count();
--- a/crates/oatpier-gateway/tests/testsuite/relayed.rs
+++ b/crates/oatpier-gateway/tests/testsuite/relayed.rs
@@ -4,13 +4,15 @@
 
 use http::StatusCode;
 use oatpier_serving::engine::{EndpointLoad, HeldModel};
-use oatpier_serving::message::{EngineWord, InnerMessage, LoadPulse, MessageNumber, PermitGrant};
+use oatpier_serving::message::{
+    EngineUpdate, InnerMessage, LoadStatus, MessageNumber, PermitGrant,
+};
 use oatpier_serving::site::RouteKind;
 use oatpier_types::names::ModelName;
 use tokio::time::sleep;
 
 use crate::support::{
-    EndpointStep, STREAM_END, ScriptedEndpoint, TestGateway, pulse, request, stream_start,
+    EndpointStep, STREAM_END, ScriptedEndpoint, TestGateway, request, status, stream_start,
 };
 
 const STREAM: RouteKind = RouteKind::Stream {
@@ -18,16 +20,16 @@
     pause: Duration::from_millis(300),
 };
 
-fn full_update(engine: &ScriptedEndpoint, number: u64, model: &str) -> EngineWord {
+fn full_update(engine: &ScriptedEndpoint, number: u64, model: &str) -> EngineUpdate {
     let held = HeldModel {
         model: ModelName::try_from(model).unwrap(),
         adapters: Vec::new(),
     };
-    EngineWord::Pulse(Box::new(pulse(number, engine.address, vec![held])))
+    EngineUpdate::Status(Box::new(status(number, engine.address, vec![held])))
 }
 
-fn load_update(engine: &ScriptedEndpoint, number: u64, running: u32) -> EngineWord {
-    EngineWord::Load(LoadPulse {
+fn load_update(engine: &ScriptedEndpoint, number: u64, running: u32) -> EngineUpdate {
+    EngineUpdate::Load(LoadStatus {
         number: MessageNumber { boot: 1, number },
         engine: engine.address,
         load: EndpointLoad {
@@ -48,9 +50,9 @@
 async fn a_request_is_served_by_an_engine_known_only_through_relays() {
     let stream = stream_start(&["id: 1\ndata: 1\n\n"]) + STREAM_END;
     let engine = ScriptedEndpoint::start(vec![EndpointStep::Answer(stream)]).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     let updates = vec![full_update(&engine, 1, "m1"), load_update(&engine, 2, 3)];
-    gateway.core.take_relayed(updates);
+    gateway.core.apply_relayed(updates);
     let sending = gateway.send(request(&[
         ("x-oatpier-model", "m1"),
         ("x-oatpier-token-usage", "400,10"),
@@ -64,7 +66,7 @@
                 _ => None,
             });
             if let Some(ask) = ask {
-                gateway.core.take_permit(PermitGrant { id: ask.id });
+                gateway.core.apply_permit(PermitGrant { id: ask.id });
             }
         }
     };
@@ -80,9 +82,9 @@
 #[tokio::test]
 async fn a_request_that_finds_no_slot_waits_at_the_sidecar() {
     let engine = ScriptedEndpoint::start(Vec::new()).await;
-    let gateway = TestGateway::before(STREAM, 1, &[&engine]);
+    let gateway = TestGateway::with_endpoints(STREAM, 1, &[&engine]);
     let updates = vec![full_update(&engine, 1, "m1"), load_update(&engine, 2, 10)];
-    gateway.core.take_relayed(updates);
+    gateway.core.apply_relayed(updates);
     let sending = gateway.send(request(&[
         ("x-oatpier-model", "m1"),
         ("x-oatpier-token-usage", "400,10"),
--- a/crates/oatpier-gateway/tests/testsuite/support.rs
+++ b/crates/oatpier-gateway/tests/testsuite/support.rs
@@ -18,12 +18,12 @@
 use oatpier_serving::directory::EndpointRecord;
 use oatpier_serving::engine::{EndpointLoad, HeldModel, LocalCopies};
 use oatpier_serving::message::{
-    EnginePulse, InnerMessage, MessageNumber, PermitGrant, TurnAsk, TurnReply,
+    EngineStatus, InnerMessage, MessageNumber, PermitGrant, TurnAsk, TurnReply,
 };
 use oatpier_serving::node::{NodeBounds, NodeSettings};
 use oatpier_serving::quota::PartIndex;
 use oatpier_serving::quota::bounds::QuotaBounds;
-use oatpier_serving::quota::tenure::{PartEntry, PartRecord};
+use oatpier_serving::quota::lease::{PartEntry, PartRecord};
 use oatpier_serving::quota::turns::TurnAnswer;
 use oatpier_serving::site::{
     CallerLimits, EngineRule, ModelRule, RouteKind, RouteRule, ServiceRule, SiteConfig,
@@ -142,7 +142,7 @@
 }
 
 /// Returns a valid endpoint response to the request with [`REQUEST_ID`].
-pub fn own_answer(status: &str, body: &str) -> String {
+pub fn endpoint_response(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nx-oatpier-request-id: {REQUEST_ID}\r\nx-oatpier-response-stamp: s1\r\n\
          content-length: {}\r\n\r\n{body}",
@@ -185,17 +185,17 @@
 
 /// Records the messages that the gateway sends to sidecars and other gateways.
 #[derive(Debug, Default)]
-pub struct KeptOutlet {
+pub struct RecordingOutlet {
     sent: Mutex<Vec<(SocketAddr, InnerMessage)>>,
 }
 
-impl KeptOutlet {
+impl RecordingOutlet {
     pub fn sent(&self) -> Vec<(SocketAddr, InnerMessage)> {
         self.sent.lock().unwrap().clone()
     }
 }
 
-impl MessageOutlet for KeptOutlet {
+impl MessageOutlet for RecordingOutlet {
     fn send(&self, to: SocketAddr, message: &InnerMessage) {
         self.sent.lock().unwrap().push((to, message.clone()));
     }
@@ -204,34 +204,34 @@
 /// A gateway in front of scripted endpoints.
 pub struct TestGateway {
     pub core: Arc<GatewayCore>,
-    pub outlet: Arc<KeptOutlet>,
+    pub outlet: Arc<RecordingOutlet>,
     /// The lines that the gateway logs.
     pub lines: RingReceiver<String>,
     /// The changes of crash records that the gateway queues for the store.
-    pub written: RingReceiver<CrashChange>,
+    pub crash_changes: RingReceiver<CrashChange>,
     /// The addresses of gateways with a newer configuration.
-    pub config_wanted: RingReceiver<SocketAddr>,
+    pub config_sources: RingReceiver<SocketAddr>,
     handler: GatewayHandler,
 }
 
 impl TestGateway {
     /// Creates a gateway without a configuration.
     pub fn unconfigured() -> Self {
-        let outlet = Arc::new(KeptOutlet::default());
+        let outlet = Arc::new(RecordingOutlet::default());
         let metrics = ServingMetrics::default();
         let (log, lines) = DecisionLog::new("gateway", &metrics);
         let full = metrics.ring_full.clone();
         let (crash_changes, written) = ring(64, RingRule::Drop, full.clone());
-        let (wanted_sender, config_wanted) = ring(2, RingRule::Drop, full.clone());
+        let (source_sender, config_sources) = ring(2, RingRule::Drop, full.clone());
         let inputs = CoreInputs {
             clock: RuntimeClock::start(),
             metrics,
             log,
-            able: Arc::default(),
-            words: ring(8, RingRule::Drop, full).0,
+            can_serve: Arc::default(),
+            store_deltas: ring(8, RingRule::Drop, full).0,
             crash_changes,
             shared_config: watch::channel(None).0,
-            config_wanted: wanted_sender,
+            config_sources: source_sender,
             claims: ring(8, RingRule::Drop, ServingMetrics::default().ring_full).0,
         };
         let (_, feed) = watch::channel(Arc::new(settings()));
@@ -242,13 +242,17 @@
             core,
             outlet,
             lines,
-            written,
-            config_wanted,
+            crash_changes: written,
+            config_sources,
         }
     }
 
     /// Creates a gateway with one route of this kind to plain endpoints.
-    pub fn before(kind: RouteKind, max_attempts: u32, endpoints: &[&ScriptedEndpoint]) -> Self {
+    pub fn with_endpoints(
+        kind: RouteKind,
+        max_attempts: u32,
+        endpoints: &[&ScriptedEndpoint],
+    ) -> Self {
         let gateway = Self::unconfigured();
         let records = (1..)
             .zip(endpoints)
@@ -256,7 +260,7 @@
         let config = config(vec![route(kind, max_attempts)]);
         gateway
             .core
-            .take_records(Some(Arc::new(config)), records.collect());
+            .apply_records(Some(Arc::new(config)), records.collect());
         gateway
     }
 
@@ -272,7 +276,7 @@
             revision: 5,
         };
         let entries: Vec<PartEntry> = PartIndex::all().map(entry).collect();
-        self.core.take_parts(&entries, 0);
+        self.core.apply_parts(&entries, 0);
     }
 
     /// Reports an engine that holds the model `m1` and runs this many requests.
@@ -281,9 +285,9 @@
             model: ModelName::try_from("m1").unwrap(),
             adapters: Vec::new(),
         };
-        let mut heard = pulse(1, engine.address, vec![held]);
-        heard.load.running = running;
-        self.core.take_pulse(heard);
+        let mut update = status(1, engine.address, vec![held]);
+        update.load.running = running;
+        self.core.apply_status(update);
     }
 
     /// Returns the ids of the permit requests sent by the gateway, without repetitions, in order.
@@ -307,7 +311,7 @@
             for id in self.permit_request_ids().drain(granted..) {
                 granted += 1;
                 before_grant();
-                self.core.take_permit(PermitGrant { id });
+                self.core.apply_permit(PermitGrant { id });
             }
         }
     }
@@ -323,7 +327,7 @@
     }
 
     /// Runs `work` while the part holders answer each turn request with `answer`.
-    pub async fn with_turns<T>(
+    pub async fn with_turn_answers<T>(
         &self,
         work: impl Future<Output = T>,
         answer: impl Fn(&TurnAsk) -> TurnAnswer,
@@ -351,7 +355,7 @@
     /// Returns the lines logged so far for a decision.
     pub fn logged(&self, decision: &str) -> Vec<String> {
         let is_on_it = |line: &String| line.contains(&format!("\"decision\":\"{decision}\""));
-        std::iter::from_fn(|| self.lines.poll())
+        std::iter::from_fn(|| self.lines.try_receive())
             .filter(is_on_it)
             .collect()
     }
@@ -470,8 +474,8 @@
     }
 }
 
-pub fn pulse(number: u64, engine: SocketAddr, models: Vec<HeldModel>) -> EnginePulse {
-    EnginePulse {
+pub fn status(number: u64, engine: SocketAddr, models: Vec<HeldModel>) -> EngineStatus {
+    EngineStatus {
         number: MessageNumber { boot: 1, number },
         engine,
         service: Some(service()),
@@ -508,7 +512,7 @@
         readiness: None,
         engine: None,
         service: None,
-        first_start: true,
+        is_first_start: true,
         store: SocketAddr::from((Ipv4Addr::LOCALHOST, 1)),
         bounds: NodeBounds {
             config: Duration::from_secs(2),
--- a/crates/oatpier-membership/src/entry/member.rs
+++ b/crates/oatpier-membership/src/entry/member.rs
@@ -1,4 +1,4 @@
-//! The machine itself.
+//! The state machine of an entry.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -17,16 +17,16 @@
 };
 use crate::registrar::{RegistrarTable, entries_digest};
 use crate::spread::{ConfigSpreader, SpreadEvent, SpreadPeers};
-use crate::stops::{StopBoard, StopWord};
-use crate::summary::SummaryBook;
+use crate::stops::{StopRegistry, StopRequest};
+use crate::summary::SummaryTable;
 
-/// Time between two looks at who went silent.
+/// The interval between two checks for silent agents.
 const CHECK_EVERY: Duration = Duration::from_millis(500);
 
-/// A gap between two looks that shows that this process stood still.
+/// A gap between two checks that shows that this process was paused.
 const PAUSED_AFTER: Duration = Duration::from_secs(3);
 
-/// An entry's part in configuration and membership.
+/// The state of an entry in configuration and membership.
 #[derive(Debug, Clone)]
 pub struct EntryMember<P: ConfigPayload> {
     own: EntryContact,
@@ -34,14 +34,14 @@
     pub(super) registrar: RegistrarTable,
     pub(super) exchange: EntryExchange,
     pub(super) summaries: SummaryExchange,
-    pub(super) book: SummaryBook,
-    pub(super) stops: StopBoard,
-    own_stop: Option<StopWord>,
+    pub(super) zone_summaries: SummaryTable,
+    pub(super) stops: StopRegistry,
+    own_stop: Option<StopRequest>,
     pub(super) spreader: ConfigSpreader<P>,
     pub(super) calls: IndexMap<CallNumber, (EntryContact, CallPurpose)>,
     pub(super) next_call: u64,
-    checked: ClockTime,
-    seen_mark: u64,
+    last_check: ClockTime,
+    refreshed_mark: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 pub(super) type Actions<P> = Vec<EntryAction<P>>;
 
 impl<P: ConfigPayload> EntryMember<P> {
-    /// An entry that starts at `now`. `seeds` are entries that its settings name.
+    /// Creates an entry that starts at `now`. `seeds` are the entries named in its settings.
     #[must_use]
     pub fn new(
         own: EntryContact,
@@ -73,71 +73,72 @@
             registrar: RegistrarTable::default(),
             exchange: EntryExchange::new(own.clone(), boot, seeds, fork(), now),
             summaries,
-            book: SummaryBook::default(),
-            stops: StopBoard::default(),
+            zone_summaries: SummaryTable::default(),
+            stops: StopRegistry::default(),
             own_stop: None,
             spreader: ConfigSpreader::new(own.clone(), boot, fork(), now),
             calls: IndexMap::new(),
             next_call: 0,
-            checked: now,
-            seen_mark: 0,
+            last_check: now,
+            refreshed_mark: 0,
             own,
         }
     }
 
-    /// The table of members.
+    /// Returns the table of members.
     #[must_use]
     pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
-    /// What other availability zones have.
+    /// Returns the summaries of other availability zones.
     #[must_use]
-    pub fn book(&self) -> &SummaryBook {
-        &self.book
+    pub fn zone_summaries(&self) -> &SummaryTable {
+        &self.zone_summaries
     }
 
-    /// Planned stops.
+    /// Returns the planned stops.
     #[must_use]
-    pub fn stops(&self) -> &StopBoard {
+    pub fn stops(&self) -> &StopRegistry {
         &self.stops
     }
 
-    /// The agents that are registered here.
+    /// Returns the agents registered with this entry.
     #[must_use]
     pub fn registrar(&self) -> &RegistrarTable {
         &self.registrar
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn in_force(&self) -> Option<&HeldConfig<P>> {
         self.spreader.in_force()
     }
 
-    /// Its generation; 0: none yet.
+    /// Returns the generation in force, or 0 if there is none yet.
     #[must_use]
     pub fn generation(&self) -> Generation {
         self.spreader.generation()
     }
 
-    /// Whether this entry watches the store; it then also watches the planned stops.
+    /// Whether this entry watches the configuration in the store. If so, it must also watch the
+    /// planned stops.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         self.spreader.is_watcher()
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
-        let check = self.checked + CHECK_EVERY;
+        let check = self.last_check + CHECK_EVERY;
         check
             .min(self.exchange.next_wake())
             .min(self.summaries.next_wake())
             .min(self.spreader.next_wake())
     }
 
-    /// Hears an event.
+    /// Handles an event and returns the actions to take.
     pub fn handle(&mut self, event: EntryEvent<P>, now: ClockTime) -> Actions<P> {
         let mut actions = Vec::new();
         match event {
@@ -147,21 +148,23 @@
                 self.end_call(call, answer, now, &mut actions);
             }
             EntryEvent::StoreEnded(reply) => {
-                self.spread(SpreadEvent::StoreEnded(reply), now, &mut actions);
+                self.run_spreader(SpreadEvent::StoreEnded(reply), now, &mut actions);
             }
             EntryEvent::StopsListed(listed) => {
                 let news = self.stops.replace(&listed);
                 for stop in &news {
-                    self.exchange.tell_stop(&stop.daemon);
+                    self.exchange.queue_stop(&stop.daemon);
                 }
             }
-            EntryEvent::StopChanged(stop) => self.note_stop(&stop),
-            EntryEvent::Hints(hints) => self.note_hints(hints),
+            EntryEvent::StopChanged(stop) => self.merge_stop(&stop),
+            EntryEvent::Hints(hints) => self.set_hints(hints),
             EntryEvent::Path { daemon, evidence } => {
-                self.table.note_path(&daemon, evidence, now);
+                self.table.record_evidence(&daemon, evidence, now);
                 self.refresh(now, &mut actions);
             }
-            EntryEvent::Pulse { daemon, pulse } => self.table.note_pulse(&daemon, &pulse),
+            EntryEvent::QueueReport { daemon, report } => {
+                self.table.record_queue_report(&daemon, &report);
+            }
             EntryEvent::Phase(phase) => self.set_phase(phase, now, &mut actions),
             EntryEvent::Scope(scope) => self.exchange.set_scope(scope),
         }
@@ -169,17 +172,17 @@
         actions
     }
 
-    /// Answers a call of another process.
+    /// Handles a call of another process and returns the answer.
     pub fn answer(&mut self, call: PeerCall<P>, now: ClockTime) -> (PeerAnswer<P>, Actions<P>) {
         let mut actions = Vec::new();
         let answer = match call {
             PeerCall::Heartbeat(heartbeat) => {
-                let answer = self.hear_heartbeat(&heartbeat, now, &mut actions);
+                let answer = self.handle_heartbeat(&heartbeat, now, &mut actions);
                 PeerAnswer::Heartbeat(Box::new(answer))
             }
-            PeerCall::Gossip(gossip) => self.hear_gossip(&gossip, now, &mut actions),
+            PeerCall::Gossip(gossip) => self.handle_gossip(&gossip, now, &mut actions),
             PeerCall::Summary(call) => {
-                let answer = self.hear_summary(&call, now, &mut actions);
+                let answer = self.handle_summary(&call, now, &mut actions);
                 PeerAnswer::Summary(Box::new(answer))
             }
             PeerCall::Pull(pull) => {
@@ -187,7 +190,7 @@
                 PeerAnswer::Pull(Box::new(self.spreader.answer_pull(&pull, former)))
             }
             PeerCall::Push(push) => {
-                self.spread(SpreadEvent::Pushed(push), now, &mut actions);
+                self.run_spreader(SpreadEvent::Pushed(push), now, &mut actions);
                 PeerAnswer::Push(self.spreader.ack())
             }
         };
@@ -196,14 +199,14 @@
     }
 
     fn tick(&mut self, now: ClockTime, actions: &mut Actions<P>) {
-        if now.since(self.checked) >= CHECK_EVERY {
-            let paused = now.since(self.checked) >= PAUSED_AFTER;
-            self.checked = now;
-            let deaf = self.check_isolation(now) || paused;
-            for word in self.registrar.check(deaf, &self.table, now) {
-                self.exchange.say(&word, &mut self.table);
+        if now.since(self.last_check) >= CHECK_EVERY {
+            let was_paused = now.since(self.last_check) >= PAUSED_AFTER;
+            self.last_check = now;
+            let is_isolated = self.check_isolation(now) || was_paused;
+            for vote in self.registrar.check(is_isolated, &self.table, now) {
+                self.exchange.cast_vote(&vote, &mut self.table);
             }
-            self.book.prune(now);
+            self.zone_summaries.prune(now);
             self.refresh(now, actions);
         }
         let generation = self.generation();
@@ -214,46 +217,47 @@
             let sent = self.summaries.tick(&self.table, generation, now);
             self.send(sent, now, actions);
         }
-        self.spread(SpreadEvent::Tick, now, actions);
+        self.run_spreader(SpreadEvent::Tick, now, actions);
     }
 
-    /// Whether this entry hears so few that it is to blame itself.
+    /// Whether this entry receives so little that the cause is its own isolation.
     pub(super) fn check_isolation(&mut self, now: ClockTime) -> bool {
-        let agents = self.registrar.heard_share(now);
+        let agents = self.registrar.reachable_share(now);
         self.exchange.check_isolation(agents, &self.table, now)
     }
 
-    /// After every event: the own row, states after changes, and the own stop.
+    /// Runs after every event: merges the own row, recomputes states after changes, and reports a
+    /// new stop of this entry.
     fn finish(&mut self, now: ClockTime, actions: &mut Actions<P>) {
         let own = self.exchange.own_row(self.spreader.generation());
         self.table.merge(&own, now);
-        if self.table.mark() != self.seen_mark {
+        if self.table.mark() != self.refreshed_mark {
             self.refresh(now, actions);
         }
-        let word = self.stops.word(&self.own.daemon);
-        if word != self.own_stop {
-            self.own_stop = word;
-            actions.extend(word.map(EntryAction::Stop));
+        let request = self.stops.request(&self.own.daemon);
+        if request != self.own_stop {
+            self.own_stop = request;
+            actions.extend(request.map(EntryAction::Stop));
         }
     }
 
     fn refresh(&mut self, now: ClockTime, actions: &mut Actions<P>) {
-        self.seen_mark = self.table.mark();
+        self.refreshed_mark = self.table.mark();
         let changes = self.table.refresh(now);
         actions.extend(changes.into_iter().map(EntryAction::Changed));
     }
 
-    fn note_stop(&mut self, stop: &NamedStop) {
+    fn merge_stop(&mut self, stop: &NamedStop) {
         if self.stops.merge(stop) {
-            self.exchange.tell_stop(&stop.daemon);
+            self.exchange.queue_stop(&stop.daemon);
         }
     }
 
-    fn note_hints(&mut self, hints: Vec<VmHint>) {
+    fn set_hints(&mut self, hints: Vec<VmHint>) {
         let entries = hints.iter().filter(|hint| hint.entry && !hint.leaving);
         self.summaries
             .add_contacts(entries.map(|hint| &hint.contact));
-        self.table.note_hints(hints);
+        self.table.set_hints(hints);
     }
 
     fn set_phase(&mut self, phase: MemberPhase, now: ClockTime, actions: &mut Actions<P>) {
@@ -261,36 +265,38 @@
         self.send(renewed, now, actions);
     }
 
-    fn hear_heartbeat(
+    fn handle_heartbeat(
         &mut self,
         heartbeat: &AgentHeartbeat,
         now: ClockTime,
         actions: &mut Actions<P>,
     ) -> HeartbeatAnswer {
         let mark = self.table.mark();
-        let heard = self.registrar.hear(heartbeat, &mut self.table, now);
-        let (mut answer, word) = heard;
+        let handled = self
+            .registrar
+            .handle_heartbeat(heartbeat, &mut self.table, now);
+        let (mut answer, vote) = handled;
         if self.table.mark() != mark {
-            self.exchange.tell_row(&heartbeat.daemon);
+            self.exchange.queue_row(&heartbeat.daemon);
         }
-        if let Some(word) = word {
-            self.exchange.say(&word, &mut self.table);
+        if let Some(vote) = vote {
+            self.exchange.cast_vote(&vote, &mut self.table);
         }
         let contact = EntryContact {
             daemon: heartbeat.daemon.clone(),
             zone: heartbeat.zone.clone(),
             address: heartbeat.address,
         };
-        // One that is behind pulls after this answer; one that is ahead is asked.
+        // An agent that is behind pulls after this answer; one that is ahead is pulled from.
         if heartbeat.generation > self.generation() {
-            let seen = SpreadEvent::Seen {
+            let seen = SpreadEvent::GenerationSeen {
                 from: contact,
                 generation: heartbeat.generation,
             };
-            self.spread(seen, now, actions);
+            self.run_spreader(seen, now, actions);
         }
         answer.generation = self.generation();
-        answer.stop = self.stops.word(&heartbeat.daemon);
+        answer.stop = self.stops.request(&heartbeat.daemon);
         let entries = self.group_entries();
         if entries_digest(entries.iter()) != heartbeat.entries_digest {
             answer.entries = Some(entries);
@@ -298,41 +304,44 @@
         answer
     }
 
-    fn hear_gossip(
+    fn handle_gossip(
         &mut self,
         gossip: &EntryGossip,
         now: ClockTime,
         actions: &mut Actions<P>,
     ) -> PeerAnswer<P> {
         let stops = &mut self.stops;
-        let (mut answer, sent) = self.exchange.hear(gossip, &mut self.table, stops, now);
+        let (mut answer, sent) = self
+            .exchange
+            .handle_gossip(gossip, &mut self.table, stops, now);
         self.send(sent, now, actions);
         for summary in &gossip.summaries {
-            self.summaries.take(summary, &mut self.book, now);
+            self.summaries.merge(summary, &mut self.zone_summaries, now);
         }
-        // A table with nothing in it: the sender has just started.
-        let blank = |parts: &Vec<u32>| parts.iter().filter(|part| **part != 0).count() <= 1;
+        // An empty table (apart from the sender's own row) means that the sender has just started.
+        let is_empty = |parts: &Vec<u32>| parts.iter().filter(|part| **part != 0).count() <= 1;
         if gossip
             .digest
             .as_ref()
-            .is_some_and(|digest| blank(&digest.parts))
+            .is_some_and(|digest| is_empty(&digest.parts))
         {
-            answer.summaries = self.book.all(now);
+            answer.summaries = self.zone_summaries.all(now);
         }
-        self.see(gossip.from.clone(), gossip.generation, now, actions);
+        self.observe_generation(gossip.from.clone(), gossip.generation, now, actions);
         answer.generation = self.generation();
         PeerAnswer::Gossip(Box::new(answer))
     }
 
-    fn hear_summary(
+    fn handle_summary(
         &mut self,
         call: &SummaryCall,
         now: ClockTime,
         actions: &mut Actions<P>,
     ) -> SummaryAnswer {
-        self.summaries.take(&call.summary, &mut self.book, now);
+        self.summaries
+            .merge(&call.summary, &mut self.zone_summaries, now);
         self.summaries.add_contacts(&call.contacts);
-        self.see(call.from.clone(), call.generation, now, actions);
+        self.observe_generation(call.from.clone(), call.generation, now, actions);
         SummaryAnswer {
             generation: self.generation(),
             contacts: self.summaries.own_contacts(&self.table),
@@ -355,11 +364,11 @@
     pub(super) fn peers(&self) -> SpreadPeers {
         let mut group = self.group_entries();
         group.retain(|peer| peer.daemon != self.own.daemon);
-        let agents = self.registrar.heard();
+        let agents = self.registrar.reachable_agents();
         SpreadPeers {
             group,
             agents: agents.map(|(contact, at)| (contact.clone(), at)).collect(),
-            far: self.summaries.contacts().cloned().collect(),
+            remote: self.summaries.contacts().cloned().collect(),
         }
     }
 }
--- a/crates/oatpier-membership/src/exchange/summaries.rs
+++ b/crates/oatpier-membership/src/exchange/summaries.rs
@@ -1,4 +1,4 @@
-//! Summaries between availability zones, at a bounded rate.
+//! Rate-limited exchange of summaries between availability zones.
 
 use std::time::Duration;
 
@@ -16,80 +16,82 @@
 use crate::messages::{EntryContact, SummaryCall};
 use crate::rendezvous;
 use crate::summary::{
-    ModelSummary, SummaryBook, SummaryCursor, SummaryKey, ZoneSummary, aged, made_at, summarize,
+    ModelSummary, SummaryCursor, SummaryKey, SummaryTable, ZoneSummary, created_at, summarize,
+    with_age,
 };
 
-/// Time between two summaries to one availability zone.
+/// The interval between two summaries to one availability zone.
 pub const SUMMARY_EVERY: Duration = Duration::from_secs(2);
 
-/// Rows that one availability zone sends each other one in a second, on average at most.
+/// The maximum average number of rows per second that one availability zone sends to each other
+/// one.
 pub const SUMMARY_ROWS_PER_SECOND: u64 = 2;
 
-/// Rows that one message has at most, after a quiet time.
+/// The maximum number of rows in one message, after an idle period.
 pub const SUMMARY_BURST: u64 = 120;
 
-/// Entries of another availability zone that are kept as contacts.
+/// The number of contacts kept per other availability zone.
 const KEPT_CONTACTS: usize = 6;
 
-/// Own entries that a summary names as contacts.
-const GIVEN_CONTACTS: usize = 3;
+/// The number of own entries that a summary names as contacts.
+const SENT_CONTACTS: usize = 3;
 
 #[derive(Debug, Clone, Default)]
-struct FarZone {
+struct RemoteZone {
     contacts: SmallVec<[EntryContact; KEPT_CONTACTS]>,
     cursor: SummaryCursor,
     open: Option<(DaemonName, Vec<SummaryKey>)>,
 }
 
 #[derive(Debug, Clone)]
-struct PassedRow {
+struct ForwardedRow {
     zone: ZoneName,
     row: ModelSummary,
-    made: ClockTime,
+    created: ClockTime,
     sends: u8,
 }
 
-/// Sends summaries of the own availability zone, if this entry is the one to do it, and passes
-/// on those that came.
+/// Sends the summaries of this availability zone, if this entry is the one chosen to do so, and
+/// forwards those that arrive.
 #[derive(Debug, Clone)]
 pub struct SummaryExchange {
     own: EntryContact,
-    zones: IndexMap<ZoneName, FarZone>,
-    passed: Vec<PassedRow>,
+    zones: IndexMap<ZoneName, RemoteZone>,
+    forwarded: Vec<ForwardedRow>,
     next: ClockTime,
-    last: ClockTime,
-    /// Thousandths of a row.
+    refilled_at: ClockTime,
+    /// The number of rows that may be sent, in thousandths.
     allowance: u64,
     generator: ChaCha8Rng,
 }
 
 impl SummaryExchange {
-    /// The exchange of an entry that starts at `now`.
+    /// Creates the exchange of an entry that starts at `now`.
     #[must_use]
     pub fn new(own: EntryContact, mut generator: ChaCha8Rng, now: ClockTime) -> Self {
         Self {
             own,
             zones: IndexMap::new(),
-            passed: Vec::new(),
+            forwarded: Vec::new(),
             next: now + jittered(SUMMARY_EVERY, &mut generator),
-            last: now,
+            refilled_at: now,
             allowance: SUMMARY_BURST * 1_000,
             generator,
         }
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
         self.next
     }
 
-    /// Entries of other availability zones.
+    /// Returns the known entries of other availability zones.
     pub fn contacts(&self) -> impl Iterator<Item = &EntryContact> {
         self.zones.values().flat_map(|zone| &zone.contacts)
     }
 
-    /// Remembers entries of other availability zones, the latest first.
+    /// Adds entries of other availability zones, the latest first.
     pub fn add_contacts<'a>(&mut self, contacts: impl IntoIterator<Item = &'a EntryContact>) {
         let others = contacts.into_iter();
         for contact in others.filter(|contact| contact.zone != self.own.zone) {
@@ -100,19 +102,20 @@
         }
     }
 
-    /// A few entries of the own availability zone.
+    /// Returns a few random entries of this availability zone.
     #[must_use]
     pub fn own_contacts(&mut self, table: &MemberTable) -> SmallVec<[EntryContact; 4]> {
         let near = table
             .live_entries()
             .filter(|entry| entry.zone == self.own.zone);
         let near: Vec<EntryContact> = near.map(crate::members::MemberFacts::contact).collect();
-        near.sample(&mut self.generator, GIVEN_CONTACTS)
+        near.sample(&mut self.generator, SENT_CONTACTS)
             .cloned()
             .collect()
     }
 
-    /// Sends what is due, if rendezvous hashing picks this entry to speak for its zone.
+    /// Sends the summaries that are due, if rendezvous hashing chooses this entry for its
+    /// availability zone.
     pub fn tick(
         &mut self,
         table: &MemberTable,
@@ -123,25 +126,25 @@
             return Vec::new();
         }
         self.next = now + jittered(SUMMARY_EVERY, &mut self.generator);
-        if !self.speaks(table) {
+        if !self.is_sender(table) {
             return Vec::new();
         }
         let rows = summarize(table);
-        let most = self.refill(now);
+        let max_rows = self.refill(now);
         let contacts = self.own_contacts(table);
         let mut actions = Vec::new();
         let mut used = 0;
-        for far in self.zones.values_mut() {
-            let Some(to) = far.contacts.choose(&mut self.generator).cloned() else {
+        for remote in self.zones.values_mut() {
+            let Some(to) = remote.contacts.choose(&mut self.generator).cloned() else {
                 continue;
             };
-            if far.open.is_some() {
+            if remote.open.is_some() {
                 continue;
             }
-            let models = far.cursor.next_rows(&rows, most, now);
+            let models = remote.cursor.next_rows(&rows, max_rows, now);
             used = used.max(models.len() as u64);
             let keys = models.iter().map(|row| row.key.clone()).collect();
-            far.open = Some((to.daemon.clone(), keys));
+            remote.open = Some((to.daemon.clone(), keys));
             let call = Box::new(SummaryCall {
                 from: self.own.clone(),
                 generation,
@@ -157,55 +160,58 @@
         actions
     }
 
-    /// A summary call ended.
-    pub fn ended(&mut self, to: &EntryContact, answered: bool) {
-        let Some(far) = self.zones.get_mut(&to.zone) else {
+    /// Handles the end of a summary call.
+    pub fn handle_end(&mut self, to: &EntryContact, answered: bool) {
+        let Some(remote) = self.zones.get_mut(&to.zone) else {
             return;
         };
-        let Some((_, keys)) = far.open.take_if(|open| open.0 == to.daemon) else {
+        let Some((_, keys)) = remote.open.take_if(|open| open.0 == to.daemon) else {
             return;
         };
         if !answered {
-            far.cursor.lost(&keys);
-            // The last contact is kept, however silent: it may be the only way back.
-            if far.contacts.len() > 1 {
-                far.contacts.retain(|contact| contact.daemon != to.daemon);
+            remote.cursor.mark_lost(&keys);
+            // The last contact is kept even if it does not answer: it may be the only way to
+            // reconnect.
+            if remote.contacts.len() > 1 {
+                remote
+                    .contacts
+                    .retain(|contact| contact.daemon != to.daemon);
             }
         }
     }
 
-    /// Takes a summary in, to be passed on within the group.
-    pub fn take(&mut self, summary: &ZoneSummary, book: &mut SummaryBook, now: ClockTime) {
+    /// Takes in a summary and queues its new rows to be forwarded within the group.
+    pub fn merge(&mut self, summary: &ZoneSummary, known: &mut SummaryTable, now: ClockTime) {
         if summary.zone == self.own.zone {
             return;
         }
-        for row in book.merge(summary, now) {
-            let made = made_at(&row, now);
-            self.passed.push(PassedRow {
+        for row in known.merge(summary, now) {
+            let created = created_at(&row, now);
+            self.forwarded.push(ForwardedRow {
                 zone: summary.zone.clone(),
                 row,
-                made,
+                created,
                 sends: SUMMARY_SENDS,
             });
         }
     }
 
-    /// The rows that go with the next gossip.
-    pub fn pass_on(&mut self, now: ClockTime) -> Vec<ZoneSummary> {
+    /// Returns the rows to send with the next gossip.
+    pub fn take_forwarded(&mut self, now: ClockTime) -> Vec<ZoneSummary> {
         let mut zones: IndexMap<ZoneName, Vec<ModelSummary>> = IndexMap::new();
-        for passed in &mut self.passed {
-            passed.sends -= 1;
-            let rows = zones.entry(passed.zone.clone()).or_default();
-            rows.push(aged(&passed.row, passed.made, now));
+        for forwarded in &mut self.forwarded {
+            forwarded.sends -= 1;
+            let rows = zones.entry(forwarded.zone.clone()).or_default();
+            rows.push(with_age(&forwarded.row, forwarded.created, now));
         }
-        self.passed.retain(|passed| passed.sends > 0);
+        self.forwarded.retain(|forwarded| forwarded.sends > 0);
         let zones = zones.into_iter();
         zones
             .map(|(zone, models)| ZoneSummary { zone, models })
             .collect()
     }
 
-    fn speaks(&self, table: &MemberTable) -> bool {
+    fn is_sender(&self, table: &MemberTable) -> bool {
         let near = table
             .live_entries()
             .filter(|entry| entry.zone == self.own.zone);
@@ -217,8 +223,8 @@
     }
 
     fn refill(&mut self, now: ClockTime) -> usize {
-        let elapsed = now.since(self.last).as_millis().min(3_600_000);
-        self.last = now;
+        let elapsed = now.since(self.refilled_at).as_millis().min(3_600_000);
+        self.refilled_at = now;
         let gained = u64::try_from(elapsed).unwrap_or(0) * SUMMARY_ROWS_PER_SECOND;
         self.allowance = (self.allowance + gained).min(SUMMARY_BURST * 1_000);
         usize::try_from(self.allowance / 1_000).unwrap_or(0)
