--- a/crates/oatpier-membership/src/members/table.rs
+++ b/crates/oatpier-membership/src/members/table.rs
@@ -1,4 +1,4 @@
-//! The table itself: rows, the states that follow from them, and a bounded log of changes.
+//! The member table: rows, the states derived from them, and a bounded log of changes.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,60 +6,60 @@
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::DaemonName;
-use oatpier_types::pulse::AgentPulse;
+use oatpier_types::status::QueueReport;
 use smallvec::SmallVec;
 
-use super::evidence::{PathEvidence, PathMemory};
-use super::row::{Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, WitnessWord};
+use super::evidence::{EvidenceCache, PathEvidence};
+use super::row::{MemberFacts, MemberKind, MemberPhase, MemberRow, Reachability, WitnessVote};
 use crate::messages::EntryContact;
 use crate::summary::TableDigest;
 
-/// How long this process's own evidence counts.
-pub const EVIDENCE_LASTS: Duration = Duration::from_secs(5);
+/// How long this process's own evidence is valid.
+pub const EVIDENCE_TTL: Duration = Duration::from_secs(5);
 
-/// An agent that no live registrar speaks for becomes suspect after this long.
-pub const UNWITNESSED_SUSPECT: Duration = Duration::from_secs(30);
+/// How long an agent that no live registrar can reach stays alive before it becomes suspect.
+pub const SUSPECT_AFTER: Duration = Duration::from_secs(30);
 
-/// How long a gone row is kept, so that late news about it is known to be old.
+/// How long the row of a gone member is kept, so that late messages about it are recognized as old.
 pub const GONE_KEPT: Duration = Duration::from_mins(10);
 
-/// An entry that is counted out still counts among the witnesses there should be for this long.
-/// Whatever removed it may have struck others too, whose words are not in yet: each removal would
-/// lower the words that the next one needs, down to one.
-pub const WITNESS_MISSED: Duration = Duration::from_secs(15);
+/// How long an entry that was removed still counts among the expected witnesses. The cause of its
+/// removal may have hit other entries too, whose votes have not arrived yet. Otherwise each removal
+/// would lower the number of votes that the next one needs, down to one.
+pub const WITNESS_GRACE: Duration = Duration::from_secs(15);
 
-/// Words of different witnesses that remove a member.
-pub const NEEDED_WORDS: usize = 2;
+/// The number of silent votes of different witnesses that remove a member.
+pub const REMOVAL_VOTES: usize = 2;
 
-/// Where a member stands, as this process sees it.
+/// The state of a member, as this process sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MemberState {
     /// It serves.
     Alive,
-    /// Something speaks against it, but not enough to count it out.
+    /// There is evidence against it, but not enough to remove it.
     Suspect,
-    /// It finishes what it has.
+    /// It finishes the work in flight.
     Leaving,
-    /// It isn't there.
+    /// It is not present.
     Gone,
 }
 
-/// What happens to agents when the entry that they are registered with dies.
+/// The treatment of agents whose registrar dies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum LostRegistrar {
     /// Their rows stay; they register with the successor.
     #[default]
     Keep,
-    /// They count as gone until they have registered again. For comparison in benches.
+    /// They count as gone until they have registered again. For comparison in benchmarks.
     Drop,
 }
 
-/// Sizes of the table.
+/// Limits and policies of the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TableLimits {
-    /// Changes that the log keeps.
+    /// The number of changes kept in the log.
     pub kept_changes: usize,
-    /// What happens when a registrar dies.
+    /// What happens to agents when their registrar dies.
     pub lost_registrar: LostRegistrar,
 }
 
@@ -72,14 +72,14 @@
     }
 }
 
-/// A row of the platform's list of VMs: a hint, never a proof.
+/// A row of the platform's list of VMs. It is only a hint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VmHint {
     /// The process on the VM.
     pub contact: EntryContact,
-    /// Whether that is an entry.
+    /// Whether that process is an entry.
     pub entry: bool,
-    /// Whether the platform means to stop the VM.
+    /// Whether the platform is going to stop the VM.
     pub leaving: bool,
 }
 
@@ -88,7 +88,7 @@
 pub struct MemberChange {
     /// The member.
     pub daemon: DaemonName,
-    /// Its state before; a new member was gone.
+    /// Its state before; `Gone` for a new member.
     pub before: MemberState,
     /// Its state now.
     pub state: MemberState,
@@ -97,20 +97,20 @@
 /// A member as this process sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct MemberView<'a> {
-    /// What it says of itself.
+    /// What it states about itself.
     pub facts: &'a MemberFacts,
-    /// Its latest queue, for an agent.
-    pub pulse: Option<&'a AgentPulse>,
-    /// Where it stands.
+    /// Its latest queue report, for an agent.
+    pub report: Option<&'a QueueReport>,
+    /// Its state.
     pub state: MemberState,
-    /// Whether the list of VMs says that it will be stopped.
+    /// Whether the list of VMs says that its VM will be stopped.
     pub hinted_leaving: bool,
 }
 
-/// What changed since a mark.
+/// The rows that changed since a mark.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableDeltas {
-    /// The mark for the next question.
+    /// The mark to pass to the next query.
     pub mark: u64,
     /// Rows that changed, each once.
     pub rows: Vec<MemberRow>,
@@ -121,8 +121,8 @@
     pub(super) row: MemberRow,
     pub(super) state: MemberState,
     pub(super) gone_since: ClockTime,
-    pub(super) witnessed: ClockTime,
-    pub(super) dropped: Option<SmallVec<[WitnessWord; 2]>>,
+    pub(super) last_reachable: ClockTime,
+    pub(super) dropped_votes: Option<SmallVec<[WitnessVote; 2]>>,
     hinted_leaving: bool,
 }
 
@@ -130,7 +130,7 @@
     fn view(&self) -> MemberView<'_> {
         MemberView {
             facts: &self.row.facts,
-            pulse: self.row.facts.status().map(|status| &status.pulse),
+            report: self.row.facts.status().map(|status| &status.queue),
             state: self.state,
             hinted_leaving: self.hinted_leaving,
         }
@@ -144,13 +144,13 @@
     pub(super) limits: TableLimits,
     pub(super) records: IndexMap<DaemonName, TableRecord>,
     hints: IndexMap<DaemonName, VmHint>,
-    pub(super) evidence: PathMemory,
+    pub(super) evidence: EvidenceCache,
     log: VecDeque<(u64, DaemonName)>,
     mark: u64,
 }
 
 impl MemberTable {
-    /// An empty table of the process `own`.
+    /// Creates the empty table of the process `own`.
     #[must_use]
     pub fn new(own: DaemonName, limits: TableLimits) -> Self {
         Self {
@@ -158,14 +158,14 @@
             limits,
             records: IndexMap::new(),
             hints: IndexMap::new(),
-            evidence: PathMemory::new(EVIDENCE_LASTS),
+            evidence: EvidenceCache::new(EVIDENCE_TTL),
             log: VecDeque::new(),
             mark: 0,
         }
     }
 
-    /// Takes a row in; tells whether it had news. An unknown row that nobody hears is no news:
-    /// it would come back from table to table for ever.
+    /// Takes in a row. Returns whether it changed the table. An unknown row of a member that is not
+    /// reachable is ignored: otherwise it would pass from table to table forever.
     pub fn merge(&mut self, row: &MemberRow, now: ClockTime) -> bool {
         let daemon = &row.facts.daemon;
         let Some(record) = self.records.get_mut(daemon) else {
@@ -178,38 +178,39 @@
         true
     }
 
-    /// Takes in one entry's word on a member.
-    pub fn merge_word(&mut self, daemon: &DaemonName, word: &WitnessWord) -> bool {
+    /// Takes in one entry's vote on a member.
+    pub fn merge_vote(&mut self, daemon: &DaemonName, vote: &WitnessVote) -> bool {
         let Some(record) = self.records.get_mut(daemon) else {
             return false;
         };
-        let changed = record.row.merge_word(word);
+        let changed = record.row.merge_vote(vote);
         if changed {
             self.log_change(daemon.clone());
         }
         changed
     }
 
-    /// Remembers an agent's queue, if it is later than the one known. Nobody is told of it.
-    pub fn note_pulse(&mut self, daemon: &DaemonName, pulse: &AgentPulse) {
+    /// Records an agent's queue if it is later than the known one. This change is not gossiped.
+    pub fn record_queue_report(&mut self, daemon: &DaemonName, report: &QueueReport) {
         let Some(record) = self.records.get_mut(daemon) else {
             return;
         };
         let MemberKind::Agent(status) = &mut record.row.facts.kind else {
             return;
         };
-        if status.pulse.boot == pulse.boot && status.pulse.sequence < pulse.sequence {
-            status.pulse = *pulse;
+        if status.queue.boot == report.boot && status.queue.sequence < report.sequence {
+            status.queue = *report;
         }
     }
 
-    /// Remembers what this process saw of a member on the data path.
-    pub fn note_path(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
-        self.evidence.note(daemon, evidence, now);
+    /// Records evidence on a member from this process's data path.
+    pub fn record_evidence(&mut self, daemon: &DaemonName, evidence: PathEvidence, now: ClockTime) {
+        self.evidence.record(daemon, evidence, now);
     }
 
-    /// Takes the list of VMs as a hint: whom to ask when nobody is known, and who may leave.
-    pub fn note_hints(&mut self, hints: impl IntoIterator<Item = VmHint>) {
+    /// Takes in the list of VMs as hints: which entries to contact when none is known, and which
+    /// processes may leave.
+    pub fn set_hints(&mut self, hints: impl IntoIterator<Item = VmHint>) {
         self.hints = hints
             .into_iter()
             .map(|hint| (hint.contact.daemon.clone(), hint))
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Entries that only the list of VMs knows.
+    /// Returns entries that are known only from the list of VMs.
     pub fn hinted_entries(&self) -> impl Iterator<Item = &EntryContact> {
         self.hints
             .values()
@@ -227,24 +228,24 @@
             .map(|hint| &hint.contact)
     }
 
-    /// One member.
+    /// Returns one member.
     #[must_use]
     pub fn get(&self, daemon: &DaemonName) -> Option<MemberView<'_>> {
         self.records.get(daemon).map(TableRecord::view)
     }
 
-    /// One row, as it travels.
+    /// Returns one row, as sent to other entries.
     #[must_use]
     pub fn row(&self, daemon: &DaemonName) -> Option<&MemberRow> {
         self.records.get(daemon).map(|record| &record.row)
     }
 
-    /// All members.
+    /// Returns all members.
     pub fn members(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.records.values().map(TableRecord::view)
     }
 
-    /// Entries that aren't gone and haven't begun to leave.
+    /// Returns the entries that are neither gone nor leaving.
     pub fn live_entries(&self) -> impl Iterator<Item = &MemberFacts> {
         self.members()
             .filter(|view| view.facts.is_entry())
@@ -252,42 +253,43 @@
             .map(|view| view.facts)
     }
 
-    /// Entries that should be able to speak: live ones, and those that went without leaving a
-    /// short while ago.
+    /// Counts the entries expected to vote: live ones, and those that went away recently without
+    /// leaving.
     pub(super) fn expected_witnesses(&self, now: ClockTime) -> usize {
         let entries = self.records.values().filter(|record| {
             record.row.facts.is_entry() && record.row.facts.phase == MemberPhase::Serving
         });
         let expected = entries.filter(|record| {
-            record.state != MemberState::Gone || now.since(record.gone_since) < WITNESS_MISSED
+            record.state != MemberState::Gone || now.since(record.gone_since) < WITNESS_GRACE
         });
         expected.count()
     }
 
-    /// Whether a member is there and hasn't begun to leave.
+    /// Whether a member is present and not leaving.
     #[must_use]
     pub fn is_live(&self, daemon: &DaemonName) -> bool {
         let view = self.get(daemon);
         view.is_some_and(|view| matches!(view.state, MemberState::Alive | MemberState::Suspect))
     }
 
-    /// Agents that may get new work.
+    /// Returns the agents that may get new work.
     pub fn usable_agents(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.members()
             .filter(|view| !view.facts.is_entry() && view.state == MemberState::Alive)
     }
 
-    /// The mark of the latest change.
+    /// Returns the mark of the latest change.
     #[must_use]
     pub fn mark(&self) -> u64 {
         self.mark
     }
 
-    /// Rows that changed since `mark`; none if the log does not reach back so far.
+    /// Returns the rows that changed since `mark`, or `None` if the log does not reach back that
+    /// far.
     #[must_use]
     pub fn deltas_since(&self, mark: u64) -> Option<TableDeltas> {
-        let reaches = self.mark - self.log.len() as u64;
-        if mark < reaches || mark > self.mark {
+        let oldest_mark = self.mark - self.log.len() as u64;
+        if mark < oldest_mark || mark > self.mark {
             return None;
         }
         let mut names: Vec<&DaemonName> = self
@@ -305,7 +307,7 @@
         })
     }
 
-    /// Hashes of all rows that aren't gone.
+    /// Returns hashes of all rows that aren't gone.
     #[must_use]
     pub fn digest(&self) -> TableDigest {
         let mut digest = TableDigest::default();
@@ -317,10 +319,10 @@
         digest
     }
 
-    /// Rows, gone ones too, in the parts where the two hashes differ.
+    /// Returns the rows, including gone ones, in the parts whose hashes differ.
     #[must_use]
-    pub fn rows_apart(&self, other: &TableDigest, most_parts: usize) -> Vec<MemberRow> {
-        let parts = self.digest().differing(other, most_parts);
+    pub fn differing_rows(&self, other: &TableDigest, max_parts: usize) -> Vec<MemberRow> {
+        let parts = self.digest().differing(other, max_parts);
         self.records
             .iter()
             .filter(|(daemon, _)| parts.contains(&TableDigest::part_of(daemon.as_str())))
@@ -329,12 +331,15 @@
     }
 
     fn insert(&mut self, row: &MemberRow, now: ClockTime) -> bool {
-        let heard = row.words.iter().any(|word| word.hearing == Hearing::Heard);
+        let reachable = row
+            .votes
+            .iter()
+            .any(|vote| vote.reachability == Reachability::Reachable);
         let silent = row
-            .words
+            .votes
             .iter()
-            .filter(|word| word.hearing == Hearing::Silent);
-        let silent = silent.count() >= NEEDED_WORDS && !heard;
+            .filter(|vote| vote.reachability == Reachability::Silent);
+        let silent = silent.count() >= REMOVAL_VOTES && !reachable;
         if silent || row.facts.phase == MemberPhase::Left {
             return false;
         }
@@ -343,8 +348,8 @@
             row: row.clone(),
             state: MemberState::Gone,
             gone_since: now,
-            witnessed: now,
-            dropped: None,
+            last_reachable: now,
+            dropped_votes: None,
             hinted_leaving: self.hints.get(&daemon).is_some_and(|hint| hint.leaving),
         };
         self.records.insert(daemon.clone(), record);
--- a/crates/oatpier-membership/src/registrar/keeper.rs
+++ b/crates/oatpier-membership/src/registrar/keeper.rs
@@ -1,4 +1,4 @@
-//! The agent's side: to whom it sends heartbeats, when, and what is in them.
+//! The agent's side of heartbeats: their targets, times and contents.
 
 use std::time::Duration;
 
@@ -6,60 +6,60 @@
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::DaemonName;
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use rand_chacha::ChaCha8Rng;
 use smallvec::SmallVec;
 
-use super::choose::{AvoidBook, REGISTRARS, choose_registrars, entries_digest};
+use super::choose::{AvoidList, REGISTRARS, choose_registrars, entries_digest};
 use crate::backoff::jittered;
 use crate::members::MemberPhase;
 use crate::messages::{AgentHeartbeat, EntryContact, FormerBoot, HeartbeatAnswer, HeartbeatBody};
-use crate::stops::StopWord;
+use crate::stops::StopRequest;
 
-/// The longest time between two heartbeats; on average it is a second. The registrars get them
-/// in turn.
+/// The longest interval between two heartbeats; the average is one second. Heartbeats go to the
+/// registrars in turn.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(1_300);
 
-/// Time after which a lost heartbeat is sent again.
+/// Delay before a lost heartbeat is sent again.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A heartbeat without an answer counts as lost after this long.
-const ANSWER_WITHIN: Duration = Duration::from_millis(800);
+/// How long to wait for an answer before a heartbeat counts as lost.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Heartbeats lost in a row before another entry takes the registrar's place. At a tenth of
-/// messages lost, fewer would change registrars all the time.
+/// The number of heartbeats lost in a row after which another entry replaces the registrar. With a
+/// tenth of messages lost, a lower limit would replace registrars all the time.
 const LOST_IN_ROW: u32 = 6;
 
-/// An entry that this agent stopped using as a registrar, as it did not answer.
+/// An entry that this agent no longer uses as a registrar, as it did not answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegistrarLost {
     /// The entry.
     pub daemon: DaemonName,
 }
 
-/// What the agent is to do.
+/// An action that a [`HeartbeatKeeper`] requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatAction {
     /// Send a heartbeat.
-    Beat {
-        /// To whom.
+    Send {
+        /// The registrar.
         to: EntryContact,
         /// The heartbeat.
         heartbeat: Box<AgentHeartbeat>,
     },
     /// A registrar did not answer and was replaced.
     Lost(RegistrarLost),
-    /// A registrar knows a former start of this agent.
+    /// A registrar knows an earlier boot of this agent.
     Former(FormerBoot),
-    /// A registrar has this configuration.
-    Seen {
+    /// A registrar reported the generation that is in force at it.
+    GenerationSeen {
         /// The registrar.
         from: EntryContact,
         /// Its generation.
         generation: Generation,
     },
-    /// A planned stop of this agent was asked for or withdrawn.
-    Stop(StopWord),
+    /// A planned stop of this agent was requested or withdrawn.
+    Stop(StopRequest),
 }
 
 #[derive(Debug, Clone)]
@@ -81,17 +81,17 @@
     phase: MemberPhase,
     status: EndpointStatus,
     entries: IndexMap<DaemonName, EntryContact>,
-    digest: u64,
-    avoided: AvoidBook,
+    known_digest: u64,
+    avoided: AvoidList,
     slots: SmallVec<[RegistrarSlot; REGISTRARS]>,
-    turn: usize,
-    next: ClockTime,
+    next_slot: usize,
+    next_send: ClockTime,
     generator: ChaCha8Rng,
 }
 
 impl HeartbeatKeeper {
-    /// The keeper of a started agent that knows a few entries: from its settings, from the list
-    /// of VMs, or both.
+    /// Creates the keeper of a starting agent. The entries that the agent knows, from its settings,
+    /// from the list of VMs, or both, are added with [`Self::add_entries`].
     #[must_use]
     pub fn new(
         own: EntryContact,
@@ -107,38 +107,38 @@
             phase: MemberPhase::Serving,
             status,
             entries: IndexMap::new(),
-            digest: 0,
-            avoided: AvoidBook::default(),
+            known_digest: 0,
+            avoided: AvoidList::default(),
             slots: SmallVec::new(),
-            turn: 0,
-            next: now + jittered(RETRY_AFTER, &mut generator),
+            next_slot: 0,
+            next_send: now + jittered(RETRY_AFTER, &mut generator),
             generator,
         }
     }
 
-    /// Its incarnation.
+    /// Returns the agent's incarnation.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Its registrars, the first one first.
+    /// Returns the agent's registrars in order of rank.
     pub fn registrars(&self) -> impl Iterator<Item = &EntryContact> {
         self.slots.iter().map(|slot| &slot.contact)
     }
 
-    /// All entries that it knows.
+    /// Returns all entries that the agent knows.
     pub fn entries(&self) -> impl Iterator<Item = &EntryContact> {
         self.entries.values()
     }
 
-    /// When a tick has something to do.
+    /// Returns when a tick has something to do.
     #[must_use]
     pub fn next_wake(&self) -> ClockTime {
-        self.next
+        self.next_send
     }
 
-    /// Adds entries that it may turn to.
+    /// Adds entries that may be used as registrars.
     pub fn add_entries(
         &mut self,
         contacts: impl IntoIterator<Item = EntryContact>,
@@ -147,65 +147,65 @@
         for contact in contacts {
             self.entries.insert(contact.daemon.clone(), contact);
         }
-        self.choose(now);
+        self.choose_slots(now);
     }
 
-    /// Sets the queue, which goes with the next heartbeat.
-    pub fn set_pulse(&mut self, pulse: AgentPulse) {
-        self.status.pulse = pulse;
+    /// Sets the state of the queue, which is sent with the next heartbeat.
+    pub fn set_queue_report(&mut self, report: QueueReport) {
+        self.status.queue = report;
     }
 
-    /// Sets the whole status; a change of what is ready is told at once.
+    /// Sets the full status. A change of what is ready is sent at once.
     pub fn set_status(&mut self, status: EndpointStatus, now: ClockTime) {
         if status.ready_sequence != self.status.ready_sequence {
-            self.next = now;
+            self.next_send = now;
         }
         self.status = status;
     }
 
-    /// Sets the phase and tells it at once. Going back needs a new incarnation, as a phase only
-    /// goes forward within one.
+    /// Sets the phase and sends it at once. Returning to an earlier phase needs a new incarnation,
+    /// as the phase only advances within one.
     pub fn set_phase(&mut self, phase: MemberPhase, now: ClockTime) {
         if phase < self.phase {
             self.incarnation += 1;
         }
         self.phase = phase;
-        self.next = now;
+        self.next_send = now;
     }
 
-    /// Whether every registrar knows the present phase and status.
+    /// Whether every registrar has acknowledged the current phase and status.
     #[must_use]
-    pub fn is_known(&self) -> bool {
+    pub fn is_acknowledged(&self) -> bool {
         let order = self.order();
         !self.slots.is_empty() && self.slots.iter().all(|slot| slot.acked == Some(order))
     }
 
-    /// Sends what is due.
+    /// Sends the heartbeats that are due.
     pub fn tick(&mut self, generation: Generation, now: ClockTime) -> Vec<HeartbeatAction> {
         let mut actions = Vec::new();
         self.check_lost(now, &mut actions);
-        if now < self.next {
+        if now < self.next_send {
             return actions;
         }
-        self.choose(now);
-        self.next = now + jittered(HEARTBEAT_EVERY, &mut self.generator);
+        self.choose_slots(now);
+        self.next_send = now + jittered(HEARTBEAT_EVERY, &mut self.generator);
         let order = self.order();
-        let turn = self.turn;
-        self.turn = (turn + 1) % REGISTRARS;
+        let next_slot = self.next_slot;
+        self.next_slot = (next_slot + 1) % REGISTRARS;
         for index in 0..self.slots.len() {
             let slot = &self.slots[index];
-            let urgent = slot.acked != Some(order) || slot.lost > 0;
-            let due = urgent || index == turn || self.slots.len() == 1;
-            if due && slot.sent.is_none() {
-                actions.push(self.beat(index, generation, now));
+            let is_urgent = slot.acked != Some(order) || slot.lost > 0;
+            let is_due = is_urgent || index == next_slot || self.slots.len() == 1;
+            if is_due && slot.sent.is_none() {
+                actions.push(self.build_heartbeat(index, generation, now));
             }
         }
         self.wake_for_answers(now);
         actions
     }
 
-    /// A registrar answered.
-    pub fn answered(
+    /// Handles a registrar's answer.
+    pub fn handle_answer(
         &mut self,
         from: &DaemonName,
         answer: &HeartbeatAnswer,
@@ -213,19 +213,19 @@
     ) -> Vec<HeartbeatAction> {
         let mut actions = Vec::new();
         if let Some(former) = answer.former {
-            self.take_former(former, now);
+            self.apply_former(former, now);
             actions.push(HeartbeatAction::Former(former));
         }
         self.acknowledge(from, answer, now, &mut actions);
         if let Some(entries) = &answer.entries {
-            self.take_entries(entries, now);
+            self.replace_entries(entries, now);
         }
         actions.extend(answer.stop.map(HeartbeatAction::Stop));
         actions
     }
 
-    /// A heartbeat got no answer.
-    pub fn lost(&mut self, to: &DaemonName, now: ClockTime) -> Vec<HeartbeatAction> {
+    /// Handles a heartbeat that got no answer.
+    pub fn handle_loss(&mut self, to: &DaemonName, now: ClockTime) -> Vec<HeartbeatAction> {
         let slots = &mut self.slots;
         let Some(slot) = slots.iter_mut().find(|slot| slot.contact.daemon == *to) else {
             return Vec::new();
@@ -234,14 +234,14 @@
             return Vec::new();
         }
         slot.lost += 1;
-        self.next = self
-            .next
+        self.next_send = self
+            .next_send
             .min(now + jittered(RETRY_AFTER, &mut self.generator));
         if slot.lost < LOST_IN_ROW {
             return Vec::new();
         }
         self.avoided.avoid(to, &mut self.generator, now);
-        self.choose(now);
+        self.choose_slots(now);
         vec![HeartbeatAction::Lost(RegistrarLost { daemon: to.clone() })]
     }
 
@@ -250,31 +250,36 @@
     }
 
     fn check_lost(&mut self, now: ClockTime, actions: &mut Vec<HeartbeatAction>) {
-        let late = self.slots.iter().filter(|slot| {
+        let overdue = self.slots.iter().filter(|slot| {
             slot.sent
-                .is_some_and(|(sent, _)| now.since(sent) >= ANSWER_WITHIN)
+                .is_some_and(|(sent, _)| now.since(sent) >= ANSWER_TIMEOUT)
         });
-        let late: Vec<DaemonName> = late.map(|slot| slot.contact.daemon.clone()).collect();
-        for daemon in late {
-            actions.extend(self.lost(&daemon, now));
+        let overdue: Vec<DaemonName> = overdue.map(|slot| slot.contact.daemon.clone()).collect();
+        for daemon in overdue {
+            actions.extend(self.handle_loss(&daemon, now));
         }
     }
 
     fn wake_for_answers(&mut self, now: ClockTime) {
-        let waits = self.slots.iter().any(|slot| slot.sent.is_some());
-        if waits {
-            self.next = self.next.min(now + ANSWER_WITHIN);
+        let is_waiting = self.slots.iter().any(|slot| slot.sent.is_some());
+        if is_waiting {
+            self.next_send = self.next_send.min(now + ANSWER_TIMEOUT);
         }
     }
 
-    fn beat(&mut self, index: usize, generation: Generation, now: ClockTime) -> HeartbeatAction {
+    fn build_heartbeat(
+        &mut self,
+        index: usize,
+        generation: Generation,
+        now: ClockTime,
+    ) -> HeartbeatAction {
         let order = self.order();
         let slot = &mut self.slots[index];
         slot.sent = Some((now, order));
         let body = if slot.acked == Some(order) {
-            HeartbeatBody::Pulse {
+            HeartbeatBody::QueueReport {
                 ready_sequence: self.status.ready_sequence,
-                pulse: self.status.pulse,
+                report: self.status.queue,
             }
         } else {
             HeartbeatBody::Full(Box::new(EndpointStatus {
@@ -282,7 +287,7 @@
                 ..self.status.clone()
             }))
         };
-        HeartbeatAction::Beat {
+        HeartbeatAction::Send {
             to: slot.contact.clone(),
             heartbeat: Box::new(AgentHeartbeat {
                 daemon: self.own.daemon.clone(),
@@ -292,16 +297,17 @@
                 incarnation: self.incarnation,
                 phase: self.phase,
                 generation,
-                entries_digest: self.digest,
+                entries_digest: self.known_digest,
                 body,
             }),
         }
     }
 
-    /// A former start is held for this one: take a higher incarnation, and say all anew.
-    fn take_former(&mut self, former: FormerBoot, now: ClockTime) {
+    /// Handles an answer that names another boot: takes a higher incarnation and sends the full
+    /// status again.
+    fn apply_former(&mut self, former: FormerBoot, now: ClockTime) {
         self.incarnation = self.incarnation.max(former.incarnation + 1);
-        self.next = now;
+        self.next_send = now;
     }
 
     fn acknowledge(
@@ -315,7 +321,7 @@
         let Some(slot) = slots.iter_mut().find(|slot| slot.contact.daemon == *from) else {
             return;
         };
-        actions.push(HeartbeatAction::Seen {
+        actions.push(HeartbeatAction::GenerationSeen {
             from: slot.contact.clone(),
             generation: answer.generation,
         });
@@ -323,13 +329,13 @@
         slot.lost = 0;
         slot.acked = if answer.need_full { None } else { sent };
         if answer.need_full {
-            self.next = now;
+            self.next_send = now;
         }
         self.avoided.forget(from);
     }
 
-    /// The registrar's list takes the place of what was known. The registrar itself is in it.
-    fn take_entries(&mut self, entries: &[EntryContact], now: ClockTime) {
+    /// Replaces the known entries by the registrar's list, which includes the registrar itself.
+    fn replace_entries(&mut self, entries: &[EntryContact], now: ClockTime) {
         if entries.is_empty() {
             return;
         }
@@ -337,15 +343,15 @@
             .iter()
             .map(|contact| (contact.daemon.clone(), contact.clone()))
             .collect();
-        self.choose(now);
+        self.choose_slots(now);
     }
 
-    fn choose(&mut self, now: ClockTime) {
-        self.digest = entries_digest(self.entries.values());
+    fn choose_slots(&mut self, now: ClockTime) {
+        self.known_digest = entries_digest(self.entries.values());
         let usable = self.entries.values();
         let usable = usable.filter(|contact| !self.avoided.avoids(&contact.daemon, now));
         let usable: Vec<&EntryContact> = usable.collect();
-        // With every entry avoided, any is better than none.
+        // If every entry is avoided, use any rather than none.
         let all: Vec<&EntryContact> = self.entries.values().collect();
         let from = if usable.is_empty() { all } else { usable };
         let chosen = choose_registrars(&self.own.daemon, &self.own.zone, from);
--- a/crates/oatpier-membership/src/registrar/table.rs
+++ b/crates/oatpier-membership/src/registrar/table.rs
@@ -1,4 +1,5 @@
-//! The registrar's side: who is heard, and the word about it that other entries get.
+//! The registrar's side of heartbeats: which agents are reachable, and the votes on them that are
+//! sent to other entries.
 
 use std::time::Duration;
 
@@ -8,39 +9,41 @@
 use oatpier_types::names::DaemonName;
 use smallvec::SmallVec;
 
-use crate::exchange::{HEARD_WITHIN, HeardShare};
-use crate::members::{Hearing, MemberFacts, MemberKind, MemberRow, MemberTable};
+use crate::exchange::{RECENT_WINDOW, ReachableShare};
+use crate::members::{MemberFacts, MemberKind, MemberRow, MemberTable, Reachability};
 use crate::messages::{AgentHeartbeat, EntryContact, FormerBoot, HeartbeatAnswer, HeartbeatBody};
-use crate::stops::StopWord;
+use crate::stops::StopRequest;
 
-/// An agent that was not heard for this long is said to be silent: three heartbeats in a row,
-/// and a little for delays.
+/// An agent counts as silent after this long without a heartbeat: three missed heartbeats, plus a
+/// margin for delays.
 pub const SILENT_AFTER: Duration = Duration::from_millis(6_500);
 
-/// An agent that was not heard for this long, but by others, has other registrars.
+/// An agent that sent this entry no heartbeat for this long, but is reachable for others, has other
+/// registrars.
 const RELEASE_AFTER: Duration = Duration::from_secs(15);
 
-/// After the first return an agent must be heard for this long before the word changes back.
+/// How long an agent must be reachable again after its first silence before the vote on it changes
+/// back.
 pub const HOLD_FIRST: Duration = Duration::from_secs(3);
 
-/// The longest such time.
+/// The upper bound of that time.
 pub const HOLD_LONGEST: Duration = Duration::from_mins(1);
 
-/// An agent that was heard steadily for this long has no past.
-const FLAPS_FORGOTTEN: Duration = Duration::from_mins(5);
+/// After this long of being reachable without a break, an agent's earlier silences are forgotten.
+const FLAP_RESET_AFTER: Duration = Duration::from_mins(5);
 
-/// An agent that was silent for this long is forgotten by its registrar.
-const SILENT_KEPT: Duration = Duration::from_mins(10);
+/// An agent that was silent for this long is dropped by its registrar.
+const SILENT_DROP_AFTER: Duration = Duration::from_mins(10);
 
-/// A registrar's word on an agent, to be told to the other entries.
+/// A registrar's vote on an agent, to be sent to the other entries.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RegistrarWord {
+pub struct RegistrarVote {
     /// The agent.
     pub daemon: DaemonName,
-    /// The incarnation that the word is about.
+    /// The incarnation that the vote is about.
     pub about: u64,
-    /// Whether it is heard.
-    pub hearing: Hearing,
+    /// Whether the agent is reachable.
+    pub reachability: Reachability,
 }
 
 #[derive(Debug, Clone)]
@@ -49,16 +52,16 @@
     incarnation: u64,
     generation: Generation,
     contact: EntryContact,
-    last_heard: ClockTime,
-    /// As `last_heard`, but never moved by this entry's own isolation.
-    last_beat: ClockTime,
-    heard_since: ClockTime,
-    heard: bool,
+    silent_since: ClockTime,
+    /// As `silent_since`, but never advanced because this entry itself was isolated.
+    last_heartbeat: ClockTime,
+    steady_since: ClockTime,
+    is_reachable: bool,
     flaps: u32,
 }
 
 impl Registration {
-    fn hold(&self) -> Duration {
+    fn hold_time(&self) -> Duration {
         let doubled = HOLD_FIRST.saturating_mul(1 << self.flaps.saturating_sub(1).min(16));
         match self.flaps {
             0 => Duration::ZERO,
@@ -67,29 +70,29 @@
     }
 }
 
-/// The agents that are registered with one entry.
+/// The agents registered with one entry.
 #[derive(Debug, Clone, Default)]
 pub struct RegistrarTable {
     agents: IndexMap<DaemonName, Registration>,
 }
 
 impl RegistrarTable {
-    /// Hears a heartbeat. Takes what it says into `members`; the answer lacks the list of
-    /// entries, the stop and the generation, which the entry fills in. The word, if it changed,
-    /// goes to the other entries.
-    pub fn hear(
+    /// Handles a heartbeat and merges its content into `members`. The answer lacks the list of
+    /// entries, the stop request and the generation, which the caller fills in. If the vote on the
+    /// agent changed, it is returned, to be sent to the other entries.
+    pub fn handle_heartbeat(
         &mut self,
         heartbeat: &AgentHeartbeat,
         members: &mut MemberTable,
         now: ClockTime,
-    ) -> (HeartbeatAnswer, Option<RegistrarWord>) {
+    ) -> (HeartbeatAnswer, Option<RegistrarVote>) {
         let known = members.row(&heartbeat.daemon).map(|row| &row.facts);
         let mut former = known.and_then(|known| former_boot(known, heartbeat));
         if let (Some(former), Some(agent)) = (&mut former, self.agents.get(&heartbeat.daemon)) {
             former.generation = former.generation.max(agent.generation);
         }
-        let need_full = former.is_some() || !take_body(heartbeat, members, now);
-        let word = match former {
+        let need_full = former.is_some() || !merge_body(heartbeat, members, now);
+        let vote = match former {
             Some(_) => None,
             None => self.register(heartbeat, now),
         };
@@ -98,126 +101,131 @@
             need_full,
             former,
             entries: None,
-            stop: None::<StopWord>,
+            stop: None::<StopRequest>,
         };
-        (answer, word)
+        (answer, vote)
     }
 
-    /// Looks for agents that went silent; returns changed words. To be called every second.
+    /// Checks for agents that went silent and returns the votes that changed. Must be called every
+    /// second.
     ///
-    /// `deaf` tells that this entry itself stood still or is cut off: it heard nobody, which says
-    /// nothing about them.
+    /// `is_isolated` means that this entry itself was paused or is cut off. It then received
+    /// nothing from anyone, which is no evidence against the agents.
     pub fn check(
         &mut self,
-        deaf: bool,
+        is_isolated: bool,
         members: &MemberTable,
         now: ClockTime,
-    ) -> Vec<RegistrarWord> {
-        let mut words = Vec::new();
+    ) -> Vec<RegistrarVote> {
+        let mut votes = Vec::new();
         for (daemon, agent) in &mut self.agents {
-            if deaf {
-                agent.last_heard = now;
+            if is_isolated {
+                agent.silent_since = now;
             }
-            if agent.heard && now.since(agent.last_heard) >= SILENT_AFTER {
-                agent.heard = false;
+            if agent.is_reachable && now.since(agent.silent_since) >= SILENT_AFTER {
+                agent.is_reachable = false;
                 agent.flaps += 1;
-                words.push(word_on(daemon, agent));
+                votes.push(vote_on(daemon, agent));
             }
         }
-        self.release(members, now, &mut words);
-        words
+        self.release(members, now, &mut votes);
+        votes
     }
 
-    /// Forgets agents that were silent for long, and those that others have heard while this
-    /// entry did not: they have other registrars now. Were this entry's word left at silent, two
-    /// such words would remove the agent as soon as its present registrars die.
-    fn release(&mut self, members: &MemberTable, now: ClockTime, words: &mut Vec<RegistrarWord>) {
+    /// Drops agents that were silent for long, and those that sent heartbeats to other entries but
+    /// not to this one, as these have other registrars now. If this entry's vote stayed at silent,
+    /// two such votes would remove the agent as soon as its current registrars die.
+    fn release(&mut self, members: &MemberTable, now: ClockTime, votes: &mut Vec<RegistrarVote>) {
         self.agents.retain(|daemon, agent| {
-            let silent_for = now.since(agent.last_heard);
-            if silent_for >= RELEASE_AFTER && members.is_heard_elsewhere(daemon) {
-                words.push(RegistrarWord {
-                    hearing: Hearing::Released,
-                    ..word_on(daemon, agent)
+            let silent_for = now.since(agent.silent_since);
+            if silent_for >= RELEASE_AFTER && members.is_reachable_elsewhere(daemon) {
+                votes.push(RegistrarVote {
+                    reachability: Reachability::Released,
+                    ..vote_on(daemon, agent)
                 });
                 return false;
             }
-            silent_for < SILENT_KEPT
+            silent_for < SILENT_DROP_AFTER
         });
     }
 
-    /// All words anew, for when the entry's own incarnation rose and its old ones are void.
+    /// Returns all votes, to be sent again when the entry's incarnation rose and its earlier votes
+    /// are void.
     #[must_use]
-    pub fn words(&self) -> Vec<RegistrarWord> {
+    pub fn votes(&self) -> Vec<RegistrarVote> {
         let agents = self.agents.iter();
         agents
-            .map(|(daemon, agent)| word_on(daemon, agent))
+            .map(|(daemon, agent)| vote_on(daemon, agent))
             .collect()
     }
 
-    /// Agents that are heard, with the generation that is in force at each.
-    pub fn heard(&self) -> impl Iterator<Item = (&EntryContact, Generation)> {
-        let agents = self.agents.values().filter(|agent| agent.heard);
+    /// Returns the agents that are reachable, with the generation in force at each.
+    pub fn reachable_agents(&self) -> impl Iterator<Item = (&EntryContact, Generation)> {
+        let agents = self.agents.values().filter(|agent| agent.is_reachable);
         agents.map(|agent| (&agent.contact, agent.generation))
     }
 
-    /// An agent said which configuration it has.
-    pub fn note_generation(&mut self, daemon: &DaemonName, generation: Generation) {
+    /// Records the generation that an agent reported.
+    pub fn record_generation(&mut self, daemon: &DaemonName, generation: Generation) {
         if let Some(agent) = self.agents.get_mut(daemon) {
             agent.generation = agent.generation.max(generation);
         }
     }
 
-    /// How many of the registered agents were heard very lately.
+    /// Returns how many of the registered agents sent a heartbeat within `RECENT_WINDOW`.
     #[must_use]
-    pub fn heard_share(&self, now: ClockTime) -> HeardShare {
-        let agents = self.agents.values().filter(|agent| agent.heard);
-        let late = |agent: &&Registration| now.since(agent.last_beat) >= HEARD_WITHIN;
-        let (missed, heard): (Vec<_>, Vec<_>) = agents.partition(late);
-        HeardShare {
-            heard: heard.len(),
+    pub fn reachable_share(&self, now: ClockTime) -> ReachableShare {
+        let agents = self.agents.values().filter(|agent| agent.is_reachable);
+        let is_late = |agent: &&Registration| now.since(agent.last_heartbeat) >= RECENT_WINDOW;
+        let (missed, reachable): (Vec<_>, Vec<_>) = agents.partition(is_late);
+        ReachableShare {
+            reachable: reachable.len(),
             missed: missed.len(),
         }
     }
 
-    /// Agents that are registered and heard.
+    /// Returns the number of agents that are registered and reachable.
     #[must_use]
-    pub fn heard_count(&self) -> usize {
-        self.agents.values().filter(|agent| agent.heard).count()
+    pub fn reachable_count(&self) -> usize {
+        self.agents
+            .values()
+            .filter(|agent| agent.is_reachable)
+            .count()
     }
 
-    /// Registered agents with the generation that is in force at each.
+    /// Returns the registered agents with the generation in force at each.
     pub fn generations(&self) -> impl Iterator<Item = (&DaemonName, Generation)> {
         let agents = self.agents.iter();
         agents.map(|(daemon, agent)| (daemon, agent.generation))
     }
 
-    fn register(&mut self, heartbeat: &AgentHeartbeat, now: ClockTime) -> Option<RegistrarWord> {
+    fn register(&mut self, heartbeat: &AgentHeartbeat, now: ClockTime) -> Option<RegistrarVote> {
         let daemon = &heartbeat.daemon;
         let Some(agent) = self.agents.get_mut(daemon) else {
             let agent = new_registration(heartbeat, now);
-            let word = word_on(daemon, &agent);
+            let vote = vote_on(daemon, &agent);
             self.agents.insert(daemon.clone(), agent);
-            return Some(word);
+            return Some(vote);
         };
-        if now.since(agent.last_heard) >= SILENT_AFTER {
-            agent.heard_since = now;
+        if now.since(agent.silent_since) >= SILENT_AFTER {
+            agent.steady_since = now;
         }
-        let renewed = agent.incarnation != heartbeat.incarnation;
+        let is_renewed = agent.incarnation != heartbeat.incarnation;
         agent.boot = heartbeat.boot;
         agent.incarnation = heartbeat.incarnation;
         agent.generation = heartbeat.generation;
         agent.contact.address = heartbeat.address;
-        agent.last_heard = now;
-        agent.last_beat = now;
-        let steady = now.since(agent.heard_since);
-        if steady >= FLAPS_FORGOTTEN {
+        agent.silent_since = now;
+        agent.last_heartbeat = now;
+        let steady = now.since(agent.steady_since);
+        if steady >= FLAP_RESET_AFTER {
             agent.flaps = 0;
         }
-        // An agent that comes and goes would make every table change with it. It must be heard
-        // steadily for longer each time before the word changes back.
-        let returned = !agent.heard && steady >= agent.hold();
-        agent.heard |= returned;
-        (returned || renewed).then(|| word_on(daemon, agent))
+        // An agent that fails and recovers repeatedly would change every table each time. It must
+        // be reachable for longer each time before the vote changes back.
+        let has_returned = !agent.is_reachable && steady >= agent.hold_time();
+        agent.is_reachable |= has_returned;
+        (has_returned || is_renewed).then(|| vote_on(daemon, agent))
     }
 }
 
@@ -231,38 +239,39 @@
             zone: heartbeat.zone.clone(),
             address: heartbeat.address,
         },
-        last_heard: now,
-        last_beat: now,
-        heard_since: now,
-        heard: true,
+        silent_since: now,
+        last_heartbeat: now,
+        steady_since: now,
+        is_reachable: true,
         flaps: 0,
     }
 }
 
-fn word_on(daemon: &DaemonName, agent: &Registration) -> RegistrarWord {
-    RegistrarWord {
+fn vote_on(daemon: &DaemonName, agent: &Registration) -> RegistrarVote {
+    RegistrarVote {
         daemon: daemon.clone(),
         about: agent.incarnation,
-        hearing: if agent.heard {
-            Hearing::Heard
+        reachability: if agent.is_reachable {
+            Reachability::Reachable
         } else {
-            Hearing::Silent
+            Reachability::Silent
         },
     }
 }
 
-/// Another start of the agent that is held for the present one: the agent must take a higher
-/// incarnation. A late heartbeat of a former start gets this too, and changes nothing.
+/// Returns another boot of the agent that is still taken for the current one, so that the agent
+/// takes a higher incarnation. A late heartbeat of an earlier boot gets this answer too, and
+/// changes nothing.
 fn former_boot(known: &MemberFacts, heartbeat: &AgentHeartbeat) -> Option<FormerBoot> {
-    let other = known.boot != heartbeat.boot && known.incarnation >= heartbeat.incarnation;
-    other.then_some(FormerBoot {
+    let is_other = known.boot != heartbeat.boot && known.incarnation >= heartbeat.incarnation;
+    is_other.then_some(FormerBoot {
         incarnation: known.incarnation,
         generation: known.generation,
     })
 }
 
-/// Takes in what the heartbeat says; false if it needs a full one for that.
-fn take_body(heartbeat: &AgentHeartbeat, members: &mut MemberTable, now: ClockTime) -> bool {
+/// Merges the body of a heartbeat. Returns false if a full heartbeat is needed for that.
+fn merge_body(heartbeat: &AgentHeartbeat, members: &mut MemberTable, now: ClockTime) -> bool {
     match &heartbeat.body {
         HeartbeatBody::Full(status) => {
             let row = MemberRow {
@@ -276,15 +285,15 @@
                     generation: heartbeat.generation,
                     kind: MemberKind::Agent(status.clone()),
                 },
-                words: SmallVec::new(),
+                votes: SmallVec::new(),
             };
             members.merge(&row, now);
-            members.note_pulse(&heartbeat.daemon, &status.pulse);
+            members.record_queue_report(&heartbeat.daemon, &status.queue);
             true
         }
-        HeartbeatBody::Pulse {
+        HeartbeatBody::QueueReport {
             ready_sequence,
-            pulse,
+            report,
         } => {
             let known = members.row(&heartbeat.daemon).map(|row| &row.facts);
             let order = (
@@ -294,7 +303,7 @@
                 heartbeat.boot,
             );
             let same = known.is_some_and(|known| known.order() == order);
-            members.note_pulse(&heartbeat.daemon, pulse);
+            members.record_queue_report(&heartbeat.daemon, report);
             same
         }
     }
--- a/crates/oatpier-membership/tests/testsuite/bytes.rs
+++ b/crates/oatpier-membership/tests/testsuite/bytes.rs
@@ -1,7 +1,7 @@
-//! Sizes of messages at the size that is designed for: 340 entries, 3,500 agents, 490 models.
+//! Message sizes at the design size: 340 entries, 3,500 agents, 490 models.
 
 use oatpier_membership::members::{
-    Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, WitnessWord,
+    MemberFacts, MemberKind, MemberPhase, MemberRow, Reachability, WitnessVote,
 };
 use oatpier_membership::messages::{AgentHeartbeat, HeartbeatAnswer, HeartbeatBody, PeerCall};
 use oatpier_types::ids::{BootId, Generation};
@@ -9,7 +9,7 @@
 
 use crate::support::fleet::{Fleet, HEADER_BYTES, Shape};
 use crate::support::payload::TestConfig;
-use crate::support::{contact, daemon, pulse, seconds, status, zone};
+use crate::support::{contact, daemon, queue_report, seconds, status, zone};
 
 const BUDGET: u64 = 23_000;
 
@@ -27,9 +27,9 @@
         phase: MemberPhase::Serving,
         generation: Generation(400_000),
         entries_digest: u64::MAX,
-        body: HeartbeatBody::Pulse {
+        body: HeartbeatBody::QueueReport {
             ready_sequence: 100_000,
-            pulse: pulse(BootId(u128::MAX), 1_000_000),
+            report: queue_report(BootId(u128::MAX), 1_000_000),
         },
     }))
 }
@@ -39,11 +39,11 @@
         .map(|index| format!("seat-drafting-model-{index}"))
         .collect();
     let models: Vec<&str> = models.iter().map(String::as_str).collect();
-    let word = |witness: &str| WitnessWord {
+    let vote = |witness: &str| WitnessVote {
         witness: daemon(witness),
         about: 3,
         order: (3, 10_000),
-        hearing: Hearing::Heard,
+        reachability: Reachability::Reachable,
     };
     MemberRow {
         facts: MemberFacts {
@@ -61,15 +61,16 @@
                 &models,
             ))),
         },
-        words: [word("entry-waikato-a-17"), word("entry-waikato-a-31")]
+        votes: [vote("entry-waikato-a-17"), vote("entry-waikato-a-31")]
             .into_iter()
             .collect(),
     }
 }
 
-/// Heartbeats are most of what an entry carries; with long names they take under half of it.
+/// Heartbeats are most of an entry's traffic; with long names they must take under half of its byte
+/// budget.
 #[test]
-fn heartbeats_leave_room() {
+fn heartbeats_take_under_half_the_byte_budget() {
     let answer = HeartbeatAnswer {
         generation: Generation(400_000),
         need_full: false,
@@ -88,10 +89,10 @@
     );
 }
 
-/// A group as dense as at the full size, without faults: the measured bytes of every process stay
-/// in the budget. `examples/spread_cost.rs` measures the full size.
+/// A group with the same density as at the design size, without faults: the bytes of every process
+/// stay in the budget. `examples/spread_cost.rs` runs the design size.
 #[test]
-fn every_process_stays_within_its_bytes() {
+fn every_process_stays_within_its_byte_budget() {
     let shape = Shape {
         entries: 16,
         agents: 166,
--- a/crates/oatpier-membership/tests/testsuite/members.rs
+++ b/crates/oatpier-membership/tests/testsuite/members.rs
@@ -1,31 +1,31 @@
-//! The table by itself.
+//! Tests of the member table alone.
 
 use oatpier_membership::members::{
-    Hearing, MemberFacts, MemberKind, MemberPhase, MemberRow, MemberState, MemberTable,
-    TableLimits, VmHint, WitnessWord,
+    MemberFacts, MemberKind, MemberPhase, MemberRow, MemberState, MemberTable, Reachability,
+    TableLimits, VmHint, WitnessVote,
 };
 use oatpier_types::clock::ClockTime;
 use oatpier_types::ids::{BootId, Generation};
 use proptest::prelude::*;
 use smallvec::SmallVec;
 
-use crate::support::{contact, daemon, fixed_cases, pulse, seconds, status, zone};
+use crate::support::{contact, daemon, fixed_cases, queue_report, seconds, status, zone};
 
-fn row(name: &str, incarnation: u64, words: &[(&str, u64, bool)]) -> MemberRow {
+fn row(name: &str, incarnation: u64, votes: &[(&str, u64, bool)]) -> MemberRow {
     let boot = BootId(1);
     let kind = if name.starts_with("entry") {
         MemberKind::Entry
     } else {
         MemberKind::Agent(Box::new(status(name, "zone-0", boot, &["model"])))
     };
-    let words = words.iter().map(|(witness, count, heard)| WitnessWord {
+    let votes = votes.iter().map(|(witness, count, reachable)| WitnessVote {
         witness: daemon(witness),
         about: incarnation,
         order: (0, *count),
-        hearing: if *heard {
-            Hearing::Heard
+        reachability: if *reachable {
+            Reachability::Reachable
         } else {
-            Hearing::Silent
+            Reachability::Silent
         },
     });
     MemberRow {
@@ -39,7 +39,7 @@
             generation: Generation(1),
             kind,
         },
-        words: words.collect::<SmallVec<_>>(),
+        votes: votes.collect::<SmallVec<_>>(),
     }
 }
 
@@ -58,17 +58,17 @@
         .collect()
 }
 
-fn state_with(words: &[(&str, u64, bool)]) -> Option<MemberState> {
+fn state_with(votes: &[(&str, u64, bool)]) -> Option<MemberState> {
     let mut rows = entries();
     rows.push(row("agent-1", 0, &[]));
     let mut table = table_with(&rows);
-    table.merge(&row("agent-1", 0, words), ClockTime::ZERO);
+    table.merge(&row("agent-1", 0, votes), ClockTime::ZERO);
     table.refresh(ClockTime::ZERO);
     table.get(&daemon("agent-1")).map(|view| view.state)
 }
 
 #[test]
-fn it_takes_two_words_to_remove_and_one_to_keep() {
+fn two_silent_votes_remove_and_one_reachable_vote_keeps() {
     assert_eq!(
         state_with(&[("entry-1", 1, false)]),
         Some(MemberState::Suspect)
@@ -83,42 +83,42 @@
     assert_eq!(state_with(&one_hears), Some(MemberState::Alive));
 }
 
-/// A registrar that is itself gone said, before it went, that it hears the agent.
-/// Its word stands in every table; it must not keep an agent that two others miss.
+/// A registrar voted that it can reach the agent, and is gone now. Its vote remains in every table;
+/// it must not keep an agent that two other entries vote silent.
 #[test]
-fn a_dead_witness_does_not_count() {
+fn votes_of_gone_witnesses_do_not_count() {
     let mut rows = entries();
     rows.push(row(
         "entry-3",
         0,
         &[("entry-1", 1, false), ("entry-2", 1, false)],
     ));
-    let words = [
+    let votes = [
         ("entry-1", 1, false),
         ("entry-2", 1, false),
         ("entry-3", 1, true),
     ];
-    rows.push(row("agent-1", 0, &words));
+    rows.push(row("agent-1", 0, &votes));
     let table = table_with(&rows);
     let state = |name: &str| table.get(&daemon(name)).map(|view| view.state);
     assert_eq!(state("entry-3"), Some(MemberState::Gone));
     assert_eq!(state("agent-1"), Some(MemberState::Gone));
 }
 
-/// One of three entries dies, which the two others agree on. At the same time the link between
-/// these two fails in one direction. Were the dead entry no longer counted, one word would be all
-/// that is left to ask for, and the word of a single entry would remove its peer and every agent.
+/// One of three entries dies, and the two others vote it silent. At the same time the link between
+/// these two fails in one direction. If the dead entry no longer counted as a witness, one vote
+/// would be enough, and a single entry would remove its peer and every agent.
 #[test]
-fn a_death_does_not_lower_the_words_needed_at_once() {
-    let complaint = |witness| [(witness, 1, false)];
+fn death_of_a_witness_does_not_lower_the_needed_votes_at_once() {
+    let silent_vote = |witness| [(witness, 1, false)];
     let mut rows = vec![row("entry-0", 0, &[]), row("entry-1", 0, &[])];
     rows.extend([row("entry-2", 0, &[]), row("agent-1", 0, &[])]);
     let mut table = table_with(&rows);
-    table.merge(&row("entry-1", 0, &complaint("entry-0")), ClockTime::ZERO);
-    table.merge(&row("entry-1", 0, &complaint("entry-2")), ClockTime::ZERO);
+    table.merge(&row("entry-1", 0, &silent_vote("entry-0")), ClockTime::ZERO);
+    table.merge(&row("entry-1", 0, &silent_vote("entry-2")), ClockTime::ZERO);
     table.refresh(ClockTime::ZERO);
-    table.merge(&row("entry-2", 0, &complaint("entry-0")), ClockTime::ZERO);
-    table.merge(&row("agent-1", 0, &complaint("entry-0")), ClockTime::ZERO);
+    table.merge(&row("entry-2", 0, &silent_vote("entry-0")), ClockTime::ZERO);
+    table.merge(&row("agent-1", 0, &silent_vote("entry-0")), ClockTime::ZERO);
     for second in 1..10 {
         table.refresh(ClockTime::ZERO + seconds(second));
         let state = |name: &str| table.get(&daemon(name)).map(|view| view.state);
@@ -128,7 +128,11 @@
     }
     table.refresh(ClockTime::ZERO + seconds(20));
     let state = table.get(&daemon("entry-2")).map(|view| view.state);
-    assert_eq!(state, Some(MemberState::Gone), "one of two that are left");
+    assert_eq!(
+        state,
+        Some(MemberState::Gone),
+        "one vote suffices with two remaining entries"
+    );
 }
 
 #[test]
@@ -139,7 +143,7 @@
         entry: true,
         leaving,
     };
-    table.note_hints([hint("entry-1", true), hint("entry-9", false)]);
+    table.set_hints([hint("entry-1", true), hint("entry-9", false)]);
     table.refresh(ClockTime::ZERO);
     let known = table.get(&daemon("entry-1")).expect("a row");
     assert!(known.hinted_leaving && known.state == MemberState::Alive);
@@ -158,16 +162,18 @@
         table.merge(&row(&format!("agent-{index}"), 0, &[]), ClockTime::ZERO);
     }
     assert_eq!(table.deltas_since(0), None);
-    let deltas = table.deltas_since(1).expect("within the log");
+    let deltas = table
+        .deltas_since(1)
+        .expect("the log reaches back to mark 1");
     assert_eq!((deltas.mark, deltas.rows.len()), (3, 2));
-    let mut late = pulse(BootId(1), 1);
+    let mut late = queue_report(BootId(1), 1);
     late.queued = 9;
-    table.note_pulse(&daemon("agent-1"), &late);
+    table.record_queue_report(&daemon("agent-1"), &late);
     assert_eq!(
         table
             .get(&daemon("agent-1"))
-            .and_then(|view| view.pulse)
-            .map(|pulse| pulse.queued),
+            .and_then(|view| view.report)
+            .map(|report| report.queued),
         Some(0)
     );
 }
@@ -175,22 +181,22 @@
 proptest! {
     #![proptest_config(fixed_cases(256))]
 
-    /// Tables that get the same rows, in any order and any number of times, are alike.
+    /// Tables that get the same rows, in any order and any number of times, are equal.
     #[test]
-    fn tables_converge(
-        news in prop::collection::vec((0_u64..3, 0_usize..4, 1_u64..6, any::<bool>()), 1..20),
+    fn rows_merged_in_any_order_converge(
+        updates in prop::collection::vec((0_u64..3, 0_usize..4, 1_u64..6, any::<bool>()), 1..20),
         order in prop::collection::vec(any::<prop::sample::Index>(), 60),
     ) {
-        let rows: Vec<MemberRow> = news
+        let rows: Vec<MemberRow> = updates
             .iter()
             .map(|(incarnation, witness, count, _)| {
-                // A witness says one thing at one count.
-                let heard = (count + incarnation) % 2 == 0;
-                row("agent-1", *incarnation, &[(&format!("entry-{witness}"), *count, heard)])
+                // A witness has one vote for each count.
+                let reachable = (count + incarnation) % 2 == 0;
+                row("agent-1", *incarnation, &[(&format!("entry-{witness}"), *count, reachable)])
             })
             .map(|mut row| {
-                for word in &mut row.words {
-                    word.order.1 += 10 * word.about;
+                for vote in &mut row.votes {
+                    vote.order.1 += 10 * vote.about;
                 }
                 row
             })
--- a/crates/oatpier-membership/tests/testsuite/support/mod.rs
+++ b/crates/oatpier-membership/tests/testsuite/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deterministic message loop: processes, delays, losses, cuts and one store.
+//! A small deterministic simulation: processes, delays, losses, cuts and one store.
 
 #![allow(dead_code)]
 
@@ -14,7 +14,7 @@
 use oatpier_types::engine::WeightsKey;
 use oatpier_types::ids::{BootId, Generation};
 use oatpier_types::names::{DaemonName, EndpointName, ModelName, PoolName, VersionName, ZoneName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use proptest::test_runner::{Config as ProptestConfig, RngSeed};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -27,7 +27,7 @@
     ZoneName::try_from(name).expect("an availability zone name")
 }
 
-/// The same random cases in every run.
+/// Returns a configuration that runs the same random cases every time.
 pub fn fixed_cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -66,8 +66,8 @@
     }
 }
 
-pub fn pulse(boot: BootId, sequence: u64) -> AgentPulse {
-    AgentPulse {
+pub fn queue_report(boot: BootId, sequence: u64) -> QueueReport {
+    QueueReport {
         boot,
         sequence,
         queued: 0,
@@ -88,6 +88,6 @@
         ready: models.iter().map(|model| weights(model)).collect(),
         ready_sequence: 1,
         generation: Generation(0),
-        pulse: pulse(boot, 1),
+        queue: queue_report(boot, 1),
     }
 }
--- a/crates/oatpier-placement/examples/planner_day.rs
+++ b/crates/oatpier-placement/examples/planner_day.rs
@@ -1,11 +1,11 @@
-//! Prints moves, endpoints used and a bound on attainment over a day of bursty demand, for the
-//! planner and the two that it is compared with.
+//! Prints moves, endpoints in use and an upper bound on attainment over a day of bursty demand, for
+//! the placement planner and the two baselines.
 //!
 //! `cargo run --release -p oatpier-placement --example planner_day`
 //!
-//! A request counts as served as far as the endpoints that hold its model have time for it:
-//! queues, deadlines and routing are left out, so the share is an upper bound. Loads take one
-//! step of ten seconds. Demand is seeded; twice the same run gives twice the same figures.
+//! Requests count as served up to the capacity of the endpoints that hold their model. Queues,
+//! deadlines and routing are not simulated, so the served fraction is an upper bound. Loads take
+//! one step of ten seconds. Demand is seeded, so each run gives the same results.
 
 use std::time::Duration;
 
@@ -30,10 +30,10 @@
 const SLOTS: f64 = 16.0;
 const STEP: Duration = Duration::from_secs(10);
 const STEPS: u32 = 8_640;
-/// The parts that the requests of a step are handed out in.
+/// Number of parts in which the requests of a step are distributed.
 const PARTS: u32 = 40;
 const TOKENS: u32 = 150;
-/// The time that one request takes one place for.
+/// Time that one request occupies one request slot, in seconds.
 const REQUEST_S: f64 = 150.0 * 0.005;
 
 fn main() -> Result<(), NameError> {
@@ -48,13 +48,13 @@
             Box::new(PlacementPlanner::new(PlannerSettings::default())),
         ];
         for planner in planners {
-            Day::new(models)?.run(planner, models);
+            DemandDay::new(models)?.run(planner, models);
         }
     }
     Ok(())
 }
 
-struct Day {
+struct DemandDay {
     config: FleetConfig,
     views: Vec<EndpointView>,
     plan: Option<PlacementPlan>,
@@ -68,11 +68,11 @@
     loads: u32,
     unloads: u32,
     endpoints: f64,
-    asked: f64,
+    requested: f64,
     served: f64,
 }
 
-impl Day {
+impl DemandDay {
     fn new(models: usize) -> Result<Self, NameError> {
         let config = fleet(models)?;
         Ok(Self {
@@ -89,12 +89,12 @@
         let mut totals = DayTotals::default();
         for step in 0..STEPS {
             let now = ClockTime::ZERO + STEP * step;
-            let counts = self.ask(now);
+            let counts = self.generate_requests(now);
             self.serve(&counts, &mut totals);
             self.step(planner.as_mut(), now, step > 0, &mut totals);
         }
         let endpoints = totals.endpoints / f64::from(STEPS);
-        let served = totals.served / totals.asked;
+        let served = totals.served / totals.requested;
         println!(
             "{models:>7} {:>9} | {:>7} {:>8} {endpoints:>10.2} {served:>10.4} {:>13.4}",
             planner.name(),
@@ -104,9 +104,9 @@
         );
     }
 
-    /// Requests of each model in one step. A model bursts to some forty times its usual rate, for
-    /// ten to forty minutes, three times a day on average.
-    fn ask(&mut self, now: ClockTime) -> Vec<u32> {
+    /// Returns the requests per model in one step. A model bursts to about forty times its usual rate
+    /// for ten to forty minutes, three times a day on average.
+    fn generate_requests(&mut self, now: ClockTime) -> Vec<u32> {
         let mut counts = Vec::new();
         for (index, model) in self.config.models.keys().enumerate() {
             if self.bursts[index] == 0 && self.random.random_bool(3.0 / f64::from(STEPS)) {
@@ -127,7 +127,8 @@
         counts
     }
 
-    /// What the ready replicas have time for, when each request goes to the one with most time.
+    /// Adds the requests that the ready replicas can serve to the totals. Each part of a model's
+    /// requests goes to the holder with the lowest load.
     fn serve(&self, counts: &[u32], totals: &mut DayTotals) {
         let holders: Vec<Vec<usize>> = self
             .config
@@ -140,18 +141,18 @@
         for _ in 0..PARTS {
             for (count, holders) in counts.iter().zip(&holders) {
                 let part = f64::from(*count) / f64::from(PARTS);
-                let free = holders
+                let least_loaded = holders
                     .iter()
                     .min_by(|a, b| loads[**a].total_cmp(&loads[**b]));
-                let Some(free) = free else {
+                let Some(least_loaded) = least_loaded else {
                     continue;
                 };
-                let room = (1.0 - loads[*free]).max(0.0) * capacity;
-                totals.served += part.min(room);
-                loads[*free] += part / capacity;
+                let remaining = (1.0 - loads[*least_loaded]).max(0.0) * capacity;
+                totals.served += part.min(remaining);
+                loads[*least_loaded] += part / capacity;
             }
         }
-        totals.asked += counts.iter().copied().map(f64::from).sum::<f64>();
+        totals.requested += counts.iter().copied().map(f64::from).sum::<f64>();
         let used = self
             .views
             .iter()
--- a/crates/oatpier-placement/src/release.rs
+++ b/crates/oatpier-placement/src/release.rs
@@ -1,20 +1,22 @@
-//! Who may unload weights that callers rely on.
+//! Agreement between replicas on which of them may unload weights.
 //!
-//! Two agents that each see the other's replica could both unload theirs, and the model would be
-//! gone. So an agent asks another holder before it unloads, and a holder that asks, or unloads,
-//! refuses all that ask it.
+//! Two agents that each see the other's replica could both unload theirs, which would make the
+//! model unavailable. So an agent asks another holder before it unloads. A holder that has itself
+//! requested a release of the weights, or is unloading them, denies the requests of others.
 //!
-//! Why this is enough: take all replicas that are ever unloaded, and of these the one that was
-//! granted last. Its granter was ready and was not asking then. Had the granter been unloaded
-//! later, its own grant would have been later still. So the granter's replica is there. No clock
-//! and no view of who holds what takes part in this: a stale view costs a refusal, never a
-//! replica. An agent that starts anew grants nothing before its engine refuses the former
-//! agent's orders, or the former agent's intents are finished.
+//! Proof of safety: consider all replicas that are ever unloaded, and among them the one whose
+//! release was granted last. Its granter had the weights ready and was not requesting a release at
+//! that time. If the granter's replica had been unloaded later, its own release would have been
+//! granted later still, which is a contradiction. So the granter's replica still exists. The proof
+//! depends on no clock and on no view of which endpoint holds which weights: a stale view can
+//! cause a denial, but never the loss of a replica. A restarted agent grants nothing until its
+//! engine rejects the orders of the earlier agent, or the intents of that agent are completed.
 //!
-//! An agent may have been followed by another without knowing it, and the other may be unloading
-//! what the first still believes to be firm. So an ask is granted only after a proof, asked for
-//! when the ask was there, that the agent's epoch is in force. A later agent asks for releases
-//! only once its own epoch is, and whoever asked the first one refuses the later one.
+//! An agent may have been superseded without having learned it, and its successor may be unloading
+//! weights that the first agent still considers stable. So a request is granted only after a proof
+//! that the agent's epoch is current, and this proof is obtained after the request has arrived. A
+//! successor requests releases only once its own epoch is current, and an agent whose request its
+//! predecessor granted denies the successor's request.
 
 use std::time::Duration;
 
@@ -29,50 +31,51 @@
 
 use crate::orders::{OrderKeeper, ProofMark};
 
-/// How long an unanswered ask stands.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
-/// The shortest wait after a refusal.
-const RETRY_FLOOR: Duration = Duration::from_millis(200);
-/// The longest wait after a refusal. Drawn at random, so that two holders which refused each
-/// other don't meet again and again.
-const RETRY_CEILING: Duration = Duration::from_secs(2);
+/// Timeout of a request without a response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum delay after a denial.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(200);
+/// Maximum delay after a denial. The delay is random, so that two holders that denied each other
+/// do not collide repeatedly.
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(2);
 
-/// An agent asks another holder whether it may unload.
+/// Request of an agent to another holder for permission to unload.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct ReleaseAsk {
-    /// Who asks.
+pub struct ReleaseRequest {
+    /// Endpoint of the requesting agent.
     pub endpoint: EndpointName,
-    /// The start of the agent that asks.
+    /// Boot ID of the requesting agent.
     pub boot: BootId,
-    /// Counts up by one with each ask of that start.
+    /// Sequence number of the request; increases by one with each request of that boot ID.
     pub sequence: u64,
-    /// What it would unload.
+    /// Weights to unload.
     pub weights: WeightsKey,
-    /// What the granter must have ready: these weights, or their present version.
+    /// Weights that the granter must have ready: the same ones, their current version, or another
+    /// version that serves callers meanwhile.
     pub keep: WeightsKey,
 }
 
-/// The answer to an ask.
+/// Response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct ReleaseAnswer {
-    /// The start of the agent that asked.
+    /// Boot ID of the requesting agent.
     pub boot: BootId,
-    /// The sequence of the ask.
+    /// Sequence number of the request.
     pub sequence: u64,
-    /// Whether it may unload.
+    /// Whether the agent may unload.
     pub granted: bool,
 }
 
-/// Where an agent stands with weights that it wants to unload.
+/// State of the release of one agent's weights.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseState {
-    /// It does not want to, or waits to ask again.
+    /// Not requested, or waiting before the next request.
     None,
-    /// It has asked.
-    Asking,
-    /// It may.
+    /// A request is pending.
+    Requested,
+    /// The agent may unload the weights.
     Granted,
 }
 
@@ -83,36 +86,36 @@
     until: ClockTime,
 }
 
-/// Asks for releases and answers others' asks, for one agent.
+/// Release protocol of one agent: requests releases and responds to the requests of other agents.
 #[derive(Debug, Clone)]
 pub struct ReleaseKeeper {
     endpoint: EndpointName,
     boot: BootId,
     sequence: u64,
     entries: IndexMap<WeightsKey, ReleaseEntry>,
-    asked: Vec<PendingAsk>,
+    pending_requests: Vec<PendingRequest>,
     random: ChaCha8Rng,
 }
 
-/// Another agent's ask that waits for the proof.
+/// Another agent's request that waits for a proof of the epoch.
 #[derive(Debug, Clone)]
-struct PendingAsk {
-    ask: ReleaseAsk,
+struct PendingRequest {
+    request: ReleaseRequest,
     mark: ProofMark,
     until: ClockTime,
 }
 
-/// An answer on its way to the agent that asked.
+/// An answer to send to the requesting agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseReply {
-    /// Whose agent asked.
+    /// Endpoint of the requesting agent.
     pub to: EndpointName,
     /// The answer.
     pub answer: ReleaseAnswer,
 }
 
 impl ReleaseKeeper {
-    /// A keeper for one start of an agent.
+    /// Creates a keeper for one start of an agent.
     #[must_use]
     pub fn new(endpoint: EndpointName, boot: BootId, seed: u64) -> Self {
         Self {
@@ -120,12 +123,12 @@
             boot,
             sequence: 0,
             entries: IndexMap::new(),
-            asked: Vec::new(),
+            pending_requests: Vec::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Where the agent stands with these weights.
+    /// Returns the release state of these weights.
     #[must_use]
     pub fn state(&self, weights: &WeightsKey) -> ReleaseState {
         self.entries
@@ -133,31 +136,37 @@
             .map_or(ReleaseState::None, |entry| entry.state)
     }
 
-    /// Whether it asks for, or has, the release of these weights.
+    /// Returns whether the release of these weights is requested or granted.
     #[must_use]
     pub fn is_releasing(&self, weights: &WeightsKey) -> bool {
         self.state(weights) != ReleaseState::None
     }
 
-    /// Whether an ask may be sent now (the wait after a refusal is over).
+    /// Returns whether a request may be sent now: the release is not granted, and the timeout of the
+    /// last request or the delay after a denial has passed.
     #[must_use]
-    pub fn may_ask(&self, weights: &WeightsKey, now: ClockTime) -> bool {
+    pub fn can_request(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         match self.entries.get(weights) {
             None => true,
             Some(entry) => entry.state != ReleaseState::Granted && now >= entry.until,
         }
     }
 
-    /// Starts to ask. From here on the agent refuses others, until the release ends.
-    pub fn ask(&mut self, weights: &WeightsKey, keep: &WeightsKey, now: ClockTime) -> ReleaseAsk {
+    /// Creates a request. The agent denies other agents' requests for these weights until the release ends.
+    pub fn request(
+        &mut self,
+        weights: &WeightsKey,
+        keep: &WeightsKey,
+        now: ClockTime,
+    ) -> ReleaseRequest {
         self.sequence += 1;
         let entry = ReleaseEntry {
-            state: ReleaseState::Asking,
+            state: ReleaseState::Requested,
             sequence: self.sequence,
-            until: now + ASK_TIMEOUT,
+            until: now + REQUEST_TIMEOUT,
         };
         self.entries.insert(weights.clone(), entry);
-        ReleaseAsk {
+        ReleaseRequest {
             endpoint: self.endpoint.clone(),
             boot: self.boot,
             sequence: self.sequence,
@@ -166,9 +175,9 @@
         }
     }
 
-    /// Grants a release without an ask: other weights on this same endpoint keep the name
-    /// served, or the name is no longer configured.
-    pub fn grant_own(&mut self, weights: &WeightsKey) {
+    /// Grants a release without a request: other weights on this endpoint keep the model or adapter
+    /// served, or it is no longer configured.
+    pub fn grant_without_request(&mut self, weights: &WeightsKey) {
         let entry = ReleaseEntry {
             state: ReleaseState::Granted,
             sequence: 0,
@@ -177,16 +186,15 @@
         self.entries.insert(weights.clone(), entry);
     }
 
-    /// Takes an answer. One to an ask that was given up, or to a former agent, is ignored.
+    /// Processes an answer. Ignores answers to expired requests and to requests of an earlier agent.
     pub fn on_answer(&mut self, answer: ReleaseAnswer, now: ClockTime) {
         if answer.boot != self.boot {
             return;
         }
-        let wait = self.random.random_range(RETRY_FLOOR..RETRY_CEILING);
-        let entry = self
-            .entries
-            .values_mut()
-            .find(|entry| entry.state == ReleaseState::Asking && entry.sequence == answer.sequence);
+        let delay = self.random.random_range(RETRY_DELAY_MIN..RETRY_DELAY_MAX);
+        let entry = self.entries.values_mut().find(|entry| {
+            entry.state == ReleaseState::Requested && entry.sequence == answer.sequence
+        });
         let Some(entry) = entry else {
             return;
         };
@@ -194,69 +202,78 @@
             entry.state = ReleaseState::Granted;
         } else {
             entry.state = ReleaseState::None;
-            entry.until = now + wait;
+            entry.until = now + delay;
         }
     }
 
-    /// Gives up asks that got no answer. A grant that comes later is ignored.
+    /// Expires requests without an answer. A grant that arrives later is ignored.
     pub fn expire(&mut self, now: ClockTime) {
-        let wait = self.random.random_range(RETRY_FLOOR..RETRY_CEILING);
+        let delay = self.random.random_range(RETRY_DELAY_MIN..RETRY_DELAY_MAX);
         for entry in self.entries.values_mut() {
-            if entry.state == ReleaseState::Asking && now >= entry.until {
+            if entry.state == ReleaseState::Requested && now >= entry.until {
                 entry.state = ReleaseState::None;
-                entry.until = now + wait;
+                entry.until = now + delay;
             }
         }
     }
 
-    /// Ends a release: the weights are gone, or are to stay.
+    /// Ends a release, because the weights are unloaded or have to stay.
     ///
-    /// Only where no unload order for them could still act.
+    /// Must not be called while an unload order for the weights could still be executed.
     pub fn end(&mut self, weights: &WeightsKey) {
         self.entries.shift_remove(weights);
     }
 
-    /// Takes another agent's ask. The reply comes from [`ReleaseKeeper::replies`].
-    pub fn on_ask(&mut self, ask: ReleaseAsk, keeper: &mut OrderKeeper, now: ClockTime) {
-        let mark = keeper.want_proof(now);
-        let until = now + ASK_TIMEOUT;
-        self.asked.push(PendingAsk { ask, mark, until });
+    /// Processes another agent's request. [`ReleaseKeeper::replies`] returns the reply.
+    pub fn on_request(
+        &mut self,
+        request: ReleaseRequest,
+        keeper: &mut OrderKeeper,
+        now: ClockTime,
+    ) {
+        let mark = keeper.request_proof(now);
+        let until = now + REQUEST_TIMEOUT;
+        self.pending_requests.push(PendingRequest {
+            request,
+            mark,
+            until,
+        });
     }
 
-    /// The replies that can be given now: refusals at once, grants after the proof.
+    /// Returns the replies that can be sent now: denials immediately, grants after the proof.
     ///
-    /// An ask whose proof does not come in time gets none: whoever asked has given it up.
+    /// A request whose proof does not arrive in time gets no reply: it has expired at its sender.
     #[must_use]
     pub fn replies(&mut self, keeper: &OrderKeeper, now: ClockTime) -> Vec<ReleaseReply> {
-        self.asked.retain(|pending| now < pending.until);
+        self.pending_requests.retain(|pending| now < pending.until);
         let mut replies = Vec::new();
         let mut waiting = Vec::new();
-        for pending in std::mem::take(&mut self.asked) {
-            let may = self.may_grant(&pending.ask, keeper, now);
-            if may && !keeper.is_confirmed(pending.mark) {
+        for pending in std::mem::take(&mut self.pending_requests) {
+            let is_grantable = self.can_grant(&pending.request, keeper, now);
+            if is_grantable && !keeper.is_confirmed(pending.mark) {
                 waiting.push(pending);
                 continue;
             }
             replies.push(ReleaseReply {
-                to: pending.ask.endpoint,
+                to: pending.request.endpoint,
                 answer: ReleaseAnswer {
-                    boot: pending.ask.boot,
-                    sequence: pending.ask.sequence,
-                    granted: may,
+                    boot: pending.request.boot,
+                    sequence: pending.request.sequence,
+                    granted: is_grantable,
                 },
             });
         }
-        self.asked = waiting;
+        self.pending_requests = waiting;
         replies
     }
 
-    fn may_grant(&self, ask: &ReleaseAsk, keeper: &OrderKeeper, now: ClockTime) -> bool {
-        ask.endpoint != self.endpoint
-            && !self.is_releasing(&ask.keep)
-            && keeper.is_firm(&ask.keep, now)
+    fn can_grant(&self, request: &ReleaseRequest, keeper: &OrderKeeper, now: ClockTime) -> bool {
+        request.endpoint != self.endpoint
+            && !self.is_releasing(&request.keep)
+            && keeper.is_stable(&request.keep, now)
     }
 
-    /// All weights whose release is asked for or granted.
+    /// Returns all weights whose release is requested or granted.
     pub fn releasing(&self) -> impl Iterator<Item = &WeightsKey> {
         self.entries
             .iter()
@@ -264,9 +281,10 @@
             .map(|(weights, _)| weights)
     }
 
-    /// Which of several holders to ask next: another one after each refusal.
+    /// Returns the index of the holder to ask next. It changes with each request, so that another holder
+    /// is asked after a denial.
     #[must_use]
-    pub fn turn(&self, holders: usize) -> usize {
+    pub fn next_holder(&self, holders: usize) -> usize {
         let sequence = usize::try_from(self.sequence).unwrap_or_default();
         sequence % holders.max(1)
     }
--- a/crates/oatpier-placement/src/steps/work.rs
+++ b/crates/oatpier-placement/src/steps/search.rs
@@ -1,4 +1,4 @@
-//! Finds one step: what is wanted, what may go, and in which order.
+//! Search for one step: which weights to load, which may be unloaded, and in which order.
 
 use indexmap::IndexMap;
 use oatpier_types::clock::ClockTime;
@@ -12,18 +12,20 @@
     held.adapter.is_none() && held.model == weights.model
 }
 
-/// Whether weights are to stay. An adapter that the plan wants has to go nevertheless while its
-/// base model changes version without memory for both: the old base can't go before it.
+/// Returns whether weights have to stay.
+///
+/// A planned adapter has to be unloaded while its base model changes version without memory for
+/// both versions, because the old base model cannot be unloaded before the adapter.
 pub(super) fn is_wanted(
     input: StepInput<'_>,
     keeper: &OrderKeeper,
     weights: &WeightsKey,
     now: ClockTime,
 ) -> bool {
-    input.plan.weights.contains(weights) && !steps_aside(input, keeper, weights, now)
+    input.plan.weights.contains(weights) && !must_yield_to_base(input, keeper, weights, now)
 }
 
-fn steps_aside(
+fn must_yield_to_base(
     input: StepInput<'_>,
     keeper: &OrderKeeper,
     weights: &WeightsKey,
@@ -40,16 +42,17 @@
     let Some(base) = base else {
         return true;
     };
-    let old_base = keeper
+    let has_old_base = keeper
         .ledger()
         .ready()
         .any(|held| is_base_of(held, weights) && held != base);
-    let absent = keeper.ledger().state_of(base).is_none() && !keeper.is_moving(base);
+    let is_base_absent =
+        keeper.ledger().state_of(base).is_none() && !keeper.has_pending_order(base);
     let size = input.config.memory_of(base).unwrap_or(u64::MAX);
-    old_base && absent && !keeper.ledger().fits(base, size, now)
+    has_old_base && is_base_absent && !keeper.ledger().fits(base, size, now)
 }
 
-pub(super) struct StepWork<'a> {
+pub(super) struct StepSearch<'a> {
     pub(super) input: StepInput<'a>,
     pub(super) keeper: &'a mut OrderKeeper,
     pub(super) releases: &'a mut ReleaseKeeper,
@@ -57,7 +60,7 @@
     pub(super) wait: StepWait,
 }
 
-impl StepWork<'_> {
+impl StepSearch<'_> {
     pub(super) fn find_step(&mut self, now: ClockTime) -> Option<PlacementStep> {
         if let Some(step) = self.role_step(now) {
             return Some(step);
@@ -70,13 +73,13 @@
 
     fn role_step(&mut self, now: ClockTime) -> Option<PlacementStep> {
         let role = self.input.plan.role;
-        if self.keeper.role() == Some(role) || self.keeper.is_role_moving() {
+        if self.keeper.role() == Some(role) || self.keeper.has_pending_role_order() {
             return None;
         }
-        self.order(OrderAction::SetRole { role }, now)
+        self.start_order(OrderAction::SetRole { role }, now)
     }
 
-    /// Loads the first wanted weights that are not there, fit, and have their base model ready.
+    /// Loads the first planned weights that are missing, fit, and have their base model ready.
     fn load_step(&mut self, now: ClockTime) -> Option<PlacementStep> {
         let missing: Vec<WeightsKey> = self
             .input
@@ -84,26 +87,29 @@
             .weights
             .iter()
             .filter(|weights| self.keeper.ledger().state_of(weights).is_none())
-            .filter(|weights| !self.keeper.is_moving(weights))
+            .filter(|weights| !self.keeper.has_pending_order(weights))
             .cloned()
             .collect();
         for weights in missing {
             if !self.base_is_ready(&weights) {
-                self.note(StepWait::Busy);
+                self.set_wait(StepWait::Busy);
                 continue;
             }
             let action = OrderAction::Load {
                 weights: weights.clone(),
             };
-            if let Some(step) = self.order(action, now) {
+            if let Some(step) = self.start_order(action, now) {
                 return Some(step);
             }
-            self.note(StepWait::NoMemory(weights));
+            self.set_wait(StepWait::NoMemory(weights));
         }
         None
     }
 
-    /// Only a base model that is to stay counts: the adapter would have to go with another.
+    /// Returns whether weights are a base model, or their base model is ready and in the plan.
+    ///
+    /// With a base model that is not in the plan, the adapter would have to be unloaded together with
+    /// it.
     fn base_is_ready(&self, weights: &WeightsKey) -> bool {
         weights.adapter.is_none()
             || self
@@ -113,13 +119,13 @@
                 .any(|held| is_base_of(held, weights) && self.input.plan.weights.contains(held))
     }
 
-    /// Unloads the first weights that are not wanted and may go: adapters first.
+    /// Unloads the first weights that are not wanted and may be unloaded, adapters first.
     fn unload_step(&mut self, now: ClockTime) -> Option<PlacementStep> {
         let mut extra: Vec<WeightsKey> = self
             .keeper
             .ledger()
             .charges()
-            .filter(|(_, charge)| charge.held.is_some() || charge.ordered)
+            .filter(|(_, charge)| charge.held.is_some() || charge.is_ordered)
             .filter(|(weights, _)| !is_wanted(self.input, self.keeper, weights, now))
             .map(|(weights, _)| weights.clone())
             .collect();
@@ -130,52 +136,55 @@
     }
 
     fn unload_one(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
-        let moving = self.keeper.is_moving(weights);
+        let is_moving = self.keeper.has_pending_order(weights);
         let state = self.keeper.ledger().state_of(weights);
-        if state == Some(WeightsState::Unloading) || (moving && state.is_some()) {
-            self.note(StepWait::Busy);
+        if state == Some(WeightsState::Unloading) || (is_moving && state.is_some()) {
+            self.set_wait(StepWait::Busy);
             return None;
         }
-        // A load that never came to an end serves nobody: it is given up without a release.
+        // A load that never completed serves no callers: it is canceled without a release.
         if state.is_none() {
             return self.order_unload(weights, now);
         }
-        if self.is_base_in_use(weights, now) || self.is_successor_coming(weights) {
-            self.note(StepWait::Busy);
+        if self.is_base_in_use(weights, now) || self.is_replacement_loading(weights) {
+            self.set_wait(StepWait::Busy);
             return None;
         }
         match self.releases.state(weights) {
             ReleaseState::Granted => self.drain_or_unload(weights, now),
-            ReleaseState::Asking => {
-                self.note(StepWait::Busy);
+            ReleaseState::Requested => {
+                self.set_wait(StepWait::Busy);
                 None
             }
-            ReleaseState::None => self.seek_release(weights, now),
+            ReleaseState::None => self.request_release(weights, now),
         }
     }
 
-    /// An adapter needs a version of its base model beside it until it is gone itself.
+    /// Returns whether these weights are the only version of a base model that adapters here still
+    /// need.
     fn is_base_in_use(&self, weights: &WeightsKey, now: ClockTime) -> bool {
         if weights.adapter.is_some() {
             return false;
         }
         let ledger = self.keeper.ledger();
-        let other_base = ledger.ready().any(|held| {
-            is_base_of(held, weights) && held != weights && !self.keeper.may_vanish(held, now)
+        let has_other_base = ledger.ready().any(|held| {
+            is_base_of(held, weights) && held != weights && !self.keeper.may_be_unloaded(held, now)
         });
-        let adapters = ledger.charges().any(|(held, charge)| {
-            let there = charge.held.is_some() || charge.ordered;
-            held.adapter.is_some() && held.model == weights.model && there
+        let has_adapters = ledger.charges().any(|(held, charge)| {
+            let is_there = charge.held.is_some() || charge.is_ordered;
+            held.adapter.is_some() && held.model == weights.model && is_there
         });
-        adapters && !other_base
+        has_adapters && !has_other_base
     }
 
-    /// The version that takes the place of these weights is being loaded: they serve until then.
-    fn is_successor_coming(&self, weights: &WeightsKey) -> bool {
+    /// Returns whether the planned version of these weights is being loaded. The old one serves until then.
+    fn is_replacement_loading(&self, weights: &WeightsKey) -> bool {
         self.input.plan.weights.iter().any(|wanted| {
-            let sibling = wanted.model == weights.model && wanted.adapter == weights.adapter;
-            let loading = self.keeper.ledger().state_of(wanted) == Some(WeightsState::Loading);
-            sibling && wanted != weights && (loading || self.keeper.is_moving(wanted))
+            let has_same_name = wanted.model == weights.model && wanted.adapter == weights.adapter;
+            let is_loading = self.keeper.ledger().state_of(wanted) == Some(WeightsState::Loading);
+            has_same_name
+                && wanted != weights
+                && (is_loading || self.keeper.has_pending_order(wanted))
         })
     }
 
@@ -184,90 +193,93 @@
             self.draining.insert(weights.clone(), now);
             return Some(PlacementStep::StartDrain(weights.clone()));
         }
-        // An unload now would cut off what runs on these weights.
+        // An unload now would abort the attempts that run on these weights.
         if self.input.attempts.in_flight(weights) > 0 {
-            self.note(StepWait::Busy);
+            self.set_wait(StepWait::Busy);
             return None;
         }
         self.order_unload(weights, now)
     }
 
-    fn seek_release(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
-        let Some(present) = self.present_version(weights) else {
-            // Callers can't name these any more.
-            self.releases.grant_own(weights);
+    fn request_release(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
+        let Some(current) = self.current_version(weights) else {
+            // The weights are no longer configured, so no request can name them.
+            self.releases.grant_without_request(weights);
             return self.drain_or_unload(weights, now);
         };
-        if self.is_kept_here(weights, &present, now) {
-            self.releases.grant_own(weights);
+        if self.stays_ready_here(weights, &current, now) {
+            self.releases.grant_without_request(weights);
             return self.drain_or_unload(weights, now);
         }
-        if !self.releases.may_ask(weights, now) {
-            self.note(StepWait::Busy);
+        if !self.releases.can_request(weights, now) {
+            self.set_wait(StepWait::Busy);
             return None;
         }
-        self.ask_holder(weights, &present, now)
+        self.request_from_next_holder(weights, &current, now)
     }
 
-    fn present_version(&self, weights: &WeightsKey) -> Option<WeightsKey> {
+    fn current_version(&self, weights: &WeightsKey) -> Option<WeightsKey> {
         match &weights.adapter {
             Some(adapter) => self.input.config.adapter_weights(adapter),
             None => self.input.config.model_weights(&weights.model),
         }
     }
 
-    /// Whether the present version stays ready on this very endpoint.
-    fn is_kept_here(&self, weights: &WeightsKey, present: &WeightsKey, now: ClockTime) -> bool {
-        weights != present
-            && self.keeper.is_firm(present, now)
-            && !self.releases.is_releasing(present)
+    /// Returns whether the current version stays ready on this endpoint.
+    fn stays_ready_here(&self, weights: &WeightsKey, current: &WeightsKey, now: ClockTime) -> bool {
+        weights != current
+            && self.keeper.is_stable(current, now)
+            && !self.releases.is_releasing(current)
     }
 
-    /// Holders of the present version are asked first; while there is none, during a change of
-    /// version without memory for both, those of the same old version, then of any other.
-    fn ask_holder(
+    /// Asks another holder for the release of these weights.
+    ///
+    /// Holders of the current version are asked first. If there are none, during a version change
+    /// without memory for both versions, holders of the same old version are asked, then holders of
+    /// any other version.
+    fn request_from_next_holder(
         &mut self,
         weights: &WeightsKey,
-        present: &WeightsKey,
+        current: &WeightsKey,
         now: ClockTime,
     ) -> Option<PlacementStep> {
         let replicas = self.input.replicas;
         let others = replicas.other_versions(weights);
-        let found = [present, weights]
+        let found = [current, weights]
             .into_iter()
             .chain(&others)
             .find_map(|keep| {
                 let holders = replicas.ready_elsewhere(keep);
-                let to = holders.get(self.releases.turn(holders.len()));
+                let to = holders.get(self.releases.next_holder(holders.len()));
                 to.map(|to| (to.clone(), keep.clone()))
             });
         let Some((to, keep)) = found else {
-            self.note(StepWait::LastReplica(weights.clone()));
+            self.set_wait(StepWait::LastReplica(weights.clone()));
             return None;
         };
-        let ask = self.releases.ask(weights, &keep, now);
-        Some(PlacementStep::AskRelease { to, ask })
+        let request = self.releases.request(weights, &keep, now);
+        Some(PlacementStep::RequestRelease { to, request })
     }
 
     fn order_unload(&mut self, weights: &WeightsKey, now: ClockTime) -> Option<PlacementStep> {
         let action = OrderAction::Unload {
             weights: weights.clone(),
         };
-        let step = self.order(action, now);
+        let step = self.start_order(action, now);
         if step.is_none() {
-            self.note(StepWait::Busy);
+            self.set_wait(StepWait::Busy);
         }
         step
     }
 
-    fn order(&mut self, action: OrderAction, now: ClockTime) -> Option<PlacementStep> {
+    fn start_order(&mut self, action: OrderAction, now: ClockTime) -> Option<PlacementStep> {
         self.keeper
             .begin(action.clone(), self.input.config, now)
             .ok()?;
         Some(PlacementStep::Ordered(action))
     }
 
-    fn note(&mut self, wait: StepWait) {
+    fn set_wait(&mut self, wait: StepWait) {
         if matches!(self.wait, StepWait::Done | StepWait::Busy) {
             self.wait = wait;
         }
--- a/crates/oatpier-placement/tests/testsuite/demand.rs
+++ b/crates/oatpier-placement/tests/testsuite/demand.rs
@@ -1,8 +1,8 @@
-//! Rates of demand.
+//! Tests of demand rates.
 
 use std::time::Duration;
 
-use oatpier_placement::demand::{DemandBook, DemandKey, DemandLedger};
+use oatpier_placement::demand::{DemandKey, DemandLedger, DemandTotals};
 use oatpier_types::clock::ClockTime;
 use oatpier_types::names::DaemonName;
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Ten requests a second for `seconds`, from `start` on.
+/// Records ten requests per second for `seconds` from `start`, and returns the end time.
 fn burst(ledger: &mut DemandLedger, start: ClockTime, seconds: u64) -> ClockTime {
     let mut now = start;
     for _ in 0..seconds * 10 {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_burst_is_seen_within_seconds() {
+fn burst_raises_rate_within_seconds() {
     let mut ledger = DemandLedger::new();
     let now = burst(&mut ledger, ClockTime::ZERO, 15);
     let rate = ledger.summary(now).rate_of(&key());
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_peak_is_remembered_for_minutes_and_then_forgotten() {
+fn peak_decays_over_minutes() {
     let mut ledger = DemandLedger::new();
     let now = burst(&mut ledger, ClockTime::ZERO, 60);
     let soon = ledger.summary(now + Duration::from_mins(3)).rate_of(&key());
@@ -45,15 +45,15 @@
 }
 
 #[test]
-fn entries_add_up_until_they_are_gone() {
+fn total_sums_entries_until_they_expire() {
     let mut ledger = DemandLedger::new();
     let now = burst(&mut ledger, ClockTime::ZERO, 30);
     let summary = ledger.summary(now);
-    let mut book = DemandBook::new();
+    let mut totals = DemandTotals::new();
     for entry in ["one", "two"] {
-        book.absorb(DaemonName::try_from(entry).unwrap(), summary.clone(), now);
+        totals.update(DaemonName::try_from(entry).unwrap(), summary.clone(), now);
     }
-    let both = book.total(now).rate_of(&key()).requests;
+    let both = totals.total(now).rate_of(&key()).requests;
     assert!((both - 2.0 * summary.rate_of(&key()).requests).abs() < 1e-9);
-    assert!(book.total(now + Duration::from_mins(2)).rows.is_empty());
+    assert!(totals.total(now + Duration::from_mins(2)).rows.is_empty());
 }
--- a/crates/oatpier-placement/tests/testsuite/main.rs
+++ b/crates/oatpier-placement/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions about memory, moves and plans.
+//! Tests of decisions about memory, loads and unloads, and placement plans.
 
 mod demand;
 mod engine;
@@ -11,5 +11,5 @@
 mod record;
 mod release;
 mod repair;
+mod simulation;
 mod steps;
-mod world;
--- a/crates/oatpier-policy/src/entry/classes.rs
+++ b/crates/oatpier-policy/src/entry/classes.rs
@@ -1,4 +1,4 @@
-//! The classes and goals that the configuration knows.
+//! The classes and goals of the configuration.
 
 use indexmap::IndexSet;
 use oatpier_types::config::{ClassTarget, FleetConfig, PoolKind};
@@ -7,37 +7,38 @@
 
 use crate::index::ClassIndex;
 
-/// Classes with their targets, and goals. An index of a class stays its own when the class is
-/// removed and comes back.
+/// Classes with their targets, and goals.
+///
+/// The index of a class stays reserved for it when the class is removed and added again.
 #[derive(Debug, Default)]
-pub(super) struct KnownWork {
+pub(super) struct ConfigCatalog {
     classes: IndexSet<ClassName>,
     targets: Vec<Option<ClassTarget>>,
     goals: IndexSet<RequestGoal>,
 }
 
-impl KnownWork {
+impl ConfigCatalog {
     pub(super) fn apply_config(&mut self, config: &FleetConfig) {
         self.targets.fill(None);
         for (name, spec) in &config.classes {
-            let place = self.classes.insert_full(name.clone()).0;
+            let index = self.classes.insert_full(name.clone()).0;
             self.targets.resize(self.classes.len(), None);
-            self.targets[place] = Some(spec.target);
+            self.targets[index] = Some(spec.target);
         }
         self.goals = config_goals(config);
     }
 
     pub(super) fn class(&self, name: &ClassName) -> Option<(ClassIndex, ClassTarget)> {
-        let place = self.classes.get_index_of(name)?;
-        let target = self.targets[place]?;
-        Some((ClassIndex::of_place(place), target))
+        let index = self.classes.get_index_of(name)?;
+        let target = self.targets[index]?;
+        Some((ClassIndex::from_usize(index), target))
     }
 
     pub(super) fn index(&self, name: &ClassName) -> Option<ClassIndex> {
-        self.classes.get_index_of(name).map(ClassIndex::of_place)
+        self.classes.get_index_of(name).map(ClassIndex::from_usize)
     }
 
-    pub(super) fn knows(&self, goal: &RequestGoal) -> bool {
+    pub(super) fn has_goal(&self, goal: &RequestGoal) -> bool {
         self.goals.contains(goal)
     }
 }
--- a/crates/oatpier-policy/src/limit.rs
+++ b/crates/oatpier-policy/src/limit.rs
@@ -1,8 +1,8 @@
-//! The bound on concurrent requests at an entry, shared fairly.
+//! Admission control: an upper bound on the concurrent requests of an entry, shared fairly.
 //!
-//! Without a bound, a burst or a retry storm fills the entry's memory and makes every answer
-//! late. Near the bound one caller may not take what others need, and a class with slack gives
-//! way to one that misses its target. A refusal is given at once, with when to come back.
+//! Without a bound, a burst or a retry storm exhausts the entry's memory and delays every answer.
+//! Near the bound, a caller is limited to its fair share, and a class that meets its target yields
+//! to one that misses its own. A refusal is immediate and suggests when to retry.
 
 use std::time::Duration;
 
@@ -18,16 +18,16 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct LimitSettings {
-    /// The most concurrent requests.
+    /// Upper bound on concurrent requests.
     pub bound: u32,
-    /// The share of the bound above which a caller gets its fair share only, in percent.
+    /// Share of the bound above which each caller is limited to its fair share, in percent.
     pub fair_percent: u32,
-    /// The share of the bound above which a class with slack gives way, in percent.
+    /// Share of the bound above which requests of a class with slack are refused, in percent.
     pub slack_percent: u32,
-    /// The shortest time to come back after.
+    /// Lower bound on the suggested retry delay.
     #[serde(with = "humantime_serde")]
     pub shortest_wait: Duration,
-    /// The longest time to come back after.
+    /// Upper bound on the suggested retry delay.
     #[serde(with = "humantime_serde")]
     pub longest_wait: Duration,
 }
@@ -44,54 +44,55 @@
     }
 }
 
-/// How a request's class stands against the others.
+/// The attainment of a request's class compared with that of the other classes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ClassStanding {
-    /// Below its target.
-    Need,
+pub enum ClassStatus {
+    /// The class is below its target.
+    BelowTarget,
     /// No class is below its target.
-    Level,
-    /// At its target, while another class is below its own.
+    Balanced,
+    /// The class meets its target, while another class is below its own.
     Slack,
 }
 
-/// A mean takes one new value in sixteen.
-const MEAN_WEIGHT: u64 = 16;
+/// Divisor of the weight of a new value in the exponential moving average.
+const MEAN_DIVISOR: u64 = 16;
 
-/// Admits requests up to a bound.
+/// Admits requests up to a bound on concurrency.
 #[derive(Debug)]
 pub struct EntryLimiter {
     settings: LimitSettings,
     in_flight: u32,
     callers: IndexMap<CallerName, u32>,
-    /// Mean time that a request is in flight, in microseconds.
-    hold_us: u64,
-    /// Refused since, less those that ended since: who may come back before a later one.
-    turned_away: u64,
+    /// Moving average of the time that a request is in flight, in microseconds.
+    mean_hold_us: u64,
+    /// Refused requests minus requests that ended since, an estimate of the callers that may retry
+    /// before the next one.
+    recent_refusals: u64,
     refused: u64,
 }
 
 impl EntryLimiter {
-    /// An empty limiter.
+    /// Creates a limiter without requests in flight.
     #[must_use]
     pub fn new(settings: LimitSettings) -> Self {
         Self {
             settings,
             in_flight: 0,
             callers: IndexMap::new(),
-            hold_us: 0,
-            turned_away: 0,
+            mean_hold_us: 0,
+            recent_refusals: 0,
             refused: 0,
         }
     }
 
-    /// Admits a request. Each admitted one is to be released once.
+    /// Admits a request. Each admitted request must be released once.
     ///
     /// # Errors
     ///
-    /// A refusal with when to come back.
-    pub fn admit(&mut self, caller: &CallerName, standing: ClassStanding) -> Result<(), Refusal> {
-        if !self.has_room(caller, standing) {
+    /// Returns a refusal with a suggested retry delay if there is no room.
+    pub fn admit(&mut self, caller: &CallerName, status: ClassStatus) -> Result<(), Refusal> {
+        if !self.has_room(caller, status) {
             return Err(self.refuse());
         }
         self.in_flight += 1;
@@ -99,12 +100,12 @@
         Ok(())
     }
 
-    /// An admitted request ended after `held`.
+    /// Releases an admitted request that was in flight for `held`.
     pub fn release(&mut self, caller: &CallerName, held: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.turned_away = self.turned_away.saturating_sub(1);
-        let sum = self.hold_us.saturating_mul(MEAN_WEIGHT - 1);
-        self.hold_us = sum.saturating_add(micros(held)) / MEAN_WEIGHT;
+        self.recent_refusals = self.recent_refusals.saturating_sub(1);
+        let sum = self.mean_hold_us.saturating_mul(MEAN_DIVISOR - 1);
+        self.mean_hold_us = sum.saturating_add(micros(held)) / MEAN_DIVISOR;
         let Some(count) = self.callers.get_mut(caller) else {
             return;
         };
@@ -114,23 +115,23 @@
         }
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// How many requests were refused.
+    /// Returns the number of refused requests.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused
     }
 
-    fn has_room(&self, caller: &CallerName, standing: ClassStanding) -> bool {
+    fn has_room(&self, caller: &CallerName, status: ClassStatus) -> bool {
         let settings = &self.settings;
-        let bound = match standing {
-            ClassStanding::Slack => self.share(settings.slack_percent),
-            ClassStanding::Need | ClassStanding::Level => settings.bound,
+        let bound = match status {
+            ClassStatus::Slack => self.share(settings.slack_percent),
+            ClassStatus::BelowTarget | ClassStatus::Balanced => settings.bound,
         };
         if self.in_flight >= bound {
             return false;
@@ -140,8 +141,8 @@
 
     fn is_below_fair_share(&self, caller: &CallerName) -> bool {
         let held = self.callers.get(caller).copied();
-        let newcomer = usize::from(held.is_none());
-        let callers = u32::try_from(self.callers.len() + newcomer).unwrap_or(u32::MAX);
+        let new_callers = usize::from(held.is_none());
+        let callers = u32::try_from(self.callers.len() + new_callers).unwrap_or(u32::MAX);
         let fair = (self.settings.bound / callers.max(1)).max(1);
         held.unwrap_or(0) < fair
     }
@@ -151,12 +152,13 @@
         u32::try_from(part).unwrap_or(u32::MAX)
     }
 
-    /// The time until so many requests have ended as were turned away lately, this one included.
+    /// Counts a refusal and returns it, with the estimated time until as many requests have ended
+    /// as were refused recently, including this one.
     fn refuse(&mut self) -> Refusal {
         self.refused += 1;
-        self.turned_away += 1;
+        self.recent_refusals += 1;
         let bound = u64::from(self.settings.bound.max(1));
-        let drain = Duration::from_micros(scale(self.hold_us, self.turned_away, bound));
+        let drain = Duration::from_micros(scale(self.mean_hold_us, self.recent_refusals, bound));
         let wait = drain.clamp(self.settings.shortest_wait, self.settings.longest_wait);
         Refusal {
             cause: RefusalCause::QueueFull,
--- a/crates/oatpier-policy/src/machine/attempt.rs
+++ b/crates/oatpier-policy/src/machine/attempt.rs
@@ -1,4 +1,4 @@
-//! The one attempt of a request that is live.
+//! The live attempt of a request.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::index::EndpointIndex;
 use crate::router::RouteChoice;
 
-/// Whether the attempt was asked to be sealed.
+/// Whether the agent was asked to seal the attempt, and the result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SealState {
-    /// No.
-    Unasked,
-    /// Yes; its answer is awaited until then.
-    Asked { until: ClockTime },
-    /// Yes; no answer in time. A late one still counts.
-    Overdue,
-    /// Yes; it runs, or may.
+    /// No seal was requested.
+    NotRequested,
+    /// A seal was requested; the answer is awaited until `until`.
+    Requested { until: ClockTime },
+    /// The answer did not arrive in time. A late answer is still accepted.
+    TimedOut,
+    /// The agent answered that the attempt runs or may have run.
     Refused,
 }
 
@@ -28,11 +28,11 @@
     pub sent_at: ClockTime,
     pub predicted: Duration,
     pub queue: Duration,
-    /// Whether anything of its answer came.
-    pub framed: bool,
-    /// When it was sent, or its last piece came.
-    pub last_sign: ClockTime,
-    /// When it counts as silent.
+    /// Whether any part of the answer arrived.
+    pub has_first_frame: bool,
+    /// Time at which the attempt was sent or its last piece arrived.
+    pub last_activity: ClockTime,
+    /// Time from which the attempt counts as silent.
     pub silent_at: ClockTime,
     pub seal: SealState,
 }
@@ -41,7 +41,7 @@
     pub(super) fn new(
         attempt: AttemptId,
         choice: &RouteChoice,
-        silence: Duration,
+        timeout: Duration,
         now: ClockTime,
     ) -> Self {
         Self {
@@ -50,23 +50,24 @@
             sent_at: now,
             predicted: choice.predicted,
             queue: choice.queue,
-            framed: false,
-            last_sign: now,
-            silent_at: now + silence,
-            seal: SealState::Unasked,
+            has_first_frame: false,
+            last_activity: now,
+            silent_at: now + timeout,
+            seal: SealState::NotRequested,
         }
     }
 
-    /// The next point at which something is due of the attempt by itself.
+    /// Returns the time of the attempt's next timeout.
     pub(super) fn timer(&self) -> ClockTime {
         match self.seal {
-            SealState::Asked { until } => until.min(self.silent_at),
+            SealState::Requested { until } => until.min(self.silent_at),
             _ => self.silent_at,
         }
     }
 
-    /// How long it ran at its endpoint, as far as can be told from here.
-    pub(super) fn ran(&self, now: ClockTime) -> Duration {
+    /// Returns how long the attempt ran at its endpoint, estimated by subtracting the predicted
+    /// queue time.
+    pub(super) fn run_time(&self, now: ClockTime) -> Duration {
         now.since(self.sent_at).saturating_sub(self.queue)
     }
 }
--- a/crates/oatpier-policy/src/machine/again.rs
+++ b/crates/oatpier-policy/src/machine/dispatch.rs
@@ -1,4 +1,5 @@
-//! Another attempt: after a refusal, a failure or silence, if verdict and budget allow.
+//! Sends attempts, and repeats them after a refusal, a failure or silence if the verdict and the
+//! retry budget permit it.
 
 use std::time::Duration;
 
@@ -16,24 +17,25 @@
 use crate::outcome::FinalCause;
 use crate::router::{RouteChoice, RouteQuery};
 
-/// Why an attempt is sent.
+/// The reason for which an attempt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptCause {
-    /// It is the first.
+    /// It is the first attempt.
     First,
-    /// The former one was refused since the entry's table was old. It cost its endpoint nothing.
+    /// The previous attempt was refused because the entry's table was stale. The refusal cost the
+    /// endpoint nothing.
     StaleTable,
-    /// The former one was refused, or sealed before it ran.
+    /// The previous attempt was refused, or sealed before it ran.
     Refused,
-    /// The former one failed. Its endpoint may do better the next time, and is often the only
-    /// replica there is.
+    /// The previous attempt failed. Its endpoint may succeed the next time, and is often the only
+    /// replica.
     Failed,
 }
 
 impl RequestMachine {
-    /// Sends another attempt, or ends the request.
-    pub(super) fn try_again(&mut self, cause: AttemptCause, turn: &mut EventTurn<'_>) {
-        if !self.may_repeat(self.settled_for_repeat()) {
+    /// Sends the next attempt, or ends the request if none is permitted.
+    pub(super) fn send_next(&mut self, cause: AttemptCause, turn: &mut EventTurn<'_>) {
+        if !self.may_repeat(self.verdict_for_retry()) {
             self.finish_failed(FinalCause::Incomplete, turn);
             return;
         }
@@ -41,7 +43,7 @@
             self.finish_failed(FinalCause::DeadlinePassed, turn);
             return;
         }
-        if self.attempts_spent() {
+        if self.has_spent_attempts() {
             self.finish_refused(refusal(RefusalCause::RetriesSpent), turn);
             return;
         }
@@ -49,9 +51,9 @@
             Ok(choice) => choice,
             Err(refusal) => return self.finish_refused(refusal, turn),
         };
-        let class = self.frame.class;
-        let charged = matches!(cause, AttemptCause::Refused | AttemptCause::Failed);
-        if charged && !turn.context.take_retry(class) {
+        let class = self.lookup.class;
+        let uses_budget = matches!(cause, AttemptCause::Refused | AttemptCause::Failed);
+        if uses_budget && !turn.context.take_retry(class) {
             self.finish_refused(refusal(RefusalCause::RetriesSpent), turn);
             return;
         }
@@ -63,14 +65,14 @@
         cause: AttemptCause,
         turn: &mut EventTurn<'_>,
     ) -> Result<RouteChoice, Refusal> {
-        let elsewhere = self.choose(&self.tried, turn);
-        match elsewhere {
+        let untried = self.choose(&self.tried_endpoints, turn);
+        match untried {
             Err(refusal)
                 if cause == AttemptCause::Failed && refusal.cause == RefusalCause::NoEndpoint =>
             {
                 self.choose(&[], turn)
             }
-            _ => elsewhere,
+            _ => untried,
         }
     }
 
@@ -79,49 +81,51 @@
         excluded: &[EndpointIndex],
         turn: &mut EventTurn<'_>,
     ) -> Result<RouteChoice, Refusal> {
-        let first_idempotent = self.attempts == 0 && self.intake.repeat == Repeat::Idempotent;
+        let is_first_idempotent = self.attempts == 0 && self.intake.repeat == Repeat::Idempotent;
         let query = RouteQuery {
-            goal: self.frame.goal,
+            goal: self.lookup.goal,
             tokens: self.intake.tokens,
             prefixes: &self.intake.prefixes,
-            whole: self.is_whole(),
+            is_whole_answer: self.targets_whole_answer(),
             remaining: self.remaining(turn.now),
             excluded,
-            may_probe: first_idempotent,
+            may_probe: is_first_idempotent,
         };
         turn.context.choose(&query, turn.now)
     }
 
     fn send(&mut self, choice: &RouteChoice, turn: &mut EventTurn<'_>) {
-        let attempt = turn.context.next_attempt();
-        let silence = self.silence_of(choice, turn);
+        let attempt = turn.context.next_attempt_id();
+        let timeout = self.attempt_timeout(choice, turn);
         turn.context
-            .note_sent(choice, &self.intake.prefixes, turn.now);
-        self.live = Some(LiveAttempt::new(attempt, choice, silence, turn.now));
+            .record_sent(choice, &self.intake.prefixes, turn.now);
+        self.live = Some(LiveAttempt::new(attempt, choice, timeout, turn.now));
         self.attempts += 1;
-        self.tried.push(choice.endpoint);
+        self.tried_endpoints.push(choice.endpoint);
         let endpoint = turn.context.endpoint_name(choice.endpoint);
-        let spec = Box::new(self.spec(attempt, turn.now));
-        turn.actions.push(if self.begun() {
+        let spec = Box::new(self.attempt_spec(attempt, turn.now));
+        turn.actions.push(if self.has_begun() {
             EntryAction::Resume { endpoint, spec }
         } else {
             EntryAction::Send { endpoint, spec }
         });
     }
 
-    /// While an endpoint's speed is not known, a prediction says nothing: it gets a share of the
-    /// time left before it is called silent.
-    fn silence_of(&self, choice: &RouteChoice, turn: &EventTurn<'_>) -> Duration {
-        let expected = turn.context.silence_after(choice.predicted);
+    /// Returns the time after which an attempt counts as silent.
+    ///
+    /// While the speed of an endpoint is unknown, the prediction is meaningless, and the attempt
+    /// gets a share of the remaining time.
+    fn attempt_timeout(&self, choice: &RouteChoice, turn: &EventTurn<'_>) -> Duration {
+        let expected = turn.context.silence_timeout(choice.predicted);
         let remaining = self.remaining(turn.now);
-        if !choice.informed {
+        if !choice.is_speed_known {
             return expected.max(remaining * self.settings.uninformed_percent / 100);
         }
         let latest = remaining * self.settings.silent_percent / 100;
         expected.min(latest.max(choice.predicted * 3 / 2))
     }
 
-    fn spec(&self, attempt: AttemptId, now: ClockTime) -> AttemptSpec {
+    fn attempt_spec(&self, attempt: AttemptId, now: ClockTime) -> AttemptSpec {
         AttemptSpec {
             attempt,
             request: self.intake.request,
@@ -136,54 +140,58 @@
     }
 
     pub(super) fn may_repeat(&self, verdict: RunVerdict) -> bool {
-        let can_go_on = !self.begun() || self.intake.resumable;
-        can_go_on && verdict.may_repeat(self.intake.repeat)
+        let can_continue = !self.has_begun() || self.intake.resumable;
+        can_continue && verdict.may_repeat(self.intake.repeat)
     }
 
-    /// What another attempt depends on. At most once looks at all former attempts, however their
-    /// words contradict each other; for the rest each attempt was judged when it ended.
-    fn settled_for_repeat(&self) -> RunVerdict {
+    /// Returns the verdict that decides whether another attempt is permitted.
+    ///
+    /// For an at-most-once request it combines all previous attempts, even if the reports on them
+    /// contradict each other. For an idempotent request each attempt was checked when it ended.
+    fn verdict_for_retry(&self) -> RunVerdict {
         match self.intake.repeat {
-            Repeat::AtMostOnce => self.settled,
+            Repeat::AtMostOnce => self.known_verdict,
             Repeat::Idempotent => RunVerdict::NotRun,
         }
     }
 
-    fn attempts_spent(&self) -> bool {
+    fn has_spent_attempts(&self) -> bool {
         self.attempts >= self.settings.attempts
     }
 
-    /// Gives a live attempt up whose verdict is not known.
+    /// Cancels the live attempt and drops it while its verdict is unknown.
     fn abandon(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         turn.cancel(&live, CancelMode::Abort);
-        self.unsettled.push(live.attempt);
-        self.drop_live(live, turn);
+        self.pending_cancels.push(live.attempt);
+        self.release_live(live, turn);
     }
 
-    pub(super) fn drop_live(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
+    pub(super) fn release_live(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         self.live = None;
-        turn.context.note_done(live.endpoint, None);
+        turn.context.record_finished(live.endpoint, None);
     }
 
     pub(super) fn on_silence(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
-        let since = live.last_sign;
+        let since = live.last_activity;
         turn.context
-            .note_evidence(live.endpoint, AttemptEvidence::Silent { since }, turn.now);
+            .record_evidence(live.endpoint, AttemptEvidence::Silent { since }, turn.now);
         match self.intake.repeat {
             Repeat::Idempotent => self.replace_silent(live, turn),
-            Repeat::AtMostOnce if live.framed => self.wait_or_end(live, turn),
-            Repeat::AtMostOnce => self.ask_seal(live, turn),
+            Repeat::AtMostOnce if live.has_first_frame => self.wait_or_end(live, turn),
+            Repeat::AtMostOnce => self.request_seal(live, turn),
         }
     }
 
-    /// A silent attempt at an idempotent request is left only for another one: while there is
-    /// none, its answer may still come.
+    /// Replaces a silent attempt of an idempotent request by another one.
+    ///
+    /// Without another endpoint or retry budget the attempt is kept, because its answer may still
+    /// arrive.
     fn replace_silent(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
-        let allowed = self.may_repeat(RunVerdict::MayHaveRun) && !self.attempts_spent();
-        let choice = allowed
-            .then(|| self.choose(&self.tried, turn).ok())
+        let is_allowed = self.may_repeat(RunVerdict::MayHaveRun) && !self.has_spent_attempts();
+        let choice = is_allowed
+            .then(|| self.choose(&self.tried_endpoints, turn).ok())
             .flatten();
-        let class = self.frame.class;
+        let class = self.lookup.class;
         match choice {
             Some(choice) if turn.context.take_retry(class) => {
                 self.abandon(live, turn);
@@ -193,15 +201,17 @@
         }
     }
 
-    /// Waits on until the deadline. A stream that has begun has none: it ends when the last sign
-    /// of its attempt is a stall old.
+    /// Keeps waiting for the live attempt until the deadline.
+    ///
+    /// A stream that has begun has no deadline: it ends when its attempt was inactive for the stall
+    /// timeout.
     fn wait_or_end(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
-        let stalled_at = live.last_sign + self.stall_span();
-        if self.begun() && turn.now >= stalled_at {
+        let stalled_at = live.last_activity + self.stall_timeout();
+        if self.has_begun() && turn.now >= stalled_at {
             self.finish_failed(FinalCause::Incomplete, turn);
             return;
         }
-        let silent_at = if self.begun() {
+        let silent_at = if self.has_begun() {
             stalled_at
         } else {
             ClockTime::NEVER
@@ -209,12 +219,12 @@
         self.live = Some(LiveAttempt { silent_at, ..live });
     }
 
-    fn ask_seal(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
+    fn request_seal(&mut self, live: LiveAttempt, turn: &mut EventTurn<'_>) {
         let until = turn.now + self.settings.cancel_wait;
         turn.cancel(&live, CancelMode::SealOnly);
         self.live = Some(LiveAttempt {
             silent_at: ClockTime::NEVER,
-            seal: SealState::Asked { until },
+            seal: SealState::Requested { until },
             ..live
         });
     }
--- a/crates/oatpier-policy/src/retry.rs
+++ b/crates/oatpier-policy/src/retry.rs
@@ -1,14 +1,14 @@
-//! Retry budgets, so that a fault does not multiply load.
+//! Retry budgets, which keep a fault from multiplying the load.
 //!
-//! While endpoints fail, each request would be sent several times, and the repeats would take
-//! what capacity is left. A class may owe a bounded number of repeats, and its successes pay them
-//! back: when nothing succeeds, repeats soon stop, and requests are refused at once.
+//! While endpoints fail, each request would be sent several times, and the retries would consume
+//! the remaining capacity. Each class therefore has a leaky bucket of outstanding retries, which
+//! its successes drain: when nothing succeeds, retries soon stop, and requests are refused at once.
 //!
-//! The bound follows the requests in flight. An endpoint that dies takes all its requests with it
-//! at one moment, and each of them needs one repeat; a fixed number would lose the rest, although
-//! the other endpoints have room. Repeating each request in flight once is no more load than the
-//! fleet had a moment before. What fails again, and what comes while nothing succeeds, is not
-//! repeated.
+//! The capacity of the bucket scales with the requests in flight. When an endpoint dies, all its
+//! requests fail at one moment, and each needs one retry; a fixed capacity would fail some of them
+//! although the other endpoints have room. One retry of each request in flight is no more load than
+//! the fleet had a moment before. Requests that fail again, or that arrive while nothing succeeds,
+//! are not retried.
 
 use serde::{Deserialize, Serialize};
 
@@ -19,11 +19,12 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeats allowed for each hundred successes.
+    /// Retries permitted per hundred successes.
     pub percent: u32,
-    /// Repeats that a class may owe, however few of its requests are in flight.
+    /// Outstanding retries that a class may always have, however few of its requests are in flight.
     pub burst: u32,
-    /// Repeats that a class may owe for each hundred of its requests in flight, if that is more.
+    /// Outstanding retries that a class may have per hundred of its requests in flight, if that is
+    /// more than `burst`.
     pub in_flight_percent: u32,
 }
 
@@ -37,84 +38,85 @@
     }
 }
 
-/// Hundredths of a repeat.
-const WHOLE_REPEAT: u32 = 100;
+/// Units per retry; the bucket counts hundredths of a retry.
+const UNITS_PER_RETRY: u32 = 100;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct ClassDebt {
-    /// Requests without a final answer.
+struct ClassBucket {
+    /// Number of requests without a final answer.
     in_flight: u32,
-    /// Repeats that were taken and not paid back, in hundredths.
-    owed: u32,
+    /// Retries taken and not yet drained by successes, in hundredths.
+    outstanding: u32,
 }
 
-/// A leaky bucket of repeats for each class, drained by its successes.
+/// A leaky bucket of retries for each class, drained by the class's successes.
 #[derive(Debug)]
 pub struct RetryBudget {
     settings: RetrySettings,
-    debts: Vec<ClassDebt>,
+    buckets: Vec<ClassBucket>,
     refused: u64,
 }
 
 impl RetryBudget {
-    /// Nothing owed.
+    /// Creates a budget without outstanding retries.
     #[must_use]
     pub fn new(settings: RetrySettings) -> Self {
         Self {
             settings,
-            debts: Vec::new(),
+            buckets: Vec::new(),
             refused: 0,
         }
     }
 
-    /// A request of the class was taken in.
-    pub fn note_started(&mut self, class: ClassIndex) {
-        self.debt(class).in_flight += 1;
+    /// Records that a request of the class was admitted.
+    pub fn record_started(&mut self, class: ClassIndex) {
+        self.bucket(class).in_flight += 1;
     }
 
-    /// A request of the class got its final answer.
-    pub fn note_ended(&mut self, class: ClassIndex) {
-        let debt = self.debt(class);
-        debt.in_flight = debt.in_flight.saturating_sub(1);
+    /// Records that a request of the class got its final answer.
+    pub fn record_ended(&mut self, class: ClassIndex) {
+        let bucket = self.bucket(class);
+        bucket.in_flight = bucket.in_flight.saturating_sub(1);
     }
 
-    /// A request of the class came to a whole answer.
-    pub fn note_success(&mut self, class: ClassIndex) {
-        let paid = self.settings.percent;
-        let debt = self.debt(class);
-        debt.owed = debt.owed.saturating_sub(paid);
+    /// Records that a request of the class got a complete answer.
+    pub fn record_success(&mut self, class: ClassIndex) {
+        let drained = self.settings.percent;
+        let bucket = self.bucket(class);
+        bucket.outstanding = bucket.outstanding.saturating_sub(drained);
     }
 
-    /// Takes one repeat; false if the class may owe no more.
+    /// Takes one retry from the class's budget. Returns `false` if the budget is spent.
     pub fn take(&mut self, class: ClassIndex) -> bool {
         let settings = self.settings;
-        let debt = self.debt(class);
-        let bound = bound_of(&settings, debt.in_flight);
-        let owed = debt.owed.saturating_add(WHOLE_REPEAT);
-        if owed <= bound {
-            debt.owed = owed;
+        let bucket = self.bucket(class);
+        let capacity = bucket_capacity(&settings, bucket.in_flight);
+        let outstanding = bucket.outstanding.saturating_add(UNITS_PER_RETRY);
+        if outstanding <= capacity {
+            bucket.outstanding = outstanding;
             return true;
         }
         self.refused += 1;
         false
     }
 
-    /// How many repeats were refused.
+    /// Returns the number of refused retries.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused
     }
 
-    fn debt(&mut self, class: ClassIndex) -> &mut ClassDebt {
-        if self.debts.len() <= class.place() {
-            self.debts.resize(class.place() + 1, ClassDebt::default());
+    fn bucket(&mut self, class: ClassIndex) -> &mut ClassBucket {
+        if self.buckets.len() <= class.as_usize() {
+            self.buckets
+                .resize(class.as_usize() + 1, ClassBucket::default());
         }
-        &mut self.debts[class.place()]
+        &mut self.buckets[class.as_usize()]
     }
 }
 
-/// What a class may owe, in hundredths of a repeat.
-fn bound_of(settings: &RetrySettings, in_flight: u32) -> u32 {
-    let fixed = settings.burst.saturating_mul(WHOLE_REPEAT);
+/// Returns the capacity of a class's bucket, in hundredths of a retry.
+fn bucket_capacity(settings: &RetrySettings, in_flight: u32) -> u32 {
+    let fixed = settings.burst.saturating_mul(UNITS_PER_RETRY);
     fixed.max(in_flight.saturating_mul(settings.in_flight_percent))
 }
--- a/crates/oatpier-policy/src/router.rs
+++ b/crates/oatpier-policy/src/router.rs
@@ -1,8 +1,8 @@
-//! The choice of an endpoint from a short sample.
+//! Selection of an endpoint from a small random sample.
 //!
-//! A scan of all candidates grows with the fleet, and makes all entries choose the same best one
-//! until its next pulse. A few random candidates are nearly as good, cost the same at any size,
-//! and spread the entries.
+//! The cost of a scan of all candidates grows with the fleet, and it makes all entries pick the
+//! same best endpoint until its next queue report. A few random candidates are nearly as good, cost the
+//! same at any fleet size, and spread the load of the entries.
 
 use std::time::Duration;
 
@@ -25,18 +25,18 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct RouterSettings {
-    /// Candidates sampled from the own availability zone.
+    /// Number of candidates sampled from the entry's own availability zone.
     pub own_sample: usize,
-    /// Candidates sampled from another availability zone.
+    /// Number of candidates sampled from another availability zone.
     pub other_sample: usize,
-    /// The own availability zone is taken while its prediction is below this share of the time
-    /// left, in percent.
+    /// The entry's own availability zone is preferred while its predicted time is below this share
+    /// of the remaining time, in percent.
     pub own_percent: u32,
-    /// A request is refused where even the best prediction is above this share of the time left,
-    /// in percent. Far above 100: predictions err, and the agent, which judges again, knows better
-    /// and refuses for the price of a round trip.
+    /// A request is refused if even the best predicted time exceeds this share of the remaining
+    /// time, in percent. The value is far above 100 because predictions are inexact, and the agent,
+    /// which checks again with better information, can refuse at the cost of a round trip.
     pub refuse_percent: u32,
-    /// When to come back where no endpoint can serve.
+    /// Retry delay that is suggested to a caller when no endpoint can serve the request.
     #[serde(with = "humantime_serde")]
     pub retry_after: Duration,
 }
@@ -53,81 +53,81 @@
     }
 }
 
-/// The most candidates that are looked at when all sampled ones are excluded.
-const FALLBACK_BOUND: usize = 32;
+/// Upper bound on the candidates that are considered when all sampled ones are excluded.
+const MAX_FALLBACK_CANDIDATES: usize = 32;
 
-/// The most ejected endpoints that are looked at for a probe.
-const PROBE_BOUND: usize = 4;
+/// Upper bound on the ejected endpoints that are considered for a probe.
+const MAX_PROBE_CANDIDATES: usize = 4;
 
-/// What the router may look at.
+/// State that the router reads.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteView<'a> {
-    /// What is known of endpoints.
+    /// Known state of the endpoints.
     pub table: &'a EndpointTable,
-    /// Their health.
+    /// Health of the endpoints.
     pub health: &'a HealthTracker,
-    /// Their caches.
+    /// Expected prefix caches of the endpoints.
     pub prefix: &'a PrefixIndex,
 }
 
-/// What an attempt needs.
+/// The requirements of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteQuery<'a> {
-    /// What it is for.
+    /// The goal (model, adapter or service) to serve.
     pub goal: GoalIndex,
-    /// Its size.
+    /// Number of prompt and output tokens.
     pub tokens: TokenDemand,
-    /// The growing prefixes of its prompt.
+    /// Hashes of the growing prefixes of the prompt, the shortest first.
     pub prefixes: &'a [u64],
-    /// Whether the whole answer is due, not its first token.
-    pub whole: bool,
-    /// Time left.
+    /// Whether the target applies to the whole answer instead of its first token.
+    pub is_whole_answer: bool,
+    /// Time remaining for the attempt.
     pub remaining: Duration,
-    /// Endpoints that had an attempt already.
+    /// Endpoints that must not be chosen because they already had an attempt.
     pub excluded: &'a [EndpointIndex],
-    /// Whether it may serve as a probe of an ejected endpoint.
+    /// Whether the attempt may serve as a probe of an ejected endpoint.
     pub may_probe: bool,
 }
 
-/// Where an attempt goes.
+/// The endpoint chosen for an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteChoice {
     /// The endpoint.
     pub endpoint: EndpointIndex,
-    /// Predicted time until what is due.
+    /// Predicted time until the first token or the whole answer, as the query requires.
     pub predicted: Duration,
-    /// Predicted time until it runs.
+    /// Predicted time until the attempt starts to run.
     pub queue: Duration,
-    /// Prompt tokens not expected in the cache there.
-    pub tokens_to_read: u32,
-    /// Whether the endpoint's speed is known, so that the prediction says something.
-    pub informed: bool,
-    /// Whether this is a probe of an ejected endpoint.
-    pub probe: bool,
+    /// Prompt tokens that are not expected in the endpoint's prefix cache.
+    pub uncached_tokens: u32,
+    /// Whether the endpoint's speed is known. Without it the prediction is meaningless.
+    pub is_speed_known: bool,
+    /// Whether the attempt is a probe of an ejected endpoint.
+    pub is_probe: bool,
 }
 
-/// Chooses endpoints; holds the seeded generator.
+/// Chooses endpoints, with a seeded random number generator.
 #[derive(Debug)]
 pub struct RequestRouter {
     settings: RouterSettings,
-    generator: ChaCha8Rng,
+    rng: ChaCha8Rng,
 }
 
 impl RequestRouter {
-    /// A router whose choices follow from `seed`.
+    /// Creates a router whose choices are determined by `seed`.
     #[must_use]
     pub fn new(settings: RouterSettings, seed: u64) -> Self {
         Self {
             settings,
-            generator: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Chooses an endpoint. Does not allocate.
+    /// Chooses an endpoint for an attempt. Does not allocate.
     ///
     /// # Errors
     ///
-    /// A refusal where no endpoint can serve, or none in time.
+    /// Returns a refusal if no endpoint can serve the attempt, or none in time.
     pub fn choose(
         &mut self,
         view: RouteView<'_>,
@@ -139,8 +139,8 @@
             return Ok(choice);
         }
         let mut sample = RouteSample::new(view, query, now);
-        self.sample_all(list, &mut sample);
-        let choice = sample.pick(self.settings.own_percent);
+        self.sample_candidates(list, &mut sample);
+        let choice = sample.best_choice(self.settings.own_percent);
         let choice = choice.ok_or(Refusal {
             cause: RefusalCause::NoEndpoint,
             retry_after: Some(self.settings.retry_after),
@@ -148,12 +148,12 @@
         self.check_in_time(choice, query.remaining)
     }
 
-    /// Draws a fresh 128-bit number, for an attempt id.
-    pub fn draw(&mut self) -> u128 {
-        self.generator.random()
+    /// Returns a random 128-bit number, used as an attempt id.
+    pub fn random_u128(&mut self) -> u128 {
+        self.rng.random()
     }
 
-    fn sample_all(&mut self, list: &CandidateList, sample: &mut RouteSample<'_>) {
+    fn sample_candidates(&mut self, list: &CandidateList, sample: &mut RouteSample<'_>) {
         let own = sample.view.table.own_zone();
         self.sample_zone(list.open_in(own), self.settings.own_sample, sample);
         if let Some(other) = self.other_zone(list, sample.view.table) {
@@ -161,7 +161,7 @@
         }
         sample.consider_holders();
         if sample.is_empty() {
-            sample.consider_rest(list);
+            sample.consider_fallback(list);
         }
     }
 
@@ -171,21 +171,21 @@
             return;
         }
         for _ in 0..count {
-            let place = self.generator.random_range(0..open.len());
-            sample.consider(open[place]);
+            let index = self.rng.random_range(0..open.len());
+            sample.consider(open[index]);
         }
     }
 
-    /// Another availability zone with open candidates, from a random start.
+    /// Returns another availability zone with open candidates, searching from a random one on.
     fn other_zone(&mut self, list: &CandidateList, table: &EndpointTable) -> Option<ZoneIndex> {
         let own = table.own_zone();
-        if list.open() == list.open_in(own).len() {
+        if list.open_count() == list.open_in(own).len() {
             return None;
         }
         let zones = table.zone_count();
-        let start = self.generator.random_range(0..zones);
+        let start = self.rng.random_range(0..zones);
         (0..zones)
-            .map(|step| ZoneIndex::of_place((start + step) % zones))
+            .map(|step| ZoneIndex::from_usize((start + step) % zones))
             .find(|zone| *zone != own && !list.open_in(*zone).is_empty())
     }
 
@@ -209,14 +209,14 @@
     }
 }
 
-/// The best candidates seen so far.
+/// The best candidates considered so far.
 struct RouteSample<'a> {
     view: RouteView<'a>,
     query: &'a RouteQuery<'a>,
     holders: PrefixHolders,
     now: ClockTime,
-    own: Option<RouteChoice>,
-    any: Option<RouteChoice>,
+    best_in_own_zone: Option<RouteChoice>,
+    best: Option<RouteChoice>,
 }
 
 impl<'a> RouteSample<'a> {
@@ -226,16 +226,16 @@
             query,
             holders: view.prefix.holders(query.prefixes, now),
             now,
-            own: None,
-            any: None,
+            best_in_own_zone: None,
+            best: None,
         }
     }
 
     fn is_empty(&self) -> bool {
-        self.any.is_none()
+        self.best.is_none()
     }
 
-    /// Expected holders of the prompt's prefix are candidates too, wherever they are.
+    /// Considers the expected holders of the prompt's prefix, in any availability zone.
     fn consider_holders(&mut self) {
         let endpoints: SmallVec<[EndpointIndex; 4]> =
             self.holders.iter().map(|holder| holder.endpoint).collect();
@@ -247,11 +247,12 @@
         }
     }
 
-    /// All sampled candidates were excluded: look on in order, at a bounded number.
-    fn consider_rest(&mut self, list: &CandidateList) {
+    /// Considers a bounded number of open candidates in order, for when all sampled ones were
+    /// excluded.
+    fn consider_fallback(&mut self, list: &CandidateList) {
         let zones = self.view.table.zone_count();
-        let open = (0..zones).flat_map(|place| list.open_in(ZoneIndex::of_place(place)));
-        for endpoint in open.take(FALLBACK_BOUND) {
+        let open = (0..zones).flat_map(|index| list.open_in(ZoneIndex::from_usize(index)));
+        for endpoint in open.take(MAX_FALLBACK_CANDIDATES) {
             self.consider(*endpoint);
         }
     }
@@ -269,17 +270,18 @@
         let choice = predicted_choice(self.view, self.query, &self.holders, endpoint, self.now);
         let row = self.view.table.row(endpoint);
         if row.zone == self.view.table.own_zone() {
-            keep_better(&mut self.own, choice);
+            keep_better(&mut self.best_in_own_zone, choice);
         }
-        keep_better(&mut self.any, choice);
+        keep_better(&mut self.best, choice);
     }
 
-    /// The own availability zone goes first, unless it would be late.
-    fn pick(&self, own_percent: u32) -> Option<RouteChoice> {
+    /// Returns the best candidate of the entry's own availability zone, unless its predicted time
+    /// exceeds the bound; otherwise the best candidate of any zone.
+    fn best_choice(&self, own_percent: u32) -> Option<RouteChoice> {
         let bound = scale(micros(self.query.remaining), u64::from(own_percent), 100);
-        self.own
+        self.best_in_own_zone
             .filter(|choice| micros(choice.predicted) <= bound)
-            .or(self.any)
+            .or(self.best)
     }
 }
 
@@ -300,23 +302,23 @@
         .iter()
         .find(|holder| holder.endpoint == endpoint)
         .map_or(0, |holder| holder.tokens);
-    let tokens_to_read = query.tokens.prompt.saturating_sub(cached);
+    let uncached_tokens = query.tokens.prompt.saturating_sub(cached);
     let size = AttemptSize {
-        tokens_to_read,
-        whole: query.whole,
+        uncached_tokens,
+        is_whole_answer: query.is_whole_answer,
     };
     let prediction = view.table.predict(endpoint, size, now);
     RouteChoice {
         endpoint,
         predicted: Duration::from_micros(prediction.total_us),
         queue: Duration::from_micros(prediction.queue_us),
-        tokens_to_read,
-        informed: prediction.informed,
-        probe: false,
+        uncached_tokens,
+        is_speed_known: prediction.is_speed_known,
+        is_probe: false,
     }
 }
 
-/// An ejected endpoint that is due for a probe gets this attempt, if it can bear a repeat.
+/// Returns an ejected endpoint that is due for a probe, if the attempt may be repeated.
 fn probe_choice(
     view: RouteView<'_>,
     query: &RouteQuery<'_>,
@@ -326,13 +328,17 @@
     if !query.may_probe {
         return None;
     }
-    let due = |index: &&EndpointIndex| {
+    let is_due = |index: &&EndpointIndex| {
         view.health.probe_due(**index, now) && !query.excluded.contains(*index)
     };
-    let endpoint = *list.ejected().iter().take(PROBE_BOUND).find(due)?;
+    let endpoint = *list
+        .ejected()
+        .iter()
+        .take(MAX_PROBE_CANDIDATES)
+        .find(is_due)?;
     let choice = predicted_choice(view, query, &PrefixHolders::new(), endpoint, now);
     Some(RouteChoice {
-        probe: true,
+        is_probe: true,
         ..choice
     })
 }
--- a/crates/oatpier-policy/src/table/mod.rs
+++ b/crates/oatpier-policy/src/table/mod.rs
@@ -1,6 +1,7 @@
-//! What an entry knows of endpoints, and who can serve what.
+//! Table of the known state of endpoints, and of the goals that each can serve.
 //!
-//! The table may be old or wrong; agents refuse what they can't run. It serves efficiency alone.
+//! The table may be stale or wrong; agents refuse what they can't run. It affects efficiency only,
+//! not safety.
 
 mod candidates;
 mod row;
@@ -13,8 +14,8 @@
 use oatpier_types::engine::{LoadReport, WeightsKey};
 use oatpier_types::ids::BootId;
 use oatpier_types::names::{EndpointName, PoolName, ZoneName};
-use oatpier_types::pulse::{AgentPulse, EndpointStatus};
 use oatpier_types::request::RequestGoal;
+use oatpier_types::status::{EndpointStatus, QueueReport};
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
@@ -33,26 +34,26 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default, rename_all = "kebab-case", deny_unknown_fields)]
 pub struct TableSettings {
-    /// The age at which a pulse counts half, and the prior the other half.
-    #[serde(with = "humantime_serde")]
-    pub pulse_half_life: Duration,
-    /// Round trip within the availability zone.
+    /// Age at which the predicted wait is an equal mix of the last queue report and the prior.
+    #[serde(rename = "pulse-half-life", with = "humantime_serde")]
+    pub report_half_life: Duration,
+    /// Round-trip time within the availability zone.
     #[serde(with = "humantime_serde")]
     pub zone_trip: Duration,
-    /// Round trip to another availability zone of the region.
+    /// Round-trip time to another availability zone of the region.
     #[serde(with = "humantime_serde")]
     pub region_trip: Duration,
-    /// Round trip to another region.
+    /// Round-trip time to another region.
     #[serde(with = "humantime_serde")]
     pub far_trip: Duration,
-    /// Time to read one prompt token while an endpoint has not said, in nanoseconds.
+    /// Prefill time per prompt token, used until an endpoint reports its own, in nanoseconds.
     pub prompt_token_ns: u32,
 }
 
 impl Default for TableSettings {
     fn default() -> Self {
         Self {
-            pulse_half_life: Duration::from_millis(250),
+            report_half_life: Duration::from_millis(250),
             zone_trip: Duration::from_millis(1),
             region_trip: Duration::from_millis(3),
             far_trip: Duration::from_millis(60),
@@ -61,183 +62,192 @@
     }
 }
 
-/// The most endpoints that are remembered as leaving before anything else is known of them.
-const MOST_EXPECTED: usize = 1_024;
+/// Upper bound on the endpoints that are remembered as leaving before they are known.
+const MAX_UNKNOWN_LEAVING: usize = 1_024;
 
-/// The zone that the entry itself is in.
+/// Index of the entry's own availability zone.
 const OWN_ZONE: ZoneIndex = ZoneIndex(0);
 
-/// What an entry knows of endpoints.
+/// Known state of the endpoints, and lists of the replicas of each goal.
 #[derive(Debug)]
 pub struct EndpointTable {
     settings: TableSettings,
-    /// Round trips in microseconds, by zone; the own zone comes first.
+    /// Round-trip times in microseconds by availability zone; the entry's own zone comes first.
     zones: IndexMap<ZoneName, u64>,
     by_name: IndexMap<EndpointName, EndpointIndex>,
     rows: Vec<EndpointRow>,
     goals: IndexSet<RequestGoal>,
     lists: Vec<CandidateList>,
-    /// Endpoints that are said to leave before anything else is known of them.
-    leaving: IndexSet<EndpointName>,
+    /// Endpoints that are reported to leave before they are known.
+    unknown_leaving: IndexSet<EndpointName>,
     ejected_percent: u32,
     stale_dropped: u64,
 }
 
 impl EndpointTable {
-    /// An empty table of an entry in `own_zone`. No more than the usual share of a goal's replicas
-    /// is ever ejected.
+    /// Creates an empty table for an entry in `own_zone`, with the default bound on the ejected
+    /// share of a goal's replicas.
     #[must_use]
     pub fn new(settings: TableSettings, own_zone: ZoneName) -> Self {
-        let usual = HealthSettings::default().ejected_percent;
-        Self::with_ejected(settings, own_zone, usual)
+        let default_percent = HealthSettings::default().ejected_percent;
+        Self::with_ejected_percent(settings, own_zone, default_percent)
     }
 
-    /// The same, with the largest share of a goal's replicas that may be ejected, in percent.
+    /// Creates an empty table with the given bound on the ejected share of a goal's replicas, in
+    /// percent.
     #[must_use]
-    pub fn with_ejected(settings: TableSettings, own_zone: ZoneName, ejected_percent: u32) -> Self {
-        let own_trip = micros(settings.zone_trip);
+    pub fn with_ejected_percent(
+        settings: TableSettings,
+        own_zone: ZoneName,
+        ejected_percent: u32,
+    ) -> Self {
+        let own_round_trip_us = micros(settings.zone_trip);
         Self {
             settings,
-            zones: IndexMap::from([(own_zone, own_trip)]),
+            zones: IndexMap::from([(own_zone, own_round_trip_us)]),
             by_name: IndexMap::new(),
             rows: Vec::new(),
             goals: IndexSet::new(),
             lists: Vec::new(),
-            leaving: IndexSet::new(),
+            unknown_leaving: IndexSet::new(),
             ejected_percent,
             stale_dropped: 0,
         }
     }
 
-    /// Takes over which availability zones are near.
+    /// Applies the regions of a configuration, which determine the round-trip times.
     pub fn apply_config(&mut self, config: &FleetConfig) {
         let own = self.zones.get_index(0).map(|(name, _)| name.clone());
         let own_region = own.as_ref().and_then(|name| config.region_of(name));
-        let near = micros(self.settings.region_trip);
-        let far = micros(self.settings.far_trip);
+        let near_us = micros(self.settings.region_trip);
+        let far_us = micros(self.settings.far_trip);
         for (region, spec) in &config.regions {
-            let trip = if Some(region) == own_region {
-                near
+            let round_trip_us = if Some(region) == own_region {
+                near_us
             } else {
-                far
+                far_us
             };
             for zone in spec.zones.iter().filter(|zone| Some(*zone) != own.as_ref()) {
-                self.zones.insert(zone.clone(), trip);
+                self.zones.insert(zone.clone(), round_trip_us);
             }
         }
     }
 
-    /// Takes an agent's whole word over. Stale parts are ignored and counted.
+    /// Applies an agent's full status. Stale parts are ignored and counted.
     pub fn on_status(&mut self, status: &EndpointStatus, now: ClockTime) -> EndpointIndex {
         let index = self.intern(&status.endpoint, &status.pool, &status.zone);
-        if self.check_boot(index, status.pulse.boot, now) == BootCheck::Former {
+        if self.check_boot(index, status.queue.boot, now) == BootCheck::Previous {
             self.stale_dropped += 1;
             return index;
         }
-        if self.rows[index.place()].gone {
-            self.relist(index, |row| row.gone = false);
+        if self.rows[index.as_usize()].is_gone {
+            self.update_row(index, |row| row.is_gone = false);
         }
-        let row = &self.rows[index.place()];
-        let news = row
+        let row = &self.rows[index.as_usize()];
+        let is_newer = row
             .ready_sequence
             .is_none_or(|known| known < status.ready_sequence);
-        if news {
+        if is_newer {
             let goals = self.intern_goals(&status.pool, &status.ready);
-            self.relist(index, |row| {
+            self.update_row(index, |row| {
                 row.goals = goals;
                 row.ready_sequence = Some(status.ready_sequence);
             });
         }
-        self.take_pulse(index, &status.pulse, now);
-        if self.leaving.swap_remove(&status.endpoint) {
+        self.apply_queue_report(index, &status.queue, now);
+        if self.unknown_leaving.swap_remove(&status.endpoint) {
             self.mark_leaving(index);
         }
         index
     }
 
-    /// Takes a pulse of a known endpoint over. A stale one is ignored and counted.
-    pub fn on_pulse(&mut self, index: EndpointIndex, pulse: &AgentPulse, now: ClockTime) {
-        match self.check_boot(index, pulse.boot, now) {
-            BootCheck::Former => self.stale_dropped += 1,
-            BootCheck::Present | BootCheck::New => self.take_pulse(index, pulse, now),
+    /// Applies a queue report of a known endpoint. A stale one is ignored and counted.
+    pub fn on_queue_report(&mut self, index: EndpointIndex, report: &QueueReport, now: ClockTime) {
+        match self.check_boot(index, report.boot, now) {
+            BootCheck::Previous => self.stale_dropped += 1,
+            BootCheck::Current | BootCheck::New => self.apply_queue_report(index, report, now),
         }
     }
 
-    /// Takes a lagged load report over as the prior of the wait.
+    /// Applies a load report, which lags behind the actual load, as the prior of the predicted
+    /// wait.
     pub fn on_report(&mut self, index: EndpointIndex, report: &LoadReport) {
-        self.rows[index.place()].take_report(report);
+        self.rows[index.as_usize()].apply_report(report);
     }
 
-    /// No new work goes to the endpoint until its agent starts anew or [`Self::clear_leaving`].
+    /// Marks an endpoint as leaving. It gets no new work until its agent restarts or
+    /// [`Self::clear_leaving`] is called.
     pub fn mark_leaving(&mut self, index: EndpointIndex) {
-        self.relist(index, |row| row.leaving = true);
+        self.update_row(index, |row| row.is_leaving = true);
     }
 
-    /// The endpoint does not leave after all.
+    /// Withdraws the mark that an endpoint is leaving.
     pub fn clear_leaving(&mut self, index: EndpointIndex) {
-        self.relist(index, |row| row.leaving = false);
+        self.update_row(index, |row| row.is_leaving = false);
     }
 
-    /// An endpoint that is not known yet is said to leave: it is marked when it becomes known. The
-    /// list of VMs and an agent's status come by different ways, the mark perhaps first. Without
-    /// this the mark would be lost, and the endpoint get new work until its next refusal.
-    pub fn expect_leaving(&mut self, name: &EndpointName) {
-        if self.leaving.len() < MOST_EXPECTED {
-            self.leaving.insert(name.clone());
+    /// Records that an unknown endpoint is leaving, to mark it when it becomes known.
+    ///
+    /// The list of VMs and an agent's status arrive on different paths, and the mark may arrive
+    /// first. If it were lost, the endpoint would get new work until it refuses an attempt.
+    pub fn mark_unknown_leaving(&mut self, name: &EndpointName) {
+        if self.unknown_leaving.len() < MAX_UNKNOWN_LEAVING {
+            self.unknown_leaving.insert(name.clone());
         }
     }
 
-    /// An endpoint that is not known yet does not leave after all.
-    pub fn unexpect_leaving(&mut self, name: &EndpointName) {
-        self.leaving.swap_remove(name);
+    /// Withdraws the record that an unknown endpoint is leaving.
+    pub fn clear_unknown_leaving(&mut self, name: &EndpointName) {
+        self.unknown_leaving.swap_remove(name);
     }
 
-    /// The agent said that it takes no new work: none goes there until a newer pulse says else.
+    /// Records that an agent accepts no new work, until a newer queue report says otherwise.
     pub fn close(&mut self, index: EndpointIndex) {
-        self.relist(index, EndpointRow::close);
+        self.update_row(index, EndpointRow::close);
     }
 
-    /// The endpoint is gone, until a status of it comes.
+    /// Marks an endpoint as gone, until a status of it arrives.
     pub fn forget(&mut self, index: EndpointIndex) {
-        self.relist(index, |row| row.gone = true);
+        self.update_row(index, |row| row.is_gone = true);
     }
 
-    /// The endpoint lacks the goal's weights, whatever its last status said.
-    pub fn drop_goal(&mut self, index: EndpointIndex, goal: GoalIndex) {
-        self.relist(index, |row| row.goals.retain(|other| *other != goal));
+    /// Removes a goal from an endpoint that lacks its weights, whatever its last status said.
+    pub fn remove_goal(&mut self, index: EndpointIndex, goal: GoalIndex) {
+        self.update_row(index, |row| row.goals.retain(|other| *other != goal));
     }
 
-    /// Ejects an endpoint from those of its goals that have other replicas enough, or reinstates
+    /// Ejects an endpoint from those of its goals that have enough other replicas, or reinstates
     /// it.
     pub fn set_ejected(&mut self, index: EndpointIndex, ejected: bool) {
-        self.relist(index, |row| row.faulty = ejected);
+        self.update_row(index, |row| row.is_faulty = ejected);
     }
 
-    /// Whether any of the endpoint's goals has other replicas enough to eject it.
+    /// Returns whether any of the endpoint's goals has enough other replicas to eject it.
     #[must_use]
     pub fn may_eject(&self, index: EndpointIndex) -> bool {
         let mut lists = self.lists_of(index);
-        lists.any(CandidateList::has_room)
+        lists.any(CandidateList::may_eject_more)
     }
 
-    /// Whether the endpoint is ejected from any of its goals.
+    /// Returns whether the endpoint is ejected from any of its goals.
     #[must_use]
     pub fn is_ejected(&self, index: EndpointIndex) -> bool {
         let mut lists = self.lists_of(index);
         lists.any(|list| list.ejected().contains(&index))
     }
 
-    /// An attempt was sent to the endpoint; `tokens` of its prompt are to be read.
-    pub fn note_sent(&mut self, index: EndpointIndex, tokens: u32, now: ClockTime) {
-        self.rows[index.place()].note_sent(tokens, now);
+    /// Records that an attempt with `tokens` uncached prompt tokens was sent to the endpoint.
+    pub fn record_sent(&mut self, index: EndpointIndex, tokens: u32, now: ClockTime) {
+        self.rows[index.as_usize()].record_sent(tokens, now);
     }
 
-    /// An attempt at the endpoint is over; `took` if it came to its end.
-    pub fn note_done(&mut self, index: EndpointIndex, took: Option<Duration>) {
-        self.rows[index.place()].note_done(took.map(micros));
+    /// Records that an attempt at the endpoint is over. `run_time` is set if its answer was
+    /// complete.
+    pub fn record_finished(&mut self, index: EndpointIndex, run_time: Option<Duration>) {
+        self.rows[index.as_usize()].record_finished(run_time.map(micros));
     }
 
-    /// The predicted times of an attempt sent now, network included.
+    /// Returns the predicted times of an attempt sent now, including the network.
     #[must_use]
     pub fn predict(
         &self,
@@ -245,81 +255,83 @@
         size: AttemptSize,
         now: ClockTime,
     ) -> AttemptPrediction {
-        let row = &self.rows[index.place()];
+        let row = &self.rows[index.as_usize()];
         let mut prediction = row.predict(size, &self.settings, now);
-        let trip = self.zones[row.zone.place()];
-        prediction.total_us = prediction.total_us.saturating_add(trip);
+        let round_trip_us = self.zones[row.zone.as_usize()];
+        prediction.total_us = prediction.total_us.saturating_add(round_trip_us);
         prediction
     }
 
-    /// The index of an endpoint.
+    /// Returns the index of an endpoint.
     #[must_use]
     pub fn find(&self, name: &EndpointName) -> Option<EndpointIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// The index of a goal; none if no endpoint ever served it.
+    /// Returns the index of a goal, or `None` if no endpoint ever served it.
     #[must_use]
     pub fn find_goal(&self, goal: &RequestGoal) -> Option<GoalIndex> {
-        self.goals.get_index_of(goal).map(GoalIndex::of_place)
+        self.goals.get_index_of(goal).map(GoalIndex::from_usize)
     }
 
-    /// One endpoint.
+    /// Returns the row of an endpoint.
     #[must_use]
     pub fn row(&self, index: EndpointIndex) -> &EndpointRow {
-        &self.rows[index.place()]
+        &self.rows[index.as_usize()]
     }
 
-    /// The replicas of a goal.
+    /// Returns the replicas of a goal.
     #[must_use]
     pub fn candidates(&self, goal: GoalIndex) -> &CandidateList {
-        &self.lists[goal.place()]
+        &self.lists[goal.as_usize()]
     }
 
-    /// The entry's own availability zone.
+    /// Returns the entry's own availability zone.
     #[must_use]
     pub fn own_zone(&self) -> ZoneIndex {
         OWN_ZONE
     }
 
-    /// How many availability zones are known.
+    /// Returns the number of known availability zones.
     #[must_use]
     pub fn zone_count(&self) -> usize {
         self.zones.len()
     }
 
-    /// How many endpoints were ever known.
+    /// Returns the number of endpoints that were ever known.
     #[must_use]
     pub fn endpoint_count(&self) -> usize {
         self.rows.len()
     }
 
-    /// How many stale statuses and pulses were ignored.
+    /// Returns the number of stale statuses and queue reports that were ignored.
     #[must_use]
     pub fn stale_dropped(&self) -> u64 {
         self.stale_dropped
     }
 
     fn check_boot(&mut self, index: EndpointIndex, boot: BootId, now: ClockTime) -> BootCheck {
-        let check = self.rows[index.place()].check_boot(boot, now);
+        let check = self.rows[index.as_usize()].check_boot(boot, now);
         if check == BootCheck::New {
-            self.relist(index, |row| row.adopt_boot(boot, now));
+            self.update_row(index, |row| row.adopt_boot(boot, now));
         }
         check
     }
 
-    fn take_pulse(&mut self, index: EndpointIndex, pulse: &AgentPulse, now: ClockTime) {
-        let row = &mut self.rows[index.place()];
-        if !row.is_news(pulse) {
+    fn apply_queue_report(&mut self, index: EndpointIndex, report: &QueueReport, now: ClockTime) {
+        let row = &mut self.rows[index.as_usize()];
+        if !row.is_newer(report) {
             self.stale_dropped += 1;
             return;
         }
-        let trip = self.zones[row.zone.place()];
-        let known = row.pulse().map(|known| known.accepting);
-        if known == Some(pulse.accepting) {
-            row.take_pulse(pulse, trip, now);
+        let round_trip_us = self.zones[row.zone.as_usize()];
+        let known = row.queue_report().map(|known| known.accepting);
+        if known == Some(report.accepting) {
+            row.apply_queue_report(report, round_trip_us, now);
         } else {
-            self.relist(index, |row| row.take_pulse(pulse, trip, now));
+            self.update_row(index, |row| {
+                row.apply_queue_report(report, round_trip_us, now);
+            });
         }
     }
 
@@ -327,19 +339,21 @@
         if let Some(index) = self.find(name) {
             return index;
         }
-        let index = EndpointIndex::of_place(self.rows.len());
-        let far = micros(self.settings.far_trip);
+        let index = EndpointIndex::from_usize(self.rows.len());
+        let far_us = micros(self.settings.far_trip);
         let zone_entry = self.zones.entry(zone.clone());
-        let zone_index = ZoneIndex::of_place(zone_entry.index());
-        zone_entry.or_insert(far);
+        let zone_index = ZoneIndex::from_usize(zone_entry.index());
+        zone_entry.or_insert(far_us);
         self.by_name.insert(name.clone(), index);
         self.rows
             .push(EndpointRow::new(name.clone(), pool.clone(), zone_index));
         index
     }
 
-    /// The goals that ready weights serve. A model's goal needs its base ready, an adapter's
-    /// needs the adapter beside its base; versions don't appear in requests.
+    /// Returns the goals that the ready weights serve, and assigns indices to new ones.
+    ///
+    /// A model's goal requires its base model to be ready. An adapter's goal requires the adapter
+    /// and its base model. Versions don't appear in requests.
     fn intern_goals(&mut self, pool: &PoolName, ready: &[WeightsKey]) -> SmallVec<[GoalIndex; 8]> {
         let base_ready = |key: &WeightsKey| {
             ready
@@ -356,7 +370,7 @@
         let service = RequestGoal::Service { pool: pool.clone() };
         let mut goals: SmallVec<[GoalIndex; 8]> = models
             .chain([service])
-            .map(|goal| GoalIndex::of_place(self.goals.insert_full(goal).0))
+            .map(|goal| GoalIndex::from_usize(self.goals.insert_full(goal).0))
             .collect();
         let percent = self.ejected_percent;
         self.lists
@@ -366,28 +380,32 @@
         goals
     }
 
-    /// Changes a row, and moves it within the lists of its goals if its standing changes.
-    fn relist<T>(&mut self, index: EndpointIndex, change: impl FnOnce(&mut EndpointRow) -> T) -> T {
-        self.each_list(index, CandidateList::remove);
-        let value = change(&mut self.rows[index.place()]);
-        self.each_list(index, CandidateList::add);
+    /// Changes a row, and updates the lists of its goals accordingly.
+    fn update_row<T>(
+        &mut self,
+        index: EndpointIndex,
+        change: impl FnOnce(&mut EndpointRow) -> T,
+    ) -> T {
+        self.for_each_list(index, CandidateList::remove);
+        let value = change(&mut self.rows[index.as_usize()]);
+        self.for_each_list(index, CandidateList::add);
         value
     }
 
     fn lists_of(&self, index: EndpointIndex) -> impl Iterator<Item = &CandidateList> {
-        let goals = self.rows[index.place()].goals.iter();
-        goals.map(|goal| &self.lists[goal.place()])
+        let goals = self.rows[index.as_usize()].goals.iter();
+        goals.map(|goal| &self.lists[goal.as_usize()])
     }
 
-    fn each_list(
+    fn for_each_list(
         &mut self,
         index: EndpointIndex,
         step: fn(&mut CandidateList, EndpointIndex, ZoneIndex, ListingState),
     ) {
-        let row = &self.rows[index.place()];
+        let row = &self.rows[index.as_usize()];
         let listing = row.listing();
         for goal in &row.goals {
-            step(&mut self.lists[goal.place()], index, row.zone, listing);
+            step(&mut self.lists[goal.as_usize()], index, row.zone, listing);
         }
     }
 }
--- a/crates/oatpier-serving/src/choice.rs
+++ b/crates/oatpier-serving/src/choice.rs
@@ -12,7 +12,7 @@
 use smallvec::SmallVec;
 
 use crate::call::{CallerRequest, PromptPart, WeightsKey};
-use crate::directory::{AdapterState, EndpointDirectory, EndpointRow, PART_UNITS};
+use crate::directory::{AdapterState, EndpointDirectory, EndpointRow, UNITS_PER_PART};
 use crate::site::EngineRule;
 
 /// Cost of sending a request to another availability zone, in milliseconds of waiting. Covers the round
@@ -56,7 +56,7 @@
 /// Share of an engine's memory above which new requests would evict running ones.
 const MAX_MEMORY_SHARE: f64 = 0.93;
 
-/// Time until a request is offered again to an endpoint that was backed off and has just been sent a first
+/// Time until a request is offered again to an endpoint that was in a rest period and has just been sent a first
 /// request.
 const PROBE_INTERVAL: Duration = Duration::from_millis(25);
 
@@ -74,7 +74,7 @@
     /// Configuration of the service's engines; `None` for a plain service.
     pub engine: Option<&'a EngineRule>,
     /// Longest time that the request can wait for its turn at a rate-limited endpoint.
-    pub turn_patience: Duration,
+    pub max_turn_wait: Duration,
 }
 
 /// The endpoint selected for a request.
@@ -91,16 +91,16 @@
     /// Share of slots that are taken. Above 1 if requests wait.
     pub occupancy: f64,
     /// Whether the endpoint has no memory for the request.
-    pub memory_full: bool,
+    pub is_memory_full: bool,
     /// Whether the endpoint is an engine, which serves all its requests in one batch.
-    pub batches: bool,
+    pub is_batched: bool,
     /// Time to prefill the prompt of the request.
-    pub own_reading: Duration,
+    pub own_prefill: Duration,
 }
 
 /// Result of a selection.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ChoiceVerdict {
+pub enum ChoiceOutcome {
     /// The request can go to this endpoint.
     Endpoint(EndpointChoice),
     /// No endpoint holds the model: it is being loaded or has to be loaded.
@@ -110,21 +110,21 @@
         /// Duration of the shortest possible load on any engine whose state is known.
         load: Option<Duration>,
     },
-    /// All endpoints that could serve the request are rate limited or backed off.
-    Held(HeldService),
+    /// All endpoints that could serve the request are rate limited or in a rest period.
+    Throttled(ThrottledService),
     /// The service has no endpoint, or all of them were already sent the request.
     NoEndpoint,
 }
 
 /// Reason and duration for which no endpoint accepts a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldService {
+pub struct ThrottledService {
     /// The endpoint that accepts requests again first.
     pub endpoint: EndpointName,
     /// Reason at that endpoint.
     pub cause: ThrottleCause,
     /// Time until it accepts requests again.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// Reason not to send a request to an endpoint.
@@ -132,8 +132,8 @@
 pub enum ThrottleCause {
     /// The endpoint's rate limit over all gateways.
     RateLimit,
-    /// The backoff that the endpoint requested from this gateway.
-    Backoff,
+    /// The rest period that the endpoint requested from this gateway.
+    RestPeriod,
 }
 
 impl ThrottleCause {
@@ -142,7 +142,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::RateLimit => "limit",
-            Self::Backoff => "rest",
+            Self::RestPeriod => "rest",
         }
     }
 }
@@ -153,7 +153,7 @@
     directory: &EndpointDirectory,
     query: &ChoiceQuery<'_>,
     now: ClockTime,
-) -> ChoiceVerdict {
+) -> ChoiceOutcome {
     let chain = prefix_chain(query.request);
     let holders = directory.prefixes().holders(&chain, now);
     let mut best: Option<(f64, EndpointChoice)> = None;
@@ -167,16 +167,16 @@
             skipped.note_model_missing(row, query, now);
             continue;
         }
-        if !row.is_rested(now) {
+        if !row.allows_request(now) {
             skipped.note_throttled(
                 row,
-                ThrottleCause::Backoff,
+                ThrottleCause::RestPeriod,
                 row.rest_left(now).max(PROBE_INTERVAL),
             );
             continue;
         }
-        let turn_wait = row.turn_wait(now);
-        if turn_wait > query.turn_patience {
+        let turn_wait = row.min_turn_wait(now);
+        if turn_wait > query.max_turn_wait {
             skipped.note_throttled(row, ThrottleCause::RateLimit, turn_wait);
             continue;
         }
@@ -186,13 +186,13 @@
         }
     }
     match (best, skipped.throttled) {
-        (Some((_, choice)), _) => ChoiceVerdict::Endpoint(choice),
-        (None, Some(throttled)) => ChoiceVerdict::Held(throttled),
-        (None, None) if skipped.has_open => ChoiceVerdict::NoModel {
+        (Some((_, choice)), _) => ChoiceOutcome::Endpoint(choice),
+        (None, Some(throttled)) => ChoiceOutcome::Throttled(throttled),
+        (None, None) if skipped.has_open => ChoiceOutcome::NoModel {
             ready_in: skipped.ready_in,
             load: skipped.load,
         },
-        (None, None) => ChoiceVerdict::NoEndpoint,
+        (None, None) => ChoiceOutcome::NoEndpoint,
     }
 }
 
@@ -202,20 +202,20 @@
     has_open: bool,
     ready_in: Option<Duration>,
     load: Option<Duration>,
-    throttled: Option<HeldService>,
+    throttled: Option<ThrottledService>,
 }
 
 impl SkippedEndpoints {
-    fn note_throttled(&mut self, row: &EndpointRow, cause: ThrottleCause, left: Duration) {
+    fn note_throttled(&mut self, row: &EndpointRow, cause: ThrottleCause, remaining: Duration) {
         if self
             .throttled
             .as_ref()
-            .is_none_or(|earliest| left < earliest.left)
+            .is_none_or(|earliest| remaining < earliest.remaining)
         {
-            self.throttled = Some(HeldService {
+            self.throttled = Some(ThrottledService {
                 endpoint: row.record.name.clone(),
                 cause,
-                left,
+                remaining,
             });
         }
     }
@@ -247,14 +247,14 @@
     now: ClockTime,
 ) -> (f64, EndpointChoice) {
     let slots = f64::from(row.record.slots.max(1));
-    let in_use = f64::from(row.present());
+    let in_use = f64::from(row.request_count());
     let batch_share = (in_use / slots).min(1.0);
-    let turn_ms = row.turn_wait(now).as_secs_f64() * 1e3;
+    let turn_ms = row.min_turn_wait(now).as_secs_f64() * 1e3;
     let queue_ms = queue_ms(row, query.request, now);
     let uncached = uncached_tokens(row, query.request, holders);
     let own_ms = prefill_ms(directory, query.request, uncached);
-    let ahead_ms = row.reading_ahead_ms(now);
-    let first_ms = row.first.mean_ms() + ahead_ms + own_ms;
+    let ahead_ms = row.pending_prefill_ms(now);
+    let first_ms = row.first_chunk.mean_ms() + ahead_ms + own_ms;
     let adapter = adapter_ms(row, query, now);
     let mut cost = turn_ms.max(queue_ms) + first_ms + adapter + batch_share * FULL_BATCH_MS;
     cost += row.failure_share(now).powi(2) * ALL_FAILED_MS;
@@ -275,9 +275,9 @@
         queue: Duration::from_secs_f64(queue_ms / 1e3),
         needs_adapter: adapter > 0.0,
         occupancy: in_use / slots,
-        memory_full: row.memory_share(query.request.memory_tokens(), now) > MAX_MEMORY_SHARE,
-        batches: query.request.weights.is_some(),
-        own_reading: Duration::from_secs_f64(own_ms / 1e3),
+        is_memory_full: row.memory_share(query.request.memory_tokens(), now) > MAX_MEMORY_SHARE,
+        is_batched: query.request.weights.is_some(),
+        own_prefill: Duration::from_secs_f64(own_ms / 1e3),
     };
     (cost, choice)
 }
@@ -286,10 +286,10 @@
 /// slot, and the ends are assumed to be spread evenly over the time that requests occupy a slot.
 fn queue_ms(row: &EndpointRow, request: &CallerRequest, now: ClockTime) -> f64 {
     let slots = f64::from(row.record.slots.max(1));
-    let excess_requests = f64::from(row.present()) + 1.0 - slots;
+    let excess_requests = f64::from(row.request_count()) + 1.0 - slots;
     let excess_memory = row.memory_share(request.memory_tokens(), now) - MAX_MEMORY_SHARE;
     let wanted_slots = excess_requests.max(excess_memory * slots).max(0.0);
-    wanted_slots * row.hold.mean_ms() / slots
+    wanted_slots * row.slot_time.mean_ms() / slots
 }
 
 fn adapter_ms(row: &EndpointRow, query: &ChoiceQuery<'_>, now: ClockTime) -> f64 {
@@ -313,14 +313,16 @@
 fn prefill_ms(directory: &EndpointDirectory, request: &CallerRequest, tokens: f64) -> f64 {
     let weights = request.weights.as_ref();
     weights.map_or(0.0, |weights| {
-        directory.paces().reading_ms(&weights.model, tokens)
+        directory
+            .prefill_estimator()
+            .prefill_ms(&weights.model, tokens)
     })
 }
 
 /// Returns the number of prompt tokens that an endpoint has to prefill for a request, as far as its prefix
 /// cache is known.
 #[must_use]
-pub fn unread_at(
+pub fn uncached_tokens_at(
     directory: &EndpointDirectory,
     endpoint: &EndpointName,
     request: &CallerRequest,
@@ -343,7 +345,7 @@
     let Some(holder) = holder else {
         return 0.0;
     };
-    let depth = (holder.tokens + PART_UNITS / 2) / PART_UNITS;
+    let depth = (holder.tokens + UNITS_PER_PART / 2) / UNITS_PER_PART;
     let cached = parts.iter().take(depth as usize);
     f64::from(cached.map(|part| part.tokens).sum::<u32>())
 }
--- a/crates/oatpier-serving/src/crashes/mod.rs
+++ b/crates/oatpier-serving/src/crashes/mod.rs
@@ -5,16 +5,16 @@
 //! endpoints cannot prevent this, so crashes are also recorded for the requests that were running.
 //!
 //! - [`changes`]: changes that are to be written to the store.
-//! - [`cuts`]: attempts whose connection broke, tracked until it is known whether their endpoint crashed.
-//! - [`book`]: requests that were running at crashed endpoints, and which of them are barred.
+//! - [`broken_attempts`]: attempts whose connection broke, tracked until it is known whether their endpoint crashed.
+//! - [`suspects`]: requests that were running at crashed endpoints, and which of them are barred.
 //!
 //! An endpoint runs dozens of requests, and all of them become suspects when it crashes. A request is barred at its
 //! third crash without a complete answer in between. A complete answer at any gateway clears it. The records are kept
 //! in the platform's store, so that they survive restarts of all gateways.
 
-pub mod book;
+pub mod broken_attempts;
 pub mod changes;
-pub mod cuts;
+pub mod suspects;
 
 use std::fmt;
 use std::sync::Arc;
@@ -25,18 +25,18 @@
 use crate::engine::StartTime;
 use crate::fingerprint::RequestFingerprint;
 
-/// Endpoint process that crashed.
+/// Crashed incarnation of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct CrashSite {
     /// Name of the endpoint.
     pub endpoint: EndpointName,
-    /// Start time of the process, in Unix milliseconds. An endpoint may restart under the same name.
+    /// Start time of the incarnation, in Unix milliseconds. An endpoint may restart under the same name.
     pub started_ms: Option<u64>,
 }
 
 impl CrashSite {
-    /// Creates the site for a process of an endpoint.
+    /// Creates the site for an incarnation of an endpoint.
     #[must_use]
     pub fn new(endpoint: EndpointName, start: Option<StartTime>) -> Self {
         Self {
@@ -84,7 +84,7 @@
     pub fingerprint: RequestFingerprint,
     /// Origin of the request.
     pub origin: RequestOrigin,
-    /// Endpoint process that crashed.
+    /// Crashed incarnation of an endpoint.
     pub site: CrashSite,
     /// Time of the crash in Unix milliseconds, by the wall clock of the gateway that detected it. It is only shown to
     /// operators. Wall clocks of VMs differ and may jump, so no decision depends on it.
--- a/crates/oatpier-serving/src/directory/liveness.rs
+++ b/crates/oatpier-serving/src/directory/liveness.rs
@@ -8,9 +8,9 @@
 
 use super::{EndpointDirectory, EndpointRow};
 use crate::crashes::CrashSite;
-use crate::crashes::cuts::EndpointFate;
+use crate::crashes::broken_attempts::EndpointOutcome;
 
-/// Maximum age on arrival of a sidecar's report that its engine responds.
+/// Maximum age on arrival of a sidecar's status update that states that its engine responds.
 ///
 /// The sidecar reads the engine's report several times a second and relays forward updates within 100 ms.
 /// An update that arrives later than this after the break was produced after it.
@@ -22,7 +22,7 @@
     /// Endpoints that leave terminate by themselves, and so may those that the registry no longer lists, so
     /// their termination is not attributed to a request.
     #[must_use]
-    pub fn staying_start(
+    pub fn staying_incarnation(
         &self,
         name: &EndpointName,
         index: Option<EndpointIndex>,
@@ -40,37 +40,37 @@
     /// Returns whether an incarnation of an endpoint has terminated since it broke off a request at
     /// `since`.
     #[must_use]
-    pub fn fate(
+    pub fn liveness(
         &self,
         name: &EndpointName,
         index: EndpointIndex,
         since: ClockTime,
         now: ClockTime,
-    ) -> EndpointFate {
+    ) -> EndpointOutcome {
         let Some(row) = self.row(name) else {
-            return EndpointFate::Ended;
+            return EndpointOutcome::Ended;
         };
         let is_refused = row.refused_at.is_some_and(|at| at >= since);
         if row.index != index || row.is_gone || is_refused || row.is_unresponsive(now) {
-            return EndpointFate::Ended;
+            return EndpointOutcome::Ended;
         }
         let has_served = row.served_at.is_some_and(|at| at > since);
         if has_served || row.has_responded_to_sidecar(since + MAX_UPDATE_AGE, now) {
-            return EndpointFate::Alive;
+            return EndpointOutcome::Alive;
         }
-        EndpointFate::Unknown
+        EndpointOutcome::Unknown
     }
 }
 
 impl EndpointRow {
     /// Returns whether the engine's sidecar, on the same VM, gets no answer from it.
     fn is_unresponsive(&self, now: ClockTime) -> bool {
-        self.pulse(now).is_some_and(|pulse| !pulse.answers)
+        self.status(now).is_some_and(|status| !status.answers)
     }
 
     fn has_responded_to_sidecar(&self, after: ClockTime, now: ClockTime) -> bool {
-        let kept = self.pulse.as_ref();
+        let kept = self.status.as_ref();
         let is_later = kept.is_some_and(|kept| kept.whole_at >= after);
-        is_later && self.pulse(now).is_some_and(|pulse| pulse.answers)
+        is_later && self.status(now).is_some_and(|status| status.answers)
     }
 }
--- a/crates/oatpier-serving/src/lib.rs
+++ b/crates/oatpier-serving/src/lib.rs
@@ -20,7 +20,7 @@
 //!
 //! Decisions of a gateway:
 //! - [`choice`]: which endpoint receives a request, and whether the response would be in time.
-//! - [`reading`]: how long engines take for the prefill of prompts.
+//! - [`prefill`]: how long engines take for the prefill of prompts.
 //! - [`health`]: which endpoints are avoided because of failures on the data path.
 //! - [`admission`]: when a request that cannot be served in time is refused, and when its caller should
 //!   retry.
@@ -29,7 +29,7 @@
 //! - [`demand`]: the demand for each model.
 //! - [`quota`]: the use of workspaces within their limits, over all gateways.
 //! - [`planner`]: which engine should load which model next.
-//! - [`greetings`]: how often greetings are sent to sidecars whose updates do not arrive.
+//! - [`subscriptions`]: how often a gateway subscribes to sidecars whose updates do not arrive.
 //! - [`peers`]: which gateways are live, and which of them plans.
 //!
 //! Decisions of a sidecar:
@@ -48,7 +48,6 @@
 pub mod engine;
 pub mod failures;
 pub mod fingerprint;
-pub mod greetings;
 pub mod health;
 pub mod message;
 pub mod node;
@@ -56,10 +55,11 @@
 pub mod peers;
 pub mod permits;
 pub mod planner;
+pub mod prefill;
 pub mod quota;
-pub mod reading;
 pub mod reads;
 pub mod relays;
 pub mod residency;
 pub mod site;
+pub mod subscriptions;
 pub mod workspace;
--- a/crates/oatpier-serving/src/planner/mod.rs
+++ b/crates/oatpier-serving/src/planner/mod.rs
@@ -100,7 +100,7 @@
     /// Whether the load rate of the weight store is used up for now.
     pub rate_spent: bool,
     /// Whether loads of the model are backed off because they crashed the engines that carried them out.
-    pub rests: bool,
+    pub is_backed_off: bool,
     /// Number of engines that are busy with another load, or from which no status is received.
     pub busy: u32,
     /// Number of engines that must wait for their share of the weight store's rate.
@@ -165,7 +165,7 @@
         for wanted in round.wanted_loads(&self.missing) {
             if self.crashes.is_backed_off(&wanted.model, now) {
                 let mut blocked = round.describe_blocked(&wanted.model, wanted.reason);
-                blocked.rests = true;
+                blocked.is_backed_off = true;
                 outcome.blocked.push(blocked);
                 continue;
             }
@@ -222,7 +222,7 @@
         now: ClockTime,
     ) -> PlanRound<'a> {
         let engines: Vec<EngineView<'a>> = rows
-            .filter(|row| row.is_open(now) && !row.is_squeezed(now))
+            .filter(|row| row.is_open(now) && !row.is_throttled(now))
             .map(|row| self.engine_view(row, now))
             .collect();
         let slots = engines.first().map_or(1, |view| view.row.record.slots);
@@ -244,8 +244,8 @@
     /// Returns the engines that can lend their right to load from the weight store.
     fn available_lenders(&self, engines: &[EngineView<'_>], now: ClockTime) -> Vec<usize> {
         let has_right = |view: &EngineView<'_>| {
-            let pulse = view.row.pulse(now);
-            pulse.is_some_and(|pulse| pulse.answers && pulse.load_wait_ms == 0)
+            let status = view.row.status(now);
+            status.is_some_and(|status| status.answers && status.load_wait_ms == 0)
         };
         let indexed = engines.iter().enumerate();
         let eligible = indexed.filter(|(_, view)| {
@@ -257,11 +257,11 @@
     fn engine_view<'a>(&self, row: &'a EndpointRow, now: ClockTime) -> EngineView<'a> {
         let held = row.models(now).iter().map(|held| &held.model);
         let held = held.filter(|model| row.holds(model, now)).collect();
-        let takes_load = |pulse: &crate::message::EnginePulse| {
-            pulse.answers && pulse.loading.is_none() && pulse.retiring.is_empty()
+        let takes_load = |status: &crate::message::EngineStatus| {
+            status.answers && status.loading.is_none() && status.retiring.is_empty()
         };
-        let is_idle = row.pulse(now).is_some_and(takes_load);
-        let loading = row.pulse(now).and_then(|pulse| pulse.loading.clone());
+        let is_idle = row.status(now).is_some_and(takes_load);
+        let loading = row.status(now).and_then(|status| status.loading.clone());
         let advised = self.advised.get(&row.record.name);
         EngineView {
             row,
--- a/crates/oatpier-serving/src/quota/turns.rs
+++ b/crates/oatpier-serving/src/quota/turns.rs
@@ -1,9 +1,10 @@
 //! Turns, which are reserved send times at an endpoint that limits the requests of all gateways together.
 //!
 //! The limit is divided like those of workspaces. Each part is held by one gateway, and only that gateway grants its
-//! turns, spaced at the part's rate. A turn may be in the future, so that requests wait in the order in which they
-//! asked and need to ask only once. A gateway that reaches no holder sends no requests to such an endpoint. A share
-//! that it computed by itself would depend on the number of gateways, which is unknown during a network partition.
+//! turns, spaced at the part's rate. A turn may be in the future, so that requests wait in the order of their
+//! queries, and one query for each is enough. A gateway that reaches no holder sends no requests to such an endpoint. A
+//! share that it computed by itself would depend on the number of gateways, which is unknown during a network
+//! partition.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,18 +14,18 @@
 use smallvec::SmallVec;
 
 use super::holder::PartStart;
-use super::holders::HolderBook;
+use super::holders::HolderTable;
 use super::{PARTS, PartIndex};
 use crate::notice::RequestRate;
 
 /// Maximum time by which a turn is granted in advance. Turns granted before a limit was lowered are used within it.
-pub const MOST_AHEAD: Duration = Duration::from_secs(2);
+pub const MAX_TURN_ADVANCE: Duration = Duration::from_secs(2);
 
 /// How long a turn stays valid after its time. If unused turns were valid for longer, many of them could be used at
 /// once.
-pub const TURN_LIFE: Duration = Duration::from_millis(300);
+pub const TURN_VALIDITY: Duration = Duration::from_millis(300);
 
-/// How far a turn may lie in the past, where nobody asked for it in time. It covers the delay between two queries.
+/// How far a turn may lie in the past, where no gateway requested it in time. It covers the delay between two queries.
 const MAX_TURN_AGE: Duration = Duration::from_millis(100);
 
 /// Delay before an endpoint is tried again after no holder responded.
@@ -32,7 +33,7 @@
 
 /// Returns the time between two turns of one part.
 #[must_use]
-pub fn turn_gap(rate: RequestRate) -> Duration {
+pub fn turn_interval(rate: RequestRate) -> Duration {
     Duration::from_secs_f64(f64::from(PARTS) / rate.per_second())
 }
 
@@ -60,7 +61,7 @@
     pub(super) fn new(start: PartStart, at: ClockTime) -> Self {
         let not_before = match start {
             PartStart::Full => at,
-            PartStart::Empty => at + MOST_AHEAD,
+            PartStart::Empty => at + MAX_TURN_ADVANCE,
         };
         Self {
             last_at: None,
@@ -76,11 +77,11 @@
         now: ClockTime,
     ) -> TurnAnswer {
         let free_at = self.last_at.map_or(self.not_before, |last| {
-            (last + turn_gap(rate)).max(self.not_before)
+            (last + turn_interval(rate)).max(self.not_before)
         });
         let at = free_at.max(now - MAX_TURN_AGE);
         let wait = at.since(now);
-        if wait > max_wait.min(MOST_AHEAD) {
+        if wait > max_wait.min(MAX_TURN_ADVANCE) {
             return TurnAnswer::Later(whole_millis(wait));
         }
         self.last_at = Some(at);
@@ -104,7 +105,7 @@
     /// Returns whether a request may be sent with this turn now.
     #[must_use]
     pub fn is_valid(&self, now: ClockTime) -> bool {
-        now >= self.at && now.since(self.at) <= TURN_LIFE
+        now >= self.at && now.since(self.at) <= TURN_VALIDITY
     }
 }
 
@@ -116,18 +117,18 @@
     /// Address of the holder of the part.
     pub holder: SocketAddr,
     /// Maximum time by which the turn may be in the future.
-    pub most_wait: Duration,
+    pub max_wait: Duration,
 }
 
 /// Next step of a request that needs a turn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TurnStep {
     /// A holder must be queried.
-    Ask(TurnQuery),
+    Query(TurnQuery),
     /// The next turn is this far in the future, which is longer than the request waits.
     Later(Duration),
     /// No holder is known that responds.
-    Nobody,
+    NoHolder,
 }
 
 /// Estimated times of the next turn of each part at one endpoint. Other gateways take turns too, so the real times are
@@ -148,11 +149,11 @@
 
     /// Returns the next step of a request that waits at most `max_wait`. The part with the earliest estimate is queried
     /// for a turn no later than the next part's estimate, which reveals parts whose turns other gateways have taken.
-    pub fn step(&mut self, holders: &HolderBook, max_wait: Duration, now: ClockTime) -> TurnStep {
-        let max_wait = max_wait.min(MOST_AHEAD);
+    pub fn step(&mut self, holders: &HolderTable, max_wait: Duration, now: ClockTime) -> TurnStep {
+        let max_wait = max_wait.min(MAX_TURN_ADVANCE);
         let mut candidates: SmallVec<[(ClockTime, PartIndex, SocketAddr); PARTS as usize]> =
             PartIndex::all()
-                .filter(|part| !holders.is_silent(*part, now))
+                .filter(|part| !holders.is_unresponsive(*part, now))
                 .filter_map(|part| {
                     Some((
                         self.free_at[part.place()].max(now),
@@ -164,7 +165,7 @@
         candidates.sort_by_key(|(free_at, part, _)| (*free_at, *part));
         let Some((free_at, part, holder)) = candidates.first().copied() else {
             self.next_at = now + NO_HOLDER_RETRY_DELAY;
-            return TurnStep::Nobody;
+            return TurnStep::NoHolder;
         };
         self.next_at = free_at;
         let wait = free_at.since(now);
@@ -174,17 +175,17 @@
         let next_wait = candidates
             .get(1)
             .map_or(max_wait, |(at, _, _)| at.since(now));
-        TurnStep::Ask(TurnQuery {
+        TurnStep::Query(TurnQuery {
             part,
             holder,
-            most_wait: next_wait.min(max_wait),
+            max_wait: next_wait.min(max_wait),
         })
     }
 
     /// Applies an answer, and returns the turn if one was granted.
-    pub fn take_answer(
+    pub fn apply_answer(
         &mut self,
-        holders: &mut HolderBook,
+        holders: &mut HolderTable,
         part: PartIndex,
         answer: TurnAnswer,
         rate: RequestRate,
@@ -196,7 +197,7 @@
         match answer {
             TurnAnswer::In(millis) => {
                 let at = now + duration(millis);
-                *free_at = at + turn_gap(rate);
+                *free_at = at + turn_interval(rate);
                 Some(HeldTurn { at })
             }
             TurnAnswer::Later(millis) => {
@@ -204,7 +205,7 @@
                 None
             }
             TurnAnswer::NotHeld => {
-                holders.note_unheld(part, now);
+                holders.note_not_held(part, now);
                 None
             }
         }
