--- a/crates/oatpier-serving/src/residency/mod.rs
+++ b/crates/oatpier-serving/src/residency/mod.rs
@@ -23,7 +23,7 @@
 use smallvec::SmallVec;
 
 use crate::engine::{AdapterKey, EngineOrder, EngineReport, OrderAnswer, StartTime};
-use crate::message::{AdapterWish, GatewayGreeting, LoadAdvice};
+use crate::message::{AdapterRequest, GatewaySubscription, LoadAdvice};
 
 pub use adapters::held_adapters;
 pub use pace::LoadPace;
@@ -31,7 +31,7 @@
 pub use rights::RightRequest;
 
 /// Delay between telling gateways that a model is about to be unloaded and the order that unloads it.
-/// Pulses reach the gateways within a few milliseconds, and requests that were sent earlier have arrived at
+/// Status updates reach the gateways within a few milliseconds, and requests that were sent earlier have arrived at
 /// the engine by then.
 const RETIRE_DELAY: Duration = Duration::from_millis(30);
 
@@ -39,7 +39,7 @@
 /// Unloading waits for the engine's requests, up to their deadlines.
 const ADVICE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Time for which a gateway's report of the adapters in use is valid: three greeting intervals. A gateway
+/// Time for which a gateway's report of the adapters in use is valid: three subscription intervals. A gateway
 /// that is gone uses none.
 const USE_TTL: Duration = Duration::from_millis(1_600);
 
@@ -49,7 +49,7 @@
 
 /// An order and the sequence number that the engine must be at.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NumberedOrder {
+pub struct SequencedOrder {
     /// The order.
     pub order: EngineOrder,
     /// Number of orders that the engine must have accepted before.
@@ -116,7 +116,7 @@
     /// Index of the advised lender that is asked next.
     next_lender: usize,
     /// A load from the weight store whose answer was lost. It is repeated before any other order.
-    unconfirmed: Option<NumberedOrder>,
+    unconfirmed: Option<SequencedOrder>,
     /// A load that an earlier start of the engine was ordered to carry out, and that the current start may
     /// still carry out.
     orphan: Option<OrphanedLoad>,
@@ -173,7 +173,7 @@
     }
 
     /// Applies a report of the engine.
-    pub fn take_report(&mut self, report: EngineReport) {
+    pub fn apply_report(&mut self, report: EngineReport) {
         self.sequence = report.sequence;
         self.engine_start = report.start.or(self.engine_start);
         let is_confirmed = self
@@ -221,18 +221,23 @@
         self.report.as_ref()
     }
 
-    /// Applies a greeting from a gateway.
-    pub fn take_greeting(&mut self, from: SocketAddr, greeting: &GatewayGreeting, now: ClockTime) {
-        if greeting.engines > 0 {
-            self.pace.engines = greeting.engines;
-            self.pace.loads = greeting.loads_per_window;
-            self.pace.place = greeting.place;
+    /// Applies a subscription from a gateway.
+    pub fn apply_subscription(
+        &mut self,
+        from: SocketAddr,
+        subscription: &GatewaySubscription,
+        now: ClockTime,
+    ) {
+        if subscription.engines > 0 {
+            self.pace.engines = subscription.engines;
+            self.pace.loads = subscription.loads_per_window;
+            self.pace.index = subscription.place;
         }
-        self.adapter_slots = greeting.adapter_slots as usize;
-        for used in &greeting.used {
+        self.adapter_slots = subscription.adapter_slots as usize;
+        for used in &subscription.used {
             self.last_used.insert(used.key.clone(), now);
         }
-        let busy = greeting.used.iter().filter(|used| used.requests > 0);
+        let busy = subscription.used.iter().filter(|used| used.requests > 0);
         let gateway = GatewayAdapters {
             keys: busy.map(|used| used.key.clone()).collect(),
             at: now,
@@ -243,24 +248,24 @@
     }
 
     /// Records that a gateway waits for an adapter.
-    pub fn take_wish(&mut self, wish: AdapterWish, now: ClockTime) {
-        self.adapter_slots = wish.slots as usize;
-        self.last_used.insert(wish.key.clone(), now);
+    pub fn request_adapter(&mut self, request: AdapterRequest, now: ClockTime) {
+        self.adapter_slots = request.slots as usize;
+        self.last_used.insert(request.key.clone(), now);
         match self
             .requested
             .iter_mut()
-            .find(|entry| entry.key == wish.key)
+            .find(|entry| entry.key == request.key)
         {
             Some(entry) => entry.at = now,
             None => self.requested.push_back(TimedAdapter {
-                key: wish.key,
+                key: request.key,
                 at: now,
             }),
         }
     }
 
     /// Accepts advice from the planner, unless earlier advice is still being carried out.
-    pub fn take_advice(&mut self, advice: LoadAdvice, now: ClockTime) {
+    pub fn accept_advice(&mut self, advice: LoadAdvice, now: ClockTime) {
         if self.advice.is_none() && self.loading.is_none() {
             self.retiring_since = now;
             self.retiring = advice.unload.iter().cloned().collect();
@@ -291,7 +296,7 @@
     }
 
     /// Returns the next order, if there is one.
-    pub fn next_order(&mut self, now: ClockTime) -> Option<NumberedOrder> {
+    pub fn next_order(&mut self, now: ClockTime) -> Option<SequencedOrder> {
         let report = self.report.as_ref()?;
         // The engine accepts no other order while it carries one out.
         if report.busy {
@@ -302,11 +307,11 @@
             return Some(unconfirmed.clone());
         }
         let order = self.adapter_order(now).or_else(|| self.model_order(now))?;
-        Some(NumberedOrder { order, expect })
+        Some(SequencedOrder { order, expect })
     }
 
     /// Records the answer to an order, or its loss.
-    pub fn note_answer(&mut self, numbered: &NumberedOrder, answer: OrderAnswer, now: ClockTime) {
+    pub fn note_answer(&mut self, numbered: &SequencedOrder, answer: OrderAnswer, now: ClockTime) {
         match &numbered.order {
             EngineOrder::LoadModel(model) => self.note_load(model.clone(), numbered, answer, now),
             // The engine would reject the order again, so the advice cannot be carried out.
@@ -323,7 +328,7 @@
     fn note_load(
         &mut self,
         model: ModelName,
-        numbered: &NumberedOrder,
+        numbered: &SequencedOrder,
         answer: OrderAnswer,
         now: ClockTime,
     ) {
@@ -346,7 +351,7 @@
     }
 
     /// Returns the load to reserve memory for if the engine ended before it answered `order`.
-    fn orphaned_load(&self, order: NumberedOrder, now: ClockTime) -> Option<OrphanedLoad> {
+    fn orphaned_load(&self, order: SequencedOrder, now: ClockTime) -> Option<OrphanedLoad> {
         let EngineOrder::LoadModel(model) = order.order else {
             return None;
         };
--- a/crates/oatpier-serving/tests/testsuite/planner.rs
+++ b/crates/oatpier-serving/tests/testsuite/planner.rs
@@ -8,14 +8,14 @@
 
 use oatpier_serving::directory::EndpointDirectory;
 use oatpier_serving::engine::LocalCopies;
-use oatpier_serving::message::{LimitWord, ModelUse};
+use oatpier_serving::message::{LimitReport, ModelUse};
 use oatpier_serving::notice::RequestRate;
 use oatpier_serving::peers::{FleetUses, TotalDemand};
 use oatpier_serving::planner::{FleetDemand, LoadPlanner, LoadReason, PlanOutcome};
 use oatpier_types::names::ModelName;
 
 use crate::support::{
-    address, at, directory, endpoint, engine_rule, model, pulse, record, service,
+    address, at, directory, endpoint, engine_rule, model, record, service, status,
 };
 
 /// Two engines that are full with a model in high demand, and one with models that are rarely requested.
@@ -139,21 +139,21 @@
 fn model_with_a_rate_limited_holder_gets_another_holder() {
     let mut directory = directory(&[(&["hot"], 1), (&["rare"], 0)], at(0));
     let demand = demand(&[("hot", 0.5, 0.5)]);
-    let word = LimitWord {
+    let report = LimitReport {
         endpoint: endpoint("e1"),
         start: None,
         rate: Some(RequestRate::try_from(1.0).unwrap()),
         sent_ago_ms: 0,
     };
-    directory.take_limit_word(&word, at(0));
+    directory.apply_limit_report(&report, at(0));
     for number in [1, 2] {
-        let mut later_pulse = pulse(
+        let mut later_status = status(
             number,
             [&["hot"][..], &["rare"]][usize::from(number) - 1],
             0,
         );
-        later_pulse.number.number = 2;
-        directory.take_pulse(later_pulse, at(2_500));
+        later_status.number.number = 2;
+        directory.apply_status(later_status, at(2_500));
     }
     let rule = engine_rule(&["hot", "rare"]);
     let mut planner = LoadPlanner::default();
@@ -187,7 +187,7 @@
     let mut directory = EndpointDirectory::default();
     directory.apply_registry((1..=3).map(|number| record(number, &[])).collect(), at(900));
     for number in 1..=3 {
-        let mut empty = pulse(number, &[], 0);
+        let mut empty = status(number, &[], 0);
         let mut on_disk = vec![model("popular")];
         if number == 3 {
             on_disk.push(model("rare"));
@@ -196,7 +196,7 @@
             in_memory: Vec::new(),
             on_disk,
         };
-        directory.take_pulse(empty, at(900));
+        directory.apply_status(empty, at(900));
     }
     let rule = engine_rule(&["popular", "rare"]);
     let mut planner = LoadPlanner::default();
@@ -225,10 +225,10 @@
 #[test]
 fn no_advice_for_an_engine_that_waits_for_its_rate_share() {
     let mut directory = directory(&[(&["m1"], 0)], at(900));
-    let mut paced = pulse(1, &["m1"], 0);
+    let mut paced = status(1, &["m1"], 0);
     paced.number.number = 2;
     paced.load_wait_ms = 2_000;
-    directory.take_pulse(paced, at(950));
+    directory.apply_status(paced, at(950));
     let outcome = plan(&directory, &["m1", "m2"], &demand(&[("m2", 0.0, 3.0)]));
     assert!(outcome.planned.is_empty());
     assert_eq!(outcome.blocked[0].paced, 1);
@@ -360,10 +360,10 @@
 #[test]
 fn engine_without_a_rate_share_is_told_its_lenders() {
     let mut directory = directory(&[(&["m1"], 10), (&[], 0)], at(900));
-    let mut fresh = pulse(2, &[], 0);
+    let mut fresh = status(2, &[], 0);
     fresh.number.number = 2;
     fresh.load_wait_ms = u32::MAX;
-    directory.take_pulse(fresh, at(900));
+    directory.apply_status(fresh, at(900));
     let outcome = plan(&directory, &["m1"], &demand(&[("m1", 12.0, 8.0)]));
     assert_eq!(outcome.planned.len(), 1);
     assert_eq!(outcome.planned[0].endpoint, crate::support::endpoint("e2"));
@@ -376,13 +376,13 @@
 #[test]
 fn replica_is_loaded_where_a_local_copy_shortens_the_load() {
     let mut directory = directory(&[(&["m1"], 10), (&["m2"], 2), (&["m3"], 0)], at(900));
-    let mut with_copy = pulse(2, &["m2"], 2);
+    let mut with_copy = status(2, &["m2"], 2);
     with_copy.number.number = 2;
     with_copy.copies = LocalCopies {
         in_memory: Vec::new(),
         on_disk: vec![model("m1")],
     };
-    directory.take_pulse(with_copy, at(900));
+    directory.apply_status(with_copy, at(900));
     let mut rule = engine_rule(&["m1", "m2", "m3"]);
     for model in &mut rule.models {
         model.load = Duration::from_secs(6);
--- a/crates/oatpier-serving/tests/testsuite/reads.rs
+++ b/crates/oatpier-serving/tests/testsuite/reads.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oatpier_serving::reads::{
-    OwnEntries, ReadSchedule, StoreDigest, StoreView, WordOutcome, config_mark,
+    DeltaOutcome, InternalEntries, ReadSchedule, StoreDigest, StoreView, config_digest,
 };
 
 use crate::support::{at, millis, record};
@@ -13,11 +13,11 @@
 const PERIOD: Duration = Duration::from_millis(1_800);
 
 /// Simulates the gateways of a zone in steps of 10 ms. A gateway whose read is due reads, and those that
-/// receive its message do so 20 ms later. Counts the reads and the longest time for which any gateway had
-/// no news of the store.
+/// receive its message do so 20 ms later. Counts the reads and the longest time for which any gateway received
+/// no data from the store.
 struct ZoneRun {
     schedules: Vec<ReadSchedule>,
-    news_at: Vec<u64>,
+    updated_at: Vec<u64>,
     reads: u32,
     longest_ms: u64,
 }
@@ -26,13 +26,13 @@
     fn new(gateways: u64) -> Self {
         let mut run = Self {
             schedules: (0..gateways).map(ReadSchedule::new).collect(),
-            news_at: Vec::new(),
+            updated_at: Vec::new(),
             reads: 0,
             longest_ms: 0,
         };
         for schedule in &mut run.schedules {
             schedule.note_read(at(0), PERIOD);
-            run.news_at.push(0);
+            run.updated_at.push(0);
         }
         run
     }
@@ -50,18 +50,20 @@
     fn read(&mut self, reader: usize, now: u64, receives: &impl Fn(usize, usize) -> bool) {
         self.reads += 1;
         self.schedules[reader].note_read(at(now), PERIOD);
-        self.note_news(reader, now);
+        self.note_update(reader, now);
         for other in 0..self.schedules.len() {
             if other != reader && receives(reader, other) {
-                self.schedules[other].note_told(PERIOD, at(now + 20));
-                self.note_news(other, now + 20);
+                self.schedules[other].note_peer_read(PERIOD, at(now + 20));
+                self.note_update(other, now + 20);
             }
         }
     }
 
-    fn note_news(&mut self, index: usize, now: u64) {
-        self.longest_ms = self.longest_ms.max(now.saturating_sub(self.news_at[index]));
-        self.news_at[index] = now;
+    fn note_update(&mut self, index: usize, now: u64) {
+        self.longest_ms = self
+            .longest_ms
+            .max(now.saturating_sub(self.updated_at[index]));
+        self.updated_at[index] = now;
     }
 }
 
@@ -94,14 +96,14 @@
     let mut draining = record(1, &["m1"]);
     draining.draining = true;
     let second = StoreView::new(7, vec![draining, record(3, &["m1"])]);
-    let word = second.word_since(Some(&first));
+    let delta = second.delta_since(Some(&first));
     let mut other = first.clone();
-    assert_eq!(other.take_word(&word), WordOutcome::Patched);
+    assert_eq!(other.apply_delta(&delta), DeltaOutcome::Patched);
     let draining: Vec<bool> = other.endpoints().iter().map(|row| row.draining).collect();
     assert_eq!(draining, vec![true, false]);
-    assert_eq!(other.take_word(&word), WordOutcome::Same);
+    assert_eq!(other.apply_delta(&delta), DeltaOutcome::Same);
     let mut behind = StoreView::new(7, vec![record(1, &["m1"])]);
-    assert_eq!(behind.take_word(&word), WordOutcome::Unknown);
+    assert_eq!(behind.apply_delta(&delta), DeltaOutcome::Unknown);
     assert_eq!(behind.endpoints().len(), 1);
 }
 
@@ -111,8 +113,8 @@
     let first = StoreView::new(7, vec![record(1, &["m1"])]);
     let second = StoreView::new(8, vec![record(1, &["m1"]), record(2, &["m1"])]);
     let mut other = first.clone();
-    let word = second.word_since(Some(&first));
-    assert_eq!(other.take_word(&word), WordOutcome::Unknown);
+    let delta = second.delta_since(Some(&first));
+    assert_eq!(other.apply_delta(&delta), DeltaOutcome::Unknown);
     assert_eq!(other, first);
 }
 
@@ -122,9 +124,9 @@
 fn too_many_changes_are_left_out_of_the_message() {
     let first = StoreView::new(7, Vec::new());
     let second = StoreView::new(7, (1..100).map(|number| record(number, &["m1"])).collect());
-    let word = second.word_since(Some(&first));
-    assert!(word.changed.is_empty());
-    assert_eq!(first.clone().take_word(&word), WordOutcome::Unknown);
+    let delta = second.delta_since(Some(&first));
+    assert!(delta.changed.is_empty());
+    assert_eq!(first.clone().apply_delta(&delta), DeltaOutcome::Unknown);
 }
 
 /// The digest leaves out what engines hold, so messages must not replace a gateway's reads indefinitely.
@@ -134,7 +136,7 @@
     schedule.note_read(at(0), PERIOD);
     let spared = (1..=40).take_while(|number| {
         let now = at(number * 1_000);
-        schedule.note_told(PERIOD, now);
+        schedule.note_peer_read(PERIOD, now);
         schedule.next_at() > now
     });
     assert!(spared.count() < 30);
@@ -165,17 +167,17 @@
 #[test]
 fn configurations_are_distinguished_by_contents() {
     assert_ne!(
-        config_mark(b"{\"version\":7}"),
-        config_mark(b"{\"version\":8}")
+        config_digest(b"{\"version\":7}"),
+        config_digest(b"{\"version\":8}")
     );
     let view = |era| {
-        StoreView::new(7, vec![record(1, &["m1"])]).with_own(&OwnEntries {
+        StoreView::new(7, vec![record(1, &["m1"])]).with_internal(&InternalEntries {
             crashes: &[],
             parts: &[],
             era,
         })
     };
-    let word = view(2).word_since(Some(&view(2)));
-    assert_eq!(view(2).take_word(&word), WordOutcome::Same);
-    assert_eq!(view(1).take_word(&word), WordOutcome::Unknown);
+    let delta = view(2).delta_since(Some(&view(2)));
+    assert_eq!(view(2).apply_delta(&delta), DeltaOutcome::Same);
+    assert_eq!(view(1).apply_delta(&delta), DeltaOutcome::Unknown);
 }
--- a/crates/oatpier-standin/tests/testsuite/engine_http.rs
+++ b/crates/oatpier-standin/tests/testsuite/engine_http.rs
@@ -1,17 +1,18 @@
-//! The engine over HTTP and in process: whole answers, resume, cancel, cuts, records.
+//! Tests of the engine over HTTP and in process: complete and resumed answers, cancels,
+//! interrupted streams, records.
 
 use std::time::Duration;
 
 use futures::StreamExt;
+use oatpier_ports::endpoint::EndpointClient;
 use oatpier_ports::engine::{EngineControl, OrderError};
-use oatpier_ports::http::{EndpointKind, HttpEngine, HttpWork};
-use oatpier_ports::work::EndpointWork;
+use oatpier_ports::http::{EndpointKind, HttpEndpoint, HttpEngine};
 use oatpier_standin::answer::answer_text;
 use oatpier_standin::clock::StandinClock;
+use oatpier_standin::endpoint::LocalEndpoint;
 use oatpier_standin::engine::{EngineFaults, EngineOptions, LocalEngine, start_engine};
-use oatpier_standin::serve::Running;
+use oatpier_standin::serve::RunningServer;
 use oatpier_standin::weights::{WeightStore, WeightsOptions};
-use oatpier_standin::work::LocalWork;
 use oatpier_types::event::FleetEvent;
 use oatpier_types::ids::AttemptId;
 
@@ -19,18 +20,18 @@
 
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Tokens of an answer that doesn't end while a test looks at it.
+/// Tokens of an answer that doesn't end during a test.
 const ENDLESS: u32 = 4_000;
 
-async fn serve(options: EngineOptions) -> (Running<LocalEngine>, HttpWork) {
+async fn serve(options: EngineOptions) -> (RunningServer<LocalEngine>, HttpEndpoint) {
     let store = WeightStore::shared(WeightsOptions::default());
     let clock = StandinClock::start();
     let running = start_engine(ANY_PORT, options, store, clock).await.unwrap();
-    let work = HttpWork::new(running.address, EndpointKind::Engine, TIMEOUT);
+    let work = HttpEndpoint::new(running.address, EndpointKind::Engine, TIMEOUT);
     (running, work)
 }
 
-async fn check_whole_and_resumed(work: &dyn EndpointWork) {
+async fn check_whole_and_resumed(work: &dyn EndpointClient) {
     let whole = work.run(completion(1, "a prompt", 5)).await.unwrap();
     let (events, error) = read_body(whole).await;
     assert_eq!(error, None);
@@ -61,15 +62,15 @@
 async fn a_local_engine_streams_whole_and_resumed_answers() {
     let store = WeightStore::shared(WeightsOptions::default());
     let engine = LocalEngine::start(options(), store, StandinClock::start());
-    let work = LocalWork::engine(engine);
+    let work = LocalEndpoint::engine(engine);
     check_whole_and_resumed(&work).await;
     assert!(work.probe().await);
 }
 
-/// A stream is cut in the middle. The reader gets an error, and never a short answer that looks
-/// whole.
+/// A stream breaks off in the middle. The reader must get an error, and not a short answer that looks
+/// complete.
 #[tokio::test]
-async fn a_cut_stream_is_seen_as_cut() {
+async fn an_interrupted_stream_returns_an_error() {
     let (running, work) = serve(options()).await;
     let cut = EngineFaults {
         cut_streams: 1,
@@ -86,8 +87,8 @@
     assert_eq!(streamed_text(&events), answer_text("a prompt", 5));
 }
 
-/// A caller cancels, another one just closes its connection. Both free their slots, which the
-/// next request needs.
+/// One caller cancels, and another one only closes its connection. Both must free their slots, which
+/// the next request needs.
 #[tokio::test]
 async fn cancelled_and_abandoned_streams_free_their_slots() {
     let (running, work) = serve(EngineOptions {
@@ -111,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn orders_and_reports_go_over_http() {
+async fn orders_and_reports_work_over_http() {
     let (running, _) = serve(options()).await;
     let engine = HttpEngine::new(running.address, TIMEOUT);
     engine.order(&load(2, 1, "m2")).await.unwrap();
@@ -132,15 +133,15 @@
     assert!(matches!(lost, Err(OrderError::Unknown { .. })), "{lost:?}");
 }
 
-/// The events of a run name it by its request and attempt, and its idempotency key by a hash.
+/// The events of a run contain its request and attempt, and a hash of its idempotency key.
 #[tokio::test(start_paused = true)]
-async fn events_name_the_run() {
+async fn events_identify_the_run() {
     let store = WeightStore::shared(WeightsOptions::default());
     let engine = LocalEngine::start(options(), store, StandinClock::start());
     let mut call = completion(1, "one", 5);
     let trace = "00-000000000000000000000000000000aa-00000000000000bb-01";
     call.headers.insert("traceparent", trace.parse().unwrap());
-    let work = LocalWork::engine(engine.clone());
+    let work = LocalEndpoint::engine(engine.clone());
     read_body(work.run(call).await.unwrap()).await;
     let events = engine.with_core(|core, _| core.take_events());
     let started = events.iter().find_map(|logged| match logged.event {
--- a/crates/oatpier-types/src/config/diff.rs
+++ b/crates/oatpier-types/src/config/diff.rs
@@ -1,9 +1,10 @@
 //! The edits between two configurations.
 //!
-//! An edit names one item and holds it as it was and as it is to be, so that a list of edits can
-//! be applied, undone, checked against another list, and sent between processes in place of a
-//! whole configuration. The endpoints of a pool are items of their own: two operators who add
-//! endpoints to one pool do not clash, and a change of one among thousands stays small.
+//! An edit contains the name of an item and its values before and after the change. A list of
+//! edits can therefore be applied, reverted, checked for conflicts with another list, and sent
+//! between processes instead of a whole configuration. The endpoints of a pool are separate items:
+//! two operators can add endpoints to one pool without a conflict, and a change of one endpoint
+//! among thousands stays small.
 
 use std::fmt;
 use std::hash::Hash;
@@ -11,7 +12,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::fault::{ItemKind, ItemRef};
+use super::error::{ItemKind, ItemRef};
 use super::{
     AdapterSpec, ClassSpec, FleetConfig, ModelSpec, PoolKind, PoolSpec, RegionSpec, WeightStoreSpec,
 };
@@ -19,29 +20,29 @@
     AdapterName, ClassName, EndpointName, ModelName, PoolName, RegionName, ZoneName,
 };
 
-/// One item as it was and as it is to be; none: it is not there.
+/// A change of one item; `None` before or after means that the item does not exist then.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct ItemEdit<N, S> {
-    /// The item's name.
+    /// The name of the item.
     pub name: N,
-    /// The item before.
+    /// The item before the change.
     pub before: Option<S>,
-    /// The item after.
+    /// The item after the change.
     pub after: Option<S>,
 }
 
-/// Where an endpoint stands.
+/// The pool and availability zone of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct EndpointSite {
-    /// Its pool.
+pub struct EndpointLocation {
+    /// The pool of the endpoint.
     pub pool: PoolName,
-    /// Its availability zone.
+    /// The availability zone of the endpoint.
     pub zone: ZoneName,
 }
 
-/// One change of one item.
+/// An edit of one item.
 #[derive(Debug, Clone, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -50,49 +51,49 @@
     Region(ItemEdit<RegionName, RegionSpec>),
     /// A class.
     Class(ItemEdit<ClassName, ClassSpec>),
-    /// A pool without its endpoints.
+    /// A pool, not including its endpoints.
     Pool(ItemEdit<PoolName, PoolKind>),
     /// An endpoint of a pool.
-    Endpoint(ItemEdit<EndpointName, EndpointSite>),
+    Endpoint(ItemEdit<EndpointName, EndpointLocation>),
     /// A base model.
     Model(ItemEdit<ModelName, ModelSpec>),
     /// An adapter.
     Adapter(ItemEdit<AdapterName, AdapterSpec>),
-    /// What the weight store allows.
+    /// The load limits of the weight store.
     WeightStore {
-        /// As it was.
+        /// The limits before the change.
         before: WeightStoreSpec,
-        /// As it is to be.
+        /// The limits after the change.
         after: WeightStoreSpec,
     },
 }
 
-/// Whether an edit makes, removes or changes its item.
+/// Whether an edit adds, removes or changes its item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EditKind {
-    /// The item is new.
+    /// The item is added.
     Added,
-    /// The item goes.
+    /// The item is removed.
     Removed,
-    /// The item is another.
+    /// The item is changed.
     Changed,
 }
 
 /// Whether an edit can be applied to a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EditFit {
-    /// The item is as the edit expects.
+pub enum EditStatus {
+    /// The item has the value from before the edit.
     Applies,
-    /// The item is already as the edit wants it.
-    Done,
-    /// The item is something else.
-    Clashes,
+    /// The item already has the value from after the edit.
+    AlreadyApplied,
+    /// The item has a different value: the edit conflicts with another change.
+    Conflicts,
 }
 
 impl ConfigEdit {
-    /// The item that is edited.
+    /// Returns the item that is edited.
     #[must_use]
     pub fn item(&self) -> ItemRef {
         match self {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Whether the item is added, removed or changed.
+    /// Returns whether the item is added, removed or changed.
     #[must_use]
     pub fn kind(&self) -> EditKind {
         match self {
@@ -120,16 +121,16 @@
         }
     }
 
-    /// The edit that takes this one back.
+    /// Returns the edit that reverts this one.
     #[must_use]
-    pub fn undo(&self) -> Self {
+    pub fn invert(&self) -> Self {
         match self.clone() {
-            Self::Region(edit) => Self::Region(edit.undo()),
-            Self::Class(edit) => Self::Class(edit.undo()),
-            Self::Pool(edit) => Self::Pool(edit.undo()),
-            Self::Endpoint(edit) => Self::Endpoint(edit.undo()),
-            Self::Model(edit) => Self::Model(edit.undo()),
-            Self::Adapter(edit) => Self::Adapter(edit.undo()),
+            Self::Region(edit) => Self::Region(edit.invert()),
+            Self::Class(edit) => Self::Class(edit.invert()),
+            Self::Pool(edit) => Self::Pool(edit.invert()),
+            Self::Endpoint(edit) => Self::Endpoint(edit.invert()),
+            Self::Model(edit) => Self::Model(edit.invert()),
+            Self::Adapter(edit) => Self::Adapter(edit.invert()),
             Self::WeightStore { before, after } => Self::WeightStore {
                 before: after,
                 after: before,
@@ -137,19 +138,19 @@
         }
     }
 
-    /// Whether the edit can be applied to `config`.
+    /// Returns whether the edit can be applied to `config`.
     #[must_use]
-    pub fn fit(&self, config: &FleetConfig) -> EditFit {
+    pub fn status_in(&self, config: &FleetConfig) -> EditStatus {
         match self {
-            Self::Region(edit) => edit.fit(config.regions.get(&edit.name)),
-            Self::Class(edit) => edit.fit(config.classes.get(&edit.name)),
-            Self::Pool(edit) => edit.fit(config.pools.get(&edit.name).map(|pool| &pool.kind)),
-            Self::Endpoint(edit) => edit.fit(config.site_of(&edit.name).as_ref()),
-            Self::Model(edit) => edit.fit(config.models.get(&edit.name)),
-            Self::Adapter(edit) => edit.fit(config.adapters.get(&edit.name)),
+            Self::Region(edit) => edit.status_in(config.regions.get(&edit.name)),
+            Self::Class(edit) => edit.status_in(config.classes.get(&edit.name)),
+            Self::Pool(edit) => edit.status_in(config.pools.get(&edit.name).map(|pool| &pool.kind)),
+            Self::Endpoint(edit) => edit.status_in(config.location_of(&edit.name).as_ref()),
+            Self::Model(edit) => edit.status_in(config.models.get(&edit.name)),
+            Self::Adapter(edit) => edit.status_in(config.adapters.get(&edit.name)),
             Self::WeightStore { before, after } => {
                 let present = Some(&config.weight_store);
-                fit_of(present, Some(before), Some(after))
+                edit_status(present, Some(before), Some(after))
             }
         }
     }
@@ -175,7 +176,7 @@
         }
     }
 
-    fn undo(self) -> Self {
+    fn invert(self) -> Self {
         Self {
             name: self.name,
             before: self.after,
@@ -183,22 +184,26 @@
         }
     }
 
-    fn fit(&self, present: Option<&S>) -> EditFit {
-        fit_of(present, self.before.as_ref(), self.after.as_ref())
+    fn status_in(&self, present: Option<&S>) -> EditStatus {
+        edit_status(present, self.before.as_ref(), self.after.as_ref())
     }
 }
 
-fn fit_of<S: PartialEq>(present: Option<&S>, before: Option<&S>, after: Option<&S>) -> EditFit {
+fn edit_status<S: PartialEq>(
+    present: Option<&S>,
+    before: Option<&S>,
+    after: Option<&S>,
+) -> EditStatus {
     if present == after {
-        EditFit::Done
+        EditStatus::AlreadyApplied
     } else if present == before {
-        EditFit::Applies
+        EditStatus::Applies
     } else {
-        EditFit::Clashes
+        EditStatus::Conflicts
     }
 }
 
-/// The edits that make `after` of `before`, sorted by kind and name.
+/// Returns the edits that turn `before` into `after`, sorted by kind and name.
 #[must_use]
 pub fn diff(before: &FleetConfig, after: &FleetConfig) -> Vec<ConfigEdit> {
     let mut edits = Vec::new();
@@ -214,7 +219,7 @@
     edits.extend(classes.into_iter().map(ConfigEdit::Class));
     let pools = item_edits(&before.pool_kinds(), &after.pool_kinds());
     edits.extend(pools.into_iter().map(ConfigEdit::Pool));
-    let endpoints = item_edits(&before.endpoint_sites(), &after.endpoint_sites());
+    let endpoints = item_edits(&before.endpoint_locations(), &after.endpoint_locations());
     edits.extend(endpoints.into_iter().map(ConfigEdit::Endpoint));
     let models = item_edits(&before.models, &after.models);
     edits.extend(models.into_iter().map(ConfigEdit::Model));
@@ -242,22 +247,23 @@
     edits
 }
 
-/// The items that two edit lists, made from the same configuration, want differently.
+/// Returns the items that two edit lists, based on the same configuration, change differently.
 #[must_use]
-pub fn clashing_items(left: &[ConfigEdit], right: &[ConfigEdit]) -> Vec<ItemRef> {
-    let theirs: std::collections::HashMap<ItemRef, &ConfigEdit> =
+pub fn conflicting_items(left: &[ConfigEdit], right: &[ConfigEdit]) -> Vec<ItemRef> {
+    let right_by_item: std::collections::HashMap<ItemRef, &ConfigEdit> =
         right.iter().map(|edit| (edit.item(), edit)).collect();
-    let both = left.iter().filter(|edit| {
-        let other = theirs.get(&edit.item());
+    let differing = left.iter().filter(|edit| {
+        let other = right_by_item.get(&edit.item());
         other.is_some_and(|other| *other != *edit)
     });
-    both.map(ConfigEdit::item).collect()
+    differing.map(ConfigEdit::item).collect()
 }
 
-/// Makes `edits` on `config`, whatever it holds; the outcome is in canonical order.
+/// Applies `edits` to `config` without checking the previous values.
 ///
-/// Use [`ConfigEdit::fit`] first where the configuration may be another than the edits expect.
-/// An endpoint whose pool is not there is left out.
+/// The result is in canonical order. If the configuration may differ from the one that the edits
+/// are based on, check them with [`ConfigEdit::status_in`] first. An endpoint whose pool does not exist
+/// is dropped.
 #[must_use]
 pub fn apply(config: &FleetConfig, edits: &[ConfigEdit]) -> FleetConfig {
     let mut changed = config.clone();
@@ -273,7 +279,7 @@
             ConfigEdit::WeightStore { after, .. } => changed.weight_store = *after,
         }
     }
-    // Last, since an endpoint can only go into a pool that is there.
+    // Endpoints are applied last because their pools must exist first.
     for edit in endpoints {
         set_endpoint(&mut changed, edit);
     }
@@ -309,31 +315,32 @@
     pools.insert(edit.name.clone(), PoolSpec { kind, endpoints });
 }
 
-fn set_endpoint(config: &mut FleetConfig, edit: &ItemEdit<EndpointName, EndpointSite>) {
+fn set_endpoint(config: &mut FleetConfig, edit: &ItemEdit<EndpointName, EndpointLocation>) {
     for pool in config.pools.values_mut() {
         pool.endpoints.swap_remove(&edit.name);
     }
-    let Some(site) = &edit.after else {
+    let Some(location) = &edit.after else {
         return;
     };
-    if let Some(pool) = config.pools.get_mut(&site.pool) {
-        pool.endpoints.insert(edit.name.clone(), site.zone.clone());
+    if let Some(pool) = config.pools.get_mut(&location.pool) {
+        pool.endpoints
+            .insert(edit.name.clone(), location.zone.clone());
     }
 }
 
 impl FleetConfig {
-    /// Where an endpoint stands.
+    /// Returns the pool and availability zone of an endpoint.
     #[must_use]
-    pub fn site_of(&self, endpoint: &EndpointName) -> Option<EndpointSite> {
+    pub fn location_of(&self, endpoint: &EndpointName) -> Option<EndpointLocation> {
         let (pool, spec) = self.pool_of(endpoint)?;
         let zone = spec.endpoints.get(endpoint)?;
-        Some(EndpointSite {
+        Some(EndpointLocation {
             pool: pool.clone(),
             zone: zone.clone(),
         })
     }
 
-    /// Brings all items into canonical order: sorted by name.
+    /// Sorts all items by name, which is the canonical order.
     pub fn sort_items(&mut self) {
         self.regions.sort_unstable_keys();
         self.classes.sort_unstable_keys();
@@ -345,17 +352,19 @@
         }
     }
 
-    /// A hash of the content: the same for the same content in every process and version, in
-    /// whatever order the items were written.
+    /// Returns a hash of the configuration that does not depend on the order of its items.
+    ///
+    /// The hash of the same content is equal in all processes and software versions.
     ///
     /// # Panics
     ///
-    /// Never: a configuration always has a form in JSON.
+    /// Never: a configuration is always representable in JSON.
     #[must_use]
     pub fn content_hash(&self) -> u64 {
         let mut canonical = self.clone();
         canonical.sort_items();
-        let bytes = serde_json::to_vec(&canonical).expect("a configuration has a form in JSON");
+        let bytes =
+            serde_json::to_vec(&canonical).expect("a configuration is representable in JSON");
         xxhash_rust::xxh3::xxh3_64(&bytes)
     }
 
@@ -366,16 +375,16 @@
             .collect()
     }
 
-    fn endpoint_sites(&self) -> IndexMap<EndpointName, EndpointSite> {
+    fn endpoint_locations(&self) -> IndexMap<EndpointName, EndpointLocation> {
         let pools = self.pools.iter();
         pools
             .flat_map(|(name, pool)| {
                 pool.endpoints.iter().map(move |(endpoint, zone)| {
-                    let site = EndpointSite {
+                    let location = EndpointLocation {
                         pool: name.clone(),
                         zone: zone.clone(),
                     };
-                    (endpoint.clone(), site)
+                    (endpoint.clone(), location)
                 })
             })
             .collect()
--- a/crates/oatpier-types/src/config/raw.rs
+++ b/crates/oatpier-types/src/config/raw.rs
@@ -1,20 +1,19 @@
-//! The tables of the text as they stand there, unchecked.
+//! The tables of a configuration text before validation.
 //!
-//! Every key is optional here, so that a table with one bad key still shows the faults of its
-//! other keys.
+//! All keys are optional, so that an invalid key in a table doesn't hide errors in its other keys.
 
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use toml::Spanned;
 
-/// A text with its place.
-pub(super) type RawText = Option<Spanned<String>>;
-/// A number with its place.
+/// An optional string with its location in the text.
+pub(super) type RawString = Option<Spanned<String>>;
+/// An optional number with its location in the text.
 pub(super) type RawCount = Option<Spanned<u64>>;
 
-/// A table of the text.
+/// A table of the configuration text.
 pub(super) trait RawTable: DeserializeOwned + Default {
-    /// The keys that it may have.
+    /// The keys that the table accepts.
     const KEYS: &'static [&'static str];
 }
 
@@ -36,7 +35,7 @@
 
 raw_tables! {
     /// `[weight_store]`.
-    RawStore {
+    RawWeightStore {
         loads_per_second: Option<Spanned<f64>>,
         full_speed_loads: Option<Spanned<u32>>,
     }
@@ -46,41 +45,41 @@
     }
     /// `[class.NAME]`.
     RawClass {
-        first_token: RawText,
-        between_tokens: RawText,
-        answer: RawText,
+        first_token: RawString,
+        between_tokens: RawString,
+        answer: RawString,
         attain: Option<Spanned<f64>>,
     }
-    /// `[pool.NAME]`; its groups are read by themselves.
+    /// `[pool.NAME]`; the groups are parsed separately.
     RawPool {
-        kind: RawText,
+        kind: RawString,
         accelerators: Option<Spanned<u32>>,
         memory_mib: RawCount,
         slots: Option<Spanned<u32>>,
         checks_order_numbers: Option<Spanned<bool>>,
-        class: RawText,
+        class: RawString,
         once: Option<Spanned<Vec<Spanned<String>>>>,
         group: Option<serde::de::IgnoredAny>,
     }
     /// `[[pool.NAME.group]]`.
     RawGroup {
-        zone: RawText,
-        prefix: RawText,
+        zone: RawString,
+        prefix: RawString,
         count: RawCount,
         first: RawCount,
         names: Option<Spanned<Vec<Spanned<String>>>>,
     }
     /// `[model.NAME]`.
     RawModel {
-        pool: RawText,
-        version: RawText,
+        pool: RawString,
+        version: RawString,
         memory_mib: RawCount,
-        class: RawText,
+        class: RawString,
     }
     /// `[adapter.NAME]`.
     RawAdapter {
-        model: RawText,
-        version: RawText,
+        model: RawString,
+        version: RawString,
         memory_mib: RawCount,
     }
 }
